--- a/cmd/larchusher-lab/load.go
+++ b/cmd/larchusher-lab/load.go
@@ -63,11 +63,11 @@
 
 // figures is one run, as printed.
 type figures struct {
-	Rate     float64
-	Sum      loadgen.Summary
-	PeakMB   float64
-	CPU      float64            // seconds used for each second
-	Counters map[string]float64 `json:",omitempty"`
+	Rate     float64            `json:"Rate"`
+	Sum      loadgen.Summary    `json:"Sum"`
+	PeakMB   float64            `json:"PeakMB"`
+	CPU      float64            `json:"CPU"` // seconds used for each second
+	Counters map[string]float64 `json:"Counters,omitempty"`
 }
 
 func (l *load) one(rate float64) error {
--- a/cmd/larchusher/shared.go
+++ b/cmd/larchusher/shared.go
@@ -127,7 +127,7 @@
 
 // Run has something forgotten at all gateways.
 func (c *stateForget) Run() error {
-	value, err := json.Marshal(struct{ Kind, Key, Why string }{c.Kind, c.Key, strings.Join(c.Why, " ") + ", " + by()})
+	value, err := json.Marshal(fleethost.ForgetRequest{Kind: c.Kind, Key: c.Key, Why: strings.Join(c.Why, " ") + ", " + by()})
 	if err != nil {
 		return err
 	}
--- a/cmd/larchusher/state.go
+++ b/cmd/larchusher/state.go
@@ -53,25 +53,27 @@
 
 // fileState is one file, as printed.
 type fileState struct {
-	File     string
-	Bytes    int
-	Error    string `json:",omitempty"`
-	Whole    bool
-	Bad      int  `json:",omitempty"`
-	Cut      bool `json:",omitempty"`
-	Made     time.Time
-	AgeS     float64
-	Gateway  string
-	Settings string
-	Position int64
-	Places   []place
+	File     string    `json:"File"`
+	Bytes    int       `json:"Bytes"`
+	Error    string    `json:"Error,omitempty"`
+	Whole    bool      `json:"Whole"`
+	Bad      int       `json:"Bad,omitempty"`
+	Cut      bool      `json:"Cut,omitempty"`
+	Made     time.Time `json:"Made"`
+	AgeS     float64   `json:"AgeS"`
+	Gateway  string    `json:"Gateway"`
+	Settings string    `json:"Settings"`
+	Position int64     `json:"Position"`
+	Places   []place   `json:"Places"`
 }
 
 type place struct {
-	Zone                      string
-	Listings, Servers, Purges int
-	Believed                  int // listings that would be, by their age now
-	Ill                       int // servers that fail, or are out of use
+	Zone     string `json:"Zone"`
+	Listings int    `json:"Listings"`
+	Servers  int    `json:"Servers"`
+	Purges   int    `json:"Purges"`
+	Believed int    `json:"Believed"` // listings that would be, by their age now
+	Ill      int    `json:"Ill"`      // servers that fail, or are out of use
 }
 
 func look(f snapshot.Found, now time.Time) fileState {
--- a/cmd/larchusher/upgrade.go
+++ b/cmd/larchusher/upgrade.go
@@ -37,10 +37,10 @@
 
 // handedState is what a process hands over to its successor.
 type handedState struct {
-	Format  int
-	Known   journal.Known       // the present list of stores, and the latest event taken in
-	Since   string              // fingerprint of the journal's events that this process was started with
-	Learned *knowledge.Snapshot // nil: none
+	Format  int                 `json:"Format"`
+	Known   journal.Known       `json:"Known"`   // the present list of stores, and the latest event taken in
+	Since   string              `json:"Since"`   // fingerprint of the journal's events that this process was started with
+	Learned *knowledge.Snapshot `json:"Learned"` // nil: none
 }
 
 // fingerprint tells the journal's events of one start from those of another: they are numbered from 1 in each.
--- a/control/api.go
+++ b/control/api.go
@@ -54,71 +54,71 @@
 
 // Class describes one class of request.
 type Class struct {
-	Name       string
-	Aim        time.Duration // an answer within this time has its full worth
-	AimStretch float64       // the aim grows by this multiple of the request's own sending time
-	Deadline   time.Duration // a client waits this long over all its tries
-	Worth      float64
-	LateWorth  float64 // share of the worth between aim and deadline
-	Effect     Effect
-	Scope      Scope         // keyed classes: who drops repeats
-	Window     time.Duration // keyed classes: for how long
-	Stream     bool          // the answer is streamed; see FirstByte
-	Fresh      time.Duration // a copy is fresh for this long; 0: until it is purged
-	Grace      time.Duration // a copy may be this much older when asked for
-	StaleWorth float64       // share of the worth that such a copy earns
-	Parts      bool          // objects come in parts
-	NeverKept  bool          // runs at the origin and is never kept
+	Name       string        `json:"Name"`
+	Aim        time.Duration `json:"Aim"`        // an answer within this time has its full worth
+	AimStretch float64       `json:"AimStretch"` // the aim grows by this multiple of the request's own sending time
+	Deadline   time.Duration `json:"Deadline"`   // a client waits this long over all its tries
+	Worth      float64       `json:"Worth"`
+	LateWorth  float64       `json:"LateWorth"` // share of the worth between aim and deadline
+	Effect     Effect        `json:"Effect"`
+	Scope      Scope         `json:"Scope"`      // keyed classes: who drops repeats
+	Window     time.Duration `json:"Window"`     // keyed classes: for how long
+	Stream     bool          `json:"Stream"`     // the answer is streamed; see FirstByte
+	Fresh      time.Duration `json:"Fresh"`      // a copy is fresh for this long; 0: until it is purged
+	Grace      time.Duration `json:"Grace"`      // a copy may be this much older when asked for
+	StaleWorth float64       `json:"StaleWorth"` // share of the worth that such a copy earns
+	Parts      bool          `json:"Parts"`      // objects come in parts
+	NeverKept  bool          `json:"NeverKept"`  // runs at the origin and is never kept
 }
 
 // Settings are what a director is told at its start.
 type Settings struct {
-	Me          int      // number of this director,
-	Numberless  bool     // which is not told
-	Directors   int      // directors in all; 0: not told
-	Zone        string   // zone of this director, its location
-	Zones       []string // all zones
-	ZoneHub     []int    // by zone: the zone index of its hub
-	ZonePeers   []int    // by zone: directors there
-	ZoneLink    []float64
-	Kinds       []string // kinds of machine
-	ParentKind  int      // index into Kinds; -1: there are no parents
-	OriginKind  int      // index into Kinds
-	Classes     []Class
-	Tenants     []string
-	WeightsTold bool    // Member.Weight means something
-	FlowKBps    float64 // top pace of one answer; 0: not told
-
-	Ask           bool // discovery answers only when asked (Watch, Fetch)
-	PassBy        bool // requests may go straight to a parent or the origin
-	Joins         bool // a request may join a running fill
-	Neighbours    Neighbours
-	Tells         Tells
-	LoadFields    []string // names of the values in a load report
-	Probes        bool
-	PeerMessages  bool
-	Cancels       bool
-	SecondCopies  bool
-	RetryAdvice   bool
-	MaxRetryAfter time.Duration
-	MaxAttempts   int
-	Step          time.Duration // least time between two events' clocks
-
-	DrainGrace   time.Duration
-	ColdFrom     float64       // a cache starts with at least this share of its capacity
-	ColdFor      time.Duration // and is warm after this at the latest
-	FallMultiple float64       // sent this multiple of what it can do ...
-	FallFor      time.Duration // ... for this long, a cold server falls over
-
-	ParentColdFrom     float64
-	ParentColdFor      time.Duration
-	ParentFallMultiple float64
-	OriginFallMultiple float64 // 0: the origin never stops
-	OriginFallFor      time.Duration
-
-	PurgeGrace   time.Duration // time to heed a purge
-	PurgeSettles time.Duration // no older copy is left after this
-	AskWithin    time.Duration
+	Me          int       `json:"Me"`         // number of this director,
+	Numberless  bool      `json:"Numberless"` // which is not told
+	Directors   int       `json:"Directors"`  // directors in all; 0: not told
+	Zone        string    `json:"Zone"`       // zone of this director, its location
+	Zones       []string  `json:"Zones"`      // all zones
+	ZoneHub     []int     `json:"ZoneHub"`    // by zone: the zone index of its hub
+	ZonePeers   []int     `json:"ZonePeers"`  // by zone: directors there
+	ZoneLink    []float64 `json:"ZoneLink"`
+	Kinds       []string  `json:"Kinds"`      // kinds of machine
+	ParentKind  int       `json:"ParentKind"` // index into Kinds; -1: there are no parents
+	OriginKind  int       `json:"OriginKind"` // index into Kinds
+	Classes     []Class   `json:"Classes"`
+	Tenants     []string  `json:"Tenants"`
+	WeightsTold bool      `json:"WeightsTold"` // Member.Weight means something
+	FlowKBps    float64   `json:"FlowKBps"`    // top pace of one answer; 0: not told
+
+	Ask           bool          `json:"Ask"`    // discovery answers only when asked (Watch, Fetch)
+	PassBy        bool          `json:"PassBy"` // requests may go straight to a parent or the origin
+	Joins         bool          `json:"Joins"`  // a request may join a running fill
+	Neighbours    Neighbours    `json:"Neighbours"`
+	Tells         Tells         `json:"Tells"`
+	LoadFields    []string      `json:"LoadFields"` // names of the values in a load report
+	Probes        bool          `json:"Probes"`
+	PeerMessages  bool          `json:"PeerMessages"`
+	Cancels       bool          `json:"Cancels"`
+	SecondCopies  bool          `json:"SecondCopies"`
+	RetryAdvice   bool          `json:"RetryAdvice"`
+	MaxRetryAfter time.Duration `json:"MaxRetryAfter"`
+	MaxAttempts   int           `json:"MaxAttempts"`
+	Step          time.Duration `json:"Step"` // least time between two events' clocks
+
+	DrainGrace   time.Duration `json:"DrainGrace"`
+	ColdFrom     float64       `json:"ColdFrom"`     // a cache starts with at least this share of its capacity
+	ColdFor      time.Duration `json:"ColdFor"`      // and is warm after this at the latest
+	FallMultiple float64       `json:"FallMultiple"` // sent this multiple of what it can do ...
+	FallFor      time.Duration `json:"FallFor"`      // ... for this long, a cold server falls over
+
+	ParentColdFrom     float64       `json:"ParentColdFrom"`
+	ParentColdFor      time.Duration `json:"ParentColdFor"`
+	ParentFallMultiple float64       `json:"ParentFallMultiple"`
+	OriginFallMultiple float64       `json:"OriginFallMultiple"` // 0: the origin never stops
+	OriginFallFor      time.Duration `json:"OriginFallFor"`
+
+	PurgeGrace   time.Duration `json:"PurgeGrace"`   // time to heed a purge
+	PurgeSettles time.Duration `json:"PurgeSettles"` // no older copy is left after this
+	AskWithin    time.Duration `json:"AskWithin"`
 }
 
 // Sending is how long an answer of a size takes at the full pace of one transfer; 0 where the pace is not told.
--- a/control/memory.go
+++ b/control/memory.go
@@ -13,43 +13,43 @@
 // Memory is what a director has learned. Times are on the director's clock, which must be the same one when it is taken in
 // again.
 type Memory struct {
-	At       time.Duration // when it was copied out
-	Zone     string
-	Listings []Listing
-	Servers  []Health
-	Purges   []Purged
+	At       time.Duration `json:"At"` // when it was copied out
+	Zone     string        `json:"Zone"`
+	Listings []Listing     `json:"Listings"`
+	Servers  []Health      `json:"Servers"`
+	Purges   []Purged      `json:"Purges"`
 }
 
 // Listing is a row of the mapping table.
 type Listing struct {
-	Key    uint64
-	Server string
-	Boot   time.Duration // of the server
-	HitAt  time.Duration // latest hit, 0: none
-	Last   time.Duration // latest request,
-	Gap    time.Duration // and the smoothed gap between them
-	Count  float64       // recent requests
-	Work   time.Duration // its quickest answer; 0: not known
+	Key    uint64        `json:"Key"`
+	Server string        `json:"Server"`
+	Boot   time.Duration `json:"Boot"`  // of the server
+	HitAt  time.Duration `json:"HitAt"` // latest hit, 0: none
+	Last   time.Duration `json:"Last"`  // latest request,
+	Gap    time.Duration `json:"Gap"`   // and the smoothed gap between them
+	Count  float64       `json:"Count"` // recent requests
+	Work   time.Duration `json:"Work"`  // its quickest answer; 0: not known
 }
 
 // Health is what is known of a server.
 type Health struct {
-	Server  string
-	Boot    time.Duration
-	Seen    time.Duration // its latest answer: what is below is as old
-	Failing float64       // share of recent attempts that failed
-	Ejected time.Duration // out of use until then; 0: it was not
-	Penalty time.Duration // length of the latest ejection
-	Quick   time.Duration // wait for fills,
-	QuickAt time.Duration // seen then
-	Most    float64       // limit of what may be out; 0: none
-	Late    float64       // share of late answers
+	Server  string        `json:"Server"`
+	Boot    time.Duration `json:"Boot"`
+	Seen    time.Duration `json:"Seen"`    // its latest answer: what is below is as old
+	Failing float64       `json:"Failing"` // share of recent attempts that failed
+	Ejected time.Duration `json:"Ejected"` // out of use until then; 0: it was not
+	Penalty time.Duration `json:"Penalty"` // length of the latest ejection
+	Quick   time.Duration `json:"Quick"`   // wait for fills,
+	QuickAt time.Duration `json:"QuickAt"` // seen then
+	Most    float64       `json:"Most"`    // limit of what may be out; 0: none
+	Late    float64       `json:"Late"`    // share of late answers
 }
 
 // Purged is a purge, of an object or of a group (see Purge).
 type Purged struct {
-	Name string
-	At   time.Duration
+	Name string        `json:"Name"`
+	At   time.Duration `json:"At"`
 }
 
 // Worth says what old knowledge still counts for, each from 0 to 1. What speaks for sending more should age faster than
--- a/internal/fleethost/share.go
+++ b/internal/fleethost/share.go
@@ -109,6 +109,13 @@
 	Differ   []replica.Difference `json:"differences,omitempty"`
 }
 
+// ForgetRequest asks for something that gateways know in common to be forgotten.
+type ForgetRequest struct {
+	Kind string `json:"Kind"` // health or listing
+	Key  string `json:"Key"`
+	Why  string `json:"Why"`
+}
+
 // query answers a tool by itself: what is kept in common is asked of the gateway that is asked.
 func (s *sharing) query(from string, m fleet.Message) {
 	reply := fleet.Message{Kind: fleet.Reply, ID: m.ID}
@@ -119,7 +126,7 @@
 		out.Rows, out.Slots = s.node.Rows(s.h.now(), string(m.Value), rowsMost)
 		reply.Value, err = json.Marshal(out)
 	default:
-		var f struct{ Kind, Key, Why string }
+		var f ForgetRequest
 		if err = json.Unmarshal(m.Value, &f); err == nil {
 			var key string
 			var value []byte
--- a/internal/handover/sockets.go
+++ b/internal/handover/sockets.go
@@ -29,8 +29,8 @@
 
 // Piece is something that has come on a connection, and that the former process has not dealt with.
 type Piece struct {
-	Data []byte
-	Age  time.Duration // since it came
+	Data []byte        `json:"Data"`
+	Age  time.Duration `json:"Age"` // since it came
 }
 
 // Moved is a client's connection that has gone over.
@@ -42,8 +42,8 @@
 
 // packet is what goes over beside sockets: the address of each, and for a connection the pieces that have come on it.
 type packet struct {
-	Addrs  []string
-	Pieces []Piece `json:",omitempty"`
+	Addrs  []string `json:"Addrs"`
+	Pieces []Piece  `json:"Pieces,omitempty"`
 }
 
 // errPacket says that what has come is not what a Link sends.
--- a/knowledge/knowledge.go
+++ b/knowledge/knowledge.go
@@ -27,11 +27,11 @@
 
 // Snapshot is all that a gateway has learned at a time.
 type Snapshot struct {
-	Made      time.Duration // Unix time
-	Gateway   string        // name
-	Settings  string        // fingerprint of what it was told, by which its knowledge is meant
-	Position  int64         // latest event of the journal that was taken in
-	Directors []control.Memory
+	Made      time.Duration    `json:"Made"`     // Unix time
+	Gateway   string           `json:"Gateway"`  // name
+	Settings  string           `json:"Settings"` // fingerprint of what it was told, by which its knowledge is meant
+	Position  int64            `json:"Position"` // latest event of the journal that was taken in
+	Directors []control.Memory `json:"Directors"`
 }
 
 // Why a snapshot is void, to be told apart by errors.Is.
--- a/lab/load/summary.go
+++ b/lab/load/summary.go
@@ -13,13 +13,16 @@
 
 // ClassSum is what befell one class.
 type ClassSum struct {
-	Class              string
-	Asked              int
-	Outcomes           map[string]int
-	InAim              int // served within the aim
-	Late               int // served after it
-	P50, P99, P999     time.Duration
-	RefusedP50, RefP99 time.Duration // time until a refusal
+	Class      string         `json:"Class"`
+	Asked      int            `json:"Asked"`
+	Outcomes   map[string]int `json:"Outcomes"`
+	InAim      int            `json:"InAim"` // served within the aim
+	Late       int            `json:"Late"`  // served after it
+	P50        time.Duration  `json:"P50"`
+	P99        time.Duration  `json:"P99"`
+	P999       time.Duration  `json:"P999"`
+	RefusedP50 time.Duration  `json:"RefusedP50"`
+	RefP99     time.Duration  `json:"RefP99"` // time until a refusal
 }
 
 // Share is a part of what was asked, in percent.
@@ -27,16 +30,20 @@
 
 // Summary is a run in figures.
 type Summary struct {
-	Seconds        float64
-	Offered        float64 // requests a second
-	Worth          float64 // in aim, a second
-	WorthOffered   float64
-	Classes        []ClassSum
-	P50, P99, P999 time.Duration // of all that was served
-	Silent         int
-	Second, Spoilt uint64
-	Later50        int           // milliseconds, of refusals
-	Lag99, Lag999  time.Duration // by which the load tool itself was late
+	Seconds      float64       `json:"Seconds"`
+	Offered      float64       `json:"Offered"` // requests a second
+	Worth        float64       `json:"Worth"`   // in aim, a second
+	WorthOffered float64       `json:"WorthOffered"`
+	Classes      []ClassSum    `json:"Classes"`
+	P50          time.Duration `json:"P50"`
+	P99          time.Duration `json:"P99"`
+	P999         time.Duration `json:"P999"` // of all that was served
+	Silent       int           `json:"Silent"`
+	Second       uint64        `json:"Second"`
+	Spoilt       uint64        `json:"Spoilt"`
+	Later50      int           `json:"Later50"` // milliseconds, of refusals
+	Lag99        time.Duration `json:"Lag99"`
+	Lag999       time.Duration `json:"Lag999"` // by which the load tool itself was late
 }
 
 // Sum works the figures of a run out, of what was due from a time on and before another (0: all).
--- a/lab/procs/shared.go
+++ b/lab/procs/shared.go
@@ -175,7 +175,9 @@
 	if err != nil {
 		return nil, err
 	}
-	var s struct{ Rows []replica.Row }
+	var s struct {
+		Rows []replica.Row `json:"rows"`
+	}
 	return s.Rows, json.Unmarshal(m.Value, &s)
 }
 
--- a/replica/node.go
+++ b/replica/node.go
@@ -111,11 +111,12 @@
 
 // Difference is one between two copies that should have been equal.
 type Difference struct {
-	With     string
-	Life     Life // whose slots differ, and in which numbers
-	From, To uint64
-	Cause    string
-	At       time.Duration
+	With  string        `json:"With"`
+	Life  Life          `json:"Life"` // whose slots differ, and in which numbers
+	From  uint64        `json:"From"`
+	To    uint64        `json:"To"`
+	Cause string        `json:"Cause"`
+	At    time.Duration `json:"At"`
 }
 
 // NodeCounters count what befell a node.
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -119,8 +119,8 @@
 
 // Life names a start of a gateway.
 type Life struct {
-	Name   string
-	Number uint64
+	Name   string `json:"Name"`
+	Number uint64 `json:"Number"`
 }
 
 func (l Life) compare(o Life) int {
--- a/work/order.go
+++ b/work/order.go
@@ -329,9 +329,9 @@
 
 // Verdict is what holds a request back.
 type Verdict struct {
-	Request *Request
-	Wave    int    // in which it would go, from 1, if all stays as it is; 0: in none
-	Why     string // it does not go now
+	Request *Request `json:"Request"`
+	Wave    int      `json:"Wave"` // in which it would go, from 1, if all stays as it is; 0: in none
+	Why     string   `json:"Why"`  // it does not go now
 }
 
 // Plan says in what order requests would be granted if all that is out came back and nothing else changed, and what holds
