--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -9,8 +9,8 @@
 	"io"
 	"os"
 
-	"larchusher/control"
 	"larchusher/internal/wire"
+	"larchusher/routing"
 )
 
 func main() {
@@ -22,7 +22,7 @@
 
 // run answers each line of in with one line on out, until in ends.
 func run(in io.Reader, out, notes io.Writer) error {
-	h := host{directors: map[string]*control.Director{}}
+	h := host{directors: map[string]*routing.Director{}}
 	noted := map[string]bool{}
 	h.decoder.Unknown = func(name string) {
 		if !noted[name] {
@@ -54,8 +54,8 @@
 // host holds the directors of this process. They share nothing.
 type host struct {
 	decoder   wire.Decoder
-	directors map[string]*control.Director
-	actions   []control.Action
+	directors map[string]*routing.Director
+	actions   []routing.Action
 }
 
 // batch carries out one line of input and returns the reply.
@@ -70,7 +70,7 @@
 		case wire.Stop:
 			delete(h.directors, it.Director)
 		case wire.Start:
-			d, err := control.New(it.Settings, it.Seed)
+			d, err := routing.New(it.Settings, it.Seed)
 			if err != nil {
 				delete(h.directors, it.Director)
 				reply.AddFault(it.Director, err.Error())
@@ -92,7 +92,7 @@
 }
 
 // handle gives one event to its director. A panic in the module comes back as an error.
-func (h *host) handle(d *control.Director, b wire.Batch, it wire.Item, reply *wire.Reply) (err error) {
+func (h *host) handle(d *routing.Director, b wire.Batch, it wire.Item, reply *wire.Reply) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic in the decision module: %v", p)
--- a/cmd/larchusher/reload.go
+++ b/cmd/larchusher/reload.go
@@ -4,9 +4,9 @@
 	"os"
 	"strings"
 
-	"larchusher/control"
 	"larchusher/internal/config"
 	"larchusher/internal/httpapi"
+	"larchusher/routing"
 	"larchusher/signedurl"
 )
 
@@ -106,7 +106,7 @@
 }
 
 // signedAPI has the keys of the signed front's file.
-func signedAPI(s *config.Signed, settings control.Settings) (*httpapi.API, error) {
+func signedAPI(s *config.Signed, settings routing.Settings) (*httpapi.API, error) {
 	verifier, err := signedurl.NewVerifier(s.URLs)
 	if err != nil {
 		return nil, err
@@ -121,7 +121,7 @@
 }
 
 // classNames are the names of classes.
-func classNames(classes []control.Class) (names []string) {
+func classNames(classes []routing.Class) (names []string) {
 	for _, c := range classes {
 		names = append(names, c.Name)
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -10,15 +10,15 @@
 
 	"github.com/sirupsen/logrus"
 
-	"larchusher/control"
 	"larchusher/overload"
+	"larchusher/routing"
 	"larchusher/tiers"
 )
 
 // Config is what a gateway is made of.
 type Config struct {
 	Loop     *Loop
-	Settings control.Settings
+	Settings routing.Settings
 	Seed     uint64 // of all that is drawn; 0: it is drawn itself
 	Backend  Backend
 	Peers    Peers // nil: none
@@ -56,7 +56,7 @@
 
 	events  []event
 	running bool
-	actions []control.Action
+	actions []routing.Action
 
 	intake
 	places
@@ -66,7 +66,7 @@
 
 // event waits for its turn with the director of a locality.
 type event struct {
-	control.Event
+	routing.Event
 	where   int
 	request *Request // of a control.Request
 }
@@ -77,7 +77,7 @@
 	Answered [Expired + 1]uint64 // final answers, by outcome
 	Gone     uint64              // requests whose client left first
 	Attempts uint64              // attempts handed to the backend
-	Ended    [control.Miss + 1]uint64
+	Ended    [routing.Miss + 1]uint64
 	Withheld uint64 // attempts stopped right before they were written,
 	Held     uint64 // and of them those to machines that are out for work
 	Copied   uint64 // requests with the id of one that was open
@@ -115,14 +115,14 @@
 func (g *Gateway) Open() int { return len(g.requests) }
 
 // Members tells the director of a list of stores.
-func (g *Gateway) Members(m control.Members) {
+func (g *Gateway) Members(m routing.Members) {
 	m = g.hold.listed(m)
 	g.listed(m)
 	g.handleAll(m)
 }
 
 // Purge tells the director of a purge.
-func (g *Gateway) Purge(p control.Purge) {
+func (g *Gateway) Purge(p routing.Purge) {
 	g.Counters.Purges++
 	g.handleAll(p)
 }
@@ -130,7 +130,7 @@
 // Heard tells the director of a peer's message.
 func (g *Gateway) Heard(from int, data string) {
 	g.Counters.Heard++
-	g.handle(event{Event: control.Peer{From: from, Data: data}})
+	g.handle(event{Event: routing.Peer{From: from, Data: data}})
 }
 
 // Submit takes a request in. Its Answer is called once on the loop, maybe before Submit returns, unless the
@@ -183,11 +183,11 @@
 }
 
 func (g *Gateway) direct(r *Request) {
-	var rules *control.Class
+	var rules *routing.Class
 	if r.class != g.class(r.Class) { // others hold by now
 		rules = r.class
 	}
-	g.handle(event{request: r, where: r.where, Event: control.Request{Rules: rules, ID: r.id, Class: r.Class, Tenant: r.Tenant,
+	g.handle(event{request: r, where: r.where, Event: routing.Request{Rules: rules, ID: r.id, Class: r.Class, Tenant: r.Tenant,
 		Object: r.Object, Part: r.Part, Group: r.Group, SizeKB: r.SizeKB * cmp.Or(g.cfg.ToldKB, 1), Deadline: g.Clock(r.Deadline), Retry: r.Retry,
 		Write: !r.safe()}})
 }
@@ -201,7 +201,7 @@
 	g.CountAnswer(r.Class, Answer{Outcome: Failed})
 	g.finish(r)
 	g.unreserve(r, -1)
-	g.handle(event{where: r.where, Event: control.Gone{ID: r.id}})
+	g.handle(event{where: r.where, Event: routing.Gone{ID: r.id}})
 	g.giveUp(r)
 }
 
@@ -212,12 +212,12 @@
 	}
 	harmless := r.safe()
 	g.answer(r, Answer{Outcome: Expired, Harmless: harmless, RetryAfter: g.cfg.Settings.MaxRetryAfter / 2})
-	g.handle(event{where: r.where, Event: control.Gone{ID: r.id}})
+	g.handle(event{where: r.where, Event: routing.Gone{ID: r.id}})
 	g.giveUp(r)
 }
 
 // class is what the settings say of a class; nil: nothing.
-func (g *Gateway) class(name string) *control.Class {
+func (g *Gateway) class(name string) *routing.Class {
 	for i := range g.cfg.Settings.Classes {
 		if c := &g.cfg.Settings.Classes[i]; c.Name == name {
 			return c
@@ -227,15 +227,15 @@
 }
 
 // safe says whether the request may be repeated freely. One of an unknown class never runs.
-func (r *Request) safe() bool { return r.class == nil || r.class.Effect == control.Safe }
+func (r *Request) safe() bool { return r.class == nil || r.class.Effect == routing.Safe }
 
 // keyed says whether the request must carry a key.
-func (r *Request) keyed() bool { return r.class != nil && r.class.Effect == control.Keyed }
+func (r *Request) keyed() bool { return r.class != nil && r.class.Effect == routing.Keyed }
 
 // giveUp ends the attempts of a request that nobody waits for.
 func (g *Gateway) giveUp(r *Request) {
 	for _, a := range r.attempts {
-		g.cancel(a, control.Cancelled)
+		g.cancel(a, routing.Cancelled)
 	}
 }
 
@@ -291,7 +291,7 @@
 	}
 	if !ok || a.Request.answered || !a.Expiry.After(g.cfg.Loop.Now()) {
 		g.Counters.Withheld++
-		g.Ended(a, Result{Status: control.NotSent})
+		g.Ended(a, Result{Status: routing.NotSent})
 		return false
 	}
 	a.MaxAge = age
@@ -315,7 +315,7 @@
 		delete(g.over, r.id)
 	}
 	size := float64(len(res.Body)) / 1000
-	if res.Status == control.OK && !r.answered {
+	if res.Status == routing.OK && !r.answered {
 		ans := Answer{Outcome: Served, Body: res.Body, Tag: res.Tag}
 		if res.Unchanged {
 			ans.Outcome = Unchanged
@@ -343,13 +343,13 @@
 	}
 	// The time ends when the answer came, and leaves out stalls of this program: neither is the store's doing.
 	g.seen(a, res)
-	g.handle(event{where: a.where, Event: control.Outcome{ID: r.id, Attempt: a.number, Server: a.Server, Status: res.Status,
+	g.handle(event{where: a.where, Event: routing.Outcome{ID: r.id, Attempt: a.number, Server: a.Server, Status: res.Status,
 		Note: res.Note, Final: r.answered, Latency: max(0, res.At.Sub(a.sent)-(g.lost-a.lost)), FillWait: res.FillWait, Load: res.Load,
 		Along: res.Along, SizeKB: size}})
 }
 
 // cancel stops waiting for an attempt and says how it ended.
-func (g *Gateway) cancel(a *Attempt, as control.Status) {
+func (g *Gateway) cancel(a *Attempt, as routing.Status) {
 	if !a.ended {
 		g.cfg.Backend.Cancel(a)
 		g.Ended(a, Result{Status: as})
@@ -375,7 +375,7 @@
 }
 
 // decide asks the director. Guards against a panic in it: the request at hand fails, the gateway lives on.
-func (g *Gateway) decide(e event) (actions []control.Action) {
+func (g *Gateway) decide(e event) (actions []routing.Action) {
 	defer func() {
 		if p := recover(); p != nil {
 			g.Counters.Panics++
@@ -390,40 +390,40 @@
 	return g.actions
 }
 
-func (g *Gateway) carryOut(a control.Action, where int) {
+func (g *Gateway) carryOut(a routing.Action, where int) {
 	switch a := a.(type) {
-	case control.Ask:
+	case routing.Ask:
 		g.ask(a, where)
-	case control.Refuse:
+	case routing.Refuse:
 		if g.move(a.ID, where) {
 			return
 		}
 		g.close(a.ID, Answer{Outcome: Refused, RetryAfter: a.After, Harmless: true})
-	case control.Fail:
+	case routing.Fail:
 		if r := g.requests[a.ID]; r != nil && r.where == where { // guards against a word of a director that it has left
 			g.close(a.ID, Answer{Outcome: Failed})
 		}
-	case control.Cancel:
+	case routing.Cancel:
 		if at := g.attempt(a.ID, a.Attempt, where); at != nil {
-			g.cancel(at, control.Cancelled)
+			g.cancel(at, routing.Cancelled)
 		}
-	case control.Wake:
+	case routing.Wake:
 		r := g.requests[a.ID]
 		if a.ID != "" && r == nil {
 			return // it is over
 		}
-		t := g.cfg.Loop.At(g.base.Add(a.At-g.baseUnix), func() { g.handle(event{where: where, Event: control.Timer{Token: a.Token}}) })
+		t := g.cfg.Loop.At(g.base.Add(a.At-g.baseUnix), func() { g.handle(event{where: where, Event: routing.Timer{Token: a.Token}}) })
 		if r != nil {
 			r.wakes = append(r.wakes, t)
 		}
-	case control.Tell:
+	case routing.Tell:
 		if g.cfg.Peers != nil {
 			g.Counters.Told++
 			g.cfg.Peers.Tell(a.To, a.Data)
 		}
-	case control.Log:
+	case routing.Log:
 		g.cfg.Log.Info(a.Text)
-	case control.Probe, control.Watch: // the platform allows no probes, and pushes the list
+	case routing.Probe, routing.Watch: // the platform allows no probes, and pushes the list
 	}
 }
 
@@ -441,7 +441,7 @@
 }
 
 // ask starts an attempt. Guards the rule against sending for a finished request: it ends as not sent.
-func (g *Gateway) ask(a control.Ask, where int) {
+func (g *Gateway) ask(a routing.Ask, where int) {
 	r := g.requests[a.ID]
 	if r == nil || r.where != where {
 		return
@@ -459,10 +459,10 @@
 	r.attempts = append(r.attempts, at)
 	r.out++
 	g.Counters.Attempts++
-	at.timer = g.cfg.Loop.At(at.Expiry, func() { g.cancel(at, control.TimedOut) })
+	at.timer = g.cfg.Loop.At(at.Expiry, func() { g.cancel(at, routing.TimedOut) })
 	g.went(at)
 	if most := r.maxAttempts; most > 0 && len(r.attempts) > most { // of several directors together
-		g.Ended(at, Result{Status: control.NotSent})
+		g.Ended(at, Result{Status: routing.NotSent})
 		return
 	}
 	g.cfg.Backend.Send(at)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"larchusher/control"
 	"larchusher/gateway"
+	"larchusher/routing"
 )
 
 // backend keeps attempts as if their connections were coming up.
@@ -20,9 +20,9 @@
 // drain, or its object may have been purged.
 func TestWhatWaitedIsCheckedAgain(t *testing.T) {
 	loop, b := gateway.NewLoop(), backend{make(chan *gateway.Attempt, 10)}
-	g, err := gateway.New(gateway.Config{Loop: loop, Backend: b, Log: logrus.New(), Settings: control.Settings{
+	g, err := gateway.New(gateway.Config{Loop: loop, Backend: b, Log: logrus.New(), Settings: routing.Settings{
 		Zone: "here", Zones: []string{"here"}, Kinds: []string{"box", "origin"}, ParentKind: -1, OriginKind: 1,
-		Classes:      []control.Class{{Name: "page", Aim: time.Second, Deadline: 5 * time.Second}},
+		Classes:      []routing.Class{{Name: "page", Aim: time.Second, Deadline: 5 * time.Second}},
 		PurgeSettles: 6 * time.Second, Step: time.Millisecond, Joins: true}})
 	if err != nil {
 		t.Fatal(err)
@@ -34,8 +34,8 @@
 		loop.Post(func() { f(); close(done) })
 		<-done
 	}
-	members := func(phase control.Phase) {
-		g.Members(control.Members{Entries: []control.Member{{ID: "c", Zone: "here", Kind: "box", Phase: phase},
+	members := func(phase routing.Phase) {
+		g.Members(routing.Members{Entries: []routing.Member{{ID: "c", Zone: "here", Kind: "box", Phase: phase},
 			{ID: "o", Zone: "here", Kind: "origin"}}})
 	}
 	answers := make(chan gateway.Answer, 10)
@@ -46,22 +46,22 @@
 		})
 		return <-b.sent
 	}
-	on(func() { members(control.Up) })
+	on(func() { members(routing.Up) })
 	a := submit()
 	on(func() {
-		g.Purge(control.Purge{Object: "x", Ago: time.Second})
+		g.Purge(routing.Purge{Object: "x", Ago: time.Second})
 		if !g.Clear(a) || a.MaxAge < 900*time.Millisecond || a.MaxAge > 5*time.Second {
 			t.Errorf("after a purge: age limit %v", a.MaxAge)
 		}
-		g.Ended(a, gateway.Result{Status: control.OK, Body: []byte("x")})
-		g.Ended(a, gateway.Result{Status: control.OK, Body: []byte("y")}) // a second end changes nothing
+		g.Ended(a, gateway.Result{Status: routing.OK, Body: []byte("x")})
+		g.Ended(a, gateway.Result{Status: routing.OK, Body: []byte("y")}) // a second end changes nothing
 	})
 	if got := <-answers; got.Outcome != gateway.Served || string(got.Body) != "x" {
 		t.Errorf("%+v", got)
 	}
 	a = submit()
 	on(func() {
-		members(control.Draining)
+		members(routing.Draining)
 		if g.Clear(a) {
 			t.Error("a draining store may be written to")
 		}
--- a/gateway/hold.go
+++ b/gateway/hold.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"larchusher/control"
+	"larchusher/routing"
 )
 
 // Machines out for work are drained as if the list said so. What the list says and what is held are kept apart and merged: the
@@ -13,22 +13,22 @@
 
 // holds joins the list with what is held.
 type holds struct {
-	list map[string]control.Member // as the list has it
+	list map[string]routing.Member // as the list has it
 	held map[string]bool
 	news int // lists and purges that were told
 }
 
 // listed takes in a list and gives it as the director is to see it.
-func (h *holds) listed(m control.Members) control.Members {
+func (h *holds) listed(m routing.Members) routing.Members {
 	h.news++
 	if h.list == nil {
-		h.list = map[string]control.Member{}
+		h.list = map[string]routing.Member{}
 	}
-	if m.Kind == control.FullList || m.Kind == control.StaleList {
+	if m.Kind == routing.FullList || m.Kind == routing.StaleList {
 		clear(h.list)
 	}
 	for _, e := range m.Entries {
-		if h.list[e.ID] = e; e.Phase == control.Removed {
+		if h.list[e.ID] = e; e.Phase == routing.Removed {
 			delete(h.list, e.ID)
 		}
 	}
@@ -42,9 +42,9 @@
 	return m
 }
 
-func (h *holds) merge(e control.Member) control.Member {
-	if h.held[e.ID] && e.Phase == control.Up {
-		e.Phase = control.Draining
+func (h *holds) merge(e routing.Member) routing.Member {
+	if h.held[e.ID] && e.Phase == routing.Up {
+		e.Phase = routing.Draining
 	}
 	return e
 }
@@ -54,7 +54,7 @@
 func (g *Gateway) Hold(stores map[string]bool) {
 	was := g.hold.held
 	g.hold.held = maps.Clone(stores)
-	var changed []control.Member
+	var changed []routing.Member
 	for id, e := range g.hold.list {
 		if was[id] != stores[id] {
 			changed = append(changed, g.hold.merge(e))
@@ -63,13 +63,13 @@
 	if len(changed) == 0 {
 		return
 	}
-	slices.SortFunc(changed, func(a, b control.Member) int {
+	slices.SortFunc(changed, func(a, b routing.Member) int {
 		if a.ID < b.ID {
 			return -1
 		}
 		return 1
 	})
-	m := control.Members{Kind: control.Changes, Entries: changed}
+	m := routing.Members{Kind: routing.Changes, Entries: changed}
 	g.listed(m)
 	g.handleAll(m)
 }
@@ -93,14 +93,14 @@
 
 // Observed is what the gateway knows of the stores on its list, and why now is no time to take one out; empty: nothing speaks
 // against it.
-func (g *Gateway) Observed() (stores []control.Observed, strain string) {
+func (g *Gateway) Observed() (stores []routing.Observed, strain string) {
 	now := g.now()
 	stores, strain = g.directors[0].Observe(now)
 	if strain == "" && g.Level() > shedsOver {
 		strain = "a gateway sheds load"
 	}
 	for i, s := range stores { // as the list has it: what is held is not down for that
-		stores[i].Up = g.hold.list[s.ID].Phase == control.Up
+		stores[i].Up = g.hold.list[s.ID].Phase == routing.Up
 	}
 	return stores, strain
 }
@@ -120,4 +120,4 @@
 func (g *Gateway) News() int { return g.hold.news + int(g.Counters.Purges) }
 
 // Listed are the stores as the list has them. They are not to be changed.
-func (g *Gateway) Listed() map[string]control.Member { return g.hold.list }
+func (g *Gateway) Listed() map[string]routing.Member { return g.hold.list }
--- a/gateway/intake_test.go
+++ b/gateway/intake_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"larchusher/control"
 	"larchusher/gateway"
 	"larchusher/overload"
+	"larchusher/routing"
 )
 
 // host is a gateway with one cache and the origin, on a loop of its own.
@@ -24,9 +24,9 @@
 	h := &host{t: t, loop: gateway.NewLoop(), sent: make(chan *gateway.Attempt, 100), answers: make(chan gateway.Answer, 100)}
 	var err error
 	h.g, err = gateway.New(gateway.Config{Loop: h.loop, Backend: backend{h.sent}, Log: logrus.New(), Overload: cfg,
-		Settings: control.Settings{Zone: "here", Zones: []string{"here"}, Kinds: []string{"box", "origin"}, ParentKind: -1,
+		Settings: routing.Settings{Zone: "here", Zones: []string{"here"}, Kinds: []string{"box", "origin"}, ParentKind: -1,
 			OriginKind: 1, Step: time.Millisecond, Joins: true, RetryAdvice: true, MaxRetryAfter: 2 * time.Second,
-			Classes: []control.Class{{Name: "page", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1},
+			Classes: []routing.Class{{Name: "page", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1},
 				{Name: "order", Aim: time.Second, Deadline: 5 * time.Second, Worth: 3}}}})
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 	go h.loop.Run()
 	t.Cleanup(h.loop.Close)
 	h.on(func() {
-		h.g.Members(control.Members{Entries: []control.Member{{ID: "c", Zone: "here", Kind: "box"}, {ID: "o", Zone: "here", Kind: "origin"}}})
+		h.g.Members(routing.Members{Entries: []routing.Member{{ID: "c", Zone: "here", Kind: "box"}, {ID: "o", Zone: "here", Kind: "origin"}}})
 	})
 	return h
 }
@@ -82,7 +82,7 @@
 			if len(h.sent) > 0 {
 				t.Error("new work goes before an answer that has come")
 			}
-			h.g.Ended(first, gateway.Result{Status: control.OK, Body: []byte("x")})
+			h.g.Ended(first, gateway.Result{Status: routing.OK, Body: []byte("x")})
 		})
 	})
 	if a := <-h.answers; a.Outcome != gateway.Served {
@@ -118,7 +118,7 @@
 				if c == slow {
 					unread += int64(size)
 				}
-				h.g.Ended(a, gateway.Result{Status: control.OK, Body: make([]byte, size)})
+				h.g.Ended(a, gateway.Result{Status: routing.OK, Body: make([]byte, size)})
 			})
 		case a := <-h.answers: // it was refused before it was sent
 			return a
--- a/gateway/outcomes_test.go
+++ b/gateway/outcomes_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"larchusher/control"
 	"larchusher/gateway"
 	"larchusher/overload"
+	"larchusher/routing"
 )
 
 // What was answered, by class, and what is open add up to what was taken at every moment: whatever crosses what, answers of
@@ -40,9 +40,9 @@
 				case k < 6 && len(open) > 0:
 					h.g.Abandon(open[rng.IntN(len(open))]) // it may have been answered
 				case k < 9 && len(out) > 0:
-					h.g.Ended(out[rng.IntN(len(out))], gateway.Result{Status: control.Status(rng.IntN(9))})
+					h.g.Ended(out[rng.IntN(len(out))], gateway.Result{Status: routing.Status(rng.IntN(9))})
 				case k == 9 && rng.IntN(10) == 0:
-					classes := []control.Class{{Name: "page", Aim: time.Second, Deadline: time.Second, Worth: 1, Effect: control.Effect(rng.IntN(3))},
+					classes := []routing.Class{{Name: "page", Aim: time.Second, Deadline: time.Second, Worth: 1, Effect: routing.Effect(rng.IntN(3))},
 						{Name: "order", Aim: time.Second, Deadline: time.Second, Worth: 3}}
 					if err := h.g.Reconfigure(classes[:1+rng.IntN(2)], 1+rng.IntN(5)); err != nil {
 						t.Error(err)
--- a/gateway/places.go
+++ b/gateway/places.go
@@ -9,16 +9,16 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"larchusher/control"
 	"larchusher/internal/metrics"
 	"larchusher/knowledge"
+	"larchusher/routing"
 	"larchusher/tiers"
 )
 
 // places is the part of a gateway that knows of localities: a director for each, and what decides among them. Without
 // further localities there is one director, and nothing else here does anything.
 type places struct {
-	directors []*control.Director
+	directors []*routing.Director
 	names     []string
 	tiers     *tiers.T // nil: there is one locality only
 	roster    *tiers.Roster
@@ -31,11 +31,11 @@
 func (g *Gateway) makePlaces() error {
 	set := g.cfg.Settings
 	if g.cfg.Tiers == nil || len(g.cfg.Tiers.Localities) == 0 {
-		d, err := control.New(set, g.cfg.Seed)
+		d, err := routing.New(set, g.cfg.Seed)
 		if err != nil {
 			return fmt.Errorf("starting the director: %w", err)
 		}
-		g.directors, g.names = []*control.Director{d}, []string{set.Zone}
+		g.directors, g.names = []*routing.Director{d}, []string{set.Zone}
 		return nil
 	}
 	cfg := *g.cfg.Tiers
@@ -47,7 +47,7 @@
 		if err != nil {
 			return fmt.Errorf("gateway: %w", err)
 		}
-		d, err := control.New(s, g.cfg.Seed+uint64(i))
+		d, err := routing.New(s, g.cfg.Seed+uint64(i))
 		if err != nil {
 			return fmt.Errorf("starting the director for %s: %w", l.Name, err)
 		}
@@ -99,7 +99,7 @@
 }
 
 // handleAll gives an event to every director.
-func (g *Gateway) handleAll(e control.Event) {
+func (g *Gateway) handleAll(e routing.Event) {
 	for i := range g.directors {
 		g.handle(event{Event: e, where: i})
 	}
@@ -109,7 +109,7 @@
 func (g *Gateway) runningClock() time.Duration { return g.now() - g.lost }
 
 // listed tells of a list of stores.
-func (g *Gateway) listed(m control.Members) {
+func (g *Gateway) listed(m routing.Members) {
 	if g.tiers == nil {
 		return
 	}
@@ -183,7 +183,7 @@
 		return
 	}
 	cache, late, load := g.roster.Cache(a.Server, a.where), false, -1.0
-	if c := a.Request.class; c != nil && res.Status == control.OK {
+	if c := a.Request.class; c != nil && res.Status == routing.OK {
 		aim := c.Aim + time.Duration(c.AimStretch*float64(g.cfg.Settings.Sending(float64(len(res.Body))/1000)))
 		late = res.At.Sub(a.sent)-(g.lost-a.lost) > aim
 	}
@@ -191,11 +191,11 @@
 		g.tiers.Past(g.runningClock(), tiers.Judge(res.Status, true, late, res.Along))
 	}
 	result := tiers.Judge(res.Status, cache, late, res.Along)
-	told := cache && res.Status == control.OK && res.Note != control.NoNote
+	told := cache && res.Status == routing.OK && res.Note != routing.NoNote
 	if cache && g.report >= 0 && g.report < len(res.Load) {
 		load = res.Load[g.report]
 	}
-	g.tiers.Ended(g.runningClock(), a.where, result, res.Note == control.NoteHit || res.Note == control.NoteStale, told, load)
+	g.tiers.Ended(g.runningClock(), a.where, result, res.Note == routing.NoteHit || res.Note == routing.NoteStale, told, load)
 }
 
 // tier sets the shares of the localities anew, when it is time. It is called with each beat.
@@ -240,7 +240,7 @@
 }
 
 // Learned copies out what the directors have learned, at most so many listings of each.
-func (g *Gateway) Learned(most int) (all []control.Memory) {
+func (g *Gateway) Learned(most int) (all []routing.Memory) {
 	for _, d := range g.directors {
 		all = append(all, d.Export(g.now(), most))
 	}
@@ -249,7 +249,7 @@
 
 // Recall has the directors take in what a snapshot holds. The list of stores must be known.
 func (g *Gateway) Recall(s *knowledge.Snapshot, gateway, settings string) knowledge.Report {
-	all := map[string]*control.Director{}
+	all := map[string]*routing.Director{}
 	for i, d := range g.directors {
 		all[g.names[i]] = d
 	}
@@ -257,7 +257,7 @@
 }
 
 // Remember has the director of a zone take in what neighbours know, for what it is still worth by its age.
-func (g *Gateway) Remember(m control.Memory) (u control.Used) {
+func (g *Gateway) Remember(m routing.Memory) (u routing.Used) {
 	for i, d := range g.directors {
 		if g.names[i] == m.Zone {
 			u = d.Import(g.now(), m, knowledge.Worth)
@@ -268,13 +268,13 @@
 
 // Told is the purge of a name of package purges, so long ago, as a neighbour has it.
 func (g *Gateway) Told(name string, ago time.Duration) {
-	p := control.Purge{Object: name, Ago: ago}
+	p := routing.Purge{Object: name, Ago: ago}
 	if group, ok := strings.CutPrefix(name, " "); ok {
 		n, err := strconv.Atoi(group)
 		if err != nil {
 			return
 		}
-		p = control.Purge{Group: n, Ago: ago}
+		p = routing.Purge{Group: n, Ago: ago}
 	}
 	g.handleAll(p)
 }
--- a/gateway/places_test.go
+++ b/gateway/places_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"larchusher/control"
 	"larchusher/gateway"
+	"larchusher/routing"
 	"larchusher/tiers"
 )
 
@@ -19,25 +19,25 @@
 	var err error
 	h.g, err = gateway.New(gateway.Config{Loop: h.loop, Backend: backend{h.sent}, Log: logrus.New(),
 		Tiers: &tiers.Config{Localities: []tiers.Locality{{Name: "here"}, {Name: "there", Level: 1}}, Spill: 1},
-		Settings: control.Settings{Zone: "here", Zones: []string{"hub", "here", "there"}, ZonePeers: []int{0, 1, 1}, Directors: 2,
+		Settings: routing.Settings{Zone: "here", Zones: []string{"hub", "here", "there"}, ZonePeers: []int{0, 1, 1}, Directors: 2,
 			Kinds: []string{"box", "origin"}, ParentKind: -1, OriginKind: 1, Step: time.Millisecond, Joins: true, PassBy: true,
 			RetryAdvice: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: 8, Cancels: true, LoadFields: []string{"busy_reqs", "x1"},
 			DrainGrace: 2 * time.Second,
-			Classes: []control.Class{{Name: "page", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1},
-				{Name: "order", Aim: time.Second, Deadline: 5 * time.Second, Worth: 3, Effect: control.Unsafe, NeverKept: true}}}})
+			Classes: []routing.Class{{Name: "page", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1},
+				{Name: "order", Aim: time.Second, Deadline: 5 * time.Second, Worth: 3, Effect: routing.Unsafe, NeverKept: true}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	go h.loop.Run()
 	t.Cleanup(h.loop.Close)
-	h.list(control.Up)
+	h.list(routing.Up)
 	return h
 }
 
 // list tells of the stores, that there in a phase.
-func (h *host) list(there control.Phase) {
+func (h *host) list(there routing.Phase) {
 	h.on(func() {
-		h.g.Members(control.Members{Entries: []control.Member{{ID: "c", Zone: "here", Kind: "box"}, {ID: "d", Zone: "there", Kind: "box", Phase: there},
+		h.g.Members(routing.Members{Entries: []routing.Member{{ID: "c", Zone: "here", Kind: "box"}, {ID: "d", Zone: "there", Kind: "box", Phase: there},
 			{ID: "o", Zone: "hub", Kind: "origin"}}})
 	})
 }
@@ -59,7 +59,7 @@
 	}
 }
 
-var good = gateway.Result{Status: control.OK, Body: []byte("x"), Note: control.NoteHit, Load: []float64{1, 0.4}}
+var good = gateway.Result{Status: routing.OK, Body: []byte("x"), Note: routing.NoteHit, Load: []float64{1, 0.4}}
 
 // While the own locality serves, nothing goes elsewhere.
 func TestTheOwnLocalityServes(t *testing.T) {
@@ -75,7 +75,7 @@
 // What the own locality refuses goes to the next one, once, and has one answer.
 func TestARefusedRequestIsMoved(t *testing.T) {
 	h := newPlaces(t)
-	refuses := map[string]gateway.Result{"c": {Status: control.TurnedAway}, "o": {Status: control.TurnedAway}, "d": good}
+	refuses := map[string]gateway.Result{"c": {Status: routing.TurnedAway}, "o": {Status: routing.TurnedAway}, "d": good}
 	moved := 0
 	for i := 0; i < 2000 && moved < 3; i++ { // what may go there begins small
 		time.Sleep(time.Millisecond)
@@ -95,7 +95,7 @@
 		t.Errorf("%d were moved", moved)
 	}
 	// And nothing goes there once it drains.
-	h.list(control.Draining)
+	h.list(routing.Draining)
 	for i := range 10 {
 		h.on(func() { h.g.Submit(h.request(fmt.Sprint("later", i), "page")) })
 		if _, asked := h.ends(refuses); strings.Contains(strings.Join(asked, " "), "d") {
@@ -114,7 +114,7 @@
 	h := newPlaces(t)
 	for i := range 10 {
 		h.on(func() { h.g.Submit(h.request(fmt.Sprint(i), "order")) })
-		a, asked := h.ends(map[string]gateway.Result{"c": good, "d": good, "o": {Status: control.Reset}})
+		a, asked := h.ends(map[string]gateway.Result{"c": good, "d": good, "o": {Status: routing.Reset}})
 		if a.Outcome != gateway.Failed && a.Outcome != gateway.Refused {
 			t.Errorf("%v", a.Outcome)
 		}
@@ -137,8 +137,8 @@
 		`Localities[1].Level: 0`:         {{Name: "here"}, {Name: "there"}},
 	} {
 		_, err := gateway.New(gateway.Config{Loop: gateway.NewLoop(), Log: logrus.New(), Tiers: &tiers.Config{Localities: l},
-			Settings: control.Settings{Zone: "here", Zones: []string{"here", "there"}, Kinds: []string{"box", "origin"}, ParentKind: -1, OriginKind: 1,
-				Classes: []control.Class{{Name: "page"}}}})
+			Settings: routing.Settings{Zone: "here", Zones: []string{"here", "there"}, Kinds: []string{"box", "origin"}, ParentKind: -1, OriginKind: 1,
+				Classes: []routing.Class{{Name: "page"}}}})
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, not %q", err, want)
 		}
--- a/gateway/reconfigure.go
+++ b/gateway/reconfigure.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"larchusher/control"
 	"larchusher/overload"
+	"larchusher/routing"
 )
 
 // retiredFor is for how long requests of a class that a new configuration drops are still served by its old rules: clients
@@ -65,18 +65,18 @@
 }
 
 // Classes returns the classes whose requests are served at present, retired ones among them.
-func (g *Gateway) Classes() []control.Class { return g.cfg.Settings.Classes }
+func (g *Gateway) Classes() []routing.Class { return g.cfg.Settings.Classes }
 
 // Reconfigure has other classes and another limit on attempts (0: none) hold for requests that come from now on. Those that
 // are open keep the rules by which they came. A class that is served and not among the new ones is served on for a short
 // while. On an error all stays as it was.
-func (g *Gateway) Reconfigure(classes []control.Class, maxAttempts int) error {
-	if err := control.CheckClasses(classes); err != nil {
+func (g *Gateway) Reconfigure(classes []routing.Class, maxAttempts int) error {
+	if err := routing.CheckClasses(classes); err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
 	served := slices.Clone(classes)
 	for _, c := range g.cfg.Settings.Classes {
-		if !slices.ContainsFunc(classes, func(other control.Class) bool { return other.Name == c.Name }) {
+		if !slices.ContainsFunc(classes, func(other routing.Class) bool { return other.Name == c.Name }) {
 			served = append(served, c)
 		}
 	}
@@ -95,7 +95,7 @@
 }
 
 // useClasses has classes served from now on.
-func (g *Gateway) useClasses(classes []control.Class, maxAttempts int) error {
+func (g *Gateway) useClasses(classes []routing.Class, maxAttempts int) error {
 	cfg := g.cfg.Overload
 	cfg.Classes = overloadClasses(classes)
 	order := overload.NewOrder(cfg.Classes, cfg.RepeatsFirst)
@@ -109,7 +109,7 @@
 	g.countClasses()
 	g.admissions.use(&admission{order: order, door: overload.NewDoor(order.Bands(), int(fronts))})
 	g.queue = g.queue.Rebanded(order.Bands(), g.band)
-	g.handleAll(control.Reconfigured{Classes: g.cfg.Settings.Classes, MaxAttempts: maxAttempts})
+	g.handleAll(routing.Reconfigured{Classes: g.cfg.Settings.Classes, MaxAttempts: maxAttempts})
 	if g.tiers == nil {
 		return nil
 	}
@@ -135,7 +135,7 @@
 	if span >= 0 {
 		until = g.now() + span
 	}
-	g.handleAll(control.PauseCold{Until: until})
+	g.handleAll(routing.PauseCold{Until: until})
 }
 
 // order ranks the classes that are served at present.
@@ -145,7 +145,7 @@
 func (g *Gateway) door() *overload.Door { return g.admissions.current.Load().door }
 
 // overloadClasses is what package overload needs to know of classes.
-func overloadClasses(classes []control.Class) (all []overload.Class) {
+func overloadClasses(classes []routing.Class) (all []overload.Class) {
 	for _, c := range classes {
 		all = append(all, overload.Class{Name: c.Name, Worth: c.Worth})
 	}
--- a/gateway/types.go
+++ b/gateway/types.go
@@ -9,8 +9,8 @@
 import (
 	"time"
 
-	"larchusher/control"
 	"larchusher/overload"
+	"larchusher/routing"
 )
 
 // Request is what a front takes in. The fields above the gap are the front's to fill in.
@@ -36,7 +36,7 @@
 	Client   *Client // whose answers it adds to; nil: they take no memory for long
 	Keeps    bool    // the answer's body is used after Answer has returned
 
-	class       *control.Class // as it was when the request came; nil: the settings do not name it
+	class       *routing.Class // as it was when the request came; nil: the settings do not name it
 	maxAttempts int            // likewise; 0: no limit
 
 	place    overload.Item
@@ -106,8 +106,8 @@
 
 // Result is how an attempt ended.
 type Result struct {
-	Status    control.Status
-	Note      control.Note
+	Status    routing.Status
+	Note      routing.Note
 	FillWait  time.Duration // until the source's first byte; 0: not told
 	Load      []float64
 	Body      []byte
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,9 +14,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"larchusher/control"
 	"larchusher/internal/net/journal"
 	"larchusher/internal/wire"
+	"larchusher/routing"
 )
 
 // Defaults for what the configuration leaves out.
@@ -94,7 +94,7 @@
 	Notes []string `json:"-"`
 
 	Seed     uint64           `json:"-"`
-	Settings control.Settings `json:"-"`
+	Settings routing.Settings `json:"-"`
 	Sockets  wire.Sockets     `json:"-"`
 
 	layout layout
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"larchusher/control"
+	"larchusher/routing"
 )
 
 // layout is which keys a configuration has: a reload is not to lose one. A file that is cut short, or was written half, may
@@ -85,7 +85,7 @@
 	if newer.Settings.MaxAttempts <= 0 {
 		return fmt.Errorf("settings.limits.sendCap: %d is not positive", newer.Settings.MaxAttempts)
 	}
-	if err := control.CheckClasses(newer.Settings.Classes); err != nil {
+	if err := routing.CheckClasses(newer.Settings.Classes); err != nil {
 		return err
 	}
 	if key := c.layout.lostOfClasses(newer.layout); key != "" {
@@ -125,7 +125,7 @@
 }
 
 // fixedSettings is the part of the settings that is taken in at the start only.
-func fixedSettings(s control.Settings) control.Settings {
+func fixedSettings(s routing.Settings) routing.Settings {
 	s.Classes, s.MaxAttempts = nil, 0
 	return s
 }
--- a/internal/fleethost/host.go
+++ b/internal/fleethost/host.go
@@ -14,7 +14,6 @@
 	"github.com/sirupsen/logrus"
 
 	"larchusher/agreement"
-	"larchusher/control"
 	"larchusher/fleet"
 	"larchusher/gateway"
 	"larchusher/internal/config"
@@ -22,6 +21,7 @@
 	"larchusher/internal/net/transport"
 	"larchusher/internal/snapshot"
 	"larchusher/replica"
+	"larchusher/routing"
 	"larchusher/work"
 )
 
@@ -60,7 +60,7 @@
 }
 
 // Start starts the part of a gateway. Zone is its own. The gateway must ask Permit before it writes.
-func Start(cfg *config.Fleet, set control.Settings, gw *gateway.Gateway, loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger) (*Host, error) {
+func Start(cfg *config.Fleet, set routing.Settings, gw *gateway.Gateway, loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger) (*Host, error) {
 	h := &Host{cfg: cfg, loop: loop, gw: gw, log: log.WithField("fleet", cfg.Name), zone: set.Zone, settles: set.PurgeSettles, began: time.Now().Add(-time.Second)}
 	bounds := cfg.Bounds
 	longest := time.Duration(0)
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"larchusher/control"
 	"larchusher/gateway"
+	"larchusher/routing"
 	"larchusher/signedurl"
 )
 
@@ -34,14 +34,14 @@
 
 // API turns HTTP into the gateway's terms.
 type API struct {
-	classes  map[string]control.Class
+	classes  map[string]routing.Class
 	verifier *signedurl.Verifier
 	issuer   *signedurl.Issuer // nil: tokens are not renewed
 }
 
 // New returns the API of a gateway with these settings. The issuer may be nil.
-func New(s control.Settings, v *signedurl.Verifier, i *signedurl.Issuer) *API {
-	a := &API{classes: map[string]control.Class{}, verifier: v, issuer: i}
+func New(s routing.Settings, v *signedurl.Verifier, i *signedurl.Issuer) *API {
+	a := &API{classes: map[string]routing.Class{}, verifier: v, issuer: i}
 	for _, c := range s.Classes {
 		a.classes[c.Name] = c
 	}
@@ -125,7 +125,7 @@
 		}
 	}
 	r.Retry = Retry(c.Header)
-	keyed := class.Effect != control.Safe
+	keyed := class.Effect != routing.Safe
 	switch {
 	case keyed && c.Method != http.MethodPost:
 		return nil, problem(http.StatusMethodNotAllowed, "POST only", [2]string{"Allow", "POST"})
--- a/internal/net/journal/events.go
+++ b/internal/net/journal/events.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"larchusher/control"
+	"larchusher/routing"
 )
 
 // Host is a store as the journal names it.
@@ -50,8 +50,8 @@
 	Entries []Event `json:"entries"`
 }
 
-var phases = map[string]control.Phase{"SERVING": control.Up, "DRAINING": control.Draining,
-	"DELETED": control.Removed}
+var phases = map[string]routing.Phase{"SERVING": routing.Up, "DRAINING": routing.Draining,
+	"DELETED": routing.Removed}
 
 // check names the first part of an event that cannot be used.
 func (e Event) check() error {
@@ -81,8 +81,8 @@
 
 // Sink takes in what the journal tells. Its methods are called on the loop.
 type Sink interface {
-	Members(control.Members)
-	Purge(control.Purge)
+	Members(routing.Members)
+	Purge(routing.Purge)
 	Place(id, addr string, since int64)
 	Remove(id string)
 }
@@ -130,7 +130,7 @@
 	for _, name := range order {
 		all = append(all, hosts[name])
 	}
-	b.hosts(now, control.StaleList, all)
+	b.hosts(now, routing.StaleList, all)
 	for _, e := range k.Entries {
 		if e.Expire != nil {
 			b.purge(now, *e.Expire)
@@ -151,9 +151,9 @@
 // Take takes in one further event.
 func (b *Book) Take(now time.Time, e Event) {
 	if e.Hosts != nil {
-		kind := control.Changes
+		kind := routing.Changes
 		if e.Hosts.Snapshot {
-			kind = control.FullList
+			kind = routing.FullList
 		}
 		b.hosts(now, kind, e.Hosts.Endpoints)
 	}
@@ -162,8 +162,8 @@
 	}
 }
 
-func (b *Book) hosts(now time.Time, kind control.ListKind, hosts []Host) {
-	m := control.Members{Kind: kind}
+func (b *Book) hosts(now time.Time, kind routing.ListKind, hosts []Host) {
+	m := routing.Members{Kind: kind}
 	named := map[string]bool{}
 	for _, h := range hosts {
 		at := b.boots[h.Name]
@@ -174,9 +174,9 @@
 			}
 			b.boots[h.Name] = at
 		}
-		m.Entries = append(m.Entries, control.Member{ID: h.Name, Zone: h.Zone, Kind: h.Type, Cell: h.Group,
+		m.Entries = append(m.Entries, routing.Member{ID: h.Name, Zone: h.Zone, Kind: h.Type, Cell: h.Group,
 			Boot: at.at, Weight: h.Weight, Phase: phases[h.Status]})
-		if phases[h.Status] == control.Removed {
+		if phases[h.Status] == routing.Removed {
 			b.Sink.Remove(h.Name)
 			delete(b.here, h.Name)
 			delete(b.boots, h.Name) // ids come and go all day
@@ -185,7 +185,7 @@
 		named[h.Name], b.here[h.Name] = true, h
 		b.Sink.Place(h.Name, h.Address, h.SinceMs)
 	}
-	if kind != control.Changes { // what a whole list does not name is gone
+	if kind != routing.Changes { // what a whole list does not name is gone
 		for name := range b.here {
 			if !named[name] {
 				b.Sink.Remove(name)
@@ -198,7 +198,7 @@
 }
 
 func (b *Book) purge(now time.Time, x Expire) {
-	p := control.Purge{Object: x.Name, Ago: max(0, now.Sub(time.UnixMilli(x.Stamp)))}
+	p := routing.Purge{Object: x.Name, Ago: max(0, now.Sub(time.UnixMilli(x.Stamp)))}
 	if x.Set != nil && x.Name == "" {
 		p.Group = *x.Set
 	}
--- a/internal/net/peers/peers.go
+++ b/internal/net/peers/peers.go
@@ -10,9 +10,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"larchusher/control"
 	"larchusher/gateway"
 	"larchusher/internal/net/transport"
+	"larchusher/routing"
 )
 
 // most is the length of a datagram; a longer one breaks the platform's rule.
@@ -89,7 +89,7 @@
 // Tell sends a message to one peer, or to all of them. It may get lost.
 func (l *Link) Tell(to int, data string) {
 	addr := l.all
-	if to != control.Everyone {
+	if to != routing.Everyone {
 		if to < 0 || to >= len(l.to) {
 			return
 		}
--- a/internal/net/resp/answer.go
+++ b/internal/net/resp/answer.go
@@ -12,9 +12,9 @@
 
 	pool "github.com/libp2p/go-buffer-pool"
 
-	"larchusher/control"
 	"larchusher/gateway"
 	"larchusher/internal/net/transport"
+	"larchusher/routing"
 )
 
 // room says whether an answer may be held, and counts it. Guards the memory: what was asked of stores for slow clients
@@ -86,14 +86,14 @@
 	return err
 }
 
-var statuses = map[string]control.Status{"DONE": control.OK, "KEEP": control.OK, "LACK": control.Miss,
-	"WAIT": control.TurnedAway, "BROKE": control.ServerError, "PAST": control.NotSent}
+var statuses = map[string]routing.Status{"DONE": routing.OK, "KEEP": routing.OK, "LACK": routing.Miss,
+	"WAIT": routing.TurnedAway, "BROKE": routing.ServerError, "PAST": routing.NotSent}
 
 // What stores may say of how they served a request, or why not; a word that is not here says nothing.
-var notes = map[string]control.Note{"warm": control.NoteHit, "fill": control.NoteFilled,
-	"deep_fill": control.NoteFilledByOrigin, "piggy": control.NoteJoined, "aged": control.NoteStale,
-	"bounced": control.NoteSourceRefused, "dropped": control.NoteSourceLost, "lacking": control.NoteSourceLacks,
-	"jammed": control.NoteNoPlace, "backfire": control.NoteOriginFailed}
+var notes = map[string]routing.Note{"warm": routing.NoteHit, "fill": routing.NoteFilled,
+	"deep_fill": routing.NoteFilledByOrigin, "piggy": routing.NoteJoined, "aged": routing.NoteStale,
+	"bounced": routing.NoteSourceRefused, "dropped": routing.NoteSourceLost, "lacking": routing.NoteSourceLacks,
+	"jammed": routing.NoteNoPlace, "backfire": routing.NoteOriginFailed}
 
 // answer takes one answer in, that came at a time. It takes the body out of args if that is to live on.
 func (c *conn) answer(args [][]byte, at time.Time) error {
@@ -122,7 +122,7 @@
 		delete(c.open, id)
 		c.used = c.pool.loop.Now()
 		c.quit[id] = c.used
-		c.pool.Gateway.Ended(a, gateway.Result{Status: status, At: at, Dropped: status == control.OK})
+		c.pool.Gateway.Ended(a, gateway.Result{Status: status, At: at, Dropped: status == routing.OK})
 		return nil
 	}
 	res := gateway.Result{Status: status, Body: body, Unchanged: word == "KEEP", At: at}
@@ -134,7 +134,7 @@
 	}
 	delete(c.open, id)
 	c.used = c.pool.loop.Now()
-	if status != control.OK { // a second copy of this answer must not be taken for that of another try
+	if status != routing.OK { // a second copy of this answer must not be taken for that of another try
 		c.quit[id] = c.used
 	}
 	args[3] = nil
--- a/internal/net/resp/conn.go
+++ b/internal/net/resp/conn.go
@@ -9,9 +9,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"larchusher/control"
 	"larchusher/gateway"
 	"larchusher/internal/net/transport"
+	"larchusher/routing"
 )
 
 // conn is one connection to a store, or one that is coming up.
@@ -50,7 +50,7 @@
 		if !c.dead {
 			c.write(a)
 		} else {
-			c.pool.Gateway.Ended(a, gateway.Result{Status: control.NotConnected})
+			c.pool.Gateway.Ended(a, gateway.Result{Status: routing.NotConnected})
 		}
 	}
 }
@@ -97,11 +97,11 @@
 	c.open = nil
 	// Guards against a store that looks ill for one bad answer: that it broke counts once, not for each attempt.
 	for i, a := range out {
-		p.Gateway.Ended(a, gateway.Result{Status: control.Reset, Along: i > 0})
+		p.Gateway.Ended(a, gateway.Result{Status: routing.Reset, Along: i > 0})
 	}
 	waiting := c.waiting
 	c.waiting = nil
 	for _, a := range waiting {
-		p.Gateway.Ended(a, gateway.Result{Status: control.NotConnected})
+		p.Gateway.Ended(a, gateway.Result{Status: routing.NotConnected})
 	}
 }
--- a/internal/net/resp/words_test.go
+++ b/internal/net/resp/words_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"larchusher/control"
 	"larchusher/gateway"
+	"larchusher/routing"
 )
 
 // What a store says of how it served is taken as far as it is understood. Neither a word that nobody knows nor a field that
@@ -14,17 +14,17 @@
 	c := &conn{pool: &Pool{cfg: Config{LoadFields: []string{"cpu_share", "x1"}}}}
 	for _, w := range []struct {
 		fields string
-		note   control.Note
+		note   routing.Note
 		wait   time.Duration
 	}{
-		{"why=warm", control.NoteHit, 0},
-		{"why=deep_fill,first=12.5", control.NoteFilledByOrigin, 12500 * time.Microsecond},
-		{"why=bounced", control.NoteSourceRefused, 0}, {"why=dropped", control.NoteSourceLost, 0},
-		{"why=lacking", control.NoteSourceLacks, 0}, {"why=jammed", control.NoteNoPlace, 0},
-		{"why=backfire", control.NoteOriginFailed, 0},
-		{"why=sideways", control.NoNote, 0}, {"digest=ab,dated=17", control.NoNote, 0}, {"-", control.NoNote, 0},
-		{"first=-3", control.NoNote, 0}, {"first=soon", control.NoNote, 0}, {"first=1e300", control.NoNote, 0},
-		{"first=NaN", control.NoNote, 0},
+		{"why=warm", routing.NoteHit, 0},
+		{"why=deep_fill,first=12.5", routing.NoteFilledByOrigin, 12500 * time.Microsecond},
+		{"why=bounced", routing.NoteSourceRefused, 0}, {"why=dropped", routing.NoteSourceLost, 0},
+		{"why=lacking", routing.NoteSourceLacks, 0}, {"why=jammed", routing.NoteNoPlace, 0},
+		{"why=backfire", routing.NoteOriginFailed, 0},
+		{"why=sideways", routing.NoNote, 0}, {"digest=ab,dated=17", routing.NoNote, 0}, {"-", routing.NoNote, 0},
+		{"first=-3", routing.NoNote, 0}, {"first=soon", routing.NoNote, 0}, {"first=1e300", routing.NoNote, 0},
+		{"first=NaN", routing.NoNote, 0},
 	} {
 		var res gateway.Result
 		if err := c.fields(w.fields, &res); err != nil || res.Note != w.note || res.FillWait != w.wait {
--- a/internal/snapshot/encode.go
+++ b/internal/snapshot/encode.go
@@ -20,9 +20,9 @@
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/proto"
 
-	"larchusher/control"
 	"larchusher/internal/snapshot/snapshotpb"
 	"larchusher/knowledge"
+	"larchusher/routing"
 )
 
 // Version is that of the files that are written, and the newest that is read. There is no older one yet.
@@ -182,7 +182,7 @@
 // take adds a record to a snapshot.
 func (d *Damage) take(s *knowledge.Snapshot, r *snapshotpb.Record) {
 	if x := r.GetDirector(); x != nil {
-		s.Directors = append(s.Directors, control.Memory{At: time.Duration(x.GetAt()), Zone: x.GetZone()})
+		s.Directors = append(s.Directors, routing.Memory{At: time.Duration(x.GetAt()), Zone: x.GetZone()})
 		return
 	}
 	if len(s.Directors) == 0 { // whose it was has been lost
@@ -193,16 +193,16 @@
 	switch x := r.GetIs().(type) {
 	case *snapshotpb.Record_Listing:
 		l := x.Listing
-		m.Listings = append(m.Listings, control.Listing{Key: l.GetKey(), Server: l.GetServer(), Boot: time.Duration(l.GetBoot()),
+		m.Listings = append(m.Listings, routing.Listing{Key: l.GetKey(), Server: l.GetServer(), Boot: time.Duration(l.GetBoot()),
 			HitAt: time.Duration(l.GetHitAt()), Last: time.Duration(l.GetLast()), Gap: time.Duration(l.GetGap()), Count: l.GetCount(),
 			Work: time.Duration(l.GetWork())})
 	case *snapshotpb.Record_Server:
 		h := x.Server
-		m.Servers = append(m.Servers, control.Health{Server: h.GetServer(), Boot: time.Duration(h.GetBoot()), Seen: time.Duration(h.GetSeen()),
+		m.Servers = append(m.Servers, routing.Health{Server: h.GetServer(), Boot: time.Duration(h.GetBoot()), Seen: time.Duration(h.GetSeen()),
 			Failing: h.GetFailing(), Ejected: time.Duration(h.GetEjected()), Penalty: time.Duration(h.GetPenalty()),
 			Quick: time.Duration(h.GetQuick()), QuickAt: time.Duration(h.GetQuickAt()), Most: h.GetMost(), Late: h.GetLate()})
 	case *snapshotpb.Record_Purge:
-		m.Purges = append(m.Purges, control.Purged{Name: x.Purge.GetName(), At: time.Duration(x.Purge.GetAt())})
+		m.Purges = append(m.Purges, routing.Purged{Name: x.Purge.GetName(), At: time.Duration(x.Purge.GetAt())})
 	default:
 		d.Unknown++
 	}
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -19,19 +19,19 @@
 
 	"github.com/sirupsen/logrus"
 
-	"larchusher/control"
 	"larchusher/knowledge"
+	"larchusher/routing"
 )
 
 // example is a snapshot of n listings, whose values follow from the number.
 func example(n int) *knowledge.Snapshot {
 	s := &knowledge.Snapshot{Made: time.Duration(n+1) * time.Hour, Gateway: "n1", Settings: "abc", Position: int64(n)}
-	m := control.Memory{At: s.Made, Zone: "edge-1", Purges: []control.Purged{{Name: "7f3a9c21e0b4d655", At: time.Hour}, {Name: " 17", At: time.Minute}},
-		Servers: []control.Health{{Server: "s-1", Boot: 5, Seen: 9, Failing: 0.25, Ejected: 7, Penalty: time.Second, Quick: time.Millisecond, QuickAt: 3, Most: 12.5, Late: 0.1}}}
+	m := routing.Memory{At: s.Made, Zone: "edge-1", Purges: []routing.Purged{{Name: "7f3a9c21e0b4d655", At: time.Hour}, {Name: " 17", At: time.Minute}},
+		Servers: []routing.Health{{Server: "s-1", Boot: 5, Seen: 9, Failing: 0.25, Ejected: 7, Penalty: time.Second, Quick: time.Millisecond, QuickAt: 3, Most: 12.5, Late: 0.1}}}
 	for i := range n {
-		m.Listings = append(m.Listings, control.Listing{Key: uint64(i) * 7919, Server: "s-1", Boot: 5, HitAt: 3, Last: time.Duration(i), Gap: time.Second, Count: float64(n), Work: 4})
+		m.Listings = append(m.Listings, routing.Listing{Key: uint64(i) * 7919, Server: "s-1", Boot: 5, HitAt: 3, Last: time.Duration(i), Gap: time.Second, Count: float64(n), Work: 4})
 	}
-	s.Directors = []control.Memory{m, {At: 1, Zone: "edge-2"}}
+	s.Directors = []routing.Memory{m, {At: 1, Zone: "edge-2"}}
 	return s
 }
 
@@ -63,7 +63,7 @@
 	if s.Gateway != want.Gateway || s.Made != want.Made || s.Settings != want.Settings {
 		t.Fatalf("%s: the head is %+v", what, s)
 	}
-	known := map[control.Listing]bool{}
+	known := map[routing.Listing]bool{}
 	for _, l := range want.Directors[0].Listings {
 		known[l] = true
 	}
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -11,7 +11,7 @@
 	"math"
 	"time"
 
-	"larchusher/control"
+	"larchusher/routing"
 )
 
 // maxList is the highest number that a list may bear.
@@ -31,9 +31,9 @@
 type Item struct {
 	Kind     ItemKind
 	Director string
-	Event    control.Event
+	Event    routing.Event
 	Seed     uint64
-	Settings control.Settings
+	Settings routing.Settings
 }
 
 // Batch is one line of input.
@@ -48,7 +48,7 @@
 	// Unknown, if set, is called with the name of each event that the decoder does not know.
 	Unknown func(name string)
 
-	lists [maxList + 1][]control.Member
+	lists [maxList + 1][]routing.Member
 	known [maxList + 1]bool
 }
 
@@ -120,29 +120,29 @@
 	return item, true
 }
 
-var listKinds = map[string]control.ListKind{
-	"total": control.FullList, "incr": control.Changes, "warm_copy": control.StaleList, "lost": control.ListLost,
+var listKinds = map[string]routing.ListKind{
+	"total": routing.FullList, "incr": routing.Changes, "warm_copy": routing.StaleList, "lost": routing.ListLost,
 }
 
-func (d *Decoder) sync(f *fields) control.Event {
+func (d *Decoder) sync(f *fields) routing.Event {
 	how := f.text(3, "how")
 	kind, ok := listKinds[how]
 	if !ok {
 		f.fail("how", fmt.Errorf("unknown kind of list %q", how))
 		return nil
 	}
-	if kind == control.ListLost {
-		return control.Members{Kind: kind}
+	if kind == routing.ListLost {
+		return routing.Members{Kind: kind}
 	}
 	n := f.integer(2, "list")
 	if n < 0 || n > maxList || !d.known[n] {
 		f.fail("list", fmt.Errorf("list %d was not defined", n))
 		return nil
 	}
-	return control.Members{Kind: kind, Entries: d.lists[n]}
+	return routing.Members{Kind: kind, Entries: d.lists[n]}
 }
 
-var phases = map[string]control.Phase{"U": control.Up, "L": control.Draining, "D": control.Removed}
+var phases = map[string]routing.Phase{"U": routing.Up, "L": routing.Draining, "D": routing.Removed}
 
 func (d *Decoder) define(f *fields) {
 	n := f.integer(1, "list")
@@ -154,10 +154,10 @@
 	if f.err != nil {
 		return
 	}
-	members := make([]control.Member, 0, len(rows))
+	members := make([]routing.Member, 0, len(rows))
 	for i, row := range rows {
 		e := fields{values: row}
-		m := control.Member{
+		m := routing.Member{
 			Cell:   int(e.optional(0, "pod")),
 			Boot:   duration(e.optional(1, "bootTimeMs")),
 			Kind:   e.optionalText(2, "machine"),
@@ -180,13 +180,13 @@
 	d.lists[n], d.known[n] = members, true
 }
 
-var statuses = map[int]control.Status{
-	200: control.OK, 500: control.ServerError, 503: control.TurnedAway, 504: control.TimedOut,
-	502: control.NotConnected, 598: control.Reset, 499: control.Cancelled, 410: control.NotSent,
-	404: control.Miss,
+var statuses = map[int]routing.Status{
+	200: routing.OK, 500: routing.ServerError, 503: routing.TurnedAway, 504: routing.TimedOut,
+	502: routing.NotConnected, 598: routing.Reset, 499: routing.Cancelled, 410: routing.NotSent,
+	404: routing.Miss,
 }
 
-func (f *fields) status(i int, name string) control.Status {
+func (f *fields) status(i int, name string) routing.Status {
 	n := f.integer(i, name)
 	s, ok := statuses[n]
 	if f.err == nil && !ok {
@@ -201,48 +201,48 @@
 	markWrite  = 4
 )
 
-var decoders = map[string]func(*fields) control.Event{
-	"demand": func(f *fields) control.Event {
+var decoders = map[string]func(*fields) routing.Event{
+	"demand": func(f *fields) routing.Event {
 		marks := int(f.optional(10, "marks"))
-		return control.Request{
+		return routing.Request{
 			ID: f.text(2, "job"), Class: f.text(3, "profile"), Tenant: f.name(4, "team"),
 			Object: f.optionalText(5, "asset"), Deadline: duration(f.number(6, "deadlineMs")),
 			SizeKB: f.optional(7, "bytesK"), Group: int(f.optional(8, "tag")),
 			Part: int(f.optional(9, "chunk")), Retry: marks&markRepeat != 0, Write: marks&markWrite != 0,
 		}
 	},
-	"firstByte": func(f *fields) control.Event {
-		return control.FirstByte{ID: f.text(2, "job"), Attempt: f.integer(3, "copy"),
+	"firstByte": func(f *fields) routing.Event {
+		return routing.FirstByte{ID: f.text(2, "job"), Attempt: f.integer(3, "copy"),
 			Server: f.optionalText(5, "node")}
 	},
-	"ended": func(f *fields) control.Event {
+	"ended": func(f *fields) routing.Event {
 		note := f.optional(7, "info")
-		if note < 0 || note > float64(control.NoteOriginFailed) {
+		if note < 0 || note > float64(routing.NoteOriginFailed) {
 			note = 0
 		}
-		return control.Outcome{
+		return routing.Outcome{
 			ID: f.text(2, "job"), FillWait: duration(f.optional(3, "fillWaitMs")),
 			Attempt: f.integer(4, "copy"), Server: f.text(5, "node"), Status: f.status(6, "ending"),
-			Note: control.Note(note), Final: f.flag(8, "complete"),
+			Note: routing.Note(note), Final: f.flag(8, "complete"),
 			Latency: duration(f.optional(9, "latencyMs")), Load: f.numbers(10, "feedback"),
 		}
 	},
-	"noteFrom": func(f *fields) control.Event {
-		return control.Peer{From: f.integer(2, "srcPeer"), Data: f.optionalText(3, "data")}
+	"noteFrom": func(f *fields) routing.Event {
+		return routing.Peer{From: f.integer(2, "srcPeer"), Data: f.optionalText(3, "data")}
 	},
-	"replaced": func(f *fields) control.Event {
-		return control.Purge{Object: f.optionalText(2, "asset"), Group: int(f.optional(3, "familyId")),
+	"replaced": func(f *fields) routing.Event {
+		return routing.Purge{Object: f.optionalText(2, "asset"), Group: int(f.optional(3, "familyId")),
 			Ago: duration(f.optional(4, "ageSpanMs"))}
 	},
-	"healthResult": func(f *fields) control.Event {
-		return control.Probed{Status: f.status(2, "ending"), Server: f.text(3, "node"),
+	"healthResult": func(f *fields) routing.Event {
+		return routing.Probed{Status: f.status(2, "ending"), Server: f.text(3, "node"),
 			Latency: duration(f.optional(4, "latencyMs")), Load: f.numbers(5, "feedback")}
 	},
-	"expired": func(f *fields) control.Event { return control.Gone{ID: f.text(2, "job")} },
-	"alarm": func(f *fields) control.Event {
+	"expired": func(f *fields) routing.Event { return routing.Gone{ID: f.text(2, "job")} },
+	"alarm": func(f *fields) routing.Event {
 		var n uint64
 		f.value(2, "tag", &n, true)
-		return control.Timer{Token: n}
+		return routing.Timer{Token: n}
 	},
 }
 
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"larchusher/control"
+	"larchusher/routing"
 )
 
 // The bits of an attempt's `how`.
@@ -52,9 +52,9 @@
 }
 
 // Add appends one action of a director.
-func (r *Reply) Add(director string, a control.Action) error {
+func (r *Reply) Add(director string, a routing.Action) error {
 	switch a := a.(type) {
-	case control.Ask:
+	case routing.Ask:
 		r.open("answerFrom", director)
 		r.text(a.ID)
 		r.time(a.Timeout)
@@ -72,36 +72,36 @@
 		r.integer(how)
 		r.integer(a.Keep)
 		r.text(a.Server)
-	case control.Refuse:
+	case routing.Refuse:
 		r.open("decline", director)
 		r.text(a.ID)
 		r.time(a.After)
-	case control.Fail:
+	case routing.Fail:
 		r.open("reportFailure", director)
 		r.text(a.ID)
-	case control.Cancel:
+	case routing.Cancel:
 		r.open("abortAttempt", director)
 		r.text(a.ID)
 		r.integer(a.Attempt)
-	case control.Wake:
+	case routing.Wake:
 		r.open("wakeAt", director)
 		r.time(a.At)
 		r.buf = strconv.AppendUint(append(r.buf, ','), a.Token, 10)
-	case control.Tell:
+	case routing.Tell:
 		r.open("notify", director)
-		if a.To == control.Everyone {
+		if a.To == routing.Everyone {
 			r.buf = append(r.buf, ",null"...)
 		} else {
 			r.integer(a.To)
 		}
 		r.text(a.Data)
-	case control.Probe:
+	case routing.Probe:
 		r.open("sample", director)
 		r.text(a.Server)
-	case control.Watch:
+	case routing.Watch:
 		r.open("tail", director)
 		r.flag(true)
-	case control.Log:
+	case routing.Log:
 		r.open("record", director)
 		r.text(a.Text)
 	default:
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"larchusher/control"
+	"larchusher/routing"
 )
 
 // env mirrors the settings object of the wire.
@@ -86,14 +86,14 @@
 }
 
 var (
-	effects = map[string]control.Effect{
-		"": control.Safe, "repeatable": control.Safe, "by_key": control.Keyed, "once": control.Unsafe}
-	scopes = map[string]control.Scope{
-		"": control.ScopeAll, "all": control.ScopeAll, "zone": control.ScopeZone, "cell": control.ScopeCell}
-	tells = map[string]control.Tells{
-		"": control.TellsNothing, "off": control.TellsNothing, "hit": control.TellsHit, "all": control.TellsAll}
-	neighbours = map[string]control.Neighbours{"": control.NoNeighbours, "off": control.NoNeighbours,
-		"location": control.SameLocation, "any": control.AnyLocation}
+	effects = map[string]routing.Effect{
+		"": routing.Safe, "repeatable": routing.Safe, "by_key": routing.Keyed, "once": routing.Unsafe}
+	scopes = map[string]routing.Scope{
+		"": routing.ScopeAll, "all": routing.ScopeAll, "zone": routing.ScopeZone, "cell": routing.ScopeCell}
+	tells = map[string]routing.Tells{
+		"": routing.TellsNothing, "off": routing.TellsNothing, "hit": routing.TellsHit, "all": routing.TellsAll}
+	neighbours = map[string]routing.Neighbours{"": routing.NoNeighbours, "off": routing.NoNeighbours,
+		"location": routing.SameLocation, "any": routing.AnyLocation}
 )
 
 // word looks up one of the wire's words.
@@ -123,7 +123,7 @@
 
 // ReadSettings reads a settings object by itself, as a real gateway's configuration holds it. An error names
 // the key that was wrong.
-func ReadSettings(object []byte) (control.Settings, Sockets, error) {
+func ReadSettings(object []byte) (routing.Settings, Sockets, error) {
 	f := fields{values: []json.RawMessage{object}}
 	var e env
 	f.value(0, "settings", &e, true)
@@ -133,18 +133,18 @@
 		StreamsPerConn: e.Limits.StreamsPerConn}, f.err
 }
 
-func (f *fields) settings(i int, name string) control.Settings {
+func (f *fields) settings(i int, name string) routing.Settings {
 	var e env
 	f.value(i, name, &e, true)
 	return e.settings(f)
 }
 
-func (e *env) settings(f *fields) control.Settings {
+func (e *env) settings(f *fields) routing.Settings {
 	if f.err != nil {
-		return control.Settings{}
+		return routing.Settings{}
 	}
 	fi := &e.FamilyInfo
-	s := control.Settings{
+	s := routing.Settings{
 		Numberless: e.Position == nil, Directors: e.Balancers, Zone: e.Zone, Zones: e.DCs, ZoneHub: fi.HomeHub,
 		ZonePeers: fi.CountByZone, ZoneLink: fi.ZoneLinkKbPerS, Kinds: e.Flavors, ParentKind: -1,
 		WeightsTold: e.WeightSource != "" && e.WeightSource != "off", FlowKBps: fi.StreamKbPerS,
@@ -180,7 +180,7 @@
 		s.Tenants = append(s.Tenants, t.Name)
 	}
 	for i, c := range e.Classes {
-		s.Classes = append(s.Classes, control.Class{
+		s.Classes = append(s.Classes, routing.Class{
 			Name: c.Name, Aim: duration(c.AimMs), AimStretch: c.AimStretch, Deadline: duration(c.HardLimitMs),
 			Worth: c.Value, LateWorth: c.LateWorth,
 			Effect: word(f, effects, "classes.effect", c.Effect),
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"larchusher/control"
+	"larchusher/routing"
 )
 
 const envText = `{"balancers":3,"classes":[{"name":"page","effect":"by_key","dedupScope":"cell","aimMs":250,` +
@@ -30,22 +30,22 @@
 func TestDecodeEvents(t *testing.T) {
 	for _, c := range []struct {
 		in   string
-		want control.Event
+		want routing.Event
 	}{
-		{`["demand","d/1","id","page",null,"f-a",8.25,640,11,3,6]`, control.Request{ID: "id", Class: "page",
+		{`["demand","d/1","id","page",null,"f-a",8.25,640,11,3,6]`, routing.Request{ID: "id", Class: "page",
 			Object: "f-a", Deadline: 8250 * time.Microsecond, SizeKB: 640, Group: 11, Part: 3, Retry: true, Write: true}},
-		{`["demand","d/1","id","page",0,"f-a",8]`, control.Request{ID: "id", Class: "page", Object: "f-a",
+		{`["demand","d/1","id","page",0,"f-a",8]`, routing.Request{ID: "id", Class: "page", Object: "f-a",
 			Deadline: 8 * time.Millisecond}},
-		{`["ended","d/1","id",9.4,2,"n",200,2,true,18.5,[0.5,1]]`, control.Outcome{ID: "id", Attempt: 2, Server: "n",
-			Status: control.OK, Note: control.NoteFilled, Final: true, FillWait: 9400 * time.Microsecond,
+		{`["ended","d/1","id",9.4,2,"n",200,2,true,18.5,[0.5,1]]`, routing.Outcome{ID: "id", Attempt: 2, Server: "n",
+			Status: routing.OK, Note: routing.NoteFilled, Final: true, FillWait: 9400 * time.Microsecond,
 			Latency: 18500 * time.Microsecond, Load: []float64{0.5, 1}}},
-		{`["ended","d/1","id",null,0,"n",404,null,null,null,null,"extra"]`, control.Outcome{ID: "id", Server: "n",
-			Status: control.Miss}},
-		{`["noteFrom","d/1",2,"hi"]`, control.Peer{From: 2, Data: "hi"}},
-		{`["replaced","d/1",null,11,85]`, control.Purge{Group: 11, Ago: 85 * time.Millisecond}},
-		{`["expired","d/1","id"]`, control.Gone{ID: "id"}},
-		{`["alarm","d/1",9223372036854775807]`, control.Timer{Token: 1<<63 - 1}},
-		{`["sync","d/1",null,"lost",4]`, control.Members{Kind: control.ListLost}},
+		{`["ended","d/1","id",null,0,"n",404,null,null,null,null,"extra"]`, routing.Outcome{ID: "id", Server: "n",
+			Status: routing.Miss}},
+		{`["noteFrom","d/1",2,"hi"]`, routing.Peer{From: 2, Data: "hi"}},
+		{`["replaced","d/1",null,11,85]`, routing.Purge{Group: 11, Ago: 85 * time.Millisecond}},
+		{`["expired","d/1","id"]`, routing.Gone{ID: "id"}},
+		{`["alarm","d/1",9223372036854775807]`, routing.Timer{Token: 1<<63 - 1}},
+		{`["sync","d/1",null,"lost",4]`, routing.Members{Kind: routing.ListLost}},
 	} {
 		if it := decodeOne(t, c.in); !reflect.DeepEqual(it.Event, c.want) || it.Director != "d/1" {
 			t.Errorf("%s\n got %+v\nwant %+v", c.in, it.Event, c.want)
@@ -57,8 +57,8 @@
 	it := decodeOne(t, `["enlist","d/1",18446744073709551615,`+envText+`]`)
 	s := it.Settings
 	if it.Kind != Start || it.Seed != 1<<64-1 || s.ParentKind != -1 || s.OriginKind != 1 || !s.Ask ||
-		!s.WeightsTold || s.LoadFields != nil || s.Neighbours != control.AnyLocation ||
-		s.Classes[0].Effect != control.Keyed || s.Classes[0].Scope != control.ScopeCell ||
+		!s.WeightsTold || s.LoadFields != nil || s.Neighbours != routing.AnyLocation ||
+		s.Classes[0].Effect != routing.Keyed || s.Classes[0].Scope != routing.ScopeCell ||
 		s.Classes[0].Fresh != 8*time.Second {
 		t.Errorf("%+v", it)
 	}
@@ -71,9 +71,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one, two := b.Items[0].Event.(control.Members), b.Items[1].Event.(control.Members)
-	if one.Entries[0].ID != "a" || two.Entries[0].ID != "b" || two.Entries[0].Phase != control.Draining ||
-		two.Entries[0].Boot != 7*time.Millisecond || two.Kind != control.Changes {
+	one, two := b.Items[0].Event.(routing.Members), b.Items[1].Event.(routing.Members)
+	if one.Entries[0].ID != "a" || two.Entries[0].ID != "b" || two.Entries[0].Phase != routing.Draining ||
+		two.Entries[0].Boot != 7*time.Millisecond || two.Kind != routing.Changes {
 		t.Errorf("%+v %+v", one, two)
 	}
 }
@@ -113,21 +113,21 @@
 
 func TestEncodeActions(t *testing.T) {
 	for _, c := range []struct {
-		a    control.Action
+		a    routing.Action
 		want string
 	}{
-		{control.Ask{ID: "j", Server: "n", Source: "p", Timeout: 900 * time.Millisecond, MaxAge: 1500 * time.Microsecond,
+		{routing.Ask{ID: "j", Server: "n", Source: "p", Timeout: 900 * time.Millisecond, MaxAge: 1500 * time.Microsecond,
 			Keep: 2, Join: true, Renew: true}, `["answerFrom","d","j",900,1.5,"p",9,2,"n"]`},
-		{control.Ask{ID: "j", Server: "n", Source: "n", OnlyHeld: true, NoCopy: true}, `["answerFrom","d","j",0,0,"n",6,0,"n"]`},
-		{control.Refuse{ID: "j", After: 250 * time.Millisecond}, `["decline","d","j",250]`},
-		{control.Fail{ID: "j"}, `["reportFailure","d","j"]`},
-		{control.Cancel{ID: "j", Attempt: 3}, `["abortAttempt","d","j",3]`},
-		{control.Wake{At: time.Second, Token: 1<<63 - 1}, `["wakeAt","d",1000,9223372036854775807]`},
-		{control.Tell{To: control.Everyone, Data: "a\"b"}, `["notify","d",null,"a\"b"]`},
-		{control.Tell{To: 2, Data: "x"}, `["notify","d",2,"x"]`},
-		{control.Probe{Server: "n"}, `["sample","d","n"]`},
-		{control.Watch{}, `["tail","d",true]`},
-		{control.Log{Text: "t"}, `["record","d","t"]`},
+		{routing.Ask{ID: "j", Server: "n", Source: "n", OnlyHeld: true, NoCopy: true}, `["answerFrom","d","j",0,0,"n",6,0,"n"]`},
+		{routing.Refuse{ID: "j", After: 250 * time.Millisecond}, `["decline","d","j",250]`},
+		{routing.Fail{ID: "j"}, `["reportFailure","d","j"]`},
+		{routing.Cancel{ID: "j", Attempt: 3}, `["abortAttempt","d","j",3]`},
+		{routing.Wake{At: time.Second, Token: 1<<63 - 1}, `["wakeAt","d",1000,9223372036854775807]`},
+		{routing.Tell{To: routing.Everyone, Data: "a\"b"}, `["notify","d",null,"a\"b"]`},
+		{routing.Tell{To: 2, Data: "x"}, `["notify","d",2,"x"]`},
+		{routing.Probe{Server: "n"}, `["sample","d","n"]`},
+		{routing.Watch{}, `["tail","d",true]`},
+		{routing.Log{Text: "t"}, `["record","d","t"]`},
 	} {
 		var r Reply
 		if err := r.Add("d", c.a); err != nil {
--- a/knowledge/knowledge.go
+++ b/knowledge/knowledge.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"larchusher/control"
+	"larchusher/routing"
 )
 
 // Half-lives. What speaks for sending more ages faster than what speaks for sending less: a box wrongly held for ill is
@@ -31,7 +31,7 @@
 	Gateway   string           `json:"Gateway"`  // name
 	Settings  string           `json:"Settings"` // fingerprint of what it was told, by which its knowledge is meant
 	Position  int64            `json:"Position"` // latest event of the journal that was taken in
-	Directors []control.Memory `json:"Directors"`
+	Directors []routing.Memory `json:"Directors"`
 }
 
 // Why a snapshot is void, to be told apart by errors.Is.
@@ -59,7 +59,7 @@
 }
 
 // Worth is what knowledge of an age still counts for. What is of the future counts for nothing.
-func Worth(age time.Duration) control.Worth {
+func Worth(age time.Duration) routing.Worth {
 	w := func(half time.Duration) float64 {
 		if age < -skew {
 			return 0
@@ -70,18 +70,18 @@
 		}
 		return x
 	}
-	return control.Worth{Listing: w(HalfListing), Failing: w(HalfFailing), Limit: w(HalfLimit), Quick: w(HalfQuick)}
+	return routing.Worth{Listing: w(HalfListing), Failing: w(HalfFailing), Limit: w(HalfLimit), Quick: w(HalfQuick)}
 }
 
 // Report is what became of a snapshot.
 type Report struct {
 	Age  time.Duration
 	Void error // why nothing of it was used
-	control.Used
+	routing.Used
 }
 
 // Use has directors take in what a snapshot holds for them, by the names of their zones.
-func (s *Snapshot) Use(now time.Duration, gateway, settings string, directors map[string]*control.Director) Report {
+func (s *Snapshot) Use(now time.Duration, gateway, settings string, directors map[string]*routing.Director) Report {
 	r := Report{Age: now - s.Made, Void: s.Check(now, gateway, settings)}
 	if r.Void != nil {
 		return r
--- a/knowledge/knowledge_test.go
+++ b/knowledge/knowledge_test.go
@@ -5,14 +5,14 @@
 	"testing"
 	"time"
 
-	"larchusher/control"
+	"larchusher/routing"
 )
 
 // What is a day old counts for nothing, what speaks for sending more ages faster than what speaks for sending less, and
 // nothing grows with age.
 func TestKnowledgeAges(t *testing.T) {
 	last := Worth(0)
-	if last != (control.Worth{Listing: 1, Failing: 1, Limit: 1, Quick: 1}) {
+	if last != (routing.Worth{Listing: 1, Failing: 1, Limit: 1, Quick: 1}) {
 		t.Errorf("fresh: %+v", last)
 	}
 	for age := time.Second; age < 26*time.Hour; age += age / 7 {
@@ -25,7 +25,7 @@
 		}
 		last = w
 	}
-	if last != (control.Worth{}) || Worth(-time.Minute) != (control.Worth{}) {
+	if last != (routing.Worth{}) || Worth(-time.Minute) != (routing.Worth{}) {
 		t.Errorf("a day old: %+v, of the future: %+v", last, Worth(-time.Minute))
 	}
 }
--- a/knowledge/shared.go
+++ b/knowledge/shared.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"larchusher/control"
 	"larchusher/replica"
+	"larchusher/routing"
 )
 
 // What a gateway tells the others of what it has learned, and what it makes of what they tell: control.Memory to slots of package
@@ -32,14 +32,14 @@
 	node  *replica.Node
 	zone  string
 	most  int
-	up    map[string]control.Member // stores that the list had in use, when it was last looked at
+	up    map[string]routing.Member // stores that the list had in use, when it was last looked at
 	voice map[string]bool           // stores of which something was said
 	heard map[string]time.Duration  // purges that neighbours told of, as the director has them
 }
 
 // NewSharer returns a sharer for a gateway of a zone, that tells of so many listings at most.
 func NewSharer(node *replica.Node, zone string, most int) *Sharer {
-	return &Sharer{node: node, zone: zone, most: most, up: map[string]control.Member{}, voice: map[string]bool{}, heard: map[string]time.Duration{}}
+	return &Sharer{node: node, zone: zone, most: most, up: map[string]routing.Member{}, voice: map[string]bool{}, heard: map[string]time.Duration{}}
 }
 
 // bootMs tells starts apart at all gateways alike, whose clocks give one to a few microseconds.
@@ -47,7 +47,7 @@
 
 // Tell says what is news of what a director has learned and of the list: what is a matter of safety first, then what speaks against
 // stores, then listings, the most used first, until the copy takes no more. Now is the copy's clock; m.At the director's.
-func (s *Sharer) Tell(now time.Duration, m control.Memory, list map[string]control.Member) {
+func (s *Sharer) Tell(now time.Duration, m routing.Memory, list map[string]routing.Member) {
 	seen := func(at time.Duration) time.Duration { return now - max(0, m.At-at) }
 	say := func(k replica.Kind, key string, value []byte, at time.Duration) bool {
 		if !s.node.Say(now, k, key, value, at) {
@@ -70,14 +70,14 @@
 	}
 	maps.DeleteFunc(s.heard, func(name string, _ time.Duration) bool { return !held[name] }) // it has settled
 	for id, e := range list {
-		if e.Phase == control.Up {
+		if e.Phase == routing.Up {
 			if s.up[id] = e; s.node.Said(replica.Drain, id) {
 				say(replica.Drain, id, replica.Encode(replica.Notice{BootMs: bootMs(e.Boot), Up: true}), now)
 			}
 		}
 	}
 	for id, was := range s.up {
-		if e, ok := list[id]; !ok || e.Phase != control.Up {
+		if e, ok := list[id]; !ok || e.Phase != routing.Up {
 			say(replica.Drain, id, replica.Encode(replica.Notice{BootMs: bootMs(was.Boot)}), now)
 			delete(s.up, id)
 		}
@@ -95,7 +95,7 @@
 		}
 	}
 	hot := slices.Clone(m.Listings)
-	slices.SortFunc(hot, func(a, b control.Listing) int {
+	slices.SortFunc(hot, func(a, b routing.Listing) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Key, b.Key))
 	})
 	for _, l := range hot[:min(s.most, len(hot))] {
@@ -111,7 +111,7 @@
 }
 
 // evidence words what is known of a store, coarsely: what hardly changes is not said again.
-func evidence(h control.Health, at time.Duration) replica.Evidence {
+func evidence(h routing.Health, at time.Duration) replica.Evidence {
 	tenth := func(x float64) float64 { return math.Round(min(1, max(0, x))*10) / 10 }
 	e := replica.Evidence{BootMs: bootMs(h.Boot), Failing: tenth(h.Failing), Late: tenth(h.Late)}
 	if h.Ejected > at {
@@ -135,7 +135,7 @@
 
 // Gather is what neighbours know, as a director takes it in: at is its clock. Ages are kept. The list says by which start the director
 // knows a store; without it that is taken as it was told.
-func (s *Sharer) Gather(now, at time.Duration, list map[string]control.Member) control.Memory {
+func (s *Sharer) Gather(now, at time.Duration, list map[string]routing.Member) routing.Memory {
 	boot := func(server string, ms int64) time.Duration {
 		if e, ok := list[server]; ok && bootMs(e.Boot) == ms {
 			return e.Boot
@@ -143,33 +143,33 @@
 		return time.Duration(ms) * time.Millisecond
 	}
 	when := func(t time.Duration) time.Duration { return at - max(0, now-t) }
-	m := control.Memory{At: at, Zone: s.zone}
+	m := routing.Memory{At: at, Zone: s.zone}
 	for _, f := range s.node.Listings(now, 0) {
 		zone, object, ok := strings.Cut(f.Key, "/")
 		key, err := strconv.ParseUint(object, 16, 64)
 		if !ok || err != nil || zone != s.zone || f.What.GapMs < 0 || f.What.WorkMs < 0 {
 			continue
 		}
-		m.Listings = append(m.Listings, control.Listing{Key: key, Server: f.What.Server, Boot: boot(f.What.Server, f.What.BootMs), HitAt: when(f.At), Last: when(f.At),
+		m.Listings = append(m.Listings, routing.Listing{Key: key, Server: f.What.Server, Boot: boot(f.What.Server, f.What.BootMs), HitAt: when(f.At), Last: when(f.At),
 			Gap: time.Duration(f.What.GapMs) * time.Millisecond, Count: f.What.Count, Work: time.Duration(f.What.WorkMs) * time.Millisecond})
 	}
 	for _, c := range s.node.Complaints(now, s.node.Living(now)) {
-		h := control.Health{Server: c.Server, Boot: boot(c.Server, c.What.BootMs), Seen: when(c.At), Failing: c.What.Failing, Late: c.What.Late, Most: c.What.Most}
+		h := routing.Health{Server: c.Server, Boot: boot(c.Server, c.What.BootMs), Seen: when(c.At), Failing: c.What.Failing, Late: c.What.Late, Most: c.What.Most}
 		if c.What.OutMs > 0 {
 			h.Ejected = h.Seen + time.Duration(c.What.OutMs)*time.Millisecond
 		}
 		m.Servers = append(m.Servers, h)
 	}
 	for name, t := range s.node.Purges(now) {
-		m.Purges = append(m.Purges, control.Purged{Name: name, At: at - s.Purged(now, at, name, t)})
+		m.Purges = append(m.Purges, routing.Purged{Name: name, At: at - s.Purged(now, at, name, t)})
 	}
-	slices.SortFunc(m.Purges, func(a, b control.Purged) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(m.Purges, func(a, b routing.Purged) int { return cmp.Compare(a.Name, b.Name) })
 	return m
 }
 
 // Holds are the stores to be taken for drained on others' word: those that the own list still has in use with the start that
 // somebody else was told drains, for a while. One that lies can hold a few stores only.
-func (s *Sharer) Holds(now time.Duration, list map[string]control.Member) map[string]bool {
+func (s *Sharer) Holds(now time.Duration, list map[string]routing.Member) map[string]bool {
 	held, all, some := map[string]bool{}, map[string]int{}, map[string]int{}
 	for _, e := range list {
 		all[e.Kind+" "+e.Zone]++
@@ -183,7 +183,7 @@
 	for _, id := range ids {
 		e, ok := list[id]
 		group := e.Kind + " " + e.Zone
-		if !ok || e.Phase != control.Up || bootMs(e.Boot) != drains[id] || some[group] >= max(1, all[group]/heldShare) {
+		if !ok || e.Phase != routing.Up || bootMs(e.Boot) != drains[id] || some[group] >= max(1, all[group]/heldShare) {
 			continue
 		}
 		some[group]++
--- a/knowledge/shared_test.go
+++ b/knowledge/shared_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"larchusher/control"
 	"larchusher/replica"
+	"larchusher/routing"
 )
 
 // pair is two gateways' sharers that hear each other at once when sync is called.
@@ -47,11 +47,11 @@
 	}
 }
 
-func list(phase control.Phase, boot time.Duration) map[string]control.Member {
-	l := map[string]control.Member{}
+func list(phase routing.Phase, boot time.Duration) map[string]routing.Member {
+	l := map[string]routing.Member{}
 	for i := range 8 {
 		id := fmt.Sprint("b", i)
-		l[id] = control.Member{ID: id, Kind: "box", Zone: "z", Boot: boot, Phase: control.Up}
+		l[id] = routing.Member{ID: id, Kind: "box", Zone: "z", Boot: boot, Phase: routing.Up}
 	}
 	e := l["b0"]
 	e.Phase = phase
@@ -65,10 +65,10 @@
 func TestWhatIsToldIsTakenInWithItsAge(t *testing.T) {
 	p := newPair(t, "a", "b")
 	boot := 500*time.Hour + 300*time.Nanosecond
-	p.s["a"].Tell(p.now, control.Memory{At: director, Listings: []control.Listing{{Key: 77, Server: "b1", Boot: boot, Last: director - 10*time.Second, Count: 4, Gap: time.Second}},
-		Purges: []control.Purged{{Name: " 3", At: director - time.Second}}, Servers: []control.Health{{Server: "b2", Boot: boot, Seen: director - 2*time.Second, Failing: 0.8}}}, list(control.Up, boot))
+	p.s["a"].Tell(p.now, routing.Memory{At: director, Listings: []routing.Listing{{Key: 77, Server: "b1", Boot: boot, Last: director - 10*time.Second, Count: 4, Gap: time.Second}},
+		Purges: []routing.Purged{{Name: " 3", At: director - time.Second}}, Servers: []routing.Health{{Server: "b2", Boot: boot, Seen: director - 2*time.Second, Failing: 0.8}}}, list(routing.Up, boot))
 	p.sync()
-	other := list(control.Up, boot-200*time.Nanosecond) // another gateway's clock
+	other := list(routing.Up, boot-200*time.Nanosecond) // another gateway's clock
 	m := p.s["b"].Gather(p.now, 2*director, other)
 	if len(m.Listings) != 1 || m.Listings[0].Key != 77 || m.Listings[0].Boot != other["b1"].Boot || m.Listings[0].Count != 4 {
 		t.Fatalf("%+v", m.Listings)
@@ -91,7 +91,7 @@
 // A store is well again: what was said of it is over at all others.
 func TestRecoveryIsTold(t *testing.T) {
 	p := newPair(t, "a", "b", "c")
-	ill := control.Memory{At: director, Servers: []control.Health{{Server: "b2", Seen: director, Failing: 0.8, Ejected: director + 3*time.Second}}}
+	ill := routing.Memory{At: director, Servers: []routing.Health{{Server: "b2", Seen: director, Failing: 0.8, Ejected: director + 3*time.Second}}}
 	for _, n := range []string{"a", "b"} {
 		p.s[n].Tell(p.now, ill, nil)
 	}
@@ -100,7 +100,7 @@
 		t.Fatalf("%+v", m.Servers)
 	}
 	for _, n := range []string{"a", "b"} {
-		p.s[n].Tell(p.now, control.Memory{At: director, Servers: []control.Health{{Server: "b2", Seen: director}}}, nil)
+		p.s[n].Tell(p.now, routing.Memory{At: director, Servers: []routing.Health{{Server: "b2", Seen: director}}}, nil)
 	}
 	p.sync()
 	if m := p.s["c"].Gather(p.now, director, nil); len(m.Servers) != 0 {
@@ -111,7 +111,7 @@
 // What hardly changes is not said again, and a purge that a neighbour has told of is not said by everybody.
 func TestLittleIsSaidTwice(t *testing.T) {
 	p := newPair(t, "a", "b")
-	m := control.Memory{At: director, Servers: []control.Health{{Server: "b2", Seen: director, Failing: 0.8}}, Purges: []control.Purged{{Name: "o", At: director}}}
+	m := routing.Memory{At: director, Servers: []routing.Health{{Server: "b2", Seen: director, Failing: 0.8}}, Purges: []routing.Purged{{Name: "o", At: director}}}
 	p.s["a"].Tell(p.now, m, nil)
 	p.sync()
 	m.At += 4 * time.Second
@@ -125,7 +125,7 @@
 	if got := p.s["a"].Told; got != told {
 		t.Errorf("%d things were said, and %d again", told, got-told)
 	}
-	p.s["b"].Tell(p.now, control.Memory{At: m.At, Purges: []control.Purged{{Name: "o", At: m.At - p.now + p.nodes["b"].Purges(p.now)["o"]}}}, nil)
+	p.s["b"].Tell(p.now, routing.Memory{At: m.At, Purges: []routing.Purged{{Name: "o", At: m.At - p.now + p.nodes["b"].Purges(p.now)["o"]}}}, nil)
 	if p.s["b"].Told != 0 {
 		t.Error("both say the same purge")
 	}
@@ -137,9 +137,9 @@
 	for _, apart := range []time.Duration{30 * time.Millisecond, 99 * time.Millisecond, 130 * time.Millisecond, 495 * time.Millisecond, 2 * time.Second} {
 		p := newPair(t, "a", "b")
 		first := director
-		p.s["a"].Tell(p.now, control.Memory{At: first, Purges: []control.Purged{{Name: "o", At: first}}}, nil)
+		p.s["a"].Tell(p.now, routing.Memory{At: first, Purges: []routing.Purged{{Name: "o", At: first}}}, nil)
 		p.now += apart
-		p.s["a"].Tell(p.now, control.Memory{At: first + apart, Purges: []control.Purged{{Name: "o", At: first + apart}}}, nil)
+		p.s["a"].Tell(p.now, routing.Memory{At: first + apart, Purges: []routing.Purged{{Name: "o", At: first + apart}}}, nil)
 		latest := p.now
 		p.sync()
 		m := p.s["b"].Gather(p.now, 2*director, nil)
@@ -148,7 +148,7 @@
 		}
 		m.At += 300 * time.Millisecond
 		p.now += 300 * time.Millisecond
-		p.s["b"].Tell(p.now, control.Memory{At: m.At, Purges: m.Purges}, nil)
+		p.s["b"].Tell(p.now, routing.Memory{At: m.At, Purges: m.Purges}, nil)
 		if p.s["b"].Told != 0 {
 			t.Errorf("%v apart: b says on what it was told", apart)
 		}
@@ -158,26 +158,26 @@
 // A drain that the own list has not told of yet is heeded, for the start that is meant, for a while, and for a few stores only.
 func TestADrainIsHeededOnOthersWord(t *testing.T) {
 	p := newPair(t, "a", "b")
-	p.s["a"].Tell(p.now, control.Memory{At: director}, list(control.Up, time.Hour))
-	p.s["a"].Tell(p.now, control.Memory{At: director}, list(control.Draining, time.Hour))
+	p.s["a"].Tell(p.now, routing.Memory{At: director}, list(routing.Up, time.Hour))
+	p.s["a"].Tell(p.now, routing.Memory{At: director}, list(routing.Draining, time.Hour))
 	p.sync()
-	if held := p.s["b"].Holds(p.now, list(control.Up, time.Hour)); len(held) != 1 || !held["b0"] {
+	if held := p.s["b"].Holds(p.now, list(routing.Up, time.Hour)); len(held) != 1 || !held["b0"] {
 		t.Fatalf("%v", held)
 	}
-	if held := p.s["b"].Holds(p.now, list(control.Up, 2*time.Hour)); len(held) != 0 {
+	if held := p.s["b"].Holds(p.now, list(routing.Up, 2*time.Hour)); len(held) != 0 {
 		t.Errorf("another start is held: %v", held)
 	}
-	if held := p.s["b"].Holds(p.now+heldWithin+time.Second, list(control.Up, time.Hour)); len(held) != 0 {
+	if held := p.s["b"].Holds(p.now+heldWithin+time.Second, list(routing.Up, time.Hour)); len(held) != 0 {
 		t.Errorf("it is held for ever: %v", held)
 	}
-	if held := p.s["a"].Holds(p.now, list(control.Up, time.Hour)); len(held) != 0 {
+	if held := p.s["a"].Holds(p.now, list(routing.Up, time.Hour)); len(held) != 0 {
 		t.Errorf("the own word is held against the own list: %v", held)
 	}
-	gone := list(control.Up, time.Hour)
+	gone := list(routing.Up, time.Hour)
 	clear(gone)
-	p.s["a"].Tell(p.now, control.Memory{At: director}, gone) // all of them, or it lies
+	p.s["a"].Tell(p.now, routing.Memory{At: director}, gone) // all of them, or it lies
 	p.sync()
-	if held := p.s["b"].Holds(p.now, list(control.Up, time.Hour)); len(held) != 2 {
+	if held := p.s["b"].Holds(p.now, list(routing.Up, time.Hour)); len(held) != 2 {
 		t.Errorf("%d of 8 are held", len(held))
 	}
 }
--- a/lab/zones/directed.go
+++ b/lab/zones/directed.go
@@ -10,12 +10,12 @@
 	"strings"
 	"time"
 
-	"larchusher/control"
 	"larchusher/knowledge"
 	"larchusher/lab/load"
 	"larchusher/lab/sim"
 	"larchusher/overload"
 	"larchusher/replica"
+	"larchusher/routing"
 	"larchusher/tiers"
 )
 
@@ -103,7 +103,7 @@
 	home    int
 	t       *tiers.T // nil: no spill
 	roster  *tiers.Roster
-	ds      []*control.Director
+	ds      []*routing.Director
 	zones   []int // by locality
 	reqs    map[string]*request
 	serial  int
@@ -112,11 +112,11 @@
 	epoch   int // its start
 	node    *replica.Node
 	sharer  *knowledge.Sharer
-	snap    []control.Memory
+	snap    []routing.Memory
 	made    time.Duration
 	places  []tiers.Locality
-	set     control.Settings
-	classes []control.Class
+	set     routing.Settings
+	classes []routing.Class
 }
 
 type directed struct {
@@ -141,9 +141,9 @@
 func (d *directed) second() *Second { return &d.res.Seconds[int(d.clock.Now/time.Second)] }
 
 // settings are those of the gateways of a zone.
-func (d *directed) settings(home, hubs int) control.Settings {
-	s := control.Settings{Directors: 0, Zone: d.sc.Zones[home].Name, Kinds: []string{"box", "parent", "origin"}, ParentKind: 1, OriginKind: 2,
-		Joins: true, PassBy: true, Neighbours: control.SameLocation, Tells: control.TellsHit, LoadFields: []string{"busy_reqs", "x1", "x0"},
+func (d *directed) settings(home, hubs int) routing.Settings {
+	s := routing.Settings{Directors: 0, Zone: d.sc.Zones[home].Name, Kinds: []string{"box", "parent", "origin"}, ParentKind: 1, OriginKind: 2,
+		Joins: true, PassBy: true, Neighbours: routing.SameLocation, Tells: routing.TellsHit, LoadFields: []string{"busy_reqs", "x1", "x0"},
 		Cancels: true, SecondCopies: true, RetryAdvice: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: 8, Step: time.Millisecond,
 		DrainGrace: 2 * time.Second, ColdFrom: coldFrom, ColdFor: coldFor, FallMultiple: tip, FallFor: tipFor,
 		ParentColdFrom: 0.083, ParentColdFor: 22 * time.Second, ParentFallMultiple: 2, PurgeGrace: time.Second, PurgeSettles: 6 * time.Second}
@@ -155,9 +155,9 @@
 		s.Directors += z.Gateways
 	}
 	for _, c := range d.mix {
-		k := control.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Limit, Worth: c.Worth, LateWorth: 0.1}
+		k := routing.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Limit, Worth: c.Worth, LateWorth: 0.1}
 		if c.Keyed {
-			k.Effect, k.Scope, k.Window, k.NeverKept = control.Keyed, control.ScopeAll, 3*time.Second, true
+			k.Effect, k.Scope, k.Window, k.NeverKept = routing.Keyed, routing.ScopeAll, 3*time.Second, true
 		}
 		s.Classes = append(s.Classes, k)
 	}
@@ -239,8 +239,8 @@
 	}
 }
 
-func (d *directed) member(s *server, phase control.Phase) control.Member {
-	m := control.Member{ID: s.id, Kind: s.kind, Phase: phase, Weight: 1, Zone: "hub" + strconv.Itoa(s.hub)}
+func (d *directed) member(s *server, phase routing.Phase) routing.Member {
+	m := routing.Member{ID: s.id, Kind: s.kind, Phase: phase, Weight: 1, Zone: "hub" + strconv.Itoa(s.hub)}
 	if s.zone >= 0 {
 		m.Zone = d.sc.Zones[s.zone].Name
 	}
@@ -251,17 +251,17 @@
 }
 
 // listing is the whole list.
-func (d *directed) listing() (all []control.Member) {
+func (d *directed) listing() (all []routing.Member) {
 	for _, s := range d.servers {
 		if !s.gone || s.kind != "box" {
-			all = append(all, d.member(s, control.Up))
+			all = append(all, d.member(s, routing.Up))
 		}
 	}
-	slices.SortFunc(all, func(a, b control.Member) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(all, func(a, b routing.Member) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
 
-func (d *directed) gateway(home, hubs, bands int, list []control.Member) error {
+func (d *directed) gateway(home, hubs, bands int, list []routing.Member) error {
 	set := d.settings(home, hubs)
 	set.Me = len(d.gateways)
 	g := &dgateway{set: set, me: len(d.gateways), home: home, zones: []int{home}, reqs: map[string]*request{}, classes: set.Classes}
@@ -320,7 +320,7 @@
 }
 
 // begin makes a gateway's directors, and tells them of the list and of what was kept.
-func (d *directed) begin(g *dgateway, list []control.Member) error {
+func (d *directed) begin(g *dgateway, list []routing.Member) error {
 	g.ds = nil
 	for i := range g.places {
 		s := g.set
@@ -330,13 +330,13 @@
 				return fmt.Errorf("scene: %w", err)
 			}
 		}
-		dir, err := control.New(s, d.sc.Seed*7919+uint64(1_000_000*g.epoch+100*g.me+i))
+		dir, err := routing.New(s, d.sc.Seed*7919+uint64(1_000_000*g.epoch+100*g.me+i))
 		if err != nil {
 			return fmt.Errorf("scene: %w", err)
 		}
 		g.ds = append(g.ds, dir)
 	}
-	d.tell(g, control.Members{Kind: control.StaleList, Entries: list})
+	d.tell(g, routing.Members{Kind: routing.StaleList, Entries: list})
 	for i, m := range g.snap {
 		g.ds[i].Import(d.clock.Now, m, knowledge.Worth)
 	}
@@ -372,7 +372,7 @@
 		if ticks++; !g.down {
 			if ticks%5 == 0 {
 				m := g.ds[0].Export(d.clock.Now, toldListings)
-				list := map[string]control.Member{}
+				list := map[string]routing.Member{}
 				for _, e := range d.listing() {
 					list[e.ID] = e
 				}
@@ -434,7 +434,7 @@
 			continue
 		}
 		if d.sc.Oracle {
-			d.tell(g, control.Members{Kind: control.FullList, Entries: d.listing()})
+			d.tell(g, routing.Members{Kind: routing.FullList, Entries: d.listing()})
 			continue
 		}
 		_ = d.begin(g, d.listing()) // it has been made before with the same
@@ -442,7 +442,7 @@
 }
 
 // tell gives a list to a gateway.
-func (d *directed) tell(g *dgateway, m control.Members) {
+func (d *directed) tell(g *dgateway, m routing.Members) {
 	if g.t != nil {
 		for i, up := range g.roster.Take(m) {
 			g.t.Members(i, up)
@@ -454,9 +454,9 @@
 }
 
 // tellAll has the list tell of servers, as late as it is.
-func (d *directed) tellAll(of []*server, phase control.Phase) {
+func (d *directed) tellAll(of []*server, phase routing.Phase) {
 	d.clock.At(d.clock.Now+d.sc.List, func() {
-		m := control.Members{Kind: control.Changes}
+		m := routing.Members{Kind: routing.Changes}
 		for _, s := range of {
 			m.Entries = append(m.Entries, d.member(s, phase))
 		}
@@ -482,14 +482,14 @@
 			s.gone = true
 			d.reset(s)
 		}
-		d.tellAll(d.boxes[f.Zone], control.Removed)
+		d.tellAll(d.boxes[f.Zone], routing.Removed)
 	case f.Kind == Dead && last:
 		d.grow(f.Zone, true)
-		d.tellAll(d.boxes[f.Zone], control.Up)
+		d.tellAll(d.boxes[f.Zone], routing.Up)
 	case f.Kind == Lies && first:
-		d.tellAll(d.boxes[f.Zone], control.Removed)
+		d.tellAll(d.boxes[f.Zone], routing.Removed)
 	case f.Kind == Lies && last:
-		d.tellAll(d.boxes[f.Zone], control.Up)
+		d.tellAll(d.boxes[f.Zone], routing.Up)
 	case f.Kind == Parents && (first || last):
 		for _, s := range d.parents[d.sc.Zones[f.Zone].Hub] {
 			if s.gone = begins; begins {
@@ -509,7 +509,7 @@
 		return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(a.r.owner.me, b.r.owner.me), strings.Compare(a.r.id, b.r.id), cmp.Compare(a.number, b.number))
 	})
 	for _, a := range all {
-		d.end(a, near, control.Outcome{Status: control.Reset})
+		d.end(a, near, routing.Outcome{Status: routing.Reset})
 	}
 }
 
@@ -550,7 +550,7 @@
 		object = (object ^ object>>29) * 0xbf58476d1ce4e5b9
 		where, later, ok := g.t.Pick(d.clock.Now, d.bands[min(1, r.tries)][class], object^object>>32, draw)
 		if !ok {
-			d.answer(g, r, control.Refuse{After: later}, false)
+			d.answer(g, r, routing.Refuse{After: later}, false)
 			return
 		}
 		r.where = where
@@ -559,26 +559,26 @@
 	d.clock.At(d.clock.Now+limit, func() {
 		if !r.over && g.reqs[r.id] == r { // its director has let it pass
 			d.answer(g, r, nil, false)
-			d.handle(g, r.where, control.Gone{ID: r.id})
+			d.handle(g, r.where, routing.Gone{ID: r.id})
 		}
 	})
 	d.direct(g, r)
 }
 
 func (d *directed) direct(g *dgateway, r *request) {
-	d.handle(g, r.where, control.Request{ID: r.id, Class: d.mix[r.class].Name, Object: fmt.Sprintf("%016x", r.object), Group: 17,
+	d.handle(g, r.where, routing.Request{ID: r.id, Class: d.mix[r.class].Name, Object: fmt.Sprintf("%016x", r.object), Group: 17,
 		Deadline: r.due + d.mix[r.class].Limit, Write: d.mix[r.class].Keyed, Retry: r.tries > 0})
 }
 
 // answer gives a request its one final answer.
-func (d *directed) answer(g *dgateway, r *request, a control.Action, served bool) {
+func (d *directed) answer(g *dgateway, r *request, a routing.Action, served bool) {
 	if r.over {
 		g.twice++
 		return
 	}
 	r.over = true
 	delete(g.reqs, r.id)
-	refusal, refused := a.(control.Refuse)
+	refusal, refused := a.(routing.Refuse)
 	if refused && r.tries < 2 && d.sc.Repeat > 0 && d.rng.Float64() < d.sc.Repeat {
 		again := &request{owner: g, class: r.class, object: r.object, counted: r.counted, tries: r.tries + 1}
 		d.clock.At(d.clock.Now+max(refusal.After, 50*time.Millisecond), func() { d.submit(g, again) })
@@ -603,32 +603,32 @@
 	}
 }
 
-func (d *directed) handle(g *dgateway, where int, ev control.Event) {
+func (d *directed) handle(g *dgateway, where int, ev routing.Event) {
 	for _, a := range g.ds[where].Handle(d.clock.Now, ev, nil) {
 		switch a := a.(type) {
-		case control.Ask:
+		case routing.Ask:
 			d.ask(g, where, a)
-		case control.Refuse:
+		case routing.Refuse:
 			if r := g.reqs[a.ID]; r != nil && r.where == where && !d.move(g, r) {
 				d.answer(g, r, a, false)
 			}
-		case control.Fail:
+		case routing.Fail:
 			if r := g.reqs[a.ID]; r != nil && r.where == where {
 				d.answer(g, r, a, false)
 			}
-		case control.Cancel:
+		case routing.Cancel:
 			if r := g.reqs[a.ID]; r != nil {
 				for _, at := range r.all {
 					if at.where == where && at.number == a.Attempt && !at.over {
-						d.end(at, 0, control.Outcome{Status: control.Cancelled})
+						d.end(at, 0, routing.Outcome{Status: routing.Cancelled})
 					}
 				}
 			}
-		case control.Wake:
+		case routing.Wake:
 			dir := g.ds[where]
 			d.clock.At(a.At, func() {
 				if g.ds[where] == dir {
-					d.handle(g, where, control.Timer{Token: a.Token})
+					d.handle(g, where, routing.Timer{Token: a.Token})
 				}
 			})
 		}
@@ -652,7 +652,7 @@
 }
 
 // end has an attempt end after a time, once, and tells its director.
-func (d *directed) end(a *attempt, after time.Duration, o control.Outcome) {
+func (d *directed) end(a *attempt, after time.Duration, o routing.Outcome) {
 	if a.over {
 		return
 	}
@@ -667,22 +667,22 @@
 		return // nobody is there any more to hear of it
 	}
 	if !a.ordered && g.t != nil {
-		late := o.Status == control.OK && d.clock.Now-a.sent > d.mix[r.class].Aim
+		late := o.Status == routing.OK && d.clock.Now-a.sent > d.mix[r.class].Aim
 		cache := g.roster.Cache(a.to.id, a.where)
 		report := -1.0
 		if len(o.Load) > 1 && cache {
 			report = o.Load[1]
 		}
-		told := cache && o.Status == control.OK
+		told := cache && o.Status == routing.OK
 		if !cache && a.where == 0 {
 			g.t.Past(d.clock.Now, tiers.Judge(o.Status, true, late, false))
 		}
-		g.t.Ended(d.clock.Now, a.where, tiers.Judge(o.Status, cache, late, false), o.Note == control.NoteHit, told, report)
+		g.t.Ended(d.clock.Now, a.where, tiers.Judge(o.Status, cache, late, false), o.Note == routing.NoteHit, told, report)
 	}
-	if o.Status == control.OK && !r.over {
+	if o.Status == routing.OK && !r.over {
 		if r.counted && a.to.kind == "box" {
 			sec := d.second()
-			if sec.Reads++; o.Note == control.NoteHit {
+			if sec.Reads++; o.Note == routing.NoteHit {
 				sec.Hits++
 			}
 		}
@@ -692,7 +692,7 @@
 	d.handle(g, a.where, o)
 }
 
-func (d *directed) ask(g *dgateway, where int, x control.Ask) {
+func (d *directed) ask(g *dgateway, where int, x routing.Ask) {
 	r, to := g.reqs[x.ID], d.servers[x.Server]
 	if r == nil || to == nil {
 		return
@@ -719,17 +719,17 @@
 	if x.Timeout > 0 {
 		limit = min(limit, x.Timeout)
 	}
-	d.clock.At(d.clock.Now+limit, func() { d.end(a, 0, control.Outcome{Status: control.TimedOut}) })
+	d.clock.At(d.clock.Now+limit, func() { d.end(a, 0, routing.Outcome{Status: routing.TimedOut}) })
 	faults := map[FaultKind]int{}
 	if to.zone >= 0 {
 		faults = d.faults[to.zone]
 	}
 	switch {
 	case to.gone || to.fallen:
-		d.end(a, 2*way, control.Outcome{Status: control.NotConnected})
+		d.end(a, 2*way, routing.Outcome{Status: routing.NotConnected})
 	case faults[Silent] > 0, to.hub != home.Hub && (d.faults[g.home][Cut] > 0 || faults[Cut] > 0):
 	case faults[Errors] > 0:
-		d.end(a, 2*way, control.Outcome{Status: control.ServerError})
+		d.end(a, 2*way, routing.Outcome{Status: routing.ServerError})
 	default:
 		d.serve(a, way, d.servers[x.Source], faults[Slow] > 0)
 	}
@@ -773,11 +773,11 @@
 	took, ok := d.work(to, slow)
 	report := func() []float64 { return []float64{float64(len(to.out)), to.busy, 0.9} }
 	if !ok {
-		status := control.TurnedAway
+		status := routing.TurnedAway
 		if to.kind == "origin" && a.r.counted {
 			sec.OriginRefused++
 		}
-		d.end(a, 2*way, control.Outcome{Status: status, Load: report()})
+		d.end(a, 2*way, routing.Outcome{Status: status, Load: report()})
 		return
 	}
 	took += 2*way + 20*time.Millisecond
@@ -792,29 +792,29 @@
 			}
 		}
 		if took += more + toOrigin; !ok {
-			d.end(a, took, control.Outcome{Status: control.ServerError, Load: report()})
+			d.end(a, took, routing.Outcome{Status: routing.ServerError, Load: report()})
 			return
 		}
 	}
 	if to.kind != "box" {
-		d.end(a, took, control.Outcome{Status: control.OK, Note: control.NoteFilled, Load: report()})
+		d.end(a, took, routing.Outcome{Status: routing.OK, Note: routing.NoteFilled, Load: report()})
 		return
 	}
 	if to.held[a.r.object] {
-		d.end(a, took, control.Outcome{Status: control.OK, Note: control.NoteHit, Load: report()})
+		d.end(a, took, routing.Outcome{Status: routing.OK, Note: routing.NoteHit, Load: report()})
 		return
 	}
 	if source == nil || source == to {
-		d.end(a, 2*way, control.Outcome{Status: control.Miss, Load: report()})
+		d.end(a, 2*way, routing.Outcome{Status: routing.Miss, Load: report()})
 		return
 	}
 	more, ok := d.fill(source, a)
 	if !ok {
-		d.end(a, took+more, control.Outcome{Status: control.ServerError, Load: report()})
+		d.end(a, took+more, routing.Outcome{Status: routing.ServerError, Load: report()})
 		return
 	}
 	to.held[a.r.object] = true
-	d.end(a, took+more, control.Outcome{Status: control.OK, Note: control.NoteFilled, Load: report()})
+	d.end(a, took+more, routing.Outcome{Status: routing.OK, Note: routing.NoteFilled, Load: report()})
 }
 
 // fill fetches what a box lacks from a source.
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -12,9 +12,9 @@
 	"sync/atomic"
 	"time"
 
-	"larchusher/control"
 	"larchusher/gateway"
 	"larchusher/internal/httpapi"
+	"larchusher/routing"
 	"larchusher/signedurl"
 )
 
@@ -22,7 +22,7 @@
 type Config struct {
 	Loop     *gateway.Loop
 	Gateway  *gateway.Gateway
-	Settings control.Settings // those of the gateway
+	Settings routing.Settings // those of the gateway
 	Verifier *signedurl.Verifier
 	Issuer   *signedurl.Issuer // renews tokens; nil: they are not renewed
 }
--- a/control/example_test.go
+++ b/routing/example_test.go
@@ -1,41 +1,41 @@
-package control_test
+package routing_test
 
 import (
 	"fmt"
 	"time"
 
-	"larchusher/control"
+	"larchusher/routing"
 )
 
 // A director in front of two caches and an origin takes a request, sends it on, and learns from the answer.
 func Example() {
-	d, err := control.New(control.Settings{
+	d, err := routing.New(routing.Settings{
 		Zone: "lab", Zones: []string{"lab"}, Kinds: []string{"cache", "origin"}, ParentKind: -1, OriginKind: 1,
-		Classes:  []control.Class{{Name: "page", Aim: 250 * time.Millisecond, Deadline: 3 * time.Second, Worth: 1}},
-		FlowKBps: 4000, Tells: control.TellsHit, Step: time.Millisecond,
+		Classes:  []routing.Class{{Name: "page", Aim: 250 * time.Millisecond, Deadline: 3 * time.Second, Worth: 1}},
+		FlowKBps: 4000, Tells: routing.TellsHit, Step: time.Millisecond,
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	now := time.Duration(0)
-	d.Handle(now, control.Members{Kind: control.FullList, Entries: []control.Member{
+	d.Handle(now, routing.Members{Kind: routing.FullList, Entries: []routing.Member{
 		{ID: "a", Zone: "lab", Kind: "cache"}, {ID: "b", Zone: "lab", Kind: "cache"},
 		{ID: "store", Zone: "lab", Kind: "origin"},
 	}}, nil)
 
-	request := control.Request{ID: "1", Class: "page", Object: "sign", SizeKB: 40, Deadline: now + 3*time.Second}
+	request := routing.Request{ID: "1", Class: "page", Object: "sign", SizeKB: 40, Deadline: now + 3*time.Second}
 	for _, a := range d.Handle(now, request, nil) {
-		if ask, ok := a.(control.Ask); ok {
+		if ask, ok := a.(routing.Ask); ok {
 			fmt.Println("ask", ask.Server, "filling from", ask.Source)
 			now += 30 * time.Millisecond
-			d.Handle(now, control.Outcome{ID: "1", Server: ask.Server, Status: control.OK, Note: control.NoteFilled,
+			d.Handle(now, routing.Outcome{ID: "1", Server: ask.Server, Status: routing.OK, Note: routing.NoteFilled,
 				Final: true, Latency: 30 * time.Millisecond}, nil)
 		}
 	}
 
 	now += time.Second // too late for this one: it is refused at once, and holds nothing
-	late := control.Request{ID: "2", Class: "page", Object: "sign", Deadline: now}
+	late := routing.Request{ID: "2", Class: "page", Object: "sign", Deadline: now}
 	for _, a := range d.Handle(now, late, nil) {
 		fmt.Printf("%T\n", a)
 	}
--- a/control/health.go
+++ b/routing/health.go
@@ -1,6 +1,6 @@
 // This file judges servers by what they answer: who is ill, and how much may be out where.
 
-package control
+package routing
 
 import (
 	"math"
--- a/control/control.go
+++ b/routing/routing.go
@@ -1,6 +1,6 @@
 // This file decides, by Adaptive Distributed Caching (Kaiser, Tsui, Liu); the types stand in api.go.
 
-package control
+package routing
 
 import (
 	"cmp"
--- a/control/world_test.go
+++ b/routing/world_test.go
@@ -1,4 +1,4 @@
-package control
+package routing
 
 import (
 	"fmt"
--- a/test/crossing_test.go
+++ b/test/crossing_test.go
@@ -16,7 +16,6 @@
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sys/unix"
 
-	"larchusher/control"
 	"larchusher/gateway"
 	netjournal "larchusher/internal/net/journal"
 	"larchusher/internal/net/msgpackrpc"
@@ -25,6 +24,7 @@
 	"larchusher/internal/wire"
 	"larchusher/lab/standin"
 	"larchusher/lab/world"
+	"larchusher/routing"
 )
 
 // inside is the gateway within the test's own process, on real sockets: its poller and its loop can be held, so that
@@ -775,8 +775,8 @@
 // purgeSink takes in what a journal tells; it lives on the loop.
 type purgeSink struct{ sets []int }
 
-func (*purgeSink) Members(control.Members)     {}
-func (p *purgeSink) Purge(x control.Purge)     { p.sets = append(p.sets, x.Group) }
+func (*purgeSink) Members(routing.Members)     {}
+func (p *purgeSink) Purge(x routing.Purge)     { p.sets = append(p.sets, x.Group) }
 func (*purgeSink) Place(string, string, int64) {}
 func (*purgeSink) Remove(string)               {}
 
--- a/tiers/settings.go
+++ b/tiers/settings.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"larchusher/control"
+	"larchusher/routing"
 )
 
 // Settings are what the director of a locality goes by, of a gateway that has one for each: base is that of the own one.
@@ -12,7 +12,7 @@
 // Every gateway of the installation may send to every locality, and has as many directors that use the same upper caches.
 // A director spends on a cold server by what warm ones of its size do for it, which adds up to what they can do however
 // many directors there are; but each has a floor, and floors are shared out by the number of directors.
-func Settings(base control.Settings, localities []Locality, where int) (control.Settings, error) {
+func Settings(base routing.Settings, localities []Locality, where int) (routing.Settings, error) {
 	s, l := base, localities[where]
 	if !slices.Contains(s.Zones, l.Name) {
 		return s, fmt.Errorf("tiers: Localities[%d].Name: %q is none of the zones, which are %q", where, l.Name, s.Zones)
@@ -32,17 +32,17 @@
 // Judge says what an attempt's end tells of its locality. cache: it went to a cache there, and not past them, which
 // speaks against a locality that has caches. late: its answer came after its aim. along: another attempt's answer broke
 // the connection that they shared.
-func Judge(s control.Status, cache, late, along bool) (r Result) {
+func Judge(s routing.Status, cache, late, along bool) (r Result) {
 	switch s {
-	case control.OK:
+	case routing.OK:
 		if r = Good; late {
 			r = Late
 		}
-	case control.ServerError, control.TimedOut, control.NotConnected, control.Reset:
+	case routing.ServerError, routing.TimedOut, routing.NotConnected, routing.Reset:
 		if r = Bad; along {
 			r = None
 		}
-	case control.TurnedAway:
+	case routing.TurnedAway:
 		r = Turned
 	default:
 		r = None
@@ -68,7 +68,7 @@
 }
 
 // NewRoster returns an empty one.
-func NewRoster(s control.Settings, localities []Locality) *Roster {
+func NewRoster(s routing.Settings, localities []Locality) *Roster {
 	r := &Roster{places: map[string]int{}, all: map[string]entry{}, up: make([]int, len(localities)), cache: func(kind string) bool {
 		k := slices.Index(s.Kinds, kind)
 		return k < 0 || k != s.OriginKind && k != s.ParentKind
@@ -80,15 +80,15 @@
 }
 
 // Take takes a list in, and returns how many caches are up, by locality. It is the roster's own.
-func (r *Roster) Take(m control.Members) []int {
-	if m.Kind == control.ListLost {
+func (r *Roster) Take(m routing.Members) []int {
+	if m.Kind == routing.ListLost {
 		return r.up
 	}
-	if m.Kind != control.Changes {
+	if m.Kind != routing.Changes {
 		clear(r.all)
 	}
 	for _, e := range m.Entries {
-		if e.Phase == control.Removed {
+		if e.Phase == routing.Removed {
 			delete(r.all, e.ID)
 			continue
 		}
@@ -96,7 +96,7 @@
 		if !ok {
 			where = -1
 		}
-		r.all[e.ID] = entry{where: where, cache: r.cache(e.Kind), up: e.Phase == control.Up}
+		r.all[e.ID] = entry{where: where, cache: r.cache(e.Kind), up: e.Phase == routing.Up}
 	}
 	clear(r.up)
 	for _, e := range r.all {
--- a/tiers/tiers_test.go
+++ b/tiers/tiers_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"larchusher/control"
+	"larchusher/routing"
 )
 
 const ms = time.Millisecond
@@ -347,7 +347,7 @@
 }
 
 func TestSettingsShareWhatIsCold(t *testing.T) {
-	base := control.Settings{Directors: 4, Zone: "own", Zones: []string{"hub", "own", "near", "far"}, ZonePeers: []int{0, 2, 1, 1}, PeerMessages: true}
+	base := routing.Settings{Directors: 4, Zone: "own", Zones: []string{"hub", "own", "near", "far"}, ZonePeers: []int{0, 2, 1, 1}, PeerMessages: true}
 	for where, want := range []int{12, 12, 12} {
 		s, err := Settings(base, config().Localities, where)
 		if err != nil || s.Zone != config().Localities[where].Name || s.ZonePeers[1] != 4 || s.Directors != want || s.PeerMessages != (where == 0) {
@@ -380,13 +380,13 @@
 
 func TestJudge(t *testing.T) {
 	for _, c := range []struct {
-		s                  control.Status
+		s                  routing.Status
 		cache, late, along bool
 		want               Result
-	}{{control.OK, true, false, false, Good}, {control.OK, true, true, false, Late}, {control.OK, false, false, false, Bad},
-		{control.Reset, true, false, false, Bad}, {control.Reset, true, false, true, None}, {control.TimedOut, true, false, false, Bad},
-		{control.TurnedAway, true, false, false, Turned}, {control.Cancelled, true, false, false, None}, {control.NotSent, false, false, false, None},
-		{control.Miss, true, false, false, None}} {
+	}{{routing.OK, true, false, false, Good}, {routing.OK, true, true, false, Late}, {routing.OK, false, false, false, Bad},
+		{routing.Reset, true, false, false, Bad}, {routing.Reset, true, false, true, None}, {routing.TimedOut, true, false, false, Bad},
+		{routing.TurnedAway, true, false, false, Turned}, {routing.Cancelled, true, false, false, None}, {routing.NotSent, false, false, false, None},
+		{routing.Miss, true, false, false, None}} {
 		if got := Judge(c.s, c.cache, c.late, c.along); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
@@ -394,17 +394,17 @@
 }
 
 func TestRosterCounts(t *testing.T) {
-	r := NewRoster(control.Settings{Kinds: []string{"box", "parent", "origin"}, ParentKind: 1, OriginKind: 2}, config().Localities)
-	list := []control.Member{{ID: "a", Zone: "own", Kind: "box"}, {ID: "b", Zone: "own", Kind: "box", Phase: control.Draining},
+	r := NewRoster(routing.Settings{Kinds: []string{"box", "parent", "origin"}, ParentKind: 1, OriginKind: 2}, config().Localities)
+	list := []routing.Member{{ID: "a", Zone: "own", Kind: "box"}, {ID: "b", Zone: "own", Kind: "box", Phase: routing.Draining},
 		{ID: "c", Zone: "near", Kind: "box"}, {ID: "p", Zone: "own", Kind: "parent"}, {ID: "x", Zone: "elsewhere", Kind: "box"}}
-	if up := r.Take(control.Members{Kind: control.FullList, Entries: list}); up[0] != 1 || up[1] != 1 || up[2] != 0 {
+	if up := r.Take(routing.Members{Kind: routing.FullList, Entries: list}); up[0] != 1 || up[1] != 1 || up[2] != 0 {
 		t.Errorf("%v", up)
 	}
-	if up := r.Take(control.Members{Kind: control.Changes, Entries: []control.Member{{ID: "a", Phase: control.Removed},
+	if up := r.Take(routing.Members{Kind: routing.Changes, Entries: []routing.Member{{ID: "a", Phase: routing.Removed},
 		{ID: "d", Zone: "far", Kind: "box"}}}); up[0] != 0 || up[1] != 1 || up[2] != 1 {
 		t.Errorf("%v", up)
 	}
-	if up := r.Take(control.Members{Kind: control.ListLost}); up[2] != 1 || !r.Cache("c", 1) || r.Cache("c", 0) || r.Cache("p", 0) {
+	if up := r.Take(routing.Members{Kind: routing.ListLost}); up[2] != 1 || !r.Cache("c", 1) || r.Cache("c", 0) || r.Cache("p", 0) {
 		t.Errorf("%v", up)
 	}
 }
