--- a/routing/routing.go
+++ b/routing/routing.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"larchusher/balance"
-	"larchusher/coldstart"
 	"larchusher/inference"
 	"larchusher/limits"
 	"larchusher/purges"
+	"larchusher/slowstart"
 )
 
 const (
@@ -663,16 +663,16 @@
 }
 
 // ramp is how servers of a role warm up.
-func (d *Director) ramp(of role) coldstart.Ramp {
+func (d *Director) ramp(of role) slowstart.Ramp {
 	switch of {
 	case cache:
-		return coldstart.Ramp{From: d.set.ColdFrom, For: d.set.ColdFor, Multiple: d.set.FallMultiple,
+		return slowstart.Ramp{From: d.set.ColdFrom, For: d.set.ColdFor, Multiple: d.set.FallMultiple,
 			Within: d.set.FallFor}
 	case parent:
-		return coldstart.Ramp{From: d.set.ParentColdFrom, For: d.set.ParentColdFor,
+		return slowstart.Ramp{From: d.set.ParentColdFrom, For: d.set.ParentColdFor,
 			Multiple: d.set.ParentFallMultiple, Within: d.set.FallFor}
 	}
-	return coldstart.Ramp{}
+	return slowstart.Ramp{}
 }
 
 func (d *Director) warm(s *server) bool { return d.ramp(s.role).Share(d.now, s.boot) >= 1 }
@@ -686,7 +686,7 @@
 		return false
 	}
 	d.gauge(s.role)
-	from := coldstart.Sender{Among: d.among(s.role), Place: d.place(s), Can: d.carried[s.role] * s.weight,
+	from := slowstart.Sender{Among: d.among(s.role), Place: d.place(s), Can: d.carried[s.role] * s.weight,
 		Does: s.recent(d.now), DoesOver: rateWindow}
 	return d.ramp(s.role).Allows(&s.budget, d.now, s.boot, d.cost(r), from)
 }
--- a/routing/state.go
+++ b/routing/state.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"larchusher/balance"
-	"larchusher/coldstart"
 	"larchusher/limits"
 	"larchusher/purges"
+	"larchusher/slowstart"
 )
 
 // What a director keeps in mind. This file holds types only: control.go decides.
@@ -84,7 +84,7 @@
 	held           limits.Limit  // our attempts that are out here, and those that wait for a fill from here
 	rate           float64       // work a second that it did for us, lately
 	rateAt         time.Duration
-	budget         coldstart.Budget // cold: work in seconds
+	budget         slowstart.Budget // cold: work in seconds
 	load           balance.Load
 	list           []*entry // the objects listed here, the worst first
 }
--- a/coldstart/coldstart.go
+++ b/slowstart/slowstart.go
@@ -1,11 +1,11 @@
-// Package coldstart bounds what is sent to a store that has just started. Sent more than a multiple of what it can do at
+// Package slowstart bounds what is sent to a store that has just started. Sent more than a multiple of what it can do at
 // that moment, for long enough, it falls over. It does no I/O and reads no clock.
 //
 // Many senders share such a store and do not speak with each other, so each keeps to its own part, and the parts add up to
 // what the store bears. A part is seldom a whole sending: of a tenth of one, each sender for itself can only make none or one.
 // It makes one with the chance of a tenth (randomized rounding), so that all together make as many as their parts say, whatever
 // each of them wants and when.
-package coldstart
+package slowstart
 
 import (
 	"math"
--- a/coldstart/coldstart_test.go
+++ b/slowstart/slowstart_test.go
@@ -1,4 +1,4 @@
-package coldstart
+package slowstart
 
 import (
 	"math"
