--- a/limits/limits.go
+++ b/concurrency/concurrency.go
@@ -1,9 +1,9 @@
-// Package limits learns how much may be out somewhere, and says whose request may still go when little more may. It does
+// Package concurrency learns how much may be out somewhere, and says whose request may still go when little more may. It does
 // no I/O and reads no clock.
 //
 // A limit is cut when answers are late and grows while they are in time, as congestion windows do. It need not be whole:
 // of many gateways each has less than one attempt out, and the fraction is a chance.
-package limits
+package concurrency
 
 import (
 	"math"
--- a/limits/limits_test.go
+++ b/concurrency/concurrency_test.go
@@ -1,4 +1,4 @@
-package limits
+package concurrency
 
 import (
 	"math"
--- a/routing/health.go
+++ b/routing/health.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
+	"larchusher/concurrency"
 	"larchusher/inference"
-	"larchusher/limits"
 )
 
 func (d *Director) good(s *server) {
@@ -108,7 +108,7 @@
 }
 
 // slow names what an outcome's time speaks of: the cache if it answered by itself, else a part of the fill.
-func (d *Director) slow(a *attempt, o Outcome, hit, late bool) []*limits.Limit {
+func (d *Director) slow(a *attempt, o Outcome, hit, late bool) []*concurrency.Limit {
 	seen := inference.Answer{Expected: !a.filling, Refused: o.Status == TurnedAway}
 	seen.Late = late && d.untold(a, o)
 	seen.Busy, seen.Reported = a.to.load.Share(d.now)
@@ -118,16 +118,16 @@
 		if late {
 			a.to.lateAt = d.now
 		}
-		return []*limits.Limit{&d.fetches}
+		return []*concurrency.Limit{&d.fetches}
 	case !fill:
-		return []*limits.Limit{&a.to.held}
+		return []*concurrency.Limit{&a.to.held}
 	case a.onlyHeld || a.source.role == cache || late && !a.shared ||
 		o.Note == NoteFilled && d.set.Tells == TellsAll:
-		return []*limits.Limit{&a.source.held}
+		return []*concurrency.Limit{&a.source.held}
 	case late || a.source.role == origin:
-		return []*limits.Limit{&d.fetches}
+		return []*concurrency.Limit{&d.fetches}
 	}
-	return []*limits.Limit{&a.source.held, &d.fetches}
+	return []*concurrency.Limit{&a.source.held, &d.fetches}
 }
 
 // untold says that an outcome doesn't tell whether a cache had the object, since none does here.
@@ -150,7 +150,7 @@
 
 // room says whether one more attempt may be out. A client's repeat has lost part of its time, and what costs
 // much for its worth takes the place of others: they stop first.
-func (d *Director) room(l *limits.Limit, r *request) bool {
+func (d *Director) room(l *concurrency.Limit, r *request) bool {
 	part := d.prices.Part(r.price)
 	if r.Retry {
 		part *= limitDown
@@ -160,7 +160,7 @@
 
 // fits says whether a cache has room for one more, and can finish it in aim beside what of ours is there.
 func (d *Director) fits(s *server, r *request) bool {
-	most := limits.InAim(s.slots(d.set.WeightsTold), r.class.AimStretch, r.class.Aim, r.work)
+	most := concurrency.InAim(s.slots(d.set.WeightsTold), r.class.AimStretch, r.class.Aim, r.work)
 	return d.room(&s.held, r) && float64(s.held.Out)+r.luck < most
 }
 
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"larchusher/balance"
+	"larchusher/concurrency"
 	"larchusher/inference"
-	"larchusher/limits"
 	"larchusher/purges"
 	"larchusher/slowstart"
 )
@@ -60,7 +60,7 @@
 		classes: map[string]*class{}, servers: map[string]*server{},
 		table: map[uint64]*entry{}, requests: map[string]*request{}, tokens: map[uint64]*request{},
 		purged: purges.New(s.PurgeSettles), loads: balance.Find(s.LoadFields), spare: retryMost,
-		fetches: limits.None(), neighbor: map[int]bool{}, used: list.New(), own: mix(seed)}
+		fetches: concurrency.None(), neighbor: map[int]bool{}, used: list.New(), own: mix(seed)}
 	d.zone = slices.Index(s.Zones, s.Zone)
 	if err := s.check(); err != nil {
 		return nil, err
@@ -139,7 +139,7 @@
 		}
 		if s.id == "" || s.boot != e.Boot { // a restart is a new, empty server; attempts may still be out
 			out := s.held.Out
-			*s = server{boot: e.Boot, held: limits.None()}
+			*s = server{boot: e.Boot, held: concurrency.None()}
 			s.held.Out = out
 		}
 		s.placed(&d.set, e)
@@ -328,7 +328,7 @@
 		r.entry = d.visit(r.key)
 	}
 	d.weigh(r)
-	r.price = limits.Price(r.work, c.Worth)
+	r.price = concurrency.Price(r.work, c.Worth)
 	d.prices.See(r.price)
 	d.token++
 	r.token = d.token
--- a/routing/state.go
+++ b/routing/state.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"larchusher/balance"
-	"larchusher/limits"
+	"larchusher/concurrency"
 	"larchusher/purges"
 	"larchusher/slowstart"
 )
@@ -35,14 +35,14 @@
 	doubt     [3]float64 // by role, share of recent attempts that ended in an error of no told cause
 	copies    float64    // second copies that lost answers have earned
 	purged    *purges.Book
-	prices    limits.Prices
+	prices    concurrency.Prices
 	loads     balance.Fields
-	carried   [3]float64    // by role, work a second for each weight that warm ones carried for us
-	fetches   limits.Limit  // fills that may go through to the origin
-	lateBy    *server       // parent of the latest late fill
-	moves     []*entry      // still to be told
-	neighbor  map[int]bool  // directors known to serve this location
-	coldPause time.Duration // nothing is sent to cold servers until then
+	carried   [3]float64        // by role, work a second for each weight that warm ones carried for us
+	fetches   concurrency.Limit // fills that may go through to the origin
+	lateBy    *server           // parent of the latest late fill
+	moves     []*entry          // still to be told
+	neighbor  map[int]bool      // directors known to serve this location
+	coldPause time.Duration     // nothing is sent to cold servers until then
 }
 
 type class struct {
@@ -69,20 +69,20 @@
 	boot       time.Duration
 	up         bool
 
-	lastOK         time.Duration // latest answer of any use
-	overdue        int           // answers that were due since then
-	lateAt         time.Duration // latest late fill by it
-	passed         time.Duration // latest sending that it answered well, by itself or as a source
-	failing        float64       // share of recent attempts that failed
-	doubt          float64       // and that ended in an error of no told cause
-	ejected        time.Duration // out of use until then
-	penalty        time.Duration // length of the latest ejection
-	trial          bool          // back from ejection, with one attempt out to try it
-	quick, quickAt time.Duration // fills: time beyond the sending itself, lately, and when it was seen
-	closed         time.Duration // latest sending of what should have been a hit and was refused at once
-	least          time.Duration // of the times in which fills from here came; 0: none did
-	held           limits.Limit  // our attempts that are out here, and those that wait for a fill from here
-	rate           float64       // work a second that it did for us, lately
+	lastOK         time.Duration     // latest answer of any use
+	overdue        int               // answers that were due since then
+	lateAt         time.Duration     // latest late fill by it
+	passed         time.Duration     // latest sending that it answered well, by itself or as a source
+	failing        float64           // share of recent attempts that failed
+	doubt          float64           // and that ended in an error of no told cause
+	ejected        time.Duration     // out of use until then
+	penalty        time.Duration     // length of the latest ejection
+	trial          bool              // back from ejection, with one attempt out to try it
+	quick, quickAt time.Duration     // fills: time beyond the sending itself, lately, and when it was seen
+	closed         time.Duration     // latest sending of what should have been a hit and was refused at once
+	least          time.Duration     // of the times in which fills from here came; 0: none did
+	held           concurrency.Limit // our attempts that are out here, and those that wait for a fill from here
+	rate           float64           // work a second that it did for us, lately
 	rateAt         time.Duration
 	budget         slowstart.Budget // cold: work in seconds
 	load           balance.Load
