--- a/balance/balance.go
+++ b/loadreport/loadreport.go
@@ -1,9 +1,9 @@
-// Package balance judges, from the load that stores report, which of several that could serve a request are busier than
+// Package loadreport judges, from the load that stores report, which of several that could serve a request are busier than
 // they need be. It does no I/O and reads no clock.
 //
 // Objects are placed by hash or by table, and popularity is uneven: of three stores one may be full while the others idle.
 // Its answers are late then, and look like those of a slow source.
-package balance
+package loadreport
 
 import (
 	"math"
--- a/balance/balance_test.go
+++ b/loadreport/loadreport_test.go
@@ -1,4 +1,4 @@
-package balance
+package loadreport
 
 import (
 	"math"
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -10,9 +10,9 @@
 	"slices"
 	"time"
 
-	"larchusher/balance"
 	"larchusher/concurrency"
 	"larchusher/inference"
+	"larchusher/loadreport"
 	"larchusher/purges"
 	"larchusher/slowstart"
 )
@@ -59,7 +59,7 @@
 	d := &Director{set: s, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		classes: map[string]*class{}, servers: map[string]*server{},
 		table: map[uint64]*entry{}, requests: map[string]*request{}, tokens: map[uint64]*request{},
-		purged: purges.New(s.PurgeSettles), loads: balance.Find(s.LoadFields), spare: retryMost,
+		purged: purges.New(s.PurgeSettles), loads: loadreport.Find(s.LoadFields), spare: retryMost,
 		fetches: concurrency.None(), neighbor: map[int]bool{}, used: list.New(), own: mix(seed)}
 	d.zone = slices.Index(s.Zones, s.Zone)
 	if err := s.check(); err != nil {
@@ -276,11 +276,11 @@
 func (d *Director) relieve(s *server, others []*server, held bool) *server {
 	best, gap := s, 0.0
 	for _, o := range others {
-		if d.warm(o) && balance.Gap(d.now, &s.load, &o.load) > gap {
-			best, gap = o, balance.Gap(d.now, &s.load, &o.load)
+		if d.warm(o) && loadreport.Gap(d.now, &s.load, &o.load) > gap {
+			best, gap = o, loadreport.Gap(d.now, &s.load, &o.load)
 		}
 	}
-	if gap > 0 && d.rng.Float64() >= balance.Chance(gap, held) {
+	if gap > 0 && d.rng.Float64() >= loadreport.Chance(gap, held) {
 		return s
 	}
 	return best
--- a/routing/state.go
+++ b/routing/state.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"larchusher/balance"
 	"larchusher/concurrency"
+	"larchusher/loadreport"
 	"larchusher/purges"
 	"larchusher/slowstart"
 )
@@ -36,7 +36,7 @@
 	copies    float64    // second copies that lost answers have earned
 	purged    *purges.Book
 	prices    concurrency.Prices
-	loads     balance.Fields
+	loads     loadreport.Fields
 	carried   [3]float64        // by role, work a second for each weight that warm ones carried for us
 	fetches   concurrency.Limit // fills that may go through to the origin
 	lateBy    *server           // parent of the latest late fill
@@ -85,7 +85,7 @@
 	rate           float64           // work a second that it did for us, lately
 	rateAt         time.Duration
 	budget         slowstart.Budget // cold: work in seconds
-	load           balance.Load
+	load           loadreport.Load
 	list           []*entry // the objects listed here, the worst first
 }
 
