--- a/purges/purges.go
+++ b/purge/purge.go
@@ -1,7 +1,7 @@
-// Package purges keeps the purges that were heard of until no copy older than they can be left anywhere. It does no I/O and
+// Package purge keeps the purges that were heard of until no copy older than they can be left anywhere. It does no I/O and
 // reads no clock. The newest purge of a name wins, so that the order in which they are heard, and hearing one twice, make
 // no difference.
-package purges
+package purge
 
 import (
 	"iter"
--- a/purges/purges_test.go
+++ b/purge/purge_test.go
@@ -1,4 +1,4 @@
-package purges
+package purge
 
 import (
 	"maps"
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -13,7 +13,7 @@
 	"larchusher/concurrency"
 	"larchusher/inference"
 	"larchusher/loadreport"
-	"larchusher/purges"
+	"larchusher/purge"
 	"larchusher/slowstart"
 )
 
@@ -59,7 +59,7 @@
 	d := &Director{set: s, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		classes: map[string]*class{}, servers: map[string]*server{},
 		table: map[uint64]*entry{}, requests: map[string]*request{}, tokens: map[uint64]*request{},
-		purged: purges.New(s.PurgeSettles), loads: loadreport.Find(s.LoadFields), spare: retryMost,
+		purged: purge.New(s.PurgeSettles), loads: loadreport.Find(s.LoadFields), spare: retryMost,
 		fetches: concurrency.None(), neighbor: map[int]bool{}, used: list.New(), own: mix(seed)}
 	d.zone = slices.Index(s.Zones, s.Zone)
 	if err := s.check(); err != nil {
--- a/routing/state.go
+++ b/routing/state.go
@@ -9,7 +9,7 @@
 
 	"larchusher/concurrency"
 	"larchusher/loadreport"
-	"larchusher/purges"
+	"larchusher/purge"
 	"larchusher/slowstart"
 )
 
@@ -34,7 +34,7 @@
 	spare     float64    // further attempts that recent success has earned
 	doubt     [3]float64 // by role, share of recent attempts that ended in an error of no told cause
 	copies    float64    // second copies that lost answers have earned
-	purged    *purges.Book
+	purged    *purge.Book
 	prices    concurrency.Prices
 	loads     loadreport.Fields
 	carried   [3]float64        // by role, work a second for each weight that warm ones carried for us
