--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -10,9 +10,9 @@
 
 	"github.com/sirupsen/logrus"
 
+	"larchusher/locality"
 	"larchusher/overload"
 	"larchusher/routing"
-	"larchusher/tiers"
 )
 
 // Config is what a gateway is made of.
@@ -26,10 +26,10 @@
 	// more cautious of the two holds. nil: any may.
 	Permit   func(store string) bool
 	Log      logrus.FieldLogger
-	Tiers    *tiers.Config // localities that requests may go to, the own one first; its Bands and Seed are filled in. nil: the own one only
-	ToldKB   float64       // what a KB of a request's told size counts for in Settings.FlowKBps; 0: 1
-	MaxOpen  int           // requests open at once; further ones are refused. 0: no limit
-	MaxBytes int           // bytes of bodies held at once; further requests are refused. 0: no limit
+	Tiers    *locality.Config // localities that requests may go to, the own one first; its Bands and Seed are filled in. nil: the own one only
+	ToldKB   float64          // what a KB of a request's told size counts for in Settings.FlowKBps; 0: 1
+	MaxOpen  int              // requests open at once; further ones are refused. 0: no limit
+	MaxBytes int              // bytes of bodies held at once; further requests are refused. 0: no limit
 
 	// Overload says how the gateway keeps from falling behind. Its Classes, Fronts and LaterMost are filled in from
 	// Settings.
--- a/gateway/places.go
+++ b/gateway/places.go
@@ -11,8 +11,8 @@
 
 	"larchusher/internal/metrics"
 	"larchusher/knowledge"
+	"larchusher/locality"
 	"larchusher/routing"
-	"larchusher/tiers"
 )
 
 // places is the part of a gateway that knows of localities: a director for each, and what decides among them. Without
@@ -20,8 +20,8 @@
 type places struct {
 	directors []*routing.Director
 	names     []string
-	tiers     *tiers.T // nil: there is one locality only
-	roster    *tiers.Roster
+	tiers     *locality.T // nil: there is one locality only
+	roster    *locality.Roster
 	report    int // where in a load report the fullness of a locality's link stands; -1: nowhere
 	tierTick  time.Duration
 	tiered    time.Duration // when shares were last set
@@ -43,7 +43,7 @@
 		return fmt.Errorf("gateway: tiers: the first locality is %q, and the own one is %q", own, set.Zone)
 	}
 	for i, l := range cfg.Localities {
-		s, err := tiers.Settings(set, cfg.Localities, i)
+		s, err := locality.Settings(set, cfg.Localities, i)
 		if err != nil {
 			return fmt.Errorf("gateway: %w", err)
 		}
@@ -55,17 +55,17 @@
 	}
 	cfg.Seed = g.cfg.Seed
 	var err error
-	if g.tiers, err = tiers.New(g.tierBands(cfg)); err != nil {
+	if g.tiers, err = locality.New(g.tierBands(cfg)); err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
 	g.tierTick = tierTick(cfg)
-	g.roster = tiers.NewRoster(set, cfg.Localities)
+	g.roster = locality.NewRoster(set, cfg.Localities)
 	g.report = slices.Index(set.LoadFields, "x1")
 	return nil
 }
 
 // tierBands fills in what follows from the settings.
-func (g *Gateway) tierBands(cfg tiers.Config) tiers.Config {
+func (g *Gateway) tierBands(cfg locality.Config) locality.Config {
 	cfg.Bands = 2*len(g.cfg.Settings.Classes) + 1 // as overload.Order has them
 	cfg.Seed = g.cfg.Seed
 	if cfg.LaterMost == 0 {
@@ -74,16 +74,16 @@
 	return cfg
 }
 
-func tierTick(cfg tiers.Config) time.Duration {
+func tierTick(cfg locality.Config) time.Duration {
 	if cfg.Tick > 0 {
 		return cfg.Tick
 	}
-	return tiers.DefaultTick
+	return locality.DefaultTick
 }
 
 // UseTiers takes in new bounds, ramps and weights; the localities must be those of the start. On an error all stays as it
 // was. It may be called on the loop only.
-func (g *Gateway) UseTiers(cfg tiers.Config) error {
+func (g *Gateway) UseTiers(cfg locality.Config) error {
 	var names []string
 	for _, l := range cfg.Localities {
 		names = append(names, l.Name)
@@ -153,7 +153,7 @@
 		return false
 	}
 	now := g.cfg.Loop.Now()
-	refusal := tiers.Refusal{From: where, Safe: r.safe(), Moved: r.moved, Attempts: len(r.attempts), Most: r.maxAttempts,
+	refusal := locality.Refusal{From: where, Safe: r.safe(), Moved: r.moved, Attempts: len(r.attempts), Most: r.maxAttempts,
 		Left: r.Deadline.Sub(now)}
 	if !r.Arrived.IsZero() {
 		refusal.Waited = now.Sub(r.Arrived)
@@ -188,9 +188,9 @@
 		late = res.At.Sub(a.sent)-(g.lost-a.lost) > aim
 	}
 	if !cache && a.where == 0 {
-		g.tiers.Past(g.runningClock(), tiers.Judge(res.Status, true, late, res.Along))
+		g.tiers.Past(g.runningClock(), locality.Judge(res.Status, true, late, res.Along))
 	}
-	result := tiers.Judge(res.Status, cache, late, res.Along)
+	result := locality.Judge(res.Status, cache, late, res.Along)
 	told := cache && res.Status == routing.OK && res.Note != routing.NoNote
 	if cache && g.report >= 0 && g.report < len(res.Load) {
 		load = res.Load[g.report]
--- a/gateway/places_test.go
+++ b/gateway/places_test.go
@@ -9,8 +9,8 @@
 	"github.com/sirupsen/logrus"
 
 	"larchusher/gateway"
+	"larchusher/locality"
 	"larchusher/routing"
-	"larchusher/tiers"
 )
 
 // newPlaces is a host with a cache here and one there, and nobody's own fault.
@@ -18,7 +18,7 @@
 	h := &host{t: t, loop: gateway.NewLoop(), sent: make(chan *gateway.Attempt, 1000), answers: make(chan gateway.Answer, 1000)}
 	var err error
 	h.g, err = gateway.New(gateway.Config{Loop: h.loop, Backend: backend{h.sent}, Log: logrus.New(),
-		Tiers: &tiers.Config{Localities: []tiers.Locality{{Name: "here"}, {Name: "there", Level: 1}}, Spill: 1},
+		Tiers: &locality.Config{Localities: []locality.Locality{{Name: "here"}, {Name: "there", Level: 1}}, Spill: 1},
 		Settings: routing.Settings{Zone: "here", Zones: []string{"hub", "here", "there"}, ZonePeers: []int{0, 1, 1}, Directors: 2,
 			Kinds: []string{"box", "origin"}, ParentKind: -1, OriginKind: 1, Step: time.Millisecond, Joins: true, PassBy: true,
 			RetryAdvice: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: 8, Cancels: true, LoadFields: []string{"busy_reqs", "x1"},
@@ -131,12 +131,12 @@
 
 // What cannot be worked with is named.
 func TestTiersAreChecked(t *testing.T) {
-	for want, l := range map[string][]tiers.Locality{
+	for want, l := range map[string][]locality.Locality{
 		`the first locality is "there"`:  {{Name: "there"}},
 		`"nowhere" is none of the zones`: {{Name: "here"}, {Name: "nowhere", Level: 1}},
 		`Localities[1].Level: 0`:         {{Name: "here"}, {Name: "there"}},
 	} {
-		_, err := gateway.New(gateway.Config{Loop: gateway.NewLoop(), Log: logrus.New(), Tiers: &tiers.Config{Localities: l},
+		_, err := gateway.New(gateway.Config{Loop: gateway.NewLoop(), Log: logrus.New(), Tiers: &locality.Config{Localities: l},
 			Settings: routing.Settings{Zone: "here", Zones: []string{"here", "there"}, Kinds: []string{"box", "origin"}, ParentKind: -1, OriginKind: 1,
 				Classes: []routing.Class{{Name: "page"}}}})
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -145,10 +145,10 @@
 	}
 	h := newPlaces(t)
 	h.on(func() {
-		if err := h.g.UseTiers(tiers.Config{Localities: []tiers.Locality{{Name: "here"}}}); err == nil {
+		if err := h.g.UseTiers(locality.Config{Localities: []locality.Locality{{Name: "here"}}}); err == nil {
 			t.Error("other localities are taken in while it runs")
 		}
-		if err := h.g.UseTiers(tiers.Config{Localities: []tiers.Locality{{Name: "here"}, {Name: "there", Level: 1}}, Spill: 0.1}); err != nil {
+		if err := h.g.UseTiers(locality.Config{Localities: []locality.Locality{{Name: "here"}, {Name: "there", Level: 1}}, Spill: 0.1}); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -22,9 +22,9 @@
 
 	"larchusher/internal/config/operatorpb"
 	"larchusher/knowledge"
+	"larchusher/locality"
 	"larchusher/overload"
 	"larchusher/signedurl"
-	"larchusher/tiers"
 )
 
 const defaultLeeway = 2 * time.Second
@@ -36,9 +36,9 @@
 	HTTPListen    string  // HTTP health check; empty: off
 	MetricsListen string  // counters for Prometheus; empty: off
 	Overload      overload.Config
-	State         *State        // nil: off
-	Fleet         *Fleet        // nil: off
-	Tiers         *tiers.Config // its Localities begin with the own one, whose Name is the platform's to say. nil: off
+	State         *State           // nil: off
+	Fleet         *Fleet           // nil: off
+	Tiers         *locality.Config // its Localities begin with the own one, whose Name is the platform's to say. nil: off
 }
 
 // State says where what is learned is kept.
@@ -80,7 +80,7 @@
 }
 
 // TiersOf completes what the file says of tiers with the own locality. nil: they are off.
-func (o *Operator) TiersOf(zone string, zones []string) (*tiers.Config, error) {
+func (o *Operator) TiersOf(zone string, zones []string) (*locality.Config, error) {
 	if o.Tiers == nil {
 		return nil, nil
 	}
@@ -237,14 +237,14 @@
 }
 
 // readTiers reads what tiers go by; nil: they are off.
-func readTiers(pb *operatorpb.Tiers) (*tiers.Config, error) {
+func readTiers(pb *operatorpb.Tiers) (*locality.Config, error) {
 	if len(pb.GetLocality()) == 0 {
 		if pb != nil {
 			return nil, fault("tiers.locality", errors.New("there is none"))
 		}
 		return nil, nil
 	}
-	c := tiers.Config{Localities: []tiers.Locality{{Name: "own locality", Weight: pb.GetOwnWeight()}}, Over: pb.GetOver(),
+	c := locality.Config{Localities: []locality.Locality{{Name: "own locality", Weight: pb.GetOwnWeight()}}, Over: pb.GetOver(),
 		Spill: pb.GetSpill(), Spare: pb.GetSpare(), Full: pb.GetFull(), Rise: pb.GetRise(), Panic: pb.GetPanic(), Ill: pb.GetIll(),
 		Start: pb.GetStart(), Warm: pb.GetWarm()}
 	var err error
@@ -252,8 +252,8 @@
 		key, text string
 		def       time.Duration
 		to        *time.Duration
-	}{{"tiers.ramp", pb.GetRamp(), tiers.DefaultRamp, &c.Ramp}, {"tiers.silence", pb.GetSilence(), tiers.DefaultSilence, &c.Silence},
-		{"tiers.back", pb.GetBack(), tiers.DefaultBack, &c.Back}, {"tiers.back_most", pb.GetBackMost(), tiers.DefaultBackMost, &c.BackMost}} {
+	}{{"tiers.ramp", pb.GetRamp(), locality.DefaultRamp, &c.Ramp}, {"tiers.silence", pb.GetSilence(), locality.DefaultSilence, &c.Silence},
+		{"tiers.back", pb.GetBack(), locality.DefaultBack, &c.Back}, {"tiers.back_most", pb.GetBackMost(), locality.DefaultBackMost, &c.BackMost}} {
 		if *s.to, err = span(s.key, s.text, s.def, 10*time.Millisecond, time.Hour); err != nil {
 			return nil, err
 		}
@@ -272,7 +272,7 @@
 			return nil, fault(key+".weight", fmt.Errorf("%v", l.GetWeight()))
 		}
 		seen[l.GetName()] = true
-		c.Localities = append(c.Localities, tiers.Locality{Name: l.GetName(), Level: int(l.GetLevel()), Weight: l.GetWeight()})
+		c.Localities = append(c.Localities, locality.Locality{Name: l.GetName(), Level: int(l.GetLevel()), Weight: l.GetWeight()})
 	}
 	if err := c.Check(); err != nil { // it names the field, which is the key in other letters
 		text := strings.TrimPrefix(err.Error(), "tiers: ")
--- a/lab/zones/directed.go
+++ b/lab/zones/directed.go
@@ -13,10 +13,10 @@
 	"larchusher/knowledge"
 	"larchusher/lab/load"
 	"larchusher/lab/sim"
+	"larchusher/locality"
 	"larchusher/overload"
 	"larchusher/replica"
 	"larchusher/routing"
-	"larchusher/tiers"
 )
 
 // Directed plays a scene with a director in each gateway, or one for each locality, without a changed line: boxes, upper
@@ -101,8 +101,8 @@
 type dgateway struct {
 	me      int
 	home    int
-	t       *tiers.T // nil: no spill
-	roster  *tiers.Roster
+	t       *locality.T // nil: no spill
+	roster  *locality.Roster
 	ds      []*routing.Director
 	zones   []int // by locality
 	reqs    map[string]*request
@@ -114,7 +114,7 @@
 	sharer  *knowledge.Sharer
 	snap    []routing.Memory
 	made    time.Duration
-	places  []tiers.Locality
+	places  []locality.Locality
 	set     routing.Settings
 	classes []routing.Class
 }
@@ -265,29 +265,29 @@
 	set := d.settings(home, hubs)
 	set.Me = len(d.gateways)
 	g := &dgateway{set: set, me: len(d.gateways), home: home, zones: []int{home}, reqs: map[string]*request{}, classes: set.Classes}
-	places := []tiers.Locality{{Name: d.sc.Zones[home].Name, Weight: float64(d.sc.Zones[home].Boxes)}}
+	places := []locality.Locality{{Name: d.sc.Zones[home].Name, Weight: float64(d.sc.Zones[home].Boxes)}}
 	if d.sc.Policy == Ours {
 		for level := 1; level <= 2; level++ {
 			for k, o := range d.sc.Zones {
 				if k != home && (o.Hub != d.sc.Zones[home].Hub) == (level == 2) {
-					places, g.zones = append(places, tiers.Locality{Name: o.Name, Level: level, Weight: float64(o.Boxes)}), append(g.zones, k)
+					places, g.zones = append(places, locality.Locality{Name: o.Name, Level: level, Weight: float64(o.Boxes)}), append(g.zones, k)
 				}
 			}
 		}
 		cfg := d.sc.Tiers
 		cfg.Localities, cfg.Bands, cfg.Seed = places, bands, d.sc.Seed*1_000_003+uint64(len(d.gateways))
 		var err error
-		if g.t, err = tiers.New(cfg); err != nil {
+		if g.t, err = locality.New(cfg); err != nil {
 			return fmt.Errorf("scene: %w", err)
 		}
-		g.roster = tiers.NewRoster(set, places)
+		g.roster = locality.NewRoster(set, places)
 		d.res.Gateways = append(d.res.Gateways, g.t)
 		var tick func()
 		tick = func() {
 			g.t.Tick(d.clock.Now)
-			d.clock.At(d.clock.Now+tiers.DefaultTick, tick)
+			d.clock.At(d.clock.Now+locality.DefaultTick, tick)
 		}
-		d.clock.At(time.Duration(d.rng.Float64()*float64(tiers.DefaultTick)), tick)
+		d.clock.At(time.Duration(d.rng.Float64()*float64(locality.DefaultTick)), tick)
 	}
 	g.places = places
 	if err := d.begin(g, list); err != nil {
@@ -326,7 +326,7 @@
 		s := g.set
 		if g.t != nil {
 			var err error
-			if s, err = tiers.Settings(g.set, g.places, i); err != nil {
+			if s, err = locality.Settings(g.set, g.places, i); err != nil {
 				return fmt.Errorf("scene: %w", err)
 			}
 		}
@@ -641,7 +641,7 @@
 		return false
 	}
 	k := d.mix[r.class]
-	to, ok := g.t.Refused(d.clock.Now, tiers.Refusal{From: r.where, Safe: !k.Keyed, Moved: r.moved, Attempts: len(r.all), Most: g.set.MaxAttempts,
+	to, ok := g.t.Refused(d.clock.Now, locality.Refusal{From: r.where, Safe: !k.Keyed, Moved: r.moved, Attempts: len(r.all), Most: g.set.MaxAttempts,
 		Waited: d.clock.Now - r.due, Left: r.due + k.Limit - d.clock.Now, Aim: k.Aim})
 	if !ok {
 		return false
@@ -675,9 +675,9 @@
 		}
 		told := cache && o.Status == routing.OK
 		if !cache && a.where == 0 {
-			g.t.Past(d.clock.Now, tiers.Judge(o.Status, true, late, false))
+			g.t.Past(d.clock.Now, locality.Judge(o.Status, true, late, false))
 		}
-		g.t.Ended(d.clock.Now, a.where, tiers.Judge(o.Status, cache, late, false), o.Note == routing.NoteHit, told, report)
+		g.t.Ended(d.clock.Now, a.where, locality.Judge(o.Status, cache, late, false), o.Note == routing.NoteHit, told, report)
 	}
 	if o.Status == routing.OK && !r.over {
 		if r.counted && a.to.kind == "box" {
--- a/lab/zones/zones.go
+++ b/lab/zones/zones.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"larchusher/lab/load"
+	"larchusher/locality"
 	"larchusher/overload"
-	"larchusher/tiers"
 )
 
 // Zone is one location.
@@ -73,11 +73,11 @@
 	For        time.Duration
 	Warm       time.Duration // before that nothing is counted, and zones fill
 	Policy     Policy
-	Neighbours bool         // gateways tell each other what they learn, and catch up as they return; with directors only
-	Memory     bool         // gateways keep what they learn through a restart; with directors only
-	Oracle     bool         // they forget nothing at all through one, as no real gateway can
-	Repeat     float64      // share of refused clients that come back when told to, twice at most; with directors only
-	Tiers      tiers.Config // further settings; Localities, Bands and Seed are set here
+	Neighbours bool            // gateways tell each other what they learn, and catch up as they return; with directors only
+	Memory     bool            // gateways keep what they learn through a restart; with directors only
+	Oracle     bool            // they forget nothing at all through one, as no real gateway can
+	Repeat     float64         // share of refused clients that come back when told to, twice at most; with directors only
+	Tiers      locality.Config // further settings; Localities, Bands and Seed are set here
 	Seed       uint64
 }
 
@@ -119,7 +119,7 @@
 	Events   int
 	Most     float64 // largest part of what a cold server stands that any was sent, over any time; 1: it falls over
 	Over     float64 // most by which a gateway's zone spilled beyond its bounds, in any second, as a share of load
-	Gateways []*tiers.T
+	Gateways []*locality.T
 }
 
 type eventKind uint8
@@ -136,7 +136,7 @@
 	at     time.Duration
 	order  uint64
 	kind   eventKind
-	result tiers.Result
+	result locality.Result
 	hit    bool
 	moved  bool
 	gw     int32
@@ -180,7 +180,7 @@
 }
 
 type gateway struct {
-	t      *tiers.T
+	t      *locality.T
 	places []int // zones, by its localities
 	place  []int // localities, by zone
 	home   int
@@ -329,11 +329,11 @@
 		for range z.Gateways {
 			g := &gateway{home: home, places: []int{home}, place: make([]int, len(sc.Zones))}
 			cfg := sc.Tiers
-			cfg.Localities = []tiers.Locality{{Name: z.Name, Weight: float64(z.Boxes)}}
+			cfg.Localities = []locality.Locality{{Name: z.Name, Weight: float64(z.Boxes)}}
 			for distance := range 2 {
 				for k, o := range sc.Zones {
 					if k != home && (o.Hub != z.Hub) == (distance == 1) {
-						cfg.Localities = append(cfg.Localities, tiers.Locality{Name: o.Name, Level: 1 + distance, Weight: float64(o.Boxes)})
+						cfg.Localities = append(cfg.Localities, locality.Locality{Name: o.Name, Level: 1 + distance, Weight: float64(o.Boxes)})
 						g.place[k] = len(g.places)
 						g.places = append(g.places, k)
 					}
@@ -341,13 +341,13 @@
 			}
 			cfg.Bands, cfg.Seed = order.Bands(), sc.Seed*1_000_003+uint64(len(s.gateways))
 			var err error
-			if g.t, err = tiers.New(cfg); err != nil {
+			if g.t, err = locality.New(cfg); err != nil {
 				return fmt.Errorf("scene: %w", err)
 			}
 			s.res.Gateways = append(s.res.Gateways, g.t)
 			s.gateways = append(s.gateways, g)
 			id := int32(len(s.gateways) - 1)
-			s.at(time.Duration(s.rng.Float64()*float64(tiers.DefaultTick)), event{kind: tick, gw: id})
+			s.at(time.Duration(s.rng.Float64()*float64(locality.DefaultTick)), event{kind: tick, gw: id})
 			s.at(time.Duration(s.rng.ExpFloat64()*float64(s.gaps[home])), event{kind: arrive, gw: id})
 		}
 	}
@@ -376,7 +376,7 @@
 		if s.sc.Policy == Ours {
 			g.t.Tick(s.now)
 		}
-		s.at(s.now+tiers.DefaultTick, event{kind: tick, gw: e.gw})
+		s.at(s.now+locality.DefaultTick, event{kind: tick, gw: e.gw})
 	case ended:
 		s.ended(e)
 	case refused:
@@ -435,7 +435,7 @@
 	}
 	if s.mix[class].Keyed { // it goes straight to the origin, which is elsewhere
 		if s.take(g.home) {
-			s.at(s.now+toOrigin, event{kind: ended, gw: e.gw, zone: -1, class: e.class, due: e.due, result: tiers.Good})
+			s.at(s.now+toOrigin, event{kind: ended, gw: e.gw, zone: -1, class: e.class, due: e.due, result: locality.Good})
 		} else {
 			s.refuse(e)
 		}
@@ -494,7 +494,7 @@
 	if z.Hub != s.zones[g.home].Hub {
 		way = farther
 	}
-	back := func(after time.Duration, r tiers.Result, hit bool) {
+	back := func(after time.Duration, r locality.Result, hit bool) {
 		e.kind, e.result, e.hit, e.load = ended, r, hit, float32(z.busy)
 		s.at(s.now+after, e)
 	}
@@ -502,13 +502,13 @@
 	far := where != g.home && z.Hub != s.zones[g.home].Hub
 	switch {
 	case z.faults[Dead] > 0 || z.fallen:
-		back(2*way, tiers.Bad, false)
+		back(2*way, locality.Bad, false)
 		return
 	case z.faults[Silent] > 0 || far && (z.faults[Cut] > 0 || s.zones[g.home].faults[Cut] > 0):
-		back(deadline, tiers.Bad, false)
+		back(deadline, locality.Bad, false)
 		return
 	case z.faults[Errors] > 0:
-		back(2*way, tiers.Bad, false)
+		back(2*way, locality.Bad, false)
 		return
 	}
 	able := 1.0
@@ -517,7 +517,7 @@
 	}
 	s.press(z, able)
 	if z.fallen {
-		back(2*way, tiers.Bad, false)
+		back(2*way, locality.Bad, false)
 		return
 	}
 	if z.faults[Slow] > 0 {
@@ -543,17 +543,17 @@
 		ok, more := s.fill(z)
 		took += more
 		if !ok {
-			back(took, tiers.Bad, false)
+			back(took, locality.Bad, false)
 			return
 		}
 		z.held[e.object] = true
 	}
-	r := tiers.Good
+	r := locality.Good
 	if took > s.mix[e.class].Aim {
-		r = tiers.Late
+		r = locality.Late
 	}
 	if took > deadline {
-		back(deadline, tiers.Bad, false)
+		back(deadline, locality.Bad, false)
 		return
 	}
 	back(took, r, hit)
@@ -595,7 +595,7 @@
 func (s *scene) ended(e event) {
 	g := s.gateways[e.gw]
 	if e.zone >= 0 {
-		told := e.result == tiers.Good || e.result == tiers.Late
+		told := e.result == locality.Good || e.result == locality.Late
 		report := -1.0
 		if told {
 			report = float64(e.load)
@@ -606,7 +606,7 @@
 		return
 	}
 	sec := s.second()
-	if e.zone >= 0 && (e.result == tiers.Good || e.result == tiers.Late) {
+	if e.zone >= 0 && (e.result == locality.Good || e.result == locality.Late) {
 		sec.Reads++
 		if e.hit {
 			sec.Hits++
@@ -614,9 +614,9 @@
 	}
 	took := s.now - e.due
 	switch {
-	case e.result == tiers.Bad && !e.moved && e.zone >= 0 && s.sc.Policy == Ours && took < s.mix[e.class].Aim/2: // its director gave it up, and nothing is out
+	case e.result == locality.Bad && !e.moved && e.zone >= 0 && s.sc.Policy == Ours && took < s.mix[e.class].Aim/2: // its director gave it up, and nothing is out
 		s.refused(e)
-	case e.result == tiers.Bad:
+	case e.result == locality.Bad:
 		sec.Failed++
 	case took <= s.mix[e.class].Aim:
 		sec.InAim++
@@ -631,12 +631,12 @@
 func (s *scene) refused(e event) {
 	g := s.gateways[e.gw]
 	if e.kind == refused {
-		g.t.Ended(s.now, g.place[e.zone], tiers.Turned, false, false, float64(s.zones[e.zone].busy))
+		g.t.Ended(s.now, g.place[e.zone], locality.Turned, false, false, float64(s.zones[e.zone].busy))
 	}
 	if s.sc.Policy == Ours && !e.moved {
 		k := s.mix[e.class]
 		took := s.now - e.due
-		if n, ok := g.t.Refused(s.now, tiers.Refusal{From: g.place[e.zone], Safe: true, Waited: took, Left: k.Limit - took, Aim: k.Aim}); ok {
+		if n, ok := g.t.Refused(s.now, locality.Refusal{From: g.place[e.zone], Safe: true, Waited: took, Left: k.Limit - took, Aim: k.Aim}); ok {
 			e.moved = true
 			s.send(e, g.places[n])
 			return
@@ -659,7 +659,7 @@
 	}
 	bound := s.sc.Tiers.Spill
 	if bound == 0 {
-		bound = tiers.DefaultSpill
+		bound = locality.DefaultSpill
 	}
 	for home, z := range s.zones {
 		levels := map[int]bool{}
--- a/lab/zones/zones_test.go
+++ b/lab/zones/zones_test.go
@@ -13,7 +13,7 @@
 	"github.com/parquet-go/parquet-go"
 	"pgregory.net/rapid"
 
-	"larchusher/tiers"
+	"larchusher/locality"
 )
 
 // three zones of unequal size, two at one hub and one at another.
@@ -172,7 +172,7 @@
 		"no such kind": func(s *Scene) { s.Faults = []Fault{{0, "flood", 0, time.Second}} },
 		"no end":       func(s *Scene) { s.Faults = []Fault{{0, Dead, time.Second, 0}} },
 		"no policy":    func(s *Scene) { s.Policy = "" },
-		"tiers":        func(s *Scene) { s.Tiers = tiers.Config{Spill: 2} },
+		"tiers":        func(s *Scene) { s.Tiers = locality.Config{Spill: 2} },
 	} {
 		sc := three(1)
 		spoil(&sc)
--- a/tiers/config.go
+++ b/locality/config.go
@@ -1,11 +1,11 @@
-// Package tiers decides which locality a request is for when its own one can't serve all: how much stays, how much spills
+// Package locality decides which locality a request is for when its own one can't serve all: how much stays, how much spills
 // to the next levels of preference and within what stated bounds, what is refused instead, and how a locality that was
 // away is given its load back.
 //
 // It does no I/O, reads no clock and holds no global state: the gateway tells it how attempts end, and it answers from
 // that, from configuration and from draws that it is given. Equal inputs give equal answers. Times are on one clock that
 // runs forward, from any beginning. A T is not safe for concurrent use.
-package tiers
+package locality
 
 import (
 	"cmp"
--- a/tiers/settings.go
+++ b/locality/settings.go
@@ -1,4 +1,4 @@
-package tiers
+package locality
 
 import (
 	"fmt"
