--- a/cmd/larchusher/leave.go
+++ b/cmd/larchusher/leave.go
@@ -6,7 +6,7 @@
 
 	"larchusher/internal/handover"
 	"larchusher/internal/net/transport"
-	"larchusher/knowledge"
+	"larchusher/warmstart"
 )
 
 // This file has the part of an upgrade of the process that ends: it hands its state, its listening sockets and its clients'
@@ -18,7 +18,7 @@
 	p.gw.PauseCold(-1)
 	p.useShares(overlapShare)
 	state := handedState{Format: stateFormat, Since: p.since, Known: p.book.List(p.feed.Position()),
-		Learned: &knowledge.Snapshot{Made: p.gw.Clock(p.loop.Now()), Gateway: p.cfg.Name, Settings: p.cfg.Fingerprint(),
+		Learned: &warmstart.Snapshot{Made: p.gw.Clock(p.loop.Now()), Gateway: p.cfg.Name, Settings: p.cfg.Fingerprint(),
 			Position: p.feed.Position(), Directors: p.gw.Learned(listingsMost)}}
 	sockets := p.sockets()
 	go func() { // the loop waits for no file
--- a/cmd/larchusher/state.go
+++ b/cmd/larchusher/state.go
@@ -9,7 +9,7 @@
 
 	"larchusher/internal/config"
 	"larchusher/internal/snapshot"
-	"larchusher/knowledge"
+	"larchusher/warmstart"
 )
 
 // state is the sub-command of that name.
@@ -91,7 +91,7 @@
 		p := place{Zone: d.Zone, Listings: len(d.Listings), Servers: len(d.Servers), Purges: len(d.Purges)}
 		worth := 0.0
 		for _, l := range d.Listings {
-			worth += knowledge.Worth(unix - l.Last).Listing
+			worth += warmstart.Worth(unix - l.Last).Listing
 		}
 		p.Believed = int(worth + 0.5)
 		for _, h := range d.Servers {
--- a/cmd/larchusher/upgrade.go
+++ b/cmd/larchusher/upgrade.go
@@ -18,7 +18,7 @@
 	"larchusher/internal/handover"
 	"larchusher/internal/net/journal"
 	"larchusher/internal/net/transport"
-	"larchusher/knowledge"
+	"larchusher/warmstart"
 )
 
 // An upgrade: a new process of a gateway starts beside the one that serves, takes over its state, and serves beside it until
@@ -40,7 +40,7 @@
 	Format  int                 `json:"Format"`
 	Known   journal.Known       `json:"Known"`   // the present list of stores, and the latest event taken in
 	Since   string              `json:"Since"`   // fingerprint of the journal's events that this process was started with
-	Learned *knowledge.Snapshot `json:"Learned"` // nil: none
+	Learned *warmstart.Snapshot `json:"Learned"` // nil: none
 }
 
 // fingerprint tells the journal's events of one start from those of another: they are numbered from 1 in each.
@@ -76,7 +76,7 @@
 
 // takeState takes over the state of the process that serves, if there is one, and returns the list of stores to start with.
 // Its listening sockets are left to the engine.
-func (p *program) takeState() (known journal.Known, learned *knowledge.Snapshot) {
+func (p *program) takeState() (known journal.Known, learned *warmstart.Snapshot) {
 	known = p.cfg.Known
 	if p.process == nil || !p.process.Successor() {
 		return known, nil
@@ -107,7 +107,7 @@
 
 // followHandover takes in what the former process had learned, has this one use all of its shares once it is alone, and
 // answers its own successor.
-func (p *program) followHandover(learned *knowledge.Snapshot) {
+func (p *program) followHandover(learned *warmstart.Snapshot) {
 	if p.process == nil {
 		return
 	}
--- a/cmd/larchusher/wiring.go
+++ b/cmd/larchusher/wiring.go
@@ -17,7 +17,7 @@
 	"larchusher/internal/net/signedfront"
 	"larchusher/internal/net/transport"
 	"larchusher/internal/snapshot"
-	"larchusher/knowledge"
+	"larchusher/warmstart"
 )
 
 // Parts of the limit on memory that may be taken by what waits: it is divided by these.
@@ -174,8 +174,8 @@
 		log.Infof("what was learned before: %v", keeper.Recalled)
 	}
 	p.keeper = keeper
-	keeper.Start(p.op.State.Every, p.loop.Post, func() *knowledge.Snapshot {
-		return &knowledge.Snapshot{Made: p.gw.Clock(p.loop.Now()), Gateway: p.cfg.Name, Settings: p.cfg.Fingerprint(), Position: p.feed.Position(),
+	keeper.Start(p.op.State.Every, p.loop.Post, func() *warmstart.Snapshot {
+		return &warmstart.Snapshot{Made: p.gw.Clock(p.loop.Now()), Gateway: p.cfg.Name, Settings: p.cfg.Fingerprint(), Position: p.feed.Position(),
 			Directors: p.gw.Learned(p.op.State.Listings)}
 	})
 	var beat func()
--- a/gateway/places.go
+++ b/gateway/places.go
@@ -10,9 +10,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"larchusher/internal/metrics"
-	"larchusher/knowledge"
 	"larchusher/locality"
 	"larchusher/routing"
+	"larchusher/warmstart"
 )
 
 // places is the part of a gateway that knows of localities: a director for each, and what decides among them. Without
@@ -248,7 +248,7 @@
 }
 
 // Recall has the directors take in what a snapshot holds. The list of stores must be known.
-func (g *Gateway) Recall(s *knowledge.Snapshot, gateway, settings string) knowledge.Report {
+func (g *Gateway) Recall(s *warmstart.Snapshot, gateway, settings string) warmstart.Report {
 	all := map[string]*routing.Director{}
 	for i, d := range g.directors {
 		all[g.names[i]] = d
@@ -260,7 +260,7 @@
 func (g *Gateway) Remember(m routing.Memory) (u routing.Used) {
 	for i, d := range g.directors {
 		if g.names[i] == m.Zone {
-			u = d.Import(g.now(), m, knowledge.Worth)
+			u = d.Import(g.now(), m, warmstart.Worth)
 		}
 	}
 	return u
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -21,10 +21,10 @@
 	"google.golang.org/protobuf/encoding/prototext"
 
 	"larchusher/internal/config/operatorpb"
-	"larchusher/knowledge"
 	"larchusher/locality"
 	"larchusher/overload"
 	"larchusher/signedurl"
+	"larchusher/warmstart"
 )
 
 const defaultLeeway = 2 * time.Second
@@ -64,7 +64,7 @@
 		return nil, fault("state.listings", fmt.Errorf("%d is not from 1 to %d", s.Listings, 1<<20))
 	}
 	var err error
-	if s.Every, err = span("state.every", pb.GetEvery(), knowledge.DefaultEvery, 100*time.Millisecond, time.Hour); err != nil {
+	if s.Every, err = span("state.every", pb.GetEvery(), warmstart.DefaultEvery, 100*time.Millisecond, time.Hour); err != nil {
 		return nil, err
 	}
 	if name := pb.GetKeyEnv(); name != "" {
--- a/internal/fleethost/share.go
+++ b/internal/fleethost/share.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"larchusher/fleet"
-	"larchusher/knowledge"
 	"larchusher/replica"
+	"larchusher/warmstart"
 )
 
 const (
@@ -22,7 +22,7 @@
 type sharing struct {
 	h      *Host
 	node   *replica.Node
-	sharer *knowledge.Sharer
+	sharer *warmstart.Sharer
 	told   time.Time
 	news   int             // of the journal, that was told on
 	held   map[string]bool // on others' word
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	h.shared = &sharing{h: h, node: node, sharer: knowledge.NewSharer(node, h.zone, r.Listings)}
+	h.shared = &sharing{h: h, node: node, sharer: warmstart.NewSharer(node, h.zone, r.Listings)}
 	return nil
 }
 
@@ -130,7 +130,7 @@
 		if err = json.Unmarshal(m.Value, &f); err == nil {
 			var key string
 			var value []byte
-			if key, value, err = knowledge.ParseForget(f.Kind, f.Key, f.Why); err == nil {
+			if key, value, err = warmstart.ParseForget(f.Kind, f.Key, f.Why); err == nil {
 				s.node.Say(s.h.now(), replica.Forget, key, value, s.h.now())
 				s.h.log.WithField("audit", "state").Infof("%s of %s is forgotten, asked by %s: %s", f.Kind, f.Key, from, f.Why)
 			}
--- a/internal/snapshot/encode.go
+++ b/internal/snapshot/encode.go
@@ -21,8 +21,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"larchusher/internal/snapshot/snapshotpb"
-	"larchusher/knowledge"
 	"larchusher/routing"
+	"larchusher/warmstart"
 )
 
 // Version is that of the files that are written, and the newest that is read. There is no older one yet.
@@ -48,7 +48,7 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Encode words a snapshot.
-func Encode(s *knowledge.Snapshot, key []byte) ([]byte, error) {
+func Encode(s *warmstart.Snapshot, key []byte) ([]byte, error) {
 	b := append(make([]byte, 0, 64<<10), magic...)
 	b = binary.BigEndian.AppendUint16(b, Version)
 	b = append(b, 0, 0)
@@ -120,7 +120,7 @@
 }
 
 // Decode reads a snapshot. An error says that nothing of it may be used.
-func Decode(data, key []byte) (s *knowledge.Snapshot, d Damage, err error) {
+func Decode(data, key []byte) (s *warmstart.Snapshot, d Damage, err error) {
 	if len(data) > fileMost {
 		return nil, d, fmt.Errorf("%w: %d bytes", ErrLong, len(data))
 	}
@@ -132,7 +132,7 @@
 	} else if v == 0 || data[6] != 0 || data[7] != 0 {
 		return nil, d, ErrNotOne
 	}
-	s = &knowledge.Snapshot{}
+	s = &warmstart.Snapshot{}
 	rest, records, headed, signed := data[headBytes:], uint32(0), false, false
 	for len(rest) > 0 {
 		if len(rest) < frameBytes {
@@ -180,7 +180,7 @@
 }
 
 // take adds a record to a snapshot.
-func (d *Damage) take(s *knowledge.Snapshot, r *snapshotpb.Record) {
+func (d *Damage) take(s *warmstart.Snapshot, r *snapshotpb.Record) {
 	if x := r.GetDirector(); x != nil {
 		s.Directors = append(s.Directors, routing.Memory{At: time.Duration(x.GetAt()), Zone: x.GetZone()})
 		return
--- a/internal/snapshot/keeper.go
+++ b/internal/snapshot/keeper.go
@@ -7,7 +7,7 @@
 	"github.com/sirupsen/logrus"
 
 	"larchusher/internal/metrics"
-	"larchusher/knowledge"
+	"larchusher/warmstart"
 )
 
 // Keeper writes snapshots beside the loop of a gateway: what is to be written is copied out on the loop, and one goroutine
@@ -15,17 +15,17 @@
 type Keeper struct {
 	store  *Store
 	log    logrus.FieldLogger
-	export func() *knowledge.Snapshot
+	export func() *warmstart.Snapshot
 	post   func(func()) bool
-	work   chan *knowledge.Snapshot
+	work   chan *warmstart.Snapshot
 	idle   chan struct{} // closed when the writer has ended
-	pace   knowledge.Pace
+	pace   warmstart.Pace
 	unlock func()
 
 	Bytes    int           // of the latest file
 	Last     time.Duration // when the latest was begun, Unix time; 0: none was
 	Longest  time.Duration // that copying out took of the loop
-	Recalled knowledge.Report
+	Recalled warmstart.Report
 	Found    bool // there was one at the start
 	Broken   int  // files that could not be read at all then
 	Bad      int  // records that could not
@@ -36,12 +36,12 @@
 
 // Open locks a folder and reads what is there; found is nil if there is nothing. An error says that this process goes
 // without it.
-func Open(folder string, key []byte, log logrus.FieldLogger) (k *Keeper, found *knowledge.Snapshot, err error) {
+func Open(folder string, key []byte, log logrus.FieldLogger) (k *Keeper, found *warmstart.Snapshot, err error) {
 	unlock, err := Folder(folder).Lock()
 	if err != nil {
 		return nil, nil, err
 	}
-	k = &Keeper{store: NewStore(Folder(folder), key), log: log, unlock: unlock, work: make(chan *knowledge.Snapshot, 1), idle: make(chan struct{})}
+	k = &Keeper{store: NewStore(Folder(folder), key), log: log, unlock: unlock, work: make(chan *warmstart.Snapshot, 1), idle: make(chan struct{})}
 	type result struct {
 		best *Found
 		all  []Found
@@ -78,7 +78,7 @@
 }
 
 // Start has snapshots written at a pace. export copies out what is known, on the loop; post has the loop run something.
-func (k *Keeper) Start(every time.Duration, post func(func()) bool, export func() *knowledge.Snapshot) {
+func (k *Keeper) Start(every time.Duration, post func(func()) bool, export func() *warmstart.Snapshot) {
 	k.pace.Every, k.post, k.export = every, post, export
 	go func() {
 		defer close(k.idle)
@@ -102,7 +102,7 @@
 	k.work <- k.copyOut() // there is room: no write is out
 }
 
-func (k *Keeper) copyOut() *knowledge.Snapshot {
+func (k *Keeper) copyOut() *warmstart.Snapshot {
 	began := time.Now()
 	s := k.export()
 	k.Longest = max(k.Longest, time.Since(began))
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -19,13 +19,13 @@
 
 	"github.com/sirupsen/logrus"
 
-	"larchusher/knowledge"
 	"larchusher/routing"
+	"larchusher/warmstart"
 )
 
 // example is a snapshot of n listings, whose values follow from the number.
-func example(n int) *knowledge.Snapshot {
-	s := &knowledge.Snapshot{Made: time.Duration(n+1) * time.Hour, Gateway: "n1", Settings: "abc", Position: int64(n)}
+func example(n int) *warmstart.Snapshot {
+	s := &warmstart.Snapshot{Made: time.Duration(n+1) * time.Hour, Gateway: "n1", Settings: "abc", Position: int64(n)}
 	m := routing.Memory{At: s.Made, Zone: "edge-1", Purges: []routing.Purged{{Name: "7f3a9c21e0b4d655", At: time.Hour}, {Name: " 17", At: time.Minute}},
 		Servers: []routing.Health{{Server: "s-1", Boot: 5, Seen: 9, Failing: 0.25, Ejected: 7, Penalty: time.Second, Quick: time.Millisecond, QuickAt: 3, Most: 12.5, Late: 0.1}}}
 	for i := range n {
@@ -49,13 +49,13 @@
 			t.Errorf("%+v, %v", d, err)
 		}
 	}
-	if _, err := Encode(&knowledge.Snapshot{Gateway: strings.Repeat("x", 5000)}, nil); err == nil {
+	if _, err := Encode(&warmstart.Snapshot{Gateway: strings.Repeat("x", 5000)}, nil); err == nil {
 		t.Error("a record that nobody would read is written")
 	}
 }
 
 // sound fails if a decoded snapshot has anything in it that was not written.
-func sound(t *testing.T, what string, s, want *knowledge.Snapshot) {
+func sound(t *testing.T, what string, s, want *warmstart.Snapshot) {
 	t.Helper()
 	if s == nil {
 		return
@@ -452,7 +452,7 @@
 	}
 }
 
-func numbered(n int64) *knowledge.Snapshot {
+func numbered(n int64) *warmstart.Snapshot {
 	s := example(200)
 	s.Position = n
 	return s
@@ -497,7 +497,7 @@
 	}
 	posted := make(chan func(), 10)
 	n := 0
-	k.Start(time.Second, func(f func()) bool { posted <- f; return true }, func() *knowledge.Snapshot { n++; s := example(3); s.Made = time.Duration(n); return s })
+	k.Start(time.Second, func(f func()) bool { posted <- f; return true }, func() *warmstart.Snapshot { n++; s := example(3); s.Made = time.Duration(n); return s })
 	now := time.Hour
 	beat := func() {
 		k.Beat(now)
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"larchusher/knowledge"
+	"larchusher/warmstart"
 )
 
 const (
@@ -151,7 +151,7 @@
 
 // Save writes a snapshot as a new generation, and drops those before the one before it. Until it is all there, the old ones
 // are what is read.
-func (s *Store) Save(k *knowledge.Snapshot) (size int, err error) {
+func (s *Store) Save(k *warmstart.Snapshot) (size int, err error) {
 	data, err := Encode(k, s.key)
 	if err != nil {
 		return 0, err
@@ -216,7 +216,7 @@
 	Size   int
 	Damage Damage
 	Err    error // why nothing of it is used
-	Snap   *knowledge.Snapshot
+	Snap   *warmstart.Snapshot
 }
 
 // Look reads all generations, the newest first.
--- a/lab/zones/directed.go
+++ b/lab/zones/directed.go
@@ -10,13 +10,13 @@
 	"strings"
 	"time"
 
-	"larchusher/knowledge"
 	"larchusher/lab/load"
 	"larchusher/lab/sim"
 	"larchusher/locality"
 	"larchusher/overload"
 	"larchusher/replica"
 	"larchusher/routing"
+	"larchusher/warmstart"
 )
 
 // Directed plays a scene with a director in each gateway, or one for each locality, without a changed line: boxes, upper
@@ -111,7 +111,7 @@
 	down    bool
 	epoch   int // its start
 	node    *replica.Node
-	sharer  *knowledge.Sharer
+	sharer  *warmstart.Sharer
 	snap    []routing.Memory
 	made    time.Duration
 	places  []locality.Locality
@@ -306,9 +306,9 @@
 					g.snap = append(g.snap, dir.Export(d.clock.Now, 4096))
 				}
 			}
-			d.clock.At(d.clock.Now+knowledge.DefaultEvery, keep)
+			d.clock.At(d.clock.Now+warmstart.DefaultEvery, keep)
 		}
-		d.clock.At(time.Duration(d.rng.Float64()*float64(knowledge.DefaultEvery)), keep)
+		d.clock.At(time.Duration(d.rng.Float64()*float64(warmstart.DefaultEvery)), keep)
 	}
 	var next func()
 	next = func() {
@@ -338,7 +338,7 @@
 	}
 	d.tell(g, routing.Members{Kind: routing.StaleList, Entries: list})
 	for i, m := range g.snap {
-		g.ds[i].Import(d.clock.Now, m, knowledge.Worth)
+		g.ds[i].Import(d.clock.Now, m, warmstart.Worth)
 	}
 	if d.sc.Neighbours {
 		return d.beginSharing(g)
@@ -360,7 +360,7 @@
 	if err != nil {
 		return fmt.Errorf("scene: %w", err)
 	}
-	g.sharer = knowledge.NewSharer(g.node, d.sc.Zones[g.home].Name, toldListings)
+	g.sharer = warmstart.NewSharer(g.node, d.sc.Zones[g.home].Name, toldListings)
 	return nil
 }
 
@@ -401,7 +401,7 @@
 			m := g.sharer.Gather(d.clock.Now, d.clock.Now, nil)
 			for i := range g.ds {
 				if g.names(i) == m.Zone {
-					g.ds[i].Import(d.clock.Now, m, knowledge.Worth)
+					g.ds[i].Import(d.clock.Now, m, warmstart.Worth)
 				}
 			}
 		}
--- a/knowledge/pace.go
+++ b/warmstart/pace.go
@@ -1,4 +1,4 @@
-package knowledge
+package warmstart
 
 import "time"
 
--- a/knowledge/knowledge.go
+++ b/warmstart/warmstart.go
@@ -1,6 +1,6 @@
-// Package knowledge says what a gateway that starts may make of what it, or the one before it, had learned: what makes it
+// Package warmstart says what a gateway that starts may make of what it, or the one before it, had learned: what makes it
 // void, and what it still counts for at its age. It does no I/O and reads no clock.
-package knowledge
+package warmstart
 
 import (
 	"errors"
