--- a/cmd/larchusher/shared.go
+++ b/cmd/larchusher/shared.go
@@ -10,7 +10,7 @@
 
 	"larchusher/fleet"
 	"larchusher/internal/fleethost"
-	"larchusher/replica"
+	"larchusher/replication"
 )
 
 func (f *fleetFlags) shared(at, kind string) (*fleethost.Shown, error) {
@@ -88,8 +88,8 @@
 	if len(a.Rows) < a.Slots || len(b.Rows) < b.Slots {
 		fmt.Printf("only the first %d of %d and %d slots are compared: name a --kind\n", min(len(a.Rows), len(b.Rows)), a.Slots, b.Slots)
 	}
-	name := func(r replica.Row) string { return fmt.Sprintf("%s %q by %s %x", r.Kind, r.Key, r.By, r.Life) }
-	rows := map[string]replica.Row{}
+	name := func(r replication.Row) string { return fmt.Sprintf("%s %q by %s %x", r.Kind, r.Key, r.By, r.Life) }
+	rows := map[string]replication.Row{}
 	for _, r := range a.Rows {
 		rows[name(r)] = r
 	}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -20,7 +20,7 @@
 	"time"
 
 	"larchusher/agreement"
-	"larchusher/replica"
+	"larchusher/replication"
 	"larchusher/work"
 )
 
@@ -71,7 +71,7 @@
 	Value    []byte // of a View: the state in brief, if it is another; of an Order: the command; of a Reply: what it came to
 	Query    string // of an Order: "state" or "plan", or one of the host's; empty: a command
 	Refused  string // of a Reply
-	Copy     *replica.Message
+	Copy     *replication.Message
 }
 
 // Event is anything that reaches a node.
--- a/internal/fleethost/host.go
+++ b/internal/fleethost/host.go
@@ -20,7 +20,7 @@
 	"larchusher/internal/net/fleetlink"
 	"larchusher/internal/net/transport"
 	"larchusher/internal/snapshot"
-	"larchusher/replica"
+	"larchusher/replication"
 	"larchusher/routing"
 	"larchusher/work"
 )
@@ -107,7 +107,7 @@
 	switch asks := m.Kind == fleet.Order && (m.Query == queryShared || m.Query == queryForget); {
 	case h.closed:
 	case m.Kind == fleet.Share && h.shared != nil && m.Copy != nil:
-		h.shared.do(replica.Heard{From: from, Message: *m.Copy})
+		h.shared.do(replication.Heard{From: from, Message: *m.Copy})
 	case asks && h.shared != nil:
 		h.shared.query(from, m)
 	case asks:
--- a/internal/fleethost/share.go
+++ b/internal/fleethost/share.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"larchusher/fleet"
-	"larchusher/replica"
+	"larchusher/replication"
 	"larchusher/warmstart"
 )
 
@@ -21,13 +21,13 @@
 // sharing is the part that keeps in common what gateways know. It lives on the loop.
 type sharing struct {
 	h      *Host
-	node   *replica.Node
+	node   *replication.Node
 	sharer *warmstart.Sharer
 	told   time.Time
 	news   int             // of the journal, that was told on
 	held   map[string]bool // on others' word
 	slow   time.Duration   // the longest that the loop was held up
-	caught *replica.CaughtUp
+	caught *replication.CaughtUp
 }
 
 func (h *Host) share() error {
@@ -35,12 +35,12 @@
 	if r == nil {
 		return nil
 	}
-	c := replica.Config{Self: replica.Life{Name: h.cfg.Name, Number: newLife()}, Settles: h.settles, Bytes: r.Bytes, Wait: r.Wait, Seed: newLife(),
+	c := replication.Config{Self: replication.Life{Name: h.cfg.Name, Number: newLife()}, Settles: h.settles, Bytes: r.Bytes, Wait: r.Wait, Seed: newLife(),
 		Wall: func() time.Duration { return time.Duration(h.wall()) * time.Millisecond }}
 	for _, m := range h.cfg.Members {
 		c.Members = append(c.Members, m.Name)
 	}
-	node, err := replica.NewNode(c)
+	node, err := replication.NewNode(c)
 	if err != nil {
 		return err
 	}
@@ -51,21 +51,21 @@
 // CatchingUp says that the gateway doesn't know yet what its neighbours know.
 func (h *Host) CatchingUp() bool { return h.shared != nil && h.shared.node.CatchingUp() }
 
-func (s *sharing) do(e replica.Event) {
+func (s *sharing) do(e replication.Event) {
 	began := time.Now()
 	for _, a := range s.node.Handle(s.h.now(), e, nil) {
 		switch a := a.(type) {
-		case replica.Send:
+		case replication.Send:
 			m := a.Message
 			s.h.link.Send(a.To, fleet.Message{Kind: fleet.Share, Copy: &m})
-		case replica.Learned:
+		case replication.Learned:
 			for _, x := range a.Slots {
-				if x.Kind == replica.Purge { // at once: the own journal may be late
+				if x.Kind == replication.Purge { // at once: the own journal may be late
 					s.h.gw.Told(x.Key, s.sharer.Purged(s.h.now(), s.h.gw.Clock(s.h.loop.Now()), x.Key, x.Late))
 				}
 			}
 			s.hold()
-		case replica.CaughtUp:
+		case replication.CaughtUp:
 			s.caught = &a
 			u := s.h.gw.Remember(s.sharer.Gather(s.h.now(), s.h.gw.Clock(s.h.loop.Now()), s.h.gw.Listed()))
 			s.h.log.WithField("from", a.From).Infof("caught up after %v: %d listings, %d stores and %d purges used of %d slots", a.Took.Round(time.Millisecond), u.Listings, u.Servers,
@@ -76,7 +76,7 @@
 }
 
 func (s *sharing) tick() {
-	s.do(replica.Tick{})
+	s.do(replication.Tick{})
 	// What the journal told is told on at once; what is learned by itself, now and then.
 	if now, news := s.h.loop.Now(), s.h.gw.News(); now.Sub(s.told) >= tellEvery || news != s.news {
 		s.told, s.news = now, news
@@ -102,11 +102,11 @@
 
 // Shown is what a tool is told.
 type Shown struct {
-	Gateway  string               `json:"gateway"`
-	Catching bool                 `json:"catching_up,omitempty"`
-	Slots    int                  `json:"slots"`
-	Rows     []replica.Row        `json:"rows"`
-	Differ   []replica.Difference `json:"differences,omitempty"`
+	Gateway  string                   `json:"gateway"`
+	Catching bool                     `json:"catching_up,omitempty"`
+	Slots    int                      `json:"slots"`
+	Rows     []replication.Row        `json:"rows"`
+	Differ   []replication.Difference `json:"differences,omitempty"`
 }
 
 // ForgetRequest asks for something that gateways know in common to be forgotten.
@@ -131,7 +131,7 @@
 			var key string
 			var value []byte
 			if key, value, err = warmstart.ParseForget(f.Kind, f.Key, f.Why); err == nil {
-				s.node.Say(s.h.now(), replica.Forget, key, value, s.h.now())
+				s.node.Say(s.h.now(), replication.Forget, key, value, s.h.now())
 				s.h.log.WithField("audit", "state").Infof("%s of %s is forgotten, asked by %s: %s", f.Kind, f.Key, from, f.Why)
 			}
 		}
--- a/internal/net/fleetlink/link_test.go
+++ b/internal/net/fleetlink/link_test.go
@@ -21,7 +21,7 @@
 	"larchusher/gateway"
 	"larchusher/internal/net/fleetlink/linkpb"
 	"larchusher/internal/net/transport"
-	"larchusher/replica"
+	"larchusher/replication"
 	"larchusher/work"
 )
 
@@ -45,10 +45,10 @@
 		m.Report = &fleet.Report{Strain: text.Draw(t, "strain"), Machines: map[string]work.Machine{"b1": {Kind: "box", Zone: "z", Up: true, BootMs: 17, Weight: 2.5, Busy: -1}}}
 	}
 	if rapid.Bool().Draw(t, "copy") {
-		life := replica.Life{Name: "w" + text.Draw(t, "writer"), Number: rapid.Uint64().Draw(t, "number")}
-		m.Copy = &replica.Message{Kind: replica.Answer, ID: m.ID, Most: 17, More: m.Blank, Have: []replica.Have{{Life: life, UpTo: [2]uint64{m.Life, 3}}},
-			Block: &replica.Block{Life: life, Stream: replica.Bulk, From: 3, To: m.Life, Sum: m.Have},
-			Slots: []replica.Wire{{Slot: replica.Slot{Writer: life, Seq: 9, Kind: replica.Kind(rapid.Uint32().Draw(t, "slot")), Key: text.Draw(t, "key"), Value: []byte("v"), Stamp: m.Life},
+		life := replication.Life{Name: "w" + text.Draw(t, "writer"), Number: rapid.Uint64().Draw(t, "number")}
+		m.Copy = &replication.Message{Kind: replication.Answer, ID: m.ID, Most: 17, More: m.Blank, Have: []replication.Have{{Life: life, UpTo: [2]uint64{m.Life, 3}}},
+			Block: &replication.Block{Life: life, Stream: replication.Bulk, From: 3, To: m.Life, Sum: m.Have},
+			Slots: []replication.Wire{{Slot: replication.Slot{Writer: life, Seq: 9, Kind: replication.Kind(rapid.Uint32().Draw(t, "slot")), Key: text.Draw(t, "key"), Value: []byte("v"), Stamp: m.Life},
 				Oldest: 70 * time.Microsecond, Youngest: 30 * time.Microsecond}}}
 	}
 	return m
--- a/internal/net/fleetlink/words.go
+++ b/internal/net/fleetlink/words.go
@@ -11,7 +11,7 @@
 	"larchusher/agreement"
 	"larchusher/fleet"
 	"larchusher/internal/net/fleetlink/linkpb"
-	"larchusher/replica"
+	"larchusher/replication"
 	"larchusher/work"
 )
 
@@ -82,10 +82,10 @@
 	return m
 }
 
-func copyOut(m *replica.Message) *linkpb.Copy {
+func copyOut(m *replication.Message) *linkpb.Copy {
 	pb := &linkpb.Copy{Kind: int32(m.Kind), Id: m.ID, Most: int32(m.Most), More: m.More, Blank: m.Blank}
 	for _, h := range m.Have {
-		pb.Have = append(pb.Have, &linkpb.Have{Name: h.Life.Name, Life: h.Life.Number, Safety: h.UpTo[replica.Safety], Bulk: h.UpTo[replica.Bulk]})
+		pb.Have = append(pb.Have, &linkpb.Have{Name: h.Life.Name, Life: h.Life.Number, Safety: h.UpTo[replication.Safety], Bulk: h.UpTo[replication.Bulk]})
 	}
 	for _, w := range m.Slots {
 		s := w.Slot
@@ -101,17 +101,17 @@
 // oldest is the greatest age that a slot can be told to have, so that no number overflows.
 const oldest = uint64(24 * time.Hour / time.Microsecond)
 
-func copyIn(pb *linkpb.Copy) *replica.Message {
-	m := &replica.Message{Kind: replica.MessageKind(pb.GetKind()), ID: pb.GetId(), Most: int(pb.GetMost()), More: pb.GetMore(), Blank: pb.GetBlank()}
+func copyIn(pb *linkpb.Copy) *replication.Message {
+	m := &replication.Message{Kind: replication.MessageKind(pb.GetKind()), ID: pb.GetId(), Most: int(pb.GetMost()), More: pb.GetMore(), Blank: pb.GetBlank()}
 	for _, h := range pb.GetHave() {
-		m.Have = append(m.Have, replica.Have{Life: replica.Life{Name: h.GetName(), Number: h.GetLife()}, UpTo: [2]uint64{h.GetSafety(), h.GetBulk()}})
+		m.Have = append(m.Have, replication.Have{Life: replication.Life{Name: h.GetName(), Number: h.GetLife()}, UpTo: [2]uint64{h.GetSafety(), h.GetBulk()}})
 	}
 	for _, s := range pb.GetSlot() {
-		m.Slots = append(m.Slots, replica.Wire{Slot: replica.Slot{Writer: replica.Life{Name: s.GetWriter(), Number: s.GetLife()}, Seq: s.GetSeq(), Kind: replica.Kind(s.GetKind()), Key: s.GetKey(),
+		m.Slots = append(m.Slots, replication.Wire{Slot: replication.Slot{Writer: replication.Life{Name: s.GetWriter(), Number: s.GetLife()}, Seq: s.GetSeq(), Kind: replication.Kind(s.GetKind()), Key: s.GetKey(),
 			Value: s.GetValue(), Stamp: s.GetStamp()}, Oldest: time.Duration(min(oldest, s.GetOldestUs())) * time.Microsecond, Youngest: time.Duration(min(oldest, s.GetYoungestUs())) * time.Microsecond})
 	}
 	if b := pb.GetBlock(); b != nil {
-		m.Block = &replica.Block{Life: replica.Life{Name: b.GetName(), Number: b.GetLife()}, Stream: replica.Stream(b.GetStream()), From: b.GetFrom(), To: b.GetTo(), Sum: b.GetSum()}
+		m.Block = &replication.Block{Life: replication.Life{Name: b.GetName(), Number: b.GetLife()}, Stream: replication.Stream(b.GetStream()), From: b.GetFrom(), To: b.GetTo(), Sum: b.GetSum()}
 	}
 	return m
 }
--- a/lab/procs/shared.go
+++ b/lab/procs/shared.go
@@ -11,7 +11,7 @@
 
 	"larchusher/fleet"
 	"larchusher/lab/standin"
-	"larchusher/replica"
+	"larchusher/replication"
 )
 
 // What gateways know in common, in plots that begin with "share": purges and drains are told to one gateway at once, and to
@@ -170,13 +170,13 @@
 }
 
 // rows asks a gateway for what it knows in common with others.
-func (p *play) rows(ctx context.Context, g *process) (rows []replica.Row, err error) {
+func (p *play) rows(ctx context.Context, g *process) (rows []replication.Row, err error) {
 	m, err := p.order(ctx, g, fleet.Message{Query: "shared"})
 	if err != nil {
 		return nil, err
 	}
 	var s struct {
-		Rows []replica.Row `json:"rows"`
+		Rows []replication.Row `json:"rows"`
 	}
 	return s.Rows, json.Unmarshal(m.Value, &s)
 }
@@ -200,13 +200,13 @@
 }
 
 func (p *play) lacking(ctx context.Context) (safety, bulk string) {
-	all := map[string]map[string]replica.Row{}
+	all := map[string]map[string]replication.Row{}
 	for _, g := range p.gateways {
 		rows, err := p.rows(ctx, g)
 		if err != nil {
 			return fmt.Sprintf("%s tells nothing: %v", g.name, err), ""
 		}
-		all[g.name] = map[string]replica.Row{}
+		all[g.name] = map[string]replication.Row{}
 		for _, r := range rows {
 			all[g.name][fmt.Sprintf("%s %q by %s %x", r.Kind, r.Key, r.By, r.Life)] = r
 		}
--- a/lab/procs/spread.go
+++ b/lab/procs/spread.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"larchusher/lab/sim"
-	"larchusher/replica"
+	"larchusher/replication"
 )
 
 // Spreading is what it takes a fleet in simulated time to know the same: package replica as the daemon drives it, over links of two
@@ -33,7 +33,7 @@
 
 // spreadMember is one gateway in it.
 type spreadMember struct {
-	node *replica.Node
+	node *replication.Node
 	cut  int
 	seen map[string]time.Duration
 }
@@ -49,7 +49,7 @@
 		names   []string
 		apart   bool
 		bytes   float64
-		handle  func(i int, e replica.Event)
+		handle  func(i int, e replication.Event)
 	)
 	for i := range n {
 		names = append(names, fmt.Sprintf("gateway-%04d", i))
@@ -58,22 +58,22 @@
 	for i, name := range names {
 		index[name] = i
 	}
-	size := func(m replica.Message) (b int) {
+	size := func(m replication.Message) (b int) {
 		b = 64 + 26*len(m.Have)
 		for _, w := range m.Slots {
 			b += 48 + len(w.Slot.Key) + len(w.Slot.Value)
 		}
 		return b
 	}
-	handle = func(i int, e replica.Event) {
+	handle = func(i int, e replication.Event) {
 		m := members[i]
 		for _, a := range m.node.Handle(clock.Now, e, nil) {
 			switch a := a.(type) {
-			case replica.Send:
-				if way != WayOurs && a.Message.Kind == replica.Hint || way == WayPush && a.Message.Kind == replica.Pull {
+			case replication.Send:
+				if way != WayOurs && a.Message.Kind == replication.Hint || way == WayPush && a.Message.Kind == replication.Pull {
 					continue
 				}
-				if way == WayFull && a.Message.Kind == replica.Pull {
+				if way == WayFull && a.Message.Kind == replication.Pull {
 					a.Message.Have, a.Message.Most = nil, 1<<30
 				}
 				to := index[a.To]
@@ -81,10 +81,10 @@
 				if apart && members[to].cut != m.cut {
 					continue
 				}
-				clock.At(clock.Now+2*time.Millisecond, func() { handle(to, replica.Heard{From: names[i], Message: a.Message}) })
-			case replica.Learned:
+				clock.At(clock.Now+2*time.Millisecond, func() { handle(to, replication.Heard{From: names[i], Message: a.Message}) })
+			case replication.Learned:
 				for _, s := range a.Slots {
-					if s.Kind == replica.Purge {
+					if s.Kind == replication.Purge {
 						m.seen[s.Key] = clock.Now
 					}
 				}
@@ -92,7 +92,7 @@
 		}
 	}
 	for i, name := range names {
-		node, err := replica.NewNode(replica.Config{Self: replica.Life{Name: name, Number: uint64(i + 1)}, Members: names, Wall: func() time.Duration { return clock.Now },
+		node, err := replication.NewNode(replication.Config{Self: replication.Life{Name: name, Number: uint64(i + 1)}, Members: names, Wall: func() time.Duration { return clock.Now },
 			Seed: seed<<16 + uint64(i)})
 		if err != nil {
 			return out, err
@@ -100,7 +100,7 @@
 		members[i] = &spreadMember{node: node, cut: i % 2, seen: map[string]time.Duration{}}
 		var tick func()
 		tick = func() {
-			handle(i, replica.Tick{})
+			handle(i, replication.Tick{})
 			clock.At(clock.Now+50*time.Millisecond, tick)
 		}
 		clock.At(clock.Now+time.Duration(rng.IntN(50))*time.Millisecond, tick)
@@ -115,7 +115,7 @@
 		}
 		m.seen[key] = clock.Now
 		if way != WayPush {
-			m.node.Say(clock.Now, replica.Purge, key, nil, clock.Now)
+			m.node.Say(clock.Now, replication.Purge, key, nil, clock.Now)
 			return
 		}
 		for range 3 {
@@ -149,7 +149,7 @@
 	clock.Pass(2 * time.Second)
 	for i := range members {
 		for k := range min(200, 4000/n) {
-			members[i].node.Say(clock.Now, replica.Listing, fmt.Sprintf("z/%x", i*1000+k), replica.Encode(replica.Place{Server: "box-1", Count: 3}), clock.Now)
+			members[i].node.Say(clock.Now, replication.Listing, fmt.Sprintf("z/%x", i*1000+k), replication.Encode(replication.Place{Server: "box-1", Count: 3}), clock.Now)
 		}
 	}
 	clock.Pass(20 * time.Second)
@@ -200,16 +200,16 @@
 	out := CatchingUp{Items: items}
 	names := []string{"a", "b", "c", "d", "e"}
 	clock := sim.Clock{Now: time.Second}
-	nodes := map[string]*replica.Node{}
-	newNode := func(name string, life uint64) (*replica.Node, error) {
-		return replica.NewNode(replica.Config{Self: replica.Life{Name: name, Number: life}, Members: names, Wall: func() time.Duration { return clock.Now }, Bytes: bytesASecond,
+	nodes := map[string]*replication.Node{}
+	newNode := func(name string, life uint64) (*replication.Node, error) {
+		return replication.NewNode(replication.Config{Self: replication.Life{Name: name, Number: life}, Members: names, Wall: func() time.Duration { return clock.Now }, Bytes: bytesASecond,
 			Wait: time.Hour, Seed: seed<<8 + life})
 	}
-	slots, reached := []replica.Slot(nil), map[replica.Life]uint64{}
+	slots, reached := []replication.Slot(nil), map[replication.Life]uint64{}
 	for i := range items {
-		l := replica.Life{Name: names[i%4], Number: uint64(100 + i%4)}
+		l := replication.Life{Name: names[i%4], Number: uint64(100 + i%4)}
 		reached[l]++
-		slots = append(slots, replica.Slot{Writer: l, Seq: reached[l], Kind: replica.Listing, Key: fmt.Sprintf("edge-1/%016x", i), Value: replica.Encode(replica.Place{Server: "box-17", Count: 3, GapMs: 800, WorkMs: 40}),
+		slots = append(slots, replication.Slot{Writer: l, Seq: reached[l], Kind: replication.Listing, Key: fmt.Sprintf("edge-1/%016x", i), Value: replication.Encode(replication.Place{Server: "box-17", Count: 3, GapMs: 800, WorkMs: 40}),
 			Early: clock.Now, Late: clock.Now})
 	}
 	for i, name := range names[:4] { // these know it all
@@ -221,7 +221,7 @@
 			n.Take(clock.Now, clock.Now, s)
 		}
 		for l, seq := range reached {
-			n.Reached(clock.Now, l, replica.Bulk, seq)
+			n.Reached(clock.Now, l, replication.Bulk, seq)
 		}
 		nodes[name] = n
 	}
@@ -232,21 +232,21 @@
 	}
 	nodes["e"] = back
 	caught := time.Duration(0)
-	var handle func(name string, e replica.Event)
-	handle = func(name string, e replica.Event) {
+	var handle func(name string, e replication.Event)
+	handle = func(name string, e replication.Event) {
 		began := time.Now()
 		all := nodes[name].Handle(clock.Now, e, nil)
 		out.Held = max(out.Held, time.Since(began))
 		for _, a := range all {
 			switch a := a.(type) {
-			case replica.Send:
+			case replication.Send:
 				if a.To == "e" {
 					for _, w := range a.Message.Slots {
 						out.Bytes += 48 + len(w.Slot.Key) + len(w.Slot.Value)
 					}
 				}
-				clock.At(clock.Now+2*time.Millisecond, func() { handle(a.To, replica.Heard{From: name, Message: a.Message}) })
-			case replica.CaughtUp:
+				clock.At(clock.Now+2*time.Millisecond, func() { handle(a.To, replication.Heard{From: name, Message: a.Message}) })
+			case replication.CaughtUp:
 				if name == "e" {
 					caught = clock.Now
 				}
@@ -257,7 +257,7 @@
 	for _, name := range names {
 		var tick func()
 		tick = func() {
-			handle(name, replica.Tick{})
+			handle(name, replication.Tick{})
 			clock.At(clock.Now+50*time.Millisecond, tick)
 		}
 		clock.At(clock.Now, tick)
--- a/lab/zones/directed.go
+++ b/lab/zones/directed.go
@@ -14,7 +14,7 @@
 	"larchusher/lab/sim"
 	"larchusher/locality"
 	"larchusher/overload"
-	"larchusher/replica"
+	"larchusher/replication"
 	"larchusher/routing"
 	"larchusher/warmstart"
 )
@@ -110,7 +110,7 @@
 	twice   int
 	down    bool
 	epoch   int // its start
-	node    *replica.Node
+	node    *replication.Node
 	sharer  *warmstart.Sharer
 	snap    []routing.Memory
 	made    time.Duration
@@ -355,7 +355,7 @@
 		}
 	}
 	d.lives++
-	g.node, err = replica.NewNode(replica.Config{Self: replica.Life{Name: strconv.Itoa(g.me), Number: d.lives}, Members: members, Settles: g.set.PurgeSettles,
+	g.node, err = replication.NewNode(replication.Config{Self: replication.Life{Name: strconv.Itoa(g.me), Number: d.lives}, Members: members, Settles: g.set.PurgeSettles,
 		Wall: func() time.Duration { return d.clock.Now }, Seed: d.lives})
 	if err != nil {
 		return fmt.Errorf("scene: %w", err)
@@ -378,26 +378,26 @@
 				}
 				g.sharer.Tell(d.clock.Now, m, list)
 			}
-			d.shared(g, replica.Tick{})
+			d.shared(g, replication.Tick{})
 		}
 		d.clock.At(d.clock.Now+100*time.Millisecond, tick)
 	}
 	d.clock.At(time.Duration(d.rng.Float64()*float64(100*time.Millisecond)), tick)
 }
 
-func (d *directed) shared(g *dgateway, e replica.Event) {
+func (d *directed) shared(g *dgateway, e replication.Event) {
 	for _, a := range g.node.Handle(d.clock.Now, e, nil) {
 		switch a := a.(type) {
-		case replica.Send:
+		case replication.Send:
 			to, _ := strconv.Atoi(a.To)
 			if to < len(d.gateways) {
 				d.clock.At(d.clock.Now+2*time.Millisecond, func() {
 					if x := d.gateways[to]; !x.down && x.node != nil {
-						d.shared(x, replica.Heard{From: strconv.Itoa(g.me), Message: a.Message})
+						d.shared(x, replication.Heard{From: strconv.Itoa(g.me), Message: a.Message})
 					}
 				})
 			}
-		case replica.CaughtUp:
+		case replication.CaughtUp:
 			m := g.sharer.Gather(d.clock.Now, d.clock.Now, nil)
 			for i := range g.ds {
 				if g.names(i) == m.Zone {
--- a/replica/replica.go
+++ b/replication/replication.go
@@ -1,4 +1,4 @@
-// Package replica keeps what the gateways of an installation know in common, a copy at each of them, so that one that returns
+// Package replication keeps what the gateways of an installation know in common, a copy at each of them, so that one that returns
 // catches up with its neighbours before it does harm.
 //
 // What is known is made of slots. A slot is one life's word on one key of one kind, and only that life ever changes it: a life is
@@ -17,7 +17,7 @@
 // only outlive what it buries, however long a member was away.
 //
 // The package does no I/O and reads no clock; the same events give the same actions.
-package replica
+package replication
 
 import (
 	"cmp"
--- a/replica/stored_test.go
+++ b/replication/stored_test.go
@@ -1,4 +1,4 @@
-package replica
+package replication
 
 import (
 	"testing"
--- a/warmstart/shared.go
+++ b/warmstart/shared.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"larchusher/replica"
+	"larchusher/replication"
 	"larchusher/routing"
 )
 
@@ -29,7 +29,7 @@
 type Sharer struct {
 	Told, Held int // slots said; stores held on others' word now
 
-	node  *replica.Node
+	node  *replication.Node
 	zone  string
 	most  int
 	up    map[string]routing.Member // stores that the list had in use, when it was last looked at
@@ -38,7 +38,7 @@
 }
 
 // NewSharer returns a sharer for a gateway of a zone, that tells of so many listings at most.
-func NewSharer(node *replica.Node, zone string, most int) *Sharer {
+func NewSharer(node *replication.Node, zone string, most int) *Sharer {
 	return &Sharer{node: node, zone: zone, most: most, up: map[string]routing.Member{}, voice: map[string]bool{}, heard: map[string]time.Duration{}}
 }
 
@@ -49,7 +49,7 @@
 // stores, then listings, the most used first, until the copy takes no more. Now is the copy's clock; m.At the director's.
 func (s *Sharer) Tell(now time.Duration, m routing.Memory, list map[string]routing.Member) {
 	seen := func(at time.Duration) time.Duration { return now - max(0, m.At-at) }
-	say := func(k replica.Kind, key string, value []byte, at time.Duration) bool {
+	say := func(k replication.Kind, key string, value []byte, at time.Duration) bool {
 		if !s.node.Say(now, k, key, value, at) {
 			return false
 		}
@@ -65,20 +65,20 @@
 		}
 		// What a neighbour said of it will do: three hundred gateways need not say it each.
 		if at, ok := known[p.Name]; !ok || seen(p.At) > at+samePurge {
-			say(replica.Purge, p.Name, nil, seen(p.At))
+			say(replication.Purge, p.Name, nil, seen(p.At))
 		}
 	}
 	maps.DeleteFunc(s.heard, func(name string, _ time.Duration) bool { return !held[name] }) // it has settled
 	for id, e := range list {
 		if e.Phase == routing.Up {
-			if s.up[id] = e; s.node.Said(replica.Drain, id) {
-				say(replica.Drain, id, replica.Encode(replica.Notice{BootMs: bootMs(e.Boot), Up: true}), now)
+			if s.up[id] = e; s.node.Said(replication.Drain, id) {
+				say(replication.Drain, id, replication.Encode(replication.Notice{BootMs: bootMs(e.Boot), Up: true}), now)
 			}
 		}
 	}
 	for id, was := range s.up {
 		if e, ok := list[id]; !ok || e.Phase != routing.Up {
-			say(replica.Drain, id, replica.Encode(replica.Notice{BootMs: bootMs(was.Boot)}), now)
+			say(replication.Drain, id, replication.Encode(replication.Notice{BootMs: bootMs(was.Boot)}), now)
 			delete(s.up, id)
 		}
 	}
@@ -87,10 +87,10 @@
 		switch bad := e.Bad(); {
 		case bad && h.Seen > 0 && m.At-h.Seen < HalfFailing:
 			s.voice[h.Server] = true
-			say(replica.Health, h.Server, replica.Encode(e), seen(h.Seen))
+			say(replication.Health, h.Server, replication.Encode(e), seen(h.Seen))
 		case !bad && s.voice[h.Server]: // it is well again: that is said once
-			if delete(s.voice, h.Server); s.node.Said(replica.Health, h.Server) {
-				say(replica.Health, h.Server, replica.Encode(replica.Evidence{BootMs: e.BootMs}), now)
+			if delete(s.voice, h.Server); s.node.Said(replication.Health, h.Server) {
+				say(replication.Health, h.Server, replication.Encode(replication.Evidence{BootMs: e.BootMs}), now)
 			}
 		}
 	}
@@ -103,17 +103,17 @@
 		if by, at, ok := s.node.Listed(now, key); ok && by == l.Server && now-at < sameListing {
 			continue
 		}
-		p := replica.Place{Server: l.Server, BootMs: bootMs(l.Boot), Count: math.Round(l.Count), GapMs: l.Gap.Milliseconds(), WorkMs: l.Work.Milliseconds()}
-		if !say(replica.Listing, key, replica.Encode(p), seen(l.Last)) && s.node.Full() {
+		p := replication.Place{Server: l.Server, BootMs: bootMs(l.Boot), Count: math.Round(l.Count), GapMs: l.Gap.Milliseconds(), WorkMs: l.Work.Milliseconds()}
+		if !say(replication.Listing, key, replication.Encode(p), seen(l.Last)) && s.node.Full() {
 			return
 		}
 	}
 }
 
 // evidence words what is known of a store, coarsely: what hardly changes is not said again.
-func evidence(h routing.Health, at time.Duration) replica.Evidence {
+func evidence(h routing.Health, at time.Duration) replication.Evidence {
 	tenth := func(x float64) float64 { return math.Round(min(1, max(0, x))*10) / 10 }
-	e := replica.Evidence{BootMs: bootMs(h.Boot), Failing: tenth(h.Failing), Late: tenth(h.Late)}
+	e := replication.Evidence{BootMs: bootMs(h.Boot), Failing: tenth(h.Failing), Late: tenth(h.Late)}
 	if h.Ejected > at {
 		e.OutMs = min(time.Minute, (h.Ejected-at).Round(5*time.Second)+5*time.Second).Milliseconds()
 	}
@@ -195,16 +195,16 @@
 
 // ParseForget reads what operators want forgotten.
 func ParseForget(kind, key, why string) (string, []byte, error) {
-	k, ok := replica.KindOf(kind)
+	k, ok := replication.KindOf(kind)
 	switch {
-	case !ok || k == replica.Forget:
+	case !ok || k == replication.Forget:
 		return "", nil, fmt.Errorf("kind: %q is none that can be forgotten", kind)
-	case k < replica.FirstBulk:
+	case k < replication.FirstBulk:
 		return "", nil, fmt.Errorf("kind: %q is a matter of safety, and goes by itself once it has settled", kind)
 	case key == "" || len(key) > 100:
 		return "", nil, fmt.Errorf("key: %d characters, 1 to 100 are allowed", len(key))
 	case len(why) > 200:
 		return "", nil, fmt.Errorf("why: %d characters, 200 are allowed", len(why))
 	}
-	return replica.TombKey(k, key), replica.Encode(why), nil
+	return replication.TombKey(k, key), replication.Encode(why), nil
 }
--- a/warmstart/shared_test.go
+++ b/warmstart/shared_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"larchusher/replica"
+	"larchusher/replication"
 	"larchusher/routing"
 )
 
@@ -13,14 +13,14 @@
 type pair struct {
 	t     *testing.T
 	now   time.Duration
-	nodes map[string]*replica.Node
+	nodes map[string]*replication.Node
 	s     map[string]*Sharer
 }
 
 func newPair(t *testing.T, names ...string) *pair {
-	p := &pair{t: t, now: time.Minute, nodes: map[string]*replica.Node{}, s: map[string]*Sharer{}}
+	p := &pair{t: t, now: time.Minute, nodes: map[string]*replication.Node{}, s: map[string]*Sharer{}}
 	for i, n := range names {
-		node, err := replica.NewNode(replica.Config{Self: replica.Life{Name: n, Number: uint64(i + 1)}, Members: names, Settles: 6 * time.Second,
+		node, err := replication.NewNode(replication.Config{Self: replication.Life{Name: n, Number: uint64(i + 1)}, Members: names, Settles: 6 * time.Second,
 			Wall: func() time.Duration { return p.now }})
 		if err != nil {
 			t.Fatal(err)
@@ -34,15 +34,15 @@
 	for range 40 {
 		p.now += 100 * time.Millisecond
 		for from, n := range p.nodes {
-			p.handle(from, n, replica.Tick{})
+			p.handle(from, n, replication.Tick{})
 		}
 	}
 }
 
-func (p *pair) handle(name string, n *replica.Node, e replica.Event) {
+func (p *pair) handle(name string, n *replication.Node, e replication.Event) {
 	for _, a := range n.Handle(p.now, e, nil) {
-		if s, ok := a.(replica.Send); ok {
-			p.handle(s.To, p.nodes[s.To], replica.Heard{From: name, Message: s.Message})
+		if s, ok := a.(replication.Send); ok {
+			p.handle(s.To, p.nodes[s.To], replication.Heard{From: name, Message: s.Message})
 		}
 	}
 }
@@ -183,7 +183,7 @@
 }
 
 func TestWhatCanBeForgotten(t *testing.T) {
-	if key, why, err := ParseForget("health", "b1", "a bad cable"); err != nil || key != replica.TombKey(replica.Health, "b1") || string(why) != `"a bad cable"` {
+	if key, why, err := ParseForget("health", "b1", "a bad cable"); err != nil || key != replication.TombKey(replication.Health, "b1") || string(why) != `"a bad cable"` {
 		t.Errorf("%q %s %v", key, why, err)
 	}
 	for _, bad := range [][2]string{{"purge", "o"}, {"drain", "b1"}, {"forget", "x"}, {"nonsense", "x"}, {"health", ""}, {"listing", string(make([]byte, 101))}} {
