--- a/agreement/agreement.go
+++ b/consensus/consensus.go
@@ -1,4 +1,4 @@
-// Package agreement keeps one value that gateways agree on while some of them fail. A few of them vote; any voter may change
+// Package consensus keeps one value that gateways agree on while some of them fail. A few of them vote; any voter may change
 // the value, and there is no leader whose death would have to be noticed.
 //
 // It is the register of CASPaxos (Rystsov, "CASPaxos: Replicated State Machines without logs", 2018): who wants to change
@@ -12,7 +12,7 @@
 // none has a vote.
 //
 // The package does no I/O and reads no clock; the same events give the same actions.
-package agreement
+package consensus
 
 import (
 	"bytes"
--- a/agreement/explore_test.go
+++ b/consensus/explore_test.go
@@ -1,4 +1,4 @@
-package agreement
+package consensus
 
 import (
 	"encoding/binary"
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -19,7 +19,7 @@
 	"strconv"
 	"time"
 
-	"larchusher/agreement"
+	"larchusher/consensus"
 	"larchusher/replication"
 	"larchusher/work"
 )
@@ -60,7 +60,7 @@
 type Message struct {
 	Kind     Kind
 	ID       uint64 // of a Renew or an Order; in its answer
-	Vote     agreement.Message
+	Vote     consensus.Message
 	Life     uint64 // of a Renew
 	Blank    bool   // of a Renew: its sender has no view, and sends to no machine
 	Have     uint64 // of a Renew: digest of the view that its sender has; of a View: of what was agreed on
@@ -119,7 +119,7 @@
 }
 
 // StoreVote and StoreView write what must last, and report it.
-type StoreVote struct{ Store agreement.Store }
+type StoreVote struct{ Store consensus.Store }
 
 // StoreView writes a view.
 type StoreView struct {
@@ -153,7 +153,7 @@
 	Life    uint64   // new with each start
 	Members []string // all, the own one with them
 	Voters  []string // those that vote, in an order that all share
-	Vote    agreement.Vote
+	Vote    consensus.Vote
 	View    []byte // as stored by the life before; nil: none
 	Lasts   bool   // views are stored: what was heard is said only once it lasts
 	Bounds  work.Bounds
@@ -194,7 +194,7 @@
 	rng   *rand.Rand
 	now   time.Duration
 	out   []Action
-	voter *agreement.Voter // nil: it does not vote
+	voter *consensus.Voter // nil: it does not vote
 
 	view     *work.State // in brief; nil: none is known
 	digest   uint64
@@ -251,7 +251,7 @@
 		lines: map[uint64]int{}}
 	if slices.Contains(c.Voters, c.Self) {
 		var err error
-		n.voter, err = agreement.New(agreement.Config{Self: c.Self, Voters: c.Voters, Vote: c.Vote, Apply: work.Apply(c.Bounds), Round: c.Round, Gap: c.Gap, Seed: c.Seed})
+		n.voter, err = consensus.New(consensus.Config{Self: c.Self, Voters: c.Voters, Vote: c.Vote, Apply: work.Apply(c.Bounds), Round: c.Round, Gap: c.Gap, Seed: c.Seed})
 		if err != nil {
 			return nil, err
 		}
@@ -282,7 +282,7 @@
 		}
 	case VoteStored:
 		if n.voter != nil {
-			n.vote(agreement.Stored{Number: e.Number})
+			n.vote(consensus.Stored{Number: e.Number})
 		}
 	case ViewStored:
 		if n.view != nil && e.Revision == n.storing {
@@ -326,9 +326,9 @@
 }
 
 // Agreed are the counters of the vote here; false: this one does not vote.
-func (n *Node) Agreed() (agreement.Counters, bool) {
+func (n *Node) Agreed() (consensus.Counters, bool) {
 	if n.voter == nil {
-		return agreement.Counters{}, false
+		return consensus.Counters{}, false
 	}
 	return n.voter.Counters, true
 }
@@ -359,7 +359,7 @@
 	if n.voter == nil {
 		return
 	}
-	n.vote(agreement.Tick{})
+	n.vote(consensus.Tick{})
 	for id, q := range n.waiting {
 		if n.now-q.at > commandFor {
 			delete(n.waiting, id)
@@ -481,7 +481,7 @@
 	switch m.Kind {
 	case Vote:
 		if n.voter != nil && member {
-			n.vote(agreement.Heard{From: from, Message: m.Vote})
+			n.vote(consensus.Heard{From: from, Message: m.Vote})
 		}
 	case Renew:
 		if n.voter == nil || !member {
@@ -519,9 +519,9 @@
 	id := strconv.FormatUint(n.serial, 10)
 	n.waiting[id] = q
 	if command != nil {
-		n.vote(agreement.Wanted{ID: id, Command: command})
+		n.vote(consensus.Wanted{ID: id, Command: command})
 	} else {
-		n.vote(agreement.Asked{ID: id})
+		n.vote(consensus.Asked{ID: id})
 	}
 }
 
@@ -606,23 +606,23 @@
 }
 
 // vote hands an event to the voter here and carries out what it wants.
-func (n *Node) vote(e agreement.Event) {
+func (n *Node) vote(e consensus.Event) {
 	for _, a := range n.voter.Handle(n.now, e, nil) {
 		switch a := a.(type) {
-		case agreement.Send:
+		case consensus.Send:
 			n.do(Send{To: a.To, Message: Message{Kind: Vote, Vote: a.Message}})
-		case agreement.Store:
+		case consensus.Store:
 			n.do(StoreVote{a})
-		case agreement.Done:
+		case consensus.Done:
 			n.answered(a)
-		case agreement.Learned:
+		case consensus.Learned:
 			n.audit(a.State)
 		}
 	}
 }
 
 // answered hands on what the voters said.
-func (n *Node) answered(d agreement.Done) {
+func (n *Node) answered(d consensus.Done) {
 	q, ok := n.waiting[d.ID]
 	if !ok {
 		return
@@ -658,7 +658,7 @@
 }
 
 // audit tells of what is new in the histories.
-func (n *Node) audit(s agreement.State) {
+func (n *Node) audit(s consensus.State) {
 	d, err := work.Decode(s.Value)
 	if err != nil {
 		return
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"larchusher/agreement"
+	"larchusher/consensus"
 	"larchusher/work"
 )
 
@@ -126,7 +126,7 @@
 	bad := answer(q, 4, []byte("{"))
 	n.Handle(1100*time.Millisecond, bad, nil)
 	n.Handle(1100*time.Millisecond, Heard{"v", Message{Kind: Kind(99)}}, nil)
-	n.Handle(1100*time.Millisecond, Heard{"stranger", Message{Kind: Vote, Vote: agreement.Message{Kind: agreement.Learn}}}, nil)
+	n.Handle(1100*time.Millisecond, Heard{"stranger", Message{Kind: Vote, Vote: consensus.Message{Kind: consensus.Learn}}}, nil)
 	if n.Ready() || n.Counters.Unknown != 2 {
 		t.Errorf("ready %v, %+v", n.Ready(), n.Counters)
 	}
@@ -136,7 +136,7 @@
 	clock := func() int64 { return 0 }
 	for i, c := range []Config{{}, {Life: 1, Clock: clock, Self: "x"}, {Life: 1, Clock: clock, Self: "x", Members: []string{"x"}},
 		{Life: 1, Clock: clock, Self: "x", Members: []string{"x"}, Voters: []string{"y"}},
-		{Life: 1, Clock: clock, Self: "x", Members: []string{"x"}, Voters: []string{"x"}, Vote: agreement.Vote{Life: 1}, Bounds: work.Bounds{Full: 2}},
+		{Life: 1, Clock: clock, Self: "x", Members: []string{"x"}, Voters: []string{"x"}, Vote: consensus.Vote{Life: 1}, Bounds: work.Bounds{Full: 2}},
 		{Life: 1, Clock: clock, Self: "x", Members: []string{"x", "y"}, Voters: []string{"y"}, View: []byte("{")}} {
 		if _, err := New(c); err == nil {
 			t.Errorf("case %d is taken", i)
--- a/fleet/world_test.go
+++ b/fleet/world_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"larchusher/agreement"
+	"larchusher/consensus"
 	"larchusher/lab/sim"
 	"larchusher/work"
 )
@@ -31,7 +31,7 @@
 	boxes   map[string]*box
 	bounds  work.Bounds
 	lives   uint64
-	latest  agreement.State // the newest that anybody learned
+	latest  consensus.State // the newest that anybody learned
 	bad     string
 	sent    int
 	bytes   int
@@ -58,7 +58,7 @@
 	base    time.Duration
 	stopped bool
 	inbox   []Heard
-	vote    agreement.Vote
+	vote    consensus.Vote
 	view    []byte
 	folder  bool
 	busy    map[string]time.Duration // attempts out at machines, until
@@ -101,7 +101,7 @@
 func (w *world) begin(m *member, forget bool) {
 	w.lives++
 	if forget || !m.folder || m.vote.Life == 0 {
-		m.vote, m.view = agreement.Vote{Life: w.lives}, nil
+		m.vote, m.view = consensus.Vote{Life: w.lives}, nil
 	}
 	m.epoch++
 	m.stopped, m.inbox, m.busy, m.held, m.leaving = false, nil, map[string]time.Duration{}, nil, false
--- a/internal/fleethost/host.go
+++ b/internal/fleethost/host.go
@@ -13,7 +13,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"larchusher/agreement"
+	"larchusher/consensus"
 	"larchusher/fleet"
 	"larchusher/gateway"
 	"larchusher/internal/config"
@@ -72,7 +72,7 @@
 	for _, m := range cfg.Members {
 		nc.Members = append(nc.Members, m.Name)
 	}
-	nc.Vote = agreement.Vote{Life: nc.Life}
+	nc.Vote = consensus.Vote{Life: nc.Life}
 	if cfg.Folder != "" {
 		if err := h.recall(&nc); err != nil {
 			return nil, err
@@ -148,7 +148,7 @@
 	}
 	b, err := readFile(dir, voteFile, h.cfg.Key)
 	if err == nil && b != nil {
-		var v agreement.Vote
+		var v consensus.Vote
 		if v, err = fleetlink.DecodeVote(b); err == nil {
 			nc.Vote = v
 		}
@@ -269,7 +269,7 @@
 	}
 }
 
-func (h *Host) storeVote(s agreement.Store) {
+func (h *Host) storeVote(s consensus.Store) {
 	b, err := fleetlink.EncodeVote(s.Vote)
 	if err != nil {
 		h.log.WithError(err).Error("a vote can't be stored")
--- a/internal/net/fleetlink/link_test.go
+++ b/internal/net/fleetlink/link_test.go
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"larchusher/agreement"
+	"larchusher/consensus"
 	"larchusher/fleet"
 	"larchusher/gateway"
 	"larchusher/internal/net/fleetlink/linkpb"
@@ -29,8 +29,8 @@
 
 func drawMessage(t *rapid.T) fleet.Message {
 	text := rapid.StringMatching("[a-z0-9]{0,12}")
-	ballot := func(name string) agreement.Ballot {
-		return agreement.Ballot{Number: rapid.Uint64().Draw(t, name), Voter: text.Draw(t, name)}
+	ballot := func(name string) consensus.Ballot {
+		return consensus.Ballot{Number: rapid.Uint64().Draw(t, name), Voter: text.Draw(t, name)}
 	}
 	m := fleet.Message{Kind: fleet.Kind(rapid.IntRange(1, 9).Draw(t, "kind")), ID: rapid.Uint64().Draw(t, "id"), Life: rapid.Uint64().Draw(t, "life"), Blank: rapid.Bool().Draw(t, "blank"),
 		Have: rapid.Uint64().Draw(t, "have"), Revision: rapid.Uint64().Draw(t, "revision"), Heard: rapid.Uint64().Draw(t, "heard"), Query: text.Draw(t, "query"), Refused: text.Draw(t, "refused")}
@@ -38,8 +38,8 @@
 		m.Value = []byte(text.Draw(t, "bytes"))
 	}
 	if m.Kind == fleet.Vote {
-		m.Vote = agreement.Message{Kind: agreement.Kind(rapid.IntRange(1, 9).Draw(t, "vote")), Life: 7, Ballot: ballot("ballot"), Next: ballot("next"), Accepted: ballot("accepted"),
-			State: agreement.State{Revision: 3, Lives: map[string]uint64{"a": rapid.Uint64().Draw(t, "a")}, Value: []byte("x")}}
+		m.Vote = consensus.Message{Kind: consensus.Kind(rapid.IntRange(1, 9).Draw(t, "vote")), Life: 7, Ballot: ballot("ballot"), Next: ballot("next"), Accepted: ballot("accepted"),
+			State: consensus.State{Revision: 3, Lives: map[string]uint64{"a": rapid.Uint64().Draw(t, "a")}, Value: []byte("x")}}
 	}
 	if rapid.Bool().Draw(t, "report") {
 		m.Report = &fleet.Report{Strain: text.Draw(t, "strain"), Machines: map[string]work.Machine{"b1": {Kind: "box", Zone: "z", Up: true, BootMs: 17, Weight: 2.5, Busy: -1}}}
@@ -56,11 +56,11 @@
 
 // What a former version proposed without a Prepare had no majority's promise: it is not a message that a voter heeds.
 func TestAFormerVersionHasToPrepare(t *testing.T) {
-	pb := out(fleet.Message{Kind: fleet.Vote, Vote: agreement.Message{Kind: agreement.Accept, Ballot: agreement.Ballot{Number: 5, Voter: "a"}}})
-	if in(pb).Vote.Kind != agreement.Accept {
+	pb := out(fleet.Message{Kind: fleet.Vote, Vote: consensus.Message{Kind: consensus.Accept, Ballot: consensus.Ballot{Number: 5, Voter: "a"}}})
+	if in(pb).Vote.Kind != consensus.Accept {
 		t.Fatal("an accept after a prepare is not read")
 	}
-	pb.Vote.Prior = ballotOut(agreement.Ballot{Number: 4, Voter: "a"})
+	pb.Vote.Prior = ballotOut(consensus.Ballot{Number: 4, Voter: "a"})
 	if got := in(pb).Vote.Kind; got != 0 {
 		t.Errorf("it is read as %v", got)
 	}
@@ -164,8 +164,8 @@
 }
 
 func TestVotesAreReadAsWritten(t *testing.T) {
-	v := agreement.Vote{Life: 9, Promised: agreement.Ballot{Number: 4, Voter: "a"}, Accepted: agreement.Ballot{Number: 3, Voter: "b"}, Has: true,
-		State: agreement.State{Revision: 2, Lives: map[string]uint64{"a": 1}, Value: []byte("{}")}}
+	v := consensus.Vote{Life: 9, Promised: consensus.Ballot{Number: 4, Voter: "a"}, Accepted: consensus.Ballot{Number: 3, Voter: "b"}, Has: true,
+		State: consensus.State{Revision: 2, Lives: map[string]uint64{"a": 1}, Value: []byte("{}")}}
 	b, err := EncodeVote(v)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/net/fleetlink/words.go
+++ b/internal/net/fleetlink/words.go
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"larchusher/agreement"
+	"larchusher/consensus"
 	"larchusher/fleet"
 	"larchusher/internal/net/fleetlink/linkpb"
 	"larchusher/replication"
@@ -17,23 +17,23 @@
 
 // The form of messages: what package fleet deals in, and back.
 
-func ballotOut(b agreement.Ballot) *linkpb.Ballot {
-	if b == (agreement.Ballot{}) {
+func ballotOut(b consensus.Ballot) *linkpb.Ballot {
+	if b == (consensus.Ballot{}) {
 		return nil
 	}
 	return &linkpb.Ballot{Number: b.Number, Voter: b.Voter}
 }
 
-func ballotIn(b *linkpb.Ballot) agreement.Ballot {
-	return agreement.Ballot{Number: b.GetNumber(), Voter: b.GetVoter()}
+func ballotIn(b *linkpb.Ballot) consensus.Ballot {
+	return consensus.Ballot{Number: b.GetNumber(), Voter: b.GetVoter()}
 }
 
-func stateOut(s agreement.State) *linkpb.State {
+func stateOut(s consensus.State) *linkpb.State {
 	return &linkpb.State{Revision: s.Revision, Lives: s.Lives, Value: s.Value}
 }
 
-func stateIn(s *linkpb.State) agreement.State {
-	return agreement.State{Revision: s.GetRevision(), Lives: s.GetLives(), Value: s.GetValue()}
+func stateIn(s *linkpb.State) consensus.State {
+	return consensus.State{Revision: s.GetRevision(), Lives: s.GetLives(), Value: s.GetValue()}
 }
 
 func out(m fleet.Message) *linkpb.Message {
@@ -63,7 +63,7 @@
 		m.Value = []byte{}
 	}
 	if v := pb.GetVote(); v != nil {
-		m.Vote = agreement.Message{Kind: agreement.Kind(v.GetKind()), Life: v.GetLife(), Ballot: ballotIn(v.GetBallot()), Next: ballotIn(v.GetNext()),
+		m.Vote = consensus.Message{Kind: consensus.Kind(v.GetKind()), Life: v.GetLife(), Ballot: ballotIn(v.GetBallot()), Next: ballotIn(v.GetNext()),
 			Accepted: ballotIn(v.GetAccepted()), State: stateIn(v.GetState())}
 		if v.GetPrior() != nil { // of a version whose further values nobody had promised: it has to prepare them
 			m.Vote.Kind = 0
@@ -117,7 +117,7 @@
 }
 
 // EncodeVote words a vote for its file, and DecodeVote reads it.
-func EncodeVote(v agreement.Vote) ([]byte, error) {
+func EncodeVote(v consensus.Vote) ([]byte, error) {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(&linkpb.Kept{Life: v.Life, Promised: ballotOut(v.Promised), Accepted: ballotOut(v.Accepted),
 		State: stateOut(v.State), Has: v.Has})
 	if err != nil {
@@ -127,13 +127,13 @@
 }
 
 // DecodeVote reads a vote.
-func DecodeVote(b []byte) (agreement.Vote, error) {
+func DecodeVote(b []byte) (consensus.Vote, error) {
 	var k linkpb.Kept
 	if err := proto.Unmarshal(b, &k); err != nil {
-		return agreement.Vote{}, fmt.Errorf("a vote: %w", err)
+		return consensus.Vote{}, fmt.Errorf("a vote: %w", err)
 	}
 	if k.GetLife() == 0 {
-		return agreement.Vote{}, fmt.Errorf("a vote without a life")
+		return consensus.Vote{}, fmt.Errorf("a vote without a life")
 	}
-	return agreement.Vote{Life: k.GetLife(), Promised: ballotIn(k.GetPromised()), Accepted: ballotIn(k.GetAccepted()), State: stateIn(k.GetState()), Has: k.GetHas()}, nil
+	return consensus.Vote{Life: k.GetLife(), Promised: ballotIn(k.GetPromised()), Accepted: ballotIn(k.GetAccepted()), State: stateIn(k.GetState()), Has: k.GetHas()}, nil
 }
--- a/lab/procs/rest.go
+++ b/lab/procs/rest.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"larchusher/agreement"
+	"larchusher/consensus"
 	"larchusher/fleet"
 	"larchusher/internal/net/fleetlink"
 	"larchusher/lab/sim"
@@ -49,7 +49,7 @@
 	}
 	for i, name := range f.names {
 		life := seed<<16 + uint64(i) + 1
-		node, err := fleet.New(fleet.Config{Self: name, Life: life, Members: f.names, Voters: voters, Vote: agreement.Vote{Life: life}, Lasts: true, Bounds: bounds,
+		node, err := fleet.New(fleet.Config{Self: name, Life: life, Members: f.names, Voters: voters, Vote: consensus.Vote{Life: life}, Lasts: true, Bounds: bounds,
 			Clock: func() int64 { return int64(f.clock.Now / time.Millisecond) }, Gap: 40 * time.Millisecond, Seed: life})
 		if err != nil {
 			return nil, err
