--- a/cmd/larchusher-lab/procs.go
+++ b/cmd/larchusher-lab/procs.go
@@ -14,7 +14,7 @@
 
 	"larchusher/lab/plot"
 	"larchusher/lab/procs"
-	"larchusher/work"
+	"larchusher/maintenance"
 )
 
 type procsCmd struct {
@@ -294,7 +294,7 @@
 	}
 	for _, n := range []int{2, 4, 6, 9} {
 		ways = append(ways, way{fmt.Sprint("settled, at_once ", n), func(seed uint64) (procs.Planned, error) {
-			return procs.Settled(seed, work.Bounds{AtOnce: n})
+			return procs.Settled(seed, maintenance.Bounds{AtOnce: n})
 		}})
 	}
 	lines := []plot.Line{{Name: "fixed timetables"}, {Name: "settled by gateways"}}
--- a/cmd/larchusher/work.go
+++ b/cmd/larchusher/work.go
@@ -15,7 +15,7 @@
 	"larchusher/fleet"
 	"larchusher/internal/config"
 	"larchusher/internal/net/fleetlink"
-	"larchusher/work"
+	"larchusher/maintenance"
 )
 
 // workCommand is the sub-command `work`.
@@ -38,7 +38,7 @@
 }
 
 // order sends an order to one gateway after the other until one answers.
-func (f *fleetFlags) order(c *work.Command, query string) (fleet.Message, error) {
+func (f *fleetFlags) order(c *maintenance.Command, query string) (fleet.Message, error) {
 	m := fleet.Message{Query: query}
 	if c != nil {
 		if c.By == "" {
@@ -110,12 +110,12 @@
 }
 
 // do sends a command and reads what it came to.
-func (f *fleetFlags) do(c *work.Command) (work.Reply, error) {
+func (f *fleetFlags) do(c *maintenance.Command) (maintenance.Reply, error) {
 	m, err := f.order(c, "")
 	if err != nil {
-		return work.Reply{}, err
+		return maintenance.Reply{}, err
 	}
-	var r work.Reply
+	var r maintenance.Reply
 	if m.Refused == "" {
 		if err := json.Unmarshal(m.Value, &r); err != nil {
 			return r, fmt.Errorf("work: the reply: %w", err)
@@ -128,12 +128,12 @@
 	return r, nil
 }
 
-func (f *fleetFlags) state() (*work.State, error) {
+func (f *fleetFlags) state() (*maintenance.State, error) {
 	m, err := f.order(nil, "state")
 	if err != nil {
 		return nil, err
 	}
-	return work.Decode(m.Value)
+	return maintenance.Decode(m.Value)
 }
 
 type workAsk struct {
@@ -153,11 +153,11 @@
 		_, _ = rand.Read(b)
 		a.Key = hex.EncodeToString(b)
 	}
-	q := &work.Ask{Key: a.Key, Machine: a.Machine, ForMs: a.For.Milliseconds(), Priority: a.Priority, After: a.After}
+	q := &maintenance.Ask{Key: a.Key, Machine: a.Machine, ForMs: a.For.Milliseconds(), Priority: a.Priority, After: a.After}
 	if a.By > 0 {
 		q.ByMs = time.Now().Add(a.By).UnixMilli()
 	}
-	r, err := a.do(&work.Command{Ask: q})
+	r, err := a.do(&maintenance.Command{Ask: q})
 	if err != nil {
 		return err
 	}
@@ -223,7 +223,7 @@
 
 // Run withdraws.
 func (c *workWithdraw) Run() error {
-	_, err := c.do(&work.Command{Withdraw: &work.Named{Name: c.Machine, Why: c.Why}})
+	_, err := c.do(&maintenance.Command{Withdraw: &maintenance.Named{Name: c.Machine, Why: c.Why}})
 	return err
 }
 
@@ -235,7 +235,7 @@
 
 // Run finishes.
 func (c *workFinish) Run() error {
-	_, err := c.do(&work.Command{Finish: &work.Named{Name: c.Machine, Why: c.Why}})
+	_, err := c.do(&maintenance.Command{Finish: &maintenance.Named{Name: c.Machine, Why: c.Why}})
 	return err
 }
 
@@ -246,7 +246,7 @@
 
 // Run forgets a gateway.
 func (c *workForget) Run() error {
-	_, err := c.do(&work.Command{Forget: &work.Named{Name: c.Gateway}})
+	_, err := c.do(&maintenance.Command{Forget: &maintenance.Named{Name: c.Gateway}})
 	return err
 }
 
@@ -265,7 +265,7 @@
 		if err != nil {
 			return err
 		}
-		stage := work.Stage("")
+		stage := maintenance.Stage("")
 		for _, r := range s.Requests {
 			if r.Machine == c.Machine {
 				stage = r.Stage
@@ -291,7 +291,7 @@
 	if err != nil {
 		return err
 	}
-	var all []work.Verdict
+	var all []maintenance.Verdict
 	if err := json.Unmarshal(m.Value, &all); err != nil {
 		return fmt.Errorf("work: the plan: %w", err)
 	}
--- a/fleet/explore_test.go
+++ b/fleet/explore_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"larchusher/work"
+	"larchusher/maintenance"
 )
 
 // The explorer plays one plan over agreement, work and fleet together: three gateways, three machines, among them an upper cache. It makes
@@ -130,8 +130,8 @@
 	}
 	for limit := 2 * time.Second; limit < 120*time.Second && w.bad == ""; limit += 500 * time.Millisecond {
 		w.clock.Run(limit)
-		if d, err := work.Decode(w.latest.Value); err == nil && len(d.Requests) == 3 &&
-			!slices.ContainsFunc(d.Requests, func(r *work.Request) bool { return !r.Stage.Ended() }) {
+		if d, err := maintenance.Decode(w.latest.Value); err == nil && len(d.Requests) == 3 &&
+			!slices.ContainsFunc(d.Requests, func(r *maintenance.Request) bool { return !r.Stage.Ended() }) {
 			return w, w.kept(d)
 		}
 	}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -20,8 +20,8 @@
 	"time"
 
 	"larchusher/consensus"
+	"larchusher/maintenance"
 	"larchusher/replication"
-	"larchusher/work"
 )
 
 const (
@@ -38,7 +38,7 @@
 
 // Report is what a gateway has seen. It comes with its questions.
 type Report struct {
-	Machines map[string]work.Machine
+	Machines map[string]maintenance.Machine
 	Strain   string
 }
 
@@ -156,7 +156,7 @@
 	Vote    consensus.Vote
 	View    []byte // as stored by the life before; nil: none
 	Lasts   bool   // views are stored: what was heard is said only once it lasts
-	Bounds  work.Bounds
+	Bounds  maintenance.Bounds
 	Clock   func() int64  // Unix milliseconds, for the history alone
 	Round   time.Duration // of the voters; 0: their default
 	Gap     time.Duration // questions to the voters are gathered for so long
@@ -182,7 +182,7 @@
 
 type stand struct {
 	id    uint64
-	stage work.Stage
+	stage maintenance.Stage
 	epoch uint64
 }
 
@@ -196,7 +196,7 @@
 	out   []Action
 	voter *consensus.Voter // nil: it does not vote
 
-	view     *work.State // in brief; nil: none is known
+	view     *maintenance.State // in brief; nil: none is known
 	digest   uint64
 	revision uint64
 	storing  uint64 // revision of the view that is being stored
@@ -215,8 +215,8 @@
 	away   int                      // answers since the first voter was tried
 	silent int
 
-	read    *work.State // what known gave last,
-	readAt  uint64      // and of which revision
+	read    *maintenance.State // what known gave last,
+	readAt  uint64             // and of which revision
 	seen    Report
 	reports map[string]report
 	heardAt map[string]time.Duration
@@ -251,17 +251,17 @@
 		lines: map[uint64]int{}}
 	if slices.Contains(c.Voters, c.Self) {
 		var err error
-		n.voter, err = consensus.New(consensus.Config{Self: c.Self, Voters: c.Voters, Vote: c.Vote, Apply: work.Apply(c.Bounds), Round: c.Round, Gap: c.Gap, Seed: c.Seed})
+		n.voter, err = consensus.New(consensus.Config{Self: c.Self, Voters: c.Voters, Vote: c.Vote, Apply: maintenance.Apply(c.Bounds), Round: c.Round, Gap: c.Gap, Seed: c.Seed})
 		if err != nil {
 			return nil, err
 		}
 	}
 	if c.View != nil {
-		s, err := work.Decode(c.View)
+		s, err := maintenance.Decode(c.View)
 		if err != nil {
 			return nil, fmt.Errorf("fleet: View: %w", err)
 		}
-		n.view, n.lasting, n.digest = s, s.Epoch, work.Digest(c.View)
+		n.view, n.lasting, n.digest = s, s.Epoch, maintenance.Digest(c.View)
 	}
 	return n, nil
 }
@@ -334,7 +334,7 @@
 }
 
 // State is the view; nil: none is known.
-func (n *Node) State() *work.State { return n.view }
+func (n *Node) State() *maintenance.State { return n.view }
 
 // ---- as a gateway ----
 
@@ -417,7 +417,7 @@
 		return // an old answer proves nothing of what is known by now
 	}
 	if m.Value != nil && m.Have != n.digest {
-		s, err := work.Decode(m.Value)
+		s, err := maintenance.Decode(m.Value)
 		if err != nil {
 			n.Counters.Unknown++
 			return
@@ -462,9 +462,9 @@
 }
 
 // ownTurn is the request for this gateway's own machine, once it drains.
-func (n *Node) ownTurn() *work.Request {
+func (n *Node) ownTurn() *maintenance.Request {
 	for _, r := range n.view.Requests {
-		if r.Machine == n.cfg.Self && r.Stage == work.Draining && r.Life == n.cfg.Life {
+		if r.Machine == n.cfg.Self && r.Stage == maintenance.Draining && r.Life == n.cfg.Life {
 			return r
 		}
 	}
@@ -525,7 +525,7 @@
 	}
 }
 
-func (n *Node) command(c work.Command) []byte {
+func (n *Node) command(c maintenance.Command) []byte {
 	c.By, c.AtMs = cmp.Or(c.By, n.cfg.Self), n.cfg.Clock()
 	b, err := json.Marshal(c)
 	if err != nil {
@@ -544,7 +544,7 @@
 		case !joined || g.Life != m.Life:
 			c = n.join(from, m)
 		case m.Heard > g.Heard || m.Stopped > g.Stopped:
-			c = n.command(work.Command{By: from, Told: &work.Member{Name: from, Life: m.Life, Heard: m.Heard, Stopped: m.Stopped}})
+			c = n.command(maintenance.Command{By: from, Told: &maintenance.Member{Name: from, Life: m.Life, Heard: m.Heard, Stopped: m.Stopped}})
 		}
 	} else { // the very first
 		c = n.join(from, m)
@@ -553,17 +553,17 @@
 }
 
 func (n *Node) join(from string, m Message) []byte {
-	return n.command(work.Command{By: from, Join: &work.Member{Name: from, Life: m.Life, Blank: m.Blank, Heard: m.Heard}})
+	return n.command(maintenance.Command{By: from, Join: &maintenance.Member{Name: from, Life: m.Life, Blank: m.Blank, Heard: m.Heard}})
 }
 
 // known is the newest state that the voter here knows of, which may be old. It is not to be changed.
-func (n *Node) known() (*work.State, bool) {
+func (n *Node) known() (*maintenance.State, bool) {
 	s, ok := n.voter.Known()
 	if !ok {
 		return nil, false
 	}
 	if n.read == nil || n.readAt != s.Revision {
-		d, err := work.Decode(s.Value)
+		d, err := maintenance.Decode(s.Value)
 		if err != nil {
 			return nil, false
 		}
@@ -590,7 +590,7 @@
 		n.enquire(q, nil)
 		return
 	}
-	var c work.Command
+	var c maintenance.Command
 	if err := json.Unmarshal(m.Value, &c); err != nil || c.Step != nil || c.Join != nil || c.Told != nil {
 		n.send(from, Message{Kind: Reply, ID: m.ID, Refused: "not an order"})
 		return
@@ -638,7 +638,7 @@
 			return
 		}
 		brief := s.Brief().Encode()
-		m := Message{Kind: View, ID: q.m.ID, Revision: d.State.Revision, Have: work.Digest(brief)}
+		m := Message{Kind: View, ID: q.m.ID, Revision: d.State.Revision, Have: maintenance.Digest(brief)}
 		if q.m.Have != m.Have {
 			m.Value = brief
 		}
@@ -649,7 +649,7 @@
 		case "state":
 			m.Value = d.State.Value
 		case "plan":
-			if s, err := work.Decode(d.State.Value); err == nil {
+			if s, err := maintenance.Decode(d.State.Value); err == nil {
 				m.Value, _ = json.Marshal(s.Plan(n.gather(), n.cfg.Bounds))
 			}
 		}
@@ -659,7 +659,7 @@
 
 // audit tells of what is new in the histories.
 func (n *Node) audit(s consensus.State) {
-	d, err := work.Decode(s.Value)
+	d, err := maintenance.Decode(s.Value)
 	if err != nil {
 		return
 	}
@@ -694,8 +694,8 @@
 }
 
 // gather joins what all gateways have reported lately, the most cautious of it.
-func (n *Node) gather() *work.Observed {
-	o := &work.Observed{Machines: map[string]work.Machine{}}
+func (n *Node) gather() *maintenance.Observed {
+	o := &maintenance.Observed{Machines: map[string]maintenance.Machine{}}
 	for _, from := range slices.Sorted(maps.Keys(n.reports)) {
 		r := n.reports[from]
 		if n.now-r.at > reportFor {
@@ -732,7 +732,7 @@
 	o := n.gather()
 	now := map[stand]time.Duration{}
 	for _, r := range s.Requests {
-		if r.Stage.Ended() || r.Stage == work.Asked {
+		if r.Stage.Ended() || r.Stage == maintenance.Asked {
 			continue
 		}
 		k := stand{r.ID, r.Stage, r.Epoch}
@@ -742,16 +742,16 @@
 		}
 		now[k] = at
 		took := n.now - at
-		o.Spans = append(o.Spans, work.Span{ID: r.ID, Stage: r.Stage, Epoch: r.Epoch, Lapsed: took >= n.cfg.Bounds.Lapse(),
+		o.Spans = append(o.Spans, maintenance.Span{ID: r.ID, Stage: r.Stage, Epoch: r.Epoch, Lapsed: took >= n.cfg.Bounds.Lapse(),
 			Late: took >= time.Duration(r.ForMs)*time.Millisecond, Ramped: took >= n.cfg.Bounds.Ramp})
 	}
 	n.since = now
-	if !slices.ContainsFunc(s.Requests, func(r *work.Request) bool { return !r.Stage.Ended() }) {
+	if !slices.ContainsFunc(s.Requests, func(r *maintenance.Request) bool { return !r.Stage.Ended() }) {
 		return
 	}
-	c := n.command(work.Command{Step: o})
+	c := n.command(maintenance.Command{Step: o})
 	was := s.Encode()
-	if next, _ := work.Apply(n.cfg.Bounds)(was, c); !bytes.Equal(next, was) {
+	if next, _ := maintenance.Apply(n.cfg.Bounds)(was, c); !bytes.Equal(next, was) {
 		n.Counters.Steps++
 		n.enquire(question{from: n.cfg.Self, m: Message{Kind: Unknown}, at: n.now}, c)
 	}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"larchusher/consensus"
-	"larchusher/work"
+	"larchusher/maintenance"
 )
 
 const second = time.Second
@@ -14,18 +14,18 @@
 func lone(t *testing.T, lasts bool, view []byte) *Node {
 	t.Helper()
 	n, err := New(Config{Self: "g9", Life: 5, Members: []string{"v", "g9"}, Voters: []string{"v"}, View: view, Lasts: lasts,
-		Bounds: work.Bounds{Lease: 2 * second}, Clock: func() int64 { return 0 }, Seed: 1})
+		Bounds: maintenance.Bounds{Lease: 2 * second}, Clock: func() int64 { return 0 }, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return n
 }
 
-func state(epoch uint64, stages map[string]work.Stage) []byte {
-	s := &work.State{Epoch: epoch, Gateways: map[string]work.Gateway{}}
+func state(epoch uint64, stages map[string]maintenance.Stage) []byte {
+	s := &maintenance.State{Epoch: epoch, Gateways: map[string]maintenance.Gateway{}}
 	for _, m := range []string{"m1", "m2"} {
 		if st, ok := stages[m]; ok {
-			s.Requests = append(s.Requests, &work.Request{ID: uint64(len(m)), Machine: m, Kind: work.KindBox, Stage: st, Epoch: 1, Drain: 2})
+			s.Requests = append(s.Requests, &maintenance.Request{ID: uint64(len(m)), Machine: m, Kind: maintenance.KindBox, Stage: st, Epoch: 1, Drain: 2})
 		}
 	}
 	return s.Encode()
@@ -44,7 +44,7 @@
 }
 
 func answer(q Message, revision uint64, value []byte) Heard {
-	return Heard{"v", Message{Kind: View, ID: q.ID, Revision: revision, Have: work.Digest(value), Value: value}}
+	return Heard{"v", Message{Kind: View, ID: q.ID, Revision: revision, Have: maintenance.Digest(value), Value: value}}
 }
 
 // Nothing is sent before anything is known; with a lease only what drains is held; without one what was granted as well.
@@ -57,7 +57,7 @@
 	if !q.Blank {
 		t.Error("it does not say that it knows of nothing")
 	}
-	n.Handle(1200*time.Millisecond, answer(q, 4, state(3, map[string]work.Stage{"m1": work.Granted, "m2": work.Draining})), nil)
+	n.Handle(1200*time.Millisecond, answer(q, 4, state(3, map[string]maintenance.Stage{"m1": maintenance.Granted, "m2": maintenance.Draining})), nil)
 	for _, c := range []struct {
 		at         time.Duration
 		m1, m2, m3 bool
@@ -83,7 +83,7 @@
 	n := lone(t, false, nil)
 	old := renew(t, n, second)
 	late := renew(t, n, 1600*time.Millisecond)
-	news := state(3, map[string]work.Stage{"m1": work.Draining})
+	news := state(3, map[string]maintenance.Stage{"m1": maintenance.Draining})
 	n.Handle(1700*time.Millisecond, answer(late, 9, news), nil)
 	before := n.lease
 	n.Handle(1800*time.Millisecond, answer(old, 4, state(1, nil)), nil)
@@ -99,7 +99,7 @@
 // What was heard is said once it lasts, and what was stored holds after a start until more is known.
 func TestHeardIsWhatLasts(t *testing.T) {
 	n := lone(t, true, nil)
-	n.Handle(1100*time.Millisecond, answer(renew(t, n, second), 4, state(3, map[string]work.Stage{"m1": work.Granted})), nil)
+	n.Handle(1100*time.Millisecond, answer(renew(t, n, second), 4, state(3, map[string]maintenance.Stage{"m1": maintenance.Granted})), nil)
 	if q := renew(t, n, 1600*time.Millisecond); q.Heard != 0 {
 		t.Errorf("it says that it has heard of %d, which is not stored yet", q.Heard)
 	}
@@ -107,7 +107,7 @@
 	if q := renew(t, n, 2300*time.Millisecond); q.Heard != 3 {
 		t.Errorf("it says that it has heard of %d", q.Heard)
 	}
-	again := lone(t, true, state(3, map[string]work.Stage{"m1": work.Granted}))
+	again := lone(t, true, state(3, map[string]maintenance.Stage{"m1": maintenance.Granted}))
 	if again.Permit(second, "m1") || !again.Permit(second, "m2") {
 		t.Error("after a start it does not go by what was stored")
 	}
@@ -136,7 +136,7 @@
 	clock := func() int64 { return 0 }
 	for i, c := range []Config{{}, {Life: 1, Clock: clock, Self: "x"}, {Life: 1, Clock: clock, Self: "x", Members: []string{"x"}},
 		{Life: 1, Clock: clock, Self: "x", Members: []string{"x"}, Voters: []string{"y"}},
-		{Life: 1, Clock: clock, Self: "x", Members: []string{"x"}, Voters: []string{"x"}, Vote: consensus.Vote{Life: 1}, Bounds: work.Bounds{Full: 2}},
+		{Life: 1, Clock: clock, Self: "x", Members: []string{"x"}, Voters: []string{"x"}, Vote: consensus.Vote{Life: 1}, Bounds: maintenance.Bounds{Full: 2}},
 		{Life: 1, Clock: clock, Self: "x", Members: []string{"x", "y"}, Voters: []string{"y"}, View: []byte("{")}} {
 		if _, err := New(c); err == nil {
 			t.Errorf("case %d is taken", i)
--- a/fleet/world_test.go
+++ b/fleet/world_test.go
@@ -13,7 +13,7 @@
 
 	"larchusher/consensus"
 	"larchusher/lab/sim"
-	"larchusher/work"
+	"larchusher/maintenance"
 )
 
 // world runs several nodes in simulated time: messages are late, lost, doubled and out of order; links are cut one way or
@@ -29,7 +29,7 @@
 	loss    float64
 	double  float64
 	boxes   map[string]*box
-	bounds  work.Bounds
+	bounds  maintenance.Bounds
 	lives   uint64
 	latest  consensus.State // the newest that anybody learned
 	bad     string
@@ -46,7 +46,7 @@
 }
 
 type box struct {
-	work.Machine
+	maintenance.Machine
 	out  bool // by the newest state
 	back time.Duration
 }
@@ -69,7 +69,7 @@
 
 func newWorld(seed uint64, n int) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 5)), nodes: map[string]*member{}, cut: map[[2]string]bool{}, boxes: map[string]*box{}, replies: map[uint64]Message{}, acked: map[string]bool{},
-		bounds: work.Bounds{Lease: 2 * time.Second, Grace: 500 * time.Millisecond, Ramp: 4 * time.Second, AtOnce: 3, Parents: 1}}
+		bounds: maintenance.Bounds{Lease: 2 * time.Second, Grace: 500 * time.Millisecond, Ramp: 4 * time.Second, AtOnce: 3, Parents: 1}}
 	if err := w.bounds.Check(); err != nil {
 		panic(err)
 	}
@@ -83,11 +83,11 @@
 	}
 	for z := range 2 {
 		for i := range 6 {
-			w.boxes[fmt.Sprintf("b%d%d", z, i)] = &box{Machine: work.Machine{Kind: work.KindBox, Zone: fmt.Sprintf("z%d", z), Up: true, Warm: true, Weight: 7, Busy: 0.5}}
+			w.boxes[fmt.Sprintf("b%d%d", z, i)] = &box{Machine: maintenance.Machine{Kind: maintenance.KindBox, Zone: fmt.Sprintf("z%d", z), Up: true, Warm: true, Weight: 7, Busy: 0.5}}
 		}
 	}
 	for i := range 2 {
-		w.boxes[fmt.Sprintf("p%d", i)] = &box{Machine: work.Machine{Kind: work.KindParent, Zone: "hub", Up: true, Warm: true, Weight: 20, Busy: 0.4}}
+		w.boxes[fmt.Sprintf("p%d", i)] = &box{Machine: maintenance.Machine{Kind: maintenance.KindParent, Zone: "hub", Up: true, Warm: true, Weight: 20, Busy: 0.4}}
 	}
 	for _, name := range w.names {
 		m := &member{name: name, pace: 0.96 + 0.08*w.rng.Float64(), folder: w.rng.IntN(2) == 0 || slices.Contains(w.voters, name)}
@@ -136,7 +136,7 @@
 
 // report is what a node sees: all boxes, and itself.
 func (w *world) report(m *member) Report {
-	r := Report{Machines: map[string]work.Machine{m.name: {Kind: work.KindGateway, Zone: "z" + strconv.Itoa(slices.Index(w.names, m.name)%2), Up: true,
+	r := Report{Machines: map[string]maintenance.Machine{m.name: {Kind: maintenance.KindGateway, Zone: "z" + strconv.Itoa(slices.Index(w.names, m.name)%2), Up: true,
 		Warm: m.node.Ready(), Weight: 1}}}
 	for name, b := range w.boxes {
 		r.Machines[name] = b.Machine
@@ -240,7 +240,7 @@
 		return
 	}
 	w.latest = s
-	d, err := work.Decode(s.Value)
+	d, err := maintenance.Decode(s.Value)
 	if err != nil {
 		w.bad = err.Error()
 		return
@@ -252,7 +252,7 @@
 			continue
 		}
 		was := b.out
-		b.out = r.Stage == work.Out
+		b.out = r.Stage == maintenance.Out
 		if b.out && !was { // the work begins: it stops at once
 			for _, g := range w.nodes {
 				if g.busy[r.Machine] > w.clock.Now && !g.stopped {
@@ -270,11 +270,11 @@
 }
 
 // judge is the independent checker of the bounds: by the state alone, without the code that keeps them.
-func (w *world) judge(s *work.State) {
+func (w *world) judge(s *maintenance.State) {
 	away, zone := 0, map[string]int{}
 	seen := map[string]bool{}
 	for _, r := range s.Requests {
-		if r.Stage == work.Asked || r.Stage.Ended() {
+		if r.Stage == maintenance.Asked || r.Stage.Ended() {
 			continue
 		}
 		if seen[r.Machine] {
@@ -287,7 +287,7 @@
 	if away > w.bounds.AtOnce {
 		w.bad = fmt.Sprintf("%d machines are out at once", away)
 	}
-	if zone[work.KindParent+"hub"] > 1 {
+	if zone[maintenance.KindParent+"hub"] > 1 {
 		w.bad = "both upper caches are out"
 	}
 	for z, n := range zone {
@@ -329,14 +329,14 @@
 }
 
 // order sends a command as an operator's tool would, and tries again elsewhere until it is answered.
-func (w *world) order(c work.Command, tries int) {
+func (w *world) order(c maintenance.Command, tries int) {
 	b, _ := json.Marshal(c)
 	w.serial++
 	id := w.serial
 	w.send("tool", w.names[w.rng.IntN(len(w.names))], Message{Kind: Order, ID: id, Value: b})
 	w.clock.At(w.clock.Now+700*time.Millisecond, func() {
 		m, ok := w.replies[id]
-		var r work.Reply
+		var r maintenance.Reply
 		if c.Ask != nil {
 			if ok = ok && m.Refused == "" && json.Unmarshal(m.Value, &r) == nil && r.Refused == ""; ok {
 				w.acked[c.Ask.Machine] = true
@@ -349,13 +349,13 @@
 }
 
 func (w *world) ask(machine string, after ...string) {
-	w.order(work.Command{Ask: &work.Ask{Key: "k-" + machine, Machine: machine, ForMs: 5000, After: after}}, 30)
+	w.order(maintenance.Command{Ask: &maintenance.Ask{Key: "k-" + machine, Machine: machine, ForMs: 5000, After: after}}, 30)
 }
 
 // kept says that no request which was taken is missing from a state.
-func (w *world) kept(s *work.State) string {
+func (w *world) kept(s *maintenance.State) string {
 	for m := range w.acked {
-		if !slices.ContainsFunc(s.Requests, func(r *work.Request) bool { return r.Machine == m }) {
+		if !slices.ContainsFunc(s.Requests, func(r *maintenance.Request) bool { return r.Machine == m }) {
 			return "the request for " + m + " was taken, and is not in the state"
 		}
 	}
@@ -454,7 +454,7 @@
 	})
 	for limit := end; limit < 200*time.Second && w.bad == ""; limit += 5 * time.Second {
 		w.clock.Run(limit)
-		if d, err := work.Decode(w.latest.Value); err == nil && limit > end && !slices.ContainsFunc(d.Requests, func(r *work.Request) bool { return !r.Stage.Ended() }) {
+		if d, err := maintenance.Decode(w.latest.Value); err == nil && limit > end && !slices.ContainsFunc(d.Requests, func(r *maintenance.Request) bool { return !r.Stage.Ended() }) {
 			return w, w.kept(d)
 		}
 	}
@@ -475,9 +475,9 @@
 		if bad != "" {
 			t.Fatalf("seed %d, %d nodes: %s", seed, len(w.names), bad)
 		}
-		d, _ := work.Decode(w.latest.Value)
+		d, _ := maintenance.Decode(w.latest.Value)
 		for _, r := range d.Requests {
-			if r.Stage == work.Done {
+			if r.Stage == maintenance.Done {
 				done++
 			}
 		}
--- a/internal/fleethost/host.go
+++ b/internal/fleethost/host.go
@@ -20,9 +20,9 @@
 	"larchusher/internal/net/fleetlink"
 	"larchusher/internal/net/transport"
 	"larchusher/internal/snapshot"
+	"larchusher/maintenance"
 	"larchusher/replication"
 	"larchusher/routing"
-	"larchusher/work"
 )
 
 const (
@@ -157,7 +157,7 @@
 		h.log.WithError(err).Error("the vote is lost: the others have to let this one vote again")
 	}
 	if nc.View, err = readFile(dir, viewFile, h.cfg.Key); err == nil && nc.View != nil {
-		_, err = work.Decode(nc.View)
+		_, err = maintenance.Decode(nc.View)
 	}
 	if err != nil {
 		nc.View = nil
@@ -220,18 +220,18 @@
 // report is what this gateway has seen of stores, and of itself.
 func (h *Host) report() fleet.Report {
 	stores, strain := h.gw.Observed()
-	r := fleet.Report{Strain: strain, Machines: map[string]work.Machine{}}
+	r := fleet.Report{Strain: strain, Machines: map[string]maintenance.Machine{}}
 	for _, s := range stores {
 		if s.Kind == "origin" {
 			continue
 		}
-		m := work.Machine{Kind: s.Kind, Zone: s.Zone, Up: s.Up, Warm: s.Warm, Weight: s.Weight, Busy: s.Busy}
+		m := maintenance.Machine{Kind: s.Kind, Zone: s.Zone, Up: s.Up, Warm: s.Warm, Weight: s.Weight, Busy: s.Busy}
 		if at := h.gw.StartedAt(s.Boot); !at.IsZero() {
 			m.BootMs = at.UnixMilli()
 		}
 		r.Machines[s.ID] = m
 	}
-	r.Machines[h.cfg.Name] = work.Machine{Kind: work.KindGateway, Zone: h.zone, Up: true, Warm: h.node.Ready(), Weight: 1, BootMs: h.began.UnixMilli()}
+	r.Machines[h.cfg.Name] = maintenance.Machine{Kind: maintenance.KindGateway, Zone: h.zone, Up: true, Warm: h.node.Ready(), Weight: 1, BootMs: h.began.UnixMilli()}
 	return r
 }
 
--- a/internal/net/fleetlink/link_test.go
+++ b/internal/net/fleetlink/link_test.go
@@ -21,8 +21,8 @@
 	"larchusher/gateway"
 	"larchusher/internal/net/fleetlink/linkpb"
 	"larchusher/internal/net/transport"
+	"larchusher/maintenance"
 	"larchusher/replication"
-	"larchusher/work"
 )
 
 var key = []byte("0123456789abcdef0123456789abcdef")
@@ -42,7 +42,7 @@
 			State: consensus.State{Revision: 3, Lives: map[string]uint64{"a": rapid.Uint64().Draw(t, "a")}, Value: []byte("x")}}
 	}
 	if rapid.Bool().Draw(t, "report") {
-		m.Report = &fleet.Report{Strain: text.Draw(t, "strain"), Machines: map[string]work.Machine{"b1": {Kind: "box", Zone: "z", Up: true, BootMs: 17, Weight: 2.5, Busy: -1}}}
+		m.Report = &fleet.Report{Strain: text.Draw(t, "strain"), Machines: map[string]maintenance.Machine{"b1": {Kind: "box", Zone: "z", Up: true, BootMs: 17, Weight: 2.5, Busy: -1}}}
 	}
 	if rapid.Bool().Draw(t, "copy") {
 		life := replication.Life{Name: "w" + text.Draw(t, "writer"), Number: rapid.Uint64().Draw(t, "number")}
--- a/internal/net/fleetlink/words.go
+++ b/internal/net/fleetlink/words.go
@@ -11,8 +11,8 @@
 	"larchusher/consensus"
 	"larchusher/fleet"
 	"larchusher/internal/net/fleetlink/linkpb"
+	"larchusher/maintenance"
 	"larchusher/replication"
-	"larchusher/work"
 )
 
 // The form of messages: what package fleet deals in, and back.
@@ -73,9 +73,9 @@
 		m.Copy = copyIn(c)
 	}
 	if r := pb.GetReport(); r != nil {
-		m.Report = &fleet.Report{Strain: r.GetStrain(), Machines: map[string]work.Machine{}}
+		m.Report = &fleet.Report{Strain: r.GetStrain(), Machines: map[string]maintenance.Machine{}}
 		for _, x := range r.GetMachine() {
-			m.Report.Machines[x.GetName()] = work.Machine{Kind: x.GetKind(), Zone: x.GetZone(), Up: x.GetUp(), Warm: x.GetWarm(), BootMs: x.GetBootMs(),
+			m.Report.Machines[x.GetName()] = maintenance.Machine{Kind: x.GetKind(), Zone: x.GetZone(), Up: x.GetUp(), Warm: x.GetWarm(), BootMs: x.GetBootMs(),
 				Weight: x.GetWeight(), Busy: x.GetBusy()}
 		}
 	}
--- a/lab/procs/procs.go
+++ b/lab/procs/procs.go
@@ -22,7 +22,7 @@
 	"larchusher/internal/net/fleetlink"
 	"larchusher/lab/standin"
 	"larchusher/lab/world"
-	"larchusher/work"
+	"larchusher/maintenance"
 )
 
 const (
@@ -95,11 +95,11 @@
 	mu     sync.Mutex
 	asked  map[string]time.Time
 	acked  map[string]string // by machine: who took the request, and when
-	seen   map[string]work.Stage
+	seen   map[string]maintenance.Stage
 	took   map[string]time.Duration
 	ledger ledger
 	texts  map[uint64]string // by revision, the state as somebody told it
-	state  *work.State
+	state  *maintenance.State
 	rev    uint64
 	wg     sync.WaitGroup
 }
@@ -260,7 +260,7 @@
 		return nil, fmt.Errorf("procs: %w", err)
 	}
 	p := &play{plot: plot, dir: dir, program: program, faults: &faults{}, machines: map[string]*machine{}, relays: map[string]*relay{},
-		rng: rand.New(rand.NewPCG(plot.Seed, 99)), asked: map[string]time.Time{}, acked: map[string]string{}, seen: map[string]work.Stage{}, took: map[string]time.Duration{}, texts: map[uint64]string{}}
+		rng: rand.New(rand.NewPCG(plot.Seed, 99)), asked: map[string]time.Time{}, acked: map[string]string{}, seen: map[string]maintenance.Stage{}, took: map[string]time.Duration{}, texts: map[uint64]string{}}
 	p.takes.Store(int64(2 * time.Millisecond))
 	p.ledger.shared = slices.ContainsFunc(plot.Events, func(e Event) bool { return e.What == "share" })
 	if err := p.build(ctx); err != nil {
@@ -557,7 +557,7 @@
 		return
 	}
 	p.wg.Go(func() {
-		value, _ := json.Marshal(work.Command{By: "plot", Ask: &work.Ask{Key: "plot-" + name, Machine: name, ForMs: 3000}})
+		value, _ := json.Marshal(maintenance.Command{By: "plot", Ask: &maintenance.Ask{Key: "plot-" + name, Machine: name, ForMs: 3000}})
 		for try := 0; ctx.Err() == nil && try < 200; try++ {
 			g := first
 			if try > 0 {
@@ -565,7 +565,7 @@
 			}
 			reply, err := p.order(ctx, g, fleet.Message{Value: value})
 			if err == nil && reply.Refused == "" {
-				var r work.Reply
+				var r maintenance.Reply
 				if json.Unmarshal(reply.Value, &r) == nil && r.Refused == "" {
 					p.mu.Lock()
 					defer p.mu.Unlock()
@@ -629,7 +629,7 @@
 
 // look holds what one gateway told against what others did, and against the bounds.
 func (p *play) look(g *process, m fleet.Message) {
-	s, err := work.Decode(m.Value)
+	s, err := maintenance.Decode(m.Value)
 	if err != nil {
 		p.faults.add("%s tells a state that can't be read: %v", g.name, err)
 		return
@@ -649,19 +649,19 @@
 	for _, r := range s.Requests {
 		if was := p.seen[r.Machine]; was != r.Stage {
 			p.seen[r.Machine] = r.Stage
-			if _, ok := p.took[r.Machine]; !ok && r.Stage != work.Asked && r.Stage != work.Withdrawn {
+			if _, ok := p.took[r.Machine]; !ok && r.Stage != maintenance.Asked && r.Stage != maintenance.Withdrawn {
 				p.took[r.Machine] = time.Since(p.asked[r.Machine])
 			}
-			if r.Stage == work.Out {
+			if r.Stage == maintenance.Out {
 				p.begin(p.machines[r.Machine])
 			}
 		}
-		if r.Stage == work.Asked || r.Stage.Ended() {
+		if r.Stage == maintenance.Asked || r.Stage.Ended() {
 			continue
 		}
 		away++
 		zones[r.Kind+" "+r.Zone]++
-		if r.Kind == work.KindParent {
+		if r.Kind == maintenance.KindParent {
 			parents++
 		}
 	}
@@ -697,7 +697,7 @@
 func (p *play) verdict(ctx context.Context, ended time.Duration) *Verdict {
 	v := &Verdict{Plot: p.plot, Ended: ended, Took: p.took, Asked: len(p.asked), Stale: p.ledger.stale, Drained: p.ledger.drained, Equal: p.ledger.equal, Told: len(p.ledger.purges)}
 	for _, s := range p.seen {
-		if s == work.Done {
+		if s == maintenance.Done {
 			v.Done++
 		}
 	}
--- a/lab/procs/rest.go
+++ b/lab/procs/rest.go
@@ -11,7 +11,7 @@
 	"larchusher/fleet"
 	"larchusher/internal/net/fleetlink"
 	"larchusher/lab/sim"
-	"larchusher/work"
+	"larchusher/maintenance"
 )
 
 // Resting is what a fleet sends each other in simulated time while nothing happens, a second.
@@ -30,7 +30,7 @@
 	clock  sim.Clock
 	nodes  map[string]*fleet.Node
 	names  []string
-	bounds work.Bounds
+	bounds maintenance.Bounds
 	report func(name string) fleet.Report
 	sent   func(from, to string, bytes int) // nil: nobody counts
 	wrote  func()                           // likewise
@@ -38,7 +38,7 @@
 }
 
 // simulate starts so many gateways at once. Reports are made every half second.
-func simulate(n int, seed uint64, bounds work.Bounds, report func(name string) fleet.Report) (*simulated, error) {
+func simulate(n int, seed uint64, bounds maintenance.Bounds, report func(name string) fleet.Report) (*simulated, error) {
 	f := &simulated{clock: sim.Clock{Now: time.Second}, nodes: map[string]*fleet.Node{}, bounds: bounds, report: report}
 	for i := range n {
 		f.names = append(f.names, fmt.Sprintf("gateway-%03d", i))
@@ -97,7 +97,7 @@
 }
 
 // order sends a command to a gateway as a tool does.
-func (f *simulated) order(to string, c work.Command) error {
+func (f *simulated) order(to string, c maintenance.Command) error {
 	value, err := json.Marshal(c)
 	if err != nil {
 		return err
@@ -123,11 +123,11 @@
 // one's report.
 func Rest(n int, seed uint64) (Resting, error) {
 	out, sent, busy := Resting{Gateways: n}, map[string][2]float64{}, false
-	report := fleet.Report{Machines: map[string]work.Machine{}}
+	report := fleet.Report{Machines: map[string]maintenance.Machine{}}
 	for i := range 20 {
-		report.Machines[fmt.Sprintf("box-%02d", i)] = work.Machine{Kind: work.KindBox, Zone: "z", Up: true, Warm: true, Weight: 10, Busy: 0.3}
+		report.Machines[fmt.Sprintf("box-%02d", i)] = maintenance.Machine{Kind: maintenance.KindBox, Zone: "z", Up: true, Warm: true, Weight: 10, Busy: 0.3}
 	}
-	f, err := simulate(n, seed, work.Bounds{}, func(string) fleet.Report { return report })
+	f, err := simulate(n, seed, maintenance.Bounds{}, func(string) fleet.Report { return report })
 	if err != nil {
 		return out, err
 	}
@@ -160,7 +160,7 @@
 	}
 	out.Writes /= long
 	asked := f.clock.Now
-	if err := f.order(f.names[n-1], work.Command{Ask: &work.Ask{Key: "k", Machine: "box-01", ForMs: 1000}}); err != nil {
+	if err := f.order(f.names[n-1], maintenance.Command{Ask: &maintenance.Ask{Key: "k", Machine: "box-01", ForMs: 1000}}); err != nil {
 		return out, err
 	}
 	for until := asked; out.Drained == 0 && until < asked+30*time.Second; {
@@ -170,7 +170,7 @@
 			if out.Granted == 0 {
 				out.Granted = until - asked
 			}
-			if s.Requests[0].Stage == work.Out {
+			if s.Requests[0].Stage == maintenance.Out {
 				out.Drained = until - asked
 			}
 		}
@@ -186,12 +186,12 @@
 		return nil, err
 	}
 	defer p.close()
-	state := func(g *process) *work.State {
+	state := func(g *process) *maintenance.State {
 		m, err := p.order(ctx, g, fleet.Message{Query: "state"})
 		if err != nil || m.Refused != "" {
 			return nil
 		}
-		s, _ := work.Decode(m.Value)
+		s, _ := maintenance.Decode(m.Value)
 		return s
 	}
 	last := p.gateways[gateways-1]
@@ -205,7 +205,7 @@
 	for n := range times {
 		dies := kill && n%3 == 2
 		name := box(0, n%6)
-		value, _ := json.Marshal(work.Command{By: "measure", Ask: &work.Ask{Key: fmt.Sprint("m", n), Machine: name, ForMs: 1000}})
+		value, _ := json.Marshal(maintenance.Command{By: "measure", Ask: &maintenance.Ask{Key: fmt.Sprint("m", n), Machine: name, ForMs: 1000}})
 		if dies {
 			p.gateways[0].set(false)
 			if err := p.gateways[0].world.Kill(); err != nil {
@@ -225,7 +225,7 @@
 			}
 			if s := state(last); s != nil {
 				for _, r := range s.Requests {
-					granted = granted || r.Key == fmt.Sprint("m", n) && r.Stage != work.Asked
+					granted = granted || r.Key == fmt.Sprint("m", n) && r.Stage != maintenance.Asked
 				}
 			}
 			time.Sleep(5 * time.Millisecond)
@@ -242,7 +242,7 @@
 			}
 			p.gateways[0].set(true)
 		}
-		value, _ = json.Marshal(work.Command{By: "measure", Withdraw: &work.Named{Name: name}})
+		value, _ = json.Marshal(maintenance.Command{By: "measure", Withdraw: &maintenance.Named{Name: name}})
 		for {
 			m, err := p.order(ctx, last, fleet.Message{Value: value})
 			if err == nil && m.Refused == "" || ctx.Err() != nil {
@@ -250,7 +250,7 @@
 			}
 		}
 		// It may have been called out meanwhile: then its work is over at once.
-		value, _ = json.Marshal(work.Command{By: "measure", Finish: &work.Named{Name: name}})
+		value, _ = json.Marshal(maintenance.Command{By: "measure", Finish: &maintenance.Named{Name: name}})
 		_, _ = p.order(ctx, last, fleet.Message{Value: value})
 		time.Sleep(1200 * time.Millisecond)
 	}
--- a/lab/procs/timetable.go
+++ b/lab/procs/timetable.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"larchusher/fleet"
-	"larchusher/work"
+	"larchusher/maintenance"
 )
 
 // What a plan of work costs the clients, in simulated time: forty machines, settled by gateways or by a fixed timetable, before
@@ -69,11 +69,11 @@
 	}
 	for z := range planZones {
 		for i := range planBoxes {
-			add(fmt.Sprintf("box-%d-%02d", z, i), work.KindBox, fmt.Sprintf("z%d", z))
+			add(fmt.Sprintf("box-%d-%02d", z, i), maintenance.KindBox, fmt.Sprintf("z%d", z))
 		}
 	}
 	for i := range planParents {
-		add(fmt.Sprintf("upper-%d", i), work.KindParent, "hub")
+		add(fmt.Sprintf("upper-%d", i), maintenance.KindParent, "hub")
 	}
 	p.burst = time.Duration(60+p.rng.IntN(600)) * time.Second
 	for z := range planZones { // a box crashes in each zone, some time, for a minute
@@ -223,7 +223,7 @@
 }
 
 // Settled has five gateways settle it, within bounds as in the operators' file.
-func Settled(seed uint64, bounds work.Bounds) (Planned, error) {
+func Settled(seed uint64, bounds maintenance.Bounds) (Planned, error) {
 	p, t := newPlant(seed), tally{}
 	bounds.Ramp, bounds.Grace = planRamp, 3*time.Second
 	if err := bounds.Check(); err != nil {
@@ -232,7 +232,7 @@
 	var f *simulated
 	began := time.Duration(0) // on the fleet's clock; 0: not yet
 	f, err := simulate(5, seed, bounds, func(string) fleet.Report {
-		r, at := fleet.Report{Machines: map[string]work.Machine{}}, time.Duration(0)
+		r, at := fleet.Report{Machines: map[string]maintenance.Machine{}}, time.Duration(0)
 		if began > 0 {
 			at = f.clock.Now - began
 		}
@@ -241,7 +241,7 @@
 			if !m.down {
 				busy = p.hub // of boxes see below
 			}
-			r.Machines[m.name] = work.Machine{Kind: m.kind, Zone: m.zone, Up: !m.down, Warm: m.warm(at) >= 1, BootMs: m.boot, Weight: 1, Busy: busy}
+			r.Machines[m.name] = maintenance.Machine{Kind: m.kind, Zone: m.zone, Up: !m.down, Warm: m.warm(at) >= 1, BootMs: m.boot, Weight: 1, Busy: busy}
 		}
 		// What the boxes of a zone can't take stands at those that are there.
 		for z := range planZones {
@@ -267,7 +267,7 @@
 	}
 	began = f.clock.Now
 	for i, m := range p.machines {
-		if err := f.order(f.names[i%len(f.names)], work.Command{Ask: &work.Ask{Key: m.name, Machine: m.name, ForMs: planSaid.Milliseconds()}}); err != nil {
+		if err := f.order(f.names[i%len(f.names)], maintenance.Command{Ask: &maintenance.Ask{Key: m.name, Machine: m.name, ForMs: planSaid.Milliseconds()}}); err != nil {
 			return Planned{}, err
 		}
 	}
@@ -276,7 +276,7 @@
 		p.events(at - began)
 		if s := f.nodes[f.names[0]].State(); s != nil {
 			for _, r := range s.Requests {
-				if m := p.by[r.Machine]; m != nil && r.Stage == work.Out {
+				if m := p.by[r.Machine]; m != nil && r.Stage == maintenance.Out {
 					m.begin(at - began)
 				}
 			}
--- a/work/work.go
+++ b/maintenance/maintenance.go
@@ -1,4 +1,4 @@
-// Package work settles in which order machines are taken out for work: boxes, upper caches and the gateways' own. It is a
+// Package maintenance settles in which order machines are taken out for work: boxes, upper caches and the gateways' own. It is a
 // state with commands that change it, to be kept by agreement among gateways; all decisions are functions of the state and of
 // what one of them has observed. It does no I/O and reads no clock.
 //
@@ -10,7 +10,7 @@
 //   - out: every gateway has said that it has stopped, or its lease has run out, as measured from after the drain was
 //     agreed on by a clock that need only run at about the right pace;
 //   - back: it has started anew, or was said to be done. It counts as out until it is warm.
-package work
+package maintenance
 
 import (
 	"cmp"
--- a/work/work_test.go
+++ b/maintenance/maintenance_test.go
@@ -1,4 +1,4 @@
-package work
+package maintenance
 
 import (
 	"encoding/json"
