--- a/fleet/fleet.go
+++ b/cluster/cluster.go
@@ -1,4 +1,4 @@
-// Package fleet is a gateway's part in what gateways settle among themselves: it votes, if it is one of the few that do; it
+// Package cluster is a gateway's part in what gateways settle among themselves: it votes, if it is one of the few that do; it
 // keeps its view of what was agreed on, with a lease on it; it says which machines may be sent to; and it takes the order of work
 // forward. It does no I/O and reads no clock.
 //
@@ -6,7 +6,7 @@
 // came, so that the gateway knows what was agreed on when it asked. From then on its lease holds for as long as the bounds say, by its
 // own clock. One that gets no answer goes on serving: it takes what it knows to be granted for drained, and what it doesn't know of
 // is not taken out, since no machine is drained before every gateway has said that it has heard.
-package fleet
+package cluster
 
 import (
 	"bytes"
--- a/fleet/world_test.go
+++ b/cluster/world_test.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"encoding/json"
--- a/cmd/larchusher/shared.go
+++ b/cmd/larchusher/shared.go
@@ -8,7 +8,7 @@
 	"strings"
 	"text/tabwriter"
 
-	"larchusher/fleet"
+	"larchusher/cluster"
 	"larchusher/internal/fleethost"
 	"larchusher/replication"
 )
@@ -18,7 +18,7 @@
 	if at != "" {
 		one.At = at
 	}
-	m, err := one.ask(fleet.Message{Query: "shared", Value: []byte(kind)})
+	m, err := one.ask(cluster.Message{Query: "shared", Value: []byte(kind)})
 	if err == nil && m.Refused != "" {
 		err = errors.New("state: refused: " + m.Refused)
 	}
@@ -131,7 +131,7 @@
 	if err != nil {
 		return err
 	}
-	m, err := c.ask(fleet.Message{Query: "forget", Value: value})
+	m, err := c.ask(cluster.Message{Query: "forget", Value: value})
 	if err == nil && m.Refused != "" {
 		err = errors.New("state: refused: " + m.Refused)
 	}
--- a/cmd/larchusher/work.go
+++ b/cmd/larchusher/work.go
@@ -12,7 +12,7 @@
 	"text/tabwriter"
 	"time"
 
-	"larchusher/fleet"
+	"larchusher/cluster"
 	"larchusher/internal/config"
 	"larchusher/internal/net/fleetlink"
 	"larchusher/maintenance"
@@ -38,34 +38,34 @@
 }
 
 // order sends an order to one gateway after the other until one answers.
-func (f *fleetFlags) order(c *maintenance.Command, query string) (fleet.Message, error) {
-	m := fleet.Message{Query: query}
+func (f *fleetFlags) order(c *maintenance.Command, query string) (cluster.Message, error) {
+	m := cluster.Message{Query: query}
 	if c != nil {
 		if c.By == "" {
 			c.By = by()
 		}
 		var err error
 		if m.Value, err = json.Marshal(c); err != nil {
-			return fleet.Message{}, fmt.Errorf("work: %w", err)
+			return cluster.Message{}, fmt.Errorf("work: %w", err)
 		}
 	}
 	return f.ask(m)
 }
 
 // ask sends a message to one gateway after the other until one answers.
-func (f *fleetFlags) ask(m fleet.Message) (fleet.Message, error) {
+func (f *fleetFlags) ask(m cluster.Message) (cluster.Message, error) {
 	op, err := config.LoadOperator(f.Operator, os.Getenv)
 	if err != nil {
-		return fleet.Message{}, err
+		return cluster.Message{}, err
 	}
 	if op.Fleet == nil {
-		return fleet.Message{}, errors.New("the operator's file (--operator) has no fleet")
+		return cluster.Message{}, errors.New("the operator's file (--operator) has no fleet")
 	}
 	members := op.Fleet.Members
 	if f.At != "" {
 		addr := op.Fleet.Address(f.At)
 		if addr == "" {
-			return fleet.Message{}, fmt.Errorf("--at: %q is none of the members", f.At)
+			return cluster.Message{}, fmt.Errorf("--at: %q is none of the members", f.At)
 		}
 		members = []config.FleetMember{{Name: f.At, Address: addr}}
 	}
@@ -85,15 +85,15 @@
 		case <-time.After(200 * time.Millisecond):
 		}
 	}
-	return fleet.Message{}, fmt.Errorf("no gateway answered in %v: %w", f.Timeout, last)
+	return cluster.Message{}, fmt.Errorf("no gateway answered in %v: %w", f.Timeout, last)
 }
 
-func askOne(ctx context.Context, g config.FleetMember, key []byte, m fleet.Message) (fleet.Message, error) {
+func askOne(ctx context.Context, g config.FleetMember, key []byte, m cluster.Message) (cluster.Message, error) {
 	one, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	t, err := fleetlink.Call(one, g.Name, g.Address, key)
 	if err != nil {
-		return fleet.Message{}, err
+		return cluster.Message{}, err
 	}
 	defer t.Close()
 	return t.Ask(one, m)
--- a/internal/fleethost/host.go
+++ b/internal/fleethost/host.go
@@ -13,8 +13,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"larchusher/cluster"
 	"larchusher/consensus"
-	"larchusher/fleet"
 	"larchusher/gateway"
 	"larchusher/internal/config"
 	"larchusher/internal/net/fleetlink"
@@ -40,7 +40,7 @@
 	gw     *gateway.Gateway
 	log    logrus.FieldLogger
 	zone   string
-	node   *fleet.Node
+	node   *cluster.Node
 	link   *fleetlink.Link
 	keeper *keeper // nil: nothing lasts
 	unlock func()
@@ -52,7 +52,7 @@
 	settles time.Duration
 
 	began  time.Time
-	hold   fleet.Hold
+	hold   cluster.Hold
 	seenAt time.Time
 	warned time.Time
 	failed error // of the latest write
@@ -68,7 +68,7 @@
 		longest = max(longest, c.Deadline)
 	}
 	bounds.Grace, bounds.Ramp = max(set.DrainGrace, longest+slackAfter), max(set.ColdFor, set.ParentColdFor)
-	nc := fleet.Config{Self: cfg.Name, Life: newLife(), Voters: cfg.Voters, Bounds: bounds, Clock: h.wall, Gap: readsGap, Seed: newLife()}
+	nc := cluster.Config{Self: cfg.Name, Life: newLife(), Voters: cfg.Voters, Bounds: bounds, Clock: h.wall, Gap: readsGap, Seed: newLife()}
 	for _, m := range cfg.Members {
 		nc.Members = append(nc.Members, m.Name)
 	}
@@ -79,7 +79,7 @@
 		}
 	}
 	var err error
-	if h.node, err = fleet.New(nc); err != nil {
+	if h.node, err = cluster.New(nc); err != nil {
 		h.free()
 		return nil, err
 	}
@@ -87,7 +87,7 @@
 	for _, m := range cfg.Members {
 		members = append(members, fleetlink.Member{Name: m.Name, Addr: m.Address})
 	}
-	h.link, err = fleetlink.Open(cfg.Name, cfg.Listen, members, cfg.Key, loop, engine, h.log, func(from string, m fleet.Message) {
+	h.link, err = fleetlink.Open(cfg.Name, cfg.Listen, members, cfg.Key, loop, engine, h.log, func(from string, m cluster.Message) {
 		h.heard(from, m)
 	})
 	if err == nil {
@@ -103,17 +103,17 @@
 }
 
 // heard hands a message to whom it is for.
-func (h *Host) heard(from string, m fleet.Message) {
-	switch asks := m.Kind == fleet.Order && (m.Query == queryShared || m.Query == queryForget); {
+func (h *Host) heard(from string, m cluster.Message) {
+	switch asks := m.Kind == cluster.Order && (m.Query == queryShared || m.Query == queryForget); {
 	case h.closed:
-	case m.Kind == fleet.Share && h.shared != nil && m.Copy != nil:
+	case m.Kind == cluster.Share && h.shared != nil && m.Copy != nil:
 		h.shared.do(replication.Heard{From: from, Message: *m.Copy})
 	case asks && h.shared != nil:
 		h.shared.query(from, m)
 	case asks:
-		h.link.Send(from, fleet.Message{Kind: fleet.Reply, ID: m.ID, Refused: "this gateway keeps nothing in common: fleet.replicate is off"})
+		h.link.Send(from, cluster.Message{Kind: cluster.Reply, ID: m.ID, Refused: "this gateway keeps nothing in common: fleet.replicate is off"})
 	default:
-		h.do(fleet.Heard{From: from, Message: m})
+		h.do(cluster.Heard{From: from, Message: m})
 	}
 }
 
@@ -137,7 +137,7 @@
 }
 
 // recall reads what lasts. A spoilt file is as good as a lost one: a vote that is lost has another life.
-func (h *Host) recall(nc *fleet.Config) error {
+func (h *Host) recall(nc *cluster.Config) error {
 	dir := snapshot.Folder(h.cfg.Folder)
 	if err := os.MkdirAll(h.cfg.Folder, 0o700); err != nil {
 		return fmt.Errorf("fleet.folder: %w", err)
@@ -207,9 +207,9 @@
 	now := h.loop.Now()
 	if now.Sub(h.seenAt) >= seenEvery {
 		h.seenAt = now
-		h.do(fleet.Seen{Report: h.report()})
+		h.do(cluster.Seen{Report: h.report()})
 	}
-	h.do(fleet.Tick{})
+	h.do(cluster.Tick{})
 	if h.shared != nil {
 		h.shared.tick()
 	}
@@ -218,9 +218,9 @@
 }
 
 // report is what this gateway has seen of stores, and of itself.
-func (h *Host) report() fleet.Report {
+func (h *Host) report() cluster.Report {
 	stores, strain := h.gw.Observed()
-	r := fleet.Report{Strain: strain, Machines: map[string]maintenance.Machine{}}
+	r := cluster.Report{Strain: strain, Machines: map[string]maintenance.Machine{}}
 	for _, s := range stores {
 		if s.Kind == "origin" {
 			continue
@@ -238,32 +238,32 @@
 // idle tells the node once nothing is out at what is held.
 func (h *Host) idle() {
 	if h.hold.Generation > 0 && h.gw.Quiet(h.hold.Machines) {
-		h.do(fleet.Idle{Generation: h.hold.Generation})
+		h.do(cluster.Idle{Generation: h.hold.Generation})
 	}
 }
 
-func (h *Host) do(e fleet.Event) {
+func (h *Host) do(e cluster.Event) {
 	if h.closed {
 		return
 	}
 	for _, a := range h.node.Handle(h.now(), e, nil) {
 		switch a := a.(type) {
-		case fleet.Send:
+		case cluster.Send:
 			h.link.Send(a.To, a.Message)
-		case fleet.StoreVote:
+		case cluster.StoreVote:
 			h.storeVote(a.Store)
-		case fleet.StoreView:
-			h.store(viewFile, a.Value, fleet.ViewStored{Revision: a.Revision})
-		case fleet.Hold:
+		case cluster.StoreView:
+			h.store(viewFile, a.Value, cluster.ViewStored{Revision: a.Revision})
+		case cluster.Hold:
 			h.hold = a
 			h.holdAll()
 			h.loop.Post(h.idle)
-		case fleet.Leave:
+		case cluster.Leave:
 			h.log.Info("this gateway's own turn: it drains itself")
 			if h.Leave != nil {
-				h.Leave(func() { h.do(fleet.Left{}) })
+				h.Leave(func() { h.do(cluster.Left{}) })
 			}
-		case fleet.Audit:
+		case cluster.Audit:
 			h.log.WithField("audit", "work").Info(a.Text)
 		}
 	}
@@ -275,12 +275,12 @@
 		h.log.WithError(err).Error("a vote can't be stored")
 		return
 	}
-	h.store(voteFile, b, fleet.VoteStored{Number: s.Number})
+	h.store(voteFile, b, cluster.VoteStored{Number: s.Number})
 }
 
 // store writes what must last, and says so once it does. Without a folder it lasts as long as this process, which is all that is
 // asked of it: the next one has another life.
-func (h *Host) store(name string, data []byte, done fleet.Event) {
+func (h *Host) store(name string, data []byte, done cluster.Event) {
 	if h.keeper == nil {
 		h.loop.Post(func() { h.do(done) })
 		return
--- a/internal/fleethost/share.go
+++ b/internal/fleethost/share.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"larchusher/fleet"
+	"larchusher/cluster"
 	"larchusher/replication"
 	"larchusher/warmstart"
 )
@@ -57,7 +57,7 @@
 		switch a := a.(type) {
 		case replication.Send:
 			m := a.Message
-			s.h.link.Send(a.To, fleet.Message{Kind: fleet.Share, Copy: &m})
+			s.h.link.Send(a.To, cluster.Message{Kind: cluster.Share, Copy: &m})
 		case replication.Learned:
 			for _, x := range a.Slots {
 				if x.Kind == replication.Purge { // at once: the own journal may be late
@@ -117,8 +117,8 @@
 }
 
 // query answers a tool by itself: what is kept in common is asked of the gateway that is asked.
-func (s *sharing) query(from string, m fleet.Message) {
-	reply := fleet.Message{Kind: fleet.Reply, ID: m.ID}
+func (s *sharing) query(from string, m cluster.Message) {
+	reply := cluster.Message{Kind: cluster.Reply, ID: m.ID}
 	var err error
 	switch {
 	case m.Query == queryShared:
--- a/internal/net/fleetlink/frame.go
+++ b/internal/net/fleetlink/frame.go
@@ -15,7 +15,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"larchusher/fleet"
+	"larchusher/cluster"
 	"larchusher/internal/net/fleetlink/linkpb"
 )
 
@@ -51,7 +51,7 @@
 }
 
 // Size is what a message takes on the wire, between members with names of such a length.
-func Size(m fleet.Message) int {
+func Size(m cluster.Message) int {
 	w := &writer{from: "gateway-00", to: "gateway-00"}
 	f, err := w.frame(m)
 	if err != nil {
@@ -68,9 +68,9 @@
 	own            []byte // challenge for what comes back; told once
 }
 
-func (w *writer) frame(m fleet.Message) ([]byte, error) {
+func (w *writer) frame(m cluster.Message) ([]byte, error) {
 	w.sequence++
-	e := &linkpb.Envelope{Version: fleet.Version, From: w.from, To: w.to, Sequence: w.sequence, Message: out(m), Challenge: w.own}
+	e := &linkpb.Envelope{Version: cluster.Version, From: w.from, To: w.to, Sequence: w.sequence, Message: out(m), Challenge: w.own}
 	w.own = nil
 	b, err := proto.Marshal(e)
 	if err != nil {
@@ -97,7 +97,7 @@
 }
 
 // feed takes bytes and calls emit with each message.
-func (r *reader) feed(b []byte, emit func(from string, m fleet.Message)) error {
+func (r *reader) feed(b []byte, emit func(from string, m cluster.Message)) error {
 	r.buf = append(r.buf, b...)
 	for {
 		if len(r.buf) < headSize {
--- a/internal/net/fleetlink/link.go
+++ b/internal/net/fleetlink/link.go
@@ -7,7 +7,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"larchusher/fleet"
+	"larchusher/cluster"
 	"larchusher/gateway"
 	"larchusher/internal/net/transport"
 )
@@ -43,7 +43,7 @@
 	loop   *gateway.Loop
 	engine *transport.Engine
 	log    logrus.FieldLogger
-	heard  func(from string, m fleet.Message)
+	heard  func(from string, m cluster.Message)
 	to     map[string]*outgoing
 	tools  map[string]*incoming
 	open   map[*incoming]bool
@@ -53,7 +53,7 @@
 
 // Open listens for the other members and for tools. Each message that comes is handed to heard, on the loop.
 func Open(self, listen string, members []Member, key []byte, loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger,
-	heard func(from string, m fleet.Message)) (*Link, error) {
+	heard func(from string, m cluster.Message)) (*Link, error) {
 	l := &Link{self: self, key: key, loop: loop, engine: engine, log: log, heard: heard, to: map[string]*outgoing{}, tools: map[string]*incoming{},
 		open: map[*incoming]bool{}}
 	for _, m := range members {
@@ -73,7 +73,7 @@
 func (l *Link) Addr() string { return l.listen.Addr().String() }
 
 // Send sends a message to a member, or back to a tool. It may get lost.
-func (l *Link) Send(to string, m fleet.Message) {
+func (l *Link) Send(to string, m cluster.Message) {
 	if o := l.to[to]; o != nil {
 		o.send(m)
 	} else if c := l.tools[to]; c != nil {
@@ -117,10 +117,10 @@
 	conn  *dialled
 	next  time.Time // not dialled before
 	again time.Duration
-	first []fleet.Message // until the connection is up
+	first []cluster.Message // until the connection is up
 }
 
-func (o *outgoing) send(m fleet.Message) {
+func (o *outgoing) send(m cluster.Message) {
 	l := o.link
 	if o.conn == nil && !l.closed && !l.loop.Now().Before(o.next) {
 		l.Counters.Dialled++
@@ -144,7 +144,7 @@
 	}
 }
 
-func (o *outgoing) write(m fleet.Message) {
+func (o *outgoing) write(m cluster.Message) {
 	l, d := o.link, o.conn
 	if d.tc.Waiting() > waitingMost { // one that does not read costs this much and no more
 		l.Counters.Dropped++
@@ -262,7 +262,7 @@
 // OnBytes takes frames.
 func (c *incoming) OnBytes(tc *transport.Conn, b []byte, _ time.Time) error {
 	l := c.link
-	err := c.r.feed(b, func(from string, m fleet.Message) {
+	err := c.r.feed(b, func(from string, m cluster.Message) {
 		theirs := c.r.theirs
 		n := len(m.Value)
 		l.loop.Post(func() {
@@ -309,7 +309,7 @@
 }
 
 // reply sends a message back on a tool's connection.
-func (c *incoming) reply(m fleet.Message) {
+func (c *incoming) reply(m cluster.Message) {
 	f, err := c.w.frame(m)
 	if err == nil {
 		err = c.tc.Write(f)
--- a/internal/net/fleetlink/link_test.go
+++ b/internal/net/fleetlink/link_test.go
@@ -16,8 +16,8 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
+	"larchusher/cluster"
 	"larchusher/consensus"
-	"larchusher/fleet"
 	"larchusher/gateway"
 	"larchusher/internal/net/fleetlink/linkpb"
 	"larchusher/internal/net/transport"
@@ -27,22 +27,22 @@
 
 var key = []byte("0123456789abcdef0123456789abcdef")
 
-func drawMessage(t *rapid.T) fleet.Message {
+func drawMessage(t *rapid.T) cluster.Message {
 	text := rapid.StringMatching("[a-z0-9]{0,12}")
 	ballot := func(name string) consensus.Ballot {
 		return consensus.Ballot{Number: rapid.Uint64().Draw(t, name), Voter: text.Draw(t, name)}
 	}
-	m := fleet.Message{Kind: fleet.Kind(rapid.IntRange(1, 9).Draw(t, "kind")), ID: rapid.Uint64().Draw(t, "id"), Life: rapid.Uint64().Draw(t, "life"), Blank: rapid.Bool().Draw(t, "blank"),
+	m := cluster.Message{Kind: cluster.Kind(rapid.IntRange(1, 9).Draw(t, "kind")), ID: rapid.Uint64().Draw(t, "id"), Life: rapid.Uint64().Draw(t, "life"), Blank: rapid.Bool().Draw(t, "blank"),
 		Have: rapid.Uint64().Draw(t, "have"), Revision: rapid.Uint64().Draw(t, "revision"), Heard: rapid.Uint64().Draw(t, "heard"), Query: text.Draw(t, "query"), Refused: text.Draw(t, "refused")}
 	if rapid.Bool().Draw(t, "value") {
 		m.Value = []byte(text.Draw(t, "bytes"))
 	}
-	if m.Kind == fleet.Vote {
+	if m.Kind == cluster.Vote {
 		m.Vote = consensus.Message{Kind: consensus.Kind(rapid.IntRange(1, 9).Draw(t, "vote")), Life: 7, Ballot: ballot("ballot"), Next: ballot("next"), Accepted: ballot("accepted"),
 			State: consensus.State{Revision: 3, Lives: map[string]uint64{"a": rapid.Uint64().Draw(t, "a")}, Value: []byte("x")}}
 	}
 	if rapid.Bool().Draw(t, "report") {
-		m.Report = &fleet.Report{Strain: text.Draw(t, "strain"), Machines: map[string]maintenance.Machine{"b1": {Kind: "box", Zone: "z", Up: true, BootMs: 17, Weight: 2.5, Busy: -1}}}
+		m.Report = &cluster.Report{Strain: text.Draw(t, "strain"), Machines: map[string]maintenance.Machine{"b1": {Kind: "box", Zone: "z", Up: true, BootMs: 17, Weight: 2.5, Busy: -1}}}
 	}
 	if rapid.Bool().Draw(t, "copy") {
 		life := replication.Life{Name: "w" + text.Draw(t, "writer"), Number: rapid.Uint64().Draw(t, "number")}
@@ -56,7 +56,7 @@
 
 // What a former version proposed without a Prepare had no majority's promise: it is not a message that a voter heeds.
 func TestAFormerVersionHasToPrepare(t *testing.T) {
-	pb := out(fleet.Message{Kind: fleet.Vote, Vote: consensus.Message{Kind: consensus.Accept, Ballot: consensus.Ballot{Number: 5, Voter: "a"}}})
+	pb := out(cluster.Message{Kind: cluster.Vote, Vote: consensus.Message{Kind: consensus.Accept, Ballot: consensus.Ballot{Number: 5, Voter: "a"}}})
 	if in(pb).Vote.Kind != consensus.Accept {
 		t.Fatal("an accept after a prepare is not read")
 	}
@@ -72,7 +72,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		challenge := bytes.Repeat([]byte{7}, challengeSize)
 		w := &writer{key: key, challenge: challenge, from: "a", to: "b"}
-		var sent []fleet.Message
+		var sent []cluster.Message
 		var stream []byte
 		var ends []int
 		for range rapid.IntRange(1, 4).Draw(t, "frames") {
@@ -92,11 +92,11 @@
 			}
 		}
 		r := &reader{key: key, challenge: challenge, self: "b"}
-		var got []fleet.Message
+		var got []cluster.Message
 		var err error
 		for len(stream) > 0 && err == nil {
 			n := rapid.IntRange(1, len(stream)).Draw(t, "piece")
-			err = r.feed(stream[:n], func(from string, m fleet.Message) { got = append(got, m) })
+			err = r.feed(stream[:n], func(from string, m cluster.Message) { got = append(got, m) })
 			stream = stream[n:]
 		}
 		if !reflect.DeepEqual(got, sent[:whole]) && len(got)+whole > 0 {
@@ -105,7 +105,7 @@
 	})
 }
 
-func frameOf(t *testing.T, w *writer, m fleet.Message) []byte {
+func frameOf(t *testing.T, w *writer, m cluster.Message) []byte {
 	t.Helper()
 	f, err := w.frame(m)
 	if err != nil {
@@ -128,25 +128,25 @@
 		stream []byte
 		want   error
 	}{
-		{"another key", frameOf(t, &writer{key: []byte("x"), challenge: one, from: "a", to: "b"}, fleet.Message{Kind: fleet.Renew}), ErrForged},
-		{"another connection's", frameOf(t, &writer{key: key, challenge: two, from: "a", to: "b"}, fleet.Message{Kind: fleet.Renew}), ErrForged},
-		{"for another", frameOf(t, &writer{key: key, challenge: one, from: "a", to: "c"}, fleet.Message{Kind: fleet.Renew}), ErrOthers},
-		{"from nobody", frameOf(t, &writer{key: key, challenge: one, to: "b"}, fleet.Message{Kind: fleet.Renew}), ErrOthers},
+		{"another key", frameOf(t, &writer{key: []byte("x"), challenge: one, from: "a", to: "b"}, cluster.Message{Kind: cluster.Renew}), ErrForged},
+		{"another connection's", frameOf(t, &writer{key: key, challenge: two, from: "a", to: "b"}, cluster.Message{Kind: cluster.Renew}), ErrForged},
+		{"for another", frameOf(t, &writer{key: key, challenge: one, from: "a", to: "c"}, cluster.Message{Kind: cluster.Renew}), ErrOthers},
+		{"from nobody", frameOf(t, &writer{key: key, challenge: one, to: "b"}, cluster.Message{Kind: cluster.Renew}), ErrOthers},
 		{"no version", none(), ErrVersion},
 		{"too long", []byte{0x7f, 0, 0, 0, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1}, ErrLong},
 		{"HTTP", []byte("GET / HTTP/1.1\r\nHost: somewhere.example\r\n\r\n"), ErrLong},
 	} {
 		r := &reader{key: key, challenge: one, self: "b"}
-		err := r.feed(c.stream, func(string, fleet.Message) { t.Errorf("%s is read", c.name) })
+		err := r.feed(c.stream, func(string, cluster.Message) { t.Errorf("%s is read", c.name) })
 		if !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
 	}
 	w := good()
-	first, second := frameOf(t, w, fleet.Message{Kind: fleet.Renew, ID: 1}), frameOf(t, w, fleet.Message{Kind: fleet.Renew, ID: 2})
+	first, second := frameOf(t, w, cluster.Message{Kind: cluster.Renew, ID: 1}), frameOf(t, w, cluster.Message{Kind: cluster.Renew, ID: 2})
 	r, n := &reader{key: key, challenge: one, self: "b"}, 0
 	for _, f := range [][]byte{second, first, second} {
-		if err := r.feed(f, func(string, fleet.Message) { n++ }); err != nil {
+		if err := r.feed(f, func(string, cluster.Message) { n++ }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -155,10 +155,10 @@
 	}
 	r = &reader{key: key, challenge: one, self: "b"}
 	other := &writer{key: key, challenge: one, from: "c", to: "b", sequence: 5}
-	if err := r.feed(append(frameOf(t, good(), fleet.Message{}), frameOf(t, other, fleet.Message{})...), func(string, fleet.Message) {}); !errors.Is(err, ErrOthers) {
+	if err := r.feed(append(frameOf(t, good(), cluster.Message{}), frameOf(t, other, cluster.Message{})...), func(string, cluster.Message) {}); !errors.Is(err, ErrOthers) {
 		t.Errorf("two senders on one connection: %v", err)
 	}
-	if _, err := good().frame(fleet.Message{Value: make([]byte, frameMost+1)}); !errors.Is(err, ErrLong) {
+	if _, err := good().frame(cluster.Message{Value: make([]byte, frameMost+1)}); !errors.Is(err, ErrLong) {
 		t.Errorf("a message over the bound: %v", err)
 	}
 }
@@ -188,7 +188,7 @@
 	type end struct {
 		loop  *gateway.Loop
 		link  *Link
-		heard chan fleet.Message
+		heard chan cluster.Message
 	}
 	var members []Member
 	for _, n := range []string{"a", "b"} {
@@ -200,15 +200,15 @@
 		l.Close()
 	}
 	start := func(i int) *end {
-		e := &end{loop: gateway.NewLoop(), heard: make(chan fleet.Message, 100)}
+		e := &end{loop: gateway.NewLoop(), heard: make(chan cluster.Message, 100)}
 		engine, err := transport.New(log, 1<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var link atomic.Pointer[Link]
-		l, err := Open(members[i].Name, members[i].Addr, members, key, e.loop, engine, log, func(from string, m fleet.Message) {
-			if m.Kind == fleet.Order {
-				link.Load().Send(from, fleet.Message{Kind: fleet.Reply, ID: m.ID, Value: []byte("yes")})
+		l, err := Open(members[i].Name, members[i].Addr, members, key, e.loop, engine, log, func(from string, m cluster.Message) {
+			if m.Kind == cluster.Order {
+				link.Load().Send(from, cluster.Message{Kind: cluster.Reply, ID: m.ID, Value: []byte("yes")})
 				return
 			}
 			e.heard <- m
@@ -226,7 +226,7 @@
 		t.Helper()
 		late := time.After(10 * time.Second)
 		for {
-			from.loop.Post(func() { from.link.Send(name, fleet.Message{Kind: fleet.Renew, ID: id}) })
+			from.loop.Post(func() { from.link.Send(name, cluster.Message{Kind: cluster.Renew, ID: id}) })
 			select {
 			case m := <-to.heard:
 				if m.ID == id {
@@ -249,7 +249,7 @@
 	}
 	defer tool.Close()
 	for range 2 {
-		if m, err := tool.Ask(ctx, fleet.Message{Query: "state"}); err != nil || string(m.Value) != "yes" {
+		if m, err := tool.Ask(ctx, cluster.Message{Query: "state"}); err != nil || string(m.Value) != "yes" {
 			t.Fatalf("a tool's question: %+v, %v", m, err)
 		}
 	}
@@ -258,7 +258,7 @@
 		t.Fatal(err)
 	}
 	defer thief.Close()
-	if _, err := thief.Ask(ctx, fleet.Message{Query: "state"}); err == nil || strings.Contains(err.Error(), "deadline") {
+	if _, err := thief.Ask(ctx, cluster.Message{Query: "state"}); err == nil || strings.Contains(err.Error(), "deadline") {
 		t.Errorf("without the key: %v", err)
 	}
 	gone := make(chan struct{})
--- a/internal/net/fleetlink/tool.go
+++ b/internal/net/fleetlink/tool.go
@@ -10,7 +10,7 @@
 	"net"
 	"time"
 
-	"larchusher/fleet"
+	"larchusher/cluster"
 )
 
 // Tool is an operator's connection to one gateway. It blocks, and is not for use in a gateway.
@@ -44,12 +44,12 @@
 }
 
 // Ask sends an order and waits for its reply.
-func (t *Tool) Ask(ctx context.Context, m fleet.Message) (fleet.Message, error) {
+func (t *Tool) Ask(ctx context.Context, m cluster.Message) (cluster.Message, error) {
 	t.serial++
-	m.Kind, m.ID = fleet.Order, t.serial
+	m.Kind, m.ID = cluster.Order, t.serial
 	f, err := t.w.frame(m)
 	if err != nil {
-		return fleet.Message{}, err
+		return cluster.Message{}, err
 	}
 	at, ok := ctx.Deadline()
 	if !ok {
@@ -57,21 +57,21 @@
 	}
 	_ = t.conn.SetDeadline(at)
 	if _, err := t.conn.Write(f); err != nil {
-		return fleet.Message{}, fmt.Errorf("asking: %w", err)
+		return cluster.Message{}, fmt.Errorf("asking: %w", err)
 	}
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := t.conn.Read(buf)
 		if err != nil {
-			return fleet.Message{}, fmt.Errorf("waiting for the reply: %w", err)
+			return cluster.Message{}, fmt.Errorf("waiting for the reply: %w", err)
 		}
-		var reply *fleet.Message
-		if err := t.r.feed(buf[:n], func(_ string, got fleet.Message) {
-			if got.Kind == fleet.Reply && got.ID == m.ID {
+		var reply *cluster.Message
+		if err := t.r.feed(buf[:n], func(_ string, got cluster.Message) {
+			if got.Kind == cluster.Reply && got.ID == m.ID {
 				reply = &got
 			}
 		}); err != nil {
-			return fleet.Message{}, err
+			return cluster.Message{}, err
 		}
 		if reply != nil {
 			return *reply, nil
--- a/internal/net/fleetlink/words.go
+++ b/internal/net/fleetlink/words.go
@@ -8,8 +8,8 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"larchusher/cluster"
 	"larchusher/consensus"
-	"larchusher/fleet"
 	"larchusher/internal/net/fleetlink/linkpb"
 	"larchusher/maintenance"
 	"larchusher/replication"
@@ -36,10 +36,10 @@
 	return consensus.State{Revision: s.GetRevision(), Lives: s.GetLives(), Value: s.GetValue()}
 }
 
-func out(m fleet.Message) *linkpb.Message {
+func out(m cluster.Message) *linkpb.Message {
 	pb := &linkpb.Message{Kind: int32(m.Kind), Id: m.ID, Life: m.Life, Blank: m.Blank, Have: m.Have, Revision: m.Revision, Heard: m.Heard, Stopped: m.Stopped,
 		Value: m.Value, HasValue: m.Value != nil, Query: m.Query, Refused: m.Refused}
-	if m.Kind == fleet.Vote {
+	if m.Kind == cluster.Vote {
 		v := m.Vote
 		pb.Vote = &linkpb.Vote{Kind: int32(v.Kind), Life: v.Life, Ballot: ballotOut(v.Ballot), Next: ballotOut(v.Next), Accepted: ballotOut(v.Accepted), State: stateOut(v.State)}
 	}
@@ -56,8 +56,8 @@
 	return pb
 }
 
-func in(pb *linkpb.Message) fleet.Message {
-	m := fleet.Message{Kind: fleet.Kind(pb.GetKind()), ID: pb.GetId(), Life: pb.GetLife(), Blank: pb.GetBlank(), Have: pb.GetHave(), Revision: pb.GetRevision(),
+func in(pb *linkpb.Message) cluster.Message {
+	m := cluster.Message{Kind: cluster.Kind(pb.GetKind()), ID: pb.GetId(), Life: pb.GetLife(), Blank: pb.GetBlank(), Have: pb.GetHave(), Revision: pb.GetRevision(),
 		Heard: pb.GetHeard(), Stopped: pb.GetStopped(), Value: pb.GetValue(), Query: pb.GetQuery(), Refused: pb.GetRefused()}
 	if pb.GetHasValue() && m.Value == nil {
 		m.Value = []byte{}
@@ -73,7 +73,7 @@
 		m.Copy = copyIn(c)
 	}
 	if r := pb.GetReport(); r != nil {
-		m.Report = &fleet.Report{Strain: r.GetStrain(), Machines: map[string]maintenance.Machine{}}
+		m.Report = &cluster.Report{Strain: r.GetStrain(), Machines: map[string]maintenance.Machine{}}
 		for _, x := range r.GetMachine() {
 			m.Report.Machines[x.GetName()] = maintenance.Machine{Kind: x.GetKind(), Zone: x.GetZone(), Up: x.GetUp(), Warm: x.GetWarm(), BootMs: x.GetBootMs(),
 				Weight: x.GetWeight(), Busy: x.GetBusy()}
--- a/lab/procs/procs.go
+++ b/lab/procs/procs.go
@@ -18,7 +18,7 @@
 	"syscall"
 	"time"
 
-	"larchusher/fleet"
+	"larchusher/cluster"
 	"larchusher/internal/net/fleetlink"
 	"larchusher/lab/standin"
 	"larchusher/lab/world"
@@ -563,7 +563,7 @@
 			if try > 0 {
 				g = p.gateways[p.draw(len(p.gateways))]
 			}
-			reply, err := p.order(ctx, g, fleet.Message{Value: value})
+			reply, err := p.order(ctx, g, cluster.Message{Value: value})
 			if err == nil && reply.Refused == "" {
 				var r maintenance.Reply
 				if json.Unmarshal(reply.Value, &r) == nil && r.Refused == "" {
@@ -580,15 +580,15 @@
 	})
 }
 
-func (p *play) order(ctx context.Context, g *process, m fleet.Message) (fleet.Message, error) {
+func (p *play) order(ctx context.Context, g *process, m cluster.Message) (cluster.Message, error) {
 	if !g.is() {
-		return fleet.Message{}, errors.New("it is down")
+		return cluster.Message{}, errors.New("it is down")
 	}
 	one, cancel := context.WithTimeout(ctx, 1200*time.Millisecond)
 	defer cancel()
 	t, err := fleetlink.Call(one, g.name, g.link, key)
 	if err != nil {
-		return fleet.Message{}, err
+		return cluster.Message{}, err
 	}
 	defer t.Close()
 	return t.Ask(one, m)
@@ -600,7 +600,7 @@
 	for ctx.Err() == nil {
 		time.Sleep(watchFor)
 		g := p.gateways[p.draw(len(p.gateways))]
-		m, err := p.order(ctx, g, fleet.Message{Query: "state"})
+		m, err := p.order(ctx, g, cluster.Message{Query: "state"})
 		if err == nil && m.Refused == "" {
 			p.look(g, m)
 		}
@@ -628,7 +628,7 @@
 }
 
 // look holds what one gateway told against what others did, and against the bounds.
-func (p *play) look(g *process, m fleet.Message) {
+func (p *play) look(g *process, m cluster.Message) {
 	s, err := maintenance.Decode(m.Value)
 	if err != nil {
 		p.faults.add("%s tells a state that can't be read: %v", g.name, err)
@@ -728,7 +728,7 @@
 		clear(told)
 		for _, g := range p.gateways {
 			for range 20 {
-				m, err := p.order(ctx, g, fleet.Message{Query: "state"})
+				m, err := p.order(ctx, g, cluster.Message{Query: "state"})
 				if err == nil && m.Refused == "" {
 					told[string(m.Value)] = true
 					break
--- a/lab/procs/rest.go
+++ b/lab/procs/rest.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
+	"larchusher/cluster"
 	"larchusher/consensus"
-	"larchusher/fleet"
 	"larchusher/internal/net/fleetlink"
 	"larchusher/lab/sim"
 	"larchusher/maintenance"
@@ -28,18 +28,18 @@
 // simulated is a fleet in simulated time, over links of a millisecond: the same packages as in the daemon.
 type simulated struct {
 	clock  sim.Clock
-	nodes  map[string]*fleet.Node
+	nodes  map[string]*cluster.Node
 	names  []string
 	bounds maintenance.Bounds
-	report func(name string) fleet.Report
+	report func(name string) cluster.Report
 	sent   func(from, to string, bytes int) // nil: nobody counts
 	wrote  func()                           // likewise
-	reply  func(m fleet.Message)            // to a tool; nil: nobody reads it
+	reply  func(m cluster.Message)          // to a tool; nil: nobody reads it
 }
 
 // simulate starts so many gateways at once. Reports are made every half second.
-func simulate(n int, seed uint64, bounds maintenance.Bounds, report func(name string) fleet.Report) (*simulated, error) {
-	f := &simulated{clock: sim.Clock{Now: time.Second}, nodes: map[string]*fleet.Node{}, bounds: bounds, report: report}
+func simulate(n int, seed uint64, bounds maintenance.Bounds, report func(name string) cluster.Report) (*simulated, error) {
+	f := &simulated{clock: sim.Clock{Now: time.Second}, nodes: map[string]*cluster.Node{}, bounds: bounds, report: report}
 	for i := range n {
 		f.names = append(f.names, fmt.Sprintf("gateway-%03d", i))
 	}
@@ -49,7 +49,7 @@
 	}
 	for i, name := range f.names {
 		life := seed<<16 + uint64(i) + 1
-		node, err := fleet.New(fleet.Config{Self: name, Life: life, Members: f.names, Voters: voters, Vote: consensus.Vote{Life: life}, Lasts: true, Bounds: bounds,
+		node, err := cluster.New(cluster.Config{Self: name, Life: life, Members: f.names, Voters: voters, Vote: consensus.Vote{Life: life}, Lasts: true, Bounds: bounds,
 			Clock: func() int64 { return int64(f.clock.Now / time.Millisecond) }, Gap: 40 * time.Millisecond, Seed: life})
 		if err != nil {
 			return nil, err
@@ -59,10 +59,10 @@
 		var tick func()
 		tick = func() {
 			if ticks%10 == 0 {
-				f.do(name, fleet.Seen{Report: report(name)})
+				f.do(name, cluster.Seen{Report: report(name)})
 			}
 			ticks++
-			f.do(name, fleet.Tick{})
+			f.do(name, cluster.Tick{})
 			f.clock.At(f.clock.Now+50*time.Millisecond, tick)
 		}
 		f.clock.At(f.clock.Now+time.Duration(i%50)*time.Millisecond, tick)
@@ -70,28 +70,28 @@
 	return f, nil
 }
 
-func (f *simulated) do(name string, e fleet.Event) {
+func (f *simulated) do(name string, e cluster.Event) {
 	for _, a := range f.nodes[name].Handle(f.clock.Now, e, nil) {
 		switch a := a.(type) {
-		case fleet.Send:
+		case cluster.Send:
 			if f.sent != nil {
 				f.sent(name, a.To, fleetlink.Size(a.Message))
 			}
 			switch {
 			case f.nodes[a.To] != nil:
-				f.clock.At(f.clock.Now+time.Millisecond, func() { f.do(a.To, fleet.Heard{From: name, Message: a.Message}) })
+				f.clock.At(f.clock.Now+time.Millisecond, func() { f.do(a.To, cluster.Heard{From: name, Message: a.Message}) })
 			case f.reply != nil:
 				f.reply(a.Message)
 			}
-		case fleet.StoreVote:
+		case cluster.StoreVote:
 			if f.wrote != nil {
 				f.wrote()
 			}
-			f.clock.At(f.clock.Now+2*time.Millisecond, func() { f.do(name, fleet.VoteStored{Number: a.Store.Number}) })
-		case fleet.StoreView:
-			f.clock.At(f.clock.Now+2*time.Millisecond, func() { f.do(name, fleet.ViewStored{Revision: a.Revision}) })
-		case fleet.Hold:
-			f.clock.At(f.clock.Now+50*time.Millisecond, func() { f.do(name, fleet.Idle{Generation: a.Generation}) })
+			f.clock.At(f.clock.Now+2*time.Millisecond, func() { f.do(name, cluster.VoteStored{Number: a.Store.Number}) })
+		case cluster.StoreView:
+			f.clock.At(f.clock.Now+2*time.Millisecond, func() { f.do(name, cluster.ViewStored{Revision: a.Revision}) })
+		case cluster.Hold:
+			f.clock.At(f.clock.Now+50*time.Millisecond, func() { f.do(name, cluster.Idle{Generation: a.Generation}) })
 		}
 	}
 }
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	f.do(to, fleet.Heard{From: "tool-1", Message: fleet.Message{Kind: fleet.Order, ID: 1, Value: value}})
+	f.do(to, cluster.Heard{From: "tool-1", Message: cluster.Message{Kind: cluster.Order, ID: 1, Value: value}})
 	return nil
 }
 
@@ -123,11 +123,11 @@
 // one's report.
 func Rest(n int, seed uint64) (Resting, error) {
 	out, sent, busy := Resting{Gateways: n}, map[string][2]float64{}, false
-	report := fleet.Report{Machines: map[string]maintenance.Machine{}}
+	report := cluster.Report{Machines: map[string]maintenance.Machine{}}
 	for i := range 20 {
 		report.Machines[fmt.Sprintf("box-%02d", i)] = maintenance.Machine{Kind: maintenance.KindBox, Zone: "z", Up: true, Warm: true, Weight: 10, Busy: 0.3}
 	}
-	f, err := simulate(n, seed, maintenance.Bounds{}, func(string) fleet.Report { return report })
+	f, err := simulate(n, seed, maintenance.Bounds{}, func(string) cluster.Report { return report })
 	if err != nil {
 		return out, err
 	}
@@ -187,7 +187,7 @@
 	}
 	defer p.close()
 	state := func(g *process) *maintenance.State {
-		m, err := p.order(ctx, g, fleet.Message{Query: "state"})
+		m, err := p.order(ctx, g, cluster.Message{Query: "state"})
 		if err != nil || m.Refused != "" {
 			return nil
 		}
@@ -219,7 +219,7 @@
 				return nil, ctx.Err()
 			}
 			if !taken {
-				m, err := p.order(ctx, last, fleet.Message{Value: value})
+				m, err := p.order(ctx, last, cluster.Message{Value: value})
 				taken = err == nil && m.Refused == ""
 				continue
 			}
@@ -244,14 +244,14 @@
 		}
 		value, _ = json.Marshal(maintenance.Command{By: "measure", Withdraw: &maintenance.Named{Name: name}})
 		for {
-			m, err := p.order(ctx, last, fleet.Message{Value: value})
+			m, err := p.order(ctx, last, cluster.Message{Value: value})
 			if err == nil && m.Refused == "" || ctx.Err() != nil {
 				break
 			}
 		}
 		// It may have been called out meanwhile: then its work is over at once.
 		value, _ = json.Marshal(maintenance.Command{By: "measure", Finish: &maintenance.Named{Name: name}})
-		_, _ = p.order(ctx, last, fleet.Message{Value: value})
+		_, _ = p.order(ctx, last, cluster.Message{Value: value})
 		time.Sleep(1200 * time.Millisecond)
 	}
 	slices.Sort(all)
--- a/lab/procs/shared.go
+++ b/lab/procs/shared.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"larchusher/fleet"
+	"larchusher/cluster"
 	"larchusher/lab/standin"
 	"larchusher/replication"
 )
@@ -171,7 +171,7 @@
 
 // rows asks a gateway for what it knows in common with others.
 func (p *play) rows(ctx context.Context, g *process) (rows []replication.Row, err error) {
-	m, err := p.order(ctx, g, fleet.Message{Query: "shared"})
+	m, err := p.order(ctx, g, cluster.Message{Query: "shared"})
 	if err != nil {
 		return nil, err
 	}
--- a/lab/procs/timetable.go
+++ b/lab/procs/timetable.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"larchusher/fleet"
+	"larchusher/cluster"
 	"larchusher/maintenance"
 )
 
@@ -231,8 +231,8 @@
 	}
 	var f *simulated
 	began := time.Duration(0) // on the fleet's clock; 0: not yet
-	f, err := simulate(5, seed, bounds, func(string) fleet.Report {
-		r, at := fleet.Report{Machines: map[string]maintenance.Machine{}}, time.Duration(0)
+	f, err := simulate(5, seed, bounds, func(string) cluster.Report {
+		r, at := cluster.Report{Machines: map[string]maintenance.Machine{}}, time.Duration(0)
 		if began > 0 {
 			at = f.clock.Now - began
 		}
