--- a/cmd/larchusher/serve.go
+++ b/cmd/larchusher/serve.go
@@ -10,8 +10,8 @@
 	"github.com/sirupsen/logrus"
 
 	"larchusher/gateway"
+	"larchusher/internal/clusternode"
 	"larchusher/internal/config"
-	"larchusher/internal/fleethost"
 	"larchusher/internal/handover"
 	"larchusher/internal/net/journal"
 	"larchusher/internal/net/msgpackrpc"
@@ -40,7 +40,7 @@
 	link   *peers.Link
 	signed *signedfront.Front // nil: off
 	keeper *snapshot.Keeper   // nil: what is learned is not kept
-	fleet  *fleethost.Host    // nil: this gateway is alone
+	fleet  *clusternode.Host  // nil: this gateway is alone
 	left   func()             // to be called once all is answered; nil: nobody waits for that
 	accept []*transport.Listener
 	book   *journal.Book
--- a/cmd/larchusher/shared.go
+++ b/cmd/larchusher/shared.go
@@ -9,11 +9,11 @@
 	"text/tabwriter"
 
 	"larchusher/cluster"
-	"larchusher/internal/fleethost"
+	"larchusher/internal/clusternode"
 	"larchusher/replication"
 )
 
-func (f *fleetFlags) shared(at, kind string) (*fleethost.Shown, error) {
+func (f *fleetFlags) shared(at, kind string) (*clusternode.Shown, error) {
 	one := *f
 	if at != "" {
 		one.At = at
@@ -25,7 +25,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var s fleethost.Shown
+	var s clusternode.Shown
 	if err := json.Unmarshal(m.Value, &s); err != nil {
 		return nil, fmt.Errorf("state: the reply: %w", err)
 	}
@@ -127,7 +127,7 @@
 
 // Run has something forgotten at all gateways.
 func (c *stateForget) Run() error {
-	value, err := json.Marshal(fleethost.ForgetRequest{Kind: c.Kind, Key: c.Key, Why: strings.Join(c.Why, " ") + ", " + by()})
+	value, err := json.Marshal(clusternode.ForgetRequest{Kind: c.Kind, Key: c.Key, Why: strings.Join(c.Why, " ") + ", " + by()})
 	if err != nil {
 		return err
 	}
--- a/cmd/larchusher/wiring.go
+++ b/cmd/larchusher/wiring.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"larchusher/gateway"
+	"larchusher/internal/clusternode"
 	"larchusher/internal/config"
-	"larchusher/internal/fleethost"
 	"larchusher/internal/metrics"
 	"larchusher/internal/net/agentcheck"
 	"larchusher/internal/net/journal"
@@ -141,7 +141,7 @@
 		return nil
 	}
 	var err error
-	if p.fleet, err = fleethost.Start(p.op.Fleet, p.cfg.Settings, p.gw, p.loop, p.engine, p.log); err != nil {
+	if p.fleet, err = clusternode.Start(p.op.Fleet, p.cfg.Settings, p.gw, p.loop, p.engine, p.log); err != nil {
 		return p.operatorError(err)
 	}
 	p.fleet.Leave = func(left func()) { p.left = left; p.drain() }
--- a/internal/fleethost/files.go
+++ b/internal/clusternode/files.go
@@ -1,5 +1,5 @@
-// Package fleethost runs a gateway's part in its fleet: package fleet on the loop, its link, and the files that must last.
-package fleethost
+// Package clusternode runs a gateway's part in its fleet: package fleet on the loop, its link, and the files that must last.
+package clusternode
 
 import (
 	"crypto/hmac"
--- a/internal/fleethost/stored_test.go
+++ b/internal/clusternode/stored_test.go
@@ -1,4 +1,4 @@
-package fleethost
+package clusternode
 
 import (
 	"testing"
--- a/lab/procs/mutants.go
+++ b/lab/procs/mutants.go
@@ -61,7 +61,7 @@
 	{Name: "half of the voters are a majority", File: "consensus/consensus.go", Old: "return n > len(v.cfg.Voters)/2", New: "return n >= len(v.cfg.Voters)/2", Text: parting},
 	{Name: "a lease never runs out", File: "cluster/cluster.go", Old: "n.lease = max(n.lease, at+n.cfg.Bounds.Lease)", New: "n.lease = max(n.lease, at+time.Hour)", Text: unheard},
 	{Name: "a gateway is idle while work is out at what it holds", File: "gateway/hold.go", Old: "if !a.ended && (stores", New: "if false && (stores", Text: slowStores},
-	{Name: "a start forgets what was granted", File: "internal/fleethost/host.go", Old: "if nc.View, err = readFile(dir, viewFile, h.cfg.Key); err == nil && nc.View != nil {", New: "nc.View = []byte(\"{}\")\n\tif nc.View != nil {", Text: forgetful},
+	{Name: "a start forgets what was granted", File: "internal/clusternode/host.go", Old: "if nc.View, err = readFile(dir, viewFile, h.cfg.Key); err == nil && nc.View != nil {", New: "nc.View = []byte(\"{}\")\n\tif nc.View != nil {", Text: forgetful},
 }
 
 // slowStores has machines go out right after their answers have begun to take long.
