--- a/cmd/larchusher/work.go
+++ b/cmd/larchusher/work.go
@@ -14,7 +14,7 @@
 
 	"larchusher/cluster"
 	"larchusher/internal/config"
-	"larchusher/internal/net/fleetlink"
+	"larchusher/internal/net/clustertransport"
 	"larchusher/maintenance"
 )
 
@@ -91,7 +91,7 @@
 func askOne(ctx context.Context, g config.FleetMember, key []byte, m cluster.Message) (cluster.Message, error) {
 	one, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	t, err := fleetlink.Call(one, g.Name, g.Address, key)
+	t, err := clustertransport.Call(one, g.Name, g.Address, key)
 	if err != nil {
 		return cluster.Message{}, err
 	}
--- a/internal/clusternode/host.go
+++ b/internal/clusternode/host.go
@@ -17,7 +17,7 @@
 	"larchusher/consensus"
 	"larchusher/gateway"
 	"larchusher/internal/config"
-	"larchusher/internal/net/fleetlink"
+	"larchusher/internal/net/clustertransport"
 	"larchusher/internal/net/transport"
 	"larchusher/internal/snapshot"
 	"larchusher/maintenance"
@@ -41,7 +41,7 @@
 	log    logrus.FieldLogger
 	zone   string
 	node   *cluster.Node
-	link   *fleetlink.Link
+	link   *clustertransport.Link
 	keeper *keeper // nil: nothing lasts
 	unlock func()
 
@@ -83,11 +83,11 @@
 		h.free()
 		return nil, err
 	}
-	var members []fleetlink.Member
+	var members []clustertransport.Member
 	for _, m := range cfg.Members {
-		members = append(members, fleetlink.Member{Name: m.Name, Addr: m.Address})
+		members = append(members, clustertransport.Member{Name: m.Name, Addr: m.Address})
 	}
-	h.link, err = fleetlink.Open(cfg.Name, cfg.Listen, members, cfg.Key, loop, engine, h.log, func(from string, m cluster.Message) {
+	h.link, err = clustertransport.Open(cfg.Name, cfg.Listen, members, cfg.Key, loop, engine, h.log, func(from string, m cluster.Message) {
 		h.heard(from, m)
 	})
 	if err == nil {
@@ -149,7 +149,7 @@
 	b, err := readFile(dir, voteFile, h.cfg.Key)
 	if err == nil && b != nil {
 		var v consensus.Vote
-		if v, err = fleetlink.DecodeVote(b); err == nil {
+		if v, err = clustertransport.DecodeVote(b); err == nil {
 			nc.Vote = v
 		}
 	}
@@ -270,7 +270,7 @@
 }
 
 func (h *Host) storeVote(s consensus.Store) {
-	b, err := fleetlink.EncodeVote(s.Vote)
+	b, err := clustertransport.EncodeVote(s.Vote)
 	if err != nil {
 		h.log.WithError(err).Error("a vote can't be stored")
 		return
--- a/internal/net/fleetlink/frame.go
+++ b/internal/net/clustertransport/frame.go
@@ -1,9 +1,9 @@
-// Package fleetlink carries messages between the gateways of an installation, and from an operator's tool to one of them: over
+// Package clustertransport carries messages between the gateways of an installation, and from an operator's tool to one of them: over
 // TCP connections that each carry one way, but for a tool's, in frames that are authenticated by the installation's key.
 //
 // It protects against anyone without the key: what they send is refused, and so is what was sent before, on another connection or
 // on the same one. It hides nothing, and does not protect against one who has the key, or who holds messages back.
-package fleetlink
+package clustertransport
 
 import (
 	"crypto/hmac"
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"larchusher/cluster"
-	"larchusher/internal/net/fleetlink/linkpb"
+	"larchusher/internal/net/clustertransport/linkpb"
 )
 
 const (
--- a/internal/net/fleetlink/link_test.go
+++ b/internal/net/clustertransport/link_test.go
@@ -1,4 +1,4 @@
-package fleetlink
+package clustertransport
 
 import (
 	"bytes"
@@ -19,7 +19,7 @@
 	"larchusher/cluster"
 	"larchusher/consensus"
 	"larchusher/gateway"
-	"larchusher/internal/net/fleetlink/linkpb"
+	"larchusher/internal/net/clustertransport/linkpb"
 	"larchusher/internal/net/transport"
 	"larchusher/maintenance"
 	"larchusher/replication"
--- a/internal/net/fleetlink/tool.go
+++ b/internal/net/clustertransport/tool.go
@@ -1,4 +1,4 @@
-package fleetlink
+package clustertransport
 
 import (
 	"context"
--- a/internal/net/fleetlink/words.go
+++ b/internal/net/clustertransport/words.go
@@ -1,4 +1,4 @@
-package fleetlink
+package clustertransport
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 
 	"larchusher/cluster"
 	"larchusher/consensus"
-	"larchusher/internal/net/fleetlink/linkpb"
+	"larchusher/internal/net/clustertransport/linkpb"
 	"larchusher/maintenance"
 	"larchusher/replication"
 )
--- a/lab/procs/procs.go
+++ b/lab/procs/procs.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"larchusher/cluster"
-	"larchusher/internal/net/fleetlink"
+	"larchusher/internal/net/clustertransport"
 	"larchusher/lab/standin"
 	"larchusher/lab/world"
 	"larchusher/maintenance"
@@ -586,7 +586,7 @@
 	}
 	one, cancel := context.WithTimeout(ctx, 1200*time.Millisecond)
 	defer cancel()
-	t, err := fleetlink.Call(one, g.name, g.link, key)
+	t, err := clustertransport.Call(one, g.name, g.link, key)
 	if err != nil {
 		return cluster.Message{}, err
 	}
--- a/lab/procs/rest.go
+++ b/lab/procs/rest.go
@@ -9,7 +9,7 @@
 
 	"larchusher/cluster"
 	"larchusher/consensus"
-	"larchusher/internal/net/fleetlink"
+	"larchusher/internal/net/clustertransport"
 	"larchusher/lab/sim"
 	"larchusher/maintenance"
 )
@@ -75,7 +75,7 @@
 		switch a := a.(type) {
 		case cluster.Send:
 			if f.sent != nil {
-				f.sent(name, a.To, fleetlink.Size(a.Message))
+				f.sent(name, a.To, clustertransport.Size(a.Message))
 			}
 			switch {
 			case f.nodes[a.To] != nil:
