--- a/cmd/larchusher/serve.go
+++ b/cmd/larchusher/serve.go
@@ -13,7 +13,7 @@
 	"larchusher/internal/clusternode"
 	"larchusher/internal/config"
 	"larchusher/internal/handover"
-	"larchusher/internal/net/journal"
+	"larchusher/internal/net/discovery"
 	"larchusher/internal/net/msgpackrpc"
 	"larchusher/internal/net/peers"
 	"larchusher/internal/net/resp"
@@ -36,14 +36,14 @@
 	gw     *gateway.Gateway
 	pool   *resp.Pool
 	front  *msgpackrpc.Front
-	feed   *journal.Client
+	feed   *discovery.Client
 	link   *peers.Link
 	signed *signedfront.Front // nil: off
 	keeper *snapshot.Keeper   // nil: what is learned is not kept
 	fleet  *clusternode.Host  // nil: this gateway is alone
 	left   func()             // to be called once all is answered; nil: nobody waits for that
 	accept []*transport.Listener
-	book   *journal.Book
+	book   *discovery.Book
 
 	moves     *handover.Receiver  // of clients' connections of a former process; nil: none come
 	successor *handover.Link      // to which clients' connections go over; nil: they do not
--- a/cmd/larchusher/upgrade.go
+++ b/cmd/larchusher/upgrade.go
@@ -16,7 +16,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"larchusher/internal/handover"
-	"larchusher/internal/net/journal"
+	"larchusher/internal/net/discovery"
 	"larchusher/internal/net/transport"
 	"larchusher/warmstart"
 )
@@ -38,13 +38,13 @@
 // handedState is what a process hands over to its successor.
 type handedState struct {
 	Format  int                 `json:"Format"`
-	Known   journal.Known       `json:"Known"`   // the present list of stores, and the latest event taken in
+	Known   discovery.Known     `json:"Known"`   // the present list of stores, and the latest event taken in
 	Since   string              `json:"Since"`   // fingerprint of the journal's events that this process was started with
 	Learned *warmstart.Snapshot `json:"Learned"` // nil: none
 }
 
 // fingerprint tells the journal's events of one start from those of another: they are numbered from 1 in each.
-func fingerprint(known journal.Known) string {
+func fingerprint(known discovery.Known) string {
 	b, err := json.Marshal(known)
 	if err != nil { // it was read from JSON
 		return ""
@@ -76,7 +76,7 @@
 
 // takeState takes over the state of the process that serves, if there is one, and returns the list of stores to start with.
 // Its listening sockets are left to the engine.
-func (p *program) takeState() (known journal.Known, learned *warmstart.Snapshot) {
+func (p *program) takeState() (known discovery.Known, learned *warmstart.Snapshot) {
 	known = p.cfg.Known
 	if p.process == nil || !p.process.Successor() {
 		return known, nil
--- a/cmd/larchusher/wiring.go
+++ b/cmd/larchusher/wiring.go
@@ -10,7 +10,7 @@
 	"larchusher/internal/config"
 	"larchusher/internal/metrics"
 	"larchusher/internal/net/agentcheck"
-	"larchusher/internal/net/journal"
+	"larchusher/internal/net/discovery"
 	"larchusher/internal/net/msgpackrpc"
 	"larchusher/internal/net/peers"
 	"larchusher/internal/net/resp"
@@ -119,16 +119,16 @@
 }
 
 // follow takes in what is known at the start, and follows the journal from there on.
-func (p *program) follow(known journal.Known) error {
-	p.book = &journal.Book{Sink: sink{p.gw, p.pool}, Clock: p.gw.Clock}
+func (p *program) follow(known discovery.Known) error {
+	p.book = &discovery.Book{Sink: sink{p.gw, p.pool}, Clock: p.gw.Clock}
 	if err := p.book.Start(time.Now(), known); err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
 	if p.op.State != nil {
 		p.remember()
 	}
-	p.feed = journal.Follow(p.loop, p.engine, p.log, p.cfg.Journal, p.book, known.Pos)
-	p.cfg.Known = journal.Known{} // all of it has been taken in
+	p.feed = discovery.Follow(p.loop, p.engine, p.log, p.cfg.Journal, p.book, known.Pos)
+	p.cfg.Known = discovery.Known{} // all of it has been taken in
 	return nil
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,7 +14,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"larchusher/internal/net/journal"
+	"larchusher/internal/net/discovery"
 	"larchusher/internal/wire"
 	"larchusher/routing"
 )
@@ -73,16 +73,16 @@
 
 // Gateway is the configuration of one gateway.
 type Gateway struct {
-	Name       string        `json:"name"`
-	Listen     string        `json:"listen"`
-	SeedText   string        `json:"seed"`
-	Limits     Limits        `json:"limits"`
-	PeerListen string        `json:"peer_listen"`
-	Peers      []string      `json:"peers"`
-	PeersAll   string        `json:"peers_all"`
-	Journal    string        `json:"journal"`
-	Console    string        `json:"console"` // where operators call; empty: nowhere
-	Known      journal.Known `json:"known"`
+	Name       string          `json:"name"`
+	Listen     string          `json:"listen"`
+	SeedText   string          `json:"seed"`
+	Limits     Limits          `json:"limits"`
+	PeerListen string          `json:"peer_listen"`
+	Peers      []string        `json:"peers"`
+	PeersAll   string          `json:"peers_all"`
+	Journal    string          `json:"journal"`
+	Console    string          `json:"console"` // where operators call; empty: nowhere
+	Known      discovery.Known `json:"known"`
 	// Top pace of one answer in bytes a second, as it holds on these sockets; 0: settings.familyInfo.streamKbPerS.
 	FlowBytesPerS float64         `json:"flow_bytes_per_s"`
 	Raw           json.RawMessage `json:"settings"`
--- a/internal/net/journal/client.go
+++ b/internal/net/discovery/client.go
@@ -1,4 +1,4 @@
-package journal
+package discovery
 
 import (
 	"bytes"
--- a/internal/net/journal/events.go
+++ b/internal/net/discovery/events.go
@@ -1,5 +1,5 @@
-// Package journal follows the journal service: server-sent events that tell of stores and purges.
-package journal
+// Package discovery follows the journal service: server-sent events that tell of stores and purges.
+package discovery
 
 import (
 	"encoding/json"
--- a/test/crossing_test.go
+++ b/test/crossing_test.go
@@ -17,7 +17,7 @@
 	"golang.org/x/sys/unix"
 
 	"larchusher/gateway"
-	netjournal "larchusher/internal/net/journal"
+	netjournal "larchusher/internal/net/discovery"
 	"larchusher/internal/net/msgpackrpc"
 	"larchusher/internal/net/resp"
 	"larchusher/internal/net/transport"
