--- a/cmd/larchusher/serve.go
+++ b/cmd/larchusher/serve.go
@@ -14,8 +14,8 @@
 	"larchusher/internal/config"
 	"larchusher/internal/handover"
 	"larchusher/internal/net/discovery"
+	"larchusher/internal/net/gossip"
 	"larchusher/internal/net/msgpackrpc"
-	"larchusher/internal/net/peers"
 	"larchusher/internal/net/resp"
 	"larchusher/internal/net/signedfront"
 	"larchusher/internal/net/transport"
@@ -37,7 +37,7 @@
 	pool   *resp.Pool
 	front  *msgpackrpc.Front
 	feed   *discovery.Client
-	link   *peers.Link
+	link   *gossip.Link
 	signed *signedfront.Front // nil: off
 	keeper *snapshot.Keeper   // nil: what is learned is not kept
 	fleet  *clusternode.Host  // nil: this gateway is alone
--- a/cmd/larchusher/wiring.go
+++ b/cmd/larchusher/wiring.go
@@ -11,8 +11,8 @@
 	"larchusher/internal/metrics"
 	"larchusher/internal/net/agentcheck"
 	"larchusher/internal/net/discovery"
+	"larchusher/internal/net/gossip"
 	"larchusher/internal/net/msgpackrpc"
-	"larchusher/internal/net/peers"
 	"larchusher/internal/net/resp"
 	"larchusher/internal/net/signedfront"
 	"larchusher/internal/net/transport"
@@ -98,7 +98,7 @@
 		return p.operatorError(err)
 	}
 	if cfg.PeerListen != "" && cfg.Settings.PeerMessages {
-		if p.link, err = peers.Open(cfg.PeerListen, cfg.Peers, cfg.PeersAll, p.log); err != nil {
+		if p.link, err = gossip.Open(cfg.PeerListen, cfg.Peers, cfg.PeersAll, p.log); err != nil {
 			return err
 		}
 		gc.Peers = p.link
--- a/internal/net/peers/peers.go
+++ b/internal/net/gossip/gossip.go
@@ -1,5 +1,5 @@
-// Package peers carries datagrams between the gateways of a tier.
-package peers
+// Package gossip carries datagrams between the gateways of a tier.
+package gossip
 
 import (
 	"context"
