--- a/cmd/larchusher/figures.go
+++ b/cmd/larchusher/figures.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"larchusher/internal/metrics"
-	"larchusher/internal/net/console"
+	"larchusher/internal/net/admin"
 )
 
 var (
@@ -19,7 +19,7 @@
 	if p.cfg.Console == "" {
 		return nil
 	}
-	server := console.New(console.Config{Loop: p.loop, Ready: p.ready, Figures: p.figures, Most: p.shares().Console})
+	server := admin.New(admin.Config{Loop: p.loop, Ready: p.ready, Figures: p.figures, Most: p.shares().Console})
 	l, err := server.Listen(p.engine, p.cfg.Console)
 	if err != nil {
 		return err
--- a/internal/net/console/console.go
+++ b/internal/net/admin/admin.go
@@ -1,6 +1,6 @@
-// Package console answers operators at an address of their own: a connection carries one line with the name of a call and
+// Package admin answers operators at an address of their own: a connection carries one line with the name of a call and
 // gets one reply. It knows no figures itself; what it tells is handed in.
-package console
+package admin
 
 import (
 	"bytes"
