--- a/cmd/larchusher/leave.go
+++ b/cmd/larchusher/leave.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"time"
 
-	"larchusher/internal/handover"
+	"larchusher/internal/hotrestart"
 	"larchusher/internal/net/transport"
 	"larchusher/warmstart"
 )
@@ -13,7 +13,7 @@
 // connections to the new process.
 
 // handState hands this process's state to its successor. From this moment on the successor has the budget for cold stores.
-func (p *program) handState(answer handover.Answer) {
+func (p *program) handState(answer hotrestart.Answer) {
 	p.log.Info("upgrade: handing over to a new process")
 	p.gw.PauseCold(-1)
 	p.useShares(overlapShare)
@@ -27,7 +27,7 @@
 			state.Learned = nil
 			data, err = json.Marshal(state)
 		}
-		var link *handover.Link
+		var link *hotrestart.Link
 		if err == nil {
 			link, err = answer(data, sockets)
 		}
@@ -39,10 +39,10 @@
 }
 
 // sockets are the listening sockets that go over to a successor.
-func (p *program) sockets() (all []handover.Socket) {
+func (p *program) sockets() (all []hotrestart.Socket) {
 	for _, l := range p.accept {
 		if raw, err := l.RawConn(); err == nil {
-			all = append(all, handover.Socket{Addr: l.Addr().String(), Conn: raw})
+			all = append(all, hotrestart.Socket{Addr: l.Addr().String(), Conn: raw})
 		}
 	}
 	return all
@@ -54,9 +54,9 @@
 // move hands a client's connection to the successor.
 func (p *program) move(conn *transport.Conn, pieces []transport.Piece) error {
 	now := time.Now()
-	var over []handover.Piece
+	var over []hotrestart.Piece
 	for _, piece := range pieces {
-		over = append(over, handover.Piece{Data: piece.Data, Age: now.Sub(piece.At)})
+		over = append(over, hotrestart.Piece{Data: piece.Data, Age: now.Sub(piece.At)})
 	}
 	addr := p.clients.Addr().String()
 	return conn.Detach(func(descriptor int) error { return p.successor.Move(addr, over, descriptor) })
--- a/cmd/larchusher/serve.go
+++ b/cmd/larchusher/serve.go
@@ -12,7 +12,7 @@
 	"larchusher/gateway"
 	"larchusher/internal/clusternode"
 	"larchusher/internal/config"
-	"larchusher/internal/handover"
+	"larchusher/internal/hotrestart"
 	"larchusher/internal/net/discovery"
 	"larchusher/internal/net/gossip"
 	"larchusher/internal/net/msgpackrpc"
@@ -45,12 +45,12 @@
 	accept []*transport.Listener
 	book   *discovery.Book
 
-	moves     *handover.Receiver  // of clients' connections of a former process; nil: none come
-	successor *handover.Link      // to which clients' connections go over; nil: they do not
-	process   *handover.Process   // nil: no other process of this gateway can take over
-	since     string              // fingerprint of the journal's events at the start
-	clients   *transport.Listener // of the platform's front
-	closeRest func()              // closes sockets of a former process that nobody listens on any more; nil: there are none
+	moves     *hotrestart.Receiver // of clients' connections of a former process; nil: none come
+	successor *hotrestart.Link     // to which clients' connections go over; nil: they do not
+	process   *hotrestart.Process  // nil: no other process of this gateway can take over
+	since     string               // fingerprint of the journal's events at the start
+	clients   *transport.Listener  // of the platform's front
+	closeRest func()               // closes sockets of a former process that nobody listens on any more; nil: there are none
 
 	signedAt *transport.Listener // where the signed front listens
 	retired  bool                // a reload has ended that front
--- a/cmd/larchusher/upgrade.go
+++ b/cmd/larchusher/upgrade.go
@@ -15,7 +15,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"larchusher/internal/handover"
+	"larchusher/internal/hotrestart"
 	"larchusher/internal/net/discovery"
 	"larchusher/internal/net/transport"
 	"larchusher/warmstart"
@@ -61,7 +61,7 @@
 	}
 	// Short: a Unix socket in it has a path of 107 bytes at most.
 	name := fmt.Sprintf("larchusher-%012x", xxhash.Sum64String(fmt.Sprintf("%d %s", os.Geteuid(), p.cfg.Listen))>>16)
-	p.process, err = handover.Join(filepath.Join(os.TempDir(), name), turnWithin)
+	p.process, err = hotrestart.Join(filepath.Join(os.TempDir(), name), turnWithin)
 	if err != nil {
 		p.process = nil
 		p.log.WithError(err).Warn("upgrade: no state will be handed over")
@@ -127,7 +127,7 @@
 			})
 		})
 	}
-	p.process.Watch(func(answer handover.Answer) {
+	p.process.Watch(func(answer hotrestart.Answer) {
 		p.loop.Post(func() { p.handState(answer) })
 	}, func() {
 		p.loop.Post(func() {
--- a/internal/handover/handover.go
+++ b/internal/hotrestart/hotrestart.go
@@ -1,10 +1,10 @@
-// Package handover lets a new process of a gateway take over from one that still serves. Both find each other by locks on
+// Package hotrestart lets a new process of a gateway take over from one that still serves. Both find each other by locks on
 // files in a folder that they share, and the state goes over by a file. The kernel gives locks back when a process dies, so
 // what a file says never claims a process that is gone.
 //
 // The package knows nothing of what the state is. Where Unix sockets work, listening sockets go over as well, with what waits in
 // their queues.
-package handover
+package hotrestart
 
 import (
 	"crypto/rand"
--- a/internal/handover/sockets.go
+++ b/internal/hotrestart/sockets.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"encoding/json"
