--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -9,7 +9,7 @@
 	"io"
 	"os"
 
-	"larchusher/internal/wire"
+	"larchusher/internal/simprotocol"
 	"larchusher/routing"
 )
 
@@ -53,7 +53,7 @@
 
 // host holds the directors of this process. They share nothing.
 type host struct {
-	decoder   wire.Decoder
+	decoder   simprotocol.Decoder
 	directors map[string]*routing.Director
 	actions   []routing.Action
 }
@@ -64,12 +64,12 @@
 	if err != nil {
 		return nil, err
 	}
-	var reply wire.Reply
+	var reply simprotocol.Reply
 	for _, it := range b.Items {
 		switch it.Kind {
-		case wire.Stop:
+		case simprotocol.Stop:
 			delete(h.directors, it.Director)
-		case wire.Start:
+		case simprotocol.Start:
 			d, err := routing.New(it.Settings, it.Seed)
 			if err != nil {
 				delete(h.directors, it.Director)
@@ -77,7 +77,7 @@
 				continue
 			}
 			h.directors[it.Director] = d
-		case wire.Event:
+		case simprotocol.Event:
 			d := h.directors[it.Director]
 			if d == nil {
 				continue // it was killed, or never started
@@ -92,7 +92,7 @@
 }
 
 // handle gives one event to its director. A panic in the module comes back as an error.
-func (h *host) handle(d *routing.Director, b wire.Batch, it wire.Item, reply *wire.Reply) (err error) {
+func (h *host) handle(d *routing.Director, b simprotocol.Batch, it simprotocol.Item, reply *simprotocol.Reply) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic in the decision module: %v", p)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,7 +15,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"larchusher/internal/net/discovery"
-	"larchusher/internal/wire"
+	"larchusher/internal/simprotocol"
 	"larchusher/routing"
 )
 
@@ -93,9 +93,9 @@
 	// Notes are what was put right while reading, to be logged.
 	Notes []string `json:"-"`
 
-	Seed     uint64           `json:"-"`
-	Settings routing.Settings `json:"-"`
-	Sockets  wire.Sockets     `json:"-"`
+	Seed     uint64              `json:"-"`
+	Settings routing.Settings    `json:"-"`
+	Sockets  simprotocol.Sockets `json:"-"`
 
 	layout layout
 }
@@ -157,7 +157,7 @@
 	if len(c.Raw) == 0 {
 		return nil, errors.New("settings: missing")
 	}
-	if c.Settings, c.Sockets, err = wire.ReadSettings(c.Raw); err != nil {
+	if c.Settings, c.Sockets, err = simprotocol.ReadSettings(c.Raw); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	c.Raw = nil
--- a/internal/wire/decode.go
+++ b/internal/simprotocol/decode.go
@@ -1,7 +1,7 @@
-// Package wire reads and writes the adapter protocol: one JSON batch a line in, one JSON reply a line out.
+// Package simprotocol reads and writes the adapter protocol: one JSON batch a line in, one JSON reply a line out.
 //
 // It translates between the protocol's words and the types of package control, and decides nothing.
-package wire
+package simprotocol
 
 import (
 	"bytes"
--- a/internal/wire/wire_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"reflect"
--- a/test/crossing_test.go
+++ b/test/crossing_test.go
@@ -21,7 +21,7 @@
 	"larchusher/internal/net/msgpackrpc"
 	"larchusher/internal/net/resp"
 	"larchusher/internal/net/transport"
-	"larchusher/internal/wire"
+	"larchusher/internal/simprotocol"
 	"larchusher/lab/standin"
 	"larchusher/lab/world"
 	"larchusher/routing"
@@ -47,7 +47,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	settings, _, err := wire.ReadSettings([]byte(world.Settings))
+	settings, _, err := simprotocol.ReadSettings([]byte(world.Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
