--- a/cmd/larchusher-lab/load.go
+++ b/cmd/larchusher-lab/load.go
@@ -11,7 +11,7 @@
 	"time"
 
 	loadgen "larchusher/lab/load"
-	"larchusher/lab/world"
+	"larchusher/lab/testbed"
 )
 
 // load is the sub-command of that name.
@@ -74,10 +74,10 @@
 	ctx, cancel := context.WithTimeout(context.Background(), l.For+time.Minute)
 	defer cancel()
 	addr := l.Addr
-	var w *world.World
+	var w *testbed.World
 	if addr == "" {
 		var err error
-		w, err = world.Start(ctx, world.Config{Program: l.Program, Args: l.Arg, Caches: l.Caches, Cores: l.Cores,
+		w, err = testbed.Start(ctx, testbed.Config{Program: l.Program, Args: l.Arg, Caches: l.Caches, Cores: l.Cores,
 			MemoryMB: l.MemoryMB, Sockets: l.Sockets, Pin: l.Pin})
 		if err != nil {
 			return err
@@ -113,7 +113,7 @@
 			return err
 		}
 	}
-	var before world.Usage
+	var before testbed.Usage
 	if w != nil {
 		if before, err = w.Use(); err != nil {
 			return err
@@ -172,7 +172,7 @@
 }
 
 // trouble stalls the gateway as asked, beside the load.
-func (l *load) trouble(ctx context.Context, w *world.World) error {
+func (l *load) trouble(ctx context.Context, w *testbed.World) error {
 	if l.Duty != "" {
 		on, of, ok := strings.Cut(l.Duty, "/")
 		run, err1 := time.ParseDuration(on)
--- a/cmd/larchusher-lab/up.go
+++ b/cmd/larchusher-lab/up.go
@@ -17,7 +17,7 @@
 
 	loadgen "larchusher/lab/load"
 	"larchusher/lab/standin"
-	"larchusher/lab/world"
+	"larchusher/lab/testbed"
 	"larchusher/signedurl"
 )
 
@@ -38,7 +38,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	front, err := world.Free()
+	front, err := testbed.Free()
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
 	}
-	w, err := world.Start(ctx, world.Config{Program: program, Args: []string{"serve", "--operator", file},
+	w, err := testbed.Start(ctx, testbed.Config{Program: program, Args: []string{"serve", "--operator", file},
 		Env: []string{"LAB_KEY=" + hex.EncodeToString(secret)}, Caches: u.Caches, Pin: -1})
 	if err != nil {
 		return err
--- a/lab/deaths/deaths.go
+++ b/lab/deaths/deaths.go
@@ -19,7 +19,7 @@
 	"larchusher/lab/population"
 	"larchusher/lab/relay"
 	"larchusher/lab/standin"
-	"larchusher/lab/world"
+	"larchusher/lab/testbed"
 )
 
 // Death is one gateway's, counted from the beginning.
@@ -104,7 +104,7 @@
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	var worlds []*world.World
+	var worlds []*testbed.World
 	var relays []*relay.Relay
 	defer func() {
 		for _, r := range relays {
@@ -116,7 +116,7 @@
 	}()
 	var addrs []string
 	for i := range cfg.Gateways {
-		w, err := world.Start(ctx, world.Config{Program: cfg.Program, Caches: 2, Pin: -1, Sockets: 4096, Seed: fmt.Sprintf("%016x", i+1)})
+		w, err := testbed.Start(ctx, testbed.Config{Program: cfg.Program, Caches: 2, Pin: -1, Sockets: 4096, Seed: fmt.Sprintf("%016x", i+1)})
 		if err != nil {
 			return nil, err
 		}
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -17,7 +17,7 @@
 
 	"larchusher/lab/load"
 	"larchusher/lab/standin"
-	"larchusher/lab/world"
+	"larchusher/lab/testbed"
 )
 
 // Zone is one location.
@@ -79,7 +79,7 @@
 	s := strings.NewReplacer(`"balancers":2`, fmt.Sprintf(`"balancers":%d`, len(zones)), `"position":0`, fmt.Sprintf(`"position":%d`, own),
 		`"dcs":["north","edge-1"]`, `"dcs":`+list(names), `"zone":"edge-1"`, fmt.Sprintf(`"zone":%q`, zones[own].Name),
 		`"countByZone":[0,2],"homeHub":[0,0]`, `"countByZone":`+list(counts)+`,"homeHub":`+list(homes)+`,"mayPassBy":true`,
-		`"peerMessages":true`, `"peerMessages":false`).Replace(world.Settings)
+		`"peerMessages":true`, `"peerMessages":false`).Replace(testbed.Settings)
 	return json.RawMessage(s)
 }
 
@@ -107,7 +107,7 @@
 	boxes    [][]*standin.Box // by zone, those of now
 	all      []*standin.Box
 	zoneOf   map[*standin.Box]int
-	gateways []*world.World
+	gateways []*testbed.World
 	pos      int
 	serial   int
 	mu       sync.Mutex
@@ -252,7 +252,7 @@
 	}
 	list := json.RawMessage(`{"pos":1,"entries":[{"pos":1,"hosts":{"index":1,"snapshot":true,"endpoints":[` + strings.Join(known, ",") + `]}}]}`)
 	for i, z := range f.cfg.Zones {
-		w := world.Config{Program: f.cfg.Program, Pin: -1, Seed: fmt.Sprintf("%016x", f.cfg.Seed+uint64(i)+1)}
+		w := testbed.Config{Program: f.cfg.Program, Pin: -1, Seed: fmt.Sprintf("%016x", f.cfg.Seed+uint64(i)+1)}
 		if !f.cfg.Off {
 			path := filepath.Join(f.dir, z.Name+".textproto")
 			if err := os.WriteFile(path, []byte(operator(f.cfg.Zones, i, f.cfg.Tiers)), 0o600); err != nil {
@@ -260,7 +260,7 @@
 			}
 			w.Args = []string{"serve", "--operator", path}
 		}
-		g, err := world.StartIn(ctx, w, settings(f.cfg.Zones, i), list)
+		g, err := testbed.StartIn(ctx, w, settings(f.cfg.Zones, i), list)
 		if err != nil {
 			return err
 		}
--- a/lab/procs/procs.go
+++ b/lab/procs/procs.go
@@ -21,7 +21,7 @@
 	"larchusher/cluster"
 	"larchusher/internal/net/clustertransport"
 	"larchusher/lab/standin"
-	"larchusher/lab/world"
+	"larchusher/lab/testbed"
 	"larchusher/maintenance"
 )
 
@@ -111,7 +111,7 @@
 	link    string
 	folder  string
 	clock   string
-	world   *world.World
+	world   *testbed.World
 	clients *clients
 	news    chan piece
 	mu      sync.Mutex
@@ -140,7 +140,7 @@
 		`"hardLimitMs":5000`, `"hardLimitMs":1500`, `"hardLimitMs":2500`, `"hardLimitMs":1500`, `"hardLimitMs":3000`, `"hardLimitMs":1500`,
 		`"weightSource":"off"`, `"weightSource":"nominal"`, `"rampTimeMs":17000`, fmt.Sprintf(`"rampTimeMs":%d`, ramp.Milliseconds()),
 		`"parentColdMs":22000`, fmt.Sprintf(`"parentColdMs":%d`, ramp.Milliseconds()), `"stopSendingWithinMs":2000`, `"stopSendingWithinMs":500`,
-		`"fields":["busy_reqs","x1","x0"]`, `"fields":["cpu_share","x1","x0"]`, `"peerMessages":true`, `"peerMessages":false`).Replace(world.Settings)
+		`"fields":["busy_reqs","x1","x0"]`, `"fields":["cpu_share","x1","x0"]`, `"peerMessages":true`, `"peerMessages":false`).Replace(testbed.Settings)
 	return json.RawMessage(s)
 }
 
@@ -316,7 +316,7 @@
 	known := json.RawMessage(`{"pos":1,"entries":[{"pos":1,"hosts":{"index":1,"snapshot":true,"endpoints":[` + strings.Join(hosts, ",") + `]}}]}`)
 	for i := range p.plot.Gateways {
 		host := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%100, p.plot.Seed%250, i+1)
-		link, err := world.FreeAt(host)
+		link, err := testbed.FreeAt(host)
 		if err != nil {
 			return err
 		}
@@ -375,7 +375,7 @@
 	if p.former(g) {
 		program = p.plot.Former
 	}
-	g.world, err = world.StartIn(ctx, world.Config{Program: program, Pin: -1, Seed: fmt.Sprintf("%016x", p.plot.Seed<<8+uint64(i)+1), Replay: true, Host: g.host,
+	g.world, err = testbed.StartIn(ctx, testbed.Config{Program: program, Pin: -1, Seed: fmt.Sprintf("%016x", p.plot.Seed<<8+uint64(i)+1), Replay: true, Host: g.host,
 		Args: []string{"serve", "--operator", path},
 		Env:  []string{"FLEET_KEY=" + hex.EncodeToString(key), "LARCHUSHER_LAB_CLOCK=" + g.clock, "GOMAXPROCS=2"}}, settings(g.zone, len(p.gateways), i), known)
 	if err != nil {
--- a/lab/world/world_test.go
+++ b/lab/testbed/testbed_test.go
@@ -1,4 +1,4 @@
-package world
+package testbed
 
 import "testing"
 
--- a/test/client_test.go
+++ b/test/client_test.go
@@ -20,20 +20,20 @@
 	"larchusher/lab/population"
 	"larchusher/lab/relay"
 	"larchusher/lab/standin"
-	"larchusher/lab/world"
+	"larchusher/lab/testbed"
 )
 
 var clientClasses = []lib.Class{{Name: "films", Worth: 2}, {Name: "images", Worth: 1},
 	{Name: "orders", Effect: lib.Keyed, Window: 3 * time.Second, Worth: 3}}
 
 // pair starts two gateways, each with a relay before it.
-func pair(t *testing.T) (context.Context, [2]*world.World, [2]*relay.Relay) {
+func pair(t *testing.T) (context.Context, [2]*testbed.World, [2]*relay.Relay) {
 	t.Helper()
-	var ws [2]*world.World
+	var ws [2]*testbed.World
 	var rs [2]*relay.Relay
 	var ctx context.Context
 	for i := range ws {
-		ctx, ws[i] = startWorld(t, world.Config{Caches: 2, Pin: -1, Sockets: 4096})
+		ctx, ws[i] = startWorld(t, testbed.Config{Caches: 2, Pin: -1, Sockets: 4096})
 		r, err := relay.New(ws[i].Addr, uint64(i))
 		if err != nil {
 			t.Fatal(err)
@@ -223,7 +223,7 @@
 
 // Close while requests are open: each caller gets one error at once, and no goroutine is left.
 func TestCloseWithOpenCalls(t *testing.T) {
-	ctx, w := startWorld(t, world.Config{Caches: 2, Pin: -1})
+	ctx, w := startWorld(t, testbed.Config{Caches: 2, Pin: -1})
 	for _, s := range w.Stores {
 		s.On(func(*ask) {})
 	}
--- a/test/cold_test.go
+++ b/test/cold_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"larchusher/lab/world"
+	"larchusher/lab/testbed"
 )
 
 // The ramp of world.Settings.
@@ -26,7 +26,7 @@
 func listed(stores map[string]*store, status string, since int64, names ...string) string {
 	var hosts []string
 	for _, n := range names {
-		hosts = append(hosts, strings.Replace(world.Host(stores[n], status), `"since_ms":0`, fmt.Sprintf(`"since_ms":%d`, since), 1))
+		hosts = append(hosts, strings.Replace(testbed.Host(stores[n], status), `"since_ms":0`, fmt.Sprintf(`"since_ms":%d`, since), 1))
 	}
 	return strings.Join(hosts, ",")
 }
@@ -45,7 +45,7 @@
 func settingsOf(t *testing.T, change map[string]any) json.RawMessage {
 	t.Helper()
 	var all map[string]any
-	if err := json.Unmarshal([]byte(world.Settings), &all); err != nil {
+	if err := json.Unmarshal([]byte(testbed.Settings), &all); err != nil {
 		t.Fatal(err)
 	}
 	for k, v := range change {
--- a/test/crossing_test.go
+++ b/test/crossing_test.go
@@ -23,7 +23,7 @@
 	"larchusher/internal/net/transport"
 	"larchusher/internal/simprotocol"
 	"larchusher/lab/standin"
-	"larchusher/lab/world"
+	"larchusher/lab/testbed"
 	"larchusher/routing"
 )
 
@@ -47,7 +47,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	settings, _, err := simprotocol.ReadSettings([]byte(world.Settings))
+	settings, _, err := simprotocol.ReadSettings([]byte(testbed.Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 	}
 	in.pool.Gateway = in.gw
 	var known netjournal.Known
-	if err := json.Unmarshal(world.Known(r.stores), &known); err != nil {
+	if err := json.Unmarshal(testbed.Known(r.stores), &known); err != nil {
 		t.Fatal(err)
 	}
 	book := &netjournal.Book{Sink: struct {
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -19,12 +19,12 @@
 
 	"larchusher/lab/load"
 	"larchusher/lab/standin"
-	"larchusher/lab/world"
+	"larchusher/lab/testbed"
 	"larchusher/signedurl"
 )
 
 // startWorld starts a world round the program, kept on one core.
-func startWorld(t *testing.T, cfg world.Config) (context.Context, *world.World) {
+func startWorld(t *testing.T, cfg testbed.Config) (context.Context, *testbed.World) {
 	t.Helper()
 	if runtime.NumCPU() < 4 {
 		t.Skip("the load takes cores that the gateway is to have")
@@ -32,7 +32,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	t.Cleanup(cancel)
 	cfg.Program = program
-	w, err := world.Start(ctx, cfg)
+	w, err := testbed.Start(ctx, cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 // are in aim, replays go before assets, refusals come at once, and the memory holds.
 func TestOverloadOnSockets(t *testing.T) {
 	const limit = 32
-	ctx, w := startWorld(t, world.Config{MemoryMB: limit, Caches: 4})
+	ctx, w := startWorld(t, testbed.Config{MemoryMB: limit, Caches: 4})
 	res, err := load.Run(ctx, load.Spec{Addr: w.Addr, Rate: load.Constant(30000), For: 3 * time.Second, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -103,7 +103,7 @@
 // Slow readers that ask for much do not fill the memory, and quick clients beside them are served.
 func TestSlowReadersOnSockets(t *testing.T) {
 	const limit = 64
-	ctx, w := startWorld(t, world.Config{MemoryMB: limit, Caches: 2})
+	ctx, w := startWorld(t, testbed.Config{MemoryMB: limit, Caches: 2})
 	for _, s := range w.Stores {
 		s.On(load.SlowContent(200_000))
 	}
@@ -141,7 +141,7 @@
 // The host stands still while answers come: they count as come in time, nobody is refused, no store is left for it, and
 // the balancer is told nothing.
 func TestAStallIsNoOverload(t *testing.T) {
-	ctx, w := startWorld(t, world.Config{Caches: 2, Pin: -1})
+	ctx, w := startWorld(t, testbed.Config{Caches: 2, Pin: -1})
 	slow := func(a *standin.Ask) { time.AfterFunc(100*time.Millisecond, func() { standin.Done(a) }) }
 	for _, s := range w.Stores {
 		s.On(slow)
@@ -181,7 +181,7 @@
 
 // Stores that are slow are no overload of the gateway: nothing is shed for it.
 func TestSlowStoresAreNoOverload(t *testing.T) {
-	ctx, w := startWorld(t, world.Config{Caches: 2, Pin: -1})
+	ctx, w := startWorld(t, testbed.Config{Caches: 2, Pin: -1})
 	for _, s := range w.Stores {
 		s.On(func(a *standin.Ask) { time.AfterFunc(300*time.Millisecond, func() { standin.Done(a) }) })
 	}
@@ -222,7 +222,7 @@
 
 // A flood of one class on the signed front, with tokens good and bad, does not starve the platform's clients, and the other way round.
 func TestFrontsDoNotStarveEachOther(t *testing.T) {
-	addr, err := world.Free()
+	addr, err := testbed.Free()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -231,7 +231,7 @@
 	if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	ctx, w := startWorld(t, world.Config{Caches: 2, Args: []string{"serve", "--operator", path},
+	ctx, w := startWorld(t, testbed.Config{Caches: 2, Args: []string{"serve", "--operator", path},
 		Env: []string{fmt.Sprintf("K=%x", signedKeys.Keys[2].Secret)}})
 	good := signer(t, signedurl.Config{Base: base, Keys: signedKeys.Keys[2:3]}, signedKeys.Keys[2].ID)(signedurl.Order{
 		Target: "/images/" + object + "/3", Expiry: time.Now().Add(time.Hour)})
--- a/test/peers_test.go
+++ b/test/peers_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"larchusher/lab/world"
+	"larchusher/lab/testbed"
 )
 
 // A spoilt answer ends its connection, and few others with it: a connection held up to 32, all of which had to be
@@ -68,7 +68,7 @@
 // not be taken for the answer to the next try of the same request.
 func TestSecondCopiesArePassedOver(t *testing.T) {
 	r := newRig(t)
-	r.config["settings"] = json.RawMessage(strings.Replace(world.Settings, `"joins"`, `"mayPassBy":true,"joins"`, 1))
+	r.config["settings"] = json.RawMessage(strings.Replace(testbed.Settings, `"joins"`, `"mayPassBy":true,"joins"`, 1))
 	r.start()
 	once := make(chan bool, 1)
 	once <- true
--- a/test/rig_test.go
+++ b/test/rig_test.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"larchusher/lab/standin"
-	"larchusher/lab/world"
+	"larchusher/lab/testbed"
 )
 
 // patience is how long anything may take that is sure to come.
@@ -60,7 +60,7 @@
 	args    []string
 	env     []string
 	cmd     *exec.Cmd
-	log     *world.Log
+	log     *testbed.Log
 	exited  chan error
 }
 
@@ -77,15 +77,15 @@
 
 // rigOf is newRig among stores that others use, too.
 func rigOf(t *testing.T, stores map[string]*store) *rig {
-	r := &rig{t: t, stores: stores, journal: newJournal(t), addr: free(t), log: &world.Log{}}
+	r := &rig{t: t, stores: stores, journal: newJournal(t), addr: free(t), log: &testbed.Log{}}
 	r.config = map[string]any{"name": "n0", "listen": r.addr, "seed": "8c1f30d27a5be964", "journal": r.journal.Addr,
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"settings": json.RawMessage(world.Settings)}
+		"settings": json.RawMessage(testbed.Settings)}
 	return r
 }
 
 // host words a store for the journal.
-func (r *rig) host(name, status string) string { return world.Host(r.stores[name], status) }
+func (r *rig) host(name, status string) string { return testbed.Host(r.stores[name], status) }
 
 // write writes the configuration to its file.
 func (r *rig) write() {
@@ -114,7 +114,7 @@
 func (r *rig) start() *rig {
 	r.t.Helper()
 	if r.config["known"] = r.known; r.known == nil {
-		r.config["known"] = world.Known(r.stores)
+		r.config["known"] = testbed.Known(r.stores)
 	}
 	r.write()
 	r.run()
@@ -126,7 +126,7 @@
 // run starts the program on the configuration that is written.
 func (r *rig) run() {
 	r.t.Helper()
-	r.log = &world.Log{}
+	r.log = &testbed.Log{}
 	r.cmd = exec.Command(program, r.args...)
 	r.cmd.Env = append(append(os.Environ(), "BALANCER_CONFIG="+r.path, "BALANCER_NAME=n0"), r.env...)
 	r.cmd.Stderr = r.log
@@ -200,7 +200,7 @@
 
 func free(t *testing.T) string {
 	t.Helper()
-	addr, err := world.Free()
+	addr, err := testbed.Free()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -8,14 +8,14 @@
 	"testing"
 	"time"
 
-	"larchusher/lab/world"
+	"larchusher/lab/testbed"
 )
 
 // settings are the stand-in deployment's, as JSON objects that a test may change.
 func settings(t *testing.T) map[string]any {
 	t.Helper()
 	var s map[string]any
-	if err := json.Unmarshal([]byte(world.Settings), &s); err != nil {
+	if err := json.Unmarshal([]byte(testbed.Settings), &s); err != nil {
 		t.Fatal(err)
 	}
 	return s
--- a/test/signed_test.go
+++ b/test/signed_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"larchusher/lab/world"
+	"larchusher/lab/testbed"
 	"larchusher/signedurl"
 )
 
@@ -342,7 +342,7 @@
 // What may have run and may not run again has failed.
 func TestWhatMayHaveRunIsABadGateway(t *testing.T) {
 	r, addr := signedRig(t, "", func(r *rig) {
-		r.config["settings"] = json.RawMessage(strings.Replace(world.Settings, `"effect":"by_key"`, `"effect":"once"`, 1))
+		r.config["settings"] = json.RawMessage(strings.Replace(testbed.Settings, `"effect":"by_key"`, `"effect":"once"`, 1))
 	})
 	r.on(func(a *ask) { a.Conn.Close() })
 	target := signer(t, signedKeys, "edge")(signedurl.Order{Target: "/orders/" + object + "/0", Expiry: time.Now().Add(time.Hour)})
--- a/test/state_test.go
+++ b/test/state_test.go
@@ -12,20 +12,20 @@
 	"time"
 
 	"larchusher/lab/load"
-	"larchusher/lab/world"
+	"larchusher/lab/testbed"
 )
 
 // keeping starts a world whose gateway keeps what it learns in a folder.
-func keeping(t *testing.T, folder, more string) (context.Context, *world.World) {
+func keeping(t *testing.T, folder, more string) (context.Context, *testbed.World) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.textproto")
 	if err := os.WriteFile(path, []byte(fmt.Sprintf("state { folder: %q every: \"100ms\" %s }", folder, more)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return startWorld(t, world.Config{Caches: 3, Pin: -1, Args: []string{"serve", "--operator", path}})
+	return startWorld(t, testbed.Config{Caches: 3, Pin: -1, Args: []string{"serve", "--operator", path}})
 }
 
-func drive(t *testing.T, ctx context.Context, w *world.World, seed uint64) {
+func drive(t *testing.T, ctx context.Context, w *testbed.World, seed uint64) {
 	t.Helper()
 	res, err := load.Run(ctx, load.Spec{Addr: w.Addr, Conns: 5, Rate: load.Constant(500), For: time.Second, Seed: seed})
 	if err != nil {
--- a/test/tiers_test.go
+++ b/test/tiers_test.go
@@ -11,7 +11,7 @@
 
 	"larchusher/lab/fleet"
 	"larchusher/lab/load"
-	"larchusher/lab/world"
+	"larchusher/lab/testbed"
 )
 
 // A zone of three goes dark and comes back cold, with real gateways: each request has one answer, spill stays within its
@@ -50,7 +50,7 @@
 	}
 	const place = "\n  locality { name: \"north\" level: 1 }\n}\n"
 	write("tiers {\n  spill: 0.2" + place)
-	ctx, w := startWorld(t, world.Config{Caches: 2, Pin: -1, Args: []string{"serve", "--operator", path}})
+	ctx, w := startWorld(t, testbed.Config{Caches: 2, Pin: -1, Args: []string{"serve", "--operator", path}})
 	for _, step := range []struct{ text, log string }{
 		{"tiers {\n  spill: 1.5" + place, "line 2: tiers.spill: 1.5 is not from 0 to 1"},
 		{"tiers {\n  locality { name: \"moon\" level: 1 }\n}\n", "is none of the zones"},
