--- a/cmd/larchusher-lab/deaths.go
+++ b/cmd/larchusher-lab/deaths.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 	"time"
 
-	"larchusher/lab/deaths"
+	"larchusher/lab/failover"
 	"larchusher/lab/plot"
 	"larchusher/lab/population"
 )
@@ -31,7 +31,7 @@
 }
 
 // parseDeath reads GATEWAY@WHEN..BACK.
-func parseDeath(s string) (d deaths.Death, err error) {
+func parseDeath(s string) (d failover.Death, err error) {
 	gateway, when, ok := strings.Cut(s, "@")
 	at, back, again := strings.Cut(when, "..")
 	if d.Gateway, err = strconv.Atoi(gateway); !ok || err != nil {
@@ -54,7 +54,7 @@
 	if c.Program, err = programPath(c.Program); err != nil {
 		return err
 	}
-	cfg := deaths.Config{Program: c.Program, Gateways: c.Gateways, Clients: c.Clients, Every: c.Every, Limit: c.Limit,
+	cfg := failover.Config{Program: c.Program, Gateways: c.Gateways, Clients: c.Clients, Every: c.Every, Limit: c.Limit,
 		For: c.For, Refuse: c.Refuse, Store: c.Store, Seed: c.Seed}
 	for _, k := range c.Kill {
 		if k == "" || c.Refuse {
@@ -79,7 +79,7 @@
 	for _, kind := range kinds {
 		cfg.Kind = kind
 		ctx, cancel := context.WithTimeout(context.Background(), c.For+time.Minute)
-		r, err := deaths.Run(ctx, cfg)
+		r, err := failover.Run(ctx, cfg)
 		cancel()
 		if err != nil {
 			return err
@@ -94,7 +94,7 @@
 		}
 		l := plot.Line{Name: string(kind)}
 		for i, n := range r.Connects {
-			l.XY = append(l.XY, [2]float64{(time.Duration(i) * deaths.Window).Seconds(), float64(n)})
+			l.XY = append(l.XY, [2]float64{(time.Duration(i) * failover.Window).Seconds(), float64(n)})
 		}
 		lines = append(lines, l)
 	}
--- a/lab/deaths/deaths.go
+++ b/lab/failover/failover.go
@@ -1,6 +1,6 @@
-// Package deaths kills real gateways under real clients on loopback, and tells what the living ones saw: the client
+// Package failover kills real gateways under real clients on loopback, and tells what the living ones saw: the client
 // library, and clients as one writes them in an hour beside it, in the same world.
-package deaths
+package failover
 
 import (
 	"context"
--- a/lab/deaths/naive.go
+++ b/lab/failover/naive.go
@@ -1,4 +1,4 @@
-package deaths
+package failover
 
 import (
 	"context"
--- a/test/client_test.go
+++ b/test/client_test.go
@@ -16,7 +16,7 @@
 
 	lib "larchusher/client"
 	"larchusher/client/plan"
-	"larchusher/lab/deaths"
+	"larchusher/lab/failover"
 	"larchusher/lab/population"
 	"larchusher/lab/relay"
 	"larchusher/lab/standin"
@@ -189,8 +189,8 @@
 // A gateway dies, its neighbour half a second later, and both come back: all is served within its deadline, the living see
 // no spike, and what retries there are keep the rules.
 func TestAGatewayAndItsNeighbourDie(t *testing.T) {
-	r := playDeaths(t, deaths.Config{Gateways: 3, Clients: 300, Every: 500 * time.Millisecond, Store: 100 * time.Millisecond,
-		Deaths: []deaths.Death{{Gateway: 0, At: time.Second, Back: 3 * time.Second}, {Gateway: 1, At: 1500 * time.Millisecond, Back: 3500 * time.Millisecond}},
+	r := playDeaths(t, failover.Config{Gateways: 3, Clients: 300, Every: 500 * time.Millisecond, Store: 100 * time.Millisecond,
+		Deaths: []failover.Death{{Gateway: 0, At: time.Second, Back: 3 * time.Second}, {Gateway: 1, At: 1500 * time.Millisecond, Back: 3500 * time.Millisecond}},
 		For:    5 * time.Second, Seed: 1})
 	if float64(r.Served) < 0.97*float64(r.Due) || r.PeakPart > 0.2 || r.Late > 50*time.Millisecond {
 		t.Errorf("%d of %d were served, %.2f of the connects came in one tenth of a second, the latest ended %v after its deadline: %v",
@@ -200,18 +200,18 @@
 
 // Gateways that refuse everything see hardly more than is asked for, and nobody comes back before they said.
 func TestGatewaysThatRefuseAreNotPressed(t *testing.T) {
-	r := playDeaths(t, deaths.Config{Gateways: 2, Clients: 30, Every: 50 * time.Millisecond, Refuse: true, For: 3 * time.Second, Seed: 1})
+	r := playDeaths(t, failover.Config{Gateways: 2, Clients: 30, Every: 50 * time.Millisecond, Refuse: true, For: 3 * time.Second, Seed: 1})
 	if r.Ended["refused"] != r.Calls || r.Calls < 1000 || float64(r.Tries) > 1.1*float64(r.Calls) || r.Early > 0 {
 		t.Errorf("%d calls made %d tries, %d of them too early: %v", r.Calls, r.Tries, r.Early, r.Ended)
 	}
 }
 
-func playDeaths(t *testing.T, cfg deaths.Config) *deaths.Result {
+func playDeaths(t *testing.T, cfg failover.Config) *failover.Result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	cfg.Program, cfg.Kind = program, population.Planned
-	r, err := deaths.Run(ctx, cfg)
+	r, err := failover.Run(ctx, cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
