--- a/cmd/larchusher-lab/deaths.go
+++ b/cmd/larchusher-lab/deaths.go
@@ -9,9 +9,9 @@
 	"text/tabwriter"
 	"time"
 
+	"larchusher/lab/clientsim"
 	"larchusher/lab/failover"
 	"larchusher/lab/plot"
-	"larchusher/lab/population"
 )
 
 // deathsCmd is the sub-command deaths.
@@ -66,11 +66,11 @@
 		}
 		cfg.Deaths = append(cfg.Deaths, d)
 	}
-	kinds := population.Kinds()
+	kinds := clientsim.Kinds()
 	if len(c.Kind) > 0 {
 		kinds = nil
 		for _, k := range c.Kind {
-			kinds = append(kinds, population.Kind(k))
+			kinds = append(kinds, clientsim.Kind(k))
 		}
 	}
 	t := tabwriter.NewWriter(os.Stdout, 2, 8, 2, ' ', tabwriter.AlignRight)
--- a/cmd/larchusher-lab/population.go
+++ b/cmd/larchusher-lab/population.go
@@ -6,8 +6,8 @@
 	"text/tabwriter"
 	"time"
 
+	"larchusher/lab/clientsim"
 	"larchusher/lab/plot"
-	"larchusher/lab/population"
 )
 
 // populationCmd is the sub-command population.
@@ -30,9 +30,9 @@
 	t := tabwriter.NewWriter(os.Stdout, 2, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "clients\tserved from the kill on\tpeak of tries, over usual\tconnects within 5 s\tmost of them in 100 ms\tplayed in\t")
 	var tries, connects []plot.Line
-	for _, kind := range population.Kinds() {
+	for _, kind := range clientsim.Kinds() {
 		began := time.Now()
-		r, err := population.Run(kind, population.Config{Clients: p.Clients, Gateways: p.Gateways, Every: p.Every, Limit: p.Limit,
+		r, err := clientsim.Run(kind, clientsim.Config{Clients: p.Clients, Gateways: p.Gateways, Every: p.Every, Limit: p.Limit,
 			Capacity: p.Capacity, Kill: p.Kill, KillAt: killAt, Back: p.Back, For: p.For, Seed: p.Seed})
 		if err != nil {
 			return err
--- a/lab/population/population.go
+++ b/lab/clientsim/clientsim.go
@@ -1,6 +1,6 @@
-// Package population plays tens of thousands of clients against modelled gateways, on a clock of its own: the decisions
+// Package clientsim plays tens of thousands of clients against modelled gateways, on a clock of its own: the decisions
 // of package client/plan without a changed line, and naive clients beside them.
-package population
+package clientsim
 
 import (
 	"fmt"
--- a/lab/failover/failover.go
+++ b/lab/failover/failover.go
@@ -15,8 +15,8 @@
 
 	"larchusher/client"
 	"larchusher/client/plan"
+	"larchusher/lab/clientsim"
 	"larchusher/lab/load"
-	"larchusher/lab/population"
 	"larchusher/lab/relay"
 	"larchusher/lab/standin"
 	"larchusher/lab/testbed"
@@ -32,7 +32,7 @@
 // Config says what is played.
 type Config struct {
 	Program  string
-	Kind     population.Kind
+	Kind     clientsim.Kind
 	Gateways int           // 0: 3
 	Clients  int           // 0: 1,000
 	Every    time.Duration // mean time between a client's requests, 0: 1 s
@@ -74,7 +74,7 @@
 
 // Result is what came of it.
 type Result struct {
-	Kind     population.Kind
+	Kind     clientsim.Kind
 	Calls    int
 	Ended    map[string]int // by ending
 	Tries    int            // that passed to gateways
@@ -311,7 +311,7 @@
 			}
 		}
 	}
-	if p.cfg.Kind == population.Planned {
+	if p.cfg.Kind == clientsim.Planned {
 		r.Broken = relay.Rules{Tries: 1 + plan.DefaultRetries + 1, Keyed: map[string]time.Duration{"orders": 3 * time.Second}}.Check(relays...)
 	}
 	slices.Sort(p.late)
@@ -342,8 +342,8 @@
 }
 
 func newAsker(cfg Config, n int, addrs []string) (asker, error) {
-	if cfg.Kind != population.Planned {
-		if !slices.Contains(population.Kinds(), cfg.Kind) {
+	if cfg.Kind != clientsim.Planned {
+		if !slices.Contains(clientsim.Kinds(), cfg.Kind) {
 			return nil, fmt.Errorf("deaths: no kind of client %q", cfg.Kind)
 		}
 		return newNaive(cfg.Kind, addrs, n), nil
--- a/lab/failover/naive.go
+++ b/lab/failover/naive.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"larchusher/client"
-	"larchusher/lab/population"
+	"larchusher/lab/clientsim"
 )
 
 // naive is a client as one writes it in an hour: one connection, the next gateway when it is lost, all that was open sent
@@ -16,7 +16,7 @@
 // repeats and keeps keys, since the gateway would else take them for new ones, but knows no budget, no advice and no
 // spread.
 type naive struct {
-	kind  population.Kind
+	kind  clientsim.Kind
 	addrs []string
 	rpc   client.RPC
 
@@ -41,16 +41,16 @@
 	done  chan struct{}
 }
 
-func newNaive(kind population.Kind, addrs []string, n int) *naive {
+func newNaive(kind clientsim.Kind, addrs []string, n int) *naive {
 	return &naive{kind: kind, addrs: addrs, turn: n, open: map[uint64]*request{}}
 }
 
 // wait is how long it waits after so many failures.
 func (n *naive) wait(fails int) time.Duration {
 	switch n.kind {
-	case population.Fixed:
+	case clientsim.Fixed:
 		return time.Second
-	case population.Exponential:
+	case clientsim.Exponential:
 		return 100 * time.Millisecond << min(fails, 6)
 	}
 	return 0
--- a/test/client_test.go
+++ b/test/client_test.go
@@ -16,8 +16,8 @@
 
 	lib "larchusher/client"
 	"larchusher/client/plan"
+	"larchusher/lab/clientsim"
 	"larchusher/lab/failover"
-	"larchusher/lab/population"
 	"larchusher/lab/relay"
 	"larchusher/lab/standin"
 	"larchusher/lab/testbed"
@@ -210,7 +210,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	cfg.Program, cfg.Kind = program, population.Planned
+	cfg.Program, cfg.Kind = program, clientsim.Planned
 	r, err := failover.Run(ctx, cfg)
 	if err != nil {
 		t.Fatal(err)
