--- a/cmd/larchusher-lab/procs.go
+++ b/cmd/larchusher-lab/procs.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
+	"larchusher/lab/faultinjection"
 	"larchusher/lab/plot"
-	"larchusher/lab/procs"
 	"larchusher/maintenance"
 )
 
@@ -56,9 +56,9 @@
 	if c.Mutants != "" {
 		return c.mutate()
 	}
-	var plots []*procs.Plot
+	var plots []*faultinjection.Plot
 	if len(c.Named) > 0 {
-		named, err := procs.Named()
+		named, err := faultinjection.Named()
 		if err != nil {
 			return err
 		}
@@ -72,16 +72,16 @@
 		if err != nil {
 			return err
 		}
-		p, err := procs.Parse(string(text))
+		p, err := faultinjection.Parse(string(text))
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.Plot, err)
 		}
 		plots = append(plots, p)
 	} else {
 		for i := range c.Plots {
-			p := procs.Draw(c.Seed + uint64(i))
+			p := faultinjection.Draw(c.Seed + uint64(i))
 			if c.Shared != "" {
-				p = procs.DrawShared(c.Seed + uint64(i))
+				p = faultinjection.DrawShared(c.Seed + uint64(i))
 			}
 			if c.Shared == "off" {
 				p.Events[0].What = "apart"
@@ -104,13 +104,13 @@
 		equal         []time.Duration
 		stale, drain  int
 		told          int
-		next          = make(chan *procs.Plot)
+		next          = make(chan *faultinjection.Plot)
 	)
 	for range max(1, c.Jobs) {
 		all.Go(func() {
 			for p := range next {
 				ctx, cancel := context.WithTimeout(context.Background(), p.For+100*time.Second)
-				v, err := procs.Run(ctx, c.Program, p)
+				v, err := faultinjection.Run(ctx, c.Program, p)
 				cancel()
 				mu.Lock()
 				switch {
@@ -172,7 +172,7 @@
 // mutate has the plots find rules that were taken out.
 func (c *procsCmd) mutate() error {
 	escaped, fail := 0, []error(nil)
-	for _, m := range procs.Mutants {
+	for _, m := range faultinjection.Mutants {
 		if !strings.Contains(m.Name, c.Only) {
 			continue
 		}
@@ -188,13 +188,13 @@
 		fmt.Printf("%s: %s\n", m.Name, found)
 	}
 	if escaped > 0 {
-		fail = append(fail, fmt.Errorf("%d of %d mutants escaped", escaped, len(procs.Mutants)))
+		fail = append(fail, fmt.Errorf("%d of %d mutants escaped", escaped, len(faultinjection.Mutants)))
 	}
 	return errors.Join(fail...)
 }
 
 // catch plays plots until one finds the mutant, and says how; empty: none did.
-func (c *procsCmd) catch(m procs.Mutant) (string, error) {
+func (c *procsCmd) catch(m faultinjection.Mutant) (string, error) {
 	dir, err := os.MkdirTemp("", "larchusher-mutant")
 	if err != nil {
 		return "", err
@@ -211,7 +211,7 @@
 		return "", err
 	}
 	for i, p := range plots {
-		v, err := procs.Run(ctx, program, p)
+		v, err := faultinjection.Run(ctx, program, p)
 		if err != nil {
 			return "", fmt.Errorf("mutant %q: %w", m.Name, err)
 		}
@@ -226,7 +226,7 @@
 // measure measures without faults.
 func (c *procsCmd) measure() error {
 	for _, n := range c.Rest {
-		r, err := procs.Rest(n, c.Seed)
+		r, err := faultinjection.Rest(n, c.Seed)
 		if err != nil {
 			return err
 		}
@@ -235,7 +235,7 @@
 	}
 	for _, n := range c.CatchUp {
 		for _, bytes := range []int{256 << 10, 16 << 20} {
-			r, err := procs.CatchUp(n, bytes, c.Seed)
+			r, err := faultinjection.CatchUp(n, bytes, c.Seed)
 			if err != nil {
 				return err
 			}
@@ -244,11 +244,11 @@
 	}
 	lines := map[string]plot.Line{}
 	for _, n := range c.Spread {
-		for _, way := range []string{procs.WayOurs, procs.WayPull, procs.WayFull, procs.WayPush} {
-			if way == procs.WayFull && n > 100 {
+		for _, way := range []string{faultinjection.WayOurs, faultinjection.WayPull, faultinjection.WayFull, faultinjection.WayPush} {
+			if way == faultinjection.WayFull && n > 100 {
 				continue // it is what grows with the square of the fleet
 			}
-			r, err := procs.Spread(way, n, c.Seed)
+			r, err := faultinjection.Spread(way, n, c.Seed)
 			if err != nil {
 				return err
 			}
@@ -271,7 +271,7 @@
 	for _, n := range c.Grants {
 		for _, kill := range []bool{false, true} {
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Minute)
-			all, err := procs.Grants(ctx, c.Program, n, c.Times, kill)
+			all, err := faultinjection.Grants(ctx, c.Program, n, c.Times, kill)
 			cancel()
 			if err != nil {
 				return err
@@ -286,22 +286,22 @@
 func (c *procsCmd) plan() error {
 	type way struct {
 		name string
-		play func(seed uint64) (procs.Planned, error)
+		play func(seed uint64) (faultinjection.Planned, error)
 	}
 	var ways []way
 	for _, slot := range []time.Duration{40 * time.Second, 50 * time.Second, 60 * time.Second, 80 * time.Second, 110 * time.Second, 150 * time.Second} {
-		ways = append(ways, way{"timetable " + slot.String(), func(seed uint64) (procs.Planned, error) { return procs.Timetable(seed, slot), nil }})
+		ways = append(ways, way{"timetable " + slot.String(), func(seed uint64) (faultinjection.Planned, error) { return faultinjection.Timetable(seed, slot), nil }})
 	}
 	for _, n := range []int{2, 4, 6, 9} {
-		ways = append(ways, way{fmt.Sprint("settled, at_once ", n), func(seed uint64) (procs.Planned, error) {
-			return procs.Settled(seed, maintenance.Bounds{AtOnce: n})
+		ways = append(ways, way{fmt.Sprint("settled, at_once ", n), func(seed uint64) (faultinjection.Planned, error) {
+			return faultinjection.Settled(seed, maintenance.Bounds{AtOnce: n})
 		}})
 	}
 	lines := []plot.Line{{Name: "fixed timetables"}, {Name: "settled by gateways"}}
 	for i, w := range ways {
-		var sum procs.Planned
+		var sum faultinjection.Planned
 		worst := 1.0
-		all, errs := make([]procs.Planned, c.Plan), make([]error, c.Plan)
+		all, errs := make([]faultinjection.Planned, c.Plan), make([]error, c.Plan)
 		var wait sync.WaitGroup
 		next := make(chan int)
 		for range max(1, c.Jobs) {
--- a/lab/procs/spread.go
+++ b/lab/faultinjection/spread.go
@@ -1,4 +1,4 @@
-package procs
+package faultinjection
 
 import (
 	"fmt"
--- a/test/shared_test.go
+++ b/test/shared_test.go
@@ -7,24 +7,24 @@
 	"testing"
 	"time"
 
-	"larchusher/lab/procs"
+	"larchusher/lab/faultinjection"
 )
 
 // Several processes of the program keep in common what they know, while some of them are killed, stopped and cut off, and journals
 // tell purges and drains seconds late: what a gateway was told it heeds, and after the last fault all know the same. Where nothing is
 // cut off, what one was told all heed. The stores' own records judge. The whole run is in docs/measurements/replication.md.
 func TestWhatGatewaysKnowIsKeptInCommon(t *testing.T) {
-	named, err := procs.Named()
+	named, err := faultinjection.Named()
 	if err != nil {
 		t.Fatal(err)
 	}
-	plots := []*procs.Plot{named["purge-late"], procs.DrawShared(2001), procs.DrawShared(2006)}
+	plots := []*faultinjection.Plot{named["purge-late"], faultinjection.DrawShared(2001), faultinjection.DrawShared(2006)}
 	var all sync.WaitGroup
 	for _, plot := range plots {
 		all.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
 			defer cancel()
-			v, err := procs.Run(ctx, program, plot)
+			v, err := faultinjection.Run(ctx, program, plot)
 			if err != nil {
 				t.Errorf("seed %d: %v\n%s", plot.Seed, err, plot)
 				return
--- a/test/work_test.go
+++ b/test/work_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"larchusher/lab/procs"
+	"larchusher/lab/faultinjection"
 )
 
 // Plots of faults over several processes of the program: kills with and without the folder, stops, partitions, one-way cuts, lost
@@ -18,8 +18,8 @@
 		all.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
 			defer cancel()
-			plot := procs.Draw(seed)
-			v, err := procs.Run(ctx, program, plot)
+			plot := faultinjection.Draw(seed)
+			v, err := faultinjection.Run(ctx, program, plot)
 			if err != nil {
 				t.Errorf("seed %d: %v\n%s", seed, err, plot)
 				return
