--- a/lab/failover/failover.go
+++ b/lab/failover/failover.go
@@ -16,8 +16,8 @@
 	"larchusher/client"
 	"larchusher/client/plan"
 	"larchusher/lab/clientsim"
+	"larchusher/lab/faultproxy"
 	"larchusher/lab/load"
-	"larchusher/lab/relay"
 	"larchusher/lab/standin"
 	"larchusher/lab/testbed"
 )
@@ -105,7 +105,7 @@
 		return nil, err
 	}
 	var worlds []*testbed.World
-	var relays []*relay.Relay
+	var relays []*faultproxy.Relay
 	defer func() {
 		for _, r := range relays {
 			r.Close()
@@ -129,7 +129,7 @@
 				s.On(func(a *standin.Ask) { time.AfterFunc(cfg.Store, func() { standin.Done(a) }) })
 			}
 		}
-		r, err := relay.New(w.Addr, uint64(i))
+		r, err := faultproxy.New(w.Addr, uint64(i))
 		if err != nil {
 			return nil, err
 		}
@@ -261,7 +261,7 @@
 }
 
 // sum takes in what the relays saw.
-func (p *player) sum(relays []*relay.Relay) {
+func (p *player) sum(relays []*faultproxy.Relay) {
 	r := p.res
 	n := int(p.cfg.For/Window) + 1
 	r.Connects, r.Sent = make([]int, n), make([]int, n)
@@ -270,7 +270,7 @@
 		relay, conn int
 		id          uint64
 	}
-	asked := map[who]relay.Seen{}
+	asked := map[who]faultproxy.Seen{}
 	for k, one := range relays {
 		for _, at := range one.Opened() {
 			if i := place(at); i >= 0 && i < n {
@@ -294,7 +294,7 @@
 			conn  int
 			class string
 		}
-		until := map[hold][]relay.Refusal{}
+		until := map[hold][]faultproxy.Refusal{}
 		for _, f := range one.Refusals() {
 			if s, ok := asked[who{k, f.Conn, f.ID}]; ok {
 				h := hold{f.Conn, s.Class}
@@ -312,7 +312,7 @@
 		}
 	}
 	if p.cfg.Kind == clientsim.Planned {
-		r.Broken = relay.Rules{Tries: 1 + plan.DefaultRetries + 1, Keyed: map[string]time.Duration{"orders": 3 * time.Second}}.Check(relays...)
+		r.Broken = faultproxy.Rules{Tries: 1 + plan.DefaultRetries + 1, Keyed: map[string]time.Duration{"orders": 3 * time.Second}}.Check(relays...)
 	}
 	slices.Sort(p.late)
 	if len(p.late) > 0 {
--- a/lab/relay/relay.go
+++ b/lab/faultproxy/faultproxy.go
@@ -1,5 +1,5 @@
-// Package relay stands between clients and a gateway, records every request that passes, and makes trouble as it is told.
-package relay
+// Package faultproxy stands between clients and a gateway, records every request that passes, and makes trouble as it is told.
+package faultproxy
 
 import (
 	"fmt"
--- a/test/client_test.go
+++ b/test/client_test.go
@@ -18,7 +18,7 @@
 	"larchusher/client/plan"
 	"larchusher/lab/clientsim"
 	"larchusher/lab/failover"
-	"larchusher/lab/relay"
+	"larchusher/lab/faultproxy"
 	"larchusher/lab/standin"
 	"larchusher/lab/testbed"
 )
@@ -27,14 +27,14 @@
 	{Name: "orders", Effect: lib.Keyed, Window: 3 * time.Second, Worth: 3}}
 
 // pair starts two gateways, each with a relay before it.
-func pair(t *testing.T) (context.Context, [2]*testbed.World, [2]*relay.Relay) {
+func pair(t *testing.T) (context.Context, [2]*testbed.World, [2]*faultproxy.Relay) {
 	t.Helper()
 	var ws [2]*testbed.World
-	var rs [2]*relay.Relay
+	var rs [2]*faultproxy.Relay
 	var ctx context.Context
 	for i := range ws {
 		ctx, ws[i] = startWorld(t, testbed.Config{Caches: 2, Pin: -1, Sockets: 4096})
-		r, err := relay.New(ws[i].Addr, uint64(i))
+		r, err := faultproxy.New(ws[i].Addr, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -102,7 +102,7 @@
 	if served.Load() < n*99/100 {
 		t.Errorf("%d of %d were served", served.Load(), n)
 	}
-	for _, b := range (relay.Rules{Tries: 3, Keyed: map[string]time.Duration{"orders": 3 * time.Second}}).Check(rs[:]...) {
+	for _, b := range (faultproxy.Rules{Tries: 3, Keyed: map[string]time.Duration{"orders": 3 * time.Second}}).Check(rs[:]...) {
 		t.Error(b)
 	}
 }
@@ -173,7 +173,7 @@
 	if late.Load() > 0 || served.Load() < 2000*int64(long) {
 		t.Errorf("%d ended late, %d were served, %d not: %v", late.Load(), served.Load(), others.Load(), c.Counters())
 	}
-	for _, b := range (relay.Rules{Tries: 4, Keyed: map[string]time.Duration{"orders": 3 * time.Second}}).Check(rs[:]...) {
+	for _, b := range (faultproxy.Rules{Tries: 4, Keyed: map[string]time.Duration{"orders": 3 * time.Second}}).Check(rs[:]...) {
 		t.Error(b)
 	}
 	t.Logf("%d served, %d not, the latest %v after its deadline, %v", served.Load(), others.Load(), time.Duration(latest.Load()), c.Counters())
