--- a/cluster/world_test.go
+++ b/cluster/world_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"larchusher/consensus"
-	"larchusher/lab/sim"
+	"larchusher/lab/virtualclock"
 	"larchusher/maintenance"
 )
 
@@ -21,7 +21,7 @@
 // Machines are a model of their own, and a checker holds what nodes permit against what was agreed on.
 type world struct {
 	rng     *rand.Rand
-	clock   sim.Clock
+	clock   virtualclock.Clock
 	names   []string
 	voters  []string
 	nodes   map[string]*member
--- a/lab/clientsim/clientsim.go
+++ b/lab/clientsim/clientsim.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"larchusher/client/plan"
-	"larchusher/lab/sim"
+	"larchusher/lab/virtualclock"
 )
 
 // Kind is a kind of client.
@@ -62,7 +62,7 @@
 type play struct {
 	cfg      Config
 	rng      *rand.Rand
-	clock    sim.Clock
+	clock    virtualclock.Clock
 	gateways []*gateway
 	tries    []float64
 	connects []float64
--- a/lab/faultinjection/rest.go
+++ b/lab/faultinjection/rest.go
@@ -10,7 +10,7 @@
 	"larchusher/cluster"
 	"larchusher/consensus"
 	"larchusher/internal/net/clustertransport"
-	"larchusher/lab/sim"
+	"larchusher/lab/virtualclock"
 	"larchusher/maintenance"
 )
 
@@ -27,7 +27,7 @@
 
 // simulated is a fleet in simulated time, over links of a millisecond: the same packages as in the daemon.
 type simulated struct {
-	clock  sim.Clock
+	clock  virtualclock.Clock
 	nodes  map[string]*cluster.Node
 	names  []string
 	bounds maintenance.Bounds
@@ -39,7 +39,7 @@
 
 // simulate starts so many gateways at once. Reports are made every half second.
 func simulate(n int, seed uint64, bounds maintenance.Bounds, report func(name string) cluster.Report) (*simulated, error) {
-	f := &simulated{clock: sim.Clock{Now: time.Second}, nodes: map[string]*cluster.Node{}, bounds: bounds, report: report}
+	f := &simulated{clock: virtualclock.Clock{Now: time.Second}, nodes: map[string]*cluster.Node{}, bounds: bounds, report: report}
 	for i := range n {
 		f.names = append(f.names, fmt.Sprintf("gateway-%03d", i))
 	}
--- a/lab/faultinjection/spread.go
+++ b/lab/faultinjection/spread.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"larchusher/lab/sim"
+	"larchusher/lab/virtualclock"
 	"larchusher/replication"
 )
 
@@ -43,7 +43,7 @@
 func Spread(way string, n int, seed uint64) (Spreading, error) {
 	out := Spreading{Way: way, Gateways: n}
 	var (
-		clock   = sim.Clock{Now: time.Second}
+		clock   = virtualclock.Clock{Now: time.Second}
 		rng     = rand.New(rand.NewPCG(seed, 77))
 		members = make([]*spreadMember, n)
 		names   []string
@@ -199,7 +199,7 @@
 func CatchUp(items, bytesASecond int, seed uint64) (CatchingUp, error) {
 	out := CatchingUp{Items: items}
 	names := []string{"a", "b", "c", "d", "e"}
-	clock := sim.Clock{Now: time.Second}
+	clock := virtualclock.Clock{Now: time.Second}
 	nodes := map[string]*replication.Node{}
 	newNode := func(name string, life uint64) (*replication.Node, error) {
 		return replication.NewNode(replication.Config{Self: replication.Life{Name: name, Number: life}, Members: names, Wall: func() time.Duration { return clock.Now }, Bytes: bytesASecond,
--- a/lab/sim/sim.go
+++ b/lab/virtualclock/virtualclock.go
@@ -1,6 +1,6 @@
-// Package sim is a virtual clock with what is due on it. What is due at the same time runs in the order in which it was
+// Package virtualclock is a virtual clock with what is due on it. What is due at the same time runs in the order in which it was
 // put there, so that equal inputs give equal runs.
-package sim
+package virtualclock
 
 import (
 	"container/heap"
--- a/lab/zones/directed.go
+++ b/lab/zones/directed.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"larchusher/lab/load"
-	"larchusher/lab/sim"
+	"larchusher/lab/virtualclock"
 	"larchusher/locality"
 	"larchusher/overload"
 	"larchusher/replication"
@@ -123,7 +123,7 @@
 	sc       Scene
 	rng      *rand.Rand
 	zipf     *rand.Zipf
-	clock    sim.Clock
+	clock    virtualclock.Clock
 	servers  map[string]*server
 	boxes    [][]*server // by zone, those of now
 	parents  [][]*server // by hub
--- a/replication/world_test.go
+++ b/replication/world_test.go
@@ -11,14 +11,14 @@
 	"testing"
 	"time"
 
-	"larchusher/lab/sim"
+	"larchusher/lab/virtualclock"
 )
 
 // world runs several nodes in simulated time, before links that lose, double, delay and cut; nodes are killed and come back as other
 // lives, stop and go on; wall clocks are off. A checker of its own remembers what was said.
 type world struct {
 	rng    *rand.Rand
-	clock  sim.Clock
+	clock  virtualclock.Clock
 	names  []string
 	nodes  map[string]*member
 	cut    map[[2]string]bool
--- a/routing/world_test.go
+++ b/routing/world_test.go
@@ -7,14 +7,14 @@
 	"testing"
 	"time"
 
-	"larchusher/lab/sim"
+	"larchusher/lab/virtualclock"
 )
 
 // small is a location with its caches, two parents and the origin, and one director. Caches hold what they were filled with;
 // a fill takes its source's time, and the origin's behind a parent that lacks the object.
 type small struct {
 	d        *Director
-	clock    sim.Clock
+	clock    virtualclock.Clock
 	rng      *rand.Rand
 	zipf     *rand.Zipf
 	set      Settings
