--- a/cmd/larchusher-lab/up.go
+++ b/cmd/larchusher-lab/up.go
@@ -15,8 +15,8 @@
 	"text/tabwriter"
 	"time"
 
+	"larchusher/lab/fakeserver"
 	loadgen "larchusher/lab/load"
-	"larchusher/lab/standin"
 	"larchusher/lab/testbed"
 	"larchusher/signedurl"
 )
@@ -128,7 +128,7 @@
 }
 
 // latest is what a store was asked last, and forgets it.
-func latest(stores map[string]*standin.Store) (last *standin.Ask) {
+func latest(stores map[string]*fakeserver.Store) (last *fakeserver.Ask) {
 	for _, s := range stores {
 		s.Lock()
 		for _, a := range s.Seen {
--- a/lab/failover/failover.go
+++ b/lab/failover/failover.go
@@ -16,9 +16,9 @@
 	"larchusher/client"
 	"larchusher/client/plan"
 	"larchusher/lab/clientsim"
+	"larchusher/lab/fakeserver"
 	"larchusher/lab/faultproxy"
 	"larchusher/lab/load"
-	"larchusher/lab/standin"
 	"larchusher/lab/testbed"
 )
 
@@ -124,9 +124,9 @@
 		for _, s := range w.Stores {
 			switch {
 			case cfg.Refuse:
-				s.On(func(a *standin.Ask) { a.Reply("WAIT", "-", "") })
+				s.On(func(a *fakeserver.Ask) { a.Reply("WAIT", "-", "") })
 			case cfg.Store > 0:
-				s.On(func(a *standin.Ask) { time.AfterFunc(cfg.Store, func() { standin.Done(a) }) })
+				s.On(func(a *fakeserver.Ask) { time.AfterFunc(cfg.Store, func() { fakeserver.Done(a) }) })
 			}
 		}
 		r, err := faultproxy.New(w.Addr, uint64(i))
--- a/lab/standin/journal.go
+++ b/lab/fakeserver/journal.go
@@ -1,4 +1,4 @@
-package standin
+package fakeserver
 
 import (
 	"fmt"
--- a/lab/standin/store.go
+++ b/lab/fakeserver/store.go
@@ -1,6 +1,6 @@
-// Package standin has stand-ins for what a gateway talks to: stores that speak the platform's RESP, the journal
+// Package fakeserver has stand-ins for what a gateway talks to: stores that speak the platform's RESP, the journal
 // service and its events. They listen on loopback, record what they are asked, and misbehave as they are told.
-package standin
+package fakeserver
 
 import (
 	"bufio"
--- a/lab/faultinjection/faultinjection.go
+++ b/lab/faultinjection/faultinjection.go
@@ -20,7 +20,7 @@
 
 	"larchusher/cluster"
 	"larchusher/internal/net/clustertransport"
-	"larchusher/lab/standin"
+	"larchusher/lab/fakeserver"
 	"larchusher/lab/testbed"
 	"larchusher/maintenance"
 )
@@ -56,7 +56,7 @@
 	addr             string
 
 	mu     sync.Mutex
-	store  *standin.Store
+	store  *fakeserver.Store
 	out    bool // it is being worked on
 	busy   int  // answers under way
 	cold   time.Time
@@ -149,7 +149,7 @@
 }
 
 // answer serves what a machine is asked, and records what should not have come.
-func (p *play) answer(m *machine, a *standin.Ask) {
+func (p *play) answer(m *machine, a *fakeserver.Ask) {
 	m.mu.Lock()
 	out, cold := m.out, time.Since(m.cold) < ramp
 	m.busy++
@@ -174,7 +174,7 @@
 		m.mu.Lock()
 		m.busy--
 		m.mu.Unlock()
-		a.ServeWith("warm", busy, standin.Content(from, a.Fields["piece"]))
+		a.ServeWith("warm", busy, fakeserver.Content(from, a.Fields["piece"]))
 	})
 }
 
@@ -286,13 +286,13 @@
 	// At an address of the plot's own: at 127.0.0.1 the system gives the port of a store that is down to a connection that goes out.
 	host := fmt.Sprintf("127.%d.%d.200:0", 64+os.Getpid()%100, p.plot.Seed%250)
 	add := func(name, kind, zone string) error {
-		s, err := standin.NewStore(name, kind, host)
+		s, err := fakeserver.NewStore(name, kind, host)
 		if err != nil {
 			return err
 		}
 		s.Forget = true
 		m := &machine{name: name, kind: kind, zone: zone, addr: s.Addr, store: s, faults: p.faults}
-		s.On(func(a *standin.Ask) { p.answer(m, a) })
+		s.On(func(a *fakeserver.Ask) { p.answer(m, a) })
 		p.machines[name] = m
 		p.names = append(p.names, name)
 		return nil
@@ -523,17 +523,17 @@
 // revive has a machine start anew, cold, where it stood.
 func (p *play) revive(m *machine) error {
 	m.store.Close()
-	s, err := standin.NewStore(m.name, m.kind, m.addr)
+	s, err := fakeserver.NewStore(m.name, m.kind, m.addr)
 	for tries := 0; err != nil && tries < 50; tries++ {
 		// A process that is being started, of this plot or of another, holds the old listener until it is itself.
 		time.Sleep(20 * time.Millisecond)
-		s, err = standin.NewStore(m.name, m.kind, m.addr)
+		s, err = fakeserver.NewStore(m.name, m.kind, m.addr)
 	}
 	if err != nil {
 		return err
 	}
 	s.Forget = true
-	s.On(func(a *standin.Ask) { p.answer(m, a) })
+	s.On(func(a *fakeserver.Ask) { p.answer(m, a) })
 	m.mu.Lock()
 	m.store, m.out, m.cold, m.since = s, false, time.Now(), time.Now().UnixMilli()
 	m.mu.Unlock()
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
+	"larchusher/lab/fakeserver"
 	"larchusher/lab/load"
-	"larchusher/lab/standin"
 	"larchusher/lab/testbed"
 )
 
@@ -103,10 +103,10 @@
 	cfg      Config
 	start    time.Time
 	dir      string
-	others   []*standin.Box   // upper caches and the origin
-	boxes    [][]*standin.Box // by zone, those of now
-	all      []*standin.Box
-	zoneOf   map[*standin.Box]int
+	others   []*fakeserver.Box   // upper caches and the origin
+	boxes    [][]*fakeserver.Box // by zone, those of now
+	all      []*fakeserver.Box
+	zoneOf   map[*fakeserver.Box]int
 	gateways []*testbed.World
 	pos      int
 	serial   int
@@ -117,8 +117,8 @@
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":1,"status":%q,"weight":1,"since_ms":%d}`, name, addr, zone, kind, status, since)
 }
 
-func (f *fleet) power(cold bool) standin.Power {
-	return standin.Power{Rate: f.cfg.BoxRate, Cold: cold, From: 0.15, Ramp: 17 * time.Second, Tip: 2.5, TipFor: 2 * time.Second,
+func (f *fleet) power(cold bool) fakeserver.Power {
+	return fakeserver.Power{Rate: f.cfg.BoxRate, Cold: cold, From: 0.15, Ramp: 17 * time.Second, Tip: 2.5, TipFor: 2 * time.Second,
 		Fill: 15 * time.Millisecond, Queue: 1500 * time.Millisecond, ReportBy: 400 * time.Millisecond}
 }
 
@@ -127,7 +127,7 @@
 	f.boxes[zone] = nil
 	for range f.cfg.Zones[zone].Boxes {
 		f.serial++
-		b, err := standin.NewBox(fmt.Sprintf("b%d", f.serial), "box", standin.Loopback, f.power(cold), f.start)
+		b, err := fakeserver.NewBox(fmt.Sprintf("b%d", f.serial), "box", fakeserver.Loopback, f.power(cold), f.start)
 		if err != nil {
 			return err
 		}
@@ -194,7 +194,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	f := &fleet{cfg: cfg, start: time.Now(), dir: dir, boxes: make([][]*standin.Box, len(cfg.Zones)), zoneOf: map[*standin.Box]int{}, pos: 1}
+	f := &fleet{cfg: cfg, start: time.Now(), dir: dir, boxes: make([][]*fakeserver.Box, len(cfg.Zones)), zoneOf: map[*fakeserver.Box]int{}, pos: 1}
 	defer f.close()
 	if err := f.build(ctx); err != nil {
 		return nil, err
@@ -237,7 +237,7 @@
 	for _, o := range []struct{ name, kind, zone string }{{"pn", "parent", "north"}, {"ps", "parent", "south"}, {"o", "origin", "north"}} {
 		p := f.power(false)
 		p.Rate, p.TipFor = 20000, 0
-		b, err := standin.NewBox(o.name, o.kind, standin.Loopback, p, f.start)
+		b, err := fakeserver.NewBox(o.name, o.kind, fakeserver.Loopback, p, f.start)
 		if err != nil {
 			return err
 		}
--- a/lab/load/slow.go
+++ b/lab/load/slow.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"larchusher/client/rpc"
-	"larchusher/lab/standin"
+	"larchusher/lab/fakeserver"
 )
 
 // SlowSpec says which slow readers there are.
@@ -24,19 +24,19 @@
 const slowName = "510b0bb1"
 
 // SlowContent has stores answer slow readers with parts of so many bytes, and others as usual.
-func SlowContent(size int) func(*standin.Ask) {
+func SlowContent(size int) func(*fakeserver.Ask) {
 	var mu sync.Mutex
 	bodies := map[string]string{}
-	return func(a *standin.Ask) {
+	return func(a *fakeserver.Ask) {
 		if !strings.HasPrefix(a.Fields["name"], slowName) {
-			standin.Done(a)
+			fakeserver.Done(a)
 			return
 		}
 		key := a.Fields["name"] + a.Fields["piece"]
 		mu.Lock()
 		body, ok := bodies[key]
 		if !ok && len(bodies) < 100 {
-			body = standin.Sized(a.Fields["name"], a.Fields["piece"], size)
+			body = fakeserver.Sized(a.Fields["name"], a.Fields["piece"], size)
 			bodies[key] = body
 		}
 		mu.Unlock()
--- a/lab/testbed/testbed.go
+++ b/lab/testbed/testbed.go
@@ -23,7 +23,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"larchusher/lab/standin"
+	"larchusher/lab/fakeserver"
 )
 
 // Settings are a small location with caches, a parent and the origin.
@@ -58,8 +58,8 @@
 // World is a running one.
 type World struct {
 	Addr    string // of the platform's front
-	Stores  map[string]*standin.Store
-	Journal *standin.Journal
+	Stores  map[string]*fakeserver.Store
+	Journal *fakeserver.Journal
 	Cmd     *exec.Cmd
 	Log     *Log
 
@@ -68,7 +68,7 @@
 }
 
 // Host words a store for the journal.
-func Host(s *standin.Store, status string) string {
+func Host(s *fakeserver.Store, status string) string {
 	zone := "edge-1"
 	if s.Kind != "box" {
 		zone = "north"
@@ -78,7 +78,7 @@
 }
 
 // Known words the list of stores as a configuration holds it.
-func Known(stores map[string]*standin.Store) json.RawMessage {
+func Known(stores map[string]*fakeserver.Store) json.RawMessage {
 	var names, hosts []string
 	for n := range stores {
 		names = append(names, n)
@@ -93,7 +93,7 @@
 
 // Start starts a world and waits until the program serves.
 func Start(ctx context.Context, cfg Config) (w *World, err error) {
-	w = &World{Stores: map[string]*standin.Store{}, Log: &Log{}, exited: make(chan struct{})}
+	w = &World{Stores: map[string]*fakeserver.Store{}, Log: &Log{}, exited: make(chan struct{})}
 	defer func() {
 		if err != nil {
 			w.Stop()
@@ -104,7 +104,7 @@
 		kinds["c"+strconv.Itoa(i+1)] = "box"
 	}
 	for name, kind := range kinds {
-		if w.Stores[name], err = standin.NewStore(name, kind, standin.Loopback); err != nil {
+		if w.Stores[name], err = fakeserver.NewStore(name, kind, fakeserver.Loopback); err != nil {
 			return w, err
 		}
 		w.Stores[name].Forget = true
@@ -114,7 +114,7 @@
 
 // launch starts the journal service and the program, and waits until that serves.
 func (w *World) launch(ctx context.Context, cfg Config, settings, known json.RawMessage) (err error) {
-	if w.Journal, err = standin.NewJournal(standin.Loopback); err != nil {
+	if w.Journal, err = fakeserver.NewJournal(fakeserver.Loopback); err != nil {
 		return err
 	}
 	if cfg.Replay {
--- a/test/client_test.go
+++ b/test/client_test.go
@@ -18,8 +18,8 @@
 	"larchusher/client/plan"
 	"larchusher/lab/clientsim"
 	"larchusher/lab/failover"
+	"larchusher/lab/fakeserver"
 	"larchusher/lab/faultproxy"
-	"larchusher/lab/standin"
 	"larchusher/lab/testbed"
 )
 
@@ -117,9 +117,9 @@
 				case a.ID[13:] == "000":
 					a.Reply("BROKE", "-", "")
 				case a.ID[15] == '1':
-					time.AfterFunc(50*time.Millisecond, func() { standin.Done(a) })
+					time.AfterFunc(50*time.Millisecond, func() { fakeserver.Done(a) })
 				default:
-					standin.Done(a)
+					fakeserver.Done(a)
 				}
 			})
 		}
--- a/test/crossing_test.go
+++ b/test/crossing_test.go
@@ -22,7 +22,7 @@
 	"larchusher/internal/net/resp"
 	"larchusher/internal/net/transport"
 	"larchusher/internal/simprotocol"
-	"larchusher/lab/standin"
+	"larchusher/lab/fakeserver"
 	"larchusher/lab/testbed"
 	"larchusher/routing"
 )
@@ -218,7 +218,7 @@
 			go func() {
 				defer c.Close()
 				for r := bufio.NewReader(c); ; {
-					args, err := standin.ReadArray(r)
+					args, err := fakeserver.ReadArray(r)
 					if err != nil {
 						return
 					}
@@ -336,7 +336,7 @@
 		t.Errorf("%d requests are open", n)
 	}
 
-	in.rig.on(func(a *ask) { a.Serve("warm", standin.Sized(object, "3", 240_000)) })
+	in.rig.on(func(a *ask) { a.Serve("warm", fakeserver.Sized(object, "3", 240_000)) })
 	c = in.client()
 	if err := c.conn.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
 		t.Fatal(err)
@@ -968,7 +968,7 @@
 	if a := c.next(); a.err != "" {
 		t.Errorf("while discovery is down: %+v", a)
 	}
-	back, err := standin.NewJournal(r.journal.Addr)
+	back, err := fakeserver.NewJournal(r.journal.Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
+	"larchusher/lab/fakeserver"
 	"larchusher/lab/load"
-	"larchusher/lab/standin"
 	"larchusher/lab/testbed"
 	"larchusher/signedurl"
 )
@@ -142,7 +142,7 @@
 // the balancer is told nothing.
 func TestAStallIsNoOverload(t *testing.T) {
 	ctx, w := startWorld(t, testbed.Config{Caches: 2, Pin: -1})
-	slow := func(a *standin.Ask) { time.AfterFunc(100*time.Millisecond, func() { standin.Done(a) }) }
+	slow := func(a *fakeserver.Ask) { time.AfterFunc(100*time.Millisecond, func() { fakeserver.Done(a) }) }
 	for _, s := range w.Stores {
 		s.On(slow)
 	}
@@ -183,7 +183,7 @@
 func TestSlowStoresAreNoOverload(t *testing.T) {
 	ctx, w := startWorld(t, testbed.Config{Caches: 2, Pin: -1})
 	for _, s := range w.Stores {
-		s.On(func(a *standin.Ask) { time.AfterFunc(300*time.Millisecond, func() { standin.Done(a) }) })
+		s.On(func(a *fakeserver.Ask) { time.AfterFunc(300*time.Millisecond, func() { fakeserver.Done(a) }) })
 	}
 	res, err := load.Run(ctx, load.Spec{Addr: w.Addr, Conns: 50, Rate: load.Constant(600), For: 2 * time.Second, Seed: 1})
 	if err != nil {
--- a/test/rig_test.go
+++ b/test/rig_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"larchusher/lab/standin"
+	"larchusher/lab/fakeserver"
 	"larchusher/lab/testbed"
 )
 
@@ -209,17 +209,17 @@
 
 // The stand-ins are those of the workshop.
 type (
-	store   = standin.Store
-	ask     = standin.Ask
-	journal = standin.Journal
+	store   = fakeserver.Store
+	ask     = fakeserver.Ask
+	journal = fakeserver.Journal
 )
 
-func array(args ...string) string        { return standin.Array(args...) }
-func content(object, part string) string { return standin.Content(object, part) }
-func done(a *ask)                        { standin.Done(a) }
+func array(args ...string) string        { return fakeserver.Array(args...) }
+func content(object, part string) string { return fakeserver.Content(object, part) }
+func done(a *ask)                        { fakeserver.Done(a) }
 
 func newStore(t *testing.T, name, kind string) *store {
-	s, err := standin.NewStore(name, kind, standin.Loopback)
+	s, err := fakeserver.NewStore(name, kind, fakeserver.Loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -228,7 +228,7 @@
 }
 
 func newJournal(t *testing.T) *journal {
-	j, err := standin.NewJournal(standin.Loopback)
+	j, err := fakeserver.NewJournal(fakeserver.Loopback)
 	if err != nil {
 		t.Fatal(err)
 	}
