--- a/cmd/larchusher-lab/scene.go
+++ b/cmd/larchusher-lab/scene.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"larchusher/lab/fleet"
+	"larchusher/lab/localitysim"
 	"larchusher/lab/plot"
-	"larchusher/lab/zones"
 )
 
 // sceneCmd is the sub-command scene.
@@ -21,11 +21,11 @@
 
 // Run plays a scene, or all of a sweep.
 func (s *sceneCmd) Run() error {
-	f, err := zones.Load(s.File)
+	f, err := localitysim.Load(s.File)
 	if err != nil {
 		return err
 	}
-	cells, err := f.Play(func(done, all int, c *zones.Cell, took time.Duration) {
+	cells, err := f.Play(func(done, all int, c *localitysim.Cell, took time.Duration) {
 		fmt.Fprintf(os.Stderr, "%d of %d: %s, %v\n", done, all, c.Name(), took.Round(time.Millisecond))
 	})
 	if err != nil {
@@ -43,7 +43,7 @@
 	}
 	t.Flush()
 	if s.Out != "" {
-		if err := zones.WriteParquet(s.Out, cells); err != nil {
+		if err := localitysim.WriteParquet(s.Out, cells); err != nil {
 			return err
 		}
 	}
@@ -66,7 +66,7 @@
 	return plot.Draw(s.Plot+"-service.png", "Worth answered in aim, all zones", "seconds", "share of what was asked", lines)
 }
 
-func (s *sceneCmd) heat(f *zones.File, cells []*zones.Cell) error {
+func (s *sceneCmd) heat(f *localitysim.File, cells []*localitysim.Cell) error {
 	x, y := f.Sweep[0], f.Sweep[1]
 	for k, p := range f.Policies {
 		z := make([][]float64, len(y.Values))
@@ -97,12 +97,12 @@
 	if err != nil {
 		return err
 	}
-	f, err := zones.Load(c.File)
+	f, err := localitysim.Load(c.File)
 	if err != nil {
 		return err
 	}
 	sc := f.Scene
-	sc.Policy = zones.Ours
+	sc.Policy = localitysim.Ours
 	cfg := fleet.Config{Program: program, BoxRate: sc.BoxRate, Objects: sc.Objects, Late: sc.List, For: sc.For, Seed: sc.Seed}
 	for i, z := range sc.Zones {
 		if z.Gateways != 1 || z.Hub > 1 {
@@ -111,12 +111,12 @@
 		cfg.Zones = append(cfg.Zones, fleet.Zone{Name: z.Name, Hub: z.Hub, Boxes: z.Boxes, Rate: z.Load * sc.BoxRate * float64(z.Boxes)})
 	}
 	for i, x := range sc.Faults {
-		if x.Kind != zones.Dead {
+		if x.Kind != localitysim.Dead {
 			return fmt.Errorf("fault[%d].kind: %s can't be played on sockets", i, x.Kind)
 		}
 		cfg.Deaths = append(cfg.Deaths, fleet.Death{Zone: x.Zone, At: x.At, Back: x.Till})
 	}
-	model, err := zones.Directed(sc)
+	model, err := localitysim.Directed(sc)
 	if err != nil {
 		return err
 	}
--- a/cmd/larchusher-lab/zones.go
+++ b/cmd/larchusher-lab/zones.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"larchusher/lab/fleet"
+	"larchusher/lab/localitysim"
 	"larchusher/lab/plot"
-	"larchusher/lab/zones"
 )
 
 // zonesCmd is the sub-command zones.
@@ -36,14 +36,14 @@
 }
 
 // span is a fault of a zone in time.
-func parseFault(s string) (f zones.Fault, err error) {
+func parseFault(s string) (f localitysim.Fault, err error) {
 	zone, rest, ok := strings.Cut(s, ":")
 	kind, when, ok2 := strings.Cut(rest, "@")
 	at, till, ok3 := strings.Cut(when, "..")
 	if f.Zone, err = strconv.Atoi(zone); err != nil || !ok || !ok2 || !ok3 {
 		return f, fmt.Errorf("--fault %q: not ZONE:KIND@WHEN..TILL", s)
 	}
-	f.Kind = zones.FaultKind(kind)
+	f.Kind = localitysim.FaultKind(kind)
 	if f.At, err = time.ParseDuration(at); err == nil {
 		f.Till, err = time.ParseDuration(till)
 	}
@@ -61,7 +61,7 @@
 
 // Run plays zones by each policy.
 func (z *zonesCmd) Run() error {
-	var faults []zones.Fault
+	var faults []localitysim.Fault
 	for _, s := range z.Fault {
 		f, err := parseFault(s)
 		if err != nil {
@@ -102,20 +102,20 @@
 	return 0
 }
 
-func (z *zonesCmd) model(t *tabwriter.Writer, faults []zones.Fault) (curves []curve, err error) {
+func (z *zonesCmd) model(t *tabwriter.Writer, faults []localitysim.Fault) (curves []curve, err error) {
 	fmt.Fprintln(t, "policy\tworth in aim, all\tworst 5 s\tlast 20 s\trefused: replays\tassets\tfailed\tspill over its bound\tzones that fell\torigin refused\tevents a second\t")
 	for _, p := range z.Policy {
-		sc := zones.Scene{BoxRate: z.BoxRate, Objects: z.Objects, Parent: z.Parent, Origin: z.Origin, Faults: faults, List: z.Late, For: z.For, Warm: 10 * time.Second,
-			Policy: zones.Policy(p), Seed: z.Seed}
+		sc := localitysim.Scene{BoxRate: z.BoxRate, Objects: z.Objects, Parent: z.Parent, Origin: z.Origin, Faults: faults, List: z.Late, For: z.For, Warm: 10 * time.Second,
+			Policy: localitysim.Policy(p), Seed: z.Seed}
 		for i, b := range z.Boxes {
-			sc.Zones = append(sc.Zones, zones.Zone{Name: fmt.Sprintf("z%d", i), Hub: z.hub(i), Boxes: b, Gateways: z.Gateways, Load: z.Load})
+			sc.Zones = append(sc.Zones, localitysim.Zone{Name: fmt.Sprintf("z%d", i), Hub: z.hub(i), Boxes: b, Gateways: z.Gateways, Load: z.Load})
 		}
-		if z.Directed && p == string(zones.Unbounded) {
+		if z.Directed && p == string(localitysim.Unbounded) {
 			continue
 		}
-		began, run := time.Now(), zones.Run
+		began, run := time.Now(), localitysim.Run
 		if z.Directed {
-			run = zones.Directed
+			run = localitysim.Directed
 		}
 		r, err := run(sc)
 		if err != nil {
@@ -152,7 +152,7 @@
 	return curves, nil
 }
 
-func (z *zonesCmd) sockets(t *tabwriter.Writer, faults []zones.Fault) (curves []curve, err error) {
+func (z *zonesCmd) sockets(t *tabwriter.Writer, faults []localitysim.Fault) (curves []curve, err error) {
 	if z.Program, err = programPath(z.Program); err != nil {
 		return nil, err
 	}
@@ -166,7 +166,7 @@
 			cfg.Zones = append(cfg.Zones, fleet.Zone{Name: fmt.Sprintf("z%d", i), Hub: z.hub(i), Boxes: b, Rate: z.Load * z.BoxRate * float64(b)})
 		}
 		for _, f := range faults {
-			if f.Kind != zones.Dead {
+			if f.Kind != localitysim.Dead {
 				return nil, fmt.Errorf("--fault: %s is played in the model only", f.Kind)
 			}
 			cfg.Deaths = append(cfg.Deaths, fleet.Death{Zone: f.Zone, At: f.At, Back: f.Till})
--- a/lab/zones/directed.go
+++ b/lab/localitysim/directed.go
@@ -1,4 +1,4 @@
-package zones
+package localitysim
 
 import (
 	"cmp"
--- a/lab/zones/zones.go
+++ b/lab/localitysim/localitysim.go
@@ -1,11 +1,11 @@
-// Package zones is several zones in simulated time: gateways that run package tiers without a changed line, zones with
+// Package localitysim is several zones in simulated time: gateways that run package tiers without a changed line, zones with
 // boxes, copies and a link, upper caches at hubs, and an origin that refuses beyond a point. It tries faults at sizes that
 // sockets don't reach. Equal scenes and seeds give equal runs.
 //
 // What it simplifies: a zone's boxes are one queue, and so are a hub's upper caches and the origin; the director is not in
 // it (an attempt goes to the zone, and a refused one is moved once); every request is for one part, of one size; no copy is
 // dropped, but for those of a cold restart; the list is as late as the scene says, and knows only of processes.
-package zones
+package localitysim
 
 import (
 	"container/heap"
--- a/lab/zones/zones_test.go
+++ b/lab/localitysim/localitysim_test.go
@@ -1,4 +1,4 @@
-package zones
+package localitysim
 
 import (
 	"math/rand/v2"
--- a/lab/zones/scene.go
+++ b/lab/localitysim/scene.go
@@ -1,4 +1,4 @@
-package zones
+package localitysim
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 
 	"google.golang.org/protobuf/encoding/prototext"
 
-	"larchusher/lab/zones/scenepb"
+	"larchusher/lab/localitysim/scenepb"
 )
 
 // Axis is one key of a sweep with its values.
