--- a/cmd/larchusher-lab/scene.go
+++ b/cmd/larchusher-lab/scene.go
@@ -14,7 +14,7 @@
 
 // sceneCmd is the sub-command scene.
 type sceneCmd struct {
-	File string `arg:"" help:"A scene in protobuf text format, such as lab/scenes/dark.textproto." type:"existingfile"`
+	File string `arg:"" help:"A scene in protobuf text format, such as lab/scenarios/dark.textproto." type:"existingfile"`
 	Out  string `help:"Write each second of each run to this file, as Parquet." placeholder:"FILE"`
 	Plot string `help:"Draw service over time, or a heat map of a sweep of two keys for each policy, to PREFIX-....png." placeholder:"PREFIX"`
 }
--- a/lab/localitysim/localitysim_test.go
+++ b/lab/localitysim/localitysim_test.go
@@ -220,7 +220,7 @@
 // Scenes' files are read, and faults in them named.
 func TestSceneFiles(t *testing.T) {
 	for _, name := range []string{"dark", "twice", "small", "bounds"} {
-		f, err := Load("../scenes/" + name + ".textproto")
+		f, err := Load("../scenarios/" + name + ".textproto")
 		if err != nil || len(f.Scene.Zones) < 3 || !f.Directed {
 			t.Errorf("%s: %+v, %v", name, f, err)
 		}
