--- a/internal/net/clustertransport/linkpb/doc.go
+++ b/internal/net/clustertransport/linkpb/doc.go
@@ -1,4 +1,4 @@
 // Package linkpb is the schema of what gateways of an installation send each other.
 package linkpb
 
-//go:generate protoc --go_out=. --go_opt=paths=source_relative link.proto
+//go:generate sh -c "protoc --plugin=protoc-gen-go=$(go tool -n protoc-gen-go) --go_out=. --go_opt=paths=source_relative link.proto"
--- a/lab/localitysim/scenepb/generate.go
+++ /dev/null
@@ -1,3 +0,0 @@
-package scenepb
-
-//go:generate sh -c "protoc --plugin=$(go tool -n protoc-gen-go) --go_out=. --go_opt=paths=source_relative scene.proto"
