--- a/cmd/larchusher/state.go
+++ b/cmd/larchusher/state.go
@@ -88,14 +88,14 @@
 	s.AgeS, s.Gateway, s.Settings, s.Position = now.Sub(s.Made).Seconds(), f.Snap.Gateway, f.Snap.Settings, f.Snap.Position
 	unix := time.Duration(now.UnixNano())
 	for _, d := range f.Snap.Directors {
-		p := place{Zone: d.Zone, Listings: len(d.Listings), Servers: len(d.Servers), Purges: len(d.Purges)}
+		p := place{Zone: d.Zone, Listings: len(d.Listings), Servers: len(d.Endpoints), Purges: len(d.Purges)}
 		worth := 0.0
 		for _, l := range d.Listings {
-			worth += warmstart.Worth(unix - l.Last).Listing
+			worth += warmstart.Worth(unix - l.LastRequest).Listing
 		}
 		p.Believed = int(worth + 0.5)
-		for _, h := range d.Servers {
-			if h.Failing > 0.4 || h.Ejected > unix {
+		for _, h := range d.Endpoints {
+			if h.ErrorRate > 0.4 || h.EjectedUntil > unix {
 				p.Ill++
 			}
 		}
--- a/cmd/larchusher/upgrade.go
+++ b/cmd/larchusher/upgrade.go
@@ -142,7 +142,7 @@
 // stopped now, or (false) it does not know of this one and goes on until it ends.
 func (p *program) takeColdBudget(stopped bool) {
 	if stopped {
-		p.gw.PauseCold(p.cfg.Settings.FallFor)
+		p.gw.PauseCold(p.cfg.Settings.OverloadWindow)
 	} else {
 		p.gw.PauseCold(-1)
 	}
--- a/cmd/larchusher/wiring.go
+++ b/cmd/larchusher/wiring.go
@@ -87,7 +87,7 @@
 func (p *program) makeGateway() error {
 	cfg := p.cfg
 	p.pool = resp.New(resp.Config{Streams: cfg.Sockets.StreamsPerConn, ConnectTimeout: cfg.Sockets.ConnectTimeout,
-		KeepAlive: cfg.Sockets.KeepAlive, Conns: p.shares().Stores, LoadFields: cfg.Settings.LoadFields,
+		KeepAlive: cfg.Sockets.KeepAlive, Conns: p.shares().Stores, LoadFields: cfg.Settings.LoadReportFields,
 		Answers: int64(p.memory(storedPart)), Whole: p.longest()}, p.loop, p.engine, p.log)
 	gc := gateway.Config{Loop: p.loop, Settings: cfg.Settings, Seed: cfg.Seed, Backend: p.pool, Log: p.log,
 		ToldKB: cfg.ToldKB, MaxOpen: cfg.Sockets.MostHeld, MaxBytes: p.memory(bodiesPart),
@@ -97,7 +97,7 @@
 	if gc.Tiers, err = p.op.TiersOf(cfg.Settings.Zone, cfg.Settings.Zones); err != nil {
 		return p.operatorError(err)
 	}
-	if cfg.PeerListen != "" && cfg.Settings.PeerMessages {
+	if cfg.PeerListen != "" && cfg.Settings.Gossip {
 		if p.link, err = gossip.Open(cfg.PeerListen, cfg.Peers, cfg.PeersAll, p.log); err != nil {
 			return err
 		}
--- a/gateway/admission.go
+++ b/gateway/admission.go
@@ -101,7 +101,7 @@
 func (g *Gateway) Try(f Front, class []byte, repeat bool, id []byte) (later time.Duration, ok bool) {
 	a := g.admissions.current.Load()
 	later, ok = a.door.Try(int(f), a.order.BandOf(class, repeat), xxhash.Sum64(id))
-	if !g.cfg.Settings.RetryAdvice {
+	if !g.cfg.Settings.SendRetryAfter {
 		later = 0
 	}
 	return later, ok
@@ -150,7 +150,7 @@
 
 // shed refuses a request that no store has seen.
 func (g *Gateway) shed(r *Request, later time.Duration) {
-	if !g.cfg.Settings.RetryAdvice {
+	if !g.cfg.Settings.SendRetryAfter {
 		later = 0
 	}
 	g.answer(r, Answer{Outcome: Refused, RetryAfter: later, Harmless: true})
@@ -158,7 +158,7 @@
 
 // later is the advice for a request that is shed after it came in.
 func (g *Gateway) later(r *Request) time.Duration {
-	if !g.cfg.Settings.RetryAdvice {
+	if !g.cfg.Settings.SendRetryAfter {
 		return 0
 	}
 	return overload.Spread(g.ruler.Later(), xxhash.Sum64String(r.Ref))
--- a/gateway/admission_test.go
+++ b/gateway/admission_test.go
@@ -25,16 +25,16 @@
 	var err error
 	h.g, err = gateway.New(gateway.Config{Loop: h.loop, Backend: backend{h.sent}, Log: logrus.New(), Overload: cfg,
 		Settings: routing.Settings{Zone: "here", Zones: []string{"here"}, Kinds: []string{"box", "origin"}, ParentKind: -1,
-			OriginKind: 1, Step: time.Millisecond, Joins: true, RetryAdvice: true, MaxRetryAfter: 2 * time.Second,
-			Classes: []routing.Class{{Name: "page", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1},
-				{Name: "order", Aim: time.Second, Deadline: 5 * time.Second, Worth: 3}}}})
+			OriginKind: 1, ClockStep: time.Millisecond, AllowCoalescing: true, SendRetryAfter: true, MaxRetryAfter: 2 * time.Second,
+			Classes: []routing.Class{{Name: "page", LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1},
+				{Name: "order", LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 3}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	go h.loop.Run()
 	t.Cleanup(h.loop.Close)
 	h.on(func() {
-		h.g.Members(routing.Members{Entries: []routing.Member{{ID: "c", Zone: "here", Kind: "box"}, {ID: "o", Zone: "here", Kind: "origin"}}})
+		h.g.Members(routing.EndpointUpdate{Endpoints: []routing.Endpoint{{ID: "c", Zone: "here", Kind: "box"}, {ID: "o", Zone: "here", Kind: "origin"}}})
 	})
 	return h
 }
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -13,21 +13,21 @@
 
 // holds joins the list with what is held.
 type holds struct {
-	list map[string]routing.Member // as the list has it
+	list map[string]routing.Endpoint // as the list has it
 	held map[string]bool
 	news int // lists and purges that were told
 }
 
 // listed takes in a list and gives it as the director is to see it.
-func (h *holds) listed(m routing.Members) routing.Members {
+func (h *holds) listed(m routing.EndpointUpdate) routing.EndpointUpdate {
 	h.news++
 	if h.list == nil {
-		h.list = map[string]routing.Member{}
+		h.list = map[string]routing.Endpoint{}
 	}
 	if m.Kind == routing.FullList || m.Kind == routing.StaleList {
 		clear(h.list)
 	}
-	for _, e := range m.Entries {
+	for _, e := range m.Endpoints {
 		if h.list[e.ID] = e; e.Phase == routing.Removed {
 			delete(h.list, e.ID)
 		}
@@ -35,14 +35,14 @@
 	if len(h.held) == 0 {
 		return m
 	}
-	m.Entries = slices.Clone(m.Entries)
-	for i, e := range m.Entries {
-		m.Entries[i] = h.merge(e)
+	m.Endpoints = slices.Clone(m.Endpoints)
+	for i, e := range m.Endpoints {
+		m.Endpoints[i] = h.merge(e)
 	}
 	return m
 }
 
-func (h *holds) merge(e routing.Member) routing.Member {
+func (h *holds) merge(e routing.Endpoint) routing.Endpoint {
 	if h.held[e.ID] && e.Phase == routing.Up {
 		e.Phase = routing.Draining
 	}
@@ -54,7 +54,7 @@
 func (g *Gateway) Hold(stores map[string]bool) {
 	was := g.hold.held
 	g.hold.held = maps.Clone(stores)
-	var changed []routing.Member
+	var changed []routing.Endpoint
 	for id, e := range g.hold.list {
 		if was[id] != stores[id] {
 			changed = append(changed, g.hold.merge(e))
@@ -63,13 +63,13 @@
 	if len(changed) == 0 {
 		return
 	}
-	slices.SortFunc(changed, func(a, b routing.Member) int {
+	slices.SortFunc(changed, func(a, b routing.Endpoint) int {
 		if a.ID < b.ID {
 			return -1
 		}
 		return 1
 	})
-	m := routing.Members{Kind: routing.Changes, Entries: changed}
+	m := routing.EndpointUpdate{Kind: routing.DeltaList, Endpoints: changed}
 	g.listed(m)
 	g.handleAll(m)
 }
@@ -120,4 +120,4 @@
 func (g *Gateway) News() int { return g.hold.news + int(g.Counters.Purges) }
 
 // Listed are the stores as the list has them. They are not to be changed.
-func (g *Gateway) Listed() map[string]routing.Member { return g.hold.list }
+func (g *Gateway) Listed() map[string]routing.Endpoint { return g.hold.list }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -115,7 +115,7 @@
 func (g *Gateway) Open() int { return len(g.requests) }
 
 // Members tells the director of a list of stores.
-func (g *Gateway) Members(m routing.Members) {
+func (g *Gateway) Members(m routing.EndpointUpdate) {
 	m = g.hold.listed(m)
 	g.listed(m)
 	g.handleAll(m)
@@ -130,7 +130,7 @@
 // Heard tells the director of a peer's message.
 func (g *Gateway) Heard(from int, data string) {
 	g.Counters.Heard++
-	g.handle(event{Event: routing.Peer{From: from, Data: data}})
+	g.handle(event{Event: routing.GossipReceived{From: from, Data: data}})
 }
 
 // Submit takes a request in. Its Answer is called once on the loop, maybe before Submit returns, unless the
@@ -187,7 +187,7 @@
 	if r.class != g.class(r.Class) { // others hold by now
 		rules = r.class
 	}
-	g.handle(event{request: r, where: r.where, Event: routing.Request{Rules: rules, ID: r.id, Class: r.Class, Tenant: r.Tenant,
+	g.handle(event{request: r, where: r.where, Event: routing.Request{AdmittedClass: rules, ID: r.id, Class: r.Class, Tenant: r.Tenant,
 		Object: r.Object, Part: r.Part, Group: r.Group, SizeKB: r.SizeKB * cmp.Or(g.cfg.ToldKB, 1), Deadline: g.Clock(r.Deadline), Retry: r.Retry,
 		Write: !r.safe()}})
 }
@@ -201,7 +201,7 @@
 	g.CountAnswer(r.Class, Answer{Outcome: Failed})
 	g.finish(r)
 	g.unreserve(r, -1)
-	g.handle(event{where: r.where, Event: routing.Gone{ID: r.id}})
+	g.handle(event{where: r.where, Event: routing.ClientGone{ID: r.id}})
 	g.giveUp(r)
 }
 
@@ -212,7 +212,7 @@
 	}
 	harmless := r.safe()
 	g.answer(r, Answer{Outcome: Expired, Harmless: harmless, RetryAfter: g.cfg.Settings.MaxRetryAfter / 2})
-	g.handle(event{where: r.where, Event: routing.Gone{ID: r.id}})
+	g.handle(event{where: r.where, Event: routing.ClientGone{ID: r.id}})
 	g.giveUp(r)
 }
 
@@ -227,15 +227,15 @@
 }
 
 // safe says whether the request may be repeated freely. One of an unknown class never runs.
-func (r *Request) safe() bool { return r.class == nil || r.class.Effect == routing.Safe }
+func (r *Request) safe() bool { return r.class == nil || r.class.Effect == routing.Idempotent }
 
 // keyed says whether the request must carry a key.
-func (r *Request) keyed() bool { return r.class != nil && r.class.Effect == routing.Keyed }
+func (r *Request) keyed() bool { return r.class != nil && r.class.Effect == routing.IdempotentWithKey }
 
 // giveUp ends the attempts of a request that nobody waits for.
 func (g *Gateway) giveUp(r *Request) {
 	for _, a := range r.attempts {
-		g.cancel(a, routing.Cancelled)
+		g.cancel(a, routing.Canceled)
 	}
 }
 
@@ -284,7 +284,7 @@
 		g.Abandon(r)
 		return false
 	}
-	age, ok := g.directors[a.where].Recheck(g.now(), a.Request.id, a.number)
+	age, ok := g.directors[a.where].RecheckAttempt(g.now(), a.Request.id, a.number)
 	if p := g.cfg.Permit; p != nil && !(p(a.Server) && (a.Source == "" || p(a.Source))) {
 		ok = false
 		g.Counters.Held++
@@ -343,9 +343,9 @@
 	}
 	// The time ends when the answer came, and leaves out stalls of this program: neither is the store's doing.
 	g.seen(a, res)
-	g.handle(event{where: a.where, Event: routing.Outcome{ID: r.id, Attempt: a.number, Server: a.Server, Status: res.Status,
-		Note: res.Note, Final: r.answered, Latency: max(0, res.At.Sub(a.sent)-(g.lost-a.lost)), FillWait: res.FillWait, Load: res.Load,
-		Along: res.Along, SizeKB: size}})
+	g.handle(event{where: a.where, Event: routing.AttemptResult{ID: r.id, Attempt: a.number, Endpoint: a.Server, Status: res.Status,
+		Reason: res.Note, Final: r.answered, Latency: max(0, res.At.Sub(a.sent)-(g.lost-a.lost)), FillWait: res.FillWait, LoadReport: res.Load,
+		CollateralReset: res.Along, SizeKB: size}})
 }
 
 // cancel stops waiting for an attempt and says how it ended.
@@ -392,38 +392,38 @@
 
 func (g *Gateway) carryOut(a routing.Action, where int) {
 	switch a := a.(type) {
-	case routing.Ask:
+	case routing.ForwardAttempt:
 		g.ask(a, where)
-	case routing.Refuse:
+	case routing.Reject:
 		if g.move(a.ID, where) {
 			return
 		}
-		g.close(a.ID, Answer{Outcome: Refused, RetryAfter: a.After, Harmless: true})
+		g.close(a.ID, Answer{Outcome: Refused, RetryAfter: a.RetryAfter, Harmless: true})
 	case routing.Fail:
 		if r := g.requests[a.ID]; r != nil && r.where == where { // guards against a word of a director that it has left
 			g.close(a.ID, Answer{Outcome: Failed})
 		}
-	case routing.Cancel:
+	case routing.CancelAttempt:
 		if at := g.attempt(a.ID, a.Attempt, where); at != nil {
-			g.cancel(at, routing.Cancelled)
+			g.cancel(at, routing.Canceled)
 		}
-	case routing.Wake:
-		r := g.requests[a.ID]
-		if a.ID != "" && r == nil {
+	case routing.SetTimer:
+		r := g.requests[a.RequestID]
+		if a.RequestID != "" && r == nil {
 			return // it is over
 		}
-		t := g.cfg.Loop.At(g.base.Add(a.At-g.baseUnix), func() { g.handle(event{where: where, Event: routing.Timer{Token: a.Token}}) })
+		t := g.cfg.Loop.At(g.base.Add(a.At-g.baseUnix), func() { g.handle(event{where: where, Event: routing.TimerFired{Token: a.Token}}) })
 		if r != nil {
 			r.wakes = append(r.wakes, t)
 		}
-	case routing.Tell:
+	case routing.SendGossip:
 		if g.cfg.Peers != nil {
 			g.Counters.Told++
 			g.cfg.Peers.Tell(a.To, a.Data)
 		}
 	case routing.Log:
 		g.cfg.Log.Info(a.Text)
-	case routing.Probe, routing.Watch: // the platform allows no probes, and pushes the list
+	case routing.StartHealthCheck, routing.PollEndpoints: // the platform allows no probes, and pushes the list
 	}
 }
 
@@ -434,23 +434,23 @@
 	if r == nil {
 		return
 	}
-	if !g.cfg.Loop.Now().Before(r.Deadline.Add(-g.cfg.Settings.Step - time.Millisecond)) {
+	if !g.cfg.Loop.Now().Before(r.Deadline.Add(-g.cfg.Settings.ClockStep - time.Millisecond)) {
 		a.Outcome = Expired
 	}
 	g.answer(r, a)
 }
 
 // ask starts an attempt. Guards the rule against sending for a finished request: it ends as not sent.
-func (g *Gateway) ask(a routing.Ask, where int) {
+func (g *Gateway) ask(a routing.ForwardAttempt, where int) {
 	r := g.requests[a.ID]
 	if r == nil || r.where != where {
 		return
 	}
 	now := g.cfg.Loop.Now()
-	at := &Attempt{Request: r, Server: a.Server, Source: a.Source, Keep: a.Keep, MaxAge: a.MaxAge, Join: a.Join,
-		Held: a.OnlyHeld, NoCopy: a.NoCopy, Renew: a.Renew, Expiry: r.Deadline, number: len(r.attempts) - r.first, where: where,
+	at := &Attempt{Request: r, Server: a.Endpoint, Source: a.FillSource, Keep: a.CacheRank, MaxAge: a.MaxAge, Join: a.Coalesce,
+		Held: a.OnlyIfCached, NoCopy: a.NoParentCopy, Renew: a.RefreshAhead, Expiry: r.Deadline, number: len(r.attempts) - r.first, where: where,
 		sent: now, lost: g.lost}
-	if a.Source == a.Server {
+	if a.FillSource == a.Endpoint {
 		at.Source = ""
 	}
 	if a.Timeout > 0 && now.Add(a.Timeout).Before(at.Expiry) {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -22,8 +22,8 @@
 	loop, b := gateway.NewLoop(), backend{make(chan *gateway.Attempt, 10)}
 	g, err := gateway.New(gateway.Config{Loop: loop, Backend: b, Log: logrus.New(), Settings: routing.Settings{
 		Zone: "here", Zones: []string{"here"}, Kinds: []string{"box", "origin"}, ParentKind: -1, OriginKind: 1,
-		Classes:      []routing.Class{{Name: "page", Aim: time.Second, Deadline: 5 * time.Second}},
-		PurgeSettles: 6 * time.Second, Step: time.Millisecond, Joins: true}})
+		Classes:         []routing.Class{{Name: "page", LatencyObjective: time.Second, Deadline: 5 * time.Second}},
+		PurgeSettleTime: 6 * time.Second, ClockStep: time.Millisecond, AllowCoalescing: true}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 		<-done
 	}
 	members := func(phase routing.Phase) {
-		g.Members(routing.Members{Entries: []routing.Member{{ID: "c", Zone: "here", Kind: "box", Phase: phase},
+		g.Members(routing.EndpointUpdate{Endpoints: []routing.Endpoint{{ID: "c", Zone: "here", Kind: "box", Phase: phase},
 			{ID: "o", Zone: "here", Kind: "origin"}}})
 	}
 	answers := make(chan gateway.Answer, 10)
@@ -49,7 +49,7 @@
 	on(func() { members(routing.Up) })
 	a := submit()
 	on(func() {
-		g.Purge(routing.Purge{Object: "x", Ago: time.Second})
+		g.Purge(routing.Purge{Object: "x", Age: time.Second})
 		if !g.Clear(a) || a.MaxAge < 900*time.Millisecond || a.MaxAge > 5*time.Second {
 			t.Errorf("after a purge: age limit %v", a.MaxAge)
 		}
--- a/gateway/localities.go
+++ b/gateway/localities.go
@@ -60,7 +60,7 @@
 	}
 	g.tierTick = tierTick(cfg)
 	g.roster = locality.NewRoster(set, cfg.Localities)
-	g.report = slices.Index(set.LoadFields, "x1")
+	g.report = slices.Index(set.LoadReportFields, "x1")
 	return nil
 }
 
@@ -109,7 +109,7 @@
 func (g *Gateway) runningClock() time.Duration { return g.now() - g.lost }
 
 // listed tells of a list of stores.
-func (g *Gateway) listed(m routing.Members) {
+func (g *Gateway) listed(m routing.EndpointUpdate) {
 	if g.tiers == nil {
 		return
 	}
@@ -136,7 +136,7 @@
 // straight says that a request goes past all localities.
 func (g *Gateway) straight(r *Request) bool {
 	c := r.class
-	return c == nil || c.NeverKept && g.cfg.Settings.PassBy
+	return c == nil || c.Uncacheable && g.cfg.Settings.AllowBypass
 }
 
 // move gives a request that the director of its locality has refused to another one, and says that nothing is left to do
@@ -159,7 +159,7 @@
 		refusal.Waited = now.Sub(r.Arrived)
 	}
 	if c := r.class; c != nil {
-		refusal.Aim = c.Aim
+		refusal.Aim = c.LatencyObjective
 	}
 	to, ok := g.tiers.Refused(g.runningClock(), refusal)
 	if !ok {
@@ -184,18 +184,18 @@
 	}
 	cache, late, load := g.roster.Cache(a.Server, a.where), false, -1.0
 	if c := a.Request.class; c != nil && res.Status == routing.OK {
-		aim := c.Aim + time.Duration(c.AimStretch*float64(g.cfg.Settings.Sending(float64(len(res.Body))/1000)))
+		aim := c.LatencyObjective + time.Duration(c.ObjectiveStretch*float64(g.cfg.Settings.TransferTime(float64(len(res.Body))/1000)))
 		late = res.At.Sub(a.sent)-(g.lost-a.lost) > aim
 	}
 	if !cache && a.where == 0 {
 		g.tiers.Past(g.runningClock(), locality.Judge(res.Status, true, late, res.Along))
 	}
 	result := locality.Judge(res.Status, cache, late, res.Along)
-	told := cache && res.Status == routing.OK && res.Note != routing.NoNote
+	told := cache && res.Status == routing.OK && res.Note != routing.ReasonNone
 	if cache && g.report >= 0 && g.report < len(res.Load) {
 		load = res.Load[g.report]
 	}
-	g.tiers.Ended(g.runningClock(), a.where, result, res.Note == routing.NoteHit || res.Note == routing.NoteStale, told, load)
+	g.tiers.Ended(g.runningClock(), a.where, result, res.Note == routing.ReasonHit || res.Note == routing.ReasonStale, told, load)
 }
 
 // tier sets the shares of the localities anew, when it is time. It is called with each beat.
@@ -240,7 +240,7 @@
 }
 
 // Learned copies out what the directors have learned, at most so many listings of each.
-func (g *Gateway) Learned(most int) (all []routing.Memory) {
+func (g *Gateway) Learned(most int) (all []routing.LearnedState) {
 	for _, d := range g.directors {
 		all = append(all, d.Export(g.now(), most))
 	}
@@ -257,7 +257,7 @@
 }
 
 // Remember has the director of a zone take in what neighbours know, for what it is still worth by its age.
-func (g *Gateway) Remember(m routing.Memory) (u routing.Used) {
+func (g *Gateway) Remember(m routing.LearnedState) (u routing.ImportCounts) {
 	for i, d := range g.directors {
 		if g.names[i] == m.Zone {
 			u = d.Import(g.now(), m, warmstart.Worth)
@@ -268,13 +268,13 @@
 
 // Told is the purge of a name of package purges, so long ago, as a neighbour has it.
 func (g *Gateway) Told(name string, ago time.Duration) {
-	p := routing.Purge{Object: name, Ago: ago}
+	p := routing.Purge{Object: name, Age: ago}
 	if group, ok := strings.CutPrefix(name, " "); ok {
 		n, err := strconv.Atoi(group)
 		if err != nil {
 			return
 		}
-		p = routing.Purge{Group: n, Ago: ago}
+		p = routing.Purge{Group: n, Age: ago}
 	}
 	g.handleAll(p)
 }
--- a/gateway/localities_test.go
+++ b/gateway/localities_test.go
@@ -19,12 +19,12 @@
 	var err error
 	h.g, err = gateway.New(gateway.Config{Loop: h.loop, Backend: backend{h.sent}, Log: logrus.New(),
 		Tiers: &locality.Config{Localities: []locality.Locality{{Name: "here"}, {Name: "there", Level: 1}}, Spill: 1},
-		Settings: routing.Settings{Zone: "here", Zones: []string{"hub", "here", "there"}, ZonePeers: []int{0, 1, 1}, Directors: 2,
-			Kinds: []string{"box", "origin"}, ParentKind: -1, OriginKind: 1, Step: time.Millisecond, Joins: true, PassBy: true,
-			RetryAdvice: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: 8, Cancels: true, LoadFields: []string{"busy_reqs", "x1"},
+		Settings: routing.Settings{Zone: "here", Zones: []string{"hub", "here", "there"}, ZoneDirectors: []int{0, 1, 1}, Directors: 2,
+			Kinds: []string{"box", "origin"}, ParentKind: -1, OriginKind: 1, ClockStep: time.Millisecond, AllowCoalescing: true, AllowBypass: true,
+			SendRetryAfter: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: 8, CanCancel: true, LoadReportFields: []string{"busy_reqs", "x1"},
 			DrainGrace: 2 * time.Second,
-			Classes: []routing.Class{{Name: "page", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1},
-				{Name: "order", Aim: time.Second, Deadline: 5 * time.Second, Worth: 3, Effect: routing.Unsafe, NeverKept: true}}}})
+			Classes: []routing.Class{{Name: "page", LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1},
+				{Name: "order", LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 3, Effect: routing.NonIdempotent, Uncacheable: true}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 // list tells of the stores, that there in a phase.
 func (h *host) list(there routing.Phase) {
 	h.on(func() {
-		h.g.Members(routing.Members{Entries: []routing.Member{{ID: "c", Zone: "here", Kind: "box"}, {ID: "d", Zone: "there", Kind: "box", Phase: there},
+		h.g.Members(routing.EndpointUpdate{Endpoints: []routing.Endpoint{{ID: "c", Zone: "here", Kind: "box"}, {ID: "d", Zone: "there", Kind: "box", Phase: there},
 			{ID: "o", Zone: "hub", Kind: "origin"}}})
 	})
 }
@@ -59,7 +59,7 @@
 	}
 }
 
-var good = gateway.Result{Status: routing.OK, Body: []byte("x"), Note: routing.NoteHit, Load: []float64{1, 0.4}}
+var good = gateway.Result{Status: routing.OK, Body: []byte("x"), Note: routing.ReasonHit, Load: []float64{1, 0.4}}
 
 // While the own locality serves, nothing goes elsewhere.
 func TestTheOwnLocalityServes(t *testing.T) {
@@ -75,7 +75,7 @@
 // What the own locality refuses goes to the next one, once, and has one answer.
 func TestARefusedRequestIsMoved(t *testing.T) {
 	h := newPlaces(t)
-	refuses := map[string]gateway.Result{"c": {Status: routing.TurnedAway}, "o": {Status: routing.TurnedAway}, "d": good}
+	refuses := map[string]gateway.Result{"c": {Status: routing.Rejected}, "o": {Status: routing.Rejected}, "d": good}
 	moved := 0
 	for i := 0; i < 2000 && moved < 3; i++ { // what may go there begins small
 		time.Sleep(time.Millisecond)
--- a/gateway/outcomes_test.go
+++ b/gateway/outcomes_test.go
@@ -42,8 +42,8 @@
 				case k < 9 && len(out) > 0:
 					h.g.Ended(out[rng.IntN(len(out))], gateway.Result{Status: routing.Status(rng.IntN(9))})
 				case k == 9 && rng.IntN(10) == 0:
-					classes := []routing.Class{{Name: "page", Aim: time.Second, Deadline: time.Second, Worth: 1, Effect: routing.Effect(rng.IntN(3))},
-						{Name: "order", Aim: time.Second, Deadline: time.Second, Worth: 3}}
+					classes := []routing.Class{{Name: "page", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1, Effect: routing.Effect(rng.IntN(3))},
+						{Name: "order", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 3}}
 					if err := h.g.Reconfigure(classes[:1+rng.IntN(2)], 1+rng.IntN(5)); err != nil {
 						t.Error(err)
 					}
--- a/gateway/reconfigure.go
+++ b/gateway/reconfigure.go
@@ -135,7 +135,7 @@
 	if span >= 0 {
 		until = g.now() + span
 	}
-	g.handleAll(routing.PauseCold{Until: until})
+	g.handleAll(routing.PauseSlowStart{Until: until})
 }
 
 // order ranks the classes that are served at present.
@@ -147,7 +147,7 @@
 // overloadClasses is what package overload needs to know of classes.
 func overloadClasses(classes []routing.Class) (all []overload.Class) {
 	for _, c := range classes {
-		all = append(all, overload.Class{Name: c.Name, Worth: c.Worth})
+		all = append(all, overload.Class{Name: c.Name, Worth: c.PriorityWeight})
 	}
 	return all
 }
--- a/gateway/types.go
+++ b/gateway/types.go
@@ -107,7 +107,7 @@
 // Result is how an attempt ended.
 type Result struct {
 	Status    routing.Status
-	Note      routing.Note
+	Note      routing.Reason
 	FillWait  time.Duration // until the source's first byte; 0: not told
 	Load      []float64
 	Body      []byte
--- a/internal/clusternode/host.go
+++ b/internal/clusternode/host.go
@@ -61,13 +61,13 @@
 
 // Start starts the part of a gateway. Zone is its own. The gateway must ask Permit before it writes.
 func Start(cfg *config.Fleet, set routing.Settings, gw *gateway.Gateway, loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger) (*Host, error) {
-	h := &Host{cfg: cfg, loop: loop, gw: gw, log: log.WithField("fleet", cfg.Name), zone: set.Zone, settles: set.PurgeSettles, began: time.Now().Add(-time.Second)}
+	h := &Host{cfg: cfg, loop: loop, gw: gw, log: log.WithField("fleet", cfg.Name), zone: set.Zone, settles: set.PurgeSettleTime, began: time.Now().Add(-time.Second)}
 	bounds := cfg.Bounds
 	longest := time.Duration(0)
 	for _, c := range set.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	bounds.Grace, bounds.Ramp = max(set.DrainGrace, longest+slackAfter), max(set.ColdFor, set.ParentColdFor)
+	bounds.Grace, bounds.Ramp = max(set.DrainGrace, longest+slackAfter), max(set.SlowStartFor, set.ParentSlowStartFor)
 	nc := cluster.Config{Self: cfg.Name, Life: newLife(), Voters: cfg.Voters, Bounds: bounds, Clock: h.wall, Gap: readsGap, Seed: newLife()}
 	for _, m := range cfg.Members {
 		nc.Members = append(nc.Members, m.Name)
@@ -225,8 +225,8 @@
 		if s.Kind == "origin" {
 			continue
 		}
-		m := maintenance.Machine{Kind: s.Kind, Zone: s.Zone, Up: s.Up, Warm: s.Warm, Weight: s.Weight, Busy: s.Busy}
-		if at := h.gw.StartedAt(s.Boot); !at.IsZero() {
+		m := maintenance.Machine{Kind: s.Kind, Zone: s.Zone, Up: s.Up, Warm: s.Warm, Weight: s.Weight, Busy: s.Utilization}
+		if at := h.gw.StartedAt(s.Incarnation); !at.IsZero() {
 			m.BootMs = at.UnixMilli()
 		}
 		r.Machines[s.ID] = m
--- a/internal/clusternode/share.go
+++ b/internal/clusternode/share.go
@@ -68,7 +68,7 @@
 		case replication.CaughtUp:
 			s.caught = &a
 			u := s.h.gw.Remember(s.sharer.Gather(s.h.now(), s.h.gw.Clock(s.h.loop.Now()), s.h.gw.Listed()))
-			s.h.log.WithField("from", a.From).Infof("caught up after %v: %d listings, %d stores and %d purges used of %d slots", a.Took.Round(time.Millisecond), u.Listings, u.Servers,
+			s.h.log.WithField("from", a.From).Infof("caught up after %v: %d listings, %d stores and %d purges used of %d slots", a.Took.Round(time.Millisecond), u.Listings, u.Endpoints,
 				u.Purges, s.node.Len())
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -200,16 +200,16 @@
 // peers, or is missing, the larger one holds, so that all together spend no more than is allowed.
 func (c *Gateway) directors() error {
 	s := &c.Settings
-	n, zones := max(len(c.Peers), s.Me+1), 0
-	for _, p := range s.ZonePeers {
+	n, zones := max(len(c.Peers), s.Index+1), 0
+	for _, p := range s.ZoneDirectors {
 		zones += max(0, p)
 	}
 	switch n = max(n, zones); {
 	case s.Directors < 0:
 		return fmt.Errorf("settings.balancers: %d is negative", s.Directors)
-	case s.Me < 0:
-		return fmt.Errorf("settings.position: %d is negative", s.Me)
-	case s.Directors == 0 && s.Me == 0 && len(c.Peers)+zones == 0: // it is told nowhere: not that this one is alone
+	case s.Index < 0:
+		return fmt.Errorf("settings.position: %d is negative", s.Index)
+	case s.Directors == 0 && s.Index == 0 && len(c.Peers)+zones == 0: // it is told nowhere: not that this one is alone
 		c.Notes = append(c.Notes, "settings.balancers is missing, and nothing else tells how many gateways there are: budgets are those of one of many")
 	case s.Directors < n:
 		c.Notes = append(c.Notes, fmt.Sprintf("settings.balancers is %d: %d is taken, by peers, zones and position", s.Directors, n))
@@ -217,7 +217,7 @@
 	case len(c.Peers) > 0 && len(c.Peers) != s.Directors:
 		c.Notes = append(c.Notes, fmt.Sprintf("settings.balancers is %d, peers names %d: the former is taken", s.Directors, len(c.Peers)))
 	}
-	for i, p := range s.ZonePeers {
+	for i, p := range s.ZoneDirectors {
 		if p < 0 {
 			return fmt.Errorf("settings.familyInfo.countByZone[%d]: %d is negative", i, p)
 		}
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -193,11 +193,11 @@
 	if keys := a.Fixed(b); len(keys) > 0 {
 		t.Errorf("a reload says that %q changed", keys)
 	}
-	if !a.Settings.Numberless {
+	if !a.Settings.IndexUnknown {
 		t.Error("a position that is not told is taken for 0")
 	}
 	told := read(func(all, settings map[string]any) { all["seed"], settings["position"] = "2a", 0 })
-	if told.Seed != 0x2a || told.Settings.Numberless || told.Settings.Me != 0 {
-		t.Errorf("seed %x, number %d, untold: %v", told.Seed, told.Settings.Me, told.Settings.Numberless)
+	if told.Seed != 0x2a || told.Settings.IndexUnknown || told.Settings.Index != 0 {
+		t.Errorf("seed %x, number %d, untold: %v", told.Seed, told.Settings.Index, told.Settings.IndexUnknown)
 	}
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -95,7 +95,7 @@
 		switch {
 		case k.Deadline <= 0:
 			return fmt.Errorf("settings.classes[%d].hardLimitMs: %v of class %s is not positive", i, k.Deadline, k.Name)
-		case k.Aim < 0 || k.AimStretch < 0 || k.Worth < 0 || k.Window < 0:
+		case k.LatencyObjective < 0 || k.ObjectiveStretch < 0 || k.PriorityWeight < 0 || k.DedupWindow < 0:
 			return fmt.Errorf("settings.classes[%d]: a figure of class %s is negative", i, k.Name)
 		}
 	}
--- a/internal/config/sites_test.go
+++ b/internal/config/sites_test.go
@@ -55,14 +55,14 @@
 		for i, k := range told.Classes {
 			got := s.Classes[i]
 			effect := map[string]int{"repeatable": 0, "by_key": 1, "once": 2}[k.Effect]
-			if got.Name != k.Name || ms(got.Aim) != k.AimMs || ms(got.Deadline) != k.HardLimitMs || got.Worth != k.Value ||
-				int(got.Effect) != effect || ms(got.Window) != k.RepeatWindowMs {
+			if got.Name != k.Name || ms(got.LatencyObjective) != k.AimMs || ms(got.Deadline) != k.HardLimitMs || got.PriorityWeight != k.Value ||
+				int(got.Effect) != effect || ms(got.DedupWindow) != k.RepeatWindowMs {
 				t.Errorf("%s: class %d: %+v of %+v", file, i, got, k)
 			}
 		}
-		if len(s.Classes) != len(told.Classes) || s.Directors != told.Balancers || s.ColdFrom != told.Invariants.ColdFrom ||
-			ms(s.FallFor) != told.Invariants.OverloadForMs || ms(s.ColdFor) != told.Invariants.RampTimeMs ||
-			ms(s.DrainGrace) != told.Invariants.StopSendingWithinMs || s.FallMultiple != told.Invariants.TipMultiple ||
+		if len(s.Classes) != len(told.Classes) || s.Directors != told.Balancers || s.SlowStartFrom != told.Invariants.ColdFrom ||
+			ms(s.OverloadWindow) != told.Invariants.OverloadForMs || ms(s.SlowStartFor) != told.Invariants.RampTimeMs ||
+			ms(s.DrainGrace) != told.Invariants.StopSendingWithinMs || s.OverloadMultiple != told.Invariants.TipMultiple ||
 			ms(s.PurgeGrace) != told.FamilyInfo.NoticeTimeMs || ms(s.MaxRetryAfter) != told.Limits.MaxRetryAfterMs ||
 			float64(s.MaxAttempts) != told.Limits.SendCap || float64(c.Sockets.StreamsPerConn) != told.Limits.StreamsPerConn ||
 			ms(c.Sockets.ConnectTimeout) != told.Limits.ConnectTimeoutMs || ms(c.Sockets.KeepAlive) != told.Limits.KeepaliveMs {
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -125,7 +125,7 @@
 		}
 	}
 	r.Retry = Retry(c.Header)
-	keyed := class.Effect != routing.Safe
+	keyed := class.Effect != routing.Idempotent
 	switch {
 	case keyed && c.Method != http.MethodPost:
 		return nil, problem(http.StatusMethodNotAllowed, "POST only", [2]string{"Allow", "POST"})
--- a/internal/net/discovery/events.go
+++ b/internal/net/discovery/events.go
@@ -81,7 +81,7 @@
 
 // Sink takes in what the journal tells. Its methods are called on the loop.
 type Sink interface {
-	Members(routing.Members)
+	Members(routing.EndpointUpdate)
 	Purge(routing.Purge)
 	Place(id, addr string, since int64)
 	Remove(id string)
@@ -151,7 +151,7 @@
 // Take takes in one further event.
 func (b *Book) Take(now time.Time, e Event) {
 	if e.Hosts != nil {
-		kind := routing.Changes
+		kind := routing.DeltaList
 		if e.Hosts.Snapshot {
 			kind = routing.FullList
 		}
@@ -162,8 +162,8 @@
 	}
 }
 
-func (b *Book) hosts(now time.Time, kind routing.ListKind, hosts []Host) {
-	m := routing.Members{Kind: kind}
+func (b *Book) hosts(now time.Time, kind routing.UpdateKind, hosts []Host) {
+	m := routing.EndpointUpdate{Kind: kind}
 	named := map[string]bool{}
 	for _, h := range hosts {
 		at := b.boots[h.Name]
@@ -174,8 +174,8 @@
 			}
 			b.boots[h.Name] = at
 		}
-		m.Entries = append(m.Entries, routing.Member{ID: h.Name, Zone: h.Zone, Kind: h.Type, Cell: h.Group,
-			Boot: at.at, Weight: h.Weight, Phase: phases[h.Status]})
+		m.Endpoints = append(m.Endpoints, routing.Endpoint{ID: h.Name, Zone: h.Zone, Kind: h.Type, Cell: h.Group,
+			Incarnation: at.at, Weight: h.Weight, Phase: phases[h.Status]})
 		if phases[h.Status] == routing.Removed {
 			b.Sink.Remove(h.Name)
 			delete(b.here, h.Name)
@@ -185,7 +185,7 @@
 		named[h.Name], b.here[h.Name] = true, h
 		b.Sink.Place(h.Name, h.Address, h.SinceMs)
 	}
-	if kind != routing.Changes { // what a whole list does not name is gone
+	if kind != routing.DeltaList { // what a whole list does not name is gone
 		for name := range b.here {
 			if !named[name] {
 				b.Sink.Remove(name)
@@ -198,7 +198,7 @@
 }
 
 func (b *Book) purge(now time.Time, x Expire) {
-	p := routing.Purge{Object: x.Name, Ago: max(0, now.Sub(time.UnixMilli(x.Stamp)))}
+	p := routing.Purge{Object: x.Name, Age: max(0, now.Sub(time.UnixMilli(x.Stamp)))}
 	if x.Set != nil && x.Name == "" {
 		p.Group = *x.Set
 	}
--- a/internal/net/gossip/gossip.go
+++ b/internal/net/gossip/gossip.go
@@ -89,7 +89,7 @@
 // Tell sends a message to one peer, or to all of them. It may get lost.
 func (l *Link) Tell(to int, data string) {
 	addr := l.all
-	if to != routing.Everyone {
+	if to != routing.AllDirectors {
 		if to < 0 || to >= len(l.to) {
 			return
 		}
--- a/internal/net/resp/answer.go
+++ b/internal/net/resp/answer.go
@@ -87,13 +87,13 @@
 }
 
 var statuses = map[string]routing.Status{"DONE": routing.OK, "KEEP": routing.OK, "LACK": routing.Miss,
-	"WAIT": routing.TurnedAway, "BROKE": routing.ServerError, "PAST": routing.NotSent}
+	"WAIT": routing.Rejected, "BROKE": routing.ServerError, "PAST": routing.NotSent}
 
 // What stores may say of how they served a request, or why not; a word that is not here says nothing.
-var notes = map[string]routing.Note{"warm": routing.NoteHit, "fill": routing.NoteFilled,
-	"deep_fill": routing.NoteFilledByOrigin, "piggy": routing.NoteJoined, "aged": routing.NoteStale,
-	"bounced": routing.NoteSourceRefused, "dropped": routing.NoteSourceLost, "lacking": routing.NoteSourceLacks,
-	"jammed": routing.NoteNoPlace, "backfire": routing.NoteOriginFailed}
+var notes = map[string]routing.Reason{"warm": routing.ReasonHit, "fill": routing.ReasonFilled,
+	"deep_fill": routing.ReasonFilledByOrigin, "piggy": routing.ReasonCoalesced, "aged": routing.ReasonStale,
+	"bounced": routing.ReasonSourceRejected, "dropped": routing.ReasonSourceLost, "lacking": routing.ReasonSourceMiss,
+	"jammed": routing.ReasonNoFillSlot, "backfire": routing.ReasonOriginFailed}
 
 // answer takes one answer in, that came at a time. It takes the body out of args if that is to live on.
 func (c *conn) answer(args [][]byte, at time.Time) error {
--- a/internal/net/resp/conn.go
+++ b/internal/net/resp/conn.go
@@ -50,7 +50,7 @@
 		if !c.dead {
 			c.write(a)
 		} else {
-			c.pool.Gateway.Ended(a, gateway.Result{Status: routing.NotConnected})
+			c.pool.Gateway.Ended(a, gateway.Result{Status: routing.ConnectFailed})
 		}
 	}
 }
@@ -102,6 +102,6 @@
 	waiting := c.waiting
 	c.waiting = nil
 	for _, a := range waiting {
-		p.Gateway.Ended(a, gateway.Result{Status: routing.NotConnected})
+		p.Gateway.Ended(a, gateway.Result{Status: routing.ConnectFailed})
 	}
 }
--- a/internal/net/resp/pool.go
+++ b/internal/net/resp/pool.go
@@ -120,7 +120,7 @@
 func (p *Pool) Send(a *gateway.Attempt) {
 	s := p.stores[a.Server]
 	if s == nil || s.addr == "" { // only what our own list has named
-		p.Gateway.Ended(a, gateway.Result{Status: routing.NotConnected})
+		p.Gateway.Ended(a, gateway.Result{Status: routing.ConnectFailed})
 		return
 	}
 	c := p.choose(s, a.Request.Ref)
@@ -133,7 +133,7 @@
 		c = p.choose(s, a.Request.Ref)
 	}
 	if c == nil || c.dead {
-		p.Gateway.Ended(a, gateway.Result{Status: routing.NotConnected})
+		p.Gateway.Ended(a, gateway.Result{Status: routing.ConnectFailed})
 		return
 	}
 	a.Wire = c
--- a/internal/net/resp/words_test.go
+++ b/internal/net/resp/words_test.go
@@ -14,17 +14,17 @@
 	c := &conn{pool: &Pool{cfg: Config{LoadFields: []string{"cpu_share", "x1"}}}}
 	for _, w := range []struct {
 		fields string
-		note   routing.Note
+		note   routing.Reason
 		wait   time.Duration
 	}{
-		{"why=warm", routing.NoteHit, 0},
-		{"why=deep_fill,first=12.5", routing.NoteFilledByOrigin, 12500 * time.Microsecond},
-		{"why=bounced", routing.NoteSourceRefused, 0}, {"why=dropped", routing.NoteSourceLost, 0},
-		{"why=lacking", routing.NoteSourceLacks, 0}, {"why=jammed", routing.NoteNoPlace, 0},
-		{"why=backfire", routing.NoteOriginFailed, 0},
-		{"why=sideways", routing.NoNote, 0}, {"digest=ab,dated=17", routing.NoNote, 0}, {"-", routing.NoNote, 0},
-		{"first=-3", routing.NoNote, 0}, {"first=soon", routing.NoNote, 0}, {"first=1e300", routing.NoNote, 0},
-		{"first=NaN", routing.NoNote, 0},
+		{"why=warm", routing.ReasonHit, 0},
+		{"why=deep_fill,first=12.5", routing.ReasonFilledByOrigin, 12500 * time.Microsecond},
+		{"why=bounced", routing.ReasonSourceRejected, 0}, {"why=dropped", routing.ReasonSourceLost, 0},
+		{"why=lacking", routing.ReasonSourceMiss, 0}, {"why=jammed", routing.ReasonNoFillSlot, 0},
+		{"why=backfire", routing.ReasonOriginFailed, 0},
+		{"why=sideways", routing.ReasonNone, 0}, {"digest=ab,dated=17", routing.ReasonNone, 0}, {"-", routing.ReasonNone, 0},
+		{"first=-3", routing.ReasonNone, 0}, {"first=soon", routing.ReasonNone, 0}, {"first=1e300", routing.ReasonNone, 0},
+		{"first=NaN", routing.ReasonNone, 0},
 	} {
 		var res gateway.Result
 		if err := c.fields(w.fields, &res); err != nil || res.Note != w.note || res.FillWait != w.wait {
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -48,7 +48,7 @@
 	// Unknown, if set, is called with the name of each event that the decoder does not know.
 	Unknown func(name string)
 
-	lists [maxList + 1][]routing.Member
+	lists [maxList + 1][]routing.Endpoint
 	known [maxList + 1]bool
 }
 
@@ -120,8 +120,8 @@
 	return item, true
 }
 
-var listKinds = map[string]routing.ListKind{
-	"total": routing.FullList, "incr": routing.Changes, "warm_copy": routing.StaleList, "lost": routing.ListLost,
+var listKinds = map[string]routing.UpdateKind{
+	"total": routing.FullList, "incr": routing.DeltaList, "warm_copy": routing.StaleList, "lost": routing.WatchLost,
 }
 
 func (d *Decoder) sync(f *fields) routing.Event {
@@ -131,15 +131,15 @@
 		f.fail("how", fmt.Errorf("unknown kind of list %q", how))
 		return nil
 	}
-	if kind == routing.ListLost {
-		return routing.Members{Kind: kind}
+	if kind == routing.WatchLost {
+		return routing.EndpointUpdate{Kind: kind}
 	}
 	n := f.integer(2, "list")
 	if n < 0 || n > maxList || !d.known[n] {
 		f.fail("list", fmt.Errorf("list %d was not defined", n))
 		return nil
 	}
-	return routing.Members{Kind: kind, Entries: d.lists[n]}
+	return routing.EndpointUpdate{Kind: kind, Endpoints: d.lists[n]}
 }
 
 var phases = map[string]routing.Phase{"U": routing.Up, "L": routing.Draining, "D": routing.Removed}
@@ -154,16 +154,16 @@
 	if f.err != nil {
 		return
 	}
-	members := make([]routing.Member, 0, len(rows))
+	members := make([]routing.Endpoint, 0, len(rows))
 	for i, row := range rows {
 		e := fields{values: row}
-		m := routing.Member{
-			Cell:   int(e.optional(0, "pod")),
-			Boot:   duration(e.optional(1, "bootTimeMs")),
-			Kind:   e.optionalText(2, "machine"),
-			Zone:   e.text(3, "az"),
-			Weight: e.optional(5, "size"),
-			ID:     e.text(6, "node"),
+		m := routing.Endpoint{
+			Cell:        int(e.optional(0, "pod")),
+			Incarnation: duration(e.optional(1, "bootTimeMs")),
+			Kind:        e.optionalText(2, "machine"),
+			Zone:        e.text(3, "az"),
+			Weight:      e.optional(5, "size"),
+			ID:          e.text(6, "node"),
 		}
 		phase := e.text(4, "phase")
 		p, ok := phases[phase]
@@ -181,8 +181,8 @@
 }
 
 var statuses = map[int]routing.Status{
-	200: routing.OK, 500: routing.ServerError, 503: routing.TurnedAway, 504: routing.TimedOut,
-	502: routing.NotConnected, 598: routing.Reset, 499: routing.Cancelled, 410: routing.NotSent,
+	200: routing.OK, 500: routing.ServerError, 503: routing.Rejected, 504: routing.TimedOut,
+	502: routing.ConnectFailed, 598: routing.Reset, 499: routing.Canceled, 410: routing.NotSent,
 	404: routing.Miss,
 }
 
@@ -213,36 +213,36 @@
 	},
 	"firstByte": func(f *fields) routing.Event {
 		return routing.FirstByte{ID: f.text(2, "job"), Attempt: f.integer(3, "copy"),
-			Server: f.optionalText(5, "node")}
+			Endpoint: f.optionalText(5, "node")}
 	},
 	"ended": func(f *fields) routing.Event {
 		note := f.optional(7, "info")
-		if note < 0 || note > float64(routing.NoteOriginFailed) {
+		if note < 0 || note > float64(routing.ReasonOriginFailed) {
 			note = 0
 		}
-		return routing.Outcome{
+		return routing.AttemptResult{
 			ID: f.text(2, "job"), FillWait: duration(f.optional(3, "fillWaitMs")),
-			Attempt: f.integer(4, "copy"), Server: f.text(5, "node"), Status: f.status(6, "ending"),
-			Note: routing.Note(note), Final: f.flag(8, "complete"),
-			Latency: duration(f.optional(9, "latencyMs")), Load: f.numbers(10, "feedback"),
+			Attempt: f.integer(4, "copy"), Endpoint: f.text(5, "node"), Status: f.status(6, "ending"),
+			Reason: routing.Reason(note), Final: f.flag(8, "complete"),
+			Latency: duration(f.optional(9, "latencyMs")), LoadReport: f.numbers(10, "feedback"),
 		}
 	},
 	"noteFrom": func(f *fields) routing.Event {
-		return routing.Peer{From: f.integer(2, "srcPeer"), Data: f.optionalText(3, "data")}
+		return routing.GossipReceived{From: f.integer(2, "srcPeer"), Data: f.optionalText(3, "data")}
 	},
 	"replaced": func(f *fields) routing.Event {
 		return routing.Purge{Object: f.optionalText(2, "asset"), Group: int(f.optional(3, "familyId")),
-			Ago: duration(f.optional(4, "ageSpanMs"))}
+			Age: duration(f.optional(4, "ageSpanMs"))}
 	},
 	"healthResult": func(f *fields) routing.Event {
-		return routing.Probed{Status: f.status(2, "ending"), Server: f.text(3, "node"),
-			Latency: duration(f.optional(4, "latencyMs")), Load: f.numbers(5, "feedback")}
+		return routing.HealthCheckResult{Status: f.status(2, "ending"), Endpoint: f.text(3, "node"),
+			Latency: duration(f.optional(4, "latencyMs")), LoadReport: f.numbers(5, "feedback")}
 	},
-	"expired": func(f *fields) routing.Event { return routing.Gone{ID: f.text(2, "job")} },
+	"expired": func(f *fields) routing.Event { return routing.ClientGone{ID: f.text(2, "job")} },
 	"alarm": func(f *fields) routing.Event {
 		var n uint64
 		f.value(2, "tag", &n, true)
-		return routing.Timer{Token: n}
+		return routing.TimerFired{Token: n}
 	},
 }
 
--- a/internal/simprotocol/encode.go
+++ b/internal/simprotocol/encode.go
@@ -54,51 +54,51 @@
 // Add appends one action of a director.
 func (r *Reply) Add(director string, a routing.Action) error {
 	switch a := a.(type) {
-	case routing.Ask:
+	case routing.ForwardAttempt:
 		r.open("answerFrom", director)
 		r.text(a.ID)
 		r.time(a.Timeout)
 		r.time(a.MaxAge)
-		r.text(a.Source)
+		r.text(a.FillSource)
 		how := 0
 		for _, b := range [...]struct {
 			set bool
 			bit int
-		}{{a.Join, howJoin}, {a.OnlyHeld, howOnlyHeld}, {a.NoCopy, howNoCopy}, {a.Renew, howRenew}} {
+		}{{a.Coalesce, howJoin}, {a.OnlyIfCached, howOnlyHeld}, {a.NoParentCopy, howNoCopy}, {a.RefreshAhead, howRenew}} {
 			if b.set {
 				how += b.bit
 			}
 		}
 		r.integer(how)
-		r.integer(a.Keep)
-		r.text(a.Server)
-	case routing.Refuse:
+		r.integer(a.CacheRank)
+		r.text(a.Endpoint)
+	case routing.Reject:
 		r.open("decline", director)
 		r.text(a.ID)
-		r.time(a.After)
+		r.time(a.RetryAfter)
 	case routing.Fail:
 		r.open("reportFailure", director)
 		r.text(a.ID)
-	case routing.Cancel:
+	case routing.CancelAttempt:
 		r.open("abortAttempt", director)
 		r.text(a.ID)
 		r.integer(a.Attempt)
-	case routing.Wake:
+	case routing.SetTimer:
 		r.open("wakeAt", director)
 		r.time(a.At)
 		r.buf = strconv.AppendUint(append(r.buf, ','), a.Token, 10)
-	case routing.Tell:
+	case routing.SendGossip:
 		r.open("notify", director)
-		if a.To == routing.Everyone {
+		if a.To == routing.AllDirectors {
 			r.buf = append(r.buf, ",null"...)
 		} else {
 			r.integer(a.To)
 		}
 		r.text(a.Data)
-	case routing.Probe:
+	case routing.StartHealthCheck:
 		r.open("sample", director)
-		r.text(a.Server)
-	case routing.Watch:
+		r.text(a.Endpoint)
+	case routing.PollEndpoints:
 		r.open("tail", director)
 		r.flag(true)
 	case routing.Log:
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -87,13 +87,13 @@
 
 var (
 	effects = map[string]routing.Effect{
-		"": routing.Safe, "repeatable": routing.Safe, "by_key": routing.Keyed, "once": routing.Unsafe}
-	scopes = map[string]routing.Scope{
+		"": routing.Idempotent, "repeatable": routing.Idempotent, "by_key": routing.IdempotentWithKey, "once": routing.NonIdempotent}
+	scopes = map[string]routing.DedupScope{
 		"": routing.ScopeAll, "all": routing.ScopeAll, "zone": routing.ScopeZone, "cell": routing.ScopeCell}
-	tells = map[string]routing.Tells{
-		"": routing.TellsNothing, "off": routing.TellsNothing, "hit": routing.TellsHit, "all": routing.TellsAll}
-	neighbours = map[string]routing.Neighbours{"": routing.NoNeighbours, "off": routing.NoNeighbours,
-		"location": routing.SameLocation, "any": routing.AnyLocation}
+	tells = map[string]routing.AnswerDetail{
+		"": routing.DetailNone, "off": routing.DetailNone, "hit": routing.DetailHit, "all": routing.DetailAll}
+	neighbours = map[string]routing.SiblingMode{"": routing.NoSiblings, "off": routing.NoSiblings,
+		"location": routing.SiblingsInLocation, "any": routing.SiblingsAnywhere}
 )
 
 // word looks up one of the wire's words.
@@ -145,28 +145,28 @@
 	}
 	fi := &e.FamilyInfo
 	s := routing.Settings{
-		Numberless: e.Position == nil, Directors: e.Balancers, Zone: e.Zone, Zones: e.DCs, ZoneHub: fi.HomeHub,
-		ZonePeers: fi.CountByZone, ZoneLink: fi.ZoneLinkKbPerS, Kinds: e.Flavors, ParentKind: -1,
-		WeightsTold: e.WeightSource != "" && e.WeightSource != "off", FlowKBps: fi.StreamKbPerS,
-		Ask: e.Discovery == "ask", PassBy: fi.MayPassBy, Joins: fi.Joins,
-		Neighbours: word(f, neighbours, "familyInfo.neighbours", fi.Neighbours),
-		Tells:      word(f, tells, "familyInfo.says", fi.Says),
-		Probes:     e.Limits.Probing, PeerMessages: e.Limits.PeerMessages, Cancels: e.Limits.Cancelling,
-		SecondCopies: e.Limits.SecondCopies, RetryAdvice: e.Limits.RetryAfter,
+		IndexUnknown: e.Position == nil, Directors: e.Balancers, Zone: e.Zone, Zones: e.DCs, ZoneHub: fi.HomeHub,
+		ZoneDirectors: fi.CountByZone, ZoneLink: fi.ZoneLinkKbPerS, Kinds: e.Flavors, ParentKind: -1,
+		WeightsKnown: e.WeightSource != "" && e.WeightSource != "off", FlowKBps: fi.StreamKbPerS,
+		PollDiscovery: e.Discovery == "ask", AllowBypass: fi.MayPassBy, AllowCoalescing: fi.Joins,
+		Siblings:     word(f, neighbours, "familyInfo.neighbours", fi.Neighbours),
+		AnswerDetail: word(f, tells, "familyInfo.says", fi.Says),
+		HealthChecks: e.Limits.Probing, Gossip: e.Limits.PeerMessages, CanCancel: e.Limits.Cancelling,
+		HedgedRequests: e.Limits.SecondCopies, SendRetryAfter: e.Limits.RetryAfter,
 		MaxRetryAfter: duration(e.Limits.MaxRetryAfterMs), MaxAttempts: e.Limits.SendCap,
-		Step: duration(e.StepMs), DrainGrace: duration(e.Invariants.StopSendingWithinMs),
-		ColdFrom: e.Invariants.ColdFrom, ColdFor: duration(e.Invariants.RampTimeMs),
-		FallMultiple: e.Invariants.TipMultiple, FallFor: duration(e.Invariants.OverloadForMs),
-		ParentColdFrom: fi.ParentColdFrom, ParentColdFor: duration(fi.ParentColdMs),
-		ParentFallMultiple: fi.UpperFallMultiple, OriginFallMultiple: fi.OriginFallMultiple,
-		OriginFallFor: duration(fi.OriginFallMs), PurgeGrace: duration(fi.NoticeTimeMs),
-		PurgeSettles: duration(fi.PurgeSettlesMs), AskWithin: duration(e.Invariants.AskWithinMs),
+		ClockStep: duration(e.StepMs), DrainGrace: duration(e.Invariants.StopSendingWithinMs),
+		SlowStartFrom: e.Invariants.ColdFrom, SlowStartFor: duration(e.Invariants.RampTimeMs),
+		OverloadMultiple: e.Invariants.TipMultiple, OverloadWindow: duration(e.Invariants.OverloadForMs),
+		ParentSlowStartFrom: fi.ParentColdFrom, ParentSlowStartFor: duration(fi.ParentColdMs),
+		ParentOverloadMultiple: fi.UpperFallMultiple, OriginOverloadMultiple: fi.OriginFallMultiple,
+		OriginOverloadWindow: duration(fi.OriginFallMs), PurgeGrace: duration(fi.NoticeTimeMs),
+		PurgeSettleTime: duration(fi.PurgeSettlesMs), PollWithin: duration(e.Invariants.AskWithinMs),
 	}
 	if e.LoadInfo.How == "inline" || e.LoadInfo.How == "on_probe" {
-		s.LoadFields = e.LoadInfo.Fields
+		s.LoadReportFields = e.LoadInfo.Fields
 	}
 	if e.Position != nil {
-		s.Me = *e.Position
+		s.Index = *e.Position
 	}
 	if fi.ShieldKind != nil {
 		s.ParentKind = *fi.ShieldKind
@@ -181,13 +181,13 @@
 	}
 	for i, c := range e.Classes {
 		s.Classes = append(s.Classes, routing.Class{
-			Name: c.Name, Aim: duration(c.AimMs), AimStretch: c.AimStretch, Deadline: duration(c.HardLimitMs),
-			Worth: c.Value, LateWorth: c.LateWorth,
-			Effect: word(f, effects, "classes.effect", c.Effect),
-			Scope:  word(f, scopes, "classes.dedupScope", c.DedupScope), Window: duration(c.RepeatWindowMs),
-			Stream: c.Streaming, Fresh: duration(at(fi.LifetimeByClassMs, i)),
-			Grace: duration(at(fi.StaleForMs, i)), StaleWorth: at(fi.OldCopyWorth, i),
-			Parts: at(fi.InPieces, i), NeverKept: at(fi.NeverKept, i),
+			Name: c.Name, LatencyObjective: duration(c.AimMs), ObjectiveStretch: c.AimStretch, Deadline: duration(c.HardLimitMs),
+			PriorityWeight: c.Value, LateWeight: c.LateWorth,
+			Effect:     word(f, effects, "classes.effect", c.Effect),
+			DedupScope: word(f, scopes, "classes.dedupScope", c.DedupScope), DedupWindow: duration(c.RepeatWindowMs),
+			Stream: c.Streaming, FreshFor: duration(at(fi.LifetimeByClassMs, i)),
+			StaleGrace: duration(at(fi.StaleForMs, i)), StaleWeight: at(fi.OldCopyWorth, i),
+			Parts: at(fi.InPieces, i), Uncacheable: at(fi.NeverKept, i),
 		})
 	}
 	return s
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -36,16 +36,16 @@
 			Object: "f-a", Deadline: 8250 * time.Microsecond, SizeKB: 640, Group: 11, Part: 3, Retry: true, Write: true}},
 		{`["demand","d/1","id","page",0,"f-a",8]`, routing.Request{ID: "id", Class: "page", Object: "f-a",
 			Deadline: 8 * time.Millisecond}},
-		{`["ended","d/1","id",9.4,2,"n",200,2,true,18.5,[0.5,1]]`, routing.Outcome{ID: "id", Attempt: 2, Server: "n",
-			Status: routing.OK, Note: routing.NoteFilled, Final: true, FillWait: 9400 * time.Microsecond,
-			Latency: 18500 * time.Microsecond, Load: []float64{0.5, 1}}},
-		{`["ended","d/1","id",null,0,"n",404,null,null,null,null,"extra"]`, routing.Outcome{ID: "id", Server: "n",
+		{`["ended","d/1","id",9.4,2,"n",200,2,true,18.5,[0.5,1]]`, routing.AttemptResult{ID: "id", Attempt: 2, Endpoint: "n",
+			Status: routing.OK, Reason: routing.ReasonFilled, Final: true, FillWait: 9400 * time.Microsecond,
+			Latency: 18500 * time.Microsecond, LoadReport: []float64{0.5, 1}}},
+		{`["ended","d/1","id",null,0,"n",404,null,null,null,null,"extra"]`, routing.AttemptResult{ID: "id", Endpoint: "n",
 			Status: routing.Miss}},
-		{`["noteFrom","d/1",2,"hi"]`, routing.Peer{From: 2, Data: "hi"}},
-		{`["replaced","d/1",null,11,85]`, routing.Purge{Group: 11, Ago: 85 * time.Millisecond}},
-		{`["expired","d/1","id"]`, routing.Gone{ID: "id"}},
-		{`["alarm","d/1",9223372036854775807]`, routing.Timer{Token: 1<<63 - 1}},
-		{`["sync","d/1",null,"lost",4]`, routing.Members{Kind: routing.ListLost}},
+		{`["noteFrom","d/1",2,"hi"]`, routing.GossipReceived{From: 2, Data: "hi"}},
+		{`["replaced","d/1",null,11,85]`, routing.Purge{Group: 11, Age: 85 * time.Millisecond}},
+		{`["expired","d/1","id"]`, routing.ClientGone{ID: "id"}},
+		{`["alarm","d/1",9223372036854775807]`, routing.TimerFired{Token: 1<<63 - 1}},
+		{`["sync","d/1",null,"lost",4]`, routing.EndpointUpdate{Kind: routing.WatchLost}},
 	} {
 		if it := decodeOne(t, c.in); !reflect.DeepEqual(it.Event, c.want) || it.Director != "d/1" {
 			t.Errorf("%s\n got %+v\nwant %+v", c.in, it.Event, c.want)
@@ -56,10 +56,10 @@
 func TestSettings(t *testing.T) {
 	it := decodeOne(t, `["enlist","d/1",18446744073709551615,`+envText+`]`)
 	s := it.Settings
-	if it.Kind != Start || it.Seed != 1<<64-1 || s.ParentKind != -1 || s.OriginKind != 1 || !s.Ask ||
-		!s.WeightsTold || s.LoadFields != nil || s.Neighbours != routing.AnyLocation ||
-		s.Classes[0].Effect != routing.Keyed || s.Classes[0].Scope != routing.ScopeCell ||
-		s.Classes[0].Fresh != 8*time.Second {
+	if it.Kind != Start || it.Seed != 1<<64-1 || s.ParentKind != -1 || s.OriginKind != 1 || !s.PollDiscovery ||
+		!s.WeightsKnown || s.LoadReportFields != nil || s.Siblings != routing.SiblingsAnywhere ||
+		s.Classes[0].Effect != routing.IdempotentWithKey || s.Classes[0].DedupScope != routing.ScopeCell ||
+		s.Classes[0].FreshFor != 8*time.Second {
 		t.Errorf("%+v", it)
 	}
 }
@@ -71,9 +71,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one, two := b.Items[0].Event.(routing.Members), b.Items[1].Event.(routing.Members)
-	if one.Entries[0].ID != "a" || two.Entries[0].ID != "b" || two.Entries[0].Phase != routing.Draining ||
-		two.Entries[0].Boot != 7*time.Millisecond || two.Kind != routing.Changes {
+	one, two := b.Items[0].Event.(routing.EndpointUpdate), b.Items[1].Event.(routing.EndpointUpdate)
+	if one.Endpoints[0].ID != "a" || two.Endpoints[0].ID != "b" || two.Endpoints[0].Phase != routing.Draining ||
+		two.Endpoints[0].Incarnation != 7*time.Millisecond || two.Kind != routing.DeltaList {
 		t.Errorf("%+v %+v", one, two)
 	}
 }
@@ -116,17 +116,17 @@
 		a    routing.Action
 		want string
 	}{
-		{routing.Ask{ID: "j", Server: "n", Source: "p", Timeout: 900 * time.Millisecond, MaxAge: 1500 * time.Microsecond,
-			Keep: 2, Join: true, Renew: true}, `["answerFrom","d","j",900,1.5,"p",9,2,"n"]`},
-		{routing.Ask{ID: "j", Server: "n", Source: "n", OnlyHeld: true, NoCopy: true}, `["answerFrom","d","j",0,0,"n",6,0,"n"]`},
-		{routing.Refuse{ID: "j", After: 250 * time.Millisecond}, `["decline","d","j",250]`},
+		{routing.ForwardAttempt{ID: "j", Endpoint: "n", FillSource: "p", Timeout: 900 * time.Millisecond, MaxAge: 1500 * time.Microsecond,
+			CacheRank: 2, Coalesce: true, RefreshAhead: true}, `["answerFrom","d","j",900,1.5,"p",9,2,"n"]`},
+		{routing.ForwardAttempt{ID: "j", Endpoint: "n", FillSource: "n", OnlyIfCached: true, NoParentCopy: true}, `["answerFrom","d","j",0,0,"n",6,0,"n"]`},
+		{routing.Reject{ID: "j", RetryAfter: 250 * time.Millisecond}, `["decline","d","j",250]`},
 		{routing.Fail{ID: "j"}, `["reportFailure","d","j"]`},
-		{routing.Cancel{ID: "j", Attempt: 3}, `["abortAttempt","d","j",3]`},
-		{routing.Wake{At: time.Second, Token: 1<<63 - 1}, `["wakeAt","d",1000,9223372036854775807]`},
-		{routing.Tell{To: routing.Everyone, Data: "a\"b"}, `["notify","d",null,"a\"b"]`},
-		{routing.Tell{To: 2, Data: "x"}, `["notify","d",2,"x"]`},
-		{routing.Probe{Server: "n"}, `["sample","d","n"]`},
-		{routing.Watch{}, `["tail","d",true]`},
+		{routing.CancelAttempt{ID: "j", Attempt: 3}, `["abortAttempt","d","j",3]`},
+		{routing.SetTimer{At: time.Second, Token: 1<<63 - 1}, `["wakeAt","d",1000,9223372036854775807]`},
+		{routing.SendGossip{To: routing.AllDirectors, Data: "a\"b"}, `["notify","d",null,"a\"b"]`},
+		{routing.SendGossip{To: 2, Data: "x"}, `["notify","d",2,"x"]`},
+		{routing.StartHealthCheck{Endpoint: "n"}, `["sample","d","n"]`},
+		{routing.PollEndpoints{}, `["tail","d",true]`},
 		{routing.Log{Text: "t"}, `["record","d","t"]`},
 	} {
 		var r Reply
--- a/internal/snapshot/encode.go
+++ b/internal/snapshot/encode.go
@@ -77,14 +77,14 @@
 		for _, p := range d.Purges {
 			add(&snapshotpb.Record{Is: &snapshotpb.Record_Purge{Purge: &snapshotpb.Purge{Name: p.Name, At: int64(p.At)}}})
 		}
-		for _, h := range d.Servers {
-			add(&snapshotpb.Record{Is: &snapshotpb.Record_Server{Server: &snapshotpb.Server{Server: h.Server, Boot: int64(h.Boot), Seen: int64(h.Seen),
-				Failing: h.Failing, Ejected: int64(h.Ejected), Penalty: int64(h.Penalty), Quick: int64(h.Quick), QuickAt: int64(h.QuickAt),
-				Most: h.Most, Late: h.Late}}})
+		for _, h := range d.Endpoints {
+			add(&snapshotpb.Record{Is: &snapshotpb.Record_Server{Server: &snapshotpb.Server{Server: h.Endpoint, Boot: int64(h.Incarnation), Seen: int64(h.LastAnswer),
+				Failing: h.ErrorRate, Ejected: int64(h.EjectedUntil), Penalty: int64(h.Backoff), Quick: int64(h.FillLatency), QuickAt: int64(h.FillLatencyAt),
+				Most: h.ConcurrencyLimit, Late: h.LateShare}}})
 		}
 		for _, l := range d.Listings {
-			add(&snapshotpb.Record{Is: &snapshotpb.Record_Listing{Listing: &snapshotpb.Listing{Key: l.Key, Server: l.Server, Boot: int64(l.Boot),
-				HitAt: int64(l.HitAt), Last: int64(l.Last), Gap: int64(l.Gap), Count: l.Count, Work: int64(l.Work)}}})
+			add(&snapshotpb.Record{Is: &snapshotpb.Record_Listing{Listing: &snapshotpb.Listing{Key: l.Key, Server: l.Endpoint, Boot: int64(l.Incarnation),
+				HitAt: int64(l.HitAt), Last: int64(l.LastRequest), Gap: int64(l.MeanGap), Count: l.Count, Work: int64(l.TransferTime)}}})
 		}
 	}
 	tail := &snapshotpb.Tail{Records: records, Sum: xxhash.Sum64(b)}
@@ -182,7 +182,7 @@
 // take adds a record to a snapshot.
 func (d *Damage) take(s *warmstart.Snapshot, r *snapshotpb.Record) {
 	if x := r.GetDirector(); x != nil {
-		s.Directors = append(s.Directors, routing.Memory{At: time.Duration(x.GetAt()), Zone: x.GetZone()})
+		s.Directors = append(s.Directors, routing.LearnedState{At: time.Duration(x.GetAt()), Zone: x.GetZone()})
 		return
 	}
 	if len(s.Directors) == 0 { // whose it was has been lost
@@ -193,16 +193,16 @@
 	switch x := r.GetIs().(type) {
 	case *snapshotpb.Record_Listing:
 		l := x.Listing
-		m.Listings = append(m.Listings, routing.Listing{Key: l.GetKey(), Server: l.GetServer(), Boot: time.Duration(l.GetBoot()),
-			HitAt: time.Duration(l.GetHitAt()), Last: time.Duration(l.GetLast()), Gap: time.Duration(l.GetGap()), Count: l.GetCount(),
-			Work: time.Duration(l.GetWork())})
+		m.Listings = append(m.Listings, routing.Listing{Key: l.GetKey(), Endpoint: l.GetServer(), Incarnation: time.Duration(l.GetBoot()),
+			HitAt: time.Duration(l.GetHitAt()), LastRequest: time.Duration(l.GetLast()), MeanGap: time.Duration(l.GetGap()), Count: l.GetCount(),
+			TransferTime: time.Duration(l.GetWork())})
 	case *snapshotpb.Record_Server:
 		h := x.Server
-		m.Servers = append(m.Servers, routing.Health{Server: h.GetServer(), Boot: time.Duration(h.GetBoot()), Seen: time.Duration(h.GetSeen()),
-			Failing: h.GetFailing(), Ejected: time.Duration(h.GetEjected()), Penalty: time.Duration(h.GetPenalty()),
-			Quick: time.Duration(h.GetQuick()), QuickAt: time.Duration(h.GetQuickAt()), Most: h.GetMost(), Late: h.GetLate()})
+		m.Endpoints = append(m.Endpoints, routing.EndpointHealth{Endpoint: h.GetServer(), Incarnation: time.Duration(h.GetBoot()), LastAnswer: time.Duration(h.GetSeen()),
+			ErrorRate: h.GetFailing(), EjectedUntil: time.Duration(h.GetEjected()), Backoff: time.Duration(h.GetPenalty()),
+			FillLatency: time.Duration(h.GetQuick()), FillLatencyAt: time.Duration(h.GetQuickAt()), ConcurrencyLimit: h.GetMost(), LateShare: h.GetLate()})
 	case *snapshotpb.Record_Purge:
-		m.Purges = append(m.Purges, routing.Purged{Name: x.Purge.GetName(), At: time.Duration(x.Purge.GetAt())})
+		m.Purges = append(m.Purges, routing.PurgeRecord{Name: x.Purge.GetName(), At: time.Duration(x.Purge.GetAt())})
 	default:
 		d.Unknown++
 	}
--- a/internal/snapshot/keeper.go
+++ b/internal/snapshot/keeper.go
@@ -164,13 +164,13 @@
 	for _, u := range []struct {
 		of string
 		n  int
-	}{{"listings", r.Listings}, {"servers", r.Servers}, {"purges", r.Purges}} {
+	}{{"listings", r.Listings}, {"servers", r.Endpoints}, {"purges", r.Purges}} {
 		add(metrics.Counter, "state_used", "What was taken in at the start.", float64(u.n), metrics.Label{Name: "of", Value: u.of})
 	}
 	for _, u := range []struct {
 		why string
 		n   int
-	}{{"aged", r.Aged}, {"gone", r.Gone}, {"restarted", r.Restarted}, {"cold", r.Cold}, {"odd", r.Odd}} {
+	}{{"aged", r.Expired}, {"gone", r.Gone}, {"restarted", r.Restarted}, {"cold", r.WarmingUp}, {"odd", r.Invalid}} {
 		add(metrics.Counter, "state_dropped", "What was not, by reason.", float64(u.n), metrics.Label{Name: "why", Value: u.why})
 	}
 	return all
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -26,12 +26,12 @@
 // example is a snapshot of n listings, whose values follow from the number.
 func example(n int) *warmstart.Snapshot {
 	s := &warmstart.Snapshot{Made: time.Duration(n+1) * time.Hour, Gateway: "n1", Settings: "abc", Position: int64(n)}
-	m := routing.Memory{At: s.Made, Zone: "edge-1", Purges: []routing.Purged{{Name: "7f3a9c21e0b4d655", At: time.Hour}, {Name: " 17", At: time.Minute}},
-		Servers: []routing.Health{{Server: "s-1", Boot: 5, Seen: 9, Failing: 0.25, Ejected: 7, Penalty: time.Second, Quick: time.Millisecond, QuickAt: 3, Most: 12.5, Late: 0.1}}}
+	m := routing.LearnedState{At: s.Made, Zone: "edge-1", Purges: []routing.PurgeRecord{{Name: "7f3a9c21e0b4d655", At: time.Hour}, {Name: " 17", At: time.Minute}},
+		Endpoints: []routing.EndpointHealth{{Endpoint: "s-1", Incarnation: 5, LastAnswer: 9, ErrorRate: 0.25, EjectedUntil: 7, Backoff: time.Second, FillLatency: time.Millisecond, FillLatencyAt: 3, ConcurrencyLimit: 12.5, LateShare: 0.1}}}
 	for i := range n {
-		m.Listings = append(m.Listings, routing.Listing{Key: uint64(i) * 7919, Server: "s-1", Boot: 5, HitAt: 3, Last: time.Duration(i), Gap: time.Second, Count: float64(n), Work: 4})
+		m.Listings = append(m.Listings, routing.Listing{Key: uint64(i) * 7919, Endpoint: "s-1", Incarnation: 5, HitAt: 3, LastRequest: time.Duration(i), MeanGap: time.Second, Count: float64(n), TransferTime: 4})
 	}
-	s.Directors = []routing.Memory{m, {At: 1, Zone: "edge-2"}}
+	s.Directors = []routing.LearnedState{m, {At: 1, Zone: "edge-2"}}
 	return s
 }
 
@@ -73,8 +73,8 @@
 				t.Fatalf("%s: %+v was never written", what, l)
 			}
 		}
-		for _, h := range d.Servers {
-			if h != want.Directors[0].Servers[0] {
+		for _, h := range d.Endpoints {
+			if h != want.Directors[0].Endpoints[0] {
 				t.Fatalf("%s: %+v was never written", what, h)
 			}
 		}
@@ -551,7 +551,7 @@
 		}
 		n := 0
 		for _, m := range s.Directors {
-			n += len(m.Listings) + len(m.Servers) + len(m.Purges)
+			n += len(m.Listings) + len(m.Endpoints) + len(m.Purges)
 		}
 		if n > len(b)/frameBytes {
 			t.Fatalf("%d records of %d bytes", n, len(b))
--- a/lab/localitysim/directed.go
+++ b/lab/localitysim/directed.go
@@ -112,7 +112,7 @@
 	epoch   int // its start
 	node    *replication.Node
 	sharer  *warmstart.Sharer
-	snap    []routing.Memory
+	snap    []routing.LearnedState
 	made    time.Duration
 	places  []locality.Locality
 	set     routing.Settings
@@ -143,21 +143,21 @@
 // settings are those of the gateways of a zone.
 func (d *directed) settings(home, hubs int) routing.Settings {
 	s := routing.Settings{Directors: 0, Zone: d.sc.Zones[home].Name, Kinds: []string{"box", "parent", "origin"}, ParentKind: 1, OriginKind: 2,
-		Joins: true, PassBy: true, Neighbours: routing.SameLocation, Tells: routing.TellsHit, LoadFields: []string{"busy_reqs", "x1", "x0"},
-		Cancels: true, SecondCopies: true, RetryAdvice: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: 8, Step: time.Millisecond,
-		DrainGrace: 2 * time.Second, ColdFrom: coldFrom, ColdFor: coldFor, FallMultiple: tip, FallFor: tipFor,
-		ParentColdFrom: 0.083, ParentColdFor: 22 * time.Second, ParentFallMultiple: 2, PurgeGrace: time.Second, PurgeSettles: 6 * time.Second}
+		AllowCoalescing: true, AllowBypass: true, Siblings: routing.SiblingsInLocation, AnswerDetail: routing.DetailHit, LoadReportFields: []string{"busy_reqs", "x1", "x0"},
+		CanCancel: true, HedgedRequests: true, SendRetryAfter: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: 8, ClockStep: time.Millisecond,
+		DrainGrace: 2 * time.Second, SlowStartFrom: coldFrom, SlowStartFor: coldFor, OverloadMultiple: tip, OverloadWindow: tipFor,
+		ParentSlowStartFrom: 0.083, ParentSlowStartFor: 22 * time.Second, ParentOverloadMultiple: 2, PurgeGrace: time.Second, PurgeSettleTime: 6 * time.Second}
 	for h := range hubs {
-		s.Zones, s.ZoneHub, s.ZonePeers = append(s.Zones, "hub"+strconv.Itoa(h)), append(s.ZoneHub, h), append(s.ZonePeers, 0)
+		s.Zones, s.ZoneHub, s.ZoneDirectors = append(s.Zones, "hub"+strconv.Itoa(h)), append(s.ZoneHub, h), append(s.ZoneDirectors, 0)
 	}
 	for _, z := range d.sc.Zones {
-		s.Zones, s.ZoneHub, s.ZonePeers = append(s.Zones, z.Name), append(s.ZoneHub, z.Hub), append(s.ZonePeers, z.Gateways)
+		s.Zones, s.ZoneHub, s.ZoneDirectors = append(s.Zones, z.Name), append(s.ZoneHub, z.Hub), append(s.ZoneDirectors, z.Gateways)
 		s.Directors += z.Gateways
 	}
 	for _, c := range d.mix {
-		k := routing.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Limit, Worth: c.Worth, LateWorth: 0.1}
+		k := routing.Class{Name: c.Name, LatencyObjective: c.Aim, Deadline: c.Limit, PriorityWeight: c.Worth, LateWeight: 0.1}
 		if c.Keyed {
-			k.Effect, k.Scope, k.Window, k.NeverKept = routing.Keyed, routing.ScopeAll, 3*time.Second, true
+			k.Effect, k.DedupScope, k.DedupWindow, k.Uncacheable = routing.IdempotentWithKey, routing.ScopeAll, 3*time.Second, true
 		}
 		s.Classes = append(s.Classes, k)
 	}
@@ -239,31 +239,31 @@
 	}
 }
 
-func (d *directed) member(s *server, phase routing.Phase) routing.Member {
-	m := routing.Member{ID: s.id, Kind: s.kind, Phase: phase, Weight: 1, Zone: "hub" + strconv.Itoa(s.hub)}
+func (d *directed) member(s *server, phase routing.Phase) routing.Endpoint {
+	m := routing.Endpoint{ID: s.id, Kind: s.kind, Phase: phase, Weight: 1, Zone: "hub" + strconv.Itoa(s.hub)}
 	if s.zone >= 0 {
 		m.Zone = d.sc.Zones[s.zone].Name
 	}
 	if s.began > 0 {
-		m.Boot = s.began
+		m.Incarnation = s.began
 	}
 	return m
 }
 
 // listing is the whole list.
-func (d *directed) listing() (all []routing.Member) {
+func (d *directed) listing() (all []routing.Endpoint) {
 	for _, s := range d.servers {
 		if !s.gone || s.kind != "box" {
 			all = append(all, d.member(s, routing.Up))
 		}
 	}
-	slices.SortFunc(all, func(a, b routing.Member) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(all, func(a, b routing.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
 
-func (d *directed) gateway(home, hubs, bands int, list []routing.Member) error {
+func (d *directed) gateway(home, hubs, bands int, list []routing.Endpoint) error {
 	set := d.settings(home, hubs)
-	set.Me = len(d.gateways)
+	set.Index = len(d.gateways)
 	g := &dgateway{set: set, me: len(d.gateways), home: home, zones: []int{home}, reqs: map[string]*request{}, classes: set.Classes}
 	places := []locality.Locality{{Name: d.sc.Zones[home].Name, Weight: float64(d.sc.Zones[home].Boxes)}}
 	if d.sc.Policy == Ours {
@@ -320,7 +320,7 @@
 }
 
 // begin makes a gateway's directors, and tells them of the list and of what was kept.
-func (d *directed) begin(g *dgateway, list []routing.Member) error {
+func (d *directed) begin(g *dgateway, list []routing.Endpoint) error {
 	g.ds = nil
 	for i := range g.places {
 		s := g.set
@@ -336,7 +336,7 @@
 		}
 		g.ds = append(g.ds, dir)
 	}
-	d.tell(g, routing.Members{Kind: routing.StaleList, Entries: list})
+	d.tell(g, routing.EndpointUpdate{Kind: routing.StaleList, Endpoints: list})
 	for i, m := range g.snap {
 		g.ds[i].Import(d.clock.Now, m, warmstart.Worth)
 	}
@@ -355,7 +355,7 @@
 		}
 	}
 	d.lives++
-	g.node, err = replication.NewNode(replication.Config{Self: replication.Life{Name: strconv.Itoa(g.me), Number: d.lives}, Members: members, Settles: g.set.PurgeSettles,
+	g.node, err = replication.NewNode(replication.Config{Self: replication.Life{Name: strconv.Itoa(g.me), Number: d.lives}, Members: members, Settles: g.set.PurgeSettleTime,
 		Wall: func() time.Duration { return d.clock.Now }, Seed: d.lives})
 	if err != nil {
 		return fmt.Errorf("scene: %w", err)
@@ -372,7 +372,7 @@
 		if ticks++; !g.down {
 			if ticks%5 == 0 {
 				m := g.ds[0].Export(d.clock.Now, toldListings)
-				list := map[string]routing.Member{}
+				list := map[string]routing.Endpoint{}
 				for _, e := range d.listing() {
 					list[e.ID] = e
 				}
@@ -434,7 +434,7 @@
 			continue
 		}
 		if d.sc.Oracle {
-			d.tell(g, routing.Members{Kind: routing.FullList, Entries: d.listing()})
+			d.tell(g, routing.EndpointUpdate{Kind: routing.FullList, Endpoints: d.listing()})
 			continue
 		}
 		_ = d.begin(g, d.listing()) // it has been made before with the same
@@ -442,7 +442,7 @@
 }
 
 // tell gives a list to a gateway.
-func (d *directed) tell(g *dgateway, m routing.Members) {
+func (d *directed) tell(g *dgateway, m routing.EndpointUpdate) {
 	if g.t != nil {
 		for i, up := range g.roster.Take(m) {
 			g.t.Members(i, up)
@@ -456,9 +456,9 @@
 // tellAll has the list tell of servers, as late as it is.
 func (d *directed) tellAll(of []*server, phase routing.Phase) {
 	d.clock.At(d.clock.Now+d.sc.List, func() {
-		m := routing.Members{Kind: routing.Changes}
+		m := routing.EndpointUpdate{Kind: routing.DeltaList}
 		for _, s := range of {
-			m.Entries = append(m.Entries, d.member(s, phase))
+			m.Endpoints = append(m.Endpoints, d.member(s, phase))
 		}
 		for _, g := range d.gateways {
 			d.tell(g, m)
@@ -509,7 +509,7 @@
 		return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(a.r.owner.me, b.r.owner.me), strings.Compare(a.r.id, b.r.id), cmp.Compare(a.number, b.number))
 	})
 	for _, a := range all {
-		d.end(a, near, routing.Outcome{Status: routing.Reset})
+		d.end(a, near, routing.AttemptResult{Status: routing.Reset})
 	}
 }
 
@@ -545,12 +545,12 @@
 	}
 	g.reqs[r.id] = r
 	draw := d.rng.Uint64()
-	if g.t != nil && !g.classes[class].NeverKept {
+	if g.t != nil && !g.classes[class].Uncacheable {
 		object := uint64(r.object+1) * 0x9e3779b97f4a7c15
 		object = (object ^ object>>29) * 0xbf58476d1ce4e5b9
 		where, later, ok := g.t.Pick(d.clock.Now, d.bands[min(1, r.tries)][class], object^object>>32, draw)
 		if !ok {
-			d.answer(g, r, routing.Refuse{After: later}, false)
+			d.answer(g, r, routing.Reject{RetryAfter: later}, false)
 			return
 		}
 		r.where = where
@@ -559,7 +559,7 @@
 	d.clock.At(d.clock.Now+limit, func() {
 		if !r.over && g.reqs[r.id] == r { // its director has let it pass
 			d.answer(g, r, nil, false)
-			d.handle(g, r.where, routing.Gone{ID: r.id})
+			d.handle(g, r.where, routing.ClientGone{ID: r.id})
 		}
 	})
 	d.direct(g, r)
@@ -578,10 +578,10 @@
 	}
 	r.over = true
 	delete(g.reqs, r.id)
-	refusal, refused := a.(routing.Refuse)
+	refusal, refused := a.(routing.Reject)
 	if refused && r.tries < 2 && d.sc.Repeat > 0 && d.rng.Float64() < d.sc.Repeat {
 		again := &request{owner: g, class: r.class, object: r.object, counted: r.counted, tries: r.tries + 1}
-		d.clock.At(d.clock.Now+max(refusal.After, 50*time.Millisecond), func() { d.submit(g, again) })
+		d.clock.At(d.clock.Now+max(refusal.RetryAfter, 50*time.Millisecond), func() { d.submit(g, again) })
 		return // how it ends is its last try's to say
 	}
 	if !r.counted {
@@ -606,9 +606,9 @@
 func (d *directed) handle(g *dgateway, where int, ev routing.Event) {
 	for _, a := range g.ds[where].Handle(d.clock.Now, ev, nil) {
 		switch a := a.(type) {
-		case routing.Ask:
+		case routing.ForwardAttempt:
 			d.ask(g, where, a)
-		case routing.Refuse:
+		case routing.Reject:
 			if r := g.reqs[a.ID]; r != nil && r.where == where && !d.move(g, r) {
 				d.answer(g, r, a, false)
 			}
@@ -616,19 +616,19 @@
 			if r := g.reqs[a.ID]; r != nil && r.where == where {
 				d.answer(g, r, a, false)
 			}
-		case routing.Cancel:
+		case routing.CancelAttempt:
 			if r := g.reqs[a.ID]; r != nil {
 				for _, at := range r.all {
 					if at.where == where && at.number == a.Attempt && !at.over {
-						d.end(at, 0, routing.Outcome{Status: routing.Cancelled})
+						d.end(at, 0, routing.AttemptResult{Status: routing.Canceled})
 					}
 				}
 			}
-		case routing.Wake:
+		case routing.SetTimer:
 			dir := g.ds[where]
 			d.clock.At(a.At, func() {
 				if g.ds[where] == dir {
-					d.handle(g, where, routing.Timer{Token: a.Token})
+					d.handle(g, where, routing.TimerFired{Token: a.Token})
 				}
 			})
 		}
@@ -637,7 +637,7 @@
 
 // move is what the gateway does with a refusal.
 func (d *directed) move(g *dgateway, r *request) bool {
-	if g.t == nil || g.classes[r.class].NeverKept {
+	if g.t == nil || g.classes[r.class].Uncacheable {
 		return false
 	}
 	k := d.mix[r.class]
@@ -652,7 +652,7 @@
 }
 
 // end has an attempt end after a time, once, and tells its director.
-func (d *directed) end(a *attempt, after time.Duration, o routing.Outcome) {
+func (d *directed) end(a *attempt, after time.Duration, o routing.AttemptResult) {
 	if a.over {
 		return
 	}
@@ -670,34 +670,34 @@
 		late := o.Status == routing.OK && d.clock.Now-a.sent > d.mix[r.class].Aim
 		cache := g.roster.Cache(a.to.id, a.where)
 		report := -1.0
-		if len(o.Load) > 1 && cache {
-			report = o.Load[1]
+		if len(o.LoadReport) > 1 && cache {
+			report = o.LoadReport[1]
 		}
 		told := cache && o.Status == routing.OK
 		if !cache && a.where == 0 {
 			g.t.Past(d.clock.Now, locality.Judge(o.Status, true, late, false))
 		}
-		g.t.Ended(d.clock.Now, a.where, locality.Judge(o.Status, cache, late, false), o.Note == routing.NoteHit, told, report)
+		g.t.Ended(d.clock.Now, a.where, locality.Judge(o.Status, cache, late, false), o.Reason == routing.ReasonHit, told, report)
 	}
 	if o.Status == routing.OK && !r.over {
 		if r.counted && a.to.kind == "box" {
 			sec := d.second()
-			if sec.Reads++; o.Note == routing.NoteHit {
+			if sec.Reads++; o.Reason == routing.ReasonHit {
 				sec.Hits++
 			}
 		}
 		d.answer(g, r, nil, true)
 	}
-	o.ID, o.Attempt, o.Server, o.Final, o.Latency = r.id, a.number, a.to.id, r.over, d.clock.Now-a.sent
+	o.ID, o.Attempt, o.Endpoint, o.Final, o.Latency = r.id, a.number, a.to.id, r.over, d.clock.Now-a.sent
 	d.handle(g, a.where, o)
 }
 
-func (d *directed) ask(g *dgateway, where int, x routing.Ask) {
-	r, to := g.reqs[x.ID], d.servers[x.Server]
+func (d *directed) ask(g *dgateway, where int, x routing.ForwardAttempt) {
+	r, to := g.reqs[x.ID], d.servers[x.Endpoint]
 	if r == nil || to == nil {
 		return
 	}
-	a := &attempt{r: r, epoch: g.epoch, where: where, number: len(r.all) - r.first, to: to, sent: d.clock.Now, ordered: g.classes[r.class].NeverKept}
+	a := &attempt{r: r, epoch: g.epoch, where: where, number: len(r.all) - r.first, to: to, sent: d.clock.Now, ordered: g.classes[r.class].Uncacheable}
 	r.all = append(r.all, a)
 	to.out[a] = true
 	home := d.sc.Zones[g.home]
@@ -719,19 +719,19 @@
 	if x.Timeout > 0 {
 		limit = min(limit, x.Timeout)
 	}
-	d.clock.At(d.clock.Now+limit, func() { d.end(a, 0, routing.Outcome{Status: routing.TimedOut}) })
+	d.clock.At(d.clock.Now+limit, func() { d.end(a, 0, routing.AttemptResult{Status: routing.TimedOut}) })
 	faults := map[FaultKind]int{}
 	if to.zone >= 0 {
 		faults = d.faults[to.zone]
 	}
 	switch {
 	case to.gone || to.fallen:
-		d.end(a, 2*way, routing.Outcome{Status: routing.NotConnected})
+		d.end(a, 2*way, routing.AttemptResult{Status: routing.ConnectFailed})
 	case faults[Silent] > 0, to.hub != home.Hub && (d.faults[g.home][Cut] > 0 || faults[Cut] > 0):
 	case faults[Errors] > 0:
-		d.end(a, 2*way, routing.Outcome{Status: routing.ServerError})
+		d.end(a, 2*way, routing.AttemptResult{Status: routing.ServerError})
 	default:
-		d.serve(a, way, d.servers[x.Source], faults[Slow] > 0)
+		d.serve(a, way, d.servers[x.FillSource], faults[Slow] > 0)
 	}
 }
 
@@ -773,11 +773,11 @@
 	took, ok := d.work(to, slow)
 	report := func() []float64 { return []float64{float64(len(to.out)), to.busy, 0.9} }
 	if !ok {
-		status := routing.TurnedAway
+		status := routing.Rejected
 		if to.kind == "origin" && a.r.counted {
 			sec.OriginRefused++
 		}
-		d.end(a, 2*way, routing.Outcome{Status: status, Load: report()})
+		d.end(a, 2*way, routing.AttemptResult{Status: status, LoadReport: report()})
 		return
 	}
 	took += 2*way + 20*time.Millisecond
@@ -792,29 +792,29 @@
 			}
 		}
 		if took += more + toOrigin; !ok {
-			d.end(a, took, routing.Outcome{Status: routing.ServerError, Load: report()})
+			d.end(a, took, routing.AttemptResult{Status: routing.ServerError, LoadReport: report()})
 			return
 		}
 	}
 	if to.kind != "box" {
-		d.end(a, took, routing.Outcome{Status: routing.OK, Note: routing.NoteFilled, Load: report()})
+		d.end(a, took, routing.AttemptResult{Status: routing.OK, Reason: routing.ReasonFilled, LoadReport: report()})
 		return
 	}
 	if to.held[a.r.object] {
-		d.end(a, took, routing.Outcome{Status: routing.OK, Note: routing.NoteHit, Load: report()})
+		d.end(a, took, routing.AttemptResult{Status: routing.OK, Reason: routing.ReasonHit, LoadReport: report()})
 		return
 	}
 	if source == nil || source == to {
-		d.end(a, 2*way, routing.Outcome{Status: routing.Miss, Load: report()})
+		d.end(a, 2*way, routing.AttemptResult{Status: routing.Miss, LoadReport: report()})
 		return
 	}
 	more, ok := d.fill(source, a)
 	if !ok {
-		d.end(a, took+more, routing.Outcome{Status: routing.ServerError, Load: report()})
+		d.end(a, took+more, routing.AttemptResult{Status: routing.ServerError, LoadReport: report()})
 		return
 	}
 	to.held[a.r.object] = true
-	d.end(a, took+more, routing.Outcome{Status: routing.OK, Note: routing.NoteFilled, Load: report()})
+	d.end(a, took+more, routing.AttemptResult{Status: routing.OK, Reason: routing.ReasonFilled, LoadReport: report()})
 }
 
 // fill fetches what a box lacks from a source.
--- a/locality/locality_test.go
+++ b/locality/locality_test.go
@@ -347,10 +347,10 @@
 }
 
 func TestSettingsShareWhatIsCold(t *testing.T) {
-	base := routing.Settings{Directors: 4, Zone: "own", Zones: []string{"hub", "own", "near", "far"}, ZonePeers: []int{0, 2, 1, 1}, PeerMessages: true}
+	base := routing.Settings{Directors: 4, Zone: "own", Zones: []string{"hub", "own", "near", "far"}, ZoneDirectors: []int{0, 2, 1, 1}, Gossip: true}
 	for where, want := range []int{12, 12, 12} {
 		s, err := Settings(base, config().Localities, where)
-		if err != nil || s.Zone != config().Localities[where].Name || s.ZonePeers[1] != 4 || s.Directors != want || s.PeerMessages != (where == 0) {
+		if err != nil || s.Zone != config().Localities[where].Name || s.ZoneDirectors[1] != 4 || s.Directors != want || s.Gossip != (where == 0) {
 			t.Errorf("%d: %+v, %v", where, s, err)
 		}
 	}
@@ -385,7 +385,7 @@
 		want               Result
 	}{{routing.OK, true, false, false, Good}, {routing.OK, true, true, false, Late}, {routing.OK, false, false, false, Bad},
 		{routing.Reset, true, false, false, Bad}, {routing.Reset, true, false, true, None}, {routing.TimedOut, true, false, false, Bad},
-		{routing.TurnedAway, true, false, false, Turned}, {routing.Cancelled, true, false, false, None}, {routing.NotSent, false, false, false, None},
+		{routing.Rejected, true, false, false, Turned}, {routing.Canceled, true, false, false, None}, {routing.NotSent, false, false, false, None},
 		{routing.Miss, true, false, false, None}} {
 		if got := Judge(c.s, c.cache, c.late, c.along); got != c.want {
 			t.Errorf("%+v: %v", c, got)
@@ -395,16 +395,16 @@
 
 func TestRosterCounts(t *testing.T) {
 	r := NewRoster(routing.Settings{Kinds: []string{"box", "parent", "origin"}, ParentKind: 1, OriginKind: 2}, config().Localities)
-	list := []routing.Member{{ID: "a", Zone: "own", Kind: "box"}, {ID: "b", Zone: "own", Kind: "box", Phase: routing.Draining},
+	list := []routing.Endpoint{{ID: "a", Zone: "own", Kind: "box"}, {ID: "b", Zone: "own", Kind: "box", Phase: routing.Draining},
 		{ID: "c", Zone: "near", Kind: "box"}, {ID: "p", Zone: "own", Kind: "parent"}, {ID: "x", Zone: "elsewhere", Kind: "box"}}
-	if up := r.Take(routing.Members{Kind: routing.FullList, Entries: list}); up[0] != 1 || up[1] != 1 || up[2] != 0 {
+	if up := r.Take(routing.EndpointUpdate{Kind: routing.FullList, Endpoints: list}); up[0] != 1 || up[1] != 1 || up[2] != 0 {
 		t.Errorf("%v", up)
 	}
-	if up := r.Take(routing.Members{Kind: routing.Changes, Entries: []routing.Member{{ID: "a", Phase: routing.Removed},
+	if up := r.Take(routing.EndpointUpdate{Kind: routing.DeltaList, Endpoints: []routing.Endpoint{{ID: "a", Phase: routing.Removed},
 		{ID: "d", Zone: "far", Kind: "box"}}}); up[0] != 0 || up[1] != 1 || up[2] != 1 {
 		t.Errorf("%v", up)
 	}
-	if up := r.Take(routing.Members{Kind: routing.ListLost}); up[2] != 1 || !r.Cache("c", 1) || r.Cache("c", 0) || r.Cache("p", 0) {
+	if up := r.Take(routing.EndpointUpdate{Kind: routing.WatchLost}); up[2] != 1 || !r.Cache("c", 1) || r.Cache("c", 0) || r.Cache("p", 0) {
 		t.Errorf("%v", up)
 	}
 }
--- a/locality/settings.go
+++ b/locality/settings.go
@@ -19,13 +19,13 @@
 	}
 	s.Zone = l.Name
 	all := max(1, base.Directors)
-	s.ZonePeers = make([]int, len(s.Zones))
-	for i := range s.ZonePeers {
-		s.ZonePeers[i] = all
+	s.ZoneDirectors = make([]int, len(s.Zones))
+	for i := range s.ZoneDirectors {
+		s.ZoneDirectors[i] = all
 	}
 	s.Directors = all * len(localities)
 	// Hints are among the gateways of a location: those of another know nothing of our director for theirs.
-	s.PeerMessages = base.PeerMessages && where == 0
+	s.Gossip = base.Gossip && where == 0
 	return s, nil
 }
 
@@ -38,11 +38,11 @@
 		if r = Good; late {
 			r = Late
 		}
-	case routing.ServerError, routing.TimedOut, routing.NotConnected, routing.Reset:
+	case routing.ServerError, routing.TimedOut, routing.ConnectFailed, routing.Reset:
 		if r = Bad; along {
 			r = None
 		}
-	case routing.TurnedAway:
+	case routing.Rejected:
 		r = Turned
 	default:
 		r = None
@@ -80,14 +80,14 @@
 }
 
 // Take takes a list in, and returns how many caches are up, by locality. It is the roster's own.
-func (r *Roster) Take(m routing.Members) []int {
-	if m.Kind == routing.ListLost {
+func (r *Roster) Take(m routing.EndpointUpdate) []int {
+	if m.Kind == routing.WatchLost {
 		return r.up
 	}
-	if m.Kind != routing.Changes {
+	if m.Kind != routing.DeltaList {
 		clear(r.all)
 	}
-	for _, e := range m.Entries {
+	for _, e := range m.Endpoints {
 		if e.Phase == routing.Removed {
 			delete(r.all, e.ID)
 			continue
--- a/middleware/example_test.go
+++ b/middleware/example_test.go
@@ -25,7 +25,7 @@
 func (m *memory) Send(a *gateway.Attempt) {
 	m.loop.Post(func() {
 		if m.gw.Clear(a) { // it may still go
-			m.gw.Ended(a, gateway.Result{Status: routing.OK, Note: routing.NoteHit, Tag: "v1",
+			m.gw.Ended(a, gateway.Result{Status: routing.OK, Note: routing.ReasonHit, Tag: "v1",
 				Body: fmt.Appendf(nil, "%s part %d from %s", a.Request.Object, a.Request.Part, a.Server)})
 		}
 	})
@@ -36,8 +36,8 @@
 // The gateway as a library, as middleware of a chi router.
 func Example() {
 	settings := routing.Settings{Zone: "here", Zones: []string{"here"}, Kinds: []string{"box", "origin"},
-		ParentKind: -1, OriginKind: 1, Step: time.Millisecond, Classes: []routing.Class{
-			{Name: "assets", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}}}
+		ParentKind: -1, OriginKind: 1, ClockStep: time.Millisecond, Classes: []routing.Class{
+			{Name: "assets", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}}}
 	loop := gateway.NewLoop()
 	backend := &memory{loop: loop}
 	gw, err := gateway.New(gateway.Config{Loop: loop, Settings: settings, Backend: backend, Log: logrus.New()})
@@ -46,7 +46,7 @@
 	}
 	backend.gw = gw
 	loop.Post(func() {
-		gw.Members(routing.Members{Kind: routing.StaleList, Entries: []routing.Member{
+		gw.Members(routing.EndpointUpdate{Kind: routing.StaleList, Endpoints: []routing.Endpoint{
 			{ID: "c1", Zone: "here", Kind: "box"}, {ID: "o", Zone: "here", Kind: "origin"}}})
 	})
 	go loop.Run()
--- a/routing/api.go
+++ b/routing/api.go
@@ -17,120 +17,120 @@
 
 // The effects of a class.
 const (
-	Safe   Effect = iota // may be repeated freely
-	Keyed                // repeats are dropped by a group of caches for a while
-	Unsafe               // must not run twice
+	Idempotent        Effect = iota // may be repeated freely
+	IdempotentWithKey               // repeats are dropped by a group of caches for a while
+	NonIdempotent                   // must not run twice
 )
 
-// Scope is the group of caches that drops repeats of a keyed request.
-type Scope int
+// DedupScope is the group of caches that drops repeats of a keyed request.
+type DedupScope int
 
 // The scopes of a keyed class.
 const (
-	ScopeAll Scope = iota
+	ScopeAll DedupScope = iota
 	ScopeZone
 	ScopeCell
 )
 
-// Tells says how much an outcome reveals of how an answer was served.
-type Tells int
+// AnswerDetail says how much an outcome reveals of how an answer was served.
+type AnswerDetail int
 
 // What outcomes tell.
 const (
-	TellsNothing Tells = iota
-	TellsHit
-	TellsAll
+	DetailNone AnswerDetail = iota
+	DetailHit
+	DetailAll
 )
 
-// Neighbours says which caches may be named as the source of a fill.
-type Neighbours int
+// SiblingMode says which caches may be named as the source of a fill.
+type SiblingMode int
 
 // Which neighbours can supply a fill.
 const (
-	NoNeighbours Neighbours = iota
-	SameLocation
-	AnyLocation
+	NoSiblings SiblingMode = iota
+	SiblingsInLocation
+	SiblingsAnywhere
 )
 
 // Class describes one class of request.
 type Class struct {
-	Name       string        `json:"Name"`
-	Aim        time.Duration `json:"Aim"`        // an answer within this time has its full worth
-	AimStretch float64       `json:"AimStretch"` // the aim grows by this multiple of the request's own sending time
-	Deadline   time.Duration `json:"Deadline"`   // a client waits this long over all its tries
-	Worth      float64       `json:"Worth"`
-	LateWorth  float64       `json:"LateWorth"` // share of the worth between aim and deadline
-	Effect     Effect        `json:"Effect"`
-	Scope      Scope         `json:"Scope"`      // keyed classes: who drops repeats
-	Window     time.Duration `json:"Window"`     // keyed classes: for how long
-	Stream     bool          `json:"Stream"`     // the answer is streamed; see FirstByte
-	Fresh      time.Duration `json:"Fresh"`      // a copy is fresh for this long; 0: until it is purged
-	Grace      time.Duration `json:"Grace"`      // a copy may be this much older when asked for
-	StaleWorth float64       `json:"StaleWorth"` // share of the worth that such a copy earns
-	Parts      bool          `json:"Parts"`      // objects come in parts
-	NeverKept  bool          `json:"NeverKept"`  // runs at the origin and is never kept
+	Name             string        `json:"Name"`
+	LatencyObjective time.Duration `json:"Aim"`        // an answer within this time has its full worth
+	ObjectiveStretch float64       `json:"AimStretch"` // the aim grows by this multiple of the request's own sending time
+	Deadline         time.Duration `json:"Deadline"`   // a client waits this long over all its tries
+	PriorityWeight   float64       `json:"Worth"`
+	LateWeight       float64       `json:"LateWorth"` // share of the worth between aim and deadline
+	Effect           Effect        `json:"Effect"`
+	DedupScope       DedupScope    `json:"Scope"`      // keyed classes: who drops repeats
+	DedupWindow      time.Duration `json:"Window"`     // keyed classes: for how long
+	Stream           bool          `json:"Stream"`     // the answer is streamed; see FirstByte
+	FreshFor         time.Duration `json:"Fresh"`      // a copy is fresh for this long; 0: until it is purged
+	StaleGrace       time.Duration `json:"Grace"`      // a copy may be this much older when asked for
+	StaleWeight      float64       `json:"StaleWorth"` // share of the worth that such a copy earns
+	Parts            bool          `json:"Parts"`      // objects come in parts
+	Uncacheable      bool          `json:"NeverKept"`  // runs at the origin and is never kept
 }
 
 // Settings are what a director is told at its start.
 type Settings struct {
-	Me          int       `json:"Me"`         // number of this director,
-	Numberless  bool      `json:"Numberless"` // which is not told
-	Directors   int       `json:"Directors"`  // directors in all; 0: not told
-	Zone        string    `json:"Zone"`       // zone of this director, its location
-	Zones       []string  `json:"Zones"`      // all zones
-	ZoneHub     []int     `json:"ZoneHub"`    // by zone: the zone index of its hub
-	ZonePeers   []int     `json:"ZonePeers"`  // by zone: directors there
-	ZoneLink    []float64 `json:"ZoneLink"`
-	Kinds       []string  `json:"Kinds"`      // kinds of machine
-	ParentKind  int       `json:"ParentKind"` // index into Kinds; -1: there are no parents
-	OriginKind  int       `json:"OriginKind"` // index into Kinds
-	Classes     []Class   `json:"Classes"`
-	Tenants     []string  `json:"Tenants"`
-	WeightsTold bool      `json:"WeightsTold"` // Member.Weight means something
-	FlowKBps    float64   `json:"FlowKBps"`    // top pace of one answer; 0: not told
-
-	Ask           bool          `json:"Ask"`    // discovery answers only when asked (Watch, Fetch)
-	PassBy        bool          `json:"PassBy"` // requests may go straight to a parent or the origin
-	Joins         bool          `json:"Joins"`  // a request may join a running fill
-	Neighbours    Neighbours    `json:"Neighbours"`
-	Tells         Tells         `json:"Tells"`
-	LoadFields    []string      `json:"LoadFields"` // names of the values in a load report
-	Probes        bool          `json:"Probes"`
-	PeerMessages  bool          `json:"PeerMessages"`
-	Cancels       bool          `json:"Cancels"`
-	SecondCopies  bool          `json:"SecondCopies"`
-	RetryAdvice   bool          `json:"RetryAdvice"`
-	MaxRetryAfter time.Duration `json:"MaxRetryAfter"`
-	MaxAttempts   int           `json:"MaxAttempts"`
-	Step          time.Duration `json:"Step"` // least time between two events' clocks
-
-	DrainGrace   time.Duration `json:"DrainGrace"`
-	ColdFrom     float64       `json:"ColdFrom"`     // a cache starts with at least this share of its capacity
-	ColdFor      time.Duration `json:"ColdFor"`      // and is warm after this at the latest
-	FallMultiple float64       `json:"FallMultiple"` // sent this multiple of what it can do ...
-	FallFor      time.Duration `json:"FallFor"`      // ... for this long, a cold server falls over
-
-	ParentColdFrom     float64       `json:"ParentColdFrom"`
-	ParentColdFor      time.Duration `json:"ParentColdFor"`
-	ParentFallMultiple float64       `json:"ParentFallMultiple"`
-	OriginFallMultiple float64       `json:"OriginFallMultiple"` // 0: the origin never stops
-	OriginFallFor      time.Duration `json:"OriginFallFor"`
-
-	PurgeGrace   time.Duration `json:"PurgeGrace"`   // time to heed a purge
-	PurgeSettles time.Duration `json:"PurgeSettles"` // no older copy is left after this
-	AskWithin    time.Duration `json:"AskWithin"`
+	Index         int       `json:"Me"`         // number of this director,
+	IndexUnknown  bool      `json:"Numberless"` // which is not told
+	Directors     int       `json:"Directors"`  // directors in all; 0: not told
+	Zone          string    `json:"Zone"`       // zone of this director, its location
+	Zones         []string  `json:"Zones"`      // all zones
+	ZoneHub       []int     `json:"ZoneHub"`    // by zone: the zone index of its hub
+	ZoneDirectors []int     `json:"ZonePeers"`  // by zone: directors there
+	ZoneLink      []float64 `json:"ZoneLink"`
+	Kinds         []string  `json:"Kinds"`      // kinds of machine
+	ParentKind    int       `json:"ParentKind"` // index into Kinds; -1: there are no parents
+	OriginKind    int       `json:"OriginKind"` // index into Kinds
+	Classes       []Class   `json:"Classes"`
+	Tenants       []string  `json:"Tenants"`
+	WeightsKnown  bool      `json:"WeightsTold"` // Member.Weight means something
+	FlowKBps      float64   `json:"FlowKBps"`    // top pace of one answer; 0: not told
+
+	PollDiscovery    bool          `json:"Ask"`    // discovery answers only when asked (Watch, Fetch)
+	AllowBypass      bool          `json:"PassBy"` // requests may go straight to a parent or the origin
+	AllowCoalescing  bool          `json:"Joins"`  // a request may join a running fill
+	Siblings         SiblingMode   `json:"Neighbours"`
+	AnswerDetail     AnswerDetail  `json:"Tells"`
+	LoadReportFields []string      `json:"LoadFields"` // names of the values in a load report
+	HealthChecks     bool          `json:"Probes"`
+	Gossip           bool          `json:"PeerMessages"`
+	CanCancel        bool          `json:"Cancels"`
+	HedgedRequests   bool          `json:"SecondCopies"`
+	SendRetryAfter   bool          `json:"RetryAdvice"`
+	MaxRetryAfter    time.Duration `json:"MaxRetryAfter"`
+	MaxAttempts      int           `json:"MaxAttempts"`
+	ClockStep        time.Duration `json:"Step"` // least time between two events' clocks
+
+	DrainGrace       time.Duration `json:"DrainGrace"`
+	SlowStartFrom    float64       `json:"ColdFrom"`     // a cache starts with at least this share of its capacity
+	SlowStartFor     time.Duration `json:"ColdFor"`      // and is warm after this at the latest
+	OverloadMultiple float64       `json:"FallMultiple"` // sent this multiple of what it can do ...
+	OverloadWindow   time.Duration `json:"FallFor"`      // ... for this long, a cold server falls over
+
+	ParentSlowStartFrom    float64       `json:"ParentColdFrom"`
+	ParentSlowStartFor     time.Duration `json:"ParentColdFor"`
+	ParentOverloadMultiple float64       `json:"ParentFallMultiple"`
+	OriginOverloadMultiple float64       `json:"OriginFallMultiple"` // 0: the origin never stops
+	OriginOverloadWindow   time.Duration `json:"OriginFallFor"`
+
+	PurgeGrace      time.Duration `json:"PurgeGrace"`   // time to heed a purge
+	PurgeSettleTime time.Duration `json:"PurgeSettles"` // no older copy is left after this
+	PollWithin      time.Duration `json:"AskWithin"`
 }
 
-// Sending is how long an answer of a size takes at the full pace of one transfer; 0 where the pace is not told.
-func (s *Settings) Sending(sizeKB float64) time.Duration {
+// TransferTime is how long an answer of a size takes at the full pace of one transfer; 0 where the pace is not told.
+func (s *Settings) TransferTime(sizeKB float64) time.Duration {
 	if s.FlowKBps <= 0 || sizeKB <= 0 {
 		return 0
 	}
 	return time.Duration(sizeKB / s.FlowKBps * float64(time.Second))
 }
 
-// check names the first setting that cannot be worked with.
-func (s Settings) check() error {
+// validate names the first setting that cannot be worked with.
+func (s Settings) validate() error {
 	switch {
 	case len(s.Classes) == 0:
 		return fmt.Errorf("settings: Classes is empty")
@@ -157,54 +157,54 @@
 	Removed
 )
 
-// Member is one entry of the list of servers.
-type Member struct {
-	ID     string
-	Zone   string
-	Kind   string
-	Cell   int
-	Boot   time.Duration // clock of its latest start; 0: long ago
-	Weight float64
-	Phase  Phase
+// Endpoint is one entry of the list of servers.
+type Endpoint struct {
+	ID          string
+	Zone        string
+	Kind        string
+	Cell        int
+	Incarnation time.Duration // clock of its latest start; 0: long ago
+	Weight      float64
+	Phase       Phase
 }
 
-// ListKind says what a Members event holds.
-type ListKind int
+// UpdateKind says what a Members event holds.
+type UpdateKind int
 
 // Kinds of list.
 const (
-	FullList ListKind = iota
-	Changes
+	FullList UpdateKind = iota
+	DeltaList
 	StaleList // the full list as last held, possibly outdated
-	ListLost  // a call to discovery failed; the prior list stands
+	WatchLost // a call to discovery failed; the prior list stands
 )
 
-// Members is what discovery reports.
-type Members struct {
-	Kind    ListKind
-	Entries []Member
+// EndpointUpdate is what discovery reports.
+type EndpointUpdate struct {
+	Kind      UpdateKind
+	Endpoints []Endpoint
 }
 
 // Request asks the director for one final answer.
 type Request struct {
-	ID       string
-	Class    string
-	Tenant   string
-	Object   string
-	Part     int
-	Group    int
-	SizeKB   float64
-	Deadline time.Duration // on the director's clock
-	Write    bool
-	Retry    bool
-	Rules    *Class // by which it came in, where other ones hold for its class by now; nil: those that hold now
+	ID            string
+	Class         string
+	Tenant        string
+	Object        string
+	Part          int
+	Group         int
+	SizeKB        float64
+	Deadline      time.Duration // on the director's clock
+	Write         bool
+	Retry         bool
+	AdmittedClass *Class // by which it came in, where other ones hold for its class by now; nil: those that hold now
 }
 
 // FirstByte says that the answer of a streamed class has begun.
 type FirstByte struct {
-	ID      string
-	Attempt int
-	Server  string
+	ID       string
+	Attempt  int
+	Endpoint string
 }
 
 // Status is how an attempt or probe ended.
@@ -214,61 +214,61 @@
 const (
 	OK Status = iota
 	ServerError
-	TurnedAway
+	Rejected
 	TimedOut
-	NotConnected
+	ConnectFailed
 	Reset
-	Cancelled
+	Canceled
 	NotSent
 	Miss
 )
 
 // broken says that a connection did not come up, or ended under the attempt.
-func (s Status) broken() bool { return s == NotConnected || s == Reset }
+func (s Status) broken() bool { return s == ConnectFailed || s == Reset }
 
-// Note says how an answer was served or why a fill failed, as far as Settings.Tells goes.
-type Note int
+// Reason says how an answer was served or why a fill failed, as far as Settings.Tells goes.
+type Reason int
 
 // Notes of an outcome.
 const (
-	NoNote Note = iota
-	NoteHit
-	NoteFilled
-	NoteFilledByOrigin
-	NoteJoined
-	NoteStale
-	NoteSourceRefused
-	NoteSourceLost
-	NoteSourceLacks
-	NoteNoPlace
-	NoteOriginFailed
+	ReasonNone Reason = iota
+	ReasonHit
+	ReasonFilled
+	ReasonFilledByOrigin
+	ReasonCoalesced
+	ReasonStale
+	ReasonSourceRejected
+	ReasonSourceLost
+	ReasonSourceMiss
+	ReasonNoFillSlot
+	ReasonOriginFailed
 )
 
-// Outcome is the end of one attempt.
-type Outcome struct {
-	ID       string
-	Attempt  int
-	Server   string
-	Status   Status
-	Note     Note
-	Final    bool // the request is finished
-	Latency  time.Duration
-	FillWait time.Duration
-	SizeKB   float64   // of the answer; 0: not told
-	Load     []float64 // nil: no report came with it
-	Along    bool      // Reset by what befell another attempt on its connection
+// AttemptResult is the end of one attempt.
+type AttemptResult struct {
+	ID              string
+	Attempt         int
+	Endpoint        string
+	Status          Status
+	Reason          Reason
+	Final           bool // the request is finished
+	Latency         time.Duration
+	FillWait        time.Duration
+	SizeKB          float64   // of the answer; 0: not told
+	LoadReport      []float64 // nil: no report came with it
+	CollateralReset bool      // Reset by what befell another attempt on its connection
 }
 
-// Probed is the result of a Probe.
-type Probed struct {
-	Server  string
-	Status  Status
-	Latency time.Duration
-	Load    []float64
+// HealthCheckResult is the result of a Probe.
+type HealthCheckResult struct {
+	Endpoint   string
+	Status     Status
+	Latency    time.Duration
+	LoadReport []float64
 }
 
-// Peer is a message from another director.
-type Peer struct {
+// GossipReceived is a message from another director.
+type GossipReceived struct {
 	From int
 	Data string
 }
@@ -277,88 +277,88 @@
 type Purge struct {
 	Object string
 	Group  int
-	Ago    time.Duration
+	Age    time.Duration
 }
 
-// Gone says that a client left; nothing more is owed to its request.
-type Gone struct{ ID string }
+// ClientGone says that a client left; nothing more is owed to its request.
+type ClientGone struct{ ID string }
 
-// Timer is a Wake that fell due.
-type Timer struct{ Token uint64 }
+// TimerFired is a Wake that fell due.
+type TimerFired struct{ Token uint64 }
 
-func (Members) event()   {}
-func (Request) event()   {}
-func (FirstByte) event() {}
-func (Outcome) event()   {}
-func (Probed) event()    {}
-func (Peer) event()      {}
-func (Purge) event()     {}
-func (Gone) event()      {}
-func (Timer) event()     {}
+func (EndpointUpdate) event()    {}
+func (Request) event()           {}
+func (FirstByte) event()         {}
+func (AttemptResult) event()     {}
+func (HealthCheckResult) event() {}
+func (GossipReceived) event()    {}
+func (Purge) event()             {}
+func (ClientGone) event()        {}
+func (TimerFired) event()        {}
 
 // Action is anything that a director wants done.
 type Action interface{ action() }
 
-// Ask sends an attempt to a server.
-type Ask struct {
-	ID       string
-	Server   string
-	Source   string        // who fills a miss; the server itself: nobody
-	Timeout  time.Duration // 0: until the client gives up
-	MaxAge   time.Duration // oldest copy that will do; 0: the class's fresh time
-	Keep     int           // 0: pass through; 1 to 3: keep at that rank
-	Join     bool          // wait for a running fill
-	OnlyHeld bool          // the source gives only what it holds
-	NoCopy   bool          // leave no copy at the parent
-	Renew    bool          // serve an ageing copy and fetch it anew
+// ForwardAttempt sends an attempt to a server.
+type ForwardAttempt struct {
+	ID           string
+	Endpoint     string
+	FillSource   string        // who fills a miss; the server itself: nobody
+	Timeout      time.Duration // 0: until the client gives up
+	MaxAge       time.Duration // oldest copy that will do; 0: the class's fresh time
+	CacheRank    int           // 0: pass through; 1 to 3: keep at that rank
+	Coalesce     bool          // wait for a running fill
+	OnlyIfCached bool          // the source gives only what it holds
+	NoParentCopy bool          // leave no copy at the parent
+	RefreshAhead bool          // serve an ageing copy and fetch it anew
 }
 
-// Refuse is a final answer that promises that trying again is harmless.
-type Refuse struct {
-	ID    string
-	After time.Duration // advice on when to come back
+// Reject is a final answer that promises that trying again is harmless.
+type Reject struct {
+	ID         string
+	RetryAfter time.Duration // advice on when to come back
 }
 
 // Fail is a final answer that promises nothing.
 type Fail struct{ ID string }
 
-// Cancel stops waiting for an attempt.
-type Cancel struct {
+// CancelAttempt stops waiting for an attempt.
+type CancelAttempt struct {
 	ID      string
 	Attempt int
 }
 
-// Wake asks for a Timer event.
-type Wake struct {
-	At    time.Duration
-	Token uint64
-	ID    string // of the request that it is for, and void with it; empty: of none
+// SetTimer asks for a Timer event.
+type SetTimer struct {
+	At        time.Duration
+	Token     uint64
+	RequestID string // of the request that it is for, and void with it; empty: of none
 }
 
-// Tell sends a message of at most 256 bytes to one director.
-type Tell struct {
+// SendGossip sends a message of at most 256 bytes to one director.
+type SendGossip struct {
 	To   int // Everyone: all of them
 	Data string
 }
 
-// Everyone addresses a Tell to all other directors.
-const Everyone = -1
+// AllDirectors addresses a Tell to all other directors.
+const AllDirectors = -1
 
-// Probe checks a server.
-type Probe struct{ Server string }
+// StartHealthCheck checks a server.
+type StartHealthCheck struct{ Endpoint string }
 
-// Watch asks discovery for changes from now on.
-type Watch struct{}
+// PollEndpoints asks discovery for changes from now on.
+type PollEndpoints struct{}
 
 // Log adds a line to the log.
 type Log struct{ Text string }
 
-func (Ask) action()    {}
-func (Refuse) action() {}
-func (Fail) action()   {}
-func (Cancel) action() {}
-func (Wake) action()   {}
-func (Tell) action()   {}
-func (Probe) action()  {}
-func (Watch) action()  {}
-func (Log) action()    {}
+func (ForwardAttempt) action()   {}
+func (Reject) action()           {}
+func (Fail) action()             {}
+func (CancelAttempt) action()    {}
+func (SetTimer) action()         {}
+func (SendGossip) action()       {}
+func (StartHealthCheck) action() {}
+func (PollEndpoints) action()    {}
+func (Log) action()              {}
--- a/routing/deployments_test.go
+++ b/routing/deployments_test.go
@@ -22,24 +22,24 @@
 		{"none is full", []string{"cpu_share"}, 0.5, 0.1, 1, 0.7, 1},
 		{"no reports", nil, 1, 0.3, 1, 0.7, 1},
 	} {
-		r := newRig(t, func(s *Settings) { s.LoadFields, s.WeightsTold, s.Tells = c.fields, true, TellsNothing })
-		var l []Member
+		r := newRig(t, func(s *Settings) { s.LoadReportFields, s.WeightsKnown, s.AnswerDetail = c.fields, true, DetailNone })
+		var l []Endpoint
 		for _, m := range members() {
 			m.Weight = c.weight
 			l = append(l, m)
 		}
-		r.do(Members{Kind: FullList, Entries: l})
+		r.do(EndpointUpdate{Kind: FullList, Endpoints: l})
 		var mine []string
 		full := ""
 		for n := 0; len(mine) < 10; n++ { // all of these open at one cache
 			if id, a := r.ask("film", fmt.Sprint("o", n)); a != nil {
 				if full == "" {
-					full = a.Server
+					full = a.Endpoint
 				}
-				if a.Server == full {
+				if a.Endpoint == full {
 					mine = append(mine, fmt.Sprint("o", n))
 				}
-				r.do(Outcome{ID: id, Server: a.Server, Status: OK, Final: true, Latency: 100 * ms})
+				r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Final: true, Latency: 100 * ms})
 			}
 		}
 		asked, there := 0, 0
@@ -47,7 +47,7 @@
 			r.after(20 * ms)
 			id, a := r.ask("film", mine[n%len(mine)])
 			load := c.others
-			if a.Server == full {
+			if a.Endpoint == full {
 				load = c.full
 			}
 			// What the others have to say comes with other objects' answers.
@@ -56,9 +56,9 @@
 					s.load.Report(r.now, share)
 				}
 			}
-			r.do(Outcome{ID: id, Server: a.Server, Status: OK, Final: true, Latency: 100 * ms, Load: []float64{load}})
+			r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Final: true, Latency: 100 * ms, LoadReport: []float64{load}})
 			if n >= 200 {
-				if asked++; a.Server == full {
+				if asked++; a.Endpoint == full {
 					there++
 				}
 			}
@@ -72,7 +72,7 @@
 // A purge is heeded though its object is listed, and forgotten when it has settled.
 func TestPurgesOutliveTheirNotice(t *testing.T) {
 	r := newRig(t, nil)
-	r.do(Purge{Group: 0, Ago: time.Second})
+	r.do(Purge{Group: 0, Age: time.Second})
 	if _, a := r.ask("film", "a"); a == nil || a.MaxAge <= 0 || a.MaxAge >= time.Second {
 		t.Errorf("a second after a purge: %+v", a)
 	}
@@ -81,16 +81,16 @@
 	}
 }
 
-func untold(s *Settings) { s.Tells, s.SecondCopies = TellsNothing, false }
+func untold(s *Settings) { s.AnswerDetail, s.HedgedRequests = DetailNone, false }
 
 // A refusal that comes after a fill's time-out is not the cache's: it refuses at its door. The copy that was listed was gone
 // unseen.
 func TestLateRefusalsAreTheSources(t *testing.T) {
 	r := newRig(t, untold)
-	cacheID := r.serve("film", "a", NoNote).Server
+	cacheID := r.serve("film", "a", ReasonNone).Endpoint
 	for range 12 {
-		if id, a := r.after(50*ms).ask("film", "a"); a != nil && a.Server == cacheID {
-			r.after(830 * ms).do(Outcome{ID: id, Server: a.Server, Status: TurnedAway, Latency: 830 * ms})
+		if id, a := r.after(50*ms).ask("film", "a"); a != nil && a.Endpoint == cacheID {
+			r.after(830 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Rejected, Latency: 830 * ms})
 		}
 	}
 	if s := r.d.servers[cacheID]; !s.held.Unlimited() || s.penalty > 0 {
@@ -105,16 +105,16 @@
 // that fails every fill is left, and for longer each time.
 func TestHitsAreNoCreditToTheSource(t *testing.T) {
 	r := newRig(t, untold)
-	listed := r.serve("film", "a", NoNote)
-	dead := listed.Source
+	listed := r.serve("film", "a", ReasonNone)
+	dead := listed.FillSource
 	for n := range 200 {
 		for range 3 {
 			if id, a := r.after(10*ms).ask("film", "a"); a != nil {
-				r.do(Outcome{ID: id, Server: a.Server, Status: OK, Final: true, Latency: 10 * ms})
+				r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Final: true, Latency: 10 * ms})
 			}
 		}
-		if id, a := r.ask("film", fmt.Sprint("new", n)); a != nil && a.Source == dead {
-			r.after(830 * ms).do(Outcome{ID: id, Server: a.Server, Status: TurnedAway, Latency: 830 * ms})
+		if id, a := r.ask("film", fmt.Sprint("new", n)); a != nil && a.FillSource == dead {
+			r.after(830 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Rejected, Latency: 830 * ms})
 		}
 	}
 	if s := r.d.servers[dead]; s.penalty < 4*time.Second {
@@ -127,7 +127,7 @@
 	r := newRig(t, untold)
 	for n := range 100 { // what is usual
 		r.kb = 400
-		r.serve("film", fmt.Sprint("o", n%5), NoNote)
+		r.serve("film", fmt.Sprint("o", n%5), ReasonNone)
 	}
 	for _, s := range r.d.inUse[cache] {
 		s.held.Most, s.held.Out = 10, 6
@@ -148,14 +148,14 @@
 	var ids []string
 	for range 20 {
 		id, a := r.ask("send", "w")
-		if a == nil || a.Server != "o" {
+		if a == nil || a.Endpoint != "o" {
 			t.Fatalf("a write went to %+v", a)
 		}
 		ids = append(ids, id)
 	}
 	r.after(time.Second)
 	for _, id := range ids {
-		r.after(ms).do(Outcome{ID: id, Server: "o", Status: OK, Final: true, Latency: time.Second})
+		r.after(ms).do(AttemptResult{ID: id, Endpoint: "o", Status: OK, Final: true, Latency: time.Second})
 	}
 	if r.d.fetches.Unlimited() {
 		t.Error("twenty late writes, and fetches are not limited")
@@ -164,13 +164,13 @@
 
 // A burst of large objects is not piled onto a cache beyond what it can finish in their aim, before any answer was late.
 func TestABurstStaysWithinWhatEndsInAim(t *testing.T) {
-	r := newRig(t, func(s *Settings) { untold(s); s.WeightsTold = true })
-	var l []Member
+	r := newRig(t, func(s *Settings) { untold(s); s.WeightsKnown = true })
+	var l []Endpoint
 	for _, m := range members() {
 		m.Weight = 7
 		l = append(l, m)
 	}
-	r.do(Members{Kind: FullList, Entries: l})
+	r.do(EndpointUpdate{Kind: FullList, Endpoints: l})
 	r.kb = 4000 // a second each; aim 600 ms and 1.6 times that
 	for n := range 300 {
 		r.ask("film", fmt.Sprint("o", n))
@@ -190,13 +190,13 @@
 	r := newRig(t, untold)
 	keep := 0
 	for range 12 {
-		keep = r.after(100*ms).serve("film", "popular", NoNote).Keep
+		keep = r.after(100*ms).serve("film", "popular", ReasonNone).CacheRank
 	}
 	if keep != 3 {
 		t.Errorf("asked twelve times in a second it is kept at rank %d", keep)
 	}
-	r.serve("film", "rare", NoNote)
-	if got := r.after(20*time.Second).serve("film", "rare", NoNote).Keep; got == 3 {
+	r.serve("film", "rare", ReasonNone)
+	if got := r.after(20*time.Second).serve("film", "rare", ReasonNone).CacheRank; got == 3 {
 		t.Error("asked twice in twenty seconds it is kept at the top rank")
 	}
 }
@@ -207,11 +207,11 @@
 	r := newRig(t, untold)
 	for n := range 200 { // the class's mean
 		r.kb = 1200
-		r.after(20*ms).serve("film", fmt.Sprint("large", n%7), NoNote)
+		r.after(20*ms).serve("film", fmt.Sprint("large", n%7), ReasonNone)
 	}
 	for n := range 100 { // twenty a second of a tenth of that, for 5 s
 		r.kb = 120
-		r.after(50*ms).serve("film", fmt.Sprint("small", n%7), NoNote)
+		r.after(50*ms).serve("film", fmt.Sprint("small", n%7), ReasonNone)
 	}
 	r.d.gauge(cache)
 	if did, real := 4*r.d.carried[cache], 20*0.03; did > 1.5*real {
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -11,25 +11,25 @@
 func Example() {
 	d, err := routing.New(routing.Settings{
 		Zone: "lab", Zones: []string{"lab"}, Kinds: []string{"cache", "origin"}, ParentKind: -1, OriginKind: 1,
-		Classes:  []routing.Class{{Name: "page", Aim: 250 * time.Millisecond, Deadline: 3 * time.Second, Worth: 1}},
-		FlowKBps: 4000, Tells: routing.TellsHit, Step: time.Millisecond,
+		Classes:  []routing.Class{{Name: "page", LatencyObjective: 250 * time.Millisecond, Deadline: 3 * time.Second, PriorityWeight: 1}},
+		FlowKBps: 4000, AnswerDetail: routing.DetailHit, ClockStep: time.Millisecond,
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	now := time.Duration(0)
-	d.Handle(now, routing.Members{Kind: routing.FullList, Entries: []routing.Member{
+	d.Handle(now, routing.EndpointUpdate{Kind: routing.FullList, Endpoints: []routing.Endpoint{
 		{ID: "a", Zone: "lab", Kind: "cache"}, {ID: "b", Zone: "lab", Kind: "cache"},
 		{ID: "store", Zone: "lab", Kind: "origin"},
 	}}, nil)
 
 	request := routing.Request{ID: "1", Class: "page", Object: "sign", SizeKB: 40, Deadline: now + 3*time.Second}
 	for _, a := range d.Handle(now, request, nil) {
-		if ask, ok := a.(routing.Ask); ok {
-			fmt.Println("ask", ask.Server, "filling from", ask.Source)
+		if ask, ok := a.(routing.ForwardAttempt); ok {
+			fmt.Println("ask", ask.Endpoint, "filling from", ask.FillSource)
 			now += 30 * time.Millisecond
-			d.Handle(now, routing.Outcome{ID: "1", Server: ask.Server, Status: routing.OK, Note: routing.NoteFilled,
+			d.Handle(now, routing.AttemptResult{ID: "1", Endpoint: ask.Endpoint, Status: routing.OK, Reason: routing.ReasonFilled,
 				Final: true, Latency: 30 * time.Millisecond}, nil)
 		}
 	}
@@ -41,5 +41,5 @@
 	}
 	// Output:
 	// ask a filling from store
-	// control.Refuse
+	// routing.Reject
 }
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -28,8 +28,8 @@
 // start returns director i of n, just started.
 func (f *fleet) start(i, n int, change func(*Settings)) *rig {
 	s := settings()
-	s.Me, s.Directors, s.ZonePeers = i, n, []int{0, n, 0}
-	s.PeerMessages = false
+	s.Index, s.Directors, s.ZoneDirectors = i, n, []int{0, n, 0}
+	s.Gossip = false
 	if change != nil {
 		change(&s)
 	}
@@ -38,7 +38,7 @@
 		f.t.Fatal(err)
 	}
 	r := &rig{t: f.t, d: d, now: f.now}
-	r.do(Members{Kind: FullList, Entries: members()})
+	r.do(EndpointUpdate{Kind: FullList, Endpoints: members()})
 	return r
 }
 
@@ -64,8 +64,8 @@
 					if a == nil {
 						continue
 					}
-					count[a.Source] += sendTime
-					r.do(Outcome{ID: id, Server: a.Server, Status: OK, Note: NoteFilled, Final: true, Latency: 150 * ms})
+					count[a.FillSource] += sendTime
+					r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 150 * ms})
 				}
 			}
 			before := map[string]float64{}
@@ -74,13 +74,13 @@
 			}
 			warm = (before["p1"] + before["p2"]) / 2 / 6 // a second
 			l := members()[5:6]
-			l[0].Boot = f.now
+			l[0].Incarnation = f.now
 			for i := range 10 {
 				f.rigs[i] = f.start(i, 40, nil)
 			}
 			for _, r := range f.rigs {
 				r.now = f.now
-				r.do(Members{Kind: Changes, Entries: l})
+				r.do(EndpointUpdate{Kind: DeltaList, Endpoints: l})
 			}
 			// Three seconds may bring the multiple of the mean present share; what warm parents did is the least
 			// that one can do.
@@ -90,8 +90,8 @@
 				step(cold)
 			}
 			s := settings()
-			share := s.ParentColdFrom + (1-s.ParentColdFrom)*1.5/s.ParentColdFor.Seconds()
-			if most := warm * s.ParentFallMultiple * share * 3; cold["p1"] == 0 || cold["p1"] > most {
+			share := s.ParentSlowStartFrom + (1-s.ParentSlowStartFrom)*1.5/s.ParentSlowStartFor.Seconds()
+			if most := warm * s.ParentOverloadMultiple * share * 3; cold["p1"] == 0 || cold["p1"] > most {
 				t.Errorf("seed %d: a cold parent got %.2f s of work, at most %.2f", seed, cold["p1"], most)
 			}
 		})
@@ -103,17 +103,17 @@
 	f := newFleet(t, 60, nil)
 	cold := members()
 	for i := range cold[:7] {
-		cold[i].Boot = f.now
+		cold[i].Incarnation = f.now
 	}
 	sent := 0
 	for _, r := range f.rigs {
-		r.do(Members{Kind: FullList, Entries: cold})
+		r.do(EndpointUpdate{Kind: FullList, Endpoints: cold})
 	}
 	for range 300 {
 		f.now += 10 * ms
 		for i, r := range f.rigs {
 			r.now = f.now
-			if _, a := r.ask("film", fmt.Sprint("o", i, sent)); a != nil && a.Server == "c1" {
+			if _, a := r.ask("film", fmt.Sprint("o", i, sent)); a != nil && a.Endpoint == "c1" {
 				sent++
 			}
 		}
@@ -127,17 +127,17 @@
 // refund-counters-later rough-1: after a mass restart every cache of a location is cold, and a budget from the work
 // carried before starved it although it answered.
 func TestAColdLocationThatAnswersGetsMore(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.ColdFrom, s.ColdFor = 0.05, time.Minute })
+	r := newRig(t, func(s *Settings) { s.SlowStartFrom, s.SlowStartFor = 0.05, time.Minute })
 	count := func(seconds int) (n int) { // at twenty requests a second
 		for range 20 * seconds {
 			r.after(50 * ms)
 			r.n++
 			id := fmt.Sprint("q", r.n)
-			a := first[Ask](r.do(Request{ID: id, Class: "film", Object: id, SizeKB: 400,
+			a := first[ForwardAttempt](r.do(Request{ID: id, Class: "film", Object: id, SizeKB: 400,
 				Deadline: r.now + 6*time.Second}))
-			if a != nil && a.Server[0] == 'c' {
+			if a != nil && a.Endpoint[0] == 'c' {
 				n++
-				r.do(Outcome{ID: id, Server: a.Server, Status: OK, Note: NoteFilled, Final: true,
+				r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true,
 					Latency: 100 * ms})
 			}
 		}
@@ -146,9 +146,9 @@
 	count(10) // what warm caches carry
 	l := members()
 	for i := range l[:4] {
-		l[i].Boot = r.now
+		l[i].Incarnation = r.now
 	}
-	r.do(Members{Kind: FullList, Entries: l})
+	r.do(EndpointUpdate{Kind: FullList, Endpoints: l})
 	// By its least share a cache would get a half of its work at the end; it is seen to do more.
 	if is := count(12); is > 200 {
 		t.Errorf("%d of 240 attempts reached a location that had just started", is)
@@ -162,13 +162,13 @@
 // is still asked for, by attempts that should hit as well, and a miss there is a refusal at once.
 func TestALateOriginIsSparedButNotWhatParentsHold(t *testing.T) {
 	r := newRig(t, nil)
-	r.serve("film", "listed", NoteHit)
+	r.serve("film", "listed", ReasonHit)
 	for i := range 40 {
 		id, a := r.ask("film", fmt.Sprint("slow", i))
-		if a == nil || a.OnlyHeld {
+		if a == nil || a.OnlyIfCached {
 			continue
 		}
-		r.after(100 * ms).do(Outcome{ID: id, Server: a.Server, Status: OK, Note: NoteFilledByOrigin, Final: true,
+		r.after(100 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilledByOrigin, Final: true,
 			Latency: 4 * time.Second})
 	}
 	if r.d.fetches.Most > 4 {
@@ -180,11 +180,11 @@
 	}
 	for _, object := range []string{"listed", "new"} {
 		id, a := r.ask("film", object)
-		if a == nil || !a.OnlyHeld {
+		if a == nil || !a.OnlyIfCached {
 			t.Fatalf("%s: %+v, want an attempt for what is held", object, a)
 		}
-		out := r.after(20 * ms).do(Outcome{ID: id, Server: a.Server, Status: Miss, Note: NoteSourceLacks, Latency: 20 * ms})
-		if first[Refuse](out) == nil || first[Ask](out) != nil {
+		out := r.after(20 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Miss, Reason: ReasonSourceMiss, Latency: 20 * ms})
+		if first[Reject](out) == nil || first[ForwardAttempt](out) != nil {
 			t.Errorf("%s: a miss at the parent brought %v, want a refusal at once", object, out)
 		}
 	}
@@ -199,9 +199,9 @@
 		if a == nil {
 			continue
 		}
-		o := Outcome{ID: id, Server: a.Server, Status: OK, Note: NoteFilledByOrigin, Final: true, Latency: 80 * ms}
-		if a.Source == "p1" {
-			o.Status, o.Note, o.Final, o.Latency = TurnedAway, NoteSourceLost, false, 400*ms
+		o := AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilledByOrigin, Final: true, Latency: 80 * ms}
+		if a.FillSource == "p1" {
+			o.Status, o.Reason, o.Final, o.Latency = Rejected, ReasonSourceLost, false, 400*ms
 		}
 		r.after(80 * ms).do(o)
 	}
@@ -221,15 +221,15 @@
 		if a == nil {
 			continue
 		}
-		ok := Outcome{ID: id, Server: a.Server, Status: OK, Note: NoteFilledByOrigin, Final: true, Latency: 80 * ms}
-		if a.Source != "p1" || i < 20 {
+		ok := AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilledByOrigin, Final: true, Latency: 80 * ms}
+		if a.FillSource != "p1" || i < 20 {
 			r.after(80 * ms).do(ok)
 			continue
 		}
-		again := first[Ask](r.after(80 * ms).do(Outcome{ID: id, Server: a.Server, Status: ServerError,
-			Note: NoteSourceLost, Latency: 2 * time.Second}))
+		again := first[ForwardAttempt](r.after(80 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: ServerError,
+			Reason: ReasonSourceLost, Latency: 2 * time.Second}))
 		if again != nil {
-			ok.Server, ok.Attempt = again.Server, 1
+			ok.Endpoint, ok.Attempt = again.Endpoint, 1
 			r.do(ok)
 		}
 	}
@@ -258,7 +258,7 @@
 		for _, s := range r.d.inUse[cache] { // keep the limit where it is
 			s.held.Most = 0.5
 		}
-		r.do(Outcome{ID: id, Server: a.Server, Status: OK, Note: NoteHit, Final: true, Latency: 10 * ms})
+		r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 10 * ms})
 		for _, s := range r.d.inUse[cache] {
 			s.held.Most = 0.5
 		}
@@ -271,7 +271,7 @@
 	for i := range 200 {
 		id, a := r.ask("film", fmt.Sprint("p", i))
 		if a != nil {
-			r.after(100 * ms).do(Outcome{ID: id, Server: a.Server, Status: OK, Note: NoteHit, Final: true, Latency: 10 * ms})
+			r.after(100 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 10 * ms})
 		}
 	}
 	if g.Most < 0.9 {
@@ -283,7 +283,7 @@
 func TestPurgeBeforeTheClocksZero(t *testing.T) {
 	r := newRig(t, nil)
 	r.now = 100 * ms
-	r.do(Purge{Object: "o", Ago: 150 * ms})
+	r.do(Purge{Object: "o", Age: 150 * ms})
 	if _, a := r.ask("film", "o"); a == nil || a.MaxAge == 0 || a.MaxAge > 150*ms {
 		t.Errorf("attempt %+v, want an age under 150 ms", a)
 	}
@@ -295,7 +295,7 @@
 	r := newRig(t, nil)
 	type pending struct {
 		id  string
-		a   *Ask
+		a   *ForwardAttempt
 		due time.Duration
 	}
 	var open []pending
@@ -304,10 +304,10 @@
 		if a == nil {
 			continue
 		}
-		if a.Source == "p1" {
+		if a.FillSource == "p1" {
 			open = append(open, pending{id, a, r.now + 500*ms})
 		} else {
-			r.do(Outcome{ID: id, Server: a.Server, Status: OK, Note: NoteFilled, Final: true, Latency: 50 * ms})
+			r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 50 * ms})
 		}
 		r.after(60 * ms)
 		for _, s := range r.d.inUse[cache] { // the caches answer others
@@ -315,7 +315,7 @@
 		}
 		for _, p := range open {
 			if q := r.d.requests[p.id]; q != nil && r.now >= p.due {
-				r.do(Timer{Token: q.token})
+				r.do(TimerFired{Token: q.token})
 			}
 		}
 	}
@@ -328,17 +328,17 @@
 // holds; it was asked over and over for what it lacked.
 func TestAMissWithNobodyToFillIsFinal(t *testing.T) {
 	r := newRig(t, nil)
-	r.serve("film", "o", NoteHit)
+	r.serve("film", "o", ReasonHit)
 	l := members()[5:7]
 	l[0].Phase, l[1].Phase = Removed, Removed
-	r.do(Members{Kind: Changes, Entries: l})
+	r.do(EndpointUpdate{Kind: DeltaList, Endpoints: l})
 	r.d.fetches.Most = 0
 	id, a := r.ask("film", "o")
-	if a == nil || a.Source != a.Server {
+	if a == nil || a.FillSource != a.Endpoint {
 		t.Fatalf("%+v, want an attempt that nobody fills", a)
 	}
-	out := r.after(5 * ms).do(Outcome{ID: id, Server: a.Server, Status: Miss, Latency: 5 * ms})
-	if first[Refuse](out) == nil || first[Ask](out) != nil {
+	out := r.after(5 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Miss, Latency: 5 * ms})
+	if first[Reject](out) == nil || first[ForwardAttempt](out) != nil {
 		t.Errorf("the miss brought %v, want a refusal at once", out)
 	}
 }
@@ -348,8 +348,8 @@
 func TestDirectorsHaveEvenPlaces(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"by number":           nil,
-		"no number told":      func(s *Settings) { s.Me, s.Numberless = 0, true },
-		"nothing told at all": func(s *Settings) { s.Me, s.Numberless, s.Directors, s.ZonePeers = 0, true, 0, nil },
+		"no number told":      func(s *Settings) { s.Index, s.IndexUnknown = 0, true },
+		"nothing told at all": func(s *Settings) { s.Index, s.IndexUnknown, s.Directors, s.ZoneDirectors = 0, true, 0, nil },
 	} {
 		f := newFleet(t, 100, change)
 		var quarters, second [4]int
--- a/routing/health.go
+++ b/routing/health.go
@@ -62,20 +62,20 @@
 // Answers later than the aim, and refusals, say that what is out there shares too little. The limit is then
 // cut to the share that was in time; only what was sent after a cut counts for the next one. Holds against
 // slow parts, full links and overload alike; may hurt where answers are late for reasons that no limit mends.
-func (d *Director) limit(r *request, a *attempt, o Outcome, hit bool) {
-	late := a.sent+o.Latency > r.aim() && !o.Status.broken() || o.Status == TurnedAway
-	if (o.Status == TimedOut || o.Status == Cancelled) && a.overtaken() {
-		if d.now >= r.Deadline-2*d.set.Step && len(r.attempts) == 1 {
+func (d *Director) limit(r *request, a *attempt, o AttemptResult, hit bool) {
+	late := a.sent+o.Latency > r.aim() && !o.Status.broken() || o.Status == Rejected
+	if (o.Status == TimedOut || o.Status == Canceled) && a.overtaken() {
+		if d.now >= r.Deadline-2*d.set.ClockStep && len(r.attempts) == 1 {
 			d.copies = min(2*copyEarned, d.copies+copyEarned)
 		}
 		return // an answer that got lost on its way says nothing of load
 	}
-	a.own = o.Status == TurnedAway && a.refusedItself(o)
+	a.own = o.Status == Rejected && a.refusedItself(o)
 	earlier := late && (o.Status == OK || o.Status == ServerError) && o.Latency <= r.aim()-r.start
 	if earlier || a.own && a.filling { // other attempts took the time, or the cache alone is closed
 		return
 	}
-	a.shared = !hit && !a.own && (late || o.Status == ServerError) && (a.filling || o.Note != NoNote) &&
+	a.shared = !hit && !a.own && (late || o.Status == ServerError) && (a.filling || o.Reason != ReasonNone) &&
 		d.behind(a, o)
 	for _, l := range d.slow(a, o, hit, late) {
 		l.Answered(d.now, a.sent, late, o.Status == OK || o.Status == Miss)
@@ -86,8 +86,8 @@
 // sooner than a source can be asked. For a fill that may only mean that no place for fills is free, unless
 // the cache has refused a hit since it answered well. Guards against a cache that drains before the list says
 // so: its refusals closed the sources, and through them the whole branch.
-func (a *attempt) refusedItself(o Outcome) bool {
-	own := a.source == a.to || o.Note == NoNote && o.Latency < a.source.least/atOnce
+func (a *attempt) refusedItself(o AttemptResult) bool {
+	own := a.source == a.to || o.Reason == ReasonNone && o.Latency < a.source.least/atOnce
 	if own && !a.filling {
 		a.to.closed = a.sent
 	}
@@ -103,16 +103,16 @@
 // and answers did get lost of late. Another can then still come in time. Not where anything is at its limit:
 // slow answers would be asked for twice.
 func (d *Director) doubtful(r *request, a *attempt) bool {
-	return a.out && len(r.attempts) == 1 && d.set.SecondCopies && d.copies >= 1 && a.overtaken() &&
+	return a.out && len(r.attempts) == 1 && d.set.HedgedRequests && d.copies >= 1 && a.overtaken() &&
 		math.IsInf(min(a.to.held.Most, a.source.held.Most, d.fetches.Most), 1)
 }
 
 // slow names what an outcome's time speaks of: the cache if it answered by itself, else a part of the fill.
-func (d *Director) slow(a *attempt, o Outcome, hit, late bool) []*concurrency.Limit {
-	seen := inference.Answer{Expected: !a.filling, Refused: o.Status == TurnedAway}
+func (d *Director) slow(a *attempt, o AttemptResult, hit, late bool) []*concurrency.Limit {
+	seen := inference.Answer{Expected: !a.filling, Refused: o.Status == Rejected}
 	seen.Late = late && d.untold(a, o)
 	seen.Busy, seen.Reported = a.to.load.Share(d.now)
-	fill := a.source != a.to && !hit && !a.own && (o.Note != NoNote || seen.Filled())
+	fill := a.source != a.to && !hit && !a.own && (o.Reason != ReasonNone || seen.Filled())
 	switch {
 	case a.to.role == origin: // a write, say: it speaks for what fills fetch there
 		if late {
@@ -122,7 +122,7 @@
 	case !fill:
 		return []*concurrency.Limit{&a.to.held}
 	case a.onlyHeld || a.source.role == cache || late && !a.shared ||
-		o.Note == NoteFilled && d.set.Tells == TellsAll:
+		o.Reason == ReasonFilled && d.set.AnswerDetail == DetailAll:
 		return []*concurrency.Limit{&a.source.held}
 	case late || a.source.role == origin:
 		return []*concurrency.Limit{&d.fetches}
@@ -131,20 +131,20 @@
 }
 
 // untold says that an outcome doesn't tell whether a cache had the object, since none does here.
-func (d *Director) untold(a *attempt, o Outcome) bool {
-	return d.set.Tells == TellsNothing && o.Note == NoNote && a.to.role == cache
+func (d *Director) untold(a *attempt, o AttemptResult) bool {
+	return d.set.AnswerDetail == DetailNone && o.Reason == ReasonNone && a.to.role == cache
 }
 
 // behind says whether a late or failed fill is the origin's fault rather than its parent's: where that isn't
 // told, if another source's were late at about that time, or writes there. One that is slow, silent or gone
 // stays alone with it.
-func (d *Director) behind(a *attempt, o Outcome) bool {
-	if a.source.role != parent || a.onlyHeld || o.Note == NoteSourceLost && o.Status == TurnedAway {
+func (d *Director) behind(a *attempt, o AttemptResult) bool {
+	if a.source.role != parent || a.onlyHeld || o.Reason == ReasonSourceLost && o.Status == Rejected {
 		return a.source.role == origin
 	}
 	too := func(s *server) bool { return s != a.source && s.lateAt > 0 && d.now-s.lateAt < lateTogether }
 	a.source.lateAt = d.now
-	return len(d.inUse[parent]) < 2 || o.Note == NoteOriginFailed ||
+	return len(d.inUse[parent]) < 2 || o.Reason == ReasonOriginFailed ||
 		slices.ContainsFunc(d.inUse[parent], too) || slices.ContainsFunc(d.inUse[origin], too)
 }
 
@@ -160,7 +160,7 @@
 
 // fits says whether a cache has room for one more, and can finish it in aim beside what of ours is there.
 func (d *Director) fits(s *server, r *request) bool {
-	most := concurrency.InAim(s.slots(d.set.WeightsTold), r.class.AimStretch, r.class.Aim, r.work)
+	most := concurrency.InAim(s.slots(d.set.WeightsKnown), r.class.ObjectiveStretch, r.class.LatencyObjective, r.work)
 	return d.room(&s.held, r) && float64(s.held.Out)+r.luck < most
 }
 
--- a/routing/many_test.go
+++ b/routing/many_test.go
@@ -16,8 +16,8 @@
 		rng := rand.New(rand.NewPCG(seed, 9))
 		n := 2 + rng.IntN(60)
 		f := newFleet(t, n, func(s *Settings) {
-			s.PeerMessages = true // and none arrives
-			s.FallFor, s.FallMultiple, s.ColdFrom, s.ColdFor = time.Second, 2, 0.19, 15*time.Second
+			s.Gossip = true // and none arrives
+			s.OverloadWindow, s.OverloadMultiple, s.SlowStartFrom, s.SlowStartFor = time.Second, 2, 0.19, 15*time.Second
 		})
 		rate, sum := make([]float64, n), 0.0
 		for i := range rate {
@@ -33,8 +33,8 @@
 					continue
 				}
 				if id, a := r.ask("film", fmt.Sprint("o", rng.IntN(1<<30))); a != nil {
-					count[a.Server] += sendTime
-					r.do(Outcome{ID: id, Server: a.Server, Status: OK, Note: NoteFilled, Final: true, Latency: 150 * ms})
+					count[a.Endpoint] += sendTime
+					r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 150 * ms})
 				}
 			}
 		}
@@ -44,7 +44,7 @@
 		}
 		warm := (before["c1"] + before["c2"] + before["c3"] + before["c4"]) / 4 / 6 // work a second: the least that it can do
 		l := members()[:1]
-		l[0].Boot = f.now
+		l[0].Incarnation = f.now
 		heard := make([]time.Duration, n)
 		for i := range heard {
 			heard[i] = f.now + time.Duration(rng.IntN(100))*ms
@@ -59,14 +59,14 @@
 				if heard[i] > 0 && heard[i] <= f.now {
 					heard[i] = 0
 					r.now = f.now
-					r.do(Members{Kind: Changes, Entries: l})
+					r.do(EndpointUpdate{Kind: DeltaList, Endpoints: l})
 				}
 			}
 			if len(sent) == 100 { // some die, and return knowing the list alone
 				for i := range dead {
 					if dead[i] {
 						f.rigs[i] = f.start(i, n, func(s *Settings) { *s = f.rigs[i].d.set })
-						f.rigs[i].do(Members{Kind: FullList, Entries: append(members()[1:], l...)})
+						f.rigs[i].do(EndpointUpdate{Kind: FullList, Endpoints: append(members()[1:], l...)})
 					}
 				}
 			}
@@ -103,14 +103,14 @@
 			}
 			id, a := r.ask("film", fmt.Sprint("o", i, f.now))
 			for k := 0; a != nil && k < 4; k++ {
-				o := Outcome{ID: id, Attempt: k, Server: a.Server, Status: OK, Note: NoteFilled, Final: true, Latency: 20 * ms}
-				if a.Server == "c1" {
+				o := AttemptResult{ID: id, Attempt: k, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 20 * ms}
+				if a.Endpoint == "c1" {
 					if k == 0 {
 						firsts++
 					}
-					o.Status, o.Note, o.Final = ServerError, NoNote, false
+					o.Status, o.Reason, o.Final = ServerError, ReasonNone, false
 				}
-				a = first[Ask](r.do(o))
+				a = first[ForwardAttempt](r.do(o))
 			}
 		}
 	}
@@ -124,10 +124,10 @@
 // requests a second each.
 func BenchmarkFullSize(b *testing.B) {
 	s := settings()
-	s.Directors, s.ZonePeers, s.Zones = 300, []int{0, 30, 270}, []string{"hub", "here", "there"}
-	var list []Member
+	s.Directors, s.ZoneDirectors, s.Zones = 300, []int{0, 30, 270}, []string{"hub", "here", "there"}
+	var list []Endpoint
 	for i := range 200 {
-		m := Member{ID: fmt.Sprintf("s%03d", i), Zone: "there", Kind: "box", Weight: 7}
+		m := Endpoint{ID: fmt.Sprintf("s%03d", i), Zone: "there", Kind: "box", Weight: 7}
 		if i < 20 {
 			m.Zone = "here"
 		} else if i < 28 {
@@ -135,15 +135,15 @@
 		}
 		list = append(list, m)
 	}
-	list = append(list, Member{ID: "o", Zone: "hub", Kind: "origin"})
+	list = append(list, Endpoint{ID: "o", Zone: "hub", Kind: "origin"})
 	d, err := New(s, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
 	now := time.Hour
-	out := d.Handle(now, Members{Kind: StaleList, Entries: list}, nil)
+	out := d.Handle(now, EndpointUpdate{Kind: StaleList, Endpoints: list}, nil)
 	for i := 1; i < 300; i++ {
-		out = d.Handle(now, Peer{From: i, Data: greeting(1 + i%2)}, out[:0])
+		out = d.Handle(now, GossipReceived{From: i, Data: greeting(1 + i%2)}, out[:0])
 	}
 	b.ReportAllocs()
 	n := 0
@@ -152,8 +152,8 @@
 		now += 200 * ms
 		id := fmt.Sprint(n)
 		out = d.Handle(now, Request{ID: id, Class: "film", Object: fmt.Sprint("o", n%5000), SizeKB: 400, Deadline: now + 6*time.Second}, out[:0])
-		if a := first[Ask](out); a != nil {
-			out = d.Handle(now+50*ms, Outcome{ID: id, Server: a.Server, Status: OK, Note: NoteFilled, Final: true, Latency: 50 * ms}, out[:0])
+		if a := first[ForwardAttempt](out); a != nil {
+			out = d.Handle(now+50*ms, AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 50 * ms}, out[:0])
 		}
 	}
 }
--- a/routing/memory.go
+++ b/routing/memory.go
@@ -10,70 +10,70 @@
 // What a director has learned, as values that outlive it. This file copies out and in; what old knowledge is still worth is
 // told to Import by its caller (package knowledge), and what may be decided by it is control.go's.
 
-// Memory is what a director has learned. Times are on the director's clock, which must be the same one when it is taken in
+// LearnedState is what a director has learned. Times are on the director's clock, which must be the same one when it is taken in
 // again.
-type Memory struct {
-	At       time.Duration `json:"At"` // when it was copied out
-	Zone     string        `json:"Zone"`
-	Listings []Listing     `json:"Listings"`
-	Servers  []Health      `json:"Servers"`
-	Purges   []Purged      `json:"Purges"`
+type LearnedState struct {
+	At        time.Duration    `json:"At"` // when it was copied out
+	Zone      string           `json:"Zone"`
+	Listings  []Listing        `json:"Listings"`
+	Endpoints []EndpointHealth `json:"Servers"`
+	Purges    []PurgeRecord    `json:"Purges"`
 }
 
 // Listing is a row of the mapping table.
 type Listing struct {
-	Key    uint64        `json:"Key"`
-	Server string        `json:"Server"`
-	Boot   time.Duration `json:"Boot"`  // of the server
-	HitAt  time.Duration `json:"HitAt"` // latest hit, 0: none
-	Last   time.Duration `json:"Last"`  // latest request,
-	Gap    time.Duration `json:"Gap"`   // and the smoothed gap between them
-	Count  float64       `json:"Count"` // recent requests
-	Work   time.Duration `json:"Work"`  // its quickest answer; 0: not known
+	Key          uint64        `json:"Key"`
+	Endpoint     string        `json:"Server"`
+	Incarnation  time.Duration `json:"Boot"`  // of the server
+	HitAt        time.Duration `json:"HitAt"` // latest hit, 0: none
+	LastRequest  time.Duration `json:"Last"`  // latest request,
+	MeanGap      time.Duration `json:"Gap"`   // and the smoothed gap between them
+	Count        float64       `json:"Count"` // recent requests
+	TransferTime time.Duration `json:"Work"`  // its quickest answer; 0: not known
 }
 
-// Health is what is known of a server.
-type Health struct {
-	Server  string        `json:"Server"`
-	Boot    time.Duration `json:"Boot"`
-	Seen    time.Duration `json:"Seen"`    // its latest answer: what is below is as old
-	Failing float64       `json:"Failing"` // share of recent attempts that failed
-	Ejected time.Duration `json:"Ejected"` // out of use until then; 0: it was not
-	Penalty time.Duration `json:"Penalty"` // length of the latest ejection
-	Quick   time.Duration `json:"Quick"`   // wait for fills,
-	QuickAt time.Duration `json:"QuickAt"` // seen then
-	Most    float64       `json:"Most"`    // limit of what may be out; 0: none
-	Late    float64       `json:"Late"`    // share of late answers
+// EndpointHealth is what is known of a server.
+type EndpointHealth struct {
+	Endpoint         string        `json:"Server"`
+	Incarnation      time.Duration `json:"Boot"`
+	LastAnswer       time.Duration `json:"Seen"`    // its latest answer: what is below is as old
+	ErrorRate        float64       `json:"Failing"` // share of recent attempts that failed
+	EjectedUntil     time.Duration `json:"Ejected"` // out of use until then; 0: it was not
+	Backoff          time.Duration `json:"Penalty"` // length of the latest ejection
+	FillLatency      time.Duration `json:"Quick"`   // wait for fills,
+	FillLatencyAt    time.Duration `json:"QuickAt"` // seen then
+	ConcurrencyLimit float64       `json:"Most"`    // limit of what may be out; 0: none
+	LateShare        float64       `json:"Late"`    // share of late answers
 }
 
-// Purged is a purge, of an object or of a group (see Purge).
-type Purged struct {
+// PurgeRecord is a purge, of an object or of a group (see Purge).
+type PurgeRecord struct {
 	Name string        `json:"Name"`
 	At   time.Duration `json:"At"`
 }
 
-// Worth says what old knowledge still counts for, each from 0 to 1. What speaks for sending more should age faster than
+// Confidence says what old knowledge still counts for, each from 0 to 1. What speaks for sending more should age faster than
 // what speaks for sending less.
-type Worth struct {
-	Listing float64 // share of the listings that are believed
-	Failing float64 // of failures, ejections and late answers
-	Limit   float64 // of limits: one that counts for half is twice as high
-	Quick   float64 // of the waits for fills
+type Confidence struct {
+	Listing     float64 // share of the listings that are believed
+	Failure     float64 // of failures, ejections and late answers
+	Limit       float64 // of limits: one that counts for half is twice as high
+	FillLatency float64 // of the waits for fills
 }
 
-// Used counts what became of a Memory, by reason.
-type Used struct {
-	Listings, Servers, Purges int
-	Gone                      int // of servers that the list does not name
-	Restarted                 int // or that have started anew
-	Cold                      int // or that are cold: what was known speaks for sending more than they may be sent
-	Aged                      int // no longer believed
-	Odd                       int // values that can't be
+// ImportCounts counts what became of a Memory, by reason.
+type ImportCounts struct {
+	Listings, Endpoints, Purges int
+	Gone                        int // of servers that the list does not name
+	Restarted                   int // or that have started anew
+	WarmingUp                   int // or that are cold: what was known speaks for sending more than they may be sent
+	Expired                     int // no longer believed
+	Invalid                     int // values that can't be
 }
 
 // Export copies out what has been learned: at most so many listings, the latest used first; 0: all.
-func (d *Director) Export(now time.Duration, most int) Memory {
-	m := Memory{At: now, Zone: d.set.Zone}
+func (d *Director) Export(now time.Duration, most int) LearnedState {
+	m := LearnedState{At: now, Zone: d.set.Zone}
 	if most <= 0 {
 		most = len(d.table)
 	}
@@ -83,20 +83,20 @@
 		if e.at == nil || !e.likely(e.at) {
 			continue
 		}
-		m.Listings = append(m.Listings, Listing{Key: e.key, Server: e.at.id, Boot: e.boot, HitAt: e.hitAt, Last: e.last, Gap: e.avg,
-			Count: e.count, Work: e.work})
+		m.Listings = append(m.Listings, Listing{Key: e.key, Endpoint: e.at.id, Incarnation: e.boot, HitAt: e.hitAt, LastRequest: e.last, MeanGap: e.avg,
+			Count: e.count, TransferTime: e.work})
 	}
 	for _, s := range d.servers {
-		h := Health{Server: s.id, Boot: s.boot, Seen: max(s.held.Seen, s.lastOK), Failing: s.failing, Ejected: s.ejected, Penalty: s.penalty, Quick: s.quick, QuickAt: s.quickAt,
-			Late: s.held.Late}
+		h := EndpointHealth{Endpoint: s.id, Incarnation: s.boot, LastAnswer: max(s.held.Seen, s.lastOK), ErrorRate: s.failing, EjectedUntil: s.ejected, Backoff: s.penalty, FillLatency: s.quick, FillLatencyAt: s.quickAt,
+			LateShare: s.held.Late}
 		if !math.IsInf(s.held.Most, 1) {
-			h.Most = s.held.Most
+			h.ConcurrencyLimit = s.held.Most
 		}
-		m.Servers = append(m.Servers, h)
+		m.Endpoints = append(m.Endpoints, h)
 	}
-	slices.SortFunc(m.Servers, func(a, b Health) int { return cmp.Compare(a.Server, b.Server) })
+	slices.SortFunc(m.Endpoints, func(a, b EndpointHealth) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	for name, at := range d.purged.All() {
-		m.Purges = append(m.Purges, Purged{name, at})
+		m.Purges = append(m.Purges, PurgeRecord{name, at})
 	}
 	return m
 }
@@ -105,58 +105,58 @@
 // whole, so that knowledge which outlives several starts without being confirmed does not grow young by it. The list must be known: what it does not
 // name, or names with another start, is passed over. Nothing of a budget for cold servers is taken in, and nothing that
 // speaks of servers that are cold now: they are sent what they would be sent without it. What has been learned since stays.
-func (d *Director) Import(now time.Duration, m Memory, worth func(age time.Duration) Worth) (u Used) {
+func (d *Director) Import(now time.Duration, m LearnedState, worth func(age time.Duration) Confidence) (u ImportCounts) {
 	d.now = now
-	for _, h := range m.Servers {
-		s := d.known(h.Server, h.Boot, &u)
+	for _, h := range m.Endpoints {
+		s := d.known(h.Endpoint, h.Incarnation, &u)
 		if s == nil {
 			continue
 		}
-		if !(h.Failing >= 0 && h.Failing <= 1 && h.Late >= 0 && h.Late <= 1 && h.Most >= 0) || math.IsInf(h.Most, 0) || h.Penalty < 0 ||
-			h.Quick < 0 || h.QuickAt > now || h.Seen > now {
-			u.Odd++
+		if !(h.ErrorRate >= 0 && h.ErrorRate <= 1 && h.LateShare >= 0 && h.LateShare <= 1 && h.ConcurrencyLimit >= 0) || math.IsInf(h.ConcurrencyLimit, 0) || h.Backoff < 0 ||
+			h.FillLatency < 0 || h.FillLatencyAt > now || h.LastAnswer > now {
+			u.Invalid++
 			continue
 		}
-		u.Servers++
-		w := worth(now - h.Seen)
-		s.held.Seen = max(s.held.Seen, h.Seen)
-		s.failing = max(s.failing, h.Failing*w.Failing)
-		if until := min(h.Ejected, now+ejectLongest); until > now {
+		u.Endpoints++
+		w := worth(now - h.LastAnswer)
+		s.held.Seen = max(s.held.Seen, h.LastAnswer)
+		s.failing = max(s.failing, h.ErrorRate*w.Failure)
+		if until := min(h.EjectedUntil, now+ejectLongest); until > now {
 			s.ejected = max(s.ejected, until)
 		}
-		s.penalty = max(s.penalty, min(ejectLongest, time.Duration(w.Failing*float64(h.Penalty))))
+		s.penalty = max(s.penalty, min(ejectLongest, time.Duration(w.Failure*float64(h.Backoff))))
 		if s.quick == 0 {
-			s.quick, s.quickAt = time.Duration(w.Quick*float64(h.Quick)), h.QuickAt
+			s.quick, s.quickAt = time.Duration(w.FillLatency*float64(h.FillLatency)), h.FillLatencyAt
 		}
-		if s.held.Late = max(s.held.Late, h.Late*w.Failing); h.Most > 0 && w.Limit > 0 {
-			s.held.Most = min(s.held.Most, max(s.held.Least, h.Most/w.Limit))
+		if s.held.Late = max(s.held.Late, h.LateShare*w.Failure); h.ConcurrencyLimit > 0 && w.Limit > 0 {
+			s.held.Most = min(s.held.Most, max(s.held.Least, h.ConcurrencyLimit/w.Limit))
 		}
 	}
 	// The latest used is the first in a Memory, and in the table the last to be forgotten.
 	for _, l := range slices.Backward(m.Listings) {
-		if float64(mix(l.Key)>>11)/(1<<53) >= worth(now-l.Last).Listing {
-			u.Aged++
+		if float64(mix(l.Key)>>11)/(1<<53) >= worth(now-l.LastRequest).Listing {
+			u.Expired++
 			continue
 		}
-		if !(l.Count >= 0) || math.IsInf(l.Count, 0) || l.Gap < 0 || l.Last > now || l.HitAt > now || l.Work < 0 {
-			u.Odd++
+		if !(l.Count >= 0) || math.IsInf(l.Count, 0) || l.MeanGap < 0 || l.LastRequest > now || l.HitAt > now || l.TransferTime < 0 {
+			u.Invalid++
 			continue
 		}
-		s := d.known(l.Server, l.Boot, &u)
+		s := d.known(l.Endpoint, l.Incarnation, &u)
 		if s == nil {
 			continue
 		}
 		if s.role != cache || s.zone != d.zone { // no copy is to be had there
-			u.Odd++
+			u.Invalid++
 			continue
 		}
 		if !d.warm(s) {
-			u.Cold++
+			u.WarmingUp++
 			continue
 		}
 		if old := d.table[l.Key]; old != nil { // a file and neighbours may both tell of it: the later use holds
-			if old.last < l.Last {
-				old.at, old.boot, old.hitAt, old.had, old.last, old.avg, old.count, old.work = s, s.boot, l.HitAt, l.Last, l.Last, l.Gap, l.Count, l.Work
+			if old.last < l.LastRequest {
+				old.at, old.boot, old.hitAt, old.had, old.last, old.avg, old.count, old.work = s, s.boot, l.HitAt, l.LastRequest, l.LastRequest, l.MeanGap, l.Count, l.TransferTime
 				d.used.MoveToFront(old.used)
 				u.Listings++
 			}
@@ -165,14 +165,14 @@
 		if len(d.table) >= tableSize*listSize*max(1, len(d.inUse[cache])) {
 			continue
 		}
-		e := &entry{key: l.Key, at: s, boot: s.boot, hitAt: l.HitAt, had: l.Last, last: l.Last, avg: l.Gap, count: l.Count, work: l.Work}
+		e := &entry{key: l.Key, at: s, boot: s.boot, hitAt: l.HitAt, had: l.LastRequest, last: l.LastRequest, avg: l.MeanGap, count: l.Count, work: l.TransferTime}
 		e.used = d.used.PushFront(e)
 		d.table[l.Key] = e
 		u.Listings++
 	}
 	for _, p := range m.Purges {
-		if age := now - p.At; p.Name == "" || age < 0 || age > d.set.PurgeSettles {
-			u.Aged++
+		if age := now - p.At; p.Name == "" || age < 0 || age > d.set.PurgeSettleTime {
+			u.Expired++
 		} else if d.purged.Merge(now, p.Name, p.At) {
 			u.Purges++
 		}
@@ -181,7 +181,7 @@
 }
 
 // known finds a server of the list that still runs as it did.
-func (d *Director) known(id string, boot time.Duration, u *Used) *server {
+func (d *Director) known(id string, boot time.Duration, u *ImportCounts) *server {
 	s := d.servers[id]
 	switch {
 	case s == nil || !s.up:
--- a/routing/memory_test.go
+++ b/routing/memory_test.go
@@ -8,39 +8,39 @@
 	"time"
 )
 
-func believed(time.Duration) Worth { return Worth{1, 1, 1, 1} }
+func believed(time.Duration) Confidence { return Confidence{1, 1, 1, 1} }
 
 // taught is a director that has learned where some objects are, with one server that fails and one purge.
-func taught(t *testing.T, now time.Duration, members []Member) *Director {
+func taught(t *testing.T, now time.Duration, members []Endpoint) *Director {
 	t.Helper()
 	d, err := New(testSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Handle(now, Members{Kind: FullList, Entries: members}, nil)
+	d.Handle(now, EndpointUpdate{Kind: FullList, Endpoints: members}, nil)
 	for i := range 200 {
 		now += 10 * time.Millisecond
 		id := string(rune('a'+i%26)) + string(rune('a'+i/26))
 		for _, a := range d.Handle(now, Request{ID: id, Class: testSettings().Classes[0].Name, Object: "f-" + string(rune('a'+i%20)), Deadline: now + 2*time.Second}, nil) {
-			if ask, ok := a.(Ask); ok {
-				d.Handle(now+5*time.Millisecond, Outcome{ID: id, Server: ask.Server, Status: OK, Note: NoteHit, Final: true, Latency: 5 * time.Millisecond}, nil)
+			if ask, ok := a.(ForwardAttempt); ok {
+				d.Handle(now+5*time.Millisecond, AttemptResult{ID: id, Endpoint: ask.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 5 * time.Millisecond}, nil)
 			}
 		}
 	}
-	d.Handle(now, Purge{Object: "f-z", Ago: time.Second}, nil)
+	d.Handle(now, Purge{Object: "f-z", Age: time.Second}, nil)
 	d.servers[members[1].ID].failing = 0.3
 	return d
 }
 
 func testSettings() Settings {
 	s := settings()
-	s.PurgeSettles = 6 * time.Second
+	s.PurgeSettleTime = 6 * time.Second
 	return s
 }
 
-func testMembers(now time.Duration) []Member {
-	return []Member{{ID: "c1", Zone: "here", Kind: "box", Weight: 1}, {ID: "c2", Zone: "here", Kind: "box", Weight: 1},
-		{ID: "c3", Zone: "here", Kind: "box", Weight: 1, Boot: now - 2*time.Second}, {ID: "x1", Zone: "there", Kind: "box", Weight: 1},
+func testMembers(now time.Duration) []Endpoint {
+	return []Endpoint{{ID: "c1", Zone: "here", Kind: "box", Weight: 1}, {ID: "c2", Zone: "here", Kind: "box", Weight: 1},
+		{ID: "c3", Zone: "here", Kind: "box", Weight: 1, Incarnation: now - 2*time.Second}, {ID: "x1", Zone: "there", Kind: "box", Weight: 1},
 		{ID: "p1", Zone: "hub", Kind: "parent", Weight: 1}, {ID: "o1", Zone: "hub", Kind: "origin", Weight: 1}}
 }
 
@@ -49,24 +49,24 @@
 	const now = 1000 * time.Hour
 	d := taught(t, now, testMembers(now))
 	m := d.Export(now+5*time.Second, 0)
-	if len(m.Listings) == 0 || len(m.Servers) != 6 || len(m.Purges) != 1 {
-		t.Fatalf("%d listings, %d servers, %d purges", len(m.Listings), len(m.Servers), len(m.Purges))
+	if len(m.Listings) == 0 || len(m.Endpoints) != 6 || len(m.Purges) != 1 {
+		t.Fatalf("%d listings, %d servers, %d purges", len(m.Listings), len(m.Endpoints), len(m.Purges))
 	}
 	at := map[string]int{}
 	for _, l := range m.Listings {
-		at[l.Server]++
+		at[l.Endpoint]++
 	}
-	fresh := func(members []Member) *Director {
+	fresh := func(members []Endpoint) *Director {
 		d, err := New(testSettings(), 2)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Handle(now+5*time.Second, Members{Kind: StaleList, Entries: members}, nil)
+		d.Handle(now+5*time.Second, EndpointUpdate{Kind: StaleList, Endpoints: members}, nil)
 		return d
 	}
 	next := fresh(testMembers(now))
 	u := next.Import(now+5*time.Second, m, believed)
-	if u.Listings != at["c1"]+at["c2"] || u.Cold != at["c3"] || u.Purges != 1 || u.Servers != 6 || next.servers["c2"].failing != 0.3 {
+	if u.Listings != at["c1"]+at["c2"] || u.WarmingUp != at["c3"] || u.Purges != 1 || u.Endpoints != 6 || next.servers["c2"].failing != 0.3 {
 		t.Errorf("%+v of %v, failing %v", u, at, next.servers["c2"].failing)
 	}
 	if again := next.Export(now+5*time.Second, 0); len(again.Listings) != u.Listings || !reflect.DeepEqual(again.Purges, m.Purges) {
@@ -74,12 +74,12 @@
 	}
 	// One has restarted since, one is gone.
 	members := testMembers(now)
-	members[0].Boot = now + 4*time.Second
+	members[0].Incarnation = now + 4*time.Second
 	u = fresh(append(members[:1:1], members[2:]...)).Import(now+5*time.Second, m, believed)
 	if u.Listings != 0 || u.Restarted != at["c1"]+1 || u.Gone != at["c2"]+1 {
 		t.Errorf("%+v of %v", u, at)
 	}
-	if u = fresh(testMembers(now)).Import(now+5*time.Second, m, func(time.Duration) Worth { return Worth{} }); u.Listings > 0 || u.Aged == 0 {
+	if u = fresh(testMembers(now)).Import(now+5*time.Second, m, func(time.Duration) Confidence { return Confidence{} }); u.Listings > 0 || u.Expired == 0 {
 		t.Errorf("what counts for nothing is used: %+v", u)
 	}
 }
@@ -89,15 +89,15 @@
 	const now = 1000 * time.Hour
 	d := taught(t, now, testMembers(now))
 	m := d.Export(now+5*time.Second, 0)
-	odd := Memory{Listings: []Listing{{Key: 1, Server: "c1", Count: math.NaN()}, {Key: 2, Server: "c1", Last: now * 2}, {Key: 3, Server: "x1"}, {Key: 4, Server: "p1"}},
-		Servers: []Health{{Server: "c1", Failing: 7}, {Server: "c1", Most: math.Inf(1)}, {Server: "c2", Late: math.NaN()}}}
+	odd := LearnedState{Listings: []Listing{{Key: 1, Endpoint: "c1", Count: math.NaN()}, {Key: 2, Endpoint: "c1", LastRequest: now * 2}, {Key: 3, Endpoint: "x1"}, {Key: 4, Endpoint: "p1"}},
+		Endpoints: []EndpointHealth{{Endpoint: "c1", ErrorRate: 7}, {Endpoint: "c1", ConcurrencyLimit: math.Inf(1)}, {Endpoint: "c2", LateShare: math.NaN()}}}
 	a, _ := New(testSettings(), 3)
 	b, _ := New(testSettings(), 3)
 	for _, d := range []*Director{a, b} {
-		d.Handle(now+5*time.Second, Members{Kind: StaleList, Entries: testMembers(now)}, nil)
+		d.Handle(now+5*time.Second, EndpointUpdate{Kind: StaleList, Endpoints: testMembers(now)}, nil)
 	}
 	b.Import(now+5*time.Second, m, believed)
-	if u := b.Import(now+5*time.Second, odd, believed); u.Odd != 7 {
+	if u := b.Import(now+5*time.Second, odd, believed); u.Invalid != 7 {
 		t.Errorf("%+v", u)
 	}
 	for id, s := range a.servers {
@@ -115,9 +115,9 @@
 	const start = 1000 * time.Hour
 	d := taught(t, start, testMembers(start)[:2:2])
 	now := start + 5*time.Second
-	half := func(age time.Duration) Worth {
+	half := func(age time.Duration) Confidence {
 		w := math.Exp2(-float64(age) / float64(10*time.Second))
-		return Worth{w, w, w, w}
+		return Confidence{w, w, w, w}
 	}
 	failing, listings := 0.3, len(d.Export(now, 0).Listings)
 	for range 30 {
@@ -127,7 +127,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		next.Handle(now, Members{Kind: StaleList, Entries: testMembers(start)[:2:2]}, nil)
+		next.Handle(now, EndpointUpdate{Kind: StaleList, Endpoints: testMembers(start)[:2:2]}, nil)
 		next.Import(now, m, half)
 		if f := next.servers["c2"].failing; f > failing {
 			t.Fatalf("failing %v, and was %v", f, failing)
@@ -144,7 +144,7 @@
 func BenchmarkExport(b *testing.B) {
 	for _, n := range []int{256 * 12, 49152} {
 		d, _ := New(testSettings(), 1)
-		d.Handle(time.Hour, Members{Entries: testMembers(time.Hour)[:2:2]}, nil)
+		d.Handle(time.Hour, EndpointUpdate{Endpoints: testMembers(time.Hour)[:2:2]}, nil)
 		for i := range n {
 			e := &entry{key: uint64(i), at: d.servers["c1"]}
 			e.used = d.used.PushFront(e)
--- a/routing/observe.go
+++ b/routing/observe.go
@@ -13,9 +13,9 @@
 	ID, Kind, Zone string
 	Up, Warm       bool
 	Usable         bool // neither its phase nor its failures keep it out of use
-	Boot           time.Duration
+	Incarnation    time.Duration
 	Weight         float64
-	Busy           float64 // share of its capacity in use, as reported lately; less than 0: not known
+	Utilization    float64 // share of its capacity in use, as reported lately; less than 0: not known
 }
 
 const (
@@ -28,21 +28,21 @@
 	d.now = max(d.now, now)
 	kinds := [...]string{"box", "parent", "origin"}
 	for _, s := range d.servers {
-		o := Observed{ID: s.id, Kind: kinds[s.role], Up: s.up, Warm: d.warm(s), Usable: s.up && (d.healthy(s) || d.floored(s)), Boot: s.boot, Weight: s.weight, Busy: -1}
+		o := Observed{ID: s.id, Kind: kinds[s.role], Up: s.up, Warm: d.warm(s), Usable: s.up && (d.healthy(s) || d.floored(s)), Incarnation: s.boot, Weight: s.weight, Utilization: -1}
 		if s.zone >= 0 {
 			o.Zone = d.set.Zones[s.zone]
 		}
 		if busy, ok := s.load.Share(d.now); ok {
-			o.Busy = busy
+			o.Utilization = busy
 		} else if s.role == cache && s.zone == d.zone && d.loads.Told() && s.held.Out == 0 {
-			o.Busy = 0 // we have asked it nothing lately: no load of ours is there
+			o.Utilization = 0 // we have asked it nothing lately: no load of ours is there
 		}
 		all = append(all, o)
 	}
 	slices.SortFunc(all, func(a, b Observed) int { return cmp.Compare(a.ID, b.ID) })
 	groups := 0
 	for name, at := range d.purged.All() {
-		if name[0] == ' ' && d.now-at <= d.set.PurgeSettles {
+		if name[0] == ' ' && d.now-at <= d.set.PurgeSettleTime {
 			groups++
 		}
 	}
--- a/routing/reconfigure.go
+++ b/routing/reconfigure.go
@@ -14,11 +14,11 @@
 
 func (Reconfigured) event() {}
 
-// PauseCold says that nothing is to be sent to stores that are cold until a time, on the director's clock: another process
+// PauseSlowStart says that nothing is to be sent to stores that are cold until a time, on the director's clock: another process
 // has the budget, or had it a moment ago.
-type PauseCold struct{ Until time.Duration }
+type PauseSlowStart struct{ Until time.Duration }
 
-func (PauseCold) event() {}
+func (PauseSlowStart) event() {}
 
 // reconfigure takes in other classes. What was learned of a class goes on under its name.
 func (d *Director) reconfigure(e Reconfigured) {
@@ -36,10 +36,10 @@
 // classOf finds the class of a request, with the rules by which it came; nil: there is none of that name.
 func (d *Director) classOf(q Request) *class {
 	c := d.classes[q.Class]
-	if q.Rules == nil {
+	if q.AdmittedClass == nil {
 		return c
 	}
-	former := &class{Class: *q.Rules}
+	former := &class{Class: *q.AdmittedClass}
 	if c != nil {
 		former.work, former.sized = c.work, c.sized
 	}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -59,10 +59,10 @@
 	d := &Director{set: s, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		classes: map[string]*class{}, servers: map[string]*server{},
 		table: map[uint64]*entry{}, requests: map[string]*request{}, tokens: map[uint64]*request{},
-		purged: purge.New(s.PurgeSettles), loads: loadreport.Find(s.LoadFields), spare: retryMost,
+		purged: purge.New(s.PurgeSettleTime), loads: loadreport.Find(s.LoadReportFields), spare: retryMost,
 		fetches: concurrency.None(), neighbor: map[int]bool{}, used: list.New(), own: mix(seed)}
 	d.zone = slices.Index(s.Zones, s.Zone)
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return nil, err
 	}
 	for _, c := range s.Classes {
@@ -75,7 +75,7 @@
 func (d *Director) Handle(now time.Duration, ev Event, out []Action) []Action {
 	d.now, d.out = now, out
 	switch ev := ev.(type) {
-	case Members:
+	case EndpointUpdate:
 		d.members(ev)
 	case Request:
 		d.request(ev)
@@ -83,26 +83,26 @@
 		if r := d.requests[ev.ID]; r != nil {
 			r.streaming = true
 		}
-	case Outcome:
+	case AttemptResult:
 		d.outcome(ev)
 	case Purge:
-		d.purged.Told(d.now, ev.Object, ev.Group, d.now-ev.Ago)
-	case Peer:
+		d.purged.Told(d.now, ev.Object, ev.Group, d.now-ev.Age)
+	case GossipReceived:
 		d.hint(ev)
-	case Gone:
+	case ClientGone:
 		if r := d.requests[ev.ID]; r != nil {
 			r.over = true
 			d.forget(r)
 		}
 	case Reconfigured:
 		d.reconfigure(ev)
-	case PauseCold:
+	case PauseSlowStart:
 		d.coldPause = ev.Until
-	case Timer:
+	case TimerFired:
 		if ev.Token == tellToken {
 			d.tellMoves()
 		} else if ev.Token == watchToken {
-			d.do(Watch{})
+			d.do(PollEndpoints{})
 		} else if r := d.tokens[ev.Token]; r != nil {
 			d.check(r)
 		}
@@ -115,31 +115,31 @@
 
 // ---- members ----
 
-func (d *Director) members(m Members) {
-	if m.Kind == ListLost {
-		if d.set.Ask {
-			d.do(Wake{At: d.now + d.set.AskWithin/10, Token: watchToken})
+func (d *Director) members(m EndpointUpdate) {
+	if m.Kind == WatchLost {
+		if d.set.PollDiscovery {
+			d.do(SetTimer{At: d.now + d.set.PollWithin/10, Token: watchToken})
 		}
 		return
 	}
-	if m.Kind == StaleList && d.set.PeerMessages {
-		d.do(Tell{To: Everyone, Data: greeting(d.zone)})
+	if m.Kind == StaleList && d.set.Gossip {
+		d.do(SendGossip{To: AllDirectors, Data: greeting(d.zone)})
 	}
-	if m.Kind == StaleList && d.set.Ask {
-		d.do(Watch{})
+	if m.Kind == StaleList && d.set.PollDiscovery {
+		d.do(PollEndpoints{})
 	}
 	for _, s := range d.servers {
-		s.up = s.up && m.Kind == Changes
+		s.up = s.up && m.Kind == DeltaList
 	}
-	for _, e := range m.Entries {
+	for _, e := range m.Endpoints {
 		s := d.servers[e.ID]
 		if s == nil {
 			s = &server{}
 			d.servers[e.ID] = s
 		}
-		if s.id == "" || s.boot != e.Boot { // a restart is a new, empty server; attempts may still be out
+		if s.id == "" || s.boot != e.Incarnation { // a restart is a new, empty server; attempts may still be out
 			out := s.held.Out
-			*s = server{boot: e.Boot, held: concurrency.None()}
+			*s = server{boot: e.Incarnation, held: concurrency.None()}
 			s.held.Out = out
 		}
 		s.placed(&d.set, e)
@@ -319,32 +319,32 @@
 	}
 	known := len(d.set.Tenants) == 0 || slices.Contains(d.set.Tenants, q.Tenant)
 	if c == nil || q.Deadline <= d.now || !known {
-		d.do(Refuse{ID: q.ID, After: d.advice()})
+		d.do(Reject{ID: q.ID, RetryAfter: d.advice()})
 		return
 	}
 	r := &request{Request: q, class: c, maxAttempts: d.set.MaxAttempts, start: d.now, luck: d.rng.Float64(),
 		key: mix(hash(q.Object) + uint64(q.Part))}
-	if !c.NeverKept && !q.Write {
+	if !c.Uncacheable && !q.Write {
 		r.entry = d.visit(r.key)
 	}
 	d.weigh(r)
-	r.price = concurrency.Price(r.work, c.Worth)
+	r.price = concurrency.Price(r.work, c.PriorityWeight)
 	d.prices.See(r.price)
 	d.token++
 	r.token = d.token
 	d.requests[q.ID], d.tokens[r.token] = r, r
-	d.do(Wake{At: max(d.now+d.set.Step, q.Deadline-d.set.Step), Token: r.token, ID: r.ID})
+	d.do(SetTimer{At: max(d.now+d.set.ClockStep, q.Deadline-d.set.ClockStep), Token: r.token, RequestID: r.ID})
 	d.attempt(r)
 }
 
 // aim is when the request loses most of its worth.
 func (r *request) aim() time.Duration {
-	return min(r.start+r.class.Aim+time.Duration(r.class.AimStretch*float64(r.work)), r.Deadline)
+	return min(r.start+r.class.LatencyObjective+time.Duration(r.class.ObjectiveStretch*float64(r.work)), r.Deadline)
 }
 
 // attempt sends the request on, or gives it up at once.
 func (d *Director) attempt(r *request) {
-	if r.again = r.outstanding() && !d.set.SecondCopies; r.again {
+	if r.again = r.outstanding() && !d.set.HedgedRequests; r.again {
 		return
 	}
 	e, a, detour := r.entry, &attempt{sent: d.now, out: true, cost: d.cost(r)}, false
@@ -352,17 +352,17 @@
 		if len(origins) > 0 {
 			a.to, a.source = origins[0], origins[0]
 		}
-		if !d.set.PassBy {
+		if !d.set.AllowBypass {
 			a.to, _ = d.pickCache(r)
 		}
 	} else if a.to, detour = d.pickCache(r); a.to != nil {
-		if a.source = d.pickSource(r); detour && d.set.Neighbours != NoNeighbours && e.hitAt > 0 &&
+		if a.source = d.pickSource(r); detour && d.set.Siblings != NoSiblings && e.hitAt > 0 &&
 			d.now-e.hitAt < rateWindow && d.usable(e.at, r) {
 			a.source = e.at
 		} else if a.source == nil {
 			a.source = a.to
 		}
-	} else if a.to = d.pickSource(r); d.set.PassBy && a.to != nil { // no cache is left
+	} else if a.to = d.pickSource(r); d.set.AllowBypass && a.to != nil { // no cache is left
 		if a.source = a.to; a.to.role == parent && len(origins) > 0 {
 			a.source = origins[0]
 		}
@@ -389,10 +389,10 @@
 	d.count(a, 1)
 	a.trial = a.to.penalty > 0
 	a.to.trial = a.to.trial || a.trial
-	d.do(Ask{ID: r.ID, Server: a.to.id, Source: a.source.id, Timeout: r.Deadline - d.now, MaxAge: d.maxAge(r),
-		Keep: a.keep, Join: d.set.Joins, OnlyHeld: a.onlyHeld, Renew: e != nil && r.class.Fresh > 0})
-	at := r.aim() - r.work - r.class.Aim/3 // from then on another attempt would miss the aim
-	d.do(Wake{At: max(at, d.now+r.class.Aim/3+r.work), Token: r.token, ID: r.ID})
+	d.do(ForwardAttempt{ID: r.ID, Endpoint: a.to.id, FillSource: a.source.id, Timeout: r.Deadline - d.now, MaxAge: d.maxAge(r),
+		CacheRank: a.keep, Coalesce: d.set.AllowCoalescing, OnlyIfCached: a.onlyHeld, RefreshAhead: e != nil && r.class.FreshFor > 0})
+	at := r.aim() - r.work - r.class.LatencyObjective/3 // from then on another attempt would miss the aim
+	d.do(SetTimer{At: max(at, d.now+r.class.LatencyObjective/3+r.work), Token: r.token, RequestID: r.ID})
 }
 
 // fillable says whether a fill may be asked for now. Where fetches from the origin are at their limit a
@@ -416,7 +416,7 @@
 // counts, when the copies of many objects go at once.
 func (d *Director) gone(r *request) bool {
 	at, purged := d.purged.Latest(d.now, r.Object, r.Group)
-	return inference.Gone(d.now, r.entry.had, at, purged, r.class.Fresh)
+	return inference.Gone(d.now, r.entry.had, at, purged, r.class.FreshFor)
 }
 
 // count books an attempt where it is out.
@@ -436,7 +436,7 @@
 
 // check looks at a request that takes long: a silent server is left for another one.
 func (d *Director) check(r *request) {
-	if d.now >= r.Deadline-d.set.Step && !r.streaming {
+	if d.now >= r.Deadline-d.set.ClockStep && !r.streaming {
 		d.giveUp(r)
 	}
 	if r.over || r.streaming || !r.outstanding() {
@@ -460,11 +460,11 @@
 		}
 		if s.overdue >= silentLeast {
 			d.failed(s, true)
-			if d.spare >= 1 && r.class.Effect == Safe {
+			if d.spare >= 1 && r.class.Effect == Idempotent {
 				d.spare--
 				r.tried = append(r.tried, s)
-				if d.set.Cancels {
-					d.do(Cancel{ID: r.ID, Attempt: len(r.attempts) - 1})
+				if d.set.CanCancel {
+					d.do(CancelAttempt{ID: r.ID, Attempt: len(r.attempts) - 1})
 				}
 				d.attempt(r)
 				return
@@ -476,15 +476,15 @@
 		d.attempt(r)
 		return
 	}
-	d.do(Wake{At: d.now + max(d.set.Step, r.class.Aim/2), Token: r.token, ID: r.ID})
+	d.do(SetTimer{At: d.now + max(d.set.ClockStep, r.class.LatencyObjective/2), Token: r.token, RequestID: r.ID})
 }
 
 // giveUp gives the final answer at once: a refusal where trying again is harmless, else a failure.
 func (d *Director) giveUp(r *request) {
 	d.cancel(r)
-	harmless := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Scope == ScopeAll
+	harmless := r.class.Effect == Idempotent || r.class.Effect == IdempotentWithKey && r.class.DedupScope == ScopeAll
 	if harmless || r.mayHaveRun(nil) == nil {
-		d.do(Refuse{ID: r.ID, After: d.advice()})
+		d.do(Reject{ID: r.ID, RetryAfter: d.advice()})
 	} else {
 		d.do(Fail{ID: r.ID})
 	}
@@ -494,7 +494,7 @@
 
 // advice is when a refused client may come back, spread so that not all do at once.
 func (d *Director) advice() time.Duration {
-	if !d.set.RetryAdvice {
+	if !d.set.SendRetryAfter {
 		return 0
 	}
 	return d.set.MaxRetryAfter/2 + time.Duration(d.rng.Int64N(int64(d.set.MaxRetryAfter/2+1)))
@@ -508,7 +508,7 @@
 	}
 }
 
-func (d *Director) outcome(o Outcome) {
+func (d *Director) outcome(o AttemptResult) {
 	r := d.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].out {
 		return
@@ -517,7 +517,7 @@
 	a.out = false
 	a.to.trial = a.to.trial && !a.trial
 	d.count(a, -1)
-	if share, ok := d.loads.Busy(o.Load, a.to.slots(d.set.WeightsTold)); ok {
+	if share, ok := d.loads.Busy(o.LoadReport, a.to.slots(d.set.WeightsKnown)); ok {
 		a.to.load.Report(d.now, share)
 	}
 	d.learn(r, a, o)
@@ -533,7 +533,7 @@
 	case r.outstanding():
 	case o.Status == Miss && (a.onlyHeld || a.source == a.to): // what could fill it is at its limit
 		d.giveUp(r)
-	case d.now >= r.Deadline-d.set.Step || d.spare < 1,
+	case d.now >= r.Deadline-d.set.ClockStep || d.spare < 1,
 		o.Status == ServerError && len(r.attempts) >= errorsMost:
 		d.giveUp(r)
 	default:
@@ -545,23 +545,23 @@
 // cancel stops waiting for the attempts that are out, where that is allowed.
 func (d *Director) cancel(r *request) {
 	for i, a := range r.attempts {
-		if a.out && d.set.Cancels {
-			d.do(Cancel{ID: r.ID, Attempt: i})
+		if a.out && d.set.CanCancel {
+			d.do(CancelAttempt{ID: r.ID, Attempt: i})
 		}
 	}
 }
 
 // learn moves the table and the health of those involved by an outcome.
-func (d *Director) learn(r *request, a *attempt, o Outcome) {
+func (d *Director) learn(r *request, a *attempt, o AttemptResult) {
 	seen := inference.Answer{Expected: !a.filling, OK: o.Status == OK, Late: a.sent+o.Latency > r.aim()}
-	hit := o.Status == OK && (o.Note == NoteHit || o.Note == NoteStale) || d.untold(a, o) && seen.Hit()
+	hit := o.Status == OK && (o.Reason == ReasonHit || o.Reason == ReasonStale) || d.untold(a, o) && seen.Hit()
 	if hit && a.source != a.to {
 		a.source.budget.Refund(a.cost) // it was not asked
 	}
 	if o.SizeKB > 0 && o.Status == OK && d.set.FlowKBps > 0 { // now it is known how long it had to take
 		d.sized(r, o.SizeKB)
 	}
-	a.ran = !slices.Contains([]Status{TurnedAway, NotConnected, NotSent, Miss}, o.Status)
+	a.ran = !slices.Contains([]Status{Rejected, ConnectFailed, NotSent, Miss}, o.Status)
 	d.limit(r, a, o, hit)
 	switch o.Status {
 	case OK:
@@ -572,7 +572,7 @@
 		a.to.carry(d.now, d.did(r))
 		d.gauge(a.to.role)
 		if !hit && a.source != a.to {
-			if o.Note != NoteJoined {
+			if o.Reason != ReasonCoalesced {
 				a.source.carry(d.now, d.did(r))
 			}
 			d.good(a.source)
@@ -581,16 +581,16 @@
 			a.source.quickAt = d.now
 			a.source.least = min(cmp.Or(a.source.least, o.Latency), o.Latency)
 		}
-	case ServerError, Reset, NotConnected, TurnedAway:
+	case ServerError, Reset, ConnectFailed, Rejected:
 		bad := a.to
-		if a.source != a.to && !a.own && (o.Note >= NoteSourceRefused || o.Status == TurnedAway ||
-			o.Status == ServerError && o.Note == NoNote && a.source.lastOK < a.to.lastOK) { // untold
+		if a.source != a.to && !a.own && (o.Reason >= ReasonSourceRejected || o.Status == Rejected ||
+			o.Status == ServerError && o.Reason == ReasonNone && a.source.lastOK < a.to.lastOK) { // untold
 			bad = a.source
 		}
 		r.tried = append(r.tried, bad)
 		switch {
-		case o.Note == NoteNoPlace || o.Along || bad.role == parent && a.shared:
-		case o.Status == ServerError && o.Note == NoNote: // or the request is at fault: the next one tells
+		case o.Reason == ReasonNoFillSlot || o.CollateralReset || bad.role == parent && a.shared:
+		case o.Status == ServerError && o.Reason == ReasonNone: // or the request is at fault: the next one tells
 			r.blamed = append(r.blamed, bad)
 			d.suspect(bad)
 		default:
@@ -639,14 +639,14 @@
 // repeatable says whether the effect rule lets an attempt go to s now, one that is not written left aside.
 func (d *Director) repeatable(r *request, s *server, but *attempt) bool {
 	first := r.mayHaveRun(but)
-	if r.class.Effect == Safe || first == nil {
+	if r.class.Effect == Idempotent || first == nil {
 		return true
 	}
-	if r.class.Effect == Unsafe || d.now-first.sent >= r.class.Window-d.set.Step {
+	if r.class.Effect == NonIdempotent || d.now-first.sent >= r.class.DedupWindow-d.set.ClockStep {
 		return false
 	}
-	return (r.class.Scope != ScopeZone || s.zone == first.to.zone) &&
-		(r.class.Scope != ScopeCell || s.cell == first.to.cell)
+	return (r.class.DedupScope != ScopeZone || s.zone == first.to.zone) &&
+		(r.class.DedupScope != ScopeCell || s.cell == first.to.cell)
 }
 
 // maxAge is the age limit that keeps an answer younger than the latest live purge; 0 if there is none.
@@ -656,8 +656,8 @@
 		return 0
 	}
 	age := max(time.Millisecond, d.now-at-time.Millisecond)
-	if r.class.Fresh > 0 {
-		age = min(age, r.class.Fresh)
+	if r.class.FreshFor > 0 {
+		age = min(age, r.class.FreshFor)
 	}
 	return age
 }
@@ -666,11 +666,11 @@
 func (d *Director) ramp(of role) slowstart.Ramp {
 	switch of {
 	case cache:
-		return slowstart.Ramp{From: d.set.ColdFrom, For: d.set.ColdFor, Multiple: d.set.FallMultiple,
-			Within: d.set.FallFor}
+		return slowstart.Ramp{From: d.set.SlowStartFrom, For: d.set.SlowStartFor, Multiple: d.set.OverloadMultiple,
+			Within: d.set.OverloadWindow}
 	case parent:
-		return slowstart.Ramp{From: d.set.ParentColdFrom, For: d.set.ParentColdFor,
-			Multiple: d.set.ParentFallMultiple, Within: d.set.FallFor}
+		return slowstart.Ramp{From: d.set.ParentSlowStartFrom, For: d.set.ParentSlowStartFor,
+			Multiple: d.set.ParentOverloadMultiple, Within: d.set.OverloadWindow}
 	}
 	return slowstart.Ramp{}
 }
@@ -710,8 +710,8 @@
 
 // among is that number, or 0 where it is not told.
 func (d *Director) among(r role) float64 {
-	if r == cache && d.zone < len(d.set.ZonePeers) && d.set.ZonePeers[d.zone] > 0 {
-		return float64(d.set.ZonePeers[d.zone])
+	if r == cache && d.zone < len(d.set.ZoneDirectors) && d.set.ZoneDirectors[d.zone] > 0 {
+		return float64(d.set.ZoneDirectors[d.zone])
 	}
 	return float64(d.set.Directors)
 }
@@ -722,10 +722,10 @@
 // where room is short, that count as their class's mean: servers seemed to do four times what they can.
 func (d *Director) did(r *request) float64 { return min(d.cost(r), r.work.Seconds()) }
 
-// Recheck says whether an attempt that waited, for its connection say, may still be written at the given
+// RecheckAttempt says whether an attempt that waited, for its connection say, may still be written at the given
 // time, and with which age limit: its store or source may drain by now, the time in which repeats are
 // dropped may have passed, or its object may have been purged.
-func (d *Director) Recheck(now time.Duration, id string, number int) (maxAge time.Duration, ok bool) {
+func (d *Director) RecheckAttempt(now time.Duration, id string, number int) (maxAge time.Duration, ok bool) {
 	r := d.requests[id]
 	if r == nil || number < 0 || number >= len(r.attempts) || r.over {
 		return 0, false
@@ -740,7 +740,7 @@
 // move queues a moved listing for this location's directors.
 func (d *Director) move(e *entry) {
 	if d.moves = append(d.moves, e); len(d.moves) == 1 {
-		d.do(Wake{At: d.now + tellEvery, Token: tellToken})
+		d.do(SetTimer{At: d.now + tellEvery, Token: tellToken})
 	}
 }
 
@@ -749,7 +749,7 @@
 	for _, msg := range encodeMoves(d.now, d.zone, d.moves) {
 		for n := range d.set.Directors {
 			if d.neighbor[n] {
-				d.do(Tell{To: n, Data: msg})
+				d.do(SendGossip{To: n, Data: msg})
 			}
 		}
 	}
@@ -757,16 +757,16 @@
 }
 
 // hint takes a peer's message whole, or drops it whole.
-func (d *Director) hint(p Peer) {
+func (d *Director) hint(p GossipReceived) {
 	zone, id, tips, err := decodeTips(p.Data)
-	if err != nil || !d.set.PeerMessages || zone != d.zone || p.From == d.set.Me || p.From < 0 ||
+	if err != nil || !d.set.Gossip || zone != d.zone || p.From == d.set.Index || p.From < 0 ||
 		p.From >= d.set.Directors {
 		return
 	}
 	if id == "" {
 		if !d.neighbor[p.From] {
 			d.neighbor[p.From] = true
-			d.do(Tell{To: p.From, Data: greeting(d.zone)})
+			d.do(SendGossip{To: p.From, Data: greeting(d.zone)})
 		}
 		return
 	}
