--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -15,30 +15,30 @@
 // settings returns a small legal site: two locations, a hub with two parents, one origin.
 func settings() Settings {
 	return Settings{
-		Me: 0, Directors: 3, Zone: "here", Zones: []string{"hub", "here", "there"}, ZoneHub: []int{0, 0, 0},
-		ZonePeers: []int{0, 2, 1}, Kinds: []string{"box", "parent", "origin"}, ParentKind: 1, OriginKind: 2,
+		Index: 0, Directors: 3, Zone: "here", Zones: []string{"hub", "here", "there"}, ZoneHub: []int{0, 0, 0},
+		ZoneDirectors: []int{0, 2, 1}, Kinds: []string{"box", "parent", "origin"}, ParentKind: 1, OriginKind: 2,
 		Classes: []Class{
-			{Name: "film", Aim: 600 * ms, AimStretch: 1.6, Deadline: 6 * time.Second, Worth: 2, Parts: true},
-			{Name: "page", Aim: 250 * ms, AimStretch: 2, Deadline: 3 * time.Second, Worth: 1, Fresh: 8 * time.Second},
-			{Name: "pay", Aim: 700 * ms, Deadline: 3 * time.Second, Effect: Unsafe, NeverKept: true},
-			{Name: "send", Aim: 700 * ms, Deadline: 3 * time.Second, Effect: Keyed, Scope: ScopeAll,
-				Window: time.Second, NeverKept: true},
-			{Name: "zoned", Aim: 700 * ms, Deadline: 3 * time.Second, Effect: Keyed, Scope: ScopeZone,
-				Window: time.Second, NeverKept: true},
-			{Name: "celled", Aim: 700 * ms, Deadline: 3 * time.Second, Effect: Keyed, Scope: ScopeCell,
-				Window: time.Second},
-			{Name: "stream", Aim: 300 * ms, Deadline: 2 * time.Second, Stream: true},
+			{Name: "film", LatencyObjective: 600 * ms, ObjectiveStretch: 1.6, Deadline: 6 * time.Second, PriorityWeight: 2, Parts: true},
+			{Name: "page", LatencyObjective: 250 * ms, ObjectiveStretch: 2, Deadline: 3 * time.Second, PriorityWeight: 1, FreshFor: 8 * time.Second},
+			{Name: "pay", LatencyObjective: 700 * ms, Deadline: 3 * time.Second, Effect: NonIdempotent, Uncacheable: true},
+			{Name: "send", LatencyObjective: 700 * ms, Deadline: 3 * time.Second, Effect: IdempotentWithKey, DedupScope: ScopeAll,
+				DedupWindow: time.Second, Uncacheable: true},
+			{Name: "zoned", LatencyObjective: 700 * ms, Deadline: 3 * time.Second, Effect: IdempotentWithKey, DedupScope: ScopeZone,
+				DedupWindow: time.Second, Uncacheable: true},
+			{Name: "celled", LatencyObjective: 700 * ms, Deadline: 3 * time.Second, Effect: IdempotentWithKey, DedupScope: ScopeCell,
+				DedupWindow: time.Second},
+			{Name: "stream", LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Stream: true},
 		},
-		FlowKBps: 4000, PassBy: true, Joins: true, Neighbours: SameLocation, Tells: TellsAll, PeerMessages: true,
-		Cancels: true, SecondCopies: true, RetryAdvice: true, MaxRetryAfter: 500 * ms, MaxAttempts: 6, Step: 2 * ms,
-		DrainGrace: 250 * ms, ColdFrom: 0.2, ColdFor: 10 * time.Second, FallMultiple: 2, FallFor: 3 * time.Second,
-		ParentColdFrom: 0.06, ParentColdFor: 20 * time.Second, ParentFallMultiple: 2,
-		PurgeGrace: 300 * ms, PurgeSettles: 6 * time.Second, AskWithin: 10 * time.Second,
+		FlowKBps: 4000, AllowBypass: true, AllowCoalescing: true, Siblings: SiblingsInLocation, AnswerDetail: DetailAll, Gossip: true,
+		CanCancel: true, HedgedRequests: true, SendRetryAfter: true, MaxRetryAfter: 500 * ms, MaxAttempts: 6, ClockStep: 2 * ms,
+		DrainGrace: 250 * ms, SlowStartFrom: 0.2, SlowStartFor: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: 3 * time.Second,
+		ParentSlowStartFrom: 0.06, ParentSlowStartFor: 20 * time.Second, ParentOverloadMultiple: 2,
+		PurgeGrace: 300 * ms, PurgeSettleTime: 6 * time.Second, PollWithin: 10 * time.Second,
 	}
 }
 
-func members() []Member {
-	return []Member{
+func members() []Endpoint {
+	return []Endpoint{
 		{ID: "c1", Zone: "here", Kind: "box", Cell: 1}, {ID: "c2", Zone: "here", Kind: "box", Cell: 1},
 		{ID: "c3", Zone: "here", Kind: "box", Cell: 2}, {ID: "c4", Zone: "here", Kind: "box", Cell: 2},
 		{ID: "x1", Zone: "there", Kind: "box", Cell: 3},
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, d: d, now: time.Hour, kb: 400}
-	r.do(Members{Kind: StaleList, Entries: members()})
+	r.do(EndpointUpdate{Kind: StaleList, Endpoints: members()})
 	return r
 }
 
@@ -76,22 +76,22 @@
 func (r *rig) after(d time.Duration) *rig { r.now += d; return r }
 
 // ask sends a request for an object and returns its id and the attempt that came of it, if any.
-func (r *rig) ask(class, object string) (string, *Ask) {
+func (r *rig) ask(class, object string) (string, *ForwardAttempt) {
 	r.n++
 	id := fmt.Sprint("r", r.n)
 	deadline := r.d.classes[class].Deadline
-	return id, first[Ask](r.do(Request{ID: id, Class: class, Object: object, SizeKB: r.kb,
-		Deadline: r.now + deadline, Write: r.d.classes[class].NeverKept}))
+	return id, first[ForwardAttempt](r.do(Request{ID: id, Class: class, Object: object, SizeKB: r.kb,
+		Deadline: r.now + deadline, Write: r.d.classes[class].Uncacheable}))
 }
 
 // serve asks for an object until it is answered as the note says.
-func (r *rig) serve(class, object string, note Note) *Ask {
+func (r *rig) serve(class, object string, note Reason) *ForwardAttempt {
 	r.t.Helper()
 	id, a := r.ask(class, object)
 	if a == nil {
 		r.t.Fatalf("no attempt for %s", object)
 	}
-	r.after(50 * ms).do(Outcome{ID: id, Server: a.Server, Status: OK, Note: note, Final: true, Latency: 50 * ms})
+	r.after(50 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: note, Final: true, Latency: 50 * ms})
 	return a
 }
 
@@ -134,7 +134,7 @@
 	} {
 		r := newRig(t, func(s *Settings) { s.Tenants = []string{"known"} })
 		out := r.do(c.q)
-		if len(out) != 1 || first[Refuse](out) == nil || len(r.d.requests) != 0 {
+		if len(out) != 1 || first[Reject](out) == nil || len(r.d.requests) != 0 {
 			t.Errorf("%s: %v", c.name, out)
 		}
 	}
@@ -142,11 +142,11 @@
 
 func TestListingSticksToTheCacheThatHit(t *testing.T) {
 	r := newRig(t, nil)
-	home := r.serve("film", "f", NoteFilled).Server
+	home := r.serve("film", "f", ReasonFilled).Endpoint
 	same := 0
 	for range 100 {
 		last := r.d.table[mix(hash("f"))].at.id
-		if r.after(time.Second).serve("film", "f", NoteHit).Server == last {
+		if r.after(time.Second).serve("film", "f", ReasonHit).Endpoint == last {
 			same++
 		}
 	}
@@ -154,9 +154,9 @@
 		t.Errorf("%d of 100 requests went to the listed cache", same)
 	}
 	if other, _ := New(settings(), 99); true { // a director without a table opens at the same home
-		other.Handle(0, Members{Kind: FullList, Entries: members()}, nil)
-		a := first[Ask](other.Handle(0, Request{ID: "z", Class: "film", Object: "f", Deadline: time.Second}, nil))
-		if a == nil || a.Server != home {
+		other.Handle(0, EndpointUpdate{Kind: FullList, Endpoints: members()}, nil)
+		a := first[ForwardAttempt](other.Handle(0, Request{ID: "z", Class: "film", Object: "f", Deadline: time.Second}, nil))
+		if a == nil || a.Endpoint != home {
 			t.Errorf("opened at %v, the home is %s", a, home)
 		}
 	}
@@ -164,23 +164,23 @@
 
 func TestDetourFillsFromTheListedCacheAndKeepsNothing(t *testing.T) {
 	r := newRig(t, nil)
-	home := r.serve("film", "f", NoteFilled).Server
+	home := r.serve("film", "f", ReasonFilled).Endpoint
 	for range 500 {
 		id, a := r.after(500*ms).ask("film", "f")
-		if a.Server != home {
-			if a.Source != home || a.Keep != 0 {
+		if a.Endpoint != home {
+			if a.FillSource != home || a.CacheRank != 0 {
 				t.Errorf("detour %+v, listed on %s", a, home)
 			}
 			return
 		}
-		r.do(Outcome{ID: id, Server: a.Server, Status: OK, Note: NoteHit, Final: true, Latency: 10 * ms})
+		r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 10 * ms})
 	}
 	t.Error("no detour in 500 requests")
 }
 
 func TestHintsMoveAListingUnlessOursIsNewer(t *testing.T) {
 	r := newRig(t, nil)
-	r.serve("film", "f", NoteFilled)
+	r.serve("film", "f", ReasonFilled)
 	e := r.d.table[mix(hash("f"))]
 	for _, c := range []struct {
 		data  string
@@ -192,7 +192,7 @@
 	} {
 		e.at = r.d.servers["c2"]
 		data := strings.Replace(c.data, "%s", fmt36(e.key), 1)
-		r.after(ms).do(Peer{From: 1, Data: data})
+		r.after(ms).do(GossipReceived{From: 1, Data: data})
 		if (e.at.id == "c1") != c.moves {
 			t.Errorf("%q: listed on %s", data, e.at.id)
 		}
@@ -211,11 +211,11 @@
 
 func TestMovesAreToldToTheLocationOnly(t *testing.T) {
 	r := newRig(t, nil)
-	r.do(Peer{From: 1, Data: "w1|1"})
-	r.do(Peer{From: 2, Data: "w1|2"})
-	r.serve("film", "f", NoteFilled)
-	out := r.after(tellEvery).do(Timer{Token: tellToken})
-	told := first[Tell](out)
+	r.do(GossipReceived{From: 1, Data: "w1|1"})
+	r.do(GossipReceived{From: 2, Data: "w1|2"})
+	r.serve("film", "f", ReasonFilled)
+	out := r.after(tellEvery).do(TimerFired{Token: tellToken})
+	told := first[SendGossip](out)
 	if told == nil || told.To != 1 || len(out) != 1 || len(told.Data) > hintBytes {
 		t.Errorf("told %v", out)
 	}
@@ -228,15 +228,15 @@
 		wait        time.Duration
 		atLeast, at time.Duration
 	}{
-		{"object", Purge{Object: "f", Ago: 100 * ms}, 400 * ms, 490 * ms, 500 * ms},
-		{"group", Purge{Group: 3, Ago: 100 * ms}, 400 * ms, 490 * ms, 500 * ms},
+		{"object", Purge{Object: "f", Age: 100 * ms}, 400 * ms, 490 * ms, 500 * ms},
+		{"group", Purge{Group: 3, Age: 100 * ms}, 400 * ms, 490 * ms, 500 * ms},
 		{"never zero", Purge{Group: 3}, 0, 1, 2 * ms},
 		{"other group", Purge{Group: 4}, 400 * ms, 0, 0},
 		{"settled", Purge{Group: 3}, 7 * time.Second, 0, 0},
 	} {
 		r := newRig(t, nil)
 		r.do(c.p)
-		a := first[Ask](r.after(c.wait).do(Request{ID: "a", Class: "film", Object: "f", Group: 3,
+		a := first[ForwardAttempt](r.after(c.wait).do(Request{ID: "a", Class: "film", Object: "f", Group: 3,
 			Deadline: r.now + time.Second}))
 		if a.MaxAge < c.atLeast || a.MaxAge > c.at {
 			t.Errorf("%s: age limit %v", c.name, a.MaxAge)
@@ -252,9 +252,9 @@
 			l[i].Phase = Draining
 		}
 	}
-	r.do(Members{Kind: Changes, Entries: l})
+	r.do(EndpointUpdate{Kind: DeltaList, Endpoints: l})
 	for i := range 50 {
-		if a := r.serve("film", fmt.Sprint(i), NoteFilled); a.Server == "c1" || a.Source == "p1" {
+		if a := r.serve("film", fmt.Sprint(i), ReasonFilled); a.Endpoint == "c1" || a.FillSource == "p1" {
 			t.Fatalf("%+v names a draining server", a)
 		}
 	}
@@ -262,29 +262,29 @@
 
 func TestSilentCacheIsLeftBeforeItsTimeout(t *testing.T) {
 	for _, second := range []bool{true, false} {
-		r := newRig(t, func(s *Settings) { s.SecondCopies = second })
-		home := r.serve("film", "f", NoteHit).Server
+		r := newRig(t, func(s *Settings) { s.HedgedRequests = second })
+		home := r.serve("film", "f", ReasonHit).Endpoint
 		r.after(ms)
 		var ids []string
 		var left []Action
 		for len(ids) < 3 { // hits that the listed cache owes, while it answers nothing
-			if id, a := r.ask("film", "f"); a.Server == home {
+			if id, a := r.ask("film", "f"); a.Endpoint == home {
 				ids = append(ids, id)
 			}
 		}
 		for i, id := range ids {
-			left = r.after(500 * ms).do(Timer{Token: r.d.requests[id].token})
-			if i < 2 && first[Cancel](left) != nil {
+			left = r.after(500 * ms).do(TimerFired{Token: r.d.requests[id].token})
+			if i < 2 && first[CancelAttempt](left) != nil {
 				t.Fatalf("left after %d overdue hits", i+1)
 			}
 		}
 		if !second {
-			if first[Cancel](left) == nil || first[Ask](left) != nil {
+			if first[CancelAttempt](left) == nil || first[ForwardAttempt](left) != nil {
 				t.Fatalf("without second copies: %v", left)
 			}
-			left = r.do(Outcome{ID: ids[2], Server: home, Status: Cancelled, Latency: 500 * ms})
+			left = r.do(AttemptResult{ID: ids[2], Endpoint: home, Status: Canceled, Latency: 500 * ms})
 		}
-		if b := first[Ask](left); b == nil || b.Server == home {
+		if b := first[ForwardAttempt](left); b == nil || b.Endpoint == home {
 			t.Errorf("second copies %v: after silence of %s: %v", second, home, left)
 		}
 	}
@@ -295,8 +295,8 @@
 	r := newRig(t, nil)
 	for i := range 10 {
 		id, _ := r.ask("film", fmt.Sprint(i))
-		out := r.after(700 * ms).do(Timer{Token: r.d.requests[id].token})
-		if first[Cancel](out) != nil || first[Ask](out) != nil {
+		out := r.after(700 * ms).do(TimerFired{Token: r.d.requests[id].token})
+		if first[CancelAttempt](out) != nil || first[ForwardAttempt](out) != nil {
 			t.Fatalf("left a cache that waits for a fill: %v", out)
 		}
 	}
@@ -310,15 +310,15 @@
 		sent, fail bool
 	}{
 		{"pay", Reset, 10 * ms, false, true},
-		{"pay", NotConnected, 10 * ms, true, false},
+		{"pay", ConnectFailed, 10 * ms, true, false},
 		{"send", Reset, 10 * ms, true, false},
 		{"send", Reset, 1100 * ms, false, false},
 		{"zoned", Reset, 1100 * ms, false, true},
 	} {
 		r := newRig(t, nil)
 		id, a := r.ask(c.class, "")
-		out := r.after(c.wait).do(Outcome{ID: id, Server: a.Server, Status: c.status, Latency: c.wait})
-		if (first[Ask](out) != nil) != c.sent || (first[Fail](out) != nil) != c.fail {
+		out := r.after(c.wait).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: c.status, Latency: c.wait})
+		if (first[ForwardAttempt](out) != nil) != c.sent || (first[Fail](out) != nil) != c.fail {
 			t.Errorf("%s after %v: %v", c.class, c.status, out)
 		}
 	}
@@ -333,9 +333,9 @@
 			id := fmt.Sprint("r", r.n)
 			out := r.do(Request{ID: id, Class: "film", Object: fmt.Sprint(i, "-", j), SizeKB: 400,
 				Deadline: r.now + 6*time.Second})
-			if f := first[Refuse](out); f != nil {
+			if f := first[Reject](out); f != nil {
 				refused++
-				if f.After <= 0 {
+				if f.RetryAfter <= 0 {
 					t.Fatal("a refusal without advice")
 				}
 			}
@@ -347,7 +347,7 @@
 		}
 		slices.Sort(ids)
 		for _, id := range ids {
-			r.do(Outcome{ID: id, Status: OK, Note: NoteFilled, Final: true, Latency: 2 * time.Second})
+			r.do(AttemptResult{ID: id, Status: OK, Reason: ReasonFilled, Final: true, Latency: 2 * time.Second})
 		}
 	}
 	if refused == 0 {
@@ -374,28 +374,28 @@
 func odd(seed uint64) error {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := settings()
-	s.SecondCopies = rng.IntN(2) == 0
-	s.Cancels = rng.IntN(4) > 0
-	s.PassBy = rng.IntN(2) == 0
-	s.Neighbours = Neighbours(rng.IntN(3))
-	s.Tells = Tells(rng.IntN(3))
-	s.PeerMessages = rng.IntN(2) == 0
-	s.RetryAdvice = rng.IntN(2) == 0
-	s.Ask = rng.IntN(3) == 0
-	s.Joins, s.Probes, s.WeightsTold = rng.IntN(2) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
-	s.LoadFields = [][]string{nil, {"cpu_share", "x1", "x0"}, {"busy_reqs"}, {"x0"}}[rng.IntN(4)]
+	s.HedgedRequests = rng.IntN(2) == 0
+	s.CanCancel = rng.IntN(4) > 0
+	s.AllowBypass = rng.IntN(2) == 0
+	s.Siblings = SiblingMode(rng.IntN(3))
+	s.AnswerDetail = AnswerDetail(rng.IntN(3))
+	s.Gossip = rng.IntN(2) == 0
+	s.SendRetryAfter = rng.IntN(2) == 0
+	s.PollDiscovery = rng.IntN(3) == 0
+	s.AllowCoalescing, s.HealthChecks, s.WeightsKnown = rng.IntN(2) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
+	s.LoadReportFields = [][]string{nil, {"cpu_share", "x1", "x0"}, {"busy_reqs"}, {"x0"}}[rng.IntN(4)]
 	if rng.IntN(4) == 0 {
 		s.ParentKind = -1
 	}
 	if rng.IntN(4) == 0 {
-		s.ZonePeers, s.FlowKBps, s.PurgeGrace = nil, 0, 0
+		s.ZoneDirectors, s.FlowKBps, s.PurgeGrace = nil, 0, 0
 	}
 	list := members()
 	for i := range list {
 		list[i].Weight = float64(rng.IntN(10))
 	}
 	if s.ParentKind < 0 {
-		list = slices.DeleteFunc(list, func(m Member) bool { return m.Kind == "parent" })
+		list = slices.DeleteFunc(list, func(m Endpoint) bool { return m.Kind == "parent" })
 	}
 	d, err := New(s, seed)
 	if err != nil {
@@ -412,7 +412,7 @@
 	var (
 		open   = map[string]*state{}
 		ids    []string
-		timers []Wake
+		timers []SetTimer
 		down   = map[string]bool{}
 		zone   = map[string]string{}
 		cell   = map[string]int{}
@@ -426,47 +426,47 @@
 	apply := func(out []Action) error {
 		for _, a := range out {
 			switch a := a.(type) {
-			case Ask:
+			case ForwardAttempt:
 				st := open[a.ID]
 				if st == nil || st.over {
 					return fmt.Errorf("%v: attempt for %s, which is over", now, a.ID)
 				}
-				if down[a.Server] || down[a.Source] {
-					return fmt.Errorf("%v: %s or %s is not up", now, a.Server, a.Source)
+				if down[a.Endpoint] || down[a.FillSource] {
+					return fmt.Errorf("%v: %s or %s is not up", now, a.Endpoint, a.FillSource)
 				}
 				if len(st.attempts) >= st.most {
 					return fmt.Errorf("%v: attempt %d of %s, %d at most", now, len(st.attempts)+1, a.ID, st.most)
 				}
-				for _, id := range []string{a.Server, a.Source} {
+				for _, id := range []string{a.Endpoint, a.FillSource} {
 					if started := boot[id]; now < paused && started > 0 && d.warmsFor(id) > now-started {
 						return fmt.Errorf("%v: %s is cold, and nothing is to go there until %v", now, id, paused)
 					}
 				}
-				if purged > 0 && now-purged < s.PurgeSettles && (a.MaxAge <= 0 || a.MaxAge > now-purged+ms) {
+				if purged > 0 && now-purged < s.PurgeSettleTime && (a.MaxAge <= 0 || a.MaxAge > now-purged+ms) {
 					return fmt.Errorf("%v: age limit %v, purged %v ago", now, a.MaxAge, now-purged)
 				}
 				for _, b := range st.attempts {
-					if !s.SecondCopies && !b.done {
+					if !s.HedgedRequests && !b.done {
 						return fmt.Errorf("%v: second copy of %s", now, a.ID)
 					}
-					if st.class.Effect == Safe || b.done && !b.ran {
+					if st.class.Effect == Idempotent || b.done && !b.ran {
 						continue
 					}
-					if st.class.Effect == Unsafe || now-b.at > st.class.Window ||
-						st.class.Scope == ScopeZone && zone[a.Server] != zone[b.server] ||
-						st.class.Scope == ScopeCell && cell[a.Server] != cell[b.server] {
+					if st.class.Effect == NonIdempotent || now-b.at > st.class.DedupWindow ||
+						st.class.DedupScope == ScopeZone && zone[a.Endpoint] != zone[b.server] ||
+						st.class.DedupScope == ScopeCell && cell[a.Endpoint] != cell[b.server] {
 						return fmt.Errorf("%v: repeats %s of %s", now, a.ID, st.class.Name)
 					}
 				}
-				st.attempts = append(st.attempts, sent{server: a.Server, at: now})
-			case Refuse:
+				st.attempts = append(st.attempts, sent{server: a.Endpoint, at: now})
+			case Reject:
 				st := open[a.ID]
 				if st == nil || st.over {
 					return fmt.Errorf("%v: second answer for %s", now, a.ID)
 				}
 				for _, b := range st.attempts {
-					if (b.ran || !b.done) && (st.class.Effect == Unsafe ||
-						st.class.Effect == Keyed && st.class.Scope != ScopeAll) {
+					if (b.ran || !b.done) && (st.class.Effect == NonIdempotent ||
+						st.class.Effect == IdempotentWithKey && st.class.DedupScope != ScopeAll) {
 						return fmt.Errorf("%v: refuses %s of %s, which may have run", now, a.ID, st.class.Name)
 					}
 				}
@@ -477,22 +477,22 @@
 					return fmt.Errorf("%v: second answer for %s", now, a.ID)
 				}
 				st.over = true
-			case Cancel:
-				if !s.Cancels || a.Attempt >= len(open[a.ID].attempts) {
+			case CancelAttempt:
+				if !s.CanCancel || a.Attempt >= len(open[a.ID].attempts) {
 					return fmt.Errorf("%v: cancels attempt %d of %s", now, a.Attempt, a.ID)
 				}
-			case Tell:
-				if !s.PeerMessages || len(a.Data) > 256 {
+			case SendGossip:
+				if !s.Gossip || len(a.Data) > 256 {
 					return fmt.Errorf("%v: tells %q", now, a.Data)
 				}
-			case Wake:
+			case SetTimer:
 				timers = append(timers, a)
 			}
 		}
 		return nil
 	}
 	handle := func(e Event) error { return apply(d.Handle(now, e, nil)) }
-	if err := handle(Members{Kind: StaleList, Entries: list}); err != nil {
+	if err := handle(EndpointUpdate{Kind: StaleList, Endpoints: list}); err != nil {
 		return err
 	}
 	end := func(id string, i int, status Status) error {
@@ -502,20 +502,20 @@
 			return nil
 		}
 		b.done = true
-		b.ran = status != TurnedAway && status != NotConnected && status != NotSent && status != Miss
+		b.ran = status != Rejected && status != ConnectFailed && status != NotSent && status != Miss
 		if status == OK && !st.over {
 			st.over = true
 		}
-		return handle(Outcome{ID: id, Attempt: i, Server: b.server, Status: status, Note: Note(rng.IntN(11)),
-			Final: st.over, Latency: now - b.at, Load: []float64{2 * rng.Float64(), math.NaN(), -1}[:rng.IntN(4)]})
+		return handle(AttemptResult{ID: id, Attempt: i, Endpoint: b.server, Status: status, Reason: Reason(rng.IntN(11)),
+			Final: st.over, Latency: now - b.at, LoadReport: []float64{2 * rng.Float64(), math.NaN(), -1}[:rng.IntN(4)]})
 	}
 	for n := range 3000 {
 		now += time.Duration(rng.IntN(20)) * ms
-		slices.SortStableFunc(timers, func(a, b Wake) int { return int(a.At - b.At) })
+		slices.SortStableFunc(timers, func(a, b SetTimer) int { return int(a.At - b.At) })
 		for len(timers) > 0 && timers[0].At <= now {
 			w := timers[0]
 			timers = timers[1:]
-			if err := handle(Timer{Token: w.Token}); err != nil {
+			if err := handle(TimerFired{Token: w.Token}); err != nil {
 				return err
 			}
 		}
@@ -539,7 +539,7 @@
 			c := s.Classes[rng.IntN(len(s.Classes)-1)] // all but the streamed one
 			id := fmt.Sprint("q", n)
 			ids = append(ids, id)
-			q := Request{ID: id, Class: c.Name, Object: fmt.Sprint("o", rng.IntN(40)), Group: 1, Write: c.NeverKept,
+			q := Request{ID: id, Class: c.Name, Object: fmt.Sprint("o", rng.IntN(40)), Group: 1, Write: c.Uncacheable,
 				SizeKB: float64(rng.IntN(3000)), Deadline: now + time.Duration(1+rng.IntN(int(c.Deadline/ms)))*ms}
 			open[id] = &state{q: q, class: c, most: s.MaxAttempts}
 			err = handle(q)
@@ -552,39 +552,39 @@
 			i := rng.IntN(len(list))
 			list[i].Phase = Phase(rng.IntN(3))
 			if list[i].Phase == Up && rng.IntN(2) == 0 {
-				list[i].Boot = now
+				list[i].Incarnation = now
 			}
-			boot[list[i].ID] = list[i].Boot
+			boot[list[i].ID] = list[i].Incarnation
 			down[list[i].ID] = list[i].Phase != Up
-			kind := Changes
+			kind := DeltaList
 			if rng.IntN(3) == 0 {
 				kind = FullList
 			}
-			err = handle(Members{Kind: kind, Entries: list})
+			err = handle(EndpointUpdate{Kind: kind, Endpoints: list})
 		case k < 17:
-			err = handle(Members{Kind: ListLost})
+			err = handle(EndpointUpdate{Kind: WatchLost})
 		case k < 18:
-			err = handle(Peer{From: rng.IntN(4), Data: fmt.Sprintf("w1|%d|c%d|%d,a;", rng.IntN(3), rng.IntN(5), n)})
+			err = handle(GossipReceived{From: rng.IntN(4), Data: fmt.Sprintf("w1|%d|c%d|%d,a;", rng.IntN(3), rng.IntN(5), n)})
 		case k < 19 && rng.IntN(10) == 0:
 			purged = now
 			err = handle(Purge{Group: 1})
 		case k < 19 && rng.IntN(10) == 0: // other rules for some classes, and another number of attempts
 			s.Classes = slices.Clone(s.Classes)
 			c := &s.Classes[rng.IntN(len(s.Classes)-1)]
-			c.Effect, c.Scope, c.Window = Effect(rng.IntN(3)), Scope(rng.IntN(3)), time.Duration(1+rng.IntN(2000))*ms
+			c.Effect, c.DedupScope, c.DedupWindow = Effect(rng.IntN(3)), DedupScope(rng.IntN(3)), time.Duration(1+rng.IntN(2000))*ms
 			s.MaxAttempts = 1 + rng.IntN(8)
 			err = handle(Reconfigured{Classes: s.Classes, MaxAttempts: s.MaxAttempts})
 		case k < 19 && rng.IntN(10) == 0:
 			paused = now + time.Duration(rng.IntN(4000))*ms
-			err = handle(PauseCold{Until: paused})
+			err = handle(PauseSlowStart{Until: paused})
 		case len(ids) > 0:
 			id := pick()
 			if !open[id].over {
 				open[id].over = true
-				err = handle(Gone{ID: id})
+				err = handle(ClientGone{ID: id})
 			}
 			if err == nil { // outcomes and departures that it no longer knows are passed over
-				err = handle(Outcome{ID: "nobody", Status: OK})
+				err = handle(AttemptResult{ID: "nobody", Status: OK})
 			}
 		}
 		if err != nil {
@@ -606,15 +606,15 @@
 func TestNothingGoesToColdServersDuringAPause(t *testing.T) {
 	r := newRig(t, nil)
 	for i := range 400 { // what warm caches carry
-		r.serve("film", fmt.Sprint("a", i), NoteHit)
+		r.serve("film", fmt.Sprint("a", i), ReasonHit)
 	}
 	l := members()
-	l[0].Boot = r.now
-	r.do(Members{Kind: Changes, Entries: l[:1]})
-	r.do(PauseCold{Until: r.now + 2*time.Second})
+	l[0].Incarnation = r.now
+	r.do(EndpointUpdate{Kind: DeltaList, Endpoints: l[:1]})
+	r.do(PauseSlowStart{Until: r.now + 2*time.Second})
 	until, cold := r.now+2*time.Second, 0
 	for i := 0; r.now < until+3*time.Second; i++ {
-		if r.serve("film", fmt.Sprint("b", i), NoteHit).Server != "c1" {
+		if r.serve("film", fmt.Sprint("b", i), ReasonHit).Endpoint != "c1" {
 			continue
 		}
 		if cold++; r.now < until {
@@ -638,14 +638,14 @@
 	r := newRig(t, nil)
 	r.kb = kb
 	for i := range 400 { // what warm caches carry
-		r.serve("film", fmt.Sprint("a", i), NoteHit)
+		r.serve("film", fmt.Sprint("a", i), ReasonHit)
 	}
 	l := members()
-	l[0].Boot = r.now
-	r.do(Members{Kind: Changes, Entries: l[:1]})
+	l[0].Incarnation = r.now
+	r.do(EndpointUpdate{Kind: DeltaList, Endpoints: l[:1]})
 	warm, cold := 0, 0
 	for i := range 60 { // three seconds
-		switch r.serve("film", fmt.Sprint("b", i), NoteHit).Server {
+		switch r.serve("film", fmt.Sprint("b", i), ReasonHit).Endpoint {
 		case "c1":
 			cold++
 		default:
@@ -667,7 +667,7 @@
 		if a == nil {
 			t.Fatal("refused")
 		}
-		r.after(900 * ms).do(Outcome{ID: id, Server: a.Server, Status: OK, Note: NoteHit, Final: true, Latency: 900 * ms})
+		r.after(900 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 900 * ms})
 	}
 	for _, s := range r.d.servers { // the first answer alone could not be known to be large
 		if s.held.Cut > time.Hour+900*ms {
@@ -678,7 +678,7 @@
 
 // hold makes a director hold n hits at the cache that lists the object, whose learnt limit is n.
 func hold(r *rig, object string, n int) string {
-	home := r.serve("film", object, NoteHit).Server
+	home := r.serve("film", object, ReasonHit).Endpoint
 	s := r.d.servers[home]
 	s.held.Most = float64(n)
 	for s.held.Out < n {
@@ -692,7 +692,7 @@
 	r := newRig(t, nil)
 	home := hold(r, "hot", 5)
 	for range 5 {
-		if _, a := r.ask("film", "hot"); a == nil || a.Server == home {
+		if _, a := r.ask("film", "hot"); a == nil || a.Endpoint == home {
 			t.Fatalf("hot object: %+v, overcommitted is %s", a, home)
 		}
 	}
@@ -732,7 +732,7 @@
 	for _, s := range r.d.inUse[cache] {
 		r.d.failed(s, true)
 	}
-	if _, a := r.ask("film", "f"); a == nil || r.d.servers[a.Server].role != cache {
+	if _, a := r.ask("film", "f"); a == nil || r.d.servers[a.Endpoint].role != cache {
 		t.Errorf("all caches ejected: %+v", a)
 	}
 }
@@ -748,8 +748,8 @@
 	}{{100 * ms, 60 * ms, pair[0]}, {100 * ms, 40 * ms, pair[1]}, {40 * ms, 100 * ms, pair[0]}} {
 		pair[0].quick, pair[1].quick = c.first, c.second
 		pair[0].quickAt, pair[1].quickAt = r.now, r.now
-		if _, a := r.ask("film", "f"); a.Source != c.want.id {
-			t.Errorf("%v and %v: source %s, want %s", c.first, c.second, a.Source, c.want.id)
+		if _, a := r.ask("film", "f"); a.FillSource != c.want.id {
+			t.Errorf("%v and %v: source %s, want %s", c.first, c.second, a.FillSource, c.want.id)
 		}
 	}
 }
@@ -757,15 +757,15 @@
 // A listing on a cache that restarted is void.
 func TestRestartVoidsListings(t *testing.T) {
 	r := newRig(t, nil)
-	home := r.serve("film", "f", NoteHit).Server
+	home := r.serve("film", "f", ReasonHit).Endpoint
 	e := r.d.table[mix(hash("f"))]
 	l := members()
 	for i := range l {
 		if l[i].ID == home {
-			l[i].Boot = r.now - time.Second
+			l[i].Incarnation = r.now - time.Second
 		}
 	}
-	r.do(Members{Kind: Changes, Entries: l})
+	r.do(EndpointUpdate{Kind: DeltaList, Endpoints: l})
 	if e.likely(r.d.servers[home]) || len(r.d.servers[home].list) != 0 {
 		t.Error("the restarted cache still lists the object")
 	}
@@ -775,19 +775,19 @@
 // Such answers cut the limits, and one of two directors refused a seventh of its requests while all was well.
 func TestLostAnswersCutNoLimit(t *testing.T) {
 	r := newRig(t, nil)
-	at := r.serve("page", "x", NoteFilled).Server
+	at := r.serve("page", "x", ReasonFilled).Endpoint
 	for i := range 20 {
 		id, a := r.ask("page", "x")
 		if a == nil {
 			t.Fatalf("request %d was refused", i)
 		}
-		if a.Server != at { // a detour
-			r.do(Outcome{ID: id, Server: a.Server, Status: OK, Final: true, Latency: ms})
+		if a.Endpoint != at { // a detour
+			r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Final: true, Latency: ms})
 			continue
 		}
-		r.after(ms).serve("page", "x", NoteHit)
+		r.after(ms).serve("page", "x", ReasonHit)
 		r.after(3 * time.Second)
-		r.do(Outcome{ID: id, Server: a.Server, Status: TimedOut, Final: true, Latency: 3050 * ms})
+		r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: TimedOut, Final: true, Latency: 3050 * ms})
 	}
 	for _, s := range r.d.servers {
 		if s.held.Cut > 0 {
@@ -803,17 +803,17 @@
 func TestASharedResetIsOneFailure(t *testing.T) {
 	for _, along := range []bool{true, false} {
 		r := newRig(t, nil)
-		at := r.serve("page", "x", NoteFilled).Server
+		at := r.serve("page", "x", ReasonFilled).Endpoint
 		var ids []string
 		for range 5 {
 			id, a := r.ask("page", "x")
-			if a == nil || a.Server != at {
+			if a == nil || a.Endpoint != at {
 				t.Fatalf("%+v", a)
 			}
 			ids = append(ids, id)
 		}
 		for i, id := range ids {
-			r.do(Outcome{ID: id, Server: at, Status: Reset, Along: along && i > 0, Latency: ms})
+			r.do(AttemptResult{ID: id, Endpoint: at, Status: Reset, CollateralReset: along && i > 0, Latency: ms})
 		}
 		if out := r.d.servers[at].ejected > 0; out == along {
 			t.Errorf("along %v: ejected %v", along, out)
@@ -825,29 +825,29 @@
 // ones carried while they did. That was first looked at when a cold one came, with none left to tell: the location
 // stayed shut.
 func TestSuccessorsOfAllCachesAreLetServe(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.PassBy = false })
+	r := newRig(t, func(s *Settings) { s.AllowBypass = false })
 	for i := range 400 {
-		r.serve("page", fmt.Sprint(i%40), NoteHit)
+		r.serve("page", fmt.Sprint(i%40), ReasonHit)
 	}
-	gone, fresh := members()[:4], []Member{}
+	gone, fresh := members()[:4], []Endpoint{}
 	for range 20 { // they die
 		id, a := r.after(10*ms).ask("page", "x")
 		if a != nil {
-			r.do(Outcome{ID: id, Server: a.Server, Status: NotConnected, Final: true, Latency: ms})
+			r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: ConnectFailed, Final: true, Latency: ms})
 		}
 	}
 	r.after(8 * time.Second)
 	for i := range gone {
 		gone[i].Phase = Removed
-		fresh = append(fresh, Member{ID: fmt.Sprint("n", i), Zone: "here", Kind: "box", Boot: r.now})
+		fresh = append(fresh, Endpoint{ID: fmt.Sprint("n", i), Zone: "here", Kind: "box", Incarnation: r.now})
 	}
-	r.do(Members{Kind: Changes, Entries: append(gone, fresh...)})
+	r.do(EndpointUpdate{Kind: DeltaList, Endpoints: append(gone, fresh...)})
 	sent := 0
 	for i := range 40 { // two seconds at the old pace
 		id, a := r.after(50*ms).ask("page", fmt.Sprint(i))
 		if a != nil {
 			sent++
-			r.do(Outcome{ID: id, Server: a.Server, Status: OK, Note: NoteFilled, Final: true, Latency: 40 * ms})
+			r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 40 * ms})
 		}
 	}
 	if sent < 15 {
@@ -858,28 +858,28 @@
 // Where answers don't tell why a fill failed, a cache that still serves hits is well and its source is not. The
 // cache was blamed: the dead parent stayed in use, and the next cache was asked with the same source.
 func TestAFailedFillIsTheSourcesWhereTheCacheIsWell(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.Tells = TellsHit })
+	r := newRig(t, func(s *Settings) { s.AnswerDetail = DetailHit })
 	dead := ""
 	for i := range 60 {
 		for j := range 20 { // all caches are well
-			r.serve("page", fmt.Sprint(j), NoteHit)
+			r.serve("page", fmt.Sprint(j), ReasonHit)
 		}
 		id, a := r.after(ms).ask("page", fmt.Sprint("new", i))
 		if a == nil {
 			t.Fatalf("request %d was refused", i)
 		}
 		if dead == "" {
-			dead = a.Source
+			dead = a.FillSource
 		}
-		if a.Source != dead {
-			r.do(Outcome{ID: id, Server: a.Server, Status: OK, Final: true, Latency: ms})
+		if a.FillSource != dead {
+			r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Final: true, Latency: ms})
 			continue
 		}
-		again := first[Ask](r.do(Outcome{ID: id, Server: a.Server, Status: ServerError, Latency: ms}))
-		if again == nil || again.Source == dead {
+		again := first[ForwardAttempt](r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: ServerError, Latency: ms}))
+		if again == nil || again.FillSource == dead {
 			t.Fatalf("request %d: asked again with %+v", i, again)
 		}
-		r.do(Outcome{ID: id, Attempt: 1, Server: again.Server, Status: OK, Final: true, Latency: ms})
+		r.do(AttemptResult{ID: id, Attempt: 1, Endpoint: again.Endpoint, Status: OK, Final: true, Latency: ms})
 	}
 	for _, s := range r.d.servers {
 		if out := s.ejected > 0; out != (s.id == dead) {
@@ -891,20 +891,20 @@
 // Ids come and go all day: what is gone is forgotten, and its outcomes still due do no harm.
 func TestStoresThatAreGoneAreForgotten(t *testing.T) {
 	r := newRig(t, nil)
-	r.serve("page", "x", NoteFilled)
+	r.serve("page", "x", ReasonFilled)
 	id, a := r.ask("page", "x")
 	for i := range 500 {
-		m := Member{ID: fmt.Sprint("s", i), Zone: "here", Kind: "box"}
-		r.do(Members{Kind: Changes, Entries: []Member{m}})
+		m := Endpoint{ID: fmt.Sprint("s", i), Zone: "here", Kind: "box"}
+		r.do(EndpointUpdate{Kind: DeltaList, Endpoints: []Endpoint{m}})
 		m.Phase = Removed
-		r.do(Members{Kind: Changes, Entries: []Member{m}})
+		r.do(EndpointUpdate{Kind: DeltaList, Endpoints: []Endpoint{m}})
 	}
 	gone := members()
 	for i := range gone {
 		gone[i].Phase = Removed
 	}
-	r.do(Members{Kind: Changes, Entries: gone})
-	r.do(Outcome{ID: id, Server: a.Server, Status: Reset, Latency: ms})
+	r.do(EndpointUpdate{Kind: DeltaList, Endpoints: gone})
+	r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Reset, Latency: ms})
 	if n := len(r.d.servers); n != 0 {
 		t.Errorf("%d servers are kept", n)
 	}
@@ -915,7 +915,7 @@
 func TestIllCachesCountInWhatIsCarried(t *testing.T) {
 	r := newRig(t, nil)
 	for i := range 200 {
-		r.serve("page", fmt.Sprint(i%40), NoteHit)
+		r.serve("page", fmt.Sprint(i%40), ReasonHit)
 	}
 	for _, id := range []string{"c1", "c2"} { // these have answered nothing lately
 		r.d.servers[id].rate = 0
@@ -936,10 +936,10 @@
 // A cache that drains before the list says so refuses everything at once, hits and fills. That is its own doing:
 // after three refusals it is left alone, and neither the sources nor the other caches lose anything by it.
 func TestARefusalAtOnceIsTheCachesOwn(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.Tells = TellsHit })
-	draining := r.serve("film", "hot0", NoteFilled).Server
+	r := newRig(t, func(s *Settings) { s.AnswerDetail = DetailHit })
+	draining := r.serve("film", "hot0", ReasonFilled).Endpoint
 	for i := range 60 { // these have a home now, and fills have told how soon a source can answer
-		r.serve("film", fmt.Sprint("hot", i), NoteFilled)
+		r.serve("film", fmt.Sprint("hot", i), ReasonFilled)
 	}
 	refused := 0
 	for i := range 60 {
@@ -948,15 +948,15 @@
 			object = fmt.Sprint("new", i)
 		}
 		id, a := r.ask("film", object)
-		for n := 0; a != nil && a.Server == draining; n++ {
+		for n := 0; a != nil && a.Endpoint == draining; n++ {
 			refused++
-			a = first[Ask](r.do(Outcome{ID: id, Attempt: n, Server: a.Server, Status: TurnedAway}))
+			a = first[ForwardAttempt](r.do(AttemptResult{ID: id, Attempt: n, Endpoint: a.Endpoint, Status: Rejected}))
 		}
 		if a == nil {
 			t.Fatalf("request %d for %s was given up, with three caches and all sources well", i, object)
 		}
 		n := len(r.d.requests[id].attempts) - 1
-		r.after(40 * ms).do(Outcome{ID: id, Attempt: n, Server: a.Server, Status: OK, Note: NoteFilled, Final: true,
+		r.after(40 * ms).do(AttemptResult{ID: id, Attempt: n, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true,
 			Latency: 40 * ms})
 	}
 	for _, l := range r.d.inUse[parent:] {
@@ -982,15 +982,15 @@
 		if a == nil {
 			t.Fatalf("request %d was refused", i)
 		}
-		a = first[Ask](r.after(1200 * ms).do(Outcome{ID: id, Server: a.Server, Status: Reset, Along: true,
+		a = first[ForwardAttempt](r.after(1200 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Reset, CollateralReset: true,
 			Latency: 1200 * ms}))
 		if a == nil {
 			t.Fatalf("request %d was not sent again", i)
 		}
-		r.after(100 * ms).do(Outcome{ID: id, Attempt: 1, Server: a.Server, Status: OK, Note: NoteFilled, Final: true,
+		r.after(100 * ms).do(AttemptResult{ID: id, Attempt: 1, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true,
 			Latency: 100 * ms})
 		for k := range 10 { // further attempts are earned
-			r.serve("film", fmt.Sprint("y", i, k), NoteHit)
+			r.serve("film", fmt.Sprint("y", i, k), ReasonHit)
 		}
 	}
 	for _, s := range r.d.servers {
@@ -1009,21 +1009,21 @@
 		copies        int
 	}{{"lost", true, false, 1}, {"slow", false, false, 0}, {"limited", true, true, 0}} {
 		r := newRig(t, nil)
-		at := r.serve("page", "x", NoteFilled).Server
-		overtaken := func() (id string, a *Ask) { // an answer that later ones overtake
+		at := r.serve("page", "x", ReasonFilled).Endpoint
+		overtaken := func() (id string, a *ForwardAttempt) { // an answer that later ones overtake
 			for {
-				if id, a = r.ask("page", "x"); a.Server == at {
-					r.after(ms).serve("page", "x", NoteHit)
+				if id, a = r.ask("page", "x"); a.Endpoint == at {
+					r.after(ms).serve("page", "x", ReasonHit)
 					return id, a
 				}
-				r.do(Outcome{ID: id, Server: a.Server, Status: OK, Note: NoteHit, Final: true, Latency: ms}) // a detour
+				r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: ms}) // a detour
 			}
 		}
 		if c.lost {
 			id, a := overtaken()
 			r.after(3 * time.Second)
-			r.do(Outcome{ID: id, Server: a.Server, Status: TimedOut, Final: true, Latency: 3050 * ms})
-			r.serve("page", "x", NoteHit)
+			r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: TimedOut, Final: true, Latency: 3050 * ms})
+			r.serve("page", "x", ReasonHit)
 		}
 		if c.limited {
 			r.d.servers[at].held.Most = 50
@@ -1031,8 +1031,8 @@
 		id, _ := overtaken()
 		copies := 0
 		for range 5 {
-			for _, a := range r.after(100 * ms).do(Timer{Token: r.d.requests[id].token}) {
-				if _, ok := a.(Ask); ok {
+			for _, a := range r.after(100 * ms).do(TimerFired{Token: r.d.requests[id].token}) {
+				if _, ok := a.(ForwardAttempt); ok {
 					copies++
 				}
 			}
@@ -1040,8 +1040,8 @@
 		if copies != c.copies {
 			t.Errorf("%s: %d second copies, not %d", c.name, copies, c.copies)
 		}
-		if out := r.do(Outcome{ID: id, Attempt: copies, Server: at, Status: OK, Final: true}); copies == 1 &&
-			first[Cancel](out) == nil {
+		if out := r.do(AttemptResult{ID: id, Attempt: copies, Endpoint: at, Status: OK, Final: true}); copies == 1 &&
+			first[CancelAttempt](out) == nil {
 			t.Errorf("%s: the first attempt is still waited for: %v", c.name, out)
 		}
 	}
@@ -1050,18 +1050,18 @@
 // A request that every store answers with an error is at fault itself: it is given up after a few attempts, which
 // cost no store its good name, and leaves further attempts to others.
 func TestARequestThatNoStoreCanUse(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.Tells = TellsHit })
+	r := newRig(t, func(s *Settings) { s.AnswerDetail = DetailHit })
 	for i := range 20 {
 		id, a := r.ask("film", fmt.Sprint("bad", i))
 		n := 0
 		for ; a != nil; n++ {
-			a = first[Ask](r.do(Outcome{ID: id, Attempt: n, Server: a.Server, Status: ServerError}))
+			a = first[ForwardAttempt](r.do(AttemptResult{ID: id, Attempt: n, Endpoint: a.Endpoint, Status: ServerError}))
 		}
 		if n < 2 || n > 3 || r.d.requests[id] != nil {
 			t.Fatalf("request %d: %d attempts, open: %v", i, n, r.d.requests[id] != nil)
 		}
 		for k := range 30 {
-			r.serve("film", fmt.Sprint("good", i, k), NoteHit)
+			r.serve("film", fmt.Sprint("good", i, k), ReasonHit)
 		}
 	}
 	for _, s := range r.d.servers {
@@ -1075,11 +1075,11 @@
 		}
 		id, a := r.ask("film", fmt.Sprint("new", i))
 		n := 0
-		for ; a.Server == "c1"; n++ {
+		for ; a.Endpoint == "c1"; n++ {
 			r.d.servers["c1"].lastOK = 0
-			a = first[Ask](r.do(Outcome{ID: id, Attempt: n, Server: a.Server, Status: ServerError}))
+			a = first[ForwardAttempt](r.do(AttemptResult{ID: id, Attempt: n, Endpoint: a.Endpoint, Status: ServerError}))
 		}
-		r.after(20 * ms).do(Outcome{ID: id, Attempt: n, Server: a.Server, Status: OK, Note: NoteFilled, Final: true,
+		r.after(20 * ms).do(AttemptResult{ID: id, Attempt: n, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true,
 			Latency: 20 * ms})
 	}
 }
@@ -1096,7 +1096,7 @@
 				if a == nil {
 					return
 				}
-				r.after(latency).do(Outcome{ID: id, Server: a.Server, Status: OK, Note: NoteHit, Final: true, Latency: latency, SizeKB: kb})
+				r.after(latency).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: latency, SizeKB: kb})
 			}
 			for i := range 60 {
 				one(fmt.Sprint("small", i), 25*ms, 100)
@@ -1118,9 +1118,9 @@
 // zone+vast: one of three parents failed all its fills. Its errors took the further attempts of all requests, so that no
 // second one came to show who was at fault, and 80 gateways went on asking it for eleven seconds: 2,500 errors.
 func TestAFailingParentIsLeftThoughNoFurtherAttemptIsToHand(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.Tells = TellsHit })
-	more := Member{ID: "p3", Zone: "hub", Kind: "parent", Cell: 4}
-	r.do(Members{Kind: Changes, Entries: []Member{more}})
+	r := newRig(t, func(s *Settings) { s.AnswerDetail = DetailHit })
+	more := Endpoint{ID: "p3", Zone: "hub", Kind: "parent", Cell: 4}
+	r.do(EndpointUpdate{Kind: DeltaList, Endpoints: []Endpoint{more}})
 	r.d.spare = 0
 	errors := 0
 	for i := range 200 {
@@ -1129,10 +1129,10 @@
 			continue
 		}
 		r.d.spare = 0 // what others left
-		o := Outcome{ID: id, Server: a.Server, Status: OK, Note: NoteFilled, Final: true, Latency: 60 * ms}
-		if a.Source == "p1" {
+		o := AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 60 * ms}
+		if a.FillSource == "p1" {
 			errors++
-			o = Outcome{ID: id, Server: a.Server, Status: ServerError, Latency: 10 * ms}
+			o = AttemptResult{ID: id, Endpoint: a.Endpoint, Status: ServerError, Latency: 10 * ms}
 		}
 		r.after(20 * ms).do(o)
 	}
@@ -1155,15 +1155,15 @@
 	}{{300 * ms, true}, {690 * ms, true}, {698 * ms, false}, {time.Second, false}} {
 		r := newRig(t, nil)
 		id, a := r.ask("send", "x")
-		if _, ok := r.d.Recheck(r.now+2*time.Second, id, 0); !ok {
+		if _, ok := r.d.RecheckAttempt(r.now+2*time.Second, id, 0); !ok {
 			t.Error("a first attempt has no window")
 		}
 		r.d.now = r.now
-		out := r.after(300 * ms).do(Outcome{ID: id, Server: a.Server, Status: Reset, Latency: 300 * ms})
-		if first[Ask](out) == nil {
+		out := r.after(300 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Reset, Latency: 300 * ms})
+		if first[ForwardAttempt](out) == nil {
 			t.Fatalf("it is not repeated: %v", out)
 		}
-		if _, ok := r.d.Recheck(r.now+c.gap, id, 1); ok != c.want {
+		if _, ok := r.d.RecheckAttempt(r.now+c.gap, id, 1); ok != c.want {
 			t.Errorf("%v after the first attempt: %v", 300*ms+c.gap, ok)
 		}
 	}
@@ -1173,36 +1173,36 @@
 // must not, and is not refused where a repeat would do harm.
 func TestEachEffectInEachKindOfClass(t *testing.T) {
 	for _, kept := range []bool{true, false} {
-		for _, effect := range []Effect{Safe, Keyed, Unsafe} {
-			for _, scope := range []Scope{ScopeAll, ScopeZone, ScopeCell} {
+		for _, effect := range []Effect{Idempotent, IdempotentWithKey, NonIdempotent} {
+			for _, scope := range []DedupScope{ScopeAll, ScopeZone, ScopeCell} {
 				for _, late := range []bool{false, true} { // the window has passed
 					r := newRig(t, func(s *Settings) {
-						s.Classes = []Class{{Name: "k", Aim: 300 * ms, Deadline: 3 * time.Second, Effect: effect, Scope: scope,
-							Window: 400 * ms, NeverKept: !kept}}
+						s.Classes = []Class{{Name: "k", LatencyObjective: 300 * ms, Deadline: 3 * time.Second, Effect: effect, DedupScope: scope,
+							DedupWindow: 400 * ms, Uncacheable: !kept}}
 					})
 					id, a := r.ask("k", "x")
 					if a == nil {
 						t.Fatal("no attempt")
 					}
-					from := r.d.servers[a.Server]
+					from := r.d.servers[a.Endpoint]
 					gap := 100 * ms
 					if late {
 						gap = 500 * ms
 					}
-					out := r.after(gap).do(Outcome{ID: id, Server: a.Server, Status: Reset, Latency: gap})
-					again, refused, failed := first[Ask](out), first[Refuse](out), first[Fail](out)
+					out := r.after(gap).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Reset, Latency: gap})
+					again, refused, failed := first[ForwardAttempt](out), first[Reject](out), first[Fail](out)
 					what := fmt.Sprintf("kept %v, effect %v, scope %v, late %v: %v", kept, effect, scope, late, out)
 					if again != nil {
-						to := r.d.servers[again.Server]
-						if effect == Unsafe || effect == Keyed && (late || scope == ScopeZone && to.zone != from.zone ||
+						to := r.d.servers[again.Endpoint]
+						if effect == NonIdempotent || effect == IdempotentWithKey && (late || scope == ScopeZone && to.zone != from.zone ||
 							scope == ScopeCell && to.cell != from.cell) {
 							t.Error(what)
 						}
 					}
-					if refused != nil && (effect == Unsafe || effect == Keyed && scope != ScopeAll) {
+					if refused != nil && (effect == NonIdempotent || effect == IdempotentWithKey && scope != ScopeAll) {
 						t.Error(what)
 					}
-					if again == nil && refused == nil && failed == nil || effect == Unsafe && failed == nil {
+					if again == nil && refused == nil && failed == nil || effect == NonIdempotent && failed == nil {
 						t.Error(what)
 					}
 				}
--- a/routing/state.go
+++ b/routing/state.go
@@ -90,7 +90,7 @@
 }
 
 // placed takes in what a list says of a server.
-func (s *server) placed(set *Settings, e Member) {
+func (s *server) placed(set *Settings, e Endpoint) {
 	s.id, s.hash, s.role = e.ID, hash(e.ID), cache
 	if k := slices.Index(set.Kinds, e.Kind); k >= 0 && k == set.ParentKind {
 		s.role = parent
--- a/routing/table.go
+++ b/routing/table.go
@@ -41,10 +41,10 @@
 
 // place is this director's among those that send to a server; drawn by itself where it is not told.
 func (d *Director) place(s *server) float64 {
-	if d.among(s.role) <= 0 || d.set.Numberless {
+	if d.among(s.role) <= 0 || d.set.IndexUnknown {
 		return slowstart.Place(0, d.own^s.hash)
 	}
-	return slowstart.Place(d.set.Me, s.hash)
+	return slowstart.Place(d.set.Index, s.hash)
 }
 
 // recent is the work a second that a server has done for us lately. Only what it answered counts: what was
@@ -62,8 +62,8 @@
 // weigh finds a request's sending time: by its size, or where that isn't told by a guess, which answers correct.
 func (d *Director) weigh(r *request) {
 	c := r.class
-	if r.work = d.set.Sending(r.SizeKB); r.SizeKB <= 0 {
-		if r.work = max(c.work, time.Duration(workGuess*float64(c.Aim))); r.entry != nil && r.entry.work > 0 {
+	if r.work = d.set.TransferTime(r.SizeKB); r.SizeKB <= 0 {
+		if r.work = max(c.work, time.Duration(workGuess*float64(c.LatencyObjective))); r.entry != nil && r.entry.work > 0 {
 			r.work = r.entry.work
 		}
 	}
@@ -78,7 +78,7 @@
 // sized takes in what a request's answer weighed. Until then its sending time was a guess, from what others of its class or
 // object took: large answers looked late.
 func (d *Director) sized(r *request, sizeKB float64) {
-	r.SizeKB, r.work = sizeKB, d.set.Sending(sizeKB)
+	r.SizeKB, r.work = sizeKB, d.set.TransferTime(sizeKB)
 	if r.entry != nil {
 		r.entry.work = r.work
 	}
--- a/routing/world_test.go
+++ b/routing/world_test.go
@@ -43,10 +43,10 @@
 	work  time.Duration
 }
 
-func newSmall(t *testing.T, tells Tells, change func(*Settings)) *small {
+func newSmall(t *testing.T, tells AnswerDetail, change func(*Settings)) *small {
 	t.Helper()
 	set := settings()
-	set.Tells, set.LoadFields, set.SecondCopies = tells, []string{"cpu_share"}, false
+	set.AnswerDetail, set.LoadReportFields, set.HedgedRequests = tells, []string{"cpu_share"}, false
 	if change != nil {
 		change(&set)
 	}
@@ -62,7 +62,7 @@
 	for _, m := range members() {
 		w.held[m.ID], w.load[m.ID] = map[string]time.Duration{}, 0.4
 	}
-	w.do(Members{Kind: StaleList, Entries: members()})
+	w.do(EndpointUpdate{Kind: StaleList, Endpoints: members()})
 	return w
 }
 
@@ -90,11 +90,11 @@
 	}
 	w.n++
 	id, kb := fmt.Sprint("r", w.n), 400+800*w.rng.Float64()
-	r := &smallReq{class: c, came: w.clock.Now, work: w.set.Sending(kb)}
+	r := &smallReq{class: c, came: w.clock.Now, work: w.set.TransferTime(kb)}
 	w.reqs[id] = r
 	key := object
 	for _, s := range []string{"c1", "c2", "c3", "c4"} {
-		if at, ok := w.held[s][key]; ok && !c.NeverKept && (c.Fresh == 0 || w.clock.Now-at < c.Fresh) {
+		if at, ok := w.held[s][key]; ok && !c.Uncacheable && (c.FreshFor == 0 || w.clock.Now-at < c.FreshFor) {
 			r.held = true
 		}
 	}
@@ -104,7 +104,7 @@
 			w.hits++
 		}
 	}
-	w.do(Request{ID: id, Class: c.Name, Object: object, SizeKB: kb, Deadline: w.clock.Now + c.Deadline, Write: c.NeverKept})
+	w.do(Request{ID: id, Class: c.Name, Object: object, SizeKB: kb, Deadline: w.clock.Now + c.Deadline, Write: c.Uncacheable})
 }
 
 func (w *small) counted(r *smallReq) bool { return r.came >= w.from && r.came < w.to }
@@ -116,13 +116,13 @@
 	}
 	for _, a := range w.d.Handle(w.clock.Now, e, nil) {
 		switch a := a.(type) {
-		case Ask:
+		case ForwardAttempt:
 			w.ask(a, object)
-		case Wake:
-			w.clock.At(a.At, func() { w.do(Timer{Token: a.Token}) })
-		case Cancel:
-			w.end(a.ID, a.Attempt, Outcome{Status: Cancelled})
-		case Refuse:
+		case SetTimer:
+			w.clock.At(a.At, func() { w.do(TimerFired{Token: a.Token}) })
+		case CancelAttempt:
+			w.end(a.ID, a.Attempt, AttemptResult{Status: Canceled})
+		case Reject:
 			w.refused = append(w.refused, w.clock.Now-time.Hour)
 			w.reqs[a.ID].over = true
 		case Fail:
@@ -132,58 +132,58 @@
 }
 
 // ask works an attempt out: when it ends, and how.
-func (w *small) ask(a Ask, object string) {
+func (w *small) ask(a ForwardAttempt, object string) {
 	r, now := w.reqs[a.ID], w.clock.Now
 	if object == "" { // a further attempt
 		object = w.d.requests[a.ID].Object
 	}
 	number := len(r.sent)
 	r.sent = append(r.sent, true)
-	w.attempts[a.Server]++
-	ended := func(after time.Duration, o Outcome) {
+	w.attempts[a.Endpoint]++
+	ended := func(after time.Duration, o AttemptResult) {
 		w.clock.At(now+after, func() { w.end(a.ID, number, o) })
 	}
-	w.clock.At(now+a.Timeout, func() { w.end(a.ID, number, Outcome{Status: TimedOut}) })
-	if w.dead[a.Server] {
+	w.clock.At(now+a.Timeout, func() { w.end(a.ID, number, AttemptResult{Status: TimedOut}) })
+	if w.dead[a.Endpoint] {
 		return
 	}
 	took := time.Duration(float64(r.work) * (0.9 + 0.2*w.rng.Float64()))
-	if w.load[a.Server] > 0.95 {
+	if w.load[a.Endpoint] > 0.95 {
 		took *= 4
 	}
-	at, ok := w.held[a.Server][object]
-	fresh := ok && (r.class.Fresh == 0 || now-at < r.class.Fresh) && (a.MaxAge == 0 || now-at < a.MaxAge)
-	o := Outcome{Status: OK, Load: []float64{w.load[a.Server] * (0.9 + 0.2*w.rng.Float64())}}
+	at, ok := w.held[a.Endpoint][object]
+	fresh := ok && (r.class.FreshFor == 0 || now-at < r.class.FreshFor) && (a.MaxAge == 0 || now-at < a.MaxAge)
+	o := AttemptResult{Status: OK, LoadReport: []float64{w.load[a.Endpoint] * (0.9 + 0.2*w.rng.Float64())}}
 	switch {
 	case fresh:
-		o.Note = NoteHit
-	case a.Source == a.Server && a.Server != "o":
+		o.Reason = ReasonHit
+	case a.FillSource == a.Endpoint && a.Endpoint != "o":
 		o.Status, took = Miss, ms
-	case w.dead[a.Source]: // it is given up after the fill's own time-out
-		o.Status, took = TurnedAway, 830*ms
+	case w.dead[a.FillSource]: // it is given up after the fill's own time-out
+		o.Status, took = Rejected, 830*ms
 	default:
-		o.Note = NoteFilled
-		pat, has := w.held[a.Source][object]
-		if has = has && a.Source != "o" && (r.class.Fresh == 0 || now-pat < r.class.Fresh) && (a.MaxAge == 0 || now-pat < a.MaxAge); !has {
-			if a.OnlyHeld {
+		o.Reason = ReasonFilled
+		pat, has := w.held[a.FillSource][object]
+		if has = has && a.FillSource != "o" && (r.class.FreshFor == 0 || now-pat < r.class.FreshFor) && (a.MaxAge == 0 || now-pat < a.MaxAge); !has {
+			if a.OnlyIfCached {
 				o.Status, took = Miss, 10*ms
 				break
 			}
 			w.busy = max(w.busy, now) + w.origin // one worker, no end of waiting room
 			took += w.busy - now
 			pat = now
-			w.held[a.Source][object] = pat
+			w.held[a.FillSource][object] = pat
 		}
 		took += 10 * ms
-		w.clock.At(now+took, func() { w.held[a.Server][object] = pat })
+		w.clock.At(now+took, func() { w.held[a.Endpoint][object] = pat })
 	}
-	if w.set.Tells == TellsNothing {
-		o.Note = NoNote
+	if w.set.AnswerDetail == DetailNone {
+		o.Reason = ReasonNone
 	}
 	ended(took, o)
 }
 
-func (w *small) end(id string, number int, o Outcome) {
+func (w *small) end(id string, number int, o AttemptResult) {
 	r := w.reqs[id]
 	if !r.sent[number] {
 		return
@@ -192,7 +192,7 @@
 	o.ID, o.Attempt, o.Latency = id, number, w.clock.Now-r.came
 	if o.Final = r.over; o.Status == OK && !r.over {
 		o.Final, r.over = true, true
-		aim := r.class.Aim + time.Duration(r.class.AimStretch*float64(r.work))
+		aim := r.class.LatencyObjective + time.Duration(r.class.ObjectiveStretch*float64(r.work))
 		if w.counted(r) && w.clock.Now-r.came <= aim {
 			w.inAim[r.class.Name]++
 			if r.held {
@@ -210,7 +210,7 @@
 // One of two parents, and then both, are silent, and nothing tells hits from fills. What caches hold goes on being served, they keep
 // their limits, the dead are left, and with no parent the origin fills.
 func TestDeadParentsAreLeftWhereNothingIsTold(t *testing.T) {
-	for _, tells := range []Tells{TellsNothing, TellsHit} {
+	for _, tells := range []AnswerDetail{DetailNone, DetailHit} {
 		for _, dead := range [][]string{{"p1"}, {"p1", "p2"}} {
 			w := newSmall(t, tells, nil)
 			w.at(10*time.Second, func() {
@@ -237,7 +237,7 @@
 // The origin slows down five times while caches hold most of what is asked: hits go on being served, writes are not starved
 // by fills, and two seconds after its recovery nothing is refused.
 func TestASlowOriginCostsFillsOnly(t *testing.T) {
-	for _, tells := range []Tells{TellsNothing, TellsHit} {
+	for _, tells := range []AnswerDetail{DetailNone, DetailHit} {
 		w := newSmall(t, tells, nil)
 		w.at(10*time.Second, func() { w.origin = 100 * ms })
 		w.at(25*time.Second, func() { w.origin = 20 * ms })
@@ -257,7 +257,7 @@
 
 // When many copies go at once, the fills that follow are counted before they are sent: no more are out than may be.
 func TestPurgedCopiesCountAsFills(t *testing.T) {
-	w := newSmall(t, TellsNothing, nil)
+	w := newSmall(t, DetailNone, nil)
 	most := 0
 	w.at(10*time.Second, func() {
 		for _, h := range w.held {
@@ -281,26 +281,26 @@
 	rng := rand.New(rand.NewPCG(5, 6))
 	for n := range 40 {
 		r := newRig(t, func(s *Settings) {
-			s.Tells, s.Neighbours, s.PassBy, s.Joins = Tells(rng.IntN(3)), Neighbours(rng.IntN(3)), rng.IntN(2) == 0, rng.IntN(2) == 0
-			s.SecondCopies, s.WeightsTold, s.Probes = rng.IntN(2) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
-			s.LoadFields = [][]string{nil, {"cpu_share"}, {"busy_reqs"}, {"x0", "x1"}}[rng.IntN(4)]
+			s.AnswerDetail, s.Siblings, s.AllowBypass, s.AllowCoalescing = AnswerDetail(rng.IntN(3)), SiblingMode(rng.IntN(3)), rng.IntN(2) == 0, rng.IntN(2) == 0
+			s.HedgedRequests, s.WeightsKnown, s.HealthChecks = rng.IntN(2) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
+			s.LoadReportFields = [][]string{nil, {"cpu_share"}, {"busy_reqs"}, {"x0", "x1"}}[rng.IntN(4)]
 			if rng.IntN(3) == 0 {
 				s.ParentKind = -1
 			}
 			if rng.IntN(3) == 0 {
-				s.ZonePeers = nil
+				s.ZoneDirectors = nil
 			}
 		})
 		for k := range 60 {
-			note := NoNote
-			if r.d.set.Tells != TellsNothing {
-				note = NoteHit
+			note := ReasonNone
+			if r.d.set.AnswerDetail != DetailNone {
+				note = ReasonHit
 			}
 			id, a := r.after(80*ms).ask([]string{"film", "page"}[k%2], fmt.Sprint("x", k%6))
 			if a == nil {
 				t.Fatalf("case %d: refused, with settings %+v", n, r.d.set)
 			}
-			r.after(20 * ms).do(Outcome{ID: id, Server: a.Server, Status: OK, Note: note, Final: true, Latency: 20 * ms, Load: []float64{0.1, 0.1}})
+			r.after(20 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: note, Final: true, Latency: 20 * ms, LoadReport: []float64{0.1, 0.1}})
 		}
 	}
 }
--- a/test/crossing_test.go
+++ b/test/crossing_test.go
@@ -775,10 +775,10 @@
 // purgeSink takes in what a journal tells; it lives on the loop.
 type purgeSink struct{ sets []int }
 
-func (*purgeSink) Members(routing.Members)     {}
-func (p *purgeSink) Purge(x routing.Purge)     { p.sets = append(p.sets, x.Group) }
-func (*purgeSink) Place(string, string, int64) {}
-func (*purgeSink) Remove(string)               {}
+func (*purgeSink) Members(routing.EndpointUpdate) {}
+func (p *purgeSink) Purge(x routing.Purge)        { p.sets = append(p.sets, x.Group) }
+func (*purgeSink) Place(string, string, int64)    {}
+func (*purgeSink) Remove(string)                  {}
 
 // SIGTERM and a request come in the same moment, to a program that stands still: the request may be read before or
 // after. It is answered, and the program ends with status 0.
--- a/warmstart/shared.go
+++ b/warmstart/shared.go
@@ -32,14 +32,14 @@
 	node  *replication.Node
 	zone  string
 	most  int
-	up    map[string]routing.Member // stores that the list had in use, when it was last looked at
-	voice map[string]bool           // stores of which something was said
-	heard map[string]time.Duration  // purges that neighbours told of, as the director has them
+	up    map[string]routing.Endpoint // stores that the list had in use, when it was last looked at
+	voice map[string]bool             // stores of which something was said
+	heard map[string]time.Duration    // purges that neighbours told of, as the director has them
 }
 
 // NewSharer returns a sharer for a gateway of a zone, that tells of so many listings at most.
 func NewSharer(node *replication.Node, zone string, most int) *Sharer {
-	return &Sharer{node: node, zone: zone, most: most, up: map[string]routing.Member{}, voice: map[string]bool{}, heard: map[string]time.Duration{}}
+	return &Sharer{node: node, zone: zone, most: most, up: map[string]routing.Endpoint{}, voice: map[string]bool{}, heard: map[string]time.Duration{}}
 }
 
 // bootMs tells starts apart at all gateways alike, whose clocks give one to a few microseconds.
@@ -47,7 +47,7 @@
 
 // Tell says what is news of what a director has learned and of the list: what is a matter of safety first, then what speaks against
 // stores, then listings, the most used first, until the copy takes no more. Now is the copy's clock; m.At the director's.
-func (s *Sharer) Tell(now time.Duration, m routing.Memory, list map[string]routing.Member) {
+func (s *Sharer) Tell(now time.Duration, m routing.LearnedState, list map[string]routing.Endpoint) {
 	seen := func(at time.Duration) time.Duration { return now - max(0, m.At-at) }
 	say := func(k replication.Kind, key string, value []byte, at time.Duration) bool {
 		if !s.node.Say(now, k, key, value, at) {
@@ -72,25 +72,25 @@
 	for id, e := range list {
 		if e.Phase == routing.Up {
 			if s.up[id] = e; s.node.Said(replication.Drain, id) {
-				say(replication.Drain, id, replication.Encode(replication.Notice{BootMs: bootMs(e.Boot), Up: true}), now)
+				say(replication.Drain, id, replication.Encode(replication.Notice{BootMs: bootMs(e.Incarnation), Up: true}), now)
 			}
 		}
 	}
 	for id, was := range s.up {
 		if e, ok := list[id]; !ok || e.Phase != routing.Up {
-			say(replication.Drain, id, replication.Encode(replication.Notice{BootMs: bootMs(was.Boot)}), now)
+			say(replication.Drain, id, replication.Encode(replication.Notice{BootMs: bootMs(was.Incarnation)}), now)
 			delete(s.up, id)
 		}
 	}
-	for _, h := range m.Servers {
+	for _, h := range m.Endpoints {
 		e := evidence(h, m.At)
 		switch bad := e.Bad(); {
-		case bad && h.Seen > 0 && m.At-h.Seen < HalfFailing:
-			s.voice[h.Server] = true
-			say(replication.Health, h.Server, replication.Encode(e), seen(h.Seen))
-		case !bad && s.voice[h.Server]: // it is well again: that is said once
-			if delete(s.voice, h.Server); s.node.Said(replication.Health, h.Server) {
-				say(replication.Health, h.Server, replication.Encode(replication.Evidence{BootMs: e.BootMs}), now)
+		case bad && h.LastAnswer > 0 && m.At-h.LastAnswer < HalfFailing:
+			s.voice[h.Endpoint] = true
+			say(replication.Health, h.Endpoint, replication.Encode(e), seen(h.LastAnswer))
+		case !bad && s.voice[h.Endpoint]: // it is well again: that is said once
+			if delete(s.voice, h.Endpoint); s.node.Said(replication.Health, h.Endpoint) {
+				say(replication.Health, h.Endpoint, replication.Encode(replication.Evidence{BootMs: e.BootMs}), now)
 			}
 		}
 	}
@@ -100,25 +100,25 @@
 	})
 	for _, l := range hot[:min(s.most, len(hot))] {
 		key := s.key(l.Key)
-		if by, at, ok := s.node.Listed(now, key); ok && by == l.Server && now-at < sameListing {
+		if by, at, ok := s.node.Listed(now, key); ok && by == l.Endpoint && now-at < sameListing {
 			continue
 		}
-		p := replication.Place{Server: l.Server, BootMs: bootMs(l.Boot), Count: math.Round(l.Count), GapMs: l.Gap.Milliseconds(), WorkMs: l.Work.Milliseconds()}
-		if !say(replication.Listing, key, replication.Encode(p), seen(l.Last)) && s.node.Full() {
+		p := replication.Place{Server: l.Endpoint, BootMs: bootMs(l.Incarnation), Count: math.Round(l.Count), GapMs: l.MeanGap.Milliseconds(), WorkMs: l.TransferTime.Milliseconds()}
+		if !say(replication.Listing, key, replication.Encode(p), seen(l.LastRequest)) && s.node.Full() {
 			return
 		}
 	}
 }
 
 // evidence words what is known of a store, coarsely: what hardly changes is not said again.
-func evidence(h routing.Health, at time.Duration) replication.Evidence {
+func evidence(h routing.EndpointHealth, at time.Duration) replication.Evidence {
 	tenth := func(x float64) float64 { return math.Round(min(1, max(0, x))*10) / 10 }
-	e := replication.Evidence{BootMs: bootMs(h.Boot), Failing: tenth(h.Failing), Late: tenth(h.Late)}
-	if h.Ejected > at {
-		e.OutMs = min(time.Minute, (h.Ejected-at).Round(5*time.Second)+5*time.Second).Milliseconds()
+	e := replication.Evidence{BootMs: bootMs(h.Incarnation), Failing: tenth(h.ErrorRate), Late: tenth(h.LateShare)}
+	if h.EjectedUntil > at {
+		e.OutMs = min(time.Minute, (h.EjectedUntil-at).Round(5*time.Second)+5*time.Second).Milliseconds()
 	}
-	if h.Most > 0 {
-		e.Most = math.Exp2(math.Round(math.Log2(h.Most)))
+	if h.ConcurrencyLimit > 0 {
+		e.Most = math.Exp2(math.Round(math.Log2(h.ConcurrencyLimit)))
 	}
 	return e
 }
@@ -135,41 +135,41 @@
 
 // Gather is what neighbours know, as a director takes it in: at is its clock. Ages are kept. The list says by which start the director
 // knows a store; without it that is taken as it was told.
-func (s *Sharer) Gather(now, at time.Duration, list map[string]routing.Member) routing.Memory {
+func (s *Sharer) Gather(now, at time.Duration, list map[string]routing.Endpoint) routing.LearnedState {
 	boot := func(server string, ms int64) time.Duration {
-		if e, ok := list[server]; ok && bootMs(e.Boot) == ms {
-			return e.Boot
+		if e, ok := list[server]; ok && bootMs(e.Incarnation) == ms {
+			return e.Incarnation
 		}
 		return time.Duration(ms) * time.Millisecond
 	}
 	when := func(t time.Duration) time.Duration { return at - max(0, now-t) }
-	m := routing.Memory{At: at, Zone: s.zone}
+	m := routing.LearnedState{At: at, Zone: s.zone}
 	for _, f := range s.node.Listings(now, 0) {
 		zone, object, ok := strings.Cut(f.Key, "/")
 		key, err := strconv.ParseUint(object, 16, 64)
 		if !ok || err != nil || zone != s.zone || f.What.GapMs < 0 || f.What.WorkMs < 0 {
 			continue
 		}
-		m.Listings = append(m.Listings, routing.Listing{Key: key, Server: f.What.Server, Boot: boot(f.What.Server, f.What.BootMs), HitAt: when(f.At), Last: when(f.At),
-			Gap: time.Duration(f.What.GapMs) * time.Millisecond, Count: f.What.Count, Work: time.Duration(f.What.WorkMs) * time.Millisecond})
+		m.Listings = append(m.Listings, routing.Listing{Key: key, Endpoint: f.What.Server, Incarnation: boot(f.What.Server, f.What.BootMs), HitAt: when(f.At), LastRequest: when(f.At),
+			MeanGap: time.Duration(f.What.GapMs) * time.Millisecond, Count: f.What.Count, TransferTime: time.Duration(f.What.WorkMs) * time.Millisecond})
 	}
 	for _, c := range s.node.Complaints(now, s.node.Living(now)) {
-		h := routing.Health{Server: c.Server, Boot: boot(c.Server, c.What.BootMs), Seen: when(c.At), Failing: c.What.Failing, Late: c.What.Late, Most: c.What.Most}
+		h := routing.EndpointHealth{Endpoint: c.Server, Incarnation: boot(c.Server, c.What.BootMs), LastAnswer: when(c.At), ErrorRate: c.What.Failing, LateShare: c.What.Late, ConcurrencyLimit: c.What.Most}
 		if c.What.OutMs > 0 {
-			h.Ejected = h.Seen + time.Duration(c.What.OutMs)*time.Millisecond
+			h.EjectedUntil = h.LastAnswer + time.Duration(c.What.OutMs)*time.Millisecond
 		}
-		m.Servers = append(m.Servers, h)
+		m.Endpoints = append(m.Endpoints, h)
 	}
 	for name, t := range s.node.Purges(now) {
-		m.Purges = append(m.Purges, routing.Purged{Name: name, At: at - s.Purged(now, at, name, t)})
+		m.Purges = append(m.Purges, routing.PurgeRecord{Name: name, At: at - s.Purged(now, at, name, t)})
 	}
-	slices.SortFunc(m.Purges, func(a, b routing.Purged) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(m.Purges, func(a, b routing.PurgeRecord) int { return cmp.Compare(a.Name, b.Name) })
 	return m
 }
 
 // Holds are the stores to be taken for drained on others' word: those that the own list still has in use with the start that
 // somebody else was told drains, for a while. One that lies can hold a few stores only.
-func (s *Sharer) Holds(now time.Duration, list map[string]routing.Member) map[string]bool {
+func (s *Sharer) Holds(now time.Duration, list map[string]routing.Endpoint) map[string]bool {
 	held, all, some := map[string]bool{}, map[string]int{}, map[string]int{}
 	for _, e := range list {
 		all[e.Kind+" "+e.Zone]++
@@ -183,7 +183,7 @@
 	for _, id := range ids {
 		e, ok := list[id]
 		group := e.Kind + " " + e.Zone
-		if !ok || e.Phase != routing.Up || bootMs(e.Boot) != drains[id] || some[group] >= max(1, all[group]/heldShare) {
+		if !ok || e.Phase != routing.Up || bootMs(e.Incarnation) != drains[id] || some[group] >= max(1, all[group]/heldShare) {
 			continue
 		}
 		some[group]++
--- a/warmstart/shared_test.go
+++ b/warmstart/shared_test.go
@@ -47,11 +47,11 @@
 	}
 }
 
-func list(phase routing.Phase, boot time.Duration) map[string]routing.Member {
-	l := map[string]routing.Member{}
+func list(phase routing.Phase, boot time.Duration) map[string]routing.Endpoint {
+	l := map[string]routing.Endpoint{}
 	for i := range 8 {
 		id := fmt.Sprint("b", i)
-		l[id] = routing.Member{ID: id, Kind: "box", Zone: "z", Boot: boot, Phase: routing.Up}
+		l[id] = routing.Endpoint{ID: id, Kind: "box", Zone: "z", Incarnation: boot, Phase: routing.Up}
 	}
 	e := l["b0"]
 	e.Phase = phase
@@ -65,12 +65,12 @@
 func TestWhatIsToldIsTakenInWithItsAge(t *testing.T) {
 	p := newPair(t, "a", "b")
 	boot := 500*time.Hour + 300*time.Nanosecond
-	p.s["a"].Tell(p.now, routing.Memory{At: director, Listings: []routing.Listing{{Key: 77, Server: "b1", Boot: boot, Last: director - 10*time.Second, Count: 4, Gap: time.Second}},
-		Purges: []routing.Purged{{Name: " 3", At: director - time.Second}}, Servers: []routing.Health{{Server: "b2", Boot: boot, Seen: director - 2*time.Second, Failing: 0.8}}}, list(routing.Up, boot))
+	p.s["a"].Tell(p.now, routing.LearnedState{At: director, Listings: []routing.Listing{{Key: 77, Endpoint: "b1", Incarnation: boot, LastRequest: director - 10*time.Second, Count: 4, MeanGap: time.Second}},
+		Purges: []routing.PurgeRecord{{Name: " 3", At: director - time.Second}}, Endpoints: []routing.EndpointHealth{{Endpoint: "b2", Incarnation: boot, LastAnswer: director - 2*time.Second, ErrorRate: 0.8}}}, list(routing.Up, boot))
 	p.sync()
 	other := list(routing.Up, boot-200*time.Nanosecond) // another gateway's clock
 	m := p.s["b"].Gather(p.now, 2*director, other)
-	if len(m.Listings) != 1 || m.Listings[0].Key != 77 || m.Listings[0].Boot != other["b1"].Boot || m.Listings[0].Count != 4 {
+	if len(m.Listings) != 1 || m.Listings[0].Key != 77 || m.Listings[0].Incarnation != other["b1"].Incarnation || m.Listings[0].Count != 4 {
 		t.Fatalf("%+v", m.Listings)
 	}
 	near := func(what string, age, want time.Duration) {
@@ -78,40 +78,40 @@
 			t.Errorf("%s is %v old", what, age)
 		}
 	}
-	near("the listing", 2*director-m.Listings[0].Last, 10*time.Second)
+	near("the listing", 2*director-m.Listings[0].LastRequest, 10*time.Second)
 	if len(m.Purges) != 1 || m.Purges[0].Name != " 3" {
 		t.Fatalf("%+v", m.Purges)
 	}
 	near("the purge", 2*director-m.Purges[0].At+samePurge, time.Second)
-	if len(m.Servers) != 0 {
-		t.Errorf("one gateway's word makes a store ill for another: %+v", m.Servers)
+	if len(m.Endpoints) != 0 {
+		t.Errorf("one gateway's word makes a store ill for another: %+v", m.Endpoints)
 	}
 }
 
 // A store is well again: what was said of it is over at all others.
 func TestRecoveryIsTold(t *testing.T) {
 	p := newPair(t, "a", "b", "c")
-	ill := routing.Memory{At: director, Servers: []routing.Health{{Server: "b2", Seen: director, Failing: 0.8, Ejected: director + 3*time.Second}}}
+	ill := routing.LearnedState{At: director, Endpoints: []routing.EndpointHealth{{Endpoint: "b2", LastAnswer: director, ErrorRate: 0.8, EjectedUntil: director + 3*time.Second}}}
 	for _, n := range []string{"a", "b"} {
 		p.s[n].Tell(p.now, ill, nil)
 	}
 	p.sync()
-	if m := p.s["c"].Gather(p.now, director, nil); len(m.Servers) != 1 || m.Servers[0].Failing != 0.8 || m.Servers[0].Ejected == 0 {
-		t.Fatalf("%+v", m.Servers)
+	if m := p.s["c"].Gather(p.now, director, nil); len(m.Endpoints) != 1 || m.Endpoints[0].ErrorRate != 0.8 || m.Endpoints[0].EjectedUntil == 0 {
+		t.Fatalf("%+v", m.Endpoints)
 	}
 	for _, n := range []string{"a", "b"} {
-		p.s[n].Tell(p.now, routing.Memory{At: director, Servers: []routing.Health{{Server: "b2", Seen: director}}}, nil)
+		p.s[n].Tell(p.now, routing.LearnedState{At: director, Endpoints: []routing.EndpointHealth{{Endpoint: "b2", LastAnswer: director}}}, nil)
 	}
 	p.sync()
-	if m := p.s["c"].Gather(p.now, director, nil); len(m.Servers) != 0 {
-		t.Errorf("it is still ill: %+v", m.Servers)
+	if m := p.s["c"].Gather(p.now, director, nil); len(m.Endpoints) != 0 {
+		t.Errorf("it is still ill: %+v", m.Endpoints)
 	}
 }
 
 // What hardly changes is not said again, and a purge that a neighbour has told of is not said by everybody.
 func TestLittleIsSaidTwice(t *testing.T) {
 	p := newPair(t, "a", "b")
-	m := routing.Memory{At: director, Servers: []routing.Health{{Server: "b2", Seen: director, Failing: 0.8}}, Purges: []routing.Purged{{Name: "o", At: director}}}
+	m := routing.LearnedState{At: director, Endpoints: []routing.EndpointHealth{{Endpoint: "b2", LastAnswer: director, ErrorRate: 0.8}}, Purges: []routing.PurgeRecord{{Name: "o", At: director}}}
 	p.s["a"].Tell(p.now, m, nil)
 	p.sync()
 	m.At += 4 * time.Second
@@ -119,13 +119,13 @@
 	for range 20 {
 		m.At += 100 * time.Millisecond
 		p.now += 100 * time.Millisecond
-		m.Servers[0].Seen, m.Servers[0].Failing = m.At, m.Servers[0].Failing-0.001
+		m.Endpoints[0].LastAnswer, m.Endpoints[0].ErrorRate = m.At, m.Endpoints[0].ErrorRate-0.001
 		p.s["a"].Tell(p.now, m, nil)
 	}
 	if got := p.s["a"].Told; got != told {
 		t.Errorf("%d things were said, and %d again", told, got-told)
 	}
-	p.s["b"].Tell(p.now, routing.Memory{At: m.At, Purges: []routing.Purged{{Name: "o", At: m.At - p.now + p.nodes["b"].Purges(p.now)["o"]}}}, nil)
+	p.s["b"].Tell(p.now, routing.LearnedState{At: m.At, Purges: []routing.PurgeRecord{{Name: "o", At: m.At - p.now + p.nodes["b"].Purges(p.now)["o"]}}}, nil)
 	if p.s["b"].Told != 0 {
 		t.Error("both say the same purge")
 	}
@@ -137,9 +137,9 @@
 	for _, apart := range []time.Duration{30 * time.Millisecond, 99 * time.Millisecond, 130 * time.Millisecond, 495 * time.Millisecond, 2 * time.Second} {
 		p := newPair(t, "a", "b")
 		first := director
-		p.s["a"].Tell(p.now, routing.Memory{At: first, Purges: []routing.Purged{{Name: "o", At: first}}}, nil)
+		p.s["a"].Tell(p.now, routing.LearnedState{At: first, Purges: []routing.PurgeRecord{{Name: "o", At: first}}}, nil)
 		p.now += apart
-		p.s["a"].Tell(p.now, routing.Memory{At: first + apart, Purges: []routing.Purged{{Name: "o", At: first + apart}}}, nil)
+		p.s["a"].Tell(p.now, routing.LearnedState{At: first + apart, Purges: []routing.PurgeRecord{{Name: "o", At: first + apart}}}, nil)
 		latest := p.now
 		p.sync()
 		m := p.s["b"].Gather(p.now, 2*director, nil)
@@ -148,7 +148,7 @@
 		}
 		m.At += 300 * time.Millisecond
 		p.now += 300 * time.Millisecond
-		p.s["b"].Tell(p.now, routing.Memory{At: m.At, Purges: m.Purges}, nil)
+		p.s["b"].Tell(p.now, routing.LearnedState{At: m.At, Purges: m.Purges}, nil)
 		if p.s["b"].Told != 0 {
 			t.Errorf("%v apart: b says on what it was told", apart)
 		}
@@ -158,8 +158,8 @@
 // A drain that the own list has not told of yet is heeded, for the start that is meant, for a while, and for a few stores only.
 func TestADrainIsHeededOnOthersWord(t *testing.T) {
 	p := newPair(t, "a", "b")
-	p.s["a"].Tell(p.now, routing.Memory{At: director}, list(routing.Up, time.Hour))
-	p.s["a"].Tell(p.now, routing.Memory{At: director}, list(routing.Draining, time.Hour))
+	p.s["a"].Tell(p.now, routing.LearnedState{At: director}, list(routing.Up, time.Hour))
+	p.s["a"].Tell(p.now, routing.LearnedState{At: director}, list(routing.Draining, time.Hour))
 	p.sync()
 	if held := p.s["b"].Holds(p.now, list(routing.Up, time.Hour)); len(held) != 1 || !held["b0"] {
 		t.Fatalf("%v", held)
@@ -175,7 +175,7 @@
 	}
 	gone := list(routing.Up, time.Hour)
 	clear(gone)
-	p.s["a"].Tell(p.now, routing.Memory{At: director}, gone) // all of them, or it lies
+	p.s["a"].Tell(p.now, routing.LearnedState{At: director}, gone) // all of them, or it lies
 	p.sync()
 	if held := p.s["b"].Holds(p.now, list(routing.Up, time.Hour)); len(held) != 2 {
 		t.Errorf("%d of 8 are held", len(held))
--- a/warmstart/warmstart.go
+++ b/warmstart/warmstart.go
@@ -27,11 +27,11 @@
 
 // Snapshot is all that a gateway has learned at a time.
 type Snapshot struct {
-	Made      time.Duration    `json:"Made"`     // Unix time
-	Gateway   string           `json:"Gateway"`  // name
-	Settings  string           `json:"Settings"` // fingerprint of what it was told, by which its knowledge is meant
-	Position  int64            `json:"Position"` // latest event of the journal that was taken in
-	Directors []routing.Memory `json:"Directors"`
+	Made      time.Duration          `json:"Made"`     // Unix time
+	Gateway   string                 `json:"Gateway"`  // name
+	Settings  string                 `json:"Settings"` // fingerprint of what it was told, by which its knowledge is meant
+	Position  int64                  `json:"Position"` // latest event of the journal that was taken in
+	Directors []routing.LearnedState `json:"Directors"`
 }
 
 // Why a snapshot is void, to be told apart by errors.Is.
@@ -59,7 +59,7 @@
 }
 
 // Worth is what knowledge of an age still counts for. What is of the future counts for nothing.
-func Worth(age time.Duration) routing.Worth {
+func Worth(age time.Duration) routing.Confidence {
 	w := func(half time.Duration) float64 {
 		if age < -skew {
 			return 0
@@ -70,14 +70,14 @@
 		}
 		return x
 	}
-	return routing.Worth{Listing: w(HalfListing), Failing: w(HalfFailing), Limit: w(HalfLimit), Quick: w(HalfQuick)}
+	return routing.Confidence{Listing: w(HalfListing), Failure: w(HalfFailing), Limit: w(HalfLimit), FillLatency: w(HalfQuick)}
 }
 
 // Report is what became of a snapshot.
 type Report struct {
 	Age  time.Duration
 	Void error // why nothing of it was used
-	routing.Used
+	routing.ImportCounts
 }
 
 // Use has directors take in what a snapshot holds for them, by the names of their zones.
@@ -89,13 +89,13 @@
 	for _, m := range s.Directors {
 		d := directors[m.Zone]
 		if d == nil {
-			r.Odd += len(m.Listings) + len(m.Servers)
+			r.Invalid += len(m.Listings) + len(m.Endpoints)
 			continue
 		}
 		u := d.Import(now, m, Worth)
-		r.Listings, r.Servers, r.Purges = r.Listings+u.Listings, r.Servers+u.Servers, r.Purges+u.Purges
-		r.Gone, r.Restarted, r.Cold = r.Gone+u.Gone, r.Restarted+u.Restarted, r.Cold+u.Cold
-		r.Aged, r.Odd = r.Aged+u.Aged, r.Odd+u.Odd
+		r.Listings, r.Endpoints, r.Purges = r.Listings+u.Listings, r.Endpoints+u.Endpoints, r.Purges+u.Purges
+		r.Gone, r.Restarted, r.WarmingUp = r.Gone+u.Gone, r.Restarted+u.Restarted, r.WarmingUp+u.WarmingUp
+		r.Expired, r.Invalid = r.Expired+u.Expired, r.Invalid+u.Invalid
 	}
 	return r
 }
@@ -105,11 +105,11 @@
 	if r.Void != nil {
 		return "void: " + r.Void.Error()
 	}
-	parts := []string{fmt.Sprintf("%v old: %d listings, %d servers, %d purges used", r.Age.Round(time.Millisecond), r.Listings, r.Servers, r.Purges)}
+	parts := []string{fmt.Sprintf("%v old: %d listings, %d servers, %d purges used", r.Age.Round(time.Millisecond), r.Listings, r.Endpoints, r.Purges)}
 	for _, p := range []struct {
 		n    int
 		what string
-	}{{r.Aged, "aged"}, {r.Gone, "of servers that are gone"}, {r.Restarted, "of servers that restarted"}, {r.Cold, "of cold servers"}, {r.Odd, "odd"}} {
+	}{{r.Expired, "aged"}, {r.Gone, "of servers that are gone"}, {r.Restarted, "of servers that restarted"}, {r.WarmingUp, "of cold servers"}, {r.Invalid, "odd"}} {
 		if p.n > 0 {
 			parts = append(parts, fmt.Sprintf("%d %s", p.n, p.what))
 		}
--- a/warmstart/warmstart_test.go
+++ b/warmstart/warmstart_test.go
@@ -12,20 +12,20 @@
 // nothing grows with age.
 func TestKnowledgeAges(t *testing.T) {
 	last := Worth(0)
-	if last != (routing.Worth{Listing: 1, Failing: 1, Limit: 1, Quick: 1}) {
+	if last != (routing.Confidence{Listing: 1, Failure: 1, Limit: 1, FillLatency: 1}) {
 		t.Errorf("fresh: %+v", last)
 	}
 	for age := time.Second; age < 26*time.Hour; age += age / 7 {
 		w := Worth(age)
-		if w.Listing > last.Listing || w.Failing > last.Failing || w.Limit > last.Limit || w.Quick > last.Quick {
+		if w.Listing > last.Listing || w.Failure > last.Failure || w.Limit > last.Limit || w.FillLatency > last.FillLatency {
 			t.Errorf("%v: %+v, and before %+v", age, w, last)
 		}
-		if w.Listing > w.Failing || w.Quick > w.Limit {
+		if w.Listing > w.Failure || w.FillLatency > w.Limit {
 			t.Errorf("%v: %+v: what speaks for more counts for more", age, w)
 		}
 		last = w
 	}
-	if last != (routing.Worth{}) || Worth(-time.Minute) != (routing.Worth{}) {
+	if last != (routing.Confidence{}) || Worth(-time.Minute) != (routing.Confidence{}) {
 		t.Errorf("a day old: %+v, of the future: %+v", last, Worth(-time.Minute))
 	}
 }
