--- a/cmd/larchusher/state.go
+++ b/cmd/larchusher/state.go
@@ -91,7 +91,7 @@
 		p := place{Zone: d.Zone, Listings: len(d.Listings), Servers: len(d.Endpoints), Purges: len(d.Purges)}
 		worth := 0.0
 		for _, l := range d.Listings {
-			worth += warmstart.Worth(unix - l.LastRequest).Listing
+			worth += warmstart.ConfidenceAt(unix - l.LastRequest).Listing
 		}
 		p.Believed = int(worth + 0.5)
 		for _, h := range d.Endpoints {
--- a/concurrency/concurrency.go
+++ b/concurrency/concurrency.go
@@ -22,73 +22,75 @@
 
 // Limit counts what is out somewhere, and learns how much may be. Most and Least must be set.
 type Limit struct {
-	Out   int
-	Most  float64 // +Inf: no limit yet
-	Least float64 // it is never cut below this
+	InFlight int
+	Max      float64 // +Inf: no limit yet
+	Min      float64 // it is never cut below this
 
-	Late float64       // share of recent answers that were late
-	Seen time.Duration // latest answer
-	Cut  time.Duration // when it was last cut
+	LateShare  float64       // share of recent answers that were late
+	LastAnswer time.Duration // latest answer
+	LastCut    time.Duration // when it was last cut
 }
 
-// None returns a limit that has learned nothing.
-func None() Limit { return Limit{Most: math.Inf(1)} }
+// Unlimited returns a limit that has learned nothing.
+func Unlimited() Limit { return Limit{Max: math.Inf(1)} }
 
-// Answered takes in an answer to what was sent at a time. Answers that grow it are those that did what was asked. Only
+// Observe takes in an answer to what was sent at a time. Answers that grow it are those that did what was asked. Only
 // what was sent after a cut counts for the next one: what was out already can't be helped by it.
-func (l *Limit) Answered(now, sent time.Duration, late, grows bool) {
-	since := min(lull, now-l.Seen)
+func (l *Limit) Observe(now, sent time.Duration, late, grows bool) {
+	since := min(lull, now-l.LastAnswer)
 	w := max(smooth, min(smoothMost, smooth*since.Seconds()/fewSeconds))
-	l.Seen = now
+	l.LastAnswer = now
 	switch {
 	case !late:
-		l.Late -= w * l.Late
-		if l.Late < lateMany && grows && float64(l.Out+1) >= l.Most/2 {
-			l.Most += min(1/l.Most, up*l.Most*since.Seconds())
+		l.LateShare -= w * l.LateShare
+		if l.LateShare < lateMany && grows && float64(l.InFlight+1) >= l.Max/2 {
+			l.Max += min(1/l.Max, up*l.Max*since.Seconds())
 		}
-	case sent >= l.Cut:
-		if l.Late += w * (1 - l.Late); l.Late > lateMany {
-			l.Most = max(l.Least, (1-l.Late)*min(float64(l.Out+1), l.Most))
-			l.Cut = now
+	case sent >= l.LastCut:
+		if l.LateShare += w * (1 - l.LateShare); l.LateShare > lateMany {
+			l.Max = max(l.Min, (1-l.LateShare)*min(float64(l.InFlight+1), l.Max))
+			l.LastCut = now
 		}
 	}
 }
 
-// Room says whether one more may be out, of a request that may use a part of the limit. Luck, between 0 and 1, is drawn
+// HasCapacity says whether one more may be out, of a request that may use a part of the limit. Luck, between 0 and 1, is drawn
 // once for each request.
-func (l *Limit) Room(part, luck float64) bool { return float64(l.Out)+luck < part*l.Most }
+func (l *Limit) HasCapacity(part, luck float64) bool { return float64(l.InFlight)+luck < part*l.Max }
 
-// Unlimited says that nothing was ever late here.
-func (l *Limit) Unlimited() bool { return math.IsInf(l.Most, 1) }
+// IsUnlimited says that nothing was ever late here.
+func (l *Limit) IsUnlimited() bool { return math.IsInf(l.Max, 1) }
 
-// Prices is the mean of what requests cost for their worth. The zero value knows nothing.
-type Prices struct {
+// MeanCost is the mean of what requests cost for their worth. The zero value knows nothing.
+type MeanCost struct {
 	mean float64
 	seen float64
 }
 
-// Price is what a request costs for its worth: seconds of sending for each unit.
-func Price(work time.Duration, worth float64) float64 { return work.Seconds() / max(worth, 0.01) }
+// CostPerWeight is what a request costs for its worth: seconds of sending for each unit.
+func CostPerWeight(work time.Duration, worth float64) float64 {
+	return work.Seconds() / max(worth, 0.01)
+}
 
-// See takes in a request's price.
-func (p *Prices) See(price float64) {
+// Observe takes in a request's price.
+func (p *MeanCost) Observe(price float64) {
 	p.seen++
 	p.mean += max(seeing, 1/p.seen) * (price - p.mean)
 }
 
-// Part is the part of a limit that a request may use: all of it, unless it costs more than most for its worth. Then it
+// Quota is the part of a limit that a request may use: all of it, unless it costs more than most for its worth. Then it
 // stops first, so that what is left serves the most worth. The root keeps large ones from being shut out: one of four times
 // the mean price still has half of the limit.
-func (p *Prices) Part(price float64) float64 {
+func (p *MeanCost) Quota(price float64) float64 {
 	if price <= p.mean || p.mean <= 0 {
 		return 1
 	}
 	return math.Sqrt(p.mean / price)
 }
 
-// InAim is how many transfers may share a store's slots so that one which takes work alone still ends within its aim,
+// MaxWithinObjective is how many transfers may share a store's slots so that one which takes work alone still ends within its aim,
 // stretch times work and fixed besides: with n on s slots each takes n/s times as long. +Inf where slots or work are not known.
-func InAim(slots, stretch float64, fixed, work time.Duration) float64 {
+func MaxWithinObjective(slots, stretch float64, fixed, work time.Duration) float64 {
 	if slots <= 0 || work <= 0 {
 		return math.Inf(1)
 	}
--- a/gateway/localities.go
+++ b/gateway/localities.go
@@ -248,7 +248,7 @@
 }
 
 // Recall has the directors take in what a snapshot holds. The list of stores must be known.
-func (g *Gateway) Recall(s *warmstart.Snapshot, gateway, settings string) warmstart.Report {
+func (g *Gateway) Recall(s *warmstart.Snapshot, gateway, settings string) warmstart.ImportReport {
 	all := map[string]*routing.Director{}
 	for i, d := range g.directors {
 		all[g.names[i]] = d
@@ -260,7 +260,7 @@
 func (g *Gateway) Remember(m routing.LearnedState) (u routing.ImportCounts) {
 	for i, d := range g.directors {
 		if g.names[i] == m.Zone {
-			u = d.Import(g.now(), m, warmstart.Worth)
+			u = d.Import(g.now(), m, warmstart.ConfidenceAt)
 		}
 	}
 	return u
--- a/internal/clusternode/share.go
+++ b/internal/clusternode/share.go
@@ -82,7 +82,7 @@
 		s.told, s.news = now, news
 		began := time.Now()
 		for _, m := range s.h.gw.Learned(s.h.cfg.Replicate.Listings)[:1] { // of the own zone
-			s.sharer.Tell(s.h.now(), m, s.h.gw.Listed())
+			s.sharer.Publish(s.h.now(), m, s.h.gw.Listed())
 		}
 		s.hold()
 		s.slow = max(s.slow, time.Since(began))
--- a/internal/snapshot/keeper.go
+++ b/internal/snapshot/keeper.go
@@ -19,13 +19,13 @@
 	post   func(func()) bool
 	work   chan *warmstart.Snapshot
 	idle   chan struct{} // closed when the writer has ended
-	pace   warmstart.Pace
+	pace   warmstart.SaveSchedule
 	unlock func()
 
 	Bytes    int           // of the latest file
 	Last     time.Duration // when the latest was begun, Unix time; 0: none was
 	Longest  time.Duration // that copying out took of the loop
-	Recalled warmstart.Report
+	Recalled warmstart.ImportReport
 	Found    bool // there was one at the start
 	Broken   int  // files that could not be read at all then
 	Bad      int  // records that could not
@@ -97,7 +97,7 @@
 	if !k.pace.Due(now) {
 		return
 	}
-	k.pace.Began(now)
+	k.pace.Started(now)
 	k.Last = now
 	k.work <- k.copyOut() // there is room: no write is out
 }
@@ -111,7 +111,7 @@
 
 func (k *Keeper) ended(now time.Duration, size int, err error) {
 	first := k.pace.Failed == 0
-	k.pace.Ended(now, err != nil)
+	k.pace.Finished(now, err != nil)
 	if err == nil {
 		k.Bytes = size
 	} else if first {
--- a/lab/localitysim/directed.go
+++ b/lab/localitysim/directed.go
@@ -338,7 +338,7 @@
 	}
 	d.tell(g, routing.EndpointUpdate{Kind: routing.StaleList, Endpoints: list})
 	for i, m := range g.snap {
-		g.ds[i].Import(d.clock.Now, m, warmstart.Worth)
+		g.ds[i].Import(d.clock.Now, m, warmstart.ConfidenceAt)
 	}
 	if d.sc.Neighbours {
 		return d.beginSharing(g)
@@ -376,7 +376,7 @@
 				for _, e := range d.listing() {
 					list[e.ID] = e
 				}
-				g.sharer.Tell(d.clock.Now, m, list)
+				g.sharer.Publish(d.clock.Now, m, list)
 			}
 			d.shared(g, replication.Tick{})
 		}
@@ -401,7 +401,7 @@
 			m := g.sharer.Gather(d.clock.Now, d.clock.Now, nil)
 			for i := range g.ds {
 				if g.names(i) == m.Zone {
-					g.ds[i].Import(d.clock.Now, m, warmstart.Worth)
+					g.ds[i].Import(d.clock.Now, m, warmstart.ConfidenceAt)
 				}
 			}
 		}
--- a/loadreport/loadreport.go
+++ b/loadreport/loadreport.go
@@ -20,33 +20,33 @@
 
 // Fields says where a load report tells how busy a store is: the places of the share of its capacity in use, and of the
 // number of requests that it holds; -1: not told.
-type Fields struct{ Share, Held int }
+type Fields struct{ Share, InFlight int }
 
-// Find finds the fields by their names on the platform's wires.
-func Find(names []string) Fields {
+// FindFields finds the fields by their names on the platform's wires.
+func FindFields(names []string) Fields {
 	f := Fields{-1, -1}
 	for i, n := range names {
 		switch n {
 		case "cpu_share", "util":
 			f.Share = i
 		case "busy_reqs", "inflight":
-			f.Held = i
+			f.InFlight = i
 		}
 	}
 	return f
 }
 
-// Told says that reports tell how busy a store is, one way or the other.
-func (f Fields) Told() bool { return f.Share >= 0 || f.Held >= 0 }
+// Present says that reports tell how busy a store is, one way or the other.
+func (f Fields) Present() bool { return f.Share >= 0 || f.InFlight >= 0 }
 
-// Busy reads the share of a store's capacity in use from a report; false if that is not told. Slots is how many requests
+// Utilization reads the share of a store's capacity in use from a report; false if that is not told. Slots is how many requests
 // the store can work on, 0 if nobody tells.
-func (f Fields) Busy(report []float64, slots float64) (float64, bool) {
+func (f Fields) Utilization(report []float64, slots float64) (float64, bool) {
 	x := math.NaN()
 	if f.Share >= 0 && f.Share < len(report) {
 		x = report[f.Share]
-	} else if f.Held >= 0 && f.Held < len(report) && slots > 0 {
-		x = report[f.Held] / slots
+	} else if f.InFlight >= 0 && f.InFlight < len(report) && slots > 0 {
+		x = report[f.InFlight] / slots
 	}
 	return x, x >= 0 && !math.IsInf(x, 0)
 }
@@ -58,9 +58,9 @@
 	any  bool
 }
 
-// Report takes in a reported share. Reports are noisy, and each comes with several answers: the time between them
+// Observe takes in a reported share. Reports are noisy, and each comes with several answers: the time between them
 // counts, not their number.
-func (l *Load) Report(now time.Duration, share float64) {
+func (l *Load) Observe(now time.Duration, share float64) {
 	if !l.any || now-l.at > forget {
 		*l = Load{mean: share, at: now, any: true}
 		return
@@ -69,23 +69,25 @@
 	l.at = now
 }
 
-// Share is the smoothed share; false if nothing is known.
-func (l *Load) Share(now time.Duration) (float64, bool) { return l.mean, l.any && now-l.at <= forget }
+// Utilization is the smoothed share; false if nothing is known.
+func (l *Load) Utilization(now time.Duration) (float64, bool) {
+	return l.mean, l.any && now-l.at <= forget
+}
 
-// Gap is by how much one store is busier than another, beyond what is not worth moving for; 0 if it is not, or if
+// Imbalance is by how much one store is busier than another, beyond what is not worth moving for; 0 if it is not, or if
 // that is not known.
-func Gap(now time.Duration, from, to *Load) float64 {
-	a, ok := from.Share(now)
-	b, known := to.Share(now)
+func Imbalance(now time.Duration, from, to *Load) float64 {
+	a, ok := from.Utilization(now)
+	b, known := to.Utilization(now)
 	if !ok || !known || a < crowded {
 		return 0
 	}
 	return max(0, a-b-apart)
 }
 
-// Chance is the part of the requests that go from a store to one that is less busy by a gap. What the first is likely to
+// MoveProbability is the part of the requests that go from a store to one that is less busy by a gap. What the first is likely to
 // hold costs a fill at the second, and stays there: so few are moved at a time that reports keep up with them.
-func Chance(gap float64, held bool) float64 {
+func MoveProbability(gap float64, held bool) float64 {
 	if held {
 		return min(1, haste*gap)
 	}
--- a/loadreport/loadreport_test.go
+++ b/loadreport/loadreport_test.go
@@ -26,7 +26,7 @@
 		{[]string{"util"}, []float64{-1}, 8, 0, false},
 		{[]string{"util"}, []float64{math.Inf(1)}, 8, 0, false},
 	} {
-		if got, ok := Find(c.names).Busy(c.report, c.slots); ok != c.ok || ok && got != c.want {
+		if got, ok := FindFields(c.names).Utilization(c.report, c.slots); ok != c.ok || ok && got != c.want {
 			t.Errorf("%v %v of %v slots: %v %v", c.names, c.report, c.slots, got, ok)
 		}
 	}
@@ -35,26 +35,26 @@
 // A report that comes with ten answers at once counts once.
 func TestReportsCountByTheTimeBetweenThem(t *testing.T) {
 	var l Load
-	l.Report(0, 0.2)
+	l.Observe(0, 0.2)
 	for range 10 {
-		l.Report(50*time.Millisecond, 1)
+		l.Observe(50*time.Millisecond, 1)
 	}
-	if got, ok := l.Share(50 * time.Millisecond); !ok || got > 0.25 {
+	if got, ok := l.Utilization(50 * time.Millisecond); !ok || got > 0.25 {
 		t.Errorf("share %v after one late value, told ten times", got)
 	}
 	for at := 100 * time.Millisecond; at < 3*time.Second; at += 100 * time.Millisecond {
-		l.Report(at, 1)
+		l.Observe(at, 1)
 	}
-	if got, _ := l.Share(3 * time.Second); got < 0.9 {
+	if got, _ := l.Utilization(3 * time.Second); got < 0.9 {
 		t.Errorf("share %v after three seconds at 1", got)
 	}
-	if _, ok := l.Share(7 * time.Second); ok {
+	if _, ok := l.Utilization(7 * time.Second); ok {
 		t.Error("a share is used four seconds after the last report")
 	}
 }
 
 func TestOnlyCrowdedStoresAreRelieved(t *testing.T) {
-	load := func(share float64) *Load { l := &Load{}; l.Report(time.Second, share); return l }
+	load := func(share float64) *Load { l := &Load{}; l.Observe(time.Second, share); return l }
 	for _, c := range []struct {
 		from, to *Load
 		want     float64
@@ -62,7 +62,7 @@
 		{load(1), load(0.4), 0.4}, {load(0.6), load(0), 0}, {load(0.9), load(0.75), 0},
 		{load(1), &Load{}, 0}, {&Load{}, load(0), 0}, {load(0.3), load(1), 0},
 	} {
-		if got := Gap(time.Second, c.from, c.to); math.Abs(got-c.want) > 1e-9 {
+		if got := Imbalance(time.Second, c.from, c.to); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("gap %v, want %v", got, c.want)
 		}
 	}
@@ -79,14 +79,14 @@
 			if rapid.Bool().Draw(t, "b") {
 				l = &b
 			}
-			l.Report(now, rapid.Float64Range(0, 3).Draw(t, "share"))
+			l.Observe(now, rapid.Float64Range(0, 3).Draw(t, "share"))
 		}
-		there, back := Gap(now, &a, &b), Gap(now, &b, &a)
+		there, back := Imbalance(now, &a, &b), Imbalance(now, &b, &a)
 		if there > 0 && back > 0 {
 			t.Fatalf("gaps %v and %v", there, back)
 		}
 		for _, held := range []bool{false, true} {
-			if c := Chance(there, held); c < 0 || c > 1 {
+			if c := MoveProbability(there, held); c < 0 || c > 1 {
 				t.Fatalf("chance %v", c)
 			}
 		}
--- a/purge/purge.go
+++ b/purge/purge.go
@@ -11,24 +11,24 @@
 	"time"
 )
 
-// Book is what has been heard. Use New. It holds as many purges as were made within the time in which copies go by
+// Registry is what has been heard. Use New. It holds as many purges as were made within the time in which copies go by
 // themselves.
-type Book struct {
+type Registry struct {
 	settles time.Duration
 	at      map[string]time.Duration
 }
 
 // New returns an empty book. Within settles of a purge all older copies have gone by themselves.
-func New(settles time.Duration) *Book {
-	return &Book{settles: settles, at: map[string]time.Duration{}}
+func New(settles time.Duration) *Registry {
+	return &Registry{settles: settles, at: map[string]time.Duration{}}
 }
 
 // Group is the name of all objects of a group. It cannot be an object's, as those have no spaces.
 func Group(number int) string { return " " + strconv.Itoa(number) }
 
-// Told takes a purge in, of an object or, with no object, of a group, that was made at a time. It says whether that is
+// Record takes a purge in, of an object or, with no object, of a group, that was made at a time. It says whether that is
 // news: what is settled, or was heard, is not.
-func (b *Book) Told(now time.Duration, object string, group int, at time.Duration) bool {
+func (b *Registry) Record(now time.Duration, object string, group int, at time.Duration) bool {
 	if object == "" {
 		object = Group(group)
 	}
@@ -36,7 +36,7 @@
 }
 
 // Merge is Told for a name, as All gives them.
-func (b *Book) Merge(now time.Duration, name string, at time.Duration) bool {
+func (b *Registry) Merge(now time.Duration, name string, at time.Duration) bool {
 	maps.DeleteFunc(b.at, func(_ string, at time.Duration) bool { return now-at > b.settles })
 	if old, ok := b.at[name]; name == "" || ok && old >= at || now-at > b.settles {
 		return false
@@ -46,7 +46,7 @@
 }
 
 // Latest is when an object was last purged, by itself or with its group; false if no older copy can be left.
-func (b *Book) Latest(now time.Duration, object string, group int) (time.Duration, bool) {
+func (b *Registry) Latest(now time.Duration, object string, group int) (time.Duration, bool) {
 	at, ok := b.at[object]
 	if g, all := b.at[Group(group)]; all && (!ok || g > at) {
 		at, ok = g, true
@@ -55,7 +55,7 @@
 }
 
 // All gives the names and times, in order of name.
-func (b *Book) All() iter.Seq2[string, time.Duration] {
+func (b *Registry) All() iter.Seq2[string, time.Duration] {
 	return func(yield func(string, time.Duration) bool) {
 		for _, name := range slices.Sorted(maps.Keys(b.at)) {
 			if !yield(name, b.at[name]) {
--- a/purge/purge_test.go
+++ b/purge/purge_test.go
@@ -26,10 +26,10 @@
 		now := 9 * time.Second
 		one, other := New(settles), New(settles)
 		for _, p := range all {
-			one.Told(now, p.object, p.group, p.at)
+			one.Record(now, p.object, p.group, p.at)
 		}
 		for _, p := range rapid.Permutation(append(all, all...)).Draw(t, "again") {
-			other.Told(now, p.object, p.group, p.at)
+			other.Record(now, p.object, p.group, p.at)
 		}
 		if a, b := maps.Collect(one.All()), maps.Collect(other.All()); !maps.Equal(a, b) {
 			t.Fatalf("%v and %v", a, b)
@@ -52,13 +52,13 @@
 
 func TestSettledPurgesAreForgotten(t *testing.T) {
 	b := New(settles)
-	if !b.Told(time.Second, "a", 0, time.Second) || b.Told(time.Second, "a", 0, 0) || b.Merge(time.Second, "", time.Second) {
+	if !b.Record(time.Second, "a", 0, time.Second) || b.Record(time.Second, "a", 0, 0) || b.Merge(time.Second, "", time.Second) {
 		t.Error("the first is news, an older one and one of nothing are not")
 	}
 	if _, ok := b.Latest(8*time.Second, "a", 0); ok {
 		t.Error("a settled purge still counts")
 	}
-	b.Told(8*time.Second, "c", 0, 8*time.Second)
+	b.Record(8*time.Second, "c", 0, 8*time.Second)
 	if n := len(maps.Collect(b.All())); n != 1 {
 		t.Errorf("%d purges kept, want the one that has not settled", n)
 	}
--- a/routing/deployments_test.go
+++ b/routing/deployments_test.go
@@ -52,8 +52,8 @@
 			}
 			// What the others have to say comes with other objects' answers.
 			for _, s := range r.d.inUse[cache] {
-				if share, ok := r.d.loads.Busy([]float64{c.others}, s.slots(true)); ok && s.id != full {
-					s.load.Report(r.now, share)
+				if share, ok := r.d.loads.Utilization([]float64{c.others}, s.slots(true)); ok && s.id != full {
+					s.load.Observe(r.now, share)
 				}
 			}
 			r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Final: true, Latency: 100 * ms, LoadReport: []float64{load}})
@@ -93,10 +93,10 @@
 			r.after(830 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Rejected, Latency: 830 * ms})
 		}
 	}
-	if s := r.d.servers[cacheID]; !s.held.Unlimited() || s.penalty > 0 {
-		t.Errorf("the cache is limited to %v, ejected for %v", s.held.Most, s.penalty)
+	if s := r.d.servers[cacheID]; !s.held.IsUnlimited() || s.penalty > 0 {
+		t.Errorf("the cache is limited to %v, ejected for %v", s.held.Max, s.penalty)
 	}
-	if p, q := r.d.servers["p1"], r.d.servers["p2"]; p.held.Unlimited() && q.held.Unlimited() {
+	if p, q := r.d.servers["p1"], r.d.servers["p2"]; p.held.IsUnlimited() && q.held.IsUnlimited() {
 		t.Error("no source is held to account")
 	}
 }
@@ -130,7 +130,7 @@
 		r.serve("film", fmt.Sprint("o", n%5), ReasonNone)
 	}
 	for _, s := range r.d.inUse[cache] {
-		s.held.Most, s.held.Out = 10, 6
+		s.held.Max, s.held.InFlight = 10, 6
 	}
 	r.kb = 4000
 	if _, a := r.ask("film", "o1"); a != nil {
@@ -157,7 +157,7 @@
 	for _, id := range ids {
 		r.after(ms).do(AttemptResult{ID: id, Endpoint: "o", Status: OK, Final: true, Latency: time.Second})
 	}
-	if r.d.fetches.Unlimited() {
+	if r.d.fetches.IsUnlimited() {
 		t.Error("twenty late writes, and fetches are not limited")
 	}
 }
@@ -176,11 +176,11 @@
 		r.ask("film", fmt.Sprint("o", n))
 	}
 	for _, s := range r.d.inUse[cache] {
-		if took := float64(s.held.Out) / 7; took > 2.3 {
-			t.Errorf("%s has %d out: they take %.1f s, the aim is 2.2", s.id, s.held.Out, took)
+		if took := float64(s.held.InFlight) / 7; took > 2.3 {
+			t.Errorf("%s has %d out: they take %.1f s, the aim is 2.2", s.id, s.held.InFlight, took)
 		}
-		if s.held.Out < 10 {
-			t.Errorf("%s has %d out, and could finish fifteen", s.id, s.held.Out)
+		if s.held.InFlight < 10 {
+			t.Errorf("%s has %d out, and could finish fifteen", s.id, s.held.InFlight)
 		}
 	}
 }
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -171,12 +171,12 @@
 		r.after(100 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilledByOrigin, Final: true,
 			Latency: 4 * time.Second})
 	}
-	if r.d.fetches.Most > 4 {
-		t.Fatalf("the limit on fetches is %v after forty late ones", r.d.fetches.Most)
+	if r.d.fetches.Max > 4 {
+		t.Fatalf("the limit on fetches is %v after forty late ones", r.d.fetches.Max)
 	}
-	r.d.fetches.Out = int(math.Ceil(r.d.fetches.Most)) + 1
+	r.d.fetches.InFlight = int(math.Ceil(r.d.fetches.Max)) + 1
 	for _, p := range r.d.inUse[parent] {
-		p.held.Most = math.Inf(1)
+		p.held.Max = math.Inf(1)
 	}
 	for _, object := range []string{"listed", "new"} {
 		id, a := r.ask("film", object)
@@ -205,8 +205,8 @@
 		}
 		r.after(80 * ms).do(o)
 	}
-	if !math.IsInf(r.d.fetches.Most, 1) {
-		t.Errorf("one parent that is gone limits all fetches to %v", r.d.fetches.Most)
+	if !math.IsInf(r.d.fetches.Max, 1) {
+		t.Errorf("one parent that is gone limits all fetches to %v", r.d.fetches.Max)
 	}
 	if r.d.healthy(r.d.servers["p1"]) {
 		t.Error("the parent that is gone is still in use")
@@ -233,8 +233,8 @@
 			r.do(ok)
 		}
 	}
-	if !math.IsInf(r.d.fetches.Most, 1) {
-		t.Errorf("one hanging parent limits all fetches to %v", r.d.fetches.Most)
+	if !math.IsInf(r.d.fetches.Max, 1) {
+		t.Errorf("one hanging parent limits all fetches to %v", r.d.fetches.Max)
 	}
 	if r.d.healthy(r.d.servers["p1"]) {
 		t.Error("the hanging parent is still in use")
@@ -246,7 +246,7 @@
 func TestLimitsBelowOneAreAChance(t *testing.T) {
 	r := newRig(t, nil)
 	for _, s := range r.d.inUse[cache] {
-		s.held.Most = 0.5
+		s.held.Max = 0.5
 	}
 	sent := 0
 	for i := range 400 {
@@ -256,26 +256,26 @@
 		}
 		sent++
 		for _, s := range r.d.inUse[cache] { // keep the limit where it is
-			s.held.Most = 0.5
+			s.held.Max = 0.5
 		}
 		r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 10 * ms})
 		for _, s := range r.d.inUse[cache] {
-			s.held.Most = 0.5
+			s.held.Max = 0.5
 		}
 	}
 	if sent < 160 || sent > 240 {
 		t.Errorf("limits of a half let %d of 400 in", sent)
 	}
 	g := &r.d.servers["c1"].held
-	g.Most, g.Late, g.Seen = 0.2, 0, r.now
+	g.Max, g.LateShare, g.LastAnswer = 0.2, 0, r.now
 	for i := range 200 {
 		id, a := r.ask("film", fmt.Sprint("p", i))
 		if a != nil {
 			r.after(100 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 10 * ms})
 		}
 	}
-	if g.Most < 0.9 {
-		t.Errorf("after twenty seconds in time the limit is %v", g.Most)
+	if g.Max < 0.9 {
+		t.Errorf("after twenty seconds in time the limit is %v", g.Max)
 	}
 }
 
@@ -332,7 +332,7 @@
 	l := members()[5:7]
 	l[0].Phase, l[1].Phase = Removed, Removed
 	r.do(EndpointUpdate{Kind: DeltaList, Endpoints: l})
-	r.d.fetches.Most = 0
+	r.d.fetches.Max = 0
 	id, a := r.ask("film", "o")
 	if a == nil || a.FillSource != a.Endpoint {
 		t.Fatalf("%+v, want an attempt that nobody fills", a)
--- a/routing/health.go
+++ b/routing/health.go
@@ -78,7 +78,7 @@
 	a.shared = !hit && !a.own && (late || o.Status == ServerError) && (a.filling || o.Reason != ReasonNone) &&
 		d.behind(a, o)
 	for _, l := range d.slow(a, o, hit, late) {
-		l.Answered(d.now, a.sent, late, o.Status == OK || o.Status == Miss)
+		l.Observe(d.now, a.sent, late, o.Status == OK || o.Status == Miss)
 	}
 }
 
@@ -104,14 +104,14 @@
 // slow answers would be asked for twice.
 func (d *Director) doubtful(r *request, a *attempt) bool {
 	return a.out && len(r.attempts) == 1 && d.set.HedgedRequests && d.copies >= 1 && a.overtaken() &&
-		math.IsInf(min(a.to.held.Most, a.source.held.Most, d.fetches.Most), 1)
+		math.IsInf(min(a.to.held.Max, a.source.held.Max, d.fetches.Max), 1)
 }
 
 // slow names what an outcome's time speaks of: the cache if it answered by itself, else a part of the fill.
 func (d *Director) slow(a *attempt, o AttemptResult, hit, late bool) []*concurrency.Limit {
 	seen := inference.Answer{Expected: !a.filling, Refused: o.Status == Rejected}
 	seen.Late = late && d.untold(a, o)
-	seen.Busy, seen.Reported = a.to.load.Share(d.now)
+	seen.Busy, seen.Reported = a.to.load.Utilization(d.now)
 	fill := a.source != a.to && !hit && !a.own && (o.Reason != ReasonNone || seen.Filled())
 	switch {
 	case a.to.role == origin: // a write, say: it speaks for what fills fetch there
@@ -151,17 +151,17 @@
 // room says whether one more attempt may be out. A client's repeat has lost part of its time, and what costs
 // much for its worth takes the place of others: they stop first.
 func (d *Director) room(l *concurrency.Limit, r *request) bool {
-	part := d.prices.Part(r.price)
+	part := d.prices.Quota(r.price)
 	if r.Retry {
 		part *= limitDown
 	}
-	return l.Room(part, r.luck)
+	return l.HasCapacity(part, r.luck)
 }
 
 // fits says whether a cache has room for one more, and can finish it in aim beside what of ours is there.
 func (d *Director) fits(s *server, r *request) bool {
-	most := concurrency.InAim(s.slots(d.set.WeightsKnown), r.class.ObjectiveStretch, r.class.LatencyObjective, r.work)
-	return d.room(&s.held, r) && float64(s.held.Out)+r.luck < most
+	most := concurrency.MaxWithinObjective(s.slots(d.set.WeightsKnown), r.class.ObjectiveStretch, r.class.LatencyObjective, r.work)
+	return d.room(&s.held, r) && float64(s.held.InFlight)+r.luck < most
 }
 
 // usable says whether a server may be sent something now.
--- a/routing/memory.go
+++ b/routing/memory.go
@@ -87,10 +87,10 @@
 			Count: e.count, TransferTime: e.work})
 	}
 	for _, s := range d.servers {
-		h := EndpointHealth{Endpoint: s.id, Incarnation: s.boot, LastAnswer: max(s.held.Seen, s.lastOK), ErrorRate: s.failing, EjectedUntil: s.ejected, Backoff: s.penalty, FillLatency: s.quick, FillLatencyAt: s.quickAt,
-			LateShare: s.held.Late}
-		if !math.IsInf(s.held.Most, 1) {
-			h.ConcurrencyLimit = s.held.Most
+		h := EndpointHealth{Endpoint: s.id, Incarnation: s.boot, LastAnswer: max(s.held.LastAnswer, s.lastOK), ErrorRate: s.failing, EjectedUntil: s.ejected, Backoff: s.penalty, FillLatency: s.quick, FillLatencyAt: s.quickAt,
+			LateShare: s.held.LateShare}
+		if !math.IsInf(s.held.Max, 1) {
+			h.ConcurrencyLimit = s.held.Max
 		}
 		m.Endpoints = append(m.Endpoints, h)
 	}
@@ -119,7 +119,7 @@
 		}
 		u.Endpoints++
 		w := worth(now - h.LastAnswer)
-		s.held.Seen = max(s.held.Seen, h.LastAnswer)
+		s.held.LastAnswer = max(s.held.LastAnswer, h.LastAnswer)
 		s.failing = max(s.failing, h.ErrorRate*w.Failure)
 		if until := min(h.EjectedUntil, now+ejectLongest); until > now {
 			s.ejected = max(s.ejected, until)
@@ -128,8 +128,8 @@
 		if s.quick == 0 {
 			s.quick, s.quickAt = time.Duration(w.FillLatency*float64(h.FillLatency)), h.FillLatencyAt
 		}
-		if s.held.Late = max(s.held.Late, h.LateShare*w.Failure); h.ConcurrencyLimit > 0 && w.Limit > 0 {
-			s.held.Most = min(s.held.Most, max(s.held.Least, h.ConcurrencyLimit/w.Limit))
+		if s.held.LateShare = max(s.held.LateShare, h.LateShare*w.Failure); h.ConcurrencyLimit > 0 && w.Limit > 0 {
+			s.held.Max = min(s.held.Max, max(s.held.Min, h.ConcurrencyLimit/w.Limit))
 		}
 	}
 	// The latest used is the first in a Memory, and in the table the last to be forgotten.
--- a/routing/observe.go
+++ b/routing/observe.go
@@ -32,9 +32,9 @@
 		if s.zone >= 0 {
 			o.Zone = d.set.Zones[s.zone]
 		}
-		if busy, ok := s.load.Share(d.now); ok {
+		if busy, ok := s.load.Utilization(d.now); ok {
 			o.Utilization = busy
-		} else if s.role == cache && s.zone == d.zone && d.loads.Told() && s.held.Out == 0 {
+		} else if s.role == cache && s.zone == d.zone && d.loads.Present() && s.held.InFlight == 0 {
 			o.Utilization = 0 // we have asked it nothing lately: no load of ours is there
 		}
 		all = append(all, o)
@@ -49,7 +49,7 @@
 	switch {
 	case groups >= purgesMany:
 		strain = "groups of objects were just purged"
-	case d.fetches.Late >= fetchesBad && d.now-d.fetches.Seen < rateWindow:
+	case d.fetches.LateShare >= fetchesBad && d.now-d.fetches.LastAnswer < rateWindow:
 		strain = "the origin is slow"
 	}
 	return all, strain
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -59,8 +59,8 @@
 	d := &Director{set: s, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		classes: map[string]*class{}, servers: map[string]*server{},
 		table: map[uint64]*entry{}, requests: map[string]*request{}, tokens: map[uint64]*request{},
-		purged: purge.New(s.PurgeSettleTime), loads: loadreport.Find(s.LoadReportFields), spare: retryMost,
-		fetches: concurrency.None(), neighbor: map[int]bool{}, used: list.New(), own: mix(seed)}
+		purged: purge.New(s.PurgeSettleTime), loads: loadreport.FindFields(s.LoadReportFields), spare: retryMost,
+		fetches: concurrency.Unlimited(), neighbor: map[int]bool{}, used: list.New(), own: mix(seed)}
 	d.zone = slices.Index(s.Zones, s.Zone)
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -86,7 +86,7 @@
 	case AttemptResult:
 		d.outcome(ev)
 	case Purge:
-		d.purged.Told(d.now, ev.Object, ev.Group, d.now-ev.Age)
+		d.purged.Record(d.now, ev.Object, ev.Group, d.now-ev.Age)
 	case GossipReceived:
 		d.hint(ev)
 	case ClientGone:
@@ -138,9 +138,9 @@
 			d.servers[e.ID] = s
 		}
 		if s.id == "" || s.boot != e.Incarnation { // a restart is a new, empty server; attempts may still be out
-			out := s.held.Out
-			*s = server{boot: e.Incarnation, held: concurrency.None()}
-			s.held.Out = out
+			out := s.held.InFlight
+			*s = server{boot: e.Incarnation, held: concurrency.Unlimited()}
+			s.held.InFlight = out
 		}
 		s.placed(&d.set, e)
 		if e.Phase == Removed {
@@ -154,9 +154,9 @@
 		}
 	}
 	for _, s := range d.servers {
-		s.held.Least = max(chanceLeast, limitLeast/d.sharing(s.role))
+		s.held.Min = max(chanceLeast, limitLeast/d.sharing(s.role))
 	}
-	d.fetches.Least = max(chanceLeast, limitLeast*float64(len(d.inUse[parent]))/d.sharing(origin))
+	d.fetches.Min = max(chanceLeast, limitLeast*float64(len(d.inUse[parent]))/d.sharing(origin))
 	for _, l := range d.inUse {
 		slices.SortFunc(l, func(a, b *server) int { return cmp.Compare(a.id, b.id) })
 	}
@@ -276,11 +276,11 @@
 func (d *Director) relieve(s *server, others []*server, held bool) *server {
 	best, gap := s, 0.0
 	for _, o := range others {
-		if d.warm(o) && loadreport.Gap(d.now, &s.load, &o.load) > gap {
-			best, gap = o, loadreport.Gap(d.now, &s.load, &o.load)
+		if d.warm(o) && loadreport.Imbalance(d.now, &s.load, &o.load) > gap {
+			best, gap = o, loadreport.Imbalance(d.now, &s.load, &o.load)
 		}
 	}
-	if gap > 0 && d.rng.Float64() >= loadreport.Chance(gap, held) {
+	if gap > 0 && d.rng.Float64() >= loadreport.MoveProbability(gap, held) {
 		return s
 	}
 	return best
@@ -328,8 +328,8 @@
 		r.entry = d.visit(r.key)
 	}
 	d.weigh(r)
-	r.price = concurrency.Price(r.work, c.PriorityWeight)
-	d.prices.See(r.price)
+	r.price = concurrency.CostPerWeight(r.work, c.PriorityWeight)
+	d.prices.Observe(r.price)
 	d.token++
 	r.token = d.token
 	d.requests[q.ID], d.tokens[r.token] = r, r
@@ -421,11 +421,11 @@
 
 // count books an attempt where it is out.
 func (d *Director) count(a *attempt, n int) {
-	a.to.held.Out += n
+	a.to.held.InFlight += n
 	if a.filling && a.source != a.to {
-		a.source.held.Out += n
+		a.source.held.InFlight += n
 		if !a.onlyHeld && a.source.role != cache {
-			d.fetches.Out += n
+			d.fetches.InFlight += n
 		}
 	}
 }
@@ -517,8 +517,8 @@
 	a.out = false
 	a.to.trial = a.to.trial && !a.trial
 	d.count(a, -1)
-	if share, ok := d.loads.Busy(o.LoadReport, a.to.slots(d.set.WeightsKnown)); ok {
-		a.to.load.Report(d.now, share)
+	if share, ok := d.loads.Utilization(o.LoadReport, a.to.slots(d.set.WeightsKnown)); ok {
+		a.to.load.Observe(d.now, share)
 	}
 	d.learn(r, a, o)
 	switch {
@@ -666,16 +666,16 @@
 func (d *Director) ramp(of role) slowstart.Ramp {
 	switch of {
 	case cache:
-		return slowstart.Ramp{From: d.set.SlowStartFrom, For: d.set.SlowStartFor, Multiple: d.set.OverloadMultiple,
-			Within: d.set.OverloadWindow}
+		return slowstart.Ramp{InitialShare: d.set.SlowStartFrom, Duration: d.set.SlowStartFor, OverloadMultiple: d.set.OverloadMultiple,
+			OverloadWindow: d.set.OverloadWindow}
 	case parent:
-		return slowstart.Ramp{From: d.set.ParentSlowStartFrom, For: d.set.ParentSlowStartFor,
-			Multiple: d.set.ParentOverloadMultiple, Within: d.set.OverloadWindow}
+		return slowstart.Ramp{InitialShare: d.set.ParentSlowStartFrom, Duration: d.set.ParentSlowStartFor,
+			OverloadMultiple: d.set.ParentOverloadMultiple, OverloadWindow: d.set.OverloadWindow}
 	}
 	return slowstart.Ramp{}
 }
 
-func (d *Director) warm(s *server) bool { return d.ramp(s.role).Share(d.now, s.boot) >= 1 }
+func (d *Director) warm(s *server) bool { return d.ramp(s.role).CapacityShare(d.now, s.boot) >= 1 }
 
 // affordable says whether a cold server's budget holds one more attempt.
 func (d *Director) affordable(s *server, r *request) bool {
@@ -686,8 +686,8 @@
 		return false
 	}
 	d.gauge(s.role)
-	from := slowstart.Sender{Among: d.among(s.role), Place: d.place(s), Can: d.carried[s.role] * s.weight,
-		Does: s.recent(d.now), DoesOver: rateWindow}
+	from := slowstart.Sender{Senders: d.among(s.role), Position: d.place(s), WarmRate: d.carried[s.role] * s.weight,
+		ObservedRate: s.recent(d.now), ObservedOver: rateWindow}
 	return d.ramp(s.role).Allows(&s.budget, d.now, s.boot, d.cost(r), from)
 }
 
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -597,7 +597,7 @@
 // warmsFor is how long a server takes to warm up.
 func (d *Director) warmsFor(id string) time.Duration {
 	if s := d.servers[id]; s != nil {
-		return d.ramp(s.role).For
+		return d.ramp(s.role).Duration
 	}
 	return 0
 }
@@ -670,7 +670,7 @@
 		r.after(900 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 900 * ms})
 	}
 	for _, s := range r.d.servers { // the first answer alone could not be known to be large
-		if s.held.Cut > time.Hour+900*ms {
+		if s.held.LastCut > time.Hour+900*ms {
 			t.Errorf("%s counts as late: %+v", s.id, s.held)
 		}
 	}
@@ -680,8 +680,8 @@
 func hold(r *rig, object string, n int) string {
 	home := r.serve("film", object, ReasonHit).Endpoint
 	s := r.d.servers[home]
-	s.held.Most = float64(n)
-	for s.held.Out < n {
+	s.held.Max = float64(n)
+	for s.held.InFlight < n {
 		r.ask("film", object)
 	}
 	return home
@@ -697,7 +697,7 @@
 		}
 	}
 	for _, s := range r.d.inUse[cache] {
-		s.held.Most = 0
+		s.held.Max = 0
 	}
 	if _, a := r.ask("film", "hot"); a != nil {
 		t.Errorf("no cache has room, yet %+v", a)
@@ -790,11 +790,11 @@
 		r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: TimedOut, Final: true, Latency: 3050 * ms})
 	}
 	for _, s := range r.d.servers {
-		if s.held.Cut > 0 {
+		if s.held.LastCut > 0 {
 			t.Errorf("%s: %+v", s.id, s.held)
 		}
 	}
-	if r.d.fetches.Cut > 0 {
+	if r.d.fetches.LastCut > 0 {
 		t.Errorf("fetches: %+v", r.d.fetches)
 	}
 }
@@ -961,12 +961,12 @@
 	}
 	for _, l := range r.d.inUse[parent:] {
 		for _, s := range l {
-			if s.penalty > 0 || s.held.Most < 1000 {
-				t.Errorf("%s: limit %.1f, ejected for %v", s.id, s.held.Most, s.penalty)
+			if s.penalty > 0 || s.held.Max < 1000 {
+				t.Errorf("%s: limit %.1f, ejected for %v", s.id, s.held.Max, s.penalty)
 			}
 		}
 	}
-	if most := r.d.fetches.Most; most < 1000 {
+	if most := r.d.fetches.Max; most < 1000 {
 		t.Errorf("fetches are limited to %.1f", most)
 	}
 	if refused < 3 || refused > 10 {
@@ -994,8 +994,8 @@
 		}
 	}
 	for _, s := range r.d.servers {
-		if s.held.Most < 1000 {
-			t.Errorf("%s is limited to %.1f", s.id, s.held.Most)
+		if s.held.Max < 1000 {
+			t.Errorf("%s is limited to %.1f", s.id, s.held.Max)
 		}
 	}
 }
@@ -1026,7 +1026,7 @@
 			r.serve("page", "x", ReasonHit)
 		}
 		if c.limited {
-			r.d.servers[at].held.Most = 50
+			r.d.servers[at].held.Max = 50
 		}
 		id, _ := overtaken()
 		copies := 0
@@ -1104,7 +1104,7 @@
 			for i := range 10 { // 0.75 s of sending: the aim is 0.6 s and 1.6 times that
 				one(fmt.Sprint("large", i), long, 3000)
 			}
-			cut := slices.ContainsFunc(r.d.inUse[cache], func(s *server) bool { return !math.IsInf(s.held.Most, 1) })
+			cut := slices.ContainsFunc(r.d.inUse[cache], func(s *server) bool { return !math.IsInf(s.held.Max, 1) })
 			if cut != (name == "late") {
 				t.Errorf("limits cut: %v", cut)
 			}
--- a/routing/state.go
+++ b/routing/state.go
@@ -34,8 +34,8 @@
 	spare     float64    // further attempts that recent success has earned
 	doubt     [3]float64 // by role, share of recent attempts that ended in an error of no told cause
 	copies    float64    // second copies that lost answers have earned
-	purged    *purge.Book
-	prices    concurrency.Prices
+	purged    *purge.Registry
+	prices    concurrency.MeanCost
 	loads     loadreport.Fields
 	carried   [3]float64        // by role, work a second for each weight that warm ones carried for us
 	fetches   concurrency.Limit // fills that may go through to the origin
--- a/routing/table.go
+++ b/routing/table.go
@@ -42,9 +42,9 @@
 // place is this director's among those that send to a server; drawn by itself where it is not told.
 func (d *Director) place(s *server) float64 {
 	if d.among(s.role) <= 0 || d.set.IndexUnknown {
-		return slowstart.Place(0, d.own^s.hash)
+		return slowstart.SenderPosition(0, d.own^s.hash)
 	}
-	return slowstart.Place(d.set.Index, s.hash)
+	return slowstart.SenderPosition(d.set.Index, s.hash)
 }
 
 // recent is the work a second that a server has done for us lately. Only what it answered counts: what was
--- a/routing/world_test.go
+++ b/routing/world_test.go
@@ -226,8 +226,8 @@
 				t.Errorf("tells %v, dead %v: %.2f of all films", tells, dead, got)
 			}
 			for _, s := range w.d.inUse[cache] {
-				if s.held.Most < 3 {
-					t.Errorf("tells %v, dead %v: %s is limited to %.1f", tells, dead, s.id, s.held.Most)
+				if s.held.Max < 3 {
+					t.Errorf("tells %v, dead %v: %s is limited to %.1f", tells, dead, s.id, s.held.Max)
 				}
 			}
 		}
@@ -264,7 +264,7 @@
 			clear(h)
 		}
 		w.do(Purge{Group: 0})
-		w.d.fetches.Most = 3
+		w.d.fetches.Max = 3
 	})
 	for at := 10 * time.Second; at < 11*time.Second; at += 10 * ms {
 		w.at(at+ms, func() { most = max(most, int(w.busy-w.clock.Now)/int(w.origin)) })
--- a/slowstart/fleet_test.go
+++ b/slowstart/fleet_test.go
@@ -58,7 +58,7 @@
 	room := 0.0 // work that the store can do by now
 	var at []time.Duration
 	for now := start; now < start+span; now += step {
-		share := f.ramp.Share(now, start)
+		share := f.ramp.CapacityShare(now, start)
 		room = min(f.capacity*share, room+f.capacity*share*step.Seconds())
 		factor := 1.0
 		if f.surge > 0 && now >= start+2*time.Second {
@@ -86,20 +86,20 @@
 			if now < learns[i] || !wants {
 				continue
 			}
-			s := Sender{Among: f.among, Place: Place(i, store), Can: carried, DoesOver: window}
+			s := Sender{Senders: f.among, Position: SenderPosition(i, store), WarmRate: carried, ObservedOver: window}
 			if f.numbers != nil {
-				s.Place = Place(f.numbers(i), store)
+				s.Position = SenderPosition(f.numbers(i), store)
 			}
 			if f.among == 0 {
-				s.Place = Place(0, rng.Uint64())
+				s.Position = SenderPosition(0, rng.Uint64())
 			}
 			if !f.known {
-				s.Can = 0
+				s.WarmRate = 0
 			} else if forgot[i] { // what warm ones carry it sees again
-				s.Can *= 1 - math.Exp(-float64(now-from[i])/float64(window))
+				s.WarmRate *= 1 - math.Exp(-float64(now-from[i])/float64(window))
 			}
 			for range times {
-				s.Does = lately(i, now)
+				s.ObservedRate = lately(i, now)
 				if !f.ramp.Allows(&budgets[i], now, start, fleetCost, s) {
 					break
 				}
@@ -117,12 +117,12 @@
 	for i, from := range at {
 		n, can := 0.0, 0.0
 		for _, t := range at[i:] {
-			if t < from+f.ramp.Within {
+			if t < from+f.ramp.OverloadWindow {
 				n++
 			}
 		}
-		for t := from; t < from+f.ramp.Within; t += step {
-			can += f.ramp.Multiple * f.capacity * f.ramp.Share(t, start) * step.Seconds() / fleetCost
+		for t := from; t < from+f.ramp.OverloadWindow; t += step {
+			can += f.ramp.OverloadMultiple * f.capacity * f.ramp.CapacityShare(t, start) * step.Seconds() / fleetCost
 		}
 		if o := n - can - 2*math.Sqrt(can) - 2; o > over {
 			over, sent, allowed = o, n, can
@@ -134,8 +134,8 @@
 // The ramp holds for the fleet: whatever the number of senders, and whatever they want and when, in no window is a cold store
 // sent more than N by all together, and chance adds no more than 2 roots of N, and 2. N is what the settings allow it.
 func TestTheRampHoldsForTheFleet(t *testing.T) {
-	base := Ramp{From: 0.15, For: 17 * time.Second, Multiple: 2.5, Within: 2 * time.Second}
-	short := Ramp{From: 0.2, For: 12 * time.Second, Multiple: 2, Within: time.Second}
+	base := Ramp{InitialShare: 0.15, Duration: 17 * time.Second, OverloadMultiple: 2.5, OverloadWindow: 2 * time.Second}
+	short := Ramp{InitialShare: 0.2, Duration: 12 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second}
 	apart := 300 * time.Millisecond
 	for name, f := range map[string]fleet{
 		"thirty":                          {ramp: base, senders: 30, among: 30, capacity: 6, load: 0.6, known: true, spread: apart},
--- a/slowstart/slowstart.go
+++ b/slowstart/slowstart.go
@@ -21,33 +21,33 @@
 
 // Ramp says how a store warms up.
 type Ramp struct {
-	From     float64       // it starts with at least this share of its capacity
-	For      time.Duration // and has all of it after this at the latest, rising in a line; 0: it is never cold
-	Multiple float64       // sent this multiple of what it can do ...
-	Within   time.Duration // ... for this long, it falls over
+	InitialShare     float64       // it starts with at least this share of its capacity
+	Duration         time.Duration // and has all of it after this at the latest, rising in a line; 0: it is never cold
+	OverloadMultiple float64       // sent this multiple of what it can do ...
+	OverloadWindow   time.Duration // ... for this long, it falls over
 }
 
-// Share is the least share of its capacity that a store which started at a time has now; 1 once it is warm. A start at
+// CapacityShare is the least share of its capacity that a store which started at a time has now; 1 once it is warm. A start at
 // or before 0 was long ago.
-func (r Ramp) Share(now, start time.Duration) float64 {
-	if start <= 0 || r.For <= 0 || now-start >= r.For {
+func (r Ramp) CapacityShare(now, start time.Duration) float64 {
+	if start <= 0 || r.Duration <= 0 || now-start >= r.Duration {
 		return 1
 	}
-	return r.From + (1-r.From)*max(0, float64(now-start)/float64(r.For))
+	return r.InitialShare + (1-r.InitialShare)*max(0, float64(now-start)/float64(r.Duration))
 }
 
 // Sender says who sends, among whom.
 type Sender struct {
-	Among    float64       // senders to the store; 0: not told
-	Place    float64       // in the order of senders, between 0 and 1: see [Place]
-	Can      float64       // cost a second that warm stores of this one's size carry for it; 0: nothing is known
-	Does     float64       // and that this one was seen to do for it lately,
-	DoesOver time.Duration // within about this time
+	Senders      float64       // senders to the store; 0: not told
+	Position     float64       // in the order of senders, between 0 and 1: see [Place]
+	WarmRate     float64       // cost a second that warm stores of this one's size carry for it; 0: nothing is known
+	ObservedRate float64       // and that this one was seen to do for it lately,
+	ObservedOver time.Duration // within about this time
 }
 
-// Place spreads senders evenly between 0 and 1 by their numbers, in another order at each store. Where numbers are not told,
+// SenderPosition spreads senders evenly between 0 and 1 by their numbers, in another order at each store. Where numbers are not told,
 // a place that each draws for itself serves as well on average.
-func Place(number int, store uint64) float64 {
+func SenderPosition(number int, store uint64) float64 {
 	_, f := math.Modf(float64(number)*golden + float64(store>>11)/(1<<53))
 	return f
 }
@@ -66,11 +66,11 @@
 
 // Spend notes that something of a cost is sent to a store that started at a time.
 func (r Ramp) Spend(b *Budget, now, start time.Duration, cost float64) {
-	if r.Share(now, start) >= 1 { // guards the memory: to a warm one much is sent
+	if r.CapacityShare(now, start) >= 1 { // guards the memory: to a warm one much is sent
 		*b = Budget{}
 		return
 	}
-	b.forget(now - r.Within)
+	b.forget(now - r.OverloadWindow)
 	b.sent = append(b.sent, spending{now, cost})
 	b.sum += cost
 }
@@ -103,25 +103,25 @@
 // age, and its full capacity by what warm ones carry for this sender, which is the sender's part: the parts of all add up. A
 // sender that knows nothing has its part of a floor of one sending. The store's own doing counts where it is more.
 func (r Ramp) Allows(b *Budget, now, start time.Duration, cost float64, s Sender) bool {
-	if r.Within <= 0 { // it bears anything
+	if r.OverloadWindow <= 0 { // it bears anything
 		return true
 	}
-	among := s.Among
+	among := s.Senders
 	if among <= 0 { // guards against each of a whole fleet taking the floor for its own
 		among = untold
 	}
 	// The window that ends now has brought what the store had in its middle, as it warms up in a line.
-	rate := s.Can * r.Share(now-r.Within/2, start)
-	if s.Can <= 0 {
-		rate = s.Does
-	} else if s.Does > rate {
+	rate := s.WarmRate * r.CapacityShare(now-r.OverloadWindow/2, start)
+	if s.WarmRate <= 0 {
+		rate = s.ObservedRate
+	} else if s.ObservedRate > rate {
 		// Guards against luck with a few: what some did beyond their part others did not, who go by warm ones.
-		rate = max(rate, s.Does-math.Sqrt(s.Does*cost/s.DoesOver.Seconds()))
+		rate = max(rate, s.ObservedRate-math.Sqrt(s.ObservedRate*cost/s.ObservedOver.Seconds()))
 	}
-	within := r.Within.Seconds()
-	part := within * max(r.Multiple*margin*rate, cost/max(1, within)/max(1, among))
+	within := r.OverloadWindow.Seconds()
+	part := within * max(r.OverloadMultiple*margin*rate, cost/max(1, within)/max(1, among))
 	// The order moves on by one sender in each window, so that none is shut out for the whole ramp.
-	_, place := math.Modf(s.Place + float64(now)/float64(r.Within)/max(1, among))
-	b.forget(now - r.Within)
+	_, place := math.Modf(s.Position + float64(now)/float64(r.OverloadWindow)/max(1, among))
+	b.forget(now - r.OverloadWindow)
 	return b.sum+(1-place)*cost <= part
 }
--- a/slowstart/slowstart_test.go
+++ b/slowstart/slowstart_test.go
@@ -12,8 +12,8 @@
 // is a cold store sent more than its multiple of what it can do, but for what chance adds: 2 roots of that, and 2.
 func TestAllSendersTogetherStayWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ramp := Ramp{From: rapid.Float64Range(0.08, 0.4).Draw(t, "from"), For: time.Duration(rapid.IntRange(8, 22).Draw(t, "for")) * time.Second,
-			Multiple: rapid.Float64Range(2, 2.5).Draw(t, "multiple"), Within: time.Duration(rapid.IntRange(1, 2).Draw(t, "within")) * time.Second}
+		ramp := Ramp{InitialShare: rapid.Float64Range(0.08, 0.4).Draw(t, "from"), Duration: time.Duration(rapid.IntRange(8, 22).Draw(t, "for")) * time.Second,
+			OverloadMultiple: rapid.Float64Range(2, 2.5).Draw(t, "multiple"), OverloadWindow: time.Duration(rapid.IntRange(1, 2).Draw(t, "within")) * time.Second}
 		n := rapid.IntRange(1, 12).Draw(t, "senders")
 		const capacity, cost, step = 100.0, 0.5, 5 * time.Millisecond // seconds of work a second
 		shares := make([]float64, n)                                  // of the traffic; warm stores carry it within their capacity
@@ -32,7 +32,7 @@
 		for now := start; now < start+6*time.Second; now += step {
 			got := 0.0
 			for i := range n {
-				s := Sender{Among: float64(n), Place: Place(i, store), Can: capacity * shares[i] / sum}
+				s := Sender{Senders: float64(n), Position: SenderPosition(i, store), WarmRate: capacity * shares[i] / sum}
 				for now >= learns[i] && ramp.Allows(&budgets[i], now, start, cost, s) { // each always has more to send
 					ramp.Spend(&budgets[i], now, start, cost)
 					got += cost
@@ -40,16 +40,16 @@
 			}
 			sent = append(sent, got)
 		}
-		window := int(ramp.Within / step)
+		window := int(ramp.OverloadWindow / step)
 		for from := 0; from+window <= len(sent); from++ {
 			total, can := 0.0, 0.0
 			for k := from; k < from+window; k++ {
 				total += sent[k]
-				can += capacity * ramp.Share(start+time.Duration(k)*step, start) * step.Seconds()
+				can += capacity * ramp.CapacityShare(start+time.Duration(k)*step, start) * step.Seconds()
 			}
-			most := ramp.Multiple * can / cost
+			most := ramp.OverloadMultiple * can / cost
 			if total /= cost; total > most+2*math.Sqrt(most)+2 {
-				t.Fatalf("%v after the start %.1f were sent within %v, %.1f are allowed", time.Duration(from)*step, total, ramp.Within, most)
+				t.Fatalf("%v after the start %.1f were sent within %v, %.1f are allowed", time.Duration(from)*step, total, ramp.OverloadWindow, most)
 			}
 		}
 	})
@@ -57,8 +57,8 @@
 
 // What did not come to the store is taken back, the latest of its cost; to a warm one nothing is kept in mind.
 func TestRefunds(t *testing.T) {
-	r := Ramp{From: 0.2, For: 10 * time.Second, Multiple: 2, Within: time.Second}
-	s := Sender{Among: 1, Can: 1} // 0.36 at the start, and more by the age
+	r := Ramp{InitialShare: 0.2, Duration: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second}
+	s := Sender{Senders: 1, WarmRate: 1} // 0.36 at the start, and more by the age
 	var b Budget
 	start := time.Minute
 	r.Spend(&b, start, start, 0.3)
@@ -75,7 +75,7 @@
 		t.Error("what was sent a window ago counts still")
 	}
 	for i := range 1000 {
-		r.Spend(&b, start+r.For+time.Duration(i), start, 0.3)
+		r.Spend(&b, start+r.Duration+time.Duration(i), start, 0.3)
 	}
 	if len(b.sent) > 0 {
 		t.Errorf("%d sendings to a warm store are kept in mind", len(b.sent))
@@ -83,35 +83,35 @@
 }
 
 func TestShares(t *testing.T) {
-	r := Ramp{From: 0.2, For: 10 * time.Second}
+	r := Ramp{InitialShare: 0.2, Duration: 10 * time.Second}
 	for _, c := range []struct {
 		now, start time.Duration
 		want       float64
 	}{{time.Hour, 0, 1}, {20, 20, 0.2}, {5 * time.Second, 10 * time.Second, 0.2}, {15 * time.Second, 10 * time.Second, 0.6},
 		{20 * time.Second, 10 * time.Second, 1}} {
-		if got := r.Share(c.now, c.start); got < c.want-1e-9 || got > c.want+1e-9 {
+		if got := r.CapacityShare(c.now, c.start); got < c.want-1e-9 || got > c.want+1e-9 {
 			t.Errorf("%v after a start at %v: %v, want %v", c.now, c.start, got, c.want)
 		}
 	}
-	if (Ramp{}).Share(1, 1) != 1 {
+	if (Ramp{}).CapacityShare(1, 1) != 1 {
 		t.Error("a store that is never cold")
 	}
 }
 
 // Of many that know nothing each has its turn with the floor, one in each window: none is shut out for the whole ramp.
 func TestTheFloorGoesRound(t *testing.T) {
-	r := Ramp{From: 0.15, For: 17 * time.Second, Multiple: 2.5, Within: 2 * time.Second}
+	r := Ramp{InitialShare: 0.15, Duration: 17 * time.Second, OverloadMultiple: 2.5, OverloadWindow: 2 * time.Second}
 	start, store := 1000*time.Hour, uint64(0x9d2c5680a1b3f4e7)
 	budgets, had := make([]Budget, 30), map[int]bool{}
-	for now := start; now < start+r.For; now += 5 * time.Millisecond {
+	for now := start; now < start+r.Duration; now += 5 * time.Millisecond {
 		for i := range budgets {
-			if r.Allows(&budgets[i], now, start, 0.25, Sender{Among: 30, Place: Place(i, store)}) {
+			if r.Allows(&budgets[i], now, start, 0.25, Sender{Senders: 30, Position: SenderPosition(i, store)}) {
 				r.Spend(&budgets[i], now, start, 0.25)
 				had[i] = true
 			}
 		}
 	}
 	if len(had) < 6 || len(had) > 12 {
-		t.Errorf("%d of 30 had a turn in %v, one in each %v is wanted", len(had), r.For, r.Within)
+		t.Errorf("%d of 30 had a turn in %v, one in each %v is wanted", len(had), r.Duration, r.OverloadWindow)
 	}
 }
--- a/warmstart/pace.go
+++ b/warmstart/pace.go
@@ -9,9 +9,9 @@
 	hangAfter    = 30 * time.Second // a write that takes longer hangs: no second one is begun beside it
 )
 
-// Pace decides when knowledge is written: at steady intervals while that goes well, ever more seldom while it fails, and
+// SaveSchedule decides when knowledge is written: at steady intervals while that goes well, ever more seldom while it fails, and
 // never beside a write that has not ended.
-type Pace struct {
+type SaveSchedule struct {
 	Every time.Duration // 0: DefaultEvery
 
 	next  time.Duration
@@ -24,16 +24,16 @@
 }
 
 // Due says whether a write is to begin now.
-func (p *Pace) Due(now time.Duration) bool { return !p.busy && now >= p.next }
+func (p *SaveSchedule) Due(now time.Duration) bool { return !p.busy && now >= p.next }
 
 // Force has the next write due at once.
-func (p *Pace) Force() { p.next = 0 }
+func (p *SaveSchedule) Force() { p.next = 0 }
 
-// Began notes that one has.
-func (p *Pace) Began(now time.Duration) { p.began, p.busy, p.told = now, true, false }
+// Started notes that one has.
+func (p *SaveSchedule) Started(now time.Duration) { p.began, p.busy, p.told = now, true, false }
 
-// Ended notes how it went.
-func (p *Pace) Ended(now time.Duration, failed bool) {
+// Finished notes how it went.
+func (p *SaveSchedule) Finished(now time.Duration, failed bool) {
 	every := p.Every
 	if every <= 0 {
 		every = DefaultEvery
@@ -50,7 +50,7 @@
 }
 
 // Hanging says, once for each, that the write that is out has taken too long.
-func (p *Pace) Hanging(now time.Duration) bool {
+func (p *SaveSchedule) Hanging(now time.Duration) bool {
 	if !p.busy || p.told || now-p.began < hangAfter {
 		return false
 	}
--- a/warmstart/shared.go
+++ b/warmstart/shared.go
@@ -45,9 +45,9 @@
 // bootMs tells starts apart at all gateways alike, whose clocks give one to a few microseconds.
 func bootMs(boot time.Duration) int64 { return boot.Round(time.Millisecond).Milliseconds() }
 
-// Tell says what is news of what a director has learned and of the list: what is a matter of safety first, then what speaks against
+// Publish says what is news of what a director has learned and of the list: what is a matter of safety first, then what speaks against
 // stores, then listings, the most used first, until the copy takes no more. Now is the copy's clock; m.At the director's.
-func (s *Sharer) Tell(now time.Duration, m routing.LearnedState, list map[string]routing.Endpoint) {
+func (s *Sharer) Publish(now time.Duration, m routing.LearnedState, list map[string]routing.Endpoint) {
 	seen := func(at time.Duration) time.Duration { return now - max(0, m.At-at) }
 	say := func(k replication.Kind, key string, value []byte, at time.Duration) bool {
 		if !s.node.Say(now, k, key, value, at) {
@@ -85,7 +85,7 @@
 	for _, h := range m.Endpoints {
 		e := evidence(h, m.At)
 		switch bad := e.Bad(); {
-		case bad && h.LastAnswer > 0 && m.At-h.LastAnswer < HalfFailing:
+		case bad && h.LastAnswer > 0 && m.At-h.LastAnswer < FailureHalfLife:
 			s.voice[h.Endpoint] = true
 			say(replication.Health, h.Endpoint, replication.Encode(e), seen(h.LastAnswer))
 		case !bad && s.voice[h.Endpoint]: // it is well again: that is said once
--- a/warmstart/shared_test.go
+++ b/warmstart/shared_test.go
@@ -65,7 +65,7 @@
 func TestWhatIsToldIsTakenInWithItsAge(t *testing.T) {
 	p := newPair(t, "a", "b")
 	boot := 500*time.Hour + 300*time.Nanosecond
-	p.s["a"].Tell(p.now, routing.LearnedState{At: director, Listings: []routing.Listing{{Key: 77, Endpoint: "b1", Incarnation: boot, LastRequest: director - 10*time.Second, Count: 4, MeanGap: time.Second}},
+	p.s["a"].Publish(p.now, routing.LearnedState{At: director, Listings: []routing.Listing{{Key: 77, Endpoint: "b1", Incarnation: boot, LastRequest: director - 10*time.Second, Count: 4, MeanGap: time.Second}},
 		Purges: []routing.PurgeRecord{{Name: " 3", At: director - time.Second}}, Endpoints: []routing.EndpointHealth{{Endpoint: "b2", Incarnation: boot, LastAnswer: director - 2*time.Second, ErrorRate: 0.8}}}, list(routing.Up, boot))
 	p.sync()
 	other := list(routing.Up, boot-200*time.Nanosecond) // another gateway's clock
@@ -93,14 +93,14 @@
 	p := newPair(t, "a", "b", "c")
 	ill := routing.LearnedState{At: director, Endpoints: []routing.EndpointHealth{{Endpoint: "b2", LastAnswer: director, ErrorRate: 0.8, EjectedUntil: director + 3*time.Second}}}
 	for _, n := range []string{"a", "b"} {
-		p.s[n].Tell(p.now, ill, nil)
+		p.s[n].Publish(p.now, ill, nil)
 	}
 	p.sync()
 	if m := p.s["c"].Gather(p.now, director, nil); len(m.Endpoints) != 1 || m.Endpoints[0].ErrorRate != 0.8 || m.Endpoints[0].EjectedUntil == 0 {
 		t.Fatalf("%+v", m.Endpoints)
 	}
 	for _, n := range []string{"a", "b"} {
-		p.s[n].Tell(p.now, routing.LearnedState{At: director, Endpoints: []routing.EndpointHealth{{Endpoint: "b2", LastAnswer: director}}}, nil)
+		p.s[n].Publish(p.now, routing.LearnedState{At: director, Endpoints: []routing.EndpointHealth{{Endpoint: "b2", LastAnswer: director}}}, nil)
 	}
 	p.sync()
 	if m := p.s["c"].Gather(p.now, director, nil); len(m.Endpoints) != 0 {
@@ -112,7 +112,7 @@
 func TestLittleIsSaidTwice(t *testing.T) {
 	p := newPair(t, "a", "b")
 	m := routing.LearnedState{At: director, Endpoints: []routing.EndpointHealth{{Endpoint: "b2", LastAnswer: director, ErrorRate: 0.8}}, Purges: []routing.PurgeRecord{{Name: "o", At: director}}}
-	p.s["a"].Tell(p.now, m, nil)
+	p.s["a"].Publish(p.now, m, nil)
 	p.sync()
 	m.At += 4 * time.Second
 	told := p.s["a"].Told
@@ -120,12 +120,12 @@
 		m.At += 100 * time.Millisecond
 		p.now += 100 * time.Millisecond
 		m.Endpoints[0].LastAnswer, m.Endpoints[0].ErrorRate = m.At, m.Endpoints[0].ErrorRate-0.001
-		p.s["a"].Tell(p.now, m, nil)
+		p.s["a"].Publish(p.now, m, nil)
 	}
 	if got := p.s["a"].Told; got != told {
 		t.Errorf("%d things were said, and %d again", told, got-told)
 	}
-	p.s["b"].Tell(p.now, routing.LearnedState{At: m.At, Purges: []routing.PurgeRecord{{Name: "o", At: m.At - p.now + p.nodes["b"].Purges(p.now)["o"]}}}, nil)
+	p.s["b"].Publish(p.now, routing.LearnedState{At: m.At, Purges: []routing.PurgeRecord{{Name: "o", At: m.At - p.now + p.nodes["b"].Purges(p.now)["o"]}}}, nil)
 	if p.s["b"].Told != 0 {
 		t.Error("both say the same purge")
 	}
@@ -137,9 +137,9 @@
 	for _, apart := range []time.Duration{30 * time.Millisecond, 99 * time.Millisecond, 130 * time.Millisecond, 495 * time.Millisecond, 2 * time.Second} {
 		p := newPair(t, "a", "b")
 		first := director
-		p.s["a"].Tell(p.now, routing.LearnedState{At: first, Purges: []routing.PurgeRecord{{Name: "o", At: first}}}, nil)
+		p.s["a"].Publish(p.now, routing.LearnedState{At: first, Purges: []routing.PurgeRecord{{Name: "o", At: first}}}, nil)
 		p.now += apart
-		p.s["a"].Tell(p.now, routing.LearnedState{At: first + apart, Purges: []routing.PurgeRecord{{Name: "o", At: first + apart}}}, nil)
+		p.s["a"].Publish(p.now, routing.LearnedState{At: first + apart, Purges: []routing.PurgeRecord{{Name: "o", At: first + apart}}}, nil)
 		latest := p.now
 		p.sync()
 		m := p.s["b"].Gather(p.now, 2*director, nil)
@@ -148,7 +148,7 @@
 		}
 		m.At += 300 * time.Millisecond
 		p.now += 300 * time.Millisecond
-		p.s["b"].Tell(p.now, routing.LearnedState{At: m.At, Purges: m.Purges}, nil)
+		p.s["b"].Publish(p.now, routing.LearnedState{At: m.At, Purges: m.Purges}, nil)
 		if p.s["b"].Told != 0 {
 			t.Errorf("%v apart: b says on what it was told", apart)
 		}
@@ -158,8 +158,8 @@
 // A drain that the own list has not told of yet is heeded, for the start that is meant, for a while, and for a few stores only.
 func TestADrainIsHeededOnOthersWord(t *testing.T) {
 	p := newPair(t, "a", "b")
-	p.s["a"].Tell(p.now, routing.LearnedState{At: director}, list(routing.Up, time.Hour))
-	p.s["a"].Tell(p.now, routing.LearnedState{At: director}, list(routing.Draining, time.Hour))
+	p.s["a"].Publish(p.now, routing.LearnedState{At: director}, list(routing.Up, time.Hour))
+	p.s["a"].Publish(p.now, routing.LearnedState{At: director}, list(routing.Draining, time.Hour))
 	p.sync()
 	if held := p.s["b"].Holds(p.now, list(routing.Up, time.Hour)); len(held) != 1 || !held["b0"] {
 		t.Fatalf("%v", held)
@@ -175,7 +175,7 @@
 	}
 	gone := list(routing.Up, time.Hour)
 	clear(gone)
-	p.s["a"].Tell(p.now, routing.LearnedState{At: director}, gone) // all of them, or it lies
+	p.s["a"].Publish(p.now, routing.LearnedState{At: director}, gone) // all of them, or it lies
 	p.sync()
 	if held := p.s["b"].Holds(p.now, list(routing.Up, time.Hour)); len(held) != 2 {
 		t.Errorf("%d of 8 are held", len(held))
--- a/warmstart/warmstart.go
+++ b/warmstart/warmstart.go
@@ -15,10 +15,10 @@
 // Half-lives. What speaks for sending more ages faster than what speaks for sending less: a box wrongly held for ill is
 // tried again soon, while one wrongly held for well is sent work that it can't do.
 const (
-	HalfListing = time.Minute      // that an object is to be found at a cache: for sending more there
-	HalfQuick   = 30 * time.Second // that a parent is the quicker one: likewise
-	HalfFailing = 2 * time.Minute  // that a server fails, or answers late: for sending less
-	HalfLimit   = 2 * time.Minute  // how much may be out: likewise
+	ListingHalfLife     = time.Minute      // that an object is to be found at a cache: for sending more there
+	FillLatencyHalfLife = 30 * time.Second // that a parent is the quicker one: likewise
+	FailureHalfLife     = 2 * time.Minute  // that a server fails, or answers late: for sending less
+	LimitHalfLife       = 2 * time.Minute  // how much may be out: likewise
 
 	least     = 0.001           // what counts for less counts for nothing
 	skew      = 2 * time.Second // by which a clock may have been put back
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// Worth is what knowledge of an age still counts for. What is of the future counts for nothing.
-func Worth(age time.Duration) routing.Confidence {
+// ConfidenceAt is what knowledge of an age still counts for. What is of the future counts for nothing.
+func ConfidenceAt(age time.Duration) routing.Confidence {
 	w := func(half time.Duration) float64 {
 		if age < -skew {
 			return 0
@@ -70,19 +70,19 @@
 		}
 		return x
 	}
-	return routing.Confidence{Listing: w(HalfListing), Failure: w(HalfFailing), Limit: w(HalfLimit), FillLatency: w(HalfQuick)}
+	return routing.Confidence{Listing: w(ListingHalfLife), Failure: w(FailureHalfLife), Limit: w(LimitHalfLife), FillLatency: w(FillLatencyHalfLife)}
 }
 
-// Report is what became of a snapshot.
-type Report struct {
+// ImportReport is what became of a snapshot.
+type ImportReport struct {
 	Age  time.Duration
 	Void error // why nothing of it was used
 	routing.ImportCounts
 }
 
 // Use has directors take in what a snapshot holds for them, by the names of their zones.
-func (s *Snapshot) Use(now time.Duration, gateway, settings string, directors map[string]*routing.Director) Report {
-	r := Report{Age: now - s.Made, Void: s.Check(now, gateway, settings)}
+func (s *Snapshot) Use(now time.Duration, gateway, settings string, directors map[string]*routing.Director) ImportReport {
+	r := ImportReport{Age: now - s.Made, Void: s.Check(now, gateway, settings)}
 	if r.Void != nil {
 		return r
 	}
@@ -92,7 +92,7 @@
 			r.Invalid += len(m.Listings) + len(m.Endpoints)
 			continue
 		}
-		u := d.Import(now, m, Worth)
+		u := d.Import(now, m, ConfidenceAt)
 		r.Listings, r.Endpoints, r.Purges = r.Listings+u.Listings, r.Endpoints+u.Endpoints, r.Purges+u.Purges
 		r.Gone, r.Restarted, r.WarmingUp = r.Gone+u.Gone, r.Restarted+u.Restarted, r.WarmingUp+u.WarmingUp
 		r.Expired, r.Invalid = r.Expired+u.Expired, r.Invalid+u.Invalid
@@ -101,7 +101,7 @@
 }
 
 // String tells it in a line.
-func (r Report) String() string {
+func (r ImportReport) String() string {
 	if r.Void != nil {
 		return "void: " + r.Void.Error()
 	}
--- a/warmstart/warmstart_test.go
+++ b/warmstart/warmstart_test.go
@@ -11,12 +11,12 @@
 // What is a day old counts for nothing, what speaks for sending more ages faster than what speaks for sending less, and
 // nothing grows with age.
 func TestKnowledgeAges(t *testing.T) {
-	last := Worth(0)
+	last := ConfidenceAt(0)
 	if last != (routing.Confidence{Listing: 1, Failure: 1, Limit: 1, FillLatency: 1}) {
 		t.Errorf("fresh: %+v", last)
 	}
 	for age := time.Second; age < 26*time.Hour; age += age / 7 {
-		w := Worth(age)
+		w := ConfidenceAt(age)
 		if w.Listing > last.Listing || w.Failure > last.Failure || w.Limit > last.Limit || w.FillLatency > last.FillLatency {
 			t.Errorf("%v: %+v, and before %+v", age, w, last)
 		}
@@ -25,8 +25,8 @@
 		}
 		last = w
 	}
-	if last != (routing.Confidence{}) || Worth(-time.Minute) != (routing.Confidence{}) {
-		t.Errorf("a day old: %+v, of the future: %+v", last, Worth(-time.Minute))
+	if last != (routing.Confidence{}) || ConfidenceAt(-time.Minute) != (routing.Confidence{}) {
+		t.Errorf("a day old: %+v, of the future: %+v", last, ConfidenceAt(-time.Minute))
 	}
 }
 
@@ -47,17 +47,17 @@
 
 // Writes are paced: steadily while they go well, ever more seldom while they fail, never two at once.
 func TestPace(t *testing.T) {
-	p := Pace{Every: time.Second}
+	p := SaveSchedule{Every: time.Second}
 	now, began := time.Duration(0), 0
 	tick := func(long time.Duration, failed bool) int {
 		began = 0
 		for end := now + long; now < end; now += 100 * time.Millisecond {
 			if p.Due(now) {
-				p.Began(now)
+				p.Started(now)
 				if p.Due(now) {
 					t.Fatal("two at once")
 				}
-				p.Ended(now+50*time.Millisecond, failed)
+				p.Finished(now+50*time.Millisecond, failed)
 				began++
 			}
 		}
@@ -73,7 +73,7 @@
 	if n := tick(10*time.Second, false); n < 9 {
 		t.Errorf("%d writes in 10 s after them", n)
 	}
-	p.Began(now)
+	p.Started(now)
 	if p.Hanging(now+time.Second) || !p.Hanging(now+time.Minute) || p.Hanging(now+2*time.Minute) || p.Due(now+time.Hour) || p.Hung != 1 {
 		t.Error("a write that hangs is not told once, or another is begun beside it")
 	}
