--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter hosts directors and speaks the wire of package wire on standard input and output.
+// Command adapter hosts directors and speaks the wire of package simprotocol on standard input and output.
 package main
 
 import (
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -68,7 +68,7 @@
 type event struct {
 	routing.Event
 	where   int
-	request *Request // of a control.Request
+	request *Request // of a routing.Request
 }
 
 // Counters count what a gateway takes in and gives out.
--- a/gateway/types.go
+++ b/gateway/types.go
@@ -1,6 +1,6 @@
 // Package gateway is the core of larchusher: requests, the attempts made for them, how those end, and the
 // one final answer each request gets. It knows no wire, socket or encoding. A front submits requests and
-// takes answers, a [Backend] carries attempts to stores, and a director of package control makes every
+// takes answers, a [Backend] carries attempts to stores, and a director of package routing makes every
 // decision in between.
 //
 // All of it runs on one [Loop].
@@ -112,9 +112,9 @@
 	Load      []float64
 	Body      []byte
 	Tag       string
-	Unchanged bool // with control.OK: the client's copy is the one
-	Dropped   bool // with control.OK: there was no memory for the body, which has been passed over
-	Along     bool // with control.Reset: another attempt's answer broke the connection that they shared
+	Unchanged bool // with routing.OK: the client's copy is the one
+	Dropped   bool // with routing.OK: there was no memory for the body, which has been passed over
+	Along     bool // with routing.Reset: another attempt's answer broke the connection that they shared
 
 	At   time.Time // when its last byte came; zero: now
 	Free func()    // takes Body's memory back, once nobody uses it any more; nil: nothing does
@@ -127,7 +127,7 @@
 	Cancel(a *Attempt) // nothing more is wanted of a
 }
 
-// Peers carries messages to the other gateways. To is a peer's number or control.Everyone.
+// Peers carries messages to the other gateways. To is a peer's number or routing.AllDirectors.
 type Peers interface {
 	Tell(to int, data string)
 }
--- a/internal/clusternode/files.go
+++ b/internal/clusternode/files.go
@@ -1,4 +1,4 @@
-// Package clusternode runs a gateway's part in its fleet: package fleet on the loop, its link, and the files that must last.
+// Package clusternode runs a gateway's part in its fleet: package cluster on the loop, its link, and the files that must last.
 package clusternode
 
 import (
--- a/internal/net/clustertransport/words.go
+++ b/internal/net/clustertransport/words.go
@@ -15,7 +15,7 @@
 	"larchusher/replication"
 )
 
-// The form of messages: what package fleet deals in, and back.
+// The form of messages: what package cluster deals in, and back.
 
 func ballotOut(b consensus.Ballot) *linkpb.Ballot {
 	if b == (consensus.Ballot{}) {
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -1,6 +1,6 @@
 // Package simprotocol reads and writes the adapter protocol: one JSON batch a line in, one JSON reply a line out.
 //
-// It translates between the protocol's words and the types of package control, and decides nothing.
+// It translates between the protocol's words and the types of package routing, and decides nothing.
 package simprotocol
 
 import (
--- a/lab/faultinjection/spread.go
+++ b/lab/faultinjection/spread.go
@@ -11,7 +11,7 @@
 	"larchusher/replication"
 )
 
-// Spreading is what it takes a fleet in simulated time to know the same: package replica as the daemon drives it, over links of two
+// Spreading is what it takes a fleet in simulated time to know the same: package replication as the daemon drives it, over links of two
 // milliseconds.
 type Spreading struct {
 	Way      string
--- a/lab/localitysim/localitysim.go
+++ b/lab/localitysim/localitysim.go
@@ -1,4 +1,4 @@
-// Package localitysim is several zones in simulated time: gateways that run package tiers without a changed line, zones with
+// Package localitysim is several zones in simulated time: gateways that run package locality without a changed line, zones with
 // boxes, copies and a link, upper caches at hubs, and an origin that refuses beyond a point. It tries faults at sizes that
 // sockets don't reach. Equal scenes and seeds give equal runs.
 //
@@ -55,7 +55,7 @@
 
 // The policies.
 const (
-	Ours      Policy = "tiers"     // package tiers
+	Ours      Policy = "tiers"     // package locality
 	NoSpill   Policy = "no spill"  // all stays
 	Unbounded Policy = "unbounded" // what fails here goes to the next zone that the list calls up, all of it, and back at once
 )
--- a/test/tiers_test.go
+++ b/test/tiers_test.go
@@ -28,7 +28,7 @@
 	if r.Silent+r.Second+r.Spoilt > 0 {
 		t.Errorf("%d requests had no answer in time, %d answers came twice, %d spoilt", r.Silent, r.Second, r.Spoilt)
 	}
-	if r.Over > 0.1 || len(r.Fallen) > 0 { // in the tool's own seconds; the bound itself is shown on a fake clock in package tiers
+	if r.Over > 0.1 || len(r.Fallen) > 0 { // in the tool's own seconds; the bound itself is shown on a fake clock in package locality
 		t.Errorf("spill went %.2f over its bound; fallen: %v", r.Over, r.Fallen)
 	}
 	if before, after := r.Share(0, 2), r.Share(10, 12); after < 0.9*before {
--- a/warmstart/shared.go
+++ b/warmstart/shared.go
@@ -14,7 +14,7 @@
 	"larchusher/routing"
 )
 
-// What a gateway tells the others of what it has learned, and what it makes of what they tell: control.Memory to slots of package
+// What a gateway tells the others of what it has learned, and what it makes of what they tell: routing.LearnedState to slots of package
 // replica and back. Two clocks meet here, the director's and the copy's; only ages go from one to the other.
 
 const (
