--- a/cmd/larchusher/wiring.go
+++ b/cmd/larchusher/wiring.go
@@ -92,7 +92,7 @@
 	gc := gateway.Config{Loop: p.loop, Settings: cfg.Settings, Seed: cfg.Seed, Backend: p.pool, Log: p.log,
 		ToldKB: cfg.ToldKB, MaxOpen: cfg.Sockets.MostHeld, MaxBytes: p.memory(bodiesPart),
 		Overload: p.op.Overload, Echo: p.engine.Echo}
-	gc.Overload.Memory = cmp.Or(gc.Overload.Memory, int64(p.memory(pendingPart))) // and a quarter of that
+	gc.Overload.MemoryLimit = cmp.Or(gc.Overload.MemoryLimit, int64(p.memory(pendingPart))) // and a quarter of that
 	var err error
 	if gc.Tiers, err = p.op.TiersOf(cfg.Settings.Zone, cfg.Settings.Zones); err != nil {
 		return p.operatorError(err)
--- a/gateway/admission.go
+++ b/gateway/admission.go
@@ -33,7 +33,7 @@
 	queue      *overload.Queue
 	spare      *overload.Queue // refusals that take work: they come when nothing else does, or have waited for long
 	ruler      *overload.Controller
-	pulse      *overload.Pulse
+	pulse      *overload.SchedulingMonitor
 	memory     *overload.Memory
 	health     overload.Health
 
@@ -62,17 +62,17 @@
 func (g *Gateway) guard() error {
 	c := g.cfg.Overload
 	c.Classes, c.Fronts = overloadClasses(g.cfg.Settings.Classes), int(fronts)
-	if c.LaterMost == 0 {
-		c.LaterMost = g.cfg.Settings.MaxRetryAfter
+	if c.MaxRetryAfter == 0 {
+		c.MaxRetryAfter = g.cfg.Settings.MaxRetryAfter
 	}
 	if c.Tick == 0 {
 		c.Tick = overload.DefaultTick
 	}
-	if c.StallLeast == 0 {
-		c.StallLeast = overload.DefaultStallLeast
+	if c.MinPause == 0 {
+		c.MinPause = overload.DefaultMinPause
 	}
-	if c.Wait == 0 {
-		c.Wait = overload.DefaultWait
+	if c.MaxWait == 0 {
+		c.MaxWait = overload.DefaultMaxWait
 	}
 	g.cfg.Overload = c
 	order := overload.NewOrder(c.Classes, c.RepeatsFirst)
@@ -80,11 +80,11 @@
 	if g.ruler, err = overload.NewController(c, order); err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
-	g.admissions.use(&admission{order: order, door: overload.NewDoor(order.Bands(), c.Fronts)})
-	g.queue = overload.NewQueue(order.Bands(), c.Fronts, c.Wait)
-	g.spare = overload.NewQueue(1, c.Fronts, c.Wait/spareShare)
-	g.pulse = overload.NewPulse(c.Tick, c.StallLeast)
-	g.memory = overload.NewMemory(c.Memory)
+	g.admissions.use(&admission{order: order, door: overload.NewAdmissionController(order.Bands(), c.Fronts)})
+	g.queue = overload.NewQueue(order.Bands(), c.Fronts, c.MaxWait)
+	g.spare = overload.NewQueue(1, c.Fronts, c.MaxWait/spareShare)
+	g.pulse = overload.NewSchedulingMonitor(c.Tick, c.MinPause)
+	g.memory = overload.NewMemory(c.MemoryLimit)
 	hist := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2) }
 	g.Load = LoadCounters{Waits: hist(), Delays: hist(), Behind: hist()}
 	l := g.cfg.Loop
@@ -100,7 +100,7 @@
 // carries Admitted.
 func (g *Gateway) Try(f Front, class []byte, repeat bool, id []byte) (later time.Duration, ok bool) {
 	a := g.admissions.current.Load()
-	later, ok = a.door.Try(int(f), a.order.BandOf(class, repeat), xxhash.Sum64(id))
+	later, ok = a.door.Admit(int(f), a.order.BandOf(class, repeat), xxhash.Sum64(id))
 	if !g.cfg.Settings.SendRetryAfter {
 		later = 0
 	}
@@ -110,19 +110,19 @@
 // Join counts a client in: what waits to be written to it, and how to end it.
 func (g *Gateway) Join(waiting func() int64, close func(error)) *Client {
 	c := &Client{waiting: waiting, close: close}
-	c.part = g.memory.Join(c)
+	c.part = g.memory.AddClient(c)
 	return c
 }
 
 // Leave counts a client out. A nil one is none.
 func (g *Gateway) Leave(c *Client) {
 	if c != nil {
-		g.memory.Leave(c.part)
+		g.memory.RemoveClient(c.part)
 	}
 }
 
 // Level is the share of the offer that is shed, 0 to 1, over the last tenths of a second.
-func (g *Gateway) Level() float64 { return g.ruler.Level() }
+func (g *Gateway) Level() float64 { return g.ruler.ShedLevel() }
 
 // Weight is the weight that balancers are to give the gateway, in percent.
 func (g *Gateway) Weight() int { return g.health.Weight() }
@@ -131,7 +131,7 @@
 func (g *Gateway) queueUp(r *Request) {
 	r.band = g.order().Band(r.Class, r.Retry)
 	if !r.Admitted {
-		if later, ok := g.door().Try(int(r.Front), r.band, xxhash.Sum64String(r.Ref)); !ok {
+		if later, ok := g.door().Admit(int(r.Front), r.band, xxhash.Sum64String(r.Ref)); !ok {
 			g.shed(r, later)
 			return
 		}
@@ -161,7 +161,7 @@
 	if !g.cfg.Settings.SendRetryAfter {
 		return 0
 	}
-	return overload.Spread(g.ruler.Later(), xxhash.Sum64String(r.Ref))
+	return overload.Jitter(g.ruler.RetryAfter(), xxhash.Sum64String(r.Ref))
 }
 
 // Turn is the place of work that a front has to do before it can submit a request, such as checking its token. Its zero
@@ -203,7 +203,7 @@
 // work gives the next request its turn, and says whether more wait. It is done when nothing else is to be.
 func (g *Gateway) work() bool {
 	now := g.now()
-	for i := g.spare.Expired(now); i != nil; i = g.spare.Expired(now) {
+	for i := g.spare.PopExpired(now); i != nil; i = g.spare.PopExpired(now) {
 		i.Value.(*Turn).run(true)
 	}
 	if g.queue.Len() == 0 {
@@ -212,15 +212,15 @@
 		}
 		return g.spare.Len() > 0
 	}
-	for i := g.queue.Expired(now); i != nil; i = g.queue.Expired(now) {
+	for i := g.queue.PopExpired(now); i != nil; i = g.queue.PopExpired(now) {
 		g.Load.Overdue++
-		g.sample.Oldest = max(g.sample.Oldest, g.queue.Limit(now))
+		g.sample.LongestWait = max(g.sample.LongestWait, g.queue.WaitLimit(now))
 		switch v := i.Value.(type) {
 		case *Request:
-			g.sample.Expired += g.order().Cost(v.band)
+			g.sample.ExpiredCost += g.order().Cost(v.band)
 			g.shed(v, g.later(v))
 		case *Turn:
-			g.sample.Expired += g.order().Cost(v.band)
+			g.sample.ExpiredCost += g.order().Cost(v.band)
 			v.run(true)
 		}
 	}
@@ -230,16 +230,16 @@
 	}
 	waited := g.queue.Waited(i, now)
 	_ = g.Load.Waits.RecordValue(waited.Microseconds())
-	g.sample.Oldest = max(g.sample.Oldest, waited)
+	g.sample.LongestWait = max(g.sample.LongestWait, waited)
 	if t, ok := i.Value.(*Turn); ok {
-		g.sample.Started += g.order().Cost(t.band)
+		g.sample.StartedCost += g.order().Cost(t.band)
 		g.turning = true
 		t.run(false)
 		g.turning = false
 		return g.queue.Len() > 0
 	}
 	r := i.Value.(*Request)
-	g.sample.Started += g.order().Cost(r.band)
+	g.sample.StartedCost += g.order().Cost(r.band)
 	g.start(r)
 	return g.queue.Len() > 0
 }
@@ -266,7 +266,7 @@
 	}
 	g.unreserve(r, size)
 	if r.Client != nil {
-		g.memory.Waiting(r.Client.part, r.Client.waiting(), int64(max(0, size)))
+		g.memory.SetBuffered(r.Client.part, r.Client.waiting(), int64(max(0, size)))
 		g.Load.Peak = max(g.Load.Peak, g.memory.Used())
 	}
 }
@@ -274,7 +274,7 @@
 // unreserve gives back what was set aside for a request.
 func (g *Gateway) unreserve(r *Request, size int) {
 	if r.Client != nil {
-		g.memory.Done(r.Client.part, r.reserved, size)
+		g.memory.Release(r.Client.part, r.reserved, size)
 		r.reserved = 0
 	}
 }
--- a/gateway/admission_test.go
+++ b/gateway/admission_test.go
@@ -53,7 +53,7 @@
 
 // What waited for its turn for too long is refused with when to come back, and no store sees it.
 func TestWhoWaitsForTooLongIsRefused(t *testing.T) {
-	h := newHost(t, overload.Config{Wait: 50 * time.Millisecond})
+	h := newHost(t, overload.Config{MaxWait: 50 * time.Millisecond})
 	old := h.request("old", "page")
 	old.Arrived = time.Now().Add(-time.Second)
 	h.on(func() { h.g.Submit(old) })
@@ -101,7 +101,7 @@
 // An answer that is longer than there is memory for is refused to a client that leaves others unread, not to one that
 // reads; and what was set aside comes back, also when a client leaves.
 func TestAnswersFitTheMemory(t *testing.T) {
-	h := newHost(t, overload.Config{Memory: 100 << 10})
+	h := newHost(t, overload.Config{MemoryLimit: 100 << 10})
 	var unread int64
 	closed := false
 	var slow *gateway.Client
--- a/gateway/loadvalues.go
+++ b/gateway/loadvalues.go
@@ -29,9 +29,9 @@
 	add(metrics.Counter, "load_slow_ended", "Clients closed since they left answers unread.", float64(l.SlowEnded))
 	add(metrics.Gauge, "load_memory_peak", "Most bytes that answers on their way have taken.", float64(l.Peak))
 	add(metrics.Gauge, "load_memory", "Bytes that answers on their way take.", float64(g.memory.Used()))
-	add(metrics.Counter, "load_stalls", "Times that the host stood still.", float64(g.pulse.Stalls))
-	add(metrics.Counter, "load_stalled_ms", "Milliseconds that it did.", float64(g.pulse.Lost.Milliseconds()))
-	add(metrics.Gauge, "load_level", "Share of the offer that is shed.", g.ruler.Level())
+	add(metrics.Counter, "load_stalls", "Times that the host stood still.", float64(g.pulse.Pauses))
+	add(metrics.Counter, "load_stalled_ms", "Milliseconds that it did.", float64(g.pulse.PausedTime.Milliseconds()))
+	add(metrics.Gauge, "load_level", "Share of the offer that is shed.", g.ruler.ShedLevel())
 	add(metrics.Gauge, "load_weight", "Weight told to balancers, in percent.", float64(g.health.Weight()))
 	add(metrics.Gauge, "load_waiting", "Requests that wait for their turn.", float64(g.queue.Len()))
 	for _, h := range []struct {
--- a/gateway/localities.go
+++ b/gateway/localities.go
@@ -20,8 +20,8 @@
 type places struct {
 	directors []*routing.Director
 	names     []string
-	tiers     *locality.T // nil: there is one locality only
-	roster    *locality.Roster
+	tiers     *locality.Selector // nil: there is one locality only
+	roster    *locality.EndpointIndex
 	report    int // where in a load report the fullness of a locality's link stands; -1: nowhere
 	tierTick  time.Duration
 	tiered    time.Duration // when shares were last set
@@ -43,7 +43,7 @@
 		return fmt.Errorf("gateway: tiers: the first locality is %q, and the own one is %q", own, set.Zone)
 	}
 	for i, l := range cfg.Localities {
-		s, err := locality.Settings(set, cfg.Localities, i)
+		s, err := locality.DirectorSettings(set, cfg.Localities, i)
 		if err != nil {
 			return fmt.Errorf("gateway: %w", err)
 		}
@@ -59,7 +59,7 @@
 		return fmt.Errorf("gateway: %w", err)
 	}
 	g.tierTick = tierTick(cfg)
-	g.roster = locality.NewRoster(set, cfg.Localities)
+	g.roster = locality.NewEndpointIndex(set, cfg.Localities)
 	g.report = slices.Index(set.LoadReportFields, "x1")
 	return nil
 }
@@ -68,8 +68,8 @@
 func (g *Gateway) tierBands(cfg locality.Config) locality.Config {
 	cfg.Bands = 2*len(g.cfg.Settings.Classes) + 1 // as overload.Order has them
 	cfg.Seed = g.cfg.Seed
-	if cfg.LaterMost == 0 {
-		cfg.LaterMost = g.cfg.Settings.MaxRetryAfter
+	if cfg.MaxRetryAfter == 0 {
+		cfg.MaxRetryAfter = g.cfg.Settings.MaxRetryAfter
 	}
 	return cfg
 }
@@ -91,7 +91,7 @@
 	if g.tiers == nil || !slices.Equal(names, g.names) {
 		return fmt.Errorf("gateway: tiers: the localities are %q, and were %q at the start", names, g.names)
 	}
-	if err := g.tiers.Use(g.tierBands(cfg)); err != nil {
+	if err := g.tiers.Reconfigure(g.tierBands(cfg)); err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
 	g.cfg.Tiers, g.tierTick = &cfg, tierTick(cfg)
@@ -113,8 +113,8 @@
 	if g.tiers == nil {
 		return
 	}
-	for i, up := range g.roster.Take(m) {
-		g.tiers.Members(i, up)
+	for i, up := range g.roster.Update(m) {
+		g.tiers.SetCachesUp(i, up)
 	}
 }
 
@@ -153,15 +153,15 @@
 		return false
 	}
 	now := g.cfg.Loop.Now()
-	refusal := locality.Refusal{From: where, Safe: r.safe(), Moved: r.moved, Attempts: len(r.attempts), Most: r.maxAttempts,
-		Left: r.Deadline.Sub(now)}
+	refusal := locality.Rejection{From: where, Idempotent: r.safe(), Rerouted: r.moved, Attempts: len(r.attempts), MaxAttempts: r.maxAttempts,
+		Remaining: r.Deadline.Sub(now)}
 	if !r.Arrived.IsZero() {
-		refusal.Waited = now.Sub(r.Arrived)
+		refusal.Elapsed = now.Sub(r.Arrived)
 	}
 	if c := r.class; c != nil {
-		refusal.Aim = c.LatencyObjective
+		refusal.LatencyObjective = c.LatencyObjective
 	}
-	to, ok := g.tiers.Refused(g.runningClock(), refusal)
+	to, ok := g.tiers.HandleRejection(g.runningClock(), refusal)
 	if !ok {
 		return false
 	}
@@ -173,7 +173,7 @@
 // went books an attempt that goes out to a cache of a locality.
 func (g *Gateway) went(a *Attempt) {
 	if g.tiers != nil && !g.straight(a.Request) {
-		g.tiers.Sent(g.runningClock(), a.where)
+		g.tiers.AttemptStarted(g.runningClock(), a.where)
 	}
 }
 
@@ -182,20 +182,20 @@
 	if g.tiers == nil || g.straight(a.Request) {
 		return
 	}
-	cache, late, load := g.roster.Cache(a.Server, a.where), false, -1.0
+	cache, late, load := g.roster.IsCache(a.Server, a.where), false, -1.0
 	if c := a.Request.class; c != nil && res.Status == routing.OK {
 		aim := c.LatencyObjective + time.Duration(c.ObjectiveStretch*float64(g.cfg.Settings.TransferTime(float64(len(res.Body))/1000)))
 		late = res.At.Sub(a.sent)-(g.lost-a.lost) > aim
 	}
 	if !cache && a.where == 0 {
-		g.tiers.Past(g.runningClock(), locality.Judge(res.Status, true, late, res.Along))
+		g.tiers.BypassFinished(g.runningClock(), locality.ClassifyResult(res.Status, true, late, res.Along))
 	}
-	result := locality.Judge(res.Status, cache, late, res.Along)
+	result := locality.ClassifyResult(res.Status, cache, late, res.Along)
 	told := cache && res.Status == routing.OK && res.Note != routing.ReasonNone
 	if cache && g.report >= 0 && g.report < len(res.Load) {
 		load = res.Load[g.report]
 	}
-	g.tiers.Ended(g.runningClock(), a.where, result, res.Note == routing.ReasonHit || res.Note == routing.ReasonStale, told, load)
+	g.tiers.AttemptFinished(g.runningClock(), a.where, result, res.Note == routing.ReasonHit || res.Note == routing.ReasonStale, told, load)
 }
 
 // tier sets the shares of the localities anew, when it is time. It is called with each beat.
@@ -219,22 +219,22 @@
 	}
 	c := g.tiers.Counters
 	add(metrics.Counter, "tier_spilled", "Requests given to another locality than the own one.", float64(c.Spilled))
-	add(metrics.Counter, "tier_moved", "Requests given to another locality after one had refused them.", float64(c.Moved))
-	add(metrics.Counter, "tier_passed", "Requests that fit in no locality, and were sent past the caches.", float64(c.Passed))
-	add(metrics.Gauge, "tier_passing", "Share of what fits nowhere that is.", g.tiers.Passing())
-	add(metrics.Counter, "tier_refused", "Requests that fit in no locality.", float64(c.Refused))
-	add(metrics.Counter, "tier_bounded", "Of those, refused since a bound was reached in the very moment.", float64(c.Bounded))
-	add(metrics.Counter, "tier_changes", "Changes of a locality's state.", float64(c.Changes))
-	add(metrics.Counter, "tier_panics", "Ticks in which nearly all looked ill, and load stayed.", float64(c.Panics))
+	add(metrics.Counter, "tier_moved", "Requests given to another locality after one had refused them.", float64(c.Rerouted))
+	add(metrics.Counter, "tier_passed", "Requests that fit in no locality, and were sent past the caches.", float64(c.Bypassed))
+	add(metrics.Gauge, "tier_passing", "Share of what fits nowhere that is.", g.tiers.BypassShare())
+	add(metrics.Counter, "tier_refused", "Requests that fit in no locality.", float64(c.Rejected))
+	add(metrics.Counter, "tier_bounded", "Of those, refused since a bound was reached in the very moment.", float64(c.BoundReached))
+	add(metrics.Counter, "tier_changes", "Changes of a locality's state.", float64(c.StateChanges))
+	add(metrics.Counter, "tier_panics", "Ticks in which nearly all looked ill, and load stayed.", float64(c.PanicTicks))
 	for _, v := range g.tiers.View(g.runningClock()) {
 		where := metrics.Label{Name: "locality", Value: v.Name}
 		add(metrics.Counter, "tier_picked", "Requests by locality.", float64(v.Picked), where)
 		add(metrics.Gauge, "tier_share", "Share of the load that goes to a locality.", v.Share, where)
 		add(metrics.Gauge, "tier_health", "Share of good ends there, lately.", v.Health, where)
 		add(metrics.Gauge, "tier_ramp", "Share that a locality which returned may have of its own.", v.Ramp, where)
-		add(metrics.Gauge, "tier_load", "How full its link is, by its reports; negative: not known.", v.Load, where)
+		add(metrics.Gauge, "tier_load", "How full its link is, by its reports; negative: not known.", v.Utilization, where)
 		add(metrics.Gauge, "tier_state", "0 steady, 1 away, 2 on trial, 3 returning.", float64(v.State), where)
-		add(metrics.Gauge, "tier_wait_seconds", "The latest wait before it was tried.", v.Wait.Seconds(), where)
+		add(metrics.Gauge, "tier_wait_seconds", "The latest wait before it was tried.", v.Backoff.Seconds(), where)
 	}
 	return all
 }
--- a/gateway/localities_test.go
+++ b/gateway/localities_test.go
@@ -18,7 +18,7 @@
 	h := &host{t: t, loop: gateway.NewLoop(), sent: make(chan *gateway.Attempt, 1000), answers: make(chan gateway.Answer, 1000)}
 	var err error
 	h.g, err = gateway.New(gateway.Config{Loop: h.loop, Backend: backend{h.sent}, Log: logrus.New(),
-		Tiers: &locality.Config{Localities: []locality.Locality{{Name: "here"}, {Name: "there", Level: 1}}, Spill: 1},
+		Tiers: &locality.Config{Localities: []locality.Locality{{Name: "here"}, {Name: "there", Level: 1}}, MaxSpillover: 1},
 		Settings: routing.Settings{Zone: "here", Zones: []string{"hub", "here", "there"}, ZoneDirectors: []int{0, 1, 1}, Directors: 2,
 			Kinds: []string{"box", "origin"}, ParentKind: -1, OriginKind: 1, ClockStep: time.Millisecond, AllowCoalescing: true, AllowBypass: true,
 			SendRetryAfter: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: 8, CanCancel: true, LoadReportFields: []string{"busy_reqs", "x1"},
@@ -148,7 +148,7 @@
 		if err := h.g.UseTiers(locality.Config{Localities: []locality.Locality{{Name: "here"}}}); err == nil {
 			t.Error("other localities are taken in while it runs")
 		}
-		if err := h.g.UseTiers(locality.Config{Localities: []locality.Locality{{Name: "here"}, {Name: "there", Level: 1}}, Spill: 0.1}); err != nil {
+		if err := h.g.UseTiers(locality.Config{Localities: []locality.Locality{{Name: "here"}, {Name: "there", Level: 1}}, MaxSpillover: 0.1}); err != nil {
 			t.Error(err)
 		}
 	})
--- a/gateway/pauses.go
+++ b/gateway/pauses.go
@@ -23,16 +23,16 @@
 
 // beaten looks for a stall since it last did.
 func (g *Gateway) beaten() bool {
-	stalled := g.pulse.Beat(g.now(), processorTime())
+	stalled := g.pulse.Tick(g.now(), processorTime())
 	if stalled <= 0 {
 		return false
 	}
 	g.lost += stalled
-	if g.pulse.Often(g.now()) {
-		g.queue.Lost(stalled)
+	if g.pulse.FrequentPauses(g.now()) {
+		g.queue.AddPausedTime(stalled)
 	} else {
-		g.sample.Stalled = true
-		g.queue.Stalled(g.now(), stalled)
+		g.sample.Paused = true
+		g.queue.Paused(g.now(), stalled)
 	}
 	return true
 }
@@ -40,7 +40,7 @@
 // echo asks how late reading is, if anything was offered since it last did. Guards against an overload that no queue
 // shows: what has come lies in the sockets.
 func (g *Gateway) echo(now time.Time) {
-	if n := g.door().Total(); g.cfg.Echo == nil || !g.echoed.IsZero() || n == g.offered {
+	if n := g.door().TotalOffered(); g.cfg.Echo == nil || !g.echoed.IsZero() || n == g.offered {
 		return
 	} else {
 		g.offered = n
@@ -74,22 +74,22 @@
 	g.beaten()
 	now := loop.Now()
 	s := &g.sample
-	s.Span = max(time.Millisecond, now.Sub(g.ticked)-(g.lost-g.tickLost))
+	s.Interval = max(time.Millisecond, now.Sub(g.ticked)-(g.lost-g.tickLost))
 	g.ticked, g.tickLost = now, g.lost
-	s.Oldest = max(s.Oldest, g.queue.Oldest(g.now()))
+	s.LongestWait = max(s.LongestWait, g.queue.LongestWait(g.now()))
 	if !g.echoed.IsZero() { // it is still out: so late at least
 		g.behind = max(g.behind, now.Sub(g.echoed)-(g.lost-g.echoAt))
 	}
 	s.Grace = g.queue.Grace(g.now())
-	s.Waiting = g.queue.Waiting()
-	s.Behind, s.Pressure = g.behind, g.memory.Pressure()
-	g.door().Set(g.ruler.Tick(*s, g.door()))
+	s.Queued = g.queue.Queued()
+	s.LoopLag, s.MemoryPressure = g.behind, g.memory.Pressure()
+	g.door().SetPolicy(g.ruler.Tick(*s, g.door()))
 	*s = overload.Sample{}
 	g.behind = 0
 	g.tier()
 	g.echo(now)
 	if g.ticks++; g.ticks%sweepTicks == 0 {
-		g.health.Update(g.now(), g.ruler.Level())
+		g.health.Update(g.now(), g.ruler.ShedLevel())
 		for _, c := range g.memory.Sweep(g.now(), func(p *overload.Client) int64 { return p.Value.(*Client).waiting() }) {
 			g.Load.SlowEnded++
 			c.Value.(*Client).close(errSlow)
--- a/gateway/reconfigure.go
+++ b/gateway/reconfigure.go
@@ -19,7 +19,7 @@
 // new classes bring another. It is read on whatever goroutine reads requests.
 type admission struct {
 	order *overload.Order
-	door  *overload.Door
+	door  *overload.AdmissionController
 }
 
 // admissions are the present admission and what earlier ones counted.
@@ -107,13 +107,13 @@
 	g.cfg.Settings.Classes, g.cfg.Settings.MaxAttempts = slices.Clone(classes), maxAttempts
 	g.cfg.Overload, g.ruler = cfg, ruler
 	g.countClasses()
-	g.admissions.use(&admission{order: order, door: overload.NewDoor(order.Bands(), int(fronts))})
+	g.admissions.use(&admission{order: order, door: overload.NewAdmissionController(order.Bands(), int(fronts))})
 	g.queue = g.queue.Rebanded(order.Bands(), g.band)
 	g.handleAll(routing.Reconfigured{Classes: g.cfg.Settings.Classes, MaxAttempts: maxAttempts})
 	if g.tiers == nil {
 		return nil
 	}
-	return g.tiers.Use(g.tierBands(*g.cfg.Tiers))
+	return g.tiers.Reconfigure(g.tierBands(*g.cfg.Tiers))
 }
 
 // band ranks what waits for its turn anew.
@@ -142,12 +142,12 @@
 func (g *Gateway) order() *overload.Order { return g.admissions.current.Load().order }
 
 // door is the present door.
-func (g *Gateway) door() *overload.Door { return g.admissions.current.Load().door }
+func (g *Gateway) door() *overload.AdmissionController { return g.admissions.current.Load().door }
 
 // overloadClasses is what package overload needs to know of classes.
 func overloadClasses(classes []routing.Class) (all []overload.Class) {
 	for _, c := range classes {
-		all = append(all, overload.Class{Name: c.Name, Worth: c.PriorityWeight})
+		all = append(all, overload.Class{Name: c.Name, PriorityWeight: c.PriorityWeight})
 	}
 	return all
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -244,16 +244,16 @@
 		}
 		return nil, nil
 	}
-	c := locality.Config{Localities: []locality.Locality{{Name: "own locality", Weight: pb.GetOwnWeight()}}, Over: pb.GetOver(),
-		Spill: pb.GetSpill(), Spare: pb.GetSpare(), Full: pb.GetFull(), Rise: pb.GetRise(), Panic: pb.GetPanic(), Ill: pb.GetIll(),
-		Start: pb.GetStart(), Warm: pb.GetWarm()}
+	c := locality.Config{Localities: []locality.Locality{{Name: "own locality", Weight: pb.GetOwnWeight()}}, OverProvisioning: pb.GetOver(),
+		MaxSpillover: pb.GetSpill(), SpareCapacityShare: pb.GetSpare(), FullUtilization: pb.GetFull(), SpilloverRise: pb.GetRise(), PanicThreshold: pb.GetPanic(), MinHealth: pb.GetIll(),
+		RampStart: pb.GetStart(), WarmHitRatio: pb.GetWarm()}
 	var err error
 	for _, s := range [...]struct {
 		key, text string
 		def       time.Duration
 		to        *time.Duration
-	}{{"tiers.ramp", pb.GetRamp(), locality.DefaultRamp, &c.Ramp}, {"tiers.silence", pb.GetSilence(), locality.DefaultSilence, &c.Silence},
-		{"tiers.back", pb.GetBack(), locality.DefaultBack, &c.Back}, {"tiers.back_most", pb.GetBackMost(), locality.DefaultBackMost, &c.BackMost}} {
+	}{{"tiers.ramp", pb.GetRamp(), locality.DefaultRampDuration, &c.RampDuration}, {"tiers.silence", pb.GetSilence(), locality.DefaultSilenceTimeout, &c.SilenceTimeout},
+		{"tiers.back", pb.GetBack(), locality.DefaultBaseBackoff, &c.BaseBackoff}, {"tiers.back_most", pb.GetBackMost(), locality.DefaultMaxBackoff, &c.MaxBackoff}} {
 		if *s.to, err = span(s.key, s.text, s.def, 10*time.Millisecond, time.Hour); err != nil {
 			return nil, err
 		}
@@ -274,7 +274,7 @@
 		seen[l.GetName()] = true
 		c.Localities = append(c.Localities, locality.Locality{Name: l.GetName(), Level: int(l.GetLevel()), Weight: l.GetWeight()})
 	}
-	if err := c.Check(); err != nil { // it names the field, which is the key in other letters
+	if err := c.Validate(); err != nil { // it names the field, which is the key in other letters
 		text := strings.TrimPrefix(err.Error(), "tiers: ")
 		name, rest, _ := strings.Cut(text, ": ")
 		return nil, fault("tiers."+snake(name), errors.New(rest))
@@ -316,25 +316,25 @@
 		least, most time.Duration
 		to          *time.Duration
 	}{
-		{"overload.wait", pb.GetWait(), overload.DefaultWait, time.Millisecond, 10 * time.Second, &c.Wait},
-		{"overload.target", pb.GetTarget(), 0, time.Millisecond, 10 * time.Second, &c.Target},
+		{"overload.wait", pb.GetWait(), overload.DefaultMaxWait, time.Millisecond, 10 * time.Second, &c.MaxWait},
+		{"overload.target", pb.GetTarget(), 0, time.Millisecond, 10 * time.Second, &c.TargetWait},
 		{"overload.tick", pb.GetTick(), overload.DefaultTick, 5 * time.Millisecond, time.Second, &c.Tick},
-		{"overload.stall_least", pb.GetStallLeast(), overload.DefaultStallLeast, 10 * time.Millisecond, time.Minute, &c.StallLeast},
+		{"overload.stall_least", pb.GetStallLeast(), overload.DefaultMinPause, 10 * time.Millisecond, time.Minute, &c.MinPause},
 	} {
 		if *s.to, err = span(s.key, s.text, s.def, s.least, s.most); err != nil {
 			return c, err
 		}
 	}
 	switch {
-	case c.Target > c.Wait:
-		return c, fault("overload.target", fmt.Errorf("%v is over wait, which is %v", c.Target, c.Wait))
+	case c.TargetWait > c.MaxWait:
+		return c, fault("overload.target", fmt.Errorf("%v is over wait, which is %v", c.TargetWait, c.MaxWait))
 	case !(pb.GetProbe() >= 0 && pb.GetProbe() <= 1):
 		return c, fault("overload.probe", fmt.Errorf("%v is not from 0 to 1", pb.GetProbe()))
 	case pb.GetAnswersMb() < 0:
 		return c, fault("overload.answers_mb", errors.New("negative"))
 	}
-	c.Probe = cmp.Or(pb.GetProbe(), overload.DefaultProbe)
-	c.RepeatsFirst, c.Memory = pb.GetRepeatsFirst(), int64(pb.GetAnswersMb())<<20
+	c.ProbeShare = cmp.Or(pb.GetProbe(), overload.DefaultProbeShare)
+	c.RepeatsFirst, c.MemoryLimit = pb.GetRepeatsFirst(), int64(pb.GetAnswersMb())<<20
 	return c, nil
 }
 
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -80,7 +80,7 @@
 	if err != nil || o.Signed != nil || o.AgentListen+o.HTTPListen+o.MetricsListen != "" {
 		t.Errorf("an empty file: %+v, %v", o, err)
 	}
-	if c := o.Overload; c.Wait != 150*time.Millisecond || c.Tick != 20*time.Millisecond || c.Probe != 0.03 || c.RepeatsFirst {
+	if c := o.Overload; c.MaxWait != 150*time.Millisecond || c.Tick != 20*time.Millisecond || c.ProbeShare != 0.03 || c.RepeatsFirst {
 		t.Errorf("defaults: %+v", c)
 	}
 	data, err := os.ReadFile("../../deploy/operator.textproto")
@@ -94,9 +94,9 @@
 	if c, err := example.TiersOf("edge-1", []string{"north", "edge-1", "edge-2"}); o.Tiers != nil || err != nil || c != nil {
 		t.Errorf("tiers: %+v, %v", c, err)
 	}
-	o.Overload.Target = example.Overload.Target // told there
-	if example.Overload.Wait != o.Overload.Wait || example.Overload.StallLeast != o.Overload.StallLeast ||
-		example.Overload.Probe != o.Overload.Probe {
+	o.Overload.TargetWait = example.Overload.TargetWait // told there
+	if example.Overload.MaxWait != o.Overload.MaxWait || example.Overload.MinPause != o.Overload.MinPause ||
+		example.Overload.ProbeShare != o.Overload.ProbeShare {
 		t.Errorf("the example says it has the defaults: %+v", example.Overload)
 	}
 }
--- a/lab/localitysim/directed.go
+++ b/lab/localitysim/directed.go
@@ -101,8 +101,8 @@
 type dgateway struct {
 	me      int
 	home    int
-	t       *locality.T // nil: no spill
-	roster  *locality.Roster
+	t       *locality.Selector // nil: no spill
+	roster  *locality.EndpointIndex
 	ds      []*routing.Director
 	zones   []int // by locality
 	reqs    map[string]*request
@@ -188,7 +188,7 @@
 	}
 	var classes []overload.Class
 	for _, c := range d.mix {
-		classes = append(classes, overload.Class{Name: c.Name, Worth: c.Worth})
+		classes = append(classes, overload.Class{Name: c.Name, PriorityWeight: c.Worth})
 	}
 	order := overload.NewOrder(classes, false)
 	for _, c := range d.mix {
@@ -280,7 +280,7 @@
 		if g.t, err = locality.New(cfg); err != nil {
 			return fmt.Errorf("scene: %w", err)
 		}
-		g.roster = locality.NewRoster(set, places)
+		g.roster = locality.NewEndpointIndex(set, places)
 		d.res.Gateways = append(d.res.Gateways, g.t)
 		var tick func()
 		tick = func() {
@@ -326,7 +326,7 @@
 		s := g.set
 		if g.t != nil {
 			var err error
-			if s, err = locality.Settings(g.set, g.places, i); err != nil {
+			if s, err = locality.DirectorSettings(g.set, g.places, i); err != nil {
 				return fmt.Errorf("scene: %w", err)
 			}
 		}
@@ -444,8 +444,8 @@
 // tell gives a list to a gateway.
 func (d *directed) tell(g *dgateway, m routing.EndpointUpdate) {
 	if g.t != nil {
-		for i, up := range g.roster.Take(m) {
-			g.t.Members(i, up)
+		for i, up := range g.roster.Update(m) {
+			g.t.SetCachesUp(i, up)
 		}
 	}
 	for i := range g.ds {
@@ -641,8 +641,8 @@
 		return false
 	}
 	k := d.mix[r.class]
-	to, ok := g.t.Refused(d.clock.Now, locality.Refusal{From: r.where, Safe: !k.Keyed, Moved: r.moved, Attempts: len(r.all), Most: g.set.MaxAttempts,
-		Waited: d.clock.Now - r.due, Left: r.due + k.Limit - d.clock.Now, Aim: k.Aim})
+	to, ok := g.t.HandleRejection(d.clock.Now, locality.Rejection{From: r.where, Idempotent: !k.Keyed, Rerouted: r.moved, Attempts: len(r.all), MaxAttempts: g.set.MaxAttempts,
+		Elapsed: d.clock.Now - r.due, Remaining: r.due + k.Limit - d.clock.Now, LatencyObjective: k.Aim})
 	if !ok {
 		return false
 	}
@@ -668,16 +668,16 @@
 	}
 	if !a.ordered && g.t != nil {
 		late := o.Status == routing.OK && d.clock.Now-a.sent > d.mix[r.class].Aim
-		cache := g.roster.Cache(a.to.id, a.where)
+		cache := g.roster.IsCache(a.to.id, a.where)
 		report := -1.0
 		if len(o.LoadReport) > 1 && cache {
 			report = o.LoadReport[1]
 		}
 		told := cache && o.Status == routing.OK
 		if !cache && a.where == 0 {
-			g.t.Past(d.clock.Now, locality.Judge(o.Status, true, late, false))
+			g.t.BypassFinished(d.clock.Now, locality.ClassifyResult(o.Status, true, late, false))
 		}
-		g.t.Ended(d.clock.Now, a.where, locality.Judge(o.Status, cache, late, false), o.Reason == routing.ReasonHit, told, report)
+		g.t.AttemptFinished(d.clock.Now, a.where, locality.ClassifyResult(o.Status, cache, late, false), o.Reason == routing.ReasonHit, told, report)
 	}
 	if o.Status == routing.OK && !r.over {
 		if r.counted && a.to.kind == "box" {
@@ -709,7 +709,7 @@
 		}
 	}
 	if !a.ordered && g.t != nil {
-		g.t.Sent(d.clock.Now, where)
+		g.t.AttemptStarted(d.clock.Now, where)
 	}
 	way := near
 	if to.hub != home.Hub {
--- a/lab/localitysim/localitysim.go
+++ b/lab/localitysim/localitysim.go
@@ -119,7 +119,7 @@
 	Events   int
 	Most     float64 // largest part of what a cold server stands that any was sent, over any time; 1: it falls over
 	Over     float64 // most by which a gateway's zone spilled beyond its bounds, in any second, as a share of load
-	Gateways []*locality.T
+	Gateways []*locality.Selector
 }
 
 type eventKind uint8
@@ -180,7 +180,7 @@
 }
 
 type gateway struct {
-	t      *locality.T
+	t      *locality.Selector
 	places []int // zones, by its localities
 	place  []int // localities, by zone
 	home   int
@@ -297,7 +297,7 @@
 	sc := &s.sc
 	var classes []overload.Class
 	for _, c := range s.mix {
-		classes = append(classes, overload.Class{Name: c.Name, Worth: c.Worth})
+		classes = append(classes, overload.Class{Name: c.Name, PriorityWeight: c.Worth})
 	}
 	order := overload.NewOrder(classes, false)
 	for _, c := range s.mix {
@@ -396,7 +396,7 @@
 			up = 0
 		}
 		for _, g := range s.gateways {
-			g.t.Members(g.place[f.Zone], up)
+			g.t.SetCachesUp(g.place[f.Zone], up)
 		}
 		return
 	}
@@ -435,7 +435,7 @@
 	}
 	if s.mix[class].Keyed { // it goes straight to the origin, which is elsewhere
 		if s.take(g.home) {
-			s.at(s.now+toOrigin, event{kind: ended, gw: e.gw, zone: -1, class: e.class, due: e.due, result: locality.Good})
+			s.at(s.now+toOrigin, event{kind: ended, gw: e.gw, zone: -1, class: e.class, due: e.due, result: locality.ResultSuccess})
 		} else {
 			s.refuse(e)
 		}
@@ -488,7 +488,7 @@
 			sec.Spilled[g.home]++
 		}
 	}
-	g.t.Sent(s.now, g.place[where])
+	g.t.AttemptStarted(s.now, g.place[where])
 	e.zone = int32(where)
 	way := near
 	if z.Hub != s.zones[g.home].Hub {
@@ -502,13 +502,13 @@
 	far := where != g.home && z.Hub != s.zones[g.home].Hub
 	switch {
 	case z.faults[Dead] > 0 || z.fallen:
-		back(2*way, locality.Bad, false)
+		back(2*way, locality.ResultFailure, false)
 		return
 	case z.faults[Silent] > 0 || far && (z.faults[Cut] > 0 || s.zones[g.home].faults[Cut] > 0):
-		back(deadline, locality.Bad, false)
+		back(deadline, locality.ResultFailure, false)
 		return
 	case z.faults[Errors] > 0:
-		back(2*way, locality.Bad, false)
+		back(2*way, locality.ResultFailure, false)
 		return
 	}
 	able := 1.0
@@ -517,7 +517,7 @@
 	}
 	s.press(z, able)
 	if z.fallen {
-		back(2*way, locality.Bad, false)
+		back(2*way, locality.ResultFailure, false)
 		return
 	}
 	if z.faults[Slow] > 0 {
@@ -543,17 +543,17 @@
 		ok, more := s.fill(z)
 		took += more
 		if !ok {
-			back(took, locality.Bad, false)
+			back(took, locality.ResultFailure, false)
 			return
 		}
 		z.held[e.object] = true
 	}
-	r := locality.Good
+	r := locality.ResultSuccess
 	if took > s.mix[e.class].Aim {
-		r = locality.Late
+		r = locality.ResultLate
 	}
 	if took > deadline {
-		back(deadline, locality.Bad, false)
+		back(deadline, locality.ResultFailure, false)
 		return
 	}
 	back(took, r, hit)
@@ -595,18 +595,18 @@
 func (s *scene) ended(e event) {
 	g := s.gateways[e.gw]
 	if e.zone >= 0 {
-		told := e.result == locality.Good || e.result == locality.Late
+		told := e.result == locality.ResultSuccess || e.result == locality.ResultLate
 		report := -1.0
 		if told {
 			report = float64(e.load)
 		}
-		g.t.Ended(s.now, g.place[e.zone], e.result, e.hit, told, report)
+		g.t.AttemptFinished(s.now, g.place[e.zone], e.result, e.hit, told, report)
 	}
 	if e.due < s.sc.Warm {
 		return
 	}
 	sec := s.second()
-	if e.zone >= 0 && (e.result == locality.Good || e.result == locality.Late) {
+	if e.zone >= 0 && (e.result == locality.ResultSuccess || e.result == locality.ResultLate) {
 		sec.Reads++
 		if e.hit {
 			sec.Hits++
@@ -614,9 +614,9 @@
 	}
 	took := s.now - e.due
 	switch {
-	case e.result == locality.Bad && !e.moved && e.zone >= 0 && s.sc.Policy == Ours && took < s.mix[e.class].Aim/2: // its director gave it up, and nothing is out
+	case e.result == locality.ResultFailure && !e.moved && e.zone >= 0 && s.sc.Policy == Ours && took < s.mix[e.class].Aim/2: // its director gave it up, and nothing is out
 		s.refused(e)
-	case e.result == locality.Bad:
+	case e.result == locality.ResultFailure:
 		sec.Failed++
 	case took <= s.mix[e.class].Aim:
 		sec.InAim++
@@ -631,12 +631,12 @@
 func (s *scene) refused(e event) {
 	g := s.gateways[e.gw]
 	if e.kind == refused {
-		g.t.Ended(s.now, g.place[e.zone], locality.Turned, false, false, float64(s.zones[e.zone].busy))
+		g.t.AttemptFinished(s.now, g.place[e.zone], locality.ResultRejected, false, false, float64(s.zones[e.zone].busy))
 	}
 	if s.sc.Policy == Ours && !e.moved {
 		k := s.mix[e.class]
 		took := s.now - e.due
-		if n, ok := g.t.Refused(s.now, locality.Refusal{From: g.place[e.zone], Safe: true, Waited: took, Left: k.Limit - took, Aim: k.Aim}); ok {
+		if n, ok := g.t.HandleRejection(s.now, locality.Rejection{From: g.place[e.zone], Idempotent: true, Elapsed: took, Remaining: k.Limit - took, LatencyObjective: k.Aim}); ok {
 			e.moved = true
 			s.send(e, g.places[n])
 			return
@@ -657,9 +657,9 @@
 	if s.sc.Policy != Ours {
 		return
 	}
-	bound := s.sc.Tiers.Spill
+	bound := s.sc.Tiers.MaxSpillover
 	if bound == 0 {
-		bound = locality.DefaultSpill
+		bound = locality.DefaultMaxSpillover
 	}
 	for home, z := range s.zones {
 		levels := map[int]bool{}
--- a/lab/localitysim/localitysim_test.go
+++ b/lab/localitysim/localitysim_test.go
@@ -172,7 +172,7 @@
 		"no such kind": func(s *Scene) { s.Faults = []Fault{{0, "flood", 0, time.Second}} },
 		"no end":       func(s *Scene) { s.Faults = []Fault{{0, Dead, time.Second, 0}} },
 		"no policy":    func(s *Scene) { s.Policy = "" },
-		"tiers":        func(s *Scene) { s.Tiers = locality.Config{Spill: 2} },
+		"tiers":        func(s *Scene) { s.Tiers = locality.Config{MaxSpillover: 2} },
 	} {
 		sc := three(1)
 		spoil(&sc)
--- a/lab/localitysim/scene.go
+++ b/lab/localitysim/scene.go
@@ -53,13 +53,13 @@
 		Repeat: pb.GetRepeat(), Memory: pb.GetMemory(), Policy: Ours}}
 	sc := &f.Scene
 	b := pb.GetBounds()
-	sc.Tiers.Spill, sc.Tiers.Spare, sc.Tiers.Full, sc.Tiers.Rise = b.GetSpill(), b.GetSpare(), b.GetFull(), b.GetRise()
-	sc.Tiers.Start, sc.Tiers.Over = b.GetStart(), b.GetOver()
+	sc.Tiers.MaxSpillover, sc.Tiers.SpareCapacityShare, sc.Tiers.FullUtilization, sc.Tiers.SpilloverRise = b.GetSpill(), b.GetSpare(), b.GetFull(), b.GetRise()
+	sc.Tiers.RampStart, sc.Tiers.OverProvisioning = b.GetStart(), b.GetOver()
 	for _, s := range [...]struct {
 		key, text, def string
 		to             *time.Duration
 	}{{"list_late", pb.GetListLate(), "3s", &sc.List}, {"for", pb.GetFor(), "70s", &sc.For}, {"warm", pb.GetWarm(), "10s", &sc.Warm},
-		{"bounds.ramp", b.GetRamp(), "0s", &sc.Tiers.Ramp}, {"bounds.silence", b.GetSilence(), "0s", &sc.Tiers.Silence}} {
+		{"bounds.ramp", b.GetRamp(), "0s", &sc.Tiers.RampDuration}, {"bounds.silence", b.GetSilence(), "0s", &sc.Tiers.SilenceTimeout}} {
 		d, err := time.ParseDuration(cmp.Or(s.text, s.def))
 		if err != nil || d < 0 {
 			return nil, fmt.Errorf("%s: %q is no span: %w", s.key, s.text, cmp.Or(err, errors.New("negative")))
@@ -144,8 +144,8 @@
 	case "list_late":
 		s.List = time.Duration(v * float64(time.Second))
 	default:
-		to := map[string]*float64{"bounds.spill": &s.Tiers.Spill, "bounds.spare": &s.Tiers.Spare, "bounds.full": &s.Tiers.Full,
-			"bounds.rise": &s.Tiers.Rise, "bounds.start": &s.Tiers.Start, "bounds.over": &s.Tiers.Over}[key]
+		to := map[string]*float64{"bounds.spill": &s.Tiers.MaxSpillover, "bounds.spare": &s.Tiers.SpareCapacityShare, "bounds.full": &s.Tiers.FullUtilization,
+			"bounds.rise": &s.Tiers.SpilloverRise, "bounds.start": &s.Tiers.RampStart, "bounds.over": &s.Tiers.OverProvisioning}[key]
 		if to == nil {
 			return fmt.Errorf("key: %q is none that can be swept", key)
 		}
--- a/lab/model/policies.go
+++ b/lab/model/policies.go
@@ -24,7 +24,7 @@
 
 func classes(mix []load.Class) (all []overload.Class) {
 	for _, c := range mix {
-		all = append(all, overload.Class{Name: c.Name, Worth: c.Worth})
+		all = append(all, overload.Class{Name: c.Name, PriorityWeight: c.Worth})
 	}
 	return all
 }
@@ -219,7 +219,7 @@
 	mix    []load.Class
 	order  *overload.Order
 	queue  *overload.Queue
-	door   *overload.Door
+	door   *overload.AdmissionController
 	ctl    *overload.Controller
 	closes bool
 	s      overload.Sample
@@ -231,13 +231,13 @@
 	if err != nil {
 		panic(err) // the mixes of package load are right
 	}
-	return &ours{mix: mix, order: order, ctl: ctl, queue: overload.NewQueue(order.Bands(), 1, overload.DefaultWait),
-		door: overload.NewDoor(order.Bands(), 1), closes: closes}
+	return &ours{mix: mix, order: order, ctl: ctl, queue: overload.NewQueue(order.Bands(), 1, overload.DefaultMaxWait),
+		door: overload.NewAdmissionController(order.Bands(), 1), closes: closes}
 }
 
 func (o *ours) Arrive(now time.Duration, r *Req) bool {
 	band := o.order.Band(o.mix[r.Class].Name, r.Repeat)
-	if _, ok := o.door.Try(0, band, r.Draw); !ok {
+	if _, ok := o.door.Admit(0, band, r.Draw); !ok {
 		return false
 	}
 	r.item = overload.Item{Value: r}
@@ -246,25 +246,25 @@
 }
 
 func (o *ours) Next(now time.Duration) (r *Req, dropped int) {
-	for i := o.queue.Expired(now); i != nil; i = o.queue.Expired(now) {
+	for i := o.queue.PopExpired(now); i != nil; i = o.queue.PopExpired(now) {
 		dropped++
-		o.s.Expired++
+		o.s.ExpiredCost++
 	}
 	i := o.queue.Pop()
 	if i == nil {
 		return nil, dropped
 	}
-	o.s.Started++
-	o.s.Oldest = max(o.s.Oldest, o.queue.Waited(i, now))
+	o.s.StartedCost++
+	o.s.LongestWait = max(o.s.LongestWait, o.queue.Waited(i, now))
 	return i.Value.(*Req), dropped
 }
 
 func (o *ours) Done(time.Duration, *Req, time.Duration, time.Duration) {}
 
 func (o *ours) Tick(now time.Duration) {
-	o.s.Oldest, o.s.Waiting = max(o.s.Oldest, o.queue.Oldest(now)), o.queue.Waiting()
+	o.s.LongestWait, o.s.Queued = max(o.s.LongestWait, o.queue.LongestWait(now)), o.queue.Queued()
 	if v := o.ctl.Tick(o.s, o.door); o.closes {
-		o.door.Set(v)
+		o.door.SetPolicy(v)
 	}
 	o.s = overload.Sample{}
 }
--- a/locality/health.go
+++ b/locality/health.go
@@ -10,10 +10,10 @@
 
 // The states of a locality.
 const (
-	Steady    State = iota // it takes its share
-	Away                   // it gets nothing until its wait is over,
-	Trial                  // then a few requests,
-	Returning              // and if they end well a share that grows
+	StateHealthy    State = iota // it takes its share
+	StateEjected                 // it gets nothing until its wait is over,
+	StateProbation               // then a few requests,
+	StateRecovering              // and if they end well a share that grows
 )
 
 // String names a state, as counters and logs do.
@@ -24,15 +24,15 @@
 
 // Results of an attempt.
 const (
-	Good   Result = iota // in time
-	Late                 // with an answer after its aim
-	Bad                  // with an error, a broken connection, or by running out of time
-	Turned               // it was turned away, or the director refused it: no room
-	None                 // it says nothing: it was cancelled, never sent, or missed what it did not have to fill
+	ResultSuccess  Result = iota // in time
+	ResultLate                   // with an answer after its aim
+	ResultFailure                // with an error, a broken connection, or by running out of time
+	ResultRejected               // it was turned away, or the director refused it: no room
+	ResultNeutral                // it says nothing: it was cancelled, never sent, or missed what it did not have to fill
 )
 
 // weights of results, as good and as bad ones.
-var weights = [...][2]float64{Good: {1, 0}, Late: {0.5, 0.5}, Bad: {0, 1}, Turned: {0.5, 0.5}, None: {}}
+var weights = [...][2]float64{ResultSuccess: {1, 0}, ResultLate: {0.5, 0.5}, ResultFailure: {0, 1}, ResultRejected: {0.5, 0.5}, ResultNeutral: {}}
 
 const (
 	memory     = 1500 * time.Millisecond // results and reports count for so long,
@@ -124,7 +124,7 @@
 
 // silent says that work is out and none ends well.
 func (l *locality) silent(now time.Duration, c *Config) bool {
-	return l.out > 0 && l.sent >= int(resultsFew) && now-l.lastGood > c.Silence
+	return l.out > 0 && l.sent >= int(resultsFew) && now-l.lastGood > c.SilenceTimeout
 }
 
 // hitShare is the share of reads that were hits lately; unknown if too few came.
@@ -140,9 +140,9 @@
 func (l *locality) enter(now time.Duration, s State) {
 	l.state, l.since = s, now
 	switch s {
-	case Trial:
+	case StateProbation:
 		l.tried, l.triedOK, l.triedBad = 0, 0, 0
-	case Returning, Steady:
+	case StateRecovering, StateHealthy:
 		l.calm = now
 	}
 }
@@ -151,17 +151,17 @@
 // not come back is tried a few times a minute at least, since trials cost little and a late one costs all that it could
 // have served. draw, from 0 to 1, spreads the waits of gateways that see the same at the same moment.
 func (l *locality) leave(now time.Duration, c *Config, draw float64) {
-	if l.state == Trial {
+	if l.state == StateProbation {
 		l.vain++
 	} else {
-		l.wait, l.vain = min(c.BackMost, max(c.Back, 2*l.wait)), 0
+		l.wait, l.vain = min(c.MaxBackoff, max(c.BaseBackoff, 2*l.wait)), 0
 	}
-	wait := max(l.wait, min(c.BackMost, vainMost*c.Back, c.Back<<min(l.vain, 8)))
-	if l.vain > 0 && l.wait > vainMost*c.Back {
-		wait = vainMost * c.Back // its flaps have been waited for
+	wait := max(l.wait, min(c.MaxBackoff, vainMost*c.BaseBackoff, c.BaseBackoff<<min(l.vain, 8)))
+	if l.vain > 0 && l.wait > vainMost*c.BaseBackoff {
+		wait = vainMost * c.BaseBackoff // its flaps have been waited for
 	}
 	l.until = now + time.Duration((0.75+0.5*draw)*float64(wait))
-	l.enter(now, Away)
+	l.enter(now, StateEjected)
 	l.ramp, l.spill = 0, 0
 	l.lagged = smoothed{}
 	// What is known of it is of the time before; it is judged anew.
@@ -174,38 +174,38 @@
 	health, known := l.judge(now)
 	listed := !l.told || l.up > 0
 	switch l.state {
-	case Steady, Returning:
-		ill := known && health < c.Ill
-		if l.state == Returning { // it is trusted less
-			ill = known && health < (1+c.Ill)/2
+	case StateHealthy, StateRecovering:
+		ill := known && health < c.MinHealth
+		if l.state == StateRecovering { // it is trusted less
+			ill = known && health < (1+c.MinHealth)/2
 		}
 		if ill || !listed || l.silent(now, c) {
 			l.leave(now, c, draw())
 			break
 		}
-		if known && health < (1+c.Ill)/2 {
+		if known && health < (1+c.MinHealth)/2 {
 			l.calm = now
 		}
-		if l.wait > 0 && now-l.calm > max(l.wait, c.Ramp) { // it has been well for long enough to be forgiven
+		if l.wait > 0 && now-l.calm > max(l.wait, c.RampDuration) { // it has been well for long enough to be forgiven
 			l.wait, l.calm = l.wait/2, now
-			if l.wait < c.Back {
+			if l.wait < c.BaseBackoff {
 				l.wait = 0
 			}
 		}
-		if l.state == Returning {
+		if l.state == StateRecovering {
 			l.grow(now, c, span, refusing)
 		}
-	case Away:
+	case StateEjected:
 		if now >= l.until && listed && wanted {
-			l.enter(now, Trial)
+			l.enter(now, StateProbation)
 		}
-	case Trial:
+	case StateProbation:
 		switch {
 		case l.triedOK >= trialsGood:
-			l.enter(now, Returning)
-			l.ramp = c.Start
-		case l.triedBad > trials-trialsGood || !listed || now-l.since > 2*c.Silence && l.tried > 0 ||
-			now-l.since > c.BackMost: // nobody asked for anything
+			l.enter(now, StateRecovering)
+			l.ramp = c.RampStart
+		case l.triedBad > trials-trialsGood || !listed || now-l.since > 2*c.SilenceTimeout && l.tried > 0 ||
+			now-l.since > c.MaxBackoff: // nobody asked for anything
 			l.leave(now, c, draw())
 		}
 	}
@@ -220,23 +220,23 @@
 	health, told := l.judge(now)
 	share, known := l.hitShare(now)
 	if told && health < holdAt {
-		l.ramp = max(c.Start, l.ramp*(1-shrink*span.Seconds()))
+		l.ramp = max(c.RampStart, l.ramp*(1-shrink*span.Seconds()))
 		return
 	}
 	if refusing && told && health > wellAt {
 		pace = 2
-	} else if refusing || !l.usualHits.known || known && share >= c.Warm*l.usualHits.v {
+	} else if refusing || !l.usualHits.known || known && share >= c.WarmHitRatio*l.usualHits.v {
 		pace = 1
 	}
-	l.ramp = min(1, l.ramp+pace*(1-c.Start)*float64(span)/float64(c.Ramp))
+	l.ramp = min(1, l.ramp+pace*(1-c.RampStart)*float64(span)/float64(c.RampDuration))
 	if l.ramp >= 1 {
-		l.enter(now, Steady)
+		l.enter(now, StateHealthy)
 	}
 }
 
 // learn takes in what a report or a hit says of what is usual. It is learned in good health only.
 func (l *locality) learn(now time.Duration) {
-	if l.state != Steady || l.wait > 0 {
+	if l.state != StateHealthy || l.wait > 0 {
 		return
 	}
 	if h, known := l.judge(now); !known || h < 0.9 {
--- a/locality/locality.go
+++ b/locality/locality.go
@@ -28,8 +28,8 @@
 	return true
 }
 
-// T decides among localities. Use New.
-type T struct {
+// Selector decides among localities. Use New.
+type Selector struct {
 	cfg  Config
 	rng  *rand.Rand
 	all  []*locality
@@ -54,25 +54,25 @@
 
 // Counters count decisions.
 type Counters struct {
-	Picked  uint64 // requests that were given a locality,
-	Spilled uint64 // of them, another than the own one
-	Moved   uint64 // requests that were given another after the first had refused them
-	Passed  uint64 // requests that fit nowhere, and were left to the own director to send past its caches
-	Refused uint64 // that fit nowhere
-	Bounded uint64 // of them, since a bound was reached in the very moment
-	Changes uint64 // of state
-	Panics  uint64 // ticks in which the fault was taken to be elsewhere
+	Picked       uint64 // requests that were given a locality,
+	Spilled      uint64 // of them, another than the own one
+	Rerouted     uint64 // requests that were given another after the first had refused them
+	Bypassed     uint64 // requests that fit nowhere, and were left to the own director to send past its caches
+	Rejected     uint64 // that fit nowhere
+	BoundReached uint64 // of them, since a bound was reached in the very moment
+	StateChanges uint64 // of state
+	PanicTicks   uint64 // ticks in which the fault was taken to be elsewhere
 }
 
 // New returns a T that has all load stay.
-func New(cfg Config) (*T, error) {
-	t := &T{rng: rand.New(rand.NewPCG(cfg.Seed, 0x7469657273))}
-	return t, t.Use(cfg)
+func New(cfg Config) (*Selector, error) {
+	t := &Selector{rng: rand.New(rand.NewPCG(cfg.Seed, 0x7469657273))}
+	return t, t.Reconfigure(cfg)
 }
 
-// Use takes a new configuration in. What is known of a locality is kept, by its name. On an error all stays as it was.
-func (t *T) Use(cfg Config) error {
-	if err := cfg.Check(); err != nil {
+// Reconfigure takes a new configuration in. What is known of a locality is kept, by its name. On an error all stays as it was.
+func (t *Selector) Reconfigure(cfg Config) error {
+	if err := cfg.Validate(); err != nil {
 		return err
 	}
 	old := map[string]*locality{}
@@ -100,11 +100,11 @@
 	return nil
 }
 
-// Members says how many of a locality's caches the list calls up.
-func (t *T) Members(where, up int) { t.all[where].up, t.all[where].told = up, true }
+// SetCachesUp says how many of a locality's caches the list calls up.
+func (t *Selector) SetCachesUp(where, up int) { t.all[where].up, t.all[where].told = up, true }
 
-// Sent says that an attempt went out to a locality.
-func (t *T) Sent(now time.Duration, where int) {
+// AttemptStarted says that an attempt went out to a locality.
+func (t *Selector) AttemptStarted(now time.Duration, where int) {
 	l := t.all[where]
 	if l.sent == 0 {
 		l.lastGood = max(l.lastGood, now) // silence counts from when work is out
@@ -113,13 +113,13 @@
 	l.sent++
 }
 
-// Ended says how an attempt ended at a locality. hit says whether it was answered from a copy there, of those for which
+// AttemptFinished says how an attempt ended at a locality. hit says whether it was answered from a copy there, of those for which
 // that was told; load is how full the locality's link is, by the report that came along; negative: none did.
-func (t *T) Ended(now time.Duration, where int, r Result, hit, told bool, load float64) {
+func (t *Selector) AttemptFinished(now time.Duration, where int, r Result, hit, told bool, load float64) {
 	l := t.all[where]
 	l.out = max(0, l.out-1)
 	l.book(now, r)
-	if r == Good || r == Late {
+	if r == ResultSuccess || r == ResultLate {
 		l.lastGood, l.sent = now, 0
 	}
 	if told {
@@ -133,34 +133,34 @@
 	}
 }
 
-// Refusal is a request that the director of its locality has refused, having sent nothing or all in vain.
-type Refusal struct {
-	From     int
-	Safe     bool // it may be repeated freely
-	Moved    bool // it has been given another locality before
-	Attempts int  // made for it so far,
-	Most     int  // of so many that there may be; 0: any number
-	Waited   time.Duration
-	Left     time.Duration // until its client gives up
-	Aim      time.Duration // of its class
+// Rejection is a request that the director of its locality has refused, having sent nothing or all in vain.
+type Rejection struct {
+	From             int
+	Idempotent       bool // it may be repeated freely
+	Rerouted         bool // it has been given another locality before
+	Attempts         int  // made for it so far,
+	MaxAttempts      int  // of so many that there may be; 0: any number
+	Elapsed          time.Duration
+	Remaining        time.Duration // until its client gives up
+	LatencyObjective time.Duration // of its class
 }
 
-// Refused takes a refusal in, and says which other locality the request is to be given, if any. Only what may be repeated
+// HandleRejection takes a refusal in, and says which other locality the request is to be given, if any. Only what may be repeated
 // freely is moved, once, and while half of its aim is left for it; within the bounds of what spills.
-func (t *T) Refused(now time.Duration, r Refusal) (where int, ok bool) {
-	t.all[r.From].book(now, Turned)
-	if r.From == 0 && t.all[0].state != Steady {
+func (t *Selector) HandleRejection(now time.Duration, r Rejection) (where int, ok bool) {
+	t.all[r.From].book(now, ResultRejected)
+	if r.From == 0 && t.all[0].state != StateHealthy {
 		t.pastBad.add(now, 1, memory)
 	}
-	if r.Moved || !r.Safe || r.Most > 0 && r.Attempts >= r.Most || r.Waited >= r.Aim/2 || r.Left <= r.Aim/2 {
+	if r.Rerouted || !r.Idempotent || r.MaxAttempts > 0 && r.Attempts >= r.MaxAttempts || r.Elapsed >= r.LatencyObjective/2 || r.Remaining <= r.LatencyObjective/2 {
 		return 0, false
 	}
 	return t.move(r.From)
 }
 
-// Past says how an attempt ended that the own director sent past the caches of its locality, straight to what stands
+// BypassFinished says how an attempt ended that the own director sent past the caches of its locality, straight to what stands
 // behind them. For the locality it was none: see [Judge].
-func (t *T) Past(now time.Duration, r Result) {
+func (t *Selector) BypassFinished(now time.Duration, r Result) {
 	w := weights[r]
 	t.pastOK.add(now, w[0], memory)
 	t.pastBad.add(now, w[1], memory)
@@ -169,11 +169,11 @@
 // goPast sets how much of what fits nowhere goes past the caches: as much as has been seen to go well. Guards against
 // refusing what the upper caches and the origin could still serve; what they can do is the director's to judge, which
 // refuses what they can't.
-func (t *T) goPast(now, span time.Duration) {
+func (t *Selector) goPast(now, span time.Duration) {
 	good, bad := t.pastOK.now(now, memory), t.pastBad.now(now, memory)
 	own := t.all[0]
 	switch {
-	case t.total >= 1 || own.state == Returning: // it has caches again, and its ramp says how much they are given
+	case t.total >= 1 || own.state == StateRecovering: // it has caches again, and its ramp says how much they are given
 		t.past = 0
 	case good+bad < 1: // nothing is known; where no cache is left that could hang, a few are worth trying
 		if own.told && own.up == 0 {
@@ -181,27 +181,27 @@
 		} else {
 			t.past = 0
 		}
-	case good < (1+t.cfg.Ill)/2*(good+bad):
+	case good < (1+t.cfg.MinHealth)/2*(good+bad):
 		t.past = max(t.past/2, pastTry)
 	case good+bad >= t.rate.now(now, rateMemory)/2: // it has just done so for most of the load
 		t.past = 1
 	default:
-		t.past = min(1, t.past+2*t.cfg.Rise*span.Seconds())
+		t.past = min(1, t.past+2*t.cfg.SpilloverRise*span.Seconds())
 	}
 }
 
 func (l *locality) book(now time.Duration, r Result) {
-	if l.state == Away {
+	if l.state == StateEjected {
 		return // it speaks of the time before
 	}
 	w := weights[r]
 	l.good.add(now, w[0], memory)
 	l.bad.add(now, w[1], memory)
-	if l.state == Trial {
+	if l.state == StateProbation {
 		switch r {
-		case Good, Late:
+		case ResultSuccess, ResultLate:
 			l.triedOK++
-		case Bad, Turned:
+		case ResultFailure, ResultRejected:
 			l.triedBad++
 		}
 	}
@@ -210,7 +210,7 @@
 // Pick gives a request its locality, or refuses it: then later says when to come back. object and id are hashes, spread
 // evenly, of what is asked for and of the request: an object keeps to its locality as long as shares allow, so that its
 // copies gather there.
-func (t *T) Pick(now time.Duration, band int, object, id uint64) (where int, later time.Duration, ok bool) {
+func (t *Selector) Pick(now time.Duration, band int, object, id uint64) (where int, later time.Duration, ok bool) {
 	if band < len(t.offered) {
 		t.offered[band]++
 	}
@@ -259,27 +259,27 @@
 			return t.take(i), 0, true
 		}
 	}
-	if t.keep > 0 && t.all[0].state == Steady {
+	if t.keep > 0 && t.all[0].state == StateHealthy {
 		return t.take(0), 0, true
 	}
-	t.Counters.Bounded++
+	t.Counters.BoundReached++
 	return t.leave(id)
 }
 
 // leave refuses a request that fits nowhere, or has the own director send it past its caches.
-func (t *T) leave(id uint64) (int, time.Duration, bool) {
+func (t *Selector) leave(id uint64) (int, time.Duration, bool) {
 	if t.past > 0 && float64((id*0xbf58476d1ce4e5b9)>>11)/(1<<53) < t.past {
-		t.Counters.Passed++
+		t.Counters.Bypassed++
 		return t.take(0), 0, true
 	}
 	return t.refuse(id)
 }
 
 // move finds a request another locality, within the bounds.
-func (t *T) move(from int) (where int, ok bool) {
+func (t *Selector) move(from int) (where int, ok bool) {
 	for i := 1; i < len(t.all); i++ {
-		if l := t.all[i]; i != from && (l.state == Steady || l.state == Returning) && t.able(l) > 0 && t.spend(i) {
-			t.Counters.Moved++
+		if l := t.all[i]; i != from && (l.state == StateHealthy || l.state == StateRecovering) && t.able(l) > 0 && t.spend(i) {
+			t.Counters.Rerouted++
 			return t.take(i), true
 		}
 	}
@@ -287,12 +287,12 @@
 }
 
 // come books a request: bounds are shares of what comes.
-func (t *T) come(now time.Duration) {
+func (t *Selector) come(now time.Duration) {
 	t.rate.add(now, 1, rateMemory)
 	most := t.rate.now(now, rateMemory) * purseFor.Seconds()
 	for i := range t.level {
 		if i > 0 {
-			t.level[i].earn(t.cfg.Spill, most)
+			t.level[i].earn(t.cfg.MaxSpillover, most)
 		}
 	}
 	for i, l := range t.all {
@@ -303,7 +303,7 @@
 }
 
 // spend takes one request off the bounds of a locality and its level, if both have room.
-func (t *T) spend(where int) bool {
+func (t *Selector) spend(where int) bool {
 	l := t.all[where]
 	if l.purse.have < 1 || t.level[l.Level].have < 1 {
 		return false
@@ -312,9 +312,9 @@
 }
 
 // onTrial is a locality that is tried, with a request to spare for it: those of least worth. -1: there is none.
-func (t *T) onTrial(band int) int {
+func (t *Selector) onTrial(band int) int {
 	for i, l := range t.all {
-		if l.state == Trial && l.tried < trials && band >= t.cfg.Bands/2 && (i == 0 || t.level[l.Level].spend()) {
+		if l.state == StateProbation && l.tried < trials && band >= t.cfg.Bands/2 && (i == 0 || t.level[l.Level].spend()) {
 			l.tried++
 			return i
 		}
@@ -322,7 +322,7 @@
 	return -1
 }
 
-func (t *T) take(where int) int {
+func (t *Selector) take(where int) int {
 	t.Counters.Picked++
 	t.all[where].picked++
 	if where > 0 {
@@ -331,14 +331,14 @@
 	return where
 }
 
-func (t *T) refuse(id uint64) (int, time.Duration, bool) {
-	t.Counters.Refused++
-	base := float64(t.cfg.LaterMost) * (laterLeast + (0.8-laterLeast)*min(1, 1-t.total))
+func (t *Selector) refuse(id uint64) (int, time.Duration, bool) {
+	t.Counters.Rejected++
+	base := float64(t.cfg.MaxRetryAfter) * (laterLeast + (0.8-laterLeast)*min(1, 1-t.total))
 	return -1, time.Duration(base * (0.75 + float64(id%1024)/2048)), false
 }
 
 // Tick sets the shares anew. It is to be called every Config.Tick.
-func (t *T) Tick(now time.Duration) {
+func (t *Selector) Tick(now time.Duration) {
 	span := max(0, now-t.last)
 	if t.last == 0 {
 		span = t.cfg.Tick
@@ -352,7 +352,7 @@
 	for i, l := range t.all {
 		l.learn(now)
 		if l.look(now, &t.cfg, span, wanted || i == 0, t.total < 1, t.rng.Float64) {
-			t.Counters.Changes++
+			t.Counters.StateChanges++
 		}
 	}
 	t.spread(now, span)
@@ -361,16 +361,16 @@
 }
 
 // able is the share of its full load that a locality can take now, by its health and its ramp.
-func (t *T) able(l *locality) float64 {
-	if l.state == Away || l.state == Trial {
+func (t *Selector) able(l *locality) float64 {
+	if l.state == StateEjected || l.state == StateProbation {
 		return 0
 	}
 	h, _ := l.judge(t.last)
-	return min(1, t.cfg.Over*h) * l.ramp
+	return min(1, t.cfg.OverProvisioning*h) * l.ramp
 }
 
 // demand is what the own locality's clients ask for, in the unit of weights.
-func (t *T) demand() float64 {
+func (t *Selector) demand() float64 {
 	own := t.all[0]
 	if own.usualLoad.known {
 		return max(0.05, own.usualLoad.v) * own.Weight
@@ -384,7 +384,7 @@
 // Guards against hunting: reports are late, so what we cause is taken as late as they are (lagged). With a share under
 // one, the gateways of several localities that spill to the same one settle without talk: each takes a part of what the
 // others leave.
-func (t *T) spread(now, span time.Duration) {
+func (t *Selector) spread(now, span time.Duration) {
 	demand := t.demand()
 	for i, l := range t.all {
 		if i == 0 {
@@ -396,13 +396,13 @@
 		}
 		want := spillStart
 		if l.load.known && now-l.load.at < 4*memory {
-			want = t.cfg.Spare * max(0, t.cfg.Full-l.load.v+min(ours, l.load.v)) * l.Weight / demand
+			want = t.cfg.SpareCapacityShare * max(0, t.cfg.FullUtilization-l.load.v+min(ours, l.load.v)) * l.Weight / demand
 		}
-		want = min(want, t.cfg.Spill) * t.able(l)
+		want = min(want, t.cfg.MaxSpillover) * t.able(l)
 		if want < l.spill {
 			l.spill = want
 		} else {
-			l.spill = min(want, l.spill+t.cfg.Rise*span.Seconds())
+			l.spill = min(want, l.spill+t.cfg.SpilloverRise*span.Seconds())
 		}
 		l.lagged.add(now, t.spills[i], memory/2)
 	}
@@ -410,19 +410,19 @@
 
 // set spends the load on the localities: the own one first, then level by level, within a level in proportion to what
 // each may have. What is left over is refused, of the bands of least worth.
-func (t *T) set(now time.Duration) {
+func (t *Selector) set(now time.Duration) {
 	clear(t.spills)
 	well, weight := 0.0, 0.0
 	for _, l := range t.all {
 		weight += l.Weight
-		if l.state == Steady || l.state == Returning {
+		if l.state == StateHealthy || l.state == StateRecovering {
 			h, _ := l.judge(now)
 			well += h * l.Weight
 		}
 	}
 	t.keep = t.able(t.all[0])
-	if t.panic = well <= t.cfg.Panic*weight; t.panic { // it is our own network, or the list: moving load helps nobody
-		t.Counters.Panics++
+	if t.panic = well <= t.cfg.PanicThreshold*weight; t.panic { // it is our own network, or the list: moving load helps nobody
+		t.Counters.PanicTicks++
 		t.keep, t.total = 1, 1
 		return
 	}
@@ -434,7 +434,7 @@
 				room += l.spill
 			}
 		}
-		get := min(left, room, t.cfg.Spill)
+		get := min(left, room, t.cfg.MaxSpillover)
 		t.bounds[level] = get
 		for i, l := range t.all {
 			if l.Level == level && room > 0 {
@@ -465,32 +465,32 @@
 
 // View is what a T holds a locality for, for those who look.
 type View struct {
-	Name          string
-	State         State
-	Share         float64 // of the own load, that goes there
-	Ramp, Health  float64
-	Load          float64 // how full its link is; negative: not known
-	Wait          time.Duration
-	Picked        uint64
-	Hits, HitsWas float64 // share of hits now, and usually; negative: not known
+	Name                    string
+	State                   State
+	Share                   float64 // of the own load, that goes there
+	Ramp, Health            float64
+	Utilization             float64 // how full its link is; negative: not known
+	Backoff                 time.Duration
+	Picked                  uint64
+	HitRatio, UsualHitRatio float64 // share of hits now, and usually; negative: not known
 }
 
 // View tells of all localities, in the order of the configuration.
-func (t *T) View(now time.Duration) (all []View) {
+func (t *Selector) View(now time.Duration) (all []View) {
 	for i, l := range t.all {
-		v := View{Name: l.Name, State: l.state, Share: t.spills[i], Ramp: l.ramp, Wait: l.wait, Picked: l.picked, Load: -1, Hits: -1, HitsWas: -1}
+		v := View{Name: l.Name, State: l.state, Share: t.spills[i], Ramp: l.ramp, Backoff: l.wait, Picked: l.picked, Utilization: -1, HitRatio: -1, UsualHitRatio: -1}
 		if i == 0 {
 			v.Share = t.keep
 		}
 		v.Health, _ = l.judge(now)
 		if l.load.known {
-			v.Load = l.load.v
+			v.Utilization = l.load.v
 		}
 		if share, known := l.hitShare(now); known {
-			v.Hits = share
+			v.HitRatio = share
 		}
 		if l.usualHits.known {
-			v.HitsWas = l.usualHits.v
+			v.UsualHitRatio = l.usualHits.v
 		}
 		all = append(all, v)
 	}
@@ -498,18 +498,18 @@
 }
 
 // Panicking says that nearly all looks ill, so that the fault is taken to be elsewhere.
-func (t *T) Panicking() bool { return t.panic }
+func (t *Selector) Panicking() bool { return t.panic }
 
-// Spilling is the share of the own load that goes elsewhere, and Refusing the share that is refused.
-func (t *T) Spilling() (share float64) {
+// SpilloverShare is the share of the own load that goes elsewhere, and Refusing the share that is refused.
+func (t *Selector) SpilloverShare() (share float64) {
 	for _, s := range t.spills {
 		share += s
 	}
 	return share
 }
 
-// Passing is the share of what fits nowhere that goes past the caches.
-func (t *T) Passing() float64 { return t.past }
+// BypassShare is the share of what fits nowhere that goes past the caches.
+func (t *Selector) BypassShare() float64 { return t.past }
 
-// Refusing is the share of the own load that fits nowhere.
-func (t *T) Refusing() float64 { return 1 - t.total }
+// RejectedShare is the share of the own load that fits nowhere.
+func (t *Selector) RejectedShare() float64 { return 1 - t.total }
--- a/locality/locality_test.go
+++ b/locality/locality_test.go
@@ -17,7 +17,7 @@
 	return Config{Bands: 3, Seed: 1, Localities: []Locality{{Name: "own", Weight: 5}, {Name: "near", Level: 1, Weight: 5}, {Name: "far", Level: 2, Weight: 7}}}
 }
 
-func build(t testing.TB, cfg Config) *T {
+func build(t testing.TB, cfg Config) *Selector {
 	x, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -32,10 +32,10 @@
 		"Localities[2].Level: 0":        func(c *Config) { c.Localities[2].Level = 0 },
 		"Localities[0].Level: 1":        func(c *Config) { c.Localities[0].Level = 1 },
 		"Localities[1].Weight: NaN":     func(c *Config) { c.Localities[1].Weight = math.NaN() },
-		"Over: 0.5 is not from 1":       func(c *Config) { c.Over = 0.5 },
-		"Spill: 1.5 is not from 0":      func(c *Config) { c.Spill = 1.5 },
-		"Silence: -1s is negative":      func(c *Config) { c.Silence = -time.Second },
-		"BackMost: 500ms is under Back": func(c *Config) { c.BackMost = 500 * ms },
+		"Over: 0.5 is not from 1":       func(c *Config) { c.OverProvisioning = 0.5 },
+		"Spill: 1.5 is not from 0":      func(c *Config) { c.MaxSpillover = 1.5 },
+		"Silence: -1s is negative":      func(c *Config) { c.SilenceTimeout = -time.Second },
+		"BackMost: 500ms is under Back": func(c *Config) { c.MaxBackoff = 500 * ms },
 	} {
 		c := config()
 		spoil(&c)
@@ -47,7 +47,7 @@
 
 // drive has a T pick and hear of ends for a time, at so many requests a second. How each locality answers is the test's.
 type drive struct {
-	*T
+	*Selector
 	now    time.Duration
 	n      uint64
 	ends   func(where int) (r Result, hit bool, load float64)
@@ -60,7 +60,7 @@
 }
 
 func newDrive(t testing.TB, cfg Config, ends func(int) (Result, bool, float64)) *drive {
-	return &drive{T: build(t, cfg), ends: ends, got: map[int]int{}, moved: map[uint64]map[int]bool{}}
+	return &drive{Selector: build(t, cfg), ends: ends, got: map[int]int{}, moved: map[uint64]map[int]bool{}}
 }
 
 func hash(n uint64) uint64 {
@@ -99,21 +99,21 @@
 			d.moved[object] = map[int]bool{}
 		}
 		d.moved[object][where] = true
-		d.Sent(d.now, where)
+		d.AttemptStarted(d.now, where)
 		r, hit, load := d.ends(where)
-		d.Ended(d.now, where, r, hit, r == Good, load)
+		d.AttemptFinished(d.now, where, r, hit, r == ResultSuccess, load)
 	}
 }
 
 func (d *drive) reset() { clear(d.got); clear(d.moved); d.asked = 0 }
 
-func well(int) (Result, bool, float64) { return Good, true, 0.5 }
+func well(int) (Result, bool, float64) { return ResultSuccess, true, 0.5 }
 
 // While all is well everything stays, whatever the others do.
 func TestAllStaysWhileAllIsWell(t *testing.T) {
 	d := newDrive(t, config(), well)
 	d.run(5*time.Second, 1000)
-	if d.got[0] != d.asked || d.Spilling() != 0 {
+	if d.got[0] != d.asked || d.SpilloverShare() != 0 {
 		t.Errorf("%v of %d stayed", d.got, d.asked)
 	}
 }
@@ -124,7 +124,7 @@
 		var d *drive
 		d = newDrive(t, config(), func(where int) (Result, bool, float64) {
 			if where == 0 && d.n/3%bad == 0 {
-				return Bad, false, 0.5
+				return ResultFailure, false, 0.5
 			}
 			return well(where)
 		})
@@ -142,7 +142,7 @@
 	dark := true
 	d := newDrive(t, config(), func(where int) (Result, bool, float64) {
 		if where == 0 && dark {
-			return Bad, false, -1
+			return ResultFailure, false, -1
 		}
 		return well(where)
 	})
@@ -166,7 +166,7 @@
 func TestSpillIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := config()
-		cfg.Spill = rapid.Float64Range(0.05, 0.5).Draw(t, "spill")
+		cfg.MaxSpillover = rapid.Float64Range(0.05, 0.5).Draw(t, "spill")
 		rate := rapid.SampledFrom([]int{100, 500, 1000}).Draw(t, "rate")
 		plan := rapid.SliceOfN(rapid.IntRange(0, 26), 8, 8).Draw(t, "plan")
 		var d *drive
@@ -175,12 +175,12 @@
 			for range where {
 				how /= 3
 			}
-			return [...]Result{Good, Bad, Late}[how%3], d.n%4 > 0, float64(how%3) / 2
+			return [...]Result{ResultSuccess, ResultFailure, ResultLate}[how%3], d.n%4 > 0, float64(how%3) / 2
 		})
 		d.run(16*time.Second, rate)
 		for i, s := range d.spills {
-			if s > 2*cfg.Spill+0.02 {
-				t.Fatalf("second %d: %.3f spilled, bound %.3f at each of two levels", i, s, cfg.Spill)
+			if s > 2*cfg.MaxSpillover+0.02 {
+				t.Fatalf("second %d: %.3f spilled, bound %.3f at each of two levels", i, s, cfg.MaxSpillover)
 			}
 		}
 	})
@@ -189,28 +189,28 @@
 // One that is silent is left without any answer, one that is slow or says no by its answers; and what fits nowhere is
 // refused by worth.
 func TestADarkLocalityIsLeft(t *testing.T) {
-	for name, how := range map[string]Result{"errors": Bad, "refusals": Turned, "late": Late} {
+	for name, how := range map[string]Result{"errors": ResultFailure, "refusals": ResultRejected, "late": ResultLate} {
 		d := newDrive(t, config(), func(where int) (Result, bool, float64) {
 			if where == 0 {
 				return how, false, -1
 			}
-			return Good, true, 0.6
+			return ResultSuccess, true, 0.6
 		})
 		d.run(5*time.Second, 1000)
-		if stay := d.View(d.now)[0]; how == Bad && stay.Share > 0 || stay.Share > 0.75 {
+		if stay := d.View(d.now)[0]; how == ResultFailure && stay.Share > 0 || stay.Share > 0.75 {
 			t.Errorf("%s: %.2f stay", name, stay.Share)
 		}
 	}
 	x := build(t, config())
 	for now := time.Duration(0); now < 3*time.Second; now += 10 * ms {
 		if where, _, ok := x.Pick(now, 0, hash(uint64(now)), 1); ok && where == 0 {
-			x.Sent(now, 0)
+			x.AttemptStarted(now, 0)
 		}
 		if now%DefaultTick == 0 {
 			x.Tick(now)
 		}
 	}
-	if s := x.View(3 * time.Second)[0].State; s != Away && s != Trial {
+	if s := x.View(3 * time.Second)[0].State; s != StateEjected && s != StateProbation {
 		t.Errorf("a silent locality is %v", s)
 	}
 	refused := map[int]int{}
@@ -236,14 +236,14 @@
 		cfg.Seed = seed
 		d := newDrive(t, cfg, func(where int) (Result, bool, float64) {
 			if where == 0 {
-				return Bad, false, -1
+				return ResultFailure, false, -1
 			}
 			return well(where)
 		})
 		var trials []time.Duration
-		for last := Steady; d.now < 40*time.Second; d.run(50*ms, 200) {
+		for last := StateHealthy; d.now < 40*time.Second; d.run(50*ms, 200) {
 			if s := d.View(d.now)[0].State; s != last {
-				if s == Trial {
+				if s == StateProbation {
 					trials = append(trials, d.now)
 				}
 				last = s
@@ -271,7 +271,7 @@
 	dark := false
 	d := newDrive(t, config(), func(where int) (Result, bool, float64) {
 		if where == 0 && dark {
-			return Bad, false, -1
+			return ResultFailure, false, -1
 		}
 		return well(where)
 	})
@@ -280,9 +280,9 @@
 	for range 4 {
 		dark = true
 		d.run(3*time.Second, 500)
-		waits = append(waits, d.View(d.now)[0].Wait)
+		waits = append(waits, d.View(d.now)[0].Backoff)
 		dark = false
-		for back := d.now; d.View(d.now)[0].State != Returning; d.run(100*ms, 500) {
+		for back := d.now; d.View(d.now)[0].State != StateRecovering; d.run(100*ms, 500) {
 			if d.now-back > 15*time.Second {
 				t.Fatalf("it is not tried: %+v", d.View(d.now)[0])
 			}
@@ -295,14 +295,14 @@
 		}
 	}
 	d.run(90*time.Second, 500)
-	if v := d.View(d.now)[0]; v.State != Steady || v.Wait > 0 {
+	if v := d.View(d.now)[0]; v.State != StateHealthy || v.Backoff > 0 {
 		t.Errorf("after a minute and a half in good health: %+v", v)
 	}
 }
 
 // Nearly all looks ill: the fault is elsewhere, and nothing is moved.
 func TestPanicKeepsLoadWhereItIs(t *testing.T) {
-	d := newDrive(t, config(), func(int) (Result, bool, float64) { return Bad, false, -1 })
+	d := newDrive(t, config(), func(int) (Result, bool, float64) { return ResultFailure, false, -1 })
 	d.run(20*time.Second, 500)
 	if !d.Panicking() || d.View(d.now)[0].Share < 1 {
 		t.Errorf("panic %v, %.2f stay", d.Panicking(), d.View(d.now)[0].Share)
@@ -312,7 +312,7 @@
 // What is spare goes by what a locality reports: a full one gets hardly anything.
 func TestSpillGoesByWhatIsSpare(t *testing.T) {
 	d := newDrive(t, config(), func(where int) (Result, bool, float64) {
-		return [...]Result{Bad, Good, Good}[where], true, [...]float64{0, 0.9, 0.3}[where]
+		return [...]Result{ResultFailure, ResultSuccess, ResultSuccess}[where], true, [...]float64{0, 0.9, 0.3}[where]
 	})
 	d.run(20*time.Second, 1000)
 	v := d.View(d.now)
@@ -323,14 +323,16 @@
 
 // A new configuration keeps what is known, and a faulty one changes nothing.
 func TestUseKeepsWhatIsKnown(t *testing.T) {
-	d := newDrive(t, config(), func(where int) (Result, bool, float64) { return [...]Result{Bad, Good, Good}[where], true, 0.4 })
+	d := newDrive(t, config(), func(where int) (Result, bool, float64) {
+		return [...]Result{ResultFailure, ResultSuccess, ResultSuccess}[where], true, 0.4
+	})
 	d.run(10*time.Second, 500)
 	cfg := config()
-	cfg.Spill = 0.1
-	if err := d.Use(cfg); err != nil {
+	cfg.MaxSpillover = 0.1
+	if err := d.Reconfigure(cfg); err != nil {
 		t.Fatal(err)
 	}
-	if s := d.View(d.now)[0].State; s == Steady {
+	if s := d.View(d.now)[0].State; s == StateHealthy {
 		t.Errorf("it forgot that the own locality is away")
 	}
 	d.spills = nil
@@ -340,8 +342,8 @@
 			t.Errorf("%.2f spills, bound 0.1 at each of two levels", s)
 		}
 	}
-	cfg.Spill = -1
-	if err := d.Use(cfg); err == nil || d.cfg.Spill != 0.1 {
+	cfg.MaxSpillover = -1
+	if err := d.Reconfigure(cfg); err == nil || d.cfg.MaxSpillover != 0.1 {
 		t.Errorf("a faulty configuration was taken: %v", err)
 	}
 }
@@ -349,30 +351,30 @@
 func TestSettingsShareWhatIsCold(t *testing.T) {
 	base := routing.Settings{Directors: 4, Zone: "own", Zones: []string{"hub", "own", "near", "far"}, ZoneDirectors: []int{0, 2, 1, 1}, Gossip: true}
 	for where, want := range []int{12, 12, 12} {
-		s, err := Settings(base, config().Localities, where)
+		s, err := DirectorSettings(base, config().Localities, where)
 		if err != nil || s.Zone != config().Localities[where].Name || s.ZoneDirectors[1] != 4 || s.Directors != want || s.Gossip != (where == 0) {
 			t.Errorf("%d: %+v, %v", where, s, err)
 		}
 	}
-	if _, err := Settings(base, []Locality{{Name: "own"}, {Name: "nowhere"}}, 1); err == nil || !strings.Contains(err.Error(), "nowhere") {
+	if _, err := DirectorSettings(base, []Locality{{Name: "own"}, {Name: "nowhere"}}, 1); err == nil || !strings.Contains(err.Error(), "nowhere") {
 		t.Errorf("%v", err)
 	}
 }
 
 // Only what may be repeated freely is moved, once, with attempts and half of its aim left.
 func TestWhatMayBeMoved(t *testing.T) {
-	good := Refusal{Safe: true, Attempts: 1, Most: 8, Waited: 100 * ms, Left: 2 * time.Second, Aim: time.Second}
+	good := Rejection{Idempotent: true, Attempts: 1, MaxAttempts: 8, Elapsed: 100 * ms, Remaining: 2 * time.Second, LatencyObjective: time.Second}
 	for name, c := range map[string]struct {
-		spoil func(*Refusal)
+		spoil func(*Rejection)
 		want  bool
-	}{"as it is": {func(*Refusal) {}, true}, "a write": {func(r *Refusal) { r.Safe = false }, false}, "moved": {func(r *Refusal) { r.Moved = true }, false},
-		"no attempts left": {func(r *Refusal) { r.Attempts = 8 }, false}, "any number of attempts": {func(r *Refusal) { r.Attempts, r.Most = 80, 0 }, true},
-		"late": {func(r *Refusal) { r.Waited = 500 * ms }, false}, "its client leaves": {func(r *Refusal) { r.Left = 400 * ms }, false}} {
+	}{"as it is": {func(*Rejection) {}, true}, "a write": {func(r *Rejection) { r.Idempotent = false }, false}, "moved": {func(r *Rejection) { r.Rerouted = true }, false},
+		"no attempts left": {func(r *Rejection) { r.Attempts = 8 }, false}, "any number of attempts": {func(r *Rejection) { r.Attempts, r.MaxAttempts = 80, 0 }, true},
+		"late": {func(r *Rejection) { r.Elapsed = 500 * ms }, false}, "its client leaves": {func(r *Rejection) { r.Remaining = 400 * ms }, false}} {
 		d := newDrive(t, config(), well)
 		d.run(time.Second, 500) // so that something may spill
 		r := good
 		c.spoil(&r)
-		if where, ok := d.Refused(d.now, r); ok != c.want || ok && where == 0 {
+		if where, ok := d.HandleRejection(d.now, r); ok != c.want || ok && where == 0 {
 			t.Errorf("%s: %d, %v", name, where, ok)
 		}
 	}
@@ -383,28 +385,28 @@
 		s                  routing.Status
 		cache, late, along bool
 		want               Result
-	}{{routing.OK, true, false, false, Good}, {routing.OK, true, true, false, Late}, {routing.OK, false, false, false, Bad},
-		{routing.Reset, true, false, false, Bad}, {routing.Reset, true, false, true, None}, {routing.TimedOut, true, false, false, Bad},
-		{routing.Rejected, true, false, false, Turned}, {routing.Canceled, true, false, false, None}, {routing.NotSent, false, false, false, None},
-		{routing.Miss, true, false, false, None}} {
-		if got := Judge(c.s, c.cache, c.late, c.along); got != c.want {
+	}{{routing.OK, true, false, false, ResultSuccess}, {routing.OK, true, true, false, ResultLate}, {routing.OK, false, false, false, ResultFailure},
+		{routing.Reset, true, false, false, ResultFailure}, {routing.Reset, true, false, true, ResultNeutral}, {routing.TimedOut, true, false, false, ResultFailure},
+		{routing.Rejected, true, false, false, ResultRejected}, {routing.Canceled, true, false, false, ResultNeutral}, {routing.NotSent, false, false, false, ResultNeutral},
+		{routing.Miss, true, false, false, ResultNeutral}} {
+		if got := ClassifyResult(c.s, c.cache, c.late, c.along); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
 }
 
 func TestRosterCounts(t *testing.T) {
-	r := NewRoster(routing.Settings{Kinds: []string{"box", "parent", "origin"}, ParentKind: 1, OriginKind: 2}, config().Localities)
+	r := NewEndpointIndex(routing.Settings{Kinds: []string{"box", "parent", "origin"}, ParentKind: 1, OriginKind: 2}, config().Localities)
 	list := []routing.Endpoint{{ID: "a", Zone: "own", Kind: "box"}, {ID: "b", Zone: "own", Kind: "box", Phase: routing.Draining},
 		{ID: "c", Zone: "near", Kind: "box"}, {ID: "p", Zone: "own", Kind: "parent"}, {ID: "x", Zone: "elsewhere", Kind: "box"}}
-	if up := r.Take(routing.EndpointUpdate{Kind: routing.FullList, Endpoints: list}); up[0] != 1 || up[1] != 1 || up[2] != 0 {
+	if up := r.Update(routing.EndpointUpdate{Kind: routing.FullList, Endpoints: list}); up[0] != 1 || up[1] != 1 || up[2] != 0 {
 		t.Errorf("%v", up)
 	}
-	if up := r.Take(routing.EndpointUpdate{Kind: routing.DeltaList, Endpoints: []routing.Endpoint{{ID: "a", Phase: routing.Removed},
+	if up := r.Update(routing.EndpointUpdate{Kind: routing.DeltaList, Endpoints: []routing.Endpoint{{ID: "a", Phase: routing.Removed},
 		{ID: "d", Zone: "far", Kind: "box"}}}); up[0] != 0 || up[1] != 1 || up[2] != 1 {
 		t.Errorf("%v", up)
 	}
-	if up := r.Take(routing.EndpointUpdate{Kind: routing.WatchLost}); up[2] != 1 || !r.Cache("c", 1) || r.Cache("c", 0) || r.Cache("p", 0) {
+	if up := r.Update(routing.EndpointUpdate{Kind: routing.WatchLost}); up[2] != 1 || !r.IsCache("c", 1) || r.IsCache("c", 0) || r.IsCache("p", 0) {
 		t.Errorf("%v", up)
 	}
 }
@@ -417,8 +419,8 @@
 			x.Tick(now)
 		}
 		if where, _, ok := x.Pick(now, i%3, hash(uint64(i)), uint64(i)); ok {
-			x.Sent(now, where)
-			x.Ended(now, where, Good, true, true, 0.5)
+			x.AttemptStarted(now, where)
+			x.AttemptFinished(now, where, ResultSuccess, true, true, 0.5)
 		}
 	}
 }
--- a/locality/settings.go
+++ b/locality/settings.go
@@ -7,12 +7,12 @@
 	"larchusher/routing"
 )
 
-// Settings are what the director of a locality goes by, of a gateway that has one for each: base is that of the own one.
+// DirectorSettings are what the director of a locality goes by, of a gateway that has one for each: base is that of the own one.
 //
 // Every gateway of the installation may send to every locality, and has as many directors that use the same upper caches.
 // A director spends on a cold server by what warm ones of its size do for it, which adds up to what they can do however
 // many directors there are; but each has a floor, and floors are shared out by the number of directors.
-func Settings(base routing.Settings, localities []Locality, where int) (routing.Settings, error) {
+func DirectorSettings(base routing.Settings, localities []Locality, where int) (routing.Settings, error) {
 	s, l := base, localities[where]
 	if !slices.Contains(s.Zones, l.Name) {
 		return s, fmt.Errorf("tiers: Localities[%d].Name: %q is none of the zones, which are %q", where, l.Name, s.Zones)
@@ -29,32 +29,32 @@
 	return s, nil
 }
 
-// Judge says what an attempt's end tells of its locality. cache: it went to a cache there, and not past them, which
+// ClassifyResult says what an attempt's end tells of its locality. cache: it went to a cache there, and not past them, which
 // speaks against a locality that has caches. late: its answer came after its aim. along: another attempt's answer broke
 // the connection that they shared.
-func Judge(s routing.Status, cache, late, along bool) (r Result) {
+func ClassifyResult(s routing.Status, cache, late, along bool) (r Result) {
 	switch s {
 	case routing.OK:
-		if r = Good; late {
-			r = Late
+		if r = ResultSuccess; late {
+			r = ResultLate
 		}
 	case routing.ServerError, routing.TimedOut, routing.ConnectFailed, routing.Reset:
-		if r = Bad; along {
-			r = None
+		if r = ResultFailure; along {
+			r = ResultNeutral
 		}
 	case routing.Rejected:
-		r = Turned
+		r = ResultRejected
 	default:
-		r = None
+		r = ResultNeutral
 	}
-	if !cache && r != None {
-		r = Bad
+	if !cache && r != ResultNeutral {
+		r = ResultFailure
 	}
 	return r
 }
 
-// Roster tells from lists of servers how many caches each locality has.
-type Roster struct {
+// EndpointIndex tells from lists of servers how many caches each locality has.
+type EndpointIndex struct {
 	places map[string]int // locality by zone
 	cache  func(kind string) bool
 	all    map[string]entry
@@ -67,9 +67,9 @@
 	up    bool
 }
 
-// NewRoster returns an empty one.
-func NewRoster(s routing.Settings, localities []Locality) *Roster {
-	r := &Roster{places: map[string]int{}, all: map[string]entry{}, up: make([]int, len(localities)), cache: func(kind string) bool {
+// NewEndpointIndex returns an empty one.
+func NewEndpointIndex(s routing.Settings, localities []Locality) *EndpointIndex {
+	r := &EndpointIndex{places: map[string]int{}, all: map[string]entry{}, up: make([]int, len(localities)), cache: func(kind string) bool {
 		k := slices.Index(s.Kinds, kind)
 		return k < 0 || k != s.OriginKind && k != s.ParentKind
 	}}
@@ -79,8 +79,8 @@
 	return r
 }
 
-// Take takes a list in, and returns how many caches are up, by locality. It is the roster's own.
-func (r *Roster) Take(m routing.EndpointUpdate) []int {
+// Update takes a list in, and returns how many caches are up, by locality. It is the roster's own.
+func (r *EndpointIndex) Update(m routing.EndpointUpdate) []int {
 	if m.Kind == routing.WatchLost {
 		return r.up
 	}
@@ -107,8 +107,8 @@
 	return r.up
 }
 
-// Cache says whether a server is a cache of a locality, and not one behind it.
-func (r *Roster) Cache(id string, where int) bool {
+// IsCache says whether a server is a cache of a locality, and not one behind it.
+func (r *EndpointIndex) IsCache(id string, where int) bool {
 	e, ok := r.all[id]
 	return ok && e.cache && e.where == where
 }
--- a/overload/controller.go
+++ b/overload/controller.go
@@ -22,18 +22,18 @@
 
 // Sample is what a tick saw.
 type Sample struct {
-	Span     time.Duration // how long the tick was, in time that the program ran
-	Started  float64       // cost of requests that got their turn in it
-	Expired  float64       // cost of those that waited for too long
-	Waiting  []int         // how many wait at its end, by band
-	Oldest   time.Duration // the longest that anyone waited in it, or waits now
-	Grace    time.Duration // by which it may be longer, after a stall
-	Behind   time.Duration // by which the poller is late in reading what has come
-	Stalled  bool          // the program did not run for a part of it: it says nothing of load
-	Pressure float64       // share of the memory for answers that is taken
+	Interval       time.Duration // how long the tick was, in time that the program ran
+	StartedCost    float64       // cost of requests that got their turn in it
+	ExpiredCost    float64       // cost of those that waited for too long
+	Queued         []int         // how many wait at its end, by band
+	LongestWait    time.Duration // the longest that anyone waited in it, or waits now
+	Grace          time.Duration // by which it may be longer, after a stall
+	LoopLag        time.Duration // by which the poller is late in reading what has come
+	Paused         bool          // the program did not run for a part of it: it says nothing of load
+	MemoryPressure float64       // share of the memory for answers that is taken
 }
 
-// Controller sets a [Door], tick by tick.
+// Controller sets a [AdmissionController], tick by tick.
 //
 // While requests wait for long, the gateway is busy all the time, and the cost of what gets its turn is what it can
 // do. That, and a little more (the probe), is the allowance. It is spent on the offer band by band, the most worth
@@ -51,7 +51,7 @@
 	closed  bool        // the allowance binds
 	waited  int         // ticks in a row in which someone waited for long, while all was let in
 	quiet   int         // ticks since it last shed something
-	verdict Verdict
+	verdict AdmissionPolicy
 	shed    float64 // share of the offer that is shed, smoothed
 }
 
@@ -70,12 +70,12 @@
 
 // Tick takes in what the last tick saw, and the door's counts, and returns what the door is to go by; nil: it lets
 // everything in.
-func (c *Controller) Tick(s Sample, d *Door) *Verdict {
+func (c *Controller) Tick(s Sample, d *AdmissionController) *AdmissionPolicy {
 	scale := 1.0 // a tick that took longer saw more
-	if s.Span > 0 {
-		scale = float64(c.cfg.Tick) / float64(s.Span)
+	if s.Interval > 0 {
+		scale = float64(c.cfg.Tick) / float64(s.Interval)
 	}
-	s.Started *= scale
+	s.StartedCost *= scale
 	let := 0.0 // cost that the door let in
 	for f := range c.offer {
 		for b := range c.offer[f] {
@@ -98,7 +98,7 @@
 	v := c.set(s)
 	now := 0.0
 	if v != nil {
-		now = v.Shed
+		now = v.ShedShare
 	}
 	c.shed += smoothShed * (now - c.shed)
 	return v
@@ -106,29 +106,29 @@
 
 // adapt moves the allowance.
 func (c *Controller) adapt(s Sample, let float64) {
-	long := s.Oldest > c.cfg.Target+s.Grace || s.Expired > 0
+	long := s.LongestWait > c.cfg.TargetWait+s.Grace || s.ExpiredCost > 0
 	switch {
-	case s.Stalled: // what piled up meanwhile is no sign of load
-	case s.Behind > c.cfg.Wait/2:
+	case s.Paused: // what piled up meanwhile is no sign of load
+	case s.LoopLag > c.cfg.MaxWait/2:
 		c.closed = true
 		c.allow = behindDown * min(let, c.allow)
 	case long && !c.closed:
 		// A hiccup passes; who waits for too long meanwhile is refused anyway. What is served until then is what the
 		// allowance begins with: the best tick, as one in which the program was held up says too little.
-		c.rate = max(c.rate, s.Started, 1)
+		c.rate = max(c.rate, s.StartedCost, 1)
 		c.waited++
-		if s.Oldest > c.cfg.Wait/3 && let > plainly*s.Started { // it will not pass by itself
+		if s.LongestWait > c.cfg.MaxWait/3 && let > plainly*s.StartedCost { // it will not pass by itself
 			c.waited += 2
 		}
 		if c.waited >= waitTicks {
-			c.closed, c.allow = true, max(1, c.rate)*(1+c.cfg.Probe)
+			c.closed, c.allow = true, max(1, c.rate)*(1+c.cfg.ProbeShare)
 		}
 	case long:
-		c.rate += smoothRate * (s.Started - c.rate)
-		c.allow = max(1, c.rate) * (1 + c.cfg.Probe)
+		c.rate += smoothRate * (s.StartedCost - c.rate)
+		c.allow = max(1, c.rate) * (1 + c.cfg.ProbeShare)
 	case c.closed:
 		// Nobody waited for long: there is room.
-		c.rate = max(c.rate, s.Started)
+		c.rate = max(c.rate, s.StartedCost)
 		c.allow = max(c.allow, c.rate, 1) * openUp
 	default:
 		c.rate, c.waited = 0, 0
@@ -140,13 +140,13 @@
 // the allowance is not shed for a backlog that is gone before anyone has waited for half of the bound: a hiccup passes,
 // and the bands behind it make room. Guards the order: what a hiccup had piled up of a band was reason to shed it, while
 // what was let in of the band behind it was served a moment later.
-func (c *Controller) set(s Sample) *Verdict {
+func (c *Controller) set(s Sample) *AdmissionPolicy {
 	if !c.closed {
 		return nil
 	}
 	left, offered, spent, waiting := c.allow, 0.0, 0.0, 0.0
-	fine := max(1, c.rate) * float64(c.cfg.Target+s.Grace) / float64(c.cfg.Tick)
-	borne := max(fine, max(1, c.rate)*float64(c.cfg.Wait/2+s.Grace)/float64(c.cfg.Tick))
+	fine := max(1, c.rate) * float64(c.cfg.TargetWait+s.Grace) / float64(c.cfg.Tick)
+	borne := max(fine, max(1, c.rate)*float64(c.cfg.MaxWait/2+s.Grace)/float64(c.cfg.Tick))
 	admit := make([][]uint32, len(c.offer))
 	for f := range admit {
 		admit[f] = make([]uint32, c.order.Bands())
@@ -156,8 +156,8 @@
 		for f := range c.offer {
 			wants += c.offer[f][b]
 		}
-		if b < len(s.Waiting) {
-			waiting += float64(s.Waiting[b]) * c.order.Cost(b)
+		if b < len(s.Queued) {
+			waiting += float64(s.Queued[b]) * c.order.Cost(b)
 		}
 		over := fine
 		if wants <= left {
@@ -187,8 +187,8 @@
 		c.closed, c.allow, c.quiet, c.waited, c.rate = false, math.Inf(1), 0, 0, 0
 		return nil
 	}
-	later := time.Duration(float64(c.cfg.LaterMost) * (laterLeast + (0.8-laterLeast)*min(1, shed)))
-	c.verdict = Verdict{Admit: admit, Later: later, Shed: shed}
+	later := time.Duration(float64(c.cfg.MaxRetryAfter) * (laterLeast + (0.8-laterLeast)*min(1, shed)))
+	c.verdict = AdmissionPolicy{Admit: admit, RetryAfter: later, ShedShare: shed}
 	v := c.verdict
 	return &v
 }
@@ -217,13 +217,13 @@
 	}
 }
 
-// Later is what a request is told that is refused after it came in.
-func (c *Controller) Later() time.Duration {
-	if c.closed && c.verdict.Later > 0 {
-		return c.verdict.Later
+// RetryAfter is what a request is told that is refused after it came in.
+func (c *Controller) RetryAfter() time.Duration {
+	if c.closed && c.verdict.RetryAfter > 0 {
+		return c.verdict.RetryAfter
 	}
-	return time.Duration(laterLeast * float64(c.cfg.LaterMost))
+	return time.Duration(laterLeast * float64(c.cfg.MaxRetryAfter))
 }
 
-// Level is the share of the offer that is shed, smoothed over some tenths of a second: 0 while all is let in.
-func (c *Controller) Level() float64 { return c.shed }
+// ShedLevel is the share of the offer that is shed, smoothed over some tenths of a second: 0 while all is let in.
+func (c *Controller) ShedLevel() float64 { return c.shed }
--- a/overload/memory.go
+++ b/overload/memory.go
@@ -34,8 +34,8 @@
 	clients  map[*Client]bool
 	serial   uint64
 
-	Refused uint64 // requests
-	Closed  uint64 // clients
+	Rejected uint64 // requests
+	Closed   uint64 // clients
 }
 
 // Client is one client's part of the memory. Make one with [Memory.Join].
@@ -57,16 +57,16 @@
 	return &Memory{limit: limit, expected: guessSize, clients: map[*Client]bool{}}
 }
 
-// Join counts a client in.
-func (m *Memory) Join(value any) *Client {
+// AddClient counts a client in.
+func (m *Memory) AddClient(value any) *Client {
 	m.serial++
 	c := &Client{Value: value, serial: m.serial}
 	m.clients[c] = true
 	return c
 }
 
-// Leave counts a client out, with all that it held.
-func (m *Memory) Leave(c *Client) {
+// RemoveClient counts a client out, with all that it held.
+func (m *Memory) RemoveClient(c *Client) {
 	if !m.clients[c] {
 		return
 	}
@@ -85,7 +85,7 @@
 		free := m.limit - m.used
 		if m.out+n > expectMost*m.limit || c.waiting > 0 && (c.slow || n > free ||
 			float64(c.reserved+c.waiting+n) > freeShare*float64(free)) {
-			m.Refused++
+			m.Rejected++
 			return 0, false
 		}
 	}
@@ -107,12 +107,12 @@
 	if m.limit <= 0 || int64(size) <= m.room(c) && (!c.slow || c.waiting == 0) {
 		return true
 	}
-	m.Refused++
+	m.Rejected++
 	return false
 }
 
-// Done gives back what was set aside for a request; size is that of its answer, negative if it had none.
-func (m *Memory) Done(c *Client, n int64, size int) {
+// Release gives back what was set aside for a request; size is that of its answer, negative if it had none.
+func (m *Memory) Release(c *Client, n int64, size int) {
 	if !m.clients[c] {
 		return
 	}
@@ -133,8 +133,8 @@
 	c.expected = max(1, c.expected)
 }
 
-// Waiting notes how much waits to be written to a client now, and how much was just added to it.
-func (m *Memory) Waiting(c *Client, waiting, added int64) {
+// SetBuffered notes how much waits to be written to a client now, and how much was just added to it.
+func (m *Memory) SetBuffered(c *Client, waiting, added int64) {
 	if !m.clients[c] {
 		return
 	}
@@ -143,8 +143,8 @@
 	c.put += added
 }
 
-// Held says how much a client holds.
-func (c *Client) Held() int64 { return c.reserved + c.waiting }
+// Usage says how much a client holds.
+func (c *Client) Usage() int64 { return c.reserved + c.waiting }
 
 // Slow says whether a client takes its answers slower than it asks for them.
 func (c *Client) Slow() bool { return c.slow }
@@ -165,7 +165,7 @@
 func (m *Memory) Sweep(now time.Duration, waiting func(*Client) int64) (over []*Client) {
 	for c := range m.clients {
 		if c.waiting > 0 {
-			m.Waiting(c, waiting(c), 0)
+			m.SetBuffered(c, waiting(c), 0)
 		}
 		if c.waiting < slowLeast {
 			c.slow, c.before, c.checked, c.put = false, c.waiting, now, 0
--- a/overload/order.go
+++ b/overload/order.go
@@ -3,7 +3,7 @@
 // the host must not be mistaken for load.
 //
 // It does no I/O, reads no clock and holds no global state: the gateway feeds it samples and carries out what it says.
-// Times are on one clock that runs forward, from any beginning. Only [Door] may be used from several goroutines at once.
+// Times are on one clock that runs forward, from any beginning. Only [AdmissionController] may be used from several goroutines at once.
 package overload
 
 import (
@@ -17,19 +17,19 @@
 
 // Class is what the order needs to know of a class of requests.
 type Class struct {
-	Name  string
-	Worth float64 // of one request answered in time
-	Cost  float64 // what one takes of the gateway, relative to others; 0: 1
+	Name           string
+	PriorityWeight float64 // of one request answered in time
+	Cost           float64 // what one takes of the gateway, relative to others; 0: 1
 }
 
 // Defaults for what a Config leaves out.
 const (
-	DefaultWait       = 150 * time.Millisecond
-	DefaultTarget     = 10 * time.Millisecond
-	DefaultTick       = 20 * time.Millisecond
-	DefaultProbe      = 0.03
-	DefaultLaterMost  = 2 * time.Second
-	DefaultStallLeast = 40 * time.Millisecond
+	DefaultMaxWait       = 150 * time.Millisecond
+	DefaultTargetWait    = 10 * time.Millisecond
+	DefaultTick          = 20 * time.Millisecond
+	DefaultProbeShare    = 0.03
+	DefaultMaxRetryAfter = 2 * time.Second
+	DefaultMinPause      = 40 * time.Millisecond
 )
 
 // Config is what the decisions go by. The zero value of a field is its default.
@@ -37,15 +37,15 @@
 	Classes []Class
 	Fronts  int // by which requests come; 0: 1
 
-	Wait   time.Duration // longest wait for a turn, in time that the program ran
-	Target time.Duration // the wait that is aimed at while requests are shed
-	Tick   time.Duration // how often the door is set
-	Probe  float64       // share that is let in beyond what was served, to learn of more room; 0 to 1
+	MaxWait    time.Duration // longest wait for a turn, in time that the program ran
+	TargetWait time.Duration // the wait that is aimed at while requests are shed
+	Tick       time.Duration // how often the door is set
+	ProbeShare float64       // share that is let in beyond what was served, to learn of more room; 0 to 1
 
-	LaterMost    time.Duration // longest advice on when to come back
-	RepeatsFirst bool          // a client's repeat is served before first tries of its class, not after
-	StallLeast   time.Duration // a shorter gap in which the program did not run is no stall
-	Memory       int64         // bytes that answers may take, on their way to clients; 0: no limit
+	MaxRetryAfter time.Duration // longest advice on when to come back
+	RepeatsFirst  bool          // a client's repeat is served before first tries of its class, not after
+	MinPause      time.Duration // a shorter gap in which the program did not run is no stall
+	MemoryLimit   int64         // bytes that answers may take, on their way to clients; 0: no limit
 }
 
 // check fills in defaults, or names the first field that can't be worked with.
@@ -59,8 +59,8 @@
 		switch {
 		case seen[k.Name]:
 			return fmt.Errorf("overload: Classes[%d]: %q stands twice", i, k.Name)
-		case !(k.Worth >= 0):
-			return fmt.Errorf("overload: Classes[%d].Worth: %v", i, k.Worth)
+		case !(k.PriorityWeight >= 0):
+			return fmt.Errorf("overload: Classes[%d].Worth: %v", i, k.PriorityWeight)
 		case !(k.Cost >= 0):
 			return fmt.Errorf("overload: Classes[%d].Cost: %v", i, k.Cost)
 		}
@@ -70,29 +70,29 @@
 	switch {
 	case c.Fronts < 0:
 		return errors.New("overload: Fronts is negative")
-	case c.Wait < 0:
+	case c.MaxWait < 0:
 		return errors.New("overload: Wait is negative")
-	case c.Target < 0:
+	case c.TargetWait < 0:
 		return errors.New("overload: Target is negative")
 	case c.Tick < 0:
 		return errors.New("overload: Tick is negative")
-	case !(c.Probe >= 0 && c.Probe <= 1):
-		return fmt.Errorf("overload: Probe: %v is not from 0 to 1", c.Probe)
-	case c.LaterMost < 0:
+	case !(c.ProbeShare >= 0 && c.ProbeShare <= 1):
+		return fmt.Errorf("overload: Probe: %v is not from 0 to 1", c.ProbeShare)
+	case c.MaxRetryAfter < 0:
 		return errors.New("overload: LaterMost is negative")
-	case c.StallLeast < 0:
+	case c.MinPause < 0:
 		return errors.New("overload: StallLeast is negative")
-	case c.Memory < 0:
+	case c.MemoryLimit < 0:
 		return errors.New("overload: Memory is negative")
 	}
 	c.Fronts = cmp.Or(c.Fronts, 1)
-	c.Wait, c.Tick = cmp.Or(c.Wait, DefaultWait), cmp.Or(c.Tick, DefaultTick)
-	c.Target = cmp.Or(c.Target, min(DefaultTarget, c.Wait/2))
-	if c.Target > c.Wait {
-		return fmt.Errorf("overload: Target %v is over Wait %v", c.Target, c.Wait)
+	c.MaxWait, c.Tick = cmp.Or(c.MaxWait, DefaultMaxWait), cmp.Or(c.Tick, DefaultTick)
+	c.TargetWait = cmp.Or(c.TargetWait, min(DefaultTargetWait, c.MaxWait/2))
+	if c.TargetWait > c.MaxWait {
+		return fmt.Errorf("overload: Target %v is over Wait %v", c.TargetWait, c.MaxWait)
 	}
-	c.Probe, c.LaterMost = cmp.Or(c.Probe, DefaultProbe), cmp.Or(c.LaterMost, DefaultLaterMost)
-	c.StallLeast = cmp.Or(c.StallLeast, DefaultStallLeast)
+	c.ProbeShare, c.MaxRetryAfter = cmp.Or(c.ProbeShare, DefaultProbeShare), cmp.Or(c.MaxRetryAfter, DefaultMaxRetryAfter)
+	c.MinPause = cmp.Or(c.MinPause, DefaultMinPause)
 	return nil
 }
 
@@ -109,7 +109,7 @@
 func NewOrder(classes []Class, repeatsFirst bool) *Order {
 	ranked := slices.Clone(classes)
 	slices.SortStableFunc(ranked, func(a, b Class) int {
-		return cmp.Compare(b.Worth/cmp.Or(b.Cost, 1), a.Worth/cmp.Or(a.Cost, 1))
+		return cmp.Compare(b.PriorityWeight/cmp.Or(b.Cost, 1), a.PriorityWeight/cmp.Or(a.Cost, 1))
 	})
 	o := &Order{places: map[string]int{}, repeatsFirst: repeatsFirst}
 	for i, c := range ranked {
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -13,7 +13,7 @@
 const ms = time.Millisecond
 
 func site() []Class {
-	return []Class{{Name: "replay", Worth: 2}, {Name: "assets", Worth: 1}, {Name: "turn", Worth: 3}}
+	return []Class{{Name: "replay", PriorityWeight: 2}, {Name: "assets", PriorityWeight: 1}, {Name: "turn", PriorityWeight: 3}}
 }
 
 func TestBandsGoByWorth(t *testing.T) {
@@ -33,7 +33,7 @@
 			t.Error("what nobody knows is not last")
 		}
 	}
-	costly := NewOrder([]Class{{Name: "big", Worth: 2, Cost: 4}, {Name: "small", Worth: 1}}, false)
+	costly := NewOrder([]Class{{Name: "big", PriorityWeight: 2, Cost: 4}, {Name: "small", PriorityWeight: 1}}, false)
 	if costly.Band("small", false) != 0 || costly.Cost(costly.Band("big", false)) != 4 {
 		t.Error("worth counts for each unit of cost")
 	}
@@ -43,12 +43,12 @@
 	for want, c := range map[string]Config{
 		"Classes is empty":             {},
 		`Classes[1]: "a" stands twice`: {Classes: []Class{{Name: "a"}, {Name: "a"}}},
-		"Classes[0].Worth: NaN":        {Classes: []Class{{Name: "a", Worth: math.NaN()}}},
-		"Wait is negative":             {Classes: site(), Wait: -1},
-		"Probe: 2":                     {Classes: site(), Probe: 2},
-		"Memory is negative":           {Classes: site(), Memory: -1},
-		"Target 1s is over Wait 150ms": {Classes: site(), Target: time.Second},
-		"StallLeast is negative":       {Classes: site(), StallLeast: -1},
+		"Classes[0].Worth: NaN":        {Classes: []Class{{Name: "a", PriorityWeight: math.NaN()}}},
+		"Wait is negative":             {Classes: site(), MaxWait: -1},
+		"Probe: 2":                     {Classes: site(), ProbeShare: 2},
+		"Memory is negative":           {Classes: site(), MemoryLimit: -1},
+		"Target 1s is over Wait 150ms": {Classes: site(), TargetWait: time.Second},
+		"StallLeast is negative":       {Classes: site(), MinPause: -1},
 		"Classes[0].Cost: -1":          {Classes: []Class{{Name: "a", Cost: -1}}},
 	} {
 		if _, err := NewController(c, NewOrder(c.Classes, false)); err == nil || !strings.Contains(err.Error(), want) {
@@ -108,7 +108,7 @@
 					drop(e.item)
 				}
 			case 4:
-				for i := q.Expired(now); i != nil; i = q.Expired(now) {
+				for i := q.PopExpired(now); i != nil; i = q.PopExpired(now) {
 					if e := drop(i); now-e.at <= 20*ms {
 						t.Fatalf("expired after %v", now-e.at)
 					}
@@ -129,20 +129,20 @@
 // What waits keeps its order and the time that it has waited when there are other bands.
 func TestWhatWaitsMovesToOtherBands(t *testing.T) {
 	q := NewQueue(3, 2, 100*ms)
-	q.Lost(30 * ms)
+	q.AddPausedTime(30 * ms)
 	var items [6]Item
 	for i := range items {
 		items[i].Value = i
 		q.Push(&items[i], i%3, i%2, time.Duration(i)*ms)
-		q.Lost(10 * ms)
+		q.AddPausedTime(10 * ms)
 	}
 	waited := [6]time.Duration{}
 	for i := range items {
 		waited[i] = q.Waited(&items[i], time.Second)
 	}
 	next := q.Rebanded(5, func(v any) int { return 4 - v.(int)%2 })
-	if q.Len() != 0 || next.Len() != 6 || next.Waiting()[4] != 3 || next.Waiting()[3] != 3 {
-		t.Fatalf("%d were left behind, %d moved: %v", q.Len(), next.Len(), next.Waiting())
+	if q.Len() != 0 || next.Len() != 6 || next.Queued()[4] != 3 || next.Queued()[3] != 3 {
+		t.Fatalf("%d were left behind, %d moved: %v", q.Len(), next.Len(), next.Queued())
 	}
 	for i := range items {
 		if got := next.Waited(&items[i], time.Second); got != waited[i] {
@@ -178,15 +178,15 @@
 	q := NewQueue(1, 1, 20*ms)
 	i, j := &Item{}, &Item{}
 	q.Push(i, 0, 0, 0)
-	q.Stalled(300*ms, 300*ms)
+	q.Paused(300*ms, 300*ms)
 	q.Push(j, 0, 0, 300*ms)
 	if w := q.Waited(i, 310*ms); w != 10*ms {
 		t.Errorf("waited %v", w)
 	}
-	if q.Expired(610*ms) != nil || q.Expired(625*ms) != i {
+	if q.PopExpired(610*ms) != nil || q.PopExpired(625*ms) != i {
 		t.Error("the time after a stall is not 20 ms and the stall's length")
 	}
-	if q.Limit(2200*ms) != 20*ms {
+	if q.WaitLimit(2200*ms) != 20*ms {
 		t.Error("the grace does not end")
 	}
 }
@@ -195,7 +195,7 @@
 type machine struct {
 	ctl   *Controller
 	order *Order
-	door  *Door
+	door  *AdmissionController
 	queue *Queue
 	cap   float64 // requests a tick
 	now   time.Duration
@@ -213,8 +213,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &machine{ctl: ctl, order: order, door: NewDoor(order.Bands(), 2), cap: capacity,
-		queue: NewQueue(order.Bands(), 2, DefaultWait), got: map[int]float64{}, asked: map[int]float64{}, by: map[int]float64{}}
+	return &machine{ctl: ctl, order: order, door: NewAdmissionController(order.Bands(), 2), cap: capacity,
+		queue: NewQueue(order.Bands(), 2, DefaultMaxWait), got: map[int]float64{}, asked: map[int]float64{}, by: map[int]float64{}}
 }
 
 type load struct {
@@ -231,14 +231,14 @@
 		for range int(l.n) {
 			m.draw = m.draw*6364136223846793005 + 1442695040888963407
 			m.asked[band]++
-			if _, ok := m.door.Try(l.front, band, m.draw>>33); ok {
+			if _, ok := m.door.Admit(l.front, band, m.draw>>33); ok {
 				m.queue.Push(&Item{Value: l.front}, band, l.front, m.now)
 			}
 		}
 	}
 	m.now += DefaultTick
-	for i := m.queue.Expired(m.now); i != nil; i = m.queue.Expired(m.now) {
-		s.Expired++
+	for i := m.queue.PopExpired(m.now); i != nil; i = m.queue.PopExpired(m.now) {
+		s.ExpiredCost++
 	}
 	for m.owed += m.cap; m.owed >= 1; m.owed-- {
 		i := m.queue.Pop()
@@ -246,13 +246,13 @@
 			m.owed = 0
 			break
 		}
-		s.Started++
-		s.Oldest = max(s.Oldest, m.queue.Waited(i, m.now)-DefaultTick)
+		s.StartedCost++
+		s.LongestWait = max(s.LongestWait, m.queue.Waited(i, m.now)-DefaultTick)
 		m.got[i.band]++
 		m.by[i.Value.(int)]++
 	}
-	s.Oldest, s.Waiting = max(s.Oldest, m.queue.Oldest(m.now)), m.queue.Waiting()
-	m.door.Set(m.ctl.Tick(s, m.door))
+	s.LongestWait, s.Queued = max(s.LongestWait, m.queue.LongestWait(m.now)), m.queue.Queued()
+	m.door.SetPolicy(m.ctl.Tick(s, m.door))
 }
 
 func (m *machine) reset() { clear(m.got); clear(m.asked); clear(m.by) }
@@ -309,8 +309,8 @@
 			n = 240
 		}
 		m.tick(load{"assets", false, 0, n})
-		if m.ctl.Level() > 0.02 {
-			t.Fatalf("tick %d: level %.2f", i, m.ctl.Level())
+		if m.ctl.ShedLevel() > 0.02 {
+			t.Fatalf("tick %d: level %.2f", i, m.ctl.ShedLevel())
 		}
 	}
 	if m.share("assets") < 0.999 {
@@ -395,12 +395,12 @@
 	m := newMachine(t, 1000)
 	for range 100 {
 		for range 100 {
-			m.door.Try(0, 4, 1)
+			m.door.Admit(0, 4, 1)
 		}
-		m.door.Set(m.ctl.Tick(Sample{Behind: 100 * ms, Started: 100}, m.door))
+		m.door.SetPolicy(m.ctl.Tick(Sample{LoopLag: 100 * ms, StartedCost: 100}, m.door))
 	}
-	if m.ctl.Level() < 0.5 {
-		t.Errorf("level %.2f", m.ctl.Level())
+	if m.ctl.ShedLevel() < 0.5 {
+		t.Errorf("level %.2f", m.ctl.ShedLevel())
 	}
 }
 
@@ -408,15 +408,15 @@
 func TestStalledTicksChangeNothing(t *testing.T) {
 	m := newMachine(t, 100)
 	for range 50 {
-		if m.ctl.Tick(Sample{Stalled: true, Oldest: time.Second, Expired: 10}, m.door) != nil {
+		if m.ctl.Tick(Sample{Paused: true, LongestWait: time.Second, ExpiredCost: 10}, m.door) != nil {
 			t.Fatal("the door is closed")
 		}
 	}
 }
 
 func TestDoorLetsTheRightShareIn(t *testing.T) {
-	d := NewDoor(1, 1)
-	d.Set(&Verdict{Admit: [][]uint32{{whole / 4}}, Later: time.Second})
+	d := NewAdmissionController(1, 1)
+	d.SetPolicy(&AdmissionPolicy{Admit: [][]uint32{{whole / 4}}, RetryAfter: time.Second})
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	in, least, most := 0, time.Hour, time.Duration(0)
@@ -424,7 +424,7 @@
 		all.Go(func() {
 			for i := range 10000 {
 				draw := (uint64(w)*10000 + uint64(i)) * 0x9e3779b97f4a7c15 >> 13
-				later, ok := d.Try(0, 0, draw)
+				later, ok := d.Admit(0, 0, draw)
 				mu.Lock()
 				if ok {
 					in++
@@ -445,8 +445,8 @@
 }
 
 func TestPulseTellsStallsFromWork(t *testing.T) {
-	p := NewPulse(20*ms, 40*ms)
-	p.Beat(0, 0)
+	p := NewSchedulingMonitor(20*ms, 40*ms)
+	p.Tick(0, 0)
 	for _, b := range []struct {
 		name     string
 		now, cpu time.Duration
@@ -454,22 +454,22 @@
 	}{{"a beat", 20 * ms, 10 * ms, false}, {"300 ms of own work", 320 * ms, 300 * ms, false},
 		{"a short gap", 370 * ms, 301 * ms, false}, {"300 ms without running", 690 * ms, 302 * ms, true},
 		{"the next beat", 710 * ms, 303 * ms, false}, {"a throttled quarter", 805 * ms, 320 * ms, true}} {
-		if got := p.Beat(b.now, b.cpu); (got > 0) != b.stalled {
+		if got := p.Tick(b.now, b.cpu); (got > 0) != b.stalled {
 			t.Errorf("%s: stalled %v", b.name, got)
 		}
 	}
-	if p.Often(805 * ms) {
+	if p.FrequentPauses(805 * ms) {
 		t.Error("two stalls are not often")
 	}
 	for i := range time.Duration(4) {
-		p.Beat(1000*ms+i*100*ms, 320*ms)
+		p.Tick(1000*ms+i*100*ms, 320*ms)
 	}
-	if !p.Often(1300*ms) || p.Often(2500*ms) {
+	if !p.FrequentPauses(1300*ms) || p.FrequentPauses(2500*ms) {
 		t.Error("four stalls in half a second are often, and not for good")
 	}
-	p.Stalls, p.Lost = p.Stalls-4, p.Lost-4*80*ms
-	if p.Stalls != 2 || p.Lost < 300*ms || p.Lost > 600*ms {
-		t.Errorf("%d stalls, %v lost", p.Stalls, p.Lost)
+	p.Pauses, p.PausedTime = p.Pauses-4, p.PausedTime-4*80*ms
+	if p.Pauses != 2 || p.PausedTime < 300*ms || p.PausedTime > 600*ms {
+		t.Errorf("%d stalls, %v lost", p.Pauses, p.PausedTime)
 	}
 }
 
@@ -484,7 +484,7 @@
 		var open []out
 		var clients []*Client
 		for range 5 {
-			clients = append(clients, m.Join(nil))
+			clients = append(clients, m.AddClient(nil))
 		}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			c := clients[rapid.IntRange(0, 4).Draw(t, "client")]
@@ -496,16 +496,16 @@
 					}
 				}
 			} else if len(open) > 0 {
-				m.Done(open[0].c, open[0].n, rapid.IntRange(-1, 240_000).Draw(t, "size"))
+				m.Release(open[0].c, open[0].n, rapid.IntRange(-1, 240_000).Draw(t, "size"))
 				open = open[1:]
 			}
 		}
 		for _, o := range open {
-			m.Done(o.c, o.n, -1)
+			m.Release(o.c, o.n, -1)
 		}
 		for _, c := range clients {
-			m.Leave(c)
-			m.Leave(c)
+			m.RemoveClient(c)
+			m.RemoveClient(c)
 		}
 		if m.Used() != 0 || m.out != 0 {
 			t.Fatalf("%d and %d are left", m.Used(), m.out)
@@ -516,16 +516,16 @@
 // 200 clients that do not read and ask for much: they are held back, then closed, and one that reads always finds room.
 func TestSlowClientsMakeRoomForQuickOnes(t *testing.T) {
 	m := NewMemory(16 << 20)
-	quick := m.Join("quick")
+	quick := m.AddClient("quick")
 	for range 3 { // it is known what it asks for
 		if n, ok := m.Reserve(quick); ok {
-			m.Done(quick, n, 7600)
+			m.Release(quick, n, 7600)
 		}
 	}
 	waits := map[*Client]int64{}
 	var slow []*Client
 	for range 200 {
-		slow = append(slow, m.Join("slow"))
+		slow = append(slow, m.AddClient("slow"))
 	}
 	closed, refused := 0, 0
 	for now := time.Duration(0); now < 3*time.Second; now += 100 * ms {
@@ -539,15 +539,15 @@
 				if fits := m.Fits(c, 200_000); fits {
 					waits[c] += 200_000
 				}
-				m.Done(c, n, 200_000)
-				m.Waiting(c, waits[c], 200_000)
+				m.Release(c, n, 200_000)
+				m.SetBuffered(c, waits[c], 200_000)
 			}
 		}
 		for range 100 {
 			if n, ok := m.Reserve(quick); !ok {
 				t.Fatalf("at %v a quick client finds no room, %d of %d are taken", now, m.Used(), 16<<20)
 			} else {
-				m.Done(quick, n, 7600)
+				m.Release(quick, n, 7600)
 			}
 		}
 		if m.Used() > 20<<20 {
@@ -558,7 +558,7 @@
 				t.Fatal("a client that reads is closed")
 			}
 			closed++
-			m.Leave(c)
+			m.RemoveClient(c)
 		}
 	}
 	if closed == 0 || refused == 0 {
--- a/overload/pulse.go
+++ b/overload/pulse.go
@@ -11,9 +11,9 @@
 // idleShare of a gap must have been spent off the processor for it to be a stall and not the program's own work.
 const idleShare = 0.5
 
-// Pulse tells a host that stood still from a program that is behind. It is beaten at steady intervals; a beat that
+// SchedulingMonitor tells a host that stood still from a program that is behind. It is beaten at steady intervals; a beat that
 // comes late finds whether the program was at work meanwhile, by the processor time that it used.
-type Pulse struct {
+type SchedulingMonitor struct {
 	least   time.Duration
 	every   time.Duration
 	last    time.Duration // time of the last beat,
@@ -21,16 +21,18 @@
 	begun   bool
 	latest  [oftenStalls]time.Duration // when the latest stalls ended, the newest first
 
-	Stalls int           // stalls seen
-	Lost   time.Duration // time lost to them
+	Pauses     int           // stalls seen
+	PausedTime time.Duration // time lost to them
 }
 
-// NewPulse returns a pulse with a beat every so often, for which a gap of at least `least` is a stall.
-func NewPulse(every, least time.Duration) *Pulse { return &Pulse{every: every, least: least} }
+// NewSchedulingMonitor returns a pulse with a beat every so often, for which a gap of at least `least` is a stall.
+func NewSchedulingMonitor(every, least time.Duration) *SchedulingMonitor {
+	return &SchedulingMonitor{every: every, least: least}
+}
 
-// Beat takes the time and the processor time used so far, and returns how long the host stood still since the last
+// Tick takes the time and the processor time used so far, and returns how long the host stood still since the last
 // beat; 0: it did not.
-func (p *Pulse) Beat(now, cpu time.Duration) (stalled time.Duration) {
+func (p *SchedulingMonitor) Tick(now, cpu time.Duration) (stalled time.Duration) {
 	gap, used := now-p.last, cpu-p.lastCPU
 	if p.begun && gap >= p.every+p.least && float64(used) < (1-idleShare)*float64(gap) {
 		stalled = max(0, gap-p.every-used)
@@ -41,13 +43,13 @@
 	}
 	copy(p.latest[1:], p.latest[:])
 	p.latest[0] = now
-	p.Stalls++
-	p.Lost += stalled
+	p.Pauses++
+	p.PausedTime += stalled
 	return stalled
 }
 
-// Often says that stalls come one after another, as where a host gives the program a share of each tenth of a second:
+// FrequentPauses says that stalls come one after another, as where a host gives the program a share of each tenth of a second:
 // then what piles up in them is load like any other, and nothing is forgiven for it.
-func (p *Pulse) Often(now time.Duration) bool {
-	return p.Stalls >= oftenStalls && now-p.latest[oftenStalls-1] < oftenSpan
+func (p *SchedulingMonitor) FrequentPauses(now time.Duration) bool {
+	return p.Pauses >= oftenStalls && now-p.latest[oftenStalls-1] < oftenSpan
 }
--- a/overload/queue.go
+++ b/overload/queue.go
@@ -92,8 +92,8 @@
 // Len is how many wait.
 func (q *Queue) Len() int { return q.size }
 
-// Waiting is how many wait, by band. It is the queue's own, and holds until something changes.
-func (q *Queue) Waiting() []int { return q.count }
+// Queued is how many wait, by band. It is the queue's own, and holds until something changes.
+func (q *Queue) Queued() []int { return q.count }
 
 // Push has an item wait that came at a time, which may be earlier than that of others that wait.
 func (q *Queue) Push(i *Item, band, front int, came time.Duration) {
@@ -134,12 +134,12 @@
 	return nil
 }
 
-// Lost says that the program did not run for so long: that time does not count as waiting.
-func (q *Queue) Lost(d time.Duration) { q.lost += d }
+// AddPausedTime says that the program did not run for so long: that time does not count as waiting.
+func (q *Queue) AddPausedTime(d time.Duration) { q.lost += d }
 
-// Stalled is Lost for a stall that is not the usual: for a while what piled up meanwhile may take longer, too.
-func (q *Queue) Stalled(now, d time.Duration) {
-	q.Lost(d)
+// Paused is Lost for a stall that is not the usual: for a while what piled up meanwhile may take longer, too.
+func (q *Queue) Paused(now, d time.Duration) {
+	q.AddPausedTime(d)
 	if g := min(d, stallMost); g >= q.grace || now >= q.until {
 		q.grace, q.until = g, now+stallGrace*g
 	}
@@ -157,19 +157,19 @@
 }
 
 // Grace is by how much more anyone may wait now.
-func (q *Queue) Grace(now time.Duration) time.Duration { return q.Limit(now) - q.wait }
+func (q *Queue) Grace(now time.Duration) time.Duration { return q.WaitLimit(now) - q.wait }
 
-// Limit is how long an item may wait now.
-func (q *Queue) Limit(now time.Duration) time.Duration {
+// WaitLimit is how long an item may wait now.
+func (q *Queue) WaitLimit(now time.Duration) time.Duration {
 	if now < q.until {
 		return q.wait + q.grace
 	}
 	return q.wait
 }
 
-// Expired takes out one that has waited for too long, the least worth first, or nil.
-func (q *Queue) Expired(now time.Duration) *Item {
-	limit := q.Limit(now)
+// PopExpired takes out one that has waited for too long, the least worth first, or nil.
+func (q *Queue) PopExpired(now time.Duration) *Item {
+	limit := q.WaitLimit(now)
 	for b := len(q.bands) - 1; b >= 0; b-- {
 		if q.count[b] == 0 {
 			continue
@@ -184,8 +184,8 @@
 	return nil
 }
 
-// Oldest is the longest that any has waited, of those at the heads.
-func (q *Queue) Oldest(now time.Duration) (most time.Duration) {
+// LongestWait is the longest that any has waited, of those at the heads.
+func (q *Queue) LongestWait(now time.Duration) (most time.Duration) {
 	for b, n := range q.count {
 		if n == 0 {
 			continue
