--- a/cmd/larchusher/counters.go
+++ b/cmd/larchusher/counters.go
@@ -42,7 +42,7 @@
 	all = append(all, p.gw.LoadValues()...)
 	all = append(all, p.gw.TierValues()...)
 	if p.keeper != nil {
-		all = append(all, p.keeper.Values(p.gw.Clock(p.loop.Now()))...)
+		all = append(all, p.keeper.Metrics(p.gw.Clock(p.loop.Now()))...)
 	}
 	if p.fleet != nil {
 		values := p.fleet.Values()
--- a/cmd/larchusher/drain.go
+++ b/cmd/larchusher/drain.go
@@ -23,7 +23,7 @@
 	p.log.Info("draining")
 	p.draining = true
 	if p.keeper != nil {
-		p.keeper.Final(p.gw.Clock(p.loop.Now()))
+		p.keeper.SaveNow(p.gw.Clock(p.loop.Now()))
 	}
 	if p.takenOver() {
 		p.yield()
--- a/cmd/larchusher/leave.go
+++ b/cmd/larchusher/leave.go
@@ -13,7 +13,7 @@
 // connections to the new process.
 
 // handState hands this process's state to its successor. From this moment on the successor has the budget for cold stores.
-func (p *program) handState(answer hotrestart.Answer) {
+func (p *program) handState(answer hotrestart.AnswerFunc) {
 	p.log.Info("upgrade: handing over to a new process")
 	p.gw.PauseCold(-1)
 	p.useShares(overlapShare)
@@ -49,17 +49,17 @@
 }
 
 // takenOver says whether a new process takes clients in place of this one.
-func (p *program) takenOver() bool { return p.process != nil && p.process.TakenOver() }
+func (p *program) takenOver() bool { return p.process != nil && p.process.SuccessorServes() }
 
 // move hands a client's connection to the successor.
 func (p *program) move(conn *transport.Conn, pieces []transport.Piece) error {
 	now := time.Now()
-	var over []hotrestart.Piece
+	var over []hotrestart.BufferedInput
 	for _, piece := range pieces {
-		over = append(over, hotrestart.Piece{Data: piece.Data, Age: now.Sub(piece.At)})
+		over = append(over, hotrestart.BufferedInput{Data: piece.Data, Age: now.Sub(piece.At)})
 	}
 	addr := p.clients.Addr().String()
-	return conn.Detach(func(descriptor int) error { return p.successor.Move(addr, over, descriptor) })
+	return conn.Detach(func(descriptor int) error { return p.successor.Migrate(addr, over, descriptor) })
 }
 
 // yield leaves clients to the successor: nothing new is accepted, and each connection goes over as soon as nothing is open on it.
--- a/cmd/larchusher/state.go
+++ b/cmd/larchusher/state.go
@@ -77,7 +77,7 @@
 }
 
 func look(f snapshot.Found, now time.Time) fileState {
-	s := fileState{File: f.Name, Bytes: f.Size, Whole: f.Damage.Whole, Bad: f.Damage.Bad, Cut: f.Damage.Cut}
+	s := fileState{File: f.Name, Bytes: f.Size, Whole: f.Damage.Whole, Bad: f.Damage.BadRecords, Cut: f.Damage.Truncated}
 	if f.Err != nil {
 		s.Error = f.Err.Error()
 	}
@@ -130,7 +130,7 @@
 	if err != nil {
 		return folder, 0, false, err
 	}
-	all, err := store.Look()
+	all, err := store.Inspect()
 	for _, found := range all {
 		if err == nil {
 			err = f.print(look(found, time.Now()))
--- a/cmd/larchusher/upgrade.go
+++ b/cmd/larchusher/upgrade.go
@@ -67,7 +67,7 @@
 		p.log.WithError(err).Warn("upgrade: no state will be handed over")
 		return nil
 	}
-	if p.process.Successor() && p.op.Fleet != nil {
+	if p.process.IsSuccessor() && p.op.Fleet != nil {
 		p.process.Close()
 		return errors.New("fleet: another process of this gateway runs, and would be the same member: end it first")
 	}
@@ -78,18 +78,18 @@
 // Its listening sockets are left to the engine.
 func (p *program) takeState() (known discovery.Known, learned *warmstart.Snapshot) {
 	known = p.cfg.Known
-	if p.process == nil || !p.process.Successor() {
+	if p.process == nil || !p.process.IsSuccessor() {
 		return known, nil
 	}
 	p.setMemory(overlapShare)
-	handed, err := p.process.Request(stateWithin)
+	handed, err := p.process.RequestHandover(stateWithin)
 	var state handedState
 	if err == nil {
 		err = json.Unmarshal(handed.State, &state)
 	}
-	p.closeRest, p.moves = p.engine.Inherit(handed.Sockets), handed.Moves
-	if handed.Missed != nil {
-		p.log.WithError(handed.Missed).Warn("upgrade: listening beside the process that serves")
+	p.closeRest, p.moves = p.engine.Inherit(handed.Sockets), handed.Connections
+	if handed.SocketsErr != nil {
+		p.log.WithError(handed.SocketsErr).Warn("upgrade: listening beside the process that serves")
 	}
 	switch {
 	case err != nil:
@@ -114,7 +114,7 @@
 	if learned != nil {
 		p.log.Infof("upgrade: what was learned: %v", p.gw.Recall(learned, p.cfg.Name, p.cfg.Fingerprint()))
 	}
-	if p.process.Successor() {
+	if p.process.IsSuccessor() {
 		p.useShares(overlapShare)
 		p.takeColdBudget(learned != nil)
 		p.process.AwaitAlone(func() {
@@ -127,7 +127,7 @@
 			})
 		})
 	}
-	p.process.Watch(func(answer hotrestart.Answer) {
+	p.process.Watch(func(answer hotrestart.AnswerFunc) {
 		p.loop.Post(func() { p.handState(answer) })
 	}, func() {
 		p.loop.Post(func() {
@@ -179,7 +179,7 @@
 	if p.process == nil {
 		return
 	}
-	if err := p.process.Serve(); err != nil {
+	if err := p.process.StartServing(); err != nil {
 		p.log.WithError(err).Warn("upgrade: the process that serves cannot be told that this one does")
 	}
 }
@@ -209,7 +209,7 @@
 		}
 		now := time.Now()
 		var pieces []transport.Piece
-		for _, piece := range moved.Pieces {
+		for _, piece := range moved.Inputs {
 			pieces = append(pieces, transport.Piece{Data: piece.Data, At: now.Add(-piece.Age)})
 		}
 		p.accept[at].Adopt(conn, pieces)
--- a/cmd/larchusher/wiring.go
+++ b/cmd/larchusher/wiring.go
@@ -170,8 +170,8 @@
 		return
 	}
 	if found != nil {
-		keeper.Recalled = p.gw.Recall(found, p.cfg.Name, p.cfg.Fingerprint())
-		log.Infof("what was learned before: %v", keeper.Recalled)
+		keeper.Imported = p.gw.Recall(found, p.cfg.Name, p.cfg.Fingerprint())
+		log.Infof("what was learned before: %v", keeper.Imported)
 	}
 	p.keeper = keeper
 	keeper.Start(p.op.State.Every, p.loop.Post, func() *warmstart.Snapshot {
@@ -180,7 +180,7 @@
 	})
 	var beat func()
 	beat = func() {
-		keeper.Beat(p.gw.Clock(p.loop.Now()))
+		keeper.Tick(p.gw.Clock(p.loop.Now()))
 		p.loop.After(min(time.Second, p.op.State.Every/4), beat)
 	}
 	p.loop.Post(beat)
--- a/gateway/localities.go
+++ b/gateway/localities.go
@@ -253,7 +253,7 @@
 	for i, d := range g.directors {
 		all[g.names[i]] = d
 	}
-	return s.Use(g.now(), gateway, settings, all)
+	return s.Import(g.now(), gateway, settings, all)
 }
 
 // Remember has the director of a zone take in what neighbours know, for what it is still worth by its age.
--- a/internal/clusternode/share.go
+++ b/internal/clusternode/share.go
@@ -61,13 +61,13 @@
 		case replication.Learned:
 			for _, x := range a.Slots {
 				if x.Kind == replication.Purge { // at once: the own journal may be late
-					s.h.gw.Told(x.Key, s.sharer.Purged(s.h.now(), s.h.gw.Clock(s.h.loop.Now()), x.Key, x.Late))
+					s.h.gw.Told(x.Key, s.sharer.PurgeAge(s.h.now(), s.h.gw.Clock(s.h.loop.Now()), x.Key, x.Late))
 				}
 			}
 			s.hold()
 		case replication.CaughtUp:
 			s.caught = &a
-			u := s.h.gw.Remember(s.sharer.Gather(s.h.now(), s.h.gw.Clock(s.h.loop.Now()), s.h.gw.Listed()))
+			u := s.h.gw.Remember(s.sharer.Collect(s.h.now(), s.h.gw.Clock(s.h.loop.Now()), s.h.gw.Listed()))
 			s.h.log.WithField("from", a.From).Infof("caught up after %v: %d listings, %d stores and %d purges used of %d slots", a.Took.Round(time.Millisecond), u.Listings, u.Endpoints,
 				u.Purges, s.node.Len())
 		}
@@ -91,7 +91,7 @@
 
 // hold has stores drained that a neighbour was told drain, beside those that are out for work.
 func (s *sharing) hold() {
-	held := s.sharer.Holds(s.h.now(), s.h.gw.Listed())
+	held := s.sharer.HeldEndpoints(s.h.now(), s.h.gw.Listed())
 	if maps.Equal(held, s.held) {
 		return
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -64,7 +64,7 @@
 		return nil, fault("state.listings", fmt.Errorf("%d is not from 1 to %d", s.Listings, 1<<20))
 	}
 	var err error
-	if s.Every, err = span("state.every", pb.GetEvery(), warmstart.DefaultEvery, 100*time.Millisecond, time.Hour); err != nil {
+	if s.Every, err = span("state.every", pb.GetEvery(), warmstart.DefaultSaveInterval, 100*time.Millisecond, time.Hour); err != nil {
 		return nil, err
 	}
 	if name := pb.GetKeyEnv(); name != "" {
--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -40,10 +40,10 @@
 
 // Errors to be told apart by errors.Is.
 var (
-	ErrThird     = errors.New("two processes of this gateway run already")
-	ErrNotOurs   = errors.New("the folder is not this user's alone")
-	ErrNoState   = errors.New("no state has come in time")
-	ErrNoSockets = errors.New("no sockets were handed over")
+	ErrTooManyProcesses = errors.New("two processes of this gateway run already")
+	ErrFolderNotPrivate = errors.New("the folder is not this user's alone")
+	ErrNoState          = errors.New("no state has come in time")
+	ErrNoSockets        = errors.New("no sockets were handed over")
 )
 
 // Process is this process's place in a handover.
@@ -80,7 +80,7 @@
 		if time.Now().After(end) {
 			_ = p.active.Close()
 			_ = next.Close()
-			return nil, fmt.Errorf("%s: %w", dir, ErrThird)
+			return nil, fmt.Errorf("%s: %w", dir, ErrTooManyProcesses)
 		}
 	}
 	if !tryLock(p.active, unix.LOCK_EX) {
@@ -104,7 +104,7 @@
 		return fmt.Errorf("the handover's folder %s: %w", dir, err)
 	}
 	if st.Mode&unix.S_IFMT != unix.S_IFDIR || int(st.Uid) != os.Geteuid() || st.Mode&0o077 != 0 {
-		return fmt.Errorf("%s: %w", dir, ErrNotOurs)
+		return fmt.Errorf("%s: %w", dir, ErrFolderNotPrivate)
 	}
 	return nil
 }
@@ -137,20 +137,20 @@
 	}
 }
 
-// Successor says whether this process takes over from another one, which may have ended by now.
-func (p *Process) Successor() bool { return p.next != nil }
+// IsSuccessor says whether this process takes over from another one, which may have ended by now.
+func (p *Process) IsSuccessor() bool { return p.next != nil }
 
-// Handed is what the process that serves has handed over.
-type Handed struct {
-	State   []byte
-	Sockets map[string]*os.File // by their addresses
-	Moves   *Receiver           // of clients' connections, later; nil: none will come
-	Missed  error               // why there are no sockets; nil: there are
+// Handover is what the process that serves has handed over.
+type Handover struct {
+	State       []byte
+	Sockets     map[string]*os.File // by their addresses
+	Connections *Receiver           // of clients' connections, later; nil: none will come
+	SocketsErr  error               // why there are no sockets; nil: there are
 }
 
-// Request asks the process that serves for its state and its listening sockets, and waits for them. It fails with ErrNoState
+// RequestHandover asks the process that serves for its state and its listening sockets, and waits for them. It fails with ErrNoState
 // if no state has come within a time, or as soon as that process has ended.
-func (p *Process) Request(within time.Duration) (h Handed, err error) {
+func (p *Process) RequestHandover(within time.Duration) (h Handover, err error) {
 	token := make([]byte, tokenBytes)
 	if _, err := rand.Read(token); err != nil {
 		return h, fmt.Errorf("the handover's token: %w", err)
@@ -166,8 +166,8 @@
 	if h.State, err = p.awaitState(name, within); err != nil {
 		return h, err
 	}
-	if h.Missed = missed; missed == nil {
-		h.Moves, h.Sockets, h.Missed = receive(sockets)
+	if h.SocketsErr = missed; missed == nil {
+		h.Connections, h.Sockets, h.SocketsErr = receive(sockets)
 	}
 	return h, nil
 }
@@ -200,8 +200,8 @@
 	return nil
 }
 
-// Serve tells the process that this one takes over from that clients are served here from now on.
-func (p *Process) Serve() error {
+// StartServing tells the process that this one takes over from that clients are served here from now on.
+func (p *Process) StartServing() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.next == nil || p.alone || p.serving != nil {
@@ -252,13 +252,13 @@
 	}()
 }
 
-// Answer hands a state and listening sockets over to the successor that asked for them, and returns a link by which clients'
+// AnswerFunc hands a state and listening sockets over to the successor that asked for them, and returns a link by which clients'
 // connections can follow. A state without sockets is of use, too: an error that wraps ErrNoSockets says that just these did
 // not go over.
-type Answer func(state []byte, sockets []Socket) (*Link, error)
+type AnswerFunc func(state []byte, sockets []Socket) (*Link, error)
 
 // answerTo answers the successor with a token.
-func (p *Process) answerTo(token string) Answer {
+func (p *Process) answerTo(token string) AnswerFunc {
 	return func(state []byte, sockets []Socket) (*Link, error) {
 		if err := p.write(statePrefix+token, state); err != nil {
 			return nil, err
@@ -273,7 +273,7 @@
 
 // Watch calls came, on a goroutine of its own, with a function that answers a successor with this process's state, as soon
 // as one asks for it, and gone if it ends while this process still serves.
-func (p *Process) Watch(came func(answer Answer), gone func()) {
+func (p *Process) Watch(came func(answer AnswerFunc), gone func()) {
 	go func() {
 		present, last := false, ""
 		look := time.NewTicker(watchPoll)
@@ -287,10 +287,10 @@
 			if !p.serves() {
 				continue
 			}
-			if token := p.requested(); token != "" && token != last && p.Succeeded() {
+			if token := p.requested(); token != "" && token != last && p.HasSuccessor() {
 				present, last = true, token
 				came(p.answerTo(last))
-			} else if present && !p.Succeeded() {
+			} else if present && !p.HasSuccessor() {
 				present = false
 				gone()
 			}
@@ -318,11 +318,11 @@
 	return p.alone
 }
 
-// Succeeded says whether a successor of this process runs.
-func (p *Process) Succeeded() bool { return p.serves() && p.held(nextLock) }
+// HasSuccessor says whether a successor of this process runs.
+func (p *Process) HasSuccessor() bool { return p.serves() && p.held(nextLock) }
 
-// TakenOver says whether a successor of this process runs and takes clients.
-func (p *Process) TakenOver() bool { return p.Succeeded() && p.held(servingLock) }
+// SuccessorServes says whether a successor of this process runs and takes clients.
+func (p *Process) SuccessorServes() bool { return p.HasSuccessor() && p.held(servingLock) }
 
 // held says whether another process holds a lock.
 func (p *Process) held(name string) bool {
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -36,7 +36,7 @@
 func TestStateGoesOver(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "gateway")
 	first := join(t, dir)
-	if first.Successor() || first.Succeeded() {
+	if first.IsSuccessor() || first.HasSuccessor() {
 		t.Error("one that is alone has company")
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,24 +48,24 @@
 		t.Fatal(err)
 	}
 	addr := listener.Addr().String()
-	first.Watch(func(answer Answer) {
+	first.Watch(func(answer AnswerFunc) {
 		link, err := answer([]byte("all that is known"), []Socket{{addr, raw}, {"again", raw}})
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		pieces := []Piece{{Data: []byte("half"), Age: time.Second}, {Data: []byte("rest")}}
-		_ = raw.Control(func(fd uintptr) { err = link.Move("where", pieces, int(fd)) })
+		pieces := []BufferedInput{{Data: []byte("half"), Age: time.Second}, {Data: []byte("rest")}}
+		_ = raw.Control(func(fd uintptr) { err = link.Migrate("where", pieces, int(fd)) })
 		if err != nil {
 			t.Error(err)
 		}
-		if err := link.Move("too long", []Piece{{Data: make([]byte, packetMost)}}, 0); err == nil {
+		if err := link.Migrate("too long", []BufferedInput{{Data: make([]byte, packetMost)}}, 0); err == nil {
 			t.Error("a packet that is too long goes over")
 		}
 		link.Close()
 	}, func() {})
 	second := join(t, dir)
-	if !second.Successor() || second.Succeeded() || !first.Succeeded() {
+	if !second.IsSuccessor() || second.HasSuccessor() || !first.HasSuccessor() {
 		t.Error("who takes over from whom?")
 	}
 	queued, err := net.Dial("tcp", addr)
@@ -73,17 +73,17 @@
 		t.Fatal(err)
 	}
 	defer queued.Close()
-	handed, err := second.Request(patience)
-	if err != nil || string(handed.State) != "all that is known" || handed.Missed != nil || len(handed.Sockets) != 2 {
+	handed, err := second.RequestHandover(patience)
+	if err != nil || string(handed.State) != "all that is known" || handed.SocketsErr != nil || len(handed.Sockets) != 2 {
 		t.Fatalf("%+v, %v", handed, err)
 	}
-	moved, err := handed.Moves.Next()
-	if err != nil || moved.Addr != "where" || len(moved.Pieces) != 2 || string(moved.Pieces[0].Data) != "half" ||
-		moved.Pieces[0].Age != time.Second || string(moved.Pieces[1].Data) != "rest" {
+	moved, err := handed.Connections.Next()
+	if err != nil || moved.Addr != "where" || len(moved.Inputs) != 2 || string(moved.Inputs[0].Data) != "half" ||
+		moved.Inputs[0].Age != time.Second || string(moved.Inputs[1].Data) != "rest" {
 		t.Errorf("%+v, %v", moved, err)
 	}
 	moved.File.Close()
-	if _, err := handed.Moves.Next(); err == nil {
+	if _, err := handed.Connections.Next(); err == nil {
 		t.Error("the link has no end")
 	}
 	// What waits to be accepted is not reset with the former process's socket.
@@ -99,17 +99,17 @@
 	for _, f := range handed.Sockets {
 		f.Close()
 	}
-	if _, err := Join(dir, 5*poll); !errors.Is(err, ErrThird) {
+	if _, err := Join(dir, 5*poll); !errors.Is(err, ErrTooManyProcesses) {
 		t.Errorf("a third one: %v", err)
 	}
-	if first.TakenOver() {
+	if first.SuccessorServes() {
 		t.Error("the successor takes no clients yet")
 	}
-	if err := second.Serve(); err != nil || !first.TakenOver() {
+	if err := second.StartServing(); err != nil || !first.SuccessorServes() {
 		t.Errorf("the successor takes clients: %v", err)
 	}
 	second.StopServing()
-	if first.TakenOver() {
+	if first.SuccessorServes() {
 		t.Error("the successor takes no clients any more")
 	}
 	alone := make(chan struct{})
@@ -122,7 +122,7 @@
 	first.Close()
 	await(t, "the former process has ended", alone)
 	third := join(t, dir)
-	if !third.Successor() || !second.Succeeded() || second.TakenOver() {
+	if !third.IsSuccessor() || !second.HasSuccessor() || second.SuccessorServes() {
 		t.Error("the successor has not taken the place of the one that serves")
 	}
 }
@@ -148,7 +148,7 @@
 	first.Close()
 	third := <-joined
 	defer third.Close()
-	if !third.Successor() || !second.Succeeded() {
+	if !third.IsSuccessor() || !second.HasSuccessor() {
 		t.Error("it does not take over from the second")
 	}
 }
@@ -157,10 +157,10 @@
 func TestASuccessorThatEnds(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "gateway")
 	first := join(t, dir)
-	asked, gone := make(chan Answer, 1), make(chan struct{})
-	first.Watch(func(answer Answer) { asked <- answer }, func() { close(gone) })
+	asked, gone := make(chan AnswerFunc, 1), make(chan struct{})
+	first.Watch(func(answer AnswerFunc) { asked <- answer }, func() { close(gone) })
 	second := join(t, dir)
-	if _, err := second.Request(5 * poll); !errors.Is(err, ErrNoState) {
+	if _, err := second.RequestHandover(5 * poll); !errors.Is(err, ErrNoState) {
 		t.Errorf("nobody answered: %v", err)
 	}
 	late := <-asked
@@ -175,7 +175,7 @@
 			t.Error(err)
 		}
 	}()
-	if handed, err := third.Request(patience); err != nil || string(handed.State) != "fresh" {
+	if handed, err := third.RequestHandover(patience); err != nil || string(handed.State) != "fresh" {
 		t.Errorf("%+v, %v", handed, err)
 	}
 }
@@ -187,7 +187,7 @@
 	second := join(t, dir)
 	first.Close()
 	began := time.Now()
-	if _, err := second.Request(patience); !errors.Is(err, ErrNoState) || time.Since(began) > patience/2 {
+	if _, err := second.RequestHandover(patience); !errors.Is(err, ErrNoState) || time.Since(began) > patience/2 {
 		t.Errorf("%v after %v", err, time.Since(began))
 	}
 }
@@ -206,7 +206,7 @@
 		t.Fatal(err)
 	}
 	for _, dir := range []string{open, link} {
-		if _, err := Join(dir, 0); !errors.Is(err, ErrNotOurs) {
+		if _, err := Join(dir, 0); !errors.Is(err, ErrFolderNotPrivate) {
 			t.Errorf("%s: %v", dir, err)
 		}
 	}
--- a/internal/hotrestart/sockets.go
+++ b/internal/hotrestart/sockets.go
@@ -27,23 +27,23 @@
 	Conn syscall.RawConn
 }
 
-// Piece is something that has come on a connection, and that the former process has not dealt with.
-type Piece struct {
+// BufferedInput is something that has come on a connection, and that the former process has not dealt with.
+type BufferedInput struct {
 	Data []byte        `json:"Data"`
 	Age  time.Duration `json:"Age"` // since it came
 }
 
-// Moved is a client's connection that has gone over.
-type Moved struct {
+// MigratedConn is a client's connection that has gone over.
+type MigratedConn struct {
 	Addr   string // of the socket that accepted it
-	Pieces []Piece
+	Inputs []BufferedInput
 	File   *os.File
 }
 
 // packet is what goes over beside sockets: the address of each, and for a connection the pieces that have come on it.
 type packet struct {
-	Addrs  []string `json:"Addrs"`
-	Pieces []Piece  `json:"Pieces,omitempty"`
+	Addrs  []string        `json:"Addrs"`
+	Pieces []BufferedInput `json:"Pieces,omitempty"`
 }
 
 // errPacket says that what has come is not what a Link sends.
@@ -74,8 +74,8 @@
 	return l, nil
 }
 
-// Move gives a client's connection to the successor, which reads on behind the pieces. The descriptor stays the caller's.
-func (l *Link) Move(addr string, pieces []Piece, descriptor int) error {
+// Migrate gives a client's connection to the successor, which reads on behind the pieces. The descriptor stays the caller's.
+func (l *Link) Migrate(addr string, pieces []BufferedInput, descriptor int) error {
 	return l.send(packet{Addrs: []string{addr}, Pieces: pieces}, []int{descriptor})
 }
 
@@ -138,16 +138,16 @@
 }
 
 // Next waits for the next connection that goes over. It fails once the other process has ended.
-func (r *Receiver) Next() (Moved, error) {
+func (r *Receiver) Next() (MigratedConn, error) {
 	p, files, err := r.next()
 	if err != nil {
-		return Moved{}, err
+		return MigratedConn{}, err
 	}
 	if len(files) != 1 {
 		closeAll(files)
-		return Moved{}, errPacket
+		return MigratedConn{}, errPacket
 	}
-	return Moved{Addr: p.Addrs[0], Pieces: p.Pieces, File: files[0]}, nil
+	return MigratedConn{Addr: p.Addrs[0], Inputs: p.Pieces, File: files[0]}, nil
 }
 
 // next reads one packet: as many sockets as addresses.
--- a/internal/snapshot/encode.go
+++ b/internal/snapshot/encode.go
@@ -38,11 +38,11 @@
 
 // Errors of a file of which nothing is used, to be told apart by errors.Is.
 var (
-	ErrNotOne = errors.New("not a snapshot")
-	ErrNewer  = errors.New("of a newer version; left alone")
-	ErrHead   = errors.New("its head can't be read")
-	ErrMAC    = errors.New("its MAC is missing or not the key's")
-	ErrLong   = errors.New("too long")
+	ErrNotSnapshot  = errors.New("not a snapshot")
+	ErrNewerVersion = errors.New("of a newer version; left alone")
+	ErrHeader       = errors.New("its head can't be read")
+	ErrMAC          = errors.New("its MAC is missing or not the key's")
+	ErrTooLong      = errors.New("too long")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -93,7 +93,7 @@
 	}
 	add(&snapshotpb.Record{Is: &snapshotpb.Record_Tail{Tail: tail}})
 	if len(b) > fileMost {
-		err = errors.Join(err, fmt.Errorf("%w: %d bytes", ErrLong, len(b)))
+		err = errors.Join(err, fmt.Errorf("%w: %d bytes", ErrTooLong, len(b)))
 	}
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
@@ -113,35 +113,35 @@
 
 // Damage is what was found wrong with a file that can be used all the same.
 type Damage struct {
-	Bad     int  // records whose checksum is wrong, or that can't be read: each costs itself
-	Unknown int  // records of a kind that is not known here
-	Cut     bool // the file ends within a record, or a length can't be
-	Whole   bool // the tail is there and agrees: the file is as it was written
+	BadRecords     int  // records whose checksum is wrong, or that can't be read: each costs itself
+	UnknownRecords int  // records of a kind that is not known here
+	Truncated      bool // the file ends within a record, or a length can't be
+	Whole          bool // the tail is there and agrees: the file is as it was written
 }
 
 // Decode reads a snapshot. An error says that nothing of it may be used.
 func Decode(data, key []byte) (s *warmstart.Snapshot, d Damage, err error) {
 	if len(data) > fileMost {
-		return nil, d, fmt.Errorf("%w: %d bytes", ErrLong, len(data))
+		return nil, d, fmt.Errorf("%w: %d bytes", ErrTooLong, len(data))
 	}
 	if len(data) < headBytes || !bytes.HasPrefix(data, []byte(magic)) {
-		return nil, d, ErrNotOne
+		return nil, d, ErrNotSnapshot
 	}
 	if v := binary.BigEndian.Uint16(data[4:]); v > Version {
-		return nil, d, fmt.Errorf("%w: %d, and %d is read here", ErrNewer, v, Version)
+		return nil, d, fmt.Errorf("%w: %d, and %d is read here", ErrNewerVersion, v, Version)
 	} else if v == 0 || data[6] != 0 || data[7] != 0 {
-		return nil, d, ErrNotOne
+		return nil, d, ErrNotSnapshot
 	}
 	s = &warmstart.Snapshot{}
 	rest, records, headed, signed := data[headBytes:], uint32(0), false, false
 	for len(rest) > 0 {
 		if len(rest) < frameBytes {
-			d.Cut = true
+			d.Truncated = true
 			break
 		}
 		n := int(binary.BigEndian.Uint32(rest))
 		if n > recordMost || n > len(rest)-frameBytes {
-			d.Cut = true
+			d.Truncated = true
 			break
 		}
 		payload := rest[frameBytes : frameBytes+n]
@@ -150,15 +150,15 @@
 		rest = rest[frameBytes+n:]
 		var r snapshotpb.Record
 		if !good || proto.Unmarshal(payload, &r) != nil {
-			d.Bad++
+			d.BadRecords++
 			records++
 			continue
 		}
 		if t := r.GetTail(); t != nil {
-			d.Whole = len(rest) == 0 && d.Bad == 0 && t.GetRecords() == records && t.GetSum() == xxhash.Sum64(before)
+			d.Whole = len(rest) == 0 && d.BadRecords == 0 && t.GetRecords() == records && t.GetSum() == xxhash.Sum64(before)
 			signed = len(key) > 0 && hmac.Equal(t.GetMac(), mac(before, key))
 			if len(rest) > 0 {
-				d.Cut = true
+				d.Truncated = true
 			}
 			break
 		}
@@ -174,7 +174,7 @@
 	case len(key) > 0 && !(signed && d.Whole):
 		return nil, d, ErrMAC
 	case !headed:
-		return nil, d, ErrHead
+		return nil, d, ErrHeader
 	}
 	return s, d, nil
 }
@@ -186,7 +186,7 @@
 		return
 	}
 	if len(s.Directors) == 0 { // whose it was has been lost
-		d.Bad++
+		d.BadRecords++
 		return
 	}
 	m := &s.Directors[len(s.Directors)-1]
@@ -204,6 +204,6 @@
 	case *snapshotpb.Record_Purge:
 		m.Purges = append(m.Purges, routing.PurgeRecord{Name: x.Purge.GetName(), At: time.Duration(x.Purge.GetAt())})
 	default:
-		d.Unknown++
+		d.UnknownRecords++
 	}
 }
--- a/internal/snapshot/keeper.go
+++ b/internal/snapshot/keeper.go
@@ -10,9 +10,9 @@
 	"larchusher/warmstart"
 )
 
-// Keeper writes snapshots beside the loop of a gateway: what is to be written is copied out on the loop, and one goroutine
+// Saver writes snapshots beside the loop of a gateway: what is to be written is copied out on the loop, and one goroutine
 // of its own writes it. Whatever a disk does, requests do not wait for it. Its methods are for the loop.
-type Keeper struct {
+type Saver struct {
 	store  *Store
 	log    logrus.FieldLogger
 	export func() *warmstart.Snapshot
@@ -22,13 +22,13 @@
 	pace   warmstart.SaveSchedule
 	unlock func()
 
-	Bytes    int           // of the latest file
-	Last     time.Duration // when the latest was begun, Unix time; 0: none was
-	Longest  time.Duration // that copying out took of the loop
-	Recalled warmstart.ImportReport
-	Found    bool // there was one at the start
-	Broken   int  // files that could not be read at all then
-	Bad      int  // records that could not
+	Size            int           // of the latest file
+	LastStarted     time.Duration // when the latest was begun, Unix time; 0: none was
+	LongestExport   time.Duration // that copying out took of the loop
+	Imported        warmstart.ImportReport
+	Found           bool // there was one at the start
+	UnreadableFiles int  // files that could not be read at all then
+	BadRecords      int  // records that could not
 }
 
 // readWithin bounds how long a start waits for its folder.
@@ -36,12 +36,12 @@
 
 // Open locks a folder and reads what is there; found is nil if there is nothing. An error says that this process goes
 // without it.
-func Open(folder string, key []byte, log logrus.FieldLogger) (k *Keeper, found *warmstart.Snapshot, err error) {
+func Open(folder string, key []byte, log logrus.FieldLogger) (k *Saver, found *warmstart.Snapshot, err error) {
 	unlock, err := Folder(folder).Lock()
 	if err != nil {
 		return nil, nil, err
 	}
-	k = &Keeper{store: NewStore(Folder(folder), key), log: log, unlock: unlock, work: make(chan *warmstart.Snapshot, 1), idle: make(chan struct{})}
+	k = &Saver{store: NewStore(Folder(folder), key), log: log, unlock: unlock, work: make(chan *warmstart.Snapshot, 1), idle: make(chan struct{})}
 	type result struct {
 		best *Found
 		all  []Found
@@ -60,14 +60,14 @@
 		}
 		for _, f := range r.all {
 			if f.Err != nil {
-				k.Broken++
+				k.UnreadableFiles++
 				log.WithError(f.Err).WithField("file", f.Name).Warn("a snapshot is not used")
 			}
 		}
 		if r.best != nil {
-			k.Found, k.Bad, k.Bytes = true, r.best.Damage.Bad, r.best.Size
+			k.Found, k.BadRecords, k.Size = true, r.best.Damage.BadRecords, r.best.Size
 			if !r.best.Damage.Whole {
-				log.WithFields(logrus.Fields{"file": r.best.Name, "bad": r.best.Damage.Bad, "cut": r.best.Damage.Cut}).Warn("a snapshot is damaged: the rest of it is used")
+				log.WithFields(logrus.Fields{"file": r.best.Name, "bad": r.best.Damage.BadRecords, "cut": r.best.Damage.Truncated}).Warn("a snapshot is damaged: the rest of it is used")
 			}
 			found = r.best.Snap
 		}
@@ -78,8 +78,8 @@
 }
 
 // Start has snapshots written at a pace. export copies out what is known, on the loop; post has the loop run something.
-func (k *Keeper) Start(every time.Duration, post func(func()) bool, export func() *warmstart.Snapshot) {
-	k.pace.Every, k.post, k.export = every, post, export
+func (k *Saver) Start(every time.Duration, post func(func()) bool, export func() *warmstart.Snapshot) {
+	k.pace.Interval, k.post, k.export = every, post, export
 	go func() {
 		defer close(k.idle)
 		for s := range k.work {
@@ -89,8 +89,8 @@
 	}()
 }
 
-// Beat is called now and then, with the Unix time.
-func (k *Keeper) Beat(now time.Duration) {
+// Tick is called now and then, with the Unix time.
+func (k *Saver) Tick(now time.Duration) {
 	if k.pace.Hanging(now) {
 		k.log.Error("writing a snapshot hangs: none is written until it ends")
 	}
@@ -98,36 +98,36 @@
 		return
 	}
 	k.pace.Started(now)
-	k.Last = now
+	k.LastStarted = now
 	k.work <- k.copyOut() // there is room: no write is out
 }
 
-func (k *Keeper) copyOut() *warmstart.Snapshot {
+func (k *Saver) copyOut() *warmstart.Snapshot {
 	began := time.Now()
 	s := k.export()
-	k.Longest = max(k.Longest, time.Since(began))
+	k.LongestExport = max(k.LongestExport, time.Since(began))
 	return s
 }
 
-func (k *Keeper) ended(now time.Duration, size int, err error) {
+func (k *Saver) ended(now time.Duration, size int, err error) {
 	first := k.pace.Failed == 0
 	k.pace.Finished(now, err != nil)
 	if err == nil {
-		k.Bytes = size
+		k.Size = size
 	} else if first {
 		k.log.WithError(err).Error("a snapshot could not be written; it is tried again")
 	}
 }
 
-// Final has a snapshot written soon, whatever the pace: the program is about to end, and may be killed at any moment.
-func (k *Keeper) Final(now time.Duration) {
+// SaveNow has a snapshot written soon, whatever the pace: the program is about to end, and may be killed at any moment.
+func (k *Saver) SaveNow(now time.Duration) {
 	k.pace.Force()
-	k.Beat(now)
+	k.Tick(now)
 }
 
 // Close gives the folder back. The loop has ended, and nothing is written any more but what is being written; it waits
 // for that, but not for long.
-func (k *Keeper) Close(within time.Duration) {
+func (k *Saver) Close(within time.Duration) {
 	close(k.work)
 	select {
 	case <-k.idle:
@@ -136,25 +136,25 @@
 	k.unlock()
 }
 
-// Values are what is told of it.
-func (k *Keeper) Values(now time.Duration) (all []metrics.Value) {
+// Metrics are what is told of it.
+func (k *Saver) Metrics(now time.Duration) (all []metrics.Value) {
 	add := func(kind metrics.Kind, name, help string, v float64, labels ...metrics.Label) {
 		all = append(all, metrics.Value{Name: name, Help: help, Kind: kind, Value: v, Labels: labels})
 	}
 	add(metrics.Counter, "state_written", "Snapshots written.", float64(k.pace.Written))
 	add(metrics.Counter, "state_failed", "Snapshots that could not be written.", float64(k.pace.Failed))
 	add(metrics.Counter, "state_hung", "Writes that took over half a minute.", float64(k.pace.Hung))
-	add(metrics.Gauge, "state_bytes", "Size of the latest one.", float64(k.Bytes))
-	add(metrics.Gauge, "state_copy_us", "Longest time that copying out took of the loop, in microseconds.", float64(k.Longest.Microseconds()))
-	if k.Last > 0 {
-		add(metrics.Gauge, "state_age_ms", "Since the latest one was begun, in milliseconds.", float64((now - k.Last).Milliseconds()))
+	add(metrics.Gauge, "state_bytes", "Size of the latest one.", float64(k.Size))
+	add(metrics.Gauge, "state_copy_us", "Longest time that copying out took of the loop, in microseconds.", float64(k.LongestExport.Microseconds()))
+	if k.LastStarted > 0 {
+		add(metrics.Gauge, "state_age_ms", "Since the latest one was begun, in milliseconds.", float64((now - k.LastStarted).Milliseconds()))
 	}
-	add(metrics.Counter, "state_broken_files", "Files that could not be read at the start.", float64(k.Broken))
-	add(metrics.Counter, "state_bad_records", "Records that could not.", float64(k.Bad))
+	add(metrics.Counter, "state_broken_files", "Files that could not be read at the start.", float64(k.UnreadableFiles))
+	add(metrics.Counter, "state_bad_records", "Records that could not.", float64(k.BadRecords))
 	if !k.Found {
 		return all
 	}
-	r := k.Recalled
+	r := k.Imported
 	void := 0.0
 	if r.Void != nil {
 		void = 1
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -140,11 +140,11 @@
 		at += len(r)
 	}
 	spoilt[at+frameBytes+3] ^= 1 // in a listing
-	if s, d, err := Decode(spoilt, nil); err != nil || d.Bad != 1 || len(s.Directors[0].Listings) != 11 || len(s.Directors) != 2 {
+	if s, d, err := Decode(spoilt, nil); err != nil || d.BadRecords != 1 || len(s.Directors[0].Listings) != 11 || len(s.Directors) != 2 {
 		t.Errorf("one record: %+v, %v", d, err)
 	}
 	binary.BigEndian.PutUint32(spoilt[headBytes:], 1<<31)
-	if _, _, err := Decode(spoilt, nil); !errors.Is(err, ErrHead) {
+	if _, _, err := Decode(spoilt, nil); !errors.Is(err, ErrHeader) {
 		t.Errorf("a length of 2 GB: %v", err)
 	}
 }
@@ -155,8 +155,8 @@
 		spoil func([]byte)
 		key   []byte
 		want  error
-	}{"newer": {func(b []byte) { b[5] = Version + 1 }, testKey, ErrNewer}, "none": {func(b []byte) { b[5] = 0 }, testKey, ErrNotOne},
-		"another file": {func(b []byte) { b[0] = 'X' }, testKey, ErrNotOne}, "another key": {func([]byte) {}, []byte("fedcba9876543210"), ErrMAC},
+	}{"newer": {func(b []byte) { b[5] = Version + 1 }, testKey, ErrNewerVersion}, "none": {func(b []byte) { b[5] = 0 }, testKey, ErrNotSnapshot},
+		"another file": {func(b []byte) { b[0] = 'X' }, testKey, ErrNotSnapshot}, "another key": {func([]byte) {}, []byte("fedcba9876543210"), ErrMAC},
 		"whole": {func([]byte) {}, testKey, nil}, "read without a key": {func([]byte) {}, nil, nil}} {
 		b := bytes.Clone(data)
 		c.spoil(b)
@@ -500,11 +500,11 @@
 	k.Start(time.Second, func(f func()) bool { posted <- f; return true }, func() *warmstart.Snapshot { n++; s := example(3); s.Made = time.Duration(n); return s })
 	now := time.Hour
 	beat := func() {
-		k.Beat(now)
+		k.Tick(now)
 		(<-posted)()
 	}
 	beat()
-	if k.pace.Written != 1 || k.Bytes == 0 {
+	if k.pace.Written != 1 || k.Size == 0 {
 		t.Errorf("%+v", k.pace)
 	}
 	if err := os.Chmod(folder, 0); err != nil {
@@ -527,7 +527,7 @@
 	if k.pace.Written != 2 || k.pace.Due(now) {
 		t.Errorf("%+v", k.pace)
 	}
-	k.Final(now)
+	k.SaveNow(now)
 	(<-posted)()
 	k.Close(time.Second)
 	if _, found, err = Open(folder, nil, log); err != nil || found == nil || found.Made != time.Duration(n) {
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -86,11 +86,11 @@
 		return nil, errors.New("not a regular file")
 	}
 	if info.Size() > int64(most) { // before anything is allocated for it
-		return nil, fmt.Errorf("%w: %d bytes", ErrLong, info.Size())
+		return nil, fmt.Errorf("%w: %d bytes", ErrTooLong, info.Size())
 	}
 	b, err := io.ReadAll(io.LimitReader(file, int64(most)+1))
 	if err == nil && len(b) > most {
-		err = ErrLong
+		err = ErrTooLong
 	}
 	return b, err
 }
@@ -207,7 +207,7 @@
 		return false
 	}
 	_, _, err = Decode(data, nil)
-	return errors.Is(err, ErrNewer)
+	return errors.Is(err, ErrNewerVersion)
 }
 
 // Found is one file that was looked at.
@@ -219,8 +219,8 @@
 	Snap   *warmstart.Snapshot
 }
 
-// Look reads all generations, the newest first.
-func (s *Store) Look() (all []Found, err error) {
+// Inspect reads all generations, the newest first.
+func (s *Store) Inspect() (all []Found, err error) {
 	numbers, _, err := s.all()
 	if err != nil {
 		return nil, err
@@ -240,7 +240,7 @@
 
 // Load returns the newest generation that is whole, else the newest of which anything can be used; nil: there is none.
 func (s *Store) Load() (best *Found, all []Found, err error) {
-	if all, err = s.Look(); err != nil {
+	if all, err = s.Inspect(); err != nil {
 		return nil, nil, err
 	}
 	for i := range all {
@@ -261,7 +261,7 @@
 		return nil, err
 	}
 	for _, f := range all {
-		if best != nil && f.Name == best.Name || errors.Is(f.Err, ErrNewer) {
+		if best != nil && f.Name == best.Name || errors.Is(f.Err, ErrNewerVersion) {
 			continue
 		}
 		if err := s.fs.Remove(f.Name); err != nil {
--- a/lab/localitysim/directed.go
+++ b/lab/localitysim/directed.go
@@ -306,9 +306,9 @@
 					g.snap = append(g.snap, dir.Export(d.clock.Now, 4096))
 				}
 			}
-			d.clock.At(d.clock.Now+warmstart.DefaultEvery, keep)
+			d.clock.At(d.clock.Now+warmstart.DefaultSaveInterval, keep)
 		}
-		d.clock.At(time.Duration(d.rng.Float64()*float64(warmstart.DefaultEvery)), keep)
+		d.clock.At(time.Duration(d.rng.Float64()*float64(warmstart.DefaultSaveInterval)), keep)
 	}
 	var next func()
 	next = func() {
@@ -398,7 +398,7 @@
 				})
 			}
 		case replication.CaughtUp:
-			m := g.sharer.Gather(d.clock.Now, d.clock.Now, nil)
+			m := g.sharer.Collect(d.clock.Now, d.clock.Now, nil)
 			for i := range g.ds {
 				if g.names(i) == m.Zone {
 					g.ds[i].Import(d.clock.Now, m, warmstart.ConfidenceAt)
--- a/warmstart/pace.go
+++ b/warmstart/pace.go
@@ -4,15 +4,15 @@
 
 // Defaults of a Pace.
 const (
-	DefaultEvery = 5 * time.Second
-	failMost     = 5 * time.Minute  // waits after failures double up to this
-	hangAfter    = 30 * time.Second // a write that takes longer hangs: no second one is begun beside it
+	DefaultSaveInterval = 5 * time.Second
+	failMost            = 5 * time.Minute  // waits after failures double up to this
+	hangAfter           = 30 * time.Second // a write that takes longer hangs: no second one is begun beside it
 )
 
 // SaveSchedule decides when knowledge is written: at steady intervals while that goes well, ever more seldom while it fails, and
 // never beside a write that has not ended.
 type SaveSchedule struct {
-	Every time.Duration // 0: DefaultEvery
+	Interval time.Duration // 0: DefaultEvery
 
 	next  time.Duration
 	began time.Duration
@@ -34,9 +34,9 @@
 
 // Finished notes how it went.
 func (p *SaveSchedule) Finished(now time.Duration, failed bool) {
-	every := p.Every
+	every := p.Interval
 	if every <= 0 {
-		every = DefaultEvery
+		every = DefaultSaveInterval
 	}
 	p.busy = false
 	if !failed {
--- a/warmstart/shared.go
+++ b/warmstart/shared.go
@@ -27,7 +27,7 @@
 
 // Sharer does both for one gateway. Use NewSharer.
 type Sharer struct {
-	Told, Held int // slots said; stores held on others' word now
+	Published, Held int // slots said; stores held on others' word now
 
 	node  *replication.Node
 	zone  string
@@ -53,7 +53,7 @@
 		if !s.node.Say(now, k, key, value, at) {
 			return false
 		}
-		s.Told++
+		s.Published++
 		return true
 	}
 	known := s.node.Purges(now)
@@ -125,17 +125,17 @@
 
 func (s *Sharer) key(object uint64) string { return s.zone + "/" + strconv.FormatUint(object, 16) }
 
-// Purged is how long ago the director, whose clock is at, is to take a purge for made that others were told of. What was purged again
+// PurgeAge is how long ago the director, whose clock is at, is to take a purge for made that others were told of. What was purged again
 // within samePurge of it is covered by that, as nobody may have said it.
-func (s *Sharer) Purged(now, at time.Duration, name string, told time.Duration) (ago time.Duration) {
+func (s *Sharer) PurgeAge(now, at time.Duration, name string, told time.Duration) (ago time.Duration) {
 	ago = max(0, now-told-samePurge)
 	s.heard[name] = max(s.heard[name], at-ago)
 	return ago
 }
 
-// Gather is what neighbours know, as a director takes it in: at is its clock. Ages are kept. The list says by which start the director
+// Collect is what neighbours know, as a director takes it in: at is its clock. Ages are kept. The list says by which start the director
 // knows a store; without it that is taken as it was told.
-func (s *Sharer) Gather(now, at time.Duration, list map[string]routing.Endpoint) routing.LearnedState {
+func (s *Sharer) Collect(now, at time.Duration, list map[string]routing.Endpoint) routing.LearnedState {
 	boot := func(server string, ms int64) time.Duration {
 		if e, ok := list[server]; ok && bootMs(e.Incarnation) == ms {
 			return e.Incarnation
@@ -161,15 +161,15 @@
 		m.Endpoints = append(m.Endpoints, h)
 	}
 	for name, t := range s.node.Purges(now) {
-		m.Purges = append(m.Purges, routing.PurgeRecord{Name: name, At: at - s.Purged(now, at, name, t)})
+		m.Purges = append(m.Purges, routing.PurgeRecord{Name: name, At: at - s.PurgeAge(now, at, name, t)})
 	}
 	slices.SortFunc(m.Purges, func(a, b routing.PurgeRecord) int { return cmp.Compare(a.Name, b.Name) })
 	return m
 }
 
-// Holds are the stores to be taken for drained on others' word: those that the own list still has in use with the start that
+// HeldEndpoints are the stores to be taken for drained on others' word: those that the own list still has in use with the start that
 // somebody else was told drains, for a while. One that lies can hold a few stores only.
-func (s *Sharer) Holds(now time.Duration, list map[string]routing.Endpoint) map[string]bool {
+func (s *Sharer) HeldEndpoints(now time.Duration, list map[string]routing.Endpoint) map[string]bool {
 	held, all, some := map[string]bool{}, map[string]int{}, map[string]int{}
 	for _, e := range list {
 		all[e.Kind+" "+e.Zone]++
--- a/warmstart/shared_test.go
+++ b/warmstart/shared_test.go
@@ -69,7 +69,7 @@
 		Purges: []routing.PurgeRecord{{Name: " 3", At: director - time.Second}}, Endpoints: []routing.EndpointHealth{{Endpoint: "b2", Incarnation: boot, LastAnswer: director - 2*time.Second, ErrorRate: 0.8}}}, list(routing.Up, boot))
 	p.sync()
 	other := list(routing.Up, boot-200*time.Nanosecond) // another gateway's clock
-	m := p.s["b"].Gather(p.now, 2*director, other)
+	m := p.s["b"].Collect(p.now, 2*director, other)
 	if len(m.Listings) != 1 || m.Listings[0].Key != 77 || m.Listings[0].Incarnation != other["b1"].Incarnation || m.Listings[0].Count != 4 {
 		t.Fatalf("%+v", m.Listings)
 	}
@@ -96,14 +96,14 @@
 		p.s[n].Publish(p.now, ill, nil)
 	}
 	p.sync()
-	if m := p.s["c"].Gather(p.now, director, nil); len(m.Endpoints) != 1 || m.Endpoints[0].ErrorRate != 0.8 || m.Endpoints[0].EjectedUntil == 0 {
+	if m := p.s["c"].Collect(p.now, director, nil); len(m.Endpoints) != 1 || m.Endpoints[0].ErrorRate != 0.8 || m.Endpoints[0].EjectedUntil == 0 {
 		t.Fatalf("%+v", m.Endpoints)
 	}
 	for _, n := range []string{"a", "b"} {
 		p.s[n].Publish(p.now, routing.LearnedState{At: director, Endpoints: []routing.EndpointHealth{{Endpoint: "b2", LastAnswer: director}}}, nil)
 	}
 	p.sync()
-	if m := p.s["c"].Gather(p.now, director, nil); len(m.Endpoints) != 0 {
+	if m := p.s["c"].Collect(p.now, director, nil); len(m.Endpoints) != 0 {
 		t.Errorf("it is still ill: %+v", m.Endpoints)
 	}
 }
@@ -115,18 +115,18 @@
 	p.s["a"].Publish(p.now, m, nil)
 	p.sync()
 	m.At += 4 * time.Second
-	told := p.s["a"].Told
+	told := p.s["a"].Published
 	for range 20 {
 		m.At += 100 * time.Millisecond
 		p.now += 100 * time.Millisecond
 		m.Endpoints[0].LastAnswer, m.Endpoints[0].ErrorRate = m.At, m.Endpoints[0].ErrorRate-0.001
 		p.s["a"].Publish(p.now, m, nil)
 	}
-	if got := p.s["a"].Told; got != told {
+	if got := p.s["a"].Published; got != told {
 		t.Errorf("%d things were said, and %d again", told, got-told)
 	}
 	p.s["b"].Publish(p.now, routing.LearnedState{At: m.At, Purges: []routing.PurgeRecord{{Name: "o", At: m.At - p.now + p.nodes["b"].Purges(p.now)["o"]}}}, nil)
-	if p.s["b"].Told != 0 {
+	if p.s["b"].Published != 0 {
 		t.Error("both say the same purge")
 	}
 }
@@ -142,14 +142,14 @@
 		p.s["a"].Publish(p.now, routing.LearnedState{At: first + apart, Purges: []routing.PurgeRecord{{Name: "o", At: first + apart}}}, nil)
 		latest := p.now
 		p.sync()
-		m := p.s["b"].Gather(p.now, 2*director, nil)
+		m := p.s["b"].Collect(p.now, 2*director, nil)
 		if len(m.Purges) != 1 || 2*director-m.Purges[0].At > p.now-latest {
 			t.Errorf("%v apart: b takes it for %v old, it is %v", apart, 2*director-m.Purges[0].At, p.now-latest)
 		}
 		m.At += 300 * time.Millisecond
 		p.now += 300 * time.Millisecond
 		p.s["b"].Publish(p.now, routing.LearnedState{At: m.At, Purges: m.Purges}, nil)
-		if p.s["b"].Told != 0 {
+		if p.s["b"].Published != 0 {
 			t.Errorf("%v apart: b says on what it was told", apart)
 		}
 	}
@@ -161,23 +161,23 @@
 	p.s["a"].Publish(p.now, routing.LearnedState{At: director}, list(routing.Up, time.Hour))
 	p.s["a"].Publish(p.now, routing.LearnedState{At: director}, list(routing.Draining, time.Hour))
 	p.sync()
-	if held := p.s["b"].Holds(p.now, list(routing.Up, time.Hour)); len(held) != 1 || !held["b0"] {
+	if held := p.s["b"].HeldEndpoints(p.now, list(routing.Up, time.Hour)); len(held) != 1 || !held["b0"] {
 		t.Fatalf("%v", held)
 	}
-	if held := p.s["b"].Holds(p.now, list(routing.Up, 2*time.Hour)); len(held) != 0 {
+	if held := p.s["b"].HeldEndpoints(p.now, list(routing.Up, 2*time.Hour)); len(held) != 0 {
 		t.Errorf("another start is held: %v", held)
 	}
-	if held := p.s["b"].Holds(p.now+heldWithin+time.Second, list(routing.Up, time.Hour)); len(held) != 0 {
+	if held := p.s["b"].HeldEndpoints(p.now+heldWithin+time.Second, list(routing.Up, time.Hour)); len(held) != 0 {
 		t.Errorf("it is held for ever: %v", held)
 	}
-	if held := p.s["a"].Holds(p.now, list(routing.Up, time.Hour)); len(held) != 0 {
+	if held := p.s["a"].HeldEndpoints(p.now, list(routing.Up, time.Hour)); len(held) != 0 {
 		t.Errorf("the own word is held against the own list: %v", held)
 	}
 	gone := list(routing.Up, time.Hour)
 	clear(gone)
 	p.s["a"].Publish(p.now, routing.LearnedState{At: director}, gone) // all of them, or it lies
 	p.sync()
-	if held := p.s["b"].Holds(p.now, list(routing.Up, time.Hour)); len(held) != 2 {
+	if held := p.s["b"].HeldEndpoints(p.now, list(routing.Up, time.Hour)); len(held) != 2 {
 		t.Errorf("%d of 8 are held", len(held))
 	}
 }
--- a/warmstart/warmstart.go
+++ b/warmstart/warmstart.go
@@ -36,24 +36,24 @@
 
 // Why a snapshot is void, to be told apart by errors.Is.
 var (
-	ErrGateway  = errors.New("it is another gateway's")
-	ErrSettings = errors.New("it was made under other settings")
-	ErrFuture   = errors.New("it was made later than now: the clock ran back")
-	ErrOld      = errors.New("it is too old")
+	ErrOtherGateway  = errors.New("it is another gateway's")
+	ErrOtherSettings = errors.New("it was made under other settings")
+	ErrFromFuture    = errors.New("it was made later than now: the clock ran back")
+	ErrExpired       = errors.New("it is too old")
 )
 
-// Check says why a snapshot is void for a gateway; nil: it may be used.
-func (s *Snapshot) Check(now time.Duration, gateway, settings string) error {
+// Validate says why a snapshot is void for a gateway; nil: it may be used.
+func (s *Snapshot) Validate(now time.Duration, gateway, settings string) error {
 	age := now - s.Made
 	switch {
 	case s.Gateway != gateway:
-		return fmt.Errorf("%w: %q, and this is %q", ErrGateway, s.Gateway, gateway)
+		return fmt.Errorf("%w: %q, and this is %q", ErrOtherGateway, s.Gateway, gateway)
 	case s.Settings != settings:
-		return ErrSettings
+		return ErrOtherSettings
 	case age < -skew:
-		return fmt.Errorf("%w, by %v", ErrFuture, -age)
+		return fmt.Errorf("%w, by %v", ErrFromFuture, -age)
 	case age > oldestDay:
-		return fmt.Errorf("%w: %v", ErrOld, age.Round(time.Second))
+		return fmt.Errorf("%w: %v", ErrExpired, age.Round(time.Second))
 	}
 	return nil
 }
@@ -80,9 +80,9 @@
 	routing.ImportCounts
 }
 
-// Use has directors take in what a snapshot holds for them, by the names of their zones.
-func (s *Snapshot) Use(now time.Duration, gateway, settings string, directors map[string]*routing.Director) ImportReport {
-	r := ImportReport{Age: now - s.Made, Void: s.Check(now, gateway, settings)}
+// Import has directors take in what a snapshot holds for them, by the names of their zones.
+func (s *Snapshot) Import(now time.Duration, gateway, settings string, directors map[string]*routing.Director) ImportReport {
+	r := ImportReport{Age: now - s.Made, Void: s.Validate(now, gateway, settings)}
 	if r.Void != nil {
 		return r
 	}
--- a/warmstart/warmstart_test.go
+++ b/warmstart/warmstart_test.go
@@ -37,9 +37,9 @@
 		gateway  string
 		settings string
 		want     error
-	}{{s.Made + time.Minute, "n1", "x", nil}, {s.Made - time.Second, "n1", "x", nil}, {s.Made - time.Minute, "n1", "x", ErrFuture},
-		{s.Made + 25*time.Hour, "n1", "x", ErrOld}, {s.Made, "n2", "x", ErrGateway}, {s.Made, "n1", "y", ErrSettings}} {
-		if err := s.Check(c.now, c.gateway, c.settings); !errors.Is(err, c.want) {
+	}{{s.Made + time.Minute, "n1", "x", nil}, {s.Made - time.Second, "n1", "x", nil}, {s.Made - time.Minute, "n1", "x", ErrFromFuture},
+		{s.Made + 25*time.Hour, "n1", "x", ErrExpired}, {s.Made, "n2", "x", ErrOtherGateway}, {s.Made, "n1", "y", ErrOtherSettings}} {
+		if err := s.Validate(c.now, c.gateway, c.settings); !errors.Is(err, c.want) {
 			t.Errorf("%+v: %v", c, err)
 		}
 	}
@@ -47,7 +47,7 @@
 
 // Writes are paced: steadily while they go well, ever more seldom while they fail, never two at once.
 func TestPace(t *testing.T) {
-	p := SaveSchedule{Every: time.Second}
+	p := SaveSchedule{Interval: time.Second}
 	now, began := time.Duration(0), 0
 	tick := func(long time.Duration, failed bool) int {
 		began = 0
