--- a/concurrency/concurrency_test.go
+++ b/concurrency/concurrency_test.go
@@ -30,7 +30,7 @@
 				t.Fatalf("%v is below %v", l.Max, l.Min)
 			case l.Max < before && (!late || sent < cut):
 				t.Fatalf("cut from %v to %v by an answer in time, or by what was out at the cut before", before, l.Max)
-			case l.Max > before && l.Max > before*(1+up*lull.Seconds())+1e-9:
+			case l.Max > before && l.Max > before*(1+maxGrowthPerSecond*maxLull.Seconds())+1e-9:
 				t.Fatalf("grown from %v to %v", before, l.Max)
 			}
 		}
--- a/purge/purge.go
+++ b/purge/purge.go
@@ -14,13 +14,13 @@
 // Registry is what has been heard. Use New. It holds as many purges as were made within the time in which copies go by
 // themselves.
 type Registry struct {
-	settles time.Duration
-	at      map[string]time.Duration
+	settleTime time.Duration
+	latest     map[string]time.Duration
 }
 
 // New returns an empty book. Within settles of a purge all older copies have gone by themselves.
-func New(settles time.Duration) *Registry {
-	return &Registry{settles: settles, at: map[string]time.Duration{}}
+func New(settleTime time.Duration) *Registry {
+	return &Registry{settleTime: settleTime, latest: map[string]time.Duration{}}
 }
 
 // Group is the name of all objects of a group. It cannot be an object's, as those have no spaces.
@@ -28,37 +28,37 @@
 
 // Record takes a purge in, of an object or, with no object, of a group, that was made at a time. It says whether that is
 // news: what is settled, or was heard, is not.
-func (b *Registry) Record(now time.Duration, object string, group int, at time.Duration) bool {
+func (r *Registry) Record(now time.Duration, object string, group int, at time.Duration) bool {
 	if object == "" {
 		object = Group(group)
 	}
-	return b.Merge(now, object, at)
+	return r.Merge(now, object, at)
 }
 
 // Merge is Told for a name, as All gives them.
-func (b *Registry) Merge(now time.Duration, name string, at time.Duration) bool {
-	maps.DeleteFunc(b.at, func(_ string, at time.Duration) bool { return now-at > b.settles })
-	if old, ok := b.at[name]; name == "" || ok && old >= at || now-at > b.settles {
+func (r *Registry) Merge(now time.Duration, name string, at time.Duration) bool {
+	maps.DeleteFunc(r.latest, func(_ string, at time.Duration) bool { return now-at > r.settleTime })
+	if old, ok := r.latest[name]; name == "" || ok && old >= at || now-at > r.settleTime {
 		return false
 	}
-	b.at[name] = at
+	r.latest[name] = at
 	return true
 }
 
 // Latest is when an object was last purged, by itself or with its group; false if no older copy can be left.
-func (b *Registry) Latest(now time.Duration, object string, group int) (time.Duration, bool) {
-	at, ok := b.at[object]
-	if g, all := b.at[Group(group)]; all && (!ok || g > at) {
+func (r *Registry) Latest(now time.Duration, object string, group int) (time.Duration, bool) {
+	at, ok := r.latest[object]
+	if g, all := r.latest[Group(group)]; all && (!ok || g > at) {
 		at, ok = g, true
 	}
-	return at, ok && now-at <= b.settles
+	return at, ok && now-at <= r.settleTime
 }
 
 // All gives the names and times, in order of name.
-func (b *Registry) All() iter.Seq2[string, time.Duration] {
+func (r *Registry) All() iter.Seq2[string, time.Duration] {
 	return func(yield func(string, time.Duration) bool) {
-		for _, name := range slices.Sorted(maps.Keys(b.at)) {
-			if !yield(name, b.at[name]) {
+		for _, name := range slices.Sorted(maps.Keys(r.latest)) {
+			if !yield(name, r.latest[name]) {
 				return
 			}
 		}
--- a/slowstart/slowstart.go
+++ b/slowstart/slowstart.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	margin = 0.9 // share of what it can take that is spent: those who send differ in size
-	untold = 100 // senders that are reckoned with where their number is not told
-	golden = 0.6180339887498949
+	safetyMargin        = 0.9 // share of what it can take that is spent: those who send differ in size
+	assumedSenders      = 100 // senders that are reckoned with where their number is not told
+	goldenRatioFraction = 0.6180339887498949
 )
 
 // Ramp says how a store warms up.
@@ -48,18 +48,18 @@
 // SenderPosition spreads senders evenly between 0 and 1 by their numbers, in another order at each store. Where numbers are not told,
 // a place that each draws for itself serves as well on average.
 func SenderPosition(number int, store uint64) float64 {
-	_, f := math.Modf(float64(number)*golden + float64(store>>11)/(1<<53))
+	_, f := math.Modf(float64(number)*goldenRatioFraction + float64(store>>11)/(1<<53))
 	return f
 }
 
 // Budget is what one sender has sent to a cold store within the time in which it falls over. The zero value is for a store that
 // nothing was sent to.
 type Budget struct {
-	sent []spending // in order of time
-	sum  float64    // of their costs
+	sent  []sendRecord // in order of time
+	total float64      // of their costs
 }
 
-type spending struct {
+type sendRecord struct {
 	at   time.Duration
 	cost float64
 }
@@ -70,9 +70,9 @@
 		*b = Budget{}
 		return
 	}
-	b.forget(now - r.OverloadWindow)
-	b.sent = append(b.sent, spending{now, cost})
-	b.sum += cost
+	b.dropUntil(now - r.OverloadWindow)
+	b.sent = append(b.sent, sendRecord{now, cost})
+	b.total += cost
 }
 
 // Refund takes back the latest spending of a cost, which did not come to the store.
@@ -80,16 +80,16 @@
 	for i := len(b.sent) - 1; i >= 0; i-- {
 		if b.sent[i].cost == cost {
 			b.sent = slices.Delete(b.sent, i, i+1)
-			b.sum -= cost
+			b.total -= cost
 			return
 		}
 	}
 }
 
-// forget drops what was sent until a time.
-func (b *Budget) forget(until time.Duration) {
+// dropUntil drops what was sent until a time.
+func (b *Budget) dropUntil(until time.Duration) {
 	for len(b.sent) > 0 && b.sent[0].at <= until {
-		b.sum -= b.sent[0].cost
+		b.total -= b.sent[0].cost
 		b.sent = b.sent[1:]
 	}
 	if len(b.sent) == 0 { // what rounding left in the sum goes, too
@@ -106,9 +106,9 @@
 	if r.OverloadWindow <= 0 { // it bears anything
 		return true
 	}
-	among := s.Senders
-	if among <= 0 { // guards against each of a whole fleet taking the floor for its own
-		among = untold
+	senders := s.Senders
+	if senders <= 0 { // guards against each of a whole fleet taking the floor for its own
+		senders = assumedSenders
 	}
 	// The window that ends now has brought what the store had in its middle, as it warms up in a line.
 	rate := s.WarmRate * r.CapacityShare(now-r.OverloadWindow/2, start)
@@ -118,10 +118,10 @@
 		// Guards against luck with a few: what some did beyond their part others did not, who go by warm ones.
 		rate = max(rate, s.ObservedRate-math.Sqrt(s.ObservedRate*cost/s.ObservedOver.Seconds()))
 	}
-	within := r.OverloadWindow.Seconds()
-	part := within * max(r.OverloadMultiple*margin*rate, cost/max(1, within)/max(1, among))
+	window := r.OverloadWindow.Seconds()
+	budget := window * max(r.OverloadMultiple*safetyMargin*rate, cost/max(1, window)/max(1, senders))
 	// The order moves on by one sender in each window, so that none is shut out for the whole ramp.
-	_, place := math.Modf(s.Position + float64(now)/float64(r.OverloadWindow)/max(1, among))
-	b.forget(now - r.OverloadWindow)
-	return b.sum+(1-place)*cost <= part
+	_, position := math.Modf(s.Position + float64(now)/float64(r.OverloadWindow)/max(1, senders))
+	b.dropUntil(now - r.OverloadWindow)
+	return b.total+(1-position)*cost <= budget
 }
