--- a/slowstart/fleet_test.go
+++ b/slowstart/fleet_test.go
@@ -11,118 +11,177 @@
 type fleet struct {
 	ramp     Ramp
 	senders  int
-	among    float64 // as the settings tell it
+	among    float64 // number of senders as the settings tell it; 0: unknown
 	capacity float64 // seconds of work a second
-	load     float64 // of the capacity, that all senders together want to send to it
-	known    bool    // what warm ones carry is known to each; else the floor alone holds
+	load     float64 // share of the capacity that all senders together want to send to the store
+	known    bool    // each sender knows what warm stores carry for it; else the floor alone holds
 	spread   time.Duration
 
 	restarts int           // senders that end each second, come back at once, and know nothing
-	surge    float64       // by which the demand grows, from two seconds on
-	quiet    float64       // and by which it was smaller before; 0: it was as it is
-	all      time.Duration // from then on everyone wants it all the time; 0: never
-	killed   float64       // share that ends in one moment, three seconds on, and is back 0.2 s later
+	surge    float64       // factor by which the demand grows, from two seconds on
+	quiet    float64       // factor by which it was smaller before; 0: it was as it is
+	all      time.Duration // from then on everyone wants the store all the time; 0: never
+	killed   float64       // share of the senders that ends in one moment, three seconds on, and is back 0.2 s later
 	uneven   bool          // some have several times the others' traffic
 	numbers  func(i int) int
 }
 
-const fleetCost = 0.25 // seconds of work
+const (
+	fleetCost = 0.25                 // seconds of work of one sending
+	fleetStep = 5 * time.Millisecond // resolution of the simulated clock
+	fleetSpan = 8 * time.Second      // simulated time
 
-// worst plays it and gives the most that was sent in any window, in sendings, and what the settings allow it then.
-func (f fleet) worst(seed uint64) (sent, allowed float64) {
-	rng := rand.New(rand.NewPCG(seed, 5))
-	const step = 5 * time.Millisecond
-	start, span := 1000*time.Hour+time.Duration(rng.Int64N(int64(time.Minute))), 8*time.Second
-	store := rng.Uint64()
-	n := f.senders
-	budgets, learns, from := make([]Budget, n), make([]time.Duration, n), make([]time.Duration, n)
-	weight, does, doesAt := make([]float64, n), make([]float64, n), make([]time.Duration, n)
-	forgot := make([]bool, n)
-	sum := 0.0
-	for i := range n {
-		learns[i] = start + time.Duration(rng.Float64()*float64(f.spread))
-		if weight[i] = 1; f.uneven {
-			weight[i] = math.Exp(rng.NormFloat64())
+	observedWindow = 3 * time.Second // over which a sender averages what a store carries for it
+)
+
+// simSender is one sender of a simulated fleet.
+type simSender struct {
+	budget     Budget
+	learns     time.Duration // when it learns of the store's start
+	began      time.Duration // when it restarted
+	restarted  bool
+	weight     float64 // of its traffic
+	observed   float64 // work a second that the store was seen to do for it, as of observedAt
+	observedAt time.Duration
+}
+
+// observedRate is the sender's observed rate, decayed to now.
+func (s *simSender) observedRate(now time.Duration) float64 {
+	s.observed *= math.Exp(-float64(now-s.observedAt) / float64(observedWindow))
+	s.observedAt = now
+	return s.observed
+}
+
+// restart makes the sender forget all that it knew.
+func (s *simSender) restart(now time.Duration) {
+	s.budget, s.restarted, s.observed, s.began = Budget{}, true, 0, now
+}
+
+// fleetRun is a simulation of a fleet.
+type fleetRun struct {
+	fleet
+	rng     *rand.Rand
+	start   time.Duration // when the store started
+	store   uint64
+	senders []simSender
+	weights float64 // sum over the senders
+	room    float64 // work that the store can do by now
+	sent    []time.Duration
+}
+
+func newFleetRun(f fleet, seed uint64) *fleetRun {
+	r := &fleetRun{fleet: f, rng: rand.New(rand.NewPCG(seed, 5)), senders: make([]simSender, f.senders)}
+	r.start = 1000*time.Hour + time.Duration(r.rng.Int64N(int64(time.Minute)))
+	r.store = r.rng.Uint64()
+	for i := range r.senders {
+		s := &r.senders[i]
+		s.learns = r.start + time.Duration(r.rng.Float64()*float64(f.spread))
+		if s.weight = 1; f.uneven {
+			s.weight = math.Exp(r.rng.NormFloat64())
 		}
-		sum += weight[i]
+		r.weights += s.weight
 	}
-	const window = 3 * time.Second // of what it was seen to do
-	lately := func(i int, now time.Duration) float64 {
-		does[i] *= math.Exp(-float64(now-doesAt[i]) / float64(window))
-		doesAt[i] = now
-		return does[i]
+	return r
+}
+
+// demandFactor is the factor on the fleet's demand at a time.
+func (r *fleetRun) demandFactor(now time.Duration) float64 {
+	switch {
+	case r.surge > 0 && now >= r.start+2*time.Second:
+		return r.surge
+	case r.quiet > 0:
+		return 1 / r.quiet
+	}
+	return 1
+}
+
+// isKilled reports whether a sender is down at a time.
+func (r *fleetRun) isKilled(i int, now time.Duration) bool {
+	if r.killed <= 0 || now < r.start+3*time.Second || now >= r.start+3200*time.Millisecond {
+		return false
 	}
-	begin := func(i int, now time.Duration) {
-		budgets[i], forgot[i], does[i], from[i] = Budget{}, true, 0, now
+	return float64(i) < r.killed*float64(len(r.senders))
+}
+
+// describe is what a sender tells Allows of itself.
+func (r *fleetRun) describe(i int, now time.Duration, carried float64) Sender {
+	s := Sender{Senders: r.among, Position: SenderPosition(i, r.store), WarmRate: carried, ObservedOver: observedWindow}
+	if r.numbers != nil {
+		s.Position = SenderPosition(r.numbers(i), r.store)
+	}
+	if r.among == 0 {
+		s.Position = SenderPosition(0, r.rng.Uint64())
 	}
-	room := 0.0 // work that the store can do by now
-	var at []time.Duration
-	for now := start; now < start+span; now += step {
-		share := f.ramp.CapacityShare(now, start)
-		room = min(f.capacity*share, room+f.capacity*share*step.Seconds())
-		factor := 1.0
-		if f.surge > 0 && now >= start+2*time.Second {
-			factor = f.surge
-		} else if f.quiet > 0 {
-			factor = 1 / f.quiet
+	if !r.known {
+		s.WarmRate = 0
+	} else if r.senders[i].restarted { // what warm ones carry it sees again
+		s.WarmRate *= 1 - math.Exp(-float64(now-r.senders[i].began)/float64(observedWindow))
+	}
+	return s
+}
+
+// stepSender has a sender send what it wants and may in one step.
+func (r *fleetRun) stepSender(i int, now time.Duration, factor float64) {
+	sim := &r.senders[i]
+	if r.isKilled(i, now) {
+		sim.restart(now + fleetStep)
+		return
+	}
+	carried := r.capacity * r.load * sim.weight / r.weights
+	wants := r.rng.Float64() < carried/fleetCost*factor*fleetStep.Seconds()
+	times := 1
+	if r.all > 0 && now >= r.start+r.all {
+		wants, times = true, 20
+	}
+	if now < sim.learns || !wants {
+		return
+	}
+	s := r.describe(i, now, carried)
+	for range times {
+		s.ObservedRate = sim.observedRate(now)
+		if !r.ramp.Allows(&sim.budget, now, r.start, fleetCost, s) {
+			break
 		}
-		for range f.restarts {
-			if rng.Float64() < step.Seconds() {
-				begin(rng.IntN(n), now)
-			}
+		r.ramp.Spend(&sim.budget, now, r.start, fleetCost)
+		r.sent = append(r.sent, now)
+		if r.room >= fleetCost {
+			r.room -= fleetCost
+			sim.observed += fleetCost / observedWindow.Seconds()
 		}
-		killed := f.killed > 0 && now >= start+3*time.Second && now < start+3200*time.Millisecond
-		for i := range n {
-			if killed && float64(i) < f.killed*float64(n) {
-				begin(i, now+step)
-				continue
-			}
-			carried := f.capacity * f.load * weight[i] / sum
-			wants := rng.Float64() < carried/fleetCost*factor*step.Seconds()
-			times := 1
-			if f.all > 0 && now >= start+f.all {
-				wants, times = true, 20
-			}
-			if now < learns[i] || !wants {
-				continue
-			}
-			s := Sender{Senders: f.among, Position: SenderPosition(i, store), WarmRate: carried, ObservedOver: window}
-			if f.numbers != nil {
-				s.Position = SenderPosition(f.numbers(i), store)
-			}
-			if f.among == 0 {
-				s.Position = SenderPosition(0, rng.Uint64())
-			}
-			if !f.known {
-				s.WarmRate = 0
-			} else if forgot[i] { // what warm ones carry it sees again
-				s.WarmRate *= 1 - math.Exp(-float64(now-from[i])/float64(window))
-			}
-			for range times {
-				s.ObservedRate = lately(i, now)
-				if !f.ramp.Allows(&budgets[i], now, start, fleetCost, s) {
-					break
-				}
-				f.ramp.Spend(&budgets[i], now, start, fleetCost)
-				at = append(at, now)
-				if room >= fleetCost {
-					room -= fleetCost
-					does[i] += fleetCost / window.Seconds()
-				}
+	}
+}
+
+// play runs the simulation.
+func (r *fleetRun) play() {
+	for now := r.start; now < r.start+fleetSpan; now += fleetStep {
+		share := r.ramp.CapacityShare(now, r.start)
+		r.room = min(r.capacity*share, r.room+r.capacity*share*fleetStep.Seconds())
+		for range r.restarts {
+			if r.rng.Float64() < fleetStep.Seconds() {
+				r.senders[r.rng.IntN(len(r.senders))].restart(now)
 			}
 		}
+		factor := r.demandFactor(now)
+		for i := range r.senders {
+			r.stepSender(i, now, factor)
+		}
 	}
-	// The window that is furthest over.
-	over := math.Inf(-1)
-	for i, from := range at {
+}
+
+// worst plays the fleet and returns the most that was sent in any window, in sendings, and what the settings allow then.
+func (f fleet) worst(seed uint64) (sent, allowed float64) {
+	r := newFleetRun(f, seed)
+	r.play()
+	over := math.Inf(-1) // of the window that is furthest over
+	for i, from := range r.sent {
 		n, can := 0.0, 0.0
-		for _, t := range at[i:] {
+		for _, t := range r.sent[i:] {
 			if t < from+f.ramp.OverloadWindow {
 				n++
 			}
 		}
-		for t := from; t < from+f.ramp.OverloadWindow; t += step {
-			can += f.ramp.OverloadMultiple * f.capacity * f.ramp.CapacityShare(t, start) * step.Seconds() / fleetCost
+		for t := from; t < from+f.ramp.OverloadWindow; t += fleetStep {
+			can += f.ramp.OverloadMultiple * f.capacity * f.ramp.CapacityShare(t, r.start) * fleetStep.Seconds() / fleetCost
 		}
 		if o := n - can - 2*math.Sqrt(can) - 2; o > over {
 			over, sent, allowed = o, n, can
--- a/slowstart/slowstart.go
+++ b/slowstart/slowstart.go
@@ -1,10 +1,13 @@
-// Package slowstart bounds what is sent to a store that has just started. Sent more than a multiple of what it can do at
-// that moment, for long enough, it falls over. It does no I/O and reads no clock.
+// Package slowstart bounds what is sent to a store that has just started. A store that is sent more than a multiple of its
+// current capacity for a whole window falls over.
 //
-// Many senders share such a store and do not speak with each other, so each keeps to its own part, and the parts add up to
-// what the store bears. A part is seldom a whole sending: of a tenth of one, each sender for itself can only make none or one.
-// It makes one with the chance of a tenth (randomized rounding), so that all together make as many as their parts say, whatever
-// each of them wants and when.
+// Many senders share such a store without talking to each other. Each keeps to its own part of the store's budget, and the
+// parts add up to what the store bears. A part is often smaller than one sending, and a sender can only make whole ones:
+// it makes one with the probability of its part (randomized rounding), so that all senders together make as many as their
+// parts add up to, whatever each of them wants and when.
+//
+// The package does no I/O, reads no clock and draws no random numbers. Equal inputs give equal answers. Its types are not
+// safe for concurrent use.
 package slowstart
 
 import (
@@ -14,21 +17,24 @@
 )
 
 const (
-	safetyMargin        = 0.9 // share of what it can take that is spent: those who send differ in size
-	assumedSenders      = 100 // senders that are reckoned with where their number is not told
+	// safetyMargin is the share of a store's budget that is spent: what senders send differs in size.
+	safetyMargin = 0.9
+	// assumedSenders is the number of senders where the settings don't give it.
+	assumedSenders = 100
+	// goldenRatioFraction spreads consecutive sender numbers evenly over [0, 1).
 	goldenRatioFraction = 0.6180339887498949
 )
 
-// Ramp says how a store warms up.
+// Ramp is how a kind of store warms up.
 type Ramp struct {
-	InitialShare     float64       // it starts with at least this share of its capacity
-	Duration         time.Duration // and has all of it after this at the latest, rising in a line; 0: it is never cold
-	OverloadMultiple float64       // sent this multiple of what it can do ...
-	OverloadWindow   time.Duration // ... for this long, it falls over
+	InitialShare     float64       // share of its capacity that a store has at its start, 0 to 1
+	Duration         time.Duration // time from the start to full capacity, which rises linearly; 0: it is never cold
+	OverloadMultiple float64       // multiple of its current capacity at which a store falls over ...
+	OverloadWindow   time.Duration // ... when it is sent that for this long; 0: it never falls over
 }
 
-// CapacityShare is the least share of its capacity that a store which started at a time has now; 1 once it is warm. A start at
-// or before 0 was long ago.
+// CapacityShare returns the share of its full capacity, 0 to 1, that a store has at least now. A start at or before 0 was
+// long ago.
 func (r Ramp) CapacityShare(now, start time.Duration) float64 {
 	if start <= 0 || r.Duration <= 0 || now-start >= r.Duration {
 		return 1
@@ -36,37 +42,38 @@
 	return r.InitialShare + (1-r.InitialShare)*max(0, float64(now-start)/float64(r.Duration))
 }
 
-// Sender says who sends, among whom.
+// Sender describes the sender that asks, and what it knows of stores like the one it would send to.
 type Sender struct {
-	Senders      float64       // senders to the store; 0: not told
-	Position     float64       // in the order of senders, between 0 and 1: see [Place]
-	WarmRate     float64       // cost a second that warm stores of this one's size carry for it; 0: nothing is known
-	ObservedRate float64       // and that this one was seen to do for it lately,
-	ObservedOver time.Duration // within about this time
+	Senders      float64       // number of senders to the store; 0: unknown
+	Position     float64       // in the order of senders, 0 to 1: see [SenderPosition]
+	WarmRate     float64       // cost per second that warm stores of the same size carry for this sender; 0: unknown
+	ObservedRate float64       // cost per second that this store was lately seen to carry for it
+	ObservedOver time.Duration // time over which ObservedRate was averaged
 }
 
-// SenderPosition spreads senders evenly between 0 and 1 by their numbers, in another order at each store. Where numbers are not told,
-// a place that each draws for itself serves as well on average.
+// SenderPosition spreads senders evenly over [0, 1) by their numbers, in another order at each store. Where senders have no
+// numbers, a random draw for each serves as well on average.
 func SenderPosition(number int, store uint64) float64 {
-	_, f := math.Modf(float64(number)*goldenRatioFraction + float64(store>>11)/(1<<53))
-	return f
+	_, fraction := math.Modf(float64(number)*goldenRatioFraction + float64(store>>11)/(1<<53))
+	return fraction
 }
 
-// Budget is what one sender has sent to a cold store within the time in which it falls over. The zero value is for a store that
+// Budget is what one sender has sent to a cold store within the overload window. The zero value is for a store that
 // nothing was sent to.
 type Budget struct {
 	sent  []sendRecord // in order of time
-	total float64      // of their costs
+	total float64      // sum of their costs
 }
 
+// sendRecord is one sending.
 type sendRecord struct {
 	at   time.Duration
 	cost float64
 }
 
-// Spend notes that something of a cost is sent to a store that started at a time.
+// Spend records that something of a cost is sent now to a store that started at start.
 func (r Ramp) Spend(b *Budget, now, start time.Duration, cost float64) {
-	if r.CapacityShare(now, start) >= 1 { // guards the memory: to a warm one much is sent
+	if r.CapacityShare(now, start) >= 1 { // a warm store is sent much, and its budget doesn't bind: keep no records
 		*b = Budget{}
 		return
 	}
@@ -75,7 +82,7 @@
 	b.total += cost
 }
 
-// Refund takes back the latest spending of a cost, which did not come to the store.
+// Refund removes the latest record of a cost, of something that did not reach the store.
 func (b *Budget) Refund(cost float64) {
 	for i := len(b.sent) - 1; i >= 0; i-- {
 		if b.sent[i].cost == cost {
@@ -86,42 +93,57 @@
 	}
 }
 
-// dropUntil drops what was sent until a time.
-func (b *Budget) dropUntil(until time.Duration) {
-	for len(b.sent) > 0 && b.sent[0].at <= until {
+// dropUntil drops the records up to and including a time.
+func (b *Budget) dropUntil(cutoff time.Duration) {
+	for len(b.sent) > 0 && b.sent[0].at <= cutoff {
 		b.total -= b.sent[0].cost
 		b.sent = b.sent[1:]
 	}
-	if len(b.sent) == 0 { // what rounding left in the sum goes, too
+	if len(b.sent) == 0 { // resets what rounding has left in the total
 		*b = Budget{}
 	}
 }
 
-// Allows says whether something of a cost may be sent to a store that started at a time.
+// Allows reports whether something of a cost may be sent now to a store that started at start.
 //
-// The store bears the multiple of what it has, for the time in which it falls. What it has of its full capacity is known by its
-// age, and its full capacity by what warm ones carry for this sender, which is the sender's part: the parts of all add up. A
-// sender that knows nothing has its part of a floor of one sending. The store's own doing counts where it is more.
+// Within one overload window the sender may spend its part of what the store bears: the overload multiple of the rate that
+// the store carries for it now, less a safety margin. A sender that knows no rate has its part of a floor of one sending.
 func (r Ramp) Allows(b *Budget, now, start time.Duration, cost float64, s Sender) bool {
-	if r.OverloadWindow <= 0 { // it bears anything
+	if r.OverloadWindow <= 0 {
 		return true
 	}
 	senders := s.Senders
-	if senders <= 0 { // guards against each of a whole fleet taking the floor for its own
+	if senders <= 0 { // else each of a whole fleet would take the floor for its own
 		senders = assumedSenders
 	}
-	// The window that ends now has brought what the store had in its middle, as it warms up in a line.
-	rate := s.WarmRate * r.CapacityShare(now-r.OverloadWindow/2, start)
+	rate := r.carriedRate(now, start, cost, s)
+	window := r.OverloadWindow.Seconds()
+	floor := cost / max(1, window) / max(1, senders)
+	budget := window * max(r.OverloadMultiple*safetyMargin*rate, floor)
+	b.dropUntil(now - r.OverloadWindow)
+	return b.total+(1-r.currentPosition(now, senders, s))*cost <= budget
+}
+
+// carriedRate estimates the cost per second that the store carries for a sender now. A store's full capacity is known by
+// what warm stores carry for this sender, and its share of that by its age. What the store itself was seen to carry counts
+// where it is more.
+func (r Ramp) carriedRate(now, start time.Duration, cost float64, s Sender) float64 {
 	if s.WarmRate <= 0 {
-		rate = s.ObservedRate
-	} else if s.ObservedRate > rate {
-		// Guards against luck with a few: what some did beyond their part others did not, who go by warm ones.
-		rate = max(rate, s.ObservedRate-math.Sqrt(s.ObservedRate*cost/s.ObservedOver.Seconds()))
+		return s.ObservedRate
 	}
-	window := r.OverloadWindow.Seconds()
-	budget := window * max(r.OverloadMultiple*safetyMargin*rate, cost/max(1, window)/max(1, senders))
-	// The order moves on by one sender in each window, so that none is shut out for the whole ramp.
+	// Capacity rises linearly, so the window that ends now has the capacity of its middle on average.
+	rate := s.WarmRate * r.CapacityShare(now-r.OverloadWindow/2, start)
+	if s.ObservedRate > rate {
+		// One standard deviation less: a few sendings that went well by chance are no proof of capacity.
+		deviation := math.Sqrt(s.ObservedRate * cost / s.ObservedOver.Seconds())
+		rate = max(rate, s.ObservedRate-deviation)
+	}
+	return rate
+}
+
+// currentPosition is the sender's position in the order now, 0 to 1. The order advances by one sender in each window, so that
+// none is shut out for the whole ramp.
+func (r Ramp) currentPosition(now time.Duration, senders float64, s Sender) float64 {
 	_, position := math.Modf(s.Position + float64(now)/float64(r.OverloadWindow)/max(1, senders))
-	b.dropUntil(now - r.OverloadWindow)
-	return b.total+(1-position)*cost <= budget
+	return position
 }
