--- a/cmd/larchusher/counters.go
+++ b/cmd/larchusher/counters.go
@@ -18,31 +18,31 @@
 	}
 	count("conns_opened", "Connections that came up.", p.engine.Opened.Load())
 	count("conns_closed", "Connections that ended.", p.engine.Closed.Load())
-	count("conns_crowded", "Connections closed for want of a place.", p.engine.Crowded.Load())
+	count("conns_crowded", "Connections closed for want of a place.", p.engine.RejectedConns.Load())
 	count("bytes_in", "Bytes read.", p.engine.In.Load())
 	count("bytes_out", "Bytes written.", p.engine.Out.Load())
 	count("malformed", "Connections closed for what they sent.", p.front.Malformed)
-	count("excess", "Requests beyond those that a connection may have open.", p.front.Excess)
+	count("excess", "Requests beyond those that a connection may have open.", p.front.TooManyOpen)
 	count("reloads", "Configurations taken in while running.", uint64(p.reloads))
 	count("journal_connects", "Connections to the journal service.", uint64(p.feed.Connects))
 	count("journal_events", "Events taken in.", uint64(p.feed.Events))
 	count("journal_dropped", "Events that could not be used.", uint64(p.feed.Dropped))
-	for name, n := range p.gw.Counters.All() {
+	for name, n := range p.gw.Counters.ByName() {
 		count(name, "Of the gateway's core; see the operators' page.", n)
 	}
 	c := p.pool.Counters
-	count("store_dialled", "Connections to stores begun.", c.Dialled)
-	count("store_refused", "Connections to stores that did not come up.", c.Refused)
-	count("store_broken", "Connections to stores lost with work out.", c.Broken)
+	count("store_dialled", "Connections to stores begun.", c.ConnectsStarted)
+	count("store_refused", "Connections to stores that did not come up.", c.ConnectsFailed)
+	count("store_broken", "Connections to stores lost with work out.", c.ConnsLost)
 	count("store_written", "Attempts written.", c.Written)
-	count("store_quit", "Attempts given up.", c.Given)
-	count("store_late", "Answers that came too late.", c.Late)
-	count("store_dropped", "Answers passed over for want of memory.", c.Dropped)
-	count("store_noop", "Tests of silent connections.", c.Noop)
+	count("store_quit", "Attempts given up.", c.Canceled)
+	count("store_late", "Answers that came too late.", c.LateAnswers)
+	count("store_dropped", "Answers passed over for want of memory.", c.AnswersDropped)
+	count("store_noop", "Tests of silent connections.", c.Pings)
 	all = append(all, p.gw.LoadValues()...)
-	all = append(all, p.gw.TierValues()...)
+	all = append(all, p.gw.LocalityValues()...)
 	if p.keeper != nil {
-		all = append(all, p.keeper.Values(p.gw.Clock(p.loop.Now()))...)
+		all = append(all, p.keeper.Values(p.gw.DirectorTime(p.loop.Now()))...)
 	}
 	if p.fleet != nil {
 		values := p.fleet.Values()
@@ -52,15 +52,15 @@
 	}
 	if p.link != nil {
 		count("peer_sent", "Datagrams sent.", uint64(p.link.Sent))
-		count("peer_heard", "Datagrams heard.", uint64(p.link.Heard))
+		count("peer_heard", "Datagrams heard.", uint64(p.link.Received))
 		count("peer_dropped", "Datagrams dropped.", uint64(p.link.Dropped))
 	}
 	if p.signed != nil {
 		count("signed_admitted", "Requests whose token was good.", p.signed.Admitted)
-		for reason, n := range p.signed.Problems {
+		for reason, n := range p.signed.ProblemsByReason {
 			count("signed_problem", "Requests turned away, by reason.", n, metrics.Label{Name: "reason", Value: reason})
 		}
-		for status, n := range p.signed.Statuses {
+		for status, n := range p.signed.AnswersByStatus {
 			count("signed_status", "Answers, by status.", n, metrics.Label{Name: "status", Value: strconv.Itoa(status)})
 		}
 	}
--- a/cmd/larchusher/drain.go
+++ b/cmd/larchusher/drain.go
@@ -23,7 +23,7 @@
 	p.log.Info("draining")
 	p.draining = true
 	if p.keeper != nil {
-		p.keeper.Final(p.gw.Clock(p.loop.Now()))
+		p.keeper.Final(p.gw.DirectorTime(p.loop.Now()))
 	}
 	if p.takenOver() {
 		p.yield()
@@ -38,7 +38,7 @@
 			l.Close()
 		}
 		if p.signed != nil {
-			p.signed.End()
+			p.signed.CloseAfterAnswers()
 		}
 		p.finish(began.Add(p.longest() + lastAnswers))
 	})
@@ -70,12 +70,12 @@
 	if late {
 		p.gw.Close()
 	}
-	if late || p.gw.Open() == 0 && p.front.Idle() && (p.signed == nil || p.signed.Idle()) {
-		p.front.Shut()
+	if late || p.gw.OpenRequests() == 0 && p.front.Idle() && (p.signed == nil || p.signed.Idle()) {
+		p.front.CloseAll()
 		if p.signed != nil {
-			p.signed.Shut()
+			p.signed.CloseAll()
 		}
-		until := now.Add(transport.Linger)
+		until := now.Add(transport.LingerTime)
 		if most := last.Add(flushFor); until.After(most) {
 			until = most
 		}
--- a/cmd/larchusher/figures.go
+++ b/cmd/larchusher/figures.go
@@ -16,11 +16,11 @@
 
 // openConsole takes operators' calls, if the configuration names an address for them.
 func (p *program) openConsole() error {
-	if p.cfg.Console == "" {
+	if p.cfg.AdminListen == "" {
 		return nil
 	}
-	server := admin.New(admin.Config{Loop: p.loop, Ready: p.ready, Figures: p.figures, Most: p.shares().Console})
-	l, err := server.Listen(p.engine, p.cfg.Console)
+	server := admin.New(admin.Config{Loop: p.loop, Ready: p.ready, Stats: p.figures, MaxConns: p.shares().Admin})
+	l, err := server.Listen(p.engine, p.cfg.AdminListen)
 	if err != nil {
 		return err
 	}
@@ -45,16 +45,16 @@
 	add := func(kind metrics.Kind, name string, n uint64, labels ...metrics.Label) {
 		all = append(all, metrics.Value{Name: name, Kind: kind, Value: float64(n), Labels: labels})
 	}
-	outcomes := p.gw.Outcomes()
+	outcomes := p.gw.OutcomesByClass()
 	for _, class := range slices.Sorted(maps.Keys(outcomes)) {
 		o, label := outcomes[class], metrics.Label{Name: "class", Value: class}
 		add(metrics.Counter, "success", o.Served, label)
-		add(metrics.Counter, "overload", o.Refused, label)
+		add(metrics.Counter, "overload", o.Rejected, label)
 		add(metrics.Counter, "error", o.Failed, label)
 	}
-	listed, avoided := p.gw.Stores()
+	listed, avoided := p.gw.EndpointCounts()
 	add(metrics.Counter, "dispatches", p.pool.Counters.Written)
-	add(metrics.Gauge, "concurrent", uint64(p.gw.Open()))
+	add(metrics.Gauge, "concurrent", uint64(p.gw.OpenRequests()))
 	add(metrics.Gauge, "targets", uint64(listed))
 	add(metrics.Gauge, "targets_disabled", uint64(avoided))
 	add(metrics.Counter, "reload_success", uint64(p.reloads))
--- a/cmd/larchusher/leave.go
+++ b/cmd/larchusher/leave.go
@@ -15,11 +15,11 @@
 // handState hands this process's state to its successor. From this moment on the successor has the budget for cold stores.
 func (p *program) handState(answer hotrestart.Answer) {
 	p.log.Info("upgrade: handing over to a new process")
-	p.gw.PauseCold(-1)
+	p.gw.PauseSlowStart(-1)
 	p.useShares(overlapShare)
-	state := handedState{Format: stateFormat, Since: p.since, Known: p.book.List(p.feed.Position()),
-		Learned: &warmstart.Snapshot{Made: p.gw.Clock(p.loop.Now()), Gateway: p.cfg.Name, Settings: p.cfg.Fingerprint(),
-			Position: p.feed.Position(), Directors: p.gw.Learned(listingsMost)}}
+	state := handedState{Format: stateFormat, Since: p.since, Known: p.book.CurrentState(p.feed.Position()),
+		Learned: &warmstart.Snapshot{Made: p.gw.DirectorTime(p.loop.Now()), Gateway: p.cfg.Name, Settings: p.cfg.Fingerprint(),
+			Position: p.feed.Position(), Directors: p.gw.ExportLearned(listingsMost)}}
 	sockets := p.sockets()
 	go func() { // the loop waits for no file
 		data, err := json.Marshal(state)
@@ -52,7 +52,7 @@
 func (p *program) takenOver() bool { return p.process != nil && p.process.TakenOver() }
 
 // move hands a client's connection to the successor.
-func (p *program) move(conn *transport.Conn, pieces []transport.Piece) error {
+func (p *program) move(conn *transport.Conn, pieces []transport.ReceivedChunk) error {
 	now := time.Now()
 	var over []hotrestart.Piece
 	for _, piece := range pieces {
@@ -67,13 +67,13 @@
 func (p *program) yield() {
 	p.log.Info("upgrade: leaving clients to the new process")
 	for _, l := range p.accept {
-		l.Yield()
+		l.CloseAfterQueued()
 	}
 	if p.link != nil {
 		p.link.Close()
 	}
 	if p.signed != nil {
-		p.signed.End()
+		p.signed.CloseAfterAnswers()
 	}
 	began := p.loop.Now()
 	p.leaveIdle(began.Add(queueWithin), began.Add(p.answerWithin()))
@@ -88,12 +88,12 @@
 	}
 	var left int
 	if p.successor != nil { // the link may have come up a moment ago
-		p.front.Hold()
-		left = p.front.MoveIdle(p.move)
+		p.front.HoldRequests()
+		left = p.front.MigrateIdle(p.move)
 	} else {
-		left = p.front.EndIdle()
+		left = p.front.CloseIdle()
 	}
-	if now.Before(least) || now.Before(last) && (left > 0 || p.gw.Open() > 0) {
+	if now.Before(least) || now.Before(last) && (left > 0 || p.gw.OpenRequests() > 0) {
 		p.loop.After(leaveTick, func() { p.leaveIdle(least, last) })
 		return
 	}
--- a/cmd/larchusher/main.go
+++ b/cmd/larchusher/main.go
@@ -85,7 +85,7 @@
 		return err
 	}
 	if cfg != nil {
-		if _, err := op.TiersOf(cfg.Settings.Zone, cfg.Settings.Zones); err != nil {
+		if _, err := op.LocalitiesFor(cfg.Settings.Zone, cfg.Settings.Zones); err != nil {
 			return fmt.Errorf("operator's file %s: %w", c.Operator, err)
 		}
 	}
--- a/cmd/larchusher/reload.go
+++ b/cmd/larchusher/reload.go
@@ -47,22 +47,22 @@
 			return err
 		}
 	}
-	tiers, err := op.TiersOf(p.cfg.Settings.Zone, p.cfg.Settings.Zones)
+	tiers, err := op.LocalitiesFor(p.cfg.Settings.Zone, p.cfg.Settings.Zones)
 	if err != nil {
 		return err
 	}
-	if err := p.gw.Reconfigure(cfg.Settings.Classes, cfg.Settings.MaxAttempts); err != nil {
+	if err := p.gw.ReconfigureClasses(cfg.Settings.Classes, cfg.Settings.MaxAttempts); err != nil {
 		return err
 	}
 	p.reloads++
 	p.warnFixed(cfg, op)
 	p.cfg.Settings.Classes, p.cfg.Settings.MaxAttempts = cfg.Settings.Classes, cfg.Settings.MaxAttempts
-	p.front.UseClasses(classNames(p.gw.Classes()))
-	p.pool.AllowWhole(p.longest())
-	p.feed.Move(cfg.Journal)
+	p.front.SetClasses(classNames(p.gw.Classes()))
+	p.pool.SetAnswerTimeout(p.longest())
+	p.feed.SetAddress(cfg.Journal)
 	p.useSigned(op.Signed)
-	if p.op.Tiers != nil && tiers != nil && p.op.Same(op) {
-		if err := p.gw.UseTiers(*tiers); err != nil {
+	if p.op.Localities != nil && tiers != nil && p.op.SameRestartSettings(op) {
+		if err := p.gw.ReconfigureLocalities(*tiers); err != nil {
 			p.log.WithError(err).Error("reload: tiers stay as they were")
 		}
 	}
@@ -72,8 +72,8 @@
 
 // warnFixed names what differs and takes effect with the next start only.
 func (p *program) warnFixed(cfg *config.Gateway, op *config.Operator) {
-	keys := p.cfg.Fixed(cfg)
-	if !p.op.Same(op) {
+	keys := p.cfg.ChangedRestartKeys(cfg)
+	if !p.op.SameRestartSettings(op) {
 		keys = append(keys, "listeners, overload and localities of the operator's file")
 	}
 	if len(keys) > 0 {
@@ -101,7 +101,7 @@
 			p.log.WithError(err).Error("reload: the signed front stays as it was")
 			return
 		}
-		p.signed.Use(api)
+		p.signed.SetAPI(api)
 	}
 }
 
--- a/cmd/larchusher/serve.go
+++ b/cmd/larchusher/serve.go
@@ -43,7 +43,7 @@
 	fleet  *clusternode.Host  // nil: this gateway is alone
 	left   func()             // to be called once all is answered; nil: nobody waits for that
 	accept []*transport.Listener
-	book   *discovery.Book
+	book   *discovery.EventApplier
 
 	moves     *hotrestart.Receiver // of clients' connections of a former process; nil: none come
 	successor *hotrestart.Link     // to which clients' connections go over; nil: they do not
--- a/cmd/larchusher/upgrade.go
+++ b/cmd/larchusher/upgrade.go
@@ -37,14 +37,14 @@
 
 // handedState is what a process hands over to its successor.
 type handedState struct {
-	Format  int                 `json:"Format"`
-	Known   discovery.Known     `json:"Known"`   // the present list of stores, and the latest event taken in
-	Since   string              `json:"Since"`   // fingerprint of the journal's events that this process was started with
-	Learned *warmstart.Snapshot `json:"Learned"` // nil: none
+	Format  int                    `json:"Format"`
+	Known   discovery.InitialState `json:"Known"`   // the present list of stores, and the latest event taken in
+	Since   string                 `json:"Since"`   // fingerprint of the journal's events that this process was started with
+	Learned *warmstart.Snapshot    `json:"Learned"` // nil: none
 }
 
 // fingerprint tells the journal's events of one start from those of another: they are numbered from 1 in each.
-func fingerprint(known discovery.Known) string {
+func fingerprint(known discovery.InitialState) string {
 	b, err := json.Marshal(known)
 	if err != nil { // it was read from JSON
 		return ""
@@ -67,7 +67,7 @@
 		p.log.WithError(err).Warn("upgrade: no state will be handed over")
 		return nil
 	}
-	if p.process.Successor() && p.op.Fleet != nil {
+	if p.process.Successor() && p.op.Cluster != nil {
 		p.process.Close()
 		return errors.New("fleet: another process of this gateway runs, and would be the same member: end it first")
 	}
@@ -76,8 +76,8 @@
 
 // takeState takes over the state of the process that serves, if there is one, and returns the list of stores to start with.
 // Its listening sockets are left to the engine.
-func (p *program) takeState() (known discovery.Known, learned *warmstart.Snapshot) {
-	known = p.cfg.Known
+func (p *program) takeState() (known discovery.InitialState, learned *warmstart.Snapshot) {
+	known = p.cfg.InitialState
 	if p.process == nil || !p.process.Successor() {
 		return known, nil
 	}
@@ -98,10 +98,10 @@
 	case state.Format != stateFormat:
 		p.log.WithField("format", state.Format).Warn("upgrade: the state of the process that serves is of another format")
 		return known, nil
-	case state.Since == fingerprint(p.cfg.Known) && state.Known.Pos >= known.Pos:
+	case state.Since == fingerprint(p.cfg.InitialState) && state.Known.Position >= known.Position:
 		known = state.Known
 	}
-	p.log.WithField("after", known.Pos).Info("upgrade: taking over from the process that serves")
+	p.log.WithField("after", known.Position).Info("upgrade: taking over from the process that serves")
 	return known, state.Learned
 }
 
@@ -112,7 +112,7 @@
 		return
 	}
 	if learned != nil {
-		p.log.Infof("upgrade: what was learned: %v", p.gw.Recall(learned, p.cfg.Name, p.cfg.Fingerprint()))
+		p.log.Infof("upgrade: what was learned: %v", p.gw.ImportSnapshot(learned, p.cfg.Name, p.cfg.Fingerprint()))
 	}
 	if p.process.Successor() {
 		p.useShares(overlapShare)
@@ -142,27 +142,27 @@
 // stopped now, or (false) it does not know of this one and goes on until it ends.
 func (p *program) takeColdBudget(stopped bool) {
 	if stopped {
-		p.gw.PauseCold(p.cfg.Settings.OverloadWindow)
+		p.gw.PauseSlowStart(p.cfg.Settings.OverloadWindow)
 	} else {
-		p.gw.PauseCold(-1)
+		p.gw.PauseSlowStart(-1)
 	}
 }
 
 // useShares has this process use a part of the descriptors and the memory that the program may use.
 func (p *program) useShares(part float64) {
 	p.setMemory(part)
-	p.pool.SetConns(scaled(p.shares().Stores, part))
+	p.pool.SetMaxConns(scaled(p.shares().Stores, part))
 	p.useClientShares(part)
 }
 
 // useClientShares has this process use a part of the descriptors that clients may have.
 func (p *program) useClientShares(part float64) {
 	share := p.shares()
-	p.front.SetMost(scaled(share.Clients, part))
-	p.clients.SetMost(scaled(share.Clients, part))
+	p.front.SetMaxConns(scaled(share.Clients, part))
+	p.clients.SetMaxConns(scaled(share.Clients, part))
 	if p.signed != nil {
-		p.signed.SetMost(scaled(share.Signed, part))
-		p.signedAt.SetMost(scaled(share.Signed, part))
+		p.signed.SetMaxConns(scaled(share.Signed, part))
+		p.signedAt.SetMaxConns(scaled(share.Signed, part))
 	}
 }
 
@@ -208,9 +208,9 @@
 			continue
 		}
 		now := time.Now()
-		var pieces []transport.Piece
+		var pieces []transport.ReceivedChunk
 		for _, piece := range moved.Pieces {
-			pieces = append(pieces, transport.Piece{Data: piece.Data, At: now.Add(-piece.Age)})
+			pieces = append(pieces, transport.ReceivedChunk{Data: piece.Data, At: now.Add(-piece.Age)})
 		}
 		p.accept[at].Adopt(conn, pieces)
 	}
--- a/cmd/larchusher/wiring.go
+++ b/cmd/larchusher/wiring.go
@@ -30,11 +30,11 @@
 
 // start makes the parts of the program in the order in which they need each other. Nothing runs on the loop yet.
 func (p *program) start() error {
-	for _, n := range p.cfg.Notes {
+	for _, n := range p.cfg.Warnings {
 		p.log.Warn(n)
 	}
 	p.setMemory(1)
-	p.since = fingerprint(p.cfg.Known)
+	p.since = fingerprint(p.cfg.InitialState)
 	var err error
 	if p.engine, err = transport.New(p.log, p.memory(unwrittenPart)); err != nil {
 		return err
@@ -86,25 +86,25 @@
 // makeGateway makes the core, the pool of connections to stores, and the link to other gateways.
 func (p *program) makeGateway() error {
 	cfg := p.cfg
-	p.pool = resp.New(resp.Config{Streams: cfg.Sockets.StreamsPerConn, ConnectTimeout: cfg.Sockets.ConnectTimeout,
-		KeepAlive: cfg.Sockets.KeepAlive, Conns: p.shares().Stores, LoadFields: cfg.Settings.LoadReportFields,
-		Answers: int64(p.memory(storedPart)), Whole: p.longest()}, p.loop, p.engine, p.log)
+	p.pool = resp.New(resp.Config{StreamsPerConn: cfg.Sockets.StreamsPerConn, ConnectTimeout: cfg.Sockets.ConnectTimeout,
+		KeepAlive: cfg.Sockets.KeepAlive, MaxConns: p.shares().Stores, LoadReportFields: cfg.Settings.LoadReportFields,
+		MaxAnswerBytes: int64(p.memory(storedPart)), AnswerTimeout: p.longest()}, p.loop, p.engine, p.log)
 	gc := gateway.Config{Loop: p.loop, Settings: cfg.Settings, Seed: cfg.Seed, Backend: p.pool, Log: p.log,
-		ToldKB: cfg.ToldKB, MaxOpen: cfg.Sockets.MostHeld, MaxBytes: p.memory(bodiesPart),
-		Overload: p.op.Overload, Echo: p.engine.Echo}
+		SizeScale: cfg.SizeScale, MaxOpenRequests: cfg.Sockets.MaxOpenRequests, MaxBodyBytes: p.memory(bodiesPart),
+		Overload: p.op.Overload, ReadBarrier: p.engine.Barrier}
 	gc.Overload.Memory = cmp.Or(gc.Overload.Memory, int64(p.memory(pendingPart))) // and a quarter of that
 	var err error
-	if gc.Tiers, err = p.op.TiersOf(cfg.Settings.Zone, cfg.Settings.Zones); err != nil {
+	if gc.Localities, err = p.op.LocalitiesFor(cfg.Settings.Zone, cfg.Settings.Zones); err != nil {
 		return p.operatorError(err)
 	}
 	if cfg.PeerListen != "" && cfg.Settings.Gossip {
-		if p.link, err = gossip.Open(cfg.PeerListen, cfg.Peers, cfg.PeersAll, p.log); err != nil {
+		if p.link, err = gossip.Listen(cfg.PeerListen, cfg.Peers, cfg.PeersAll, p.log); err != nil {
 			return err
 		}
-		gc.Peers = p.link
+		gc.Gossip = p.link
 	}
-	if p.op.Fleet != nil { // nothing is sent before it is known what is out for work
-		gc.Permit = func(store string) bool { return p.fleet != nil && p.fleet.Permit(store) }
+	if p.op.Cluster != nil { // nothing is sent before it is known what is out for work
+		gc.MayForward = func(store string) bool { return p.fleet != nil && p.fleet.Permit(store) }
 	}
 	if p.gw, err = gateway.New(gc); err != nil {
 		return err
@@ -119,29 +119,29 @@
 }
 
 // follow takes in what is known at the start, and follows the journal from there on.
-func (p *program) follow(known discovery.Known) error {
-	p.book = &discovery.Book{Sink: sink{p.gw, p.pool}, Clock: p.gw.Clock}
-	if err := p.book.Start(time.Now(), known); err != nil {
+func (p *program) follow(known discovery.InitialState) error {
+	p.book = &discovery.EventApplier{Sink: sink{p.gw, p.pool}, Clock: p.gw.DirectorTime}
+	if err := p.book.ApplyInitial(time.Now(), known); err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
 	if p.op.State != nil {
 		p.remember()
 	}
-	p.feed = discovery.Follow(p.loop, p.engine, p.log, p.cfg.Journal, p.book, known.Pos)
-	p.cfg.Known = discovery.Known{} // all of it has been taken in
+	p.feed = discovery.Watch(p.loop, p.engine, p.log, p.cfg.Journal, p.book, known.Position)
+	p.cfg.InitialState = discovery.InitialState{} // all of it has been taken in
 	return nil
 }
 
 // startFleet starts what gateways settle among themselves, if the operator's file asks for it, and listens to peers.
 func (p *program) startFleet() error {
 	if p.link != nil {
-		go p.link.Read(p.loop, p.gw.Heard)
+		go p.link.ReadLoop(p.loop, p.gw.ReceiveGossip)
 	}
-	if p.op.Fleet == nil {
+	if p.op.Cluster == nil {
 		return nil
 	}
 	var err error
-	if p.fleet, err = clusternode.Start(p.op.Fleet, p.cfg.Settings, p.gw, p.loop, p.engine, p.log); err != nil {
+	if p.fleet, err = clusternode.Start(p.op.Cluster, p.cfg.Settings, p.gw, p.loop, p.engine, p.log); err != nil {
 		return p.operatorError(err)
 	}
 	p.fleet.Leave = func(left func()) { p.left = left; p.drain() }
@@ -152,7 +152,7 @@
 func (p *program) listen() error {
 	most := p.shares().Clients
 	p.front = msgpackrpc.New(p.loop, p.gw, classNames(p.cfg.Settings.Classes), most, p.log)
-	l, err := p.engine.Listen(p.cfg.Listen, most, p.front.EvictIdle, p.front.Accept)
+	l, err := p.engine.Listen(p.cfg.Listen, most, p.front.EvictIdle, p.front.NewHandler)
 	if err != nil {
 		return err
 	}
@@ -170,26 +170,26 @@
 		return
 	}
 	if found != nil {
-		keeper.Recalled = p.gw.Recall(found, p.cfg.Name, p.cfg.Fingerprint())
+		keeper.Recalled = p.gw.ImportSnapshot(found, p.cfg.Name, p.cfg.Fingerprint())
 		log.Infof("what was learned before: %v", keeper.Recalled)
 	}
 	p.keeper = keeper
-	keeper.Start(p.op.State.Every, p.loop.Post, func() *warmstart.Snapshot {
-		return &warmstart.Snapshot{Made: p.gw.Clock(p.loop.Now()), Gateway: p.cfg.Name, Settings: p.cfg.Fingerprint(), Position: p.feed.Position(),
-			Directors: p.gw.Learned(p.op.State.Listings)}
+	keeper.Start(p.op.State.SnapshotInterval, p.loop.Post, func() *warmstart.Snapshot {
+		return &warmstart.Snapshot{Made: p.gw.DirectorTime(p.loop.Now()), Gateway: p.cfg.Name, Settings: p.cfg.Fingerprint(), Position: p.feed.Position(),
+			Directors: p.gw.ExportLearned(p.op.State.MaxListings)}
 	})
 	var beat func()
 	beat = func() {
-		keeper.Beat(p.gw.Clock(p.loop.Now()))
-		p.loop.After(min(time.Second, p.op.State.Every/4), beat)
+		keeper.Beat(p.gw.DirectorTime(p.loop.Now()))
+		p.loop.After(min(time.Second, p.op.State.SnapshotInterval/4), beat)
 	}
 	p.loop.Post(beat)
 }
 
 // shares divides the descriptors up.
-func (p *program) shares() config.Shares {
+func (p *program) shares() config.ConnQuotas {
 	checks := p.op.AgentListen != "" || p.op.HTTPListen != "" || p.op.MetricsListen != ""
-	return p.cfg.Shares(p.op.Signed != nil, checks)
+	return p.cfg.ConnQuotas(p.op.Signed != nil, checks)
 }
 
 // others starts what the operator's file asks for: the front for signed URLs, what balancers ask, counters.
@@ -214,7 +214,7 @@
 		}
 		p.signed = signedfront.New(p.loop, p.gw, api, share.Signed, p.cfg.Seed, p.log)
 		err = listen(s.Listen, "serving signed URLs", func(a string) (l *transport.Listener, err error) {
-			l, err = p.engine.Listen(a, share.Signed, p.signed.EvictIdle, p.signed.Accept)
+			l, err = p.engine.Listen(a, share.Signed, p.signed.EvictIdle, p.signed.NewHandler)
 			p.signedAt = l
 			return l, err
 		})
@@ -223,17 +223,17 @@
 		}
 	}
 	check := &agentcheck.Checker{Loop: p.loop, Metrics: metrics.Source(p.counters).Text, State: func() agentcheck.State {
-		s := agentcheck.State{Ready: p.feed.Connected() && (p.fleet == nil || p.fleet.Ready()), Draining: p.draining, Weight: p.gw.Weight()}
+		s := agentcheck.State{Ready: p.feed.Connected() && (p.fleet == nil || p.fleet.Ready()), Draining: p.draining, Weight: p.gw.BalancerWeight()}
 		if p.fleet != nil && p.fleet.CatchingUp() {
-			s.Ready, s.Why = false, "catching up"
+			s.Ready, s.Reason = false, "catching up"
 		}
 		return s
 	}}
 	for _, l := range []struct {
 		addr, what string
 		listen     func(*transport.Engine, string, int) (*transport.Listener, error)
-	}{{p.op.AgentListen, "answering agent checks", check.Agent}, {p.op.HTTPListen, "answering health checks", check.Health},
-		{p.op.MetricsListen, "telling counters", check.Counters}} {
+	}{{p.op.AgentListen, "answering agent checks", check.ListenAgent}, {p.op.HTTPListen, "answering health checks", check.ListenHealth},
+		{p.op.MetricsListen, "telling counters", check.ListenMetrics}} {
 		err := listen(l.addr, l.what, func(a string) (*transport.Listener, error) { return l.listen(p.engine, a, share.Checks) })
 		if err != nil {
 			return err
--- a/cmd/larchusher/work.go
+++ b/cmd/larchusher/work.go
@@ -58,23 +58,23 @@
 	if err != nil {
 		return cluster.Message{}, err
 	}
-	if op.Fleet == nil {
+	if op.Cluster == nil {
 		return cluster.Message{}, errors.New("the operator's file (--operator) has no fleet")
 	}
-	members := op.Fleet.Members
+	members := op.Cluster.Members
 	if f.At != "" {
-		addr := op.Fleet.Address(f.At)
+		addr := op.Cluster.Address(f.At)
 		if addr == "" {
 			return cluster.Message{}, fmt.Errorf("--at: %q is none of the members", f.At)
 		}
-		members = []config.FleetMember{{Name: f.At, Address: addr}}
+		members = []config.ClusterMember{{Name: f.At, Address: addr}}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), f.Timeout)
 	defer cancel()
 	var last error
 	for ctx.Err() == nil {
 		for _, g := range members {
-			reply, err := askOne(ctx, g, op.Fleet.Key, m)
+			reply, err := askOne(ctx, g, op.Cluster.Key, m)
 			if err == nil {
 				return reply, nil
 			}
@@ -88,7 +88,7 @@
 	return cluster.Message{}, fmt.Errorf("no gateway answered in %v: %w", f.Timeout, last)
 }
 
-func askOne(ctx context.Context, g config.FleetMember, key []byte, m cluster.Message) (cluster.Message, error) {
+func askOne(ctx context.Context, g config.ClusterMember, key []byte, m cluster.Message) (cluster.Message, error) {
 	one, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	t, err := clustertransport.Call(one, g.Name, g.Address, key)
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -67,9 +67,9 @@
 	var reply simprotocol.Reply
 	for _, it := range b.Items {
 		switch it.Kind {
-		case simprotocol.Stop:
+		case simprotocol.ItemStop:
 			delete(h.directors, it.Director)
-		case simprotocol.Start:
+		case simprotocol.ItemStart:
 			d, err := routing.New(it.Settings, it.Seed)
 			if err != nil {
 				delete(h.directors, it.Director)
@@ -77,7 +77,7 @@
 				continue
 			}
 			h.directors[it.Director] = d
-		case simprotocol.Event:
+		case simprotocol.ItemEvent:
 			d := h.directors[it.Director]
 			if d == nil {
 				continue // it was killed, or never started
@@ -100,7 +100,7 @@
 	}()
 	h.actions = d.Handle(b.Now, it.Event, h.actions[:0])
 	for _, a := range h.actions {
-		if err := reply.Add(it.Director, a); err != nil {
+		if err := reply.AddAction(it.Director, a); err != nil {
 			return err
 		}
 	}
--- a/gateway/admission.go
+++ b/gateway/admission.go
@@ -15,9 +15,9 @@
 
 // The fronts.
 const (
-	Platform Front = iota
-	Signed
-	Host // a program that has the gateway built in
+	PlatformFront Front = iota
+	SignedFront
+	EmbeddedFront // a program that has the gateway built in
 	fronts
 )
 
@@ -51,7 +51,7 @@
 	Load LoadCounters
 }
 
-// Client is whoever a request's answer goes to, where that may be slow to take it. It is made by [Gateway.Join].
+// Client is whoever a request's answer goes to, where that may be slow to take it. It is made by [Gateway.AddClient].
 type Client struct {
 	part    *overload.Client
 	waiting func() int64
@@ -86,19 +86,19 @@
 	g.pulse = overload.NewPulse(c.Tick, c.StallLeast)
 	g.memory = overload.NewMemory(c.Memory)
 	hist := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2) }
-	g.Load = LoadCounters{Waits: hist(), Delays: hist(), Behind: hist()}
+	g.Load = LoadCounters{QueueWait: hist(), LoopDelay: hist(), PollerLag: hist()}
 	l := g.cfg.Loop
 	l.low, l.late = g.work, g.late
-	l.delays = func(d time.Duration) { _ = g.Load.Delays.RecordValue(d.Microseconds()) }
+	l.delays = func(d time.Duration) { _ = g.Load.LoopDelay.RecordValue(d.Microseconds()) }
 	g.ticked = time.Now()
 	l.Post(g.beat)
 	return nil
 }
 
-// Try says whether a request may come in, as soon as its class, its repeat mark and its id are known; if not, its
+// Admit says whether a request may come in, as soon as its class, its repeat mark and its id are known; if not, its
 // client is to be told so, and when to come back. It may be called from any goroutine. A request that was let in
 // carries Admitted.
-func (g *Gateway) Try(f Front, class []byte, repeat bool, id []byte) (later time.Duration, ok bool) {
+func (g *Gateway) Admit(f Front, class []byte, repeat bool, id []byte) (later time.Duration, ok bool) {
 	a := g.admissions.current.Load()
 	later, ok = a.door.Try(int(f), a.order.BandOf(class, repeat), xxhash.Sum64(id))
 	if !g.cfg.Settings.SendRetryAfter {
@@ -107,31 +107,31 @@
 	return later, ok
 }
 
-// Join counts a client in: what waits to be written to it, and how to end it.
-func (g *Gateway) Join(waiting func() int64, close func(error)) *Client {
+// AddClient counts a client in: what waits to be written to it, and how to end it.
+func (g *Gateway) AddClient(waiting func() int64, close func(error)) *Client {
 	c := &Client{waiting: waiting, close: close}
 	c.part = g.memory.Join(c)
 	return c
 }
 
-// Leave counts a client out. A nil one is none.
-func (g *Gateway) Leave(c *Client) {
+// RemoveClient counts a client out. A nil one is none.
+func (g *Gateway) RemoveClient(c *Client) {
 	if c != nil {
 		g.memory.Leave(c.part)
 	}
 }
 
-// Level is the share of the offer that is shed, 0 to 1, over the last tenths of a second.
-func (g *Gateway) Level() float64 { return g.ruler.Level() }
+// ShedShare is the share of the offer that is shed, 0 to 1, over the last tenths of a second.
+func (g *Gateway) ShedShare() float64 { return g.ruler.Level() }
 
-// Weight is the weight that balancers are to give the gateway, in percent.
-func (g *Gateway) Weight() int { return g.health.Weight() }
+// BalancerWeight is the weight that balancers are to give the gateway, in percent.
+func (g *Gateway) BalancerWeight() int { return g.health.Weight() }
 
 // queueUp has a request wait for its turn, or sheds it.
 func (g *Gateway) queueUp(r *Request) {
 	r.band = g.order().Band(r.Class, r.Retry)
 	if !r.Admitted {
-		if later, ok := g.door().Try(int(r.Front), r.band, xxhash.Sum64String(r.Ref)); !ok {
+		if later, ok := g.door().Try(int(r.Front), r.band, xxhash.Sum64String(r.ID)); !ok {
 			g.shed(r, later)
 			return
 		}
@@ -140,12 +140,12 @@
 		g.start(r)
 		return
 	}
-	came := r.Arrived
+	came := r.ArrivedAt
 	if came.IsZero() {
 		came = g.cfg.Loop.Now()
 	}
 	r.place.Value = r
-	g.queue.Push(&r.place, r.band, int(r.Front), g.Clock(came))
+	g.queue.Push(&r.place, r.band, int(r.Front), g.DirectorTime(came))
 }
 
 // shed refuses a request that no store has seen.
@@ -153,7 +153,7 @@
 	if !g.cfg.Settings.SendRetryAfter {
 		later = 0
 	}
-	g.answer(r, Answer{Outcome: Refused, RetryAfter: later, Harmless: true})
+	g.answer(r, Answer{Outcome: Rejected, RetryAfter: later, Retryable: true})
 }
 
 // later is the advice for a request that is shed after it came in.
@@ -161,65 +161,65 @@
 	if !g.cfg.Settings.SendRetryAfter {
 		return 0
 	}
-	return overload.Spread(g.ruler.Later(), xxhash.Sum64String(r.Ref))
+	return overload.Spread(g.ruler.Later(), xxhash.Sum64String(r.ID))
 }
 
-// Turn is the place of work that a front has to do before it can submit a request, such as checking its token. Its zero
+// QueuedWork is the place of work that a front has to do before it can submit a request, such as checking its token. Its zero
 // value waits for nothing.
-type Turn struct {
+type QueuedWork struct {
 	place overload.Item
 	class string
 	band  int
 	run   func(late bool)
 }
 
-// Wait has f run as soon as a request of that class, come at that time, would have its turn: the work that a front does
+// Enqueue has f run as soon as a request of that class, come at that time, would have its turn: the work that a front does
 // for its requests takes no more of the loop than its share. late says that it has waited for too long: the request is
 // to be refused. The request that f submits is to be Admitted, and begins at once.
-func (g *Gateway) Wait(t *Turn, front Front, class string, came time.Time, f func(late bool)) {
+func (g *Gateway) Enqueue(t *QueuedWork, front Front, class string, came time.Time, f func(late bool)) {
 	t.class, t.band, t.run = class, g.order().Band(class, false), f
 	t.place.Value = t
-	g.queue.Push(&t.place, t.band, int(front), g.Clock(came))
+	g.queue.Push(&t.place, t.band, int(front), g.DirectorTime(came))
 }
 
-// WaitToRefuse has f run for a request that is to be shed, where that takes work: at once if nothing else waits, and
+// EnqueueRejection has f run for a request that is to be shed, where that takes work: at once if nothing else waits, and
 // soon in any case. Guards against clients that come back at once with what is refused: refusing them took all of the
 // time, and ever less was served.
-func (g *Gateway) WaitToRefuse(t *Turn, front Front, f func()) {
+func (g *Gateway) EnqueueRejection(t *QueuedWork, front Front, f func()) {
 	t.run = func(bool) { f() }
 	t.place.Value = t
 	g.spare.Push(&t.place, 0, int(front), g.now())
 }
 
-// Withdraw takes a turn back. One that does not wait is left alone.
-func (g *Gateway) Withdraw(t *Turn) {
+// CancelQueued takes a turn back. One that does not wait is left alone.
+func (g *Gateway) CancelQueued(t *QueuedWork) {
 	g.queue.Remove(&t.place)
 	g.spare.Remove(&t.place)
 }
 
-// Later is what a request of a client is told that is refused for load, spread by the client's part of the draw.
-func (g *Gateway) Later(ref string) time.Duration { return g.later(&Request{Ref: ref}) }
+// RetryAfter is what a request of a client is told that is refused for load, spread by the client's part of the draw.
+func (g *Gateway) RetryAfter(ref string) time.Duration { return g.later(&Request{ID: ref}) }
 
 // work gives the next request its turn, and says whether more wait. It is done when nothing else is to be.
 func (g *Gateway) work() bool {
 	now := g.now()
 	for i := g.spare.Expired(now); i != nil; i = g.spare.Expired(now) {
-		i.Value.(*Turn).run(true)
+		i.Value.(*QueuedWork).run(true)
 	}
 	if g.queue.Len() == 0 {
 		if i := g.spare.Pop(); i != nil {
-			i.Value.(*Turn).run(true)
+			i.Value.(*QueuedWork).run(true)
 		}
 		return g.spare.Len() > 0
 	}
 	for i := g.queue.Expired(now); i != nil; i = g.queue.Expired(now) {
-		g.Load.Overdue++
+		g.Load.QueueTimeouts++
 		g.sample.Oldest = max(g.sample.Oldest, g.queue.Limit(now))
 		switch v := i.Value.(type) {
 		case *Request:
 			g.sample.Expired += g.order().Cost(v.band)
 			g.shed(v, g.later(v))
-		case *Turn:
+		case *QueuedWork:
 			g.sample.Expired += g.order().Cost(v.band)
 			v.run(true)
 		}
@@ -229,9 +229,9 @@
 		return false
 	}
 	waited := g.queue.Waited(i, now)
-	_ = g.Load.Waits.RecordValue(waited.Microseconds())
+	_ = g.Load.QueueWait.RecordValue(waited.Microseconds())
 	g.sample.Oldest = max(g.sample.Oldest, waited)
-	if t, ok := i.Value.(*Turn); ok {
+	if t, ok := i.Value.(*QueuedWork); ok {
 		g.sample.Started += g.order().Cost(t.band)
 		g.turning = true
 		t.run(false)
@@ -267,7 +267,7 @@
 	g.unreserve(r, size)
 	if r.Client != nil {
 		g.memory.Waiting(r.Client.part, r.Client.waiting(), int64(max(0, size)))
-		g.Load.Peak = max(g.Load.Peak, g.memory.Used())
+		g.Load.PeakAnswerBytes = max(g.Load.PeakAnswerBytes, g.memory.Used())
 	}
 }
 
--- a/gateway/admission_test.go
+++ b/gateway/admission_test.go
@@ -34,7 +34,7 @@
 	go h.loop.Run()
 	t.Cleanup(h.loop.Close)
 	h.on(func() {
-		h.g.Members(routing.EndpointUpdate{Endpoints: []routing.Endpoint{{ID: "c", Zone: "here", Kind: "box"}, {ID: "o", Zone: "here", Kind: "origin"}}})
+		h.g.UpdateEndpoints(routing.EndpointUpdate{Endpoints: []routing.Endpoint{{ID: "c", Zone: "here", Kind: "box"}, {ID: "o", Zone: "here", Kind: "origin"}}})
 	})
 	return h
 }
@@ -47,7 +47,7 @@
 }
 
 func (h *host) request(ref, class string) *gateway.Request {
-	return &gateway.Request{Ref: ref, Class: class, Object: ref, Deadline: time.Now().Add(5 * time.Second),
+	return &gateway.Request{ID: ref, Class: class, Object: ref, Deadline: time.Now().Add(5 * time.Second),
 		Answer: func(a gateway.Answer) { h.answers <- a }}
 }
 
@@ -55,14 +55,14 @@
 func TestWhoWaitsForTooLongIsRefused(t *testing.T) {
 	h := newHost(t, overload.Config{Wait: 50 * time.Millisecond})
 	old := h.request("old", "page")
-	old.Arrived = time.Now().Add(-time.Second)
+	old.ArrivedAt = time.Now().Add(-time.Second)
 	h.on(func() { h.g.Submit(old) })
-	if a := <-h.answers; a.Outcome != gateway.Refused || !a.Harmless || a.RetryAfter <= 0 || a.RetryAfter > 2*time.Second {
+	if a := <-h.answers; a.Outcome != gateway.Rejected || !a.Retryable || a.RetryAfter <= 0 || a.RetryAfter > 2*time.Second {
 		t.Errorf("%+v", a)
 	}
 	h.on(func() {
-		if len(h.sent) > 0 || h.g.Load.Overdue != 1 || h.g.Open() != 0 {
-			t.Errorf("%d were sent, %d overdue, %d open", len(h.sent), h.g.Load.Overdue, h.g.Open())
+		if len(h.sent) > 0 || h.g.Load.QueueTimeouts != 1 || h.g.OpenRequests() != 0 {
+			t.Errorf("%d were sent, %d overdue, %d open", len(h.sent), h.g.Load.QueueTimeouts, h.g.OpenRequests())
 		}
 	})
 }
@@ -82,14 +82,14 @@
 			if len(h.sent) > 0 {
 				t.Error("new work goes before an answer that has come")
 			}
-			h.g.Ended(first, gateway.Result{Status: routing.OK, Body: []byte("x")})
+			h.g.AttemptEnded(first, gateway.Result{Status: routing.OK, Body: []byte("x")})
 		})
 	})
 	if a := <-h.answers; a.Outcome != gateway.Served {
 		t.Errorf("%+v", a)
 	}
 	if a, b := <-h.sent, <-h.sent; a.Request != order || b.Request != page {
-		t.Errorf("%s went before %s", a.Request.Ref, b.Request.Ref)
+		t.Errorf("%s went before %s", a.Request.ID, b.Request.ID)
 	}
 	h.on(func() {
 		if len(h.sent) > 0 {
@@ -106,7 +106,7 @@
 	closed := false
 	var slow *gateway.Client
 	h.on(func() {
-		slow = h.g.Join(func() int64 { return unread }, func(error) { closed = true })
+		slow = h.g.AddClient(func() int64 { return unread }, func(error) { closed = true })
 	})
 	ask := func(ref string, c *gateway.Client, size int) gateway.Answer {
 		r := h.request(ref, "page")
@@ -118,7 +118,7 @@
 				if c == slow {
 					unread += int64(size)
 				}
-				h.g.Ended(a, gateway.Result{Status: routing.OK, Body: make([]byte, size)})
+				h.g.AttemptEnded(a, gateway.Result{Status: routing.OK, Body: make([]byte, size)})
 			})
 		case a := <-h.answers: // it was refused before it was sent
 			return a
@@ -127,9 +127,9 @@
 	}
 	var quick *gateway.Client
 	h.on(func() {
-		quick = h.g.Join(func() int64 { return 0 }, func(error) { t.Error("a client that reads is closed") })
+		quick = h.g.AddClient(func() int64 { return 0 }, func(error) { t.Error("a client that reads is closed") })
 	})
-	if a := ask("long", quick, 130<<10); a.Outcome != gateway.Refused || !a.Harmless {
+	if a := ask("long", quick, 130<<10); a.Outcome != gateway.Rejected || !a.Retryable {
 		t.Errorf("an answer longer than the memory: %v", a.Outcome)
 	}
 	if a := ask("short", quick, 50<<10); a.Outcome != gateway.Served {
@@ -138,13 +138,13 @@
 	if a := ask("first", slow, 90<<10); a.Outcome != gateway.Served { // and it stays unread
 		t.Errorf("%v", a.Outcome)
 	}
-	if a := ask("second", slow, 0); a.Outcome != gateway.Refused {
+	if a := ask("second", slow, 0); a.Outcome != gateway.Rejected {
 		t.Errorf("to one that leaves much unread: %v", a.Outcome)
 	}
 	if a := ask("beside", quick, 20<<10); a.Outcome != gateway.Served {
 		t.Errorf("beside one that leaves much unread: %v", a.Outcome)
 	}
-	h.on(func() { h.g.Leave(slow); h.g.Leave(slow) })
+	h.on(func() { h.g.RemoveClient(slow); h.g.RemoveClient(slow) })
 	if closed {
 		t.Error("closed without need")
 	}
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -49,9 +49,9 @@
 	return e
 }
 
-// Hold says which stores nothing new may be sent to from now on, nor be named as a source. Those that were held before and are
+// DrainEndpoints says which stores nothing new may be sent to from now on, nor be named as a source. Those that were held before and are
 // not named any more are what the list says.
-func (g *Gateway) Hold(stores map[string]bool) {
+func (g *Gateway) DrainEndpoints(stores map[string]bool) {
 	was := g.hold.held
 	g.hold.held = maps.Clone(stores)
 	var changed []routing.Endpoint
@@ -74,15 +74,15 @@
 	g.handleAll(m)
 }
 
-// Quiet says that no attempt is out at any of the stores, nor one that names one of them as its source.
-func (g *Gateway) Quiet(stores map[string]bool) bool {
+// NoAttemptsAt says that no attempt is out at any of the stores, nor one that names one of them as its source.
+func (g *Gateway) NoAttemptsAt(stores map[string]bool) bool {
 	if len(stores) == 0 {
 		return true
 	}
 	for _, all := range []map[string]*Request{g.requests, g.over} {
 		for _, r := range all {
 			for _, a := range r.attempts {
-				if !a.ended && (stores[a.Server] || a.Source != "" && stores[a.Source]) {
+				if !a.ended && (stores[a.Endpoint] || a.FillSource != "" && stores[a.FillSource]) {
 					return false
 				}
 			}
@@ -91,12 +91,12 @@
 	return true
 }
 
-// Observed is what the gateway knows of the stores on its list, and why now is no time to take one out; empty: nothing speaks
+// ObservedEndpoints is what the gateway knows of the stores on its list, and why now is no time to take one out; empty: nothing speaks
 // against it.
-func (g *Gateway) Observed() (stores []routing.Observed, strain string) {
+func (g *Gateway) ObservedEndpoints() (stores []routing.Observed, strain string) {
 	now := g.now()
 	stores, strain = g.directors[0].Observe(now)
-	if strain == "" && g.Level() > shedsOver {
+	if strain == "" && g.ShedShare() > shedsOver {
 		strain = "a gateway sheds load"
 	}
 	for i, s := range stores { // as the list has it: what is held is not down for that
@@ -108,16 +108,16 @@
 // shedsOver is the share of the offer that may be shed without holding work back.
 const shedsOver = 0.05
 
-// StartedAt is the Unix time of a store's start on the director's clock; zero: long ago.
-func (g *Gateway) StartedAt(boot time.Duration) time.Time {
+// IncarnationTime is the Unix time of a store's start on the director's clock; zero: long ago.
+func (g *Gateway) IncarnationTime(boot time.Duration) time.Time {
 	if boot <= 0 {
 		return time.Time{}
 	}
 	return g.base.Add(boot - g.baseUnix)
 }
 
-// News counts the lists and purges that the gateway was told by its journal.
-func (g *Gateway) News() int { return g.hold.news + int(g.Counters.Purges) }
+// WatchEvents counts the lists and purges that the gateway was told by its journal.
+func (g *Gateway) WatchEvents() int { return g.hold.news + int(g.Counters.Purges) }
 
-// Listed are the stores as the list has them. They are not to be changed.
-func (g *Gateway) Listed() map[string]routing.Endpoint { return g.hold.list }
+// ListedEndpoints are the stores as the list has them. They are not to be changed.
+func (g *Gateway) ListedEndpoints() map[string]routing.Endpoint { return g.hold.list }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -21,22 +21,22 @@
 	Settings routing.Settings
 	Seed     uint64 // of all that is drawn; 0: it is drawn itself
 	Backend  Backend
-	Peers    Peers // nil: none
+	Gossip   GossipSender // nil: none
 	// Permit says whether a store may be sent to, or be named as a source, at this moment; it goes beside the list, and the
 	// more cautious of the two holds. nil: any may.
-	Permit   func(store string) bool
-	Log      logrus.FieldLogger
-	Tiers    *locality.Config // localities that requests may go to, the own one first; its Bands and Seed are filled in. nil: the own one only
-	ToldKB   float64          // what a KB of a request's told size counts for in Settings.FlowKBps; 0: 1
-	MaxOpen  int              // requests open at once; further ones are refused. 0: no limit
-	MaxBytes int              // bytes of bodies held at once; further requests are refused. 0: no limit
+	MayForward      func(store string) bool
+	Log             logrus.FieldLogger
+	Localities      *locality.Config // localities that requests may go to, the own one first; its Bands and Seed are filled in. nil: the own one only
+	SizeScale       float64          // what a KB of a request's told size counts for in Settings.FlowKBps; 0: 1
+	MaxOpenRequests int              // requests open at once; further ones are refused. 0: no limit
+	MaxBodyBytes    int              // bytes of bodies held at once; further requests are refused. 0: no limit
 
 	// Overload says how the gateway keeps from falling behind. Its Classes, Fronts and LaterMost are filled in from
 	// Settings.
 	Overload overload.Config
 	// Echo has its function called, from anywhere, once whatever reads what comes has read all that came before. It
 	// tells by how much that is behind. nil: it never is.
-	Echo func(func())
+	ReadBarrier func(func())
 }
 
 // Gateway runs a director, or one for each of its localities. Its methods may be called only on its loop.
@@ -51,8 +51,8 @@
 	refs     map[string]*Request // the same, by their clients' ids
 	over     map[string]*Request // those answered that have attempts out
 	serial   uint64
-	held     int                  // bytes of request bodies held
-	outcomes map[string]*Outcomes // by class
+	held     int                       // bytes of request bodies held
+	outcomes map[string]*ClassOutcomes // by class
 
 	events  []event
 	running bool
@@ -73,29 +73,29 @@
 
 // Counters count what a gateway takes in and gives out.
 type Counters struct {
-	Taken    uint64              // requests taken in
-	Answered [Expired + 1]uint64 // final answers, by outcome
-	Gone     uint64              // requests whose client left first
-	Attempts uint64              // attempts handed to the backend
-	Ended    [routing.Miss + 1]uint64
-	Withheld uint64 // attempts stopped right before they were written,
-	Held     uint64 // and of them those to machines that are out for work
-	Copied   uint64 // requests with the id of one that was open
-	Deserted uint64 // requests whose client was found to have left right before an attempt was written
-	Told     uint64 // messages to peers
-	Heard    uint64 // messages from peers
-	Purges   uint64
-	Panics   uint64 // events that broke the director
+	Submitted       uint64              // requests taken in
+	Answered        [Expired + 1]uint64 // final answers, by outcome
+	ClientsGone     uint64              // requests whose client left first
+	Attempts        uint64              // attempts handed to the backend
+	Ended           [routing.Miss + 1]uint64
+	NotSent         uint64 // attempts stopped right before they were written,
+	NotPermitted    uint64 // and of them those to machines that are out for work
+	DuplicateIDs    uint64 // requests with the id of one that was open
+	GoneBeforeWrite uint64 // requests whose client was found to have left right before an attempt was written
+	GossipSent      uint64 // messages to peers
+	GossipReceived  uint64 // messages from peers
+	Purges          uint64
+	DirectorPanics  uint64 // events that broke the director
 }
 
-// New returns a gateway. It does nothing until [Gateway.Start].
+// New returns a gateway. Nothing runs before its loop does.
 func New(cfg Config) (*Gateway, error) {
 	now := time.Now()
 	if cfg.Seed == 0 { // guards against a fleet that draws alike, and does the same in the same moment
 		cfg.Seed = rand.Uint64()
 	}
 	g := &Gateway{cfg: cfg, base: now, baseUnix: time.Duration(now.UnixNano()),
-		requests: map[string]*Request{}, refs: map[string]*Request{}, over: map[string]*Request{}, outcomes: map[string]*Outcomes{}}
+		requests: map[string]*Request{}, refs: map[string]*Request{}, over: map[string]*Request{}, outcomes: map[string]*ClassOutcomes{}}
 	g.countClasses()
 	if err := g.makePlaces(); err != nil {
 		return nil, err
@@ -106,16 +106,16 @@
 	return g, nil
 }
 
-// Clock turns a time into the director's clock.
-func (g *Gateway) Clock(t time.Time) time.Duration { return g.baseUnix + t.Sub(g.base) }
+// DirectorTime turns a time into the director's clock.
+func (g *Gateway) DirectorTime(t time.Time) time.Duration { return g.baseUnix + t.Sub(g.base) }
 
-func (g *Gateway) now() time.Duration { return g.Clock(g.cfg.Loop.Now()) }
+func (g *Gateway) now() time.Duration { return g.DirectorTime(g.cfg.Loop.Now()) }
 
-// Open is the number of requests that still await their answer.
-func (g *Gateway) Open() int { return len(g.requests) }
+// OpenRequests is the number of requests that still await their answer.
+func (g *Gateway) OpenRequests() int { return len(g.requests) }
 
-// Members tells the director of a list of stores.
-func (g *Gateway) Members(m routing.EndpointUpdate) {
+// UpdateEndpoints tells the director of a list of stores.
+func (g *Gateway) UpdateEndpoints(m routing.EndpointUpdate) {
 	m = g.hold.listed(m)
 	g.listed(m)
 	g.handleAll(m)
@@ -127,9 +127,9 @@
 	g.handleAll(p)
 }
 
-// Heard tells the director of a peer's message.
-func (g *Gateway) Heard(from int, data string) {
-	g.Counters.Heard++
+// ReceiveGossip tells the director of a peer's message.
+func (g *Gateway) ReceiveGossip(from int, data string) {
+	g.Counters.GossipReceived++
 	g.handle(event{Event: routing.GossipReceived{From: from, Data: data}})
 }
 
@@ -137,29 +137,29 @@
 // front abandons the request first.
 func (g *Gateway) Submit(r *Request) {
 	g.serial++
-	r.id = strconv.FormatUint(g.serial, 36)
-	g.Counters.Taken++
+	r.directorID = strconv.FormatUint(g.serial, 36)
+	g.Counters.Submitted++
 	r.class, r.maxAttempts = g.class(r.Class), g.cfg.Settings.MaxAttempts
-	g.requests[r.id] = r
+	g.requests[r.directorID] = r
 	g.held += len(r.Body)
-	if g.cfg.MaxOpen > 0 && len(g.requests) > g.cfg.MaxOpen || g.cfg.MaxBytes > 0 && g.held > g.cfg.MaxBytes {
-		g.answer(r, Answer{Outcome: Refused, RetryAfter: g.cfg.Settings.MaxRetryAfter, Harmless: true})
+	if g.cfg.MaxOpenRequests > 0 && len(g.requests) > g.cfg.MaxOpenRequests || g.cfg.MaxBodyBytes > 0 && g.held > g.cfg.MaxBodyBytes {
+		g.answer(r, Answer{Outcome: Rejected, RetryAfter: g.cfg.Settings.MaxRetryAfter, Retryable: true})
 		return
 	}
 	// Guards the request that has the id: to stores both would be one, of which a second attempt is out. An id is new with
 	// each request, so the later one is a copy; unless the earlier one's client has left, and asks anew.
-	if old := g.refs[r.Ref]; old != nil && (old.There == nil || old.There()) {
-		g.Counters.Copied++
+	if old := g.refs[r.ID]; old != nil && (old.ClientConnected == nil || old.ClientConnected()) {
+		g.Counters.DuplicateIDs++
 		g.answer(r, Answer{Outcome: Failed})
 		return
 	} else if old != nil {
 		g.Abandon(old)
 	}
-	if r.Ref != "" {
-		g.refs[r.Ref] = r
+	if r.ID != "" {
+		g.refs[r.ID] = r
 	}
 	// Guards the effect rule: without its key a repeat cannot be told from another request.
-	if r.Key == "" && r.keyed() {
+	if r.IdempotencyKey == "" && r.keyed() {
 		g.answer(r, Answer{Outcome: Failed})
 		return
 	}
@@ -187,8 +187,8 @@
 	if r.class != g.class(r.Class) { // others hold by now
 		rules = r.class
 	}
-	g.handle(event{request: r, where: r.where, Event: routing.Request{AdmittedClass: rules, ID: r.id, Class: r.Class, Tenant: r.Tenant,
-		Object: r.Object, Part: r.Part, Group: r.Group, SizeKB: r.SizeKB * cmp.Or(g.cfg.ToldKB, 1), Deadline: g.Clock(r.Deadline), Retry: r.Retry,
+	g.handle(event{request: r, where: r.where, Event: routing.Request{AdmittedClass: rules, ID: r.directorID, Class: r.Class, Tenant: r.Tenant,
+		Object: r.Object, Part: r.Part, Group: r.Group, SizeKB: r.SizeKB * cmp.Or(g.cfg.SizeScale, 1), Deadline: g.DirectorTime(r.Deadline), Retry: r.Retry,
 		Write: !r.safe()}})
 }
 
@@ -197,11 +197,11 @@
 	if r.answered {
 		return
 	}
-	g.Counters.Gone++
+	g.Counters.ClientsGone++
 	g.CountAnswer(r.Class, Answer{Outcome: Failed})
 	g.finish(r)
 	g.unreserve(r, -1)
-	g.handle(event{where: r.where, Event: routing.ClientGone{ID: r.id}})
+	g.handle(event{where: r.where, Event: routing.ClientGone{ID: r.directorID}})
 	g.giveUp(r)
 }
 
@@ -211,8 +211,8 @@
 		return
 	}
 	harmless := r.safe()
-	g.answer(r, Answer{Outcome: Expired, Harmless: harmless, RetryAfter: g.cfg.Settings.MaxRetryAfter / 2})
-	g.handle(event{where: r.where, Event: routing.ClientGone{ID: r.id}})
+	g.answer(r, Answer{Outcome: Expired, Retryable: harmless, RetryAfter: g.cfg.Settings.MaxRetryAfter / 2})
+	g.handle(event{where: r.where, Event: routing.ClientGone{ID: r.directorID}})
 	g.giveUp(r)
 }
 
@@ -261,98 +261,98 @@
 	}
 	r.wakes = nil
 	g.held -= len(r.Body)
-	delete(g.requests, r.id)
-	if g.refs[r.Ref] == r {
-		delete(g.refs, r.Ref)
+	delete(g.requests, r.directorID)
+	if g.refs[r.ID] == r {
+		delete(g.refs, r.ID)
 	}
 	if r.out > 0 {
-		g.over[r.id] = r
+		g.over[r.directorID] = r
 	}
 }
 
-// Clear is asked right before an attempt is written: connecting or queueing took time, in which its store or
+// ConfirmAttempt is asked right before an attempt is written: connecting or queueing took time, in which its store or
 // source may have begun to drain, the object may have been purged, the client may have left, or the deadline may
 // have passed. It brings the attempt up to date, or reports false once it has ended it as not sent.
-func (g *Gateway) Clear(a *Attempt) bool {
+func (g *Gateway) ConfirmAttempt(a *Attempt) bool {
 	if a.ended {
 		return false
 	}
 	// Guards against an attempt that begins for nobody: that its client has left, or cancelled, may be known to its
 	// connection, and wait for its turn on the loop.
-	if r := a.Request; !r.answered && r.There != nil && !r.There() {
-		g.Counters.Deserted++
+	if r := a.Request; !r.answered && r.ClientConnected != nil && !r.ClientConnected() {
+		g.Counters.GoneBeforeWrite++
 		g.Abandon(r)
 		return false
 	}
-	age, ok := g.directors[a.where].RecheckAttempt(g.now(), a.Request.id, a.number)
-	if p := g.cfg.Permit; p != nil && !(p(a.Server) && (a.Source == "" || p(a.Source))) {
+	age, ok := g.directors[a.where].RecheckAttempt(g.now(), a.Request.directorID, a.number)
+	if p := g.cfg.MayForward; p != nil && !(p(a.Endpoint) && (a.FillSource == "" || p(a.FillSource))) {
 		ok = false
-		g.Counters.Held++
+		g.Counters.NotPermitted++
 	}
-	if !ok || a.Request.answered || !a.Expiry.After(g.cfg.Loop.Now()) {
-		g.Counters.Withheld++
-		g.Ended(a, Result{Status: routing.NotSent})
+	if !ok || a.Request.answered || !a.Deadline.After(g.cfg.Loop.Now()) {
+		g.Counters.NotSent++
+		g.AttemptEnded(a, Result{Status: routing.NotSent})
 		return false
 	}
 	a.MaxAge = age
 	return true
 }
 
-// Ended takes in how an attempt ended. The first success is the request's answer.
-func (g *Gateway) Ended(a *Attempt, res Result) {
+// AttemptEnded takes in how an attempt ended. The first success is the request's answer.
+func (g *Gateway) AttemptEnded(a *Attempt, res Result) {
 	if a.ended {
 		return
 	}
 	r := a.Request
 	now := g.cfg.Loop.Now()
-	if res.At.IsZero() || res.At.After(now) {
-		res.At = now
+	if res.ReceivedAt.IsZero() || res.ReceivedAt.After(now) {
+		res.ReceivedAt = now
 	}
 	a.ended = true
 	a.timer.Stop()
 	g.Counters.Ended[res.Status]++
 	if r.out--; r.out == 0 {
-		delete(g.over, r.id)
+		delete(g.over, r.directorID)
 	}
 	size := float64(len(res.Body)) / 1000
 	if res.Status == routing.OK && !r.answered {
-		ans := Answer{Outcome: Served, Body: res.Body, Tag: res.Tag}
-		if res.Unchanged {
-			ans.Outcome = Unchanged
+		ans := Answer{Outcome: Served, Body: res.Body, ETag: res.ETag}
+		if res.NotModified {
+			ans.Outcome = NotModified
 		}
-		if res.Dropped {
+		if res.BodyDropped {
 			ans = Answer{Outcome: Failed}
 			if r.safe() {
-				ans = Answer{Outcome: Refused, RetryAfter: g.later(r), Harmless: true}
+				ans = Answer{Outcome: Rejected, RetryAfter: g.later(r), Retryable: true}
 			}
 			g.Load.NoMemory++
 		} else if r.Client != nil && r.safe() && !g.memory.Fits(r.Client.part, len(res.Body)) {
 			// It is longer than expected, and there is no memory for it until others have been read.
 			g.Load.NoMemory++
-			ans = Answer{Outcome: Refused, RetryAfter: g.later(r), Harmless: true}
+			ans = Answer{Outcome: Rejected, RetryAfter: g.later(r), Retryable: true}
 			g.unreserve(r, len(res.Body))
 		}
-		keeps := r.Keeps
+		keeps := r.RetainsBody
 		g.answer(r, ans)
 		if keeps {
-			res.Free = nil
+			res.ReleaseBody = nil
 		}
 	}
-	if res.Free != nil {
-		res.Free()
+	if res.ReleaseBody != nil {
+		res.ReleaseBody()
 	}
 	// The time ends when the answer came, and leaves out stalls of this program: neither is the store's doing.
 	g.seen(a, res)
-	g.handle(event{where: a.where, Event: routing.AttemptResult{ID: r.id, Attempt: a.number, Endpoint: a.Server, Status: res.Status,
-		Reason: res.Note, Final: r.answered, Latency: max(0, res.At.Sub(a.sent)-(g.lost-a.lost)), FillWait: res.FillWait, LoadReport: res.Load,
-		CollateralReset: res.Along, SizeKB: size}})
+	g.handle(event{where: a.where, Event: routing.AttemptResult{ID: r.directorID, Attempt: a.number, Endpoint: a.Endpoint, Status: res.Status,
+		Reason: res.Reason, Final: r.answered, Latency: max(0, res.ReceivedAt.Sub(a.sent)-(g.lost-a.lost)), FillWait: res.FillWait, LoadReport: res.LoadReport,
+		CollateralReset: res.CollateralReset, SizeKB: size}})
 }
 
 // cancel stops waiting for an attempt and says how it ended.
 func (g *Gateway) cancel(a *Attempt, as routing.Status) {
 	if !a.ended {
 		g.cfg.Backend.Cancel(a)
-		g.Ended(a, Result{Status: as})
+		g.AttemptEnded(a, Result{Status: as})
 	}
 }
 
@@ -378,7 +378,7 @@
 func (g *Gateway) decide(e event) (actions []routing.Action) {
 	defer func() {
 		if p := recover(); p != nil {
-			g.Counters.Panics++
+			g.Counters.DirectorPanics++
 			g.cfg.Log.WithField("event", fmt.Sprintf("%T", e.Event)).Errorf("the director broke: %v\n%s", p, debug.Stack())
 			actions = nil
 			if e.request != nil {
@@ -398,7 +398,7 @@
 		if g.move(a.ID, where) {
 			return
 		}
-		g.close(a.ID, Answer{Outcome: Refused, RetryAfter: a.RetryAfter, Harmless: true})
+		g.close(a.ID, Answer{Outcome: Rejected, RetryAfter: a.RetryAfter, Retryable: true})
 	case routing.Fail:
 		if r := g.requests[a.ID]; r != nil && r.where == where { // guards against a word of a director that it has left
 			g.close(a.ID, Answer{Outcome: Failed})
@@ -417,9 +417,9 @@
 			r.wakes = append(r.wakes, t)
 		}
 	case routing.SendGossip:
-		if g.cfg.Peers != nil {
-			g.Counters.Told++
-			g.cfg.Peers.Tell(a.To, a.Data)
+		if g.cfg.Gossip != nil {
+			g.Counters.GossipSent++
+			g.cfg.Gossip.SendGossip(a.To, a.Data)
 		}
 	case routing.Log:
 		g.cfg.Log.Info(a.Text)
@@ -447,22 +447,22 @@
 		return
 	}
 	now := g.cfg.Loop.Now()
-	at := &Attempt{Request: r, Server: a.Endpoint, Source: a.FillSource, Keep: a.CacheRank, MaxAge: a.MaxAge, Join: a.Coalesce,
-		Held: a.OnlyIfCached, NoCopy: a.NoParentCopy, Renew: a.RefreshAhead, Expiry: r.Deadline, number: len(r.attempts) - r.first, where: where,
+	at := &Attempt{Request: r, Endpoint: a.Endpoint, FillSource: a.FillSource, CacheRank: a.CacheRank, MaxAge: a.MaxAge, Coalesce: a.Coalesce,
+		OnlyIfCached: a.OnlyIfCached, NoParentCopy: a.NoParentCopy, RefreshAhead: a.RefreshAhead, Deadline: r.Deadline, number: len(r.attempts) - r.first, where: where,
 		sent: now, lost: g.lost}
 	if a.FillSource == a.Endpoint {
-		at.Source = ""
+		at.FillSource = ""
 	}
-	if a.Timeout > 0 && now.Add(a.Timeout).Before(at.Expiry) {
-		at.Expiry = now.Add(a.Timeout)
+	if a.Timeout > 0 && now.Add(a.Timeout).Before(at.Deadline) {
+		at.Deadline = now.Add(a.Timeout)
 	}
 	r.attempts = append(r.attempts, at)
 	r.out++
 	g.Counters.Attempts++
-	at.timer = g.cfg.Loop.At(at.Expiry, func() { g.cancel(at, routing.TimedOut) })
+	at.timer = g.cfg.Loop.At(at.Deadline, func() { g.cancel(at, routing.TimedOut) })
 	g.went(at)
 	if most := r.maxAttempts; most > 0 && len(r.attempts) > most { // of several directors together
-		g.Ended(at, Result{Status: routing.NotSent})
+		g.AttemptEnded(at, Result{Status: routing.NotSent})
 		return
 	}
 	g.cfg.Backend.Send(at)
@@ -495,10 +495,10 @@
 var statusNames = [...]string{"ok", "error", "turned_away", "timed_out", "not_connected", "reset", "cancelled",
 	"not_sent", "miss"}
 
-// All returns the counters by name.
-func (c *Counters) All() map[string]uint64 {
-	all := map[string]uint64{"taken": c.Taken, "gone": c.Gone, "attempts": c.Attempts, "withheld": c.Withheld, "held_out": c.Held, "deserted": c.Deserted, "copied": c.Copied,
-		"told": c.Told, "heard": c.Heard, "purges": c.Purges, "panics": c.Panics}
+// ByName returns the counters by name.
+func (c *Counters) ByName() map[string]uint64 {
+	all := map[string]uint64{"taken": c.Submitted, "gone": c.ClientsGone, "attempts": c.Attempts, "withheld": c.NotSent, "held_out": c.NotPermitted, "deserted": c.GoneBeforeWrite, "copied": c.DuplicateIDs,
+		"told": c.GossipSent, "heard": c.GossipReceived, "purges": c.Purges, "panics": c.DirectorPanics}
 	for i, n := range c.Answered {
 		all["answered_"+Outcome(i).String()] = n
 	}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -35,13 +35,13 @@
 		<-done
 	}
 	members := func(phase routing.Phase) {
-		g.Members(routing.EndpointUpdate{Endpoints: []routing.Endpoint{{ID: "c", Zone: "here", Kind: "box", Phase: phase},
+		g.UpdateEndpoints(routing.EndpointUpdate{Endpoints: []routing.Endpoint{{ID: "c", Zone: "here", Kind: "box", Phase: phase},
 			{ID: "o", Zone: "here", Kind: "origin"}}})
 	}
 	answers := make(chan gateway.Answer, 10)
 	submit := func() (a *gateway.Attempt) {
 		on(func() {
-			g.Submit(&gateway.Request{Ref: "r", Class: "page", Object: "x", Deadline: time.Now().Add(5 * time.Second),
+			g.Submit(&gateway.Request{ID: "r", Class: "page", Object: "x", Deadline: time.Now().Add(5 * time.Second),
 				Answer: func(a gateway.Answer) { answers <- a }})
 		})
 		return <-b.sent
@@ -50,11 +50,11 @@
 	a := submit()
 	on(func() {
 		g.Purge(routing.Purge{Object: "x", Age: time.Second})
-		if !g.Clear(a) || a.MaxAge < 900*time.Millisecond || a.MaxAge > 5*time.Second {
+		if !g.ConfirmAttempt(a) || a.MaxAge < 900*time.Millisecond || a.MaxAge > 5*time.Second {
 			t.Errorf("after a purge: age limit %v", a.MaxAge)
 		}
-		g.Ended(a, gateway.Result{Status: routing.OK, Body: []byte("x")})
-		g.Ended(a, gateway.Result{Status: routing.OK, Body: []byte("y")}) // a second end changes nothing
+		g.AttemptEnded(a, gateway.Result{Status: routing.OK, Body: []byte("x")})
+		g.AttemptEnded(a, gateway.Result{Status: routing.OK, Body: []byte("y")}) // a second end changes nothing
 	})
 	if got := <-answers; got.Outcome != gateway.Served || string(got.Body) != "x" {
 		t.Errorf("%+v", got)
@@ -62,7 +62,7 @@
 	a = submit()
 	on(func() {
 		members(routing.Draining)
-		if g.Clear(a) {
+		if g.ConfirmAttempt(a) {
 			t.Error("a draining store may be written to")
 		}
 	})
@@ -70,8 +70,8 @@
 		t.Errorf("%+v", got)
 	}
 	on(func() {
-		if g.Counters.Withheld != 1 || g.Open() != 0 {
-			t.Errorf("%+v, %d open", g.Counters, g.Open())
+		if g.Counters.NotSent != 1 || g.OpenRequests() != 0 {
+			t.Errorf("%+v, %d open", g.Counters, g.OpenRequests())
 		}
 	})
 }
--- a/gateway/loadvalues.go
+++ b/gateway/loadvalues.go
@@ -8,14 +8,14 @@
 
 // LoadCounters count what the gateway did about load.
 type LoadCounters struct {
-	Overdue   uint64 // requests refused since they had waited for their turn for too long
-	NoMemory  uint64 // refused since their client leaves too many answers unread, or all do
-	SlowEnded uint64 // clients closed since they left answers unread while memory ran short
-	Peak      int64  // most bytes taken by answers on their way
+	QueueTimeouts     uint64 // requests refused since they had waited for their turn for too long
+	NoMemory          uint64 // refused since their client leaves too many answers unread, or all do
+	SlowClientsClosed uint64 // clients closed since they left answers unread while memory ran short
+	PeakAnswerBytes   int64  // most bytes taken by answers on their way
 
-	Waits  *hdrhistogram.Histogram // for a turn, in microseconds
-	Delays *hdrhistogram.Histogram // of the loop: from when something was posted until it ran
-	Behind *hdrhistogram.Histogram // of what reads from connections
+	QueueWait *hdrhistogram.Histogram // for a turn, in microseconds
+	LoopDelay *hdrhistogram.Histogram // of the loop: from when something was posted until it ran
+	PollerLag *hdrhistogram.Histogram // of what reads from connections
 }
 
 // LoadValues are what was seen of load and done about it. Requests that the door shed are told by front and band.
@@ -24,10 +24,10 @@
 		all = append(all, metrics.Value{Name: name, Help: help, Kind: kind, Value: v, Labels: labels})
 	}
 	l := &g.Load
-	add(metrics.Counter, "load_overdue", "Requests refused since they had waited for their turn for too long.", float64(l.Overdue))
+	add(metrics.Counter, "load_overdue", "Requests refused since they had waited for their turn for too long.", float64(l.QueueTimeouts))
 	add(metrics.Counter, "load_no_memory", "Requests refused for want of memory for their answers.", float64(l.NoMemory))
-	add(metrics.Counter, "load_slow_ended", "Clients closed since they left answers unread.", float64(l.SlowEnded))
-	add(metrics.Gauge, "load_memory_peak", "Most bytes that answers on their way have taken.", float64(l.Peak))
+	add(metrics.Counter, "load_slow_ended", "Clients closed since they left answers unread.", float64(l.SlowClientsClosed))
+	add(metrics.Gauge, "load_memory_peak", "Most bytes that answers on their way have taken.", float64(l.PeakAnswerBytes))
 	add(metrics.Gauge, "load_memory", "Bytes that answers on their way take.", float64(g.memory.Used()))
 	add(metrics.Counter, "load_stalls", "Times that the host stood still.", float64(g.pulse.Stalls))
 	add(metrics.Counter, "load_stalled_ms", "Milliseconds that it did.", float64(g.pulse.Lost.Milliseconds()))
@@ -37,13 +37,13 @@
 	for _, h := range []struct {
 		name, help string
 		of         *hdrhistogram.Histogram
-	}{{"load_turn_seconds", "Waits of requests for their turn.", l.Waits},
-		{"load_loop_seconds", "Delay of the loop, from when something is posted until it runs.", l.Delays},
-		{"load_poll_seconds", "Lateness in reading what has come.", l.Behind}} {
-		v := metrics.Value{Name: h.name, Help: h.help, Kind: metrics.Quantiles, Count: uint64(h.of.TotalCount()),
-			Sum: h.of.Mean() * float64(h.of.TotalCount()) / 1e6, At: map[float64]float64{}}
+	}{{"load_turn_seconds", "Waits of requests for their turn.", l.QueueWait},
+		{"load_loop_seconds", "Delay of the loop, from when something is posted until it runs.", l.LoopDelay},
+		{"load_poll_seconds", "Lateness in reading what has come.", l.PollerLag}} {
+		v := metrics.Value{Name: h.name, Help: h.help, Kind: metrics.Summary, Count: uint64(h.of.TotalCount()),
+			Sum: h.of.Mean() * float64(h.of.TotalCount()) / 1e6, Quantiles: map[float64]float64{}}
 		for _, q := range []float64{0.5, 0.99, 0.999, 1} {
-			v.At[q] = float64(h.of.ValueAtQuantile(100*q)) / 1e6
+			v.Quantiles[q] = float64(h.of.ValueAtQuantile(100*q)) / 1e6
 		}
 		all = append(all, v)
 	}
--- a/gateway/localities.go
+++ b/gateway/localities.go
@@ -30,7 +30,7 @@
 // makePlaces makes the directors.
 func (g *Gateway) makePlaces() error {
 	set := g.cfg.Settings
-	if g.cfg.Tiers == nil || len(g.cfg.Tiers.Localities) == 0 {
+	if g.cfg.Localities == nil || len(g.cfg.Localities.Localities) == 0 {
 		d, err := routing.New(set, g.cfg.Seed)
 		if err != nil {
 			return fmt.Errorf("starting the director: %w", err)
@@ -38,7 +38,7 @@
 		g.directors, g.names = []*routing.Director{d}, []string{set.Zone}
 		return nil
 	}
-	cfg := *g.cfg.Tiers
+	cfg := *g.cfg.Localities
 	if own := cfg.Localities[0].Name; own != set.Zone {
 		return fmt.Errorf("gateway: tiers: the first locality is %q, and the own one is %q", own, set.Zone)
 	}
@@ -81,9 +81,9 @@
 	return locality.DefaultTick
 }
 
-// UseTiers takes in new bounds, ramps and weights; the localities must be those of the start. On an error all stays as it
+// ReconfigureLocalities takes in new bounds, ramps and weights; the localities must be those of the start. On an error all stays as it
 // was. It may be called on the loop only.
-func (g *Gateway) UseTiers(cfg locality.Config) error {
+func (g *Gateway) ReconfigureLocalities(cfg locality.Config) error {
 	var names []string
 	for _, l := range cfg.Localities {
 		names = append(names, l.Name)
@@ -94,7 +94,7 @@
 	if err := g.tiers.Use(g.tierBands(cfg)); err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
-	g.cfg.Tiers, g.tierTick = &cfg, tierTick(cfg)
+	g.cfg.Localities, g.tierTick = &cfg, tierTick(cfg)
 	return nil
 }
 
@@ -124,7 +124,7 @@
 	if g.tiers == nil || g.straight(r) {
 		return true
 	}
-	where, later, ok := g.tiers.Pick(g.runningClock(), r.band, xxhash.Sum64String(r.Object), xxhash.Sum64String(r.Ref))
+	where, later, ok := g.tiers.Pick(g.runningClock(), r.band, xxhash.Sum64String(r.Object), xxhash.Sum64String(r.ID))
 	if !ok {
 		g.shed(r, later)
 		return false
@@ -155,8 +155,8 @@
 	now := g.cfg.Loop.Now()
 	refusal := locality.Refusal{From: where, Safe: r.safe(), Moved: r.moved, Attempts: len(r.attempts), Most: r.maxAttempts,
 		Left: r.Deadline.Sub(now)}
-	if !r.Arrived.IsZero() {
-		refusal.Waited = now.Sub(r.Arrived)
+	if !r.ArrivedAt.IsZero() {
+		refusal.Waited = now.Sub(r.ArrivedAt)
 	}
 	if c := r.class; c != nil {
 		refusal.Aim = c.LatencyObjective
@@ -182,20 +182,20 @@
 	if g.tiers == nil || g.straight(a.Request) {
 		return
 	}
-	cache, late, load := g.roster.Cache(a.Server, a.where), false, -1.0
+	cache, late, load := g.roster.Cache(a.Endpoint, a.where), false, -1.0
 	if c := a.Request.class; c != nil && res.Status == routing.OK {
 		aim := c.LatencyObjective + time.Duration(c.ObjectiveStretch*float64(g.cfg.Settings.TransferTime(float64(len(res.Body))/1000)))
-		late = res.At.Sub(a.sent)-(g.lost-a.lost) > aim
+		late = res.ReceivedAt.Sub(a.sent)-(g.lost-a.lost) > aim
 	}
 	if !cache && a.where == 0 {
-		g.tiers.Past(g.runningClock(), locality.Judge(res.Status, true, late, res.Along))
+		g.tiers.Past(g.runningClock(), locality.Judge(res.Status, true, late, res.CollateralReset))
 	}
-	result := locality.Judge(res.Status, cache, late, res.Along)
-	told := cache && res.Status == routing.OK && res.Note != routing.ReasonNone
-	if cache && g.report >= 0 && g.report < len(res.Load) {
-		load = res.Load[g.report]
+	result := locality.Judge(res.Status, cache, late, res.CollateralReset)
+	told := cache && res.Status == routing.OK && res.Reason != routing.ReasonNone
+	if cache && g.report >= 0 && g.report < len(res.LoadReport) {
+		load = res.LoadReport[g.report]
 	}
-	g.tiers.Ended(g.runningClock(), a.where, result, res.Note == routing.ReasonHit || res.Note == routing.ReasonStale, told, load)
+	g.tiers.Ended(g.runningClock(), a.where, result, res.Reason == routing.ReasonHit || res.Reason == routing.ReasonStale, told, load)
 }
 
 // tier sets the shares of the localities anew, when it is time. It is called with each beat.
@@ -209,8 +209,8 @@
 	}
 }
 
-// TierValues are what is decided among localities; none without further ones.
-func (g *Gateway) TierValues() (all []metrics.Value) {
+// LocalityValues are what is decided among localities; none without further ones.
+func (g *Gateway) LocalityValues() (all []metrics.Value) {
 	if g.tiers == nil {
 		return nil
 	}
@@ -239,16 +239,16 @@
 	return all
 }
 
-// Learned copies out what the directors have learned, at most so many listings of each.
-func (g *Gateway) Learned(most int) (all []routing.LearnedState) {
+// ExportLearned copies out what the directors have learned, at most so many listings of each.
+func (g *Gateway) ExportLearned(most int) (all []routing.LearnedState) {
 	for _, d := range g.directors {
 		all = append(all, d.Export(g.now(), most))
 	}
 	return all
 }
 
-// Recall has the directors take in what a snapshot holds. The list of stores must be known.
-func (g *Gateway) Recall(s *warmstart.Snapshot, gateway, settings string) warmstart.ImportReport {
+// ImportSnapshot has the directors take in what a snapshot holds. The list of stores must be known.
+func (g *Gateway) ImportSnapshot(s *warmstart.Snapshot, gateway, settings string) warmstart.ImportReport {
 	all := map[string]*routing.Director{}
 	for i, d := range g.directors {
 		all[g.names[i]] = d
@@ -256,8 +256,8 @@
 	return s.Use(g.now(), gateway, settings, all)
 }
 
-// Remember has the director of a zone take in what neighbours know, for what it is still worth by its age.
-func (g *Gateway) Remember(m routing.LearnedState) (u routing.ImportCounts) {
+// ImportLearned has the director of a zone take in what neighbours know, for what it is still worth by its age.
+func (g *Gateway) ImportLearned(m routing.LearnedState) (u routing.ImportCounts) {
 	for i, d := range g.directors {
 		if g.names[i] == m.Zone {
 			u = d.Import(g.now(), m, warmstart.ConfidenceAt)
@@ -266,8 +266,8 @@
 	return u
 }
 
-// Told is the purge of a name of package purges, so long ago, as a neighbour has it.
-func (g *Gateway) Told(name string, ago time.Duration) {
+// ApplyPeerPurge is the purge of a name of package purges, so long ago, as a neighbour has it.
+func (g *Gateway) ApplyPeerPurge(name string, ago time.Duration) {
 	p := routing.Purge{Object: name, Age: ago}
 	if group, ok := strings.CutPrefix(name, " "); ok {
 		n, err := strconv.Atoi(group)
--- a/gateway/localities_test.go
+++ b/gateway/localities_test.go
@@ -18,7 +18,7 @@
 	h := &host{t: t, loop: gateway.NewLoop(), sent: make(chan *gateway.Attempt, 1000), answers: make(chan gateway.Answer, 1000)}
 	var err error
 	h.g, err = gateway.New(gateway.Config{Loop: h.loop, Backend: backend{h.sent}, Log: logrus.New(),
-		Tiers: &locality.Config{Localities: []locality.Locality{{Name: "here"}, {Name: "there", Level: 1}}, Spill: 1},
+		Localities: &locality.Config{Localities: []locality.Locality{{Name: "here"}, {Name: "there", Level: 1}}, Spill: 1},
 		Settings: routing.Settings{Zone: "here", Zones: []string{"hub", "here", "there"}, ZoneDirectors: []int{0, 1, 1}, Directors: 2,
 			Kinds: []string{"box", "origin"}, ParentKind: -1, OriginKind: 1, ClockStep: time.Millisecond, AllowCoalescing: true, AllowBypass: true,
 			SendRetryAfter: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: 8, CanCancel: true, LoadReportFields: []string{"busy_reqs", "x1"},
@@ -37,7 +37,7 @@
 // list tells of the stores, that there in a phase.
 func (h *host) list(there routing.Phase) {
 	h.on(func() {
-		h.g.Members(routing.EndpointUpdate{Endpoints: []routing.Endpoint{{ID: "c", Zone: "here", Kind: "box"}, {ID: "d", Zone: "there", Kind: "box", Phase: there},
+		h.g.UpdateEndpoints(routing.EndpointUpdate{Endpoints: []routing.Endpoint{{ID: "c", Zone: "here", Kind: "box"}, {ID: "d", Zone: "there", Kind: "box", Phase: there},
 			{ID: "o", Zone: "hub", Kind: "origin"}}})
 	})
 }
@@ -49,8 +49,8 @@
 	for {
 		select {
 		case a := <-h.sent:
-			asked = append(asked, a.Server)
-			h.on(func() { h.g.Ended(a, how[a.Server]) })
+			asked = append(asked, a.Endpoint)
+			h.on(func() { h.g.AttemptEnded(a, how[a.Endpoint]) })
 		case a := <-h.answers:
 			return a, asked
 		case <-time.After(5 * time.Second):
@@ -59,7 +59,7 @@
 	}
 }
 
-var good = gateway.Result{Status: routing.OK, Body: []byte("x"), Note: routing.ReasonHit, Load: []float64{1, 0.4}}
+var good = gateway.Result{Status: routing.OK, Body: []byte("x"), Reason: routing.ReasonHit, LoadReport: []float64{1, 0.4}}
 
 // While the own locality serves, nothing goes elsewhere.
 func TestTheOwnLocalityServes(t *testing.T) {
@@ -84,7 +84,7 @@
 		switch last := asked[max(0, len(asked)-1):]; {
 		case a.Outcome == gateway.Served && len(last) == 1 && last[0] == "d":
 			moved++
-		case a.Outcome != gateway.Refused:
+		case a.Outcome != gateway.Rejected:
 			t.Errorf("%v, asked: %v", a.Outcome, asked)
 		}
 		if len(asked) > 8 {
@@ -115,7 +115,7 @@
 	for i := range 10 {
 		h.on(func() { h.g.Submit(h.request(fmt.Sprint(i), "order")) })
 		a, asked := h.ends(map[string]gateway.Result{"c": good, "d": good, "o": {Status: routing.Reset}})
-		if a.Outcome != gateway.Failed && a.Outcome != gateway.Refused {
+		if a.Outcome != gateway.Failed && a.Outcome != gateway.Rejected {
 			t.Errorf("%v", a.Outcome)
 		}
 		for _, s := range asked {
@@ -136,7 +136,7 @@
 		`"nowhere" is none of the zones`: {{Name: "here"}, {Name: "nowhere", Level: 1}},
 		`Localities[1].Level: 0`:         {{Name: "here"}, {Name: "there"}},
 	} {
-		_, err := gateway.New(gateway.Config{Loop: gateway.NewLoop(), Log: logrus.New(), Tiers: &locality.Config{Localities: l},
+		_, err := gateway.New(gateway.Config{Loop: gateway.NewLoop(), Log: logrus.New(), Localities: &locality.Config{Localities: l},
 			Settings: routing.Settings{Zone: "here", Zones: []string{"here", "there"}, Kinds: []string{"box", "origin"}, ParentKind: -1, OriginKind: 1,
 				Classes: []routing.Class{{Name: "page"}}}})
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -145,10 +145,10 @@
 	}
 	h := newPlaces(t)
 	h.on(func() {
-		if err := h.g.UseTiers(locality.Config{Localities: []locality.Locality{{Name: "here"}}}); err == nil {
+		if err := h.g.ReconfigureLocalities(locality.Config{Localities: []locality.Locality{{Name: "here"}}}); err == nil {
 			t.Error("other localities are taken in while it runs")
 		}
-		if err := h.g.UseTiers(locality.Config{Localities: []locality.Locality{{Name: "here"}, {Name: "there", Level: 1}}, Spill: 0.1}); err != nil {
+		if err := h.g.ReconfigureLocalities(locality.Config{Localities: []locality.Locality{{Name: "here"}, {Name: "there", Level: 1}}, Spill: 0.1}); err != nil {
 			t.Error(err)
 		}
 	})
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -2,21 +2,21 @@
 
 import "larchusher/overload"
 
-// Outcomes counts the final answers to requests of one class, as their clients see them. With those that are open they add up
+// ClassOutcomes counts the final answers to requests of one class, as their clients see them. With those that are open they add up
 // to what was taken: a request whose client left first counts as failed.
-type Outcomes struct {
-	Served  uint64
-	Refused uint64 // trying again is harmless
-	Failed  uint64
+type ClassOutcomes struct {
+	Served   uint64
+	Rejected uint64 // trying again is harmless
+	Failed   uint64
 }
 
 // add counts one final answer.
-func (o *Outcomes) add(a Answer) {
+func (o *ClassOutcomes) add(a Answer) {
 	switch {
-	case a.Outcome == Served || a.Outcome == Unchanged:
+	case a.Outcome == Served || a.Outcome == NotModified:
 		o.Served++
-	case a.Outcome == Refused || a.Harmless:
-		o.Refused++
+	case a.Outcome == Rejected || a.Retryable:
+		o.Rejected++
 	default:
 		o.Failed++
 	}
@@ -34,15 +34,15 @@
 func (g *Gateway) countClasses() {
 	for _, c := range g.cfg.Settings.Classes {
 		if g.outcomes[c.Name] == nil {
-			g.outcomes[c.Name] = &Outcomes{}
+			g.outcomes[c.Name] = &ClassOutcomes{}
 		}
 	}
 }
 
-// Outcomes returns the final answers so far for each class that the settings name or have named, with those
+// OutcomesByClass returns the final answers so far for each class that the settings name or have named, with those
 // refused at the door.
-func (g *Gateway) Outcomes() map[string]Outcomes {
-	all := map[string]Outcomes{}
+func (g *Gateway) OutcomesByClass() map[string]ClassOutcomes {
+	all := map[string]ClassOutcomes{}
 	for class, o := range g.outcomes {
 		all[class] = *o
 	}
@@ -50,7 +50,7 @@
 		for band, n := range g.admissions.sheds(front) {
 			class := overload.ClassOf(band)
 			if o, known := all[class]; known {
-				o.Refused += n
+				o.Rejected += n
 				all[class] = o
 			}
 		}
@@ -58,9 +58,9 @@
 	return all
 }
 
-// Stores returns how many stores are on the list, and how many of those nothing new is sent to at present: they drain, are
+// EndpointCounts returns how many stores are on the list, and how many of those nothing new is sent to at present: they drain, are
 // out for work, or are out of use for their failures.
-func (g *Gateway) Stores() (listed, avoided int) {
+func (g *Gateway) EndpointCounts() (listed, avoided int) {
 	seen, _ := g.directors[0].Observe(g.now())
 	for _, s := range seen {
 		if !s.Usable {
--- a/gateway/pauses.go
+++ b/gateway/pauses.go
@@ -14,10 +14,10 @@
 // late is told of late timers. If the host stood still, what came meanwhile is taken in before any deadline is
 // looked at: answers may lie in the sockets that make it void.
 func (g *Gateway) late(time.Duration) bool {
-	if !g.beaten() || g.cfg.Echo == nil {
+	if !g.beaten() || g.cfg.ReadBarrier == nil {
 		return false
 	}
-	g.cfg.Echo(func() { g.cfg.Loop.Post(g.cfg.Loop.release) })
+	g.cfg.ReadBarrier(func() { g.cfg.Loop.Post(g.cfg.Loop.release) })
 	return true
 }
 
@@ -40,17 +40,17 @@
 // echo asks how late reading is, if anything was offered since it last did. Guards against an overload that no queue
 // shows: what has come lies in the sockets.
 func (g *Gateway) echo(now time.Time) {
-	if n := g.door().Total(); g.cfg.Echo == nil || !g.echoed.IsZero() || n == g.offered {
+	if n := g.door().Total(); g.cfg.ReadBarrier == nil || !g.echoed.IsZero() || n == g.offered {
 		return
 	} else {
 		g.offered = n
 	}
 	g.echoed, g.echoAt = now, g.lost
-	g.cfg.Echo(func() {
+	g.cfg.ReadBarrier(func() {
 		at := time.Now()
 		g.cfg.Loop.Post(func() {
 			by := max(0, at.Sub(now)-(g.lost-g.echoAt))
-			_ = g.Load.Behind.RecordValue(by.Microseconds())
+			_ = g.Load.PollerLag.RecordValue(by.Microseconds())
 			g.behind, g.echoed = max(g.behind, by), time.Time{}
 		})
 	})
@@ -91,7 +91,7 @@
 	if g.ticks++; g.ticks%sweepTicks == 0 {
 		g.health.Update(g.now(), g.ruler.Level())
 		for _, c := range g.memory.Sweep(g.now(), func(p *overload.Client) int64 { return p.Value.(*Client).waiting() }) {
-			g.Load.SlowEnded++
+			g.Load.SlowClientsClosed++
 			c.Value.(*Client).close(errSlow)
 		}
 	}
--- a/gateway/reconfigure.go
+++ b/gateway/reconfigure.go
@@ -67,10 +67,10 @@
 // Classes returns the classes whose requests are served at present, retired ones among them.
 func (g *Gateway) Classes() []routing.Class { return g.cfg.Settings.Classes }
 
-// Reconfigure has other classes and another limit on attempts (0: none) hold for requests that come from now on. Those that
+// ReconfigureClasses has other classes and another limit on attempts (0: none) hold for requests that come from now on. Those that
 // are open keep the rules by which they came. A class that is served and not among the new ones is served on for a short
 // while. On an error all stays as it was.
-func (g *Gateway) Reconfigure(classes []routing.Class, maxAttempts int) error {
+func (g *Gateway) ReconfigureClasses(classes []routing.Class, maxAttempts int) error {
 	if err := routing.CheckClasses(classes); err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
@@ -113,7 +113,7 @@
 	if g.tiers == nil {
 		return nil
 	}
-	return g.tiers.Use(g.tierBands(*g.cfg.Tiers))
+	return g.tiers.Use(g.tierBands(*g.cfg.Localities))
 }
 
 // band ranks what waits for its turn anew.
@@ -122,15 +122,15 @@
 	case *Request:
 		w.band = g.order().Band(w.Class, w.Retry)
 		return w.band
-	case *Turn:
+	case *QueuedWork:
 		w.band = g.order().Band(w.class, false)
 		return w.band
 	}
 	return g.order().Bands() - 1
 }
 
-// PauseCold has nothing sent to cold stores for a time from now; a negative one: until it is called again.
-func (g *Gateway) PauseCold(span time.Duration) {
+// PauseSlowStart has nothing sent to cold stores for a time from now; a negative one: until it is called again.
+func (g *Gateway) PauseSlowStart(span time.Duration) {
 	until := time.Duration(math.MaxInt64)
 	if span >= 0 {
 		until = g.now() + span
--- a/internal/clusternode/host.go
+++ b/internal/clusternode/host.go
@@ -35,7 +35,7 @@
 
 // Host is a running part. It lives on the loop.
 type Host struct {
-	cfg    *config.Fleet
+	cfg    *config.Cluster
 	loop   *gateway.Loop
 	gw     *gateway.Gateway
 	log    logrus.FieldLogger
@@ -60,7 +60,7 @@
 }
 
 // Start starts the part of a gateway. Zone is its own. The gateway must ask Permit before it writes.
-func Start(cfg *config.Fleet, set routing.Settings, gw *gateway.Gateway, loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger) (*Host, error) {
+func Start(cfg *config.Cluster, set routing.Settings, gw *gateway.Gateway, loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger) (*Host, error) {
 	h := &Host{cfg: cfg, loop: loop, gw: gw, log: log.WithField("fleet", cfg.Name), zone: set.Zone, settles: set.PurgeSettleTime, began: time.Now().Add(-time.Second)}
 	bounds := cfg.Bounds
 	longest := time.Duration(0)
@@ -126,7 +126,7 @@
 		}
 		maps.Copy(all, h.shared.held)
 	}
-	h.gw.Hold(all)
+	h.gw.DrainEndpoints(all)
 }
 
 // newLife is a number that no start before had.
@@ -219,14 +219,14 @@
 
 // report is what this gateway has seen of stores, and of itself.
 func (h *Host) report() cluster.Report {
-	stores, strain := h.gw.Observed()
+	stores, strain := h.gw.ObservedEndpoints()
 	r := cluster.Report{Strain: strain, Machines: map[string]maintenance.Machine{}}
 	for _, s := range stores {
 		if s.Kind == "origin" {
 			continue
 		}
 		m := maintenance.Machine{Kind: s.Kind, Zone: s.Zone, Up: s.Up, Warm: s.Warm, Weight: s.Weight, Busy: s.Utilization}
-		if at := h.gw.StartedAt(s.Incarnation); !at.IsZero() {
+		if at := h.gw.IncarnationTime(s.Incarnation); !at.IsZero() {
 			m.BootMs = at.UnixMilli()
 		}
 		r.Machines[s.ID] = m
@@ -237,7 +237,7 @@
 
 // idle tells the node once nothing is out at what is held.
 func (h *Host) idle() {
-	if h.hold.Generation > 0 && h.gw.Quiet(h.hold.Machines) {
+	if h.hold.Generation > 0 && h.gw.NoAttemptsAt(h.hold.Machines) {
 		h.do(cluster.Idle{Generation: h.hold.Generation})
 	}
 }
--- a/internal/clusternode/share.go
+++ b/internal/clusternode/share.go
@@ -31,7 +31,7 @@
 }
 
 func (h *Host) share() error {
-	r := h.cfg.Replicate
+	r := h.cfg.Replication
 	if r == nil {
 		return nil
 	}
@@ -61,13 +61,13 @@
 		case replication.Learned:
 			for _, x := range a.Slots {
 				if x.Kind == replication.Purge { // at once: the own journal may be late
-					s.h.gw.Told(x.Key, s.sharer.Purged(s.h.now(), s.h.gw.Clock(s.h.loop.Now()), x.Key, x.Late))
+					s.h.gw.ApplyPeerPurge(x.Key, s.sharer.Purged(s.h.now(), s.h.gw.DirectorTime(s.h.loop.Now()), x.Key, x.Late))
 				}
 			}
 			s.hold()
 		case replication.CaughtUp:
 			s.caught = &a
-			u := s.h.gw.Remember(s.sharer.Gather(s.h.now(), s.h.gw.Clock(s.h.loop.Now()), s.h.gw.Listed()))
+			u := s.h.gw.ImportLearned(s.sharer.Gather(s.h.now(), s.h.gw.DirectorTime(s.h.loop.Now()), s.h.gw.ListedEndpoints()))
 			s.h.log.WithField("from", a.From).Infof("caught up after %v: %d listings, %d stores and %d purges used of %d slots", a.Took.Round(time.Millisecond), u.Listings, u.Endpoints,
 				u.Purges, s.node.Len())
 		}
@@ -78,11 +78,11 @@
 func (s *sharing) tick() {
 	s.do(replication.Tick{})
 	// What the journal told is told on at once; what is learned by itself, now and then.
-	if now, news := s.h.loop.Now(), s.h.gw.News(); now.Sub(s.told) >= tellEvery || news != s.news {
+	if now, news := s.h.loop.Now(), s.h.gw.WatchEvents(); now.Sub(s.told) >= tellEvery || news != s.news {
 		s.told, s.news = now, news
 		began := time.Now()
-		for _, m := range s.h.gw.Learned(s.h.cfg.Replicate.Listings)[:1] { // of the own zone
-			s.sharer.Publish(s.h.now(), m, s.h.gw.Listed())
+		for _, m := range s.h.gw.ExportLearned(s.h.cfg.Replication.Listings)[:1] { // of the own zone
+			s.sharer.Publish(s.h.now(), m, s.h.gw.ListedEndpoints())
 		}
 		s.hold()
 		s.slow = max(s.slow, time.Since(began))
@@ -91,7 +91,7 @@
 
 // hold has stores drained that a neighbour was told drain, beside those that are out for work.
 func (s *sharing) hold() {
-	held := s.sharer.Holds(s.h.now(), s.h.gw.Listed())
+	held := s.sharer.Holds(s.h.now(), s.h.gw.ListedEndpoints())
 	if maps.Equal(held, s.held) {
 		return
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -38,18 +38,18 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// Shares are the descriptors that each side may hold. They add up to less than the limit.
-type Shares struct{ Stores, Clients, Signed, Checks, Console int }
+// ConnQuotas are the descriptors that each side may hold. They add up to less than the limit.
+type ConnQuotas struct{ Stores, Clients, Signed, Checks, Admin int }
 
-// Shares divides the descriptors up. A third is for stores; what the program needs for itself (poller, listeners,
+// ConnQuotas divides the descriptors up. A third is for stores; what the program needs for itself (poller, listeners,
 // journal, peers, standard streams, a connection that is closed as it comes) is set aside; clients get the rest.
-func (c *Gateway) Shares(signed, checks bool) Shares {
+func (c *Gateway) ConnQuotas(signed, checks bool) ConnQuotas {
 	n := c.Limits.Sockets
-	s := Shares{Stores: n / 3}
+	s := ConnQuotas{Stores: n / 3}
 	s.Clients = n - s.Stores - min(20, n/4)
-	if c.Console != "" {
-		s.Console = min(16, n/16)
-		s.Clients -= s.Console
+	if c.AdminListen != "" {
+		s.Admin = min(16, n/16)
+		s.Clients -= s.Admin
 	}
 	if checks {
 		s.Checks = min(16, n/32)
@@ -73,25 +73,25 @@
 
 // Gateway is the configuration of one gateway.
 type Gateway struct {
-	Name       string          `json:"name"`
-	Listen     string          `json:"listen"`
-	SeedText   string          `json:"seed"`
-	Limits     Limits          `json:"limits"`
-	PeerListen string          `json:"peer_listen"`
-	Peers      []string        `json:"peers"`
-	PeersAll   string          `json:"peers_all"`
-	Journal    string          `json:"journal"`
-	Console    string          `json:"console"` // where operators call; empty: nowhere
-	Known      discovery.Known `json:"known"`
+	Name         string                 `json:"name"`
+	Listen       string                 `json:"listen"`
+	SeedText     string                 `json:"seed"`
+	Limits       Limits                 `json:"limits"`
+	PeerListen   string                 `json:"peer_listen"`
+	Peers        []string               `json:"peers"`
+	PeersAll     string                 `json:"peers_all"`
+	Journal      string                 `json:"journal"`
+	AdminListen  string                 `json:"console"` // where operators call; empty: nowhere
+	InitialState discovery.InitialState `json:"known"`
 	// Top pace of one answer in bytes a second, as it holds on these sockets; 0: settings.familyInfo.streamKbPerS.
 	FlowBytesPerS float64         `json:"flow_bytes_per_s"`
-	Raw           json.RawMessage `json:"settings"`
+	RawSettings   json.RawMessage `json:"settings"`
 
 	// ToldKB is what a KB of a size that clients tell, in the settings' measure, counts for on these sockets.
-	ToldKB float64 `json:"-"`
+	SizeScale float64 `json:"-"`
 
 	// Notes are what was put right while reading, to be logged.
-	Notes []string `json:"-"`
+	Warnings []string `json:"-"`
 
 	Seed     uint64              `json:"-"`
 	Settings routing.Settings    `json:"-"`
@@ -112,7 +112,7 @@
 		return nil, fmt.Errorf("%sCONFIG: %w", environmentPrefix, err)
 	}
 	c, err := Parse(data, Overrides{Name: env(environmentPrefix + "NAME"), Listen: env(environmentPrefix + "LISTEN"),
-		Console: env(environmentPrefix + "CONSOLE")})
+		AdminListen: env(environmentPrefix + "CONSOLE")})
 	if err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
@@ -120,7 +120,7 @@
 }
 
 // Overrides are values of the environment that go before those of the configuration's file. Empty ones do not.
-type Overrides struct{ Name, Listen, Console string }
+type Overrides struct{ Name, Listen, AdminListen string }
 
 // Parse reads a configuration.
 func Parse(data []byte, over Overrides) (*Gateway, error) {
@@ -130,12 +130,12 @@
 	}
 	c.Name = cmp.Or(over.Name, c.Name)
 	c.Listen = cmp.Or(over.Listen, c.Listen)
-	c.Console = cmp.Or(over.Console, c.Console)
+	c.AdminListen = cmp.Or(over.AdminListen, c.AdminListen)
 	for _, a := range [...]struct {
 		key, value string
 		needed     bool
 	}{{"listen", c.Listen, true}, {"journal", c.Journal, true}, {"peer_listen", c.PeerListen, false},
-		{"peers_all", c.PeersAll, false}, {"console", c.Console, false}} {
+		{"peers_all", c.PeersAll, false}, {"console", c.AdminListen, false}} {
 		if a.value == "" && !a.needed {
 			continue
 		}
@@ -154,23 +154,23 @@
 	} else if c.Seed, err = strconv.ParseUint(c.SeedText, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %w", err)
 	}
-	if len(c.Raw) == 0 {
+	if len(c.RawSettings) == 0 {
 		return nil, errors.New("settings: missing")
 	}
-	if c.Settings, c.Sockets, err = simprotocol.ReadSettings(c.Raw); err != nil {
+	if c.Settings, c.Sockets, err = simprotocol.ParseSettings(c.RawSettings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	c.Raw = nil
+	c.RawSettings = nil
 	if c.layout, err = layoutOf(data); err != nil {
 		return nil, err
 	}
 	if err := c.directors(); err != nil {
 		return nil, err
 	}
-	c.ToldKB = 1
+	c.SizeScale = 1
 	if c.FlowBytesPerS > 0 {
 		if c.Settings.FlowKBps > 0 {
-			c.ToldKB = c.FlowBytesPerS / 1000 / c.Settings.FlowKBps
+			c.SizeScale = c.FlowBytesPerS / 1000 / c.Settings.FlowKBps
 		}
 		c.Settings.FlowKBps = c.FlowBytesPerS / 1000
 	}
@@ -192,7 +192,7 @@
 	orDefault(&c.Sockets.StreamsPerConn, defaultStreams)
 	orDefault(&c.Sockets.ConnectTimeout, defaultConnect)
 	orDefault(&c.Sockets.KeepAlive, defaultKeepAlive)
-	orDefault(&c.Sockets.MostHeld, defaultMostHeld)
+	orDefault(&c.Sockets.MaxOpenRequests, defaultMostHeld)
 	return &c, nil
 }
 
@@ -210,12 +210,12 @@
 	case s.Index < 0:
 		return fmt.Errorf("settings.position: %d is negative", s.Index)
 	case s.Directors == 0 && s.Index == 0 && len(c.Peers)+zones == 0: // it is told nowhere: not that this one is alone
-		c.Notes = append(c.Notes, "settings.balancers is missing, and nothing else tells how many gateways there are: budgets are those of one of many")
+		c.Warnings = append(c.Warnings, "settings.balancers is missing, and nothing else tells how many gateways there are: budgets are those of one of many")
 	case s.Directors < n:
-		c.Notes = append(c.Notes, fmt.Sprintf("settings.balancers is %d: %d is taken, by peers, zones and position", s.Directors, n))
+		c.Warnings = append(c.Warnings, fmt.Sprintf("settings.balancers is %d: %d is taken, by peers, zones and position", s.Directors, n))
 		s.Directors = n
 	case len(c.Peers) > 0 && len(c.Peers) != s.Directors:
-		c.Notes = append(c.Notes, fmt.Sprintf("settings.balancers is %d, peers names %d: the former is taken", s.Directors, len(c.Peers)))
+		c.Warnings = append(c.Warnings, fmt.Sprintf("settings.balancers is %d, peers names %d: the former is taken", s.Directors, len(c.Peers)))
 	}
 	for i, p := range s.ZoneDirectors {
 		if p < 0 {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -13,23 +13,23 @@
 	"larchusher/maintenance"
 )
 
-// Fleet says who the gateways of an installation are, and what they keep to.
-type Fleet struct {
+// Cluster says who the gateways of an installation are, and what they keep to.
+type Cluster struct {
 	Name    string
 	Listen  string
-	Members []FleetMember
+	Members []ClusterMember
 	Voters  []string
 	Key     []byte
 	Folder  string // empty: nothing lasts
 	Bounds  maintenance.Bounds
 	// Replicate: nil: what is known is not kept in common.
-	Replicate *Replicate
+	Replication *Replication
 	// ClockFile holds milliseconds by which the wall clock is to be off, for experiments alone; empty: none.
 	ClockFile string
 }
 
-// Replicate says how what gateways know is kept in common.
-type Replicate struct {
+// Replication says how what gateways know is kept in common.
+type Replication struct {
 	Wait     time.Duration // a start waits so long for neighbours
 	Bytes    int           // a second, that others are sent
 	Listings int           // that others are told of
@@ -43,11 +43,11 @@
 	replicateMost     = 4096
 )
 
-func readReplicate(pb *operatorpb.Replicate) (r *Replicate, err error) {
+func readReplicate(pb *operatorpb.Replicate) (r *Replication, err error) {
 	if pb == nil {
 		return nil, nil
 	}
-	r = &Replicate{Bytes: cmp.Or(int(pb.GetBytes()), replicateBytes), Listings: cmp.Or(int(pb.GetListings()), replicateListings)}
+	r = &Replication{Bytes: cmp.Or(int(pb.GetBytes()), replicateBytes), Listings: cmp.Or(int(pb.GetListings()), replicateListings)}
 	if r.Wait, err = span("fleet.replicate.wait", pb.GetWait(), replicateWait, 100*time.Millisecond, replicateWaitMost); err != nil {
 		return nil, err
 	}
@@ -60,11 +60,11 @@
 	return r, nil
 }
 
-// FleetMember is one gateway.
-type FleetMember struct{ Name, Address string }
+// ClusterMember is one gateway.
+type ClusterMember struct{ Name, Address string }
 
 // Address is where a member listens; empty: there is none of that name.
-func (f *Fleet) Address(name string) string {
+func (f *Cluster) Address(name string) string {
 	for _, m := range f.Members {
 		if m.Name == name {
 			return m.Address
@@ -81,11 +81,11 @@
 )
 
 // readFleet reads who belongs to the installation; nil: this gateway is alone.
-func readFleet(pb *operatorpb.Fleet, env func(string) string) (*Fleet, error) {
+func readFleet(pb *operatorpb.Fleet, env func(string) string) (*Cluster, error) {
 	if pb == nil {
 		return nil, nil
 	}
-	f := &Fleet{Name: pb.GetName(), Listen: pb.GetListen(), Folder: pb.GetFolder(), ClockFile: env(clockFileEnv)}
+	f := &Cluster{Name: pb.GetName(), Listen: pb.GetListen(), Folder: pb.GetFolder(), ClockFile: env(clockFileEnv)}
 	if _, err := netip.ParseAddrPort(f.Listen); err != nil {
 		return nil, fault("fleet.listen", err)
 	}
@@ -105,7 +105,7 @@
 			return nil, fault(key+".address", fmt.Errorf("%q stands twice", m.GetAddress()))
 		}
 		seen[m.GetName()], addresses[m.GetAddress()] = true, true
-		f.Members = append(f.Members, FleetMember{m.GetName(), m.GetAddress()})
+		f.Members = append(f.Members, ClusterMember{m.GetName(), m.GetAddress()})
 		if m.GetVotes() {
 			f.Voters = append(f.Voters, m.GetName())
 		}
@@ -133,7 +133,7 @@
 	if f.Key, err = hex.DecodeString(env(pb.GetKeyEnv())); pb.GetKeyEnv() == "" || err != nil || len(f.Key) < fleetKey {
 		return nil, fault("fleet.key_env", fmt.Errorf("%q is not the name of a variable with %d bytes or more in hex", pb.GetKeyEnv(), fleetKey))
 	}
-	if f.Replicate, err = readReplicate(pb.GetReplicate()); err != nil {
+	if f.Replication, err = readReplicate(pb.GetReplicate()); err != nil {
 		return nil, err
 	}
 	w := pb.GetWork()
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -37,16 +37,16 @@
 	MetricsListen string  // counters for Prometheus; empty: off
 	Overload      overload.Config
 	State         *State           // nil: off
-	Fleet         *Fleet           // nil: off
-	Tiers         *locality.Config // its Localities begin with the own one, whose Name is the platform's to say. nil: off
+	Cluster       *Cluster         // nil: off
+	Localities    *locality.Config // its Localities begin with the own one, whose Name is the platform's to say. nil: off
 }
 
 // State says where what is learned is kept.
 type State struct {
-	Folder   string
-	Every    time.Duration
-	Listings int    // of each locality, at most
-	Key      []byte // of a MAC; empty: none
+	Folder           string
+	SnapshotInterval time.Duration
+	MaxListings      int    // of each locality, at most
+	Key              []byte // of a MAC; empty: none
 }
 
 const defaultListings = 4096
@@ -56,15 +56,15 @@
 	if pb == nil {
 		return nil, nil
 	}
-	s := &State{Folder: pb.GetFolder(), Listings: cmp.Or(int(pb.GetListings()), defaultListings)}
+	s := &State{Folder: pb.GetFolder(), MaxListings: cmp.Or(int(pb.GetListings()), defaultListings)}
 	if s.Folder == "" {
 		return nil, fault("state.folder", errors.New("it is needed"))
 	}
-	if s.Listings < 0 || s.Listings > 1<<20 {
-		return nil, fault("state.listings", fmt.Errorf("%d is not from 1 to %d", s.Listings, 1<<20))
+	if s.MaxListings < 0 || s.MaxListings > 1<<20 {
+		return nil, fault("state.listings", fmt.Errorf("%d is not from 1 to %d", s.MaxListings, 1<<20))
 	}
 	var err error
-	if s.Every, err = span("state.every", pb.GetEvery(), warmstart.DefaultEvery, 100*time.Millisecond, time.Hour); err != nil {
+	if s.SnapshotInterval, err = span("state.every", pb.GetEvery(), warmstart.DefaultEvery, 100*time.Millisecond, time.Hour); err != nil {
 		return nil, err
 	}
 	if name := pb.GetKeyEnv(); name != "" {
@@ -79,12 +79,12 @@
 	return s, nil
 }
 
-// TiersOf completes what the file says of tiers with the own locality. nil: they are off.
-func (o *Operator) TiersOf(zone string, zones []string) (*locality.Config, error) {
-	if o.Tiers == nil {
+// LocalitiesFor completes what the file says of tiers with the own locality. nil: they are off.
+func (o *Operator) LocalitiesFor(zone string, zones []string) (*locality.Config, error) {
+	if o.Localities == nil {
 		return nil, nil
 	}
-	c := *o.Tiers
+	c := *o.Localities
 	c.Localities = slices.Clone(c.Localities)
 	c.Localities[0].Name = zone
 	for i, l := range c.Localities[1:] {
@@ -99,17 +99,17 @@
 	return &c, nil
 }
 
-// Same says whether a newer file has all that is taken in at the start only: all but the keys of the signed front, whether that goes on
+// SameRestartSettings says whether a newer file has all that is taken in at the start only: all but the keys of the signed front, whether that goes on
 // at all, and what tiers go by.
-func (o *Operator) Same(newer *Operator) bool {
+func (o *Operator) SameRestartSettings(newer *Operator) bool {
 	fixed := func(o *Operator) []any {
 		var places []string
-		if o.Tiers != nil {
-			for _, l := range o.Tiers.Localities {
+		if o.Localities != nil {
+			for _, l := range o.Localities.Localities {
 				places = append(places, l.Name)
 			}
 		}
-		return []any{o.AgentListen, o.HTTPListen, o.MetricsListen, o.Overload, places, o.State, o.Fleet}
+		return []any{o.AgentListen, o.HTTPListen, o.MetricsListen, o.Overload, places, o.State, o.Cluster}
 	}
 	moved := newer.Signed != nil && (o.Signed == nil || o.Signed.Listen != newer.Signed.Listen)
 	return !moved && reflect.DeepEqual(fixed(o), fixed(newer))
@@ -227,10 +227,10 @@
 	if o.State, err = readState(pb.GetState(), env); err != nil {
 		return nil, err
 	}
-	if o.Fleet, err = readFleet(pb.GetFleet(), env); err != nil {
+	if o.Cluster, err = readFleet(pb.GetFleet(), env); err != nil {
 		return nil, err
 	}
-	if o.Tiers, err = readTiers(pb.GetTiers()); err != nil {
+	if o.Localities, err = readTiers(pb.GetTiers()); err != nil {
 		return nil, err
 	}
 	return o, nil
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -66,12 +66,12 @@
 
 func TestReplicateIsOffUnlessAsked(t *testing.T) {
 	o, err := ParseOperator([]byte(group+"}"), env)
-	if err != nil || o.Fleet.Replicate != nil {
+	if err != nil || o.Cluster.Replication != nil {
 		t.Fatalf("%+v, %v", o, err)
 	}
 	o, err = ParseOperator([]byte(group+"  replicate { bytes: 20000 }\n}"), env)
-	if err != nil || o.Fleet.Replicate == nil || *o.Fleet.Replicate != (Replicate{Wait: 3 * time.Second, Bytes: 20000, Listings: 512}) {
-		t.Errorf("%+v, %v", o.Fleet.Replicate, err)
+	if err != nil || o.Cluster.Replication == nil || *o.Cluster.Replication != (Replication{Wait: 3 * time.Second, Bytes: 20000, Listings: 512}) {
+		t.Errorf("%+v, %v", o.Cluster.Replication, err)
 	}
 }
 
@@ -91,7 +91,7 @@
 	if err != nil || example.Signed == nil || len(example.Signed.URLs.Keys) != 2 || example.MetricsListen == "" {
 		t.Errorf("the example: %+v, %v", example, err)
 	}
-	if c, err := example.TiersOf("edge-1", []string{"north", "edge-1", "edge-2"}); o.Tiers != nil || err != nil || c != nil {
+	if c, err := example.LocalitiesFor("edge-1", []string{"north", "edge-1", "edge-2"}); o.Localities != nil || err != nil || c != nil {
 		t.Errorf("tiers: %+v, %v", c, err)
 	}
 	o.Overload.Target = example.Overload.Target // told there
@@ -113,7 +113,7 @@
 			if err == nil || !strings.Contains(err.Error(), "flow_bytes_per_s") {
 				t.Errorf("%s: %v", flow, err)
 			}
-		} else if err != nil || c.Settings.FlowKBps != want || c.ToldKB != want/7200 {
+		} else if err != nil || c.Settings.FlowKBps != want || c.SizeScale != want/7200 {
 			t.Errorf("%s: %v, want a pace of %v KB/s, and sizes told in the measure of 7200", flow, err, want)
 		}
 	}
@@ -152,7 +152,7 @@
 		got, err := Parse(data, Overrides{})
 		said := fmt.Sprint(err)
 		if err == nil {
-			said = strings.Join(got.Notes, "; ")
+			said = strings.Join(got.Warnings, "; ")
 		}
 		if (err == nil) != (c.want > 0) || err == nil && got.Settings.Directors != c.want || !strings.Contains(said, c.key) || c.key == "" && said != "" {
 			t.Errorf("%+v: %v, %q", c, got, said)
@@ -190,7 +190,7 @@
 	if a.Seed == b.Seed {
 		t.Errorf("two starts drew %x", a.Seed)
 	}
-	if keys := a.Fixed(b); len(keys) > 0 {
+	if keys := a.ChangedRestartKeys(b); len(keys) > 0 {
 		t.Errorf("a reload says that %q changed", keys)
 	}
 	if !a.Settings.IndexUnknown {
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -106,14 +106,14 @@
 	return fmt.Errorf("%s: missing, and the configuration in use has it", key)
 }
 
-// Fixed names the keys in which a newer configuration differs that are taken in at the start only. Of the rest, the
+// ChangedRestartKeys names the keys in which a newer configuration differs that are taken in at the start only. Of the rest, the
 // journal's address, the classes and the limit on attempts may change at any time, and what is known is told anew by the
 // journal.
-func (c *Gateway) Fixed(newer *Gateway) (keys []string) {
+func (c *Gateway) ChangedRestartKeys(newer *Gateway) (keys []string) {
 	for _, k := range [...]struct {
 		key      string
 		old, new any
-	}{{"name", c.Name, newer.Name}, {"listen", c.Listen, newer.Listen}, {"console", c.Console, newer.Console}, {"limits", c.Limits, newer.Limits},
+	}{{"name", c.Name, newer.Name}, {"listen", c.Listen, newer.Listen}, {"console", c.AdminListen, newer.AdminListen}, {"limits", c.Limits, newer.Limits},
 		{"peer_listen", c.PeerListen, newer.PeerListen}, {"peers", c.Peers, newer.Peers},
 		{"peers_all", c.PeersAll, newer.PeersAll}, {"seed", c.SeedText, newer.SeedText},
 		{"settings", []any{fixedSettings(c.Settings), c.Sockets}, []any{fixedSettings(newer.Settings), newer.Sockets}}} {
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -16,8 +16,8 @@
 	"larchusher/signedurl"
 )
 
-// BodyMost is the longest body of a request.
-const BodyMost = 48000
+// MaxBodyBytes is the longest body of a request.
+const MaxBodyBytes = 48000
 
 // Problem is a final answer that no store had a part in.
 type Problem struct {
@@ -48,8 +48,8 @@
 	return a
 }
 
-// Knows says whether a target names a class of the gateway.
-func (a *API) Knows(target string) bool {
+// HasClass says whether a target names a class of the gateway.
+func (a *API) HasClass(target string) bool {
 	return a.Class(target) != ""
 }
 
@@ -69,31 +69,31 @@
 	return [2]string{"Retry-After", strconv.FormatInt(max(1, int64((d+time.Second-1)/time.Second)), 10)}
 }
 
-// Retry says whether a request is marked as a client's repeat, as package client marks them.
-func Retry(header func(name string) []string) bool {
+// IsRetry says whether a request is marked as a client's repeat, as package client marks them.
+func IsRetry(header func(name string) []string) bool {
 	v := header("Larchusher-Retry")
 	return len(v) == 1 && v[0] == "1"
 }
 
-// Call is an HTTP request that has come whole. Header returns the values of a field.
-type Call struct {
-	Method string
-	Target string // as sent
-	Header func(name string) []string
-	Body   []byte
-	At     time.Time // when its last byte came
+// Request is an HTTP request that has come whole. Header returns the values of a field.
+type Request struct {
+	Method     string
+	Target     string // as sent
+	Header     func(name string) []string
+	Body       []byte
+	ReceivedAt time.Time // when its last byte came
 }
 
-// Admitted is a request whose token was checked, which happens once.
-type Admitted struct {
-	Request *gateway.Request // all but Ref and Answer
-	Grant   signedurl.Grant
-	Head    bool
+// AdmittedRequest is a request whose token was checked, which happens once.
+type AdmittedRequest struct {
+	Request  *gateway.Request // all but Ref and Answer
+	Grant    signedurl.Grant
+	HeadOnly bool
 }
 
-// Admit checks the token of a call and then the call itself. Nothing has reached a store by then.
-func (a *API) Admit(c Call) (*Admitted, *Problem) {
-	grant, err := a.verifier.Verify(c.Target, strings.Join(c.Header("Cookie"), "; "), c.At)
+// Authorize checks the token of a call and then the call itself. Nothing has reached a store by then.
+func (a *API) Authorize(c Request) (*AdmittedRequest, *Problem) {
+	grant, err := a.verifier.Verify(c.Target, strings.Join(c.Header("Cookie"), "; "), c.ReceivedAt)
 	if err != nil {
 		var refused *signedurl.Error
 		if errors.As(err, &refused) {
@@ -110,7 +110,7 @@
 	if !ok {
 		return nil, problem(http.StatusNotFound, "no such class")
 	}
-	r := &gateway.Request{Class: class.Name, Object: parts[1], Body: c.Body, Deadline: c.At.Add(class.Deadline)}
+	r := &gateway.Request{Class: class.Name, Object: parts[1], Body: c.Body, Deadline: c.ReceivedAt.Add(class.Deadline)}
 	if !objectName(r.Object) {
 		return nil, problem(http.StatusNotFound, "an object is 16 hex digits")
 	}
@@ -124,25 +124,25 @@
 			}
 		}
 	}
-	r.Retry = Retry(c.Header)
+	r.Retry = IsRetry(c.Header)
 	keyed := class.Effect != routing.Idempotent
 	switch {
 	case keyed && c.Method != http.MethodPost:
 		return nil, problem(http.StatusMethodNotAllowed, "POST only", [2]string{"Allow", "POST"})
 	case !keyed && c.Method != http.MethodGet && c.Method != http.MethodHead:
 		return nil, problem(http.StatusMethodNotAllowed, "GET and HEAD only", [2]string{"Allow", "GET, HEAD"})
-	case len(c.Body) > BodyMost:
+	case len(c.Body) > MaxBodyBytes:
 		return nil, problem(http.StatusRequestEntityTooLarge, "the body is too long")
 	case keyed:
 		keys := c.Header("Idempotency-Key")
 		if len(keys) != 1 || !plain(unquoted(keys[0])) {
 			return nil, problem(http.StatusBadRequest, "one Idempotency-Key of letters, digits, - and _ is needed")
 		}
-		r.Key = unquoted(keys[0])
+		r.IdempotencyKey = unquoted(keys[0])
 	default:
-		r.Have = have(c.Header("If-None-Match"))
+		r.IfNoneMatch = have(c.Header("If-None-Match"))
 	}
-	return &Admitted{Request: r, Grant: grant, Head: c.Method == http.MethodHead}, nil
+	return &AdmittedRequest{Request: r, Grant: grant, HeadOnly: c.Method == http.MethodHead}, nil
 }
 
 // objectName says whether s is 16 lower-case hex digits.
@@ -198,26 +198,26 @@
 }
 
 // Respond words a final answer.
-func (a *API) Respond(ad *Admitted, ans gateway.Answer, now time.Time) Response {
+func (a *API) Respond(ad *AdmittedRequest, ans gateway.Answer, now time.Time) Response {
 	var r Response
 	add := func(name, value string) { r.Header = append(r.Header, [2]string{name, value}) }
 	switch ans.Outcome {
-	case gateway.Served, gateway.Unchanged:
+	case gateway.Served, gateway.NotModified:
 		r.Status = http.StatusOK
-		if ans.Outcome == gateway.Unchanged {
+		if ans.Outcome == gateway.NotModified {
 			r.Status = http.StatusNotModified
 		} else {
 			add("Content-Type", "application/octet-stream")
 			r.Body = ans.Body
 		}
-		if ans.Tag != "" {
-			add("ETag", `"`+ans.Tag+`"`)
+		if ans.ETag != "" {
+			add("ETag", `"`+ans.ETag+`"`)
 		}
 		add("Cache-Control", "private")
 		if cookie := a.renewal(ad, now); cookie != "" {
 			add("Set-Cookie", cookie)
 		}
-	case gateway.Refused:
+	case gateway.Rejected:
 		r.Status = http.StatusServiceUnavailable
 		r.Header = append(r.Header, retryAfter(ans.RetryAfter))
 		r.Body = []byte("refused: trying again is harmless\n")
@@ -236,7 +236,7 @@
 }
 
 // renewal is the cookie with the fresh token that a grant asks for.
-func (a *API) renewal(ad *Admitted, now time.Time) string {
+func (a *API) renewal(ad *AdmittedRequest, now time.Time) string {
 	if a.issuer == nil || !ad.Grant.Renewal.Cookie {
 		return ""
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -16,21 +16,21 @@
 
 // The kinds of a value.
 const (
-	Counter   Kind = iota // only rises
-	Gauge                 // rises and falls
-	Quantiles             // a summary of what was seen since the start, in seconds
+	Counter Kind = iota // only rises
+	Gauge               // rises and falls
+	Summary             // a summary of what was seen since the start, in seconds
 )
 
 // Value is one value with its name and labels.
 type Value struct {
-	Name   string // without the program's prefix
-	Help   string
-	Kind   Kind
-	Labels []Label
-	Value  float64
-	Count  uint64              // of a summary,
-	Sum    float64             // its sum,
-	At     map[float64]float64 // and its values, by quantile from 0 to 1
+	Name      string // without the program's prefix
+	Help      string
+	Kind      Kind
+	Labels    []Label
+	Value     float64
+	Count     uint64              // of a summary,
+	Sum       float64             // its sum,
+	Quantiles map[float64]float64 // and its values, by quantile from 0 to 1
 }
 
 // Label is one label of a value.
@@ -53,8 +53,8 @@
 		}
 		d := prometheus.NewDesc(prefix+v.Name, v.Help, names, nil)
 		switch v.Kind {
-		case Quantiles:
-			out <- prometheus.MustNewConstSummary(d, v.Count, v.Sum, v.At, values...)
+		case Summary:
+			out <- prometheus.MustNewConstSummary(d, v.Count, v.Sum, v.Quantiles, values...)
 		case Gauge:
 			out <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v.Value, values...)
 		default:
@@ -92,8 +92,8 @@
 			name += "_" + strings.ReplaceAll(l.Value, " ", "_")
 		}
 		switch {
-		case v.Kind == Quantiles:
-			for q, x := range v.At {
+		case v.Kind == Summary:
+			for q, x := range v.Quantiles {
 				all[strings.TrimSuffix(name, "_seconds")+"_us_p"+strings.ReplaceAll(fmt.Sprint(q*100), ".", "")] = int64(x * 1e6)
 			}
 		case v.Value == float64(int64(v.Value)):
--- a/internal/metrics/statsd.go
+++ b/internal/metrics/statsd.go
@@ -14,7 +14,7 @@
 		switch v.Kind {
 		case Gauge:
 			kind = "g"
-		case Quantiles:
+		case Summary:
 			continue
 		}
 		b.WriteString(prefix + "." + v.Name)
--- a/internal/net/admin/admin.go
+++ b/internal/net/admin/admin.go
@@ -32,10 +32,10 @@
 
 // Config says what a Server tells. Its functions run on the loop.
 type Config struct {
-	Loop    *gateway.Loop
-	Ready   func() error           // nil: this process takes clients; else the reason why it does not
-	Figures func() []metrics.Value // the present figures
-	Most    int                    // callers at once; one beyond has the one that was silent longest closed
+	Loop     *gateway.Loop
+	Ready    func() error           // nil: this process takes clients; else the reason why it does not
+	Stats    func() []metrics.Value // the present figures
+	MaxConns int                    // callers at once; one beyond has the one that was silent longest closed
 }
 
 // Server answers calls. Its methods, but for Listen, run on the loop.
@@ -46,7 +46,7 @@
 
 // New returns a server that does not listen yet.
 func New(cfg Config) *Server {
-	s := &Server{cfg: cfg, callers: transport.NewConnTracker(cfg.Most)}
+	s := &Server{cfg: cfg, callers: transport.NewConnTracker(cfg.MaxConns)}
 	cfg.Loop.After(sweep, s.sweep)
 	return s
 }
@@ -54,7 +54,7 @@
 // Listen takes calls at an address.
 func (s *Server) Listen(engine *transport.Engine, addr string) (*transport.Listener, error) {
 	evictIdle := func() { s.cfg.Loop.Post(func() { s.callers.EvictIdle(s.cfg.Loop.Now(), 1) }) }
-	return engine.Listen(addr, s.cfg.Most, evictIdle, func() transport.Handler { return &caller{server: s} })
+	return engine.Listen(addr, s.cfg.MaxConns, evictIdle, func() transport.Handler { return &caller{server: s} })
 }
 
 // sweep closes callers that complete no call.
@@ -72,7 +72,7 @@
 		}
 		return []byte("ok\n")
 	case callStats:
-		return append(metrics.StatsD(prefix, s.cfg.Figures()), "eof\n"...)
+		return append(metrics.StatsD(prefix, s.cfg.Stats()), "eof\n"...)
 	}
 	return fmt.Appendf(nil, "fail unknown call %.40q: %s or %s\n", call, callReady, callStats)
 }
@@ -111,7 +111,7 @@
 	call := string(bytes.TrimSpace(line))
 	c.server.cfg.Loop.Post(func() {
 		_ = tc.Write(c.server.reply(call))
-		tc.End(errAnswered, transport.Linger)
+		tc.CloseGracefully(errAnswered, transport.LingerTime)
 	})
 	return nil
 }
--- a/internal/net/agentcheck/agentcheck.go
+++ b/internal/net/agentcheck/agentcheck.go
@@ -19,7 +19,7 @@
 type State struct {
 	Ready    bool
 	Draining bool
-	Why      string // it is not ready; empty: it says nothing of that
+	Reason   string // it is not ready; empty: it says nothing of that
 	Weight   int    // in percent: what part of its usual share the gateway can take
 }
 
@@ -35,17 +35,17 @@
 	switch {
 	case s.Draining:
 		return "drain\n"
-	case !s.Ready && s.Why != "": // what follows a number sign is for people
-		return "down #" + s.Why + "\n"
+	case !s.Ready && s.Reason != "": // what follows a number sign is for people
+		return "down #" + s.Reason + "\n"
 	case !s.Ready:
 		return "down\n"
 	}
 	return fmt.Sprintf("ready up %d%%\n", s.Weight)
 }
 
-// Agent returns the callbacks of an agent-check connection. A client may send a line first, or nothing: the
+// ListenAgent returns the callbacks of an agent-check connection. A client may send a line first, or nothing: the
 // answer goes out at once and the connection ends, as the protocol has it.
-func (c *Checker) Agent(engine *transport.Engine, addr string, most int) (*transport.Listener, error) {
+func (c *Checker) ListenAgent(engine *transport.Engine, addr string, most int) (*transport.Listener, error) {
 	return engine.Listen(addr, most, nil, func() transport.Handler { return agent{c} })
 }
 
@@ -53,17 +53,17 @@
 // say nothing: the balancer's own would find none.
 func (c *Checker) bound(tc *transport.Conn) {
 	c.Loop.Post(func() {
-		c.Loop.After(transport.SpeakWithin, func() { tc.Close(errors.New("it takes too long")) })
+		c.Loop.After(transport.FirstByteTimeout, func() { tc.Close(errors.New("it takes too long")) })
 	})
 }
 
 // close ends a connection once its answer has left.
 func (c *Checker) close(tc *transport.Conn) {
-	if tc.Waiting() > 0 {
+	if tc.UnsentBytes() > 0 {
 		c.Loop.After(time.Millisecond, func() { c.close(tc) })
 		return
 	}
-	tc.End(errors.New("done"), transport.Linger)
+	tc.CloseGracefully(errors.New("done"), transport.LingerTime)
 }
 
 // agent is one agent-check connection.
@@ -83,13 +83,13 @@
 func (agent) OnBytes(*transport.Conn, []byte, time.Time) error { return nil }
 func (agent) OnClosed(*transport.Conn, error)                  {}
 
-// Health listens for GET /healthz: 200 while requests are welcome, else 503.
-func (c *Checker) Health(engine *transport.Engine, addr string, most int) (*transport.Listener, error) {
+// ListenHealth listens for GET /healthz: 200 while requests are welcome, else 503.
+func (c *Checker) ListenHealth(engine *transport.Engine, addr string, most int) (*transport.Listener, error) {
 	return engine.Listen(addr, most, nil, func() transport.Handler { return &health{checker: c} })
 }
 
-// Counters listens for GET /metrics: all counters in Prometheus's text format.
-func (c *Checker) Counters(engine *transport.Engine, addr string, most int) (*transport.Listener, error) {
+// ListenMetrics listens for GET /metrics: all counters in Prometheus's text format.
+func (c *Checker) ListenMetrics(engine *transport.Engine, addr string, most int) (*transport.Listener, error) {
 	return engine.Listen(addr, most, nil, func() transport.Handler { return &health{checker: c, metrics: true} })
 }
 
@@ -134,7 +134,7 @@
 		case s.Draining:
 			status, text = "503 Service Unavailable", "draining\n"
 		case !s.Ready:
-			status, text = "503 Service Unavailable", cmp.Or(s.Why, "down")+"\n"
+			status, text = "503 Service Unavailable", cmp.Or(s.Reason, "down")+"\n"
 		}
 		body := text
 		if bytes.HasPrefix(line, []byte("HEAD")) {
--- a/internal/net/clustertransport/link.go
+++ b/internal/net/clustertransport/link.go
@@ -146,7 +146,7 @@
 
 func (o *outgoing) write(m cluster.Message) {
 	l, d := o.link, o.conn
-	if d.tc.Waiting() > waitingMost { // one that does not read costs this much and no more
+	if d.tc.UnsentBytes() > waitingMost { // one that does not read costs this much and no more
 		l.Counters.Dropped++
 		return
 	}
--- a/internal/net/discovery/client.go
+++ b/internal/net/discovery/client.go
@@ -28,7 +28,7 @@
 	engine *transport.Engine
 	log    logrus.FieldLogger
 	addr   string
-	book   *Book
+	book   *EventApplier
 
 	pos     int64 // the latest event taken in
 	current *stream
@@ -39,8 +39,8 @@
 	Connects, Events, Dropped uint64
 }
 
-// Follow begins to read the journal after the event pos.
-func Follow(loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger, addr string, book *Book,
+// Watch begins to read the journal after the event pos.
+func Watch(loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger, addr string, book *EventApplier,
 	pos int64) *Client {
 	c := &Client{loop: loop, engine: engine, log: log, addr: addr, book: book, pos: pos, retry: retryFirst}
 	c.connect()
@@ -48,9 +48,9 @@
 	return c
 }
 
-// Move goes on at another address, after the latest event taken in. The connection to the old one is left at
+// SetAddress goes on at another address, after the latest event taken in. The connection to the old one is left at
 // once: what that still holds open tells nothing more.
-func (c *Client) Move(addr string) {
+func (c *Client) SetAddress(addr string) {
 	if addr == c.addr {
 		return
 	}
@@ -144,12 +144,12 @@
 	err := s.read(b, func(data []byte, id string) {
 		e, bad := parse(data)
 		if n, numeric := strconv.ParseInt(id, 10, 64); numeric == nil {
-			e.Pos = n
+			e.Position = n
 		}
 		if bad != nil { // it alone is passed over
 			s.client.log.WithError(bad).Warn("journal: an event that cannot be used")
 			dropped++
-			e = Event{Pos: e.Pos}
+			e = Event{Position: e.Position}
 		}
 		events = append(events, e)
 	})
@@ -161,12 +161,12 @@
 		}
 		c.heard, c.retry = at, retryFirst
 		for _, e := range events {
-			if e.Pos != 0 && e.Pos <= c.pos { // told again after a reconnect
+			if e.Position != 0 && e.Position <= c.pos { // told again after a reconnect
 				continue
 			}
-			c.pos = max(c.pos, e.Pos)
+			c.pos = max(c.pos, e.Position)
 			c.Events++
-			c.book.Take(c.loop.Now(), e)
+			c.book.Apply(c.loop.Now(), e)
 		}
 	})
 	return err
--- a/internal/net/discovery/stored_test.go
+++ b/internal/net/discovery/stored_test.go
@@ -8,9 +8,9 @@
 
 // The list of stores that goes to the next process at an upgrade. The file was written by 1a818d3.
 func TestEncodedFormsAreThoseOf1a818d3(t *testing.T) {
-	golden.JSON(t, "testdata/1a818d3/known.json", &Known{})
+	golden.JSON(t, "testdata/1a818d3/known.json", &InitialState{})
 }
 
 func TestEncodedTypesNameTheirFields(t *testing.T) {
-	golden.Tagged(t, Known{})
+	golden.Tagged(t, InitialState{})
 }
--- a/internal/net/gossip/gossip.go
+++ b/internal/net/gossip/gossip.go
@@ -27,11 +27,11 @@
 	from map[netip.AddrPort]int
 	log  logrus.FieldLogger
 
-	Sent, Heard, Dropped uint64 // the loop's
+	Sent, Received, Dropped uint64 // the loop's
 }
 
-// Open listens on addr. Peers are known by their place in list; all reaches every one of them.
-func Open(addr string, list []string, all string, log logrus.FieldLogger) (*Link, error) {
+// Listen listens on addr. Peers are known by their place in list; all reaches every one of them.
+func Listen(addr string, list []string, all string, log logrus.FieldLogger) (*Link, error) {
 	l := &Link{from: map[netip.AddrPort]int{}, log: log}
 	for i, s := range list {
 		a, err := netip.ParseAddrPort(s)
@@ -62,8 +62,8 @@
 	return l, nil
 }
 
-// Read hands each message to heard, on the loop. It returns when the link is closed.
-func (l *Link) Read(loop *gateway.Loop, heard func(from int, data string)) {
+// ReadLoop hands each message to heard, on the loop. It returns when the link is closed.
+func (l *Link) ReadLoop(loop *gateway.Loop, heard func(from int, data string)) {
 	buf := make([]byte, most+1)
 	for {
 		n, addr, err := l.conn.ReadFromUDPAddrPort(buf)
@@ -80,14 +80,14 @@
 				l.Dropped++
 				return
 			}
-			l.Heard++
+			l.Received++
 			heard(from, data)
 		})
 	}
 }
 
-// Tell sends a message to one peer, or to all of them. It may get lost.
-func (l *Link) Tell(to int, data string) {
+// SendGossip sends a message to one peer, or to all of them. It may get lost.
+func (l *Link) SendGossip(to int, data string) {
 	addr := l.all
 	if to != routing.AllDirectors {
 		if to < 0 || to >= len(l.to) {
--- a/internal/net/msgpackrpc/front.go
+++ b/internal/net/msgpackrpc/front.go
@@ -46,20 +46,20 @@
 
 	classes atomic.Pointer[map[string]string] // names, so that each is held once
 
-	Malformed uint64 // connections closed for what they sent
-	Excess    uint64 // requests beyond those that a connection may have open
+	Malformed   uint64 // connections closed for what they sent
+	TooManyOpen uint64 // requests beyond those that a connection may have open
 }
 
 // New returns a front for so many connections. Its Accept makes the handlers of a listener.
 func New(loop *gateway.Loop, g *gateway.Gateway, classes []string, most int, log logrus.FieldLogger) *Front {
 	f := &Front{loop: loop, gateway: g, log: log, conns: map[*conn]bool{}, tracker: transport.NewConnTracker(most)}
-	f.UseClasses(classes)
+	f.SetClasses(classes)
 	loop.After(sweep, f.sweep)
 	return f
 }
 
-// UseClasses takes in the names of the classes that are served. It may be called from anywhere.
-func (f *Front) UseClasses(names []string) {
+// SetClasses takes in the names of the classes that are served. It may be called from anywhere.
+func (f *Front) SetClasses(names []string) {
 	classes := make(map[string]string, len(names))
 	for _, name := range names {
 		classes[name] = name
@@ -67,40 +67,40 @@
 	f.classes.Store(&classes)
 }
 
-// Accept returns the callbacks of a new connection.
-func (f *Front) Accept() transport.Handler {
+// NewHandler returns the callbacks of a new connection.
+func (f *Front) NewHandler() transport.Handler {
 	return &conn{front: f, open: map[uint64]*gateway.Request{}}
 }
 
 // Idle says whether all that was answered has left.
 func (f *Front) Idle() bool {
 	for c := range f.conns {
-		if c.tc.Waiting() > 0 || len(c.open) > 0 {
+		if c.tc.UnsentBytes() > 0 || len(c.open) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// Shut ends all connections, once nothing is in work on them: what comes on them from now on is not taken in.
-func (f *Front) Shut() {
+// CloseAll ends all connections, once nothing is in work on them: what comes on them from now on is not taken in.
+func (f *Front) CloseAll() {
 	f.shut = true
 	for c := range f.conns {
-		c.tc.End(errEnding, transport.Linger)
+		c.tc.CloseGracefully(errEnding, transport.LingerTime)
 	}
 }
 
-// SetMost sets how many connections are held at once.
-func (f *Front) SetMost(most int) { f.tracker.SetMost(most) }
+// SetMaxConns sets how many connections are held at once.
+func (f *Front) SetMaxConns(most int) { f.tracker.SetMaxConns(most) }
 
-// EndIdle ends all connections on which nothing is open and nothing has come that is not answered, and returns how many are
+// CloseIdle ends all connections on which nothing is open and nothing has come that is not answered, and returns how many are
 // left. A request that crosses the end on its way is its client's to send anew.
-func (f *Front) EndIdle() (left int) {
+func (f *Front) CloseIdle() (left int) {
 	for c := range f.conns {
 		switch {
-		case c.tc.Ended():
+		case c.tc.Closing():
 		case c.idle():
-			c.tc.End(errEnding, transport.Linger)
+			c.tc.CloseGracefully(errEnding, transport.LingerTime)
 		default:
 			left++
 		}
@@ -110,7 +110,7 @@
 
 // idle says whether nothing is owed on the connection.
 func (c *conn) idle() bool {
-	return len(c.open) == 0 && c.tc.Quiet() && c.handed.Load() == 0 && c.tracked.PartialSince.IsZero()
+	return len(c.open) == 0 && c.tc.InputDrained() && c.handed.Load() == 0 && c.tracked.PartialSince.IsZero()
 }
 
 // EvictIdle has an idle connection closed, for one that waits to be accepted. It may be called from anywhere.
@@ -138,9 +138,9 @@
 
 	cancels cancels // that were read, and that the loop has not taken in
 
-	held    []transport.Piece // poller: what came since Hold
-	scanned int               // poller: bytes of buf in which cancels have been looked for
-	moved   bool              // it has gone over to another process
+	held    []transport.ReceivedChunk // poller: what came since Hold
+	scanned int                       // poller: bytes of buf in which cancels have been looked for
+	moved   bool                      // it has gone over to another process
 }
 
 // cancels are message ids, counted. The zero value has none.
@@ -183,7 +183,7 @@
 func (c *conn) OnOpened(tc *transport.Conn) {
 	c.front.loop.Post(func() {
 		if c.front.shut { // it was accepted just before the end
-			tc.End(errEnding, transport.Linger)
+			tc.CloseGracefully(errEnding, transport.LingerTime)
 		} else if !c.gone {
 			c.tc = tc
 			c.tracked = c.front.tracker.Add(tc, c.front.loop.Now(), func() bool {
@@ -193,7 +193,7 @@
 				return len(c.open) > 0
 			})
 			c.front.conns[c] = true
-			c.client = c.front.gateway.Join(tc.Waiting, tc.Close)
+			c.client = c.front.gateway.AddClient(tc.UnsentBytes, tc.Close)
 		}
 	})
 }
@@ -243,7 +243,7 @@
 				b = rest
 				later, ok := time.Duration(0), true
 				if m.kind == typeRequest && string(m.method) != "alive" {
-					later, ok = c.front.gateway.Try(gateway.Platform, m.method, string(m.fields.second) == "1", m.fields.txn)
+					later, ok = c.front.gateway.Admit(gateway.PlatformFront, m.method, string(m.fields.second) == "1", m.fields.txn)
 				}
 				if !ok {
 					shed++
@@ -260,7 +260,7 @@
 				}
 				batch = append(batch, w)
 				held += messageCost + len(m.body)
-				bad = tc.Hold(messageCost + len(m.body))
+				bad = tc.ReserveInput(messageCost + len(m.body))
 				continue
 			}
 		}
@@ -287,7 +287,7 @@
 			c.front.Malformed++
 		}
 		c.take(tc, batch, shed, half, at)
-		tc.Release(held)
+		tc.ReleaseInput(held)
 	})
 	return bad
 }
@@ -302,13 +302,13 @@
 			delete(c.open, id)
 			c.front.gateway.Abandon(r)
 		}
-		c.front.gateway.Leave(c.client)
+		c.front.gateway.RemoveClient(c.client)
 	})
 }
 
 func (c *conn) take(tc *transport.Conn, batch []word, shed int, half bool, at time.Time) {
 	// What was read before the end and comes after it belongs to nobody: its client asks elsewhere.
-	if c.gone || tc.Ended() {
+	if c.gone || tc.Closing() {
 		return
 	}
 	c.tracked.Received(c.front.loop.Now(), len(batch)+shed, half)
@@ -342,21 +342,21 @@
 		return false
 	}
 	c.front.Malformed++
-	c.tc.End(fmt.Errorf("message id %d is open already", id), transport.Linger)
+	c.tc.CloseGracefully(fmt.Errorf("message id %d is open already", id), transport.LingerTime)
 	return true
 }
 
 // request hands a request in.
 func (c *conn) request(w word) {
 	if len(c.open) >= openMost {
-		c.front.Excess++
-		c.front.gateway.CountAnswer(w.request.Class, gateway.Answer{Outcome: gateway.Refused})
+		c.front.TooManyOpen++
+		c.front.gateway.CountAnswer(w.request.Class, gateway.Answer{Outcome: gateway.Rejected})
 		c.fail(w.id, errorBack, "later", "100")
 		return
 	}
 	w.request.Client = c.client
 	w.request.Answer = func(a gateway.Answer) { c.answer(w.id, a) }
-	w.request.There = func() bool { return !c.tc.Ended() && !c.cancels.has(w.id) && !c.tc.Left() }
+	w.request.ClientConnected = func() bool { return !c.tc.Closing() && !c.cancels.has(w.id) && !c.tc.PeerClosed() }
 	c.open[w.id] = w.request
 	c.front.gateway.Submit(w.request)
 }
@@ -383,8 +383,8 @@
 		return s
 	}
 	// Its wait for a turn begins now; at may be long ago, of a connection that another process has held.
-	r := &gateway.Request{Class: class, Ref: cut(f.txn), Object: cut(f.item), Key: cut(f.unique), Have: cut(f.mine),
-		Retry: string(f.second) == "1", Body: bytes.Clone(m.body), Arrived: time.Now(), Front: gateway.Platform, Admitted: true}
+	r := &gateway.Request{Class: class, ID: cut(f.txn), Object: cut(f.item), IdempotencyKey: cut(f.unique), IfNoneMatch: cut(f.mine),
+		Retry: string(f.second) == "1", Body: bytes.Clone(m.body), ArrivedAt: time.Now(), Front: gateway.PlatformFront, Admitted: true}
 	// Guards the other requests of a store's connection: the store closes it on what it cannot read.
 	var err error
 	number := func(name string, s []byte, needed bool, most uint64) (n uint64) {
@@ -399,9 +399,9 @@
 	limit := min(time.Duration(number("limit", f.limit, true, 1<<31))*time.Millisecond, limitMost)
 	r.Part, r.Group = int(number("n", f.n, false, partMost)), int(number("shard", f.shard, false, groupMost))
 	switch {
-	case !hexName(r.Ref) || !hexName(r.Object):
+	case !hexName(r.ID) || !hexName(r.Object):
 		err = errors.New("txn and item have 16 hex digits")
-	case r.Key != "" && !plain(r.Key) || r.Have != "" && !plain(r.Have):
+	case r.IdempotencyKey != "" && !plain(r.IdempotencyKey) || r.IfNoneMatch != "" && !plain(r.IfNoneMatch):
 		err = errors.New("a field that cannot be passed on")
 	case len(r.Body) > bodyMost:
 		err = errors.New("the body is too long")
@@ -446,10 +446,10 @@
 	case a.Outcome == gateway.Served:
 		head := append(appendResponse(make([]byte, 0, 16), id), 0xc0, 0x92)
 		_ = c.tc.Write(appendBinHead(head, len(a.Body)), a.Body, []byte{0x80})
-	case a.Outcome == gateway.Unchanged:
+	case a.Outcome == gateway.NotModified:
 		b := appendBinHead(append(appendResponse(nil, id), 0xc0, 0x92), 0)
 		_ = c.tc.Write(appendFields(b, "still", "1"))
-	case a.Harmless:
+	case a.Retryable:
 		_ = c.tc.Write(appendRefusal(nil, id, a.RetryAfter))
 	default:
 		c.fail(id, errorLost, "", "")
--- a/internal/net/msgpackrpc/move.go
+++ b/internal/net/msgpackrpc/move.go
@@ -9,20 +9,20 @@
 // heldMost is how many bytes of requests are held for another process on one connection; what comes beyond stays in the kernel.
 const heldMost = 64 << 10
 
-// A connection goes over to another process once nothing is open on it. From Hold on no request is taken any more, so that this
+// A connection goes over to another process once nothing is open on it. From HoldRequests on no request is taken any more, so that this
 // moment comes: what comes is held, and goes over with the connection. Cancels are heeded all the same.
 
-// Hold has no further request taken in: what comes goes over with its connection.
-func (f *Front) Hold() { f.holding.Store(true) }
+// HoldRequests has no further request taken in: what comes goes over with its connection.
+func (f *Front) HoldRequests() { f.holding.Store(true) }
 
-// MoveIdle hands all connections to move on which nothing is open, and returns how many are left. One that move fails for
+// MigrateIdle hands all connections to move on which nothing is open, and returns how many are left. One that move fails for
 // is ended.
-func (f *Front) MoveIdle(move func(tc *transport.Conn, pieces []transport.Piece) error) (left int) {
+func (f *Front) MigrateIdle(move func(tc *transport.Conn, pieces []transport.ReceivedChunk) error) (left int) {
 	for c := range f.conns {
-		if c.tc.Ended() || c.moved {
+		if c.tc.Closing() || c.moved {
 			continue
 		}
-		if len(c.open) > 0 || c.handed.Load() > 0 || c.tc.Waiting() > 0 {
+		if len(c.open) > 0 || c.handed.Load() > 0 || c.tc.UnsentBytes() > 0 {
 			left++
 			continue
 		}
@@ -36,18 +36,18 @@
 		}
 		if c.moved = err == nil; !c.moved {
 			f.log.WithError(err).Warn("a connection has not gone over to the new process")
-			c.tc.End(errEnding, transport.Linger)
+			c.tc.CloseGracefully(errEnding, transport.LingerTime)
 		}
 	}
 	return left
 }
 
 // pieces are what has come and was not taken in. Nothing is read from the connection any more.
-func (c *conn) pieces() (all []transport.Piece) {
+func (c *conn) pieces() (all []transport.ReceivedChunk) {
 	before := c.buf[:len(c.buf)-c.heldBytes()]
 	if len(before) > 0 {
 		// The beginning of a message. Its time does not count: a request's runs from its last byte.
-		all = append(all, transport.Piece{Data: before, At: c.front.loop.Now()})
+		all = append(all, transport.ReceivedChunk{Data: before, At: c.front.loop.Now()})
 	}
 	return append(all, c.held...)
 }
@@ -62,7 +62,7 @@
 
 // hold keeps what came for another process, and heeds the cancels in it. It runs on the poller.
 func (c *conn) hold(tc *transport.Conn, b []byte, at time.Time) error {
-	c.held = append(c.held, transport.Piece{Data: append([]byte(nil), b...), At: at})
+	c.held = append(c.held, transport.ReceivedChunk{Data: append([]byte(nil), b...), At: at})
 	c.buf = append(c.buf, b...)
 	var cancels []word
 	for rest := c.buf[c.scanned:]; len(rest) > 0; {
--- a/internal/net/resp/answer.go
+++ b/internal/net/resp/answer.go
@@ -21,7 +21,7 @@
 // may come all at once, and longer than expected.
 func (c *conn) room(n int) bool {
 	p := c.pool
-	if held := p.held.Add(int64(n)); p.cfg.Answers > 0 && held > p.cfg.Answers {
+	if held := p.held.Add(int64(n)); p.cfg.MaxAnswerBytes > 0 && held > p.cfg.MaxAnswerBytes {
 		p.held.Add(int64(-n))
 		return false
 	}
@@ -113,23 +113,23 @@
 	}
 	a := c.open[id]
 	if a == nil { // it was given up, and its answer crossed that
-		c.pool.Counters.Late++
+		c.pool.Counters.LateAnswers++
 		return nil
 	}
 	body := args[3]
 	if body == nil {
-		c.pool.Counters.Dropped++
+		c.pool.Counters.AnswersDropped++
 		delete(c.open, id)
 		c.used = c.pool.loop.Now()
 		c.quit[id] = c.used
-		c.pool.Gateway.Ended(a, gateway.Result{Status: status, At: at, Dropped: status == routing.OK})
+		c.pool.Gateway.AttemptEnded(a, gateway.Result{Status: status, ReceivedAt: at, BodyDropped: status == routing.OK})
 		return nil
 	}
-	res := gateway.Result{Status: status, Body: body, Unchanged: word == "KEEP", At: at}
+	res := gateway.Result{Status: status, Body: body, NotModified: word == "KEEP", ReceivedAt: at}
 	if err := c.fields(string(args[2]), &res); err != nil {
 		return err
 	}
-	if res.Unchanged && a.Request.Have == "" {
+	if res.NotModified && a.Request.IfNoneMatch == "" {
 		return errors.New("KEEP without a copy")
 	}
 	delete(c.open, id)
@@ -138,8 +138,8 @@
 		c.quit[id] = c.used
 	}
 	args[3] = nil
-	res.Free = func() { c.pool.free(body) }
-	c.pool.Gateway.Ended(a, res)
+	res.ReleaseBody = func() { c.pool.free(body) }
+	c.pool.Gateway.AttemptEnded(a, res)
 	return nil
 }
 
@@ -155,15 +155,15 @@
 		}
 		switch name {
 		case "why":
-			res.Note = notes[value]
+			res.Reason = notes[value]
 		case "first":
 			if ms, err := strconv.ParseFloat(value, 64); err == nil && ms > 0 && ms < waitMost {
 				res.FillWait = time.Duration(ms * float64(time.Millisecond))
 			}
 		case "digest":
-			res.Tag = value
+			res.ETag = value
 		case "rep":
-			res.Load = c.load(value)
+			res.LoadReport = c.load(value)
 		}
 	}
 	return nil
@@ -181,16 +181,16 @@
 
 // load reads a load report into the order of the settings.
 func (c *conn) load(report string) []float64 {
-	load := make([]float64, len(c.pool.cfg.LoadFields))
+	load := make([]float64, len(c.pool.cfg.LoadReportFields))
 	for i := range load {
 		load[i] = math.NaN()
 	}
 	for part := range strings.SplitSeq(report, ";") {
 		name, value, _ := strings.Cut(part, ":")
 		x, err := strconv.ParseFloat(value, 64)
-		i := slices.Index(c.pool.cfg.LoadFields, name)
+		i := slices.Index(c.pool.cfg.LoadReportFields, name)
 		if other, ok := reportNames[name]; ok && i < 0 {
-			i = slices.Index(c.pool.cfg.LoadFields, other)
+			i = slices.Index(c.pool.cfg.LoadReportFields, other)
 		}
 		if i >= 0 && err == nil {
 			load[i] = x
--- a/internal/net/resp/conn.go
+++ b/internal/net/resp/conn.go
@@ -50,7 +50,7 @@
 		if !c.dead {
 			c.write(a)
 		} else {
-			c.pool.Gateway.Ended(a, gateway.Result{Status: routing.ConnectFailed})
+			c.pool.Gateway.AttemptEnded(a, gateway.Result{Status: routing.ConnectFailed})
 		}
 	}
 }
@@ -83,25 +83,25 @@
 	if c.tc != nil {
 		c.tc.Close(err)
 	} else {
-		p.Counters.Refused++
+		p.Counters.ConnectsFailed++
 	}
 	if len(c.open) > 0 {
-		p.Counters.Broken++
+		p.Counters.ConnsLost++
 		p.log.WithError(err).WithFields(logrus.Fields{"store": c.store.id, "out": len(c.open)}).Debug("connection lost")
 	}
 	var out []*gateway.Attempt
 	for _, a := range c.open {
 		out = append(out, a)
 	}
-	slices.SortFunc(out, func(a, b *gateway.Attempt) int { return strings.Compare(a.Request.Ref, b.Request.Ref) })
+	slices.SortFunc(out, func(a, b *gateway.Attempt) int { return strings.Compare(a.Request.ID, b.Request.ID) })
 	c.open = nil
 	// Guards against a store that looks ill for one bad answer: that it broke counts once, not for each attempt.
 	for i, a := range out {
-		p.Gateway.Ended(a, gateway.Result{Status: routing.Reset, Along: i > 0})
+		p.Gateway.AttemptEnded(a, gateway.Result{Status: routing.Reset, CollateralReset: i > 0})
 	}
 	waiting := c.waiting
 	c.waiting = nil
 	for _, a := range waiting {
-		p.Gateway.Ended(a, gateway.Result{Status: routing.ConnectFailed})
+		p.Gateway.AttemptEnded(a, gateway.Result{Status: routing.ConnectFailed})
 	}
 }
--- a/internal/net/resp/parser_test.go
+++ b/internal/net/resp/parser_test.go
@@ -50,7 +50,7 @@
 
 // What is counted for answers comes back, however they end: whole, passed over, or cut off.
 func TestHeldAnswersComeBack(t *testing.T) {
-	p := &Pool{cfg: Config{Answers: 100_000}}
+	p := &Pool{cfg: Config{MaxAnswerBytes: 100_000}}
 	answer := appendCommand(nil, "id", "DONE", "-", strings.Repeat("x", 60_000))
 	feed := func(c *conn, b []byte) (got [][]byte) {
 		err := c.parser.feed(b, func(args [][]byte) error {
--- a/internal/net/resp/pool.go
+++ b/internal/net/resp/pool.go
@@ -27,26 +27,26 @@
 
 // Config says how stores are spoken to.
 type Config struct {
-	Streams        int // attempts on one connection at once
-	ConnectTimeout time.Duration
-	KeepAlive      time.Duration
-	Conns          int // connections held at once
-	LoadFields     []string
-	Answers        int64         // bytes of answers that may be held until their clients have been written to; 0: any
-	Whole          time.Duration // an answer that has begun comes whole within this, or its connection is given up; 0: it may take any time
+	StreamsPerConn   int // attempts on one connection at once
+	ConnectTimeout   time.Duration
+	KeepAlive        time.Duration
+	MaxConns         int // connections held at once
+	LoadReportFields []string
+	MaxAnswerBytes   int64         // bytes of answers that may be held until their clients have been written to; 0: any
+	AnswerTimeout    time.Duration // an answer that has begun comes whole within this, or its connection is given up; 0: it may take any time
 }
 
 // Counters count what went on with stores.
 type Counters struct {
-	Dialled, Refused, Broken   uint64 // connections: begun, not come up, lost with work out
-	Written, Given, Late, Noop uint64 // attempts written, given up, answers that came too late; tests
-	Dropped                    uint64 // answers passed over for want of memory
+	ConnectsStarted, ConnectsFailed, ConnsLost uint64 // connections: begun, not come up, lost with work out
+	Written, Canceled, LateAnswers, Pings      uint64 // attempts written, given up, answers that came too late; tests
+	AnswersDropped                             uint64 // answers passed over for want of memory
 }
 
 // Gateway is what the pool needs of its gateway.
 type Gateway interface {
-	Clear(*gateway.Attempt) bool
-	Ended(*gateway.Attempt, gateway.Result)
+	ConfirmAttempt(*gateway.Attempt) bool
+	AttemptEnded(*gateway.Attempt, gateway.Result)
 }
 
 // Pool holds the connections to all stores. It lives on the loop.
@@ -71,11 +71,11 @@
 	return p
 }
 
-// SetConns sets how many connections are held at once. More that are up stay until they are idle.
-func (p *Pool) SetConns(most int) { p.cfg.Conns = most }
+// SetMaxConns sets how many connections are held at once. More that are up stay until they are idle.
+func (p *Pool) SetMaxConns(most int) { p.cfg.MaxConns = most }
 
-// AllowWhole sets how long an answer that has begun may take to come whole.
-func (p *Pool) AllowWhole(d time.Duration) { p.cfg.Whole = d }
+// SetAnswerTimeout sets how long an answer that has begun may take to come whole.
+func (p *Pool) SetAnswerTimeout(d time.Duration) { p.cfg.AnswerTimeout = d }
 
 // store is one member of the list. Connections belong to it, not to its address: addresses are reused.
 type store struct {
@@ -84,8 +84,8 @@
 	conns    []*conn
 }
 
-// Place says where a store listens and since when it runs, as the list named it.
-func (p *Pool) Place(id, addr string, since int64) {
+// SetAddress says where a store listens and since when it runs, as the list named it.
+func (p *Pool) SetAddress(id, addr string, since int64) {
 	s := p.stores[id]
 	if s == nil {
 		s = &store{id: id}
@@ -98,8 +98,8 @@
 	}
 }
 
-// Remove says that a store is gone from the list. What is out there may still end.
-func (p *Pool) Remove(id string) {
+// RemoveEndpoint says that a store is gone from the list. What is out there may still end.
+func (p *Pool) RemoveEndpoint(id string) {
 	if s := p.stores[id]; s != nil {
 		s.addr = ""
 		s.retire()
@@ -118,25 +118,25 @@
 
 // Send queues an attempt at its store, on a connection that is up if there is one.
 func (p *Pool) Send(a *gateway.Attempt) {
-	s := p.stores[a.Server]
+	s := p.stores[a.Endpoint]
 	if s == nil || s.addr == "" { // only what our own list has named
-		p.Gateway.Ended(a, gateway.Result{Status: routing.ConnectFailed})
+		p.Gateway.AttemptEnded(a, gateway.Result{Status: routing.ConnectFailed})
 		return
 	}
-	c := p.choose(s, a.Request.Ref)
+	c := p.choose(s, a.Request.ID)
 	// Guards against a request on a connection that its store has closed, which nobody has read yet: it would look as if it
 	// might have run.
-	for c != nil && c.tc != nil && c.tc.Left() {
+	for c != nil && c.tc != nil && c.tc.PeerClosed() {
 		if c.retired = true; len(c.open) == 0 { // else its answers may have come, and wait to be read
 			c.end(errors.New("closed by the store"))
 		}
-		c = p.choose(s, a.Request.Ref)
+		c = p.choose(s, a.Request.ID)
 	}
 	if c == nil || c.dead {
-		p.Gateway.Ended(a, gateway.Result{Status: routing.ConnectFailed})
+		p.Gateway.AttemptEnded(a, gateway.Result{Status: routing.ConnectFailed})
 		return
 	}
-	a.Wire = c
+	a.BackendState = c
 	if c.tc == nil {
 		c.waiting = append(c.waiting, a)
 		return
@@ -147,14 +147,14 @@
 // choose returns a connection for a request's next attempt, a new one if need be; nil: there is none to be had.
 func (p *Pool) choose(s *store, ref string) *conn {
 	// Guards against one spoilt answer that takes many others down: what shares its connection is lost with it.
-	c := s.pick(ref, min(few, p.cfg.Streams))
-	if c == nil && p.conns < p.cfg.Conns/2 {
+	c := s.pick(ref, min(few, p.cfg.StreamsPerConn))
+	if c == nil && p.conns < p.cfg.MaxConns/2 {
 		c = p.dial(s)
 	}
 	if c == nil {
-		c = s.pick(ref, p.cfg.Streams)
+		c = s.pick(ref, p.cfg.StreamsPerConn)
 	}
-	if c == nil && p.conns < p.cfg.Conns {
+	if c == nil && p.conns < p.cfg.MaxConns {
 		c = p.dial(s)
 	}
 	return c
@@ -167,7 +167,7 @@
 		n := len(c.open) + len(c.waiting)
 		_, quit := c.quit[ref]
 		if c.retired || c.dead || n >= streams || quit || c.open[ref] != nil || c.test != "" ||
-			slices.ContainsFunc(c.waiting, func(a *gateway.Attempt) bool { return a.Request.Ref == ref }) {
+			slices.ContainsFunc(c.waiting, func(a *gateway.Attempt) bool { return a.Request.ID == ref }) {
 			continue
 		}
 		if best == nil || (c.tc != nil) != (best.tc != nil) && c.tc != nil ||
@@ -183,7 +183,7 @@
 	c.parser.room = c.room
 	s.conns = append(s.conns, c)
 	p.conns++
-	p.Counters.Dialled++
+	p.Counters.ConnectsStarted++
 	// A store that is cut off answers no connect at all, so the time-out is ours.
 	c.timer = p.loop.After(p.cfg.ConnectTimeout, func() { c.end(errors.New("no connection in time")) })
 	p.engine.Dial(s.addr, p.cfg.ConnectTimeout+sweep, c,
@@ -194,7 +194,7 @@
 
 // Cancel gives an attempt up: the store is told, if it was written.
 func (p *Pool) Cancel(a *gateway.Attempt) {
-	c, _ := a.Wire.(*conn)
+	c, _ := a.BackendState.(*conn)
 	if c == nil || c.dead {
 		return
 	}
@@ -202,13 +202,13 @@
 		c.waiting = slices.Delete(c.waiting, i, i+1)
 		return
 	}
-	if c.open[a.Request.Ref] != a {
+	if c.open[a.Request.ID] != a {
 		return
 	}
-	p.Counters.Given++
-	delete(c.open, a.Request.Ref)
-	c.quit[a.Request.Ref] = p.loop.Now()
-	if err := c.tc.Write(appendCommand(nil, "QUIT", a.Request.Ref)); err != nil {
+	p.Counters.Canceled++
+	delete(c.open, a.Request.ID)
+	c.quit[a.Request.ID] = p.loop.Now()
+	if err := c.tc.Write(appendCommand(nil, "QUIT", a.Request.ID)); err != nil {
 		c.end(err)
 	}
 }
@@ -231,7 +231,7 @@
 			case c.within && now.Sub(c.heard) > stall:
 				c.end(errors.New("an answer stops short"))
 			// Guards the requests that share the connection: they wait behind an answer that comes a byte at a time, for ever.
-			case c.within && p.cfg.Whole > 0 && now.Sub(c.begun) > p.cfg.Whole:
+			case c.within && p.cfg.AnswerTimeout > 0 && now.Sub(c.begun) > p.cfg.AnswerTimeout:
 				c.end(errors.New("an answer does not end"))
 			case c.test != "" && c.heard.After(c.tested): // any byte will do
 				c.test = ""
@@ -239,7 +239,7 @@
 				c.end(errors.New("silent"))
 			case c.test == "" && len(c.open) > 0 && now.Sub(c.heard) > silence:
 				p.tests++
-				p.Counters.Noop++
+				p.Counters.Pings++
 				c.test, c.tested = "t"+strconv.FormatUint(p.tests, 10), now
 				if err := c.tc.Write(appendCommand(nil, "NOOP", c.test)); err != nil {
 					c.end(err)
--- a/internal/net/resp/request.go
+++ b/internal/net/resp/request.go
@@ -10,7 +10,7 @@
 
 // write sends one attempt, if it may still go.
 func (c *conn) write(a *gateway.Attempt) {
-	if !c.pool.Gateway.Clear(a) {
+	if !c.pool.Gateway.ConfirmAttempt(a) {
 		return
 	}
 	now := c.pool.loop.Now()
@@ -18,11 +18,11 @@
 		c.heard = now
 	}
 	c.used = now
-	c.open[a.Request.Ref] = a
+	c.open[a.Request.ID] = a
 	c.pool.Counters.Written++
 	r := a.Request
 	head := append(make([]byte, 0, 256), "*4\r\n"...)
-	for _, s := range [...]string{"ASK", r.Ref, fields(a, now)} {
+	for _, s := range [...]string{"ASK", r.ID, fields(a, now)} {
 		head = append(append(appendLength(head, len(s)), s...), "\r\n"...)
 	}
 	if err := c.tc.Write(appendLength(head, len(r.Body)), r.Body, []byte("\r\n")); err != nil {
@@ -43,15 +43,15 @@
 	add("lane", r.Class)
 	add("name", r.Object)
 	add("piece", strconv.Itoa(r.Part))
-	add("ttl", strconv.FormatInt(max(1, a.Expiry.Sub(now).Milliseconds()), 10))
-	if r.Key != "" {
-		add("dedupe", r.Key)
+	add("ttl", strconv.FormatInt(max(1, a.Deadline.Sub(now).Milliseconds()), 10))
+	if r.IdempotencyKey != "" {
+		add("dedupe", r.IdempotencyKey)
 	}
-	if a.Source != "" {
-		add("parent", a.Source)
+	if a.FillSource != "" {
+		add("parent", a.FillSource)
 	}
-	if a.Keep > 0 {
-		add("shelf", strconv.Itoa(a.Keep))
+	if a.CacheRank > 0 {
+		add("shelf", strconv.Itoa(a.CacheRank))
 	}
 	if a.MaxAge > 0 {
 		add("accept", strconv.FormatInt(max(1, a.MaxAge.Milliseconds()), 10))
@@ -60,7 +60,7 @@
 	for _, h := range [...]struct {
 		set  bool
 		word string
-	}{{a.Join, "merge"}, {a.Held, "local"}, {a.NoCopy, "skip"}, {a.Renew, "revalidate"}} {
+	}{{a.Coalesce, "merge"}, {a.OnlyIfCached, "local"}, {a.NoParentCopy, "skip"}, {a.RefreshAhead, "revalidate"}} {
 		if h.set {
 			hints = append(hints, h.word)
 		}
@@ -68,8 +68,8 @@
 	if len(hints) > 0 {
 		add("hints", strings.Join(hints, "+"))
 	}
-	if r.Have != "" {
-		add("got", r.Have)
+	if r.IfNoneMatch != "" {
+		add("got", r.IfNoneMatch)
 	}
 	return string(b)
 }
--- a/internal/net/resp/words_test.go
+++ b/internal/net/resp/words_test.go
@@ -11,7 +11,7 @@
 // What a store says of how it served is taken as far as it is understood. Neither a word that nobody knows nor a field that
 // can't be read closes the connection, which others share.
 func TestWordsOfAnswers(t *testing.T) {
-	c := &conn{pool: &Pool{cfg: Config{LoadFields: []string{"cpu_share", "x1"}}}}
+	c := &conn{pool: &Pool{cfg: Config{LoadReportFields: []string{"cpu_share", "x1"}}}}
 	for _, w := range []struct {
 		fields string
 		note   routing.Reason
@@ -27,8 +27,8 @@
 		{"first=NaN", routing.ReasonNone, 0},
 	} {
 		var res gateway.Result
-		if err := c.fields(w.fields, &res); err != nil || res.Note != w.note || res.FillWait != w.wait {
-			t.Errorf("%s: note %v, wait %v, %v", w.fields, res.Note, res.FillWait, err)
+		if err := c.fields(w.fields, &res); err != nil || res.Reason != w.note || res.FillWait != w.wait {
+			t.Errorf("%s: note %v, wait %v, %v", w.fields, res.Reason, res.FillWait, err)
 		}
 	}
 }
@@ -47,7 +47,7 @@
 // Settings name the values of a report in the simulator's words or in those of its wire; stores may use the others.
 func TestReportsAreReadByEitherName(t *testing.T) {
 	for _, fields := range [][]string{{"util", "x1", "inflight"}, {"cpu_share", "x1", "busy_reqs"}} {
-		c := &conn{pool: &Pool{cfg: Config{LoadFields: fields}}}
+		c := &conn{pool: &Pool{cfg: Config{LoadReportFields: fields}}}
 		for _, report := range []string{"inflight:7;util:0.61;x1:0.2", "busy_reqs:7;cpu_share:0.61;x1:0.2;new:3"} {
 			if got := c.load(report); got[0] != 0.61 || got[1] != 0.2 || got[2] != 7 {
 				t.Errorf("%v of %q: %v", fields, report, got)
--- a/internal/net/signedfront/front.go
+++ b/internal/net/signedfront/front.go
@@ -16,7 +16,7 @@
 
 const (
 	sweep     = 250 * time.Millisecond
-	aheadMost = headMost + httpapi.BodyMost + 4 // bytes that may come ahead of an answer
+	aheadMost = headMost + httpapi.MaxBodyBytes + 4 // bytes that may come ahead of an answer
 )
 
 var (
@@ -38,45 +38,45 @@
 	ending  bool
 	shut    bool // Shut or Retire was called
 
-	Admitted uint64
-	Problems map[string]uint64 // by reason
-	Statuses map[int]uint64
+	Admitted         uint64
+	ProblemsByReason map[string]uint64 // by reason
+	AnswersByStatus  map[int]uint64
 }
 
 // New returns a front for so many connections. Its Accept makes the handlers of a listener.
 func New(loop *gateway.Loop, g *gateway.Gateway, api *httpapi.API, most int, seed uint64, log logrus.FieldLogger) *Front {
 	f := &Front{loop: loop, gateway: g, api: api, log: log, conns: map[*conn]bool{}, seed: seed,
-		tracker: transport.NewConnTracker(most), Problems: map[string]uint64{}, Statuses: map[int]uint64{}}
+		tracker: transport.NewConnTracker(most), ProblemsByReason: map[string]uint64{}, AnswersByStatus: map[int]uint64{}}
 	loop.After(sweep, f.sweep)
 	return f
 }
 
-// Use has what is admitted from now on go by another API, after a change of keys say.
-func (f *Front) Use(api *httpapi.API) { f.api = api }
+// SetAPI has what is admitted from now on go by another API, after a change of keys say.
+func (f *Front) SetAPI(api *httpapi.API) { f.api = api }
 
-// Accept returns the callbacks of a new connection.
-func (f *Front) Accept() transport.Handler { return &conn{front: f} }
+// NewHandler returns the callbacks of a new connection.
+func (f *Front) NewHandler() transport.Handler { return &conn{front: f} }
 
 // Idle says whether all that was answered has left.
 func (f *Front) Idle() bool {
 	for c := range f.conns {
-		if c.tc.Waiting() > 0 || c.busy != nil || c.checks {
+		if c.tc.UnsentBytes() > 0 || c.busy != nil || c.checks {
 			return false
 		}
 	}
 	return true
 }
 
-// End has connections close after the answer that is due.
-func (f *Front) End() {
+// CloseAfterAnswers has connections close after the answer that is due.
+func (f *Front) CloseAfterAnswers() {
 	f.ending = true
 }
 
-// Shut ends all connections, once nothing is in work on them.
-func (f *Front) Shut() {
+// CloseAll ends all connections, once nothing is in work on them.
+func (f *Front) CloseAll() {
 	f.shut = true
 	for c := range f.conns {
-		c.tc.End(errEnding, transport.Linger)
+		c.tc.CloseGracefully(errEnding, transport.LingerTime)
 	}
 }
 
@@ -86,13 +86,13 @@
 	f.shut, f.ending = true, true
 	for c := range f.conns {
 		if c.last = true; c.busy == nil && !c.checks {
-			c.tc.End(errRetired, transport.Linger)
+			c.tc.CloseGracefully(errRetired, transport.LingerTime)
 		}
 	}
 }
 
-// SetMost sets how many connections are held at once.
-func (f *Front) SetMost(most int) { f.tracker.SetMost(most) }
+// SetMaxConns sets how many connections are held at once.
+func (f *Front) SetMaxConns(most int) { f.tracker.SetMaxConns(most) }
 
 // EvictIdle has an idle connection closed, for one that waits to be accepted. It may be called from anywhere.
 func (f *Front) EvictIdle() { f.loop.Post(func() { f.tracker.EvictIdle(f.loop.Now(), 1) }) }
@@ -118,11 +118,11 @@
 	buf     []byte
 	at      time.Time // when the latest bytes came
 	tracked *transport.TrackedConn
-	busy    *httpapi.Admitted // the request in work
-	turn    gateway.Turn      // of checking the next request
-	checks  bool              // it waits for that
-	proceed bool              // 100 Continue was sent for the request that is coming
-	last    bool              // nothing is read after the present answer
+	busy    *httpapi.AdmittedRequest // the request in work
+	turn    gateway.QueuedWork       // of checking the next request
+	checks  bool                     // it waits for that
+	proceed bool                     // 100 Continue was sent for the request that is coming
+	last    bool                     // nothing is read after the present answer
 	gone    bool
 }
 
@@ -130,24 +130,24 @@
 func (c *conn) OnOpened(tc *transport.Conn) {
 	c.front.loop.Post(func() {
 		if c.front.shut { // it was accepted just before the end
-			tc.End(errEnding, transport.Linger)
+			tc.CloseGracefully(errEnding, transport.LingerTime)
 		} else if !c.gone {
 			c.tc = tc
 			c.tracked = c.front.tracker.Add(tc, c.front.loop.Now(), func() bool { return c.busy != nil || c.checks })
 			c.front.conns[c] = true
-			c.client = c.front.gateway.Join(tc.Waiting, tc.Close)
+			c.client = c.front.gateway.AddClient(tc.UnsentBytes, tc.Close)
 		}
 	})
 }
 
 // OnBytes hands on what came.
 func (c *conn) OnBytes(tc *transport.Conn, b []byte, at time.Time) error {
-	if err := tc.Hold(len(b)); err != nil {
-		tc.Release(len(b))
+	if err := tc.ReserveInput(len(b)); err != nil {
+		tc.ReleaseInput(len(b))
 		return err
 	}
 	b = append([]byte(nil), b...)
-	if !c.front.loop.Post(func() { c.take(tc, b, at); tc.Release(len(b)) }) {
+	if !c.front.loop.Post(func() { c.take(tc, b, at); tc.ReleaseInput(len(b)) }) {
 		return errEnding
 	}
 	return nil
@@ -159,24 +159,24 @@
 		c.gone = true
 		delete(c.front.conns, c)
 		c.front.tracker.Remove(c.tracked)
-		c.front.gateway.Withdraw(&c.turn)
+		c.front.gateway.CancelQueued(&c.turn)
 		if c.busy != nil {
 			ad := c.busy
 			c.busy = nil
 			c.front.gateway.Abandon(ad.Request)
 		}
-		c.front.gateway.Leave(c.client)
+		c.front.gateway.RemoveClient(c.client)
 	})
 }
 
 func (c *conn) take(tc *transport.Conn, b []byte, at time.Time) {
-	if c.gone || c.last || tc.Ended() {
+	if c.gone || c.last || tc.Closing() {
 		return
 	}
 	c.at = at
 	if len(c.buf)+len(b) > aheadMost {
 		c.last = true
-		tc.End(fmt.Errorf("more than %d bytes ahead of an answer", aheadMost), transport.Linger)
+		tc.CloseGracefully(fmt.Errorf("more than %d bytes ahead of an answer", aheadMost), transport.LingerTime)
 		return
 	}
 	c.buf = append(c.buf, b...)
@@ -217,7 +217,7 @@
 func (c *conn) request(h *head, body []byte, at time.Time) {
 	f := c.front
 	class := f.api.Class(h.target)
-	_, welcome := f.gateway.Try(gateway.Signed, []byte(class), httpapi.Retry(h.get), []byte(h.target))
+	_, welcome := f.gateway.Admit(gateway.SignedFront, []byte(class), httpapi.IsRetry(h.get), []byte(h.target))
 	run := func(shed bool) {
 		c.checks = false
 		c.check(h, body, at, shed)
@@ -227,10 +227,10 @@
 	}
 	c.checks = true
 	if !welcome {
-		f.gateway.WaitToRefuse(&c.turn, gateway.Signed, func() { run(true) })
+		f.gateway.EnqueueRejection(&c.turn, gateway.SignedFront, func() { run(true) })
 		return
 	}
-	f.gateway.Wait(&c.turn, gateway.Signed, class, at, run)
+	f.gateway.Enqueue(&c.turn, gateway.SignedFront, class, at, run)
 }
 
 // check checks a request's token and hands it in, or refuses it if it is to be shed: which of both is told only to who
@@ -239,12 +239,12 @@
 	f := c.front
 	if f.shut { // its turn came after the end: by keys that are not there any more nothing is admitted
 		c.last = true
-		c.problem(httpapi.Overloaded(f.gateway.Later(h.target)))
+		c.problem(httpapi.Overloaded(f.gateway.RetryAfter(h.target)))
 		return
 	}
-	ad, p := f.api.Admit(httpapi.Call{Method: h.method, Target: h.target, Header: h.get, Body: body, At: at})
+	ad, p := f.api.Authorize(httpapi.Request{Method: h.method, Target: h.target, Header: h.get, Body: body, ReceivedAt: at})
 	if p == nil && shed {
-		p = httpapi.Overloaded(f.gateway.Later(h.target))
+		p = httpapi.Overloaded(f.gateway.RetryAfter(h.target))
 	}
 	if p != nil {
 		c.problem(p)
@@ -252,16 +252,16 @@
 	}
 	f.Admitted++
 	f.serial++
-	ad.Request.Ref = fmt.Sprintf("%016x", (f.seed^f.serial*0x9e3779b97f4a7c15)|1<<63)
+	ad.Request.ID = fmt.Sprintf("%016x", (f.seed^f.serial*0x9e3779b97f4a7c15)|1<<63)
 	c.busy = ad
-	ad.Request.Arrived, ad.Request.Front, ad.Request.Client, ad.Request.Admitted = at, gateway.Signed, c.client, true
-	ad.Request.There = func() bool { return !c.tc.Ended() && !c.tc.Left() }
+	ad.Request.ArrivedAt, ad.Request.Front, ad.Request.Client, ad.Request.Admitted = at, gateway.SignedFront, c.client, true
+	ad.Request.ClientConnected = func() bool { return !c.tc.Closing() && !c.tc.PeerClosed() }
 	ad.Request.Answer = func(a gateway.Answer) {
 		if c.busy != ad { // the client has left
 			return
 		}
 		c.busy = nil
-		c.respond(f.api.Respond(ad, a, time.Now()), ad.Head)
+		c.respond(f.api.Respond(ad, a, time.Now()), ad.HeadOnly)
 		if !c.last {
 			f.loop.Post(c.next)
 		}
@@ -270,13 +270,13 @@
 }
 
 func (c *conn) problem(p *httpapi.Problem) {
-	c.front.Problems[p.Reason]++
+	c.front.ProblemsByReason[p.Reason]++
 	c.respond(p.Response(), false)
 }
 
 // respond writes one answer.
 func (c *conn) respond(r httpapi.Response, headOnly bool) {
-	c.front.Statuses[r.Status]++
+	c.front.AnswersByStatus[r.Status]++
 	c.tracked.LastActive = c.front.loop.Now()
 	b := append(make([]byte, 0, 512), "HTTP/1.1 "...)
 	b = append(strconv.AppendInt(b, int64(r.Status), 10), ' ')
@@ -304,8 +304,8 @@
 	if c.gone {
 		return
 	}
-	if c.tc.Waiting() == 0 {
-		c.tc.End(errors.New("done"), transport.Linger)
+	if c.tc.UnsentBytes() == 0 {
+		c.tc.CloseGracefully(errors.New("done"), transport.LingerTime)
 		return
 	}
 	c.front.loop.After(5*time.Millisecond, c.flush)
--- a/internal/net/signedfront/parser.go
+++ b/internal/net/signedfront/parser.go
@@ -70,7 +70,7 @@
 		if err != nil || len(l) > 1 || strings.HasPrefix(l[0], "+") {
 			return bad(http.StatusBadRequest, "malformed Content-Length")
 		}
-		if n > httpapi.BodyMost {
+		if n > httpapi.MaxBodyBytes {
 			return bad(http.StatusRequestEntityTooLarge, "the body is too long")
 		}
 		h.length = int(n)
--- a/internal/net/transport/echo.go
+++ b/internal/net/transport/echo.go
@@ -47,8 +47,8 @@
 	_ = unix.Close(e.fd)
 }
 
-// Echo calls f on the poller, once it has read what had come on all connections by now. f must not block.
-func (e *Engine) Echo(f func()) {
+// Barrier calls f on the poller, once it has read what had come on all connections by now. f must not block.
+func (e *Engine) Barrier(f func()) {
 	e.echo.mu.Lock()
 	defer e.echo.mu.Unlock()
 	e.echo.want = append(e.echo.want, f)
--- a/internal/net/transport/listener.go
+++ b/internal/net/transport/listener.go
@@ -120,7 +120,7 @@
 			l.full()
 		}
 		if !l.slots.take(slotWithin) {
-			l.engine.Crowded.Add(1)
+			l.engine.RejectedConns.Add(1)
 			_ = conn.Close()
 			return
 		}
@@ -128,15 +128,15 @@
 	l.serve(conn, nil)
 }
 
-// Piece is something that has come on a connection at a time.
-type Piece struct {
+// ReceivedChunk is something that has come on a connection at a time.
+type ReceivedChunk struct {
 	Data []byte
 	At   time.Time
 }
 
 // Adopt serves a connection of a former process as if it had been accepted here. The pieces have come on it before. It takes a
 // slot even if there is none.
-func (l *Listener) Adopt(conn net.Conn, pieces []Piece) {
+func (l *Listener) Adopt(conn net.Conn, pieces []ReceivedChunk) {
 	if !l.slots.take(0) {
 		l.slots.takeAnyway()
 	}
@@ -144,7 +144,7 @@
 }
 
 // serve has a connection, which has its slot, read and answered.
-func (l *Listener) serve(conn net.Conn, pieces []Piece) {
+func (l *Listener) serve(conn net.Conn, pieces []ReceivedChunk) {
 	boundUnsent(conn)
 	nc, err := nbio.NBConn(conn)
 	if err != nil {
@@ -155,19 +155,19 @@
 	}
 	h := l.handler()
 	c := l.engine.wrap(nc, h, l.slots.free)
-	if o, ok := h.(Opener); ok {
+	if o, ok := h.(OpenHandler); ok {
 		o.OnOpened(c)
 	}
 	c.stopped.Store(len(pieces) > 0) // nothing is read before these
 	l.engine.add(c)
 	for _, p := range pieces {
 		if err := h.OnBytes(c, p.Data, p.At); err != nil {
-			c.End(err, lingerLeast)
+			c.CloseGracefully(err, lingerLeast)
 			break
 		}
 	}
 	c.stopped.Store(false)
-	if s, ok := h.(Speaker); ok {
+	if s, ok := h.(WriteReadyHandler); ok {
 		s.OnReady(c)
 	}
 }
@@ -208,9 +208,9 @@
 // Close stops accepting; open connections stay. The kernel resets connections that wait to be accepted.
 func (l *Listener) Close() { l.once.Do(func() { _ = l.tcp.Close() }) }
 
-// Yield stops accepting in favour of another process that listens on the same address: all connections that wait to be
+// CloseAfterQueued stops accepting in favour of another process that listens on the same address: all connections that wait to be
 // accepted are taken first.
-func (l *Listener) Yield() {
+func (l *Listener) CloseAfterQueued() {
 	l.yielding.Do(func() {
 		close(l.yield)
 		_ = l.tcp.SetDeadline(time.Unix(1, 0)) // wakes run
@@ -226,9 +226,9 @@
 	}
 }
 
-// SetMost sets how many connections are held open at once. If more are open they stay, and none is accepted until enough
+// SetMaxConns sets how many connections are held open at once. If more are open they stay, and none is accepted until enough
 // have ended.
-func (l *Listener) SetMost(most int) { l.slots.setMost(most) }
+func (l *Listener) SetMaxConns(most int) { l.slots.setMost(most) }
 
 // slots bounds how many connections are open. It is safe for concurrent use.
 type slots struct {
--- a/internal/net/transport/listener_test.go
+++ b/internal/net/transport/listener_test.go
@@ -60,7 +60,7 @@
 			<-held
 		}
 	}
-	l.Yield()
+	l.CloseAfterQueued()
 	close(release)
 	for i, c := range clients {
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
--- a/internal/net/transport/tracker.go
+++ b/internal/net/transport/tracker.go
@@ -7,10 +7,10 @@
 
 // How long a connection may hold its slot.
 const (
-	SpeakWithin = 2 * time.Second         // without a word since it was opened
-	WholeWithin = 2500 * time.Millisecond // with a message that has begun to come and has not come whole
-	idleMost    = 10 * time.Second        // with nothing in work; usual clients close after 4 s
-	newcomer    = 200 * time.Millisecond
+	FirstByteTimeout = 2 * time.Second         // without a word since it was opened
+	MessageTimeout   = 2500 * time.Millisecond // with a message that has begun to come and has not come whole
+	idleMost         = 10 * time.Second        // with nothing in work; usual clients close after 4 s
+	newcomer         = 200 * time.Millisecond
 )
 
 // ConnTracker knows the connections of one front and ends those that hold their slots for nothing: that never speak, stop in
@@ -42,8 +42,8 @@
 	return n
 }
 
-// SetMost sets how many slots there are.
-func (t *ConnTracker) SetMost(most int) { t.most = most }
+// SetMaxConns sets how many slots there are.
+func (t *ConnTracker) SetMaxConns(most int) { t.most = most }
 
 // Remove ends the tracking of a connection. One that is not tracked, or nil, is left alone.
 func (t *ConnTracker) Remove(n *TrackedConn) { delete(t.all, n) }
@@ -61,7 +61,7 @@
 
 // idle says whether nothing is owed on the connection and nothing is coming.
 func (n *TrackedConn) idle() bool {
-	return !n.Busy() && n.PartialSince.IsZero() && n.Conn.Waiting() == 0
+	return !n.Busy() && n.PartialSince.IsZero() && n.Conn.UnsentBytes() == 0
 }
 
 // Sweep ends connections that have held their slots for too long. One whose message does not come whole is handed to
@@ -71,17 +71,17 @@
 		busy := n.Busy() // may hear of what came
 		quiet := now.Sub(n.LastActive)
 		switch {
-		case !n.PartialSince.IsZero() && now.Sub(n.PartialSince) > WholeWithin && !busy:
+		case !n.PartialSince.IsZero() && now.Sub(n.PartialSince) > MessageTimeout && !busy:
 			if partial != nil {
 				partial(n)
 			} else {
-				n.Conn.End(errors.New("a message that does not end"), Linger)
+				n.Conn.CloseGracefully(errors.New("a message that does not end"), LingerTime)
 			}
 		case !n.idle():
-		case n.Messages == 0 && quiet > SpeakWithin:
-			n.Conn.End(errors.New("it never spoke"), Linger)
+		case n.Messages == 0 && quiet > FirstByteTimeout:
+			n.Conn.CloseGracefully(errors.New("it never spoke"), LingerTime)
 		case quiet > idleMost:
-			n.Conn.End(errors.New("idle"), Linger)
+			n.Conn.CloseGracefully(errors.New("idle"), LingerTime)
 		}
 	}
 }
@@ -96,7 +96,7 @@
 			return
 		}
 		t.Remove(longest) // it is on its way out
-		longest.Conn.End(errors.New("its slot is needed"), lingerLeast)
+		longest.Conn.CloseGracefully(errors.New("its slot is needed"), lingerLeast)
 	}
 }
 
--- a/internal/net/transport/transport.go
+++ b/internal/net/transport/transport.go
@@ -30,7 +30,7 @@
 
 	// What an ended connection may still hold its descriptor for. A message that crosses an end within 50 ms is sent
 	// anew by its client, so it is read and thrown away for longer than that.
-	Linger      = 500 * time.Millisecond
+	LingerTime  = 500 * time.Millisecond
 	lingerLeast = 60 * time.Millisecond // where its place is needed, or what it sent was at fault
 	thrownMost  = 1 << 20               // bytes that are thrown away meanwhile: one that floods is closed
 )
@@ -47,11 +47,11 @@
 	OnClosed(c *Conn, err error)
 }
 
-// Opener is a handler that is told of its connection before the first byte comes. It may not write yet.
-type Opener interface{ OnOpened(c *Conn) }
+// OpenHandler is a handler that is told of its connection before the first byte comes. It may not write yet.
+type OpenHandler interface{ OnOpened(c *Conn) }
 
-// Speaker is a handler that speaks first: it is told once the connection can be written.
-type Speaker interface{ OnReady(c *Conn) }
+// WriteReadyHandler is a handler that speaks first: it is told once the connection can be written.
+type WriteReadyHandler interface{ OnReady(c *Conn) }
 
 // Engine owns the connections of a program.
 type Engine struct {
@@ -68,7 +68,7 @@
 	handing   sync.Mutex // held while a connection is made, and taken before its parts are read
 
 	Opened, Closed atomic.Uint64
-	Crowded        atomic.Uint64 // connections closed because there was no place
+	RejectedConns  atomic.Uint64 // connections closed because there was no place
 	In, Out        atomic.Uint64 // bytes
 }
 
@@ -113,7 +113,7 @@
 		return nil, fmt.Errorf("opening the echo: %w", err)
 	}
 	runs := make(chan struct{})
-	e.Echo(func() { close(runs) })
+	e.Barrier(func() { close(runs) })
 	late := time.NewTimer(echoWithin)
 	defer late.Stop()
 	select {
@@ -140,7 +140,7 @@
 	}
 	c.reading.Store(true)
 	defer c.reading.Store(false)
-	for i := 0; (i < readsMost || c.Left()) && !c.stopped.Load(); i++ {
+	for i := 0; (i < readsMost || c.PeerClosed()) && !c.stopped.Load(); i++ {
 		n, err := nc.Read(e.buffer)
 		if n > 0 {
 			e.In.Add(uint64(n))
@@ -152,7 +152,7 @@
 				continue
 			}
 			if err := c.handler.OnBytes(c, e.buffer[:n], time.Now()); err != nil {
-				c.End(err, lingerLeast)
+				c.CloseGracefully(err, lingerLeast)
 				return
 			}
 		}
@@ -190,9 +190,9 @@
 // told tells the handler, once, that the connection is over.
 func (c *Conn) told(err error) { c.closed.Do(func() { c.handler.OnClosed(c, err) }) }
 
-// Left says whether the other end has closed the connection, by the kernel's word at this moment: what has come before
+// PeerClosed says whether the other end has closed the connection, by the kernel's word at this moment: what has come before
 // that may not have been read yet.
-func (c *Conn) Left() bool {
+func (c *Conn) PeerClosed() bool {
 	if c.gone.Load() {
 		return true
 	}
@@ -209,11 +209,11 @@
 	return left
 }
 
-// End ends the connection for its handler, which is told so at once, and lets its other end take all that was written:
+// CloseGracefully ends the connection for its handler, which is told so at once, and lets its other end take all that was written:
 // the sending side is shut behind that, what still comes is thrown away, and the descriptor is given back once the
 // other end has closed, too, or after linger. Guards against the reset that a close over unread bytes sends, which
 // takes answers away that had not been read.
-func (c *Conn) End(err error, linger time.Duration) {
+func (c *Conn) CloseGracefully(err error, linger time.Duration) {
 	c.nc.Lock()
 	closed, _ := c.nc.IsClosed()
 	if closed || c.ended.Swap(true) {
@@ -232,9 +232,9 @@
 // Lingering is the number of connections that have ended, and whose other ends have not closed yet.
 func (e *Engine) Lingering() int64 { return e.lingering.Load() }
 
-// Quiet says whether nothing that the other end has sent lies unread in the kernel, nor is just being handed to the handler.
+// InputDrained says whether nothing that the other end has sent lies unread in the kernel, nor is just being handed to the handler.
 // What the handler was handed before that is its own to know.
-func (c *Conn) Quiet() bool {
+func (c *Conn) InputDrained() bool {
 	if c.gone.Load() {
 		return true
 	}
@@ -255,16 +255,16 @@
 	return n
 }
 
-// Ended says whether End was called.
-func (c *Conn) Ended() bool { return c.ended.Load() }
+// Closing says whether End was called.
+func (c *Conn) Closing() bool { return c.ended.Load() }
 
 // shut closes the sending side. nbio's lock is held: the descriptor is the connection's own.
 func (c *Conn) shut() { _ = unix.Shutdown(c.nc.Hash(), unix.SHUT_WR) }
 
-// Hold notes memory that what has come on the connection takes until the loop has dealt with it, and Release that it
+// ReserveInput notes memory that what has come on the connection takes until the loop has dealt with it, and Release that it
 // has. An error says that this is too much. Guards against clients that send at full speed what is quicker to read
 // than to answer: it would pile up between the poller and the loop.
-func (c *Conn) Hold(n int) error {
+func (c *Conn) ReserveInput(n int) error {
 	e, own := c.engine, c.held.Add(int64(n))
 	all := e.held.Add(int64(n))
 	if own > min(heldMost, e.most/4) || all > e.most/2 && own > heldFair {
@@ -273,14 +273,14 @@
 	return nil
 }
 
-// Release gives back what was held, on an error of Hold, too.
-func (c *Conn) Release(n int) {
+// ReleaseInput gives back what was held, on an error of ReserveInput, too.
+func (c *Conn) ReleaseInput(n int) {
 	c.held.Add(int64(-n))
 	c.engine.held.Add(int64(-n))
 }
 
-// Waiting is the number of bytes that wait to be written.
-func (c *Conn) Waiting() int64 { return c.waiting.Load() }
+// UnsentBytes is the number of bytes that wait to be written.
+func (c *Conn) UnsentBytes() int64 { return c.waiting.Load() }
 
 // Write sends the pieces in order, and never blocks. It keeps nothing of them. If more waits than the
 // engine holds, the connection is closed: its other end does not read.
--- a/internal/net/transport/transport_test.go
+++ b/internal/net/transport/transport_test.go
@@ -52,8 +52,8 @@
 		if err := c.Write(make([]byte, 100<<10)); err == nil {
 			t.Error("a closed connection can be written")
 		}
-		if n := e.waiting.Load(); n != 0 || c.Waiting() != 0 {
-			t.Errorf("%d bytes wait on all connections, %d on a closed one", n, c.Waiting())
+		if n := e.waiting.Load(); n != 0 || c.UnsentBytes() != 0 {
+			t.Errorf("%d bytes wait on all connections, %d on a closed one", n, c.UnsentBytes())
 		}
 	}
 }
@@ -97,7 +97,7 @@
 			}
 		}
 		heard := make(chan struct{})
-		e.Echo(func() { close(heard) })
+		e.Barrier(func() { close(heard) })
 		<-heard
 		e.Stop()
 	}
@@ -162,7 +162,7 @@
 // hold has the poller do nothing until what it returns is called.
 func hold(e *Engine) (free func()) {
 	held, release := make(chan bool), make(chan bool)
-	e.Echo(func() { close(held); <-release })
+	e.Barrier(func() { close(held); <-release })
 	<-held
 	return sync.OnceFunc(func() { close(release) })
 }
@@ -180,7 +180,7 @@
 // close resets it, and the rest of the answer is lost; after an end the other side reads all, and then the end.
 func TestAnEndTakesNoAnswerAway(t *testing.T) {
 	e, c, other, k := pair(t, 4<<10)
-	e.Echo(func() {}) // it has been added
+	e.Barrier(func() {}) // it has been added
 	free := hold(e)
 	defer free()
 	answer := make([]byte, 90<<10)
@@ -190,7 +190,7 @@
 	if _, err := other.Write([]byte("a request that crosses the end")); err != nil {
 		t.Fatal(err)
 	}
-	c.End(io.ErrShortBuffer, Linger)
+	c.CloseGracefully(io.ErrShortBuffer, LingerTime)
 	if err := <-k.closed; err != io.ErrShortBuffer {
 		t.Errorf("the handler was told %v", err)
 	}
@@ -215,14 +215,14 @@
 // One whose other end stays open gives its descriptor back all the same.
 func TestAnEndDoesNotWaitForEver(t *testing.T) {
 	e, c, other, k := pair(t, 0)
-	c.End(io.EOF, lingerLeast)
+	c.CloseGracefully(io.EOF, lingerLeast)
 	<-k.closed
 	within(t, "it is closed", func() bool { return e.Lingering() == 0 && e.Closed.Load() == 1 })
 	_ = other.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if _, err := other.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the other end sees %v", err)
 	}
-	c.End(io.EOF, lingerLeast) // a second one changes nothing
+	c.CloseGracefully(io.EOF, lingerLeast) // a second one changes nothing
 	if e.Lingering() != 0 {
 		t.Error("a closed connection lingers")
 	}
@@ -232,7 +232,7 @@
 // the end of an answer of 240 kB, say.
 func TestAllIsReadOfOneThatHasClosed(t *testing.T) {
 	e, c, other, k := pair(t, 0)
-	e.Echo(func() {})
+	e.Barrier(func() {})
 	free := hold(e)
 	defer free()
 	if err := c.nc.SetReadBuffer(1 << 20); err != nil { // the kernel must take it all, and the end, too
@@ -242,11 +242,11 @@
 	if _, err := other.Write(make([]byte, sent)); err != nil {
 		t.Fatal(err)
 	}
-	if c.Left() {
+	if c.PeerClosed() {
 		t.Error("it is said to have left before it has")
 	}
 	other.Close()
-	within(t, "the kernel says so", c.Left)
+	within(t, "the kernel says so", c.PeerClosed)
 	free()
 	<-k.closed
 	k.mu.Lock()
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -22,9 +22,9 @@
 
 // Kinds of item.
 const (
-	Event ItemKind = iota // an event for a running director
-	Start                 // a director starts, with Seed and Settings
-	Stop                  // a director was killed
+	ItemEvent ItemKind = iota // an event for a running director
+	ItemStart                 // a director starts, with Seed and Settings
+	ItemStop                  // a director was killed
 )
 
 // Item is one thing that a batch says to one director.
@@ -107,11 +107,11 @@
 	item := Item{Director: f.text(1, "i")}
 	switch name {
 	case "enlist":
-		item.Kind = Start
+		item.Kind = ItemStart
 		item.Seed = f.seed(2, "initSeed")
 		item.Settings = f.settings(3, "env")
 	case "teardown":
-		item.Kind = Stop
+		item.Kind = ItemStop
 	case "sync":
 		item.Event = d.sync(f)
 	default:
--- a/internal/simprotocol/encode.go
+++ b/internal/simprotocol/encode.go
@@ -51,8 +51,8 @@
 	return append(b, q...)
 }
 
-// Add appends one action of a director.
-func (r *Reply) Add(director string, a routing.Action) error {
+// AddAction appends one action of a director.
+func (r *Reply) AddAction(director string, a routing.Action) error {
 	switch a := a.(type) {
 	case routing.ForwardAttempt:
 		r.open("answerFrom", director)
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -115,21 +115,21 @@
 
 // Sockets are the settings that only a gateway on real sockets needs.
 type Sockets struct {
-	ConnectTimeout time.Duration
-	KeepAlive      time.Duration
-	MostHeld       int // requests open at once
-	StreamsPerConn int // attempts on one connection at once
+	ConnectTimeout  time.Duration
+	KeepAlive       time.Duration
+	MaxOpenRequests int // requests open at once
+	StreamsPerConn  int // attempts on one connection at once
 }
 
-// ReadSettings reads a settings object by itself, as a real gateway's configuration holds it. An error names
+// ParseSettings reads a settings object by itself, as a real gateway's configuration holds it. An error names
 // the key that was wrong.
-func ReadSettings(object []byte) (routing.Settings, Sockets, error) {
+func ParseSettings(object []byte) (routing.Settings, Sockets, error) {
 	f := fields{values: []json.RawMessage{object}}
 	var e env
 	f.value(0, "settings", &e, true)
 	s := e.settings(&f)
 	return s, Sockets{ConnectTimeout: duration(e.Limits.ConnectTimeoutMs),
-		KeepAlive: duration(e.Limits.KeepaliveMs), MostHeld: e.Limits.MostHeld,
+		KeepAlive: duration(e.Limits.KeepaliveMs), MaxOpenRequests: e.Limits.MostHeld,
 		StreamsPerConn: e.Limits.StreamsPerConn}, f.err
 }
 
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -56,7 +56,7 @@
 func TestSettings(t *testing.T) {
 	it := decodeOne(t, `["enlist","d/1",18446744073709551615,`+envText+`]`)
 	s := it.Settings
-	if it.Kind != Start || it.Seed != 1<<64-1 || s.ParentKind != -1 || s.OriginKind != 1 || !s.PollDiscovery ||
+	if it.Kind != ItemStart || it.Seed != 1<<64-1 || s.ParentKind != -1 || s.OriginKind != 1 || !s.PollDiscovery ||
 		!s.WeightsKnown || s.LoadReportFields != nil || s.Siblings != routing.SiblingsAnywhere ||
 		s.Classes[0].Effect != routing.IdempotentWithKey || s.Classes[0].DedupScope != routing.ScopeCell ||
 		s.Classes[0].FreshFor != 8*time.Second {
@@ -130,7 +130,7 @@
 		{routing.Log{Text: "t"}, `["record","d","t"]`},
 	} {
 		var r Reply
-		if err := r.Add("d", c.a); err != nil {
+		if err := r.AddAction("d", c.a); err != nil {
 			t.Fatal(err)
 		}
 		if got, want := string(r.Line()), `{"cmds":[`+c.want+"]}\n"; got != want {
@@ -155,7 +155,7 @@
 			t.Error("items beside an error")
 		}
 		for _, it := range b.Items {
-			if it.Kind == Event && it.Event == nil {
+			if it.Kind == ItemEvent && it.Event == nil {
 				t.Error("an event without content")
 			}
 		}
--- a/middleware/example_test.go
+++ b/middleware/example_test.go
@@ -24,9 +24,9 @@
 
 func (m *memory) Send(a *gateway.Attempt) {
 	m.loop.Post(func() {
-		if m.gw.Clear(a) { // it may still go
-			m.gw.Ended(a, gateway.Result{Status: routing.OK, Note: routing.ReasonHit, Tag: "v1",
-				Body: fmt.Appendf(nil, "%s part %d from %s", a.Request.Object, a.Request.Part, a.Server)})
+		if m.gw.ConfirmAttempt(a) { // it may still go
+			m.gw.AttemptEnded(a, gateway.Result{Status: routing.OK, Reason: routing.ReasonHit, ETag: "v1",
+				Body: fmt.Appendf(nil, "%s part %d from %s", a.Request.Object, a.Request.Part, a.Endpoint)})
 		}
 	})
 }
@@ -46,7 +46,7 @@
 	}
 	backend.gw = gw
 	loop.Post(func() {
-		gw.Members(routing.EndpointUpdate{Kind: routing.StaleList, Endpoints: []routing.Endpoint{
+		gw.UpdateEndpoints(routing.EndpointUpdate{Kind: routing.StaleList, Endpoints: []routing.Endpoint{
 			{ID: "c1", Zone: "here", Kind: "box"}, {ID: "o", Zone: "here", Kind: "origin"}}})
 	})
 	go loop.Run()
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -49,11 +49,11 @@
 // serve answers one request. The goroutine is net/http's; it waits for the gateway's one answer.
 func (m *middleware) serve(w http.ResponseWriter, r *http.Request, next http.Handler) {
 	target := r.RequestURI // as sent: r.URL has been decoded
-	if !m.api.Knows(target) {
+	if !m.api.HasClass(target) {
 		next.ServeHTTP(w, r)
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, httpapi.BodyMost))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, httpapi.MaxBodyBytes))
 	if err != nil {
 		status := http.StatusBadRequest
 		var long *http.MaxBytesError
@@ -63,19 +63,19 @@
 		write(w, (&httpapi.Problem{Status: status, Reason: "the body cannot be read"}).Response())
 		return
 	}
-	ad, p := m.api.Admit(httpapi.Call{Method: r.Method, Target: target, Header: r.Header.Values, Body: body,
-		At: time.Now()})
+	ad, p := m.api.Authorize(httpapi.Request{Method: r.Method, Target: target, Header: r.Header.Values, Body: body,
+		ReceivedAt: time.Now()})
 	if p != nil {
 		write(w, p.Response())
 		return
 	}
-	ad.Request.Ref = fmt.Sprintf("%016x", m.start+m.serial.Add(1))
-	ad.Request.Arrived, ad.Request.Front, ad.Request.Keeps = time.Now(), gateway.Host, true
+	ad.Request.ID = fmt.Sprintf("%016x", m.start+m.serial.Add(1))
+	ad.Request.ArrivedAt, ad.Request.Front, ad.Request.RetainsBody = time.Now(), gateway.EmbeddedFront, true
 	answer := make(chan gateway.Answer, 1)
 	ad.Request.Answer = func(a gateway.Answer) { answer <- a }
-	ad.Request.There = func() bool { return r.Context().Err() == nil }
+	ad.Request.ClientConnected = func() bool { return r.Context().Err() == nil }
 	if !m.Loop.Post(func() { m.Gateway.Submit(ad.Request) }) {
-		answer <- gateway.Answer{Outcome: gateway.Refused, RetryAfter: time.Second, Harmless: true}
+		answer <- gateway.Answer{Outcome: gateway.Rejected, RetryAfter: time.Second, Retryable: true}
 	}
 	select {
 	case a := <-answer:
--- a/test/crossing_test.go
+++ b/test/crossing_test.go
@@ -47,7 +47,7 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	settings, _, err := simprotocol.ReadSettings([]byte(testbed.Settings))
+	settings, _, err := simprotocol.ParseSettings([]byte(testbed.Settings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,24 +55,24 @@
 	if in.engine, err = transport.New(log, 48<<20); err != nil {
 		t.Fatal(err)
 	}
-	in.pool = resp.New(resp.Config{Streams: 32, ConnectTimeout: patience, KeepAlive: time.Minute, Conns: 100, Whole: time.Second}, in.loop, in.engine, log)
-	if in.gw, err = gateway.New(gateway.Config{Loop: in.loop, Settings: settings, Backend: in.pool, Log: log, Echo: in.engine.Echo}); err != nil {
+	in.pool = resp.New(resp.Config{StreamsPerConn: 32, ConnectTimeout: patience, KeepAlive: time.Minute, MaxConns: 100, AnswerTimeout: time.Second}, in.loop, in.engine, log)
+	if in.gw, err = gateway.New(gateway.Config{Loop: in.loop, Settings: settings, Backend: in.pool, Log: log, ReadBarrier: in.engine.Barrier}); err != nil {
 		t.Fatal(err)
 	}
 	in.pool.Gateway = in.gw
-	var known netjournal.Known
+	var known netjournal.InitialState
 	if err := json.Unmarshal(testbed.Known(r.stores), &known); err != nil {
 		t.Fatal(err)
 	}
-	book := &netjournal.Book{Sink: struct {
+	book := &netjournal.EventApplier{Sink: struct {
 		*gateway.Gateway
 		*resp.Pool
-	}{in.gw, in.pool}, Clock: in.gw.Clock}
-	if err := book.Start(time.Now(), known); err != nil {
+	}{in.gw, in.pool}, Clock: in.gw.DirectorTime}
+	if err := book.ApplyInitial(time.Now(), known); err != nil {
 		t.Fatal(err)
 	}
 	in.front = msgpackrpc.New(in.loop, in.gw, []string{"films", "images", "orders"}, 100, log)
-	l, err := in.engine.Listen("127.0.0.1:0", 100, in.front.EvictIdle, in.front.Accept)
+	l, err := in.engine.Listen("127.0.0.1:0", 100, in.front.EvictIdle, in.front.NewHandler)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 func (in *inside) holdPoller() (release func()) {
 	in.t.Helper()
 	held, free := make(chan bool), make(chan bool)
-	in.engine.Echo(func() { close(held); <-free })
+	in.engine.Barrier(func() { close(held); <-free })
 	next(in.t, held)
 	return sync.OnceFunc(func() { close(free) })
 }
@@ -124,7 +124,7 @@
 	in.t.Helper()
 	for range 2 { // what it heard of in the round before has been handed on
 		done := make(chan bool)
-		in.engine.Echo(func() { close(done) })
+		in.engine.Barrier(func() { close(done) })
 		next(in.t, done)
 	}
 }
@@ -242,14 +242,14 @@
 	})
 	c := in.client()
 	c.send("films", object, 5*time.Second, "")
-	eventually(t, "the store is dialled", func() bool { return in.count(func() uint64 { return in.pool.Counters.Dialled }) == 1 })
+	eventually(t, "the store is dialled", func() bool { return in.count(func() uint64 { return in.pool.Counters.ConnectsStarted }) == 1 })
 	free := in.holdPoller()
 	defer free()
 	c.conn.Close()
 	for _, s := range late {
 		s.release(t)
 	}
-	eventually(t, "its request is found deserted", func() bool { return in.count(func() uint64 { return in.gw.Counters.Deserted }) == 1 })
+	eventually(t, "its request is found deserted", func() bool { return in.count(func() uint64 { return in.gw.Counters.GoneBeforeWrite }) == 1 })
 	free()
 	eventually(t, "the client has left", func() bool { return in.engine.Closed.Load() == 1 })
 	if n := in.count(func() uint64 { return in.pool.Counters.Written }); n != 0 || len(late[0].asks)+len(late[1].asks) != 0 {
@@ -270,7 +270,7 @@
 	})
 	c := in.client()
 	id := c.send("films", object, 5*time.Second, "")
-	eventually(t, "the store is dialled", func() bool { return in.count(func() uint64 { return in.pool.Counters.Dialled }) == 1 })
+	eventually(t, "the store is dialled", func() bool { return in.count(func() uint64 { return in.pool.Counters.ConnectsStarted }) == 1 })
 	free := in.holdLoop()
 	defer free()
 	opened := in.engine.Opened.Load()
@@ -282,7 +282,7 @@
 	c.cancel(id)
 	in.read()
 	free()
-	eventually(t, "its request is over", func() bool { return in.count(func() uint64 { return in.gw.Counters.Gone }) == 1 })
+	eventually(t, "its request is over", func() bool { return in.count(func() uint64 { return in.gw.Counters.ClientsGone }) == 1 })
 	if n := in.count(func() uint64 { return in.pool.Counters.Written }); n != 0 {
 		t.Errorf("%d attempts were written for nobody", n)
 	}
@@ -310,7 +310,7 @@
 		leave(c, id)
 		in.read()
 		free()
-		eventually(t, "its request is over", func() bool { return in.count(func() uint64 { return in.gw.Counters.Gone }) == 1 })
+		eventually(t, "its request is over", func() bool { return in.count(func() uint64 { return in.gw.Counters.ClientsGone }) == 1 })
 		if n := in.count(func() uint64 { return in.pool.Counters.Written }) - before; n != 1 {
 			t.Errorf("%d attempts, of which the first alone had a client", n)
 		}
@@ -332,7 +332,7 @@
 		defer a.Store.Unlock()
 		return len(a.Store.Quits) == 1 && a.Store.Quits[0] == a.ID
 	})
-	if n := in.count(func() uint64 { return uint64(in.gw.Open()) }); n != 0 {
+	if n := in.count(func() uint64 { return uint64(in.gw.OpenRequests()) }); n != 0 {
 		t.Errorf("%d requests are open", n)
 	}
 
@@ -355,7 +355,7 @@
 	eventually(t, "answers wait", func() bool { return in.count(memory) > 1<<20 })
 	c.conn.Close()
 	eventually(t, "they are forgotten", func() bool {
-		return in.count(memory) == 0 && in.count(func() uint64 { return uint64(in.gw.Open()) }) == 0
+		return in.count(memory) == 0 && in.count(func() uint64 { return uint64(in.gw.OpenRequests()) }) == 0
 	})
 }
 
@@ -413,7 +413,7 @@
 	free()
 	eventually(t, "it has left", func() bool { return in.engine.Opened.Load()-in.engine.Closed.Load() == 2 })
 	in.read()
-	eventually(t, "nothing is open", func() bool { return in.count(func() uint64 { return uint64(in.gw.Open()) }) == 0 })
+	eventually(t, "nothing is open", func() bool { return in.count(func() uint64 { return uint64(in.gw.OpenRequests()) }) == 0 })
 	if n := in.count(func() uint64 { return in.pool.Counters.Written }) - before; n != 0 {
 		t.Errorf("%d attempts were written for nobody", n)
 	}
@@ -471,7 +471,7 @@
 	c.next()
 	before := len(in.asks(""))
 	held, free := make(chan bool), make(chan bool)
-	in.loop.Post(func() { close(held); <-free; in.front.Shut() })
+	in.loop.Post(func() { close(held); <-free; in.front.CloseAll() })
 	next(t, held)
 	c.send("images", object, 5*time.Second, "")
 	in.read()
@@ -484,7 +484,7 @@
 	in.read()
 	c.conn.Close()
 	eventually(t, "the connection is closed", func() bool { return in.engine.Lingering() == 0 })
-	if n := in.count(func() uint64 { return in.gw.Counters.Taken }); n != 1 || len(in.asks("")) != before {
+	if n := in.count(func() uint64 { return in.gw.Counters.Submitted }); n != 1 || len(in.asks("")) != before {
 		t.Errorf("%d requests were taken in, %d sent on", n, len(in.asks("")))
 	}
 }
@@ -500,7 +500,7 @@
 	}
 	answers := make(chan gateway.Answer, 10)
 	in.on(func() {
-		in.gw.Submit(&gateway.Request{Ref: "00000000000000aa", Class: "orders", Object: object, Key: "k", Part: 3, Admitted: true,
+		in.gw.Submit(&gateway.Request{ID: "00000000000000aa", Class: "orders", Object: object, IdempotencyKey: "k", Part: 3, Admitted: true,
 			Deadline: time.Now().Add(3 * time.Second), Answer: func(a gateway.Answer) { answers <- a }})
 	})
 	eventually(t, "it is sent on", func() bool { return len(in.asks(object)) == 1 })
@@ -508,7 +508,7 @@
 	if a := next(t, answers); a.Outcome != gateway.Served {
 		t.Errorf("%+v", a)
 	}
-	if n := in.count(func() uint64 { return in.pool.Counters.Broken }); n != 0 || len(in.asks(object)) != 1 {
+	if n := in.count(func() uint64 { return in.pool.Counters.ConnsLost }); n != 0 || len(in.asks(object)) != 1 {
 		t.Errorf("%d connections broke with work out, %d attempts", n, len(in.asks(object)))
 	}
 }
@@ -742,12 +742,12 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	heard := &purgeSink{}
-	book := &netjournal.Book{Sink: heard, Clock: in.gw.Clock}
-	if err := book.Start(time.Now(), netjournal.Known{Pos: 1}); err != nil {
+	book := &netjournal.EventApplier{Sink: heard, Clock: in.gw.DirectorTime}
+	if err := book.ApplyInitial(time.Now(), netjournal.InitialState{Position: 1}); err != nil {
 		t.Fatal(err)
 	}
 	var feed *netjournal.Client
-	in.on(func() { feed = netjournal.Follow(in.loop, in.engine, log, j.addr, book, 1) })
+	in.on(func() { feed = netjournal.Watch(in.loop, in.engine, log, j.addr, book, 1) })
 	s := next(t, j.conns)
 	event := func(pos, set int) string {
 		return fmt.Sprintf("id: %d\ndata: {\"pos\":%d,\"expire\":{\"set\":%d,\"stamp\":1}}\n\n", pos, pos, set)
@@ -755,7 +755,7 @@
 	s.say(t, streamHead+event(2, 1))
 	eventually(t, "the first is heard", func() bool { return in.count(func() uint64 { return feed.Events }) == 1 })
 	free := in.holdLoop()
-	in.loop.Post(func() { feed.Move(other.addr) })
+	in.loop.Post(func() { feed.SetAddress(other.addr) })
 	s.say(t, event(3, 2))
 	in.read()
 	free()
@@ -775,10 +775,10 @@
 // purgeSink takes in what a journal tells; it lives on the loop.
 type purgeSink struct{ sets []int }
 
-func (*purgeSink) Members(routing.EndpointUpdate) {}
-func (p *purgeSink) Purge(x routing.Purge)        { p.sets = append(p.sets, x.Group) }
-func (*purgeSink) Place(string, string, int64)    {}
-func (*purgeSink) Remove(string)                  {}
+func (*purgeSink) UpdateEndpoints(routing.EndpointUpdate) {}
+func (p *purgeSink) Purge(x routing.Purge)                { p.sets = append(p.sets, x.Group) }
+func (*purgeSink) SetAddress(string, string, int64)       {}
+func (*purgeSink) RemoveEndpoint(string)                  {}
 
 // SIGTERM and a request come in the same moment, to a program that stands still: the request may be read before or
 // after. It is answered, and the program ends with status 0.
