--- a/gateway/admission.go
+++ b/gateway/admission.go
@@ -18,50 +18,50 @@
 	PlatformFront Front = iota
 	SignedFront
 	EmbeddedFront // a program that has the gateway built in
-	fronts
+	frontCount
 )
 
 // String names a front, as the counters do.
 func (f Front) String() string { return [...]string{"platform", "signed", "host"}[f] }
 
-const spareShare = 3 // a part of the longest wait as small is that of a refusal that takes work
+const rejectionWaitDivisor = 3 // a part of the longest wait as small is that of a refusal that takes work
 
-// intake is the part of a gateway that stands before the director: who comes in, who waits, who is shed. It feeds
+// admissionState is the part of a gateway that stands before the director: who comes in, who waits, who is shed. It feeds
 // package overload, which decides, and carries out what that says.
-type intake struct {
-	admissions admissions
-	queue      *overload.Queue
-	spare      *overload.Queue // refusals that take work: they come when nothing else does, or have waited for long
-	ruler      *overload.Controller
-	pulse      *overload.Pulse
-	memory     *overload.Memory
-	health     overload.Health
+type admissionState struct {
+	admissions         admissions
+	queue              *overload.Queue
+	rejectionQueue     *overload.Queue // refusals that take work: they come when nothing else does, or have waited for long
+	overloadController *overload.Controller
+	pauseMonitor       *overload.Pulse
+	memory             *overload.Memory
+	balancerHealth     overload.Health
 
-	lost     time.Duration // to stalls of the host
-	turning  bool          // a front's work has its turn
-	sample   overload.Sample
-	ticked   time.Time     // at the last tick,
-	tickLost time.Duration // and what was lost to stalls by then
-	ticks    int
-	echoed   time.Time     // when the echo that is out was called; zero: none is,
-	echoAt   time.Duration // and what was lost to stalls by then
-	behind   time.Duration
-	offered  uint64 // at the last tick
+	pausedTime        time.Duration // to stalls of the host
+	runningQueuedWork bool          // a front's work has its turn
+	sample            overload.Sample
+	lastTick          time.Time     // at the last tick,
+	pausedAtLastTick  time.Duration // and what was lost to stalls by then
+	ticks             int
+	barrierSentAt     time.Time     // when the echo that is out was called; zero: none is,
+	pausedAtBarrier   time.Duration // and what was lost to stalls by then
+	pollerLag         time.Duration
+	offeredAtBarrier  uint64 // at the last tick
 
 	Load LoadCounters
 }
 
 // Client is whoever a request's answer goes to, where that may be slow to take it. It is made by [Gateway.AddClient].
 type Client struct {
-	part    *overload.Client
-	waiting func() int64
-	close   func(error)
+	account     *overload.Client
+	unsentBytes func() int64
+	close       func(error)
 }
 
-// guard makes the intake.
-func (g *Gateway) guard() error {
+// initAdmission makes the intake.
+func (g *Gateway) initAdmission() error {
 	c := g.cfg.Overload
-	c.Classes, c.Fronts = overloadClasses(g.cfg.Settings.Classes), int(fronts)
+	c.Classes, c.Fronts = overloadClasses(g.cfg.Settings.Classes), int(frontCount)
 	if c.LaterMost == 0 {
 		c.LaterMost = g.cfg.Settings.MaxRetryAfter
 	}
@@ -77,21 +77,21 @@
 	g.cfg.Overload = c
 	order := overload.NewOrder(c.Classes, c.RepeatsFirst)
 	var err error
-	if g.ruler, err = overload.NewController(c, order); err != nil {
+	if g.overloadController, err = overload.NewController(c, order); err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
-	g.admissions.use(&admission{order: order, door: overload.NewDoor(order.Bands(), c.Fronts)})
+	g.admissions.replace(&admissionPolicy{order: order, controller: overload.NewDoor(order.Bands(), c.Fronts)})
 	g.queue = overload.NewQueue(order.Bands(), c.Fronts, c.Wait)
-	g.spare = overload.NewQueue(1, c.Fronts, c.Wait/spareShare)
-	g.pulse = overload.NewPulse(c.Tick, c.StallLeast)
+	g.rejectionQueue = overload.NewQueue(1, c.Fronts, c.Wait/rejectionWaitDivisor)
+	g.pauseMonitor = overload.NewPulse(c.Tick, c.StallLeast)
 	g.memory = overload.NewMemory(c.Memory)
 	hist := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2) }
 	g.Load = LoadCounters{QueueWait: hist(), LoopDelay: hist(), PollerLag: hist()}
 	l := g.cfg.Loop
-	l.low, l.late = g.work, g.late
-	l.delays = func(d time.Duration) { _ = g.Load.LoopDelay.RecordValue(d.Microseconds()) }
-	g.ticked = time.Now()
-	l.Post(g.beat)
+	l.runQueued, l.onLateTimer = g.runNextQueued, g.holdLateTimers
+	l.onDelay = func(d time.Duration) { _ = g.Load.LoopDelay.RecordValue(d.Microseconds()) }
+	g.lastTick = time.Now()
+	l.Post(g.tick)
 	return nil
 }
 
@@ -100,7 +100,7 @@
 // carries Admitted.
 func (g *Gateway) Admit(f Front, class []byte, repeat bool, id []byte) (later time.Duration, ok bool) {
 	a := g.admissions.current.Load()
-	later, ok = a.door.Try(int(f), a.order.BandOf(class, repeat), xxhash.Sum64(id))
+	later, ok = a.controller.Try(int(f), a.order.BandOf(class, repeat), xxhash.Sum64(id))
 	if !g.cfg.Settings.SendRetryAfter {
 		later = 0
 	}
@@ -109,65 +109,65 @@
 
 // AddClient counts a client in: what waits to be written to it, and how to end it.
 func (g *Gateway) AddClient(waiting func() int64, close func(error)) *Client {
-	c := &Client{waiting: waiting, close: close}
-	c.part = g.memory.Join(c)
+	c := &Client{unsentBytes: waiting, close: close}
+	c.account = g.memory.Join(c)
 	return c
 }
 
 // RemoveClient counts a client out. A nil one is none.
 func (g *Gateway) RemoveClient(c *Client) {
 	if c != nil {
-		g.memory.Leave(c.part)
+		g.memory.Leave(c.account)
 	}
 }
 
 // ShedShare is the share of the offer that is shed, 0 to 1, over the last tenths of a second.
-func (g *Gateway) ShedShare() float64 { return g.ruler.Level() }
+func (g *Gateway) ShedShare() float64 { return g.overloadController.Level() }
 
 // BalancerWeight is the weight that balancers are to give the gateway, in percent.
-func (g *Gateway) BalancerWeight() int { return g.health.Weight() }
+func (g *Gateway) BalancerWeight() int { return g.balancerHealth.Weight() }
 
-// queueUp has a request wait for its turn, or sheds it.
-func (g *Gateway) queueUp(r *Request) {
-	r.band = g.order().Band(r.Class, r.Retry)
+// enqueueRequest has a request wait for its turn, or sheds it.
+func (g *Gateway) enqueueRequest(r *Request) {
+	r.band = g.classOrder().Band(r.Class, r.Retry)
 	if !r.Admitted {
-		if later, ok := g.door().Try(int(r.Front), r.band, xxhash.Sum64String(r.ID)); !ok {
-			g.shed(r, later)
+		if later, ok := g.admissionController().Try(int(r.Front), r.band, xxhash.Sum64String(r.ID)); !ok {
+			g.shedRequest(r, later)
 			return
 		}
 	}
-	if g.turning { // it has waited already
-		g.start(r)
+	if g.runningQueuedWork { // it has waited already
+		g.admitToDirector(r)
 		return
 	}
 	came := r.ArrivedAt
 	if came.IsZero() {
 		came = g.cfg.Loop.Now()
 	}
-	r.place.Value = r
-	g.queue.Push(&r.place, r.band, int(r.Front), g.DirectorTime(came))
+	r.queueItem.Value = r
+	g.queue.Push(&r.queueItem, r.band, int(r.Front), g.DirectorTime(came))
 }
 
-// shed refuses a request that no store has seen.
-func (g *Gateway) shed(r *Request, later time.Duration) {
+// shedRequest refuses a request that no store has seen.
+func (g *Gateway) shedRequest(r *Request, later time.Duration) {
 	if !g.cfg.Settings.SendRetryAfter {
 		later = 0
 	}
-	g.answer(r, Answer{Outcome: Rejected, RetryAfter: later, Retryable: true})
+	g.answerRequest(r, Answer{Outcome: Rejected, RetryAfter: later, Retryable: true})
 }
 
-// later is the advice for a request that is shed after it came in.
-func (g *Gateway) later(r *Request) time.Duration {
+// retryAfter is the advice for a request that is shed after it came in.
+func (g *Gateway) retryAfter(r *Request) time.Duration {
 	if !g.cfg.Settings.SendRetryAfter {
 		return 0
 	}
-	return overload.Spread(g.ruler.Later(), xxhash.Sum64String(r.ID))
+	return overload.Spread(g.overloadController.Later(), xxhash.Sum64String(r.ID))
 }
 
 // QueuedWork is the place of work that a front has to do before it can submit a request, such as checking its token. Its zero
 // value waits for nothing.
 type QueuedWork struct {
-	place overload.Item
+	item  overload.Item
 	class string
 	band  int
 	run   func(late bool)
@@ -177,9 +177,9 @@
 // for its requests takes no more of the loop than its share. late says that it has waited for too long: the request is
 // to be refused. The request that f submits is to be Admitted, and begins at once.
 func (g *Gateway) Enqueue(t *QueuedWork, front Front, class string, came time.Time, f func(late bool)) {
-	t.class, t.band, t.run = class, g.order().Band(class, false), f
-	t.place.Value = t
-	g.queue.Push(&t.place, t.band, int(front), g.DirectorTime(came))
+	t.class, t.band, t.run = class, g.classOrder().Band(class, false), f
+	t.item.Value = t
+	g.queue.Push(&t.item, t.band, int(front), g.DirectorTime(came))
 }
 
 // EnqueueRejection has f run for a request that is to be shed, where that takes work: at once if nothing else waits, and
@@ -187,40 +187,40 @@
 // time, and ever less was served.
 func (g *Gateway) EnqueueRejection(t *QueuedWork, front Front, f func()) {
 	t.run = func(bool) { f() }
-	t.place.Value = t
-	g.spare.Push(&t.place, 0, int(front), g.now())
+	t.item.Value = t
+	g.rejectionQueue.Push(&t.item, 0, int(front), g.now())
 }
 
 // CancelQueued takes a turn back. One that does not wait is left alone.
 func (g *Gateway) CancelQueued(t *QueuedWork) {
-	g.queue.Remove(&t.place)
-	g.spare.Remove(&t.place)
+	g.queue.Remove(&t.item)
+	g.rejectionQueue.Remove(&t.item)
 }
 
 // RetryAfter is what a request of a client is told that is refused for load, spread by the client's part of the draw.
-func (g *Gateway) RetryAfter(ref string) time.Duration { return g.later(&Request{ID: ref}) }
+func (g *Gateway) RetryAfter(ref string) time.Duration { return g.retryAfter(&Request{ID: ref}) }
 
-// work gives the next request its turn, and says whether more wait. It is done when nothing else is to be.
-func (g *Gateway) work() bool {
+// runNextQueued gives the next request its turn, and says whether more wait. It is done when nothing else is to be.
+func (g *Gateway) runNextQueued() bool {
 	now := g.now()
-	for i := g.spare.Expired(now); i != nil; i = g.spare.Expired(now) {
+	for i := g.rejectionQueue.Expired(now); i != nil; i = g.rejectionQueue.Expired(now) {
 		i.Value.(*QueuedWork).run(true)
 	}
 	if g.queue.Len() == 0 {
-		if i := g.spare.Pop(); i != nil {
+		if i := g.rejectionQueue.Pop(); i != nil {
 			i.Value.(*QueuedWork).run(true)
 		}
-		return g.spare.Len() > 0
+		return g.rejectionQueue.Len() > 0
 	}
 	for i := g.queue.Expired(now); i != nil; i = g.queue.Expired(now) {
 		g.Load.QueueTimeouts++
 		g.sample.Oldest = max(g.sample.Oldest, g.queue.Limit(now))
 		switch v := i.Value.(type) {
 		case *Request:
-			g.sample.Expired += g.order().Cost(v.band)
-			g.shed(v, g.later(v))
+			g.sample.Expired += g.classOrder().Cost(v.band)
+			g.shedRequest(v, g.retryAfter(v))
 		case *QueuedWork:
-			g.sample.Expired += g.order().Cost(v.band)
+			g.sample.Expired += g.classOrder().Cost(v.band)
 			v.run(true)
 		}
 	}
@@ -232,49 +232,49 @@
 	_ = g.Load.QueueWait.RecordValue(waited.Microseconds())
 	g.sample.Oldest = max(g.sample.Oldest, waited)
 	if t, ok := i.Value.(*QueuedWork); ok {
-		g.sample.Started += g.order().Cost(t.band)
-		g.turning = true
+		g.sample.Started += g.classOrder().Cost(t.band)
+		g.runningQueuedWork = true
 		t.run(false)
-		g.turning = false
+		g.runningQueuedWork = false
 		return g.queue.Len() > 0
 	}
 	r := i.Value.(*Request)
-	g.sample.Started += g.order().Cost(r.band)
-	g.start(r)
+	g.sample.Started += g.classOrder().Cost(r.band)
+	g.admitToDirector(r)
 	return g.queue.Len() > 0
 }
 
-// start begins a request whose turn it is, if there is memory for its answer.
-func (g *Gateway) start(r *Request) {
+// admitToDirector begins a request whose turn it is, if there is memory for its answer.
+func (g *Gateway) admitToDirector(r *Request) {
 	if r.Client != nil {
-		n, ok := g.memory.Reserve(r.Client.part)
+		n, ok := g.memory.Reserve(r.Client.account)
 		if !ok {
 			g.Load.NoMemory++
-			g.shed(r, g.later(r))
+			g.shedRequest(r, g.retryAfter(r))
 			return
 		}
-		r.reserved = n
+		r.reservedBytes = n
 	}
-	g.begin(r)
+	g.chooseLocality(r)
 }
 
-// settled books what a request's answer takes until its client has read it.
-func (g *Gateway) settled(r *Request, a Answer) {
+// accountAnswer books what a request's answer takes until its client has read it.
+func (g *Gateway) accountAnswer(r *Request, a Answer) {
 	size := -1
 	if a.Outcome == Served {
 		size = len(a.Body)
 	}
-	g.unreserve(r, size)
+	g.releaseReservation(r, size)
 	if r.Client != nil {
-		g.memory.Waiting(r.Client.part, r.Client.waiting(), int64(max(0, size)))
+		g.memory.Waiting(r.Client.account, r.Client.unsentBytes(), int64(max(0, size)))
 		g.Load.PeakAnswerBytes = max(g.Load.PeakAnswerBytes, g.memory.Used())
 	}
 }
 
-// unreserve gives back what was set aside for a request.
-func (g *Gateway) unreserve(r *Request, size int) {
+// releaseReservation gives back what was set aside for a request.
+func (g *Gateway) releaseReservation(r *Request, size int) {
 	if r.Client != nil {
-		g.memory.Done(r.Client.part, r.reserved, size)
-		r.reserved = 0
+		g.memory.Done(r.Client.account, r.reservedBytes, size)
+		r.reservedBytes = 0
 	}
 }
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -11,28 +11,28 @@
 // Machines out for work are drained as if the list said so. What the list says and what is held are kept apart and merged: the
 // more cautious holds.
 
-// holds joins the list with what is held.
-type holds struct {
-	list map[string]routing.Endpoint // as the list has it
-	held map[string]bool
-	news int // lists and purges that were told
+// drainState joins the list with what is held.
+type drainState struct {
+	listed      map[string]routing.Endpoint // as the list has it
+	draining    map[string]bool
+	watchEvents int // lists and purges that were told
 }
 
-// listed takes in a list and gives it as the director is to see it.
-func (h *holds) listed(m routing.EndpointUpdate) routing.EndpointUpdate {
-	h.news++
-	if h.list == nil {
-		h.list = map[string]routing.Endpoint{}
+// applyList takes in a list and gives it as the director is to see it.
+func (h *drainState) applyList(m routing.EndpointUpdate) routing.EndpointUpdate {
+	h.watchEvents++
+	if h.listed == nil {
+		h.listed = map[string]routing.Endpoint{}
 	}
 	if m.Kind == routing.FullList || m.Kind == routing.StaleList {
-		clear(h.list)
+		clear(h.listed)
 	}
 	for _, e := range m.Endpoints {
-		if h.list[e.ID] = e; e.Phase == routing.Removed {
-			delete(h.list, e.ID)
+		if h.listed[e.ID] = e; e.Phase == routing.Removed {
+			delete(h.listed, e.ID)
 		}
 	}
-	if len(h.held) == 0 {
+	if len(h.draining) == 0 {
 		return m
 	}
 	m.Endpoints = slices.Clone(m.Endpoints)
@@ -42,8 +42,8 @@
 	return m
 }
 
-func (h *holds) merge(e routing.Endpoint) routing.Endpoint {
-	if h.held[e.ID] && e.Phase == routing.Up {
+func (h *drainState) merge(e routing.Endpoint) routing.Endpoint {
+	if h.draining[e.ID] && e.Phase == routing.Up {
 		e.Phase = routing.Draining
 	}
 	return e
@@ -52,12 +52,12 @@
 // DrainEndpoints says which stores nothing new may be sent to from now on, nor be named as a source. Those that were held before and are
 // not named any more are what the list says.
 func (g *Gateway) DrainEndpoints(stores map[string]bool) {
-	was := g.hold.held
-	g.hold.held = maps.Clone(stores)
+	was := g.drain.draining
+	g.drain.draining = maps.Clone(stores)
 	var changed []routing.Endpoint
-	for id, e := range g.hold.list {
+	for id, e := range g.drain.listed {
 		if was[id] != stores[id] {
-			changed = append(changed, g.hold.merge(e))
+			changed = append(changed, g.drain.merge(e))
 		}
 	}
 	if len(changed) == 0 {
@@ -70,8 +70,8 @@
 		return 1
 	})
 	m := routing.EndpointUpdate{Kind: routing.DeltaList, Endpoints: changed}
-	g.listed(m)
-	g.handleAll(m)
+	g.updateLocalityRoster(m)
+	g.handleInAll(m)
 }
 
 // NoAttemptsAt says that no attempt is out at any of the stores, nor one that names one of them as its source.
@@ -79,7 +79,7 @@
 	if len(stores) == 0 {
 		return true
 	}
-	for _, all := range []map[string]*Request{g.requests, g.over} {
+	for _, all := range []map[string]*Request{g.requests, g.answeredWithAttempts} {
 		for _, r := range all {
 			for _, a := range r.attempts {
 				if !a.ended && (stores[a.Endpoint] || a.FillSource != "" && stores[a.FillSource]) {
@@ -96,28 +96,28 @@
 func (g *Gateway) ObservedEndpoints() (stores []routing.Observed, strain string) {
 	now := g.now()
 	stores, strain = g.directors[0].Observe(now)
-	if strain == "" && g.ShedShare() > shedsOver {
+	if strain == "" && g.ShedShare() > maxShedShareForMaintenance {
 		strain = "a gateway sheds load"
 	}
 	for i, s := range stores { // as the list has it: what is held is not down for that
-		stores[i].Up = g.hold.list[s.ID].Phase == routing.Up
+		stores[i].Up = g.drain.listed[s.ID].Phase == routing.Up
 	}
 	return stores, strain
 }
 
-// shedsOver is the share of the offer that may be shed without holding work back.
-const shedsOver = 0.05
+// maxShedShareForMaintenance is the share of the offer that may be shed without holding work back.
+const maxShedShareForMaintenance = 0.05
 
 // IncarnationTime is the Unix time of a store's start on the director's clock; zero: long ago.
 func (g *Gateway) IncarnationTime(boot time.Duration) time.Time {
 	if boot <= 0 {
 		return time.Time{}
 	}
-	return g.base.Add(boot - g.baseUnix)
+	return g.base.Add(boot - g.baseDirectorTime)
 }
 
 // WatchEvents counts the lists and purges that the gateway was told by its journal.
-func (g *Gateway) WatchEvents() int { return g.hold.news + int(g.Counters.Purges) }
+func (g *Gateway) WatchEvents() int { return g.drain.watchEvents + int(g.Counters.Purges) }
 
 // ListedEndpoints are the stores as the list has them. They are not to be changed.
-func (g *Gateway) ListedEndpoints() map[string]routing.Endpoint { return g.hold.list }
+func (g *Gateway) ListedEndpoints() map[string]routing.Endpoint { return g.drain.listed }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -43,32 +43,32 @@
 type Gateway struct {
 	Counters Counters
 
-	cfg      Config
-	base     time.Time     // the director's clock is the Unix time at base,
-	baseUnix time.Duration // and runs on steadily whatever happens to the system's clock
-	hold     holds
-	requests map[string]*Request // those that await their answer
-	refs     map[string]*Request // the same, by their clients' ids
-	over     map[string]*Request // those answered that have attempts out
-	serial   uint64
-	held     int                       // bytes of request bodies held
-	outcomes map[string]*ClassOutcomes // by class
-
-	events  []event
-	running bool
-	actions []routing.Action
-
-	intake
-	places
-
-	retirement *Timer // of classes that a new configuration dropped; nil: there never were any
+	cfg                  Config
+	base                 time.Time     // the director's clock is the Unix time at base,
+	baseDirectorTime     time.Duration // and runs on steadily whatever happens to the system's clock
+	drain                drainState
+	requests             map[string]*Request // those that await their answer
+	requestsByClientID   map[string]*Request // the same, by their clients' ids
+	answeredWithAttempts map[string]*Request // those answered that have attempts out
+	lastRequestNumber    uint64
+	bodyBytes            int                       // bytes of request bodies held
+	outcomes             map[string]*ClassOutcomes // by class
+
+	events   []event
+	handling bool
+	actions  []routing.Action
+
+	admissionState
+	localityState
+
+	retiredClassesTimer *Timer // of classes that a new configuration dropped; nil: there never were any
 }
 
 // event waits for its turn with the director of a locality.
 type event struct {
 	routing.Event
-	where   int
-	request *Request // of a routing.Request
+	locality int
+	request  *Request // of a routing.Request
 }
 
 // Counters count what a gateway takes in and gives out.
@@ -94,20 +94,20 @@
 	if cfg.Seed == 0 { // guards against a fleet that draws alike, and does the same in the same moment
 		cfg.Seed = rand.Uint64()
 	}
-	g := &Gateway{cfg: cfg, base: now, baseUnix: time.Duration(now.UnixNano()),
-		requests: map[string]*Request{}, refs: map[string]*Request{}, over: map[string]*Request{}, outcomes: map[string]*ClassOutcomes{}}
-	g.countClasses()
-	if err := g.makePlaces(); err != nil {
+	g := &Gateway{cfg: cfg, base: now, baseDirectorTime: time.Duration(now.UnixNano()),
+		requests: map[string]*Request{}, requestsByClientID: map[string]*Request{}, answeredWithAttempts: map[string]*Request{}, outcomes: map[string]*ClassOutcomes{}}
+	g.initClassOutcomes()
+	if err := g.initLocalities(); err != nil {
 		return nil, err
 	}
-	if err := g.guard(); err != nil {
+	if err := g.initAdmission(); err != nil {
 		return nil, err
 	}
 	return g, nil
 }
 
 // DirectorTime turns a time into the director's clock.
-func (g *Gateway) DirectorTime(t time.Time) time.Duration { return g.baseUnix + t.Sub(g.base) }
+func (g *Gateway) DirectorTime(t time.Time) time.Duration { return g.baseDirectorTime + t.Sub(g.base) }
 
 func (g *Gateway) now() time.Duration { return g.DirectorTime(g.cfg.Loop.Now()) }
 
@@ -116,51 +116,51 @@
 
 // UpdateEndpoints tells the director of a list of stores.
 func (g *Gateway) UpdateEndpoints(m routing.EndpointUpdate) {
-	m = g.hold.listed(m)
-	g.listed(m)
-	g.handleAll(m)
+	m = g.drain.applyList(m)
+	g.updateLocalityRoster(m)
+	g.handleInAll(m)
 }
 
 // Purge tells the director of a purge.
 func (g *Gateway) Purge(p routing.Purge) {
 	g.Counters.Purges++
-	g.handleAll(p)
+	g.handleInAll(p)
 }
 
 // ReceiveGossip tells the director of a peer's message.
 func (g *Gateway) ReceiveGossip(from int, data string) {
 	g.Counters.GossipReceived++
-	g.handle(event{Event: routing.GossipReceived{From: from, Data: data}})
+	g.handleEvent(event{Event: routing.GossipReceived{From: from, Data: data}})
 }
 
 // Submit takes a request in. Its Answer is called once on the loop, maybe before Submit returns, unless the
 // front abandons the request first.
 func (g *Gateway) Submit(r *Request) {
-	g.serial++
-	r.directorID = strconv.FormatUint(g.serial, 36)
+	g.lastRequestNumber++
+	r.directorID = strconv.FormatUint(g.lastRequestNumber, 36)
 	g.Counters.Submitted++
-	r.class, r.maxAttempts = g.class(r.Class), g.cfg.Settings.MaxAttempts
+	r.class, r.maxAttempts = g.classByName(r.Class), g.cfg.Settings.MaxAttempts
 	g.requests[r.directorID] = r
-	g.held += len(r.Body)
-	if g.cfg.MaxOpenRequests > 0 && len(g.requests) > g.cfg.MaxOpenRequests || g.cfg.MaxBodyBytes > 0 && g.held > g.cfg.MaxBodyBytes {
-		g.answer(r, Answer{Outcome: Rejected, RetryAfter: g.cfg.Settings.MaxRetryAfter, Retryable: true})
+	g.bodyBytes += len(r.Body)
+	if g.cfg.MaxOpenRequests > 0 && len(g.requests) > g.cfg.MaxOpenRequests || g.cfg.MaxBodyBytes > 0 && g.bodyBytes > g.cfg.MaxBodyBytes {
+		g.answerRequest(r, Answer{Outcome: Rejected, RetryAfter: g.cfg.Settings.MaxRetryAfter, Retryable: true})
 		return
 	}
 	// Guards the request that has the id: to stores both would be one, of which a second attempt is out. An id is new with
 	// each request, so the later one is a copy; unless the earlier one's client has left, and asks anew.
-	if old := g.refs[r.ID]; old != nil && (old.ClientConnected == nil || old.ClientConnected()) {
+	if old := g.requestsByClientID[r.ID]; old != nil && (old.ClientConnected == nil || old.ClientConnected()) {
 		g.Counters.DuplicateIDs++
-		g.answer(r, Answer{Outcome: Failed})
+		g.answerRequest(r, Answer{Outcome: Failed})
 		return
 	} else if old != nil {
 		g.Abandon(old)
 	}
 	if r.ID != "" {
-		g.refs[r.ID] = r
+		g.requestsByClientID[r.ID] = r
 	}
 	// Guards the effect rule: without its key a repeat cannot be told from another request.
-	if r.IdempotencyKey == "" && r.keyed() {
-		g.answer(r, Answer{Outcome: Failed})
+	if r.IdempotencyKey == "" && r.needsIdempotencyKey() {
+		g.answerRequest(r, Answer{Outcome: Failed})
 		return
 	}
 	// Guards the memory: nothing is held for longer than any client of the class waits.
@@ -170,26 +170,26 @@
 		}
 	}
 	// Guards the one answer by the deadline, whatever the director does: it is due Settings.Step earlier.
-	r.expiry = g.cfg.Loop.At(r.Deadline, func() { g.expire(r) })
-	g.queueUp(r)
+	r.deadlineTimer = g.cfg.Loop.At(r.Deadline, func() { g.expireRequest(r) })
+	g.enqueueRequest(r)
 }
 
-// begin hands a request, whose turn it is, to the director of the locality that it is for.
-func (g *Gateway) begin(r *Request) {
-	if !g.pick(r) {
+// chooseLocality hands a request, whose turn it is, to the director of the locality that it is for.
+func (g *Gateway) chooseLocality(r *Request) {
+	if !g.pickLocality(r) {
 		return
 	}
-	g.direct(r)
+	g.submitToDirector(r)
 }
 
-func (g *Gateway) direct(r *Request) {
+func (g *Gateway) submitToDirector(r *Request) {
 	var rules *routing.Class
-	if r.class != g.class(r.Class) { // others hold by now
+	if r.class != g.classByName(r.Class) { // others hold by now
 		rules = r.class
 	}
-	g.handle(event{request: r, where: r.where, Event: routing.Request{AdmittedClass: rules, ID: r.directorID, Class: r.Class, Tenant: r.Tenant,
+	g.handleEvent(event{request: r, locality: r.locality, Event: routing.Request{AdmittedClass: rules, ID: r.directorID, Class: r.Class, Tenant: r.Tenant,
 		Object: r.Object, Part: r.Part, Group: r.Group, SizeKB: r.SizeKB * cmp.Or(g.cfg.SizeScale, 1), Deadline: g.DirectorTime(r.Deadline), Retry: r.Retry,
-		Write: !r.safe()}})
+		Write: !r.idempotent()}})
 }
 
 // Abandon says that the client left: nothing is owed to it, and what is out for it is given up.
@@ -199,25 +199,25 @@
 	}
 	g.Counters.ClientsGone++
 	g.CountAnswer(r.Class, Answer{Outcome: Failed})
-	g.finish(r)
-	g.unreserve(r, -1)
-	g.handle(event{where: r.where, Event: routing.ClientGone{ID: r.directorID}})
-	g.giveUp(r)
+	g.closeRequest(r)
+	g.releaseReservation(r, -1)
+	g.handleEvent(event{locality: r.locality, Event: routing.ClientGone{ID: r.directorID}})
+	g.cancelAttempts(r)
 }
 
-// expire answers a request at its deadline, which the director has let pass.
-func (g *Gateway) expire(r *Request) {
+// expireRequest answers a request at its deadline, which the director has let pass.
+func (g *Gateway) expireRequest(r *Request) {
 	if r.answered {
 		return
 	}
-	harmless := r.safe()
-	g.answer(r, Answer{Outcome: Expired, Retryable: harmless, RetryAfter: g.cfg.Settings.MaxRetryAfter / 2})
-	g.handle(event{where: r.where, Event: routing.ClientGone{ID: r.directorID}})
-	g.giveUp(r)
+	harmless := r.idempotent()
+	g.answerRequest(r, Answer{Outcome: Expired, Retryable: harmless, RetryAfter: g.cfg.Settings.MaxRetryAfter / 2})
+	g.handleEvent(event{locality: r.locality, Event: routing.ClientGone{ID: r.directorID}})
+	g.cancelAttempts(r)
 }
 
-// class is what the settings say of a class; nil: nothing.
-func (g *Gateway) class(name string) *routing.Class {
+// classByName is what the settings say of a class; nil: nothing.
+func (g *Gateway) classByName(name string) *routing.Class {
 	for i := range g.cfg.Settings.Classes {
 		if c := &g.cfg.Settings.Classes[i]; c.Name == name {
 			return c
@@ -226,47 +226,49 @@
 	return nil
 }
 
-// safe says whether the request may be repeated freely. One of an unknown class never runs.
-func (r *Request) safe() bool { return r.class == nil || r.class.Effect == routing.Idempotent }
+// idempotent says whether the request may be repeated freely. One of an unknown class never runs.
+func (r *Request) idempotent() bool { return r.class == nil || r.class.Effect == routing.Idempotent }
 
-// keyed says whether the request must carry a key.
-func (r *Request) keyed() bool { return r.class != nil && r.class.Effect == routing.IdempotentWithKey }
+// needsIdempotencyKey says whether the request must carry a key.
+func (r *Request) needsIdempotencyKey() bool {
+	return r.class != nil && r.class.Effect == routing.IdempotentWithKey
+}
 
-// giveUp ends the attempts of a request that nobody waits for.
-func (g *Gateway) giveUp(r *Request) {
+// cancelAttempts ends the attempts of a request that nobody waits for.
+func (g *Gateway) cancelAttempts(r *Request) {
 	for _, a := range r.attempts {
-		g.cancel(a, routing.Canceled)
+		g.cancelAttempt(a, routing.Canceled)
 	}
 }
 
-// answer gives a request its final answer, unless it has had one or its client has left. Guards against a
+// answerRequest gives a request its final answer, unless it has had one or its client has left. Guards against a
 // late second answer: of two attempts, or of one that crosses the deadline.
-func (g *Gateway) answer(r *Request, a Answer) {
+func (g *Gateway) answerRequest(r *Request, a Answer) {
 	if r.answered {
 		return
 	}
-	g.finish(r)
+	g.closeRequest(r)
 	g.Counters.Answered[a.Outcome]++
 	g.CountAnswer(r.Class, a)
 	r.Answer(a)
-	g.settled(r, a)
+	g.accountAnswer(r, a)
 }
 
-func (g *Gateway) finish(r *Request) {
+func (g *Gateway) closeRequest(r *Request) {
 	r.answered = true
-	r.expiry.Stop()
-	g.queue.Remove(&r.place)
-	for _, t := range r.wakes { // a timer that is left would keep the request for as long as its client might have waited
+	r.deadlineTimer.Stop()
+	g.queue.Remove(&r.queueItem)
+	for _, t := range r.directorTimers { // a timer that is left would keep the request for as long as its client might have waited
 		t.Stop()
 	}
-	r.wakes = nil
-	g.held -= len(r.Body)
+	r.directorTimers = nil
+	g.bodyBytes -= len(r.Body)
 	delete(g.requests, r.directorID)
-	if g.refs[r.ID] == r {
-		delete(g.refs, r.ID)
+	if g.requestsByClientID[r.ID] == r {
+		delete(g.requestsByClientID, r.ID)
 	}
-	if r.out > 0 {
-		g.over[r.directorID] = r
+	if r.attemptsInFlight > 0 {
+		g.answeredWithAttempts[r.directorID] = r
 	}
 }
 
@@ -284,7 +286,7 @@
 		g.Abandon(r)
 		return false
 	}
-	age, ok := g.directors[a.where].RecheckAttempt(g.now(), a.Request.directorID, a.number)
+	age, ok := g.directors[a.locality].RecheckAttempt(g.now(), a.Request.directorID, a.number)
 	if p := g.cfg.MayForward; p != nil && !(p(a.Endpoint) && (a.FillSource == "" || p(a.FillSource))) {
 		ok = false
 		g.Counters.NotPermitted++
@@ -311,8 +313,8 @@
 	a.ended = true
 	a.timer.Stop()
 	g.Counters.Ended[res.Status]++
-	if r.out--; r.out == 0 {
-		delete(g.over, r.directorID)
+	if r.attemptsInFlight--; r.attemptsInFlight == 0 {
+		delete(g.answeredWithAttempts, r.directorID)
 	}
 	size := float64(len(res.Body)) / 1000
 	if res.Status == routing.OK && !r.answered {
@@ -322,18 +324,18 @@
 		}
 		if res.BodyDropped {
 			ans = Answer{Outcome: Failed}
-			if r.safe() {
-				ans = Answer{Outcome: Rejected, RetryAfter: g.later(r), Retryable: true}
+			if r.idempotent() {
+				ans = Answer{Outcome: Rejected, RetryAfter: g.retryAfter(r), Retryable: true}
 			}
 			g.Load.NoMemory++
-		} else if r.Client != nil && r.safe() && !g.memory.Fits(r.Client.part, len(res.Body)) {
+		} else if r.Client != nil && r.idempotent() && !g.memory.Fits(r.Client.account, len(res.Body)) {
 			// It is longer than expected, and there is no memory for it until others have been read.
 			g.Load.NoMemory++
-			ans = Answer{Outcome: Rejected, RetryAfter: g.later(r), Retryable: true}
-			g.unreserve(r, len(res.Body))
+			ans = Answer{Outcome: Rejected, RetryAfter: g.retryAfter(r), Retryable: true}
+			g.releaseReservation(r, len(res.Body))
 		}
 		keeps := r.RetainsBody
-		g.answer(r, ans)
+		g.answerRequest(r, ans)
 		if keeps {
 			res.ReleaseBody = nil
 		}
@@ -342,79 +344,79 @@
 		res.ReleaseBody()
 	}
 	// The time ends when the answer came, and leaves out stalls of this program: neither is the store's doing.
-	g.seen(a, res)
-	g.handle(event{where: a.where, Event: routing.AttemptResult{ID: r.directorID, Attempt: a.number, Endpoint: a.Endpoint, Status: res.Status,
-		Reason: res.Reason, Final: r.answered, Latency: max(0, res.ReceivedAt.Sub(a.sent)-(g.lost-a.lost)), FillWait: res.FillWait, LoadReport: res.LoadReport,
+	g.recordAttemptResult(a, res)
+	g.handleEvent(event{locality: a.locality, Event: routing.AttemptResult{ID: r.directorID, Attempt: a.number, Endpoint: a.Endpoint, Status: res.Status,
+		Reason: res.Reason, Final: r.answered, Latency: max(0, res.ReceivedAt.Sub(a.startedAt)-(g.pausedTime-a.pausedAtStart)), FillWait: res.FillWait, LoadReport: res.LoadReport,
 		CollateralReset: res.CollateralReset, SizeKB: size}})
 }
 
-// cancel stops waiting for an attempt and says how it ended.
-func (g *Gateway) cancel(a *Attempt, as routing.Status) {
+// cancelAttempt stops waiting for an attempt and says how it ended.
+func (g *Gateway) cancelAttempt(a *Attempt, as routing.Status) {
 	if !a.ended {
 		g.cfg.Backend.Cancel(a)
 		g.AttemptEnded(a, Result{Status: as})
 	}
 }
 
-// handle gives an event to the director and carries out what it wants. What happens meanwhile waits for its
+// handleEvent gives an event to the director and carries out what it wants. What happens meanwhile waits for its
 // turn, so that the director sees every event whole and in order.
-func (g *Gateway) handle(e event) {
+func (g *Gateway) handleEvent(e event) {
 	g.events = append(g.events, e)
-	if g.running {
+	if g.handling {
 		return
 	}
-	g.running = true
+	g.handling = true
 	for len(g.events) > 0 {
 		e := g.events[0]
 		g.events = g.events[1:]
-		for _, a := range g.decide(e) {
-			g.carryOut(a, e.where)
+		for _, a := range g.callDirector(e) {
+			g.apply(a, e.locality)
 		}
 	}
-	g.running, g.events = false, nil
+	g.handling, g.events = false, nil
 }
 
-// decide asks the director. Guards against a panic in it: the request at hand fails, the gateway lives on.
-func (g *Gateway) decide(e event) (actions []routing.Action) {
+// callDirector asks the director. Guards against a panic in it: the request at hand fails, the gateway lives on.
+func (g *Gateway) callDirector(e event) (actions []routing.Action) {
 	defer func() {
 		if p := recover(); p != nil {
 			g.Counters.DirectorPanics++
 			g.cfg.Log.WithField("event", fmt.Sprintf("%T", e.Event)).Errorf("the director broke: %v\n%s", p, debug.Stack())
 			actions = nil
 			if e.request != nil {
-				g.answer(e.request, Answer{Outcome: Failed})
+				g.answerRequest(e.request, Answer{Outcome: Failed})
 			}
 		}
 	}()
-	g.actions = g.directors[e.where].Handle(g.now(), e.Event, g.actions[:0])
+	g.actions = g.directors[e.locality].Handle(g.now(), e.Event, g.actions[:0])
 	return g.actions
 }
 
-func (g *Gateway) carryOut(a routing.Action, where int) {
+func (g *Gateway) apply(a routing.Action, where int) {
 	switch a := a.(type) {
 	case routing.ForwardAttempt:
-		g.ask(a, where)
+		g.startAttempt(a, where)
 	case routing.Reject:
-		if g.move(a.ID, where) {
+		if g.rerouteRejected(a.ID, where) {
 			return
 		}
-		g.close(a.ID, Answer{Outcome: Rejected, RetryAfter: a.RetryAfter, Retryable: true})
+		g.answerByID(a.ID, Answer{Outcome: Rejected, RetryAfter: a.RetryAfter, Retryable: true})
 	case routing.Fail:
-		if r := g.requests[a.ID]; r != nil && r.where == where { // guards against a word of a director that it has left
-			g.close(a.ID, Answer{Outcome: Failed})
+		if r := g.requests[a.ID]; r != nil && r.locality == where { // guards against a word of a director that it has left
+			g.answerByID(a.ID, Answer{Outcome: Failed})
 		}
 	case routing.CancelAttempt:
-		if at := g.attempt(a.ID, a.Attempt, where); at != nil {
-			g.cancel(at, routing.Canceled)
+		if at := g.findAttempt(a.ID, a.Attempt, where); at != nil {
+			g.cancelAttempt(at, routing.Canceled)
 		}
 	case routing.SetTimer:
 		r := g.requests[a.RequestID]
 		if a.RequestID != "" && r == nil {
 			return // it is over
 		}
-		t := g.cfg.Loop.At(g.base.Add(a.At-g.baseUnix), func() { g.handle(event{where: where, Event: routing.TimerFired{Token: a.Token}}) })
+		t := g.cfg.Loop.At(g.base.Add(a.At-g.baseDirectorTime), func() { g.handleEvent(event{locality: where, Event: routing.TimerFired{Token: a.Token}}) })
 		if r != nil {
-			r.wakes = append(r.wakes, t)
+			r.directorTimers = append(r.directorTimers, t)
 		}
 	case routing.SendGossip:
 		if g.cfg.Gossip != nil {
@@ -427,9 +429,9 @@
 	}
 }
 
-// close gives a request that the director has given up its answer at once. One given up at its very deadline
+// answerByID gives a request that the director has given up its answer at once. One given up at its very deadline
 // has expired.
-func (g *Gateway) close(id string, a Answer) {
+func (g *Gateway) answerByID(id string, a Answer) {
 	r := g.requests[id]
 	if r == nil {
 		return
@@ -437,19 +439,19 @@
 	if !g.cfg.Loop.Now().Before(r.Deadline.Add(-g.cfg.Settings.ClockStep - time.Millisecond)) {
 		a.Outcome = Expired
 	}
-	g.answer(r, a)
+	g.answerRequest(r, a)
 }
 
-// ask starts an attempt. Guards the rule against sending for a finished request: it ends as not sent.
-func (g *Gateway) ask(a routing.ForwardAttempt, where int) {
+// startAttempt starts an attempt. Guards the rule against sending for a finished request: it ends as not sent.
+func (g *Gateway) startAttempt(a routing.ForwardAttempt, where int) {
 	r := g.requests[a.ID]
-	if r == nil || r.where != where {
+	if r == nil || r.locality != where {
 		return
 	}
 	now := g.cfg.Loop.Now()
 	at := &Attempt{Request: r, Endpoint: a.Endpoint, FillSource: a.FillSource, CacheRank: a.CacheRank, MaxAge: a.MaxAge, Coalesce: a.Coalesce,
-		OnlyIfCached: a.OnlyIfCached, NoParentCopy: a.NoParentCopy, RefreshAhead: a.RefreshAhead, Deadline: r.Deadline, number: len(r.attempts) - r.first, where: where,
-		sent: now, lost: g.lost}
+		OnlyIfCached: a.OnlyIfCached, NoParentCopy: a.NoParentCopy, RefreshAhead: a.RefreshAhead, Deadline: r.Deadline, number: len(r.attempts) - r.firstInLocality, locality: where,
+		startedAt: now, pausedAtStart: g.pausedTime}
 	if a.FillSource == a.Endpoint {
 		at.FillSource = ""
 	}
@@ -457,10 +459,10 @@
 		at.Deadline = now.Add(a.Timeout)
 	}
 	r.attempts = append(r.attempts, at)
-	r.out++
+	r.attemptsInFlight++
 	g.Counters.Attempts++
-	at.timer = g.cfg.Loop.At(at.Deadline, func() { g.cancel(at, routing.TimedOut) })
-	g.went(at)
+	at.timer = g.cfg.Loop.At(at.Deadline, func() { g.cancelAttempt(at, routing.TimedOut) })
+	g.recordAttemptSent(at)
 	if most := r.maxAttempts; most > 0 && len(r.attempts) > most { // of several directors together
 		g.AttemptEnded(at, Result{Status: routing.NotSent})
 		return
@@ -468,17 +470,17 @@
 	g.cfg.Backend.Send(at)
 }
 
-// attempt finds an attempt of an open request. Those of finished ones are found through their request.
-func (g *Gateway) attempt(id string, number, where int) *Attempt {
+// findAttempt finds an attempt of an open request. Those of finished ones are found through their request.
+func (g *Gateway) findAttempt(id string, number, where int) *Attempt {
 	r := g.requests[id]
 	if r == nil {
-		r = g.over[id]
+		r = g.answeredWithAttempts[id]
 	}
 	if r == nil {
 		return nil
 	}
 	for _, a := range r.attempts {
-		if a.number == number && a.where == where {
+		if a.number == number && a.locality == where {
 			return a
 		}
 	}
@@ -488,7 +490,7 @@
 // Close answers all that is still open, for a program that must end now.
 func (g *Gateway) Close() {
 	for _, r := range g.requests {
-		g.expire(r)
+		g.expireRequest(r)
 	}
 }
 
--- a/gateway/loadvalues.go
+++ b/gateway/loadvalues.go
@@ -29,10 +29,10 @@
 	add(metrics.Counter, "load_slow_ended", "Clients closed since they left answers unread.", float64(l.SlowClientsClosed))
 	add(metrics.Gauge, "load_memory_peak", "Most bytes that answers on their way have taken.", float64(l.PeakAnswerBytes))
 	add(metrics.Gauge, "load_memory", "Bytes that answers on their way take.", float64(g.memory.Used()))
-	add(metrics.Counter, "load_stalls", "Times that the host stood still.", float64(g.pulse.Stalls))
-	add(metrics.Counter, "load_stalled_ms", "Milliseconds that it did.", float64(g.pulse.Lost.Milliseconds()))
-	add(metrics.Gauge, "load_level", "Share of the offer that is shed.", g.ruler.Level())
-	add(metrics.Gauge, "load_weight", "Weight told to balancers, in percent.", float64(g.health.Weight()))
+	add(metrics.Counter, "load_stalls", "Times that the host stood still.", float64(g.pauseMonitor.Stalls))
+	add(metrics.Counter, "load_stalled_ms", "Milliseconds that it did.", float64(g.pauseMonitor.Lost.Milliseconds()))
+	add(metrics.Gauge, "load_level", "Share of the offer that is shed.", g.overloadController.Level())
+	add(metrics.Gauge, "load_weight", "Weight told to balancers, in percent.", float64(g.balancerHealth.Weight()))
 	add(metrics.Gauge, "load_waiting", "Requests that wait for their turn.", float64(g.queue.Len()))
 	for _, h := range []struct {
 		name, help string
@@ -47,8 +47,8 @@
 		}
 		all = append(all, v)
 	}
-	for f := range fronts {
-		for band, n := range g.admissions.sheds(f) {
+	for f := range frontCount {
+		for band, n := range g.admissions.shedByBand(f) {
 			add(metrics.Counter, "load_shed", "Requests shed at the door, by front and band.", float64(n),
 				metrics.Label{Name: "front", Value: f.String()}, metrics.Label{Name: "band", Value: band})
 		}
--- a/gateway/localities.go
+++ b/gateway/localities.go
@@ -15,20 +15,20 @@
 	"larchusher/warmstart"
 )
 
-// places is the part of a gateway that knows of localities: a director for each, and what decides among them. Without
+// localityState is the part of a gateway that knows of localities: a director for each, and what decides among them. Without
 // further localities there is one director, and nothing else here does anything.
-type places struct {
-	directors []*routing.Director
-	names     []string
-	tiers     *locality.T // nil: there is one locality only
-	roster    *locality.Roster
-	report    int // where in a load report the fullness of a locality's link stands; -1: nowhere
-	tierTick  time.Duration
-	tiered    time.Duration // when shares were last set
+type localityState struct {
+	directors            []*routing.Director
+	names                []string
+	localityPolicy       *locality.T // nil: there is one locality only
+	roster               *locality.Roster
+	linkLoadField        int // where in a load report the fullness of a locality's link stands; -1: nowhere
+	localityTickInterval time.Duration
+	lastLocalityTick     time.Duration // when shares were last set
 }
 
-// makePlaces makes the directors.
-func (g *Gateway) makePlaces() error {
+// initLocalities makes the directors.
+func (g *Gateway) initLocalities() error {
 	set := g.cfg.Settings
 	if g.cfg.Localities == nil || len(g.cfg.Localities.Localities) == 0 {
 		d, err := routing.New(set, g.cfg.Seed)
@@ -55,17 +55,17 @@
 	}
 	cfg.Seed = g.cfg.Seed
 	var err error
-	if g.tiers, err = locality.New(g.tierBands(cfg)); err != nil {
+	if g.localityPolicy, err = locality.New(g.localityConfig(cfg)); err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
-	g.tierTick = tierTick(cfg)
+	g.localityTickInterval = localityTickOf(cfg)
 	g.roster = locality.NewRoster(set, cfg.Localities)
-	g.report = slices.Index(set.LoadReportFields, "x1")
+	g.linkLoadField = slices.Index(set.LoadReportFields, "x1")
 	return nil
 }
 
-// tierBands fills in what follows from the settings.
-func (g *Gateway) tierBands(cfg locality.Config) locality.Config {
+// localityConfig fills in what follows from the settings.
+func (g *Gateway) localityConfig(cfg locality.Config) locality.Config {
 	cfg.Bands = 2*len(g.cfg.Settings.Classes) + 1 // as overload.Order has them
 	cfg.Seed = g.cfg.Seed
 	if cfg.LaterMost == 0 {
@@ -74,7 +74,7 @@
 	return cfg
 }
 
-func tierTick(cfg locality.Config) time.Duration {
+func localityTickOf(cfg locality.Config) time.Duration {
 	if cfg.Tick > 0 {
 		return cfg.Tick
 	}
@@ -88,72 +88,72 @@
 	for _, l := range cfg.Localities {
 		names = append(names, l.Name)
 	}
-	if g.tiers == nil || !slices.Equal(names, g.names) {
+	if g.localityPolicy == nil || !slices.Equal(names, g.names) {
 		return fmt.Errorf("gateway: tiers: the localities are %q, and were %q at the start", names, g.names)
 	}
-	if err := g.tiers.Use(g.tierBands(cfg)); err != nil {
+	if err := g.localityPolicy.Use(g.localityConfig(cfg)); err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
-	g.cfg.Localities, g.tierTick = &cfg, tierTick(cfg)
+	g.cfg.Localities, g.localityTickInterval = &cfg, localityTickOf(cfg)
 	return nil
 }
 
-// handleAll gives an event to every director.
-func (g *Gateway) handleAll(e routing.Event) {
+// handleInAll gives an event to every director.
+func (g *Gateway) handleInAll(e routing.Event) {
 	for i := range g.directors {
-		g.handle(event{Event: e, where: i})
+		g.handleEvent(event{Event: e, locality: i})
 	}
 }
 
-// runningClock is the clock that leaves out stalls of this program: they are no locality's doing.
-func (g *Gateway) runningClock() time.Duration { return g.now() - g.lost }
+// unpausedTime is the clock that leaves out stalls of this program: they are no locality's doing.
+func (g *Gateway) unpausedTime() time.Duration { return g.now() - g.pausedTime }
 
-// listed tells of a list of stores.
-func (g *Gateway) listed(m routing.EndpointUpdate) {
-	if g.tiers == nil {
+// updateLocalityRoster tells of a list of stores.
+func (g *Gateway) updateLocalityRoster(m routing.EndpointUpdate) {
+	if g.localityPolicy == nil {
 		return
 	}
 	for i, up := range g.roster.Take(m) {
-		g.tiers.Members(i, up)
+		g.localityPolicy.Members(i, up)
 	}
 }
 
-// pick chooses the locality of a request whose turn it is, or refuses it. What runs at the origin and goes there straight
+// pickLocality chooses the locality of a request whose turn it is, or refuses it. What runs at the origin and goes there straight
 // is no locality's affair.
-func (g *Gateway) pick(r *Request) bool {
-	if g.tiers == nil || g.straight(r) {
+func (g *Gateway) pickLocality(r *Request) bool {
+	if g.localityPolicy == nil || g.bypassesLocalities(r) {
 		return true
 	}
-	where, later, ok := g.tiers.Pick(g.runningClock(), r.band, xxhash.Sum64String(r.Object), xxhash.Sum64String(r.ID))
+	where, later, ok := g.localityPolicy.Pick(g.unpausedTime(), r.band, xxhash.Sum64String(r.Object), xxhash.Sum64String(r.ID))
 	if !ok {
-		g.shed(r, later)
+		g.shedRequest(r, later)
 		return false
 	}
-	r.where = where
+	r.locality = where
 	return true
 }
 
-// straight says that a request goes past all localities.
-func (g *Gateway) straight(r *Request) bool {
+// bypassesLocalities says that a request goes past all localities.
+func (g *Gateway) bypassesLocalities(r *Request) bool {
 	c := r.class
 	return c == nil || c.Uncacheable && g.cfg.Settings.AllowBypass
 }
 
-// move gives a request that the director of its locality has refused to another one, and says that nothing is left to do
+// rerouteRejected gives a request that the director of its locality has refused to another one, and says that nothing is left to do
 // about the refusal.
-func (g *Gateway) move(id string, where int) bool {
+func (g *Gateway) rerouteRejected(id string, where int) bool {
 	r := g.requests[id]
-	if g.tiers == nil || r == nil {
+	if g.localityPolicy == nil || r == nil {
 		return false
 	}
-	if r.where != where {
+	if r.locality != where {
 		return true // it is another's by now
 	}
-	if g.straight(r) {
+	if g.bypassesLocalities(r) {
 		return false
 	}
 	now := g.cfg.Loop.Now()
-	refusal := locality.Refusal{From: where, Safe: r.safe(), Moved: r.moved, Attempts: len(r.attempts), Most: r.maxAttempts,
+	refusal := locality.Refusal{From: where, Safe: r.idempotent(), Moved: r.rerouted, Attempts: len(r.attempts), Most: r.maxAttempts,
 		Left: r.Deadline.Sub(now)}
 	if !r.ArrivedAt.IsZero() {
 		refusal.Waited = now.Sub(r.ArrivedAt)
@@ -161,72 +161,72 @@
 	if c := r.class; c != nil {
 		refusal.Aim = c.LatencyObjective
 	}
-	to, ok := g.tiers.Refused(g.runningClock(), refusal)
+	to, ok := g.localityPolicy.Refused(g.unpausedTime(), refusal)
 	if !ok {
 		return false
 	}
-	r.where, r.moved, r.first = to, true, len(r.attempts)
-	g.direct(r)
+	r.locality, r.rerouted, r.firstInLocality = to, true, len(r.attempts)
+	g.submitToDirector(r)
 	return true
 }
 
-// went books an attempt that goes out to a cache of a locality.
-func (g *Gateway) went(a *Attempt) {
-	if g.tiers != nil && !g.straight(a.Request) {
-		g.tiers.Sent(g.runningClock(), a.where)
+// recordAttemptSent books an attempt that goes out to a cache of a locality.
+func (g *Gateway) recordAttemptSent(a *Attempt) {
+	if g.localityPolicy != nil && !g.bypassesLocalities(a.Request) {
+		g.localityPolicy.Sent(g.unpausedTime(), a.locality)
 	}
 }
 
-// seen books how an attempt ended. What went past the caches of its locality speaks against them: they were not there.
-func (g *Gateway) seen(a *Attempt, res Result) {
-	if g.tiers == nil || g.straight(a.Request) {
+// recordAttemptResult books how an attempt ended. What went past the caches of its locality speaks against them: they were not there.
+func (g *Gateway) recordAttemptResult(a *Attempt, res Result) {
+	if g.localityPolicy == nil || g.bypassesLocalities(a.Request) {
 		return
 	}
-	cache, late, load := g.roster.Cache(a.Endpoint, a.where), false, -1.0
+	cache, late, load := g.roster.Cache(a.Endpoint, a.locality), false, -1.0
 	if c := a.Request.class; c != nil && res.Status == routing.OK {
 		aim := c.LatencyObjective + time.Duration(c.ObjectiveStretch*float64(g.cfg.Settings.TransferTime(float64(len(res.Body))/1000)))
-		late = res.ReceivedAt.Sub(a.sent)-(g.lost-a.lost) > aim
+		late = res.ReceivedAt.Sub(a.startedAt)-(g.pausedTime-a.pausedAtStart) > aim
 	}
-	if !cache && a.where == 0 {
-		g.tiers.Past(g.runningClock(), locality.Judge(res.Status, true, late, res.CollateralReset))
+	if !cache && a.locality == 0 {
+		g.localityPolicy.Past(g.unpausedTime(), locality.Judge(res.Status, true, late, res.CollateralReset))
 	}
 	result := locality.Judge(res.Status, cache, late, res.CollateralReset)
 	told := cache && res.Status == routing.OK && res.Reason != routing.ReasonNone
-	if cache && g.report >= 0 && g.report < len(res.LoadReport) {
-		load = res.LoadReport[g.report]
+	if cache && g.linkLoadField >= 0 && g.linkLoadField < len(res.LoadReport) {
+		load = res.LoadReport[g.linkLoadField]
 	}
-	g.tiers.Ended(g.runningClock(), a.where, result, res.Reason == routing.ReasonHit || res.Reason == routing.ReasonStale, told, load)
+	g.localityPolicy.Ended(g.unpausedTime(), a.locality, result, res.Reason == routing.ReasonHit || res.Reason == routing.ReasonStale, told, load)
 }
 
-// tier sets the shares of the localities anew, when it is time. It is called with each beat.
-func (g *Gateway) tier() {
-	if g.tiers == nil {
+// tickLocalities sets the shares of the localities anew, when it is time. It is called with each beat.
+func (g *Gateway) tickLocalities() {
+	if g.localityPolicy == nil {
 		return
 	}
-	if now := g.runningClock(); now-g.tiered >= g.tierTick {
-		g.tiered = now
-		g.tiers.Tick(now)
+	if now := g.unpausedTime(); now-g.lastLocalityTick >= g.localityTickInterval {
+		g.lastLocalityTick = now
+		g.localityPolicy.Tick(now)
 	}
 }
 
 // LocalityValues are what is decided among localities; none without further ones.
 func (g *Gateway) LocalityValues() (all []metrics.Value) {
-	if g.tiers == nil {
+	if g.localityPolicy == nil {
 		return nil
 	}
 	add := func(kind metrics.Kind, name, help string, v float64, labels ...metrics.Label) {
 		all = append(all, metrics.Value{Name: name, Help: help, Kind: kind, Value: v, Labels: labels})
 	}
-	c := g.tiers.Counters
+	c := g.localityPolicy.Counters
 	add(metrics.Counter, "tier_spilled", "Requests given to another locality than the own one.", float64(c.Spilled))
 	add(metrics.Counter, "tier_moved", "Requests given to another locality after one had refused them.", float64(c.Moved))
 	add(metrics.Counter, "tier_passed", "Requests that fit in no locality, and were sent past the caches.", float64(c.Passed))
-	add(metrics.Gauge, "tier_passing", "Share of what fits nowhere that is.", g.tiers.Passing())
+	add(metrics.Gauge, "tier_passing", "Share of what fits nowhere that is.", g.localityPolicy.Passing())
 	add(metrics.Counter, "tier_refused", "Requests that fit in no locality.", float64(c.Refused))
 	add(metrics.Counter, "tier_bounded", "Of those, refused since a bound was reached in the very moment.", float64(c.Bounded))
 	add(metrics.Counter, "tier_changes", "Changes of a locality's state.", float64(c.Changes))
 	add(metrics.Counter, "tier_panics", "Ticks in which nearly all looked ill, and load stayed.", float64(c.Panics))
-	for _, v := range g.tiers.View(g.runningClock()) {
+	for _, v := range g.localityPolicy.View(g.unpausedTime()) {
 		where := metrics.Label{Name: "locality", Value: v.Name}
 		add(metrics.Counter, "tier_picked", "Requests by locality.", float64(v.Picked), where)
 		add(metrics.Gauge, "tier_share", "Share of the load that goes to a locality.", v.Share, where)
@@ -276,5 +276,5 @@
 		}
 		p = routing.Purge{Group: n, Age: ago}
 	}
-	g.handleAll(p)
+	g.handleInAll(p)
 }
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -11,29 +11,29 @@
 // [Loop.Post]; everything else here may be called only from functions that the loop runs. Its one heap holds
 // every deadline and wake. The zero value is not usable; call [NewLoop].
 type Loop struct {
-	mu     sync.Mutex
-	queue  []func()
-	since  time.Time   // when the first of the queue was posted
-	posted atomic.Bool // something is in the queue
-	wake   chan struct{}
-	closed bool
-	done   chan struct{}
-
-	now    time.Time
-	timers timerHeap
-	order  uint64
-	held   time.Time // timers wait until then
-
-	low    func() bool                 // work that comes after all that was posted; it says whether there is more
-	late   func(by time.Duration) bool // told of late timers; it says whether they are to be held for a moment
-	delays func(posted time.Duration)  // told how long what was posted waited
+	mu          sync.Mutex
+	queue       []func()
+	queuedSince time.Time   // when the first of the queue was posted
+	hasPosted   atomic.Bool // something is in the queue
+	wake        chan struct{}
+	closed      bool
+	done        chan struct{}
+
+	now             time.Time
+	timers          timerHeap
+	order           uint64
+	timersHeldUntil time.Time // timers wait until then
+
+	runQueued   func() bool                 // work that comes after all that was posted; it says whether there is more
+	onLateTimer func(by time.Duration) bool // told of late timers; it says whether they are to be held for a moment
+	onDelay     func(posted time.Duration)  // told how long what was posted waited
 }
 
 const (
-	lowMost    = 16                    // pieces of low work before timers are looked at again
-	passedMost = 8                     // low work is passed over no more often than this for what was posted
-	lateLeast  = 30 * time.Millisecond // a timer later than this is told of
-	heldMost   = 20 * time.Millisecond // timers are held no longer: an answer may be 50 ms late
+	maxQueuedPerRound  = 16                    // pieces of low work before timers are looked at again
+	maxRoundsDeferred  = 8                     // low work is passed over no more often than this for what was posted
+	lateTimerThreshold = 30 * time.Millisecond // a timer later than this is told of
+	maxTimerHold       = 20 * time.Millisecond // timers are held no longer: an answer may be 50 ms late
 )
 
 // NewLoop returns a loop that [Loop.Run] starts.
@@ -51,8 +51,8 @@
 	}
 	first := len(l.queue) == 0
 	if first {
-		l.since = time.Now()
-		l.posted.Store(true)
+		l.queuedSince = time.Now()
+		l.hasPosted.Store(true)
 	}
 	l.queue = append(l.queue, f)
 	l.mu.Unlock()
@@ -106,20 +106,20 @@
 	for {
 		l.mu.Lock()
 		batch, l.queue = l.queue, batch[:0]
-		closed, since := l.closed, l.since
-		l.posted.Store(false)
+		closed, since := l.closed, l.queuedSince
+		l.hasPosted.Store(false)
 		l.mu.Unlock()
 		if closed {
 			return
 		}
 		l.now = time.Now()
-		if len(batch) > 0 && l.delays != nil {
-			l.delays(l.now.Sub(since))
+		if len(batch) > 0 && l.onDelay != nil {
+			l.onDelay(l.now.Sub(since))
 		}
 		// Before anything else: what is done next must know whether the program stood still.
-		if len(l.timers) > 0 && l.late != nil && l.held.IsZero() {
-			if by := l.now.Sub(l.timers[0].at); by > lateLeast && l.late(by) {
-				l.held = l.now.Add(heldMost)
+		if len(l.timers) > 0 && l.onLateTimer != nil && l.timersHeldUntil.IsZero() {
+			if by := l.now.Sub(l.timers[0].at); by > lateTimerThreshold && l.onLateTimer(by) {
+				l.timersHeldUntil = l.now.Add(maxTimerHold)
 			}
 		}
 		for i, f := range batch {
@@ -128,25 +128,25 @@
 			batch[i] = nil
 		}
 		l.now = time.Now()
-		if !l.held.IsZero() && !l.now.Before(l.held) {
-			l.held = time.Time{}
+		if !l.timersHeldUntil.IsZero() && !l.now.Before(l.timersHeldUntil) {
+			l.timersHeldUntil = time.Time{}
 		}
-		for l.held.IsZero() && len(l.timers) > 0 && !l.timers[0].at.After(l.now) {
+		for l.timersHeldUntil.IsZero() && len(l.timers) > 0 && !l.timers[0].at.After(l.now) {
 			t := heap.Pop(&l.timers).(*Timer)
 			t.run()
 			l.now = time.Now()
 		}
 		more := false
 		// Nor is low work done while timers are held: a request whose client left while the program stood still would begin.
-		for n := 0; l.low != nil && l.held.IsZero() && n < lowMost; n++ {
-			if l.posted.Load() && passed < passedMost { // it goes first
+		for n := 0; l.runQueued != nil && l.timersHeldUntil.IsZero() && n < maxQueuedPerRound; n++ {
+			if l.hasPosted.Load() && passed < maxRoundsDeferred { // it goes first
 				more = true
 				passed++
 				break
 			}
 			passed = 0
 			l.now = time.Now()
-			if more = l.low(); !more {
+			if more = l.runQueued(); !more {
 				break
 			}
 		}
@@ -157,8 +157,8 @@
 		if len(l.timers) > 0 {
 			wait = l.timers[0].at.Sub(l.now)
 		}
-		if !l.held.IsZero() {
-			wait = l.held.Sub(l.now)
+		if !l.timersHeldUntil.IsZero() {
+			wait = l.timersHeldUntil.Sub(l.now)
 		}
 		clock.Reset(wait)
 		select {
@@ -168,8 +168,8 @@
 	}
 }
 
-// release lets timers run that are held.
-func (l *Loop) release() { l.held = time.Time{} }
+// releaseTimers lets timers run that are held.
+func (l *Loop) releaseTimers() { l.timersHeldUntil = time.Time{} }
 
 // Timer is one entry of a loop's heap.
 type Timer struct {
--- a/gateway/loop_held_test.go
+++ b/gateway/loop_held_test.go
@@ -10,13 +10,13 @@
 func TestNothingBeginsWhileTimersAreHeld(t *testing.T) {
 	l := NewLoop()
 	began, ran := 0, false
-	l.low = func() bool { began++; return false }
-	l.late = func(time.Duration) bool {
+	l.runQueued = func() bool { began++; return false }
+	l.onLateTimer = func(time.Duration) bool {
 		go l.Post(func() {
 			if began > 0 {
 				t.Error("low work was done before what was read had come")
 			}
-			l.release()
+			l.releaseTimers()
 		})
 		return true
 	}
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// countClasses has the classes of the settings counted. Those of former settings are counted on.
-func (g *Gateway) countClasses() {
+// initClassOutcomes has the classes of the settings counted. Those of former settings are counted on.
+func (g *Gateway) initClassOutcomes() {
 	for _, c := range g.cfg.Settings.Classes {
 		if g.outcomes[c.Name] == nil {
 			g.outcomes[c.Name] = &ClassOutcomes{}
@@ -46,8 +46,8 @@
 	for class, o := range g.outcomes {
 		all[class] = *o
 	}
-	for front := range fronts {
-		for band, n := range g.admissions.sheds(front) {
+	for front := range frontCount {
+		for band, n := range g.admissions.shedByBand(front) {
 			class := overload.ClassOf(band)
 			if o, known := all[class]; known {
 				o.Rejected += n
--- a/gateway/pauses.go
+++ b/gateway/pauses.go
@@ -9,26 +9,26 @@
 	"larchusher/overload"
 )
 
-const sweepTicks = 5 // ticks between two looks at what waits for slow clients
+const slowClientSweepTicks = 5 // ticks between two looks at what waits for slow clients
 
-// late is told of late timers. If the host stood still, what came meanwhile is taken in before any deadline is
+// holdLateTimers is told of late timers. If the host stood still, what came meanwhile is taken in before any deadline is
 // looked at: answers may lie in the sockets that make it void.
-func (g *Gateway) late(time.Duration) bool {
-	if !g.beaten() || g.cfg.ReadBarrier == nil {
+func (g *Gateway) holdLateTimers(time.Duration) bool {
+	if !g.detectPause() || g.cfg.ReadBarrier == nil {
 		return false
 	}
-	g.cfg.ReadBarrier(func() { g.cfg.Loop.Post(g.cfg.Loop.release) })
+	g.cfg.ReadBarrier(func() { g.cfg.Loop.Post(g.cfg.Loop.releaseTimers) })
 	return true
 }
 
-// beaten looks for a stall since it last did.
-func (g *Gateway) beaten() bool {
-	stalled := g.pulse.Beat(g.now(), processorTime())
+// detectPause looks for a stall since it last did.
+func (g *Gateway) detectPause() bool {
+	stalled := g.pauseMonitor.Beat(g.now(), processorTime())
 	if stalled <= 0 {
 		return false
 	}
-	g.lost += stalled
-	if g.pulse.Often(g.now()) {
+	g.pausedTime += stalled
+	if g.pauseMonitor.Often(g.now()) {
 		g.queue.Lost(stalled)
 	} else {
 		g.sample.Stalled = true
@@ -37,27 +37,27 @@
 	return true
 }
 
-// echo asks how late reading is, if anything was offered since it last did. Guards against an overload that no queue
+// measurePollerLag asks how late reading is, if anything was offered since it last did. Guards against an overload that no queue
 // shows: what has come lies in the sockets.
-func (g *Gateway) echo(now time.Time) {
-	if n := g.door().Total(); g.cfg.ReadBarrier == nil || !g.echoed.IsZero() || n == g.offered {
+func (g *Gateway) measurePollerLag(now time.Time) {
+	if n := g.admissionController().Total(); g.cfg.ReadBarrier == nil || !g.barrierSentAt.IsZero() || n == g.offeredAtBarrier {
 		return
 	} else {
-		g.offered = n
+		g.offeredAtBarrier = n
 	}
-	g.echoed, g.echoAt = now, g.lost
+	g.barrierSentAt, g.pausedAtBarrier = now, g.pausedTime
 	g.cfg.ReadBarrier(func() {
 		at := time.Now()
 		g.cfg.Loop.Post(func() {
-			by := max(0, at.Sub(now)-(g.lost-g.echoAt))
+			by := max(0, at.Sub(now)-(g.pausedTime-g.pausedAtBarrier))
 			_ = g.Load.PollerLag.RecordValue(by.Microseconds())
-			g.behind, g.echoed = max(g.behind, by), time.Time{}
+			g.pollerLag, g.barrierSentAt = max(g.pollerLag, by), time.Time{}
 		})
 	})
 }
 
-// errSlow ends a client that leaves its answers unread while memory runs short.
-var errSlow = errors.New("its answers stay unread, and memory runs short")
+// errSlowClient ends a client that leaves its answers unread while memory runs short.
+var errSlowClient = errors.New("its answers stay unread, and memory runs short")
 
 // processorTime is what the program has used so far.
 func processorTime() time.Duration {
@@ -68,32 +68,32 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// beat is the gateway's look at itself, once a tick.
-func (g *Gateway) beat() {
+// tick is the gateway's look at itself, once a tick.
+func (g *Gateway) tick() {
 	loop := g.cfg.Loop
-	g.beaten()
+	g.detectPause()
 	now := loop.Now()
 	s := &g.sample
-	s.Span = max(time.Millisecond, now.Sub(g.ticked)-(g.lost-g.tickLost))
-	g.ticked, g.tickLost = now, g.lost
+	s.Span = max(time.Millisecond, now.Sub(g.lastTick)-(g.pausedTime-g.pausedAtLastTick))
+	g.lastTick, g.pausedAtLastTick = now, g.pausedTime
 	s.Oldest = max(s.Oldest, g.queue.Oldest(g.now()))
-	if !g.echoed.IsZero() { // it is still out: so late at least
-		g.behind = max(g.behind, now.Sub(g.echoed)-(g.lost-g.echoAt))
+	if !g.barrierSentAt.IsZero() { // it is still out: so late at least
+		g.pollerLag = max(g.pollerLag, now.Sub(g.barrierSentAt)-(g.pausedTime-g.pausedAtBarrier))
 	}
 	s.Grace = g.queue.Grace(g.now())
 	s.Waiting = g.queue.Waiting()
-	s.Behind, s.Pressure = g.behind, g.memory.Pressure()
-	g.door().Set(g.ruler.Tick(*s, g.door()))
+	s.Behind, s.Pressure = g.pollerLag, g.memory.Pressure()
+	g.admissionController().Set(g.overloadController.Tick(*s, g.admissionController()))
 	*s = overload.Sample{}
-	g.behind = 0
-	g.tier()
-	g.echo(now)
-	if g.ticks++; g.ticks%sweepTicks == 0 {
-		g.health.Update(g.now(), g.ruler.Level())
-		for _, c := range g.memory.Sweep(g.now(), func(p *overload.Client) int64 { return p.Value.(*Client).waiting() }) {
+	g.pollerLag = 0
+	g.tickLocalities()
+	g.measurePollerLag(now)
+	if g.ticks++; g.ticks%slowClientSweepTicks == 0 {
+		g.balancerHealth.Update(g.now(), g.overloadController.Level())
+		for _, c := range g.memory.Sweep(g.now(), func(p *overload.Client) int64 { return p.Value.(*Client).unsentBytes() }) {
 			g.Load.SlowClientsClosed++
-			c.Value.(*Client).close(errSlow)
+			c.Value.(*Client).close(errSlowClient)
 		}
 	}
-	loop.After(g.cfg.Overload.Tick, g.beat)
+	loop.After(g.cfg.Overload.Tick, g.tick)
 }
--- a/gateway/reconfigure.go
+++ b/gateway/reconfigure.go
@@ -11,54 +11,54 @@
 	"larchusher/routing"
 )
 
-// retiredFor is for how long requests of a class that a new configuration drops are still served by its old rules: clients
+// retiredClassLifetime is for how long requests of a class that a new configuration drops are still served by its old rules: clients
 // learn of new settings some time after the gateway does.
-const retiredFor = 3 * time.Second
+const retiredClassLifetime = 3 * time.Second
 
-// admission is what requests pass before they wait for their turn: how classes are ranked, and the door. It never changes;
+// admissionPolicy is what requests pass before they wait for their turn: how classes are ranked, and the door. It never changes;
 // new classes bring another. It is read on whatever goroutine reads requests.
-type admission struct {
-	order *overload.Order
-	door  *overload.Door
+type admissionPolicy struct {
+	order      *overload.Order
+	controller *overload.Door
 }
 
 // admissions are the present admission and what earlier ones counted.
 type admissions struct {
-	current atomic.Pointer[admission]
-	former  *admission                // the one before: a goroutine may still be in the middle of using it
-	shed    [fronts]map[string]uint64 // by band's name, of those before that
+	current  atomic.Pointer[admissionPolicy]
+	previous *admissionPolicy              // the one before: a goroutine may still be in the middle of using it
+	shed     [frontCount]map[string]uint64 // by band's name, of those before that
 }
 
-// use puts another admission in place of the present one.
-func (a *admissions) use(next *admission) {
-	if a.former != nil {
-		for front := range fronts {
+// replace puts another admission in place of the present one.
+func (a *admissions) replace(next *admissionPolicy) {
+	if a.previous != nil {
+		for front := range frontCount {
 			if a.shed[front] == nil {
 				a.shed[front] = map[string]uint64{}
 			}
-			a.former.addShed(front, a.shed[front])
+			a.previous.addShed(front, a.shed[front])
 		}
 	}
-	a.former = a.current.Swap(next)
+	a.previous = a.current.Swap(next)
 }
 
 // addShed adds what one front shed to a sum by the names of bands.
-func (a *admission) addShed(front Front, sum map[string]uint64) {
+func (a *admissionPolicy) addShed(front Front, sum map[string]uint64) {
 	for band := range a.order.Bands() {
-		if n := a.door.Shed(int(front), band); n > 0 {
+		if n := a.controller.Shed(int(front), band); n > 0 {
 			sum[a.order.Name(band)] += n
 		}
 	}
 }
 
-// sheds returns what a front has shed since the start, by the names of bands.
-func (a *admissions) sheds(front Front) map[string]uint64 {
+// shedByBand returns what a front has shed since the start, by the names of bands.
+func (a *admissions) shedByBand(front Front) map[string]uint64 {
 	sum := map[string]uint64{}
 	for name, n := range a.shed[front] {
 		sum[name] += n
 	}
-	if a.former != nil {
-		a.former.addShed(front, sum)
+	if a.previous != nil {
+		a.previous.addShed(front, sum)
 	}
 	a.current.Load().addShed(front, sum)
 	return sum
@@ -80,13 +80,13 @@
 			served = append(served, c)
 		}
 	}
-	g.retirement.Stop()
-	if err := g.useClasses(served, maxAttempts); err != nil {
+	g.retiredClassesTimer.Stop()
+	if err := g.applyClasses(served, maxAttempts); err != nil {
 		return err
 	}
 	if len(served) > len(classes) {
-		g.retirement = g.cfg.Loop.After(retiredFor, func() {
-			if err := g.useClasses(classes, maxAttempts); err != nil {
+		g.retiredClassesTimer = g.cfg.Loop.After(retiredClassLifetime, func() {
+			if err := g.applyClasses(classes, maxAttempts); err != nil {
 				g.cfg.Log.WithError(err).Error("classes that were dropped are still served")
 			}
 		})
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// useClasses has classes served from now on.
-func (g *Gateway) useClasses(classes []routing.Class, maxAttempts int) error {
+// applyClasses has classes served from now on.
+func (g *Gateway) applyClasses(classes []routing.Class, maxAttempts int) error {
 	cfg := g.cfg.Overload
 	cfg.Classes = overloadClasses(classes)
 	order := overload.NewOrder(cfg.Classes, cfg.RepeatsFirst)
@@ -105,28 +105,28 @@
 	}
 	// A new slice: requests that are open point into the old one.
 	g.cfg.Settings.Classes, g.cfg.Settings.MaxAttempts = slices.Clone(classes), maxAttempts
-	g.cfg.Overload, g.ruler = cfg, ruler
-	g.countClasses()
-	g.admissions.use(&admission{order: order, door: overload.NewDoor(order.Bands(), int(fronts))})
-	g.queue = g.queue.Rebanded(order.Bands(), g.band)
-	g.handleAll(routing.Reconfigured{Classes: g.cfg.Settings.Classes, MaxAttempts: maxAttempts})
-	if g.tiers == nil {
+	g.cfg.Overload, g.overloadController = cfg, ruler
+	g.initClassOutcomes()
+	g.admissions.replace(&admissionPolicy{order: order, controller: overload.NewDoor(order.Bands(), int(frontCount))})
+	g.queue = g.queue.Rebanded(order.Bands(), g.bandOf)
+	g.handleInAll(routing.Reconfigured{Classes: g.cfg.Settings.Classes, MaxAttempts: maxAttempts})
+	if g.localityPolicy == nil {
 		return nil
 	}
-	return g.tiers.Use(g.tierBands(*g.cfg.Localities))
+	return g.localityPolicy.Use(g.localityConfig(*g.cfg.Localities))
 }
 
-// band ranks what waits for its turn anew.
-func (g *Gateway) band(waits any) int {
+// bandOf ranks what waits for its turn anew.
+func (g *Gateway) bandOf(waits any) int {
 	switch w := waits.(type) {
 	case *Request:
-		w.band = g.order().Band(w.Class, w.Retry)
+		w.band = g.classOrder().Band(w.Class, w.Retry)
 		return w.band
 	case *QueuedWork:
-		w.band = g.order().Band(w.class, false)
+		w.band = g.classOrder().Band(w.class, false)
 		return w.band
 	}
-	return g.order().Bands() - 1
+	return g.classOrder().Bands() - 1
 }
 
 // PauseSlowStart has nothing sent to cold stores for a time from now; a negative one: until it is called again.
@@ -135,14 +135,14 @@
 	if span >= 0 {
 		until = g.now() + span
 	}
-	g.handleAll(routing.PauseSlowStart{Until: until})
+	g.handleInAll(routing.PauseSlowStart{Until: until})
 }
 
-// order ranks the classes that are served at present.
-func (g *Gateway) order() *overload.Order { return g.admissions.current.Load().order }
+// classOrder ranks the classes that are served at present.
+func (g *Gateway) classOrder() *overload.Order { return g.admissions.current.Load().order }
 
-// door is the present door.
-func (g *Gateway) door() *overload.Door { return g.admissions.current.Load().door }
+// admissionController is the present door.
+func (g *Gateway) admissionController() *overload.Door { return g.admissions.current.Load().controller }
 
 // overloadClasses is what package overload needs to know of classes.
 func overloadClasses(classes []routing.Class) (all []overload.Class) {
--- a/gateway/types.go
+++ b/gateway/types.go
@@ -39,19 +39,19 @@
 	class       *routing.Class // as it was when the request came; nil: the settings do not name it
 	maxAttempts int            // likewise; 0: no limit
 
-	place    overload.Item
-	band     int
-	reserved int64 // memory set aside for the answer
-	wakes    []*Timer
-
-	directorID string
-	answered   bool
-	where      int  // place of the locality that it is for
-	first      int  // of its attempts, the first for that locality
-	moved      bool // from another
-	attempts   []*Attempt
-	out        int // attempts that have not ended
-	expiry     *Timer
+	queueItem      overload.Item
+	band           int
+	reservedBytes  int64 // memory set aside for the answer
+	directorTimers []*Timer
+
+	directorID       string
+	answered         bool
+	locality         int  // place of the locality that it is for
+	firstInLocality  int  // of its attempts, the first for that locality
+	rerouted         bool // from another
+	attempts         []*Attempt
+	attemptsInFlight int // attempts that have not ended
+	deadlineTimer    *Timer
 }
 
 // Outcome is the kind of a final answer.
@@ -96,12 +96,12 @@
 	// Wire belongs to the backend.
 	BackendState any
 
-	where  int // place of the locality whose director made it,
-	number int // and which of that director's it is
-	sent   time.Time
-	lost   time.Duration // to stalls, by then
-	ended  bool
-	timer  *Timer
+	locality      int // place of the locality whose director made it,
+	number        int // and which of that director's it is
+	startedAt     time.Time
+	pausedAtStart time.Duration // to stalls, by then
+	ended         bool
+	timer         *Timer
 }
 
 // Result is how an attempt ended.
