--- a/cmd/larchusher/counters.go
+++ b/cmd/larchusher/counters.go
@@ -39,8 +39,7 @@
 	count("store_late", "Answers that came too late.", c.LateAnswers)
 	count("store_dropped", "Answers passed over for want of memory.", c.AnswersDropped)
 	count("store_noop", "Tests of silent connections.", c.Pings)
-	all = append(all, p.gw.LoadValues()...)
-	all = append(all, p.gw.LocalityValues()...)
+	all = append(all, gatewayMetrics(p.gw)...)
 	if p.keeper != nil {
 		all = append(all, p.keeper.Values(p.gw.DirectorTime(p.loop.Now()))...)
 	}
