--- a/cmd/larchusher/counters.go
+++ b/cmd/larchusher/counters.go
@@ -41,7 +41,7 @@
 	count("store_noop", "Tests of silent connections.", c.Pings)
 	all = append(all, gatewayMetrics(p.gw)...)
 	if p.keeper != nil {
-		all = append(all, p.keeper.Values(p.gw.DirectorTime(p.loop.Now()))...)
+		all = append(all, p.keeper.Metrics(p.gw.DirectorTime(p.loop.Now()))...)
 	}
 	if p.fleet != nil {
 		values := p.fleet.Values()
--- a/cmd/larchusher/gateway_metrics_test.go
+++ b/cmd/larchusher/gateway_metrics_test.go
@@ -23,7 +23,7 @@
 func TestGatewayMetricsKeepTheirNamesAndOrder(t *testing.T) {
 	loop := gateway.NewLoop()
 	gw, err := gateway.New(gateway.Config{Loop: loop, Log: logrus.New(),
-		Localities: &locality.Config{Localities: []locality.Locality{{Name: "here"}, {Name: "there", Level: 1}}, Spill: 1},
+		Localities: &locality.Config{Localities: []locality.Locality{{Name: "here"}, {Name: "there", Level: 1}}, MaxSpillover: 1},
 		Settings: routing.Settings{Zone: "here", Zones: []string{"hub", "here", "there"}, ZoneDirectors: []int{0, 1, 1}, Directors: 2,
 			Kinds: []string{"box", "origin"}, ParentKind: -1, OriginKind: 1, ClockStep: time.Millisecond, MaxAttempts: 8,
 			Classes: []routing.Class{{Name: "page", LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}}}})
--- a/cmd/larchusher/wiring.go
+++ b/cmd/larchusher/wiring.go
@@ -92,7 +92,7 @@
 	gc := gateway.Config{Loop: p.loop, Settings: cfg.Settings, Seed: cfg.Seed, Backend: p.pool, Log: p.log,
 		SizeScale: cfg.SizeScale, MaxOpenRequests: cfg.Sockets.MaxOpenRequests, MaxBodyBytes: p.memory(bodiesPart),
 		Overload: p.op.Overload, ReadBarrier: p.engine.Barrier}
-	gc.Overload.Memory = cmp.Or(gc.Overload.Memory, int64(p.memory(pendingPart))) // and a quarter of that
+	gc.Overload.MemoryLimit = cmp.Or(gc.Overload.MemoryLimit, int64(p.memory(pendingPart))) // and a quarter of that
 	var err error
 	if gc.Localities, err = p.op.LocalitiesFor(cfg.Settings.Zone, cfg.Settings.Zones); err != nil {
 		return p.operatorError(err)
@@ -170,8 +170,8 @@
 		return
 	}
 	if found != nil {
-		keeper.Recalled = p.gw.ImportSnapshot(found, p.cfg.Name, p.cfg.Fingerprint())
-		log.Infof("what was learned before: %v", keeper.Recalled)
+		keeper.Imported = p.gw.ImportSnapshot(found, p.cfg.Name, p.cfg.Fingerprint())
+		log.Infof("what was learned before: %v", keeper.Imported)
 	}
 	p.keeper = keeper
 	keeper.Start(p.op.State.SnapshotInterval, p.loop.Post, func() *warmstart.Snapshot {
@@ -180,7 +180,7 @@
 	})
 	var beat func()
 	beat = func() {
-		keeper.Beat(p.gw.DirectorTime(p.loop.Now()))
+		keeper.Tick(p.gw.DirectorTime(p.loop.Now()))
 		p.loop.After(min(time.Second, p.op.State.SnapshotInterval/4), beat)
 	}
 	p.loop.Post(beat)
--- a/gateway/admission.go
+++ b/gateway/admission.go
@@ -33,7 +33,7 @@
 	queue              *overload.Queue
 	rejectionQueue     *overload.Queue // refusals that take work: they come when nothing else does, or have waited for long
 	overloadController *overload.Controller
-	pauseMonitor       *overload.Pulse
+	pauseMonitor       *overload.SchedulingMonitor
 	memory             *overload.Memory
 	balancerHealth     overload.Health
 
@@ -62,17 +62,17 @@
 func (g *Gateway) initAdmission() error {
 	c := g.cfg.Overload
 	c.Classes, c.Fronts = overloadClasses(g.cfg.Settings.Classes), int(frontCount)
-	if c.LaterMost == 0 {
-		c.LaterMost = g.cfg.Settings.MaxRetryAfter
+	if c.MaxRetryAfter == 0 {
+		c.MaxRetryAfter = g.cfg.Settings.MaxRetryAfter
 	}
 	if c.Tick == 0 {
 		c.Tick = overload.DefaultTick
 	}
-	if c.StallLeast == 0 {
-		c.StallLeast = overload.DefaultStallLeast
+	if c.MinPause == 0 {
+		c.MinPause = overload.DefaultMinPause
 	}
-	if c.Wait == 0 {
-		c.Wait = overload.DefaultWait
+	if c.MaxWait == 0 {
+		c.MaxWait = overload.DefaultMaxWait
 	}
 	g.cfg.Overload = c
 	order := overload.NewOrder(c.Classes, c.RepeatsFirst)
@@ -80,11 +80,11 @@
 	if g.overloadController, err = overload.NewController(c, order); err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
-	g.admissions.replace(&admissionPolicy{order: order, controller: overload.NewDoor(order.Bands(), c.Fronts)})
-	g.queue = overload.NewQueue(order.Bands(), c.Fronts, c.Wait)
-	g.rejectionQueue = overload.NewQueue(1, c.Fronts, c.Wait/rejectionWaitDivisor)
-	g.pauseMonitor = overload.NewPulse(c.Tick, c.StallLeast)
-	g.memory = overload.NewMemory(c.Memory)
+	g.admissions.replace(&admissionPolicy{order: order, controller: overload.NewAdmissionController(order.Bands(), c.Fronts)})
+	g.queue = overload.NewQueue(order.Bands(), c.Fronts, c.MaxWait)
+	g.rejectionQueue = overload.NewQueue(1, c.Fronts, c.MaxWait/rejectionWaitDivisor)
+	g.pauseMonitor = overload.NewSchedulingMonitor(c.Tick, c.MinPause)
+	g.memory = overload.NewMemory(c.MemoryLimit)
 	hist := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2) }
 	g.Load = LoadCounters{QueueWait: hist(), LoopDelay: hist(), PollerLag: hist()}
 	l := g.cfg.Loop
@@ -100,7 +100,7 @@
 // carries Admitted.
 func (g *Gateway) Admit(f Front, class []byte, repeat bool, id []byte) (later time.Duration, ok bool) {
 	a := g.admissions.current.Load()
-	later, ok = a.controller.Try(int(f), a.order.BandOf(class, repeat), xxhash.Sum64(id))
+	later, ok = a.controller.Admit(int(f), a.order.BandOf(class, repeat), xxhash.Sum64(id))
 	if !g.cfg.Settings.SendRetryAfter {
 		later = 0
 	}
@@ -110,19 +110,19 @@
 // AddClient counts a client in: what waits to be written to it, and how to end it.
 func (g *Gateway) AddClient(waiting func() int64, close func(error)) *Client {
 	c := &Client{unsentBytes: waiting, close: close}
-	c.account = g.memory.Join(c)
+	c.account = g.memory.AddClient(c)
 	return c
 }
 
 // RemoveClient counts a client out. A nil one is none.
 func (g *Gateway) RemoveClient(c *Client) {
 	if c != nil {
-		g.memory.Leave(c.account)
+		g.memory.RemoveClient(c.account)
 	}
 }
 
 // ShedShare is the share of the offer that is shed, 0 to 1, over the last tenths of a second.
-func (g *Gateway) ShedShare() float64 { return g.overloadController.Level() }
+func (g *Gateway) ShedShare() float64 { return g.overloadController.ShedLevel() }
 
 // BalancerWeight is the weight that balancers are to give the gateway, in percent.
 func (g *Gateway) BalancerWeight() int { return g.balancerHealth.Weight() }
@@ -131,7 +131,7 @@
 func (g *Gateway) enqueueRequest(r *Request) {
 	r.band = g.classOrder().Band(r.Class, r.Retry)
 	if !r.Admitted {
-		if later, ok := g.admissionController().Try(int(r.Front), r.band, xxhash.Sum64String(r.ID)); !ok {
+		if later, ok := g.admissionController().Admit(int(r.Front), r.band, xxhash.Sum64String(r.ID)); !ok {
 			g.shedRequest(r, later)
 			return
 		}
@@ -161,7 +161,7 @@
 	if !g.cfg.Settings.SendRetryAfter {
 		return 0
 	}
-	return overload.Spread(g.overloadController.Later(), xxhash.Sum64String(r.ID))
+	return overload.Jitter(g.overloadController.RetryAfter(), xxhash.Sum64String(r.ID))
 }
 
 // QueuedWork is the place of work that a front has to do before it can submit a request, such as checking its token. Its zero
@@ -203,7 +203,7 @@
 // runNextQueued gives the next request its turn, and says whether more wait. It is done when nothing else is to be.
 func (g *Gateway) runNextQueued() bool {
 	now := g.now()
-	for i := g.rejectionQueue.Expired(now); i != nil; i = g.rejectionQueue.Expired(now) {
+	for i := g.rejectionQueue.PopExpired(now); i != nil; i = g.rejectionQueue.PopExpired(now) {
 		i.Value.(*QueuedWork).run(true)
 	}
 	if g.queue.Len() == 0 {
@@ -212,15 +212,15 @@
 		}
 		return g.rejectionQueue.Len() > 0
 	}
-	for i := g.queue.Expired(now); i != nil; i = g.queue.Expired(now) {
+	for i := g.queue.PopExpired(now); i != nil; i = g.queue.PopExpired(now) {
 		g.Load.QueueTimeouts++
-		g.sample.Oldest = max(g.sample.Oldest, g.queue.Limit(now))
+		g.sample.LongestWait = max(g.sample.LongestWait, g.queue.WaitLimit(now))
 		switch v := i.Value.(type) {
 		case *Request:
-			g.sample.Expired += g.classOrder().Cost(v.band)
+			g.sample.ExpiredCost += g.classOrder().Cost(v.band)
 			g.shedRequest(v, g.retryAfter(v))
 		case *QueuedWork:
-			g.sample.Expired += g.classOrder().Cost(v.band)
+			g.sample.ExpiredCost += g.classOrder().Cost(v.band)
 			v.run(true)
 		}
 	}
@@ -230,16 +230,16 @@
 	}
 	waited := g.queue.Waited(i, now)
 	_ = g.Load.QueueWait.RecordValue(waited.Microseconds())
-	g.sample.Oldest = max(g.sample.Oldest, waited)
+	g.sample.LongestWait = max(g.sample.LongestWait, waited)
 	if t, ok := i.Value.(*QueuedWork); ok {
-		g.sample.Started += g.classOrder().Cost(t.band)
+		g.sample.StartedCost += g.classOrder().Cost(t.band)
 		g.runningQueuedWork = true
 		t.run(false)
 		g.runningQueuedWork = false
 		return g.queue.Len() > 0
 	}
 	r := i.Value.(*Request)
-	g.sample.Started += g.classOrder().Cost(r.band)
+	g.sample.StartedCost += g.classOrder().Cost(r.band)
 	g.admitToDirector(r)
 	return g.queue.Len() > 0
 }
@@ -266,7 +266,7 @@
 	}
 	g.releaseReservation(r, size)
 	if r.Client != nil {
-		g.memory.Waiting(r.Client.account, r.Client.unsentBytes(), int64(max(0, size)))
+		g.memory.SetBuffered(r.Client.account, r.Client.unsentBytes(), int64(max(0, size)))
 		g.Load.PeakAnswerBytes = max(g.Load.PeakAnswerBytes, g.memory.Used())
 	}
 }
@@ -274,7 +274,7 @@
 // releaseReservation gives back what was set aside for a request.
 func (g *Gateway) releaseReservation(r *Request, size int) {
 	if r.Client != nil {
-		g.memory.Done(r.Client.account, r.reservedBytes, size)
+		g.memory.Release(r.Client.account, r.reservedBytes, size)
 		r.reservedBytes = 0
 	}
 }
--- a/gateway/localities.go
+++ b/gateway/localities.go
@@ -20,8 +20,8 @@
 type localityState struct {
 	directors            []*routing.Director
 	names                []string
-	localityPolicy       *locality.T // nil: there is one locality only
-	roster               *locality.Roster
+	localityPolicy       *locality.Selector // nil: there is one locality only
+	roster               *locality.EndpointIndex
 	linkLoadField        int // where in a load report the fullness of a locality's link stands; -1: nowhere
 	localityTickInterval time.Duration
 	lastLocalityTick     time.Duration // when shares were last set
@@ -43,7 +43,7 @@
 		return fmt.Errorf("gateway: tiers: the first locality is %q, and the own one is %q", own, set.Zone)
 	}
 	for i, l := range cfg.Localities {
-		s, err := locality.Settings(set, cfg.Localities, i)
+		s, err := locality.DirectorSettings(set, cfg.Localities, i)
 		if err != nil {
 			return fmt.Errorf("gateway: %w", err)
 		}
@@ -59,7 +59,7 @@
 		return fmt.Errorf("gateway: %w", err)
 	}
 	g.localityTickInterval = localityTickOf(cfg)
-	g.roster = locality.NewRoster(set, cfg.Localities)
+	g.roster = locality.NewEndpointIndex(set, cfg.Localities)
 	g.linkLoadField = slices.Index(set.LoadReportFields, "x1")
 	return nil
 }
@@ -68,8 +68,8 @@
 func (g *Gateway) localityConfig(cfg locality.Config) locality.Config {
 	cfg.Bands = 2*len(g.cfg.Settings.Classes) + 1 // as overload.Order has them
 	cfg.Seed = g.cfg.Seed
-	if cfg.LaterMost == 0 {
-		cfg.LaterMost = g.cfg.Settings.MaxRetryAfter
+	if cfg.MaxRetryAfter == 0 {
+		cfg.MaxRetryAfter = g.cfg.Settings.MaxRetryAfter
 	}
 	return cfg
 }
@@ -91,7 +91,7 @@
 	if g.localityPolicy == nil || !slices.Equal(names, g.names) {
 		return fmt.Errorf("gateway: tiers: the localities are %q, and were %q at the start", names, g.names)
 	}
-	if err := g.localityPolicy.Use(g.localityConfig(cfg)); err != nil {
+	if err := g.localityPolicy.Reconfigure(g.localityConfig(cfg)); err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
 	g.cfg.Localities, g.localityTickInterval = &cfg, localityTickOf(cfg)
@@ -113,8 +113,8 @@
 	if g.localityPolicy == nil {
 		return
 	}
-	for i, up := range g.roster.Take(m) {
-		g.localityPolicy.Members(i, up)
+	for i, up := range g.roster.Update(m) {
+		g.localityPolicy.SetCachesUp(i, up)
 	}
 }
 
@@ -153,15 +153,15 @@
 		return false
 	}
 	now := g.cfg.Loop.Now()
-	refusal := locality.Refusal{From: where, Safe: r.idempotent(), Moved: r.rerouted, Attempts: len(r.attempts), Most: r.maxAttempts,
-		Left: r.Deadline.Sub(now)}
+	refusal := locality.Rejection{From: where, Idempotent: r.idempotent(), Rerouted: r.rerouted, Attempts: len(r.attempts), MaxAttempts: r.maxAttempts,
+		Remaining: r.Deadline.Sub(now)}
 	if !r.ArrivedAt.IsZero() {
-		refusal.Waited = now.Sub(r.ArrivedAt)
+		refusal.Elapsed = now.Sub(r.ArrivedAt)
 	}
 	if c := r.class; c != nil {
-		refusal.Aim = c.LatencyObjective
+		refusal.LatencyObjective = c.LatencyObjective
 	}
-	to, ok := g.localityPolicy.Refused(g.unpausedTime(), refusal)
+	to, ok := g.localityPolicy.HandleRejection(g.unpausedTime(), refusal)
 	if !ok {
 		return false
 	}
@@ -173,7 +173,7 @@
 // recordAttemptSent books an attempt that goes out to a cache of a locality.
 func (g *Gateway) recordAttemptSent(a *Attempt) {
 	if g.localityPolicy != nil && !g.bypassesLocalities(a.Request) {
-		g.localityPolicy.Sent(g.unpausedTime(), a.locality)
+		g.localityPolicy.AttemptStarted(g.unpausedTime(), a.locality)
 	}
 }
 
@@ -182,20 +182,20 @@
 	if g.localityPolicy == nil || g.bypassesLocalities(a.Request) {
 		return
 	}
-	cache, late, load := g.roster.Cache(a.Endpoint, a.locality), false, -1.0
+	cache, late, load := g.roster.IsCache(a.Endpoint, a.locality), false, -1.0
 	if c := a.Request.class; c != nil && res.Status == routing.OK {
 		aim := c.LatencyObjective + time.Duration(c.ObjectiveStretch*float64(g.cfg.Settings.TransferTime(float64(len(res.Body))/1000)))
 		late = res.ReceivedAt.Sub(a.startedAt)-(g.pausedTime-a.pausedAtStart) > aim
 	}
 	if !cache && a.locality == 0 {
-		g.localityPolicy.Past(g.unpausedTime(), locality.Judge(res.Status, true, late, res.CollateralReset))
+		g.localityPolicy.BypassFinished(g.unpausedTime(), locality.ClassifyResult(res.Status, true, late, res.CollateralReset))
 	}
-	result := locality.Judge(res.Status, cache, late, res.CollateralReset)
+	result := locality.ClassifyResult(res.Status, cache, late, res.CollateralReset)
 	told := cache && res.Status == routing.OK && res.Reason != routing.ReasonNone
 	if cache && g.linkLoadField >= 0 && g.linkLoadField < len(res.LoadReport) {
 		load = res.LoadReport[g.linkLoadField]
 	}
-	g.localityPolicy.Ended(g.unpausedTime(), a.locality, result, res.Reason == routing.ReasonHit || res.Reason == routing.ReasonStale, told, load)
+	g.localityPolicy.AttemptFinished(g.unpausedTime(), a.locality, result, res.Reason == routing.ReasonHit || res.Reason == routing.ReasonStale, told, load)
 }
 
 // tickLocalities sets the shares of the localities anew, when it is time. It is called with each beat.
@@ -219,22 +219,22 @@
 	}
 	c := g.localityPolicy.Counters
 	add(metrics.Counter, "tier_spilled", "Requests given to another locality than the own one.", float64(c.Spilled))
-	add(metrics.Counter, "tier_moved", "Requests given to another locality after one had refused them.", float64(c.Moved))
-	add(metrics.Counter, "tier_passed", "Requests that fit in no locality, and were sent past the caches.", float64(c.Passed))
-	add(metrics.Gauge, "tier_passing", "Share of what fits nowhere that is.", g.localityPolicy.Passing())
-	add(metrics.Counter, "tier_refused", "Requests that fit in no locality.", float64(c.Refused))
-	add(metrics.Counter, "tier_bounded", "Of those, refused since a bound was reached in the very moment.", float64(c.Bounded))
-	add(metrics.Counter, "tier_changes", "Changes of a locality's state.", float64(c.Changes))
-	add(metrics.Counter, "tier_panics", "Ticks in which nearly all looked ill, and load stayed.", float64(c.Panics))
+	add(metrics.Counter, "tier_moved", "Requests given to another locality after one had refused them.", float64(c.Rerouted))
+	add(metrics.Counter, "tier_passed", "Requests that fit in no locality, and were sent past the caches.", float64(c.Bypassed))
+	add(metrics.Gauge, "tier_passing", "Share of what fits nowhere that is.", g.localityPolicy.BypassShare())
+	add(metrics.Counter, "tier_refused", "Requests that fit in no locality.", float64(c.Rejected))
+	add(metrics.Counter, "tier_bounded", "Of those, refused since a bound was reached in the very moment.", float64(c.BoundReached))
+	add(metrics.Counter, "tier_changes", "Changes of a locality's state.", float64(c.StateChanges))
+	add(metrics.Counter, "tier_panics", "Ticks in which nearly all looked ill, and load stayed.", float64(c.PanicTicks))
 	for _, v := range g.localityPolicy.View(g.unpausedTime()) {
 		where := metrics.Label{Name: "locality", Value: v.Name}
 		add(metrics.Counter, "tier_picked", "Requests by locality.", float64(v.Picked), where)
 		add(metrics.Gauge, "tier_share", "Share of the load that goes to a locality.", v.Share, where)
 		add(metrics.Gauge, "tier_health", "Share of good ends there, lately.", v.Health, where)
 		add(metrics.Gauge, "tier_ramp", "Share that a locality which returned may have of its own.", v.Ramp, where)
-		add(metrics.Gauge, "tier_load", "How full its link is, by its reports; negative: not known.", v.Load, where)
+		add(metrics.Gauge, "tier_load", "How full its link is, by its reports; negative: not known.", v.Utilization, where)
 		add(metrics.Gauge, "tier_state", "0 steady, 1 away, 2 on trial, 3 returning.", float64(v.State), where)
-		add(metrics.Gauge, "tier_wait_seconds", "The latest wait before it was tried.", v.Wait.Seconds(), where)
+		add(metrics.Gauge, "tier_wait_seconds", "The latest wait before it was tried.", v.Backoff.Seconds(), where)
 	}
 	return all
 }
@@ -253,7 +253,7 @@
 	for i, d := range g.directors {
 		all[g.names[i]] = d
 	}
-	return s.Use(g.now(), gateway, settings, all)
+	return s.Import(g.now(), gateway, settings, all)
 }
 
 // ImportLearned has the director of a zone take in what neighbours know, for what it is still worth by its age.
--- a/gateway/pauses.go
+++ b/gateway/pauses.go
@@ -23,16 +23,16 @@
 
 // detectPause looks for a stall since it last did.
 func (g *Gateway) detectPause() bool {
-	stalled := g.pauseMonitor.Beat(g.now(), processorTime())
+	stalled := g.pauseMonitor.Tick(g.now(), processorTime())
 	if stalled <= 0 {
 		return false
 	}
 	g.pausedTime += stalled
-	if g.pauseMonitor.Often(g.now()) {
-		g.queue.Lost(stalled)
+	if g.pauseMonitor.FrequentPauses(g.now()) {
+		g.queue.AddPausedTime(stalled)
 	} else {
-		g.sample.Stalled = true
-		g.queue.Stalled(g.now(), stalled)
+		g.sample.Paused = true
+		g.queue.Paused(g.now(), stalled)
 	}
 	return true
 }
@@ -40,7 +40,7 @@
 // measurePollerLag asks how late reading is, if anything was offered since it last did. Guards against an overload that no queue
 // shows: what has come lies in the sockets.
 func (g *Gateway) measurePollerLag(now time.Time) {
-	if n := g.admissionController().Total(); g.cfg.ReadBarrier == nil || !g.barrierSentAt.IsZero() || n == g.offeredAtBarrier {
+	if n := g.admissionController().TotalOffered(); g.cfg.ReadBarrier == nil || !g.barrierSentAt.IsZero() || n == g.offeredAtBarrier {
 		return
 	} else {
 		g.offeredAtBarrier = n
@@ -74,22 +74,22 @@
 	g.detectPause()
 	now := loop.Now()
 	s := &g.sample
-	s.Span = max(time.Millisecond, now.Sub(g.lastTick)-(g.pausedTime-g.pausedAtLastTick))
+	s.Interval = max(time.Millisecond, now.Sub(g.lastTick)-(g.pausedTime-g.pausedAtLastTick))
 	g.lastTick, g.pausedAtLastTick = now, g.pausedTime
-	s.Oldest = max(s.Oldest, g.queue.Oldest(g.now()))
+	s.LongestWait = max(s.LongestWait, g.queue.LongestWait(g.now()))
 	if !g.barrierSentAt.IsZero() { // it is still out: so late at least
 		g.pollerLag = max(g.pollerLag, now.Sub(g.barrierSentAt)-(g.pausedTime-g.pausedAtBarrier))
 	}
 	s.Grace = g.queue.Grace(g.now())
-	s.Waiting = g.queue.Waiting()
-	s.Behind, s.Pressure = g.pollerLag, g.memory.Pressure()
-	g.admissionController().Set(g.overloadController.Tick(*s, g.admissionController()))
+	s.Queued = g.queue.Queued()
+	s.LoopLag, s.MemoryPressure = g.pollerLag, g.memory.Pressure()
+	g.admissionController().SetPolicy(g.overloadController.Tick(*s, g.admissionController()))
 	*s = overload.Sample{}
 	g.pollerLag = 0
 	g.tickLocalities()
 	g.measurePollerLag(now)
 	if g.ticks++; g.ticks%slowClientSweepTicks == 0 {
-		g.balancerHealth.Update(g.now(), g.overloadController.Level())
+		g.balancerHealth.Update(g.now(), g.overloadController.ShedLevel())
 		for _, c := range g.memory.Sweep(g.now(), func(p *overload.Client) int64 { return p.Value.(*Client).unsentBytes() }) {
 			g.Load.SlowClientsClosed++
 			c.Value.(*Client).close(errSlowClient)
--- a/gateway/reconfigure.go
+++ b/gateway/reconfigure.go
@@ -19,7 +19,7 @@
 // new classes bring another. It is read on whatever goroutine reads requests.
 type admissionPolicy struct {
 	order      *overload.Order
-	controller *overload.Door
+	controller *overload.AdmissionController
 }
 
 // admissions are the present admission and what earlier ones counted.
@@ -107,13 +107,13 @@
 	g.cfg.Settings.Classes, g.cfg.Settings.MaxAttempts = slices.Clone(classes), maxAttempts
 	g.cfg.Overload, g.overloadController = cfg, ruler
 	g.initClassOutcomes()
-	g.admissions.replace(&admissionPolicy{order: order, controller: overload.NewDoor(order.Bands(), int(frontCount))})
+	g.admissions.replace(&admissionPolicy{order: order, controller: overload.NewAdmissionController(order.Bands(), int(frontCount))})
 	g.queue = g.queue.Rebanded(order.Bands(), g.bandOf)
 	g.handleInAll(routing.Reconfigured{Classes: g.cfg.Settings.Classes, MaxAttempts: maxAttempts})
 	if g.localityPolicy == nil {
 		return nil
 	}
-	return g.localityPolicy.Use(g.localityConfig(*g.cfg.Localities))
+	return g.localityPolicy.Reconfigure(g.localityConfig(*g.cfg.Localities))
 }
 
 // bandOf ranks what waits for its turn anew.
@@ -142,12 +142,14 @@
 func (g *Gateway) classOrder() *overload.Order { return g.admissions.current.Load().order }
 
 // admissionController is the present door.
-func (g *Gateway) admissionController() *overload.Door { return g.admissions.current.Load().controller }
+func (g *Gateway) admissionController() *overload.AdmissionController {
+	return g.admissions.current.Load().controller
+}
 
 // overloadClasses is what package overload needs to know of classes.
 func overloadClasses(classes []routing.Class) (all []overload.Class) {
 	for _, c := range classes {
-		all = append(all, overload.Class{Name: c.Name, Worth: c.PriorityWeight})
+		all = append(all, overload.Class{Name: c.Name, PriorityWeight: c.PriorityWeight})
 	}
 	return all
 }
