--- a/cluster/cluster.go
+++ b/cluster/cluster.go
@@ -39,46 +39,46 @@
 // Report is what a gateway has seen. It comes with its questions.
 type Report struct {
 	Machines map[string]maintenance.Machine
-	Strain   string
+	Pressure string
 }
 
-// Kind is what a message says.
-type Kind int
+// MessageKind is what a message says.
+type MessageKind int
 
 // The kinds of message.
 const (
-	Vote    Kind = iota + 1 // between voters: Vote
-	Renew                   // a gateway asks for the view
-	View                    // the answer
-	Order                   // a command, or a question with the Query it is; from a gateway or an operator's tool
-	Reply                   // the answer
-	Unknown                 // of a later version; passed over, and counted
-	Share                   // between copies of what gateways know in common: Copy. Not for this package
+	ConsensusMessage   MessageKind = iota + 1 // between voters: Vote
+	RenewLease                                // a gateway asks for the view
+	View                                      // the answer
+	OperatorRequest                           // a command, or a question with the Query it is; from a gateway or an operator's tool
+	OperatorReply                             // the answer
+	UnknownKind                               // of a later version; passed over, and counted
+	ReplicationMessage                        // between copies of what gateways know in common: Copy. Not for this package
 )
 
 // Message goes between gateways, and between an operator's tool and one of them.
 type Message struct {
-	Kind     Kind
-	ID       uint64 // of a Renew or an Order; in its answer
-	Vote     consensus.Message
-	Life     uint64 // of a Renew
-	Blank    bool   // of a Renew: its sender has no view, and sends to no machine
-	Have     uint64 // of a Renew: digest of the view that its sender has; of a View: of what was agreed on
-	Revision uint64 // of a View and a Reply: of what was agreed on
-	Heard    uint64 // of a Renew: it knows of all grants up to this epoch,
-	Stopped  uint64 // and has stopped for all drains up to this
-	Report   *Report
-	Value    []byte // of a View: the state in brief, if it is another; of an Order: the command; of a Reply: what it came to
-	Query    string // of an Order: "state" or "plan", or one of the host's; empty: a command
-	Refused  string // of a Reply
-	Copy     *replication.Message
+	Kind          MessageKind
+	ID            uint64 // of a Renew or an Order; in its answer
+	Consensus     consensus.Message
+	Incarnation   uint64 // of a Renew
+	NoView        bool   // of a Renew: its sender has no view, and sends to no machine
+	ViewDigest    uint64 // of a Renew: digest of the view that its sender has; of a View: of what was agreed on
+	Revision      uint64 // of a View and a Reply: of what was agreed on
+	NotifiedEpoch uint64 // of a Renew: it knows of all grants up to this epoch,
+	StoppedEpoch  uint64 // and has stopped for all drains up to this
+	Report        *Report
+	Value         []byte // of a View: the state in brief, if it is another; of an Order: the command; of a Reply: what it came to
+	Query         string // of an Order: "state" or "plan", or one of the host's; empty: a command
+	Rejected      string // of a Reply
+	Replication   *replication.Message
 }
 
 // Event is anything that reaches a node.
 type Event interface{ event() }
 
-// Heard is a message, from a member or an operator's tool.
-type Heard struct {
+// MessageReceived is a message, from a member or an operator's tool.
+type MessageReceived struct {
 	From    string
 	Message Message
 }
@@ -86,28 +86,28 @@
 // Tick says that time has passed. It comes at least every hundred milliseconds.
 type Tick struct{}
 
-// Seen is what the gateway has observed itself.
-type Seen struct{ Report Report }
+// Observed is what the gateway has observed itself.
+type Observed struct{ Report Report }
 
-// Idle says that nothing is out at, or by way of, the machines that are held as of a generation of Hold.
-type Idle struct{ Generation uint64 }
+// Drained says that nothing is out at, or by way of, the machines that are held as of a generation of Hold.
+type Drained struct{ Generation uint64 }
 
-// VoteStored says that the vote of that number lasts; ViewStored that the view of that revision does.
-type VoteStored struct{ Number uint64 }
+// AcceptorStateStored says that the vote of that number lasts; ViewStored that the view of that revision does.
+type AcceptorStateStored struct{ Number uint64 }
 
 // ViewStored says that a view lasts.
 type ViewStored struct{ Revision uint64 }
 
-// Left says that the gateway has drained itself, as Leave asked it to.
-type Left struct{}
+// ShutdownCompleted says that the gateway has drained itself, as Leave asked it to.
+type ShutdownCompleted struct{}
 
-func (Heard) event()      {}
-func (Tick) event()       {}
-func (Seen) event()       {}
-func (Idle) event()       {}
-func (VoteStored) event() {}
-func (ViewStored) event() {}
-func (Left) event()       {}
+func (MessageReceived) event()     {}
+func (Tick) event()                {}
+func (Observed) event()            {}
+func (Drained) event()             {}
+func (AcceptorStateStored) event() {}
+func (ViewStored) event()          {}
+func (ShutdownCompleted) event()   {}
 
 // Action is anything that a node wants done.
 type Action interface{ action() }
@@ -118,8 +118,8 @@
 	Message Message
 }
 
-// StoreVote and StoreView write what must last, and report it.
-type StoreVote struct{ Store consensus.Store }
+// StoreAcceptorState and StoreView write what must last, and report it.
+type StoreAcceptorState struct{ Store consensus.StoreState }
 
 // StoreView writes a view.
 type StoreView struct {
@@ -127,45 +127,45 @@
 	Value    []byte
 }
 
-// Hold names all machines that nothing may be sent to from now on, nor named as a source. Machines that are missing may be
+// DrainMachines names all machines that nothing may be sent to from now on, nor named as a source. Machines that are missing may be
 // sent to again. Idle answers it.
-type Hold struct {
+type DrainMachines struct {
 	Generation uint64
 	Machines   map[string]bool
 }
 
-// Leave asks the gateway to drain itself and end; Left answers it.
-type Leave struct{}
+// ShutDown asks the gateway to drain itself and end; Left answers it.
+type ShutDown struct{}
 
-// Audit is a line on what was settled.
-type Audit struct{ Text string }
+// AuditEntry is a line on what was settled.
+type AuditEntry struct{ Text string }
 
-func (Send) action()      {}
-func (StoreVote) action() {}
-func (StoreView) action() {}
-func (Hold) action()      {}
-func (Leave) action()     {}
-func (Audit) action()     {}
+func (Send) action()               {}
+func (StoreAcceptorState) action() {}
+func (StoreView) action()          {}
+func (DrainMachines) action()      {}
+func (ShutDown) action()           {}
+func (AuditEntry) action()         {}
 
 // Config is what a node is made of.
 type Config struct {
-	Self    string
-	Life    uint64   // new with each start
-	Members []string // all, the own one with them
-	Voters  []string // those that vote, in an order that all share
-	Vote    consensus.Vote
-	View    []byte // as stored by the life before; nil: none
-	Lasts   bool   // views are stored: what was heard is said only once it lasts
-	Bounds  maintenance.Bounds
-	Clock   func() int64  // Unix milliseconds, for the history alone
-	Round   time.Duration // of the voters; 0: their default
-	Gap     time.Duration // questions to the voters are gathered for so long
-	Seed    uint64
+	Self         string
+	Incarnation  uint64   // new with each start
+	Members      []string // all, the own one with them
+	Voters       []string // those that vote, in an order that all share
+	Acceptor     consensus.AcceptorState
+	View         []byte // as stored by the life before; nil: none
+	Durable      bool   // views are stored: what was heard is said only once it lasts
+	Limits       maintenance.Limits
+	WallClockMs  func() int64  // Unix milliseconds, for the history alone
+	RoundTimeout time.Duration // of the voters; 0: their default
+	ReadInterval time.Duration // questions to the voters are gathered for so long
+	Seed         uint64
 }
 
 // Counters count what befell a node.
 type Counters struct {
-	Renews, Views, Lapses, Unknown, Strangers, Steps, Dropped uint64
+	LeaseRequests, Views, LeaseExpirations, Unknown, NonMembers, Advances, Dropped uint64
 }
 
 // question is a Renew or an Order that waits for an answer of the voters here.
@@ -203,7 +203,7 @@
 	lasting  uint64 // epoch of the view that lasts
 	lease    time.Duration
 	leased   bool // Hold was last told with the lease
-	told     Hold
+	told     DrainMachines
 	stopped  uint64
 	leaving  bool
 	left     bool
@@ -229,7 +229,7 @@
 
 // New returns a node.
 func New(c Config) (*Node, error) {
-	if c.Life == 0 || c.Clock == nil {
+	if c.Incarnation == 0 || c.WallClockMs == nil {
 		return nil, fmt.Errorf("fleet: Life or Clock is missing")
 	}
 	if !slices.Contains(c.Members, c.Self) {
@@ -243,7 +243,7 @@
 			return nil, fmt.Errorf("fleet: Voters: %q is none of the members", v)
 		}
 	}
-	if err := c.Bounds.Check(); err != nil {
+	if err := c.Limits.Check(); err != nil {
 		return nil, fmt.Errorf("fleet: Bounds: %w", err)
 	}
 	n := &Node{cfg: c, rng: rand.New(rand.NewPCG(c.Seed, 0xc2b2ae35)), sent: map[uint64]time.Duration{}, reports: map[string]report{},
@@ -251,7 +251,7 @@
 		lines: map[uint64]int{}}
 	if slices.Contains(c.Voters, c.Self) {
 		var err error
-		n.voter, err = consensus.New(consensus.Config{Self: c.Self, Voters: c.Voters, Vote: c.Vote, Apply: maintenance.Apply(c.Bounds), Round: c.Round, Gap: c.Gap, Seed: c.Seed})
+		n.voter, err = consensus.New(consensus.Config{Self: c.Self, Voters: c.Voters, Acceptor: c.Acceptor, Apply: maintenance.Apply(c.Limits), RoundTimeout: c.RoundTimeout, ReadInterval: c.ReadInterval, Seed: c.Seed})
 		if err != nil {
 			return nil, err
 		}
@@ -270,29 +270,29 @@
 func (n *Node) Handle(now time.Duration, e Event, out []Action) []Action {
 	n.now, n.out = now, out
 	switch e := e.(type) {
-	case Heard:
+	case MessageReceived:
 		n.heard(e.From, e.Message)
-	case Seen:
+	case Observed:
 		n.seen = e.Report
 		n.reports[n.cfg.Self] = report{e.Report, now}
-	case Idle:
+	case Drained:
 		if e.Generation == n.told.Generation && n.view != nil && n.leased && (!n.leaving || n.left) {
-			n.stopped = max(n.stopped, n.view.DrainsUpTo())
+			n.stopped = max(n.stopped, n.view.LatestDrainEpoch())
 			n.hurry()
 		}
-	case VoteStored:
+	case AcceptorStateStored:
 		if n.voter != nil {
-			n.vote(consensus.Stored{Number: e.Number})
+			n.vote(consensus.StateStored{Number: e.Number})
 		}
 	case ViewStored:
 		if n.view != nil && e.Revision == n.storing {
 			n.lasting = n.view.Epoch
 			n.hurry()
 		}
-	case Left:
+	case ShutdownCompleted:
 		n.left = true
 		if n.view != nil {
-			n.stopped = max(n.stopped, n.view.DrainsUpTo())
+			n.stopped = max(n.stopped, n.view.LatestDrainEpoch())
 		}
 		n.hurry()
 	case Tick:
@@ -307,40 +307,40 @@
 // hurry has the next question go out soon: there is something to tell.
 func (n *Node) hurry() { n.next = min(n.next, n.now) }
 
-// Leased says whether what the node knows is fresh.
-func (n *Node) Leased(now time.Duration) bool { return n.view != nil && now < n.lease }
+// HasLease says whether what the node knows is fresh.
+func (n *Node) HasLease(now time.Duration) bool { return n.view != nil && now < n.lease }
 
 // Ready says whether the gateway may send to anything: it must have known what was agreed on.
 func (n *Node) Ready() bool { return n.view != nil }
 
-// Permit says whether a machine may be sent to, or be named as a source, at this moment. It is asked right before something is
+// MaySend says whether a machine may be sent to, or be named as a source, at this moment. It is asked right before something is
 // written. Guards against a process that was stopped, and goes on where it stood with what it believed then.
-func (n *Node) Permit(now time.Duration, machine string) bool {
+func (n *Node) MaySend(now time.Duration, machine string) bool {
 	if n.view == nil {
 		return false
 	}
 	if now < n.lease {
 		return !n.told.Machines[machine]
 	}
-	return !n.view.Held(false)[machine]
+	return !n.view.ExcludedMachines(false)[machine]
 }
 
-// Agreed are the counters of the vote here; false: this one does not vote.
-func (n *Node) Agreed() (consensus.Counters, bool) {
+// ConsensusCounters are the counters of the vote here; false: this one does not vote.
+func (n *Node) ConsensusCounters() (consensus.Counters, bool) {
 	if n.voter == nil {
 		return consensus.Counters{}, false
 	}
 	return n.voter.Counters, true
 }
 
-// State is the view; nil: none is known.
-func (n *Node) State() *maintenance.State { return n.view }
+// View is the view; nil: none is known.
+func (n *Node) View() *maintenance.State { return n.view }
 
 // ---- as a gateway ----
 
 func (n *Node) tick() {
 	if n.view != nil && n.leased && n.now >= n.lease {
-		n.Counters.Lapses++
+		n.Counters.LeaseExpirations++
 		n.hold()
 	}
 	if n.now >= n.next {
@@ -352,7 +352,7 @@
 		}
 	}
 	for id, at := range n.sent {
-		if n.now-at > n.cfg.Bounds.Lease {
+		if n.now-at > n.cfg.Limits.Lease {
 			delete(n.sent, id)
 		}
 	}
@@ -372,7 +372,7 @@
 }
 
 // renewEvery is how often the view is asked for: five times in a lease.
-func (n *Node) renewEvery() time.Duration { return n.cfg.Bounds.Lease / 5 }
+func (n *Node) renewEvery() time.Duration { return n.cfg.Limits.Lease / 5 }
 
 // ask asks a voter for the view. Questions are spread, so that gateways that started together don't ask together.
 func (n *Node) ask() {
@@ -383,10 +383,10 @@
 	}
 	n.serial++
 	n.sent[n.serial] = n.now
-	n.Counters.Renews++
-	m := Message{Kind: Renew, ID: n.serial, Life: n.cfg.Life, Blank: n.view == nil, Have: n.digest, Stopped: n.stopped, Heard: n.lasting, Report: &n.seen}
-	if !n.cfg.Lasts && n.view != nil {
-		m.Heard = n.view.Epoch
+	n.Counters.LeaseRequests++
+	m := Message{Kind: RenewLease, ID: n.serial, Incarnation: n.cfg.Incarnation, NoView: n.view == nil, ViewDigest: n.digest, StoppedEpoch: n.stopped, NotifiedEpoch: n.lasting, Report: &n.seen}
+	if !n.cfg.Durable && n.view != nil {
+		m.NotifiedEpoch = n.view.Epoch
 	}
 	n.send(n.cfg.Voters[n.target], m)
 }
@@ -416,25 +416,25 @@
 	if m.Revision < n.revision {
 		return // an old answer proves nothing of what is known by now
 	}
-	if m.Value != nil && m.Have != n.digest {
+	if m.Value != nil && m.ViewDigest != n.digest {
 		s, err := maintenance.Decode(m.Value)
 		if err != nil {
 			n.Counters.Unknown++
 			return
 		}
-		n.view, n.digest, news = s, m.Have, true
-		if n.cfg.Lasts {
+		n.view, n.digest, news = s, m.ViewDigest, true
+		if n.cfg.Durable {
 			n.storing = m.Revision
 			n.do(StoreView{m.Revision, m.Value})
 		}
 		n.hurry()
 	}
-	if n.view == nil || m.Have != n.digest {
+	if n.view == nil || m.ViewDigest != n.digest {
 		return // the answer is to one who knew something else
 	}
 	n.revision = m.Revision
 	// What was agreed on when the question left is known: the lease counts from then.
-	n.lease = max(n.lease, at+n.cfg.Bounds.Lease)
+	n.lease = max(n.lease, at+n.cfg.Limits.Lease)
 	if news || !n.leased {
 		n.hold()
 	}
@@ -443,28 +443,28 @@
 // hold tells what is held, if that has changed.
 func (n *Node) hold() {
 	n.leased = n.now < n.lease
-	held := n.view.Held(n.leased)
+	held := n.view.ExcludedMachines(n.leased)
 	if r := n.ownTurn(); r != nil && !n.leaving {
 		n.leaving = true
-		n.do(Leave{})
+		n.do(ShutDown{})
 	}
 	if n.told.Generation > 0 && maps.Equal(held, n.told.Machines) {
 		if n.leased && len(held) == 0 {
-			n.stopped = max(n.stopped, n.view.DrainsUpTo())
+			n.stopped = max(n.stopped, n.view.LatestDrainEpoch())
 		}
 		if n.leased { // the same machines, perhaps by a newer drain
 			n.do(n.told)
 		}
 		return
 	}
-	n.told = Hold{n.told.Generation + 1, held}
+	n.told = DrainMachines{n.told.Generation + 1, held}
 	n.do(n.told)
 }
 
 // ownTurn is the request for this gateway's own machine, once it drains.
 func (n *Node) ownTurn() *maintenance.Request {
 	for _, r := range n.view.Requests {
-		if r.Machine == n.cfg.Self && r.Stage == maintenance.Draining && r.Life == n.cfg.Life {
+		if r.Machine == n.cfg.Self && r.Stage == maintenance.Draining && r.Incarnation == n.cfg.Incarnation {
 			return r
 		}
 	}
@@ -479,13 +479,13 @@
 		n.heardAt[from] = n.now
 	}
 	switch m.Kind {
-	case Vote:
+	case ConsensusMessage:
 		if n.voter != nil && member {
-			n.vote(consensus.Heard{From: from, Message: m.Vote})
+			n.vote(consensus.MessageReceived{From: from, Message: m.Consensus})
 		}
-	case Renew:
+	case RenewLease:
 		if n.voter == nil || !member {
-			n.Counters.Strangers++
+			n.Counters.NonMembers++
 			return
 		}
 		if m.Report != nil {
@@ -496,9 +496,9 @@
 		if member {
 			n.viewed(m)
 		}
-	case Order:
+	case OperatorRequest:
 		n.order(from, m)
-	case Reply:
+	case OperatorReply:
 		if q, ok := n.relayed[m.ID]; ok && member {
 			delete(n.relayed, m.ID)
 			m.ID = q.m.ID
@@ -519,14 +519,14 @@
 	id := strconv.FormatUint(n.serial, 10)
 	n.waiting[id] = q
 	if command != nil {
-		n.vote(consensus.Wanted{ID: id, Command: command})
+		n.vote(consensus.Propose{ID: id, Command: command})
 	} else {
-		n.vote(consensus.Asked{ID: id})
+		n.vote(consensus.Read{ID: id})
 	}
 }
 
 func (n *Node) command(c maintenance.Command) []byte {
-	c.By, c.AtMs = cmp.Or(c.By, n.cfg.Self), n.cfg.Clock()
+	c.Actor, c.AtMs = cmp.Or(c.Actor, n.cfg.Self), n.cfg.WallClockMs()
 	b, err := json.Marshal(c)
 	if err != nil {
 		panic(fmt.Sprintf("fleet: %v", err)) // none of its types can fail
@@ -541,10 +541,10 @@
 	if s, ok := n.known(); ok {
 		g, joined := s.Gateways[from]
 		switch {
-		case !joined || g.Life != m.Life:
+		case !joined || g.Incarnation != m.Incarnation:
 			c = n.join(from, m)
-		case m.Heard > g.Heard || m.Stopped > g.Stopped:
-			c = n.command(maintenance.Command{By: from, Told: &maintenance.Member{Name: from, Life: m.Life, Heard: m.Heard, Stopped: m.Stopped}})
+		case m.NotifiedEpoch > g.NotifiedEpoch || m.StoppedEpoch > g.StoppedEpoch:
+			c = n.command(maintenance.Command{Actor: from, Notified: &maintenance.GatewayUpdate{Name: from, Incarnation: m.Incarnation, NotifiedEpoch: m.NotifiedEpoch, StoppedEpoch: m.StoppedEpoch}})
 		}
 	} else { // the very first
 		c = n.join(from, m)
@@ -553,12 +553,12 @@
 }
 
 func (n *Node) join(from string, m Message) []byte {
-	return n.command(maintenance.Command{By: from, Join: &maintenance.Member{Name: from, Life: m.Life, Blank: m.Blank, Heard: m.Heard}})
+	return n.command(maintenance.Command{Actor: from, Join: &maintenance.GatewayUpdate{Name: from, Incarnation: m.Incarnation, NoView: m.NoView, NotifiedEpoch: m.NotifiedEpoch}})
 }
 
 // known is the newest state that the voter here knows of, which may be old. It is not to be changed.
 func (n *Node) known() (*maintenance.State, bool) {
-	s, ok := n.voter.Known()
+	s, ok := n.voter.Chosen()
 	if !ok {
 		return nil, false
 	}
@@ -576,7 +576,7 @@
 func (n *Node) order(from string, m Message) {
 	if n.voter == nil {
 		if len(n.relayed) >= mostOut {
-			n.send(from, Message{Kind: Reply, ID: m.ID, Refused: "too many orders are under way"})
+			n.send(from, Message{Kind: OperatorReply, ID: m.ID, Rejected: "too many orders are under way"})
 			return
 		}
 		n.serial++
@@ -591,15 +591,15 @@
 		return
 	}
 	var c maintenance.Command
-	if err := json.Unmarshal(m.Value, &c); err != nil || c.Step != nil || c.Join != nil || c.Told != nil {
-		n.send(from, Message{Kind: Reply, ID: m.ID, Refused: "not an order"})
+	if err := json.Unmarshal(m.Value, &c); err != nil || c.Advance != nil || c.Join != nil || c.Notified != nil {
+		n.send(from, Message{Kind: OperatorReply, ID: m.ID, Rejected: "not an order"})
 		return
 	}
-	if c.Ask != nil { // what it is stands in the list
-		if own, ok := n.gather().Machines[c.Ask.Machine]; ok {
-			c.Ask.Kind, c.Ask.Zone = own.Kind, own.Zone
+	if c.Request != nil { // what it is stands in the list
+		if own, ok := n.gather().Machines[c.Request.Machine]; ok {
+			c.Request.Kind, c.Request.Zone = own.Kind, own.Zone
 		} else {
-			c.Ask.Kind = ""
+			c.Request.Kind = ""
 		}
 	}
 	n.enquire(q, n.command(c))
@@ -610,10 +610,10 @@
 	for _, a := range n.voter.Handle(n.now, e, nil) {
 		switch a := a.(type) {
 		case consensus.Send:
-			n.do(Send{To: a.To, Message: Message{Kind: Vote, Vote: a.Message}})
-		case consensus.Store:
-			n.do(StoreVote{a})
-		case consensus.Done:
+			n.do(Send{To: a.To, Message: Message{Kind: ConsensusMessage, Consensus: a.Message}})
+		case consensus.StoreState:
+			n.do(StoreAcceptorState{a})
+		case consensus.Completed:
 			n.answered(a)
 		case consensus.Learned:
 			n.audit(a.State)
@@ -622,35 +622,35 @@
 }
 
 // answered hands on what the voters said.
-func (n *Node) answered(d consensus.Done) {
+func (n *Node) answered(d consensus.Completed) {
 	q, ok := n.waiting[d.ID]
 	if !ok {
 		return
 	}
 	delete(n.waiting, d.ID)
 	switch {
-	case d.Refused:
+	case d.Rejected:
 		n.Counters.Dropped++
-	case q.m.Kind == Renew:
+	case q.m.Kind == RenewLease:
 		// Guards against a lease for one that is not among those that are waited for.
 		s, ok := n.known()
-		if !ok || n.readAt != d.State.Revision || s.Gateways[q.from].Life != q.m.Life {
+		if !ok || n.readAt != d.State.Revision || s.Gateways[q.from].Incarnation != q.m.Incarnation {
 			return
 		}
-		brief := s.Brief().Encode()
-		m := Message{Kind: View, ID: q.m.ID, Revision: d.State.Revision, Have: maintenance.Digest(brief)}
-		if q.m.Have != m.Have {
+		brief := s.Summary().Encode()
+		m := Message{Kind: View, ID: q.m.ID, Revision: d.State.Revision, ViewDigest: maintenance.Digest(brief)}
+		if q.m.ViewDigest != m.ViewDigest {
 			m.Value = brief
 		}
 		n.send(q.from, m)
-	case q.m.Kind == Order:
-		m := Message{Kind: Reply, ID: q.m.ID, Value: d.Reply, Revision: d.State.Revision}
+	case q.m.Kind == OperatorRequest:
+		m := Message{Kind: OperatorReply, ID: q.m.ID, Value: d.Reply, Revision: d.State.Revision}
 		switch q.m.Query {
 		case "state":
 			m.Value = d.State.Value
 		case "plan":
 			if s, err := maintenance.Decode(d.State.Value); err == nil {
-				m.Value, _ = json.Marshal(s.Plan(n.gather(), n.cfg.Bounds))
+				m.Value, _ = json.Marshal(s.Plan(n.gather(), n.cfg.Limits))
 			}
 		}
 		n.send(q.from, m)
@@ -669,7 +669,7 @@
 		last := n.lines[r.ID]
 		for i, st := range r.History {
 			if i >= last {
-				n.do(Audit{r.Line(st)})
+				n.do(AuditEntry{r.AuditLine(st)})
 			}
 		}
 		n.lines[r.ID] = len(r.History)
@@ -694,8 +694,8 @@
 }
 
 // gather joins what all gateways have reported lately, the most cautious of it.
-func (n *Node) gather() *maintenance.Observed {
-	o := &maintenance.Observed{Machines: map[string]maintenance.Machine{}}
+func (n *Node) gather() *maintenance.Observations {
+	o := &maintenance.Observations{Machines: map[string]maintenance.Machine{}}
 	for _, from := range slices.Sorted(maps.Keys(n.reports)) {
 		r := n.reports[from]
 		if n.now-r.at > reportFor {
@@ -704,7 +704,7 @@
 			}
 			continue
 		}
-		o.Strain = cmp.Or(o.Strain, r.Strain)
+		o.Pressure = cmp.Or(o.Pressure, r.Pressure)
 		for name, m := range r.Machines {
 			was, ok := o.Machines[name]
 			if !ok {
@@ -713,8 +713,8 @@
 			}
 			was.Up, was.Warm = was.Up && m.Up, was.Warm && m.Warm
 			was.BootMs = min(was.BootMs, m.BootMs) // it has started anew once all have heard of it
-			if m.Busy >= 0 {
-				was.Busy = max(was.Busy, m.Busy)
+			if m.Utilization >= 0 {
+				was.Utilization = max(was.Utilization, m.Utilization)
 			}
 			o.Machines[name] = was
 		}
@@ -732,27 +732,27 @@
 	o := n.gather()
 	now := map[stand]time.Duration{}
 	for _, r := range s.Requests {
-		if r.Stage.Ended() || r.Stage == maintenance.Asked {
+		if r.Stage.Ended() || r.Stage == maintenance.Requested {
 			continue
 		}
-		k := stand{r.ID, r.Stage, r.Epoch}
+		k := stand{r.ID, r.Stage, r.GrantEpoch}
 		at, ok := n.since[k]
 		if !ok {
 			at = n.now
 		}
 		now[k] = at
 		took := n.now - at
-		o.Spans = append(o.Spans, maintenance.Span{ID: r.ID, Stage: r.Stage, Epoch: r.Epoch, Lapsed: took >= n.cfg.Bounds.Lapse(),
-			Late: took >= time.Duration(r.ForMs)*time.Millisecond, Ramped: took >= n.cfg.Bounds.Ramp})
+		o.Elapsed = append(o.Elapsed, maintenance.ElapsedLimits{ID: r.ID, Stage: r.Stage, Epoch: r.GrantEpoch, LeasesExpired: took >= n.cfg.Limits.LeaseExpiry(),
+			Overdue: took >= time.Duration(r.DurationMs)*time.Millisecond, SlowStartOver: took >= n.cfg.Limits.SlowStart})
 	}
 	n.since = now
 	if !slices.ContainsFunc(s.Requests, func(r *maintenance.Request) bool { return !r.Stage.Ended() }) {
 		return
 	}
-	c := n.command(maintenance.Command{Step: o})
+	c := n.command(maintenance.Command{Advance: o})
 	was := s.Encode()
-	if next, _ := maintenance.Apply(n.cfg.Bounds)(was, c); !bytes.Equal(next, was) {
-		n.Counters.Steps++
-		n.enquire(question{from: n.cfg.Self, m: Message{Kind: Unknown}, at: n.now}, c)
+	if next, _ := maintenance.Apply(n.cfg.Limits)(was, c); !bytes.Equal(next, was) {
+		n.Counters.Advances++
+		n.enquire(question{from: n.cfg.Self, m: Message{Kind: UnknownKind}, at: n.now}, c)
 	}
 }
--- a/cluster/cluster_test.go
+++ b/cluster/cluster_test.go
@@ -13,8 +13,8 @@
 // lone is a node that does not vote, whose voter is played by the test.
 func lone(t *testing.T, lasts bool, view []byte) *Node {
 	t.Helper()
-	n, err := New(Config{Self: "g9", Life: 5, Members: []string{"v", "g9"}, Voters: []string{"v"}, View: view, Lasts: lasts,
-		Bounds: maintenance.Bounds{Lease: 2 * second}, Clock: func() int64 { return 0 }, Seed: 1})
+	n, err := New(Config{Self: "g9", Incarnation: 5, Members: []string{"v", "g9"}, Voters: []string{"v"}, View: view, Durable: lasts,
+		Limits: maintenance.Limits{Lease: 2 * second}, WallClockMs: func() int64 { return 0 }, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,7 +25,7 @@
 	s := &maintenance.State{Epoch: epoch, Gateways: map[string]maintenance.Gateway{}}
 	for _, m := range []string{"m1", "m2"} {
 		if st, ok := stages[m]; ok {
-			s.Requests = append(s.Requests, &maintenance.Request{ID: uint64(len(m)), Machine: m, Kind: maintenance.KindBox, Stage: st, Epoch: 1, Drain: 2})
+			s.Requests = append(s.Requests, &maintenance.Request{ID: uint64(len(m)), Machine: m, Kind: maintenance.KindBox, Stage: st, GrantEpoch: 1, DrainEpoch: 2})
 		}
 	}
 	return s.Encode()
@@ -35,7 +35,7 @@
 func renew(t *testing.T, n *Node, now time.Duration) Message {
 	t.Helper()
 	for _, a := range n.Handle(now, Tick{}, nil) {
-		if s, ok := a.(Send); ok && s.Message.Kind == Renew {
+		if s, ok := a.(Send); ok && s.Message.Kind == RenewLease {
 			return s.Message
 		}
 	}
@@ -43,18 +43,18 @@
 	return Message{}
 }
 
-func answer(q Message, revision uint64, value []byte) Heard {
-	return Heard{"v", Message{Kind: View, ID: q.ID, Revision: revision, Have: maintenance.Digest(value), Value: value}}
+func answer(q Message, revision uint64, value []byte) MessageReceived {
+	return MessageReceived{"v", Message{Kind: View, ID: q.ID, Revision: revision, ViewDigest: maintenance.Digest(value), Value: value}}
 }
 
 // Nothing is sent before anything is known; with a lease only what drains is held; without one what was granted as well.
 func TestPermitFollowsTheLease(t *testing.T) {
 	n := lone(t, false, nil)
-	if n.Permit(second, "m3") || n.Ready() {
+	if n.MaySend(second, "m3") || n.Ready() {
 		t.Error("it sends before it knows of anything")
 	}
 	q := renew(t, n, second)
-	if !q.Blank {
+	if !q.NoView {
 		t.Error("it does not say that it knows of nothing")
 	}
 	n.Handle(1200*time.Millisecond, answer(q, 4, state(3, map[string]maintenance.Stage{"m1": maintenance.Granted, "m2": maintenance.Draining})), nil)
@@ -62,7 +62,7 @@
 		at         time.Duration
 		m1, m2, m3 bool
 	}{{1200 * time.Millisecond, true, false, true}, {2999 * time.Millisecond, true, false, true}, {3 * second, false, false, true}, {99 * second, false, false, true}} {
-		if a, b, d := n.Permit(c.at, "m1"), n.Permit(c.at, "m2"), n.Permit(c.at, "m3"); a != c.m1 || b != c.m2 || d != c.m3 {
+		if a, b, d := n.MaySend(c.at, "m1"), n.MaySend(c.at, "m2"), n.MaySend(c.at, "m3"); a != c.m1 || b != c.m2 || d != c.m3 {
 			t.Errorf("%v: %v %v %v, want %+v", c.at, a, b, d, c)
 		}
 	}
@@ -73,7 +73,7 @@
 	n := lone(t, false, nil)
 	q := renew(t, n, second)
 	n.Handle(3500*time.Millisecond, answer(q, 4, state(3, nil)), nil)
-	if n.Leased(3500 * time.Millisecond) {
+	if n.HasLease(3500 * time.Millisecond) {
 		t.Error("an answer that took 2.5 s gives a lease of two")
 	}
 }
@@ -87,7 +87,7 @@
 	n.Handle(1700*time.Millisecond, answer(late, 9, news), nil)
 	before := n.lease
 	n.Handle(1800*time.Millisecond, answer(old, 4, state(1, nil)), nil)
-	if n.Permit(1900*time.Millisecond, "m1") {
+	if n.MaySend(1900*time.Millisecond, "m1") {
 		t.Error("an old view took the place of a newer one")
 	}
 	n.Handle(1900*time.Millisecond, answer(late, 9, news), nil)
@@ -100,18 +100,18 @@
 func TestHeardIsWhatLasts(t *testing.T) {
 	n := lone(t, true, nil)
 	n.Handle(1100*time.Millisecond, answer(renew(t, n, second), 4, state(3, map[string]maintenance.Stage{"m1": maintenance.Granted})), nil)
-	if q := renew(t, n, 1600*time.Millisecond); q.Heard != 0 {
-		t.Errorf("it says that it has heard of %d, which is not stored yet", q.Heard)
+	if q := renew(t, n, 1600*time.Millisecond); q.NotifiedEpoch != 0 {
+		t.Errorf("it says that it has heard of %d, which is not stored yet", q.NotifiedEpoch)
 	}
 	n.Handle(1700*time.Millisecond, ViewStored{4}, nil)
-	if q := renew(t, n, 2300*time.Millisecond); q.Heard != 3 {
-		t.Errorf("it says that it has heard of %d", q.Heard)
+	if q := renew(t, n, 2300*time.Millisecond); q.NotifiedEpoch != 3 {
+		t.Errorf("it says that it has heard of %d", q.NotifiedEpoch)
 	}
 	again := lone(t, true, state(3, map[string]maintenance.Stage{"m1": maintenance.Granted}))
-	if again.Permit(second, "m1") || !again.Permit(second, "m2") {
+	if again.MaySend(second, "m1") || !again.MaySend(second, "m2") {
 		t.Error("after a start it does not go by what was stored")
 	}
-	if q := renew(t, again, second); q.Blank || q.Heard != 3 {
+	if q := renew(t, again, second); q.NoView || q.NotifiedEpoch != 3 {
 		t.Errorf("after a start it says %+v", q)
 	}
 }
@@ -125,8 +125,8 @@
 	n.Handle(1100*time.Millisecond, h, nil)
 	bad := answer(q, 4, []byte("{"))
 	n.Handle(1100*time.Millisecond, bad, nil)
-	n.Handle(1100*time.Millisecond, Heard{"v", Message{Kind: Kind(99)}}, nil)
-	n.Handle(1100*time.Millisecond, Heard{"stranger", Message{Kind: Vote, Vote: consensus.Message{Kind: consensus.Learn}}}, nil)
+	n.Handle(1100*time.Millisecond, MessageReceived{"v", Message{Kind: MessageKind(99)}}, nil)
+	n.Handle(1100*time.Millisecond, MessageReceived{"stranger", Message{Kind: ConsensusMessage, Consensus: consensus.Message{Kind: consensus.Learn}}}, nil)
 	if n.Ready() || n.Counters.Unknown != 2 {
 		t.Errorf("ready %v, %+v", n.Ready(), n.Counters)
 	}
@@ -134,10 +134,10 @@
 
 func TestConfigNamesWhatIsWrong(t *testing.T) {
 	clock := func() int64 { return 0 }
-	for i, c := range []Config{{}, {Life: 1, Clock: clock, Self: "x"}, {Life: 1, Clock: clock, Self: "x", Members: []string{"x"}},
-		{Life: 1, Clock: clock, Self: "x", Members: []string{"x"}, Voters: []string{"y"}},
-		{Life: 1, Clock: clock, Self: "x", Members: []string{"x"}, Voters: []string{"x"}, Vote: consensus.Vote{Life: 1}, Bounds: maintenance.Bounds{Full: 2}},
-		{Life: 1, Clock: clock, Self: "x", Members: []string{"x", "y"}, Voters: []string{"y"}, View: []byte("{")}} {
+	for i, c := range []Config{{}, {Incarnation: 1, WallClockMs: clock, Self: "x"}, {Incarnation: 1, WallClockMs: clock, Self: "x", Members: []string{"x"}},
+		{Incarnation: 1, WallClockMs: clock, Self: "x", Members: []string{"x"}, Voters: []string{"y"}},
+		{Incarnation: 1, WallClockMs: clock, Self: "x", Members: []string{"x"}, Voters: []string{"x"}, Acceptor: consensus.AcceptorState{Incarnation: 1}, Limits: maintenance.Limits{MaxUtilization: 2}},
+		{Incarnation: 1, WallClockMs: clock, Self: "x", Members: []string{"x", "y"}, Voters: []string{"y"}, View: []byte("{")}} {
 		if _, err := New(c); err == nil {
 			t.Errorf("case %d is taken", i)
 		}
--- a/cluster/explore_test.go
+++ b/cluster/explore_test.go
@@ -92,7 +92,7 @@
 		}
 		g.stopped = false
 		for _, box := range slices.Sorted(maps.Keys(w.boxes)) {
-			if g.node.Permit(w.local(g), box) {
+			if g.node.MaySend(w.local(g), box) {
 				w.check(g, box)
 			}
 		}
--- a/cluster/world_test.go
+++ b/cluster/world_test.go
@@ -29,7 +29,7 @@
 	loss    float64
 	double  float64
 	boxes   map[string]*box
-	bounds  maintenance.Bounds
+	bounds  maintenance.Limits
 	lives   uint64
 	latest  consensus.State // the newest that anybody learned
 	bad     string
@@ -57,8 +57,8 @@
 	pace    float64
 	base    time.Duration
 	stopped bool
-	inbox   []Heard
-	vote    consensus.Vote
+	inbox   []MessageReceived
+	vote    consensus.AcceptorState
 	view    []byte
 	folder  bool
 	busy    map[string]time.Duration // attempts out at machines, until
@@ -69,7 +69,7 @@
 
 func newWorld(seed uint64, n int) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 5)), nodes: map[string]*member{}, cut: map[[2]string]bool{}, boxes: map[string]*box{}, replies: map[uint64]Message{}, acked: map[string]bool{},
-		bounds: maintenance.Bounds{Lease: 2 * time.Second, Grace: 500 * time.Millisecond, Ramp: 4 * time.Second, AtOnce: 3, Parents: 1}}
+		bounds: maintenance.Limits{Lease: 2 * time.Second, DrainGrace: 500 * time.Millisecond, SlowStart: 4 * time.Second, MaxOut: 3, MinWarmParents: 1}}
 	if err := w.bounds.Check(); err != nil {
 		panic(err)
 	}
@@ -83,11 +83,11 @@
 	}
 	for z := range 2 {
 		for i := range 6 {
-			w.boxes[fmt.Sprintf("b%d%d", z, i)] = &box{Machine: maintenance.Machine{Kind: maintenance.KindBox, Zone: fmt.Sprintf("z%d", z), Up: true, Warm: true, Weight: 7, Busy: 0.5}}
+			w.boxes[fmt.Sprintf("b%d%d", z, i)] = &box{Machine: maintenance.Machine{Kind: maintenance.KindBox, Zone: fmt.Sprintf("z%d", z), Up: true, Warm: true, Weight: 7, Utilization: 0.5}}
 		}
 	}
 	for i := range 2 {
-		w.boxes[fmt.Sprintf("p%d", i)] = &box{Machine: maintenance.Machine{Kind: maintenance.KindParent, Zone: "hub", Up: true, Warm: true, Weight: 20, Busy: 0.4}}
+		w.boxes[fmt.Sprintf("p%d", i)] = &box{Machine: maintenance.Machine{Kind: maintenance.KindParent, Zone: "hub", Up: true, Warm: true, Weight: 20, Utilization: 0.4}}
 	}
 	for _, name := range w.names {
 		m := &member{name: name, pace: 0.96 + 0.08*w.rng.Float64(), folder: w.rng.IntN(2) == 0 || slices.Contains(w.voters, name)}
@@ -100,15 +100,15 @@
 // begin starts a node; forget loses what it had stored.
 func (w *world) begin(m *member, forget bool) {
 	w.lives++
-	if forget || !m.folder || m.vote.Life == 0 {
-		m.vote, m.view = consensus.Vote{Life: w.lives}, nil
+	if forget || !m.folder || m.vote.Incarnation == 0 {
+		m.vote, m.view = consensus.AcceptorState{Incarnation: w.lives}, nil
 	}
 	m.epoch++
 	m.stopped, m.inbox, m.busy, m.held, m.leaving = false, nil, map[string]time.Duration{}, nil, false
 	m.base = w.clock.Now
 	var err error
-	m.node, err = New(Config{Self: m.name, Life: w.lives, Members: w.names, Voters: w.voters, Vote: m.vote, View: m.view, Lasts: m.folder, Bounds: w.bounds,
-		Clock: func() int64 { return int64(w.clock.Now / time.Millisecond) }, Gap: 20 * time.Millisecond, Seed: w.lives})
+	m.node, err = New(Config{Self: m.name, Incarnation: w.lives, Members: w.names, Voters: w.voters, Acceptor: m.vote, View: m.view, Durable: m.folder, Limits: w.bounds,
+		WallClockMs: func() int64 { return int64(w.clock.Now / time.Millisecond) }, ReadInterval: 20 * time.Millisecond, Seed: w.lives})
 	if err != nil {
 		panic(err)
 	}
@@ -119,7 +119,7 @@
 			return
 		}
 		if !m.stopped {
-			w.do(m, Seen{w.report(m)})
+			w.do(m, Observed{w.report(m)})
 			w.do(m, Tick{})
 			if m.epoch == epoch {
 				w.serve(m)
@@ -147,7 +147,7 @@
 // serve has the node send to some box, if it permits that, and holds that against what was agreed on.
 func (w *world) serve(m *member) {
 	name := slices.Sorted(maps.Keys(w.boxes))[w.rng.IntN(len(w.boxes))]
-	if m.node.Permit(w.local(m), name) && !m.leaving {
+	if m.node.MaySend(w.local(m), name) && !m.leaving {
 		w.check(m, name)
 		m.busy[name] = w.clock.Now + time.Duration(w.rng.IntN(300))*time.Millisecond
 	}
@@ -167,7 +167,7 @@
 		}
 	}
 	if m.held != nil {
-		w.do(m, Idle{m.node.told.Generation})
+		w.do(m, Drained{m.node.told.Generation})
 	}
 }
 
@@ -183,11 +183,11 @@
 		switch a := a.(type) {
 		case Send:
 			w.send(m.name, a.To, a.Message)
-		case StoreVote:
+		case StoreAcceptorState:
 			w.clock.At(w.clock.Now+time.Duration(w.rng.IntN(3000))*time.Microsecond, func() {
 				if m.epoch == epoch {
-					m.vote = a.Store.Vote
-					w.do(m, VoteStored{a.Store.Number})
+					m.vote = a.Store.State
+					w.do(m, AcceptorStateStored{a.Store.Number})
 				}
 			})
 		case StoreView:
@@ -197,20 +197,20 @@
 					w.do(m, ViewStored{a.Revision})
 				}
 			})
-		case Hold:
+		case DrainMachines:
 			m.held = a.Machines
 			w.clock.At(w.clock.Now, func() {
 				if m.epoch == epoch && !m.stopped {
 					w.idle(m)
 				}
 			})
-		case Leave:
+		case ShutDown:
 			m.leaving = true
 			w.clock.At(w.clock.Now+300*time.Millisecond, func() { // it has drained, says so, and ends; then it is back
 				if m.epoch != epoch || m.node == nil || m.stopped {
 					return
 				}
-				w.do(m, Left{})
+				w.do(m, ShutdownCompleted{})
 				w.clock.At(w.clock.Now+3*time.Second, func() {
 					if m.epoch == epoch {
 						m.epoch++
@@ -219,7 +219,7 @@
 					}
 				})
 			})
-		case Audit:
+		case AuditEntry:
 		}
 	}
 	if m.epoch == epoch && m.node.voter != nil {
@@ -229,7 +229,7 @@
 
 // learned checks what a voter knows against what others know, and works on the machines that are out.
 func (w *world) learned(m *member) {
-	s, ok := m.node.voter.Known()
+	s, ok := m.node.voter.Chosen()
 	if !ok || s.Revision < w.latest.Revision {
 		return
 	}
@@ -252,7 +252,7 @@
 			continue
 		}
 		was := b.out
-		b.out = r.Stage == maintenance.Out
+		b.out = r.Stage == maintenance.OutOfService
 		if b.out && !was { // the work begins: it stops at once
 			for _, g := range w.nodes {
 				if g.busy[r.Machine] > w.clock.Now && !g.stopped {
@@ -274,7 +274,7 @@
 	away, zone := 0, map[string]int{}
 	seen := map[string]bool{}
 	for _, r := range s.Requests {
-		if r.Stage == maintenance.Asked || r.Stage.Ended() {
+		if r.Stage == maintenance.Requested || r.Stage.Ended() {
 			continue
 		}
 		if seen[r.Machine] {
@@ -284,7 +284,7 @@
 		away++
 		zone[r.Kind+r.Zone]++
 	}
-	if away > w.bounds.AtOnce {
+	if away > w.bounds.MaxOut {
 		w.bad = fmt.Sprintf("%d machines are out at once", away)
 	}
 	if zone[maintenance.KindParent+"hub"] > 1 {
@@ -317,11 +317,11 @@
 		w.clock.At(w.clock.Now+late+time.Duration(200+w.rng.IntN(4000))*time.Microsecond, func() {
 			if g := w.nodes[to]; g != nil && g.node != nil {
 				if g.stopped {
-					g.inbox = append(g.inbox, Heard{from, m})
+					g.inbox = append(g.inbox, MessageReceived{from, m})
 				} else {
-					w.do(g, Heard{from, m})
+					w.do(g, MessageReceived{from, m})
 				}
-			} else if g == nil && m.Kind == Reply {
+			} else if g == nil && m.Kind == OperatorReply {
 				w.replies[m.ID] = m
 			}
 		})
@@ -333,13 +333,13 @@
 	b, _ := json.Marshal(c)
 	w.serial++
 	id := w.serial
-	w.send("tool", w.names[w.rng.IntN(len(w.names))], Message{Kind: Order, ID: id, Value: b})
+	w.send("tool", w.names[w.rng.IntN(len(w.names))], Message{Kind: OperatorRequest, ID: id, Value: b})
 	w.clock.At(w.clock.Now+700*time.Millisecond, func() {
 		m, ok := w.replies[id]
 		var r maintenance.Reply
-		if c.Ask != nil {
-			if ok = ok && m.Refused == "" && json.Unmarshal(m.Value, &r) == nil && r.Refused == ""; ok {
-				w.acked[c.Ask.Machine] = true
+		if c.Request != nil {
+			if ok = ok && m.Rejected == "" && json.Unmarshal(m.Value, &r) == nil && r.Rejected == ""; ok {
+				w.acked[c.Request.Machine] = true
 			}
 		}
 		if !ok && tries > 0 { // a gateway that has just begun knows no machines
@@ -349,7 +349,7 @@
 }
 
 func (w *world) ask(machine string, after ...string) {
-	w.order(maintenance.Command{Ask: &maintenance.Ask{Key: "k-" + machine, Machine: machine, ForMs: 5000, After: after}}, 30)
+	w.order(maintenance.Command{Request: &maintenance.RequestOrder{Key: "k-" + machine, Machine: machine, DurationMs: 5000, After: after}}, 30)
 }
 
 // kept says that no request which was taken is missing from a state.
@@ -393,7 +393,7 @@
 				}
 				g.stopped = false
 				for name := range w.boxes { // it goes on where it stood, before it has heard anything
-					if g.node.Permit(w.local(g), name) {
+					if g.node.MaySend(w.local(g), name) {
 						w.check(g, name)
 					}
 				}
@@ -426,7 +426,7 @@
 // more until an operator says so, and no run asks for that.
 func (w *world) othersVote(but string) bool {
 	for _, n := range w.voters {
-		if m := w.nodes[n]; n != but && (m.node == nil || !m.node.voter.Votes()) {
+		if m := w.nodes[n]; n != but && (m.node == nil || !m.node.voter.CanVote()) {
 			return false
 		}
 	}
@@ -477,7 +477,7 @@
 		}
 		d, _ := maintenance.Decode(w.latest.Value)
 		for _, r := range d.Requests {
-			if r.Stage == maintenance.Done {
+			if r.Stage == maintenance.Completed {
 				done++
 			}
 		}
--- a/cmd/larchusher-lab/procs.go
+++ b/cmd/larchusher-lab/procs.go
@@ -294,7 +294,7 @@
 	}
 	for _, n := range []int{2, 4, 6, 9} {
 		ways = append(ways, way{fmt.Sprint("settled, at_once ", n), func(seed uint64) (faultinjection.Planned, error) {
-			return faultinjection.Settled(seed, maintenance.Bounds{AtOnce: n})
+			return faultinjection.Settled(seed, maintenance.Limits{MaxOut: n})
 		}})
 	}
 	lines := []plot.Line{{Name: "fixed timetables"}, {Name: "settled by gateways"}}
--- a/cmd/larchusher/counters.go
+++ b/cmd/larchusher/counters.go
@@ -45,8 +45,8 @@
 		all = append(all, p.keeper.Values(p.gw.Clock(p.loop.Now()))...)
 	}
 	if p.fleet != nil {
-		values := p.fleet.Values()
-		for _, name := range p.fleet.Names() {
+		values := p.fleet.Metrics()
+		for _, name := range p.fleet.MetricNames() {
 			add(metrics.Gauge, name, "Of what gateways settle among themselves; see the operators' page.", values[name])
 		}
 	}
--- a/cmd/larchusher/serve.go
+++ b/cmd/larchusher/serve.go
@@ -40,7 +40,7 @@
 	link   *gossip.Link
 	signed *signedfront.Front // nil: off
 	keeper *snapshot.Keeper   // nil: what is learned is not kept
-	fleet  *clusternode.Host  // nil: this gateway is alone
+	fleet  *clusternode.Node  // nil: this gateway is alone
 	left   func()             // to be called once all is answered; nil: nobody waits for that
 	accept []*transport.Listener
 	book   *discovery.Book
--- a/cmd/larchusher/shared.go
+++ b/cmd/larchusher/shared.go
@@ -13,19 +13,19 @@
 	"larchusher/replication"
 )
 
-func (f *fleetFlags) shared(at, kind string) (*clusternode.Shown, error) {
+func (f *fleetFlags) shared(at, kind string) (*clusternode.SharedState, error) {
 	one := *f
 	if at != "" {
 		one.At = at
 	}
 	m, err := one.ask(cluster.Message{Query: "shared", Value: []byte(kind)})
-	if err == nil && m.Refused != "" {
-		err = errors.New("state: refused: " + m.Refused)
+	if err == nil && m.Rejected != "" {
+		err = errors.New("state: refused: " + m.Rejected)
 	}
 	if err != nil {
 		return nil, err
 	}
-	var s clusternode.Shown
+	var s clusternode.SharedState
 	if err := json.Unmarshal(m.Value, &s); err != nil {
 		return nil, fmt.Errorf("state: the reply: %w", err)
 	}
@@ -51,18 +51,18 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "KIND\tKEY\tBY\tNUMBER\tAGE MS\tVALUE")
 	for _, r := range s.Rows {
-		fmt.Fprintf(w, "%s\t%q\t%s\t%d\t%d\t%s\n", r.Kind, r.Key, r.By, r.Seq, r.AgeMs, r.Value)
+		fmt.Fprintf(w, "%s\t%q\t%s\t%d\t%d\t%s\n", r.Kind, r.Key, r.Writer, r.Seq, r.AgeMs, r.Value)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
 	fmt.Printf("%s: %d slots", s.Gateway, s.Slots)
-	if s.Catching {
+	if s.CatchingUp {
 		fmt.Print(", catching up")
 	}
 	fmt.Println()
-	for _, d := range s.Differ {
-		fmt.Printf("differed from %s in numbers %d to %d of %s: %s\n", d.With, d.From, d.To, d.Life.Name, d.Cause)
+	for _, d := range s.Divergences {
+		fmt.Printf("differed from %s in numbers %d to %d of %s: %s\n", d.Peer, d.From, d.To, d.Writer.Name, d.Cause)
 	}
 	return nil
 }
@@ -88,7 +88,9 @@
 	if len(a.Rows) < a.Slots || len(b.Rows) < b.Slots {
 		fmt.Printf("only the first %d of %d and %d slots are compared: name a --kind\n", min(len(a.Rows), len(b.Rows)), a.Slots, b.Slots)
 	}
-	name := func(r replication.Row) string { return fmt.Sprintf("%s %q by %s %x", r.Kind, r.Key, r.By, r.Life) }
+	name := func(r replication.Row) string {
+		return fmt.Sprintf("%s %q by %s %x", r.Kind, r.Key, r.Writer, r.Incarnation)
+	}
 	rows := map[string]replication.Row{}
 	for _, r := range a.Rows {
 		rows[name(r)] = r
@@ -127,13 +129,13 @@
 
 // Run has something forgotten at all gateways.
 func (c *stateForget) Run() error {
-	value, err := json.Marshal(clusternode.ForgetRequest{Kind: c.Kind, Key: c.Key, Why: strings.Join(c.Why, " ") + ", " + by()})
+	value, err := json.Marshal(clusternode.ForgetRequest{Kind: c.Kind, Key: c.Key, Reason: strings.Join(c.Why, " ") + ", " + by()})
 	if err != nil {
 		return err
 	}
 	m, err := c.ask(cluster.Message{Query: "forget", Value: value})
-	if err == nil && m.Refused != "" {
-		err = errors.New("state: refused: " + m.Refused)
+	if err == nil && m.Rejected != "" {
+		err = errors.New("state: refused: " + m.Rejected)
 	}
 	return err
 }
--- a/cmd/larchusher/wiring.go
+++ b/cmd/larchusher/wiring.go
@@ -104,7 +104,7 @@
 		gc.Peers = p.link
 	}
 	if p.op.Fleet != nil { // nothing is sent before it is known what is out for work
-		gc.Permit = func(store string) bool { return p.fleet != nil && p.fleet.Permit(store) }
+		gc.Permit = func(store string) bool { return p.fleet != nil && p.fleet.MaySend(store) }
 	}
 	if p.gw, err = gateway.New(gc); err != nil {
 		return err
@@ -144,7 +144,7 @@
 	if p.fleet, err = clusternode.Start(p.op.Fleet, p.cfg.Settings, p.gw, p.loop, p.engine, p.log); err != nil {
 		return p.operatorError(err)
 	}
-	p.fleet.Leave = func(left func()) { p.left = left; p.drain() }
+	p.fleet.OnShutDown = func(left func()) { p.left = left; p.drain() }
 	return nil
 }
 
--- a/cmd/larchusher/work.go
+++ b/cmd/larchusher/work.go
@@ -41,8 +41,8 @@
 func (f *fleetFlags) order(c *maintenance.Command, query string) (cluster.Message, error) {
 	m := cluster.Message{Query: query}
 	if c != nil {
-		if c.By == "" {
-			c.By = by()
+		if c.Actor == "" {
+			c.Actor = by()
 		}
 		var err error
 		if m.Value, err = json.Marshal(c); err != nil {
@@ -91,12 +91,12 @@
 func askOne(ctx context.Context, g config.FleetMember, key []byte, m cluster.Message) (cluster.Message, error) {
 	one, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	t, err := clustertransport.Call(one, g.Name, g.Address, key)
+	t, err := clustertransport.DialTool(one, g.Name, g.Address, key)
 	if err != nil {
 		return cluster.Message{}, err
 	}
 	defer t.Close()
-	return t.Ask(one, m)
+	return t.Request(one, m)
 }
 
 // by names who gives an order, for the history.
@@ -116,14 +116,14 @@
 		return maintenance.Reply{}, err
 	}
 	var r maintenance.Reply
-	if m.Refused == "" {
+	if m.Rejected == "" {
 		if err := json.Unmarshal(m.Value, &r); err != nil {
 			return r, fmt.Errorf("work: the reply: %w", err)
 		}
-		m.Refused = r.Refused
+		m.Rejected = r.Rejected
 	}
-	if m.Refused != "" {
-		return r, fmt.Errorf("work: refused: %s", m.Refused)
+	if m.Rejected != "" {
+		return r, fmt.Errorf("work: refused: %s", m.Rejected)
 	}
 	return r, nil
 }
@@ -153,11 +153,11 @@
 		_, _ = rand.Read(b)
 		a.Key = hex.EncodeToString(b)
 	}
-	q := &maintenance.Ask{Key: a.Key, Machine: a.Machine, ForMs: a.For.Milliseconds(), Priority: a.Priority, After: a.After}
+	q := &maintenance.RequestOrder{Key: a.Key, Machine: a.Machine, DurationMs: a.For.Milliseconds(), Priority: a.Priority, After: a.After}
 	if a.By > 0 {
-		q.ByMs = time.Now().Add(a.By).UnixMilli()
+		q.DeadlineMs = time.Now().Add(a.By).UnixMilli()
 	}
-	r, err := a.do(&maintenance.Command{Ask: q})
+	r, err := a.do(&maintenance.Command{Request: q})
 	if err != nil {
 		return err
 	}
@@ -188,7 +188,7 @@
 		}
 		last := r.History[len(r.History)-1]
 		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\t%v\n", r.ID, r.Machine, r.Kind, r.Zone, stage, time.UnixMilli(last.AtMs).UTC().Format(time.RFC3339),
-			time.Duration(r.ForMs)*time.Millisecond)
+			time.Duration(r.DurationMs)*time.Millisecond)
 	}
 	return w.Flush()
 }
@@ -207,7 +207,7 @@
 	for i := len(s.Requests) - 1; i >= 0; i-- {
 		if r := s.Requests[i]; r.Machine == c.Machine {
 			for _, st := range r.History {
-				fmt.Println(time.UnixMilli(st.AtMs).UTC().Format("2006-01-02T15:04:05.000Z"), r.Line(st))
+				fmt.Println(time.UnixMilli(st.AtMs).UTC().Format("2006-01-02T15:04:05.000Z"), r.AuditLine(st))
 			}
 			return nil
 		}
@@ -223,7 +223,7 @@
 
 // Run withdraws.
 func (c *workWithdraw) Run() error {
-	_, err := c.do(&maintenance.Command{Withdraw: &maintenance.Named{Name: c.Machine, Why: c.Why}})
+	_, err := c.do(&maintenance.Command{Withdraw: &maintenance.Target{Name: c.Machine, Reason: c.Why}})
 	return err
 }
 
@@ -235,7 +235,7 @@
 
 // Run finishes.
 func (c *workFinish) Run() error {
-	_, err := c.do(&maintenance.Command{Finish: &maintenance.Named{Name: c.Machine, Why: c.Why}})
+	_, err := c.do(&maintenance.Command{Finish: &maintenance.Target{Name: c.Machine, Reason: c.Why}})
 	return err
 }
 
@@ -246,7 +246,7 @@
 
 // Run forgets a gateway.
 func (c *workForget) Run() error {
-	_, err := c.do(&maintenance.Command{Forget: &maintenance.Named{Name: c.Gateway}})
+	_, err := c.do(&maintenance.Command{Forget: &maintenance.Target{Name: c.Gateway}})
 	return err
 }
 
@@ -291,7 +291,7 @@
 	if err != nil {
 		return err
 	}
-	var all []maintenance.Verdict
+	var all []maintenance.PlanEntry
 	if err := json.Unmarshal(m.Value, &all); err != nil {
 		return fmt.Errorf("work: the plan: %w", err)
 	}
@@ -302,7 +302,7 @@
 		if v.Wave == 0 {
 			wave = "-"
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", wave, v.Request.ID, v.Request.Machine, v.Why)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", wave, v.Request.ID, v.Request.Machine, v.BlockedBy)
 	}
 	return w.Flush()
 }
--- a/consensus/consensus.go
+++ b/consensus/consensus.go
@@ -25,10 +25,10 @@
 )
 
 const (
-	// DefaultRound is how long a round may take before it is given up and begun anew.
-	DefaultRound = 400 * time.Millisecond
-	// DefaultSpread is the most that a proposer waits after another one's ballot crossed its own; it doubles up to eight times that.
-	DefaultSpread = 150 * time.Millisecond
+	// DefaultRoundTimeout is how long a round may take before it is given up and begun anew.
+	DefaultRoundTimeout = 400 * time.Millisecond
+	// DefaultBackoffBase is the most that a proposer waits after another one's ballot crossed its own; it doubles up to eight times that.
+	DefaultBackoffBase = 150 * time.Millisecond
 
 	// Numbers that a start passes over. Guards against a ballot that was sent before the vote for it lasted, by the life that was
 	// killed then: one ballot would stand for two values. No disk lags by so many rounds.
@@ -50,40 +50,40 @@
 
 // State is the value with what belongs to it.
 type State struct {
-	Revision uint64            // counts its changes
-	Lives    map[string]uint64 // by voter: the life whose vote counts; 0: none does
-	Value    []byte
+	Revision     uint64            // counts its changes
+	Incarnations map[string]uint64 // by voter: the life whose vote counts; 0: none does
+	Value        []byte
 }
 
-func (s State) clone() State { s.Lives = maps.Clone(s.Lives); return s }
+func (s State) clone() State { s.Incarnations = maps.Clone(s.Incarnations); return s }
 
-// Vote is what a voter must not forget: it is written before what follows from it is sent.
-type Vote struct {
-	Life     uint64
-	Promised Ballot // no older one is heeded
-	Accepted Ballot // under which State was accepted; zero: never
-	State    State
-	Has      bool // false: a blank one, which counts for nothing
+// AcceptorState is what a voter must not forget: it is written before what follows from it is sent.
+type AcceptorState struct {
+	Incarnation uint64
+	Promised    Ballot // no older one is heeded
+	Accepted    Ballot // under which State was accepted; zero: never
+	State       State
+	Initialized bool // false: a blank one, which counts for nothing
 }
 
-// Kind is what a message says.
-type Kind int
+// MessageKind is what a message says.
+type MessageKind int
 
 // The kinds of message.
 const (
-	Prepare   Kind = iota + 1 // promise to heed no older ballot
-	Promise                   // done; State was accepted under Accepted
-	Blank                     // there is no vote to promise with
-	Reject                    // Ballot is the newer one that was promised
-	Accept                    // accept State
-	Accepted                  // done
-	Confirm                   // does your promise still hold?
-	Confirmed                 // it does
-	Learn                     // State was agreed on under Ballot
+	Prepare       MessageKind = iota + 1 // promise to heed no older ballot
+	Promise                              // done; State was accepted under Accepted
+	Uninitialized                        // there is no vote to promise with
+	Conflict                             // Ballot is the newer one that was promised
+	Accept                               // accept State
+	Accepted                             // done
+	Confirm                              // does your promise still hold?
+	Confirmed                            // it does
+	Learn                                // State was agreed on under Ballot
 )
 
 // String names a kind, as counters do.
-func (k Kind) String() string {
+func (k MessageKind) String() string {
 	names := [...]string{"", "prepare", "promise", "blank", "reject", "accept", "accepted", "confirm", "confirmed", "learn"}
 	if k < 0 || int(k) >= len(names) {
 		return fmt.Sprint("kind ", int(k))
@@ -93,43 +93,43 @@
 
 // Message goes between voters.
 type Message struct {
-	Kind     Kind
-	Life     uint64 // the sender's
-	Ballot   Ballot
-	Next     Ballot // of an Accept: promise this one, too, by which a further value may follow without a Prepare; of its Accepted: done
-	Accepted Ballot // of a Promise
-	State    State  // of a Promise, an Accept and a Learn; of a Prepare the lives that would begin it all, if any
+	Kind           MessageKind
+	Incarnation    uint64 // the sender's
+	Ballot         Ballot
+	NextBallot     Ballot // of an Accept: promise this one, too, by which a further value may follow without a Prepare; of its Accepted: done
+	AcceptedBallot Ballot // of a Promise
+	State          State  // of a Promise, an Accept and a Learn; of a Prepare the lives that would begin it all, if any
 }
 
 // Event is anything that reaches a voter.
 type Event interface{ event() }
 
-// Heard is a message from another voter.
-type Heard struct {
+// MessageReceived is a message from another voter.
+type MessageReceived struct {
 	From    string
 	Message Message
 }
 
-// Stored says that the vote of that number, and all before it, can't be lost any more.
-type Stored struct{ Number uint64 }
+// StateStored says that the vote of that number, and all before it, can't be lost any more.
+type StateStored struct{ Number uint64 }
 
-// Wanted asks for a command to be applied to the value, as soon as may be.
-type Wanted struct {
+// Propose asks for a command to be applied to the value, as soon as may be.
+type Propose struct {
 	ID      string // in the Done that follows
 	Command []byte
 }
 
-// Asked asks for the value as it is now, or later.
-type Asked struct{ ID string }
+// Read asks for the value as it is now, or later.
+type Read struct{ ID string }
 
 // Tick says that time has passed.
 type Tick struct{}
 
-func (Heard) event()  {}
-func (Stored) event() {}
-func (Wanted) event() {}
-func (Asked) event()  {}
-func (Tick) event()   {}
+func (MessageReceived) event() {}
+func (StateStored) event()     {}
+func (Propose) event()         {}
+func (Read) event()            {}
+func (Tick) event()            {}
 
 // Action is anything that a voter wants done.
 type Action interface{ action() }
@@ -140,40 +140,40 @@
 	Message Message
 }
 
-// Store writes a vote where it lasts, and reports Stored. Later votes may go in the place of one that is not written yet.
-type Store struct {
+// StoreState writes a vote where it lasts, and reports Stored. Later votes may go in the place of one that is not written yet.
+type StoreState struct {
 	Number uint64
-	Vote   Vote
+	State  AcceptorState
 }
 
-// Done says that a Wanted or Asked is answered: with the value after it. Reply is what the command gave. Refused: it was
+// Completed says that a Wanted or Asked is answered: with the value after it. Reply is what the command gave. Refused: it was
 // not taken in, or is not known to have been.
-type Done struct {
-	ID      string
-	State   State
-	Reply   []byte
-	Refused bool
+type Completed struct {
+	ID       string
+	State    State
+	Reply    []byte
+	Rejected bool
 }
 
 // Learned says that there is a newer value.
 type Learned struct{ State State }
 
-func (Send) action()    {}
-func (Store) action()   {}
-func (Done) action()    {}
-func (Learned) action() {}
+func (Send) action()       {}
+func (StoreState) action() {}
+func (Completed) action()  {}
+func (Learned) action()    {}
 
 // Config is what a voter is made of.
 type Config struct {
-	Self   string
-	Voters []string // all of them, in an order that all share
-	Vote   Vote     // as it was stored; where it has none, its Life is a new one, which none before had
+	Self     string
+	Voters   []string      // all of them, in an order that all share
+	Acceptor AcceptorState // as it was stored; where it has none, its Life is a new one, which none before had
 	// Apply applies a command to a value. It must give the same for the same. A command may come twice.
-	Apply  func(value, command []byte) (next, reply []byte)
-	Round  time.Duration // 0: DefaultRound
-	Gap    time.Duration // questions are gathered for so long after one was answered
-	Spread time.Duration // 0: DefaultSpread
-	Seed   uint64
+	Apply        func(value, command []byte) (next, reply []byte)
+	RoundTimeout time.Duration // 0: DefaultRound
+	ReadInterval time.Duration // questions are gathered for so long after one was answered
+	BackoffBase  time.Duration // 0: DefaultSpread
+	Seed         uint64
 }
 
 func (c *Config) check() error {
@@ -187,14 +187,14 @@
 	switch {
 	case !seen[c.Self]:
 		return fmt.Errorf("agreement: Self: %q is none of the voters", c.Self)
-	case c.Vote.Life == 0:
+	case c.Acceptor.Incarnation == 0:
 		return fmt.Errorf("agreement: Vote.Life: 0")
 	case c.Apply == nil:
 		return fmt.Errorf("agreement: Apply: nil")
-	case c.Round < 0 || c.Spread < 0:
+	case c.RoundTimeout < 0 || c.BackoffBase < 0:
 		return fmt.Errorf("agreement: Round or Spread: negative")
 	}
-	c.Round, c.Spread = cmp.Or(c.Round, DefaultRound), cmp.Or(c.Spread, DefaultSpread)
+	c.RoundTimeout, c.BackoffBase = cmp.Or(c.RoundTimeout, DefaultRoundTimeout), cmp.Or(c.BackoffBase, DefaultBackoffBase)
 	return nil
 }
 
@@ -210,8 +210,8 @@
 
 // Counters count what befell a voter.
 type Counters struct {
-	Rounds, Confirms, Crossed, Expired uint64 // begun; begun without a write; ended by another's ballot; by time
-	Agreed, Admitted, Formed           uint64 // changes made here; lives let in; beginnings
+	Rounds, Confirms, Conflicts, Timeouts uint64 // begun; begun without a write; ended by another's ballot; by time
+	Chosen, Admitted, Bootstraps          uint64 // changes made here; lives let in; beginnings
 }
 
 // Voter is one. Use New.
@@ -223,7 +223,7 @@
 	rng  *rand.Rand
 	now  time.Duration
 	out  []Action
-	vote Vote
+	vote AcceptorState
 
 	number  uint64 // of the latest vote to be stored,
 	stored  uint64 // and of the latest that is
@@ -246,10 +246,10 @@
 	next    State
 	blanks  map[string]uint64 // lives that wait to be let in
 	replies map[string][]byte
-	work    []Wanted // of the round under way
-	reads   []Asked
-	queue   []Wanted
-	asks    []Asked
+	work    []Propose // of the round under way
+	reads   []Read
+	queue   []Propose
+	asks    []Read
 }
 
 type heldReply struct {
@@ -262,10 +262,10 @@
 	if err := c.check(); err != nil {
 		return nil, err
 	}
-	v := &Voter{cfg: c, pcg: rand.NewPCG(c.Seed, 0x5bd1e995), vote: c.Vote, blanks: map[string]uint64{}}
+	v := &Voter{cfg: c, pcg: rand.NewPCG(c.Seed, 0x5bd1e995), vote: c.Acceptor, blanks: map[string]uint64{}}
 	v.rng = rand.New(v.pcg)
 	v.vote.State = v.vote.State.clone()
-	if v.top = v.vote.Promised.Number; c.Vote.Has {
+	if v.top = v.vote.Promised.Number; c.Acceptor.Initialized {
 		v.top += startSkip
 	}
 	return v, nil
@@ -275,28 +275,28 @@
 func (v *Voter) Handle(now time.Duration, e Event, out []Action) []Action {
 	v.now, v.out = now, out
 	switch e := e.(type) {
-	case Heard:
+	case MessageReceived:
 		if slices.Contains(v.cfg.Voters, e.From) && e.From != v.cfg.Self {
 			v.heard(e.From, e.Message)
 		}
-	case Stored:
+	case StateStored:
 		v.stored = max(v.stored, e.Number)
 		v.release()
-	case Wanted:
+	case Propose:
 		if len(v.queue) >= mostCommands {
-			v.do(Done{ID: e.ID, Refused: true})
+			v.do(Completed{ID: e.ID, Rejected: true})
 		} else {
 			v.queue = append(v.queue, e)
 		}
-	case Asked:
+	case Read:
 		if len(v.asks) >= mostCommands {
-			v.do(Done{ID: e.ID, Refused: true})
+			v.do(Completed{ID: e.ID, Rejected: true})
 		} else {
 			v.asks = append(v.asks, e)
 		}
 	case Tick:
 		if v.phase != idle && now >= v.until {
-			v.Counters.Expired++
+			v.Counters.Timeouts++
 			v.giveUp()
 		}
 	}
@@ -307,23 +307,25 @@
 
 func (v *Voter) do(a Action) { v.out = append(v.out, a) }
 
-// Known is the newest value that is known to be agreed on. It may be old; false: none is known.
-func (v *Voter) Known() (State, bool) { return v.known, v.known.Revision > 0 }
+// Chosen is the newest value that is known to be agreed on. It may be old; false: none is known.
+func (v *Voter) Chosen() (State, bool) { return v.known, v.known.Revision > 0 }
 
-// Votes says whether this voter's vote counts, as far as is known.
-func (v *Voter) Votes() bool {
-	return v.has() && (v.known.Revision == 0 || v.known.Lives[v.cfg.Self] == v.vote.Life)
+// CanVote says whether this voter's vote counts, as far as is known.
+func (v *Voter) CanVote() bool {
+	return v.has() && (v.known.Revision == 0 || v.known.Incarnations[v.cfg.Self] == v.vote.Incarnation)
 }
 
 // has says that there is a vote, and that it is this life's.
-func (v *Voter) has() bool { return v.vote.Has && v.vote.State.Lives[v.cfg.Self] == v.vote.Life }
+func (v *Voter) has() bool {
+	return v.vote.Initialized && v.vote.State.Incarnations[v.cfg.Self] == v.vote.Incarnation
+}
 
-// Busy says whether anything is under way or waits.
-func (v *Voter) Busy() bool { return v.phase != idle || len(v.queue)+len(v.asks) > 0 }
+// HasPending says whether anything is under way or waits.
+func (v *Voter) HasPending() bool { return v.phase != idle || len(v.queue)+len(v.asks) > 0 }
 
 // others sends to all other voters.
 func (v *Voter) others(m Message) {
-	m.Life = v.vote.Life
+	m.Incarnation = v.vote.Incarnation
 	for _, to := range v.cfg.Voters {
 		if to != v.cfg.Self {
 			v.do(Send{To: to, Message: m})
@@ -333,7 +335,7 @@
 
 // reply answers once the vote that it follows from is stored.
 func (v *Voter) reply(to string, m Message) {
-	m.Life = v.vote.Life
+	m.Incarnation = v.vote.Incarnation
 	switch {
 	case v.number > v.stored:
 		v.held = append(v.held, heldReply{v.number, Send{To: to, Message: m}})
@@ -364,54 +366,54 @@
 	v.number++
 	vote := v.vote
 	vote.State = vote.State.clone()
-	v.do(Store{Number: v.number, Vote: vote})
+	v.do(StoreState{Number: v.number, State: vote})
 }
 
 // ---- as one who votes ----
 
 func (v *Voter) heard(from string, m Message) {
-	v.top = max(v.top, m.Ballot.Number, m.Next.Number)
+	v.top = max(v.top, m.Ballot.Number, m.NextBallot.Number)
 	switch m.Kind {
 	case Prepare:
-		if life, would := m.State.Lives[v.cfg.Self]; !v.has() && would && life == v.vote.Life && v.known.Revision == 0 {
-			v.vote.Has, v.vote.State = true, State{Lives: maps.Clone(m.State.Lives)} // it begins
+		if life, would := m.State.Incarnations[v.cfg.Self]; !v.has() && would && life == v.vote.Incarnation && v.known.Revision == 0 {
+			v.vote.Initialized, v.vote.State = true, State{Incarnations: maps.Clone(m.State.Incarnations)} // it begins
 		}
 		switch {
 		case !v.has():
-			v.reply(from, Message{Kind: Blank, Ballot: m.Ballot})
+			v.reply(from, Message{Kind: Uninitialized, Ballot: m.Ballot})
 		case m.Ballot.Less(v.vote.Promised):
-			v.reply(from, Message{Kind: Reject, Ballot: v.vote.Promised})
+			v.reply(from, Message{Kind: Conflict, Ballot: v.vote.Promised})
 		default:
 			v.vote.Promised = m.Ballot
 			v.keep()
-			v.reply(from, Message{Kind: Promise, Ballot: m.Ballot, Accepted: v.vote.Accepted, State: v.vote.State.clone()})
+			v.reply(from, Message{Kind: Promise, Ballot: m.Ballot, AcceptedBallot: v.vote.Accepted, State: v.vote.State.clone()})
 		}
 	case Accept:
 		switch {
 		case !v.has():
-			v.reply(from, Message{Kind: Blank, Ballot: m.Ballot})
+			v.reply(from, Message{Kind: Uninitialized, Ballot: m.Ballot})
 		case m.Ballot.Less(v.vote.Promised):
-			v.reply(from, Message{Kind: Reject, Ballot: v.vote.Promised})
+			v.reply(from, Message{Kind: Conflict, Ballot: v.vote.Promised})
 		default:
 			v.vote.Promised, v.vote.Accepted, v.vote.State = m.Ballot, m.Ballot, m.State.clone()
-			if m.Ballot.Less(m.Next) { // what is proposed without a Prepare must have a majority's promise before it is accepted anywhere
-				v.vote.Promised = m.Next
+			if m.Ballot.Less(m.NextBallot) { // what is proposed without a Prepare must have a majority's promise before it is accepted anywhere
+				v.vote.Promised = m.NextBallot
 			}
 			v.keep()
-			v.reply(from, Message{Kind: Accepted, Ballot: m.Ballot, Next: m.Next})
+			v.reply(from, Message{Kind: Accepted, Ballot: m.Ballot, NextBallot: m.NextBallot})
 		}
 	case Confirm:
 		switch {
 		case !v.has():
-			v.reply(from, Message{Kind: Blank, Ballot: m.Ballot})
+			v.reply(from, Message{Kind: Uninitialized, Ballot: m.Ballot})
 		case m.Ballot != v.vote.Promised:
-			v.reply(from, Message{Kind: Reject, Ballot: v.vote.Promised})
+			v.reply(from, Message{Kind: Conflict, Ballot: v.vote.Promised})
 		default:
 			v.reply(from, Message{Kind: Confirmed, Ballot: m.Ballot})
 		}
 	case Learn:
 		v.learn(m.State, m.Ballot)
-	case Promise, Blank, Accepted, Confirmed, Reject:
+	case Promise, Uninitialized, Accepted, Confirmed, Conflict:
 		v.answered(from, m)
 	}
 }
@@ -429,8 +431,8 @@
 	v.known, v.knownAt = s.clone(), at
 	// Guards against one that lost its vote and speaks as it did before: its new life is named by a value that a majority
 	// of the others has accepted, and it begins with that value.
-	if (!v.has() || v.vote.Accepted == Ballot{}) && s.Lives[v.cfg.Self] == v.vote.Life {
-		v.vote.Has, v.vote.State, v.vote.Accepted = true, s.clone(), at
+	if (!v.has() || v.vote.Accepted == Ballot{}) && s.Incarnations[v.cfg.Self] == v.vote.Incarnation {
+		v.vote.Initialized, v.vote.State, v.vote.Accepted = true, s.clone(), at
 		if v.vote.Promised.Less(at) {
 			v.vote.Promised = at
 		}
@@ -449,18 +451,18 @@
 		return
 	}
 	if len(v.queue)+len(v.blanks) == 0 {
-		if v.read > 0 && v.now < v.read+v.cfg.Gap {
+		if v.read > 0 && v.now < v.read+v.cfg.ReadInterval {
 			return
 		}
 		v.read = v.now
 	}
-	v.until = v.now + v.cfg.Round
+	v.until = v.now + v.cfg.RoundTimeout
 	v.got = map[string]Message{}
 	v.work, v.queue = v.queue, nil
 	v.reads, v.asks = v.asks, nil
 	if v.holds && len(v.work)+len(v.blanks) == 0 {
 		v.Counters.Confirms++
-		v.phase, v.counted, v.ballot = confirming, v.known.Lives, v.ahead
+		v.phase, v.counted, v.ballot = confirming, v.known.Incarnations, v.ahead
 		v.others(Message{Kind: Confirm, Ballot: v.ballot})
 		v.heard(v.cfg.Self, Message{Kind: Confirm, Ballot: v.ballot})
 		return
@@ -477,16 +479,16 @@
 }
 
 func (v *Voter) prepare(begin map[string]uint64) {
-	m := Message{Kind: Prepare, Ballot: v.ballot, State: State{Lives: begin}}
+	m := Message{Kind: Prepare, Ballot: v.ballot, State: State{Incarnations: begin}}
 	v.others(m)
 	v.heard(v.cfg.Self, m)
 }
 
 // answered takes in an answer to what is under way.
 func (v *Voter) answered(from string, m Message) {
-	if m.Kind == Reject {
+	if m.Kind == Conflict {
 		if v.phase != idle && v.ballot.Less(m.Ballot) {
-			v.Counters.Crossed++
+			v.Counters.Conflicts++
 			v.giveUp()
 		}
 		return
@@ -494,16 +496,16 @@
 	if v.phase == idle || m.Ballot != v.ballot {
 		return
 	}
-	want := map[phase]Kind{preparing: Promise, accepting: Accepted, confirming: Confirmed}[v.phase]
-	if m.Kind != want && m.Kind != Blank {
+	want := map[phase]MessageKind{preparing: Promise, accepting: Accepted, confirming: Confirmed}[v.phase]
+	if m.Kind != want && m.Kind != Uninitialized {
 		return
 	}
 	v.got[from] = m
-	if m.Kind == Blank && v.known.Revision > 0 {
-		if v.known.Lives[from] != m.Life {
-			v.blanks[from] = m.Life
+	if m.Kind == Uninitialized && v.known.Revision > 0 {
+		if v.known.Incarnations[from] != m.Incarnation {
+			v.blanks[from] = m.Incarnation
 		} else if from != v.cfg.Self { // it is let in, and hasn't heard of it
-			v.do(Send{To: from, Message: Message{Kind: Learn, Life: v.vote.Life, Ballot: v.knownAt, State: v.known.clone()}})
+			v.do(Send{To: from, Message: Message{Kind: Learn, Incarnation: v.vote.Incarnation, Ballot: v.knownAt, State: v.known.clone()}})
 		}
 	}
 	switch {
@@ -517,10 +519,10 @@
 }
 
 // majority says whether so many of those whose answers count have given one.
-func (v *Voter) majority(kind Kind) bool {
+func (v *Voter) majority(kind MessageKind) bool {
 	n := 0
 	for from, m := range v.got {
-		if m.Kind == kind && m.Life != 0 && v.counted[from] == m.Life {
+		if m.Kind == kind && m.Incarnation != 0 && v.counted[from] == m.Incarnation {
 			n++
 		}
 	}
@@ -532,20 +534,20 @@
 	newest, some, blank := Message{}, false, map[string]uint64{}
 	for _, from := range slices.Sorted(maps.Keys(v.got)) {
 		m := v.got[from]
-		if m.Kind == Blank {
-			blank[from] = m.Life
+		if m.Kind == Uninitialized {
+			blank[from] = m.Incarnation
 			continue
 		}
-		if !some || newest.Accepted.Less(m.Accepted) {
+		if !some || newest.AcceptedBallot.Less(m.AcceptedBallot) {
 			newest, some = m, true
 		}
 	}
-	if newest.Accepted == (Ballot{}) && v.known.Revision == 0 && len(v.got) == len(v.cfg.Voters) && len(blank) > 0 && !v.forming {
-		lives := newest.State.Lives // some have begun already: by those lives, and no others
+	if newest.AcceptedBallot == (Ballot{}) && v.known.Revision == 0 && len(v.got) == len(v.cfg.Voters) && len(blank) > 0 && !v.forming {
+		lives := newest.State.Incarnations // some have begun already: by those lives, and no others
 		if !some {
 			lives = blank
 		}
-		v.Counters.Formed++
+		v.Counters.Bootstraps++
 		v.forming = true
 		v.got = map[string]Message{}
 		v.top++
@@ -559,13 +561,13 @@
 	// The lives that count are those of the newest value: no majority of older ones can miss it. What nobody has
 	// accepted a value of begins with all voters there. Guards against one that was lost and returns while it begins: a
 	// majority could do without those that remember.
-	v.counted = newest.State.Lives
-	if !v.majority(Promise) || newest.Accepted == (Ballot{}) && len(v.got) < len(v.cfg.Voters) {
+	v.counted = newest.State.Incarnations
+	if !v.majority(Promise) || newest.AcceptedBallot == (Ballot{}) && len(v.got) < len(v.cfg.Voters) {
 		return
 	}
 	for from, m := range v.got {
-		if newest.State.Revision > 0 && v.counted[from] != m.Life {
-			v.blanks[from] = m.Life
+		if newest.State.Revision > 0 && v.counted[from] != m.Incarnation {
+			v.blanks[from] = m.Incarnation
 		}
 	}
 	v.accept(newest.State)
@@ -581,40 +583,40 @@
 	}
 	admitted := false
 	for _, name := range slices.Sorted(maps.Keys(v.blanks)) { // one at a time: a majority of the rest vouches for each
-		if life := v.blanks[name]; next.Lives[name] == life {
+		if life := v.blanks[name]; next.Incarnations[name] == life {
 			delete(v.blanks, name)
 		} else if !admitted && next.Revision > 0 {
-			next.Lives[name], admitted = life, true
+			next.Incarnations[name], admitted = life, true
 			v.Counters.Admitted++
 		}
 	}
 	if admitted || next.Revision == 0 || !bytes.Equal(next.Value, base.Value) {
 		next.Revision++
 	}
-	v.next, v.counted = next, base.Lives // what this lets in doesn't count for it
-	if v.holds {                         // under the promises that are kept
+	v.next, v.counted = next, base.Incarnations // what this lets in doesn't count for it
+	if v.holds {                                // under the promises that are kept
 		v.ballot = v.ahead
 	}
 	v.top = max(v.top, v.ballot.Number) + 1
 	v.ahead = Ballot{v.top, v.cfg.Self}
 	v.phase, v.holds, v.got = accepting, false, map[string]Message{}
-	m := Message{Kind: Accept, Ballot: v.ballot, Next: v.ahead, State: next.clone()}
+	m := Message{Kind: Accept, Ballot: v.ballot, NextBallot: v.ahead, State: next.clone()}
 	v.others(m)
 	v.heard(v.cfg.Self, m)
 }
 
 // agreed has all know of a value that a majority has accepted.
 func (v *Voter) agreed() {
-	v.Counters.Agreed++
+	v.Counters.Chosen++
 	s := v.next
 	promised := 0
 	for from, m := range v.got {
-		if m.Kind == Accepted && m.Next == v.ahead && v.counted[from] == m.Life {
+		if m.Kind == Accepted && m.NextBallot == v.ahead && v.counted[from] == m.Incarnation {
 			promised++
 		}
 	}
 	for name, life := range v.blanks {
-		if s.Lives[name] == life {
+		if s.Incarnations[name] == life {
 			delete(v.blanks, name)
 		}
 	}
@@ -628,10 +630,10 @@
 // finish answers what the round was for.
 func (v *Voter) finish(s State) {
 	for _, w := range v.work {
-		v.do(Done{ID: w.ID, State: s.clone(), Reply: v.replies[w.ID]})
+		v.do(Completed{ID: w.ID, State: s.clone(), Reply: v.replies[w.ID]})
 	}
 	for _, a := range v.reads {
-		v.do(Done{ID: a.ID, State: s.clone()})
+		v.do(Completed{ID: a.ID, State: s.clone()})
 	}
 	v.work, v.reads, v.phase, v.crossed = nil, nil, idle, 0
 }
@@ -643,16 +645,16 @@
 	v.asks = append(v.reads, v.asks...)
 	v.work, v.reads = nil, nil
 	v.crossed = min(3, v.crossed+1)
-	v.wait = v.now + time.Duration(v.rng.Int64N(int64(v.cfg.Spread)<<v.crossed))
+	v.wait = v.now + time.Duration(v.rng.Int64N(int64(v.cfg.BackoffBase)<<v.crossed))
 }
 
-// Drop answers all that waits as refused, for one who asked and waits no longer.
-func (v *Voter) Drop(out []Action) []Action {
+// RejectPending answers all that waits as refused, for one who asked and waits no longer.
+func (v *Voter) RejectPending(out []Action) []Action {
 	for _, w := range append(v.work, v.queue...) {
-		out = append(out, Done{ID: w.ID, Refused: true})
+		out = append(out, Completed{ID: w.ID, Rejected: true})
 	}
 	for _, a := range append(v.reads, v.asks...) {
-		out = append(out, Done{ID: a.ID, Refused: true})
+		out = append(out, Completed{ID: a.ID, Rejected: true})
 	}
 	v.work, v.queue, v.reads, v.asks = nil, nil, nil, nil
 	return out
--- a/consensus/explore_test.go
+++ b/consensus/explore_test.go
@@ -39,9 +39,9 @@
 type bounds struct{ commands, asks, ticks, losses, crashes, forgets, cuts, doubles int }
 
 type world struct {
-	voters  map[string]*Voter // nil: down
-	votes   map[string]Vote   // as stored
-	pending map[string][]Store
+	voters  map[string]*Voter        // nil: down
+	votes   map[string]AcceptorState // as stored
+	pending map[string][]StoreState
 	late    bool // votes are stored some time after, not at once
 	flights []flight
 	cut     string // this one hears nobody and is heard by nobody; empty: none
@@ -55,17 +55,17 @@
 }
 
 func newWorld(left bounds, late bool) *world {
-	w := &world{voters: map[string]*Voter{}, votes: map[string]Vote{}, pending: map[string][]Store{}, late: late, left: left, acked: map[string]bool{}, asked: map[string]int{}}
+	w := &world{voters: map[string]*Voter{}, votes: map[string]AcceptorState{}, pending: map[string][]StoreState{}, late: late, left: left, acked: map[string]bool{}, asked: map[string]int{}}
 	for _, n := range names {
 		w.lives++
-		w.votes[n] = Vote{Life: w.lives}
+		w.votes[n] = AcceptorState{Incarnation: w.lives}
 		w.start(n)
 	}
 	return w
 }
 
 func (w *world) start(name string) {
-	v, err := New(Config{Self: name, Voters: names, Vote: w.votes[name], Apply: list, Round: 1, Spread: 1, Seed: 1})
+	v, err := New(Config{Self: name, Voters: names, Acceptor: w.votes[name], Apply: list, RoundTimeout: 1, BackoffBase: 1, Seed: 1})
 	if err != nil {
 		panic(err)
 	}
@@ -74,7 +74,7 @@
 
 func (w *world) clone() *world {
 	c := *w
-	c.voters, c.votes, c.pending, c.acked, c.asked = map[string]*Voter{}, maps.Clone(w.votes), map[string][]Store{}, maps.Clone(w.acked), maps.Clone(w.asked)
+	c.voters, c.votes, c.pending, c.acked, c.asked = map[string]*Voter{}, maps.Clone(w.votes), map[string][]StoreState{}, maps.Clone(w.acked), maps.Clone(w.asked)
 	for n, v := range w.voters {
 		if v != nil {
 			k := *v
@@ -107,15 +107,15 @@
 			switch a := a.(type) {
 			case Send:
 				w.flights = append(w.flights, flight{name, a.To, a.Message})
-			case Store:
+			case StoreState:
 				if w.late {
 					w.pending[name] = append(w.pending[name], a)
 				} else {
-					w.votes[name] = a.Vote
-					events = append(events, Stored{a.Number})
+					w.votes[name] = a.State
+					events = append(events, StateStored{a.Number})
 				}
-			case Done:
-				if !a.Refused {
+			case Completed:
+				if !a.Rejected {
 					w.told(name, a.State)
 					if a.Reply != nil {
 						w.acked[a.ID] = true
@@ -164,13 +164,13 @@
 		}
 		all = append(all, func(w *world) {
 			w.flights = slices.Delete(w.flights, i, i+1)
-			w.do(f.to, Heard{f.from, f.m})
+			w.do(f.to, MessageReceived{f.from, f.m})
 		})
 		if w.left.losses > 0 {
 			all = append(all, func(w *world) { w.left.losses--; w.flights = slices.Delete(w.flights, i, i+1) })
 		}
 		if w.left.doubles > 0 {
-			all = append(all, func(w *world) { w.left.doubles--; w.do(f.to, Heard{f.from, f.m}) })
+			all = append(all, func(w *world) { w.left.doubles--; w.do(f.to, MessageReceived{f.from, f.m}) })
 		}
 	}
 	for _, n := range names {
@@ -183,15 +183,15 @@
 			all = append(all, func(w *world) {
 				p := w.pending[n][0]
 				w.pending[n] = w.pending[n][1:]
-				w.votes[n] = p.Vote
-				w.do(n, Stored{p.Number})
+				w.votes[n] = p.State
+				w.do(n, StateStored{p.Number})
 			})
 		}
 		if w.left.commands > 0 {
 			all = append(all, func(w *world) {
 				id := "x" + strconv.Itoa(w.left.commands)
 				w.left.commands--
-				w.do(n, Wanted{id, []byte(id)})
+				w.do(n, Propose{id, []byte(id)})
 			})
 		}
 		if w.left.asks > 0 {
@@ -199,10 +199,10 @@
 				id := "q" + strconv.Itoa(w.left.asks)
 				w.left.asks--
 				w.asked[id] = len(w.acked)
-				w.do(n, Asked{id})
+				w.do(n, Read{id})
 			})
 		}
-		if w.left.ticks > 0 && v.Busy() {
+		if w.left.ticks > 0 && v.HasPending() {
 			all = append(all, func(w *world) { w.left.ticks--; w.now += 100; w.do(n, Tick{}) })
 		}
 		if w.left.crashes > 0 {
@@ -212,7 +212,7 @@
 			all = append(all, func(w *world) {
 				w.left.forgets--
 				w.lives++
-				w.voters[n], w.pending[n], w.votes[n] = nil, nil, Vote{Life: w.lives}
+				w.voters[n], w.pending[n], w.votes[n] = nil, nil, AcceptorState{Incarnation: w.lives}
 			})
 		}
 		if w.left.cuts > 0 && w.cut == "" {
@@ -235,7 +235,7 @@
 	for _, n := range names {
 		k.vote(w.votes[n])
 		for _, p := range w.pending[n] {
-			k.vote(p.Vote)
+			k.vote(p.State)
 		}
 		v := w.voters[n]
 		if v == nil {
@@ -256,7 +256,7 @@
 			holds += 2
 		}
 		k.num(v.top, uint64(v.phase), holds, v.number-v.stored, uint64(len(v.reads)), uint64(len(v.asks)))
-		for _, q := range [][]Wanted{v.work, v.queue} {
+		for _, q := range [][]Propose{v.work, v.queue} {
 			for _, x := range q {
 				k.text(x.ID)
 			}
@@ -315,19 +315,19 @@
 
 func (k *keyer) state(s State) {
 	k.num(s.Revision)
-	k.lives(s.Lives)
+	k.lives(s.Incarnations)
 	k.text(string(s.Value))
 }
 
-func (k *keyer) vote(v Vote) {
-	k.num(v.Life)
+func (k *keyer) vote(v AcceptorState) {
+	k.num(v.Incarnation)
 	k.ballot(v.Promised, v.Accepted)
 	k.state(v.State)
 }
 
 func (k *keyer) message(m Message) {
-	k.num(uint64(m.Kind), m.Life)
-	k.ballot(m.Ballot, m.Next, m.Accepted)
+	k.num(uint64(m.Kind), m.Incarnation)
+	k.ballot(m.Ballot, m.NextBallot, m.AcceptedBallot)
 	k.state(m.State)
 }
 
@@ -374,7 +374,7 @@
 		if len(w.flights) > 0 {
 			f := w.flights[0]
 			w.flights = w.flights[1:]
-			w.do(f.to, Heard{f.from, f.m})
+			w.do(f.to, MessageReceived{f.from, f.m})
 			continue
 		}
 		moved := false
@@ -382,8 +382,8 @@
 			for len(w.pending[n]) > 0 {
 				p := w.pending[n][0]
 				w.pending[n] = w.pending[n][1:]
-				w.votes[n] = p.Vote
-				w.do(n, Stored{p.Number})
+				w.votes[n] = p.State
+				w.do(n, StateStored{p.Number})
 				moved = true
 			}
 		}
@@ -392,7 +392,7 @@
 		}
 		w.now += 100
 		for _, n := range names { // one after the other: who is first has time
-			if w.voters[n].Busy() {
+			if w.voters[n].HasPending() {
 				w.do(n, Tick{})
 				moved = true
 				break
@@ -408,7 +408,7 @@
 // formed is a world in which a first value stands.
 func formed(left bounds, late bool) *world {
 	w := newWorld(bounds{}, late)
-	w.do("a", Wanted{"x0", []byte("x0")})
+	w.do("a", Propose{"x0", []byte("x0")})
 	w.settle()
 	w.left = left
 	return w
@@ -487,13 +487,13 @@
 func TestAHeldPromiseIsNoProofByItself(t *testing.T) {
 	w := formed(bounds{}, false)
 	w.voters["b"].wait, w.voters["c"].wait = 0, 0
-	w.do("b", Wanted{"x1", []byte("x1")})
+	w.do("b", Propose{"x1", []byte("x1")})
 	between := func(a, b string) {
 		for i := 0; i < len(w.flights); {
 			f := w.flights[i]
 			w.flights = slices.Delete(w.flights, i, i+1)
 			if (f.from == a || f.from == b) && (f.to == a || f.to == b) {
-				w.do(f.to, Heard{f.from, f.m})
+				w.do(f.to, MessageReceived{f.from, f.m})
 				i = 0
 			}
 		}
@@ -503,7 +503,7 @@
 		t.Fatal("b and c are a majority, and did not agree")
 	}
 	w.asked["q"] = len(w.acked)
-	w.do("a", Asked{"q"})
+	w.do("a", Read{"q"})
 	between("a", "c") // b is silent now
 	w.settle()
 	if w.bad != "" {
@@ -516,21 +516,21 @@
 func TestABeginningNeedsAll(t *testing.T) {
 	one, two := map[string]uint64{"a": 1, "b": 2, "c": 3}, map[string]uint64{"a": 1, "b": 2, "c": 9}
 	ballot := Ballot{5, "a"}
-	votes := map[string]Vote{
-		"a": {Life: 1, Has: true, Promised: ballot, Accepted: ballot, State: State{Revision: 1, Lives: one, Value: []byte("x")}},
-		"b": {Life: 2, Has: true, State: State{Lives: two}}, "c": {Life: 9, Has: true, State: State{Lives: two}},
+	votes := map[string]AcceptorState{
+		"a": {Incarnation: 1, Initialized: true, Promised: ballot, Accepted: ballot, State: State{Revision: 1, Incarnations: one, Value: []byte("x")}},
+		"b": {Incarnation: 2, Initialized: true, State: State{Incarnations: two}}, "c": {Incarnation: 9, Initialized: true, State: State{Incarnations: two}},
 	}
 	w := newWorld(bounds{}, false)
 	for n, v := range votes {
 		w.votes[n] = v
 		w.start(n)
 	}
-	w.do("c", Wanted{"y", []byte("y")})
+	w.do("c", Propose{"y", []byte("y")})
 	for range 50 {
 		for i := 0; i < len(w.flights); i++ {
 			if f := w.flights[i]; f.from != "a" && f.to != "a" {
 				w.flights = slices.Delete(w.flights, i, i+1)
-				w.do(f.to, Heard{f.from, f.m})
+				w.do(f.to, MessageReceived{f.from, f.m})
 				break
 			}
 		}
@@ -548,11 +548,11 @@
 // A life that the value does not name has no vote, whatever it says.
 func TestAnotherLifeHasNoVote(t *testing.T) {
 	w := formed(bounds{}, false)
-	w.do("a", Wanted{"x1", []byte("x1")})
+	w.do("a", Propose{"x1", []byte("x1")})
 	v := w.voters["a"]
 	was := v.phase
 	for _, from := range []string{"b", "c"} {
-		w.do("a", Heard{from, Message{Kind: Accepted, Life: 77, Ballot: v.ballot}})
+		w.do("a", MessageReceived{from, Message{Kind: Accepted, Incarnation: 77, Ballot: v.ballot}})
 	}
 	if v.phase != was || w.acked["x1"] {
 		t.Error("two strangers were taken for a majority")
@@ -563,18 +563,18 @@
 // anew it must not use that ballot for another value, or there are two of one ballot, and the one that was agreed on is lost.
 func TestABallotIsNeverUsedTwice(t *testing.T) {
 	w := formed(bounds{}, true)
-	w.do("a", Wanted{"x1", []byte("x1")}) // under the promises that it holds: to all, before its own vote lasts
-	for i := 0; i < len(w.flights); {     // b accepts it; c never hears of it
+	w.do("a", Propose{"x1", []byte("x1")}) // under the promises that it holds: to all, before its own vote lasts
+	for i := 0; i < len(w.flights); {      // b accepts it; c never hears of it
 		f := w.flights[i]
 		w.flights = slices.Delete(w.flights, i, i+1)
 		if f.to == "b" {
-			w.do("b", Heard{f.from, f.m})
+			w.do("b", MessageReceived{f.from, f.m})
 		}
 	}
 	first := w.voters["b"].vote.Accepted
 	w.flights, w.pending["a"], w.voters["a"] = nil, nil, nil
 	w.start("a")
-	w.do("a", Wanted{"y1", []byte("y1")})
+	w.do("a", Propose{"y1", []byte("y1")})
 	for _, f := range w.flights {
 		if f.from == "a" && !first.Less(f.m.Ballot) {
 			t.Fatalf("%s of %v, and b has a value of %v", f.m.Kind, f.m.Ballot, first)
@@ -591,23 +591,23 @@
 // an acknowledged command while promises for what followed were not given beforehand.
 func TestWhatFollowsWithoutAPrepareIsPromised(t *testing.T) {
 	w := newWorld(bounds{}, false)
-	w.do("c", Wanted{"x0", []byte("x0")})
+	w.do("c", Propose{"x0", []byte("x0")})
 	w.settle()
 	between := func(only string) { // who hears what goes on
 		for i := 0; i < len(w.flights); {
 			f := w.flights[i]
 			w.flights = slices.Delete(w.flights, i, i+1)
 			if strings.Contains(only, f.from) && strings.Contains(only, f.to) {
-				w.do(f.to, Heard{f.from, f.m})
+				w.do(f.to, MessageReceived{f.from, f.m})
 				i = 0
 			}
 		}
 	}
-	w.do("c", Wanted{"x1", []byte("x1")})
+	w.do("c", Propose{"x1", []byte("x1")})
 	between("bc") // a does not know how far c is
-	w.do("c", Wanted{"x2", []byte("x2")})
+	w.do("c", Propose{"x2", []byte("x2")})
 	between("c") // nobody hears it
-	w.do("a", Wanted{"y1", []byte("y1")})
+	w.do("a", Propose{"y1", []byte("y1")})
 	between("ab")
 	for range 5 { // what was crossed is tried again
 		w.now += 100
--- a/internal/clusternode/host.go
+++ b/internal/clusternode/host.go
@@ -33,26 +33,26 @@
 	slackAfter = 500 * time.Millisecond // beside the longest deadline, until what was sent has ended
 )
 
-// Host is a running part. It lives on the loop.
-type Host struct {
+// Node is a running part. It lives on the loop.
+type Node struct {
 	cfg    *config.Fleet
 	loop   *gateway.Loop
 	gw     *gateway.Gateway
 	log    logrus.FieldLogger
 	zone   string
 	node   *cluster.Node
-	link   *clustertransport.Link
+	link   *clustertransport.Transport
 	keeper *keeper // nil: nothing lasts
 	unlock func()
 
 	// Leave is called when this gateway is to drain itself; the function that it is given is to be called once it has.
-	Leave func(left func())
+	OnShutDown func(left func())
 
 	shared  *sharing // nil: nothing is kept in common
 	settles time.Duration
 
 	began  time.Time
-	hold   cluster.Hold
+	hold   cluster.DrainMachines
 	seenAt time.Time
 	warned time.Time
 	failed error // of the latest write
@@ -60,19 +60,19 @@
 }
 
 // Start starts the part of a gateway. Zone is its own. The gateway must ask Permit before it writes.
-func Start(cfg *config.Fleet, set routing.Settings, gw *gateway.Gateway, loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger) (*Host, error) {
-	h := &Host{cfg: cfg, loop: loop, gw: gw, log: log.WithField("fleet", cfg.Name), zone: set.Zone, settles: set.PurgeSettleTime, began: time.Now().Add(-time.Second)}
+func Start(cfg *config.Fleet, set routing.Settings, gw *gateway.Gateway, loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger) (*Node, error) {
+	h := &Node{cfg: cfg, loop: loop, gw: gw, log: log.WithField("fleet", cfg.Name), zone: set.Zone, settles: set.PurgeSettleTime, began: time.Now().Add(-time.Second)}
 	bounds := cfg.Bounds
 	longest := time.Duration(0)
 	for _, c := range set.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	bounds.Grace, bounds.Ramp = max(set.DrainGrace, longest+slackAfter), max(set.SlowStartFor, set.ParentSlowStartFor)
-	nc := cluster.Config{Self: cfg.Name, Life: newLife(), Voters: cfg.Voters, Bounds: bounds, Clock: h.wall, Gap: readsGap, Seed: newLife()}
+	bounds.DrainGrace, bounds.SlowStart = max(set.DrainGrace, longest+slackAfter), max(set.SlowStartFor, set.ParentSlowStartFor)
+	nc := cluster.Config{Self: cfg.Name, Incarnation: newLife(), Voters: cfg.Voters, Limits: bounds, WallClockMs: h.wall, ReadInterval: readsGap, Seed: newLife()}
 	for _, m := range cfg.Members {
 		nc.Members = append(nc.Members, m.Name)
 	}
-	nc.Vote = consensus.Vote{Life: nc.Life}
+	nc.Acceptor = consensus.AcceptorState{Incarnation: nc.Incarnation}
 	if cfg.Folder != "" {
 		if err := h.recall(&nc); err != nil {
 			return nil, err
@@ -103,22 +103,22 @@
 }
 
 // heard hands a message to whom it is for.
-func (h *Host) heard(from string, m cluster.Message) {
-	switch asks := m.Kind == cluster.Order && (m.Query == queryShared || m.Query == queryForget); {
+func (h *Node) heard(from string, m cluster.Message) {
+	switch asks := m.Kind == cluster.OperatorRequest && (m.Query == queryShared || m.Query == queryForget); {
 	case h.closed:
-	case m.Kind == cluster.Share && h.shared != nil && m.Copy != nil:
-		h.shared.do(replication.Heard{From: from, Message: *m.Copy})
+	case m.Kind == cluster.ReplicationMessage && h.shared != nil && m.Replication != nil:
+		h.shared.do(replication.MessageReceived{From: from, Message: *m.Replication})
 	case asks && h.shared != nil:
 		h.shared.query(from, m)
 	case asks:
-		h.link.Send(from, cluster.Message{Kind: cluster.Reply, ID: m.ID, Refused: "this gateway keeps nothing in common: fleet.replicate is off"})
+		h.link.Send(from, cluster.Message{Kind: cluster.OperatorReply, ID: m.ID, Rejected: "this gateway keeps nothing in common: fleet.replicate is off"})
 	default:
-		h.do(cluster.Heard{From: from, Message: m})
+		h.do(cluster.MessageReceived{From: from, Message: m})
 	}
 }
 
 // holdAll holds what is out for work, and what a neighbour was told drains.
-func (h *Host) holdAll() {
+func (h *Node) holdAll() {
 	all := maps.Clone(h.hold.Machines)
 	if h.shared != nil && len(h.shared.held) > 0 {
 		if all == nil {
@@ -137,7 +137,7 @@
 }
 
 // recall reads what lasts. A spoilt file is as good as a lost one: a vote that is lost has another life.
-func (h *Host) recall(nc *cluster.Config) error {
+func (h *Node) recall(nc *cluster.Config) error {
 	dir := snapshot.Folder(h.cfg.Folder)
 	if err := os.MkdirAll(h.cfg.Folder, 0o700); err != nil {
 		return fmt.Errorf("fleet.folder: %w", err)
@@ -148,9 +148,9 @@
 	}
 	b, err := readFile(dir, voteFile, h.cfg.Key)
 	if err == nil && b != nil {
-		var v consensus.Vote
-		if v, err = clustertransport.DecodeVote(b); err == nil {
-			nc.Vote = v
+		var v consensus.AcceptorState
+		if v, err = clustertransport.DecodeAcceptorState(b); err == nil {
+			nc.Acceptor = v
 		}
 	}
 	if err != nil {
@@ -163,12 +163,12 @@
 		nc.View = nil
 		h.log.WithError(err).Error("the view is lost: nothing is sent before the others are heard")
 	}
-	nc.Lasts = true
+	nc.Durable = true
 	h.keeper = newKeeper(dir, h.cfg.Key)
 	return nil
 }
 
-func (h *Host) free() {
+func (h *Node) free() {
 	if h.keeper != nil {
 		h.keeper.close()
 	}
@@ -178,10 +178,10 @@
 }
 
 // now is the node's clock: it runs on steadily whatever happens to the wall's.
-func (h *Host) now() time.Duration { return time.Since(h.began) }
+func (h *Node) now() time.Duration { return time.Since(h.began) }
 
 // wall is the Unix time in milliseconds, for the history alone. In the lab it can be put off.
-func (h *Host) wall() int64 {
+func (h *Node) wall() int64 {
 	ms := time.Now().UnixMilli()
 	if h.cfg.ClockFile != "" {
 		if b, err := os.ReadFile(h.cfg.ClockFile); err == nil {
@@ -193,21 +193,21 @@
 	return ms
 }
 
-// Permit says whether a store may be sent to at this very moment. It reads the clock by itself: the loop's is as old as its
+// MaySend says whether a store may be sent to at this very moment. It reads the clock by itself: the loop's is as old as its
 // round, and a process that was stopped goes on in the middle of one.
-func (h *Host) Permit(store string) bool { return h.node.Permit(h.now(), store) }
+func (h *Node) MaySend(store string) bool { return h.node.MaySend(h.now(), store) }
 
 // Ready says whether the gateway may serve: it knows what was agreed on, or what it had known before.
-func (h *Host) Ready() bool { return h.node.Ready() }
+func (h *Node) Ready() bool { return h.node.Ready() }
 
-func (h *Host) tick() {
+func (h *Node) tick() {
 	if h.closed {
 		return
 	}
 	now := h.loop.Now()
 	if now.Sub(h.seenAt) >= seenEvery {
 		h.seenAt = now
-		h.do(cluster.Seen{Report: h.report()})
+		h.do(cluster.Observed{Report: h.report()})
 	}
 	h.do(cluster.Tick{})
 	if h.shared != nil {
@@ -218,14 +218,14 @@
 }
 
 // report is what this gateway has seen of stores, and of itself.
-func (h *Host) report() cluster.Report {
+func (h *Node) report() cluster.Report {
 	stores, strain := h.gw.Observed()
-	r := cluster.Report{Strain: strain, Machines: map[string]maintenance.Machine{}}
+	r := cluster.Report{Pressure: strain, Machines: map[string]maintenance.Machine{}}
 	for _, s := range stores {
 		if s.Kind == "origin" {
 			continue
 		}
-		m := maintenance.Machine{Kind: s.Kind, Zone: s.Zone, Up: s.Up, Warm: s.Warm, Weight: s.Weight, Busy: s.Utilization}
+		m := maintenance.Machine{Kind: s.Kind, Zone: s.Zone, Up: s.Up, Warm: s.Warm, Weight: s.Weight, Utilization: s.Utilization}
 		if at := h.gw.StartedAt(s.Incarnation); !at.IsZero() {
 			m.BootMs = at.UnixMilli()
 		}
@@ -236,13 +236,13 @@
 }
 
 // idle tells the node once nothing is out at what is held.
-func (h *Host) idle() {
+func (h *Node) idle() {
 	if h.hold.Generation > 0 && h.gw.Quiet(h.hold.Machines) {
-		h.do(cluster.Idle{Generation: h.hold.Generation})
+		h.do(cluster.Drained{Generation: h.hold.Generation})
 	}
 }
 
-func (h *Host) do(e cluster.Event) {
+func (h *Node) do(e cluster.Event) {
 	if h.closed {
 		return
 	}
@@ -250,37 +250,37 @@
 		switch a := a.(type) {
 		case cluster.Send:
 			h.link.Send(a.To, a.Message)
-		case cluster.StoreVote:
+		case cluster.StoreAcceptorState:
 			h.storeVote(a.Store)
 		case cluster.StoreView:
 			h.store(viewFile, a.Value, cluster.ViewStored{Revision: a.Revision})
-		case cluster.Hold:
+		case cluster.DrainMachines:
 			h.hold = a
 			h.holdAll()
 			h.loop.Post(h.idle)
-		case cluster.Leave:
+		case cluster.ShutDown:
 			h.log.Info("this gateway's own turn: it drains itself")
-			if h.Leave != nil {
-				h.Leave(func() { h.do(cluster.Left{}) })
+			if h.OnShutDown != nil {
+				h.OnShutDown(func() { h.do(cluster.ShutdownCompleted{}) })
 			}
-		case cluster.Audit:
+		case cluster.AuditEntry:
 			h.log.WithField("audit", "work").Info(a.Text)
 		}
 	}
 }
 
-func (h *Host) storeVote(s consensus.Store) {
-	b, err := clustertransport.EncodeVote(s.Vote)
+func (h *Node) storeVote(s consensus.StoreState) {
+	b, err := clustertransport.EncodeAcceptorState(s.State)
 	if err != nil {
 		h.log.WithError(err).Error("a vote can't be stored")
 		return
 	}
-	h.store(voteFile, b, cluster.VoteStored{Number: s.Number})
+	h.store(voteFile, b, cluster.AcceptorStateStored{Number: s.Number})
 }
 
 // store writes what must last, and says so once it does. Without a folder it lasts as long as this process, which is all that is
 // asked of it: the next one has another life.
-func (h *Host) store(name string, data []byte, done cluster.Event) {
+func (h *Node) store(name string, data []byte, done cluster.Event) {
 	if h.keeper == nil {
 		h.loop.Post(func() { h.do(done) })
 		return
@@ -301,35 +301,35 @@
 }
 
 // Close ends the part.
-func (h *Host) Close() {
+func (h *Node) Close() {
 	h.closed = true
 	h.link.Close()
 	h.free()
 }
 
-// Values are counters by name, and gauges.
-func (h *Host) Values() map[string]float64 {
+// Metrics are counters by name, and gauges.
+func (h *Node) Metrics() map[string]float64 {
 	n, l := h.node.Counters, h.link.Counters
-	v := map[string]float64{"fleet_renews": float64(n.Renews), "fleet_views": float64(n.Views), "fleet_lapses": float64(n.Lapses),
-		"fleet_unknown": float64(n.Unknown), "fleet_strangers": float64(n.Strangers), "fleet_steps": float64(n.Steps), "fleet_dropped": float64(n.Dropped + l.Dropped),
-		"fleet_sent": float64(l.Sent), "fleet_sent_bytes": float64(l.SentBytes), "fleet_heard": float64(l.Heard), "fleet_refused": float64(l.Refused),
-		"fleet_replayed": float64(l.Replayed), "fleet_dialled": float64(l.Dialled), "fleet_held": float64(len(h.hold.Machines))}
-	if h.node.Leased(h.now()) {
+	v := map[string]float64{"fleet_renews": float64(n.LeaseRequests), "fleet_views": float64(n.Views), "fleet_lapses": float64(n.LeaseExpirations),
+		"fleet_unknown": float64(n.Unknown), "fleet_strangers": float64(n.NonMembers), "fleet_steps": float64(n.Advances), "fleet_dropped": float64(n.Dropped + l.Dropped),
+		"fleet_sent": float64(l.Sent), "fleet_sent_bytes": float64(l.SentBytes), "fleet_heard": float64(l.Received), "fleet_refused": float64(l.Rejected),
+		"fleet_replayed": float64(l.Replayed), "fleet_dialled": float64(l.Dials), "fleet_held": float64(len(h.hold.Machines))}
+	if h.node.HasLease(h.now()) {
 		v["fleet_leased"] = 1
 	}
 	if h.shared != nil {
 		h.shared.values(v)
 	}
-	if c, ok := h.node.Agreed(); ok {
-		v["agreement_rounds"], v["agreement_confirms"], v["agreement_crossed"] = float64(c.Rounds), float64(c.Confirms), float64(c.Crossed)
-		v["agreement_expired"], v["agreement_admitted"] = float64(c.Expired), float64(c.Admitted)
+	if c, ok := h.node.ConsensusCounters(); ok {
+		v["agreement_rounds"], v["agreement_confirms"], v["agreement_crossed"] = float64(c.Rounds), float64(c.Confirms), float64(c.Conflicts)
+		v["agreement_expired"], v["agreement_admitted"] = float64(c.Timeouts), float64(c.Admitted)
 	}
 	return v
 }
 
-// Names are the names of Values in order.
-func (h *Host) Names() (names []string) {
-	for n := range h.Values() {
+// MetricNames are the names of Values in order.
+func (h *Node) MetricNames() (names []string) {
+	for n := range h.Metrics() {
 		names = append(names, n)
 	}
 	slices.Sort(names)
--- a/internal/clusternode/share.go
+++ b/internal/clusternode/share.go
@@ -20,7 +20,7 @@
 
 // sharing is the part that keeps in common what gateways know. It lives on the loop.
 type sharing struct {
-	h      *Host
+	h      *Node
 	node   *replication.Node
 	sharer *warmstart.Sharer
 	told   time.Time
@@ -30,13 +30,13 @@
 	caught *replication.CaughtUp
 }
 
-func (h *Host) share() error {
+func (h *Node) share() error {
 	r := h.cfg.Replicate
 	if r == nil {
 		return nil
 	}
-	c := replication.Config{Self: replication.Life{Name: h.cfg.Name, Number: newLife()}, Settles: h.settles, Bytes: r.Bytes, Wait: r.Wait, Seed: newLife(),
-		Wall: func() time.Duration { return time.Duration(h.wall()) * time.Millisecond }}
+	c := replication.Config{Self: replication.Incarnation{Name: h.cfg.Name, Number: newLife()}, PurgeSettleTime: h.settles, BytesPerSecond: r.Bytes, CatchUpTimeout: r.Wait, Seed: newLife(),
+		WallClock: func() time.Duration { return time.Duration(h.wall()) * time.Millisecond }}
 	for _, m := range h.cfg.Members {
 		c.Members = append(c.Members, m.Name)
 	}
@@ -49,7 +49,7 @@
 }
 
 // CatchingUp says that the gateway doesn't know yet what its neighbours know.
-func (h *Host) CatchingUp() bool { return h.shared != nil && h.shared.node.CatchingUp() }
+func (h *Node) CatchingUp() bool { return h.shared != nil && h.shared.node.CatchingUp() }
 
 func (s *sharing) do(e replication.Event) {
 	began := time.Now()
@@ -57,11 +57,11 @@
 		switch a := a.(type) {
 		case replication.Send:
 			m := a.Message
-			s.h.link.Send(a.To, cluster.Message{Kind: cluster.Share, Copy: &m})
-		case replication.Learned:
+			s.h.link.Send(a.To, cluster.Message{Kind: cluster.ReplicationMessage, Replication: &m})
+		case replication.SafetySlotsLearned:
 			for _, x := range a.Slots {
 				if x.Kind == replication.Purge { // at once: the own journal may be late
-					s.h.gw.Told(x.Key, s.sharer.Purged(s.h.now(), s.h.gw.Clock(s.h.loop.Now()), x.Key, x.Late))
+					s.h.gw.Told(x.Key, s.sharer.Purged(s.h.now(), s.h.gw.Clock(s.h.loop.Now()), x.Key, x.SeenBefore))
 				}
 			}
 			s.hold()
@@ -100,29 +100,29 @@
 	s.h.holdAll()
 }
 
-// Shown is what a tool is told.
-type Shown struct {
-	Gateway  string                   `json:"gateway"`
-	Catching bool                     `json:"catching_up,omitempty"`
-	Slots    int                      `json:"slots"`
-	Rows     []replication.Row        `json:"rows"`
-	Differ   []replication.Difference `json:"differences,omitempty"`
+// SharedState is what a tool is told.
+type SharedState struct {
+	Gateway     string                   `json:"gateway"`
+	CatchingUp  bool                     `json:"catching_up,omitempty"`
+	Slots       int                      `json:"slots"`
+	Rows        []replication.Row        `json:"rows"`
+	Divergences []replication.Divergence `json:"differences,omitempty"`
 }
 
 // ForgetRequest asks for something that gateways know in common to be forgotten.
 type ForgetRequest struct {
-	Kind string `json:"Kind"` // health or listing
-	Key  string `json:"Key"`
-	Why  string `json:"Why"`
+	Kind   string `json:"Kind"` // health or listing
+	Key    string `json:"Key"`
+	Reason string `json:"Why"`
 }
 
 // query answers a tool by itself: what is kept in common is asked of the gateway that is asked.
 func (s *sharing) query(from string, m cluster.Message) {
-	reply := cluster.Message{Kind: cluster.Reply, ID: m.ID}
+	reply := cluster.Message{Kind: cluster.OperatorReply, ID: m.ID}
 	var err error
 	switch {
 	case m.Query == queryShared:
-		out := Shown{Gateway: s.h.cfg.Name, Catching: s.node.CatchingUp(), Differ: s.node.Differences()}
+		out := SharedState{Gateway: s.h.cfg.Name, CatchingUp: s.node.CatchingUp(), Divergences: s.node.Divergences()}
 		out.Rows, out.Slots = s.node.Rows(s.h.now(), string(m.Value), rowsMost)
 		reply.Value, err = json.Marshal(out)
 	default:
@@ -130,23 +130,23 @@
 		if err = json.Unmarshal(m.Value, &f); err == nil {
 			var key string
 			var value []byte
-			if key, value, err = warmstart.ParseForget(f.Kind, f.Key, f.Why); err == nil {
-				s.node.Say(s.h.now(), replication.Forget, key, value, s.h.now())
-				s.h.log.WithField("audit", "state").Infof("%s of %s is forgotten, asked by %s: %s", f.Kind, f.Key, from, f.Why)
+			if key, value, err = warmstart.ParseForget(f.Kind, f.Key, f.Reason); err == nil {
+				s.node.Publish(s.h.now(), replication.Tombstone, key, value, s.h.now())
+				s.h.log.WithField("audit", "state").Infof("%s of %s is forgotten, asked by %s: %s", f.Kind, f.Key, from, f.Reason)
 			}
 		}
 	}
 	if err != nil {
-		reply.Refused = err.Error()
+		reply.Rejected = err.Error()
 	}
 	s.h.link.Send(from, reply)
 }
 
 func (s *sharing) values(v map[string]float64) {
 	c, n := s.node.Counters, s.node.Stats
-	for name, x := range map[string]uint64{"written": c.Written, "taken": c.Taken, "known": c.Known, "expired": c.Expired, "crowded": c.Crowded, "refused": c.Refused, "aged": c.Aged,
-		"buried": c.Buried, "pulls": n.Pulls, "answers": n.Answers, "lost": n.Lost, "hints": n.Hints, "stale": n.Stale, "throttled": n.Throttled, "checked": n.Checked,
-		"differed": n.Differed, "slots": uint64(s.node.Len()), "living": uint64(s.node.Living(s.h.now())), "held": uint64(len(s.held)), "slowest_us": uint64(s.slow.Microseconds())} {
+	for name, x := range map[string]uint64{"written": c.Written, "taken": c.Merged, "known": c.Duplicates, "expired": c.Expired, "crowded": c.Evicted, "refused": c.Rejected, "aged": c.Outdated,
+		"buried": c.Tombstoned, "pulls": n.Pulls, "answers": n.PullReplies, "lost": n.PullTimeouts, "hints": n.Announcements, "stale": n.Stale, "throttled": n.Throttled, "checked": n.Checked,
+		"differed": n.Divergences, "slots": uint64(s.node.Len()), "living": uint64(s.node.LivePeers(s.h.now())), "held": uint64(len(s.held)), "slowest_us": uint64(s.slow.Microseconds())} {
 		v["shared_"+name] = float64(x)
 	}
 	if s.node.CatchingUp() {
--- a/internal/clusternode/stored_test.go
+++ b/internal/clusternode/stored_test.go
@@ -9,12 +9,12 @@
 
 // What a gateway shows of its copy goes to tools of other versions. The file was written by 1a818d3.
 func TestEncodedFormsAreThoseOf1a818d3(t *testing.T) {
-	golden.JSON(t, "testdata/1a818d3/shown.json", &Shown{})
+	golden.JSON(t, "testdata/1a818d3/shown.json", &SharedState{})
 	golden.JSON(t, "testdata/1a818d3/forget.json", &ForgetRequest{})
 }
 
 func TestEncodedTypesNameTheirFields(t *testing.T) {
-	golden.Tagged(t, Shown{})
+	golden.Tagged(t, SharedState{})
 	golden.Tagged(t, ForgetRequest{})
 }
 
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -21,7 +21,7 @@
 	Voters  []string
 	Key     []byte
 	Folder  string // empty: nothing lasts
-	Bounds  maintenance.Bounds
+	Bounds  maintenance.Limits
 	// Replicate: nil: what is known is not kept in common.
 	Replicate *Replicate
 	// ClockFile holds milliseconds by which the wall clock is to be off, for experiments alone; empty: none.
@@ -137,7 +137,7 @@
 		return nil, err
 	}
 	w := pb.GetWork()
-	f.Bounds = maintenance.Bounds{Full: w.GetFull(), ZoneShare: w.GetZoneShare(), Parents: int(w.GetParents()), AtOnce: int(w.GetAtOnce()), Patience: int(w.GetPatience())}
+	f.Bounds = maintenance.Limits{MaxUtilization: w.GetFull(), MaxZoneShareOut: w.GetZoneShare(), MinWarmParents: int(w.GetParents()), MaxOut: int(w.GetAtOnce()), MaxTimesOvertaken: int(w.GetPatience())}
 	if f.Bounds.Lease, err = span("fleet.work.lease", w.GetLease(), 0, 0, 1<<62); err != nil {
 		return nil, err
 	}
--- a/internal/net/clustertransport/frame.go
+++ b/internal/net/clustertransport/frame.go
@@ -30,11 +30,11 @@
 
 // Why a frame is refused, to be told apart by errors.Is.
 var (
-	ErrLong    = errors.New("a frame is too long")
-	ErrForged  = errors.New("a frame is not authenticated")
-	ErrOthers  = errors.New("a frame is for somebody else")
-	ErrUnread  = errors.New("a frame can't be read")
-	ErrVersion = errors.New("a frame has no version")
+	ErrFrameTooLong     = errors.New("a frame is too long")
+	ErrNotAuthenticated = errors.New("a frame is not authenticated")
+	ErrWrongRecipient   = errors.New("a frame is for somebody else")
+	ErrMalformed        = errors.New("a frame can't be read")
+	ErrNoVersion        = errors.New("a frame has no version")
 )
 
 func newChallenge() []byte {
@@ -50,8 +50,8 @@
 	return h.Sum(nil)
 }
 
-// Size is what a message takes on the wire, between members with names of such a length.
-func Size(m cluster.Message) int {
+// FrameSize is what a message takes on the wire, between members with names of such a length.
+func FrameSize(m cluster.Message) int {
 	w := &writer{from: "gateway-00", to: "gateway-00"}
 	f, err := w.frame(m)
 	if err != nil {
@@ -77,7 +77,7 @@
 		return nil, fmt.Errorf("a frame: %w", err)
 	}
 	if len(b) > frameMost {
-		return nil, fmt.Errorf("%w: %d bytes", ErrLong, len(b))
+		return nil, fmt.Errorf("%w: %d bytes", ErrFrameTooLong, len(b))
 	}
 	f := make([]byte, 0, headSize+len(b))
 	f = binary.BigEndian.AppendUint32(f, uint32(len(b)))
@@ -105,24 +105,24 @@
 		}
 		n := int(binary.BigEndian.Uint32(r.buf))
 		if n > frameMost { // before it is waited for
-			return fmt.Errorf("%w: %d bytes", ErrLong, n)
+			return fmt.Errorf("%w: %d bytes", ErrFrameTooLong, n)
 		}
 		if len(r.buf) < headSize+n {
 			return nil
 		}
 		sum, body := r.buf[4:headSize], r.buf[headSize:headSize+n]
 		if !hmac.Equal(sum, mac(r.key, r.challenge, body)) {
-			return ErrForged
+			return ErrNotAuthenticated
 		}
 		var e linkpb.Envelope
 		if err := proto.Unmarshal(body, &e); err != nil {
-			return fmt.Errorf("%w: %w", ErrUnread, err)
+			return fmt.Errorf("%w: %w", ErrMalformed, err)
 		}
 		switch {
 		case e.GetVersion() == 0:
-			return ErrVersion
+			return ErrNoVersion
 		case e.GetTo() != r.self || e.GetFrom() == "" || len(e.GetFrom()) > nameMost || r.from != "" && e.GetFrom() != r.from:
-			return fmt.Errorf("%w: from %.64q to %.64q", ErrOthers, e.GetFrom(), e.GetTo())
+			return fmt.Errorf("%w: from %.64q to %.64q", ErrWrongRecipient, e.GetFrom(), e.GetTo())
 		}
 		if r.from == "" {
 			r.from, r.theirs = e.GetFrom(), e.GetChallenge()
--- a/internal/net/clustertransport/link.go
+++ b/internal/net/clustertransport/link.go
@@ -27,15 +27,15 @@
 
 // Counters count what went over the link.
 type Counters struct {
-	Sent, SentBytes, Heard, HeardBytes uint64
-	Dropped                            uint64 // messages for want of a connection, or of room
-	Refused                            uint64 // connections closed for a frame that is not ours
-	Replayed                           uint64 // frames that came again, or late
-	Dialled, Broken                    uint64
+	Sent, SentBytes, Received, ReceivedBytes uint64
+	Dropped                                  uint64 // messages for want of a connection, or of room
+	Rejected                                 uint64 // connections closed for a frame that is not ours
+	Replayed                                 uint64 // frames that came again, or late
+	Dials, Disconnects                       uint64
 }
 
-// Link is a gateway's link to the others. It lives on the loop.
-type Link struct {
+// Transport is a gateway's link to the others. It lives on the loop.
+type Transport struct {
 	Counters Counters
 
 	self   string
@@ -53,8 +53,8 @@
 
 // Open listens for the other members and for tools. Each message that comes is handed to heard, on the loop.
 func Open(self, listen string, members []Member, key []byte, loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger,
-	heard func(from string, m cluster.Message)) (*Link, error) {
-	l := &Link{self: self, key: key, loop: loop, engine: engine, log: log, heard: heard, to: map[string]*outgoing{}, tools: map[string]*incoming{},
+	heard func(from string, m cluster.Message)) (*Transport, error) {
+	l := &Transport{self: self, key: key, loop: loop, engine: engine, log: log, heard: heard, to: map[string]*outgoing{}, tools: map[string]*incoming{},
 		open: map[*incoming]bool{}}
 	for _, m := range members {
 		if m.Name != self {
@@ -70,10 +70,10 @@
 }
 
 // Addr is where it listens.
-func (l *Link) Addr() string { return l.listen.Addr().String() }
+func (l *Transport) Addr() string { return l.listen.Addr().String() }
 
 // Send sends a message to a member, or back to a tool. It may get lost.
-func (l *Link) Send(to string, m cluster.Message) {
+func (l *Transport) Send(to string, m cluster.Message) {
 	if o := l.to[to]; o != nil {
 		o.send(m)
 	} else if c := l.tools[to]; c != nil {
@@ -84,7 +84,7 @@
 }
 
 // Close ends the link.
-func (l *Link) Close() {
+func (l *Transport) Close() {
 	l.closed = true
 	l.listen.Close()
 	for _, o := range l.to {
@@ -96,7 +96,7 @@
 }
 
 // sweep closes connections that say nothing.
-func (l *Link) sweep() {
+func (l *Transport) sweep() {
 	now := l.loop.Now()
 	for c := range l.open {
 		if c.from == "" && now.Sub(c.since) > greetFor || c.tool && now.Sub(c.since) > idleFor {
@@ -110,7 +110,7 @@
 
 // outgoing is the way to one member: a connection, while there is one.
 type outgoing struct {
-	link *Link
+	link *Transport
 	name string
 	addr string
 
@@ -123,7 +123,7 @@
 func (o *outgoing) send(m cluster.Message) {
 	l := o.link
 	if o.conn == nil && !l.closed && !l.loop.Now().Before(o.next) {
-		l.Counters.Dialled++
+		l.Counters.Dials++
 		d := &dialled{way: o}
 		o.conn = d
 		l.engine.Dial(o.addr, dialFor, d, func(*transport.Conn) {}, func(err error) {
@@ -168,7 +168,7 @@
 	if o.conn != d {
 		return
 	}
-	o.link.Counters.Broken++
+	o.link.Counters.Disconnects++
 	o.link.log.WithError(err).WithField("member", o.name).Debug("fleet: connection lost")
 	o.drop(err)
 	o.next = o.link.loop.Now().Add(o.again)
@@ -232,7 +232,7 @@
 
 // incoming is a connection that a member or a tool has made.
 type incoming struct {
-	link *Link
+	link *Transport
 	r    reader // poller
 
 	tc    *transport.Conn // loop: the rest
@@ -271,7 +271,7 @@
 				c.from = from
 				if l.to[from] == nil {
 					if len(theirs) != challengeSize || len(l.tools) >= toolsMost || l.tools[from] != nil || from == l.self {
-						l.Counters.Refused++
+						l.Counters.Rejected++
 						tc.Close(fmt.Errorf("%.64q is neither a member nor a tool", from))
 						return
 					}
@@ -279,8 +279,8 @@
 					l.tools[from] = c
 				}
 			}
-			l.Counters.Heard++
-			l.Counters.HeardBytes += uint64(n)
+			l.Counters.Received++
+			l.Counters.ReceivedBytes += uint64(n)
 			l.heard(from, m)
 		})
 	})
@@ -290,7 +290,7 @@
 	}
 	if err != nil {
 		l.loop.Post(func() {
-			l.Counters.Refused++
+			l.Counters.Rejected++
 			l.log.WithError(err).Warn("fleet: a connection is refused")
 		})
 	}
--- a/internal/net/clustertransport/link_test.go
+++ b/internal/net/clustertransport/link_test.go
@@ -32,36 +32,36 @@
 	ballot := func(name string) consensus.Ballot {
 		return consensus.Ballot{Number: rapid.Uint64().Draw(t, name), Voter: text.Draw(t, name)}
 	}
-	m := cluster.Message{Kind: cluster.Kind(rapid.IntRange(1, 9).Draw(t, "kind")), ID: rapid.Uint64().Draw(t, "id"), Life: rapid.Uint64().Draw(t, "life"), Blank: rapid.Bool().Draw(t, "blank"),
-		Have: rapid.Uint64().Draw(t, "have"), Revision: rapid.Uint64().Draw(t, "revision"), Heard: rapid.Uint64().Draw(t, "heard"), Query: text.Draw(t, "query"), Refused: text.Draw(t, "refused")}
+	m := cluster.Message{Kind: cluster.MessageKind(rapid.IntRange(1, 9).Draw(t, "kind")), ID: rapid.Uint64().Draw(t, "id"), Incarnation: rapid.Uint64().Draw(t, "life"), NoView: rapid.Bool().Draw(t, "blank"),
+		ViewDigest: rapid.Uint64().Draw(t, "have"), Revision: rapid.Uint64().Draw(t, "revision"), NotifiedEpoch: rapid.Uint64().Draw(t, "heard"), Query: text.Draw(t, "query"), Rejected: text.Draw(t, "refused")}
 	if rapid.Bool().Draw(t, "value") {
 		m.Value = []byte(text.Draw(t, "bytes"))
 	}
-	if m.Kind == cluster.Vote {
-		m.Vote = consensus.Message{Kind: consensus.Kind(rapid.IntRange(1, 9).Draw(t, "vote")), Life: 7, Ballot: ballot("ballot"), Next: ballot("next"), Accepted: ballot("accepted"),
-			State: consensus.State{Revision: 3, Lives: map[string]uint64{"a": rapid.Uint64().Draw(t, "a")}, Value: []byte("x")}}
+	if m.Kind == cluster.ConsensusMessage {
+		m.Consensus = consensus.Message{Kind: consensus.MessageKind(rapid.IntRange(1, 9).Draw(t, "vote")), Incarnation: 7, Ballot: ballot("ballot"), NextBallot: ballot("next"), AcceptedBallot: ballot("accepted"),
+			State: consensus.State{Revision: 3, Incarnations: map[string]uint64{"a": rapid.Uint64().Draw(t, "a")}, Value: []byte("x")}}
 	}
 	if rapid.Bool().Draw(t, "report") {
-		m.Report = &cluster.Report{Strain: text.Draw(t, "strain"), Machines: map[string]maintenance.Machine{"b1": {Kind: "box", Zone: "z", Up: true, BootMs: 17, Weight: 2.5, Busy: -1}}}
+		m.Report = &cluster.Report{Pressure: text.Draw(t, "strain"), Machines: map[string]maintenance.Machine{"b1": {Kind: "box", Zone: "z", Up: true, BootMs: 17, Weight: 2.5, Utilization: -1}}}
 	}
 	if rapid.Bool().Draw(t, "copy") {
-		life := replication.Life{Name: "w" + text.Draw(t, "writer"), Number: rapid.Uint64().Draw(t, "number")}
-		m.Copy = &replication.Message{Kind: replication.Answer, ID: m.ID, Most: 17, More: m.Blank, Have: []replication.Have{{Life: life, UpTo: [2]uint64{m.Life, 3}}},
-			Block: &replication.Block{Life: life, Stream: replication.Bulk, From: 3, To: m.Life, Sum: m.Have},
-			Slots: []replication.Wire{{Slot: replication.Slot{Writer: life, Seq: 9, Kind: replication.Kind(rapid.Uint32().Draw(t, "slot")), Key: text.Draw(t, "key"), Value: []byte("v"), Stamp: m.Life},
-				Oldest: 70 * time.Microsecond, Youngest: 30 * time.Microsecond}}}
+		life := replication.Incarnation{Name: "w" + text.Draw(t, "writer"), Number: rapid.Uint64().Draw(t, "number")}
+		m.Replication = &replication.Message{Kind: replication.PullReply, ID: m.ID, MaxBytes: 17, More: m.NoView, Versions: []replication.StreamVersions{{Incarnation: life, UpTo: [2]uint64{m.Incarnation, 3}}},
+			Checksum: &replication.RangeChecksum{Incarnation: life, Stream: replication.Bulk, From: 3, To: m.Incarnation, Sum: m.ViewDigest},
+			Slots: []replication.TransferredSlot{{Slot: replication.Slot{Writer: life, Seq: 9, Kind: replication.Kind(rapid.Uint32().Draw(t, "slot")), Key: text.Draw(t, "key"), Value: []byte("v"), Timestamp: m.Incarnation},
+				MaxAge: 70 * time.Microsecond, MinAge: 30 * time.Microsecond}}}
 	}
 	return m
 }
 
 // What a former version proposed without a Prepare had no majority's promise: it is not a message that a voter heeds.
 func TestAFormerVersionHasToPrepare(t *testing.T) {
-	pb := out(cluster.Message{Kind: cluster.Vote, Vote: consensus.Message{Kind: consensus.Accept, Ballot: consensus.Ballot{Number: 5, Voter: "a"}}})
-	if in(pb).Vote.Kind != consensus.Accept {
+	pb := out(cluster.Message{Kind: cluster.ConsensusMessage, Consensus: consensus.Message{Kind: consensus.Accept, Ballot: consensus.Ballot{Number: 5, Voter: "a"}}})
+	if in(pb).Consensus.Kind != consensus.Accept {
 		t.Fatal("an accept after a prepare is not read")
 	}
 	pb.Vote.Prior = ballotOut(consensus.Ballot{Number: 4, Voter: "a"})
-	if got := in(pb).Vote.Kind; got != 0 {
+	if got := in(pb).Consensus.Kind; got != 0 {
 		t.Errorf("it is read as %v", got)
 	}
 }
@@ -128,13 +128,13 @@
 		stream []byte
 		want   error
 	}{
-		{"another key", frameOf(t, &writer{key: []byte("x"), challenge: one, from: "a", to: "b"}, cluster.Message{Kind: cluster.Renew}), ErrForged},
-		{"another connection's", frameOf(t, &writer{key: key, challenge: two, from: "a", to: "b"}, cluster.Message{Kind: cluster.Renew}), ErrForged},
-		{"for another", frameOf(t, &writer{key: key, challenge: one, from: "a", to: "c"}, cluster.Message{Kind: cluster.Renew}), ErrOthers},
-		{"from nobody", frameOf(t, &writer{key: key, challenge: one, to: "b"}, cluster.Message{Kind: cluster.Renew}), ErrOthers},
-		{"no version", none(), ErrVersion},
-		{"too long", []byte{0x7f, 0, 0, 0, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1}, ErrLong},
-		{"HTTP", []byte("GET / HTTP/1.1\r\nHost: somewhere.example\r\n\r\n"), ErrLong},
+		{"another key", frameOf(t, &writer{key: []byte("x"), challenge: one, from: "a", to: "b"}, cluster.Message{Kind: cluster.RenewLease}), ErrNotAuthenticated},
+		{"another connection's", frameOf(t, &writer{key: key, challenge: two, from: "a", to: "b"}, cluster.Message{Kind: cluster.RenewLease}), ErrNotAuthenticated},
+		{"for another", frameOf(t, &writer{key: key, challenge: one, from: "a", to: "c"}, cluster.Message{Kind: cluster.RenewLease}), ErrWrongRecipient},
+		{"from nobody", frameOf(t, &writer{key: key, challenge: one, to: "b"}, cluster.Message{Kind: cluster.RenewLease}), ErrWrongRecipient},
+		{"no version", none(), ErrNoVersion},
+		{"too long", []byte{0x7f, 0, 0, 0, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1}, ErrFrameTooLong},
+		{"HTTP", []byte("GET / HTTP/1.1\r\nHost: somewhere.example\r\n\r\n"), ErrFrameTooLong},
 	} {
 		r := &reader{key: key, challenge: one, self: "b"}
 		err := r.feed(c.stream, func(string, cluster.Message) { t.Errorf("%s is read", c.name) })
@@ -143,7 +143,7 @@
 		}
 	}
 	w := good()
-	first, second := frameOf(t, w, cluster.Message{Kind: cluster.Renew, ID: 1}), frameOf(t, w, cluster.Message{Kind: cluster.Renew, ID: 2})
+	first, second := frameOf(t, w, cluster.Message{Kind: cluster.RenewLease, ID: 1}), frameOf(t, w, cluster.Message{Kind: cluster.RenewLease, ID: 2})
 	r, n := &reader{key: key, challenge: one, self: "b"}, 0
 	for _, f := range [][]byte{second, first, second} {
 		if err := r.feed(f, func(string, cluster.Message) { n++ }); err != nil {
@@ -155,26 +155,26 @@
 	}
 	r = &reader{key: key, challenge: one, self: "b"}
 	other := &writer{key: key, challenge: one, from: "c", to: "b", sequence: 5}
-	if err := r.feed(append(frameOf(t, good(), cluster.Message{}), frameOf(t, other, cluster.Message{})...), func(string, cluster.Message) {}); !errors.Is(err, ErrOthers) {
+	if err := r.feed(append(frameOf(t, good(), cluster.Message{}), frameOf(t, other, cluster.Message{})...), func(string, cluster.Message) {}); !errors.Is(err, ErrWrongRecipient) {
 		t.Errorf("two senders on one connection: %v", err)
 	}
-	if _, err := good().frame(cluster.Message{Value: make([]byte, frameMost+1)}); !errors.Is(err, ErrLong) {
+	if _, err := good().frame(cluster.Message{Value: make([]byte, frameMost+1)}); !errors.Is(err, ErrFrameTooLong) {
 		t.Errorf("a message over the bound: %v", err)
 	}
 }
 
 func TestVotesAreReadAsWritten(t *testing.T) {
-	v := consensus.Vote{Life: 9, Promised: consensus.Ballot{Number: 4, Voter: "a"}, Accepted: consensus.Ballot{Number: 3, Voter: "b"}, Has: true,
-		State: consensus.State{Revision: 2, Lives: map[string]uint64{"a": 1}, Value: []byte("{}")}}
-	b, err := EncodeVote(v)
+	v := consensus.AcceptorState{Incarnation: 9, Promised: consensus.Ballot{Number: 4, Voter: "a"}, Accepted: consensus.Ballot{Number: 3, Voter: "b"}, Initialized: true,
+		State: consensus.State{Revision: 2, Incarnations: map[string]uint64{"a": 1}, Value: []byte("{}")}}
+	b, err := EncodeAcceptorState(v)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := DecodeVote(b); err != nil || !reflect.DeepEqual(got, v) {
+	if got, err := DecodeAcceptorState(b); err != nil || !reflect.DeepEqual(got, v) {
 		t.Errorf("%+v, %v", got, err)
 	}
 	for _, bad := range [][]byte{nil, {0xff, 0xff}, b[:len(b)-1]} {
-		if _, err := DecodeVote(bad); err == nil {
+		if _, err := DecodeAcceptorState(bad); err == nil {
 			t.Errorf("%x is read", bad)
 		}
 	}
@@ -187,7 +187,7 @@
 	log.SetOutput(io.Discard)
 	type end struct {
 		loop  *gateway.Loop
-		link  *Link
+		link  *Transport
 		heard chan cluster.Message
 	}
 	var members []Member
@@ -205,10 +205,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var link atomic.Pointer[Link]
+		var link atomic.Pointer[Transport]
 		l, err := Open(members[i].Name, members[i].Addr, members, key, e.loop, engine, log, func(from string, m cluster.Message) {
-			if m.Kind == cluster.Order {
-				link.Load().Send(from, cluster.Message{Kind: cluster.Reply, ID: m.ID, Value: []byte("yes")})
+			if m.Kind == cluster.OperatorRequest {
+				link.Load().Send(from, cluster.Message{Kind: cluster.OperatorReply, ID: m.ID, Value: []byte("yes")})
 				return
 			}
 			e.heard <- m
@@ -226,7 +226,7 @@
 		t.Helper()
 		late := time.After(10 * time.Second)
 		for {
-			from.loop.Post(func() { from.link.Send(name, cluster.Message{Kind: cluster.Renew, ID: id}) })
+			from.loop.Post(func() { from.link.Send(name, cluster.Message{Kind: cluster.RenewLease, ID: id}) })
 			select {
 			case m := <-to.heard:
 				if m.ID == id {
@@ -243,22 +243,22 @@
 	say(b, a, "a", 2)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	tool, err := Call(ctx, "a", members[0].Addr, key)
+	tool, err := DialTool(ctx, "a", members[0].Addr, key)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer tool.Close()
 	for range 2 {
-		if m, err := tool.Ask(ctx, cluster.Message{Query: "state"}); err != nil || string(m.Value) != "yes" {
+		if m, err := tool.Request(ctx, cluster.Message{Query: "state"}); err != nil || string(m.Value) != "yes" {
 			t.Fatalf("a tool's question: %+v, %v", m, err)
 		}
 	}
-	thief, err := Call(ctx, "a", members[0].Addr, []byte("another key altogether, 32 bytes"))
+	thief, err := DialTool(ctx, "a", members[0].Addr, []byte("another key altogether, 32 bytes"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer thief.Close()
-	if _, err := thief.Ask(ctx, cluster.Message{Query: "state"}); err == nil || strings.Contains(err.Error(), "deadline") {
+	if _, err := thief.Request(ctx, cluster.Message{Query: "state"}); err == nil || strings.Contains(err.Error(), "deadline") {
 		t.Errorf("without the key: %v", err)
 	}
 	gone := make(chan struct{})
--- a/internal/net/clustertransport/tool.go
+++ b/internal/net/clustertransport/tool.go
@@ -21,8 +21,8 @@
 	serial uint64
 }
 
-// Call connects to a gateway of that name.
-func Call(ctx context.Context, name, addr string, key []byte) (*Tool, error) {
+// DialTool connects to a gateway of that name.
+func DialTool(ctx context.Context, name, addr string, key []byte) (*Tool, error) {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -43,10 +43,10 @@
 		r: reader{key: key, challenge: own, self: self}}, nil
 }
 
-// Ask sends an order and waits for its reply.
-func (t *Tool) Ask(ctx context.Context, m cluster.Message) (cluster.Message, error) {
+// Request sends an order and waits for its reply.
+func (t *Tool) Request(ctx context.Context, m cluster.Message) (cluster.Message, error) {
 	t.serial++
-	m.Kind, m.ID = cluster.Order, t.serial
+	m.Kind, m.ID = cluster.OperatorRequest, t.serial
 	f, err := t.w.frame(m)
 	if err != nil {
 		return cluster.Message{}, err
@@ -67,7 +67,7 @@
 		}
 		var reply *cluster.Message
 		if err := t.r.feed(buf[:n], func(_ string, got cluster.Message) {
-			if got.Kind == cluster.Reply && got.ID == m.ID {
+			if got.Kind == cluster.OperatorReply && got.ID == m.ID {
 				reply = &got
 			}
 		}); err != nil {
--- a/lab/faultinjection/faultinjection.go
+++ b/lab/faultinjection/faultinjection.go
@@ -557,16 +557,16 @@
 		return
 	}
 	p.wg.Go(func() {
-		value, _ := json.Marshal(maintenance.Command{By: "plot", Ask: &maintenance.Ask{Key: "plot-" + name, Machine: name, ForMs: 3000}})
+		value, _ := json.Marshal(maintenance.Command{Actor: "plot", Request: &maintenance.RequestOrder{Key: "plot-" + name, Machine: name, DurationMs: 3000}})
 		for try := 0; ctx.Err() == nil && try < 200; try++ {
 			g := first
 			if try > 0 {
 				g = p.gateways[p.draw(len(p.gateways))]
 			}
 			reply, err := p.order(ctx, g, cluster.Message{Value: value})
-			if err == nil && reply.Refused == "" {
+			if err == nil && reply.Rejected == "" {
 				var r maintenance.Reply
-				if json.Unmarshal(reply.Value, &r) == nil && r.Refused == "" {
+				if json.Unmarshal(reply.Value, &r) == nil && r.Rejected == "" {
 					p.mu.Lock()
 					defer p.mu.Unlock()
 					p.acked[name] = fmt.Sprintf("%s took it as work %d at revision %d, at try %d after %v", g.name, r.ID, reply.Revision, try, time.Since(p.began).Round(time.Millisecond))
@@ -586,12 +586,12 @@
 	}
 	one, cancel := context.WithTimeout(ctx, 1200*time.Millisecond)
 	defer cancel()
-	t, err := clustertransport.Call(one, g.name, g.link, key)
+	t, err := clustertransport.DialTool(one, g.name, g.link, key)
 	if err != nil {
 		return cluster.Message{}, err
 	}
 	defer t.Close()
-	return t.Ask(one, m)
+	return t.Request(one, m)
 }
 
 // watch looks at what is agreed on, and works on machines that are called out. It returns when all that was asked has ended, or it
@@ -601,7 +601,7 @@
 		time.Sleep(watchFor)
 		g := p.gateways[p.draw(len(p.gateways))]
 		m, err := p.order(ctx, g, cluster.Message{Query: "state"})
-		if err == nil && m.Refused == "" {
+		if err == nil && m.Rejected == "" {
 			p.look(g, m)
 		}
 		p.mu.Lock()
@@ -649,14 +649,14 @@
 	for _, r := range s.Requests {
 		if was := p.seen[r.Machine]; was != r.Stage {
 			p.seen[r.Machine] = r.Stage
-			if _, ok := p.took[r.Machine]; !ok && r.Stage != maintenance.Asked && r.Stage != maintenance.Withdrawn {
+			if _, ok := p.took[r.Machine]; !ok && r.Stage != maintenance.Requested && r.Stage != maintenance.Withdrawn {
 				p.took[r.Machine] = time.Since(p.asked[r.Machine])
 			}
-			if r.Stage == maintenance.Out {
+			if r.Stage == maintenance.OutOfService {
 				p.begin(p.machines[r.Machine])
 			}
 		}
-		if r.Stage == maintenance.Asked || r.Stage.Ended() {
+		if r.Stage == maintenance.Requested || r.Stage.Ended() {
 			continue
 		}
 		away++
@@ -697,7 +697,7 @@
 func (p *play) verdict(ctx context.Context, ended time.Duration) *Verdict {
 	v := &Verdict{Plot: p.plot, Ended: ended, Took: p.took, Asked: len(p.asked), Stale: p.ledger.stale, Drained: p.ledger.drained, Equal: p.ledger.equal, Told: len(p.ledger.purges)}
 	for _, s := range p.seen {
-		if s == maintenance.Done {
+		if s == maintenance.Completed {
 			v.Done++
 		}
 	}
@@ -729,7 +729,7 @@
 		for _, g := range p.gateways {
 			for range 20 {
 				m, err := p.order(ctx, g, cluster.Message{Query: "state"})
-				if err == nil && m.Refused == "" {
+				if err == nil && m.Rejected == "" {
 					told[string(m.Value)] = true
 					break
 				}
--- a/lab/faultinjection/mutants.go
+++ b/lab/faultinjection/mutants.go
@@ -53,13 +53,13 @@
 // Mutants are the rules whose loss the plots must find. That one upper cache has to stay is not among them: the share of a zone
 // and the load of the upper caches hold it by themselves.
 var Mutants = []Mutant{
-	{Name: "a drain begins though a gateway has not heard of the grant", File: "maintenance/order.go", Old: "if g.Heard < r.Epoch {", New: "if false && g.Heard < r.Epoch {", Text: cutBefore},
-	{Name: "a machine is called out though a gateway has not stopped", File: "maintenance/order.go", Old: "} else if !span.Lapsed {", New: "} else if false {", Text: slowStores},
+	{Name: "a drain begins though a gateway has not heard of the grant", File: "maintenance/order.go", Old: "if g.NotifiedEpoch < r.GrantEpoch {", New: "if false && g.NotifiedEpoch < r.GrantEpoch {", Text: cutBefore},
+	{Name: "a machine is called out though a gateway has not stopped", File: "maintenance/order.go", Old: "} else if !span.LeasesExpired {", New: "} else if false {", Text: slowStores},
 	{Name: "what is held is sent to all the same", File: "maintenance/maintenance.go", Old: "held[r.Machine] = true\n\t\t}\n\t}\n\treturn held", New: "_ = held\n\t\t}\n\t}\n\treturn held", Text: crowded},
-	{Name: "any number is out at once", File: "maintenance/order.go", Old: "if out >= b.AtOnce {", New: "if false {", Text: crowded},
+	{Name: "any number is out at once", File: "maintenance/order.go", Old: "if out >= b.MaxOut {", New: "if false {", Text: crowded},
 	{Name: "any share of a zone is out", File: "maintenance/order.go", Old: "if gone > 0 && gone+1 >", New: "if false && gone+1 >", Text: crowded},
 	{Name: "half of the voters are a majority", File: "consensus/consensus.go", Old: "return n > len(v.cfg.Voters)/2", New: "return n >= len(v.cfg.Voters)/2", Text: parting},
-	{Name: "a lease never runs out", File: "cluster/cluster.go", Old: "n.lease = max(n.lease, at+n.cfg.Bounds.Lease)", New: "n.lease = max(n.lease, at+time.Hour)", Text: unheard},
+	{Name: "a lease never runs out", File: "cluster/cluster.go", Old: "n.lease = max(n.lease, at+n.cfg.Limits.Lease)", New: "n.lease = max(n.lease, at+time.Hour)", Text: unheard},
 	{Name: "a gateway is idle while work is out at what it holds", File: "gateway/drain.go", Old: "if !a.ended && (stores", New: "if false && (stores", Text: slowStores},
 	{Name: "a start forgets what was granted", File: "internal/clusternode/host.go", Old: "if nc.View, err = readFile(dir, viewFile, h.cfg.Key); err == nil && nc.View != nil {", New: "nc.View = []byte(\"{}\")\n\tif nc.View != nil {", Text: forgetful},
 }
--- a/lab/faultinjection/rest.go
+++ b/lab/faultinjection/rest.go
@@ -30,7 +30,7 @@
 	clock  virtualclock.Clock
 	nodes  map[string]*cluster.Node
 	names  []string
-	bounds maintenance.Bounds
+	bounds maintenance.Limits
 	report func(name string) cluster.Report
 	sent   func(from, to string, bytes int) // nil: nobody counts
 	wrote  func()                           // likewise
@@ -38,7 +38,7 @@
 }
 
 // simulate starts so many gateways at once. Reports are made every half second.
-func simulate(n int, seed uint64, bounds maintenance.Bounds, report func(name string) cluster.Report) (*simulated, error) {
+func simulate(n int, seed uint64, bounds maintenance.Limits, report func(name string) cluster.Report) (*simulated, error) {
 	f := &simulated{clock: virtualclock.Clock{Now: time.Second}, nodes: map[string]*cluster.Node{}, bounds: bounds, report: report}
 	for i := range n {
 		f.names = append(f.names, fmt.Sprintf("gateway-%03d", i))
@@ -49,8 +49,8 @@
 	}
 	for i, name := range f.names {
 		life := seed<<16 + uint64(i) + 1
-		node, err := cluster.New(cluster.Config{Self: name, Life: life, Members: f.names, Voters: voters, Vote: consensus.Vote{Life: life}, Lasts: true, Bounds: bounds,
-			Clock: func() int64 { return int64(f.clock.Now / time.Millisecond) }, Gap: 40 * time.Millisecond, Seed: life})
+		node, err := cluster.New(cluster.Config{Self: name, Incarnation: life, Members: f.names, Voters: voters, Acceptor: consensus.AcceptorState{Incarnation: life}, Durable: true, Limits: bounds,
+			WallClockMs: func() int64 { return int64(f.clock.Now / time.Millisecond) }, ReadInterval: 40 * time.Millisecond, Seed: life})
 		if err != nil {
 			return nil, err
 		}
@@ -59,7 +59,7 @@
 		var tick func()
 		tick = func() {
 			if ticks%10 == 0 {
-				f.do(name, cluster.Seen{Report: report(name)})
+				f.do(name, cluster.Observed{Report: report(name)})
 			}
 			ticks++
 			f.do(name, cluster.Tick{})
@@ -75,23 +75,23 @@
 		switch a := a.(type) {
 		case cluster.Send:
 			if f.sent != nil {
-				f.sent(name, a.To, clustertransport.Size(a.Message))
+				f.sent(name, a.To, clustertransport.FrameSize(a.Message))
 			}
 			switch {
 			case f.nodes[a.To] != nil:
-				f.clock.At(f.clock.Now+time.Millisecond, func() { f.do(a.To, cluster.Heard{From: name, Message: a.Message}) })
+				f.clock.At(f.clock.Now+time.Millisecond, func() { f.do(a.To, cluster.MessageReceived{From: name, Message: a.Message}) })
 			case f.reply != nil:
 				f.reply(a.Message)
 			}
-		case cluster.StoreVote:
+		case cluster.StoreAcceptorState:
 			if f.wrote != nil {
 				f.wrote()
 			}
-			f.clock.At(f.clock.Now+2*time.Millisecond, func() { f.do(name, cluster.VoteStored{Number: a.Store.Number}) })
+			f.clock.At(f.clock.Now+2*time.Millisecond, func() { f.do(name, cluster.AcceptorStateStored{Number: a.Store.Number}) })
 		case cluster.StoreView:
 			f.clock.At(f.clock.Now+2*time.Millisecond, func() { f.do(name, cluster.ViewStored{Revision: a.Revision}) })
-		case cluster.Hold:
-			f.clock.At(f.clock.Now+50*time.Millisecond, func() { f.do(name, cluster.Idle{Generation: a.Generation}) })
+		case cluster.DrainMachines:
+			f.clock.At(f.clock.Now+50*time.Millisecond, func() { f.do(name, cluster.Drained{Generation: a.Generation}) })
 		}
 	}
 }
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	f.do(to, cluster.Heard{From: "tool-1", Message: cluster.Message{Kind: cluster.Order, ID: 1, Value: value}})
+	f.do(to, cluster.MessageReceived{From: "tool-1", Message: cluster.Message{Kind: cluster.OperatorRequest, ID: 1, Value: value}})
 	return nil
 }
 
@@ -125,9 +125,9 @@
 	out, sent, busy := Resting{Gateways: n}, map[string][2]float64{}, false
 	report := cluster.Report{Machines: map[string]maintenance.Machine{}}
 	for i := range 20 {
-		report.Machines[fmt.Sprintf("box-%02d", i)] = maintenance.Machine{Kind: maintenance.KindBox, Zone: "z", Up: true, Warm: true, Weight: 10, Busy: 0.3}
+		report.Machines[fmt.Sprintf("box-%02d", i)] = maintenance.Machine{Kind: maintenance.KindBox, Zone: "z", Up: true, Warm: true, Weight: 10, Utilization: 0.3}
 	}
-	f, err := simulate(n, seed, maintenance.Bounds{}, func(string) cluster.Report { return report })
+	f, err := simulate(n, seed, maintenance.Limits{}, func(string) cluster.Report { return report })
 	if err != nil {
 		return out, err
 	}
@@ -160,17 +160,17 @@
 	}
 	out.Writes /= long
 	asked := f.clock.Now
-	if err := f.order(f.names[n-1], maintenance.Command{Ask: &maintenance.Ask{Key: "k", Machine: "box-01", ForMs: 1000}}); err != nil {
+	if err := f.order(f.names[n-1], maintenance.Command{Request: &maintenance.RequestOrder{Key: "k", Machine: "box-01", DurationMs: 1000}}); err != nil {
 		return out, err
 	}
 	for until := asked; out.Drained == 0 && until < asked+30*time.Second; {
 		until += 5 * time.Millisecond
 		f.clock.Run(until)
-		if s := f.nodes[f.names[0]].State(); s != nil && len(s.Requests) > 0 {
+		if s := f.nodes[f.names[0]].View(); s != nil && len(s.Requests) > 0 {
 			if out.Granted == 0 {
 				out.Granted = until - asked
 			}
-			if s.Requests[0].Stage == maintenance.Out {
+			if s.Requests[0].Stage == maintenance.OutOfService {
 				out.Drained = until - asked
 			}
 		}
@@ -188,7 +188,7 @@
 	defer p.close()
 	state := func(g *process) *maintenance.State {
 		m, err := p.order(ctx, g, cluster.Message{Query: "state"})
-		if err != nil || m.Refused != "" {
+		if err != nil || m.Rejected != "" {
 			return nil
 		}
 		s, _ := maintenance.Decode(m.Value)
@@ -205,7 +205,7 @@
 	for n := range times {
 		dies := kill && n%3 == 2
 		name := box(0, n%6)
-		value, _ := json.Marshal(maintenance.Command{By: "measure", Ask: &maintenance.Ask{Key: fmt.Sprint("m", n), Machine: name, ForMs: 1000}})
+		value, _ := json.Marshal(maintenance.Command{Actor: "measure", Request: &maintenance.RequestOrder{Key: fmt.Sprint("m", n), Machine: name, DurationMs: 1000}})
 		if dies {
 			p.gateways[0].set(false)
 			if err := p.gateways[0].world.Kill(); err != nil {
@@ -220,12 +220,12 @@
 			}
 			if !taken {
 				m, err := p.order(ctx, last, cluster.Message{Value: value})
-				taken = err == nil && m.Refused == ""
+				taken = err == nil && m.Rejected == ""
 				continue
 			}
 			if s := state(last); s != nil {
 				for _, r := range s.Requests {
-					granted = granted || r.Key == fmt.Sprint("m", n) && r.Stage != maintenance.Asked
+					granted = granted || r.Key == fmt.Sprint("m", n) && r.Stage != maintenance.Requested
 				}
 			}
 			time.Sleep(5 * time.Millisecond)
@@ -242,15 +242,15 @@
 			}
 			p.gateways[0].set(true)
 		}
-		value, _ = json.Marshal(maintenance.Command{By: "measure", Withdraw: &maintenance.Named{Name: name}})
+		value, _ = json.Marshal(maintenance.Command{Actor: "measure", Withdraw: &maintenance.Target{Name: name}})
 		for {
 			m, err := p.order(ctx, last, cluster.Message{Value: value})
-			if err == nil && m.Refused == "" || ctx.Err() != nil {
+			if err == nil && m.Rejected == "" || ctx.Err() != nil {
 				break
 			}
 		}
 		// It may have been called out meanwhile: then its work is over at once.
-		value, _ = json.Marshal(maintenance.Command{By: "measure", Finish: &maintenance.Named{Name: name}})
+		value, _ = json.Marshal(maintenance.Command{Actor: "measure", Finish: &maintenance.Target{Name: name}})
 		_, _ = p.order(ctx, last, cluster.Message{Value: value})
 		time.Sleep(1200 * time.Millisecond)
 	}
--- a/lab/faultinjection/shared.go
+++ b/lab/faultinjection/shared.go
@@ -208,7 +208,7 @@
 		}
 		all[g.name] = map[string]replication.Row{}
 		for _, r := range rows {
-			all[g.name][fmt.Sprintf("%s %q by %s %x", r.Kind, r.Key, r.By, r.Life)] = r
+			all[g.name][fmt.Sprintf("%s %q by %s %x", r.Kind, r.Key, r.Writer, r.Incarnation)] = r
 		}
 	}
 	// The bulk is said all the time: what was seen a while ago may have been said just now.
--- a/lab/faultinjection/spread.go
+++ b/lab/faultinjection/spread.go
@@ -59,7 +59,7 @@
 		index[name] = i
 	}
 	size := func(m replication.Message) (b int) {
-		b = 64 + 26*len(m.Have)
+		b = 64 + 26*len(m.Versions)
 		for _, w := range m.Slots {
 			b += 48 + len(w.Slot.Key) + len(w.Slot.Value)
 		}
@@ -70,19 +70,19 @@
 		for _, a := range m.node.Handle(clock.Now, e, nil) {
 			switch a := a.(type) {
 			case replication.Send:
-				if way != WayOurs && a.Message.Kind == replication.Hint || way == WayPush && a.Message.Kind == replication.Pull {
+				if way != WayOurs && a.Message.Kind == replication.Announce || way == WayPush && a.Message.Kind == replication.Pull {
 					continue
 				}
 				if way == WayFull && a.Message.Kind == replication.Pull {
-					a.Message.Have, a.Message.Most = nil, 1<<30
+					a.Message.Versions, a.Message.MaxBytes = nil, 1<<30
 				}
 				to := index[a.To]
 				bytes += float64(size(a.Message))
 				if apart && members[to].cut != m.cut {
 					continue
 				}
-				clock.At(clock.Now+2*time.Millisecond, func() { handle(to, replication.Heard{From: names[i], Message: a.Message}) })
-			case replication.Learned:
+				clock.At(clock.Now+2*time.Millisecond, func() { handle(to, replication.MessageReceived{From: names[i], Message: a.Message}) })
+			case replication.SafetySlotsLearned:
 				for _, s := range a.Slots {
 					if s.Kind == replication.Purge {
 						m.seen[s.Key] = clock.Now
@@ -92,7 +92,7 @@
 		}
 	}
 	for i, name := range names {
-		node, err := replication.NewNode(replication.Config{Self: replication.Life{Name: name, Number: uint64(i + 1)}, Members: names, Wall: func() time.Duration { return clock.Now },
+		node, err := replication.NewNode(replication.Config{Self: replication.Incarnation{Name: name, Number: uint64(i + 1)}, Members: names, WallClock: func() time.Duration { return clock.Now },
 			Seed: seed<<16 + uint64(i)})
 		if err != nil {
 			return out, err
@@ -115,7 +115,7 @@
 		}
 		m.seen[key] = clock.Now
 		if way != WayPush {
-			m.node.Say(clock.Now, replication.Purge, key, nil, clock.Now)
+			m.node.Publish(clock.Now, replication.Purge, key, nil, clock.Now)
 			return
 		}
 		for range 3 {
@@ -149,7 +149,7 @@
 	clock.Pass(2 * time.Second)
 	for i := range members {
 		for k := range min(200, 4000/n) {
-			members[i].node.Say(clock.Now, replication.Listing, fmt.Sprintf("z/%x", i*1000+k), replication.Encode(replication.Place{Server: "box-1", Count: 3}), clock.Now)
+			members[i].node.Publish(clock.Now, replication.Listing, fmt.Sprintf("z/%x", i*1000+k), replication.Encode(replication.ListingValue{Server: "box-1", Requests: 3}), clock.Now)
 		}
 	}
 	clock.Pass(20 * time.Second)
@@ -202,15 +202,15 @@
 	clock := virtualclock.Clock{Now: time.Second}
 	nodes := map[string]*replication.Node{}
 	newNode := func(name string, life uint64) (*replication.Node, error) {
-		return replication.NewNode(replication.Config{Self: replication.Life{Name: name, Number: life}, Members: names, Wall: func() time.Duration { return clock.Now }, Bytes: bytesASecond,
-			Wait: time.Hour, Seed: seed<<8 + life})
+		return replication.NewNode(replication.Config{Self: replication.Incarnation{Name: name, Number: life}, Members: names, WallClock: func() time.Duration { return clock.Now }, BytesPerSecond: bytesASecond,
+			CatchUpTimeout: time.Hour, Seed: seed<<8 + life})
 	}
-	slots, reached := []replication.Slot(nil), map[replication.Life]uint64{}
+	slots, reached := []replication.Slot(nil), map[replication.Incarnation]uint64{}
 	for i := range items {
-		l := replication.Life{Name: names[i%4], Number: uint64(100 + i%4)}
+		l := replication.Incarnation{Name: names[i%4], Number: uint64(100 + i%4)}
 		reached[l]++
-		slots = append(slots, replication.Slot{Writer: l, Seq: reached[l], Kind: replication.Listing, Key: fmt.Sprintf("edge-1/%016x", i), Value: replication.Encode(replication.Place{Server: "box-17", Count: 3, GapMs: 800, WorkMs: 40}),
-			Early: clock.Now, Late: clock.Now})
+		slots = append(slots, replication.Slot{Writer: l, Seq: reached[l], Kind: replication.Listing, Key: fmt.Sprintf("edge-1/%016x", i), Value: replication.Encode(replication.ListingValue{Server: "box-17", Requests: 3, MeanGapMs: 800, MinLatencyMs: 40}),
+			SeenAfter: clock.Now, SeenBefore: clock.Now})
 	}
 	for i, name := range names[:4] { // these know it all
 		n, err := newNode(name, uint64(i+1))
@@ -218,10 +218,10 @@
 			return out, err
 		}
 		for _, s := range slots {
-			n.Take(clock.Now, clock.Now, s)
+			n.Merge(clock.Now, clock.Now, s)
 		}
 		for l, seq := range reached {
-			n.Reached(clock.Now, l, replication.Bulk, seq)
+			n.AdvanceTo(clock.Now, l, replication.Bulk, seq)
 		}
 		nodes[name] = n
 	}
@@ -245,7 +245,7 @@
 						out.Bytes += 48 + len(w.Slot.Key) + len(w.Slot.Value)
 					}
 				}
-				clock.At(clock.Now+2*time.Millisecond, func() { handle(a.To, replication.Heard{From: name, Message: a.Message}) })
+				clock.At(clock.Now+2*time.Millisecond, func() { handle(a.To, replication.MessageReceived{From: name, Message: a.Message}) })
 			case replication.CaughtUp:
 				if name == "e" {
 					caught = clock.Now
--- a/lab/faultinjection/timetable.go
+++ b/lab/faultinjection/timetable.go
@@ -223,9 +223,9 @@
 }
 
 // Settled has five gateways settle it, within bounds as in the operators' file.
-func Settled(seed uint64, bounds maintenance.Bounds) (Planned, error) {
+func Settled(seed uint64, bounds maintenance.Limits) (Planned, error) {
 	p, t := newPlant(seed), tally{}
-	bounds.Ramp, bounds.Grace = planRamp, 3*time.Second
+	bounds.SlowStart, bounds.DrainGrace = planRamp, 3*time.Second
 	if err := bounds.Check(); err != nil {
 		return Planned{}, err
 	}
@@ -241,7 +241,7 @@
 			if !m.down {
 				busy = p.hub // of boxes see below
 			}
-			r.Machines[m.name] = maintenance.Machine{Kind: m.kind, Zone: m.zone, Up: !m.down, Warm: m.warm(at) >= 1, BootMs: m.boot, Weight: 1, Busy: busy}
+			r.Machines[m.name] = maintenance.Machine{Kind: m.kind, Zone: m.zone, Up: !m.down, Warm: m.warm(at) >= 1, BootMs: m.boot, Weight: 1, Utilization: busy}
 		}
 		// What the boxes of a zone can't take stands at those that are there.
 		for z := range planZones {
@@ -252,7 +252,7 @@
 			}
 			for _, m := range all {
 				if x := r.Machines[m.name]; x.Up {
-					x.Busy = min(1, p.load(at)*planBoxes/max(0.01, capacity))
+					x.Utilization = min(1, p.load(at)*planBoxes/max(0.01, capacity))
 					r.Machines[m.name] = x
 				}
 			}
@@ -267,16 +267,16 @@
 	}
 	began = f.clock.Now
 	for i, m := range p.machines {
-		if err := f.order(f.names[i%len(f.names)], maintenance.Command{Ask: &maintenance.Ask{Key: m.name, Machine: m.name, ForMs: planSaid.Milliseconds()}}); err != nil {
+		if err := f.order(f.names[i%len(f.names)], maintenance.Command{Request: &maintenance.RequestOrder{Key: m.name, Machine: m.name, DurationMs: planSaid.Milliseconds()}}); err != nil {
 			return Planned{}, err
 		}
 	}
 	for at := began; ; at += planStep {
 		f.clock.Run(at)
 		p.events(at - began)
-		if s := f.nodes[f.names[0]].State(); s != nil {
+		if s := f.nodes[f.names[0]].View(); s != nil {
 			for _, r := range s.Requests {
-				if m := p.by[r.Machine]; m != nil && r.Stage == maintenance.Out {
+				if m := p.by[r.Machine]; m != nil && r.Stage == maintenance.OutOfService {
 					m.begin(at - began)
 				}
 			}
--- a/lab/localitysim/directed.go
+++ b/lab/localitysim/directed.go
@@ -355,8 +355,8 @@
 		}
 	}
 	d.lives++
-	g.node, err = replication.NewNode(replication.Config{Self: replication.Life{Name: strconv.Itoa(g.me), Number: d.lives}, Members: members, Settles: g.set.PurgeSettleTime,
-		Wall: func() time.Duration { return d.clock.Now }, Seed: d.lives})
+	g.node, err = replication.NewNode(replication.Config{Self: replication.Incarnation{Name: strconv.Itoa(g.me), Number: d.lives}, Members: members, PurgeSettleTime: g.set.PurgeSettleTime,
+		WallClock: func() time.Duration { return d.clock.Now }, Seed: d.lives})
 	if err != nil {
 		return fmt.Errorf("scene: %w", err)
 	}
@@ -393,7 +393,7 @@
 			if to < len(d.gateways) {
 				d.clock.At(d.clock.Now+2*time.Millisecond, func() {
 					if x := d.gateways[to]; !x.down && x.node != nil {
-						d.shared(x, replication.Heard{From: strconv.Itoa(g.me), Message: a.Message})
+						d.shared(x, replication.MessageReceived{From: strconv.Itoa(g.me), Message: a.Message})
 					}
 				})
 			}
--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -28,21 +28,21 @@
 
 // The stages of a request.
 const (
-	Asked     Stage = "asked"
-	Granted   Stage = "granted"
-	Draining  Stage = "draining"
-	Out       Stage = "out"
-	Back      Stage = "back"
-	Warming   Stage = "warming"
-	Done      Stage = "done"
-	Withdrawn Stage = "withdrawn"
+	Requested    Stage = "asked"
+	Granted      Stage = "granted"
+	Draining     Stage = "draining"
+	OutOfService Stage = "out"
+	Returned     Stage = "back"
+	WarmingUp    Stage = "warming"
+	Completed    Stage = "done"
+	Withdrawn    Stage = "withdrawn"
 )
 
 // Ended says that nothing more comes of a request at that stage.
-func (s Stage) Ended() bool { return s == Done || s == Withdrawn }
+func (s Stage) Ended() bool { return s == Completed || s == Withdrawn }
 
 // away says that a machine is, or may be, out at that stage.
-func (s Stage) away() bool { return s != Asked && !s.Ended() }
+func (s Stage) away() bool { return s != Requested && !s.Ended() }
 
 const (
 	mostOpen    = 128 // requests that are not ended
@@ -53,50 +53,50 @@
 	mostGateway = 1024
 )
 
-// Step is a line of a request's history: who moved it where, when by that one's clock, and why.
-type Step struct {
-	To   Stage  `json:"to"`
-	By   string `json:"by"`
-	AtMs int64  `json:"at"` // Unix time
-	Why  string `json:"why,omitempty"`
+// Transition is a line of a request's history: who moved it where, when by that one's clock, and why.
+type Transition struct {
+	To     Stage  `json:"to"`
+	Actor  string `json:"by"`
+	AtMs   int64  `json:"at"` // Unix time
+	Reason string `json:"why,omitempty"`
 }
 
 // Request is one for work on a machine.
 type Request struct {
-	ID       uint64   `json:"id"`
-	Key      string   `json:"key"` // of who asked: the same for all tries
-	Machine  string   `json:"machine"`
-	Kind     string   `json:"kind"`
-	Zone     string   `json:"zone"`
-	ForMs    int64    `json:"for"`             // how long it is likely to be out
-	ByMs     int64    `json:"due,omitempty"`   // Unix time by when it is wanted; 0: any
-	Priority int      `json:"pri,omitempty"`   // higher goes first
-	After    []string `json:"after,omitempty"` // machines whose open requests go first
-	Stage    Stage    `json:"stage"`
-	Epoch    uint64   `json:"epoch,omitempty"`   // of its grant
-	Drain    uint64   `json:"drain,omitempty"`   // epoch of its drain
-	Boot     int64    `json:"boot,omitempty"`    // its start, when it was granted
-	Overdue  bool     `json:"overdue,omitempty"` // out for longer than was said
-	Passed   int      `json:"passed,omitempty"`  // later ones of its group that were granted before it
-	Life     uint64   `json:"life,omitempty"`    // of a gateway's own turn: the life that leaves
-	History  []Step   `json:"history,omitempty"`
+	ID             uint64       `json:"id"`
+	Key            string       `json:"key"` // of who asked: the same for all tries
+	Machine        string       `json:"machine"`
+	Kind           string       `json:"kind"`
+	Zone           string       `json:"zone"`
+	DurationMs     int64        `json:"for"`             // how long it is likely to be out
+	DeadlineMs     int64        `json:"due,omitempty"`   // Unix time by when it is wanted; 0: any
+	Priority       int          `json:"pri,omitempty"`   // higher goes first
+	After          []string     `json:"after,omitempty"` // machines whose open requests go first
+	Stage          Stage        `json:"stage"`
+	GrantEpoch     uint64       `json:"epoch,omitempty"`   // of its grant
+	DrainEpoch     uint64       `json:"drain,omitempty"`   // epoch of its drain
+	BootMs         int64        `json:"boot,omitempty"`    // its start, when it was granted
+	Overdue        bool         `json:"overdue,omitempty"` // out for longer than was said
+	TimesOvertaken int          `json:"passed,omitempty"`  // later ones of its group that were granted before it
+	Incarnation    uint64       `json:"life,omitempty"`    // of a gateway's own turn: the life that leaves
+	History        []Transition `json:"history,omitempty"`
 }
 
 func (r *Request) group() string { return r.Kind + " " + r.Zone }
 
 // Gateway is one that may send to stores.
 type Gateway struct {
-	Life    uint64 `json:"life"`              // new with each start
-	Heard   uint64 `json:"heard"`             // it knows of all grants up to this epoch, and will not forget them
-	Stopped uint64 `json:"stopped,omitempty"` // it has stopped sending for all drains up to this epoch
+	Incarnation   uint64 `json:"life"`              // new with each start
+	NotifiedEpoch uint64 `json:"heard"`             // it knows of all grants up to this epoch, and will not forget them
+	StoppedEpoch  uint64 `json:"stopped,omitempty"` // it has stopped sending for all drains up to this epoch
 }
 
 // State is what gateways agree on.
 type State struct {
-	Serial   uint64             `json:"serial"`
-	Epoch    uint64             `json:"epoch"` // of the latest grant or drain
-	Requests []*Request         `json:"requests,omitempty"`
-	Gateways map[string]Gateway `json:"gateways,omitempty"`
+	LastRequestID uint64             `json:"serial"`
+	Epoch         uint64             `json:"epoch"` // of the latest grant or drain
+	Requests      []*Request         `json:"requests,omitempty"`
+	Gateways      map[string]Gateway `json:"gateways,omitempty"`
 }
 
 // Decode reads a state; empty is one that just begins.
@@ -124,52 +124,52 @@
 
 // Command changes a state. One of its parts is set. By and AtMs go into the history alone.
 type Command struct {
-	By       string    `json:"by"`
-	AtMs     int64     `json:"at"`
-	Ask      *Ask      `json:"ask,omitempty"`
-	Withdraw *Named    `json:"withdraw,omitempty"`
-	Finish   *Named    `json:"finish,omitempty"`
-	Join     *Member   `json:"join,omitempty"`
-	Told     *Member   `json:"told,omitempty"`
-	Forget   *Named    `json:"forget,omitempty"`
-	Step     *Observed `json:"step,omitempty"`
+	Actor    string         `json:"by"`
+	AtMs     int64          `json:"at"`
+	Request  *RequestOrder  `json:"ask,omitempty"`
+	Withdraw *Target        `json:"withdraw,omitempty"`
+	Finish   *Target        `json:"finish,omitempty"`
+	Join     *GatewayUpdate `json:"join,omitempty"`
+	Notified *GatewayUpdate `json:"told,omitempty"`
+	Forget   *Target        `json:"forget,omitempty"`
+	Advance  *Observations  `json:"step,omitempty"`
 }
 
-// Ask asks for work on a machine.
-type Ask struct {
-	Key      string   `json:"key"`
-	Machine  string   `json:"machine"`
-	ForMs    int64    `json:"for"`
-	ByMs     int64    `json:"due,omitempty"`
-	Priority int      `json:"pri,omitempty"`
-	After    []string `json:"after,omitempty"`
-	Kind     string   `json:"kind"` // as the list of the gateway says that was asked
-	Zone     string   `json:"zone"`
+// RequestOrder asks for work on a machine.
+type RequestOrder struct {
+	Key        string   `json:"key"`
+	Machine    string   `json:"machine"`
+	DurationMs int64    `json:"for"`
+	DeadlineMs int64    `json:"due,omitempty"`
+	Priority   int      `json:"pri,omitempty"`
+	After      []string `json:"after,omitempty"`
+	Kind       string   `json:"kind"` // as the list of the gateway says that was asked
+	Zone       string   `json:"zone"`
 }
 
-// Named names a machine or gateway, and says why.
-type Named struct {
-	Name string `json:"name"`
-	Why  string `json:"why,omitempty"`
+// Target names a machine or gateway, and says why.
+type Target struct {
+	Name   string `json:"name"`
+	Reason string `json:"why,omitempty"`
 }
 
-// Member is a gateway's word about itself. Blank: it knows of no state yet, and sends to nothing.
-type Member struct {
-	Name    string `json:"name"`
-	Life    uint64 `json:"life"`
-	Blank   bool   `json:"blank,omitempty"`
-	Heard   uint64 `json:"heard,omitempty"`
-	Stopped uint64 `json:"stopped,omitempty"`
+// GatewayUpdate is a gateway's word about itself. Blank: it knows of no state yet, and sends to nothing.
+type GatewayUpdate struct {
+	Name          string `json:"name"`
+	Incarnation   uint64 `json:"life"`
+	NoView        bool   `json:"blank,omitempty"`
+	NotifiedEpoch uint64 `json:"heard,omitempty"`
+	StoppedEpoch  uint64 `json:"stopped,omitempty"`
 }
 
 // Reply is what a command came to. Refused says why nothing did.
 type Reply struct {
-	ID      uint64 `json:"id,omitempty"`
-	Refused string `json:"refused,omitempty"`
+	ID       uint64 `json:"id,omitempty"`
+	Rejected string `json:"refused,omitempty"`
 }
 
 // Apply applies a command to an encoded state. It is the same everywhere; a command that comes twice changes nothing more.
-func Apply(b Bounds) func(value, command []byte) (next, reply []byte) {
+func Apply(b Limits) func(value, command []byte) (next, reply []byte) {
 	return func(value, command []byte) ([]byte, []byte) {
 		answer := func(r Reply) []byte {
 			out, err := json.Marshal(r)
@@ -184,11 +184,11 @@
 			err = json.Unmarshal(command, &c)
 		}
 		if err != nil {
-			return value, answer(Reply{Refused: err.Error()})
+			return value, answer(Reply{Rejected: err.Error()})
 		}
 		r, err := s.apply(&c, b)
 		if err != nil {
-			return value, answer(Reply{ID: r.ID, Refused: err.Error()})
+			return value, answer(Reply{ID: r.ID, Rejected: err.Error()})
 		}
 		return s.Encode(), answer(r)
 	}
@@ -196,35 +196,35 @@
 
 // Refusals that callers tell apart.
 var (
-	ErrMachine = errors.New("no such machine")
-	ErrOpen    = errors.New("it has an open request")
-	ErrFull    = errors.New("too many open requests")
+	ErrUnknownMachine   = errors.New("no such machine")
+	ErrAlreadyRequested = errors.New("it has an open request")
+	ErrTooManyRequests  = errors.New("too many open requests")
 )
 
-func (s *State) apply(c *Command, b Bounds) (Reply, error) {
+func (s *State) apply(c *Command, b Limits) (Reply, error) {
 	switch {
-	case c.Ask != nil:
+	case c.Request != nil:
 		return s.ask(c)
 	case c.Withdraw != nil:
 		return s.withdraw(c)
 	case c.Finish != nil:
 		r := s.open(c.Finish.Name)
-		if r == nil || r.Stage != Out {
+		if r == nil || r.Stage != OutOfService {
 			return Reply{}, fmt.Errorf("%q is not out", c.Finish.Name)
 		}
-		r.move(c, Back, cmp.Or(c.Finish.Why, "said to be done"))
+		r.move(c, Returned, cmp.Or(c.Finish.Reason, "said to be done"))
 		return Reply{ID: r.ID}, nil
 	case c.Join != nil:
 		return Reply{}, s.join(c)
-	case c.Told != nil:
-		return Reply{}, s.told(c.Told)
+	case c.Notified != nil:
+		return Reply{}, s.told(c.Notified)
 	case c.Forget != nil:
 		if _, ok := s.Gateways[c.Forget.Name]; !ok {
 			return Reply{}, fmt.Errorf("no gateway %q", c.Forget.Name)
 		}
 		delete(s.Gateways, c.Forget.Name)
 		return Reply{}, nil
-	case c.Step != nil:
+	case c.Advance != nil:
 		s.step(c, b)
 		return Reply{}, nil
 	}
@@ -244,14 +244,14 @@
 // move takes a request to a stage, with a line in its history.
 func (r *Request) move(c *Command, to Stage, why string) {
 	r.Stage = to
-	r.History = append(r.History, Step{To: to, By: c.By, AtMs: c.AtMs, Why: why})
+	r.History = append(r.History, Transition{To: to, Actor: c.Actor, AtMs: c.AtMs, Reason: why})
 	if n := len(r.History) - mostSteps; n > 0 {
 		r.History = slices.Delete(r.History, 1, 1+n) // how it began stays
 	}
 }
 
 func (s *State) ask(c *Command) (Reply, error) {
-	a, open, ended := c.Ask, 0, 0
+	a, open, ended := c.Request, 0, 0
 	for _, r := range s.Requests {
 		if r.Key == a.Key { // it was asked already
 			return Reply{ID: r.ID}, nil
@@ -266,11 +266,11 @@
 	case a.Key == "" || len(a.Key) > mostName:
 		return Reply{}, fmt.Errorf("key: %d characters, 1 to %d are allowed", len(a.Key), mostName)
 	case a.Kind == "":
-		return Reply{}, fmt.Errorf("machine %q: %w", a.Machine, ErrMachine)
+		return Reply{}, fmt.Errorf("machine %q: %w", a.Machine, ErrUnknownMachine)
 	case len(a.Machine) > mostName || len(a.Zone) > mostName || len(a.Kind) > mostName:
 		return Reply{}, fmt.Errorf("machine: a name over %d characters", mostName)
-	case a.ForMs <= 0 || a.ForMs > (30*24*time.Hour).Milliseconds():
-		return Reply{}, fmt.Errorf("for: %v is not up to 30 days", time.Duration(a.ForMs)*time.Millisecond)
+	case a.DurationMs <= 0 || a.DurationMs > (30*24*time.Hour).Milliseconds():
+		return Reply{}, fmt.Errorf("for: %v is not up to 30 days", time.Duration(a.DurationMs)*time.Millisecond)
 	case a.Priority < -100 || a.Priority > 100:
 		return Reply{}, fmt.Errorf("priority: %d is not from -100 to 100", a.Priority)
 	case len(a.After) > mostAfter:
@@ -278,19 +278,19 @@
 	case slices.Contains(a.After, a.Machine):
 		return Reply{}, fmt.Errorf("after: %q can't go after itself", a.Machine)
 	case s.open(a.Machine) != nil:
-		return Reply{ID: s.open(a.Machine).ID}, fmt.Errorf("machine %q: %w", a.Machine, ErrOpen)
+		return Reply{ID: s.open(a.Machine).ID}, fmt.Errorf("machine %q: %w", a.Machine, ErrAlreadyRequested)
 	case open >= mostOpen:
-		return Reply{}, fmt.Errorf("%w: %d", ErrFull, open)
+		return Reply{}, fmt.Errorf("%w: %d", ErrTooManyRequests, open)
 	case s.circle(a.Machine, a.After):
 		return Reply{}, fmt.Errorf("after: %q would go after itself, by way of others", a.Machine)
 	}
 	if ended >= mostEnded { // the oldest goes
 		s.Requests = slices.Delete(s.Requests, s.firstEnded(), s.firstEnded()+1)
 	}
-	s.Serial++
-	r := &Request{ID: s.Serial, Key: a.Key, Machine: a.Machine, Kind: a.Kind, Zone: a.Zone, ForMs: a.ForMs, ByMs: a.ByMs, Priority: a.Priority,
+	s.LastRequestID++
+	r := &Request{ID: s.LastRequestID, Key: a.Key, Machine: a.Machine, Kind: a.Kind, Zone: a.Zone, DurationMs: a.DurationMs, DeadlineMs: a.DeadlineMs, Priority: a.Priority,
 		After: slices.Clone(a.After)}
-	r.move(c, Asked, "")
+	r.move(c, Requested, "")
 	s.Requests = append(s.Requests, r)
 	return Reply{ID: r.ID}, nil
 }
@@ -324,7 +324,7 @@
 	if r.Stage.away() && r.Stage != Granted && r.Stage != Draining {
 		return Reply{}, fmt.Errorf("%q is %s: it can only be finished", r.Machine, r.Stage)
 	}
-	r.move(c, Withdrawn, c.Withdraw.Why)
+	r.move(c, Withdrawn, c.Withdraw.Reason)
 	return Reply{ID: r.ID}, nil
 }
 
@@ -332,63 +332,63 @@
 // one: it has heard of all grants up to now. One that has stored a view goes by that until then.
 func (s *State) join(c *Command) error {
 	m := c.Join
-	if m.Name == "" || len(m.Name) > mostName || m.Life == 0 {
-		return fmt.Errorf("join: name %q, life %d", m.Name, m.Life)
+	if m.Name == "" || len(m.Name) > mostName || m.Incarnation == 0 {
+		return fmt.Errorf("join: name %q, life %d", m.Name, m.Incarnation)
 	}
 	old, known := s.Gateways[m.Name]
-	if known && old.Life == m.Life {
+	if known && old.Incarnation == m.Incarnation {
 		return nil
 	}
 	if !known && len(s.Gateways) >= mostGateway {
 		return fmt.Errorf("join: there are %d gateways", len(s.Gateways))
 	}
 	heard := s.Epoch
-	if !m.Blank {
-		heard = min(m.Heard, s.Epoch)
+	if !m.NoView {
+		heard = min(m.NotifiedEpoch, s.Epoch)
 	}
-	s.Gateways[m.Name] = Gateway{Life: m.Life, Heard: heard}
-	if r := s.open(m.Name); r != nil && r.Life != m.Life { // its own turn: another life is there
+	s.Gateways[m.Name] = Gateway{Incarnation: m.Incarnation, NotifiedEpoch: heard}
+	if r := s.open(m.Name); r != nil && r.Incarnation != m.Incarnation { // its own turn: another life is there
 		switch r.Stage {
 		case Granted, Draining: // it went before it was let
-			r.move(c, Asked, "it started anew before it was out")
-		case Out:
-			r.move(c, Back, "it has joined")
+			r.move(c, Requested, "it started anew before it was out")
+		case OutOfService:
+			r.move(c, Returned, "it has joined")
 		}
 	}
 	return nil
 }
 
-func (s *State) told(m *Member) error {
+func (s *State) told(m *GatewayUpdate) error {
 	g, ok := s.Gateways[m.Name]
-	if !ok || g.Life != m.Life {
+	if !ok || g.Incarnation != m.Incarnation {
 		return fmt.Errorf("%s has joined with another life", m.Name)
 	}
-	if m.Heard > s.Epoch || m.Stopped > s.Epoch {
-		return fmt.Errorf("%s has heard of %d, the epoch is %d", m.Name, max(m.Heard, m.Stopped), s.Epoch)
+	if m.NotifiedEpoch > s.Epoch || m.StoppedEpoch > s.Epoch {
+		return fmt.Errorf("%s has heard of %d, the epoch is %d", m.Name, max(m.NotifiedEpoch, m.StoppedEpoch), s.Epoch)
 	}
-	g.Heard, g.Stopped = max(g.Heard, m.Heard), max(g.Stopped, m.Stopped)
+	g.NotifiedEpoch, g.StoppedEpoch = max(g.NotifiedEpoch, m.NotifiedEpoch), max(g.StoppedEpoch, m.StoppedEpoch)
 	s.Gateways[m.Name] = g
 	return nil
 }
 
-// Held are the machines that a gateway must send nothing to, and whether it may send to all others. A gateway whose lease
+// ExcludedMachines are the machines that a gateway must send nothing to, and whether it may send to all others. A gateway whose lease
 // holds knows what is draining; one whose lease has run out must take what was granted for drained.
-func (s *State) Held(lease bool) map[string]bool {
+func (s *State) ExcludedMachines(lease bool) map[string]bool {
 	held := map[string]bool{}
 	for _, r := range s.Requests {
-		if r.Stage == Draining || r.Stage == Out || r.Stage == Granted && !lease {
+		if r.Stage == Draining || r.Stage == OutOfService || r.Stage == Granted && !lease {
 			held[r.Machine] = true
 		}
 	}
 	return held
 }
 
-// Brief is what a gateway has to know: the machines that are on their way out or are out, and the epoch.
-func (s *State) Brief() *State {
+// Summary is what a gateway has to know: the machines that are on their way out or are out, and the epoch.
+func (s *State) Summary() *State {
 	b := &State{Epoch: s.Epoch, Gateways: map[string]Gateway{}}
 	for _, r := range s.Requests {
-		if r.Stage == Granted || r.Stage == Draining || r.Stage == Out {
-			b.Requests = append(b.Requests, &Request{ID: r.ID, Machine: r.Machine, Kind: r.Kind, Stage: r.Stage, Epoch: r.Epoch, Drain: r.Drain, Life: r.Life})
+		if r.Stage == Granted || r.Stage == Draining || r.Stage == OutOfService {
+			b.Requests = append(b.Requests, &Request{ID: r.ID, Machine: r.Machine, Kind: r.Kind, Stage: r.Stage, GrantEpoch: r.GrantEpoch, DrainEpoch: r.DrainEpoch, Incarnation: r.Incarnation})
 		}
 	}
 	return b
@@ -401,24 +401,24 @@
 	return h.Sum64()
 }
 
-// DrainsUpTo is the epoch of the newest drain; a gateway that has stopped for all that Held names has stopped up to it.
-func (s *State) DrainsUpTo() (epoch uint64) {
+// LatestDrainEpoch is the epoch of the newest drain; a gateway that has stopped for all that Held names has stopped up to it.
+func (s *State) LatestDrainEpoch() (epoch uint64) {
 	for _, r := range s.Requests {
-		if r.Stage == Draining || r.Stage == Out {
-			epoch = max(epoch, r.Drain)
+		if r.Stage == Draining || r.Stage == OutOfService {
+			epoch = max(epoch, r.DrainEpoch)
 		}
 	}
 	return epoch
 }
 
-// Line words a step for an audit.
-func (r *Request) Line(st Step) string {
-	parts := []string{fmt.Sprintf("work %d on %s: %s", r.ID, r.Machine, st.To), "by " + st.By}
-	if r.Epoch > 0 {
-		parts = append(parts, fmt.Sprintf("epoch %d", r.Epoch))
+// AuditLine words a step for an audit.
+func (r *Request) AuditLine(st Transition) string {
+	parts := []string{fmt.Sprintf("work %d on %s: %s", r.ID, r.Machine, st.To), "by " + st.Actor}
+	if r.GrantEpoch > 0 {
+		parts = append(parts, fmt.Sprintf("epoch %d", r.GrantEpoch))
 	}
-	if st.Why != "" {
-		parts = append(parts, st.Why)
+	if st.Reason != "" {
+		parts = append(parts, st.Reason)
 	}
 	return strings.Join(parts, ", ")
 }
--- a/maintenance/stored_test.go
+++ b/maintenance/stored_test.go
@@ -11,12 +11,12 @@
 	golden.JSON(t, "testdata/1a818d3/state.json", &State{})
 	golden.JSON(t, "testdata/1a818d3/command.json", &Command{})
 	golden.JSON(t, "testdata/1a818d3/reply.json", &Reply{})
-	golden.JSON(t, "testdata/1a818d3/verdict.json", &Verdict{})
+	golden.JSON(t, "testdata/1a818d3/verdict.json", &PlanEntry{})
 }
 
 func TestEncodedTypesNameTheirFields(t *testing.T) {
 	golden.Tagged(t, State{})
 	golden.Tagged(t, Command{})
 	golden.Tagged(t, Reply{})
-	golden.Tagged(t, Verdict{})
+	golden.Tagged(t, PlanEntry{})
 }
--- a/replication/explore_test.go
+++ b/replication/explore_test.go
@@ -16,7 +16,7 @@
 
 type exploring struct {
 	now    time.Duration
-	copies [3]*Copy
+	copies [3]*Replica
 	lives  uint64
 	writes [3]bool // who has written
 	loss   bool    // it has been
@@ -31,7 +31,7 @@
 var writers = [3]struct {
 	kind Kind
 	key  string
-}{{Purge, "o"}, {Health, "b"}, {Forget, TombKey(Health, "b")}}
+}{{Purge, "o"}, {Health, "b"}, {Tombstone, TombstoneKey(Health, "b")}}
 
 func beginExploring() *exploring {
 	e := &exploring{now: 100 * time.Second, cut: 3}
@@ -43,12 +43,12 @@
 
 func (e *exploring) fresh(i int) {
 	e.lives++
-	e.copies[i] = NewCopy(Life{string(rune('a' + i)), e.lives}, 0)
+	e.copies[i] = NewReplica(Incarnation{string(rune('a' + i)), e.lives}, 0)
 }
 
 // clone copies a copy, slot by slot.
-func (c *Copy) clone() *Copy {
-	k := NewCopy(c.self, c.settl)
+func (c *Replica) clone() *Replica {
+	k := NewReplica(c.self, c.settl)
 	k.stamp = c.stamp
 	for l, f := range c.lives {
 		g := &followed{active: f.active}
@@ -91,13 +91,13 @@
 	if part {
 		most = 1
 	}
-	slots, reached, _ := e.copies[j].Newer(e.copies[i].Haves(), most, most, func(*Slot) int { return 1 })
+	slots, reached, _ := e.copies[j].Delta(e.copies[i].VersionVector(), most, most, func(*Slot) int { return 1 })
 	for _, s := range slots {
-		e.copies[i].Take(e.now, e.now, *s)
+		e.copies[i].Merge(e.now, e.now, *s)
 	}
 	for _, h := range reached {
 		for st := range streams {
-			e.copies[i].Reached(e.now, h.Life, st, h.UpTo[st])
+			e.copies[i].AdvanceTo(e.now, h.Incarnation, st, h.UpTo[st])
 		}
 	}
 }
@@ -110,7 +110,7 @@
 				e.now += time.Second
 				e.copies[i].Write(e.now, e.now, w.kind, w.key, []byte{1}, e.now)
 				switch w.kind {
-				case Forget:
+				case Tombstone:
 					e.buried = e.now
 				case Purge:
 					e.purged = e.now
@@ -118,7 +118,7 @@
 			})
 		}
 		for j := range writers {
-			if i == j || e.cut == i || e.cut == j || !e.copies[i].Behind(e.copies[j].Haves()) {
+			if i == j || e.cut == i || e.cut == j || !e.copies[i].Lags(e.copies[j].VersionVector()) {
 				continue
 			}
 			all = append(all, func(e *exploring) { e.exchange(i, j, false) })
@@ -139,7 +139,7 @@
 	if !e.jump {
 		all = append(all, func(e *exploring) {
 			e.jump = true
-			e.now += rules[Forget].life - 30*time.Second // all but the tombstone runs out
+			e.now += rules[Tombstone].life - 30*time.Second // all but the tombstone runs out
 			for _, c := range e.copies {
 				c.Sweep(e.now)
 			}
@@ -152,7 +152,7 @@
 func (e *exploring) check() {
 	for i, c := range e.copies {
 		for _, s := range c.slots {
-			if s.Kind == Health && e.buried > 0 && s.Late <= e.buried && len(c.byKey[Forget]) > 0 {
+			if s.Kind == Health && e.buried > 0 && s.SeenBefore <= e.buried && len(c.byKey[Tombstone]) > 0 {
 				e.bad = fmt.Sprintf("%c holds what it was told to forget", 'a'+i)
 			}
 		}
@@ -199,9 +199,9 @@
 	}
 	for i, c := range e.copies {
 		num(uint64(i), c.self.Number)
-		for _, x := range c.Haves() {
-			_, _ = h.Write([]byte(x.Life.Name))
-			num(x.Life.Number, x.UpTo[0], x.UpTo[1])
+		for _, x := range c.VersionVector() {
+			_, _ = h.Write([]byte(x.Incarnation.Name))
+			num(x.Incarnation.Number, x.UpTo[0], x.UpTo[1])
 		}
 		var sum uint64
 		for _, s := range c.slots {
--- a/replication/node.go
+++ b/replication/node.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// DefaultEvery is how often a gateway asks another what is new, with up to a hundred lives; beyond, in proportion less often.
-	DefaultEvery = time.Second
-	// DefaultBytes is what a gateway sends others in a second at most, and what its own bulk may cost each of them, the whole
+	// DefaultPullInterval is how often a gateway asks another what is new, with up to a hundred lives; beyond, in proportion less often.
+	DefaultPullInterval = time.Second
+	// DefaultBytesPerSecond is what a gateway sends others in a second at most, and what its own bulk may cost each of them, the whole
 	// fleet's together.
-	DefaultBytes = 256 << 10
-	// DefaultWait is how long one that starts waits for neighbours before it goes by what it has.
-	DefaultWait = 3 * time.Second
+	DefaultBytesPerSecond = 256 << 10
+	// DefaultCatchUpTimeout is how long one that starts waits for neighbours before it goes by what it has.
+	DefaultCatchUpTimeout = 3 * time.Second
 
 	pullFor   = 1500 * time.Millisecond // an answer that takes longer is not waited for
 	quick     = 250 * time.Millisecond  // one that takes less may be larger the next time
@@ -36,34 +36,34 @@
 
 // The kinds of message.
 const (
-	Pull   MessageKind = iota + 1 // what is newer than this?
-	Answer                        // this is
-	Hint                          // there is something newer that is a matter of safety
+	Pull      MessageKind = iota + 1 // what is newer than this?
+	PullReply                        // this is
+	Announce                         // there is something newer that is a matter of safety
 )
 
-// Wire is a slot on its way, with the span of its age.
-type Wire struct {
-	Slot             Slot // without its times
-	Oldest, Youngest time.Duration
+// TransferredSlot is a slot on its way, with the span of its age.
+type TransferredSlot struct {
+	Slot           Slot // without its times
+	MaxAge, MinAge time.Duration
 }
 
 // Message goes between members.
 type Message struct {
-	Kind  MessageKind
-	ID    uint64 // of a Pull; in its Answer
-	Have  []Have // of a Pull and a Hint: what its sender has; of an Answer: what is reached by it
-	Most  int    // of a Pull: bytes that the answer may have
-	Slots []Wire // of an Answer
-	More  bool   // of an Answer: there is more
-	Blank bool   // of a Pull and an Answer: its sender is catching up itself
-	Block *Block // of an Answer that has nothing newer: how a stretch of a stream is there; nil: nothing is compared
+	Kind       MessageKind
+	ID         uint64            // of a Pull; in its Answer
+	Versions   []StreamVersions  // of a Pull and a Hint: what its sender has; of an Answer: what is reached by it
+	MaxBytes   int               // of a Pull: bytes that the answer may have
+	Slots      []TransferredSlot // of an Answer
+	More       bool              // of an Answer: there is more
+	CatchingUp bool              // of a Pull and an Answer: its sender is catching up itself
+	Checksum   *RangeChecksum    // of an Answer that has nothing newer: how a stretch of a stream is there; nil: nothing is compared
 }
 
 // Event is anything that reaches a node.
 type Event interface{ event() }
 
-// Heard is a message from another member.
-type Heard struct {
+// MessageReceived is a message from another member.
+type MessageReceived struct {
 	From    string
 	Message Message
 }
@@ -71,8 +71,8 @@
 // Tick says that time has passed. It comes at least every hundred milliseconds.
 type Tick struct{}
 
-func (Heard) event() {}
-func (Tick) event()  {}
+func (MessageReceived) event() {}
+func (Tick) event()            {}
 
 // Action is anything that a node wants done.
 type Action interface{ action() }
@@ -83,8 +83,8 @@
 	Message Message
 }
 
-// Learned says that slots which are a matter of safety are new.
-type Learned struct{ Slots []Slot }
+// SafetySlotsLearned says that slots which are a matter of safety are new.
+type SafetySlotsLearned struct{ Slots []Slot }
 
 // CaughtUp says that the node knows what its neighbours know, or goes on without. It comes once.
 type CaughtUp struct {
@@ -92,36 +92,36 @@
 	Took time.Duration // since the first tick
 }
 
-func (Send) action()     {}
-func (Learned) action()  {}
-func (CaughtUp) action() {}
+func (Send) action()               {}
+func (SafetySlotsLearned) action() {}
+func (CaughtUp) action()           {}
 
 // Config is what a node is made of.
 type Config struct {
-	Self    Life
-	Members []string      // all, the own one with them
-	Settles time.Duration // of purges
-	Every   time.Duration // 0: DefaultEvery
-	Bytes   int           // a second; 0: DefaultBytes
-	Wait    time.Duration // 0: DefaultWait
-	Wall    func() time.Duration
-	Size    func(*Slot) int // of a slot on the wire; nil: about
-	Seed    uint64
+	Self            Incarnation
+	Members         []string      // all, the own one with them
+	PurgeSettleTime time.Duration // of purges
+	PullInterval    time.Duration // 0: DefaultEvery
+	BytesPerSecond  int           // a second; 0: DefaultBytes
+	CatchUpTimeout  time.Duration // 0: DefaultWait
+	WallClock       func() time.Duration
+	SlotBytes       func(*Slot) int // of a slot on the wire; nil: about
+	Seed            uint64
 }
 
-// Difference is one between two copies that should have been equal.
-type Difference struct {
-	With  string        `json:"With"`
-	Life  Life          `json:"Life"` // whose slots differ, and in which numbers
-	From  uint64        `json:"From"`
-	To    uint64        `json:"To"`
-	Cause string        `json:"Cause"`
-	At    time.Duration `json:"At"`
+// Divergence is one between two copies that should have been equal.
+type Divergence struct {
+	Peer   string        `json:"With"`
+	Writer Incarnation   `json:"Life"` // whose slots differ, and in which numbers
+	From   uint64        `json:"From"`
+	To     uint64        `json:"To"`
+	Cause  string        `json:"Cause"`
+	At     time.Duration `json:"At"`
 }
 
 // NodeCounters count what befell a node.
 type NodeCounters struct {
-	Pulls, Answers, Lost, Hints, Stale, Throttled, Checked, Differed uint64
+	Pulls, PullReplies, PullTimeouts, Announcements, Stale, Throttled, Checked, Divergences uint64
 }
 
 // pull is a question under way.
@@ -133,7 +133,7 @@
 
 // Node is a gateway's part in keeping copies alike. Use NewNode.
 type Node struct {
-	*Copy
+	*Replica
 	Stats NodeCounters
 
 	cfg    Config
@@ -147,34 +147,34 @@
 	open   *pull
 	next   time.Duration
 	hinted string // who has something newer that is a matter of safety; empty: nobody
-	hints  []Have
+	hints  []StreamVersions
 	hint   time.Duration // due then; 0: none is
 	most   int
 	bucket float64 // bytes that may be sent now
 	filled time.Duration
 	own    float64 // bytes that the own bulk may cost now
 	living map[string]time.Duration
-	differ []Difference
+	differ []Divergence
 	doubts map[string]int // checks in a row that found a difference, by member
 }
 
 // NewNode returns a node.
 func NewNode(c Config) (*Node, error) {
-	if c.Self.Number == 0 || c.Wall == nil {
+	if c.Self.Number == 0 || c.WallClock == nil {
 		return nil, fmt.Errorf("replica: Self.Number or Wall is missing")
 	}
 	if !slices.Contains(c.Members, c.Self.Name) {
 		return nil, fmt.Errorf("replica: Self: %q is none of the members", c.Self.Name)
 	}
-	if c.Every < 0 || c.Bytes < 0 || c.Wait < 0 {
+	if c.PullInterval < 0 || c.BytesPerSecond < 0 || c.CatchUpTimeout < 0 {
 		return nil, fmt.Errorf("replica: Every, Bytes or Wait: negative")
 	}
-	c.Every, c.Bytes, c.Wait = cmp.Or(c.Every, DefaultEvery), cmp.Or(c.Bytes, DefaultBytes), cmp.Or(c.Wait, DefaultWait)
-	if c.Size == nil {
-		c.Size = func(s *Slot) int { return 48 + len(s.Key) + len(s.Value) + len(s.Writer.Name) }
+	c.PullInterval, c.BytesPerSecond, c.CatchUpTimeout = cmp.Or(c.PullInterval, DefaultPullInterval), cmp.Or(c.BytesPerSecond, DefaultBytesPerSecond), cmp.Or(c.CatchUpTimeout, DefaultCatchUpTimeout)
+	if c.SlotBytes == nil {
+		c.SlotBytes = func(s *Slot) int { return 48 + len(s.Key) + len(s.Value) + len(s.Writer.Name) }
 	}
-	return &Node{Copy: NewCopy(c.Self, c.Settles), cfg: c, rng: rand.New(rand.NewPCG(c.Seed, 0x2545f491)), began: -1, blanks: map[string]bool{}, most: mostFirst,
-		living: map[string]time.Duration{}, doubts: map[string]int{}, bucket: float64(c.Bytes), own: ownMost}, nil
+	return &Node{Replica: NewReplica(c.Self, c.PurgeSettleTime), cfg: c, rng: rand.New(rand.NewPCG(c.Seed, 0x2545f491)), began: -1, blanks: map[string]bool{}, most: mostFirst,
+		living: map[string]time.Duration{}, doubts: map[string]int{}, bucket: float64(c.BytesPerSecond), own: ownMost}, nil
 }
 
 // Handle takes one event at the given time and appends the actions to out. Time must not run backwards.
@@ -186,7 +186,7 @@
 	}
 	n.fill()
 	switch e := e.(type) {
-	case Heard:
+	case MessageReceived:
 		if slices.Contains(n.cfg.Members, e.From) && e.From != n.cfg.Self.Name {
 			n.living[e.From] = now
 			n.heard(e.From, e.Message)
@@ -204,35 +204,35 @@
 func (n *Node) fill() {
 	took := (n.now - n.filled).Seconds()
 	n.filled = n.now
-	rate := float64(n.cfg.Bytes)
+	rate := float64(n.cfg.BytesPerSecond)
 	n.bucket = min(rate, n.bucket+took*rate)
 	mine := rate / 4 / float64(len(n.cfg.Members))
 	n.own = min(max(4*mine, ownMost), n.own+took*mine)
 }
 
-// Say has the own life say something of a key, as Write does; what is a matter of safety is told others soon.
-func (n *Node) Say(now time.Duration, k Kind, key string, value []byte, seen time.Duration) bool {
+// Publish has the own life say something of a key, as Write does; what is a matter of safety is told others soon.
+func (n *Node) Publish(now time.Duration, k Kind, key string, value []byte, seen time.Duration) bool {
 	if k.stream() == Bulk {
 		cost := float64(48 + len(key) + len(value) + len(n.cfg.Self.Name))
 		if n.own < cost { // each copy of it costs another member as much
 			n.Stats.Throttled++
 			return false
 		}
-		if !n.Write(now, n.cfg.Wall(), k, key, value, seen) {
+		if !n.Write(now, n.cfg.WallClock(), k, key, value, seen) {
 			return false
 		}
 		n.own -= cost
 		return true
 	}
-	if !n.Write(now, n.cfg.Wall(), k, key, value, seen) {
+	if !n.Write(now, n.cfg.WallClock(), k, key, value, seen) {
 		return false
 	}
 	n.soon(now)
 	return true
 }
 
-// Full says that the own bulk has used up what it may cost the others for now.
-func (n *Node) Full() bool { return n.own < 256 }
+// BulkBudgetSpent says that the own bulk has used up what it may cost the others for now.
+func (n *Node) BulkBudgetSpent() bool { return n.own < 256 }
 
 func (n *Node) soon(now time.Duration) {
 	if n.hint == 0 {
@@ -243,8 +243,8 @@
 // CatchingUp says that the node doesn't know yet what its neighbours know.
 func (n *Node) CatchingUp() bool { return !n.caught }
 
-// Living is how many other members were heard lately.
-func (n *Node) Living(now time.Duration) (count int) {
+// LivePeers is how many other members were heard lately.
+func (n *Node) LivePeers(now time.Duration) (count int) {
 	for _, at := range n.living {
 		if now-at < 10*n.every() {
 			count++
@@ -253,22 +253,22 @@
 	return count
 }
 
-// Differences are the latest that were found.
-func (n *Node) Differences() []Difference { return slices.Clone(n.differ) }
+// Divergences are the latest that were found.
+func (n *Node) Divergences() []Divergence { return slices.Clone(n.differ) }
 
 func (n *Node) every() time.Duration {
-	return n.cfg.Every * time.Duration(max(1, len(n.lives)/100))
+	return n.cfg.PullInterval * time.Duration(max(1, len(n.lives)/100))
 }
 
 func (n *Node) tick() {
 	n.Sweep(n.now)
 	if n.open != nil && n.now-n.open.at > pullFor {
-		n.Stats.Lost++
+		n.Stats.PullTimeouts++
 		n.most = max(mostLeast, n.most/4)
 		n.open, n.hinted = nil, ""
 		n.next = n.now // another one, at once
 	}
-	if !n.caught && n.now-n.began >= n.cfg.Wait {
+	if !n.caught && n.now-n.began >= n.cfg.CatchUpTimeout {
 		n.catch("")
 	}
 	if n.hint > 0 && n.now >= n.hint {
@@ -289,16 +289,16 @@
 
 // tell tells a few others that there is something newer.
 func (n *Node) tell() {
-	m := Message{Kind: Hint}
-	for _, h := range n.Haves() {
-		if h.UpTo[Safety] > 0 && n.now-n.lives[h.Life].active < 2*n.cfg.Every {
-			m.Have = append(m.Have, Have{Life: h.Life, UpTo: [streams]uint64{Safety: h.UpTo[Safety]}})
+	m := Message{Kind: Announce}
+	for _, h := range n.VersionVector() {
+		if h.UpTo[Safety] > 0 && n.now-n.lives[h.Incarnation].active < 2*n.cfg.PullInterval {
+			m.Versions = append(m.Versions, StreamVersions{Incarnation: h.Incarnation, UpTo: [streams]uint64{Safety: h.UpTo[Safety]}})
 		}
 	}
-	if len(m.Have) == 0 {
+	if len(m.Versions) == 0 {
 		return
 	}
-	n.Stats.Hints++
+	n.Stats.Announcements++
 	for range hintTo {
 		if to := n.pick(); to != "" {
 			n.send(to, m)
@@ -335,7 +335,7 @@
 	n.serial++
 	n.open = &pull{n.serial, to, n.now}
 	n.Stats.Pulls++
-	n.send(to, Message{Kind: Pull, ID: n.serial, Have: n.Haves(), Most: n.most, Blank: !n.caught})
+	n.send(to, Message{Kind: Pull, ID: n.serial, Versions: n.VersionVector(), MaxBytes: n.most, CatchingUp: !n.caught})
 }
 
 func (n *Node) send(to string, m Message) { n.do(Send{to, m}) }
@@ -344,16 +344,16 @@
 	switch m.Kind {
 	case Pull:
 		n.answer(from, m)
-	case Answer:
+	case PullReply:
 		n.answered(from, m)
-	case Hint:
-		if !n.Behind(m.Have) {
+	case Announce:
+		if !n.Lags(m.Versions) {
 			return
 		}
 		if n.open == nil {
 			n.ask(from)
 		} else { // after what is under way, and before more of that
-			n.hinted, n.hints = from, m.Have
+			n.hinted, n.hints = from, m.Versions
 		}
 	}
 }
@@ -361,7 +361,7 @@
 // answer sends what is newer, as much as may be sent now: safety first.
 func (n *Node) answer(from string, m Message) {
 	// A part of what may be sent is for safety alone: it must not wait for the bulk.
-	most, bulk := min(max(m.Most, mostLeast), mostMost), int(n.bucket)-n.cfg.Bytes/reserved
+	most, bulk := min(max(m.MaxBytes, mostLeast), mostMost), int(n.bucket)-n.cfg.BytesPerSecond/reserved
 	if n.bucket < mostLeast {
 		n.Stats.Throttled++
 		return // it asks another one
@@ -369,29 +369,29 @@
 	if bulk < mostLeast {
 		n.Stats.Throttled++
 	}
-	slots, reached, more := n.Newer(m.Have, most, min(most, bulk), n.cfg.Size)
-	a := Message{Kind: Answer, ID: m.ID, Have: reached, More: more, Blank: !n.caught}
+	slots, reached, more := n.Delta(m.Versions, most, min(most, bulk), n.cfg.SlotBytes)
+	a := Message{Kind: PullReply, ID: m.ID, Versions: reached, More: more, CatchingUp: !n.caught}
 	bytes := overhead + 24*len(reached)
 	for _, s := range slots {
-		w := Wire{Slot: *s, Oldest: n.now - s.Early, Youngest: max(0, n.now-s.Late)}
-		w.Slot.Early, w.Slot.Late = 0, 0
+		w := TransferredSlot{Slot: *s, MaxAge: n.now - s.SeenAfter, MinAge: max(0, n.now-s.SeenBefore)}
+		w.Slot.SeenAfter, w.Slot.SeenBefore = 0, 0
 		a.Slots = append(a.Slots, w)
-		bytes += n.cfg.Size(s)
+		bytes += n.cfg.SlotBytes(s)
 	}
-	if len(slots) == 0 && !n.Behind(m.Have) && m.ID%checks == 0 {
-		a.Block = n.block()
+	if len(slots) == 0 && !n.Lags(m.Versions) && m.ID%checks == 0 {
+		a.Checksum = n.block()
 	}
 	n.bucket -= float64(bytes)
-	n.Stats.Answers++
+	n.Stats.PullReplies++
 	n.send(from, a)
-	if n.Behind(m.Have) && n.open == nil && n.caught { // the other one has what is not here
-		n.next = min(n.next, n.now+n.cfg.Every/8)
+	if n.Lags(m.Versions) && n.open == nil && n.caught { // the other one has what is not here
+		n.next = min(n.next, n.now+n.cfg.PullInterval/8)
 	}
 }
 
 // block draws a stretch of a stream to be compared; nil: there is none.
-func (n *Node) block() *Block {
-	all := slices.DeleteFunc(n.Haves(), func(h Have) bool { return h.UpTo == [streams]uint64{} })
+func (n *Node) block() *RangeChecksum {
+	all := slices.DeleteFunc(n.VersionVector(), func(h StreamVersions) bool { return h.UpTo == [streams]uint64{} })
 	if len(all) == 0 {
 		return nil
 	}
@@ -399,7 +399,7 @@
 	if l.UpTo[st] == 0 {
 		st = streams - 1 - st
 	}
-	if b, ok := n.Copy.Block(n.now, l.Life, st, 1+blockMost*n.rng.Uint64N(1+l.UpTo[st]/blockMost)); ok {
+	if b, ok := n.Replica.Checksum(n.now, l.Incarnation, st, 1+blockMost*n.rng.Uint64N(1+l.UpTo[st]/blockMost)); ok {
 		return &b
 	}
 	return nil
@@ -422,39 +422,39 @@
 	var news []Slot
 	for _, w := range m.Slots {
 		s := w.Slot
-		if w.Youngest < 0 || w.Oldest < w.Youngest {
-			n.Counters.Refused++
+		if w.MinAge < 0 || w.MaxAge < w.MinAge {
+			n.Counters.Rejected++
 			continue
 		}
 		// It was so old when it was sent, which was between the question and now.
-		s.Early, s.Late = asked-w.Oldest, n.now-w.Youngest
-		if n.Take(n.now, n.cfg.Wall(), s) && s.Kind.stream() == Safety {
+		s.SeenAfter, s.SeenBefore = asked-w.MaxAge, n.now-w.MinAge
+		if n.Merge(n.now, n.cfg.WallClock(), s) && s.Kind.stream() == Safety {
 			news = append(news, s)
 		}
 	}
-	for _, h := range m.Have {
+	for _, h := range m.Versions {
 		for st := range streams {
-			n.Reached(n.now, h.Life, st, h.UpTo[st])
+			n.AdvanceTo(n.now, h.Incarnation, st, h.UpTo[st])
 		}
 	}
 	if len(news) > 0 {
-		n.do(Learned{news})
+		n.do(SafetySlotsLearned{news})
 		n.soon(n.now)
 	}
 	n.check(from, m)
 	hinted := n.hinted
-	if n.hinted = ""; hinted != "" && !n.Behind(n.hints) {
+	if n.hinted = ""; hinted != "" && !n.Lags(n.hints) {
 		hinted = ""
 	}
 	switch {
 	case hinted != "":
 		n.ask(hinted)
 	case m.More && len(m.Slots) == 0: // it may not send more now
-		n.next = min(n.next, n.now+n.cfg.Every/4)
+		n.next = min(n.next, n.now+n.cfg.PullInterval/4)
 	case m.More:
 		n.ask(from)
 	case n.caught:
-	case !m.Blank:
+	case !m.CatchingUp:
 		n.catch(from)
 	default: // it knows no more than this one; another may
 		n.blanks[from] = true
@@ -469,11 +469,11 @@
 // check holds a stretch of two copies against each other. What differs once may be of what ran out meanwhile; three times with the same
 // member it is noted, and that life's streams are asked for anew.
 func (n *Node) check(from string, m Message) {
-	if m.Block == nil || len(m.Slots) > 0 {
+	if m.Checksum == nil || len(m.Slots) > 0 {
 		return
 	}
 	n.Stats.Checked++
-	if n.Same(n.now, *m.Block) {
+	if n.Matches(n.now, *m.Checksum) {
 		n.doubts[from] = max(0, n.doubts[from]-1)
 		return
 	}
@@ -481,14 +481,14 @@
 		return
 	}
 	n.doubts[from] = 0
-	n.Stats.Differed++
+	n.Stats.Divergences++
 	if len(n.differ) >= repairs {
 		n.differ = n.differ[1:]
 	}
-	n.differ = append(n.differ, Difference{With: from, Life: m.Block.Life, From: m.Block.From, To: m.Block.To, Cause: "the same numbers, other slots: they are asked for anew, or said anew by who wrote them", At: n.now})
-	if m.Block.Life == n.cfg.Self {
-		n.SayAgain(n.now, *m.Block)
+	n.differ = append(n.differ, Divergence{Peer: from, Writer: m.Checksum.Incarnation, From: m.Checksum.From, To: m.Checksum.To, Cause: "the same numbers, other slots: they are asked for anew, or said anew by who wrote them", At: n.now})
+	if m.Checksum.Incarnation == n.cfg.Self {
+		n.Rewrite(n.now, *m.Checksum)
 	} else {
-		n.Again(m.Block.Life)
+		n.ResetVersions(m.Checksum.Incarnation)
 	}
 }
