--- a/replication/reading.go
+++ b/replication/reading.go
@@ -10,32 +10,34 @@
 
 // What slots of several lives say of one key is joined here, by a rule for each kind.
 
-// Place is the value of a Listing.
-type Place struct {
-	Server string  `json:"s"`
-	BootMs int64   `json:"b,omitempty"` // its start, Unix time; 0: long ago
-	Count  float64 `json:"n"`           // recent requests of the writer
-	GapMs  int64   `json:"g,omitempty"` // between them
-	WorkMs int64   `json:"w,omitempty"` // its quickest answer
-}
-
-// Evidence is the value of a Health.
-type Evidence struct {
-	BootMs  int64   `json:"b,omitempty"`
-	Failing float64 `json:"f,omitempty"` // share of recent attempts that failed
-	Late    float64 `json:"l,omitempty"` // share of late answers
-	OutMs   int64   `json:"o,omitempty"` // for so long it was still out of use, when this was written
-	Most    float64 `json:"m,omitempty"` // limit of what may be out there; 0: none
-}
-
-// Notice is the value of a Drain.
-type Notice struct {
+// ListingValue is the value of a Listing.
+type ListingValue struct {
+	Server       string  `json:"s"`
+	BootMs       int64   `json:"b,omitempty"` // its start, Unix time; 0: long ago
+	Requests     float64 `json:"n"`           // recent requests of the writer
+	MeanGapMs    int64   `json:"g,omitempty"` // between them
+	MinLatencyMs int64   `json:"w,omitempty"` // its quickest answer
+}
+
+// HealthValue is the value of a Health.
+type HealthValue struct {
+	BootMs           int64   `json:"b,omitempty"`
+	ErrorRate        float64 `json:"f,omitempty"` // share of recent attempts that failed
+	LateShare        float64 `json:"l,omitempty"` // share of late answers
+	EjectedMs        int64   `json:"o,omitempty"` // for so long it was still out of use, when this was written
+	ConcurrencyLimit float64 `json:"m,omitempty"` // limit of what may be out there; 0: none
+}
+
+// DrainValue is the value of a Drain.
+type DrainValue struct {
 	BootMs int64 `json:"b,omitempty"`
 	Up     bool  `json:"u,omitempty"` // it is in use again
 }
 
-// Bad says that evidence is worth telling.
-func (e Evidence) Bad() bool { return e.Failing >= 0.1 || e.Late >= 0.3 || e.OutMs > 0 }
+// Faulty says that evidence is worth telling.
+func (e HealthValue) Faulty() bool {
+	return e.ErrorRate >= 0.1 || e.LateShare >= 0.3 || e.EjectedMs > 0
+}
 
 // Encode words a value.
 func Encode(v any) []byte {
@@ -50,29 +52,29 @@
 func decode[T any](s *Slot) (v T, ok bool) { return v, json.Unmarshal(s.Value, &v) == nil }
 
 // Purges gives each name with its newest purge. A purge counts as young as it can be: what was fetched meanwhile is fetched again.
-func (c *Copy) Purges(now time.Duration) map[string]time.Duration {
+func (c *Replica) Purges(now time.Duration) map[string]time.Duration {
 	all := map[string]time.Duration{}
 	for key, l := range c.byKey[Purge] {
 		for _, s := range l {
-			if now-s.Late <= c.lifeOf(Purge) {
-				all[key] = max(all[key], s.Late)
+			if now-s.SeenBefore <= c.lifeOf(Purge) {
+				all[key] = max(all[key], s.SeenBefore)
 			}
 		}
 	}
 	return all
 }
 
-// Found is a Listing as it is read.
-type Found struct {
-	Key  string
-	At   time.Duration // latest use, as old as it can be
-	By   Life
-	What Place
+// ListingEntry is a Listing as it is read.
+type ListingEntry struct {
+	Key     string
+	LastUse time.Duration // latest use, as old as it can be
+	Writer  Incarnation
+	Value   ListingValue
 }
 
 // Listings gives for each key where it was found last, the latest used first, at most so many. What is clearly newer wins by its age;
 // what is about as old, by the writers' logical clocks, and then by their names.
-func (c *Copy) Listings(now time.Duration, most int) (all []Found) {
+func (c *Replica) Listings(now time.Duration, most int) (all []ListingEntry) {
 	for key, l := range c.byKey[Listing] {
 		best := l[0]
 		for _, s := range l[1:] {
@@ -80,11 +82,13 @@
 				best = s
 			}
 		}
-		if p, ok := decode[Place](best); ok && p.Server != "" && now-best.Early <= c.lifeOf(Listing) {
-			all = append(all, Found{key, best.Early, best.Writer, p})
+		if p, ok := decode[ListingValue](best); ok && p.Server != "" && now-best.SeenAfter <= c.lifeOf(Listing) {
+			all = append(all, ListingEntry{key, best.SeenAfter, best.Writer, p})
 		}
 	}
-	slices.SortFunc(all, func(a, b Found) int { return cmp.Or(cmp.Compare(b.At, a.At), cmp.Compare(a.Key, b.Key)) })
+	slices.SortFunc(all, func(a, b ListingEntry) int {
+		return cmp.Or(cmp.Compare(b.LastUse, a.LastUse), cmp.Compare(a.Key, b.Key))
+	})
 	if most > 0 && len(all) > most {
 		all = all[:most]
 	}
@@ -93,18 +97,18 @@
 
 // newer orders two slots of one key.
 func newer(a, b *Slot) bool {
-	if d := a.Late - b.Late; d > near || d < -near {
+	if d := a.SeenBefore - b.SeenBefore; d > near || d < -near {
 		return d > 0
 	}
-	return cmp.Or(cmp.Compare(a.Stamp, b.Stamp), a.Writer.compare(b.Writer)) > 0
+	return cmp.Or(cmp.Compare(a.Timestamp, b.Timestamp), a.Writer.compare(b.Writer)) > 0
 }
 
-// Complaint is what several gateways say of a store.
-type Complaint struct {
-	Server string
-	At     time.Duration // the oldest of what it rests on
-	Voices int
-	What   Evidence
+// FaultReport is what several gateways say of a store.
+type FaultReport struct {
+	Server    string
+	Oldest    time.Duration // the oldest of what it rests on
+	Reporters int
+	Value     HealthValue
 }
 
 const (
@@ -112,13 +116,13 @@
 	voicesShare = 3 // and one in so many of those that live
 )
 
-// Complaints gives the stores that several gateways hold for ill: the middle one of what they say. A single gateway's word is
+// FaultReports gives the stores that several gateways hold for ill: the middle one of what they say. A single gateway's word is
 // not enough, whose own way there may be the ill one; but that of the reader's own former lives is.
-func (c *Copy) Complaints(now time.Duration, living int) (all []Complaint) {
+func (c *Replica) FaultReports(now time.Duration, living int) (all []FaultReport) {
 	for key, l := range c.byKey[Health] {
 		latest := map[string]*Slot{} // by name: of several lives the latest
 		for _, s := range l {
-			if now-s.Early > c.lifeOf(Health) {
+			if now-s.SeenAfter > c.lifeOf(Health) {
 				continue
 			}
 			if old := latest[s.Writer.Name]; old == nil || newer(s, old) {
@@ -126,21 +130,21 @@
 			}
 		}
 		boot := int64(0)
-		said := map[string]Evidence{}
+		said := map[string]HealthValue{}
 		for name, s := range latest {
-			if e, ok := decode[Evidence](s); ok && e.sane() {
+			if e, ok := decode[HealthValue](s); ok && e.sane() {
 				said[name] = e
 				boot = max(boot, e.BootMs)
 			}
 		}
-		var voices []Evidence
+		var voices []HealthValue
 		others, at := 0, now
 		for name, e := range said {
-			if !e.Bad() || e.BootMs != boot { // of an earlier start: that is over
+			if !e.Faulty() || e.BootMs != boot { // of an earlier start: that is over
 				continue
 			}
 			voices = append(voices, e)
-			at = min(at, latest[name].Early)
+			at = min(at, latest[name].SeenAfter)
 			if name != c.self.Name {
 				others++
 			}
@@ -151,32 +155,32 @@
 		}
 		if own && (others < leastVoices || others*voicesShare < living) { // the former life's word alone
 			e := said[c.self.Name]
-			if !e.Bad() || e.BootMs != boot {
+			if !e.Faulty() || e.BootMs != boot {
 				continue
 			}
-			voices, at = []Evidence{e}, latest[c.self.Name].Early
+			voices, at = []HealthValue{e}, latest[c.self.Name].SeenAfter
 		}
-		slices.SortFunc(voices, func(a, b Evidence) int { return cmp.Compare(a.Failing, b.Failing) })
+		slices.SortFunc(voices, func(a, b HealthValue) int { return cmp.Compare(a.ErrorRate, b.ErrorRate) })
 		e := voices[(len(voices)-1)/2]
-		slices.SortFunc(voices, func(a, b Evidence) int { return cmp.Compare(a.OutMs, b.OutMs) })
-		e.OutMs, e.BootMs = voices[(len(voices)-1)/2].OutMs, boot
-		all = append(all, Complaint{Server: key, At: at, Voices: len(voices), What: e})
+		slices.SortFunc(voices, func(a, b HealthValue) int { return cmp.Compare(a.EjectedMs, b.EjectedMs) })
+		e.EjectedMs, e.BootMs = voices[(len(voices)-1)/2].EjectedMs, boot
+		all = append(all, FaultReport{Server: key, Oldest: at, Reporters: len(voices), Value: e})
 	}
-	slices.SortFunc(all, func(a, b Complaint) int { return cmp.Compare(a.Server, b.Server) })
+	slices.SortFunc(all, func(a, b FaultReport) int { return cmp.Compare(a.Server, b.Server) })
 	return all
 }
 
 // sane says that evidence can be what it says it is.
-func (e Evidence) sane() bool {
-	return e.Failing >= 0 && e.Failing <= 1 && e.Late >= 0 && e.Late <= 1 && e.OutMs >= 0 && e.OutMs <= time.Minute.Milliseconds() && e.Most >= 0 && e.Most < 1e9
+func (e HealthValue) sane() bool {
+	return e.ErrorRate >= 0 && e.ErrorRate <= 1 && e.LateShare >= 0 && e.LateShare <= 1 && e.EjectedMs >= 0 && e.EjectedMs <= time.Minute.Milliseconds() && e.ConcurrencyLimit >= 0 && e.ConcurrencyLimit < 1e9
 }
 
 // Drains gives the stores that somebody says drain, by the start that is meant: within so long. The more cautious word holds.
-func (c *Copy) Drains(now, within time.Duration) map[string]int64 {
+func (c *Replica) Drains(now, within time.Duration) map[string]int64 {
 	all := map[string]int64{}
 	for key, l := range c.byKey[Drain] {
 		for _, s := range l {
-			if n, ok := decode[Notice](s); ok && !n.Up && s.Writer != c.self && now-s.Late <= within {
+			if n, ok := decode[DrainValue](s); ok && !n.Up && s.Writer != c.self && now-s.SeenBefore <= within {
 				all[key] = max(all[key], n.BootMs)
 			}
 		}
@@ -184,9 +188,9 @@
 	return all
 }
 
-// Sent is what all gateways together have sent a store since a start, in the unit that writers count in: each one's own count, summed.
-func (c *Copy) Sent(key string) (sum float64) {
-	for _, s := range c.byKey[Cold][key] {
+// WorkSent is what all gateways together have sent a store since a start, in the unit that writers count in: each one's own count, summed.
+func (c *Replica) WorkSent(key string) (sum float64) {
+	for _, s := range c.byKey[SlowStart][key] {
 		if n, ok := decode[float64](s); ok && n > 0 && n < 1e12 {
 			sum += n
 		}
@@ -196,17 +200,17 @@
 
 // Row is a slot as operators see it.
 type Row struct {
-	Kind  string          `json:"kind"`
-	Key   string          `json:"key"`
-	By    string          `json:"by"`
-	Life  uint64          `json:"life"`
-	Seq   uint64          `json:"seq"`
-	AgeMs int64           `json:"age_ms"`
-	Value json.RawMessage `json:"value,omitempty"`
+	Kind        string          `json:"kind"`
+	Key         string          `json:"key"`
+	Writer      string          `json:"by"`
+	Incarnation uint64          `json:"life"`
+	Seq         uint64          `json:"seq"`
+	AgeMs       int64           `json:"age_ms"`
+	Value       json.RawMessage `json:"value,omitempty"`
 }
 
 // Rows gives slots in order, of one kind or, with an empty name, of all; at most so many, and how many there are.
-func (c *Copy) Rows(now time.Duration, kind string, most int) (rows []Row, all int) {
+func (c *Replica) Rows(now time.Duration, kind string, most int) (rows []Row, all int) {
 	var slots []*Slot
 	for _, s := range c.slots {
 		if kind == "" || s.Kind.String() == kind {
@@ -217,7 +221,7 @@
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Key, b.Key), a.Writer.compare(b.Writer))
 	})
 	for _, s := range slots[:min(most, len(slots))] {
-		r := Row{Kind: s.Kind.String(), Key: s.Key, By: s.Writer.Name, Life: s.Writer.Number, Seq: s.Seq, AgeMs: (now - s.Late).Milliseconds()}
+		r := Row{Kind: s.Kind.String(), Key: s.Key, Writer: s.Writer.Name, Incarnation: s.Writer.Number, Seq: s.Seq, AgeMs: (now - s.SeenBefore).Milliseconds()}
 		if json.Valid(s.Value) {
 			r.Value = s.Value
 		}
@@ -226,11 +230,11 @@
 	return rows, len(slots)
 }
 
-// Said says whether the own life has said something of a key that still counts.
-func (c *Copy) Said(k Kind, key string) bool { return c.slots[id{k, key, c.self}] != nil }
+// HasWritten says whether the own life has said something of a key that still counts.
+func (c *Replica) HasWritten(k Kind, key string) bool { return c.slots[id{k, key, c.self}] != nil }
 
-// Listed is where a key was found last, and when; false: nobody says.
-func (c *Copy) Listed(now time.Duration, key string) (server string, at time.Duration, ok bool) {
+// Locate is where a key was found last, and when; false: nobody says.
+func (c *Replica) Locate(now time.Duration, key string) (server string, at time.Duration, ok bool) {
 	l := c.byKey[Listing][key]
 	if len(l) == 0 {
 		return "", 0, false
@@ -241,6 +245,6 @@
 			best = s
 		}
 	}
-	p, ok := decode[Place](best)
-	return p.Server, best.Early, ok
+	p, ok := decode[ListingValue](best)
+	return p.Server, best.SeenAfter, ok
 }
--- a/replication/replication.go
+++ b/replication/replication.go
@@ -33,12 +33,12 @@
 
 // The kinds.
 const (
-	Purge   Kind = 1  // key: a name of package purges; what is older must not be served
-	Drain   Kind = 2  // key: a store; it drains or is gone, since the start that the value names
-	Cold    Kind = 3  // key: a store and its start; value: the work that the writer has sent it since
-	Forget  Kind = 4  // key: kind and key of what is to be forgotten; value: why
-	Health  Kind = 32 // key: a store; value: what the writer has seen of its failing
-	Listing Kind = 33 // key: zone and object; value: where it is to be found
+	Purge     Kind = 1  // key: a name of package purges; what is older must not be served
+	Drain     Kind = 2  // key: a store; it drains or is gone, since the start that the value names
+	SlowStart Kind = 3  // key: a store and its start; value: the work that the writer has sent it since
+	Tombstone Kind = 4  // key: kind and key of what is to be forgotten; value: why
+	Health    Kind = 32 // key: a store; value: what the writer has seen of its failing
+	Listing   Kind = 33 // key: zone and object; value: where it is to be found
 
 	// FirstBulk parts the streams.
 	FirstBulk Kind = 32
@@ -60,8 +60,8 @@
 	return fmt.Sprint("kind ", uint32(k))
 }
 
-// KindOf is the kind of a name; false: there is none.
-func KindOf(name string) (Kind, bool) {
+// ParseKind is the kind of a name; false: there is none.
+func ParseKind(name string) (Kind, bool) {
 	for k, r := range rules {
 		if r.name == name {
 			return k, true
@@ -89,12 +89,12 @@
 }
 
 var rules = map[Kind]rule{
-	Purge:   {"purge", 15 * time.Second, 8192}, // settings may say less; see Config
-	Drain:   {"drain", 30 * time.Second, 2048},
-	Cold:    {"cold", 30 * time.Second, 4096},
-	Forget:  {"forget", 3 * time.Minute, 512}, // longer than what it buries
-	Health:  {"health", 2 * time.Minute, 16384},
-	Listing: {"listing", 2 * time.Minute, 65536},
+	Purge:     {"purge", 15 * time.Second, 8192}, // settings may say less; see Config
+	Drain:     {"drain", 30 * time.Second, 2048},
+	SlowStart: {"cold", 30 * time.Second, 4096},
+	Tombstone: {"forget", 3 * time.Minute, 512}, // longer than what it buries
+	Health:    {"health", 2 * time.Minute, 16384},
+	Listing:   {"listing", 2 * time.Minute, 65536},
 }
 
 // unknown holds for kinds of later versions.
@@ -117,35 +117,35 @@
 	near      = 2 * time.Second
 )
 
-// Life names a start of a gateway.
-type Life struct {
+// Incarnation names a start of a gateway.
+type Incarnation struct {
 	Name   string `json:"Name"`
 	Number uint64 `json:"Number"`
 }
 
-func (l Life) compare(o Life) int {
+func (l Incarnation) compare(o Incarnation) int {
 	return cmp.Or(cmp.Compare(l.Name, o.Name), cmp.Compare(l.Number, o.Number))
 }
 
 // Slot is one life's word on one key.
 type Slot struct {
-	Writer Life
-	Seq    uint64 // in its stream
-	Kind   Kind
-	Key    string
-	Value  []byte
-	Stamp  uint64 // hybrid logical clock of the writer: orders what is about as old
+	Writer    Incarnation
+	Seq       uint64 // in its stream
+	Kind      Kind
+	Key       string
+	Value     []byte
+	Timestamp uint64 // hybrid logical clock of the writer: orders what is about as old
 
 	// Early and Late are between which moments the evidence was seen, by the holder's clock.
-	Early, Late time.Duration
-	gone        bool // it stays in its log until that is gone through
+	SeenAfter, SeenBefore time.Duration
+	gone                  bool // it stays in its log until that is gone through
 }
 
 // id tells slots apart.
 type id struct {
 	kind   Kind
 	key    string
-	writer Life
+	writer Incarnation
 }
 
 func (s *Slot) id() id { return id{s.Kind, s.Key, s.Writer} }
@@ -175,36 +175,36 @@
 
 // Counters count what befell a copy.
 type Counters struct {
-	Written, Taken, Known, Expired, Crowded uint64 // slots: own, from others, that were known already, outlived, dropped for want of room
-	Refused, Aged, Buried                   uint64 // slots not taken: out of bounds, outlived, under a tombstone
+	Written, Merged, Duplicates, Expired, Evicted uint64 // slots: own, from others, that were known already, outlived, dropped for want of room
+	Rejected, Outdated, Tombstoned                uint64 // slots not taken: out of bounds, outlived, under a tombstone
 }
 
-// Copy is a gateway's copy of what is known. Use NewCopy.
-type Copy struct {
+// Replica is a gateway's copy of what is known. Use NewCopy.
+type Replica struct {
 	Counters Counters
 
-	self  Life
+	self  Incarnation
 	settl time.Duration // of purges
-	lives map[Life]*followed
+	lives map[Incarnation]*followed
 	slots map[id]*Slot
 	byKey map[Kind]map[string][]*Slot
 	count map[Kind]int
 	of    map[Kind]map[string]int // slots by name of writer
 	stamp uint64
 
-	sweeping []Life // that are still to be swept in this pass, the first from sweptAt
+	sweeping []Incarnation // that are still to be swept in this pass, the first from sweptAt
 	sweptAt  int
 }
 
-// NewCopy returns an empty copy for a life. Purges last for settles: no older copy can be left anywhere after that.
-func NewCopy(self Life, settles time.Duration) *Copy {
-	c := &Copy{self: self, settl: settles, lives: map[Life]*followed{}, slots: map[id]*Slot{}, byKey: map[Kind]map[string][]*Slot{}, count: map[Kind]int{},
+// NewReplica returns an empty copy for a life. Purges last for settles: no older copy can be left anywhere after that.
+func NewReplica(self Incarnation, settles time.Duration) *Replica {
+	c := &Replica{self: self, settl: settles, lives: map[Incarnation]*followed{}, slots: map[id]*Slot{}, byKey: map[Kind]map[string][]*Slot{}, count: map[Kind]int{},
 		of: map[Kind]map[string]int{}}
 	c.lives[self] = &followed{}
 	return c
 }
 
-func (c *Copy) lifeOf(k Kind) time.Duration {
+func (c *Replica) lifeOf(k Kind) time.Duration {
 	if k == Purge && c.settl > 0 {
 		return min(c.settl, rules[Purge].life)
 	}
@@ -213,12 +213,12 @@
 
 // Write has the own life say something of a key. Seen is when its evidence was seen. It says whether that is news: the same
 // value again is, once half of its life is over.
-func (c *Copy) Write(now, wall time.Duration, k Kind, key string, value []byte, seen time.Duration) bool {
+func (c *Replica) Write(now, wall time.Duration, k Kind, key string, value []byte, seen time.Duration) bool {
 	if len(key) > mostKey || len(value) > mostValue || key == "" || now-seen > c.lifeOf(k) {
-		c.Counters.Refused++
+		c.Counters.Rejected++
 		return false
 	}
-	if old := c.slots[id{k, key, c.self}]; old != nil && string(old.Value) == string(value) && (seen <= old.Late || k != Purge && seen-old.Late < c.lifeOf(k)/2) {
+	if old := c.slots[id{k, key, c.self}]; old != nil && string(old.Value) == string(value) && (seen <= old.SeenBefore || k != Purge && seen-old.SeenBefore < c.lifeOf(k)/2) {
 		return false // a later purge of the same name is another one
 	}
 	c.stamp = max(c.stamp+1, uint64(max(0, wall.Milliseconds()))<<16)
@@ -226,46 +226,46 @@
 	t := &f.tracks[k.stream()]
 	t.upTo++
 	c.Counters.Written++
-	c.put(now, &Slot{Writer: c.self, Seq: t.upTo, Kind: k, Key: key, Value: value, Stamp: c.stamp, Early: seen, Late: seen})
+	c.put(now, &Slot{Writer: c.self, Seq: t.upTo, Kind: k, Key: key, Value: value, Timestamp: c.stamp, SeenAfter: seen, SeenBefore: seen})
 	return true
 }
 
-// Take takes in a slot from another copy, with the span of its evidence by the own clock. True: it is news.
-func (c *Copy) Take(now, wall time.Duration, s Slot) bool {
+// Merge takes in a slot from another copy, with the span of its evidence by the own clock. True: it is news.
+func (c *Replica) Merge(now, wall time.Duration, s Slot) bool {
 	switch {
-	case s.Writer == c.self, s.Writer.Name == "" || len(s.Writer.Name) > 64, s.Key == "" || len(s.Key) > mostKey, len(s.Value) > mostValue, s.Late < s.Early,
-		s.Late > now, s.Seq == 0:
-		c.Counters.Refused++
+	case s.Writer == c.self, s.Writer.Name == "" || len(s.Writer.Name) > 64, s.Key == "" || len(s.Key) > mostKey, len(s.Value) > mostValue, s.SeenBefore < s.SeenAfter,
+		s.SeenBefore > now, s.Seq == 0:
+		c.Counters.Rejected++
 		return false
-	case now-s.Late > c.lifeOf(s.Kind):
-		c.Counters.Aged++
+	case now-s.SeenBefore > c.lifeOf(s.Kind):
+		c.Counters.Outdated++
 		return false
 	}
 	if c.lives[s.Writer] == nil && len(c.lives) >= mostLives {
-		c.Counters.Refused++
+		c.Counters.Rejected++
 		return false
 	}
 	// One number of one life is one thing. Where it is not, a member is broken, or lies: all copies settle on the same of the two.
 	if old := c.slots[s.id()]; old != nil && (old.Seq > s.Seq || old.Seq == s.Seq && old.hash() >= s.hash()) {
-		c.Counters.Known++
+		c.Counters.Duplicates++
 		return false
 	}
-	if s.Kind != Forget && c.buried(&s) {
-		c.Counters.Buried++
+	if s.Kind != Tombstone && c.buried(&s) {
+		c.Counters.Tombstoned++
 		return false
 	}
 	// Guards against a clock far ahead: it does not take this one along. What it stamps is ordered by age all the same.
-	if ahead := uint64(max(0, (wall+near).Milliseconds())) << 16; s.Stamp <= ahead {
-		c.stamp = max(c.stamp, s.Stamp)
+	if ahead := uint64(max(0, (wall+near).Milliseconds())) << 16; s.Timestamp <= ahead {
+		c.stamp = max(c.stamp, s.Timestamp)
 	}
-	c.Counters.Taken++
+	c.Counters.Merged++
 	s.gone = false
 	c.put(now, &s)
 	return true
 }
 
 // put puts a slot in the place of the one that was there.
-func (c *Copy) put(now time.Duration, s *Slot) {
+func (c *Replica) put(now time.Duration, s *Slot) {
 	if old := c.slots[s.id()]; old != nil {
 		c.remove(old)
 	}
@@ -285,7 +285,7 @@
 	c.byKey[s.Kind][s.Key] = append(c.byKey[s.Kind][s.Key], s)
 	c.count[s.Kind]++
 	c.of[s.Kind][s.Writer.Name]++
-	if s.Kind == Forget {
+	if s.Kind == Tombstone {
 		c.bury(s)
 	}
 	most := ruleOf(s.Kind).most
@@ -299,7 +299,7 @@
 
 // crowd drops a sixteenth of a writer's slots of a kind, those that it said first; an empty name: of the writer that has the most.
 // Guards against sorting all there is at every message once a bound is reached.
-func (c *Copy) crowd(k Kind, writer string) {
+func (c *Replica) crowd(k Kind, writer string) {
 	if writer == "" {
 		for name, n := range c.of[k] {
 			if n > c.of[k][writer] || n == c.of[k][writer] && name < writer {
@@ -308,21 +308,21 @@
 		}
 	}
 	drop := max(1, c.of[k][writer]/16)
-	for _, l := range slices.SortedFunc(maps.Keys(c.lives), Life.compare) {
+	for _, l := range slices.SortedFunc(maps.Keys(c.lives), Incarnation.compare) {
 		if l.Name != writer {
 			continue
 		}
 		for _, s := range slices.Clone(c.lives[l].tracks[k.stream()].log) {
 			if drop > 0 && s.Kind == k && !s.gone {
 				drop--
-				c.Counters.Crowded++
+				c.Counters.Evicted++
 				c.remove(s)
 			}
 		}
 	}
 }
 
-func (c *Copy) remove(s *Slot) {
+func (c *Replica) remove(s *Slot) {
 	if s.gone {
 		return
 	}
@@ -345,13 +345,13 @@
 	}
 }
 
-// TombKey is the key of a Forget for a key of a kind.
-func TombKey(k Kind, key string) string { return fmt.Sprintf("%d %s", uint32(k), key) }
+// TombstoneKey is the key of a Forget for a key of a kind.
+func TombstoneKey(k Kind, key string) string { return fmt.Sprintf("%d %s", uint32(k), key) }
 
 // buried says that somebody had a slot's key forgotten after its evidence was seen.
-func (c *Copy) buried(s *Slot) bool {
-	for _, t := range c.byKey[Forget][TombKey(s.Kind, s.Key)] {
-		if s.Late <= t.Late {
+func (c *Replica) buried(s *Slot) bool {
+	for _, t := range c.byKey[Tombstone][TombstoneKey(s.Kind, s.Key)] {
+		if s.SeenBefore <= t.SeenBefore {
 			return true
 		}
 	}
@@ -359,15 +359,15 @@
 }
 
 // bury drops what a tombstone covers.
-func (c *Copy) bury(t *Slot) {
+func (c *Replica) bury(t *Slot) {
 	var k uint32
-	if n, err := fmt.Sscanf(t.Key, "%d ", &k); n != 1 || err != nil || Kind(k) == Forget {
+	if n, err := fmt.Sscanf(t.Key, "%d ", &k); n != 1 || err != nil || Kind(k) == Tombstone {
 		return
 	}
 	key := t.Key[len(fmt.Sprintf("%d ", k)):]
 	for _, s := range slices.Clone(c.byKey[Kind(k)][key]) {
-		if s.Late <= t.Late {
-			c.Counters.Buried++
+		if s.SeenBefore <= t.SeenBefore {
+			c.Counters.Tombstoned++
 			c.remove(s)
 		}
 	}
@@ -375,7 +375,7 @@
 
 // Sweep drops what has outlived its kind, and lives of which nothing is left. It looks at so many slots at most and goes on from there the
 // next time: whoever reads looks at ages anyway.
-func (c *Copy) Sweep(now time.Duration) {
+func (c *Replica) Sweep(now time.Duration) {
 	if len(c.sweeping) == 0 {
 		for l, f := range c.lives {
 			c.sweeping = append(c.sweeping, l)
@@ -384,7 +384,7 @@
 				delete(c.lives, l)
 			}
 		}
-		slices.SortFunc(c.sweeping, Life.compare)
+		slices.SortFunc(c.sweeping, Incarnation.compare)
 	}
 	for left := sweepMost; left > 0 && len(c.sweeping) > 0; {
 		f := c.lives[c.sweeping[0]]
@@ -400,7 +400,7 @@
 		s := t.log[i]
 		c.sweptAt++
 		left--
-		if !s.gone && now-s.Late > c.lifeOf(s.Kind) {
+		if !s.gone && now-s.SeenBefore > c.lifeOf(s.Kind) {
 			c.Counters.Expired++
 			before := len(t.log)
 			c.remove(s)
@@ -411,25 +411,25 @@
 	}
 }
 
-// Have says up to which number a copy has a life's streams.
-type Have struct {
-	Life Life
-	UpTo [streams]uint64
+// StreamVersions says up to which number a copy has a life's streams.
+type StreamVersions struct {
+	Incarnation Incarnation
+	UpTo        [streams]uint64
 }
 
-// Haves are those of all lives, in order.
-func (c *Copy) Haves() (all []Have) {
+// VersionVector are those of all lives, in order.
+func (c *Replica) VersionVector() (all []StreamVersions) {
 	for l, f := range c.lives {
-		all = append(all, Have{l, [streams]uint64{f.tracks[Safety].upTo, f.tracks[Bulk].upTo}})
+		all = append(all, StreamVersions{l, [streams]uint64{f.tracks[Safety].upTo, f.tracks[Bulk].upTo}})
 	}
-	slices.SortFunc(all, func(a, b Have) int { return a.Life.compare(b.Life) })
+	slices.SortFunc(all, func(a, b StreamVersions) int { return a.Incarnation.compare(b.Incarnation) })
 	return all
 }
 
-// Behind says whether anything in there is newer than what is here.
-func (c *Copy) Behind(theirs []Have) bool {
+// Lags says whether anything in there is newer than what is here.
+func (c *Replica) Lags(theirs []StreamVersions) bool {
 	for _, h := range theirs {
-		f := c.lives[h.Life]
+		f := c.lives[h.Incarnation]
 		for st := range streams {
 			if h.UpTo[st] > 0 && (f == nil || f.tracks[st].upTo < h.UpTo[st]) {
 				return true
@@ -439,8 +439,8 @@
 	return false
 }
 
-// Reached says that all slots of a stream up to a number have been taken in, or are not worth it any more.
-func (c *Copy) Reached(now time.Duration, l Life, st Stream, upTo uint64) {
+// AdvanceTo says that all slots of a stream up to a number have been taken in, or are not worth it any more.
+func (c *Replica) AdvanceTo(now time.Duration, l Incarnation, st Stream, upTo uint64) {
 	if l == c.self || st < 0 || st >= streams || l.Name == "" || len(l.Name) > 64 {
 		return
 	}
@@ -457,16 +457,16 @@
 	}
 }
 
-// Newer are the slots that somebody who has this much lacks, in the order in which they have to be sent, with what is reached by
+// Delta are the slots that somebody who has this much lacks, in the order in which they have to be sent, with what is reached by
 // them: at most so many bytes by size, but one at least, and of the bulk only while all of it is under bulk. More: there are further ones.
-func (c *Copy) Newer(theirs []Have, most, bulk int, size func(*Slot) int) (slots []*Slot, reached []Have, more bool) {
-	has := map[Life][streams]uint64{}
+func (c *Replica) Delta(theirs []StreamVersions, most, bulk int, size func(*Slot) int) (slots []*Slot, reached []StreamVersions, more bool) {
+	has := map[Incarnation][streams]uint64{}
 	for _, h := range theirs {
-		has[h.Life] = h.UpTo
+		has[h.Incarnation] = h.UpTo
 	}
-	lives := slices.SortedFunc(maps.Keys(c.lives), Life.compare)
+	lives := slices.SortedFunc(maps.Keys(c.lives), Incarnation.compare)
 	bytes := 0
-	upTo := map[Life]*[streams]uint64{}
+	upTo := map[Incarnation]*[streams]uint64{}
 	for st := range streams {
 		for _, l := range lives {
 			t := &c.lives[l].tracks[st]
@@ -501,16 +501,16 @@
 	return slots, order(upTo), more
 }
 
-func order(m map[Life]*[streams]uint64) (all []Have) {
+func order(m map[Incarnation]*[streams]uint64) (all []StreamVersions) {
 	for l, u := range m {
-		all = append(all, Have{l, *u})
+		all = append(all, StreamVersions{l, *u})
 	}
-	slices.SortFunc(all, func(a, b Have) int { return a.Life.compare(b.Life) })
+	slices.SortFunc(all, func(a, b StreamVersions) int { return a.Incarnation.compare(b.Incarnation) })
 	return all
 }
 
-// SayAgain says what the own life has said in a stretch once more, under new numbers: the writer has the last word on its own.
-func (c *Copy) SayAgain(now time.Duration, b Block) {
+// Rewrite says what the own life has said in a stretch once more, under new numbers: the writer has the last word on its own.
+func (c *Replica) Rewrite(now time.Duration, b RangeChecksum) {
 	t := &c.lives[c.self].tracks[b.Stream]
 	at, _ := slices.BinarySearchFunc(t.log, b.From, func(x *Slot, seq uint64) int { return cmp.Compare(x.Seq, seq) })
 	var all []Slot
@@ -528,23 +528,23 @@
 }
 
 // Len is the number of slots.
-func (c *Copy) Len() int { return len(c.slots) }
+func (c *Replica) Len() int { return len(c.slots) }
 
 // Count is the number of slots of a kind.
-func (c *Copy) Count(k Kind) int { return c.count[k] }
+func (c *Replica) Count(k Kind) int { return c.count[k] }
 
-// Block is a stretch of one stream, by which two copies are held against each other.
-type Block struct {
-	Life     Life
-	Stream   Stream
-	From, To uint64 // numbers, both included
-	Sum      uint64
+// RangeChecksum is a stretch of one stream, by which two copies are held against each other.
+type RangeChecksum struct {
+	Incarnation Incarnation
+	Stream      Stream
+	From, To    uint64 // numbers, both included
+	Sum         uint64
 }
 
-// Block gives the sum of a stretch of a stream as it is here, from a number on: of so many slots at most, without those near their end, as
+// Checksum gives the sum of a stretch of a stream as it is here, from a number on: of so many slots at most, without those near their end, as
 // clocks differ. False: there is none.
-func (c *Copy) Block(now time.Duration, l Life, st Stream, from uint64) (Block, bool) {
-	b := Block{Life: l, Stream: st, From: from}
+func (c *Replica) Checksum(now time.Duration, l Incarnation, st Stream, from uint64) (RangeChecksum, bool) {
+	b := RangeChecksum{Incarnation: l, Stream: st, From: from}
 	f := c.lives[l]
 	if f == nil {
 		return b, false
@@ -563,16 +563,16 @@
 }
 
 // part is what a slot adds to a sum.
-func (c *Copy) part(now time.Duration, s *Slot) uint64 {
-	if s.gone || now-s.Late > c.lifeOf(s.Kind)-near {
+func (c *Replica) part(now time.Duration, s *Slot) uint64 {
+	if s.gone || now-s.SeenBefore > c.lifeOf(s.Kind)-near {
 		return 0
 	}
 	return s.hash()
 }
 
-// Same says whether a stretch is the same here. It is, too, where this copy is not as far.
-func (c *Copy) Same(now time.Duration, b Block) bool {
-	f := c.lives[b.Life]
+// Matches says whether a stretch is the same here. It is, too, where this copy is not as far.
+func (c *Replica) Matches(now time.Duration, b RangeChecksum) bool {
+	f := c.lives[b.Incarnation]
 	if b.Stream < 0 || b.Stream >= streams || f == nil || f.tracks[b.Stream].upTo < b.To {
 		return true
 	}
@@ -589,8 +589,8 @@
 	return sum == b.Sum
 }
 
-// Again forgets how far a life's streams are known, so that all of it is sent anew.
-func (c *Copy) Again(l Life) {
+// ResetVersions forgets how far a life's streams are known, so that all of it is sent anew.
+func (c *Replica) ResetVersions(l Incarnation) {
 	if f := c.lives[l]; f != nil && l != c.self {
 		for st := range streams {
 			f.tracks[st].upTo = 0
@@ -600,7 +600,7 @@
 
 func (s *Slot) hash() uint64 {
 	h := fnv.New64a()
-	fmt.Fprintf(h, "%d %q %q %d %d %d ", s.Kind, s.Key, s.Writer.Name, s.Writer.Number, s.Seq, s.Stamp)
+	fmt.Fprintf(h, "%d %q %q %d %d %d ", s.Kind, s.Key, s.Writer.Name, s.Writer.Number, s.Seq, s.Timestamp)
 	_, _ = h.Write(s.Value)
 	return h.Sum64()
 }
--- a/replication/replication_test.go
+++ b/replication/replication_test.go
@@ -10,7 +10,7 @@
 
 const sec = time.Second
 
-func life(name string, n uint64) Life { return Life{name, n} }
+func life(name string, n uint64) Incarnation { return Incarnation{name, n} }
 
 // spoken is a set of slots as several lives could have said them: what one life says under a number is one thing.
 func spoken(t *rapid.T) (all []Slot) {
@@ -19,21 +19,21 @@
 			k := rapid.SampledFrom([]Kind{Purge, Drain, Health, Listing, 99}).Draw(t, "kind")
 			at := time.Duration(rapid.IntRange(50, 99).Draw(t, "at")) * sec
 			all = append(all, Slot{Writer: life(fmt.Sprint("w", w), 1), Seq: uint64(n + 1), Kind: k, Key: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key"),
-				Value: []byte{byte(n)}, Stamp: uint64(n), Early: at, Late: at})
+				Value: []byte{byte(n)}, Timestamp: uint64(n), SeenAfter: at, SeenBefore: at})
 		}
 	}
 	return all
 }
 
-func copyOf(slots []Slot) *Copy {
-	c := NewCopy(life("self", 1), 0)
+func copyOf(slots []Slot) *Replica {
+	c := NewReplica(life("self", 1), 0)
 	for _, s := range slots {
-		c.Take(100*sec, 100*sec, s)
+		c.Merge(100*sec, 100*sec, s)
 	}
 	return c
 }
 
-func (c *Copy) sum() (sum uint64) {
+func (c *Replica) sum() (sum uint64) {
 	for _, s := range c.slots {
 		sum += s.hash()
 	}
@@ -56,7 +56,7 @@
 		half := rapid.IntRange(0, len(all)).Draw(t, "half")
 		a, b := copyOf(mixed[:half]), copyOf(mixed[half:])
 		for _, s := range b.slots {
-			a.Take(100*sec, 100*sec, *s)
+			a.Merge(100*sec, 100*sec, *s)
 		}
 		if got := a.sum(); got != want {
 			t.Fatalf("grouped otherwise it is something else")
@@ -67,13 +67,13 @@
 // Whatever is cut off where, what one copy sends another makes it alike, with nothing sent twice.
 func TestDeltasAreBeginnings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		from, to := NewCopy(life("from", 1), 0), NewCopy(life("to", 1), 0)
+		from, to := NewReplica(life("from", 1), 0), NewReplica(life("to", 1), 0)
 		for i := range rapid.IntRange(1, 40).Draw(t, "n") {
 			k := rapid.SampledFrom([]Kind{Purge, Drain, Health, Listing}).Draw(t, "kind")
 			from.Write(100*sec, 100*sec, k, fmt.Sprint("k", rapid.IntRange(0, 9).Draw(t, "key")), []byte{byte(i)}, 99*sec+time.Duration(i)*time.Millisecond)
 		}
 		for range 200 {
-			slots, reached, more := from.Newer(to.Haves(), rapid.IntRange(1, 5).Draw(t, "most"), 5, func(*Slot) int { return 1 })
+			slots, reached, more := from.Delta(to.VersionVector(), rapid.IntRange(1, 5).Draw(t, "most"), 5, func(*Slot) int { return 1 })
 			if bulk := false; true {
 				for _, s := range slots {
 					if bulk && s.Kind.stream() == Safety {
@@ -86,20 +86,20 @@
 				continue
 			}
 			for _, s := range slots {
-				if !to.Take(100*sec, 100*sec, *s) {
+				if !to.Merge(100*sec, 100*sec, *s) {
 					t.Fatalf("%v was sent twice", s)
 				}
 			}
 			for _, h := range reached {
 				for st := range streams {
-					to.Reached(100*sec, h.Life, st, h.UpTo[st])
+					to.AdvanceTo(100*sec, h.Incarnation, st, h.UpTo[st])
 				}
 			}
 			if !more {
 				break
 			}
 		}
-		if from.sum() != to.sum() || to.Behind(from.Haves()) {
+		if from.sum() != to.sum() || to.Lags(from.VersionVector()) {
 			t.Fatal("they are not alike")
 		}
 	})
@@ -108,12 +108,12 @@
 // A rumour does not grow young by being handed on, however often and slowly.
 func TestARumourAges(t *testing.T) {
 	now := 100 * sec
-	a := NewCopy(life("a", 1), 0)
-	a.Write(now, now, Listing, "o", Encode(Place{Server: "b1"}), now)
+	a := NewReplica(life("a", 1), 0)
+	a.Write(now, now, Listing, "o", Encode(ListingValue{Server: "b1"}), now)
 	held := a.slots[id{Listing, "o", life("a", 1)}]
-	early, late := held.Early, held.Late
+	early, late := held.SeenAfter, held.SeenBefore
 	for i := range 40 {
-		c, err := NewNode(Config{Self: life("n", 2), Members: []string{"a", "n"}, Wall: func() time.Duration { return now }})
+		c, err := NewNode(Config{Self: life("n", 2), Members: []string{"a", "n"}, WallClock: func() time.Duration { return now }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -121,14 +121,14 @@
 		ask := out[len(out)-1].(Send).Message
 		sent := now + 300*time.Millisecond
 		s := *held
-		w := Wire{Slot: s, Oldest: sent - early, Youngest: sent - late}
+		w := TransferredSlot{Slot: s, MaxAge: sent - early, MinAge: sent - late}
 		now = sent + 300*time.Millisecond
-		c.Handle(now, Heard{"a", Message{Kind: Answer, ID: ask.ID, Slots: []Wire{w}}}, nil)
+		c.Handle(now, MessageReceived{"a", Message{Kind: PullReply, ID: ask.ID, Slots: []TransferredSlot{w}}}, nil)
 		if len(c.slots) == 0 {
 			break
 		}
 		for _, s := range c.slots {
-			early, late, held = s.Early, s.Late, s
+			early, late, held = s.SeenAfter, s.SeenBefore, s
 		}
 		if early > 100*sec {
 			t.Fatalf("after %d steps it seems to be seen at %v", i, early)
@@ -141,10 +141,10 @@
 
 // A tombstone buries what was seen before it, wherever that turns up, for longer than that lasts; what is seen later stands.
 func TestATombstoneOutlivesWhatItBuries(t *testing.T) {
-	c := NewCopy(life("c", 1), 0)
-	old := Slot{Writer: life("w", 1), Seq: 1, Kind: Health, Key: "b1", Value: Encode(Evidence{Failing: 1}), Early: 100 * sec, Late: 100 * sec}
-	c.Take(100*sec, 0, old)
-	c.Write(110*sec, 0, Forget, TombKey(Health, "b1"), []byte(`"a bad cable"`), 110*sec)
+	c := NewReplica(life("c", 1), 0)
+	old := Slot{Writer: life("w", 1), Seq: 1, Kind: Health, Key: "b1", Value: Encode(HealthValue{ErrorRate: 1}), SeenAfter: 100 * sec, SeenBefore: 100 * sec}
+	c.Merge(100*sec, 0, old)
+	c.Write(110*sec, 0, Tombstone, TombstoneKey(Health, "b1"), []byte(`"a bad cable"`), 110*sec)
 	if c.Count(Health) != 0 {
 		t.Error("it is still there")
 	}
@@ -153,17 +153,17 @@
 		s := old
 		s.Seq = 2
 		s.Writer.Number = uint64(now) // another life that had kept it
-		if c.Take(now, 0, s) {
+		if c.Merge(now, 0, s) {
 			t.Fatalf("it is back at %v", now)
 		}
 	}
-	if c.Count(Forget) != 0 {
+	if c.Count(Tombstone) != 0 {
 		t.Error("the tombstone stays for ever")
 	}
-	c.Write(500*sec, 0, Forget, TombKey(Health, "b1"), nil, 500*sec)
+	c.Write(500*sec, 0, Tombstone, TombstoneKey(Health, "b1"), nil, 500*sec)
 	if s := old; true {
-		s.Early, s.Late = 501*sec, 501*sec
-		if !c.Take(502*sec, 0, s) {
+		s.SeenAfter, s.SeenBefore = 501*sec, 501*sec
+		if !c.Merge(502*sec, 0, s) {
 			t.Error("newer evidence is buried, too")
 		}
 	}
@@ -171,14 +171,14 @@
 
 // One that lies in every field, in due form, is bounded.
 func TestALiarIsBounded(t *testing.T) {
-	c := NewCopy(life("c", 1), 6*sec)
+	c := NewReplica(life("c", 1), 6*sec)
 	now := 100 * sec
 	c.Write(now, now, Purge, "mine", nil, now)
 	liar := func(seq uint64, k Kind, key string, v any) Slot {
-		return Slot{Writer: life("liar", 9), Seq: seq, Kind: k, Key: key, Value: Encode(v), Stamp: 1 << 62, Early: now, Late: now}
+		return Slot{Writer: life("liar", 9), Seq: seq, Kind: k, Key: key, Value: Encode(v), Timestamp: 1 << 62, SeenAfter: now, SeenBefore: now}
 	}
 	for i := range uint64(20000) {
-		c.Take(now, now, liar(i+1, Purge, fmt.Sprint("x", i), 0))
+		c.Merge(now, now, liar(i+1, Purge, fmt.Sprint("x", i), 0))
 	}
 	if n := c.Count(Purge); n > rules[Purge].most/share+1 {
 		t.Errorf("%d of its purges are kept", n)
@@ -189,21 +189,21 @@
 	if c.stamp >= 1<<61 {
 		t.Error("its clock took this one along")
 	}
-	c.Take(now, now, liar(1, Health, "b1", Evidence{Failing: 1, OutMs: 1000}))
-	c.Take(now, now, liar(2, Health, "b2", Evidence{Failing: 7}))
-	if got := c.Complaints(now, 5); len(got) != 0 {
+	c.Merge(now, now, liar(1, Health, "b1", HealthValue{ErrorRate: 1, EjectedMs: 1000}))
+	c.Merge(now, now, liar(2, Health, "b2", HealthValue{ErrorRate: 7}))
+	if got := c.FaultReports(now, 5); len(got) != 0 {
 		t.Errorf("its word alone counts: %+v", got)
 	}
 	for _, bad := range []Slot{
-		{Writer: life("c", 1), Seq: 99, Kind: Purge, Key: "o", Early: now, Late: now},                                 // in this one's name
-		{Writer: life("liar", 9), Seq: 1, Kind: Purge, Key: "o", Early: now, Late: now + sec},                         // of the future
-		{Writer: life("liar", 9), Seq: 1, Kind: Purge, Key: "o", Early: now - 50*sec, Late: now - 50*sec},             // outlived
-		{Writer: life("liar", 9), Seq: 0, Kind: Purge, Key: "o", Early: now, Late: now},                               // without a number
-		{Writer: life("liar", 9), Seq: 1, Kind: Purge, Key: string(make([]byte, mostKey+1)), Early: now, Late: now},   // too long
-		{Writer: life("liar", 9), Seq: 1, Kind: Purge, Key: "o", Value: make([]byte, mostValue+1), Early: 0, Late: 0}, // likewise
-		{Writer: life("", 9), Seq: 1, Kind: Purge, Key: "o", Early: now, Late: now},                                   // of nobody
+		{Writer: life("c", 1), Seq: 99, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                 // in this one's name
+		{Writer: life("liar", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now + sec},                         // of the future
+		{Writer: life("liar", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now - 50*sec, SeenBefore: now - 50*sec},             // outlived
+		{Writer: life("liar", 9), Seq: 0, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                               // without a number
+		{Writer: life("liar", 9), Seq: 1, Kind: Purge, Key: string(make([]byte, mostKey+1)), SeenAfter: now, SeenBefore: now},   // too long
+		{Writer: life("liar", 9), Seq: 1, Kind: Purge, Key: "o", Value: make([]byte, mostValue+1), SeenAfter: 0, SeenBefore: 0}, // likewise
+		{Writer: life("", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                   // of nobody
 	} {
-		if c.Take(now, now, bad) {
+		if c.Merge(now, now, bad) {
 			t.Errorf("taken: %+v", bad)
 		}
 	}
@@ -212,32 +212,38 @@
 // A store is held for ill on several gateways' word, for the start that they mean, and no further than the middle one goes.
 func TestComplaintsNeedSeveralVoices(t *testing.T) {
 	now := 100 * sec
-	say := func(c *Copy, who string, seen time.Duration, e Evidence) {
-		c.Take(now, now, Slot{Writer: life(who, 1), Seq: 1, Kind: Health, Key: "b1", Value: Encode(e), Early: seen, Late: seen})
+	say := func(c *Replica, who string, seen time.Duration, e HealthValue) {
+		c.Merge(now, now, Slot{Writer: life(who, 1), Seq: 1, Kind: Health, Key: "b1", Value: Encode(e), SeenAfter: seen, SeenBefore: seen})
 	}
 	for _, x := range []struct {
 		name   string
 		living int
-		say    func(c *Copy)
+		say    func(c *Replica)
 		want   float64 // 0: nothing
 	}{
-		{"one", 5, func(c *Copy) { say(c, "a", now, Evidence{Failing: 1}) }, 0},
-		{"two", 5, func(c *Copy) { say(c, "a", now, Evidence{Failing: 0.4}); say(c, "b", now, Evidence{Failing: 1}) }, 0.4},
-		{"two of many", 9, func(c *Copy) { say(c, "a", now, Evidence{Failing: 1}); say(c, "b", now, Evidence{Failing: 1}) }, 0},
-		{"of an earlier start", 3, func(c *Copy) {
-			say(c, "a", now, Evidence{Failing: 1})
-			say(c, "b", now, Evidence{Failing: 1, BootMs: 5})
+		{"one", 5, func(c *Replica) { say(c, "a", now, HealthValue{ErrorRate: 1}) }, 0},
+		{"two", 5, func(c *Replica) {
+			say(c, "a", now, HealthValue{ErrorRate: 0.4})
+			say(c, "b", now, HealthValue{ErrorRate: 1})
+		}, 0.4},
+		{"two of many", 9, func(c *Replica) {
+			say(c, "a", now, HealthValue{ErrorRate: 1})
+			say(c, "b", now, HealthValue{ErrorRate: 1})
 		}, 0},
-		{"the own former life", 9, func(c *Copy) { say(c, "c", now, Evidence{Failing: 0.7}) }, 0.7},
-		{"old", 3, func(c *Copy) {
-			say(c, "a", now-121*sec, Evidence{Failing: 1})
-			say(c, "b", now, Evidence{Failing: 1})
+		{"of an earlier start", 3, func(c *Replica) {
+			say(c, "a", now, HealthValue{ErrorRate: 1})
+			say(c, "b", now, HealthValue{ErrorRate: 1, BootMs: 5})
+		}, 0},
+		{"the own former life", 9, func(c *Replica) { say(c, "c", now, HealthValue{ErrorRate: 0.7}) }, 0.7},
+		{"old", 3, func(c *Replica) {
+			say(c, "a", now-121*sec, HealthValue{ErrorRate: 1})
+			say(c, "b", now, HealthValue{ErrorRate: 1})
 		}, 0},
 	} {
-		c := NewCopy(life("c", 2), 0)
+		c := NewReplica(life("c", 2), 0)
 		x.say(c)
-		got := c.Complaints(now, x.living)
-		if x.want == 0 && len(got) > 0 || x.want > 0 && (len(got) != 1 || got[0].What.Failing != x.want) {
+		got := c.FaultReports(now, x.living)
+		if x.want == 0 && len(got) > 0 || x.want > 0 && (len(got) != 1 || got[0].Value.ErrorRate != x.want) {
 			t.Errorf("%s: %+v, want %v", x.name, got, x.want)
 		}
 	}
@@ -246,45 +252,45 @@
 // What is clearly newer wins whatever its clock says; what is about as old, by the logical clock, at all copies alike.
 func TestTheNewestListingIsRead(t *testing.T) {
 	now := 100 * sec
-	put := func(c *Copy, who string, seen time.Duration, stamp uint64, server string) {
-		c.Take(now, now, Slot{Writer: life(who, 1), Seq: 1, Kind: Listing, Key: "o", Value: Encode(Place{Server: server}), Stamp: stamp, Early: seen, Late: seen})
+	put := func(c *Replica, who string, seen time.Duration, stamp uint64, server string) {
+		c.Merge(now, now, Slot{Writer: life(who, 1), Seq: 1, Kind: Listing, Key: "o", Value: Encode(ListingValue{Server: server}), Timestamp: stamp, SeenAfter: seen, SeenBefore: seen})
 	}
-	read := func(f func(c *Copy)) string {
-		c := NewCopy(life("c", 2), 0)
+	read := func(f func(c *Replica)) string {
+		c := NewReplica(life("c", 2), 0)
 		f(c)
 		l := c.Listings(now, 10)
 		if len(l) != 1 {
 			t.Fatalf("%+v", l)
 		}
-		return l[0].What.Server
+		return l[0].Value.Server
 	}
-	if got := read(func(c *Copy) { put(c, "a", now-10*sec, 1<<60, "wrong clock"); put(c, "b", now, 5, "newer") }); got != "newer" {
+	if got := read(func(c *Replica) { put(c, "a", now-10*sec, 1<<60, "wrong clock"); put(c, "b", now, 5, "newer") }); got != "newer" {
 		t.Error(got)
 	}
-	if got := read(func(c *Copy) { put(c, "a", now-sec, 9, "later"); put(c, "b", now, 5, "earlier") }); got != "later" {
+	if got := read(func(c *Replica) { put(c, "a", now-sec, 9, "later"); put(c, "b", now, 5, "earlier") }); got != "later" {
 		t.Error(got)
 	}
-	if got := read(func(c *Copy) { put(c, "b", now, 5, "b"); put(c, "a", now, 5, "a") }); got != "b" {
+	if got := read(func(c *Replica) { put(c, "b", now, 5, "b"); put(c, "a", now, 5, "a") }); got != "b" {
 		t.Error(got)
 	}
 }
 
 // Counts of each life are summed, and a life's newest is all of its own.
 func TestWhatColdStoresWereSentAddsUp(t *testing.T) {
-	c := NewCopy(life("c", 2), 0)
+	c := NewReplica(life("c", 2), 0)
 	for i, n := range []float64{3, 7, 5} { // the third is late, and older
-		c.Take(100*sec, 0, Slot{Writer: life("a", 1), Seq: []uint64{1, 3, 2}[i], Kind: Cold, Key: "b1 7", Value: Encode(n), Early: 99 * sec, Late: 99 * sec})
+		c.Merge(100*sec, 0, Slot{Writer: life("a", 1), Seq: []uint64{1, 3, 2}[i], Kind: SlowStart, Key: "b1 7", Value: Encode(n), SeenAfter: 99 * sec, SeenBefore: 99 * sec})
 	}
-	c.Take(100*sec, 0, Slot{Writer: life("a", 2), Seq: 1, Kind: Cold, Key: "b1 7", Value: Encode(10.0), Early: 99 * sec, Late: 99 * sec})
-	c.Write(100*sec, 0, Cold, "b1 7", Encode(1.0), 100*sec)
-	if got := c.Sent("b1 7"); got != 18 {
+	c.Merge(100*sec, 0, Slot{Writer: life("a", 2), Seq: 1, Kind: SlowStart, Key: "b1 7", Value: Encode(10.0), SeenAfter: 99 * sec, SeenBefore: 99 * sec})
+	c.Write(100*sec, 0, SlowStart, "b1 7", Encode(1.0), 100*sec)
+	if got := c.WorkSent("b1 7"); got != 18 {
 		t.Errorf("%v", got)
 	}
 }
 
 func TestConfigNamesWhatIsWrong(t *testing.T) {
 	wall := func() time.Duration { return 0 }
-	for _, c := range []Config{{}, {Self: life("a", 1), Wall: wall}, {Self: life("a", 1), Members: []string{"a"}}, {Self: life("a", 1), Members: []string{"a"}, Wall: wall, Bytes: -1}} {
+	for _, c := range []Config{{}, {Self: life("a", 1), WallClock: wall}, {Self: life("a", 1), Members: []string{"a"}}, {Self: life("a", 1), Members: []string{"a"}, WallClock: wall, BytesPerSecond: -1}} {
 		if _, err := NewNode(c); err == nil {
 			t.Errorf("%+v is taken", c)
 		}
@@ -293,20 +299,20 @@
 
 // What nobody asked for, or asked somebody else for, says nothing: its ages can't be counted from a question.
 func TestOnlyAnswersToQuestionsAreTaken(t *testing.T) {
-	n, err := NewNode(Config{Self: life("n", 2), Members: []string{"a", "b", "n"}, Wall: func() time.Duration { return sec }})
+	n, err := NewNode(Config{Self: life("n", 2), Members: []string{"a", "b", "n"}, WallClock: func() time.Duration { return sec }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ask := n.Handle(sec, Tick{}, nil)[0].(Send)
 	other := map[string]string{"a": "b", "b": "a"}[ask.To]
-	w := []Wire{{Slot: Slot{Writer: life("w", 1), Seq: 1, Kind: Purge, Key: "o"}}}
-	n.Handle(sec, Heard{ask.To, Message{Kind: Answer, ID: ask.Message.ID + 1, Slots: w}}, nil)
-	n.Handle(sec, Heard{other, Message{Kind: Answer, ID: ask.Message.ID, Slots: w}}, nil)
-	n.Handle(sec, Heard{"stranger", Message{Kind: Answer, ID: ask.Message.ID, Slots: w}}, nil)
+	w := []TransferredSlot{{Slot: Slot{Writer: life("w", 1), Seq: 1, Kind: Purge, Key: "o"}}}
+	n.Handle(sec, MessageReceived{ask.To, Message{Kind: PullReply, ID: ask.Message.ID + 1, Slots: w}}, nil)
+	n.Handle(sec, MessageReceived{other, Message{Kind: PullReply, ID: ask.Message.ID, Slots: w}}, nil)
+	n.Handle(sec, MessageReceived{"stranger", Message{Kind: PullReply, ID: ask.Message.ID, Slots: w}}, nil)
 	if n.Len() != 0 || n.Stats.Stale != 2 {
 		t.Errorf("%d slots were taken, %d answers passed over", n.Len(), n.Stats.Stale)
 	}
-	n.Handle(sec, Heard{ask.To, Message{Kind: Answer, ID: ask.Message.ID, Slots: w}}, nil)
+	n.Handle(sec, MessageReceived{ask.To, Message{Kind: PullReply, ID: ask.Message.ID, Slots: w}}, nil)
 	if n.Len() != 1 {
 		t.Error("the answer was not taken")
 	}
--- a/replication/stored_test.go
+++ b/replication/stored_test.go
@@ -8,17 +8,17 @@
 
 // Values in common slots are read by gateways of other versions. The files were written by 1a818d3.
 func TestEncodedFormsAreThoseOf1a818d3(t *testing.T) {
-	golden.JSON(t, "testdata/1a818d3/place.json", &Place{})
-	golden.JSON(t, "testdata/1a818d3/evidence.json", &Evidence{})
-	golden.JSON(t, "testdata/1a818d3/notice.json", &Notice{})
+	golden.JSON(t, "testdata/1a818d3/place.json", &ListingValue{})
+	golden.JSON(t, "testdata/1a818d3/evidence.json", &HealthValue{})
+	golden.JSON(t, "testdata/1a818d3/notice.json", &DrainValue{})
 	golden.JSON(t, "testdata/1a818d3/row.json", &Row{})
-	golden.JSON(t, "testdata/1a818d3/difference.json", &Difference{})
+	golden.JSON(t, "testdata/1a818d3/difference.json", &Divergence{})
 }
 
 func TestEncodedTypesNameTheirFields(t *testing.T) {
-	golden.Tagged(t, Place{})
-	golden.Tagged(t, Evidence{})
-	golden.Tagged(t, Notice{})
+	golden.Tagged(t, ListingValue{})
+	golden.Tagged(t, HealthValue{})
+	golden.Tagged(t, DrainValue{})
 	golden.Tagged(t, Row{})
-	golden.Tagged(t, Difference{})
+	golden.Tagged(t, Divergence{})
 }
--- a/replication/world_test.go
+++ b/replication/world_test.go
@@ -40,7 +40,7 @@
 	base    time.Duration
 	off     time.Duration // of its wall clock
 	stopped bool
-	inbox   []Heard
+	inbox   []MessageReceived
 	purges  map[string]time.Duration // learned, by the world's clock
 	caught  *CaughtUp
 }
@@ -66,8 +66,8 @@
 	m.epoch++
 	m.base, m.stopped, m.inbox, m.purges, m.caught = w.clock.Now, false, nil, map[string]time.Duration{}, nil
 	var err error
-	m.node, err = NewNode(Config{Self: Life{m.name, w.lives}, Members: w.names, Settles: settles, Every: 200 * time.Millisecond, Wait: w.wait,
-		Wall: func() time.Duration { return time.Hour + w.clock.Now + m.off }, Seed: w.lives})
+	m.node, err = NewNode(Config{Self: Incarnation{m.name, w.lives}, Members: w.names, PurgeSettleTime: settles, PullInterval: 200 * time.Millisecond, CatchUpTimeout: w.wait,
+		WallClock: func() time.Duration { return time.Hour + w.clock.Now + m.off }, Seed: w.lives})
 	if err != nil {
 		panic(err)
 	}
@@ -94,10 +94,10 @@
 		switch a := a.(type) {
 		case Send:
 			w.send(m.name, a.To, a.Message)
-		case Learned:
+		case SafetySlotsLearned:
 			for _, s := range a.Slots {
 				if s.Kind == Purge {
-					m.purges[s.Key] = w.clock.Now - (w.local(m) - s.Late)
+					m.purges[s.Key] = w.clock.Now - (w.local(m) - s.SeenBefore)
 				}
 			}
 		case CaughtUp:
@@ -120,9 +120,9 @@
 	for range times {
 		w.clock.At(w.clock.Now+time.Duration(200_000+w.rng.Int64N(int64(w.slow))), func() {
 			if g := w.nodes[to]; g.node != nil && g.stopped {
-				g.inbox = append(g.inbox, Heard{from, m})
+				g.inbox = append(g.inbox, MessageReceived{from, m})
 			} else if g.node != nil {
-				w.do(g, Heard{from, m})
+				w.do(g, MessageReceived{from, m})
 			}
 		})
 	}
@@ -135,7 +135,7 @@
 		return
 	}
 	m.purges[key] = w.clock.Now
-	m.node.Say(w.local(m), Purge, key, nil, w.local(m))
+	m.node.Publish(w.local(m), Purge, key, nil, w.local(m))
 	w.purged[key] = w.clock.Now
 }
 
@@ -150,7 +150,7 @@
 		}
 		now := w.local(a)
 		for x, s := range a.node.slots {
-			if now-s.Late > a.node.lifeOf(s.Kind)*6/10 {
+			if now-s.SeenBefore > a.node.lifeOf(s.Kind)*6/10 {
 				continue
 			}
 			for _, b := range w.nodes {
@@ -247,11 +247,11 @@
 			case 0:
 				w.purge(name, key)
 			case 1:
-				m.node.Say(w.local(m), Health, "b1", Encode(Evidence{Failing: float64(w.rng.IntN(10)) / 10}), w.local(m))
+				m.node.Publish(w.local(m), Health, "b1", Encode(HealthValue{ErrorRate: float64(w.rng.IntN(10)) / 10}), w.local(m))
 			case 2:
-				m.node.Say(w.local(m), Listing, key, Encode(Place{Server: fmt.Sprintf("b%d", w.rng.IntN(4)), Count: float64(i)}), w.local(m))
+				m.node.Publish(w.local(m), Listing, key, Encode(ListingValue{Server: fmt.Sprintf("b%d", w.rng.IntN(4)), Requests: float64(i)}), w.local(m))
 			case 3:
-				m.node.Say(w.local(m), 77, key, []byte{byte(i)}, w.local(m)) // of a later version
+				m.node.Publish(w.local(m), 77, key, []byte{byte(i)}, w.local(m)) // of a later version
 			}
 		})
 	}
@@ -310,7 +310,7 @@
 				mu.Lock()
 				for _, m := range w.nodes {
 					if m.node != nil {
-						taken += m.node.Counters.Taken
+						taken += m.node.Counters.Merged
 					}
 				}
 				mu.Unlock()
@@ -330,7 +330,7 @@
 	g0 := w.nodes["g0"]
 	for i := range 3000 {
 		g0.node.own = 1e9
-		g0.node.Say(w.local(g0), Listing, fmt.Sprintf("o%d", i), Encode(Place{Server: "b1", Count: 1}), w.local(g0))
+		g0.node.Publish(w.local(g0), Listing, fmt.Sprintf("o%d", i), Encode(ListingValue{Server: "b1", Requests: 1}), w.local(g0))
 	}
 	if _, ok := w.settle(20 * time.Second); !ok {
 		t.Fatal("the listings do not spread")
@@ -346,12 +346,12 @@
 	from := back.node.open.to
 	w.nodes[from].epoch++
 	w.nodes[from].node = nil
-	half := back.node.Counters.Taken
+	half := back.node.Counters.Merged
 	w.clock.Pass(6 * time.Second)
 	if back.caught == nil || back.caught.From == from || back.node.Count(Listing) < 3000 {
 		t.Fatalf("%+v after %d of 3000", back.caught, back.node.Count(Listing))
 	}
-	if again := back.node.Counters.Known; again > 400 || half < 900 {
+	if again := back.node.Counters.Duplicates; again > 400 || half < 900 {
 		t.Errorf("%d of %d were sent again", again, half)
 	}
 }
@@ -370,7 +370,7 @@
 		w.cut[[2]string{n, "g1"}] = true
 	}
 	w.begin(m)
-	w.clock.Pass(DefaultWait - 100*time.Millisecond)
+	w.clock.Pass(DefaultCatchUpTimeout - 100*time.Millisecond)
 	if m.caught != nil {
 		t.Fatalf("too soon: %+v", m.caught)
 	}
@@ -387,7 +387,7 @@
 	g0 := w.nodes["g0"]
 	for i := range 20000 {
 		g0.node.own = 1e9
-		g0.node.Say(w.local(g0), Listing, fmt.Sprintf("o%d", i), Encode(Place{Server: "b1"}), w.local(g0))
+		g0.node.Publish(w.local(g0), Listing, fmt.Sprintf("o%d", i), Encode(ListingValue{Server: "b1"}), w.local(g0))
 	}
 	w.clock.Pass(300 * time.Millisecond)
 	w.purge("g0", "x")
@@ -417,7 +417,7 @@
 	say := func() {
 		for i := range 30 {
 			g0.node.own = 1e9
-			g0.node.Say(w.local(g0), Listing, fmt.Sprintf("o%d", i), Encode(Place{Server: "b1", Count: 1}), w.local(g0))
+			g0.node.Publish(w.local(g0), Listing, fmt.Sprintf("o%d", i), Encode(ListingValue{Server: "b1", Requests: 1}), w.local(g0))
 		}
 	}
 	say()
@@ -427,7 +427,7 @@
 	for i := range 5 {
 		x := g1.node.slots[id{Listing, fmt.Sprintf("o%d", i), g0.node.self}]
 		if i == 0 {
-			x.Value = Encode(Place{Server: "b9"})
+			x.Value = Encode(ListingValue{Server: "b9"})
 		} else {
 			g1.node.remove(x)
 		}
@@ -441,8 +441,8 @@
 	}
 	noted := 0
 	for _, m := range w.nodes {
-		for _, d := range m.node.Differences() {
-			if noted++; d.Life != g0.node.self {
+		for _, d := range m.node.Divergences() {
+			if noted++; d.Writer != g0.node.self {
 				t.Errorf("%+v", d)
 			}
 		}
--- a/warmstart/shared.go
+++ b/warmstart/shared.go
@@ -50,7 +50,7 @@
 func (s *Sharer) Publish(now time.Duration, m routing.LearnedState, list map[string]routing.Endpoint) {
 	seen := func(at time.Duration) time.Duration { return now - max(0, m.At-at) }
 	say := func(k replication.Kind, key string, value []byte, at time.Duration) bool {
-		if !s.node.Say(now, k, key, value, at) {
+		if !s.node.Publish(now, k, key, value, at) {
 			return false
 		}
 		s.Told++
@@ -71,26 +71,26 @@
 	maps.DeleteFunc(s.heard, func(name string, _ time.Duration) bool { return !held[name] }) // it has settled
 	for id, e := range list {
 		if e.Phase == routing.Up {
-			if s.up[id] = e; s.node.Said(replication.Drain, id) {
-				say(replication.Drain, id, replication.Encode(replication.Notice{BootMs: bootMs(e.Incarnation), Up: true}), now)
+			if s.up[id] = e; s.node.HasWritten(replication.Drain, id) {
+				say(replication.Drain, id, replication.Encode(replication.DrainValue{BootMs: bootMs(e.Incarnation), Up: true}), now)
 			}
 		}
 	}
 	for id, was := range s.up {
 		if e, ok := list[id]; !ok || e.Phase != routing.Up {
-			say(replication.Drain, id, replication.Encode(replication.Notice{BootMs: bootMs(was.Incarnation)}), now)
+			say(replication.Drain, id, replication.Encode(replication.DrainValue{BootMs: bootMs(was.Incarnation)}), now)
 			delete(s.up, id)
 		}
 	}
 	for _, h := range m.Endpoints {
 		e := evidence(h, m.At)
-		switch bad := e.Bad(); {
+		switch bad := e.Faulty(); {
 		case bad && h.LastAnswer > 0 && m.At-h.LastAnswer < FailureHalfLife:
 			s.voice[h.Endpoint] = true
 			say(replication.Health, h.Endpoint, replication.Encode(e), seen(h.LastAnswer))
 		case !bad && s.voice[h.Endpoint]: // it is well again: that is said once
-			if delete(s.voice, h.Endpoint); s.node.Said(replication.Health, h.Endpoint) {
-				say(replication.Health, h.Endpoint, replication.Encode(replication.Evidence{BootMs: e.BootMs}), now)
+			if delete(s.voice, h.Endpoint); s.node.HasWritten(replication.Health, h.Endpoint) {
+				say(replication.Health, h.Endpoint, replication.Encode(replication.HealthValue{BootMs: e.BootMs}), now)
 			}
 		}
 	}
@@ -100,25 +100,25 @@
 	})
 	for _, l := range hot[:min(s.most, len(hot))] {
 		key := s.key(l.Key)
-		if by, at, ok := s.node.Listed(now, key); ok && by == l.Endpoint && now-at < sameListing {
+		if by, at, ok := s.node.Locate(now, key); ok && by == l.Endpoint && now-at < sameListing {
 			continue
 		}
-		p := replication.Place{Server: l.Endpoint, BootMs: bootMs(l.Incarnation), Count: math.Round(l.Count), GapMs: l.MeanGap.Milliseconds(), WorkMs: l.TransferTime.Milliseconds()}
-		if !say(replication.Listing, key, replication.Encode(p), seen(l.LastRequest)) && s.node.Full() {
+		p := replication.ListingValue{Server: l.Endpoint, BootMs: bootMs(l.Incarnation), Requests: math.Round(l.Count), MeanGapMs: l.MeanGap.Milliseconds(), MinLatencyMs: l.TransferTime.Milliseconds()}
+		if !say(replication.Listing, key, replication.Encode(p), seen(l.LastRequest)) && s.node.BulkBudgetSpent() {
 			return
 		}
 	}
 }
 
 // evidence words what is known of a store, coarsely: what hardly changes is not said again.
-func evidence(h routing.EndpointHealth, at time.Duration) replication.Evidence {
+func evidence(h routing.EndpointHealth, at time.Duration) replication.HealthValue {
 	tenth := func(x float64) float64 { return math.Round(min(1, max(0, x))*10) / 10 }
-	e := replication.Evidence{BootMs: bootMs(h.Incarnation), Failing: tenth(h.ErrorRate), Late: tenth(h.LateShare)}
+	e := replication.HealthValue{BootMs: bootMs(h.Incarnation), ErrorRate: tenth(h.ErrorRate), LateShare: tenth(h.LateShare)}
 	if h.EjectedUntil > at {
-		e.OutMs = min(time.Minute, (h.EjectedUntil-at).Round(5*time.Second)+5*time.Second).Milliseconds()
+		e.EjectedMs = min(time.Minute, (h.EjectedUntil-at).Round(5*time.Second)+5*time.Second).Milliseconds()
 	}
 	if h.ConcurrencyLimit > 0 {
-		e.Most = math.Exp2(math.Round(math.Log2(h.ConcurrencyLimit)))
+		e.ConcurrencyLimit = math.Exp2(math.Round(math.Log2(h.ConcurrencyLimit)))
 	}
 	return e
 }
@@ -147,16 +147,16 @@
 	for _, f := range s.node.Listings(now, 0) {
 		zone, object, ok := strings.Cut(f.Key, "/")
 		key, err := strconv.ParseUint(object, 16, 64)
-		if !ok || err != nil || zone != s.zone || f.What.GapMs < 0 || f.What.WorkMs < 0 {
+		if !ok || err != nil || zone != s.zone || f.Value.MeanGapMs < 0 || f.Value.MinLatencyMs < 0 {
 			continue
 		}
-		m.Listings = append(m.Listings, routing.Listing{Key: key, Endpoint: f.What.Server, Incarnation: boot(f.What.Server, f.What.BootMs), HitAt: when(f.At), LastRequest: when(f.At),
-			MeanGap: time.Duration(f.What.GapMs) * time.Millisecond, Count: f.What.Count, TransferTime: time.Duration(f.What.WorkMs) * time.Millisecond})
+		m.Listings = append(m.Listings, routing.Listing{Key: key, Endpoint: f.Value.Server, Incarnation: boot(f.Value.Server, f.Value.BootMs), HitAt: when(f.LastUse), LastRequest: when(f.LastUse),
+			MeanGap: time.Duration(f.Value.MeanGapMs) * time.Millisecond, Count: f.Value.Requests, TransferTime: time.Duration(f.Value.MinLatencyMs) * time.Millisecond})
 	}
-	for _, c := range s.node.Complaints(now, s.node.Living(now)) {
-		h := routing.EndpointHealth{Endpoint: c.Server, Incarnation: boot(c.Server, c.What.BootMs), LastAnswer: when(c.At), ErrorRate: c.What.Failing, LateShare: c.What.Late, ConcurrencyLimit: c.What.Most}
-		if c.What.OutMs > 0 {
-			h.EjectedUntil = h.LastAnswer + time.Duration(c.What.OutMs)*time.Millisecond
+	for _, c := range s.node.FaultReports(now, s.node.LivePeers(now)) {
+		h := routing.EndpointHealth{Endpoint: c.Server, Incarnation: boot(c.Server, c.Value.BootMs), LastAnswer: when(c.Oldest), ErrorRate: c.Value.ErrorRate, LateShare: c.Value.LateShare, ConcurrencyLimit: c.Value.ConcurrencyLimit}
+		if c.Value.EjectedMs > 0 {
+			h.EjectedUntil = h.LastAnswer + time.Duration(c.Value.EjectedMs)*time.Millisecond
 		}
 		m.Endpoints = append(m.Endpoints, h)
 	}
@@ -195,9 +195,9 @@
 
 // ParseForget reads what operators want forgotten.
 func ParseForget(kind, key, why string) (string, []byte, error) {
-	k, ok := replication.KindOf(kind)
+	k, ok := replication.ParseKind(kind)
 	switch {
-	case !ok || k == replication.Forget:
+	case !ok || k == replication.Tombstone:
 		return "", nil, fmt.Errorf("kind: %q is none that can be forgotten", kind)
 	case k < replication.FirstBulk:
 		return "", nil, fmt.Errorf("kind: %q is a matter of safety, and goes by itself once it has settled", kind)
@@ -206,5 +206,5 @@
 	case len(why) > 200:
 		return "", nil, fmt.Errorf("why: %d characters, 200 are allowed", len(why))
 	}
-	return replication.TombKey(k, key), replication.Encode(why), nil
+	return replication.TombstoneKey(k, key), replication.Encode(why), nil
 }
--- a/warmstart/shared_test.go
+++ b/warmstart/shared_test.go
@@ -20,8 +20,8 @@
 func newPair(t *testing.T, names ...string) *pair {
 	p := &pair{t: t, now: time.Minute, nodes: map[string]*replication.Node{}, s: map[string]*Sharer{}}
 	for i, n := range names {
-		node, err := replication.NewNode(replication.Config{Self: replication.Life{Name: n, Number: uint64(i + 1)}, Members: names, Settles: 6 * time.Second,
-			Wall: func() time.Duration { return p.now }})
+		node, err := replication.NewNode(replication.Config{Self: replication.Incarnation{Name: n, Number: uint64(i + 1)}, Members: names, PurgeSettleTime: 6 * time.Second,
+			WallClock: func() time.Duration { return p.now }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -42,7 +42,7 @@
 func (p *pair) handle(name string, n *replication.Node, e replication.Event) {
 	for _, a := range n.Handle(p.now, e, nil) {
 		if s, ok := a.(replication.Send); ok {
-			p.handle(s.To, p.nodes[s.To], replication.Heard{From: name, Message: s.Message})
+			p.handle(s.To, p.nodes[s.To], replication.MessageReceived{From: name, Message: s.Message})
 		}
 	}
 }
@@ -183,7 +183,7 @@
 }
 
 func TestWhatCanBeForgotten(t *testing.T) {
-	if key, why, err := ParseForget("health", "b1", "a bad cable"); err != nil || key != replication.TombKey(replication.Health, "b1") || string(why) != `"a bad cable"` {
+	if key, why, err := ParseForget("health", "b1", "a bad cable"); err != nil || key != replication.TombstoneKey(replication.Health, "b1") || string(why) != `"a bad cable"` {
 		t.Errorf("%q %s %v", key, why, err)
 	}
 	for _, bad := range [][2]string{{"purge", "o"}, {"drain", "b1"}, {"forget", "x"}, {"nonsense", "x"}, {"health", ""}, {"listing", string(make([]byte, 101))}} {
