--- a/routing/deployments_test.go
+++ b/routing/deployments_test.go
@@ -51,8 +51,8 @@
 				load = c.full
 			}
 			// What the others have to say comes with other objects' answers.
-			for _, s := range r.d.inUse[cache] {
-				if share, ok := r.d.loads.Utilization([]float64{c.others}, s.slots(true)); ok && s.id != full {
+			for _, s := range r.d.inUse[roleCache] {
+				if share, ok := r.d.loadFields.Utilization([]float64{c.others}, s.slots(true)); ok && s.id != full {
 					s.load.Observe(r.now, share)
 				}
 			}
@@ -93,10 +93,10 @@
 			r.after(830 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Rejected, Latency: 830 * ms})
 		}
 	}
-	if s := r.d.servers[cacheID]; !s.held.IsUnlimited() || s.penalty > 0 {
-		t.Errorf("the cache is limited to %v, ejected for %v", s.held.Max, s.penalty)
+	if s := r.d.endpoints[cacheID]; !s.concurrencyLimit.IsUnlimited() || s.backoff > 0 {
+		t.Errorf("the cache is limited to %v, ejected for %v", s.concurrencyLimit.Max, s.backoff)
 	}
-	if p, q := r.d.servers["p1"], r.d.servers["p2"]; p.held.IsUnlimited() && q.held.IsUnlimited() {
+	if p, q := r.d.endpoints["p1"], r.d.endpoints["p2"]; p.concurrencyLimit.IsUnlimited() && q.concurrencyLimit.IsUnlimited() {
 		t.Error("no source is held to account")
 	}
 }
@@ -117,8 +117,8 @@
 			r.after(830 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Rejected, Latency: 830 * ms})
 		}
 	}
-	if s := r.d.servers[dead]; s.penalty < 4*time.Second {
-		t.Errorf("a source that failed all fills was last ejected for %v", s.penalty)
+	if s := r.d.endpoints[dead]; s.backoff < 4*time.Second {
+		t.Errorf("a source that failed all fills was last ejected for %v", s.backoff)
 	}
 }
 
@@ -129,8 +129,8 @@
 		r.kb = 400
 		r.serve("film", fmt.Sprint("o", n%5), ReasonNone)
 	}
-	for _, s := range r.d.inUse[cache] {
-		s.held.Max, s.held.InFlight = 10, 6
+	for _, s := range r.d.inUse[roleCache] {
+		s.concurrencyLimit.Max, s.concurrencyLimit.InFlight = 10, 6
 	}
 	r.kb = 4000
 	if _, a := r.ask("film", "o1"); a != nil {
@@ -157,7 +157,7 @@
 	for _, id := range ids {
 		r.after(ms).do(AttemptResult{ID: id, Endpoint: "o", Status: OK, Final: true, Latency: time.Second})
 	}
-	if r.d.fetches.IsUnlimited() {
+	if r.d.originFetches.IsUnlimited() {
 		t.Error("twenty late writes, and fetches are not limited")
 	}
 }
@@ -175,12 +175,12 @@
 	for n := range 300 {
 		r.ask("film", fmt.Sprint("o", n))
 	}
-	for _, s := range r.d.inUse[cache] {
-		if took := float64(s.held.InFlight) / 7; took > 2.3 {
-			t.Errorf("%s has %d out: they take %.1f s, the aim is 2.2", s.id, s.held.InFlight, took)
+	for _, s := range r.d.inUse[roleCache] {
+		if took := float64(s.concurrencyLimit.InFlight) / 7; took > 2.3 {
+			t.Errorf("%s has %d out: they take %.1f s, the aim is 2.2", s.id, s.concurrencyLimit.InFlight, took)
 		}
-		if s.held.InFlight < 10 {
-			t.Errorf("%s has %d out, and could finish fifteen", s.id, s.held.InFlight)
+		if s.concurrencyLimit.InFlight < 10 {
+			t.Errorf("%s has %d out, and could finish fifteen", s.id, s.concurrencyLimit.InFlight)
 		}
 	}
 }
@@ -213,8 +213,8 @@
 		r.kb = 120
 		r.after(50*ms).serve("film", fmt.Sprint("small", n%7), ReasonNone)
 	}
-	r.d.gauge(cache)
-	if did, real := 4*r.d.carried[cache], 20*0.03; did > 1.5*real {
+	r.d.gauge(roleCache)
+	if did, real := 4*r.d.carriedRate[roleCache], 20*0.03; did > 1.5*real {
 		t.Errorf("four caches are taken to do %.2f s of work a second, and did %.2f", did, real)
 	}
 }
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -171,12 +171,12 @@
 		r.after(100 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilledByOrigin, Final: true,
 			Latency: 4 * time.Second})
 	}
-	if r.d.fetches.Max > 4 {
-		t.Fatalf("the limit on fetches is %v after forty late ones", r.d.fetches.Max)
+	if r.d.originFetches.Max > 4 {
+		t.Fatalf("the limit on fetches is %v after forty late ones", r.d.originFetches.Max)
 	}
-	r.d.fetches.InFlight = int(math.Ceil(r.d.fetches.Max)) + 1
-	for _, p := range r.d.inUse[parent] {
-		p.held.Max = math.Inf(1)
+	r.d.originFetches.InFlight = int(math.Ceil(r.d.originFetches.Max)) + 1
+	for _, p := range r.d.inUse[roleParent] {
+		p.concurrencyLimit.Max = math.Inf(1)
 	}
 	for _, object := range []string{"listed", "new"} {
 		id, a := r.ask("film", object)
@@ -205,10 +205,10 @@
 		}
 		r.after(80 * ms).do(o)
 	}
-	if !math.IsInf(r.d.fetches.Max, 1) {
-		t.Errorf("one parent that is gone limits all fetches to %v", r.d.fetches.Max)
+	if !math.IsInf(r.d.originFetches.Max, 1) {
+		t.Errorf("one parent that is gone limits all fetches to %v", r.d.originFetches.Max)
 	}
-	if r.d.healthy(r.d.servers["p1"]) {
+	if r.d.healthy(r.d.endpoints["p1"]) {
 		t.Error("the parent that is gone is still in use")
 	}
 }
@@ -233,10 +233,10 @@
 			r.do(ok)
 		}
 	}
-	if !math.IsInf(r.d.fetches.Max, 1) {
-		t.Errorf("one hanging parent limits all fetches to %v", r.d.fetches.Max)
+	if !math.IsInf(r.d.originFetches.Max, 1) {
+		t.Errorf("one hanging parent limits all fetches to %v", r.d.originFetches.Max)
 	}
-	if r.d.healthy(r.d.servers["p1"]) {
+	if r.d.healthy(r.d.endpoints["p1"]) {
 		t.Error("the hanging parent is still in use")
 	}
 }
@@ -245,8 +245,8 @@
 // are in time.
 func TestLimitsBelowOneAreAChance(t *testing.T) {
 	r := newRig(t, nil)
-	for _, s := range r.d.inUse[cache] {
-		s.held.Max = 0.5
+	for _, s := range r.d.inUse[roleCache] {
+		s.concurrencyLimit.Max = 0.5
 	}
 	sent := 0
 	for i := range 400 {
@@ -255,18 +255,18 @@
 			continue
 		}
 		sent++
-		for _, s := range r.d.inUse[cache] { // keep the limit where it is
-			s.held.Max = 0.5
+		for _, s := range r.d.inUse[roleCache] { // keep the limit where it is
+			s.concurrencyLimit.Max = 0.5
 		}
 		r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 10 * ms})
-		for _, s := range r.d.inUse[cache] {
-			s.held.Max = 0.5
+		for _, s := range r.d.inUse[roleCache] {
+			s.concurrencyLimit.Max = 0.5
 		}
 	}
 	if sent < 160 || sent > 240 {
 		t.Errorf("limits of a half let %d of 400 in", sent)
 	}
-	g := &r.d.servers["c1"].held
+	g := &r.d.endpoints["c1"].concurrencyLimit
 	g.Max, g.LateShare, g.LastAnswer = 0.2, 0, r.now
 	for i := range 200 {
 		id, a := r.ask("film", fmt.Sprint("p", i))
@@ -310,7 +310,7 @@
 			r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 50 * ms})
 		}
 		r.after(60 * ms)
-		for _, s := range r.d.inUse[cache] { // the caches answer others
+		for _, s := range r.d.inUse[roleCache] { // the caches answer others
 			s.lastOK = r.now
 		}
 		for _, p := range open {
@@ -319,7 +319,7 @@
 			}
 		}
 	}
-	if r.d.healthy(r.d.servers["p1"]) || !r.d.healthy(r.d.servers["p2"]) {
+	if r.d.healthy(r.d.endpoints["p1"]) || !r.d.healthy(r.d.endpoints["p2"]) {
 		t.Error("the silent parent is still in use, or its sibling isn't")
 	}
 }
@@ -332,7 +332,7 @@
 	l := members()[5:7]
 	l[0].Phase, l[1].Phase = Removed, Removed
 	r.do(EndpointUpdate{Kind: DeltaList, Endpoints: l})
-	r.d.fetches.Max = 0
+	r.d.originFetches.Max = 0
 	id, a := r.ask("film", "o")
 	if a == nil || a.FillSource != a.Endpoint {
 		t.Fatalf("%+v, want an attempt that nobody fills", a)
@@ -354,9 +354,9 @@
 		f := newFleet(t, 100, change)
 		var quarters, second [4]int
 		for _, r := range f.rigs {
-			quarters[int(4*r.d.place(r.d.servers["c1"]))]++
-			if int(4*r.d.place(r.d.servers["c1"])) == 0 {
-				second[int(4*r.d.place(r.d.servers["c2"]))]++
+			quarters[int(4*r.d.place(r.d.endpoints["c1"]))]++
+			if int(4*r.d.place(r.d.endpoints["c1"])) == 0 {
+				second[int(4*r.d.place(r.d.endpoints["c2"]))]++
 			}
 		}
 		least, most := 22, 28
--- a/routing/hints.go
+++ b/routing/hints.go
@@ -42,10 +42,10 @@
 }
 
 // encodeMoves words moved listings, cache by cache.
-func encodeMoves(now time.Duration, zone int, moves []*entry) (msgs []string) {
+func encodeMoves(now time.Duration, zone int, moves []*mappingEntry) (msgs []string) {
 	byCache := map[string][]tip{}
 	for _, e := range moves {
-		byCache[e.at.id] = append(byCache[e.at.id], tip{e.key, now - e.moved})
+		byCache[e.cache.id] = append(byCache[e.cache.id], tip{e.key, now - e.movedAt})
 	}
 	for _, id := range slices.Sorted(maps.Keys(byCache)) {
 		msgs = append(msgs, encodeTips(zone, id, byCache[id])...)
--- a/routing/memory.go
+++ b/routing/memory.go
@@ -78,19 +78,19 @@
 		most = len(d.table)
 	}
 	m.Listings = make([]Listing, 0, min(most, len(d.table)))
-	for el := d.used.Front(); el != nil && len(m.Listings) < most; el = el.Next() {
-		e := el.Value.(*entry)
-		if e.at == nil || !e.likely(e.at) {
+	for el := d.byRecency.Front(); el != nil && len(m.Listings) < most; el = el.Next() {
+		e := el.Value.(*mappingEntry)
+		if e.cache == nil || !e.likely(e.cache) {
 			continue
 		}
-		m.Listings = append(m.Listings, Listing{Key: e.key, Endpoint: e.at.id, Incarnation: e.boot, HitAt: e.hitAt, LastRequest: e.last, MeanGap: e.avg,
-			Count: e.count, TransferTime: e.work})
+		m.Listings = append(m.Listings, Listing{Key: e.key, Endpoint: e.cache.id, Incarnation: e.cacheIncarnation, HitAt: e.lastHit, LastRequest: e.lastRequest, MeanGap: e.meanGap,
+			Count: e.recentRequests, TransferTime: e.transferTime})
 	}
-	for _, s := range d.servers {
-		h := EndpointHealth{Endpoint: s.id, Incarnation: s.boot, LastAnswer: max(s.held.LastAnswer, s.lastOK), ErrorRate: s.failing, EjectedUntil: s.ejected, Backoff: s.penalty, FillLatency: s.quick, FillLatencyAt: s.quickAt,
-			LateShare: s.held.LateShare}
-		if !math.IsInf(s.held.Max, 1) {
-			h.ConcurrencyLimit = s.held.Max
+	for _, s := range d.endpoints {
+		h := EndpointHealth{Endpoint: s.id, Incarnation: s.incarnation, LastAnswer: max(s.concurrencyLimit.LastAnswer, s.lastOK), ErrorRate: s.errorRate, EjectedUntil: s.ejectedUntil, Backoff: s.backoff, FillLatency: s.fillLatency, FillLatencyAt: s.fillLatencyAt,
+			LateShare: s.concurrencyLimit.LateShare}
+		if !math.IsInf(s.concurrencyLimit.Max, 1) {
+			h.ConcurrencyLimit = s.concurrencyLimit.Max
 		}
 		m.Endpoints = append(m.Endpoints, h)
 	}
@@ -119,17 +119,17 @@
 		}
 		u.Endpoints++
 		w := worth(now - h.LastAnswer)
-		s.held.LastAnswer = max(s.held.LastAnswer, h.LastAnswer)
-		s.failing = max(s.failing, h.ErrorRate*w.Failure)
+		s.concurrencyLimit.LastAnswer = max(s.concurrencyLimit.LastAnswer, h.LastAnswer)
+		s.errorRate = max(s.errorRate, h.ErrorRate*w.Failure)
 		if until := min(h.EjectedUntil, now+ejectLongest); until > now {
-			s.ejected = max(s.ejected, until)
+			s.ejectedUntil = max(s.ejectedUntil, until)
 		}
-		s.penalty = max(s.penalty, min(ejectLongest, time.Duration(w.Failure*float64(h.Backoff))))
-		if s.quick == 0 {
-			s.quick, s.quickAt = time.Duration(w.FillLatency*float64(h.FillLatency)), h.FillLatencyAt
+		s.backoff = max(s.backoff, min(ejectLongest, time.Duration(w.Failure*float64(h.Backoff))))
+		if s.fillLatency == 0 {
+			s.fillLatency, s.fillLatencyAt = time.Duration(w.FillLatency*float64(h.FillLatency)), h.FillLatencyAt
 		}
-		if s.held.LateShare = max(s.held.LateShare, h.LateShare*w.Failure); h.ConcurrencyLimit > 0 && w.Limit > 0 {
-			s.held.Max = min(s.held.Max, max(s.held.Min, h.ConcurrencyLimit/w.Limit))
+		if s.concurrencyLimit.LateShare = max(s.concurrencyLimit.LateShare, h.LateShare*w.Failure); h.ConcurrencyLimit > 0 && w.Limit > 0 {
+			s.concurrencyLimit.Max = min(s.concurrencyLimit.Max, max(s.concurrencyLimit.Min, h.ConcurrencyLimit/w.Limit))
 		}
 	}
 	// The latest used is the first in a Memory, and in the table the last to be forgotten.
@@ -146,7 +146,7 @@
 		if s == nil {
 			continue
 		}
-		if s.role != cache || s.zone != d.zone { // no copy is to be had there
+		if s.role != roleCache || s.zone != d.zone { // no copy is to be had there
 			u.Invalid++
 			continue
 		}
@@ -155,18 +155,18 @@
 			continue
 		}
 		if old := d.table[l.Key]; old != nil { // a file and neighbours may both tell of it: the later use holds
-			if old.last < l.LastRequest {
-				old.at, old.boot, old.hitAt, old.had, old.last, old.avg, old.count, old.work = s, s.boot, l.HitAt, l.LastRequest, l.LastRequest, l.MeanGap, l.Count, l.TransferTime
-				d.used.MoveToFront(old.used)
+			if old.lastRequest < l.LastRequest {
+				old.cache, old.cacheIncarnation, old.lastHit, old.copySeenAt, old.lastRequest, old.meanGap, old.recentRequests, old.transferTime = s, s.incarnation, l.HitAt, l.LastRequest, l.LastRequest, l.MeanGap, l.Count, l.TransferTime
+				d.byRecency.MoveToFront(old.recency)
 				u.Listings++
 			}
 			continue
 		}
-		if len(d.table) >= tableSize*listSize*max(1, len(d.inUse[cache])) {
+		if len(d.table) >= tableSize*listSize*max(1, len(d.inUse[roleCache])) {
 			continue
 		}
-		e := &entry{key: l.Key, at: s, boot: s.boot, hitAt: l.HitAt, had: l.LastRequest, last: l.LastRequest, avg: l.MeanGap, count: l.Count, work: l.TransferTime}
-		e.used = d.used.PushFront(e)
+		e := &mappingEntry{key: l.Key, cache: s, cacheIncarnation: s.incarnation, lastHit: l.HitAt, copySeenAt: l.LastRequest, lastRequest: l.LastRequest, meanGap: l.MeanGap, recentRequests: l.Count, transferTime: l.TransferTime}
+		e.recency = d.byRecency.PushFront(e)
 		d.table[l.Key] = e
 		u.Listings++
 	}
@@ -181,12 +181,12 @@
 }
 
 // known finds a server of the list that still runs as it did.
-func (d *Director) known(id string, boot time.Duration, u *ImportCounts) *server {
-	s := d.servers[id]
+func (d *Director) known(id string, boot time.Duration, u *ImportCounts) *endpoint {
+	s := d.endpoints[id]
 	switch {
 	case s == nil || !s.up:
 		u.Gone++
-	case (s.boot - boot).Abs() >= time.Millisecond: // a gateway's clock gives one start to some microseconds
+	case (s.incarnation - boot).Abs() >= time.Millisecond: // a gateway's clock gives one start to some microseconds
 		u.Restarted++
 	default:
 		return s
--- a/routing/memory_test.go
+++ b/routing/memory_test.go
@@ -28,7 +28,7 @@
 		}
 	}
 	d.Handle(now, Purge{Object: "f-z", Age: time.Second}, nil)
-	d.servers[members[1].ID].failing = 0.3
+	d.endpoints[members[1].ID].errorRate = 0.3
 	return d
 }
 
@@ -66,8 +66,8 @@
 	}
 	next := fresh(testMembers(now))
 	u := next.Import(now+5*time.Second, m, believed)
-	if u.Listings != at["c1"]+at["c2"] || u.WarmingUp != at["c3"] || u.Purges != 1 || u.Endpoints != 6 || next.servers["c2"].failing != 0.3 {
-		t.Errorf("%+v of %v, failing %v", u, at, next.servers["c2"].failing)
+	if u.Listings != at["c1"]+at["c2"] || u.WarmingUp != at["c3"] || u.Purges != 1 || u.Endpoints != 6 || next.endpoints["c2"].errorRate != 0.3 {
+		t.Errorf("%+v of %v, failing %v", u, at, next.endpoints["c2"].errorRate)
 	}
 	if again := next.Export(now+5*time.Second, 0); len(again.Listings) != u.Listings || !reflect.DeepEqual(again.Purges, m.Purges) {
 		t.Errorf("%d listings, and copied out again %d", u.Listings, len(again.Listings))
@@ -100,13 +100,13 @@
 	if u := b.Import(now+5*time.Second, odd, believed); u.Invalid != 7 {
 		t.Errorf("%+v", u)
 	}
-	for id, s := range a.servers {
-		if o := b.servers[id]; !reflect.DeepEqual(o.budget, s.budget) || o.rate != s.rate {
-			t.Errorf("%s: budget %v and %v, rate %v and %v", id, s.budget, o.budget, s.rate, o.rate)
+	for id, s := range a.endpoints {
+		if o := b.endpoints[id]; !reflect.DeepEqual(o.slowStartBudget, s.slowStartBudget) || o.workRate != s.workRate {
+			t.Errorf("%s: budget %v and %v, rate %v and %v", id, s.slowStartBudget, o.slowStartBudget, s.workRate, o.workRate)
 		}
 	}
-	if a.carried != b.carried {
-		t.Errorf("carried %v and %v", a.carried, b.carried)
+	if a.carriedRate != b.carriedRate {
+		t.Errorf("carried %v and %v", a.carriedRate, b.carriedRate)
 	}
 }
 
@@ -129,7 +129,7 @@
 		}
 		next.Handle(now, EndpointUpdate{Kind: StaleList, Endpoints: testMembers(start)[:2:2]}, nil)
 		next.Import(now, m, half)
-		if f := next.servers["c2"].failing; f > failing {
+		if f := next.endpoints["c2"].errorRate; f > failing {
 			t.Fatalf("failing %v, and was %v", f, failing)
 		} else {
 			failing = f
@@ -146,8 +146,8 @@
 		d, _ := New(testSettings(), 1)
 		d.Handle(time.Hour, EndpointUpdate{Endpoints: testMembers(time.Hour)[:2:2]}, nil)
 		for i := range n {
-			e := &entry{key: uint64(i), at: d.servers["c1"]}
-			e.used = d.used.PushFront(e)
+			e := &mappingEntry{key: uint64(i), cache: d.endpoints["c1"]}
+			e.recency = d.byRecency.PushFront(e)
 			d.table[e.key] = e
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/routing/observe.go
+++ b/routing/observe.go
@@ -27,14 +27,14 @@
 func (d *Director) Observe(now time.Duration) (all []Observed, strain string) {
 	d.now = max(d.now, now)
 	kinds := [...]string{"box", "parent", "origin"}
-	for _, s := range d.servers {
-		o := Observed{ID: s.id, Kind: kinds[s.role], Up: s.up, Warm: d.warm(s), Usable: s.up && (d.healthy(s) || d.floored(s)), Incarnation: s.boot, Weight: s.weight, Utilization: -1}
+	for _, s := range d.endpoints {
+		o := Observed{ID: s.id, Kind: kinds[s.role], Up: s.up, Warm: d.warm(s), Usable: s.up && (d.healthy(s) || d.floored(s)), Incarnation: s.incarnation, Weight: s.weight, Utilization: -1}
 		if s.zone >= 0 {
 			o.Zone = d.set.Zones[s.zone]
 		}
 		if busy, ok := s.load.Utilization(d.now); ok {
 			o.Utilization = busy
-		} else if s.role == cache && s.zone == d.zone && d.loads.Present() && s.held.InFlight == 0 {
+		} else if s.role == roleCache && s.zone == d.zone && d.loadFields.Present() && s.concurrencyLimit.InFlight == 0 {
 			o.Utilization = 0 // we have asked it nothing lately: no load of ours is there
 		}
 		all = append(all, o)
@@ -49,7 +49,7 @@
 	switch {
 	case groups >= purgesMany:
 		strain = "groups of objects were just purged"
-	case d.fetches.LateShare >= fetchesBad && d.now-d.fetches.LastAnswer < rateWindow:
+	case d.originFetches.LateShare >= fetchesBad && d.now-d.originFetches.LastAnswer < rateWindow:
 		strain = "the origin is slow"
 	}
 	return all, strain
--- a/routing/reconfigure.go
+++ b/routing/reconfigure.go
@@ -26,7 +26,7 @@
 	for _, c := range e.Classes {
 		next := &class{Class: c}
 		if was := d.classes[c.Name]; was != nil {
-			next.work, next.sized = was.work, was.sized
+			next.meanTransferTime, next.sizedAnswers = was.meanTransferTime, was.sizedAnswers
 		}
 		classes[c.Name] = next
 	}
@@ -41,7 +41,7 @@
 	}
 	former := &class{Class: *q.AdmittedClass}
 	if c != nil {
-		former.work, former.sized = c.work, c.sized
+		former.meanTransferTime, former.sizedAnswers = c.meanTransferTime, c.sizedAnswers
 	}
 	return former
 }
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -57,10 +57,10 @@
 // New returns a director for the given settings. Equal seeds and events give equal actions.
 func New(s Settings, seed uint64) (*Director, error) {
 	d := &Director{set: s, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		classes: map[string]*class{}, servers: map[string]*server{},
-		table: map[uint64]*entry{}, requests: map[string]*request{}, tokens: map[uint64]*request{},
-		purged: purge.New(s.PurgeSettleTime), loads: loadreport.FindFields(s.LoadReportFields), spare: retryMost,
-		fetches: concurrency.Unlimited(), neighbor: map[int]bool{}, used: list.New(), own: mix(seed)}
+		classes: map[string]*class{}, endpoints: map[string]*endpoint{},
+		table: map[uint64]*mappingEntry{}, requests: map[string]*request{}, tokens: map[uint64]*request{},
+		purged: purge.New(s.PurgeSettleTime), loadFields: loadreport.FindFields(s.LoadReportFields), retryBudget: retryMost,
+		originFetches: concurrency.Unlimited(), localDirectors: map[int]bool{}, byRecency: list.New(), positionSeed: mix(seed)}
 	d.zone = slices.Index(s.Zones, s.Zone)
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 
 // Handle takes one event at the given time and appends the actions to out. Time must not run backwards.
 func (d *Director) Handle(now time.Duration, ev Event, out []Action) []Action {
-	d.now, d.out = now, out
+	d.now, d.actions = now, out
 	switch ev := ev.(type) {
 	case EndpointUpdate:
 		d.members(ev)
@@ -91,13 +91,13 @@
 		d.hint(ev)
 	case ClientGone:
 		if r := d.requests[ev.ID]; r != nil {
-			r.over = true
+			r.finished = true
 			d.forget(r)
 		}
 	case Reconfigured:
 		d.reconfigure(ev)
 	case PauseSlowStart:
-		d.coldPause = ev.Until
+		d.slowStartPausedUntil = ev.Until
 	case TimerFired:
 		if ev.Token == tellToken {
 			d.tellMoves()
@@ -107,11 +107,11 @@
 			d.check(r)
 		}
 	}
-	out, d.out = d.out, nil
+	out, d.actions = d.actions, nil
 	return out
 }
 
-func (d *Director) do(a Action) { d.out = append(d.out, a) }
+func (d *Director) do(a Action) { d.actions = append(d.actions, a) }
 
 // ---- members ----
 
@@ -128,65 +128,65 @@
 	if m.Kind == StaleList && d.set.PollDiscovery {
 		d.do(PollEndpoints{})
 	}
-	for _, s := range d.servers {
+	for _, s := range d.endpoints {
 		s.up = s.up && m.Kind == DeltaList
 	}
 	for _, e := range m.Endpoints {
-		s := d.servers[e.ID]
+		s := d.endpoints[e.ID]
 		if s == nil {
-			s = &server{}
-			d.servers[e.ID] = s
+			s = &endpoint{}
+			d.endpoints[e.ID] = s
 		}
-		if s.id == "" || s.boot != e.Incarnation { // a restart is a new, empty server; attempts may still be out
-			out := s.held.InFlight
-			*s = server{boot: e.Incarnation, held: concurrency.Unlimited()}
-			s.held.InFlight = out
+		if s.id == "" || s.incarnation != e.Incarnation { // a restart is a new, empty server; attempts may still be out
+			out := s.concurrencyLimit.InFlight
+			*s = endpoint{incarnation: e.Incarnation, concurrencyLimit: concurrency.Unlimited()}
+			s.concurrencyLimit.InFlight = out
 		}
 		s.placed(&d.set, e)
 		if e.Phase == Removed {
-			delete(d.servers, e.ID) // attempts that are out hold on to it
+			delete(d.endpoints, e.ID) // attempts that are out hold on to it
 		}
 	}
-	d.inUse = [3][]*server{}
-	for _, s := range d.servers {
-		if s.up && (s.role != cache || s.zone == d.zone) {
+	d.inUse = [3][]*endpoint{}
+	for _, s := range d.endpoints {
+		if s.up && (s.role != roleCache || s.zone == d.zone) {
 			d.inUse[s.role] = append(d.inUse[s.role], s)
 		}
 	}
-	for _, s := range d.servers {
-		s.held.Min = max(chanceLeast, limitLeast/d.sharing(s.role))
+	for _, s := range d.endpoints {
+		s.concurrencyLimit.Min = max(chanceLeast, limitLeast/d.sharing(s.role))
 	}
-	d.fetches.Min = max(chanceLeast, limitLeast*float64(len(d.inUse[parent]))/d.sharing(origin))
+	d.originFetches.Min = max(chanceLeast, limitLeast*float64(len(d.inUse[roleParent]))/d.sharing(roleOrigin))
 	for _, l := range d.inUse {
-		slices.SortFunc(l, func(a, b *server) int { return cmp.Compare(a.id, b.id) })
+		slices.SortFunc(l, func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) })
 	}
 }
 
 // ---- mapping table ----
 
 // visit finds or makes the row of a key, and counts a request for it.
-func (d *Director) visit(key uint64) *entry {
+func (d *Director) visit(key uint64) *mappingEntry {
 	e := d.table[key]
 	if e == nil {
-		e = &entry{key: key, avg: unknownGap, last: d.now, count: 1}
-		e.used = d.used.PushFront(e)
+		e = &mappingEntry{key: key, meanGap: unknownGap, lastRequest: d.now, recentRequests: 1}
+		e.recency = d.byRecency.PushFront(e)
 		d.table[key] = e
-		if len(d.table) > tableSize*listSize*max(1, len(d.inUse[cache])) {
-			old := d.used.Remove(d.used.Back()).(*entry)
+		if len(d.table) > tableSize*listSize*max(1, len(d.inUse[roleCache])) {
+			old := d.byRecency.Remove(d.byRecency.Back()).(*mappingEntry)
 			old.unlist()
 			delete(d.table, old.key)
 		}
 		return e
 	}
-	in, was := e.in, e.listed()
+	in, was := e.listedAt, e.listed()
 	e.unlist()
-	gap := d.now - e.last
-	if e.avg == unknownGap {
-		e.avg = gap
+	gap := d.now - e.lastRequest
+	if e.meanGap == unknownGap {
+		e.meanGap = gap
 	}
-	e.avg, e.last = (3*e.avg+gap)/4, d.now
-	e.count = e.count*math.Exp(-float64(gap)/float64(recently)) + 1
-	d.used.MoveToFront(e.used)
+	e.meanGap, e.lastRequest = (3*e.meanGap+gap)/4, d.now
+	e.recentRequests = e.recentRequests*math.Exp(-float64(gap)/float64(recently)) + 1
+	d.byRecency.MoveToFront(e.recency)
 	if was {
 		e.relist(in)
 	}
@@ -195,15 +195,15 @@
 
 // enlist puts an entry on a cache's list and returns the rank at which the fill is kept: the middle one
 // until the list is full, then the top one if it passes the halving test against the worst, else the lowest.
-func (d *Director) enlist(e *entry, s *server, detour bool) int {
-	full := len(s.list) >= listSize
-	passes := len(s.list) > 0 && float64(e.current(d.now)) < halving*float64(s.list[0].current(d.now))
+func (d *Director) enlist(e *mappingEntry, s *endpoint, detour bool) int {
+	full := len(s.listings) >= listSize
+	passes := len(s.listings) > 0 && float64(e.current(d.now)) < halving*float64(s.listings[0].current(d.now))
 	switch {
-	case e.listed() && e.in == s:
+	case e.listed() && e.listedAt == s:
 		return 2
 	case passes && (full || detour):
 		if full {
-			s.list[0].unlist()
+			s.listings[0].unlist()
 		}
 		e.unlist()
 		e.relist(s)
@@ -222,9 +222,9 @@
 // so what counts beyond the first is their part of what one alone would see. Objects above the class's mean
 // size don't get the top rank, so that it holds a small share of the bytes.
 func (d *Director) hitRank(r *request) int {
-	more := (r.entry.count - 1) * d.sharing(cache)
+	more := (r.entry.recentRequests - 1) * d.sharing(roleCache)
 	switch {
-	case more >= topCount-1 && r.work <= r.class.work:
+	case more >= topCount-1 && r.transferTime <= r.class.meanTransferTime:
 		return 3
 	case more >= midCount-1:
 		return 2
@@ -235,45 +235,45 @@
 // ---- choice of cache and source ----
 
 // homes are the servers in the shared hash order of a key.
-func (d *Director) homes(key uint64, from []*server) []*server {
+func (d *Director) homes(key uint64, from []*endpoint) []*endpoint {
 	l := slices.Clone(from)
-	slices.SortStableFunc(l, func(a, b *server) int {
+	slices.SortStableFunc(l, func(a, b *endpoint) int {
 		return cmp.Compare(score(key, b.hash, b.weight), score(key, a.hash, a.weight))
 	})
 	return l
 }
 
 // pickCache chooses the cache for a request. detour says that it is not the listed one by design.
-func (d *Director) pickCache(r *request) (s *server, detour bool) {
+func (d *Director) pickCache(r *request) (s *endpoint, detour bool) {
 	e := r.entry
-	ok := func(s *server) bool { return d.usable(s, r) && !slices.Contains(r.tried, s) }
-	listed := e != nil && e.at != nil && e.likely(e.at) && ok(e.at)
+	ok := func(s *endpoint) bool { return d.usable(s, r) && !slices.Contains(r.failedEndpoints, s) }
+	listed := e != nil && e.cache != nil && e.likely(e.cache) && ok(e.cache)
 	// A cache at its limit is relieved, whatever filled it: the next of the object's homes that has room
 	// serves, where copies gather in the shared order. The limits on sources bound what the extra fills cost.
-	relief := listed && !d.fits(e.at, r)
+	relief := listed && !d.fits(e.cache, r)
 	if listed && !relief {
-		l := slices.Clone(d.inUse[cache])
-		l = slices.DeleteFunc(l, func(s *server) bool { return s == e.at || !ok(s) })
-		if len(r.tried) > 0 || len(l) == 0 || d.rng.Float64() < stability {
-			return d.relieve(e.at, l, true), false
+		l := slices.Clone(d.inUse[roleCache])
+		l = slices.DeleteFunc(l, func(s *endpoint) bool { return s == e.cache || !ok(s) })
+		if len(r.failedEndpoints) > 0 || len(l) == 0 || d.rng.Float64() < stability {
+			return d.relieve(e.cache, l, true), false
 		}
 		return l[d.rng.IntN(len(l))], true
 	}
-	homes := slices.DeleteFunc(d.homes(r.key, d.inUse[cache]), func(s *server) bool { return !ok(s) })
+	homes := slices.DeleteFunc(d.homes(r.key, d.inUse[roleCache]), func(s *endpoint) bool { return !ok(s) })
 	for _, s := range homes {
-		if !relief || s != e.at && d.fits(s, r) {
+		if !relief || s != e.cache && d.fits(s, r) {
 			return d.relieve(s, homes, false), false
 		}
 	}
 	if relief {
-		return e.at, false
+		return e.cache, false
 	}
 	return nil, false
 }
 
 // relieve gives the least busy of others in place of a cache that is crowded beside it. What is listed moves
 // along, so few are moved at a time. Guards against popular objects that met at one cache by their hashes.
-func (d *Director) relieve(s *server, others []*server, held bool) *server {
+func (d *Director) relieve(s *endpoint, others []*endpoint, held bool) *endpoint {
 	best, gap := s, 0.0
 	for _, o := range others {
 		if d.warm(o) && loadreport.Imbalance(d.now, &s.load, &o.load) > gap {
@@ -289,10 +289,10 @@
 // pickSource chooses who fills a miss: of the object's first two usable parents the quicker one, else the
 // origin. Quicker by less than a multiple is a tie, which the shared order decides: two directors that differ
 // in it would have both parents fetch and keep the object. A wait that was not seen for long is forgotten.
-func (d *Director) pickSource(r *request) *server {
-	var pair []*server
-	for _, p := range d.homes(r.key, d.inUse[parent]) {
-		if d.usable(p, r) && !slices.Contains(r.tried, p) && len(pair) < 2 {
+func (d *Director) pickSource(r *request) *endpoint {
+	var pair []*endpoint
+	for _, p := range d.homes(r.key, d.inUse[roleParent]) {
+		if d.usable(p, r) && !slices.Contains(r.failedEndpoints, p) && len(pair) < 2 {
 			pair = append(pair, p)
 		}
 	}
@@ -300,8 +300,8 @@
 		return pair[1]
 	}
 	// With none in health the origin fills, within the limit on fetches: the floor is for want of any other.
-	if o := d.inUse[origin]; len(o) > 0 && !(slices.ContainsFunc(pair, d.healthy) ||
-		len(pair) > 0 && !d.room(&d.fetches, r)) {
+	if o := d.inUse[roleOrigin]; len(o) > 0 && !(slices.ContainsFunc(pair, d.healthy) ||
+		len(pair) > 0 && !d.room(&d.originFetches, r)) {
 		return o[0]
 	}
 	if len(pair) == 0 {
@@ -322,16 +322,16 @@
 		d.do(Reject{ID: q.ID, RetryAfter: d.advice()})
 		return
 	}
-	r := &request{Request: q, class: c, maxAttempts: d.set.MaxAttempts, start: d.now, luck: d.rng.Float64(),
+	r := &request{Request: q, class: c, maxAttempts: d.set.MaxAttempts, startedAt: d.now, draw: d.rng.Float64(),
 		key: mix(hash(q.Object) + uint64(q.Part))}
 	if !c.Uncacheable && !q.Write {
 		r.entry = d.visit(r.key)
 	}
 	d.weigh(r)
-	r.price = concurrency.CostPerWeight(r.work, c.PriorityWeight)
-	d.prices.Observe(r.price)
-	d.token++
-	r.token = d.token
+	r.costPerWeight = concurrency.CostPerWeight(r.transferTime, c.PriorityWeight)
+	d.meanCost.Observe(r.costPerWeight)
+	d.lastToken++
+	r.token = d.lastToken
 	d.requests[q.ID], d.tokens[r.token] = r, r
 	d.do(SetTimer{At: max(d.now+d.set.ClockStep, q.Deadline-d.set.ClockStep), Token: r.token, RequestID: r.ID})
 	d.attempt(r)
@@ -339,60 +339,60 @@
 
 // aim is when the request loses most of its worth.
 func (r *request) aim() time.Duration {
-	return min(r.start+r.class.LatencyObjective+time.Duration(r.class.ObjectiveStretch*float64(r.work)), r.Deadline)
+	return min(r.startedAt+r.class.LatencyObjective+time.Duration(r.class.ObjectiveStretch*float64(r.transferTime)), r.Deadline)
 }
 
 // attempt sends the request on, or gives it up at once.
 func (d *Director) attempt(r *request) {
-	if r.again = r.outstanding() && !d.set.HedgedRequests; r.again {
+	if r.retryPending = r.outstanding() && !d.set.HedgedRequests; r.retryPending {
 		return
 	}
-	e, a, detour := r.entry, &attempt{sent: d.now, out: true, cost: d.cost(r)}, false
-	if origins := d.inUse[origin]; e == nil { // never kept: it runs at the origin, straight where allowed
+	e, a, detour := r.entry, &attempt{sentAt: d.now, inFlight: true, slowStartCost: d.cost(r)}, false
+	if origins := d.inUse[roleOrigin]; e == nil { // never kept: it runs at the origin, straight where allowed
 		if len(origins) > 0 {
-			a.to, a.source = origins[0], origins[0]
+			a.target, a.fillSource = origins[0], origins[0]
 		}
 		if !d.set.AllowBypass {
-			a.to, _ = d.pickCache(r)
+			a.target, _ = d.pickCache(r)
 		}
-	} else if a.to, detour = d.pickCache(r); a.to != nil {
-		if a.source = d.pickSource(r); detour && d.set.Siblings != NoSiblings && e.hitAt > 0 &&
-			d.now-e.hitAt < rateWindow && d.usable(e.at, r) {
-			a.source = e.at
-		} else if a.source == nil {
-			a.source = a.to
+	} else if a.target, detour = d.pickCache(r); a.target != nil {
+		if a.fillSource = d.pickSource(r); detour && d.set.Siblings != NoSiblings && e.lastHit > 0 &&
+			d.now-e.lastHit < rateWindow && d.usable(e.cache, r) {
+			a.fillSource = e.cache
+		} else if a.fillSource == nil {
+			a.fillSource = a.target
 		}
-	} else if a.to = d.pickSource(r); d.set.AllowBypass && a.to != nil { // no cache is left
-		if a.source = a.to; a.to.role == parent && len(origins) > 0 {
-			a.source = origins[0]
+	} else if a.target = d.pickSource(r); d.set.AllowBypass && a.target != nil { // no cache is left
+		if a.fillSource = a.target; a.target.role == roleParent && len(origins) > 0 {
+			a.fillSource = origins[0]
 		}
 	}
-	a.filling = a.source != a.to && (e == nil || !e.likely(a.to) || d.gone(r))
-	if a.to == nil || a.source == nil || r.Deadline-d.now <= r.work || !d.repeatable(r, a.to, nil) ||
+	a.fillExpected = a.fillSource != a.target && (e == nil || !e.likely(a.target) || d.gone(r))
+	if a.target == nil || a.fillSource == nil || r.Deadline-d.now <= r.transferTime || !d.repeatable(r, a.target, nil) ||
 		r.maxAttempts > 0 && len(r.attempts) >= r.maxAttempts ||
-		e != nil && (len(r.attempts) == 0 && !d.fits(a.to, r) || !d.fillable(r, a)) {
+		e != nil && (len(r.attempts) == 0 && !d.fits(a.target, r) || !d.fillable(r, a)) {
 		if !r.outstanding() {
 			d.giveUp(r)
 		}
 		return
 	}
-	if e != nil && a.to.role == cache {
-		if a.keep = d.enlist(e, a.to, detour); e.at == a.to && e.hitAt > 0 && e.moved <= e.hitAt {
-			a.keep = d.hitRank(r)
+	if e != nil && a.target.role == roleCache {
+		if a.cacheRank = d.enlist(e, a.target, detour); e.cache == a.target && e.lastHit > 0 && e.movedAt <= e.lastHit {
+			a.cacheRank = d.hitRank(r)
 		}
 	}
 	r.attempts = append(r.attempts, a)
-	d.spend(a.to, a.cost)
-	if a.source != a.to {
-		d.spend(a.source, a.cost)
+	d.spend(a.target, a.slowStartCost)
+	if a.fillSource != a.target {
+		d.spend(a.fillSource, a.slowStartCost)
 	}
 	d.count(a, 1)
-	a.trial = a.to.penalty > 0
-	a.to.trial = a.to.trial || a.trial
-	d.do(ForwardAttempt{ID: r.ID, Endpoint: a.to.id, FillSource: a.source.id, Timeout: r.Deadline - d.now, MaxAge: d.maxAge(r),
-		CacheRank: a.keep, Coalesce: d.set.AllowCoalescing, OnlyIfCached: a.onlyHeld, RefreshAhead: e != nil && r.class.FreshFor > 0})
-	at := r.aim() - r.work - r.class.LatencyObjective/3 // from then on another attempt would miss the aim
-	d.do(SetTimer{At: max(at, d.now+r.class.LatencyObjective/3+r.work), Token: r.token, RequestID: r.ID})
+	a.probation = a.target.backoff > 0
+	a.target.probationInFlight = a.target.probationInFlight || a.probation
+	d.do(ForwardAttempt{ID: r.ID, Endpoint: a.target.id, FillSource: a.fillSource.id, Timeout: r.Deadline - d.now, MaxAge: d.maxAge(r),
+		CacheRank: a.cacheRank, Coalesce: d.set.AllowCoalescing, OnlyIfCached: a.onlyIfCached, RefreshAhead: e != nil && r.class.FreshFor > 0})
+	at := r.aim() - r.transferTime - r.class.LatencyObjective/3 // from then on another attempt would miss the aim
+	d.do(SetTimer{At: max(at, d.now+r.class.LatencyObjective/3+r.transferTime), Token: r.token, RequestID: r.ID})
 }
 
 // fillable says whether a fill may be asked for now. Where fetches from the origin are at their limit a
@@ -400,14 +400,14 @@
 // goes for attempts that should hit, too: a copy may have been purged, dropped or grown too old. May hurt
 // where the origin is well and the parents' links are full.
 func (d *Director) fillable(r *request, a *attempt) bool {
-	fetch := d.room(&d.fetches, r)
-	switch a.onlyHeld = a.source.role == parent && !fetch; {
-	case a.filling && a.source.role == parent:
-		return d.room(&a.source.held, r)
-	case a.source.role == origin && !fetch && a.filling:
+	fetch := d.room(&d.originFetches, r)
+	switch a.onlyIfCached = a.fillSource.role == roleParent && !fetch; {
+	case a.fillExpected && a.fillSource.role == roleParent:
+		return d.room(&a.fillSource.concurrencyLimit, r)
+	case a.fillSource.role == roleOrigin && !fetch && a.fillExpected:
 		return false
-	case a.source.role == origin && !fetch:
-		a.source = a.to
+	case a.fillSource.role == roleOrigin && !fetch:
+		a.fillSource = a.target
 	}
 	return true
 }
@@ -416,22 +416,22 @@
 // counts, when the copies of many objects go at once.
 func (d *Director) gone(r *request) bool {
 	at, purged := d.purged.Latest(d.now, r.Object, r.Group)
-	return inference.Gone(d.now, r.entry.had, at, purged, r.class.FreshFor)
+	return inference.Gone(d.now, r.entry.copySeenAt, at, purged, r.class.FreshFor)
 }
 
 // count books an attempt where it is out.
 func (d *Director) count(a *attempt, n int) {
-	a.to.held.InFlight += n
-	if a.filling && a.source != a.to {
-		a.source.held.InFlight += n
-		if !a.onlyHeld && a.source.role != cache {
-			d.fetches.InFlight += n
+	a.target.concurrencyLimit.InFlight += n
+	if a.fillExpected && a.fillSource != a.target {
+		a.fillSource.concurrencyLimit.InFlight += n
+		if !a.onlyIfCached && a.fillSource.role != roleCache {
+			d.originFetches.InFlight += n
 		}
 	}
 }
 
 func (r *request) outstanding() bool {
-	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.out })
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.inFlight })
 }
 
 // check looks at a request that takes long: a silent server is left for another one.
@@ -439,30 +439,30 @@
 	if d.now >= r.Deadline-d.set.ClockStep && !r.streaming {
 		d.giveUp(r)
 	}
-	if r.over || r.streaming || !r.outstanding() {
+	if r.finished || r.streaming || !r.outstanding() {
 		return
 	}
 	a := r.attempts[len(r.attempts)-1]
-	s := a.to
-	if a.filling && a.source.role == parent {
-		if s = a.source; a.to.lastOK < a.sent { // whether the cache or the parent is silent can't be told
+	s := a.target
+	if a.fillExpected && a.fillSource.role == roleParent {
+		if s = a.fillSource; a.target.lastOK < a.sentAt { // whether the cache or the parent is silent can't be told
 			s = nil
 		}
-	} else if a.filling {
+	} else if a.fillExpected {
 		s = nil // the origin is judged by its answers
 	}
-	if s != nil && a.out && s.lastOK < a.sent {
+	if s != nil && a.inFlight && s.lastOK < a.sentAt {
 		// An answer was due and nothing at all came: the server is silent, whatever the cause. Merely slow
 		// ones answer something in between.
 		if !a.overdue {
 			a.overdue = true
-			s.overdue++
+			s.overdueAnswers++
 		}
-		if s.overdue >= silentLeast {
+		if s.overdueAnswers >= silentLeast {
 			d.failed(s, true)
-			if d.spare >= 1 && r.class.Effect == Idempotent {
-				d.spare--
-				r.tried = append(r.tried, s)
+			if d.retryBudget >= 1 && r.class.Effect == Idempotent {
+				d.retryBudget--
+				r.failedEndpoints = append(r.failedEndpoints, s)
 				if d.set.CanCancel {
 					d.do(CancelAttempt{ID: r.ID, Attempt: len(r.attempts) - 1})
 				}
@@ -472,7 +472,7 @@
 		}
 	}
 	if d.doubtful(r, a) {
-		d.copies--
+		d.hedgeBudget--
 		d.attempt(r)
 		return
 	}
@@ -488,7 +488,7 @@
 	} else {
 		d.do(Fail{ID: r.ID})
 	}
-	r.over = true
+	r.finished = true
 	d.forget(r)
 }
 
@@ -510,34 +510,34 @@
 
 func (d *Director) outcome(o AttemptResult) {
 	r := d.requests[o.ID]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].out {
+	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].inFlight {
 		return
 	}
 	a := r.attempts[o.Attempt]
-	a.out = false
-	a.to.trial = a.to.trial && !a.trial
+	a.inFlight = false
+	a.target.probationInFlight = a.target.probationInFlight && !a.probation
 	d.count(a, -1)
-	if share, ok := d.loads.Utilization(o.LoadReport, a.to.slots(d.set.WeightsKnown)); ok {
-		a.to.load.Observe(d.now, share)
+	if share, ok := d.loadFields.Utilization(o.LoadReport, a.target.slots(d.set.WeightsKnown)); ok {
+		a.target.load.Observe(d.now, share)
 	}
 	d.learn(r, a, o)
 	switch {
-	case r.over || o.Final:
-		if !r.over {
+	case r.finished || o.Final:
+		if !r.finished {
 			d.cancel(r)
 		}
-		r.over = true
+		r.finished = true
 		d.forget(r)
-	case r.again:
+	case r.retryPending:
 		d.attempt(r)
 	case r.outstanding():
-	case o.Status == Miss && (a.onlyHeld || a.source == a.to): // what could fill it is at its limit
+	case o.Status == Miss && (a.onlyIfCached || a.fillSource == a.target): // what could fill it is at its limit
 		d.giveUp(r)
-	case d.now >= r.Deadline-d.set.ClockStep || d.spare < 1,
+	case d.now >= r.Deadline-d.set.ClockStep || d.retryBudget < 1,
 		o.Status == ServerError && len(r.attempts) >= errorsMost:
 		d.giveUp(r)
 	default:
-		d.spare--
+		d.retryBudget--
 		d.attempt(r)
 	}
 }
@@ -545,7 +545,7 @@
 // cancel stops waiting for the attempts that are out, where that is allowed.
 func (d *Director) cancel(r *request) {
 	for i, a := range r.attempts {
-		if a.out && d.set.CanCancel {
+		if a.inFlight && d.set.CanCancel {
 			d.do(CancelAttempt{ID: r.ID, Attempt: i})
 		}
 	}
@@ -553,73 +553,73 @@
 
 // learn moves the table and the health of those involved by an outcome.
 func (d *Director) learn(r *request, a *attempt, o AttemptResult) {
-	seen := inference.Answer{Expected: !a.filling, OK: o.Status == OK, Late: a.sent+o.Latency > r.aim()}
+	seen := inference.Answer{Expected: !a.fillExpected, OK: o.Status == OK, Late: a.sentAt+o.Latency > r.aim()}
 	hit := o.Status == OK && (o.Reason == ReasonHit || o.Reason == ReasonStale) || d.untold(a, o) && seen.Hit()
-	if hit && a.source != a.to {
-		a.source.budget.Refund(a.cost) // it was not asked
+	if hit && a.fillSource != a.target {
+		a.fillSource.slowStartBudget.Refund(a.slowStartCost) // it was not asked
 	}
 	if o.SizeKB > 0 && o.Status == OK && d.set.FlowKBps > 0 { // now it is known how long it had to take
 		d.sized(r, o.SizeKB)
 	}
-	a.ran = !slices.Contains([]Status{Rejected, ConnectFailed, NotSent, Miss}, o.Status)
+	a.mayHaveRun = !slices.Contains([]Status{Rejected, ConnectFailed, NotSent, Miss}, o.Status)
 	d.limit(r, a, o, hit)
 	switch o.Status {
 	case OK:
-		d.spare = min(retryMost, d.spare+retryEarned)
+		d.retryBudget = min(retryMost, d.retryBudget+retryEarned)
 		d.land(r)
-		d.good(a.to)
-		a.to.passed = max(a.to.passed, a.sent)
-		a.to.carry(d.now, d.did(r))
-		d.gauge(a.to.role)
-		if !hit && a.source != a.to {
+		d.good(a.target)
+		a.target.lastSuccessSentAt = max(a.target.lastSuccessSentAt, a.sentAt)
+		a.target.carry(d.now, d.did(r))
+		d.gauge(a.target.role)
+		if !hit && a.fillSource != a.target {
 			if o.Reason != ReasonCoalesced {
-				a.source.carry(d.now, d.did(r))
+				a.fillSource.carry(d.now, d.did(r))
 			}
-			d.good(a.source)
-			a.source.passed = max(a.source.passed, a.sent)
-			a.source.quick += time.Duration(smooth * float64(max(0, o.Latency-r.work)-a.source.quick))
-			a.source.quickAt = d.now
-			a.source.least = min(cmp.Or(a.source.least, o.Latency), o.Latency)
+			d.good(a.fillSource)
+			a.fillSource.lastSuccessSentAt = max(a.fillSource.lastSuccessSentAt, a.sentAt)
+			a.fillSource.fillLatency += time.Duration(smooth * float64(max(0, o.Latency-r.transferTime)-a.fillSource.fillLatency))
+			a.fillSource.fillLatencyAt = d.now
+			a.fillSource.minFillLatency = min(cmp.Or(a.fillSource.minFillLatency, o.Latency), o.Latency)
 		}
 	case ServerError, Reset, ConnectFailed, Rejected:
-		bad := a.to
-		if a.source != a.to && !a.own && (o.Reason >= ReasonSourceRejected || o.Status == Rejected ||
-			o.Status == ServerError && o.Reason == ReasonNone && a.source.lastOK < a.to.lastOK) { // untold
-			bad = a.source
+		bad := a.target
+		if a.fillSource != a.target && !a.rejectedByCache && (o.Reason >= ReasonSourceRejected || o.Status == Rejected ||
+			o.Status == ServerError && o.Reason == ReasonNone && a.fillSource.lastOK < a.target.lastOK) { // untold
+			bad = a.fillSource
 		}
-		r.tried = append(r.tried, bad)
+		r.failedEndpoints = append(r.failedEndpoints, bad)
 		switch {
-		case o.Reason == ReasonNoFillSlot || o.CollateralReset || bad.role == parent && a.shared:
+		case o.Reason == ReasonNoFillSlot || o.CollateralReset || bad.role == roleParent && a.sharedFault:
 		case o.Status == ServerError && o.Reason == ReasonNone: // or the request is at fault: the next one tells
-			r.blamed = append(r.blamed, bad)
+			r.suspects = append(r.suspects, bad)
 			d.suspect(bad)
 		default:
 			d.failed(bad, false)
 		}
 	case Miss:
 		d.land(r)
-		if a.onlyHeld {
-			d.good(a.source)
+		if a.onlyIfCached {
+			d.good(a.fillSource)
 		}
 	}
 	e := r.entry
 	if e != nil && o.Status == OK && r.SizeKB <= 0 { // the quickest answer is closest to the sending alone
-		if e.work == 0 || o.Latency < e.work {
-			e.work = o.Latency
+		if e.transferTime == 0 || o.Latency < e.transferTime {
+			e.transferTime = o.Latency
 		}
 		if hit {
-			r.class.work += time.Duration(smooth / 10 * float64(e.work-r.class.work))
+			r.class.meanTransferTime += time.Duration(smooth / 10 * float64(e.transferTime-r.class.meanTransferTime))
 		}
 	}
-	if e == nil || o.Status != OK || a.to.role != cache || !hit && a.keep == 0 {
+	if e == nil || o.Status != OK || a.target.role != roleCache || !hit && a.cacheRank == 0 {
 		return
 	}
 	if hit {
-		e.hitAt = d.now
+		e.lastHit = d.now
 	}
-	e.had = max(e.had, a.sent)
-	if !e.likely(a.to) {
-		e.at, e.boot, e.moved = a.to, a.to.boot, d.now
+	e.copySeenAt = max(e.copySeenAt, a.sentAt)
+	if !e.likely(a.target) {
+		e.cache, e.cacheIncarnation, e.movedAt = a.target, a.target.incarnation, d.now
 		d.move(e)
 	}
 }
@@ -629,7 +629,7 @@
 // mayHaveRun returns the first attempt that is not known not to have run, but for one.
 func (r *request) mayHaveRun(but *attempt) *attempt {
 	for _, a := range r.attempts {
-		if a != but && (a.out || a.ran) {
+		if a != but && (a.inFlight || a.mayHaveRun) {
 			return a
 		}
 	}
@@ -637,16 +637,16 @@
 }
 
 // repeatable says whether the effect rule lets an attempt go to s now, one that is not written left aside.
-func (d *Director) repeatable(r *request, s *server, but *attempt) bool {
+func (d *Director) repeatable(r *request, s *endpoint, but *attempt) bool {
 	first := r.mayHaveRun(but)
 	if r.class.Effect == Idempotent || first == nil {
 		return true
 	}
-	if r.class.Effect == NonIdempotent || d.now-first.sent >= r.class.DedupWindow-d.set.ClockStep {
+	if r.class.Effect == NonIdempotent || d.now-first.sentAt >= r.class.DedupWindow-d.set.ClockStep {
 		return false
 	}
-	return (r.class.DedupScope != ScopeZone || s.zone == first.to.zone) &&
-		(r.class.DedupScope != ScopeCell || s.cell == first.to.cell)
+	return (r.class.DedupScope != ScopeZone || s.zone == first.target.zone) &&
+		(r.class.DedupScope != ScopeCell || s.cell == first.target.cell)
 }
 
 // maxAge is the age limit that keeps an answer younger than the latest live purge; 0 if there is none.
@@ -665,30 +665,32 @@
 // ramp is how servers of a role warm up.
 func (d *Director) ramp(of role) slowstart.Ramp {
 	switch of {
-	case cache:
+	case roleCache:
 		return slowstart.Ramp{InitialShare: d.set.SlowStartFrom, Duration: d.set.SlowStartFor, OverloadMultiple: d.set.OverloadMultiple,
 			OverloadWindow: d.set.OverloadWindow}
-	case parent:
+	case roleParent:
 		return slowstart.Ramp{InitialShare: d.set.ParentSlowStartFrom, Duration: d.set.ParentSlowStartFor,
 			OverloadMultiple: d.set.ParentOverloadMultiple, OverloadWindow: d.set.OverloadWindow}
 	}
 	return slowstart.Ramp{}
 }
 
-func (d *Director) warm(s *server) bool { return d.ramp(s.role).CapacityShare(d.now, s.boot) >= 1 }
+func (d *Director) warm(s *endpoint) bool {
+	return d.ramp(s.role).CapacityShare(d.now, s.incarnation) >= 1
+}
 
 // affordable says whether a cold server's budget holds one more attempt.
-func (d *Director) affordable(s *server, r *request) bool {
+func (d *Director) affordable(s *endpoint, r *request) bool {
 	if d.warm(s) {
 		return true
 	}
-	if d.now < d.coldPause {
+	if d.now < d.slowStartPausedUntil {
 		return false
 	}
 	d.gauge(s.role)
-	from := slowstart.Sender{Senders: d.among(s.role), Position: d.place(s), WarmRate: d.carried[s.role] * s.weight,
+	from := slowstart.Sender{Senders: d.among(s.role), Position: d.place(s), WarmRate: d.carriedRate[s.role] * s.weight,
 		ObservedRate: s.recent(d.now), ObservedOver: rateWindow}
-	return d.ramp(s.role).Allows(&s.budget, d.now, s.boot, d.cost(r), from)
+	return d.ramp(s.role).Allows(&s.slowStartBudget, d.now, s.incarnation, d.cost(r), from)
 }
 
 // gauge notes what warm servers of a role carry, ill ones too. It holds where none is left.
@@ -701,7 +703,7 @@
 		}
 	}
 	if weight > 0 {
-		d.carried[of] = rate / weight
+		d.carriedRate[of] = rate / weight
 	}
 }
 
@@ -710,50 +712,50 @@
 
 // among is that number, or 0 where it is not told.
 func (d *Director) among(r role) float64 {
-	if r == cache && d.zone < len(d.set.ZoneDirectors) && d.set.ZoneDirectors[d.zone] > 0 {
+	if r == roleCache && d.zone < len(d.set.ZoneDirectors) && d.set.ZoneDirectors[d.zone] > 0 {
 		return float64(d.set.ZoneDirectors[d.zone])
 	}
 	return float64(d.set.Directors)
 }
 
-func (d *Director) cost(r *request) float64 { return r.class.work.Seconds() }
+func (d *Director) cost(r *request) float64 { return r.class.meanTransferTime.Seconds() }
 
 // did is the work that serving a request shows a server can do. Guards against small objects, served first
 // where room is short, that count as their class's mean: servers seemed to do four times what they can.
-func (d *Director) did(r *request) float64 { return min(d.cost(r), r.work.Seconds()) }
+func (d *Director) did(r *request) float64 { return min(d.cost(r), r.transferTime.Seconds()) }
 
 // RecheckAttempt says whether an attempt that waited, for its connection say, may still be written at the given
 // time, and with which age limit: its store or source may drain by now, the time in which repeats are
 // dropped may have passed, or its object may have been purged.
 func (d *Director) RecheckAttempt(now time.Duration, id string, number int) (maxAge time.Duration, ok bool) {
 	r := d.requests[id]
-	if r == nil || number < 0 || number >= len(r.attempts) || r.over {
+	if r == nil || number < 0 || number >= len(r.attempts) || r.finished {
 		return 0, false
 	}
 	a := r.attempts[number]
 	d.now = max(d.now, now)
-	return d.maxAge(r), a.out && a.to.up && a.source.up && d.repeatable(r, a.to, a)
+	return d.maxAge(r), a.inFlight && a.target.up && a.fillSource.up && d.repeatable(r, a.target, a)
 }
 
 // ---- hints ----
 
 // move queues a moved listing for this location's directors.
-func (d *Director) move(e *entry) {
-	if d.moves = append(d.moves, e); len(d.moves) == 1 {
+func (d *Director) move(e *mappingEntry) {
+	if d.pendingMoves = append(d.pendingMoves, e); len(d.pendingMoves) == 1 {
 		d.do(SetTimer{At: d.now + tellEvery, Token: tellToken})
 	}
 }
 
 // tellMoves tells the location's other directors of the queued moves.
 func (d *Director) tellMoves() {
-	for _, msg := range encodeMoves(d.now, d.zone, d.moves) {
+	for _, msg := range encodeMoves(d.now, d.zone, d.pendingMoves) {
 		for n := range d.set.Directors {
-			if d.neighbor[n] {
+			if d.localDirectors[n] {
 				d.do(SendGossip{To: n, Data: msg})
 			}
 		}
 	}
-	d.moves = d.moves[:0]
+	d.pendingMoves = d.pendingMoves[:0]
 }
 
 // hint takes a peer's message whole, or drops it whole.
@@ -764,25 +766,25 @@
 		return
 	}
 	if id == "" {
-		if !d.neighbor[p.From] {
-			d.neighbor[p.From] = true
+		if !d.localDirectors[p.From] {
+			d.localDirectors[p.From] = true
 			d.do(SendGossip{To: p.From, Data: greeting(d.zone)})
 		}
 		return
 	}
-	s := d.servers[id]
-	if s == nil || s.role != cache || s.zone != d.zone {
+	s := d.endpoints[id]
+	if s == nil || s.role != roleCache || s.zone != d.zone {
 		return
 	}
-	d.neighbor[p.From] = true
+	d.localDirectors[p.From] = true
 	for _, t := range tips {
 		e := d.table[t.key]
 		if e == nil {
 			e = d.visit(t.key)
-			e.count = 0
+			e.recentRequests = 0
 		}
-		if moved := d.now - t.age; moved > e.moved {
-			e.at, e.boot, e.moved, e.had = s, s.boot, moved, moved
+		if moved := d.now - t.age; moved > e.movedAt {
+			e.cache, e.cacheIncarnation, e.movedAt, e.copySeenAt = s, s.incarnation, moved, moved
 		}
 	}
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -145,7 +145,7 @@
 	home := r.serve("film", "f", ReasonFilled).Endpoint
 	same := 0
 	for range 100 {
-		last := r.d.table[mix(hash("f"))].at.id
+		last := r.d.table[mix(hash("f"))].cache.id
 		if r.after(time.Second).serve("film", "f", ReasonHit).Endpoint == last {
 			same++
 		}
@@ -190,11 +190,11 @@
 		{"w1|1|c1|x,%s;", false}, {"w1|1|c1|99999,%s;", false}, {"", false},
 		{"w1|1|c1|0,%s;" + strings.Repeat("0,1;", 70), false}, {"w1|1|c1|0,%s;", true},
 	} {
-		e.at = r.d.servers["c2"]
+		e.cache = r.d.endpoints["c2"]
 		data := strings.Replace(c.data, "%s", fmt36(e.key), 1)
 		r.after(ms).do(GossipReceived{From: 1, Data: data})
-		if (e.at.id == "c1") != c.moves {
-			t.Errorf("%q: listed on %s", data, e.at.id)
+		if (e.cache.id == "c1") != c.moves {
+			t.Errorf("%q: listed on %s", data, e.cache.id)
 		}
 	}
 }
@@ -596,7 +596,7 @@
 
 // warmsFor is how long a server takes to warm up.
 func (d *Director) warmsFor(id string) time.Duration {
-	if s := d.servers[id]; s != nil {
+	if s := d.endpoints[id]; s != nil {
 		return d.ramp(s.role).Duration
 	}
 	return 0
@@ -669,9 +669,9 @@
 		}
 		r.after(900 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 900 * ms})
 	}
-	for _, s := range r.d.servers { // the first answer alone could not be known to be large
-		if s.held.LastCut > time.Hour+900*ms {
-			t.Errorf("%s counts as late: %+v", s.id, s.held)
+	for _, s := range r.d.endpoints { // the first answer alone could not be known to be large
+		if s.concurrencyLimit.LastCut > time.Hour+900*ms {
+			t.Errorf("%s counts as late: %+v", s.id, s.concurrencyLimit)
 		}
 	}
 }
@@ -679,9 +679,9 @@
 // hold makes a director hold n hits at the cache that lists the object, whose learnt limit is n.
 func hold(r *rig, object string, n int) string {
 	home := r.serve("film", object, ReasonHit).Endpoint
-	s := r.d.servers[home]
-	s.held.Max = float64(n)
-	for s.held.InFlight < n {
+	s := r.d.endpoints[home]
+	s.concurrencyLimit.Max = float64(n)
+	for s.concurrencyLimit.InFlight < n {
 		r.ask("film", object)
 	}
 	return home
@@ -696,8 +696,8 @@
 			t.Fatalf("hot object: %+v, overcommitted is %s", a, home)
 		}
 	}
-	for _, s := range r.d.inUse[cache] {
-		s.held.Max = 0
+	for _, s := range r.d.inUse[roleCache] {
+		s.concurrencyLimit.Max = 0
 	}
 	if _, a := r.ask("film", "hot"); a != nil {
 		t.Errorf("no cache has room, yet %+v", a)
@@ -707,7 +707,7 @@
 // A server that fails most of its requests stays out although some succeed.
 func TestOneSuccessDoesNotClearAFailingCache(t *testing.T) {
 	r := newRig(t, nil)
-	s := r.d.servers["c1"]
+	s := r.d.endpoints["c1"]
 	for range 8 {
 		r.d.now = r.now
 		r.d.failed(s, false)
@@ -729,10 +729,10 @@
 func TestEjectionsKeepAFloor(t *testing.T) {
 	r := newRig(t, nil)
 	r.d.now = r.now
-	for _, s := range r.d.inUse[cache] {
+	for _, s := range r.d.inUse[roleCache] {
 		r.d.failed(s, true)
 	}
-	if _, a := r.ask("film", "f"); a == nil || r.d.servers[a.Endpoint].role != cache {
+	if _, a := r.ask("film", "f"); a == nil || r.d.endpoints[a.Endpoint].role != roleCache {
 		t.Errorf("all caches ejected: %+v", a)
 	}
 }
@@ -741,13 +741,13 @@
 func TestFirstParentUnlessTheSecondIsMuchQuicker(t *testing.T) {
 	r := newRig(t, nil)
 	key := mix(hash("f"))
-	pair := r.d.homes(key, r.d.inUse[parent])
+	pair := r.d.homes(key, r.d.inUse[roleParent])
 	for _, c := range []struct {
 		first, second time.Duration
-		want          *server
+		want          *endpoint
 	}{{100 * ms, 60 * ms, pair[0]}, {100 * ms, 40 * ms, pair[1]}, {40 * ms, 100 * ms, pair[0]}} {
-		pair[0].quick, pair[1].quick = c.first, c.second
-		pair[0].quickAt, pair[1].quickAt = r.now, r.now
+		pair[0].fillLatency, pair[1].fillLatency = c.first, c.second
+		pair[0].fillLatencyAt, pair[1].fillLatencyAt = r.now, r.now
 		if _, a := r.ask("film", "f"); a.FillSource != c.want.id {
 			t.Errorf("%v and %v: source %s, want %s", c.first, c.second, a.FillSource, c.want.id)
 		}
@@ -766,7 +766,7 @@
 		}
 	}
 	r.do(EndpointUpdate{Kind: DeltaList, Endpoints: l})
-	if e.likely(r.d.servers[home]) || len(r.d.servers[home].list) != 0 {
+	if e.likely(r.d.endpoints[home]) || len(r.d.endpoints[home].listings) != 0 {
 		t.Error("the restarted cache still lists the object")
 	}
 }
@@ -789,13 +789,13 @@
 		r.after(3 * time.Second)
 		r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: TimedOut, Final: true, Latency: 3050 * ms})
 	}
-	for _, s := range r.d.servers {
-		if s.held.LastCut > 0 {
-			t.Errorf("%s: %+v", s.id, s.held)
+	for _, s := range r.d.endpoints {
+		if s.concurrencyLimit.LastCut > 0 {
+			t.Errorf("%s: %+v", s.id, s.concurrencyLimit)
 		}
 	}
-	if r.d.fetches.LastCut > 0 {
-		t.Errorf("fetches: %+v", r.d.fetches)
+	if r.d.originFetches.LastCut > 0 {
+		t.Errorf("fetches: %+v", r.d.originFetches)
 	}
 }
 
@@ -815,7 +815,7 @@
 		for i, id := range ids {
 			r.do(AttemptResult{ID: id, Endpoint: at, Status: Reset, CollateralReset: along && i > 0, Latency: ms})
 		}
-		if out := r.d.servers[at].ejected > 0; out == along {
+		if out := r.d.endpoints[at].ejectedUntil > 0; out == along {
 			t.Errorf("along %v: ejected %v", along, out)
 		}
 	}
@@ -881,8 +881,8 @@
 		}
 		r.do(AttemptResult{ID: id, Attempt: 1, Endpoint: again.Endpoint, Status: OK, Final: true, Latency: ms})
 	}
-	for _, s := range r.d.servers {
-		if out := s.ejected > 0; out != (s.id == dead) {
+	for _, s := range r.d.endpoints {
+		if out := s.ejectedUntil > 0; out != (s.id == dead) {
 			t.Errorf("%s: ejected %v", s.id, out)
 		}
 	}
@@ -905,7 +905,7 @@
 	}
 	r.do(EndpointUpdate{Kind: DeltaList, Endpoints: gone})
 	r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Reset, Latency: ms})
-	if n := len(r.d.servers); n != 0 {
+	if n := len(r.d.endpoints); n != 0 {
 		t.Errorf("%d servers are kept", n)
 	}
 }
@@ -918,17 +918,17 @@
 		r.serve("page", fmt.Sprint(i%40), ReasonHit)
 	}
 	for _, id := range []string{"c1", "c2"} { // these have answered nothing lately
-		r.d.servers[id].rate = 0
+		r.d.endpoints[id].workRate = 0
 		for range 3 {
-			r.d.failed(r.d.servers[id], false)
+			r.d.failed(r.d.endpoints[id], false)
 		}
 	}
-	r.d.gauge(cache)
+	r.d.gauge(roleCache)
 	sum := 0.0
-	for _, s := range r.d.inUse[cache] {
+	for _, s := range r.d.inUse[roleCache] {
 		sum += s.recent(r.now)
 	}
-	if got := r.d.carried[cache]; sum == 0 || got > 1.01*sum/4 {
+	if got := r.d.carriedRate[roleCache]; sum == 0 || got > 1.01*sum/4 {
 		t.Errorf("carried %v each, %v in all by four", got, sum)
 	}
 }
@@ -959,14 +959,14 @@
 		r.after(40 * ms).do(AttemptResult{ID: id, Attempt: n, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true,
 			Latency: 40 * ms})
 	}
-	for _, l := range r.d.inUse[parent:] {
+	for _, l := range r.d.inUse[roleParent:] {
 		for _, s := range l {
-			if s.penalty > 0 || s.held.Max < 1000 {
-				t.Errorf("%s: limit %.1f, ejected for %v", s.id, s.held.Max, s.penalty)
+			if s.backoff > 0 || s.concurrencyLimit.Max < 1000 {
+				t.Errorf("%s: limit %.1f, ejected for %v", s.id, s.concurrencyLimit.Max, s.backoff)
 			}
 		}
 	}
-	if most := r.d.fetches.Max; most < 1000 {
+	if most := r.d.originFetches.Max; most < 1000 {
 		t.Errorf("fetches are limited to %.1f", most)
 	}
 	if refused < 3 || refused > 10 {
@@ -993,9 +993,9 @@
 			r.serve("film", fmt.Sprint("y", i, k), ReasonHit)
 		}
 	}
-	for _, s := range r.d.servers {
-		if s.held.Max < 1000 {
-			t.Errorf("%s is limited to %.1f", s.id, s.held.Max)
+	for _, s := range r.d.endpoints {
+		if s.concurrencyLimit.Max < 1000 {
+			t.Errorf("%s is limited to %.1f", s.id, s.concurrencyLimit.Max)
 		}
 	}
 }
@@ -1026,7 +1026,7 @@
 			r.serve("page", "x", ReasonHit)
 		}
 		if c.limited {
-			r.d.servers[at].held.Max = 50
+			r.d.endpoints[at].concurrencyLimit.Max = 50
 		}
 		id, _ := overtaken()
 		copies := 0
@@ -1064,19 +1064,19 @@
 			r.serve("film", fmt.Sprint("good", i, k), ReasonHit)
 		}
 	}
-	for _, s := range r.d.servers {
-		if s.penalty > 0 || s.failing > 0 {
-			t.Errorf("%s: failing %.2f, ejected for %v", s.id, s.failing, s.penalty)
+	for _, s := range r.d.endpoints {
+		if s.backoff > 0 || s.errorRate > 0 {
+			t.Errorf("%s: failing %.2f, ejected for %v", s.id, s.errorRate, s.backoff)
 		}
 	}
-	for i := 0; r.d.servers["c1"].penalty == 0; i++ { // one that fails where others do well is left alone
+	for i := 0; r.d.endpoints["c1"].backoff == 0; i++ { // one that fails where others do well is left alone
 		if i == 200 {
 			t.Fatal("a cache that always fails is still asked")
 		}
 		id, a := r.ask("film", fmt.Sprint("new", i))
 		n := 0
 		for ; a.Endpoint == "c1"; n++ {
-			r.d.servers["c1"].lastOK = 0
+			r.d.endpoints["c1"].lastOK = 0
 			a = first[ForwardAttempt](r.do(AttemptResult{ID: id, Attempt: n, Endpoint: a.Endpoint, Status: ServerError}))
 		}
 		r.after(20 * ms).do(AttemptResult{ID: id, Attempt: n, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true,
@@ -1104,11 +1104,11 @@
 			for i := range 10 { // 0.75 s of sending: the aim is 0.6 s and 1.6 times that
 				one(fmt.Sprint("large", i), long, 3000)
 			}
-			cut := slices.ContainsFunc(r.d.inUse[cache], func(s *server) bool { return !math.IsInf(s.held.Max, 1) })
+			cut := slices.ContainsFunc(r.d.inUse[roleCache], func(s *endpoint) bool { return !math.IsInf(s.concurrencyLimit.Max, 1) })
 			if cut != (name == "late") {
 				t.Errorf("limits cut: %v", cut)
 			}
-			if got := r.d.classes["film"].work; got < 30*ms || got > 200*ms { // the mean of all is 129 ms
+			if got := r.d.classes["film"].meanTransferTime; got < 30*ms || got > 200*ms { // the mean of all is 129 ms
 				t.Errorf("mean sending time of the class %v", got)
 			}
 		})
@@ -1121,14 +1121,14 @@
 	r := newRig(t, func(s *Settings) { s.AnswerDetail = DetailHit })
 	more := Endpoint{ID: "p3", Zone: "hub", Kind: "parent", Cell: 4}
 	r.do(EndpointUpdate{Kind: DeltaList, Endpoints: []Endpoint{more}})
-	r.d.spare = 0
+	r.d.retryBudget = 0
 	errors := 0
 	for i := range 200 {
 		id, a := r.ask("film", fmt.Sprint("o", i))
 		if a == nil {
 			continue
 		}
-		r.d.spare = 0 // what others left
+		r.d.retryBudget = 0 // what others left
 		o := AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 60 * ms}
 		if a.FillSource == "p1" {
 			errors++
@@ -1139,8 +1139,8 @@
 	if errors > 20 { // until it is known, and one for each time that it is tried again
 		t.Errorf("the failing parent was asked %d times in four seconds", errors)
 	}
-	for _, s := range r.d.servers {
-		if s.role != parent && s.penalty > 0 {
+	for _, s := range r.d.endpoints {
+		if s.role != roleParent && s.backoff > 0 {
 			t.Errorf("%s was taken out of use for the parent's errors", s.id)
 		}
 	}
@@ -1184,7 +1184,7 @@
 					if a == nil {
 						t.Fatal("no attempt")
 					}
-					from := r.d.servers[a.Endpoint]
+					from := r.d.endpoints[a.Endpoint]
 					gap := 100 * ms
 					if late {
 						gap = 500 * ms
@@ -1193,7 +1193,7 @@
 					again, refused, failed := first[ForwardAttempt](out), first[Reject](out), first[Fail](out)
 					what := fmt.Sprintf("kept %v, effect %v, scope %v, late %v: %v", kept, effect, scope, late, out)
 					if again != nil {
-						to := r.d.servers[again.Endpoint]
+						to := r.d.endpoints[again.Endpoint]
 						if effect == NonIdempotent || effect == IdempotentWithKey && (late || scope == ScopeZone && to.zone != from.zone ||
 							scope == ScopeCell && to.cell != from.cell) {
 							t.Error(what)
--- a/routing/world_test.go
+++ b/routing/world_test.go
@@ -225,9 +225,9 @@
 			if got := w.share("film"); got < 0.8 {
 				t.Errorf("tells %v, dead %v: %.2f of all films", tells, dead, got)
 			}
-			for _, s := range w.d.inUse[cache] {
-				if s.held.Max < 3 {
-					t.Errorf("tells %v, dead %v: %s is limited to %.1f", tells, dead, s.id, s.held.Max)
+			for _, s := range w.d.inUse[roleCache] {
+				if s.concurrencyLimit.Max < 3 {
+					t.Errorf("tells %v, dead %v: %s is limited to %.1f", tells, dead, s.id, s.concurrencyLimit.Max)
 				}
 			}
 		}
@@ -264,7 +264,7 @@
 			clear(h)
 		}
 		w.do(Purge{Group: 0})
-		w.d.fetches.Max = 3
+		w.d.originFetches.Max = 3
 	})
 	for at := 10 * time.Second; at < 11*time.Second; at += 10 * ms {
 		w.at(at+ms, func() { most = max(most, int(w.busy-w.clock.Now)/int(w.origin)) })
