--- a/routing/deployments_test.go
+++ b/routing/deployments_test.go
@@ -52,7 +52,7 @@
 			}
 			// What the others have to say comes with other objects' answers.
 			for _, s := range r.d.inUse[roleCache] {
-				if share, ok := r.d.loadFields.Utilization([]float64{c.others}, s.slots(true)); ok && s.id != full {
+				if share, ok := r.d.loadFields.Utilization([]float64{c.others}, s.transferSlots(true)); ok && s.id != full {
 					s.load.Observe(r.now, share)
 				}
 			}
@@ -213,7 +213,7 @@
 		r.kb = 120
 		r.after(50*ms).serve("film", fmt.Sprint("small", n%7), ReasonNone)
 	}
-	r.d.gauge(roleCache)
+	r.d.updateCarriedRate(roleCache)
 	if did, real := 4*r.d.carriedRate[roleCache], 20*0.03; did > 1.5*real {
 		t.Errorf("four caches are taken to do %.2f s of work a second, and did %.2f", did, real)
 	}
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -354,9 +354,9 @@
 		f := newFleet(t, 100, change)
 		var quarters, second [4]int
 		for _, r := range f.rigs {
-			quarters[int(4*r.d.place(r.d.endpoints["c1"]))]++
-			if int(4*r.d.place(r.d.endpoints["c1"])) == 0 {
-				second[int(4*r.d.place(r.d.endpoints["c2"]))]++
+			quarters[int(4*r.d.senderPosition(r.d.endpoints["c1"]))]++
+			if int(4*r.d.senderPosition(r.d.endpoints["c1"])) == 0 {
+				second[int(4*r.d.senderPosition(r.d.endpoints["c2"]))]++
 			}
 		}
 		least, most := 22, 28
--- a/routing/health.go
+++ b/routing/health.go
@@ -11,85 +11,85 @@
 	"larchusher/inference"
 )
 
-func (d *Director) good(s *endpoint) {
+func (d *Director) recordSuccess(s *endpoint) {
 	s.lastOK, s.overdueAnswers = d.now, 0
-	d.unattributedErrorRate[s.role] -= failWeight * d.unattributedErrorRate[s.role]
-	s.unattributedErrorRate -= failWeight * s.unattributedErrorRate
-	if s.errorRate -= failWeight * s.errorRate; s.errorRate < failMany {
+	d.unattributedErrorRate[s.role] -= errorRateWeight * d.unattributedErrorRate[s.role]
+	s.unattributedErrorRate -= errorRateWeight * s.unattributedErrorRate
+	if s.errorRate -= errorRateWeight * s.errorRate; s.errorRate < ejectionErrorRate {
 		s.backoff = 0
 	}
 }
 
-// failed notes a failure of a server, and takes it out of use when they mount up.
-func (d *Director) failed(s *endpoint, silent bool) {
-	s.errorRate += failWeight * (1 - s.errorRate)
-	if s.ejectedUntil > d.now || s.errorRate < failMany && !silent {
+// recordFailure notes a failure of a server, and takes it out of use when they mount up.
+func (d *Director) recordFailure(s *endpoint, silent bool) {
+	s.errorRate += errorRateWeight * (1 - s.errorRate)
+	if s.ejectedUntil > d.now || s.errorRate < ejectionErrorRate && !silent {
 		return
 	}
-	s.backoff = min(ejectLongest, max(ejectFirst, 2*s.backoff))
+	s.backoff = min(maxEjection, max(firstEjection, 2*s.backoff))
 	s.ejectedUntil = d.now + s.backoff
 }
 
-// land books a request's errors on their servers, once another has shown by its answer that the request was
+// confirmSuspects books a request's errors on their servers, once another has shown by its answer that the request was
 // well formed.
-func (d *Director) land(r *request) {
+func (d *Director) confirmSuspects(r *request) {
 	for _, s := range r.suspects {
-		d.failed(s, false)
+		d.recordFailure(s, false)
 	}
 	r.suspects = nil
 }
 
-// suspect weighs an error that may be its request's fault. Requests at fault fail wherever they are sent: a
+// recordUnattributedError weighs an error that may be its request's fault. Requests at fault fail wherever they are sent: a
 // server with far more such errors than all of its role have is ill. Guards against a store whose errors take
 // all further attempts, so that none is left whose success would show who was at fault.
-func (d *Director) suspect(s *endpoint) {
-	s.unattributedErrorRate += failWeight * (1 - s.unattributedErrorRate)
-	d.unattributedErrorRate[s.role] += failWeight * (1 - d.unattributedErrorRate[s.role])
-	if s.unattributedErrorRate >= failMany && s.unattributedErrorRate >= suspectMost*d.unattributedErrorRate[s.role] {
-		d.failed(s, true)
+func (d *Director) recordUnattributedError(s *endpoint) {
+	s.unattributedErrorRate += errorRateWeight * (1 - s.unattributedErrorRate)
+	d.unattributedErrorRate[s.role] += errorRateWeight * (1 - d.unattributedErrorRate[s.role])
+	if s.unattributedErrorRate >= ejectionErrorRate && s.unattributedErrorRate >= outlierErrorMultiple*d.unattributedErrorRate[s.role] {
+		d.recordFailure(s, true)
 	}
 }
 
-// lately is the wait for fills from s, which halves with each rateWindow in which none was seen.
-func (s *endpoint) lately(now time.Duration) float64 {
-	return float64(s.fillLatency) * math.Exp2(-float64(now-s.fillLatencyAt)/float64(rateWindow))
+// recentFillLatency is the wait for fills from s, which halves with each rateWindow in which none was seen.
+func (s *endpoint) recentFillLatency(now time.Duration) float64 {
+	return float64(s.fillLatency) * math.Exp2(-float64(now-s.fillLatencyAt)/float64(recentWindow))
 }
 
-// likely says that a hit is to be expected: the entry is listed at s as it runs now.
-func (e *mappingEntry) likely(s *endpoint) bool {
+// hitExpectedAt says that a hit is to be expected: the entry is listed at s as it runs now.
+func (e *mappingEntry) hitExpectedAt(s *endpoint) bool {
 	return e.cache == s && e.cacheIncarnation == s.incarnation
 }
 
-// limit learns how much may be out at a cache, at a source of fills, and at the origin behind the sources.
+// updateLimits learns how much may be out at a cache, at a source of fills, and at the origin behind the sources.
 // Answers later than the aim, and refusals, say that what is out there shares too little. The limit is then
 // cut to the share that was in time; only what was sent after a cut counts for the next one. Holds against
 // slow parts, full links and overload alike; may hurt where answers are late for reasons that no limit mends.
-func (d *Director) limit(r *request, a *attempt, o AttemptResult, hit bool) {
-	late := a.sentAt+o.Latency > r.aim() && !o.Status.broken() || o.Status == Rejected
+func (d *Director) updateLimits(r *request, a *attempt, o AttemptResult, hit bool) {
+	late := a.sentAt+o.Latency > r.objectiveAt() && !o.Status.broken() || o.Status == Rejected
 	if (o.Status == TimedOut || o.Status == Canceled) && a.overtaken() {
 		if d.now >= r.Deadline-2*d.set.ClockStep && len(r.attempts) == 1 {
-			d.hedgeBudget = min(2*copyEarned, d.hedgeBudget+copyEarned)
+			d.hedgeBudget = min(2*hedgesPerLostAnswer, d.hedgeBudget+hedgesPerLostAnswer)
 		}
 		return // an answer that got lost on its way says nothing of load
 	}
-	a.rejectedByCache = o.Status == Rejected && a.refusedItself(o)
-	earlier := late && (o.Status == OK || o.Status == ServerError) && o.Latency <= r.aim()-r.startedAt
+	a.rejectedByCache = o.Status == Rejected && a.rejectedByTarget(o)
+	earlier := late && (o.Status == OK || o.Status == ServerError) && o.Latency <= r.objectiveAt()-r.startedAt
 	if earlier || a.rejectedByCache && a.fillExpected { // other attempts took the time, or the cache alone is closed
 		return
 	}
 	a.sharedFault = !hit && !a.rejectedByCache && (late || o.Status == ServerError) && (a.fillExpected || o.Reason != ReasonNone) &&
-		d.behind(a, o)
-	for _, l := range d.slow(a, o, hit, late) {
+		d.isSharedFault(a, o)
+	for _, l := range d.limitsToUpdate(a, o, hit, late) {
 		l.Observe(d.now, a.sentAt, late, o.Status == OK || o.Status == Miss)
 	}
 }
 
-// refusedItself says that a refusal is the cache's own, and not its source's. Where that isn't told: it came
+// rejectedByTarget says that a refusal is the cache's own, and not its source's. Where that isn't told: it came
 // sooner than a source can be asked. For a fill that may only mean that no place for fills is free, unless
 // the cache has refused a hit since it answered well. Guards against a cache that drains before the list says
 // so: its refusals closed the sources, and through them the whole branch.
-func (a *attempt) refusedItself(o AttemptResult) bool {
-	own := a.fillSource == a.target || o.Reason == ReasonNone && o.Latency < a.fillSource.minFillLatency/atOnce
+func (a *attempt) rejectedByTarget(o AttemptResult) bool {
+	own := a.fillSource == a.target || o.Reason == ReasonNone && o.Latency < a.fillSource.minFillLatency/promptRejectionRatio
 	if own && !a.fillExpected {
 		a.target.lastHitRejectedAt = a.sentAt
 	}
@@ -101,18 +101,18 @@
 	return a.target.lastSuccessSentAt > a.sentAt && (!a.fillExpected || a.fillSource.lastSuccessSentAt > a.sentAt)
 }
 
-// doubtful says that an attempt's answer is likely to be lost: it is due, later ones have been answered,
+// shouldHedge says that an attempt's answer is likely to be lost: it is due, later ones have been answered,
 // and answers did get lost of late. Another can then still come in time. Not where anything is at its limit:
 // slow answers would be asked for twice.
-func (d *Director) doubtful(r *request, a *attempt) bool {
+func (d *Director) shouldHedge(r *request, a *attempt) bool {
 	return a.inFlight && len(r.attempts) == 1 && d.set.HedgedRequests && d.hedgeBudget >= 1 && a.overtaken() &&
 		math.IsInf(min(a.target.concurrencyLimit.Max, a.fillSource.concurrencyLimit.Max, d.originFetches.Max), 1)
 }
 
-// slow names what an outcome's time speaks of: the cache if it answered by itself, else a part of the fill.
-func (d *Director) slow(a *attempt, o AttemptResult, hit, late bool) []*concurrency.Limit {
+// limitsToUpdate names what an outcome's time speaks of: the cache if it answered by itself, else a part of the fill.
+func (d *Director) limitsToUpdate(a *attempt, o AttemptResult, hit, late bool) []*concurrency.Limit {
 	seen := inference.Answer{Expected: !a.fillExpected, Refused: o.Status == Rejected}
-	seen.Late = late && d.untold(a, o)
+	seen.Late = late && d.hitUnknown(a, o)
 	seen.Busy, seen.Reported = a.target.load.Utilization(d.now)
 	fill := a.fillSource != a.target && !hit && !a.rejectedByCache && (o.Reason != ReasonNone || seen.Filled())
 	switch {
@@ -132,58 +132,58 @@
 	return []*concurrency.Limit{&a.fillSource.concurrencyLimit, &d.originFetches}
 }
 
-// untold says that an outcome doesn't tell whether a cache had the object, since none does here.
-func (d *Director) untold(a *attempt, o AttemptResult) bool {
+// hitUnknown says that an outcome doesn't tell whether a cache had the object, since none does here.
+func (d *Director) hitUnknown(a *attempt, o AttemptResult) bool {
 	return d.set.AnswerDetail == DetailNone && o.Reason == ReasonNone && a.target.role == roleCache
 }
 
-// behind says whether a late or failed fill is the origin's fault rather than its parent's: where that isn't
+// isSharedFault says whether a late or failed fill is the origin's fault rather than its parent's: where that isn't
 // told, if another source's were late at about that time, or writes there. One that is slow, silent or gone
 // stays alone with it.
-func (d *Director) behind(a *attempt, o AttemptResult) bool {
+func (d *Director) isSharedFault(a *attempt, o AttemptResult) bool {
 	if a.fillSource.role != roleParent || a.onlyIfCached || o.Reason == ReasonSourceLost && o.Status == Rejected {
 		return a.fillSource.role == roleOrigin
 	}
 	too := func(s *endpoint) bool {
-		return s != a.fillSource && s.lastLateFill > 0 && d.now-s.lastLateFill < lateTogether
+		return s != a.fillSource && s.lastLateFill > 0 && d.now-s.lastLateFill < sharedFaultWindow
 	}
 	a.fillSource.lastLateFill = d.now
 	return len(d.inUse[roleParent]) < 2 || o.Reason == ReasonOriginFailed ||
 		slices.ContainsFunc(d.inUse[roleParent], too) || slices.ContainsFunc(d.inUse[roleOrigin], too)
 }
 
-// room says whether one more attempt may be out. A client's repeat has lost part of its time, and what costs
+// hasCapacity says whether one more attempt may be out. A client's repeat has lost part of its time, and what costs
 // much for its worth takes the place of others: they stop first.
-func (d *Director) room(l *concurrency.Limit, r *request) bool {
+func (d *Director) hasCapacity(l *concurrency.Limit, r *request) bool {
 	part := d.meanCost.Quota(r.costPerWeight)
 	if r.Retry {
-		part *= limitDown
+		part *= clientRetryQuota
 	}
 	return l.HasCapacity(part, r.draw)
 }
 
-// fits says whether a cache has room for one more, and can finish it in aim beside what of ours is there.
-func (d *Director) fits(s *endpoint, r *request) bool {
-	most := concurrency.MaxWithinObjective(s.slots(d.set.WeightsKnown), r.class.ObjectiveStretch, r.class.LatencyObjective, r.transferTime)
-	return d.room(&s.concurrencyLimit, r) && float64(s.concurrencyLimit.InFlight)+r.draw < most
+// fitsObjective says whether a cache has room for one more, and can finish it in aim beside what of ours is there.
+func (d *Director) fitsObjective(s *endpoint, r *request) bool {
+	most := concurrency.MaxWithinObjective(s.transferSlots(d.set.WeightsKnown), r.class.ObjectiveStretch, r.class.LatencyObjective, r.transferTime)
+	return d.hasCapacity(&s.concurrencyLimit, r) && float64(s.concurrencyLimit.InFlight)+r.draw < most
 }
 
 // usable says whether a server may be sent something now.
 func (d *Director) usable(s *endpoint, r *request) bool {
-	return s.up && d.affordable(s, r) && (d.healthy(s) || d.floored(s))
+	return s.up && d.slowStartAllows(s, r) && (d.healthy(s) || d.keptByFloor(s))
 }
 
 func (d *Director) healthy(s *endpoint) bool {
 	return s.backoff == 0 || s.ejectedUntil <= d.now && !s.probationInFlight
 }
 
-// floored says that so many of the servers of a role look ill that the fault is likely elsewhere.
-func (d *Director) floored(s *endpoint) bool {
+// keptByFloor says that so many of the servers of a role look ill that the fault is likely elsewhere.
+func (d *Director) keptByFloor(s *endpoint) bool {
 	n := 0
 	for _, p := range d.inUse[s.role] {
 		if d.healthy(p) {
 			n++
 		}
 	}
-	return s.role == roleOrigin || float64(n) < inUseLeast*float64(len(d.inUse[s.role]))
+	return s.role == roleOrigin || float64(n) < minInUseShare*float64(len(d.inUse[s.role]))
 }
--- a/routing/hints_test.go
+++ b/routing/hints_test.go
@@ -8,17 +8,17 @@
 )
 
 func TestTipsSurviveTheirMessages(t *testing.T) {
-	var tips []tip
+	var tips []movedListing
 	for i := range 40 {
-		tips = append(tips, tip{key: mix(uint64(i)), age: time.Duration(i) * time.Millisecond})
+		tips = append(tips, movedListing{key: mix(uint64(i)), age: time.Duration(i) * time.Millisecond})
 	}
-	msgs := encodeTips(3, "c1", tips)
-	var got []tip
+	msgs := encodeMovedListings(3, "c1", tips)
+	var got []movedListing
 	for _, m := range msgs {
-		if len(m) > hintBytes {
+		if len(m) > maxGossipBytes {
 			t.Errorf("a message of %d bytes", len(m))
 		}
-		zone, cache, part, err := decodeTips(m)
+		zone, cache, part, err := decodeGossip(m)
 		if err != nil || zone != 3 || cache != "c1" {
 			t.Fatalf("%q: zone %d, cache %q, %v", m, zone, cache, err)
 		}
@@ -30,14 +30,14 @@
 }
 
 func TestMalformedHintsAreDroppedWhole(t *testing.T) {
-	good := encodeTips(1, "c1", []tip{{key: 7, age: time.Millisecond}})[0]
+	good := encodeMovedListings(1, "c1", []movedListing{{key: 7, age: time.Millisecond}})[0]
 	for _, data := range []string{"", "w1", "w2|1", "w1|x", "w1|1|c1", "w1|1||1,7;", good + ";", good + "x,7;", good + "1,!;",
-		good + "-1,7;", "w1|1|c1|", good + "|", strings.Repeat("w", hintBytes+1)} {
-		if _, _, tips, err := decodeTips(data); err == nil || tips != nil {
+		good + "-1,7;", "w1|1|c1|", good + "|", strings.Repeat("w", maxGossipBytes+1)} {
+		if _, _, tips, err := decodeGossip(data); err == nil || tips != nil {
 			t.Errorf("%q was taken as %v", data, tips)
 		}
 	}
-	if zone, cache, _, err := decodeTips(greeting(4)); err != nil || zone != 4 || cache != "" {
+	if zone, cache, _, err := decodeGossip(greeting(4)); err != nil || zone != 4 || cache != "" {
 		t.Errorf("greeting: zone %d, cache %q, %v", zone, cache, err)
 	}
 }
--- a/routing/memory.go
+++ b/routing/memory.go
@@ -80,7 +80,7 @@
 	m.Listings = make([]Listing, 0, min(most, len(d.table)))
 	for el := d.byRecency.Front(); el != nil && len(m.Listings) < most; el = el.Next() {
 		e := el.Value.(*mappingEntry)
-		if e.cache == nil || !e.likely(e.cache) {
+		if e.cache == nil || !e.hitExpectedAt(e.cache) {
 			continue
 		}
 		m.Listings = append(m.Listings, Listing{Key: e.key, Endpoint: e.cache.id, Incarnation: e.cacheIncarnation, HitAt: e.lastHit, LastRequest: e.lastRequest, MeanGap: e.meanGap,
@@ -108,7 +108,7 @@
 func (d *Director) Import(now time.Duration, m LearnedState, worth func(age time.Duration) Confidence) (u ImportCounts) {
 	d.now = now
 	for _, h := range m.Endpoints {
-		s := d.known(h.Endpoint, h.Incarnation, &u)
+		s := d.findUnchanged(h.Endpoint, h.Incarnation, &u)
 		if s == nil {
 			continue
 		}
@@ -121,10 +121,10 @@
 		w := worth(now - h.LastAnswer)
 		s.concurrencyLimit.LastAnswer = max(s.concurrencyLimit.LastAnswer, h.LastAnswer)
 		s.errorRate = max(s.errorRate, h.ErrorRate*w.Failure)
-		if until := min(h.EjectedUntil, now+ejectLongest); until > now {
+		if until := min(h.EjectedUntil, now+maxEjection); until > now {
 			s.ejectedUntil = max(s.ejectedUntil, until)
 		}
-		s.backoff = max(s.backoff, min(ejectLongest, time.Duration(w.Failure*float64(h.Backoff))))
+		s.backoff = max(s.backoff, min(maxEjection, time.Duration(w.Failure*float64(h.Backoff))))
 		if s.fillLatency == 0 {
 			s.fillLatency, s.fillLatencyAt = time.Duration(w.FillLatency*float64(h.FillLatency)), h.FillLatencyAt
 		}
@@ -142,7 +142,7 @@
 			u.Invalid++
 			continue
 		}
-		s := d.known(l.Endpoint, l.Incarnation, &u)
+		s := d.findUnchanged(l.Endpoint, l.Incarnation, &u)
 		if s == nil {
 			continue
 		}
@@ -150,7 +150,7 @@
 			u.Invalid++
 			continue
 		}
-		if !d.warm(s) {
+		if !d.isWarm(s) {
 			u.WarmingUp++
 			continue
 		}
@@ -162,7 +162,7 @@
 			}
 			continue
 		}
-		if len(d.table) >= tableSize*listSize*max(1, len(d.inUse[roleCache])) {
+		if len(d.table) >= tableListMultiple*listingsPerCache*max(1, len(d.inUse[roleCache])) {
 			continue
 		}
 		e := &mappingEntry{key: l.Key, cache: s, cacheIncarnation: s.incarnation, lastHit: l.HitAt, copySeenAt: l.LastRequest, lastRequest: l.LastRequest, meanGap: l.MeanGap, recentRequests: l.Count, transferTime: l.TransferTime}
@@ -180,8 +180,8 @@
 	return u
 }
 
-// known finds a server of the list that still runs as it did.
-func (d *Director) known(id string, boot time.Duration, u *ImportCounts) *endpoint {
+// findUnchanged finds a server of the list that still runs as it did.
+func (d *Director) findUnchanged(id string, boot time.Duration, u *ImportCounts) *endpoint {
 	s := d.endpoints[id]
 	switch {
 	case s == nil || !s.up:
--- a/routing/observe.go
+++ b/routing/observe.go
@@ -19,8 +19,8 @@
 }
 
 const (
-	purgesMany = 3   // groups purged whole that have not settled: copies are being fetched anew
-	fetchesBad = 0.3 // share of late fetches at which the origin is said to be slow
+	manyGroupPurges     = 3   // groups purged whole that have not settled: copies are being fetched anew
+	slowOriginLateShare = 0.3 // share of late fetches at which the origin is said to be slow
 )
 
 // Observe gives all stores on the list in order, and why this is no time to have fewer of them; empty: nothing says so.
@@ -28,7 +28,7 @@
 	d.now = max(d.now, now)
 	kinds := [...]string{"box", "parent", "origin"}
 	for _, s := range d.endpoints {
-		o := Observed{ID: s.id, Kind: kinds[s.role], Up: s.up, Warm: d.warm(s), Usable: s.up && (d.healthy(s) || d.floored(s)), Incarnation: s.incarnation, Weight: s.weight, Utilization: -1}
+		o := Observed{ID: s.id, Kind: kinds[s.role], Up: s.up, Warm: d.isWarm(s), Usable: s.up && (d.healthy(s) || d.keptByFloor(s)), Incarnation: s.incarnation, Weight: s.weight, Utilization: -1}
 		if s.zone >= 0 {
 			o.Zone = d.set.Zones[s.zone]
 		}
@@ -47,9 +47,9 @@
 		}
 	}
 	switch {
-	case groups >= purgesMany:
+	case groups >= manyGroupPurges:
 		strain = "groups of objects were just purged"
-	case d.originFetches.LateShare >= fetchesBad && d.now-d.originFetches.LastAnswer < rateWindow:
+	case d.originFetches.LateShare >= slowOriginLateShare && d.now-d.originFetches.LastAnswer < recentWindow:
 		strain = "the origin is slow"
 	}
 	return all, strain
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -214,9 +214,9 @@
 	r.do(GossipReceived{From: 1, Data: "w1|1"})
 	r.do(GossipReceived{From: 2, Data: "w1|2"})
 	r.serve("film", "f", ReasonFilled)
-	out := r.after(tellEvery).do(TimerFired{Token: tellToken})
+	out := r.after(gossipInterval).do(TimerFired{Token: gossipToken})
 	told := first[SendGossip](out)
-	if told == nil || told.To != 1 || len(out) != 1 || len(told.Data) > hintBytes {
+	if told == nil || told.To != 1 || len(out) != 1 || len(told.Data) > maxGossipBytes {
 		t.Errorf("told %v", out)
 	}
 }
@@ -597,7 +597,7 @@
 // warmsFor is how long a server takes to warm up.
 func (d *Director) warmsFor(id string) time.Duration {
 	if s := d.endpoints[id]; s != nil {
-		return d.ramp(s.role).Duration
+		return d.slowStartRamp(s.role).Duration
 	}
 	return 0
 }
@@ -710,15 +710,15 @@
 	s := r.d.endpoints["c1"]
 	for range 8 {
 		r.d.now = r.now
-		r.d.failed(s, false)
+		r.d.recordFailure(s, false)
 		r.after(10 * ms)
 	}
-	r.d.good(s)
+	r.d.recordSuccess(s)
 	if r.d.healthy(s) {
 		t.Error("one success after eight failures cleared it")
 	}
 	for range 4 {
-		r.d.good(s)
+		r.d.recordSuccess(s)
 	}
 	if !r.d.healthy(s) {
 		t.Error("still out after five successes")
@@ -730,7 +730,7 @@
 	r := newRig(t, nil)
 	r.d.now = r.now
 	for _, s := range r.d.inUse[roleCache] {
-		r.d.failed(s, true)
+		r.d.recordFailure(s, true)
 	}
 	if _, a := r.ask("film", "f"); a == nil || r.d.endpoints[a.Endpoint].role != roleCache {
 		t.Errorf("all caches ejected: %+v", a)
@@ -741,7 +741,7 @@
 func TestFirstParentUnlessTheSecondIsMuchQuicker(t *testing.T) {
 	r := newRig(t, nil)
 	key := mix(hash("f"))
-	pair := r.d.homes(key, r.d.inUse[roleParent])
+	pair := r.d.preferenceOrder(key, r.d.inUse[roleParent])
 	for _, c := range []struct {
 		first, second time.Duration
 		want          *endpoint
@@ -766,7 +766,7 @@
 		}
 	}
 	r.do(EndpointUpdate{Kind: DeltaList, Endpoints: l})
-	if e.likely(r.d.endpoints[home]) || len(r.d.endpoints[home].listings) != 0 {
+	if e.hitExpectedAt(r.d.endpoints[home]) || len(r.d.endpoints[home].listings) != 0 {
 		t.Error("the restarted cache still lists the object")
 	}
 }
@@ -920,13 +920,13 @@
 	for _, id := range []string{"c1", "c2"} { // these have answered nothing lately
 		r.d.endpoints[id].workRate = 0
 		for range 3 {
-			r.d.failed(r.d.endpoints[id], false)
+			r.d.recordFailure(r.d.endpoints[id], false)
 		}
 	}
-	r.d.gauge(roleCache)
+	r.d.updateCarriedRate(roleCache)
 	sum := 0.0
 	for _, s := range r.d.inUse[roleCache] {
-		sum += s.recent(r.now)
+		sum += s.recentWorkRate(r.now)
 	}
 	if got := r.d.carriedRate[roleCache]; sum == 0 || got > 1.01*sum/4 {
 		t.Errorf("carried %v each, %v in all by four", got, sum)
--- a/routing/state.go
+++ b/routing/state.go
@@ -89,8 +89,8 @@
 	listings                   []*mappingEntry // the objects listed here, the worst first
 }
 
-// placed takes in what a list says of a server.
-func (s *endpoint) placed(set *Settings, e Endpoint) {
+// update takes in what a list says of a server.
+func (s *endpoint) update(set *Settings, e Endpoint) {
 	s.id, s.hash, s.role = e.ID, hash(e.ID), roleCache
 	if k := slices.Index(set.Kinds, e.Kind); k >= 0 && k == set.ParentKind {
 		s.role = roleParent
@@ -101,8 +101,8 @@
 	s.weight = cmp.Or(max(0, e.Weight), 1)
 }
 
-// slots is how many transfers a server's link bears; 0: not told.
-func (s *endpoint) slots(told bool) float64 {
+// transferSlots is how many transfers a server's link bears; 0: not told.
+func (s *endpoint) transferSlots(told bool) float64 {
 	if !told {
 		return 0
 	}
