--- a/routing/health.go
+++ b/routing/health.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"larchusher/concurrency"
-	"larchusher/inference"
 )
 
 func (d *Director) recordSuccess(s *endpoint) {
@@ -111,10 +110,10 @@
 
 // limitsToUpdate names what an outcome's time speaks of: the cache if it answered by itself, else a part of the fill.
 func (d *Director) limitsToUpdate(a *attempt, o AttemptResult, hit, late bool) []*concurrency.Limit {
-	seen := inference.Answer{Expected: !a.fillExpected, Refused: o.Status == Rejected}
-	seen.Late = late && d.hitUnknown(a, o)
-	seen.Busy, seen.Reported = a.target.load.Utilization(d.now)
-	fill := a.fillSource != a.target && !hit && !a.rejectedByCache && (o.Reason != ReasonNone || seen.Filled())
+	seen := evidence{hitExpected: !a.fillExpected, rejected: o.Status == Rejected}
+	seen.late = late && d.hitUnknown(a, o)
+	seen.utilization, seen.utilizationKnown = a.target.load.Utilization(d.now)
+	fill := a.fillSource != a.target && !hit && !a.rejectedByCache && (o.Reason != ReasonNone || seen.judgesSource())
 	switch {
 	case a.target.role == roleOrigin: // a write, say: it speaks for what fills fetch there
 		if late {
--- a/inference/inference_test.go
+++ b/routing/inference_test.go
@@ -1,4 +1,4 @@
-package inference
+package routing
 
 import (
 	"math/rand/v2"
@@ -19,7 +19,7 @@
 		{"within its time", 95, 0, 8, 100, false, false},
 		{"its time is up", 91, 0, 8, 100, false, true},
 	} {
-		if got := Gone(c.now, c.had, c.purged, c.any, c.fresh); got != c.want {
+		if got := copyOutdated(c.now, c.had, c.purged, c.any, c.fresh); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -58,15 +58,15 @@
 			if !held {
 				took += c.wait
 			}
-			a := Answer{Expected: expected, OK: held || !c.refused, Refused: !held && c.refused, Late: took > aim || !held && c.refused,
-				Busy: c.busy * (0.9 + 0.2*rng.Float64()), Reported: true}
-			filled := !a.Hit() && a.Filled()
-			if filled && a.Late {
+			a := evidence{hitExpected: expected, served: held || !c.refused, rejected: !held && c.refused, late: took > aim || !held && c.refused,
+				utilization: c.busy * (0.9 + 0.2*rng.Float64()), utilizationKnown: true}
+			filled := !a.isHit() && a.judgesSource()
+			if filled && a.late {
 				if source++; own > aim || held {
 					wrongSource++
 				}
 			}
-			if a.Late && !held && own <= aim && c.busy < 0.9 {
+			if a.late && !held && own <= aim && c.busy < 0.9 {
 				if late++; !filled {
 					wrongStore++
 				}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -11,7 +11,6 @@
 	"time"
 
 	"larchusher/concurrency"
-	"larchusher/inference"
 	"larchusher/loadreport"
 	"larchusher/purge"
 	"larchusher/slowstart"
@@ -416,7 +415,7 @@
 // counts, when the copies of many objects go at once.
 func (d *Director) copyGone(r *request) bool {
 	at, purged := d.purged.Latest(d.now, r.Object, r.Group)
-	return inference.Gone(d.now, r.entry.copySeenAt, at, purged, r.class.FreshFor)
+	return copyOutdated(d.now, r.entry.copySeenAt, at, purged, r.class.FreshFor)
 }
 
 // countInFlight books an attempt where it is out.
@@ -553,8 +552,8 @@
 
 // learnFromResult moves the table and the health of those involved by an outcome.
 func (d *Director) learnFromResult(r *request, a *attempt, o AttemptResult) {
-	seen := inference.Answer{Expected: !a.fillExpected, OK: o.Status == OK, Late: a.sentAt+o.Latency > r.objectiveAt()}
-	hit := o.Status == OK && (o.Reason == ReasonHit || o.Reason == ReasonStale) || d.hitUnknown(a, o) && seen.Hit()
+	seen := evidence{hitExpected: !a.fillExpected, served: o.Status == OK, late: a.sentAt+o.Latency > r.objectiveAt()}
+	hit := o.Status == OK && (o.Reason == ReasonHit || o.Reason == ReasonStale) || d.hitUnknown(a, o) && seen.isHit()
 	if hit && a.fillSource != a.target {
 		a.fillSource.slowStartBudget.Refund(a.slowStartCost) // it was not asked
 	}
