--- a/routing/inference.go
+++ b/routing/inference.go
@@ -1,7 +1,5 @@
 package routing
 
-import "time"
-
 // This file says what an answer implies where it doesn't tell how it was served: whether a copy was there, whose rejection
 // it was, and who made it late.
 //
@@ -13,12 +11,6 @@
 // noisy by a tenth and a second old.
 const sparesCapacityBelow = 0.8
 
-// copyOutdated reports whether a copy seen at a time can't be current any more: its object was purged since, or it is
-// older than freshFor (0: no limit). A copy may go sooner, unseen: it was dropped, or was older than thought.
-func copyOutdated(now, seen, purgedAt time.Duration, purged bool, freshFor time.Duration) bool {
-	return purged && seen <= purgedAt || freshFor > 0 && now-seen > freshFor
-}
-
 // evidence is what is known of an answer that doesn't tell how it was served.
 type evidence struct {
 	hitExpected      bool    // a copy was expected at the cache
--- a/routing/health.go
+++ b/routing/limits.go
@@ -1,62 +1,39 @@
-// This file judges servers by what they answer: who is ill, and how much may be out where.
-
 package routing
 
 import (
-	"math"
 	"slices"
 	"time"
 
 	"larchusher/concurrency"
 )
 
-func (d *Director) recordSuccess(s *endpoint) {
-	s.lastOK, s.overdueAnswers = d.now, 0
-	d.unattributedErrorRate[s.role] -= errorRateWeight * d.unattributedErrorRate[s.role]
-	s.unattributedErrorRate -= errorRateWeight * s.unattributedErrorRate
-	if s.errorRate -= errorRateWeight * s.errorRate; s.errorRate < ejectionErrorRate {
-		s.backoff = 0
-	}
-}
-
-// recordFailure notes a failure of a server, and takes it out of use when they mount up.
-func (d *Director) recordFailure(s *endpoint, silent bool) {
-	s.errorRate += errorRateWeight * (1 - s.errorRate)
-	if s.ejectedUntil > d.now || s.errorRate < ejectionErrorRate && !silent {
-		return
-	}
-	s.backoff = min(maxEjection, max(firstEjection, 2*s.backoff))
-	s.ejectedUntil = d.now + s.backoff
-}
+const (
+	clientRetryQuota     = 0.8             // a client's repeat stops at this share of the limit
+	minSharedLimit       = 2               // a limit is not cut below this, shared by all directors,
+	minDirectorLimit     = 0.1             // nor below this for each
+	promptRejectionRatio = 4               // a refusal that came this many times sooner than any fill asked no source
+	sharedFaultWindow    = 2 * time.Second // late fills by two sources within this speak of what is behind both
+)
 
-// confirmSuspects books a request's errors on their servers, once another has shown by its answer that the request was
-// well formed.
-func (d *Director) confirmSuspects(r *request) {
-	for _, s := range r.suspects {
-		d.recordFailure(s, false)
-	}
-	r.suspects = nil
+// usable says whether a server may be sent something now.
+func (d *Director) usable(s *endpoint, r *request) bool {
+	return s.up && d.slowStartAllows(s, r) && (d.healthy(s) || d.keptByFloor(s))
 }
 
-// recordUnattributedError weighs an error that may be its request's fault. Requests at fault fail wherever they are sent: a
-// server with far more such errors than all of its role have is ill. Guards against a store whose errors take
-// all further attempts, so that none is left whose success would show who was at fault.
-func (d *Director) recordUnattributedError(s *endpoint) {
-	s.unattributedErrorRate += errorRateWeight * (1 - s.unattributedErrorRate)
-	d.unattributedErrorRate[s.role] += errorRateWeight * (1 - d.unattributedErrorRate[s.role])
-	if s.unattributedErrorRate >= ejectionErrorRate && s.unattributedErrorRate >= outlierErrorMultiple*d.unattributedErrorRate[s.role] {
-		d.recordFailure(s, true)
+// hasCapacity says whether one more attempt may be out. A client's repeat has lost part of its time, and what costs
+// much for its worth takes the place of others: they stop first.
+func (d *Director) hasCapacity(l *concurrency.Limit, r *request) bool {
+	part := d.meanCost.Quota(r.costPerWeight)
+	if r.Retry {
+		part *= clientRetryQuota
 	}
+	return l.HasCapacity(part, r.draw)
 }
 
-// recentFillLatency is the wait for fills from s, which halves with each rateWindow in which none was seen.
-func (s *endpoint) recentFillLatency(now time.Duration) float64 {
-	return float64(s.fillLatency) * math.Exp2(-float64(now-s.fillLatencyAt)/float64(recentWindow))
-}
-
-// hitExpectedAt says that a hit is to be expected: the entry is listed at s as it runs now.
-func (e *mappingEntry) hitExpectedAt(s *endpoint) bool {
-	return e.cache == s && e.cacheIncarnation == s.incarnation
+// fitsObjective says whether a cache has room for one more, and can finish it in aim beside what of ours is there.
+func (d *Director) fitsObjective(s *endpoint, r *request) bool {
+	most := concurrency.MaxWithinObjective(s.transferSlots(d.set.WeightsKnown), r.class.ObjectiveStretch, r.class.LatencyObjective, r.transferTime)
+	return d.hasCapacity(&s.concurrencyLimit, r) && float64(s.concurrencyLimit.InFlight)+r.draw < most
 }
 
 // updateLimits learns how much may be out at a cache, at a source of fills, and at the origin behind the sources.
@@ -83,31 +60,6 @@
 	}
 }
 
-// rejectedByTarget says that a refusal is the cache's own, and not its source's. Where that isn't told: it came
-// sooner than a source can be asked. For a fill that may only mean that no place for fills is free, unless
-// the cache has refused a hit since it answered well. Guards against a cache that drains before the list says
-// so: its refusals closed the sources, and through them the whole branch.
-func (a *attempt) rejectedByTarget(o AttemptResult) bool {
-	own := a.fillSource == a.target || o.Reason == ReasonNone && o.Latency < a.fillSource.minFillLatency/promptRejectionRatio
-	if own && !a.fillExpected {
-		a.target.lastHitRejectedAt = a.sentAt
-	}
-	return own && a.target.lastHitRejectedAt > a.target.lastSuccessSentAt
-}
-
-// overtaken says that what was sent later, by the same way, has been answered.
-func (a *attempt) overtaken() bool {
-	return a.target.lastSuccessSentAt > a.sentAt && (!a.fillExpected || a.fillSource.lastSuccessSentAt > a.sentAt)
-}
-
-// shouldHedge says that an attempt's answer is likely to be lost: it is due, later ones have been answered,
-// and answers did get lost of late. Another can then still come in time. Not where anything is at its limit:
-// slow answers would be asked for twice.
-func (d *Director) shouldHedge(r *request, a *attempt) bool {
-	return a.inFlight && len(r.attempts) == 1 && d.set.HedgedRequests && d.hedgeBudget >= 1 && a.overtaken() &&
-		math.IsInf(min(a.target.concurrencyLimit.Max, a.fillSource.concurrencyLimit.Max, d.originFetches.Max), 1)
-}
-
 // limitsToUpdate names what an outcome's time speaks of: the cache if it answered by itself, else a part of the fill.
 func (d *Director) limitsToUpdate(a *attempt, o AttemptResult, hit, late bool) []*concurrency.Limit {
 	seen := evidence{hitExpected: !a.fillExpected, rejected: o.Status == Rejected}
@@ -151,38 +103,19 @@
 		slices.ContainsFunc(d.inUse[roleParent], too) || slices.ContainsFunc(d.inUse[roleOrigin], too)
 }
 
-// hasCapacity says whether one more attempt may be out. A client's repeat has lost part of its time, and what costs
-// much for its worth takes the place of others: they stop first.
-func (d *Director) hasCapacity(l *concurrency.Limit, r *request) bool {
-	part := d.meanCost.Quota(r.costPerWeight)
-	if r.Retry {
-		part *= clientRetryQuota
+// rejectedByTarget says that a refusal is the cache's own, and not its source's. Where that isn't told: it came
+// sooner than a source can be asked. For a fill that may only mean that no place for fills is free, unless
+// the cache has refused a hit since it answered well. Guards against a cache that drains before the list says
+// so: its refusals closed the sources, and through them the whole branch.
+func (a *attempt) rejectedByTarget(o AttemptResult) bool {
+	own := a.fillSource == a.target || o.Reason == ReasonNone && o.Latency < a.fillSource.minFillLatency/promptRejectionRatio
+	if own && !a.fillExpected {
+		a.target.lastHitRejectedAt = a.sentAt
 	}
-	return l.HasCapacity(part, r.draw)
-}
-
-// fitsObjective says whether a cache has room for one more, and can finish it in aim beside what of ours is there.
-func (d *Director) fitsObjective(s *endpoint, r *request) bool {
-	most := concurrency.MaxWithinObjective(s.transferSlots(d.set.WeightsKnown), r.class.ObjectiveStretch, r.class.LatencyObjective, r.transferTime)
-	return d.hasCapacity(&s.concurrencyLimit, r) && float64(s.concurrencyLimit.InFlight)+r.draw < most
-}
-
-// usable says whether a server may be sent something now.
-func (d *Director) usable(s *endpoint, r *request) bool {
-	return s.up && d.slowStartAllows(s, r) && (d.healthy(s) || d.keptByFloor(s))
-}
-
-func (d *Director) healthy(s *endpoint) bool {
-	return s.backoff == 0 || s.ejectedUntil <= d.now && !s.probationInFlight
+	return own && a.target.lastHitRejectedAt > a.target.lastSuccessSentAt
 }
 
-// keptByFloor says that so many of the servers of a role look ill that the fault is likely elsewhere.
-func (d *Director) keptByFloor(s *endpoint) bool {
-	n := 0
-	for _, p := range d.inUse[s.role] {
-		if d.healthy(p) {
-			n++
-		}
-	}
-	return s.role == roleOrigin || float64(n) < minInUseShare*float64(len(d.inUse[s.role]))
+// overtaken says that what was sent later, by the same way, has been answered.
+func (a *attempt) overtaken() bool {
+	return a.target.lastSuccessSentAt > a.sentAt && (!a.fillExpected || a.fillSource.lastSuccessSentAt > a.sentAt)
 }
--- a/routing/api.go
+++ b/routing/settings.go
@@ -1,9 +1,3 @@
-// Package routing decides, for one director in front of a location's caches, where each request goes,
-// where a miss is filled from, what is kept, and what is refused.
-//
-// The package does no I/O and reads no clock: the caller hands events to [Director.Handle] and carries out
-// the actions it returns, in order. A Director is not safe for concurrent use. Given the same settings, seed
-// and events it always returns the same actions.
 package routing
 
 import (
@@ -144,221 +138,20 @@
 	return nil
 }
 
-// Event is anything that reaches a director.
-type Event interface{ event() }
-
-// Phase is the state of a member in a list.
-type Phase int
-
-// Phases of a member.
-const (
-	Up Phase = iota
-	Draining
-	Removed
-)
-
-// Endpoint is one entry of the list of servers.
-type Endpoint struct {
-	ID          string
-	Zone        string
-	Kind        string
-	Cell        int
-	Incarnation time.Duration // clock of its latest start; 0: long ago
-	Weight      float64
-	Phase       Phase
-}
-
-// UpdateKind says what a Members event holds.
-type UpdateKind int
-
-// Kinds of list.
-const (
-	FullList UpdateKind = iota
-	DeltaList
-	StaleList // the full list as last held, possibly outdated
-	WatchLost // a call to discovery failed; the prior list stands
-)
-
-// EndpointUpdate is what discovery reports.
-type EndpointUpdate struct {
-	Kind      UpdateKind
-	Endpoints []Endpoint
-}
-
-// Request asks the director for one final answer.
-type Request struct {
-	ID            string
-	Class         string
-	Tenant        string
-	Object        string
-	Part          int
-	Group         int
-	SizeKB        float64
-	Deadline      time.Duration // on the director's clock
-	Write         bool
-	Retry         bool
-	AdmittedClass *Class // by which it came in, where other ones hold for its class by now; nil: those that hold now
-}
-
-// FirstByte says that the answer of a streamed class has begun.
-type FirstByte struct {
-	ID       string
-	Attempt  int
-	Endpoint string
-}
-
-// Status is how an attempt or probe ended.
-type Status int
-
-// Statuses of an outcome. NotConnected, TurnedAway, NotSent and Miss prove that the request did not run.
-const (
-	OK Status = iota
-	ServerError
-	Rejected
-	TimedOut
-	ConnectFailed
-	Reset
-	Canceled
-	NotSent
-	Miss
-)
-
-// broken says that a connection did not come up, or ended under the attempt.
-func (s Status) broken() bool { return s == ConnectFailed || s == Reset }
-
-// Reason says how an answer was served or why a fill failed, as far as Settings.Tells goes.
-type Reason int
-
-// Notes of an outcome.
-const (
-	ReasonNone Reason = iota
-	ReasonHit
-	ReasonFilled
-	ReasonFilledByOrigin
-	ReasonCoalesced
-	ReasonStale
-	ReasonSourceRejected
-	ReasonSourceLost
-	ReasonSourceMiss
-	ReasonNoFillSlot
-	ReasonOriginFailed
-)
-
-// AttemptResult is the end of one attempt.
-type AttemptResult struct {
-	ID              string
-	Attempt         int
-	Endpoint        string
-	Status          Status
-	Reason          Reason
-	Final           bool // the request is finished
-	Latency         time.Duration
-	FillWait        time.Duration
-	SizeKB          float64   // of the answer; 0: not told
-	LoadReport      []float64 // nil: no report came with it
-	CollateralReset bool      // Reset by what befell another attempt on its connection
-}
-
-// HealthCheckResult is the result of a Probe.
-type HealthCheckResult struct {
-	Endpoint   string
-	Status     Status
-	Latency    time.Duration
-	LoadReport []float64
-}
-
-// GossipReceived is a message from another director.
-type GossipReceived struct {
-	From int
-	Data string
-}
-
-// Purge says that an object, or with no Object every object of the group, was purged.
-type Purge struct {
-	Object string
-	Group  int
-	Age    time.Duration
-}
-
-// ClientGone says that a client left; nothing more is owed to its request.
-type ClientGone struct{ ID string }
-
-// TimerFired is a Wake that fell due.
-type TimerFired struct{ Token uint64 }
-
-func (EndpointUpdate) event()    {}
-func (Request) event()           {}
-func (FirstByte) event()         {}
-func (AttemptResult) event()     {}
-func (HealthCheckResult) event() {}
-func (GossipReceived) event()    {}
-func (Purge) event()             {}
-func (ClientGone) event()        {}
-func (TimerFired) event()        {}
-
-// Action is anything that a director wants done.
-type Action interface{ action() }
-
-// ForwardAttempt sends an attempt to a server.
-type ForwardAttempt struct {
-	ID           string
-	Endpoint     string
-	FillSource   string        // who fills a miss; the server itself: nobody
-	Timeout      time.Duration // 0: until the client gives up
-	MaxAge       time.Duration // oldest copy that will do; 0: the class's fresh time
-	CacheRank    int           // 0: pass through; 1 to 3: keep at that rank
-	Coalesce     bool          // wait for a running fill
-	OnlyIfCached bool          // the source gives only what it holds
-	NoParentCopy bool          // leave no copy at the parent
-	RefreshAhead bool          // serve an ageing copy and fetch it anew
-}
-
-// Reject is a final answer that promises that trying again is harmless.
-type Reject struct {
-	ID         string
-	RetryAfter time.Duration // advice on when to come back
-}
-
-// Fail is a final answer that promises nothing.
-type Fail struct{ ID string }
-
-// CancelAttempt stops waiting for an attempt.
-type CancelAttempt struct {
-	ID      string
-	Attempt int
-}
-
-// SetTimer asks for a Timer event.
-type SetTimer struct {
-	At        time.Duration
-	Token     uint64
-	RequestID string // of the request that it is for, and void with it; empty: of none
-}
-
-// SendGossip sends a message of at most 256 bytes to one director.
-type SendGossip struct {
-	To   int // Everyone: all of them
-	Data string
+// CheckClasses names the first class that cannot be worked with.
+func CheckClasses(classes []Class) error {
+	if len(classes) == 0 {
+		return fmt.Errorf("settings: Classes is empty")
+	}
+	seen := map[string]bool{}
+	for i, c := range classes {
+		switch {
+		case c.Name == "":
+			return fmt.Errorf("settings: Classes[%d] has no name", i)
+		case seen[c.Name]:
+			return fmt.Errorf("settings: Classes[%d]: %q stands twice", i, c.Name)
+		}
+		seen[c.Name] = true
+	}
+	return nil
 }
-
-// AllDirectors addresses a Tell to all other directors.
-const AllDirectors = -1
-
-// StartHealthCheck checks a server.
-type StartHealthCheck struct{ Endpoint string }
-
-// PollEndpoints asks discovery for changes from now on.
-type PollEndpoints struct{}
-
-// Log adds a line to the log.
-type Log struct{ Text string }
-
-func (ForwardAttempt) action()   {}
-func (Reject) action()           {}
-func (Fail) action()             {}
-func (CancelAttempt) action()    {}
-func (SetTimer) action()         {}
-func (SendGossip) action()       {}
-func (StartHealthCheck) action() {}
-func (PollEndpoints) action()    {}
-func (Log) action()              {}
--- a/routing/memory.go
+++ b/routing/snapshot.go
@@ -8,7 +8,7 @@
 )
 
 // What a director has learned, as values that outlive it. This file copies out and in; what old knowledge is still worth is
-// told to Import by its caller (package warmstart), and what may be decided by it is control.go's.
+// told to Import by its caller (package warmstart).
 
 // LearnedState is what a director has learned. Times are on the director's clock, which must be the same one when it is taken in
 // again.
