--- a/routing/inference_test.go
+++ b/routing/inference_test.go
@@ -6,25 +6,6 @@
 	"time"
 )
 
-func TestCopiesThatCannotBeThere(t *testing.T) {
-	for _, c := range []struct {
-		name                    string
-		had, purged, fresh, now time.Duration
-		any, want               bool
-	}{
-		{"nothing speaks against it", 10, 0, 0, 100, false, false},
-		{"purged before it was had", 10, 5, 0, 100, true, false},
-		{"purged since", 10, 11, 0, 100, true, true},
-		{"purged as it was sent: it may be the old one", 10, 10, 0, 100, true, true},
-		{"within its time", 95, 0, 8, 100, false, false},
-		{"its time is up", 91, 0, 8, 100, false, true},
-	} {
-		if got := copyOutdated(c.now, c.had, c.purged, c.any, c.fresh); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
-		}
-	}
-}
-
 // Drawn answers of a store that holds three quarters of what is expected of it, some of whose copies went unseen, before a
 // source that is well, slow or dead. What they are taken for is held against what they were. At a full store only those
 // that were expected to be there are judged: a fill that was expected always counts for its source (see the design note).
--- /dev/null
+++ b/routing/rig_test.go
@@ -0,0 +1,126 @@
+package routing
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+// settings returns a small legal site: two locations, a hub with two parents, one origin.
+func settings() Settings {
+	return Settings{
+		Index: 0, Directors: 3, Zone: "here", Zones: []string{"hub", "here", "there"}, ZoneHub: []int{0, 0, 0},
+		ZoneDirectors: []int{0, 2, 1}, Kinds: []string{"box", "parent", "origin"}, ParentKind: 1, OriginKind: 2,
+		Classes: []Class{
+			{Name: "film", LatencyObjective: 600 * ms, ObjectiveStretch: 1.6, Deadline: 6 * time.Second, PriorityWeight: 2, Parts: true},
+			{Name: "page", LatencyObjective: 250 * ms, ObjectiveStretch: 2, Deadline: 3 * time.Second, PriorityWeight: 1, FreshFor: 8 * time.Second},
+			{Name: "pay", LatencyObjective: 700 * ms, Deadline: 3 * time.Second, Effect: NonIdempotent, Uncacheable: true},
+			{Name: "send", LatencyObjective: 700 * ms, Deadline: 3 * time.Second, Effect: IdempotentWithKey, DedupScope: ScopeAll,
+				DedupWindow: time.Second, Uncacheable: true},
+			{Name: "zoned", LatencyObjective: 700 * ms, Deadline: 3 * time.Second, Effect: IdempotentWithKey, DedupScope: ScopeZone,
+				DedupWindow: time.Second, Uncacheable: true},
+			{Name: "celled", LatencyObjective: 700 * ms, Deadline: 3 * time.Second, Effect: IdempotentWithKey, DedupScope: ScopeCell,
+				DedupWindow: time.Second},
+			{Name: "stream", LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Stream: true},
+		},
+		FlowKBps: 4000, AllowBypass: true, AllowCoalescing: true, Siblings: SiblingsInLocation, AnswerDetail: DetailAll, Gossip: true,
+		CanCancel: true, HedgedRequests: true, SendRetryAfter: true, MaxRetryAfter: 500 * ms, MaxAttempts: 6, ClockStep: 2 * ms,
+		DrainGrace: 250 * ms, SlowStartFrom: 0.2, SlowStartFor: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: 3 * time.Second,
+		ParentSlowStartFrom: 0.06, ParentSlowStartFor: 20 * time.Second, ParentOverloadMultiple: 2,
+		PurgeGrace: 300 * ms, PurgeSettleTime: 6 * time.Second, PollWithin: 10 * time.Second,
+	}
+}
+
+func members() []Endpoint {
+	return []Endpoint{
+		{ID: "c1", Zone: "here", Kind: "box", Cell: 1}, {ID: "c2", Zone: "here", Kind: "box", Cell: 1},
+		{ID: "c3", Zone: "here", Kind: "box", Cell: 2}, {ID: "c4", Zone: "here", Kind: "box", Cell: 2},
+		{ID: "x1", Zone: "there", Kind: "box", Cell: 3},
+		{ID: "p1", Zone: "hub", Kind: "parent", Cell: 4}, {ID: "p2", Zone: "hub", Kind: "parent", Cell: 4},
+		{ID: "o", Zone: "hub", Kind: "origin", Cell: 5},
+	}
+}
+
+// rig drives one director by hand.
+type rig struct {
+	t   *testing.T
+	d   *Director
+	now time.Duration
+	n   int
+	kb  float64 // size told with each request; 0: none is
+}
+
+func newRig(t *testing.T, change func(*Settings)) *rig {
+	t.Helper()
+	s := settings()
+	if change != nil {
+		change(&s)
+	}
+	d, err := New(s, 7)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &rig{t: t, d: d, now: time.Hour, kb: 400}
+	r.do(EndpointUpdate{Kind: StaleList, Endpoints: members()})
+	return r
+}
+
+func (r *rig) do(e Event) []Action { return r.d.Handle(r.now, e, nil) }
+
+func (r *rig) after(d time.Duration) *rig { r.now += d; return r }
+
+// ask sends a request for an object and returns its id and the attempt that came of it, if any.
+func (r *rig) ask(class, object string) (string, *ForwardAttempt) {
+	r.n++
+	id := fmt.Sprint("r", r.n)
+	deadline := r.d.classes[class].Deadline
+	return id, first[ForwardAttempt](r.do(Request{ID: id, Class: class, Object: object, SizeKB: r.kb,
+		Deadline: r.now + deadline, Write: r.d.classes[class].Uncacheable}))
+}
+
+// serve asks for an object until it is answered as the note says.
+func (r *rig) serve(class, object string, note Reason) *ForwardAttempt {
+	r.t.Helper()
+	id, a := r.ask(class, object)
+	if a == nil {
+		r.t.Fatalf("no attempt for %s", object)
+	}
+	r.after(50 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: note, Final: true, Latency: 50 * ms})
+	return a
+}
+
+// first returns the first action of a type, or nil.
+func first[T Action](l []Action) *T {
+	for _, a := range l {
+		if v, ok := a.(T); ok {
+			return &v
+		}
+	}
+	return nil
+}
+
+func fmt36(k uint64) string {
+	const digits = "0123456789abcdefghijklmnopqrstuvwxyz"
+	var b []byte
+	for ; k > 0; k /= 36 {
+		b = append(b, digits[k%36])
+	}
+	slices.Reverse(b)
+	return string(b)
+}
+
+// hold makes a director hold n hits at the cache that lists the object, whose learnt limit is n.
+func hold(r *rig, object string, n int) string {
+	home := r.serve("film", object, ReasonHit).Endpoint
+	s := r.d.endpoints[home]
+	s.concurrencyLimit.Max = float64(n)
+	for s.concurrencyLimit.InFlight < n {
+		r.ask("film", object)
+	}
+	return home
+}
+
+func untold(s *Settings) { s.AnswerDetail, s.HedgedRequests = DetailNone, false }
--- /dev/null
+++ b/routing/settings_test.go
@@ -0,0 +1,24 @@
+package routing
+
+import (
+	"strings"
+	"testing"
+)
+
+func TestNewNamesTheBadSetting(t *testing.T) {
+	for _, c := range []struct {
+		want   string
+		change func(*Settings)
+	}{
+		{"Classes", func(s *Settings) { s.Classes = nil }},
+		{"Zone", func(s *Settings) { s.Zone = "nowhere" }},
+		{"OriginKind", func(s *Settings) { s.OriginKind = 9 }},
+		{"ParentKind", func(s *Settings) { s.ParentKind = 9 }},
+	} {
+		s := settings()
+		c.change(&s)
+		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s: error is %v", c.want, err)
+		}
+	}
+}
--- a/routing/world_test.go
+++ b/routing/simulated_location_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"slices"
 	"testing"
 	"time"
 
@@ -206,101 +205,3 @@
 func (w *small) share(class string) float64 {
 	return float64(w.inAim[class]) / float64(max(1, w.asked[class]))
 }
-
-// One of two parents, and then both, are silent, and nothing tells hits from fills. What caches hold goes on being served, they keep
-// their limits, the dead are left, and with no parent the origin fills.
-func TestDeadParentsAreLeftWhereNothingIsTold(t *testing.T) {
-	for _, tells := range []AnswerDetail{DetailNone, DetailHit} {
-		for _, dead := range [][]string{{"p1"}, {"p1", "p2"}} {
-			w := newSmall(t, tells, nil)
-			w.at(10*time.Second, func() {
-				for _, p := range dead {
-					w.dead[p] = true
-				}
-			})
-			w.play(30*time.Second, 16*time.Second, 29*time.Second, 40)
-			if got := float64(w.hitsIn) / float64(w.hits); got < 0.9 {
-				t.Errorf("tells %v, dead %v: %.2f of what caches hold was served in aim", tells, dead, got)
-			}
-			if got := w.share("film"); got < 0.8 {
-				t.Errorf("tells %v, dead %v: %.2f of all films", tells, dead, got)
-			}
-			for _, s := range w.d.inUse[roleCache] {
-				if s.concurrencyLimit.Max < 3 {
-					t.Errorf("tells %v, dead %v: %s is limited to %.1f", tells, dead, s.id, s.concurrencyLimit.Max)
-				}
-			}
-		}
-	}
-}
-
-// The origin slows down five times while caches hold most of what is asked: hits go on being served, writes are not starved
-// by fills, and two seconds after its recovery nothing is refused.
-func TestASlowOriginCostsFillsOnly(t *testing.T) {
-	for _, tells := range []AnswerDetail{DetailNone, DetailHit} {
-		w := newSmall(t, tells, nil)
-		w.at(10*time.Second, func() { w.origin = 100 * ms })
-		w.at(25*time.Second, func() { w.origin = 20 * ms })
-		w.play(40*time.Second, 12*time.Second, 25*time.Second, 40)
-		if got := float64(w.hitsIn) / float64(w.hits); got < 0.95 {
-			t.Errorf("tells %v: %.2f of what caches hold was served in aim", tells, got)
-		}
-		if got := w.share("send"); got < 0.5 {
-			t.Errorf("tells %v: %.2f of the writes were in aim", tells, got)
-		}
-		// The limit that is left at 27 s is some ten: a chance burst may still meet it.
-		if n, _ := slices.BinarySearch(w.refused, 27*time.Second); len(w.refused)-n > 3 || n < 20 {
-			t.Errorf("tells %v: %d refused while it was slow, %d from two seconds after on", tells, n, len(w.refused)-n)
-		}
-	}
-}
-
-// When many copies go at once, the fills that follow are counted before they are sent: no more are out than may be.
-func TestPurgedCopiesCountAsFills(t *testing.T) {
-	w := newSmall(t, DetailNone, nil)
-	most := 0
-	w.at(10*time.Second, func() {
-		for _, h := range w.held {
-			clear(h)
-		}
-		w.do(Purge{Group: 0})
-		w.d.originFetches.Max = 3
-	})
-	for at := 10 * time.Second; at < 11*time.Second; at += 10 * ms {
-		w.at(at+ms, func() { most = max(most, int(w.busy-w.clock.Now)/int(w.origin)) })
-	}
-	w.origin = 60 * ms
-	w.play(11*time.Second, 10*time.Second, 11*time.Second, 60)
-	if most > 6 {
-		t.Errorf("%d fetches waited at the origin, three were allowed at a time", most)
-	}
-}
-
-// Whatever is told and allowed, what an idle cache holds is not refused.
-func TestNothingHeldByAnIdleCacheIsRefused(t *testing.T) {
-	rng := rand.New(rand.NewPCG(5, 6))
-	for n := range 40 {
-		r := newRig(t, func(s *Settings) {
-			s.AnswerDetail, s.Siblings, s.AllowBypass, s.AllowCoalescing = AnswerDetail(rng.IntN(3)), SiblingMode(rng.IntN(3)), rng.IntN(2) == 0, rng.IntN(2) == 0
-			s.HedgedRequests, s.WeightsKnown, s.HealthChecks = rng.IntN(2) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
-			s.LoadReportFields = [][]string{nil, {"cpu_share"}, {"busy_reqs"}, {"x0", "x1"}}[rng.IntN(4)]
-			if rng.IntN(3) == 0 {
-				s.ParentKind = -1
-			}
-			if rng.IntN(3) == 0 {
-				s.ZoneDirectors = nil
-			}
-		})
-		for k := range 60 {
-			note := ReasonNone
-			if r.d.set.AnswerDetail != DetailNone {
-				note = ReasonHit
-			}
-			id, a := r.after(80*ms).ask([]string{"film", "page"}[k%2], fmt.Sprint("x", k%6))
-			if a == nil {
-				t.Fatalf("case %d: refused, with settings %+v", n, r.d.set)
-			}
-			r.after(20 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: note, Final: true, Latency: 20 * ms, LoadReport: []float64{0.1, 0.1}})
-		}
-	}
-}
