--- a/routing/director.go
+++ b/routing/director.go
@@ -42,7 +42,6 @@
 	loadFields            loadreport.Fields
 	carriedRate           [3]float64        // by role, work a second for each weight that warm ones carried for us
 	originFetches         concurrency.Limit // fills that may go through to the origin
-	lateBy                *endpoint         // parent of the latest late fill
 	pendingMoves          []*mappingEntry   // still to be told
 	localDirectors        map[int]bool      // directors known to serve this location
 	slowStartPausedUntil  time.Duration     // nothing is sent to cold servers until then
