--- a/concurrency/concurrency_test.go
+++ b/concurrency/concurrency_test.go
@@ -37,9 +37,9 @@
 	})
 }
 
-// A limit that was cut to its floor by a trouble is back at ten within six seconds of answers in time, twenty a
+// A limit that was cut to its floor by a fault is back at ten within six seconds of answers in time, twenty a
 // second.
-func TestLimitsAreBackSoon(t *testing.T) {
+func TestLimitsRecoverSoon(t *testing.T) {
 	l := Unlimited()
 	l.Min = 0.5
 	now := time.Duration(0)
@@ -60,39 +60,39 @@
 	}
 }
 
-// What costs much for its worth stops first, and is not shut out.
-func TestDearRequestsStopFirst(t *testing.T) {
+// What costs much for its priority weight stops first, and is not shut out.
+func TestCostlyRequestsStopFirst(t *testing.T) {
 	var p MeanCost
 	for range 200 {
 		p.Observe(CostPerWeight(100*ms, 1))
 	}
 	for _, c := range []struct {
-		price, want float64
+		cost, want float64
 	}{{CostPerWeight(100*ms, 1), 1}, {CostPerWeight(10*ms, 1), 1}, {CostPerWeight(400*ms, 1), 0.5}, {CostPerWeight(800*ms, 2), 0.5}, {0, 1}} {
-		if got := p.Quota(c.price); math.Abs(got-c.want) > 0.01 {
-			t.Errorf("price %v: part %v, want %v", c.price, got, c.want)
+		if got := p.Quota(c.cost); math.Abs(got-c.want) > 0.01 {
+			t.Errorf("cost %v: quota %v, want %v", c.cost, got, c.want)
 		}
 	}
 	l := Limit{InFlight: 6, Max: 10}
 	if !l.HasCapacity(1, 0.5) || l.HasCapacity(0.5, 0.5) {
-		t.Error("of a limit of ten, six are out: there is room for one of the mean price, and none for one of four times that")
+		t.Error("of a limit of ten, six are out: there is capacity for one of the mean cost, and none for one of four times that")
 	}
 	l.InFlight = 2
 	if !l.HasCapacity(0.5, 0.5) {
-		t.Error("two are out, and a dear one finds no room")
+		t.Error("two are out, and a costly one finds no capacity")
 	}
 	if (&MeanCost{}).Quota(5) != 1 {
-		t.Error("where nothing is known, nothing is dear")
+		t.Error("where nothing is known, nothing is costly")
 	}
 }
 
-// With as many on the slots as InAim says, one that takes work alone ends in its aim, and with one more it does not.
-func TestInAimIsWhatCanBeDone(t *testing.T) {
+// With as many on the slots as MaxWithinObjective says, one transfer ends right at its objective.
+func TestMaxWithinObjectiveMeetsTheObjective(t *testing.T) {
 	for _, work := range []time.Duration{20 * ms, 100 * ms, 480 * ms, 2 * time.Second} {
 		n := MaxWithinObjective(7.5, 1.6, 400*ms, work)
-		aim := 400*ms + time.Duration(1.6*float64(work))
-		if took := time.Duration(n / 7.5 * float64(work)); took > aim+ms || took < aim-ms {
-			t.Errorf("work %v: %v on 7.5 slots take %v, the aim is %v", work, n, took, aim)
+		objective := 400*ms + time.Duration(1.6*float64(work))
+		if took := time.Duration(n / 7.5 * float64(work)); took > objective+ms || took < objective-ms {
+			t.Errorf("work %v: %v on 7.5 slots take %v, the objective is %v", work, n, took, objective)
 		}
 	}
 	if !math.IsInf(MaxWithinObjective(0, 1, ms, ms), 1) || !math.IsInf(MaxWithinObjective(1, 1, ms, 0), 1) || MaxWithinObjective(0.1, 0, ms, time.Second) < 1 {
--- a/loadreport/loadreport.go
+++ b/loadreport/loadreport.go
@@ -1,8 +1,10 @@
-// Package loadreport judges, from the load that stores report, which of several that could serve a request are busier than
-// they need be. It does no I/O and reads no clock.
+// Package loadreport smooths the utilization that stores report, and decides from it whether requests are to move from one
+// store to another that could serve them as well.
 //
 // Objects are placed by hash or by table, and popularity is uneven: of three stores one may be full while the others idle.
 // Its answers are late then, and look like those of a slow source.
+//
+// The package does no I/O, reads no clock and draws no random numbers. Its types are not safe for concurrent use.
 package loadreport
 
 import (
@@ -10,23 +12,20 @@
 	"time"
 )
 
-const (
-	smoothingTime        = time.Second     // a mean follows reports within about this
-	maxAge               = 3 * time.Second // a mean that nothing has confirmed for so long is not used
-	minUtilizationToMove = 0.65            // a store is not relieved below this share
-	minDifferenceToMove  = 0.2             // nor where another is less than this less busy
-	moveRate             = 0.5             // share of the requests moved on for each unit of difference, where moving costs a fill
-)
+// notReported is the index of a field that reports don't have.
+const notReported = -1
 
-// Fields says where a load report tells how busy a store is: the places of the share of its capacity in use, and of the
-// number of requests that it holds; -1: not told.
-type Fields struct{ UtilizationIndex, InFlightIndex int }
+// Fields are the indices of a load report's fields that tell how busy a store is; -1: not reported.
+type Fields struct {
+	UtilizationIndex int // share of its capacity in use
+	InFlightIndex    int // number of requests in flight
+}
 
-// FindFields finds the fields by their names on the platform's wires.
+// FindFields finds the fields by the names that the platform's wires give them.
 func FindFields(names []string) Fields {
-	f := Fields{-1, -1}
-	for i, n := range names {
-		switch n {
+	f := Fields{UtilizationIndex: notReported, InFlightIndex: notReported}
+	for i, name := range names {
+		switch name {
 		case "cpu_share", "util":
 			f.UtilizationIndex = i
 		case "busy_reqs", "inflight":
@@ -36,30 +35,37 @@
 	return f
 }
 
-// Present says that reports tell how busy a store is, one way or the other.
+// Present reports whether reports tell how busy a store is, one way or the other.
 func (f Fields) Present() bool { return f.UtilizationIndex >= 0 || f.InFlightIndex >= 0 }
 
-// Utilization reads the share of a store's capacity in use from a report; false if that is not told. Slots is how many requests
-// the store can work on, 0 if nobody tells.
-func (f Fields) Utilization(report []float64, slots float64) (float64, bool) {
-	x := math.NaN()
+// Utilization reads the share of a store's capacity in use from a report. slots is how many requests the store can work on
+// at once; 0: unknown. ok is false if the report doesn't tell, or its value is not a finite number of 0 or more.
+func (f Fields) Utilization(report []float64, slots float64) (share float64, ok bool) {
+	share = math.NaN()
 	if f.UtilizationIndex >= 0 && f.UtilizationIndex < len(report) {
-		x = report[f.UtilizationIndex]
+		share = report[f.UtilizationIndex]
 	} else if f.InFlightIndex >= 0 && f.InFlightIndex < len(report) && slots > 0 {
-		x = report[f.InFlightIndex] / slots
+		share = report[f.InFlightIndex] / slots
 	}
-	return x, x >= 0 && !math.IsInf(x, 0)
+	return share, share >= 0 && !math.IsInf(share, 0)
 }
 
-// Load is how busy a store is, as far as its reports tell. The zero value knows nothing.
+const (
+	// smoothingTime is the time constant of the smoothed utilization.
+	smoothingTime = time.Second
+	// maxAge is the time after its latest report for which a smoothed utilization is used.
+	maxAge = 3 * time.Second
+)
+
+// Load is the smoothed utilization of a store. The zero value knows nothing.
 type Load struct {
 	mean       float64
-	lastReport time.Duration // of the latest report
+	lastReport time.Duration
 	known      bool
 }
 
-// Observe takes in a reported share. Reports are noisy, and each comes with several answers: the time between them
-// counts, not their number.
+// Observe takes in a reported utilization. Reports are noisy, and the same one comes with several answers: they weigh by
+// the time between them, not by their number.
 func (l *Load) Observe(now time.Duration, utilization float64) {
 	if !l.known || now-l.lastReport > maxAge {
 		*l = Load{mean: utilization, lastReport: now, known: true}
@@ -69,27 +75,39 @@
 	l.lastReport = now
 }
 
-// Utilization is the smoothed share; false if nothing is known.
-func (l *Load) Utilization(now time.Duration) (float64, bool) {
+// Utilization returns the smoothed share of the store's capacity in use. ok is false if no recent report is known.
+func (l *Load) Utilization(now time.Duration) (share float64, ok bool) {
 	return l.mean, l.known && now-l.lastReport <= maxAge
 }
 
-// Imbalance is by how much one store is busier than another, beyond what is not worth moving for; 0 if it is not, or if
-// that is not known.
+const (
+	// minUtilizationToMove is the utilization below which no requests are moved away from a store.
+	minUtilizationToMove = 0.65
+	// minDifferenceToMove is the difference in utilization that is not worth moving requests for.
+	minDifferenceToMove = 0.2
+	// moveRate is the share of requests that are moved for each unit of imbalance, where each move costs a fill.
+	moveRate = 0.5
+	// freeMoveRate is the same where no fill is saved by staying.
+	freeMoveRate = 4 * moveRate
+)
+
+// Imbalance returns by how much the utilization of one store exceeds that of another, beyond what is not worth moving
+// requests for; 0 if it does not, or if either is unknown.
 func Imbalance(now time.Duration, from, to *Load) float64 {
-	a, ok := from.Utilization(now)
-	b, known := to.Utilization(now)
-	if !ok || !known || a < minUtilizationToMove {
+	a, fromKnown := from.Utilization(now)
+	b, toKnown := to.Utilization(now)
+	if !fromKnown || !toKnown || a < minUtilizationToMove {
 		return 0
 	}
 	return max(0, a-b-minDifferenceToMove)
 }
 
-// MoveProbability is the part of the requests that go from a store to one that is less busy by a gap. What the first is likely to
-// hold costs a fill at the second, and stays there: so few are moved at a time that reports keep up with them.
+// MoveProbability returns the share of requests, 0 to 1, that move from a store to one that is less busy by an imbalance.
+// What the first store is likely to have cached costs a fill at the second, and stays there: so few move at a time that
+// load reports keep up.
 func MoveProbability(imbalance float64, cached bool) float64 {
 	if cached {
 		return min(1, moveRate*imbalance)
 	}
-	return min(1, 4*moveRate*imbalance)
+	return min(1, freeMoveRate*imbalance)
 }
--- a/loadreport/loadreport_test.go
+++ b/loadreport/loadreport_test.go
@@ -19,7 +19,7 @@
 		{[]string{"cpu_share", "x1", "x0"}, []float64{0.7, 0.2, 0.9}, 0, 0.7, true},
 		{[]string{"x1", "util"}, []float64{0.2, 1.1}, 8, 1.1, true},
 		{[]string{"busy_reqs", "x1"}, []float64{6, 0.2}, 8, 0.75, true},
-		{[]string{"busy_reqs", "x1"}, []float64{6, 0.2}, 0, 0, false}, // nobody tells what the store can work on
+		{[]string{"busy_reqs", "x1"}, []float64{6, 0.2}, 0, 0, false}, // the slots are unknown
 		{[]string{"x0"}, []float64{0.5}, 8, 0, false},
 		{[]string{"util"}, nil, 8, 0, false},
 		{[]string{"util"}, []float64{math.NaN()}, 8, 0, false},
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestOnlyCrowdedStoresAreRelieved(t *testing.T) {
+func TestOnlyBusyStoresAreRelieved(t *testing.T) {
 	load := func(share float64) *Load { l := &Load{}; l.Observe(time.Second, share); return l }
 	for _, c := range []struct {
 		from, to *Load
@@ -63,12 +63,12 @@
 		{load(1), &Load{}, 0}, {&Load{}, load(0), 0}, {load(0.3), load(1), 0},
 	} {
 		if got := Imbalance(time.Second, c.from, c.to); math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("gap %v, want %v", got, c.want)
+			t.Errorf("imbalance %v, want %v", got, c.want)
 		}
 	}
 }
 
-// However reports come, no two stores would send each other work, and chances are chances.
+// However reports come, no two stores would move requests to each other, and probabilities are from 0 to 1.
 func TestNoTwoStoresRelieveEachOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a, b Load
@@ -83,11 +83,11 @@
 		}
 		there, back := Imbalance(now, &a, &b), Imbalance(now, &b, &a)
 		if there > 0 && back > 0 {
-			t.Fatalf("gaps %v and %v", there, back)
+			t.Fatalf("imbalances %v and %v", there, back)
 		}
-		for _, held := range []bool{false, true} {
-			if c := MoveProbability(there, held); c < 0 || c > 1 {
-				t.Fatalf("chance %v", c)
+		for _, cached := range []bool{false, true} {
+			if c := MoveProbability(there, cached); c < 0 || c > 1 {
+				t.Fatalf("probability %v", c)
 			}
 		}
 	})
--- a/purge/purge.go
+++ b/purge/purge.go
@@ -1,6 +1,8 @@
-// Package purge keeps the purges that were heard of until no copy older than they can be left anywhere. It does no I/O and
-// reads no clock. The newest purge of a name wins, so that the order in which they are heard, and hearing one twice, make
-// no difference.
+// Package purge remembers purges until no older copy can be left anywhere.
+//
+// The newest purge of a name wins, so that neither the order in which purges are heard nor hearing one twice makes a
+// difference. The package does no I/O and reads no clock; times are on any one clock. Its types are not safe for concurrent
+// use.
 package purge
 
 import (
@@ -11,23 +13,23 @@
 	"time"
 )
 
-// Registry is what has been heard. Use New. It holds as many purges as were made within the time in which copies go by
-// themselves.
+// Registry holds the purges that have not settled, so its size is bounded by how many are made within the settle time. Use
+// [New].
 type Registry struct {
 	settleTime time.Duration
-	latest     map[string]time.Duration
+	latest     map[string]time.Duration // by name: the newest purge
 }
 
-// New returns an empty book. Within settles of a purge all older copies have gone by themselves.
+// New returns an empty registry. Within settleTime of a purge all copies older than it are gone.
 func New(settleTime time.Duration) *Registry {
 	return &Registry{settleTime: settleTime, latest: map[string]time.Duration{}}
 }
 
-// Group is the name of all objects of a group. It cannot be an object's, as those have no spaces.
+// Group returns the name by which all objects of a group are purged. It can't be an object's, as those have no spaces.
 func Group(number int) string { return " " + strconv.Itoa(number) }
 
-// Record takes a purge in, of an object or, with no object, of a group, that was made at a time. It says whether that is
-// news: what is settled, or was heard, is not.
+// Record takes in a purge that was made at a time, of an object or, if object is empty, of a group. It reports whether
+// the purge is news: a settled one, and one that is no newer than one known, are not.
 func (r *Registry) Record(now time.Duration, object string, group int, at time.Duration) bool {
 	if object == "" {
 		object = Group(group)
@@ -35,26 +37,32 @@
 	return r.Merge(now, object, at)
 }
 
-// Merge is Told for a name, as All gives them.
+// Merge is [Registry.Record] for a name as [Registry.All] gives it, of an object or a group.
 func (r *Registry) Merge(now time.Duration, name string, at time.Duration) bool {
-	maps.DeleteFunc(r.latest, func(_ string, at time.Duration) bool { return now-at > r.settleTime })
-	if old, ok := r.latest[name]; name == "" || ok && old >= at || now-at > r.settleTime {
+	maps.DeleteFunc(r.latest, func(_ string, at time.Duration) bool { return r.settled(now, at) })
+	if name == "" || r.settled(now, at) {
+		return false
+	}
+	if known, ok := r.latest[name]; ok && known >= at {
 		return false
 	}
 	r.latest[name] = at
 	return true
 }
 
-// Latest is when an object was last purged, by itself or with its group; false if no older copy can be left.
-func (r *Registry) Latest(now time.Duration, object string, group int) (time.Duration, bool) {
-	at, ok := r.latest[object]
-	if g, all := r.latest[Group(group)]; all && (!ok || g > at) {
-		at, ok = g, true
+// settled reports whether all copies older than a purge are gone.
+func (r *Registry) settled(now, at time.Duration) bool { return now-at > r.settleTime }
+
+// Latest returns when an object was last purged, by itself or with its group. ok is false if no older copy can be left.
+func (r *Registry) Latest(now time.Duration, object string, group int) (at time.Duration, ok bool) {
+	at, ok = r.latest[object]
+	if ofGroup, known := r.latest[Group(group)]; known && (!ok || ofGroup > at) {
+		at, ok = ofGroup, true
 	}
-	return at, ok && now-at <= r.settleTime
+	return at, ok && !r.settled(now, at)
 }
 
-// All gives the names and times, in order of name.
+// All iterates over the names and times, sorted by name.
 func (r *Registry) All() iter.Seq2[string, time.Duration] {
 	return func(yield func(string, time.Duration) bool) {
 		for _, name := range slices.Sorted(maps.Keys(r.latest)) {
