--- a/overload/door.go
+++ b/overload/door.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// whole is a share of one, as a door counts it.
-const whole = 1 << 16
+// fullShare is a share of one, as a door counts it.
+const fullShare = 1 << 16
 
 // AdmissionPolicy is what a door goes by. It never changes; a door is given another.
 type AdmissionPolicy struct {
@@ -18,7 +18,7 @@
 // AdmissionController stands before a gateway's queue, on whatever goroutine reads requests: it sheds at once what has no chance, from
 // no more than its class and repeat mark. It is safe for concurrent use.
 type AdmissionController struct {
-	verdict atomic.Pointer[AdmissionPolicy]
+	policy  atomic.Pointer[AdmissionPolicy]
 	offered [][]atomic.Uint64 // by front and band
 	shed    [][]atomic.Uint64
 }
@@ -34,24 +34,24 @@
 }
 
 // SetPolicy has the door go by a verdict from now on; nil lets everything in.
-func (d *AdmissionController) SetPolicy(v *AdmissionPolicy) { d.verdict.Store(v) }
+func (d *AdmissionController) SetPolicy(policy *AdmissionPolicy) { d.policy.Store(policy) }
 
 // Admit says whether a request may come in, and else when its client is to come back. The draw is any number that is
 // spread evenly, such as a hash of the request's id: equal ones are treated alike, and the advice is spread by it.
-func (d *AdmissionController) Admit(front, band int, draw uint64) (later time.Duration, ok bool) {
+func (d *AdmissionController) Admit(front, band int, draw uint64) (retryAfter time.Duration, ok bool) {
 	d.offered[front][band].Add(1)
-	v := d.verdict.Load()
-	if v == nil || uint32(draw%whole) < v.Admit[front][band] {
+	policy := d.policy.Load()
+	if policy == nil || uint32(draw%fullShare) < policy.Admit[front][band] {
 		return 0, true
 	}
 	d.shed[front][band].Add(1)
-	return Jitter(v.RetryAfter, draw/whole), false
+	return Jitter(policy.RetryAfter, draw/fullShare), false
 }
 
 // Jitter turns an advice into one that differs from client to client, by a quarter up or down. Guards against all of
 // them coming back at once.
-func Jitter(later time.Duration, draw uint64) time.Duration {
-	return later*3/4 + later/2*time.Duration(draw%whole)/whole
+func Jitter(retryAfter time.Duration, draw uint64) time.Duration {
+	return retryAfter*3/4 + retryAfter/2*time.Duration(draw%fullShare)/fullShare
 }
 
 // TotalOffered adds up all that was offered so far.
--- a/overload/memory.go
+++ b/overload/memory.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	guessSize   = 240_000 // bytes of an answer of which nothing is known: the longest there is
-	sizeUp      = 0.5     // weight of an answer longer than expected,
-	sizeDown    = 0.1     // and of a shorter one
-	expectMost  = 4       // times the memory may be expected for what is out
-	freeShare   = 0.25    // of the memory that is free, what one client may hold
-	quickShare  = 4       // a part of the limit as small is added to it, for those who read all
-	slowSpan    = 400 * time.Millisecond
-	slowDrained = 0.2 // share of what waits that a client must take within that span, or it is slow
-	slowLeast   = 32 << 10
-	closeAt     = 0.7 // share of the memory taken from which slow clients are closed, the biggest first,
-	closeTo     = 0.5 // down to this
+	initialExpectedSize  = 240_000 // bytes of an answer of which nothing is known: the longest there is
+	sizeGrowWeight       = 0.5     // weight of an answer longer than expected,
+	sizeShrinkWeight     = 0.1     // and of a shorter one
+	maxReservedRatio     = 4       // times the memory may be expected for what is out
+	maxClientShare       = 0.25    // of the memory that is free, what one client may hold
+	readerReserveDivisor = 4       // a part of the limit as small is added to it, for those who read all
+	slowCheckInterval    = 400 * time.Millisecond
+	minDrainedShare      = 0.2 // share of what waits that a client must take within that span, or it is slow
+	minSlowBytes         = 32 << 10
+	closeFrom            = 0.7 // share of the memory taken from which slow clients are closed, the biggest first,
+	closeTo              = 0.5 // down to this
 )
 
 // Memory shares the memory for answers among clients, by dynamic thresholds (Choudhury and Hahne, "Dynamic queue length
@@ -27,12 +27,12 @@
 // expected, it is looked at again before it is written ([Memory.Fits]). A quarter beyond the limit is for clients that
 // have read all that they were sent, so that no number of others shuts them out.
 type Memory struct {
-	limit    int64
-	used     int64   // by answers that wait to be written
-	out      int64   // expected for requests that are out
-	expected float64 // size of an answer to a client of which nothing is known
-	clients  map[*Client]bool
-	serial   uint64
+	limit        int64
+	buffered     int64   // by answers that wait to be written
+	reserved     int64   // expected for requests that are out
+	expectedSize float64 // size of an answer to a client of which nothing is known
+	clients      map[*Client]bool
+	serial       uint64
 
 	Rejected uint64 // requests
 	Closed   uint64 // clients
@@ -42,19 +42,19 @@
 type Client struct {
 	Value any // the user's
 
-	serial   uint64
-	reserved int64 // for requests that are out
-	waiting  int64 // to be written
-	expected float64
-	checked  time.Duration
-	before   int64 // what waited then
-	put      int64 // what has been added since
-	slow     bool
+	serial       uint64
+	reserved     int64 // for requests that are out
+	buffered     int64 // to be written
+	expectedSize float64
+	checkedAt    time.Duration
+	bufferedThen int64 // what waited then
+	added        int64 // what has been added since
+	slow         bool
 }
 
 // NewMemory returns the sharing of so many bytes; 0: without limit.
 func NewMemory(limit int64) *Memory {
-	return &Memory{limit: limit, expected: guessSize, clients: map[*Client]bool{}}
+	return &Memory{limit: limit, expectedSize: initialExpectedSize, clients: map[*Client]bool{}}
 }
 
 // AddClient counts a client in.
@@ -70,9 +70,9 @@
 	if !m.clients[c] {
 		return
 	}
-	m.out -= c.reserved
-	m.used -= c.waiting
-	c.reserved, c.waiting = 0, 0
+	m.reserved -= c.reserved
+	m.buffered -= c.buffered
+	c.reserved, c.buffered = 0, 0
 	delete(m.clients, c)
 }
 
@@ -80,31 +80,31 @@
 // What is out takes memory only when it is answered, and stores may be silent: so several times the memory may be
 // expected. But a client that leaves answers unread has what is out for it counted as if it had come.
 func (m *Memory) Reserve(c *Client) (n int64, ok bool) {
-	n = int64(cmp.Or(c.expected, m.expected))
+	n = int64(cmp.Or(c.expectedSize, m.expectedSize))
 	if m.limit > 0 {
-		free := m.limit - m.used
-		if m.out+n > expectMost*m.limit || c.waiting > 0 && (c.slow || n > free ||
-			float64(c.reserved+c.waiting+n) > freeShare*float64(free)) {
+		free := m.limit - m.buffered
+		if m.reserved+n > maxReservedRatio*m.limit || c.buffered > 0 && (c.slow || n > free ||
+			float64(c.reserved+c.buffered+n) > maxClientShare*float64(free)) {
 			m.Rejected++
 			return 0, false
 		}
 	}
 	c.reserved += n
-	m.out += n
+	m.reserved += n
 	return n, true
 }
 
-// room is what one client may add at most.
-func (m *Memory) room(c *Client) int64 {
-	if c.waiting == 0 && !c.slow {
-		return m.limit - m.used + m.limit/quickShare
+// available is what one client may add at most.
+func (m *Memory) available(c *Client) int64 {
+	if c.buffered == 0 && !c.slow {
+		return m.limit - m.buffered + m.limit/readerReserveDivisor
 	}
-	return m.limit - m.used
+	return m.limit - m.buffered
 }
 
 // Fits says whether an answer of a size may be written.
 func (m *Memory) Fits(c *Client, size int) bool {
-	if m.limit <= 0 || int64(size) <= m.room(c) && (!c.slow || c.waiting == 0) {
+	if m.limit <= 0 || int64(size) <= m.available(c) && (!c.slow || c.buffered == 0) {
 		return true
 	}
 	m.Rejected++
@@ -117,20 +117,20 @@
 		return
 	}
 	c.reserved -= n
-	m.out -= n
+	m.reserved -= n
 	if size < 0 {
 		return
 	}
-	for _, e := range [...]*float64{&c.expected, &m.expected} {
-		w := sizeDown
+	for _, e := range [...]*float64{&c.expectedSize, &m.expectedSize} {
+		w := sizeShrinkWeight
 		if *e == 0 {
 			w = 1
 		} else if float64(size) > *e {
-			w = sizeUp
+			w = sizeGrowWeight
 		}
 		*e += w * (float64(size) - *e)
 	}
-	c.expected = max(1, c.expected)
+	c.expectedSize = max(1, c.expectedSize)
 }
 
 // SetBuffered notes how much waits to be written to a client now, and how much was just added to it.
@@ -138,44 +138,44 @@
 	if !m.clients[c] {
 		return
 	}
-	m.used += waiting - c.waiting
-	c.waiting = waiting
-	c.put += added
+	m.buffered += waiting - c.buffered
+	c.buffered = waiting
+	c.added += added
 }
 
 // Usage says how much a client holds.
-func (c *Client) Usage() int64 { return c.reserved + c.waiting }
+func (c *Client) Usage() int64 { return c.reserved + c.buffered }
 
 // Slow says whether a client takes its answers slower than it asks for them.
 func (c *Client) Slow() bool { return c.slow }
 
 // Used is how much is taken, in all.
-func (m *Memory) Used() int64 { return m.used }
+func (m *Memory) Used() int64 { return m.buffered }
 
 // Pressure is the share that is taken.
 func (m *Memory) Pressure() float64 {
 	if m.limit <= 0 {
 		return 0
 	}
-	return float64(m.used) / float64(m.limit)
+	return float64(m.buffered) / float64(m.limit)
 }
 
 // Sweep judges who is slow, and names those to be closed: none while there is memory enough, else slow ones, those
 // first that hold most. It is to be called some times a second; waiting reads what waits for a client now.
 func (m *Memory) Sweep(now time.Duration, waiting func(*Client) int64) (over []*Client) {
 	for c := range m.clients {
-		if c.waiting > 0 {
+		if c.buffered > 0 {
 			m.SetBuffered(c, waiting(c), 0)
 		}
-		if c.waiting < slowLeast {
-			c.slow, c.before, c.checked, c.put = false, c.waiting, now, 0
-		} else if now-c.checked >= slowSpan {
-			drained := c.before + c.put - c.waiting
-			c.slow = float64(drained) < slowDrained*float64(c.waiting)
-			c.before, c.checked, c.put = c.waiting, now, 0
+		if c.buffered < minSlowBytes {
+			c.slow, c.bufferedThen, c.checkedAt, c.added = false, c.buffered, now, 0
+		} else if now-c.checkedAt >= slowCheckInterval {
+			drained := c.bufferedThen + c.added - c.buffered
+			c.slow = float64(drained) < minDrainedShare*float64(c.buffered)
+			c.bufferedThen, c.checkedAt, c.added = c.buffered, now, 0
 		}
 	}
-	if m.limit <= 0 || m.Pressure() < closeAt {
+	if m.limit <= 0 || m.Pressure() < closeFrom {
 		return nil
 	}
 	var slow []*Client
@@ -185,14 +185,14 @@
 		}
 	}
 	slices.SortFunc(slow, func(a, b *Client) int {
-		return cmp.Or(cmp.Compare(b.waiting, a.waiting), cmp.Compare(a.serial, b.serial))
+		return cmp.Or(cmp.Compare(b.buffered, a.buffered), cmp.Compare(a.serial, b.serial))
 	})
-	left := m.used
+	left := m.buffered
 	for _, c := range slow {
 		if float64(left) < closeTo*float64(m.limit) {
 			break
 		}
-		left -= c.waiting
+		left -= c.buffered
 		m.Closed++
 		over = append(over, c)
 	}
--- a/overload/order.go
+++ b/overload/order.go
@@ -99,7 +99,7 @@
 // Order ranks requests into bands: by worth for each unit of cost, then first tries and repeats of a class next to
 // each other. Band 0 is served first and shed last.
 type Order struct {
-	places       map[string]int // by class
+	ranks        map[string]int // by class
 	names        []string
 	costs        []float64
 	repeatsFirst bool
@@ -111,9 +111,9 @@
 	slices.SortStableFunc(ranked, func(a, b Class) int {
 		return cmp.Compare(b.PriorityWeight/cmp.Or(b.Cost, 1), a.PriorityWeight/cmp.Or(a.Cost, 1))
 	})
-	o := &Order{places: map[string]int{}, repeatsFirst: repeatsFirst}
+	o := &Order{ranks: map[string]int{}, repeatsFirst: repeatsFirst}
 	for i, c := range ranked {
-		o.places[c.Name] = i
+		o.ranks[c.Name] = i
 		o.names = append(o.names, c.Name)
 		o.costs = append(o.costs, cmp.Or(c.Cost, 1))
 	}
@@ -125,13 +125,13 @@
 
 // Band is where a request belongs.
 func (o *Order) Band(class string, repeat bool) int {
-	p, ok := o.places[class]
+	p, ok := o.ranks[class]
 	return o.band(p, ok, repeat)
 }
 
 // BandOf is Band for a name that has just been read, and need not be copied.
 func (o *Order) BandOf(class []byte, repeat bool) int {
-	p, ok := o.places[string(class)] // makes no string
+	p, ok := o.ranks[string(class)] // makes no string
 	return o.band(p, ok, repeat)
 }
 
--- a/overload/overload_test.go
+++ b/overload/overload_test.go
@@ -416,7 +416,7 @@
 
 func TestDoorLetsTheRightShareIn(t *testing.T) {
 	d := NewAdmissionController(1, 1)
-	d.SetPolicy(&AdmissionPolicy{Admit: [][]uint32{{whole / 4}}, RetryAfter: time.Second})
+	d.SetPolicy(&AdmissionPolicy{Admit: [][]uint32{{fullShare / 4}}, RetryAfter: time.Second})
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	in, least, most := 0, time.Hour, time.Duration(0)
@@ -491,8 +491,8 @@
 			if rapid.Bool().Draw(t, "asks") {
 				if n, ok := m.Reserve(c); ok {
 					open = append(open, out{c, n})
-					if m.out > 16<<20 {
-						t.Fatalf("%d are expected", m.out)
+					if m.reserved > 16<<20 {
+						t.Fatalf("%d are expected", m.reserved)
 					}
 				}
 			} else if len(open) > 0 {
@@ -507,8 +507,8 @@
 			m.RemoveClient(c)
 			m.RemoveClient(c)
 		}
-		if m.Used() != 0 || m.out != 0 {
-			t.Fatalf("%d and %d are left", m.Used(), m.out)
+		if m.Used() != 0 || m.reserved != 0 {
+			t.Fatalf("%d and %d are left", m.Used(), m.reserved)
 		}
 	})
 }
--- a/overload/queue.go
+++ b/overload/queue.go
@@ -11,20 +11,20 @@
 type Item struct {
 	Value any // the queue's user's
 
-	next, prev  *Item
-	list        *list
-	band, front int
-	came        time.Duration // when it came,
-	lost        time.Duration // and the time lost to stalls by then
+	next, prev   *Item
+	list         *itemList
+	band, front  int
+	arrived      time.Duration // when it came,
+	pausedBefore time.Duration // and the time lost to stalls by then
 }
 
 // Queued says whether the item waits.
 func (i *Item) Queued() bool { return i.list != nil }
 
-// list is a doubly linked list of items, the earliest first.
-type list struct{ first, last *Item }
+// itemList is a doubly linked list of items, the earliest first.
+type itemList struct{ first, last *Item }
 
-func (l *list) push(i *Item) {
+func (l *itemList) push(i *Item) {
 	i.list, i.prev, i.next = l, l.last, nil
 	if l.last != nil {
 		l.last.next = i
@@ -34,7 +34,7 @@
 	l.last = i
 }
 
-func (l *list) remove(i *Item) {
+func (l *itemList) remove(i *Item) {
 	if i.prev != nil {
 		i.prev.next = i.next
 	} else {
@@ -52,21 +52,21 @@
 // a front in the order of arrival. Its length is bounded by time: what has waited for longer than it may is handed
 // out by [Queue.Expired], whatever its band.
 type Queue struct {
-	bands [][]list // by band, then by front
-	turn  []int    // by band: the front whose turn it is
-	count []int    // by band
-	size  int
-	wait  time.Duration
-	lost  time.Duration // to stalls, in all
-	grace time.Duration // what is added to the wait after a stall,
-	until time.Duration // up to then
+	lists      [][]itemList // by band, then by front
+	nextFront  []int        // by band: the front whose turn it is
+	count      []int        // by band
+	size       int
+	maxWait    time.Duration
+	pausedTime time.Duration // to stalls, in all
+	grace      time.Duration // what is added to the wait after a stall,
+	graceEnds  time.Duration // up to then
 }
 
 // NewQueue returns an empty queue for so many bands and fronts.
 func NewQueue(bands, fronts int, wait time.Duration) *Queue {
-	q := &Queue{turn: make([]int, bands), count: make([]int, bands), wait: wait}
+	q := &Queue{nextFront: make([]int, bands), count: make([]int, bands), maxWait: wait}
 	for range bands {
-		q.bands = append(q.bands, make([]list, fronts))
+		q.lists = append(q.lists, make([]itemList, fronts))
 	}
 	return q
 }
@@ -74,17 +74,17 @@
 // Rebanded moves all that wait to a queue of as many bands as there are now, each to the band that is given for its Value,
 // and returns that queue. Within a band and front they stand in the order in which they came; what they have waited counts on.
 func (q *Queue) Rebanded(bands int, band func(value any) int) *Queue {
-	next := NewQueue(bands, len(q.bands[0]), q.wait)
-	next.lost, next.grace, next.until = q.lost, q.grace, q.until
+	next := NewQueue(bands, len(q.lists[0]), q.maxWait)
+	next.pausedTime, next.grace, next.graceEnds = q.pausedTime, q.grace, q.graceEnds
 	var all []*Item
 	for i := q.Pop(); i != nil; i = q.Pop() {
 		all = append(all, i)
 	}
-	slices.SortStableFunc(all, func(a, b *Item) int { return cmp.Compare(a.came, b.came) })
+	slices.SortStableFunc(all, func(a, b *Item) int { return cmp.Compare(a.arrived, b.arrived) })
 	for _, i := range all {
-		lost := i.lost
-		next.Push(i, band(i.Value), i.front, i.came)
-		i.lost = lost
+		lost := i.pausedBefore
+		next.Push(i, band(i.Value), i.front, i.arrived)
+		i.pausedBefore = lost
 	}
 	return next
 }
@@ -100,15 +100,15 @@
 	if i.list != nil {
 		return
 	}
-	i.band, i.front, i.came, i.lost = band, front, came, q.lost
-	q.bands[band][front].push(i)
+	i.band, i.front, i.arrived, i.pausedBefore = band, front, came, q.pausedTime
+	q.lists[band][front].push(i)
 	q.count[band]++
 	q.size++
 }
 
 // Remove takes an item out that has been withdrawn. One that does not wait is left alone.
 func (q *Queue) Remove(i *Item) {
-	if i.list == nil || i.band >= len(q.bands) || i.list != &q.bands[i.band][i.front] { // it is in none, or in another queue
+	if i.list == nil || i.band >= len(q.lists) || i.list != &q.lists[i.band][i.front] { // it is in none, or in another queue
 		return
 	}
 	i.list.remove(i)
@@ -122,9 +122,9 @@
 		if n == 0 {
 			continue
 		}
-		for range q.bands[b] {
-			l := &q.bands[b][q.turn[b]]
-			q.turn[b] = (q.turn[b] + 1) % len(q.bands[b])
+		for range q.lists[b] {
+			l := &q.lists[b][q.nextFront[b]]
+			q.nextFront[b] = (q.nextFront[b] + 1) % len(q.lists[b])
 			if i := l.first; i != nil {
 				q.Remove(i)
 				return i
@@ -135,47 +135,47 @@
 }
 
 // AddPausedTime says that the program did not run for so long: that time does not count as waiting.
-func (q *Queue) AddPausedTime(d time.Duration) { q.lost += d }
+func (q *Queue) AddPausedTime(d time.Duration) { q.pausedTime += d }
 
 // Paused is Lost for a stall that is not the usual: for a while what piled up meanwhile may take longer, too.
 func (q *Queue) Paused(now, d time.Duration) {
 	q.AddPausedTime(d)
-	if g := min(d, stallMost); g >= q.grace || now >= q.until {
-		q.grace, q.until = g, now+stallGrace*g
+	if g := min(d, maxGrace); g >= q.grace || now >= q.graceEnds {
+		q.grace, q.graceEnds = g, now+graceMultiple*g
 	}
 }
 
 // Stalls longer than a second give no more grace than one of a second; it lasts for six times the stall.
 const (
-	stallMost  = time.Second
-	stallGrace = 6
+	maxGrace      = time.Second
+	graceMultiple = 6
 )
 
 // Waited is how long an item has waited, in time that the program ran.
 func (q *Queue) Waited(i *Item, now time.Duration) time.Duration {
-	return max(0, now-i.came-(q.lost-i.lost))
+	return max(0, now-i.arrived-(q.pausedTime-i.pausedBefore))
 }
 
 // Grace is by how much more anyone may wait now.
-func (q *Queue) Grace(now time.Duration) time.Duration { return q.WaitLimit(now) - q.wait }
+func (q *Queue) Grace(now time.Duration) time.Duration { return q.WaitLimit(now) - q.maxWait }
 
 // WaitLimit is how long an item may wait now.
 func (q *Queue) WaitLimit(now time.Duration) time.Duration {
-	if now < q.until {
-		return q.wait + q.grace
+	if now < q.graceEnds {
+		return q.maxWait + q.grace
 	}
-	return q.wait
+	return q.maxWait
 }
 
 // PopExpired takes out one that has waited for too long, the least worth first, or nil.
 func (q *Queue) PopExpired(now time.Duration) *Item {
 	limit := q.WaitLimit(now)
-	for b := len(q.bands) - 1; b >= 0; b-- {
+	for b := len(q.lists) - 1; b >= 0; b-- {
 		if q.count[b] == 0 {
 			continue
 		}
-		for f := range q.bands[b] {
-			if i := q.bands[b][f].first; i != nil && q.Waited(i, now) > limit {
+		for f := range q.lists[b] {
+			if i := q.lists[b][f].first; i != nil && q.Waited(i, now) > limit {
 				q.Remove(i)
 				return i
 			}
@@ -190,8 +190,8 @@
 		if n == 0 {
 			continue
 		}
-		for f := range q.bands[b] {
-			if i := q.bands[b][f].first; i != nil {
+		for f := range q.lists[b] {
+			if i := q.lists[b][f].first; i != nil {
 				most = max(most, q.Waited(i, now))
 			}
 		}
