--- a/overload/admission.go
+++ b/overload/admission.go
@@ -5,67 +5,69 @@
 	"time"
 )
 
-// fullShare is a share of one, as a door counts it.
+// fullShare is a share of 1 in the fixed-point numbers of an AdmissionPolicy.
 const fullShare = 1 << 16
 
-// AdmissionPolicy is what a door goes by. It never changes; a door is given another.
+// AdmissionPolicy says which share of the requests is admitted. It doesn't change once it is in use; another replaces it.
 type AdmissionPolicy struct {
-	Admit      [][]uint32    // by front and band: of 65,536 requests so many are let in
-	RetryAfter time.Duration // what a shed request is told, before it is spread
-	ShedShare  float64       // share of the latest offer that this sheds, by cost
+	Admit      [][]uint32    // by front and band: how many of 65,536 requests are admitted
+	RetryAfter time.Duration // what a shed request is told, before [Jitter]
+	ShedShare  float64       // share of the latest offered cost that this sheds, 0 to 1
 }
 
-// AdmissionController stands before a gateway's queue, on whatever goroutine reads requests: it sheds at once what has no chance, from
-// no more than its class and repeat mark. It is safe for concurrent use.
+// AdmissionController stands before a gateway's queue and sheds at once what has no chance, knowing no more of a request than
+// its front, its class and whether it is a retry. It never blocks and is safe for concurrent use.
 type AdmissionController struct {
-	policy  atomic.Pointer[AdmissionPolicy]
-	offered [][]atomic.Uint64 // by front and band
-	shed    [][]atomic.Uint64
+	policy  atomic.Pointer[AdmissionPolicy] // nil: everything is admitted
+	offered [][]atomic.Uint64               // requests by front and band
+	shed    [][]atomic.Uint64               // requests by front and band
 }
 
-// NewAdmissionController returns a door that lets everything in.
+// NewAdmissionController returns one that admits everything.
 func NewAdmissionController(bands, fronts int) *AdmissionController {
-	d := &AdmissionController{}
+	ac := &AdmissionController{}
 	for range fronts {
-		d.offered = append(d.offered, make([]atomic.Uint64, bands))
-		d.shed = append(d.shed, make([]atomic.Uint64, bands))
+		ac.offered = append(ac.offered, make([]atomic.Uint64, bands))
+		ac.shed = append(ac.shed, make([]atomic.Uint64, bands))
 	}
-	return d
+	return ac
 }
 
-// SetPolicy has the door go by a verdict from now on; nil lets everything in.
-func (d *AdmissionController) SetPolicy(policy *AdmissionPolicy) { d.policy.Store(policy) }
+// SetPolicy puts a policy in force; nil admits everything.
+func (ac *AdmissionController) SetPolicy(policy *AdmissionPolicy) { ac.policy.Store(policy) }
 
-// Admit says whether a request may come in, and else when its client is to come back. The draw is any number that is
-// spread evenly, such as a hash of the request's id: equal ones are treated alike, and the advice is spread by it.
-func (d *AdmissionController) Admit(front, band int, draw uint64) (retryAfter time.Duration, ok bool) {
-	d.offered[front][band].Add(1)
-	policy := d.policy.Load()
+// Admit reports whether a request is admitted, and if not after what time its client is to retry. draw is any evenly
+// distributed number, such as a hash of the request's id: requests of equal draws are treated alike, and the Retry-After of
+// different ones is spread.
+func (ac *AdmissionController) Admit(front, band int, draw uint64) (retryAfter time.Duration, ok bool) {
+	ac.offered[front][band].Add(1)
+	policy := ac.policy.Load()
 	if policy == nil || uint32(draw%fullShare) < policy.Admit[front][band] {
 		return 0, true
 	}
-	d.shed[front][band].Add(1)
+	ac.shed[front][band].Add(1)
 	return Jitter(policy.RetryAfter, draw/fullShare), false
 }
 
-// Jitter turns an advice into one that differs from client to client, by a quarter up or down. Guards against all of
-// them coming back at once.
+// Jitter changes a Retry-After by up to a quarter up or down, so that clients don't all come back at once.
 func Jitter(retryAfter time.Duration, draw uint64) time.Duration {
 	return retryAfter*3/4 + retryAfter/2*time.Duration(draw%fullShare)/fullShare
 }
 
-// TotalOffered adds up all that was offered so far.
-func (d *AdmissionController) TotalOffered() (n uint64) {
-	for f := range d.offered {
-		for b := range d.offered[f] {
-			n += d.offered[f][b].Load()
+// TotalOffered returns the number of requests offered so far.
+func (ac *AdmissionController) TotalOffered() (n uint64) {
+	for f := range ac.offered {
+		for b := range ac.offered[f] {
+			n += ac.offered[f][b].Load()
 		}
 	}
 	return n
 }
 
-// Offered adds up what was offered so far, by front and band.
-func (d *AdmissionController) Offered(front, band int) uint64 { return d.offered[front][band].Load() }
+// Offered returns the number of requests offered so far by a front and of a band.
+func (ac *AdmissionController) Offered(front, band int) uint64 {
+	return ac.offered[front][band].Load()
+}
 
-// Shed adds up what was shed so far.
-func (d *AdmissionController) Shed(front, band int) uint64 { return d.shed[front][band].Load() }
+// Shed returns the number of requests shed so far by a front and of a band.
+func (ac *AdmissionController) Shed(front, band int) uint64 { return ac.shed[front][band].Load() }
--- a/overload/controller.go
+++ b/overload/controller.go
@@ -6,58 +6,44 @@
 	"time"
 )
 
-const (
-	openOfferWeight    = 0.5  // weight of the newest tick in what is offered, while all is let in,
-	closedOfferWeight  = 0.15 // and while the door goes by it: reading comes in bursts, and one tick says little
-	shedLevelWeight    = 0.15 // and in the level
-	servedRateWeight   = 0.05 // and in what was served, while others waited: a hiccup must not look like less capacity
-	allowanceGrowth    = 1.25 // the allowance grows by this factor in a tick in which nobody waited for long
-	lagCut             = 0.9  // and is cut to this share of what came in where the poller itself is behind
-	ticksToClose       = 8    // ticks in a row in which someone waits for long, before the door closes
-	clearOverloadRatio = 1.3  // times what is served that comes in, and there is no doubt of overload
-	ticksToOpen        = 25   // ticks in which nothing would have been shed, after which the door stands open
-	backlogTicks       = 5    // ticks in which what waits too long is to be worked off
-	minRetryAfterShare = 0.25 // share of the longest advice that is given when little is shed
-)
-
-// Sample is what a tick saw.
+// Sample is what the gateway measured in one tick.
 type Sample struct {
-	Interval       time.Duration // how long the tick was, in time that the program ran
-	StartedCost    float64       // cost of requests that got their turn in it
-	ExpiredCost    float64       // cost of those that waited for too long
-	Queued         []int         // how many wait at its end, by band
-	LongestWait    time.Duration // the longest that anyone waited in it, or waits now
-	Grace          time.Duration // by which it may be longer, after a stall
-	LoopLag        time.Duration // by which the poller is late in reading what has come
-	Paused         bool          // the program did not run for a part of it: it says nothing of load
-	MemoryPressure float64       // share of the memory for answers that is taken
+	Interval       time.Duration // length of the tick, in time that the program ran
+	StartedCost    float64       // cost of requests that left the queue to be served
+	ExpiredCost    float64       // cost of requests that waited for too long
+	Queued         []int         // requests in the queue at its end, by band
+	LongestWait    time.Duration // longest wait of any request in it, or at its end
+	Grace          time.Duration // by which waits may be longer now, after a pause
+	LoopLag        time.Duration // time that received requests lay unread
+	Paused         bool          // the program did not run for a part of it: the sample says nothing of load
+	MemoryPressure float64       // share of the memory for responses that is taken, 0 to 1
 }
 
-// Controller sets a [AdmissionController], tick by tick.
+// Controller computes the policy of an [AdmissionController], tick by tick.
 //
-// While requests wait for long, the gateway is busy all the time, and the cost of what gets its turn is what it can
-// do. That, and a little more (the probe), is the allowance. It is spent on the offer band by band, the most worth
-// first, within a band in equal parts on the fronts that want them; the band in which it ends is let in by lot. As
-// soon as nobody waits for long any more, the allowance grows by a quarter each tick until all is let in.
-//
-// What the probe lets in too much waits, and expires: it costs little, since it is a few parts in a hundred.
+// While requests wait for long, the gateway is busy all the time, and the cost of what it serves is its capacity. That and
+// a little more (Config.ProbeShare) is the allowance: the cost admitted in a tick. As soon as nobody waits for long any more,
+// the allowance grows each tick until everything is admitted. What the probe admits too much waits and expires; it costs
+// little, since it is a few parts in a hundred.
 type Controller struct {
-	cfg           Config
-	order         *Order
-	offered       [][]float64 // by front and band: cost a tick, smoothed
-	lastCounts    [][]uint64  // the door's counts at the last tick
-	servedRate    float64     // cost served a tick while others waited
-	allowance     float64     // cost let in a tick
-	closed        bool        // the allowance binds
-	longWaitTicks int         // ticks in a row in which someone waited for long, while all was let in
-	quietTicks    int         // ticks since it last shed something
+	cfg   Config
+	order *Order
+
+	offered    [][]float64 // cost offered in a tick by front and band, smoothed
+	lastCounts [][]uint64  // requests by front and band, at the last tick
+
+	servedRate    float64 // cost served in a tick while others waited, smoothed
+	allowance     float64 // cost admitted in a tick
+	closed        bool    // the allowance binds
+	longWaitTicks int     // ticks in a row with long waits, while everything was admitted
+	quietTicks    int     // ticks in a row in which next to nothing was shed, while the allowance bound
 	policy        AdmissionPolicy
-	shedLevel     float64 // share of the offer that is shed, smoothed
+	shedLevel     float64 // share of the offered cost that is shed, smoothed
 }
 
-// NewController returns a controller that lets everything in.
+// NewController returns a controller that admits everything. The error names the first faulty field of the Config.
 func NewController(cfg Config, order *Order) (*Controller, error) {
-	if err := cfg.check(); err != nil {
+	if err := cfg.validate(); err != nil {
 		return nil, fmt.Errorf("controller: %w", err)
 	}
 	c := &Controller{cfg: cfg, order: order, allowance: math.Inf(1)}
@@ -68,15 +54,42 @@
 	return c, nil
 }
 
-// Tick takes in what the last tick saw, and the door's counts, and returns what the door is to go by; nil: it lets
-// everything in.
+// shedLevelWeight is the weight of the newest tick in the shed level.
+const shedLevelWeight = 0.15
+
+// Tick takes in the sample of a tick and the counts of the admission controller, and returns the policy for the next tick; nil
+// admits everything. It is to be called every Config.Tick.
 func (c *Controller) Tick(sample Sample, ac *AdmissionController) *AdmissionPolicy {
-	scale := 1.0 // a tick that took longer saw more
+	scale := 1.0 // to the regular length of a tick
 	if sample.Interval > 0 {
 		scale = float64(c.cfg.Tick) / float64(sample.Interval)
 	}
 	sample.StartedCost *= scale
-	admitted := 0.0 // cost that the door let in
+	admitted := c.measureOffered(ac, scale)
+	c.adaptAllowance(sample, admitted)
+	policy := c.spendAllowance(sample)
+	shed := 0.0
+	if policy != nil {
+		shed = policy.ShedShare
+	}
+	c.shedLevel += shedLevelWeight * (shed - c.shedLevel)
+	return policy
+}
+
+// Weights of the newest tick in the offered cost. While the allowance binds, one tick decides less: requests are read in
+// bursts.
+const (
+	openOfferWeight   = 0.5
+	closedOfferWeight = 0.15
+)
+
+// measureOffered updates the offered cost from the admission controller's counts, and returns the cost that it admitted
+// in this tick.
+func (c *Controller) measureOffered(ac *AdmissionController, scale float64) (admitted float64) {
+	weight := openOfferWeight
+	if c.closed {
+		weight = closedOfferWeight
+	}
 	for f := range c.offered {
 		for b := range c.offered[f] {
 			n := ac.Offered(f, b)
@@ -87,143 +100,78 @@
 			} else {
 				admitted += cost
 			}
-			w := openOfferWeight
-			if c.closed {
-				w = closedOfferWeight
-			}
-			c.offered[f][b] += w * (cost - c.offered[f][b])
+			c.offered[f][b] += weight * (cost - c.offered[f][b])
 		}
 	}
-	c.adaptAllowance(sample, admitted)
-	v := c.spendAllowance(sample)
-	now := 0.0
-	if v != nil {
-		now = v.ShedShare
-	}
-	c.shedLevel += shedLevelWeight * (now - c.shedLevel)
-	return v
+	return admitted
 }
 
-// adaptAllowance moves the allowance.
-func (c *Controller) adaptAllowance(s Sample, let float64) {
-	long := s.LongestWait > c.cfg.TargetWait+s.Grace || s.ExpiredCost > 0
+// How the allowance follows what was served.
+const (
+	// ticksToClose is the number of ticks with long waits after which the allowance binds. A clear overload, in which
+	// clearOverloadRatio times what is served is admitted and someone has waited for a third of the bound, counts
+	// clearOverloadTicks.
+	ticksToClose       = 8
+	clearOverloadRatio = 1.3
+	clearOverloadTicks = 3
+
+	// servedRateWeight is the weight of the newest tick in the served rate: one slow tick must not look like less capacity.
+	servedRateWeight = 0.05
+	// allowanceGrowth is the factor by which the allowance grows in a tick without long waits.
+	allowanceGrowth = 1.25
+	// lagCut is the share of the admitted cost to which the allowance is cut when the event loop falls behind.
+	lagCut = 0.9
+	// minServedRate is the least cost in a tick that is taken for capacity.
+	minServedRate = 1
+)
+
+// adaptAllowance adapts the allowance to a tick in which requests of a cost were admitted.
+func (c *Controller) adaptAllowance(s Sample, admitted float64) {
+	longWaits := s.LongestWait > c.cfg.TargetWait+s.Grace || s.ExpiredCost > 0
 	switch {
-	case s.Paused: // what piled up meanwhile is no sign of load
+	case s.Paused: // what has queued up meanwhile is no sign of load
 	case s.LoopLag > c.cfg.MaxWait/2:
 		c.closed = true
-		c.allowance = lagCut * min(let, c.allowance)
-	case long && !c.closed:
-		// A hiccup passes; who waits for too long meanwhile is refused anyway. What is served until then is what the
-		// allowance begins with: the best tick, as one in which the program was held up says too little.
-		c.servedRate = max(c.servedRate, s.StartedCost, 1)
-		c.longWaitTicks++
-		if s.LongestWait > c.cfg.MaxWait/3 && let > clearOverloadRatio*s.StartedCost { // it will not pass by itself
-			c.longWaitTicks += 2
-		}
-		if c.longWaitTicks >= ticksToClose {
-			c.closed, c.allowance = true, max(1, c.servedRate)*(1+c.cfg.ProbeShare)
-		}
-	case long:
+		c.allowance = lagCut * min(admitted, c.allowance)
+	case longWaits && !c.closed:
+		c.countLongWaits(s, admitted)
+	case longWaits:
 		c.servedRate += servedRateWeight * (s.StartedCost - c.servedRate)
-		c.allowance = max(1, c.servedRate) * (1 + c.cfg.ProbeShare)
-	case c.closed:
-		// Nobody waited for long: there is room.
+		c.allowance = c.servedAndProbe()
+	case c.closed: // there is capacity left
 		c.servedRate = max(c.servedRate, s.StartedCost)
-		c.allowance = max(c.allowance, c.servedRate, 1) * allowanceGrowth
+		c.allowance = max(c.allowance, c.servedRate, minServedRate) * allowanceGrowth
 	default:
 		c.servedRate, c.longWaitTicks = 0, 0
 	}
 }
 
-// spendAllowance spends the allowance on what is offered, less what works off the backlog that is beyond the wait aimed at. Of that
-// a band minds what waits in it and before it: what waits behind it is no reason to shed it. And a band that fits into
-// the allowance is not shed for a backlog that is gone before anyone has waited for half of the bound: a hiccup passes,
-// and the bands behind it make room. Guards the order: what a hiccup had piled up of a band was reason to shed it, while
-// what was let in of the band behind it was served a moment later.
-func (c *Controller) spendAllowance(s Sample) *AdmissionPolicy {
-	if !c.closed {
-		return nil
-	}
-	left, offered, spent, waiting := c.allowance, 0.0, 0.0, 0.0
-	fine := max(1, c.servedRate) * float64(c.cfg.TargetWait+s.Grace) / float64(c.cfg.Tick)
-	borne := max(fine, max(1, c.servedRate)*float64(c.cfg.MaxWait/2+s.Grace)/float64(c.cfg.Tick))
-	admit := make([][]uint32, len(c.offered))
-	for f := range admit {
-		admit[f] = make([]uint32, c.order.Bands())
-	}
-	for b := range c.order.Bands() {
-		wants := 0.0
-		for f := range c.offered {
-			wants += c.offered[f][b]
-		}
-		if b < len(s.Queued) {
-			waiting += float64(s.Queued[b]) * c.order.Cost(b)
-		}
-		over := fine
-		if wants <= left {
-			over = borne
-		}
-		share := fairShare(c.offered, b, max(0, left-max(0, waiting-over)/backlogTicks))
-		for f := range c.offered {
-			want := c.offered[f][b]
-			got := min(want, share)
-			offered, spent = offered+want, spent+got
-			switch {
-			case want <= 0 && left-wants > 0:
-				admit[f][b] = fullShare // none came lately: the first may come in
-			case want > 0:
-				admit[f][b] = uint32(math.Round(fullShare * got / want))
-			}
-		}
-		left = max(0, left-wants)
-	}
-	shed := 0.0
-	if offered > 0 {
-		shed = max(0, 1-spent/offered)
+// countLongWaits lets the allowance bind once long waits last. A short disturbance passes by itself, and what waits for too
+// long meanwhile is rejected anyway. The allowance begins with the best tick until then, since a tick in which the program
+// was held up says too little.
+func (c *Controller) countLongWaits(s Sample, admitted float64) {
+	c.servedRate = max(c.servedRate, s.StartedCost, minServedRate)
+	if s.LongestWait > c.cfg.MaxWait/3 && admitted > clearOverloadRatio*s.StartedCost {
+		c.longWaitTicks += clearOverloadTicks
+	} else {
+		c.longWaitTicks++
 	}
-	if shed > 0.001 {
-		c.quietTicks = 0
-	} else if c.quietTicks++; c.quietTicks >= ticksToOpen {
-		c.closed, c.allowance, c.quietTicks, c.longWaitTicks, c.servedRate = false, math.Inf(1), 0, 0, 0
-		return nil
+	if c.longWaitTicks >= ticksToClose {
+		c.closed = true
+		c.allowance = c.servedAndProbe()
 	}
-	later := time.Duration(float64(c.cfg.MaxRetryAfter) * (minRetryAfterShare + (0.8-minRetryAfterShare)*min(1, shed)))
-	c.policy = AdmissionPolicy{Admit: admit, RetryAfter: later, ShedShare: shed}
-	v := c.policy
-	return &v
 }
 
-// fairShare is the most that one front may have of what is left in a band, so that those who want less get all that they
-// want and the others get equal parts (max-min fairness).
-func fairShare(offer [][]float64, band int, left float64) float64 {
-	level := 0.0
-	for {
-		n, next := 0, math.Inf(1) // fronts that want more than the level, and the least of what they want
-		for f := range offer {
-			if w := offer[f][band]; w > level {
-				n++
-				next = min(next, w)
-			}
-		}
-		if n == 0 {
-			return math.Inf(1)
-		}
-		if need := (next - level) * float64(n); need > left {
-			return level + left/float64(n)
-		} else {
-			left -= need
-		}
-		level = next
-	}
+// servedAndProbe is the served rate and the probe for more capacity.
+func (c *Controller) servedAndProbe() float64 {
+	return max(minServedRate, c.servedRate) * (1 + c.cfg.ProbeShare)
 }
 
-// RetryAfter is what a request is told that is refused after it came in.
-func (c *Controller) RetryAfter() time.Duration {
-	if c.closed && c.policy.RetryAfter > 0 {
-		return c.policy.RetryAfter
-	}
-	return time.Duration(minRetryAfterShare * float64(c.cfg.MaxRetryAfter))
+// open admits everything again.
+func (c *Controller) open() {
+	c.closed, c.allowance = false, math.Inf(1)
+	c.quietTicks, c.longWaitTicks, c.servedRate = 0, 0, 0
 }
 
-// ShedLevel is the share of the offer that is shed, smoothed over some tenths of a second: 0 while all is let in.
+// ShedLevel returns the share of the offered cost that is shed, 0 to 1, smoothed over some tenths of a second.
 func (c *Controller) ShedLevel() float64 { return c.shedLevel }
--- a/overload/health.go
+++ b/overload/health.go
@@ -2,45 +2,48 @@
 
 import "time"
 
-// Health words the level for balancers: a weight that falls as more is shed, in steps that a passing peak does not
-// reach, and that come back by and by. Guards against a balancer that is made to swing load to and fro.
+// How the weight follows the shed level. Weights are in percent.
+const (
+	maxWeightPercent   = 100
+	minWeightPercent   = 10              // some load must come, or recovery would not be seen
+	weightStepPercent  = 5               // advertised weights are multiples of this
+	weightSlackPercent = 4               // difference from the advertised weight that isn't advertised
+	weightFallTime     = time.Second     // time constant of falling
+	weightRiseTime     = 5 * time.Second // time constant of rising
+	maxUpdateGap       = 10 * time.Second
+)
+
+// Health turns the shed level into the weight that load balancers are told. The weight falls as more is shed, in steps that a
+// passing peak doesn't reach, and recovers slowly, so that load is not swung to and fro. The zero value is in full health.
 type Health struct {
-	weight     float64 // smoothed
-	advertised int     // in percent, a multiple of healthStep
+	weight     float64 // smoothed, in percent
+	advertised int     // in percent
 	updatedAt  time.Duration
 	started    bool
 }
 
-const (
-	weightStepPercent  = 5                // percent
-	weightSlackPercent = 4                // percent beyond a step before it is told
-	weightFallTime     = time.Second      // time constant of falling
-	weightRiseTime     = 5 * time.Second  // and of rising
-	minWeightPercent   = 10               // percent: some load must come, or recovery would not be seen
-	maxWeightPercent   = 100              // percent
-	maxUpdateGap       = 10 * time.Second // longer gaps between updates count as this
-)
-
-// Update takes the level in and returns the weight to be told, in percent.
+// Update takes in the shed level, 0 to 1, and returns the weight to advertise, in percent. Gaps between updates that are longer
+// than maxUpdateGap count as that.
 func (h *Health) Update(now time.Duration, level float64) int {
-	want := max(minWeightPercent, maxWeightPercent*(1-level))
 	if !h.started {
-		h.started, h.weight, h.advertised, h.updatedAt = true, maxWeightPercent, maxWeightPercent, now
+		h.started, h.updatedAt = true, now
+		h.weight, h.advertised = maxWeightPercent, maxWeightPercent
 	}
-	dt := min(now-h.updatedAt, maxUpdateGap)
+	want := max(minWeightPercent, maxWeightPercent*(1-level))
+	elapsed := min(now-h.updatedAt, maxUpdateGap)
 	h.updatedAt = now
-	tau := weightRiseTime
+	timeConstant := weightRiseTime
 	if want < h.weight {
-		tau = weightFallTime
+		timeConstant = weightFallTime
 	}
-	h.weight += (want - h.weight) * float64(dt) / float64(dt+tau)
+	h.weight += (want - h.weight) * float64(elapsed) / float64(elapsed+timeConstant)
 	if d := h.weight - float64(h.advertised); d > weightSlackPercent || d < -weightSlackPercent {
 		h.advertised = int(h.weight/weightStepPercent+0.5) * weightStepPercent
 	}
 	return h.advertised
 }
 
-// Weight is what was told last.
+// Weight returns the weight advertised last, in percent.
 func (h *Health) Weight() int {
 	if !h.started {
 		return maxWeightPercent
--- /dev/null
+++ b/overload/health_test.go
@@ -0,0 +1,34 @@
+package overload
+
+import (
+	"testing"
+	"time"
+)
+
+// Load that comes and goes every second, and single peaks, do not swing the weight.
+func TestHealthDoesNotFlap(t *testing.T) {
+	var h Health
+	swings, last, dir := 0, 100, 0
+	for i := range 600 { // a minute
+		level := 0.0
+		if i/10%2 == 1 {
+			level = 0.6
+		}
+		w := h.Update(time.Duration(i)*100*ms, level)
+		if d := w - last; d != 0 {
+			if dir != 0 && (d > 0) != (dir > 0) && (d > 10 || d < -10) {
+				swings++
+			}
+			dir, last = d, w
+		}
+	}
+	if swings > 3 || last > 80 || last < 40 {
+		t.Errorf("%d swings of over 10 %%, %d at the end", swings, last)
+	}
+	for i := range 400 {
+		last = h.Update(time.Minute+time.Duration(i)*100*ms, 0)
+	}
+	if last != 100 {
+		t.Errorf("%d %% long after the load", last)
+	}
+}
--- a/overload/memory.go
+++ b/overload/memory.go
@@ -6,58 +6,49 @@
 	"time"
 )
 
-const (
-	initialExpectedSize  = 240_000 // bytes of an answer of which nothing is known: the longest there is
-	sizeGrowWeight       = 0.5     // weight of an answer longer than expected,
-	sizeShrinkWeight     = 0.1     // and of a shorter one
-	maxReservedRatio     = 4       // times the memory may be expected for what is out
-	maxClientShare       = 0.25    // of the memory that is free, what one client may hold
-	readerReserveDivisor = 4       // a part of the limit as small is added to it, for those who read all
-	slowCheckInterval    = 400 * time.Millisecond
-	minDrainedShare      = 0.2 // share of what waits that a client must take within that span, or it is slow
-	minSlowBytes         = 32 << 10
-	closeFrom            = 0.7 // share of the memory taken from which slow clients are closed, the biggest first,
-	closeTo              = 0.5 // down to this
-)
-
-// Memory shares the memory for answers among clients, by dynamic thresholds (Choudhury and Hahne, "Dynamic queue length
-// thresholds for shared-memory packet switches", 1998): each may hold as much as a share of what is free. Those who
-// hold much leave little free, and are stopped first; those who hold little always find room. What counts is what
-// waits to be written to a client, and what is expected for requests that are out. As an answer may be longer than
-// expected, it is looked at again before it is written ([Memory.Fits]). A quarter beyond the limit is for clients that
-// have read all that they were sent, so that no number of others shuts them out.
+// Memory shares the memory for responses among clients, by dynamic thresholds (Choudhury and Hahne, "Dynamic queue length
+// thresholds for shared-memory packet switches", 1998): each client may use as much as a share of what is free. Clients
+// that use much leave little free, and are stopped first; those that use little always find room.
+//
+// A client uses what is buffered for it, written but not sent, and what is reserved for its requests in flight. As a response
+// may be longer than expected, [Memory.Fits] checks it again before it is written. A reserve beyond the limit is for
+// clients that have read all that they were sent, so that no number of others shuts them out.
 type Memory struct {
-	limit        int64
-	buffered     int64   // by answers that wait to be written
-	reserved     int64   // expected for requests that are out
-	expectedSize float64 // size of an answer to a client of which nothing is known
+	limit        int64 // bytes; 0: unlimited
+	buffered     int64 // bytes written and not sent, of all clients
+	reserved     int64 // bytes expected for requests in flight, of all clients
+	expectedSize float64
 	clients      map[*Client]bool
-	serial       uint64
+	serial       uint64 // of the latest client
 
-	Rejected uint64 // requests
-	Closed   uint64 // clients
+	Rejected uint64 // requests and responses without room
+	Closed   uint64 // clients that [Memory.Sweep] has named
 }
 
-// Client is one client's part of the memory. Make one with [Memory.Join].
+// Client is one client's part of the memory. Make one with [Memory.AddClient].
 type Client struct {
-	Value any // the user's
+	Value any // the caller's
 
 	serial       uint64
-	reserved     int64 // for requests that are out
-	buffered     int64 // to be written
-	expectedSize float64
-	checkedAt    time.Duration
-	bufferedThen int64 // what waited then
-	added        int64 // what has been added since
+	reserved     int64   // bytes expected for requests in flight
+	buffered     int64   // bytes written and not sent
+	expectedSize float64 // bytes of a response, smoothed; 0: none was seen
+
+	checkedAt    time.Duration // time of the latest check for slowness
+	bufferedThen int64         // bytes buffered at that time
+	added        int64         // bytes written since
 	slow         bool
 }
 
-// NewMemory returns the sharing of so many bytes; 0: without limit.
+// initialExpectedSize is the size of a response, in bytes, that is expected before any was seen: the longest there is.
+const initialExpectedSize = 240_000
+
+// NewMemory returns the sharing of a number of bytes; 0: unlimited.
 func NewMemory(limit int64) *Memory {
 	return &Memory{limit: limit, expectedSize: initialExpectedSize, clients: map[*Client]bool{}}
 }
 
-// AddClient counts a client in.
+// AddClient adds a client; value is kept for the caller.
 func (m *Memory) AddClient(value any) *Client {
 	m.serial++
 	c := &Client{Value: value, serial: m.serial}
@@ -65,7 +56,7 @@
 	return c
 }
 
-// RemoveClient counts a client out, with all that it held.
+// RemoveClient removes a client and all that it uses. One that was removed before is ignored.
 func (m *Memory) RemoveClient(c *Client) {
 	if !m.clients[c] {
 		return
@@ -76,25 +67,47 @@
 	delete(m.clients, c)
 }
 
-// Reserve asks for room for one more answer, and returns how much was set aside: to be given back with [Memory.Done].
-// What is out takes memory only when it is answered, and stores may be silent: so several times the memory may be
-// expected. But a client that leaves answers unread has what is out for it counted as if it had come.
+const (
+	// maxReservedRatio is the multiple of the limit that may be reserved in all: a request takes memory only when it is
+	// answered, and stores may be silent.
+	maxReservedRatio = 4
+	// maxClientShare is the share of the free memory that one client may use.
+	maxClientShare = 0.25
+)
+
+// Reserve reserves memory for the response to one more request of a client. It returns the number of bytes reserved, to be
+// given back with [Memory.Release]; ok is false if there is no room.
 func (m *Memory) Reserve(c *Client) (n int64, ok bool) {
 	n = int64(cmp.Or(c.expectedSize, m.expectedSize))
-	if m.limit > 0 {
-		free := m.limit - m.buffered
-		if m.reserved+n > maxReservedRatio*m.limit || c.buffered > 0 && (c.slow || n > free ||
-			float64(c.reserved+c.buffered+n) > maxClientShare*float64(free)) {
-			m.Rejected++
-			return 0, false
-		}
+	if m.limit > 0 && !m.mayReserve(c, n) {
+		m.Rejected++
+		return 0, false
 	}
 	c.reserved += n
 	m.reserved += n
 	return n, true
 }
 
-// available is what one client may add at most.
+// mayReserve reports whether a number of bytes may be reserved for a client. For a client that leaves responses unread, what is
+// reserved counts as if it were buffered.
+func (m *Memory) mayReserve(c *Client, n int64) bool {
+	if m.reserved+n > maxReservedRatio*m.limit {
+		return false
+	}
+	if c.buffered <= 0 {
+		return true
+	}
+	free := m.limit - m.buffered
+	if c.slow || n > free {
+		return false
+	}
+	return float64(c.reserved+c.buffered+n) <= maxClientShare*float64(free)
+}
+
+// readerReserveDivisor gives the reserve beyond the limit for clients that have read all: the limit divided by this.
+const readerReserveDivisor = 4
+
+// available is the number of bytes that may be buffered for a client in addition.
 func (m *Memory) available(c *Client) int64 {
 	if c.buffered == 0 && !c.slow {
 		return m.limit - m.buffered + m.limit/readerReserveDivisor
@@ -102,16 +115,21 @@
 	return m.limit - m.buffered
 }
 
-// Fits says whether an answer of a size may be written.
+// Fits reports whether a response of a size, in bytes, may be written to a client.
 func (m *Memory) Fits(c *Client, size int) bool {
-	if m.limit <= 0 || int64(size) <= m.available(c) && (!c.slow || c.buffered == 0) {
+	if m.limit <= 0 {
+		return true
+	}
+	readsResponses := !c.slow || c.buffered == 0
+	if readsResponses && int64(size) <= m.available(c) {
 		return true
 	}
 	m.Rejected++
 	return false
 }
 
-// Release gives back what was set aside for a request; size is that of its answer, negative if it had none.
+// Release gives back the n bytes that were reserved for a request. size is that of its response, in bytes; negative: it had
+// none.
 func (m *Memory) Release(c *Client, n int64, size int) {
 	if !m.clients[c] {
 		return
@@ -121,38 +139,48 @@
 	if size < 0 {
 		return
 	}
-	for _, e := range [...]*float64{&c.expectedSize, &m.expectedSize} {
-		w := sizeShrinkWeight
-		if *e == 0 {
-			w = 1
-		} else if float64(size) > *e {
-			w = sizeGrowWeight
-		}
-		*e += w * (float64(size) - *e)
-	}
+	learnSize(&c.expectedSize, float64(size))
+	learnSize(&m.expectedSize, float64(size))
 	c.expectedSize = max(1, c.expectedSize)
 }
 
-// SetBuffered notes how much waits to be written to a client now, and how much was just added to it.
-func (m *Memory) SetBuffered(c *Client, waiting, added int64) {
+// Weights of the newest response in the expected size: one that is longer than expected counts more than a shorter one.
+const (
+	sizeGrowWeight   = 0.5
+	sizeShrinkWeight = 0.1
+)
+
+// learnSize moves an expected size towards that of a response.
+func learnSize(expected *float64, size float64) {
+	weight := sizeShrinkWeight
+	if *expected == 0 {
+		weight = 1
+	} else if size > *expected {
+		weight = sizeGrowWeight
+	}
+	*expected += weight * (size - *expected)
+}
+
+// SetBuffered records how many bytes are buffered for a client now, and how many were just added to it.
+func (m *Memory) SetBuffered(c *Client, buffered, added int64) {
 	if !m.clients[c] {
 		return
 	}
-	m.buffered += waiting - c.buffered
-	c.buffered = waiting
+	m.buffered += buffered - c.buffered
+	c.buffered = buffered
 	c.added += added
 }
 
-// Usage says how much a client holds.
+// Usage returns the number of bytes that a client uses.
 func (c *Client) Usage() int64 { return c.reserved + c.buffered }
 
-// Slow says whether a client takes its answers slower than it asks for them.
+// Slow reports whether a client reads its responses more slowly than it requests them.
 func (c *Client) Slow() bool { return c.slow }
 
-// Used is how much is taken, in all.
+// Used returns the number of bytes buffered, of all clients.
 func (m *Memory) Used() int64 { return m.buffered }
 
-// Pressure is the share that is taken.
+// Pressure returns the share of the limit that is buffered; 0 if there is no limit.
 func (m *Memory) Pressure() float64 {
 	if m.limit <= 0 {
 		return 0
@@ -160,25 +188,56 @@
 	return float64(m.buffered) / float64(m.limit)
 }
 
-// Sweep judges who is slow, and names those to be closed: none while there is memory enough, else slow ones, those
-// first that hold most. It is to be called some times a second; waiting reads what waits for a client now.
-func (m *Memory) Sweep(now time.Duration, waiting func(*Client) int64) (over []*Client) {
+// When a client is slow, and when slow clients are closed.
+const (
+	slowCheckInterval = 400 * time.Millisecond
+	minDrainedShare   = 0.2      // share of what is buffered that a client must read within that interval, or it is slow
+	minSlowBytes      = 32 << 10 // with less buffered a client is not slow
+	closeFrom         = 0.7      // pressure from which slow clients are closed ...
+	closeTo           = 0.5      // ... until it is below this
+)
+
+// Sweep finds out which clients are slow, and returns those to be closed: none while there is memory enough, else slow ones,
+// those first for which most is buffered. It is to be called some times a second. buffered returns the number of bytes
+// buffered for a client now.
+func (m *Memory) Sweep(now time.Duration, buffered func(*Client) int64) (toClose []*Client) {
 	for c := range m.clients {
 		if c.buffered > 0 {
-			m.SetBuffered(c, waiting(c), 0)
-		}
-		if c.buffered < minSlowBytes {
-			c.slow, c.bufferedThen, c.checkedAt, c.added = false, c.buffered, now, 0
-		} else if now-c.checkedAt >= slowCheckInterval {
-			drained := c.bufferedThen + c.added - c.buffered
-			c.slow = float64(drained) < minDrainedShare*float64(c.buffered)
-			c.bufferedThen, c.checkedAt, c.added = c.buffered, now, 0
+			m.SetBuffered(c, buffered(c), 0)
 		}
+		c.checkSlow(now)
 	}
 	if m.limit <= 0 || m.Pressure() < closeFrom {
 		return nil
 	}
-	var slow []*Client
+	left := m.buffered
+	for _, c := range m.slowClients() {
+		if float64(left) < closeTo*float64(m.limit) {
+			break
+		}
+		left -= c.buffered
+		m.Closed++
+		toClose = append(toClose, c)
+	}
+	return toClose
+}
+
+// checkSlow judges, once an interval, whether a client is slow.
+func (c *Client) checkSlow(now time.Duration) {
+	switch {
+	case c.buffered < minSlowBytes:
+		c.slow = false
+	case now-c.checkedAt >= slowCheckInterval:
+		drained := c.bufferedThen + c.added - c.buffered
+		c.slow = float64(drained) < minDrainedShare*float64(c.buffered)
+	default:
+		return
+	}
+	c.bufferedThen, c.checkedAt, c.added = c.buffered, now, 0
+}
+
+// slowClients returns the slow clients, those first for which most is buffered; equal ones in the order in which they came.
+func (m *Memory) slowClients() (slow []*Client) {
 	for c := range m.clients {
 		if c.slow {
 			slow = append(slow, c)
@@ -187,14 +246,5 @@
 	slices.SortFunc(slow, func(a, b *Client) int {
 		return cmp.Or(cmp.Compare(b.buffered, a.buffered), cmp.Compare(a.serial, b.serial))
 	})
-	left := m.buffered
-	for _, c := range slow {
-		if float64(left) < closeTo*float64(m.limit) {
-			break
-		}
-		left -= c.buffered
-		m.Closed++
-		over = append(over, c)
-	}
-	return over
+	return slow
 }
--- /dev/null
+++ b/overload/memory_test.go
@@ -0,0 +1,113 @@
+package overload
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// Whatever clients do, no more is set aside than there is, and all of it comes back.
+func TestMemoryStaysWithinItsLimit(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := NewMemory(4 << 20)
+		type out struct {
+			c *Client
+			n int64
+		}
+		var open []out
+		var clients []*Client
+		for range 5 {
+			clients = append(clients, m.AddClient(nil))
+		}
+		for range rapid.IntRange(1, 200).Draw(t, "steps") {
+			c := clients[rapid.IntRange(0, 4).Draw(t, "client")]
+			if rapid.Bool().Draw(t, "asks") {
+				if n, ok := m.Reserve(c); ok {
+					open = append(open, out{c, n})
+					if m.reserved > 16<<20 {
+						t.Fatalf("%d are expected", m.reserved)
+					}
+				}
+			} else if len(open) > 0 {
+				m.Release(open[0].c, open[0].n, rapid.IntRange(-1, 240_000).Draw(t, "size"))
+				open = open[1:]
+			}
+		}
+		for _, o := range open {
+			m.Release(o.c, o.n, -1)
+		}
+		for _, c := range clients {
+			m.RemoveClient(c)
+			m.RemoveClient(c)
+		}
+		if m.Used() != 0 || m.reserved != 0 {
+			t.Fatalf("%d and %d are left", m.Used(), m.reserved)
+		}
+	})
+}
+
+// slowReaders are clients that request much and read nothing.
+type slowReaders struct {
+	m        *Memory
+	clients  []*Client
+	buffered map[*Client]int64
+	rejected int
+}
+
+// request has each client ask for twenty responses of 200,000 bytes.
+func (s *slowReaders) request() {
+	for _, c := range s.clients {
+		for range 20 {
+			n, ok := s.m.Reserve(c)
+			if !ok {
+				s.rejected++
+				continue
+			}
+			if fits := s.m.Fits(c, 200_000); fits {
+				s.buffered[c] += 200_000
+			}
+			s.m.Release(c, n, 200_000)
+			s.m.SetBuffered(c, s.buffered[c], 200_000)
+		}
+	}
+}
+
+// 200 clients that do not read and ask for much: they are held back, then closed, and one that reads always finds room.
+func TestSlowClientsMakeRoomForQuickOnes(t *testing.T) {
+	m := NewMemory(16 << 20)
+	quick := m.AddClient("quick")
+	for range 3 { // it is known what it asks for
+		if n, ok := m.Reserve(quick); ok {
+			m.Release(quick, n, 7600)
+		}
+	}
+	slow := &slowReaders{m: m, buffered: map[*Client]int64{}}
+	for range 200 {
+		slow.clients = append(slow.clients, m.AddClient("slow"))
+	}
+	closed := 0
+	for now := time.Duration(0); now < 3*time.Second; now += 100 * ms {
+		slow.request()
+		for range 100 {
+			n, ok := m.Reserve(quick)
+			if !ok {
+				t.Fatalf("at %v a quick client finds no room, %d of %d are taken", now, m.Used(), 16<<20)
+			}
+			m.Release(quick, n, 7600)
+		}
+		if m.Used() > 20<<20 {
+			t.Fatalf("%d are taken", m.Used())
+		}
+		for _, c := range m.Sweep(now, func(c *Client) int64 { return slow.buffered[c] }) {
+			if c.Value != "slow" || !c.Slow() {
+				t.Fatal("a client that reads is closed")
+			}
+			closed++
+			m.RemoveClient(c)
+		}
+	}
+	if closed == 0 || slow.rejected == 0 {
+		t.Errorf("%d were closed, %d requests rejected", closed, slow.rejected)
+	}
+}
--- a/overload/queue.go
+++ b/overload/queue.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Item is the place of one request in a [Queue]. Its zero value is in none. It is part of what it stands for, so that
-// queueing allocates nothing and leaving takes the same time wherever it stands.
+// Item is the place of one request in a [Queue]. Its zero value is in none. It is a part of what it stands for, so that
+// queueing allocates nothing, and removal takes the same time wherever it stands.
 type Item struct {
-	Value any // the queue's user's
+	Value any // the caller's
 
 	next, prev   *Item
-	list         *itemList
+	list         *itemList // nil: not queued
 	band, front  int
-	arrived      time.Duration // when it came,
-	pausedBefore time.Duration // and the time lost to stalls by then
+	arrived      time.Duration
+	pausedBefore time.Duration // the queue's pausedTime at the arrival
 }
 
-// Queued says whether the item waits.
+// Queued reports whether the item is in a queue.
 func (i *Item) Queued() bool { return i.list != nil }
 
-// itemList is a doubly linked list of items, the earliest first.
+// itemList is a doubly linked list of items, in the order of arrival.
 type itemList struct{ first, last *Item }
 
 func (l *itemList) push(i *Item) {
@@ -48,31 +48,32 @@
 	i.next, i.prev, i.list = nil, nil, nil
 }
 
-// Queue holds requests that wait for their turn. It serves by bands, within a band by turns of the fronts, and within
-// a front in the order of arrival. Its length is bounded by time: what has waited for longer than it may is handed
-// out by [Queue.Expired], whatever its band.
+// Queue holds admitted requests until they are served. It serves bands in their order, within a band the fronts by turns, and
+// within a front in the order of arrival. Its length is bounded by time: [Queue.PopExpired] returns what has waited for too
+// long. Waits are in time that the program ran.
 type Queue struct {
-	lists      [][]itemList // by band, then by front
-	nextFront  []int        // by band: the front whose turn it is
-	count      []int        // by band
-	size       int
+	lists     [][]itemList // by band, then by front
+	nextFront []int        // by band: the front whose turn it is
+	count     []int        // items by band
+	size      int          // items in all
+
 	maxWait    time.Duration
-	pausedTime time.Duration // to stalls, in all
-	grace      time.Duration // what is added to the wait after a stall,
-	graceEnds  time.Duration // up to then
+	pausedTime time.Duration // of all pauses so far
+	grace      time.Duration // added to maxWait ...
+	graceEnds  time.Duration // ... until this time
 }
 
-// NewQueue returns an empty queue for so many bands and fronts.
-func NewQueue(bands, fronts int, wait time.Duration) *Queue {
-	q := &Queue{nextFront: make([]int, bands), count: make([]int, bands), maxWait: wait}
+// NewQueue returns an empty queue, in which a request may wait for maxWait.
+func NewQueue(bands, fronts int, maxWait time.Duration) *Queue {
+	q := &Queue{nextFront: make([]int, bands), count: make([]int, bands), maxWait: maxWait}
 	for range bands {
 		q.lists = append(q.lists, make([]itemList, fronts))
 	}
 	return q
 }
 
-// Rebanded moves all that wait to a queue of as many bands as there are now, each to the band that is given for its Value,
-// and returns that queue. Within a band and front they stand in the order in which they came; what they have waited counts on.
+// Rebanded moves all items to a new queue with another number of bands, and returns that. band returns an item's new band by its
+// Value. Within a band and front they stand in the order of their arrival; the time that they have waited counts on.
 func (q *Queue) Rebanded(bands int, band func(value any) int) *Queue {
 	next := NewQueue(bands, len(q.lists[0]), q.maxWait)
 	next.pausedTime, next.grace, next.graceEnds = q.pausedTime, q.grace, q.graceEnds
@@ -82,33 +83,35 @@
 	}
 	slices.SortStableFunc(all, func(a, b *Item) int { return cmp.Compare(a.arrived, b.arrived) })
 	for _, i := range all {
-		lost := i.pausedBefore
+		pausedBefore := i.pausedBefore
 		next.Push(i, band(i.Value), i.front, i.arrived)
-		i.pausedBefore = lost
+		i.pausedBefore = pausedBefore
 	}
 	return next
 }
 
-// Len is how many wait.
+// Len returns the number of items.
 func (q *Queue) Len() int { return q.size }
 
-// Queued is how many wait, by band. It is the queue's own, and holds until something changes.
+// Queued returns the number of items by band. The slice is the queue's own, and is valid until the queue changes.
 func (q *Queue) Queued() []int { return q.count }
 
-// Push has an item wait that came at a time, which may be earlier than that of others that wait.
-func (q *Queue) Push(i *Item, band, front int, came time.Duration) {
-	if i.list != nil {
+// Push adds an item that arrived at a time, which may be earlier than that of others in the queue. An item that is in a queue
+// is ignored.
+func (q *Queue) Push(i *Item, band, front int, arrived time.Duration) {
+	if i.Queued() {
 		return
 	}
-	i.band, i.front, i.arrived, i.pausedBefore = band, front, came, q.pausedTime
+	i.band, i.front = band, front
+	i.arrived, i.pausedBefore = arrived, q.pausedTime
 	q.lists[band][front].push(i)
 	q.count[band]++
 	q.size++
 }
 
-// Remove takes an item out that has been withdrawn. One that does not wait is left alone.
+// Remove removes an item. One that is in no queue, or in another, is ignored.
 func (q *Queue) Remove(i *Item) {
-	if i.list == nil || i.band >= len(q.lists) || i.list != &q.lists[i.band][i.front] { // it is in none, or in another queue
+	if !q.contains(i) {
 		return
 	}
 	i.list.remove(i)
@@ -116,15 +119,20 @@
 	q.size--
 }
 
-// Pop takes out who is next, or nil.
+func (q *Queue) contains(i *Item) bool {
+	return i.Queued() && i.band < len(q.lists) && i.list == &q.lists[i.band][i.front]
+}
+
+// Pop removes and returns the item that is to be served next; nil if there is none.
 func (q *Queue) Pop() *Item {
 	for b, n := range q.count {
 		if n == 0 {
 			continue
 		}
-		for range q.lists[b] {
-			l := &q.lists[b][q.nextFront[b]]
-			q.nextFront[b] = (q.nextFront[b] + 1) % len(q.lists[b])
+		fronts := q.lists[b]
+		for range fronts {
+			l := &fronts[q.nextFront[b]]
+			q.nextFront[b] = (q.nextFront[b] + 1) % len(fronts)
 			if i := l.first; i != nil {
 				q.Remove(i)
 				return i
@@ -134,10 +142,17 @@
 	return nil
 }
 
-// AddPausedTime says that the program did not run for so long: that time does not count as waiting.
+// AddPausedTime records that the program did not run for a time, which doesn't count as waiting.
 func (q *Queue) AddPausedTime(d time.Duration) { q.pausedTime += d }
 
-// Paused is Lost for a stall that is not the usual: for a while what piled up meanwhile may take longer, too.
+// What has queued up in a pause may wait for longer: by the length of the pause, but by no more than maxGrace, and for
+// graceMultiple times as long as that.
+const (
+	maxGrace      = time.Second
+	graceMultiple = 6
+)
+
+// Paused records an unusual pause that ended just now: as AddPausedTime, and what has queued up meanwhile may wait for longer.
 func (q *Queue) Paused(now, d time.Duration) {
 	q.AddPausedTime(d)
 	if g := min(d, maxGrace); g >= q.grace || now >= q.graceEnds {
@@ -145,21 +160,15 @@
 	}
 }
 
-// Stalls longer than a second give no more grace than one of a second; it lasts for six times the stall.
-const (
-	maxGrace      = time.Second
-	graceMultiple = 6
-)
-
-// Waited is how long an item has waited, in time that the program ran.
+// Waited returns how long an item has waited.
 func (q *Queue) Waited(i *Item, now time.Duration) time.Duration {
 	return max(0, now-i.arrived-(q.pausedTime-i.pausedBefore))
 }
 
-// Grace is by how much more anyone may wait now.
+// Grace returns by how much longer than usual an item may wait now.
 func (q *Queue) Grace(now time.Duration) time.Duration { return q.WaitLimit(now) - q.maxWait }
 
-// WaitLimit is how long an item may wait now.
+// WaitLimit returns how long an item may wait now.
 func (q *Queue) WaitLimit(now time.Duration) time.Duration {
 	if now < q.graceEnds {
 		return q.maxWait + q.grace
@@ -167,7 +176,7 @@
 	return q.maxWait
 }
 
-// PopExpired takes out one that has waited for too long, the least worth first, or nil.
+// PopExpired removes and returns an item that has waited for too long, of the last bands first; nil if there is none.
 func (q *Queue) PopExpired(now time.Duration) *Item {
 	limit := q.WaitLimit(now)
 	for b := len(q.lists) - 1; b >= 0; b-- {
@@ -184,17 +193,17 @@
 	return nil
 }
 
-// LongestWait is the longest that any has waited, of those at the heads.
-func (q *Queue) LongestWait(now time.Duration) (most time.Duration) {
+// LongestWait returns the longest that any item at the head of its list has waited.
+func (q *Queue) LongestWait(now time.Duration) (longest time.Duration) {
 	for b, n := range q.count {
 		if n == 0 {
 			continue
 		}
 		for f := range q.lists[b] {
 			if i := q.lists[b][f].first; i != nil {
-				most = max(most, q.Waited(i, now))
+				longest = max(longest, q.Waited(i, now))
 			}
 		}
 	}
-	return most
+	return longest
 }
--- a/overload/scheduling.go
+++ b/overload/scheduling.go
@@ -2,54 +2,59 @@
 
 import "time"
 
-// So many stalls within so long are no accident: the program has a part of a processor only, and lives with it.
+// At least frequentPauses within frequentPausesSpan are no accident: the program is given a part of a processor only.
 const (
 	frequentPauses     = 4
 	frequentPausesSpan = time.Second
 )
 
-// minIdleShare of a gap must have been spent off the processor for it to be a stall and not the program's own work.
+// minIdleShare is the share of a gap that the program must have spent off the processor for the gap to be a pause of the host,
+// and not the program's own work.
 const minIdleShare = 0.5
 
-// SchedulingMonitor tells a host that stood still from a program that is behind. It is beaten at steady intervals; a beat that
-// comes late finds whether the program was at work meanwhile, by the processor time that it used.
+// SchedulingMonitor tells a host that paused the program from a program that is behind with its work. It is ticked at regular
+// intervals; when a tick is late, the processor time used since the last one tells whether the program was at work.
 type SchedulingMonitor struct {
-	minPause time.Duration
-	interval time.Duration
-	lastTick time.Duration // time of the last beat,
-	lastCPU  time.Duration // and the processor time used by then
+	interval time.Duration // between ticks
+	minPause time.Duration // shorter gaps are no pauses
+
 	started  bool
-	recent   [frequentPauses]time.Duration // when the latest stalls ended, the newest first
+	lastTick time.Duration                 // time of the last tick
+	lastCPU  time.Duration                 // processor time used by then
+	recent   [frequentPauses]time.Duration // ends of the latest pauses, the newest first
 
-	Pauses     int           // stalls seen
+	Pauses     int           // number of pauses seen
 	PausedTime time.Duration // time lost to them
 }
 
-// NewSchedulingMonitor returns a pulse with a beat every so often, for which a gap of at least `least` is a stall.
-func NewSchedulingMonitor(every, least time.Duration) *SchedulingMonitor {
-	return &SchedulingMonitor{interval: every, minPause: least}
+// NewSchedulingMonitor returns a monitor that is ticked at an interval, and for which a gap of at least minPause may be a
+// pause.
+func NewSchedulingMonitor(interval, minPause time.Duration) *SchedulingMonitor {
+	return &SchedulingMonitor{interval: interval, minPause: minPause}
 }
 
-// Tick takes the time and the processor time used so far, and returns how long the host stood still since the last
-// beat; 0: it did not.
-func (p *SchedulingMonitor) Tick(now, cpu time.Duration) (paused time.Duration) {
-	gap, used := now-p.lastTick, cpu-p.lastCPU
-	if p.started && gap >= p.interval+p.minPause && float64(used) < (1-minIdleShare)*float64(gap) {
-		paused = max(0, gap-p.interval-used)
+// Tick takes in the time and the processor time used so far, and returns how long the host paused the program since the
+// last tick; 0: it did not.
+func (m *SchedulingMonitor) Tick(now, cpu time.Duration) (paused time.Duration) {
+	gap, used := now-m.lastTick, cpu-m.lastCPU
+	late := m.started && gap >= m.interval+m.minPause
+	idle := float64(used) < (1-minIdleShare)*float64(gap)
+	if late && idle {
+		paused = max(0, gap-m.interval-used)
 	}
-	p.started, p.lastTick, p.lastCPU = true, now, cpu
-	if paused < p.minPause {
+	m.started, m.lastTick, m.lastCPU = true, now, cpu
+	if paused < m.minPause {
 		return 0
 	}
-	copy(p.recent[1:], p.recent[:])
-	p.recent[0] = now
-	p.Pauses++
-	p.PausedTime += paused
+	copy(m.recent[1:], m.recent[:])
+	m.recent[0] = now
+	m.Pauses++
+	m.PausedTime += paused
 	return paused
 }
 
-// FrequentPauses says that stalls come one after another, as where a host gives the program a share of each tenth of a second:
-// then what piles up in them is load like any other, and nothing is forgiven for it.
-func (p *SchedulingMonitor) FrequentPauses(now time.Duration) bool {
-	return p.Pauses >= frequentPauses && now-p.recent[frequentPauses-1] < frequentPausesSpan
+// FrequentPauses reports whether pauses come one after another, as where a host gives the program a share of each tenth of
+// a second. Then what queues up in them is load like any other, and nothing is forgiven for it.
+func (m *SchedulingMonitor) FrequentPauses(now time.Duration) bool {
+	return m.Pauses >= frequentPauses && now-m.recent[frequentPauses-1] < frequentPausesSpan
 }
--- /dev/null
+++ b/overload/scheduling_test.go
@@ -0,0 +1,35 @@
+package overload
+
+import (
+	"testing"
+	"time"
+)
+
+func TestSchedulingMonitorTellsPausesFromWork(t *testing.T) {
+	m := NewSchedulingMonitor(20*ms, 40*ms)
+	m.Tick(0, 0)
+	for _, b := range []struct {
+		name     string
+		now, cpu time.Duration
+		paused   bool
+	}{{"a tick", 20 * ms, 10 * ms, false}, {"300 ms of own work", 320 * ms, 300 * ms, false},
+		{"a short gap", 370 * ms, 301 * ms, false}, {"300 ms without running", 690 * ms, 302 * ms, true},
+		{"the next tick", 710 * ms, 303 * ms, false}, {"a throttled quarter", 805 * ms, 320 * ms, true}} {
+		if got := m.Tick(b.now, b.cpu); (got > 0) != b.paused {
+			t.Errorf("%s: paused %v", b.name, got)
+		}
+	}
+	if m.FrequentPauses(805 * ms) {
+		t.Error("two pauses are not frequent")
+	}
+	for i := range time.Duration(4) {
+		m.Tick(1000*ms+i*100*ms, 320*ms)
+	}
+	if !m.FrequentPauses(1300*ms) || m.FrequentPauses(2500*ms) {
+		t.Error("four pauses in half a second are frequent, and not for good")
+	}
+	m.Pauses, m.PausedTime = m.Pauses-4, m.PausedTime-4*80*ms
+	if m.Pauses != 2 || m.PausedTime < 300*ms || m.PausedTime > 600*ms {
+		t.Errorf("%d pauses, %v lost", m.Pauses, m.PausedTime)
+	}
+}
