--- a/locality/locality.go
+++ b/locality/locality.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	purseFor   = 10 * time.Millisecond // of all that comes, so much may be saved up of a bound: it is exceeded by a hundredth in a second
-	rateMemory = time.Second
-	spillStart = 0.05 // share that spills to a locality that has told nothing of its load yet
-	pastTry    = 0.1  // share of what fits nowhere that is sent past the caches to learn how that goes
-	offerPace  = 0.2  // weight of the newest tick in what is offered
-	laterLeast = 0.25 // share of the longest advice that is given when little is refused
+	budgetWindow       = 10 * time.Millisecond // of all that comes, so much may be saved up of a bound: it is exceeded by a hundredth in a second
+	rateMemory         = time.Second
+	initialSpillover   = 0.05 // share that spills to a locality that has told nothing of its load yet
+	bypassProbeShare   = 0.1  // share of what fits nowhere that is sent past the caches to learn how that goes
+	offeredWeight      = 0.2  // weight of the newest tick in what is offered
+	minRetryAfterShare = 0.25 // share of the longest advice that is given when little is refused
 )
 
-// purse bounds what is spent to a share of what comes, over any time: it earns with each request that comes.
-type purse struct{ have float64 }
+// budget bounds what is spent to a share of what comes, over any time: it earns with each request that comes.
+type budget struct{ have float64 }
 
-func (p *purse) earn(share, most float64) { p.have = min(max(1, most), p.have+share) }
+func (p *budget) earn(share, most float64) { p.have = min(max(1, most), p.have+share) }
 
-func (p *purse) spend() bool {
+func (p *budget) spend() bool {
 	if p.have < 1 {
 		return false
 	}
@@ -30,24 +30,24 @@
 
 // Selector decides among localities. Use New.
 type Selector struct {
-	cfg  Config
-	rng  *rand.Rand
-	all  []*locality
-	last time.Duration // of the latest tick
-	rate decayed       // requests
-
-	keep    float64   // share that stays
-	spills  []float64 // by locality, the share that goes there
-	level   []purse   // by level
-	bounds  []float64 // by level, what it may get
-	total   float64   // of all of these
-	past    float64   // share of what fits nowhere that the own director is given all the same, to send past its caches
-	pastOK  decayed   // how that ended
-	pastBad decayed
-	panic   bool
-	offered []float64 // by band, in the tick that runs
-	smooth  []float64 // by band, a tick
-	admit   []float64 // by band
+	cfg        Config
+	rng        *rand.Rand
+	localities []*localityState
+	lastTick   time.Duration // of the latest tick
+	requests   decayingSum   // requests
+
+	ownShare        float64     // share that stays
+	spillShares     []float64   // by locality, the share that goes there
+	levelBudgets    []budget    // by level
+	bounds          []float64   // by level, what it may get
+	servedShare     float64     // of all of these
+	bypassShare     float64     // share of what fits nowhere that the own director is given all the same, to send past its caches
+	bypassGood      decayingSum // how that ended
+	bypassBad       decayingSum
+	panicking       bool
+	offered         []float64 // by band, in the tick that runs
+	offeredSmoothed []float64 // by band, a tick
+	admitShares     []float64 // by band
 
 	Counters Counters
 }
@@ -75,52 +75,54 @@
 	if err := cfg.Validate(); err != nil {
 		return err
 	}
-	old := map[string]*locality{}
-	for _, l := range t.all {
+	old := map[string]*localityState{}
+	for _, l := range t.localities {
 		old[l.Name] = l
 	}
-	t.cfg, t.all = cfg, nil
+	t.cfg, t.localities = cfg, nil
 	levels := 0
 	for _, c := range cfg.Localities {
 		l := old[c.Name]
 		if l == nil {
-			l = &locality{ramp: 1}
+			l = &localityState{rampShare: 1}
 		}
 		l.Locality = c
-		t.all = append(t.all, l)
+		t.localities = append(t.localities, l)
 		levels = max(levels, c.Level)
 	}
-	t.spills, t.level = make([]float64, len(t.all)), make([]purse, levels+1)
+	t.spillShares, t.levelBudgets = make([]float64, len(t.localities)), make([]budget, levels+1)
 	t.bounds = make([]float64, levels+1)
 	if len(t.offered) != cfg.Bands {
-		t.offered, t.smooth = make([]float64, cfg.Bands), make([]float64, cfg.Bands)
-		t.admit = make([]float64, cfg.Bands)
+		t.offered, t.offeredSmoothed = make([]float64, cfg.Bands), make([]float64, cfg.Bands)
+		t.admitShares = make([]float64, cfg.Bands)
 	}
-	t.set(t.last)
+	t.setShares(t.lastTick)
 	return nil
 }
 
 // SetCachesUp says how many of a locality's caches the list calls up.
-func (t *Selector) SetCachesUp(where, up int) { t.all[where].up, t.all[where].told = up, true }
+func (t *Selector) SetCachesUp(where, up int) {
+	t.localities[where].cachesUp, t.localities[where].listed = up, true
+}
 
 // AttemptStarted says that an attempt went out to a locality.
 func (t *Selector) AttemptStarted(now time.Duration, where int) {
-	l := t.all[where]
-	if l.sent == 0 {
-		l.lastGood = max(l.lastGood, now) // silence counts from when work is out
+	l := t.localities[where]
+	if l.sentSinceSuccess == 0 {
+		l.lastSuccess = max(l.lastSuccess, now) // silence counts from when work is out
 	}
-	l.out++
-	l.sent++
+	l.inFlight++
+	l.sentSinceSuccess++
 }
 
 // AttemptFinished says how an attempt ended at a locality. hit says whether it was answered from a copy there, of those for which
 // that was told; load is how full the locality's link is, by the report that came along; negative: none did.
 func (t *Selector) AttemptFinished(now time.Duration, where int, r Result, hit, told bool, load float64) {
-	l := t.all[where]
-	l.out = max(0, l.out-1)
-	l.book(now, r)
+	l := t.localities[where]
+	l.inFlight = max(0, l.inFlight-1)
+	l.record(now, r)
 	if r == ResultSuccess || r == ResultLate {
-		l.lastGood, l.sent = now, 0
+		l.lastSuccess, l.sentSinceSuccess = now, 0
 	}
 	if told {
 		l.reads.add(now, 1, hitMemory)
@@ -129,7 +131,7 @@
 		}
 	}
 	if load >= 0 {
-		l.load.add(now, load, memory/2)
+		l.utilization.add(now, load, resultMemory/2)
 	}
 }
 
@@ -148,61 +150,61 @@
 // HandleRejection takes a refusal in, and says which other locality the request is to be given, if any. Only what may be repeated
 // freely is moved, once, and while half of its aim is left for it; within the bounds of what spills.
 func (t *Selector) HandleRejection(now time.Duration, r Rejection) (where int, ok bool) {
-	t.all[r.From].book(now, ResultRejected)
-	if r.From == 0 && t.all[0].state != StateHealthy {
-		t.pastBad.add(now, 1, memory)
+	t.localities[r.From].record(now, ResultRejected)
+	if r.From == 0 && t.localities[0].state != StateHealthy {
+		t.bypassBad.add(now, 1, resultMemory)
 	}
 	if r.Rerouted || !r.Idempotent || r.MaxAttempts > 0 && r.Attempts >= r.MaxAttempts || r.Elapsed >= r.LatencyObjective/2 || r.Remaining <= r.LatencyObjective/2 {
 		return 0, false
 	}
-	return t.move(r.From)
+	return t.pickAlternative(r.From)
 }
 
 // BypassFinished says how an attempt ended that the own director sent past the caches of its locality, straight to what stands
 // behind them. For the locality it was none: see [Judge].
 func (t *Selector) BypassFinished(now time.Duration, r Result) {
-	w := weights[r]
-	t.pastOK.add(now, w[0], memory)
-	t.pastBad.add(now, w[1], memory)
+	w := resultWeights[r]
+	t.bypassGood.add(now, w[0], resultMemory)
+	t.bypassBad.add(now, w[1], resultMemory)
 }
 
-// goPast sets how much of what fits nowhere goes past the caches: as much as has been seen to go well. Guards against
+// setBypassShare sets how much of what fits nowhere goes past the caches: as much as has been seen to go well. Guards against
 // refusing what the upper caches and the origin could still serve; what they can do is the director's to judge, which
 // refuses what they can't.
-func (t *Selector) goPast(now, span time.Duration) {
-	good, bad := t.pastOK.now(now, memory), t.pastBad.now(now, memory)
-	own := t.all[0]
+func (t *Selector) setBypassShare(now, span time.Duration) {
+	good, bad := t.bypassGood.now(now, resultMemory), t.bypassBad.now(now, resultMemory)
+	own := t.localities[0]
 	switch {
-	case t.total >= 1 || own.state == StateRecovering: // it has caches again, and its ramp says how much they are given
-		t.past = 0
+	case t.servedShare >= 1 || own.state == StateRecovering: // it has caches again, and its ramp says how much they are given
+		t.bypassShare = 0
 	case good+bad < 1: // nothing is known; where no cache is left that could hang, a few are worth trying
-		if own.told && own.up == 0 {
-			t.past = pastTry
+		if own.listed && own.cachesUp == 0 {
+			t.bypassShare = bypassProbeShare
 		} else {
-			t.past = 0
+			t.bypassShare = 0
 		}
 	case good < (1+t.cfg.MinHealth)/2*(good+bad):
-		t.past = max(t.past/2, pastTry)
-	case good+bad >= t.rate.now(now, rateMemory)/2: // it has just done so for most of the load
-		t.past = 1
+		t.bypassShare = max(t.bypassShare/2, bypassProbeShare)
+	case good+bad >= t.requests.now(now, rateMemory)/2: // it has just done so for most of the load
+		t.bypassShare = 1
 	default:
-		t.past = min(1, t.past+2*t.cfg.SpilloverRise*span.Seconds())
+		t.bypassShare = min(1, t.bypassShare+2*t.cfg.SpilloverRise*span.Seconds())
 	}
 }
 
-func (l *locality) book(now time.Duration, r Result) {
+func (l *localityState) record(now time.Duration, r Result) {
 	if l.state == StateEjected {
 		return // it speaks of the time before
 	}
-	w := weights[r]
-	l.good.add(now, w[0], memory)
-	l.bad.add(now, w[1], memory)
+	w := resultWeights[r]
+	l.good.add(now, w[0], resultMemory)
+	l.bad.add(now, w[1], resultMemory)
 	if l.state == StateProbation {
 		switch r {
 		case ResultSuccess, ResultLate:
-			l.triedOK++
+			l.probationPassed++
 		case ResultFailure, ResultRejected:
-			l.triedBad++
+			l.probationFailed++
 		}
 	}
 }
@@ -214,25 +216,25 @@
 	if band < len(t.offered) {
 		t.offered[band]++
 	}
-	t.come(now)
-	if i := t.onTrial(band); i >= 0 {
-		return t.take(i), 0, true
+	t.earnBudgets(now)
+	if i := t.pickProbation(band); i >= 0 {
+		return t.recordPick(i), 0, true
 	}
 	part := func(h uint64) float64 { return float64(h>>11) / (1 << 53) }
-	if t.total < 1 && band < len(t.admit) && part(id) >= t.admit[band] {
-		return t.leave(id)
+	if t.servedShare < 1 && band < len(t.admitShares) && part(id) >= t.admitShares[band] {
+		return t.rejectOrBypass(id)
 	}
 	u := part(object)
 	where = -1
 	switch {
-	case u < t.keep:
+	case u < t.ownShare:
 		where = 0
-	case t.total > 0 && u < t.keep+1-t.total: // of what is nowhere's, each takes its part
-		v := part(id*0x9e3779b97f4a7c15) * t.total
-		for i := range t.all {
-			share := t.spills[i]
+	case t.servedShare > 0 && u < t.ownShare+1-t.servedShare: // of what is nowhere's, each takes its part
+		v := part(id*0x9e3779b97f4a7c15) * t.servedShare
+		for i := range t.localities {
+			share := t.spillShares[i]
 			if i == 0 {
-				share = t.keep
+				share = t.ownShare
 			}
 			if v -= share; v < 0 {
 				where = i
@@ -241,223 +243,223 @@
 		}
 	default:
 		edge := 1.0 // the first spills from the top: what it holds stays the same while shares move
-		for i := 1; i < len(t.all); i++ {
-			if edge -= t.spills[i]; t.spills[i] > 0 && u >= edge {
+		for i := 1; i < len(t.localities); i++ {
+			if edge -= t.spillShares[i]; t.spillShares[i] > 0 && u >= edge {
 				where = i
 				break
 			}
 		}
 	}
 	if where == 0 {
-		return t.take(0), 0, true
+		return t.recordPick(0), 0, true
 	}
-	if where > 0 && t.spend(where) {
-		return t.take(where), 0, true
+	if where > 0 && t.spendBudgets(where) {
+		return t.recordPick(where), 0, true
 	}
-	for i := 1; i < len(t.all); i++ { // its bound is reached in this very moment: another may have room
-		if i != where && t.spills[i] > 0 && t.spend(i) {
-			return t.take(i), 0, true
+	for i := 1; i < len(t.localities); i++ { // its bound is reached in this very moment: another may have room
+		if i != where && t.spillShares[i] > 0 && t.spendBudgets(i) {
+			return t.recordPick(i), 0, true
 		}
 	}
-	if t.keep > 0 && t.all[0].state == StateHealthy {
-		return t.take(0), 0, true
+	if t.ownShare > 0 && t.localities[0].state == StateHealthy {
+		return t.recordPick(0), 0, true
 	}
 	t.Counters.BoundReached++
-	return t.leave(id)
+	return t.rejectOrBypass(id)
 }
 
-// leave refuses a request that fits nowhere, or has the own director send it past its caches.
-func (t *Selector) leave(id uint64) (int, time.Duration, bool) {
-	if t.past > 0 && float64((id*0xbf58476d1ce4e5b9)>>11)/(1<<53) < t.past {
+// rejectOrBypass refuses a request that fits nowhere, or has the own director send it past its caches.
+func (t *Selector) rejectOrBypass(id uint64) (int, time.Duration, bool) {
+	if t.bypassShare > 0 && float64((id*0xbf58476d1ce4e5b9)>>11)/(1<<53) < t.bypassShare {
 		t.Counters.Bypassed++
-		return t.take(0), 0, true
+		return t.recordPick(0), 0, true
 	}
-	return t.refuse(id)
+	return t.reject(id)
 }
 
-// move finds a request another locality, within the bounds.
-func (t *Selector) move(from int) (where int, ok bool) {
-	for i := 1; i < len(t.all); i++ {
-		if l := t.all[i]; i != from && (l.state == StateHealthy || l.state == StateRecovering) && t.able(l) > 0 && t.spend(i) {
+// pickAlternative finds a request another locality, within the bounds.
+func (t *Selector) pickAlternative(from int) (where int, ok bool) {
+	for i := 1; i < len(t.localities); i++ {
+		if l := t.localities[i]; i != from && (l.state == StateHealthy || l.state == StateRecovering) && t.usableShare(l) > 0 && t.spendBudgets(i) {
 			t.Counters.Rerouted++
-			return t.take(i), true
+			return t.recordPick(i), true
 		}
 	}
 	return 0, false
 }
 
-// come books a request: bounds are shares of what comes.
-func (t *Selector) come(now time.Duration) {
-	t.rate.add(now, 1, rateMemory)
-	most := t.rate.now(now, rateMemory) * purseFor.Seconds()
-	for i := range t.level {
+// earnBudgets books a request: bounds are shares of what comes.
+func (t *Selector) earnBudgets(now time.Duration) {
+	t.requests.add(now, 1, rateMemory)
+	most := t.requests.now(now, rateMemory) * budgetWindow.Seconds()
+	for i := range t.levelBudgets {
 		if i > 0 {
-			t.level[i].earn(t.cfg.MaxSpillover, most)
+			t.levelBudgets[i].earn(t.cfg.MaxSpillover, most)
 		}
 	}
-	for i, l := range t.all {
+	for i, l := range t.localities {
 		if i > 0 {
-			l.purse.earn(l.spill, most)
+			l.budget.earn(l.maxSpillover, most)
 		}
 	}
 }
 
-// spend takes one request off the bounds of a locality and its level, if both have room.
-func (t *Selector) spend(where int) bool {
-	l := t.all[where]
-	if l.purse.have < 1 || t.level[l.Level].have < 1 {
+// spendBudgets takes one request off the bounds of a locality and its level, if both have room.
+func (t *Selector) spendBudgets(where int) bool {
+	l := t.localities[where]
+	if l.budget.have < 1 || t.levelBudgets[l.Level].have < 1 {
 		return false
 	}
-	return l.purse.spend() && t.level[l.Level].spend()
+	return l.budget.spend() && t.levelBudgets[l.Level].spend()
 }
 
-// onTrial is a locality that is tried, with a request to spare for it: those of least worth. -1: there is none.
-func (t *Selector) onTrial(band int) int {
-	for i, l := range t.all {
-		if l.state == StateProbation && l.tried < trials && band >= t.cfg.Bands/2 && (i == 0 || t.level[l.Level].spend()) {
-			l.tried++
+// pickProbation is a locality that is tried, with a request to spare for it: those of least worth. -1: there is none.
+func (t *Selector) pickProbation(band int) int {
+	for i, l := range t.localities {
+		if l.state == StateProbation && l.probationSent < probationRequests && band >= t.cfg.Bands/2 && (i == 0 || t.levelBudgets[l.Level].spend()) {
+			l.probationSent++
 			return i
 		}
 	}
 	return -1
 }
 
-func (t *Selector) take(where int) int {
+func (t *Selector) recordPick(where int) int {
 	t.Counters.Picked++
-	t.all[where].picked++
+	t.localities[where].picked++
 	if where > 0 {
 		t.Counters.Spilled++
 	}
 	return where
 }
 
-func (t *Selector) refuse(id uint64) (int, time.Duration, bool) {
+func (t *Selector) reject(id uint64) (int, time.Duration, bool) {
 	t.Counters.Rejected++
-	base := float64(t.cfg.MaxRetryAfter) * (laterLeast + (0.8-laterLeast)*min(1, 1-t.total))
+	base := float64(t.cfg.MaxRetryAfter) * (minRetryAfterShare + (0.8-minRetryAfterShare)*min(1, 1-t.servedShare))
 	return -1, time.Duration(base * (0.75 + float64(id%1024)/2048)), false
 }
 
 // Tick sets the shares anew. It is to be called every Config.Tick.
 func (t *Selector) Tick(now time.Duration) {
-	span := max(0, now-t.last)
-	if t.last == 0 {
+	span := max(0, now-t.lastTick)
+	if t.lastTick == 0 {
 		span = t.cfg.Tick
 	}
-	t.last = now
+	t.lastTick = now
 	for i := range t.offered {
-		t.smooth[i] += offerPace * (t.offered[i] - t.smooth[i])
+		t.offeredSmoothed[i] += offeredWeight * (t.offered[i] - t.offeredSmoothed[i])
 		t.offered[i] = 0
 	}
-	wanted := t.keep < 1
-	for i, l := range t.all {
-		l.learn(now)
-		if l.look(now, &t.cfg, span, wanted || i == 0, t.total < 1, t.rng.Float64) {
+	wanted := t.ownShare < 1
+	for i, l := range t.localities {
+		l.learnUsual(now)
+		if l.updateState(now, &t.cfg, span, wanted || i == 0, t.servedShare < 1, t.rng.Float64) {
 			t.Counters.StateChanges++
 		}
 	}
-	t.spread(now, span)
-	t.set(now)
-	t.goPast(now, span)
+	t.setSpillover(now, span)
+	t.setShares(now)
+	t.setBypassShare(now, span)
 }
 
-// able is the share of its full load that a locality can take now, by its health and its ramp.
-func (t *Selector) able(l *locality) float64 {
+// usableShare is the share of its full load that a locality can take now, by its health and its ramp.
+func (t *Selector) usableShare(l *localityState) float64 {
 	if l.state == StateEjected || l.state == StateProbation {
 		return 0
 	}
-	h, _ := l.judge(t.last)
-	return min(1, t.cfg.OverProvisioning*h) * l.ramp
+	h, _ := l.health(t.lastTick)
+	return min(1, t.cfg.OverProvisioning*h) * l.rampShare
 }
 
 // demand is what the own locality's clients ask for, in the unit of weights.
 func (t *Selector) demand() float64 {
-	own := t.all[0]
-	if own.usualLoad.known {
-		return max(0.05, own.usualLoad.v) * own.Weight
+	own := t.localities[0]
+	if own.usualUtilization.known {
+		return max(0.05, own.usualUtilization.value) * own.Weight
 	}
-	return demandless * own.Weight
+	return assumedUtilization * own.Weight
 }
 
-// spread moves what may spill to each locality: towards a share of what it has to spare, by its own reports less what we
+// setSpillover moves what may spill to each locality: towards a share of what it has to spare, by its own reports less what we
 // cause there, slowly up and at once down.
 //
 // Guards against hunting: reports are late, so what we cause is taken as late as they are (lagged). With a share under
 // one, the gateways of several localities that spill to the same one settle without talk: each takes a part of what the
 // others leave.
-func (t *Selector) spread(now, span time.Duration) {
+func (t *Selector) setSpillover(now, span time.Duration) {
 	demand := t.demand()
-	for i, l := range t.all {
+	for i, l := range t.localities {
 		if i == 0 {
 			continue
 		}
 		ours := 0.0
-		if l.lagged.known {
-			ours = l.lagged.v * demand / l.Weight
+		if l.laggedSpillover.known {
+			ours = l.laggedSpillover.value * demand / l.Weight
 		}
-		want := spillStart
-		if l.load.known && now-l.load.at < 4*memory {
-			want = t.cfg.SpareCapacityShare * max(0, t.cfg.FullUtilization-l.load.v+min(ours, l.load.v)) * l.Weight / demand
+		want := initialSpillover
+		if l.utilization.known && now-l.utilization.at < 4*resultMemory {
+			want = t.cfg.SpareCapacityShare * max(0, t.cfg.FullUtilization-l.utilization.value+min(ours, l.utilization.value)) * l.Weight / demand
 		}
-		want = min(want, t.cfg.MaxSpillover) * t.able(l)
-		if want < l.spill {
-			l.spill = want
+		want = min(want, t.cfg.MaxSpillover) * t.usableShare(l)
+		if want < l.maxSpillover {
+			l.maxSpillover = want
 		} else {
-			l.spill = min(want, l.spill+t.cfg.SpilloverRise*span.Seconds())
+			l.maxSpillover = min(want, l.maxSpillover+t.cfg.SpilloverRise*span.Seconds())
 		}
-		l.lagged.add(now, t.spills[i], memory/2)
+		l.laggedSpillover.add(now, t.spillShares[i], resultMemory/2)
 	}
 }
 
-// set spends the load on the localities: the own one first, then level by level, within a level in proportion to what
+// setShares spends the load on the localities: the own one first, then level by level, within a level in proportion to what
 // each may have. What is left over is refused, of the bands of least worth.
-func (t *Selector) set(now time.Duration) {
-	clear(t.spills)
+func (t *Selector) setShares(now time.Duration) {
+	clear(t.spillShares)
 	well, weight := 0.0, 0.0
-	for _, l := range t.all {
+	for _, l := range t.localities {
 		weight += l.Weight
 		if l.state == StateHealthy || l.state == StateRecovering {
-			h, _ := l.judge(now)
+			h, _ := l.health(now)
 			well += h * l.Weight
 		}
 	}
-	t.keep = t.able(t.all[0])
-	if t.panic = well <= t.cfg.PanicThreshold*weight; t.panic { // it is our own network, or the list: moving load helps nobody
+	t.ownShare = t.usableShare(t.localities[0])
+	if t.panicking = well <= t.cfg.PanicThreshold*weight; t.panicking { // it is our own network, or the list: moving load helps nobody
 		t.Counters.PanicTicks++
-		t.keep, t.total = 1, 1
+		t.ownShare, t.servedShare = 1, 1
 		return
 	}
-	left := 1 - t.keep
-	for level := 1; level < len(t.level); level++ {
+	left := 1 - t.ownShare
+	for level := 1; level < len(t.levelBudgets); level++ {
 		room := 0.0
-		for _, l := range t.all {
+		for _, l := range t.localities {
 			if l.Level == level {
-				room += l.spill
+				room += l.maxSpillover
 			}
 		}
 		get := min(left, room, t.cfg.MaxSpillover)
 		t.bounds[level] = get
-		for i, l := range t.all {
+		for i, l := range t.localities {
 			if l.Level == level && room > 0 {
-				t.spills[i] = get * l.spill / room
+				t.spillShares[i] = get * l.maxSpillover / room
 			}
 		}
 		left -= get
 	}
-	t.total = min(1, 1-left)
+	t.servedShare = min(1, 1-left)
 	if left < 1e-9 {
-		t.total = 1
+		t.servedShare = 1
 	}
 	offered := 0.0
-	for _, n := range t.smooth {
+	for _, n := range t.offeredSmoothed {
 		offered += n
 	}
-	have := t.total * offered
-	for b, n := range t.smooth {
+	have := t.servedShare * offered
+	for b, n := range t.offeredSmoothed {
 		switch {
 		case n <= 0:
-			t.admit[b] = math.Min(1, have) // none came lately: the first may come in while there is room
+			t.admitShares[b] = math.Min(1, have) // none came lately: the first may come in while there is room
 		default:
-			t.admit[b] = min(1, have/n)
+			t.admitShares[b] = min(1, have/n)
 			have = max(0, have-n)
 		}
 	}
@@ -477,20 +479,20 @@
 
 // View tells of all localities, in the order of the configuration.
 func (t *Selector) View(now time.Duration) (all []View) {
-	for i, l := range t.all {
-		v := View{Name: l.Name, State: l.state, Share: t.spills[i], Ramp: l.ramp, Backoff: l.wait, Picked: l.picked, Utilization: -1, HitRatio: -1, UsualHitRatio: -1}
+	for i, l := range t.localities {
+		v := View{Name: l.Name, State: l.state, Share: t.spillShares[i], Ramp: l.rampShare, Backoff: l.backoff, Picked: l.picked, Utilization: -1, HitRatio: -1, UsualHitRatio: -1}
 		if i == 0 {
-			v.Share = t.keep
+			v.Share = t.ownShare
 		}
-		v.Health, _ = l.judge(now)
-		if l.load.known {
-			v.Utilization = l.load.v
+		v.Health, _ = l.health(now)
+		if l.utilization.known {
+			v.Utilization = l.utilization.value
 		}
-		if share, known := l.hitShare(now); known {
+		if share, known := l.hitRatio(now); known {
 			v.HitRatio = share
 		}
 		if l.usualHits.known {
-			v.UsualHitRatio = l.usualHits.v
+			v.UsualHitRatio = l.usualHits.value
 		}
 		all = append(all, v)
 	}
@@ -498,18 +500,18 @@
 }
 
 // Panicking says that nearly all looks ill, so that the fault is taken to be elsewhere.
-func (t *Selector) Panicking() bool { return t.panic }
+func (t *Selector) Panicking() bool { return t.panicking }
 
 // SpilloverShare is the share of the own load that goes elsewhere, and Refusing the share that is refused.
 func (t *Selector) SpilloverShare() (share float64) {
-	for _, s := range t.spills {
+	for _, s := range t.spillShares {
 		share += s
 	}
 	return share
 }
 
 // BypassShare is the share of what fits nowhere that goes past the caches.
-func (t *Selector) BypassShare() float64 { return t.past }
+func (t *Selector) BypassShare() float64 { return t.bypassShare }
 
 // RejectedShare is the share of the own load that fits nowhere.
-func (t *Selector) RejectedShare() float64 { return 1 - t.total }
+func (t *Selector) RejectedShare() float64 { return 1 - t.servedShare }
--- a/locality/settings.go
+++ b/locality/settings.go
@@ -55,13 +55,13 @@
 
 // EndpointIndex tells from lists of servers how many caches each locality has.
 type EndpointIndex struct {
-	places map[string]int // locality by zone
-	cache  func(kind string) bool
-	all    map[string]entry
-	up     []int
+	localities  map[string]int // locality by zone
+	isCacheKind func(kind string) bool
+	endpoints   map[string]indexedEndpoint
+	cachesUp    []int
 }
 
-type entry struct {
+type indexedEndpoint struct {
 	where int // -1: no locality of ours
 	cache bool
 	up    bool
@@ -69,12 +69,12 @@
 
 // NewEndpointIndex returns an empty one.
 func NewEndpointIndex(s routing.Settings, localities []Locality) *EndpointIndex {
-	r := &EndpointIndex{places: map[string]int{}, all: map[string]entry{}, up: make([]int, len(localities)), cache: func(kind string) bool {
+	r := &EndpointIndex{localities: map[string]int{}, endpoints: map[string]indexedEndpoint{}, cachesUp: make([]int, len(localities)), isCacheKind: func(kind string) bool {
 		k := slices.Index(s.Kinds, kind)
 		return k < 0 || k != s.OriginKind && k != s.ParentKind
 	}}
 	for i, l := range localities {
-		r.places[l.Name] = i
+		r.localities[l.Name] = i
 	}
 	return r
 }
@@ -82,33 +82,33 @@
 // Update takes a list in, and returns how many caches are up, by locality. It is the roster's own.
 func (r *EndpointIndex) Update(m routing.EndpointUpdate) []int {
 	if m.Kind == routing.WatchLost {
-		return r.up
+		return r.cachesUp
 	}
 	if m.Kind != routing.DeltaList {
-		clear(r.all)
+		clear(r.endpoints)
 	}
 	for _, e := range m.Endpoints {
 		if e.Phase == routing.Removed {
-			delete(r.all, e.ID)
+			delete(r.endpoints, e.ID)
 			continue
 		}
-		where, ok := r.places[e.Zone]
+		where, ok := r.localities[e.Zone]
 		if !ok {
 			where = -1
 		}
-		r.all[e.ID] = entry{where: where, cache: r.cache(e.Kind), up: e.Phase == routing.Up}
+		r.endpoints[e.ID] = indexedEndpoint{where: where, cache: r.isCacheKind(e.Kind), up: e.Phase == routing.Up}
 	}
-	clear(r.up)
-	for _, e := range r.all {
+	clear(r.cachesUp)
+	for _, e := range r.endpoints {
 		if e.up && e.cache && e.where >= 0 {
-			r.up[e.where]++
+			r.cachesUp[e.where]++
 		}
 	}
-	return r.up
+	return r.cachesUp
 }
 
 // IsCache says whether a server is a cache of a locality, and not one behind it.
 func (r *EndpointIndex) IsCache(id string, where int) bool {
-	e, ok := r.all[id]
+	e, ok := r.endpoints[id]
 	return ok && e.cache && e.where == where
 }
