--- a/cluster/cluster.go
+++ b/cluster/cluster.go
@@ -28,12 +28,12 @@
 	// Version is that of the messages. One that is higher is read as far as it is understood.
 	Version = 1
 
-	stepEvery   = 250 * time.Millisecond // how often the order is taken forward
-	reportFor   = 3 * time.Second        // a gateway's report counts for so long
-	silentAfter = 2                      // questions without an answer, after which another voter is asked
-	homeAfter   = 8                      // answers of another voter, after which the first one is tried again
-	mostOut     = 64                     // questions and commands under way for others
-	commandFor  = 8 * time.Second        // a command that is not answered by then is given up
+	advanceInterval        = 250 * time.Millisecond // how often the order is taken forward
+	reportLifetime         = 3 * time.Second        // a gateway's report counts for so long
+	maxUnanswered          = 2                      // questions without an answer, after which another voter is asked
+	repliesUntilFirstVoter = 8                      // answers of another voter, after which the first one is tried again
+	maxRelayed             = 64                     // questions and commands under way for others
+	requestTimeout         = 8 * time.Second        // a command that is not answered by then is given up
 )
 
 // Report is what a gateway has seen. It comes with its questions.
@@ -168,19 +168,19 @@
 	LeaseRequests, Views, LeaseExpirations, Unknown, NonMembers, Advances, Dropped uint64
 }
 
-// question is a Renew or an Order that waits for an answer of the voters here.
-type question struct {
-	from string
-	m    Message
-	at   time.Duration
+// pendingRequest is a Renew or an Order that waits for an answer of the voters here.
+type pendingRequest struct {
+	from    string
+	message Message
+	at      time.Duration
 }
 
-type report struct {
+type receivedReport struct {
 	Report
 	at time.Duration
 }
 
-type stand struct {
+type stageKey struct {
 	id    uint64
 	stage maintenance.Stage
 	epoch uint64
@@ -190,41 +190,41 @@
 type Node struct {
 	Counters Counters
 
-	cfg   Config
-	rng   *rand.Rand
-	now   time.Duration
-	out   []Action
-	voter *consensus.Voter // nil: it does not vote
-
-	view     *maintenance.State // in brief; nil: none is known
-	digest   uint64
-	revision uint64
-	storing  uint64 // revision of the view that is being stored
-	lasting  uint64 // epoch of the view that lasts
-	lease    time.Duration
-	leased   bool // Hold was last told with the lease
-	told     DrainMachines
-	stopped  uint64
-	leaving  bool
-	left     bool
-
-	next   time.Duration // of the next question
-	serial uint64
-	sent   map[uint64]time.Duration // questions under way
-	target int                      // the voter that is asked
-	away   int                      // answers since the first voter was tried
-	silent int
-
-	read    *maintenance.State // what known gave last,
-	readAt  uint64             // and of which revision
-	seen    Report
-	reports map[string]report
-	heardAt map[string]time.Duration
-	waiting map[string]question // by the id under which the voter was asked
-	relayed map[uint64]question // orders handed on to a voter
-	since   map[stand]time.Duration
-	stepAt  time.Duration
-	lines   map[uint64]int // of each request's history, told to the audit
+	cfg     Config
+	rng     *rand.Rand
+	now     time.Duration
+	actions []Action
+	voter   *consensus.Voter // nil: it does not vote
+
+	view              *maintenance.State // in brief; nil: none is known
+	viewDigest        uint64
+	viewRevision      uint64
+	storingRevision   uint64 // revision of the view that is being stored
+	durableEpoch      uint64 // epoch of the view that lasts
+	leaseUntil        time.Duration
+	drainedUnderLease bool // Hold was last told with the lease
+	draining          DrainMachines
+	stoppedEpoch      uint64
+	shuttingDown      bool
+	shutDown          bool
+
+	nextLeaseRequest time.Duration // of the next question
+	lastID           uint64
+	leaseRequests    map[uint64]time.Duration // questions under way
+	targetVoter      int                      // the voter that is asked
+	repliesFromOther int                      // answers since the first voter was tried
+	unanswered       int
+
+	chosen         *maintenance.State // what known gave last,
+	chosenRevision uint64             // and of which revision
+	ownReport      Report
+	reports        map[string]receivedReport
+	lastReceived   map[string]time.Duration
+	pending        map[string]pendingRequest // by the id under which the voter was asked
+	relayed        map[uint64]pendingRequest // orders handed on to a voter
+	stageSince     map[stageKey]time.Duration
+	nextAdvance    time.Duration
+	auditedLines   map[uint64]int // of each request's history, told to the audit
 }
 
 // New returns a node.
@@ -246,9 +246,9 @@
 	if err := c.Limits.Check(); err != nil {
 		return nil, fmt.Errorf("fleet: Bounds: %w", err)
 	}
-	n := &Node{cfg: c, rng: rand.New(rand.NewPCG(c.Seed, 0xc2b2ae35)), sent: map[uint64]time.Duration{}, reports: map[string]report{},
-		heardAt: map[string]time.Duration{}, waiting: map[string]question{}, relayed: map[uint64]question{}, since: map[stand]time.Duration{},
-		lines: map[uint64]int{}}
+	n := &Node{cfg: c, rng: rand.New(rand.NewPCG(c.Seed, 0xc2b2ae35)), leaseRequests: map[uint64]time.Duration{}, reports: map[string]receivedReport{},
+		lastReceived: map[string]time.Duration{}, pending: map[string]pendingRequest{}, relayed: map[uint64]pendingRequest{}, stageSince: map[stageKey]time.Duration{},
+		auditedLines: map[uint64]int{}}
 	if slices.Contains(c.Voters, c.Self) {
 		var err error
 		n.voter, err = consensus.New(consensus.Config{Self: c.Self, Voters: c.Voters, Acceptor: c.Acceptor, Apply: maintenance.Apply(c.Limits), RoundTimeout: c.RoundTimeout, ReadInterval: c.ReadInterval, Seed: c.Seed})
@@ -261,54 +261,54 @@
 		if err != nil {
 			return nil, fmt.Errorf("fleet: View: %w", err)
 		}
-		n.view, n.lasting, n.digest = s, s.Epoch, maintenance.Digest(c.View)
+		n.view, n.durableEpoch, n.viewDigest = s, s.Epoch, maintenance.Digest(c.View)
 	}
 	return n, nil
 }
 
 // Handle takes one event at the given time and appends the actions to out. Time must not run backwards.
 func (n *Node) Handle(now time.Duration, e Event, out []Action) []Action {
-	n.now, n.out = now, out
+	n.now, n.actions = now, out
 	switch e := e.(type) {
 	case MessageReceived:
-		n.heard(e.From, e.Message)
+		n.receive(e.From, e.Message)
 	case Observed:
-		n.seen = e.Report
-		n.reports[n.cfg.Self] = report{e.Report, now}
+		n.ownReport = e.Report
+		n.reports[n.cfg.Self] = receivedReport{e.Report, now}
 	case Drained:
-		if e.Generation == n.told.Generation && n.view != nil && n.leased && (!n.leaving || n.left) {
-			n.stopped = max(n.stopped, n.view.LatestDrainEpoch())
-			n.hurry()
+		if e.Generation == n.draining.Generation && n.view != nil && n.drainedUnderLease && (!n.shuttingDown || n.shutDown) {
+			n.stoppedEpoch = max(n.stoppedEpoch, n.view.LatestDrainEpoch())
+			n.requestLeaseSoon()
 		}
 	case AcceptorStateStored:
 		if n.voter != nil {
-			n.vote(consensus.StateStored{Number: e.Number})
+			n.stepVoter(consensus.StateStored{Number: e.Number})
 		}
 	case ViewStored:
-		if n.view != nil && e.Revision == n.storing {
-			n.lasting = n.view.Epoch
-			n.hurry()
+		if n.view != nil && e.Revision == n.storingRevision {
+			n.durableEpoch = n.view.Epoch
+			n.requestLeaseSoon()
 		}
 	case ShutdownCompleted:
-		n.left = true
+		n.shutDown = true
 		if n.view != nil {
-			n.stopped = max(n.stopped, n.view.LatestDrainEpoch())
+			n.stoppedEpoch = max(n.stoppedEpoch, n.view.LatestDrainEpoch())
 		}
-		n.hurry()
+		n.requestLeaseSoon()
 	case Tick:
 		n.tick()
 	}
-	out, n.out = n.out, nil
+	out, n.actions = n.actions, nil
 	return out
 }
 
-func (n *Node) do(a Action) { n.out = append(n.out, a) }
+func (n *Node) emit(a Action) { n.actions = append(n.actions, a) }
 
-// hurry has the next question go out soon: there is something to tell.
-func (n *Node) hurry() { n.next = min(n.next, n.now) }
+// requestLeaseSoon has the next question go out soon: there is something to tell.
+func (n *Node) requestLeaseSoon() { n.nextLeaseRequest = min(n.nextLeaseRequest, n.now) }
 
 // HasLease says whether what the node knows is fresh.
-func (n *Node) HasLease(now time.Duration) bool { return n.view != nil && now < n.lease }
+func (n *Node) HasLease(now time.Duration) bool { return n.view != nil && now < n.leaseUntil }
 
 // Ready says whether the gateway may send to anything: it must have known what was agreed on.
 func (n *Node) Ready() bool { return n.view != nil }
@@ -319,8 +319,8 @@
 	if n.view == nil {
 		return false
 	}
-	if now < n.lease {
-		return !n.told.Machines[machine]
+	if now < n.leaseUntil {
+		return !n.draining.Machines[machine]
 	}
 	return !n.view.ExcludedMachines(false)[machine]
 }
@@ -339,130 +339,130 @@
 // ---- as a gateway ----
 
 func (n *Node) tick() {
-	if n.view != nil && n.leased && n.now >= n.lease {
+	if n.view != nil && n.drainedUnderLease && n.now >= n.leaseUntil {
 		n.Counters.LeaseExpirations++
-		n.hold()
+		n.updateDrain()
 	}
-	if n.now >= n.next {
-		n.ask()
+	if n.now >= n.nextLeaseRequest {
+		n.requestLease()
 	}
 	for id, q := range n.relayed {
-		if n.now-q.at > commandFor {
+		if n.now-q.at > requestTimeout {
 			delete(n.relayed, id)
 		}
 	}
-	for id, at := range n.sent {
+	for id, at := range n.leaseRequests {
 		if n.now-at > n.cfg.Limits.Lease {
-			delete(n.sent, id)
+			delete(n.leaseRequests, id)
 		}
 	}
 	if n.voter == nil {
 		return
 	}
-	n.vote(consensus.Tick{})
-	for id, q := range n.waiting {
-		if n.now-q.at > commandFor {
-			delete(n.waiting, id)
+	n.stepVoter(consensus.Tick{})
+	for id, q := range n.pending {
+		if n.now-q.at > requestTimeout {
+			delete(n.pending, id)
 		}
 	}
-	if n.now >= n.stepAt {
-		n.stepAt = n.now + stepEvery
-		n.step()
+	if n.now >= n.nextAdvance {
+		n.nextAdvance = n.now + advanceInterval
+		n.advance()
 	}
 }
 
-// renewEvery is how often the view is asked for: five times in a lease.
-func (n *Node) renewEvery() time.Duration { return n.cfg.Limits.Lease / 5 }
+// leaseRequestInterval is how often the view is asked for: five times in a lease.
+func (n *Node) leaseRequestInterval() time.Duration { return n.cfg.Limits.Lease / 5 }
 
-// ask asks a voter for the view. Questions are spread, so that gateways that started together don't ask together.
-func (n *Node) ask() {
-	every := n.renewEvery()
-	n.next = n.now + every*3/4 + time.Duration(n.rng.Int64N(int64(every/2)))
-	if n.silent++; n.silent > silentAfter {
-		n.target, n.silent = (n.target+1)%len(n.cfg.Voters), 1
+// requestLease asks a voter for the view. Questions are spread, so that gateways that started together don't ask together.
+func (n *Node) requestLease() {
+	every := n.leaseRequestInterval()
+	n.nextLeaseRequest = n.now + every*3/4 + time.Duration(n.rng.Int64N(int64(every/2)))
+	if n.unanswered++; n.unanswered > maxUnanswered {
+		n.targetVoter, n.unanswered = (n.targetVoter+1)%len(n.cfg.Voters), 1
 	}
-	n.serial++
-	n.sent[n.serial] = n.now
+	n.lastID++
+	n.leaseRequests[n.lastID] = n.now
 	n.Counters.LeaseRequests++
-	m := Message{Kind: RenewLease, ID: n.serial, Incarnation: n.cfg.Incarnation, NoView: n.view == nil, ViewDigest: n.digest, StoppedEpoch: n.stopped, NotifiedEpoch: n.lasting, Report: &n.seen}
+	m := Message{Kind: RenewLease, ID: n.lastID, Incarnation: n.cfg.Incarnation, NoView: n.view == nil, ViewDigest: n.viewDigest, StoppedEpoch: n.stoppedEpoch, NotifiedEpoch: n.durableEpoch, Report: &n.ownReport}
 	if !n.cfg.Durable && n.view != nil {
 		m.NotifiedEpoch = n.view.Epoch
 	}
-	n.send(n.cfg.Voters[n.target], m)
+	n.send(n.cfg.Voters[n.targetVoter], m)
 }
 
 func (n *Node) send(to string, m Message) {
 	if to == n.cfg.Self {
-		n.heard(to, m)
+		n.receive(to, m)
 		return
 	}
-	n.do(Send{To: to, Message: m})
+	n.emit(Send{To: to, Message: m})
 }
 
-// viewed takes in an answer.
-func (n *Node) viewed(m Message) {
-	at, ok := n.sent[m.ID]
+// receiveView takes in an answer.
+func (n *Node) receiveView(m Message) {
+	at, ok := n.leaseRequests[m.ID]
 	if !ok {
 		return // it was given up, or is a second one
 	}
-	delete(n.sent, m.ID)
-	n.silent = 0
+	delete(n.leaseRequests, m.ID)
+	n.unanswered = 0
 	n.Counters.Views++
 	// The first that is heard takes the order forward, and needs all reports: who asks another one tries it again.
-	if n.away++; n.away >= homeAfter {
-		n.target, n.away, n.silent = 0, 0, silentAfter-1
+	if n.repliesFromOther++; n.repliesFromOther >= repliesUntilFirstVoter {
+		n.targetVoter, n.repliesFromOther, n.unanswered = 0, 0, maxUnanswered-1
 	}
 	news := false
-	if m.Revision < n.revision {
+	if m.Revision < n.viewRevision {
 		return // an old answer proves nothing of what is known by now
 	}
-	if m.Value != nil && m.ViewDigest != n.digest {
+	if m.Value != nil && m.ViewDigest != n.viewDigest {
 		s, err := maintenance.Decode(m.Value)
 		if err != nil {
 			n.Counters.Unknown++
 			return
 		}
-		n.view, n.digest, news = s, m.ViewDigest, true
+		n.view, n.viewDigest, news = s, m.ViewDigest, true
 		if n.cfg.Durable {
-			n.storing = m.Revision
-			n.do(StoreView{m.Revision, m.Value})
+			n.storingRevision = m.Revision
+			n.emit(StoreView{m.Revision, m.Value})
 		}
-		n.hurry()
+		n.requestLeaseSoon()
 	}
-	if n.view == nil || m.ViewDigest != n.digest {
+	if n.view == nil || m.ViewDigest != n.viewDigest {
 		return // the answer is to one who knew something else
 	}
-	n.revision = m.Revision
+	n.viewRevision = m.Revision
 	// What was agreed on when the question left is known: the lease counts from then.
-	n.lease = max(n.lease, at+n.cfg.Limits.Lease)
-	if news || !n.leased {
-		n.hold()
+	n.leaseUntil = max(n.leaseUntil, at+n.cfg.Limits.Lease)
+	if news || !n.drainedUnderLease {
+		n.updateDrain()
 	}
 }
 
-// hold tells what is held, if that has changed.
-func (n *Node) hold() {
-	n.leased = n.now < n.lease
-	held := n.view.ExcludedMachines(n.leased)
-	if r := n.ownTurn(); r != nil && !n.leaving {
-		n.leaving = true
-		n.do(ShutDown{})
+// updateDrain tells what is held, if that has changed.
+func (n *Node) updateDrain() {
+	n.drainedUnderLease = n.now < n.leaseUntil
+	held := n.view.ExcludedMachines(n.drainedUnderLease)
+	if r := n.ownDrain(); r != nil && !n.shuttingDown {
+		n.shuttingDown = true
+		n.emit(ShutDown{})
 	}
-	if n.told.Generation > 0 && maps.Equal(held, n.told.Machines) {
-		if n.leased && len(held) == 0 {
-			n.stopped = max(n.stopped, n.view.LatestDrainEpoch())
+	if n.draining.Generation > 0 && maps.Equal(held, n.draining.Machines) {
+		if n.drainedUnderLease && len(held) == 0 {
+			n.stoppedEpoch = max(n.stoppedEpoch, n.view.LatestDrainEpoch())
 		}
-		if n.leased { // the same machines, perhaps by a newer drain
-			n.do(n.told)
+		if n.drainedUnderLease { // the same machines, perhaps by a newer drain
+			n.emit(n.draining)
 		}
 		return
 	}
-	n.told = DrainMachines{n.told.Generation + 1, held}
-	n.do(n.told)
+	n.draining = DrainMachines{n.draining.Generation + 1, held}
+	n.emit(n.draining)
 }
 
-// ownTurn is the request for this gateway's own machine, once it drains.
-func (n *Node) ownTurn() *maintenance.Request {
+// ownDrain is the request for this gateway's own machine, once it drains.
+func (n *Node) ownDrain() *maintenance.Request {
 	for _, r := range n.view.Requests {
 		if r.Machine == n.cfg.Self && r.Stage == maintenance.Draining && r.Incarnation == n.cfg.Incarnation {
 			return r
@@ -473,15 +473,15 @@
 
 // ---- as one that is asked ----
 
-func (n *Node) heard(from string, m Message) {
+func (n *Node) receive(from string, m Message) {
 	member := slices.Contains(n.cfg.Members, from)
 	if member {
-		n.heardAt[from] = n.now
+		n.lastReceived[from] = n.now
 	}
 	switch m.Kind {
 	case ConsensusMessage:
 		if n.voter != nil && member {
-			n.vote(consensus.MessageReceived{From: from, Message: m.Consensus})
+			n.stepVoter(consensus.MessageReceived{From: from, Message: m.Consensus})
 		}
 	case RenewLease:
 		if n.voter == nil || !member {
@@ -489,19 +489,19 @@
 			return
 		}
 		if m.Report != nil {
-			n.reports[from] = report{*m.Report, n.now}
+			n.reports[from] = receivedReport{*m.Report, n.now}
 		}
-		n.renew(from, m)
+		n.serveLeaseRequest(from, m)
 	case View:
 		if member {
-			n.viewed(m)
+			n.receiveView(m)
 		}
 	case OperatorRequest:
-		n.order(from, m)
+		n.serveOperatorRequest(from, m)
 	case OperatorReply:
 		if q, ok := n.relayed[m.ID]; ok && member {
 			delete(n.relayed, m.ID)
-			m.ID = q.m.ID
+			m.ID = q.message.ID
 			n.send(q.from, m)
 		}
 	default:
@@ -509,23 +509,23 @@
 	}
 }
 
-// enquire gives the voter here something to do, for one who waits for the answer.
-func (n *Node) enquire(q question, command []byte) {
-	if len(n.waiting) >= 4*mostOut {
+// submit gives the voter here something to do, for one who waits for the answer.
+func (n *Node) submit(q pendingRequest, command []byte) {
+	if len(n.pending) >= 4*maxRelayed {
 		n.Counters.Dropped++
 		return
 	}
-	n.serial++
-	id := strconv.FormatUint(n.serial, 10)
-	n.waiting[id] = q
+	n.lastID++
+	id := strconv.FormatUint(n.lastID, 10)
+	n.pending[id] = q
 	if command != nil {
-		n.vote(consensus.Propose{ID: id, Command: command})
+		n.stepVoter(consensus.Propose{ID: id, Command: command})
 	} else {
-		n.vote(consensus.Read{ID: id})
+		n.stepVoter(consensus.Read{ID: id})
 	}
 }
 
-func (n *Node) command(c maintenance.Command) []byte {
+func (n *Node) encodeCommand(c maintenance.Command) []byte {
 	c.Actor, c.AtMs = cmp.Or(c.Actor, n.cfg.Self), n.cfg.WallClockMs()
 	b, err := json.Marshal(c)
 	if err != nil {
@@ -534,60 +534,60 @@
 	return b
 }
 
-// renew asks the voters for one that wants to know. What it has to tell of itself goes first, if that is news.
-func (n *Node) renew(from string, m Message) {
-	q := question{from, m, n.now}
+// serveLeaseRequest asks the voters for one that wants to know. What it has to tell of itself goes first, if that is news.
+func (n *Node) serveLeaseRequest(from string, m Message) {
+	q := pendingRequest{from, m, n.now}
 	var c []byte
-	if s, ok := n.known(); ok {
+	if s, ok := n.chosenState(); ok {
 		g, joined := s.Gateways[from]
 		switch {
 		case !joined || g.Incarnation != m.Incarnation:
-			c = n.join(from, m)
+			c = n.joinCommand(from, m)
 		case m.NotifiedEpoch > g.NotifiedEpoch || m.StoppedEpoch > g.StoppedEpoch:
-			c = n.command(maintenance.Command{Actor: from, Notified: &maintenance.GatewayUpdate{Name: from, Incarnation: m.Incarnation, NotifiedEpoch: m.NotifiedEpoch, StoppedEpoch: m.StoppedEpoch}})
+			c = n.encodeCommand(maintenance.Command{Actor: from, Notified: &maintenance.GatewayUpdate{Name: from, Incarnation: m.Incarnation, NotifiedEpoch: m.NotifiedEpoch, StoppedEpoch: m.StoppedEpoch}})
 		}
 	} else { // the very first
-		c = n.join(from, m)
+		c = n.joinCommand(from, m)
 	}
-	n.enquire(q, c)
+	n.submit(q, c)
 }
 
-func (n *Node) join(from string, m Message) []byte {
-	return n.command(maintenance.Command{Actor: from, Join: &maintenance.GatewayUpdate{Name: from, Incarnation: m.Incarnation, NoView: m.NoView, NotifiedEpoch: m.NotifiedEpoch}})
+func (n *Node) joinCommand(from string, m Message) []byte {
+	return n.encodeCommand(maintenance.Command{Actor: from, Join: &maintenance.GatewayUpdate{Name: from, Incarnation: m.Incarnation, NoView: m.NoView, NotifiedEpoch: m.NotifiedEpoch}})
 }
 
-// known is the newest state that the voter here knows of, which may be old. It is not to be changed.
-func (n *Node) known() (*maintenance.State, bool) {
+// chosenState is the newest state that the voter here knows of, which may be old. It is not to be changed.
+func (n *Node) chosenState() (*maintenance.State, bool) {
 	s, ok := n.voter.Chosen()
 	if !ok {
 		return nil, false
 	}
-	if n.read == nil || n.readAt != s.Revision {
+	if n.chosen == nil || n.chosenRevision != s.Revision {
 		d, err := maintenance.Decode(s.Value)
 		if err != nil {
 			return nil, false
 		}
-		n.read, n.readAt = d, s.Revision
+		n.chosen, n.chosenRevision = d, s.Revision
 	}
-	return n.read, true
+	return n.chosen, true
 }
 
-// order takes a command, or hands it on to a voter.
-func (n *Node) order(from string, m Message) {
+// serveOperatorRequest takes a command, or hands it on to a voter.
+func (n *Node) serveOperatorRequest(from string, m Message) {
 	if n.voter == nil {
-		if len(n.relayed) >= mostOut {
+		if len(n.relayed) >= maxRelayed {
 			n.send(from, Message{Kind: OperatorReply, ID: m.ID, Rejected: "too many orders are under way"})
 			return
 		}
-		n.serial++
-		n.relayed[n.serial] = question{from, m, n.now}
-		m.ID = n.serial
-		n.send(n.cfg.Voters[n.target], m)
+		n.lastID++
+		n.relayed[n.lastID] = pendingRequest{from, m, n.now}
+		m.ID = n.lastID
+		n.send(n.cfg.Voters[n.targetVoter], m)
 		return
 	}
-	q := question{from, m, n.now}
+	q := pendingRequest{from, m, n.now}
 	if m.Query != "" {
-		n.enquire(q, nil)
+		n.submit(q, nil)
 		return
 	}
 	var c maintenance.Command
@@ -596,69 +596,69 @@
 		return
 	}
 	if c.Request != nil { // what it is stands in the list
-		if own, ok := n.gather().Machines[c.Request.Machine]; ok {
+		if own, ok := n.observations().Machines[c.Request.Machine]; ok {
 			c.Request.Kind, c.Request.Zone = own.Kind, own.Zone
 		} else {
 			c.Request.Kind = ""
 		}
 	}
-	n.enquire(q, n.command(c))
+	n.submit(q, n.encodeCommand(c))
 }
 
-// vote hands an event to the voter here and carries out what it wants.
-func (n *Node) vote(e consensus.Event) {
+// stepVoter hands an event to the voter here and carries out what it wants.
+func (n *Node) stepVoter(e consensus.Event) {
 	for _, a := range n.voter.Handle(n.now, e, nil) {
 		switch a := a.(type) {
 		case consensus.Send:
-			n.do(Send{To: a.To, Message: Message{Kind: ConsensusMessage, Consensus: a.Message}})
+			n.emit(Send{To: a.To, Message: Message{Kind: ConsensusMessage, Consensus: a.Message}})
 		case consensus.StoreState:
-			n.do(StoreAcceptorState{a})
+			n.emit(StoreAcceptorState{a})
 		case consensus.Completed:
-			n.answered(a)
+			n.complete(a)
 		case consensus.Learned:
-			n.audit(a.State)
+			n.emitAudit(a.State)
 		}
 	}
 }
 
-// answered hands on what the voters said.
-func (n *Node) answered(d consensus.Completed) {
-	q, ok := n.waiting[d.ID]
+// complete hands on what the voters said.
+func (n *Node) complete(d consensus.Completed) {
+	q, ok := n.pending[d.ID]
 	if !ok {
 		return
 	}
-	delete(n.waiting, d.ID)
+	delete(n.pending, d.ID)
 	switch {
 	case d.Rejected:
 		n.Counters.Dropped++
-	case q.m.Kind == RenewLease:
+	case q.message.Kind == RenewLease:
 		// Guards against a lease for one that is not among those that are waited for.
-		s, ok := n.known()
-		if !ok || n.readAt != d.State.Revision || s.Gateways[q.from].Incarnation != q.m.Incarnation {
+		s, ok := n.chosenState()
+		if !ok || n.chosenRevision != d.State.Revision || s.Gateways[q.from].Incarnation != q.message.Incarnation {
 			return
 		}
 		brief := s.Summary().Encode()
-		m := Message{Kind: View, ID: q.m.ID, Revision: d.State.Revision, ViewDigest: maintenance.Digest(brief)}
-		if q.m.ViewDigest != m.ViewDigest {
+		m := Message{Kind: View, ID: q.message.ID, Revision: d.State.Revision, ViewDigest: maintenance.Digest(brief)}
+		if q.message.ViewDigest != m.ViewDigest {
 			m.Value = brief
 		}
 		n.send(q.from, m)
-	case q.m.Kind == OperatorRequest:
-		m := Message{Kind: OperatorReply, ID: q.m.ID, Value: d.Reply, Revision: d.State.Revision}
-		switch q.m.Query {
+	case q.message.Kind == OperatorRequest:
+		m := Message{Kind: OperatorReply, ID: q.message.ID, Value: d.Reply, Revision: d.State.Revision}
+		switch q.message.Query {
 		case "state":
 			m.Value = d.State.Value
 		case "plan":
 			if s, err := maintenance.Decode(d.State.Value); err == nil {
-				m.Value, _ = json.Marshal(s.Plan(n.gather(), n.cfg.Limits))
+				m.Value, _ = json.Marshal(s.Plan(n.observations(), n.cfg.Limits))
 			}
 		}
 		n.send(q.from, m)
 	}
 }
 
-// audit tells of what is new in the histories.
-func (n *Node) audit(s consensus.State) {
+// emitAudit tells of what is new in the histories.
+func (n *Node) emitAudit(s consensus.State) {
 	d, err := maintenance.Decode(s.Value)
 	if err != nil {
 		return
@@ -666,40 +666,40 @@
 	kept := map[uint64]bool{}
 	for _, r := range d.Requests {
 		kept[r.ID] = true
-		last := n.lines[r.ID]
+		last := n.auditedLines[r.ID]
 		for i, st := range r.History {
 			if i >= last {
-				n.do(AuditEntry{r.AuditLine(st)})
+				n.emit(AuditEntry{r.AuditLine(st)})
 			}
 		}
-		n.lines[r.ID] = len(r.History)
+		n.auditedLines[r.ID] = len(r.History)
 	}
-	maps.DeleteFunc(n.lines, func(id uint64, _ int) bool { return !kept[id] })
+	maps.DeleteFunc(n.auditedLines, func(id uint64, _ int) bool { return !kept[id] })
 }
 
 // ---- as the one that takes the order forward ----
 
-// steward says whether this voter is the first of those that are heard of. Two that both think so are harmless: what they want is
+// isCoordinator says whether this voter is the first of those that are heard of. Two that both think so are harmless: what they want is
 // applied to the state as it is, one after the other.
-func (n *Node) steward() bool {
+func (n *Node) isCoordinator() bool {
 	for _, v := range n.cfg.Voters {
 		if v == n.cfg.Self {
 			return true
 		}
-		if at, ok := n.heardAt[v]; ok && n.now-at < reportFor {
+		if at, ok := n.lastReceived[v]; ok && n.now-at < reportLifetime {
 			return false
 		}
 	}
 	return false
 }
 
-// gather joins what all gateways have reported lately, the most cautious of it.
-func (n *Node) gather() *maintenance.Observations {
+// observations joins what all gateways have reported lately, the most cautious of it.
+func (n *Node) observations() *maintenance.Observations {
 	o := &maintenance.Observations{Machines: map[string]maintenance.Machine{}}
 	for _, from := range slices.Sorted(maps.Keys(n.reports)) {
 		r := n.reports[from]
-		if n.now-r.at > reportFor {
-			if n.now-r.at > 10*reportFor {
+		if n.now-r.at > reportLifetime {
+			if n.now-r.at > 10*reportLifetime {
 				delete(n.reports, from)
 			}
 			continue
@@ -722,21 +722,21 @@
 	return o
 }
 
-// step takes the order forward, if it can be taken anywhere.
-func (n *Node) step() {
-	s, ok := n.known()
-	if !ok || !n.steward() {
-		clear(n.since) // another counts, and may have begun before
+// advance takes the order forward, if it can be taken anywhere.
+func (n *Node) advance() {
+	s, ok := n.chosenState()
+	if !ok || !n.isCoordinator() {
+		clear(n.stageSince) // another counts, and may have begun before
 		return
 	}
-	o := n.gather()
-	now := map[stand]time.Duration{}
+	o := n.observations()
+	now := map[stageKey]time.Duration{}
 	for _, r := range s.Requests {
 		if r.Stage.Ended() || r.Stage == maintenance.Requested {
 			continue
 		}
-		k := stand{r.ID, r.Stage, r.GrantEpoch}
-		at, ok := n.since[k]
+		k := stageKey{r.ID, r.Stage, r.GrantEpoch}
+		at, ok := n.stageSince[k]
 		if !ok {
 			at = n.now
 		}
@@ -745,14 +745,14 @@
 		o.Elapsed = append(o.Elapsed, maintenance.ElapsedLimits{ID: r.ID, Stage: r.Stage, Epoch: r.GrantEpoch, LeasesExpired: took >= n.cfg.Limits.LeaseExpiry(),
 			Overdue: took >= time.Duration(r.DurationMs)*time.Millisecond, SlowStartOver: took >= n.cfg.Limits.SlowStart})
 	}
-	n.since = now
+	n.stageSince = now
 	if !slices.ContainsFunc(s.Requests, func(r *maintenance.Request) bool { return !r.Stage.Ended() }) {
 		return
 	}
-	c := n.command(maintenance.Command{Advance: o})
+	c := n.encodeCommand(maintenance.Command{Advance: o})
 	was := s.Encode()
 	if next, _ := maintenance.Apply(n.cfg.Limits)(was, c); !bytes.Equal(next, was) {
 		n.Counters.Advances++
-		n.enquire(question{from: n.cfg.Self, m: Message{Kind: UnknownKind}, at: n.now}, c)
+		n.submit(pendingRequest{from: n.cfg.Self, message: Message{Kind: UnknownKind}, at: n.now}, c)
 	}
 }
--- a/cluster/cluster_test.go
+++ b/cluster/cluster_test.go
@@ -85,13 +85,13 @@
 	late := renew(t, n, 1600*time.Millisecond)
 	news := state(3, map[string]maintenance.Stage{"m1": maintenance.Draining})
 	n.Handle(1700*time.Millisecond, answer(late, 9, news), nil)
-	before := n.lease
+	before := n.leaseUntil
 	n.Handle(1800*time.Millisecond, answer(old, 4, state(1, nil)), nil)
 	if n.MaySend(1900*time.Millisecond, "m1") {
 		t.Error("an old view took the place of a newer one")
 	}
 	n.Handle(1900*time.Millisecond, answer(late, 9, news), nil)
-	if n.lease != before {
+	if n.leaseUntil != before {
 		t.Error("a second answer to one question gives more lease")
 	}
 }
--- a/cluster/world_test.go
+++ b/cluster/world_test.go
@@ -167,7 +167,7 @@
 		}
 	}
 	if m.held != nil {
-		w.do(m, Drained{m.node.told.Generation})
+		w.do(m, Drained{m.node.draining.Generation})
 	}
 }
 
--- a/consensus/consensus.go
+++ b/consensus/consensus.go
@@ -32,9 +32,9 @@
 
 	// Numbers that a start passes over. Guards against a ballot that was sent before the vote for it lasted, by the life that was
 	// killed then: one ballot would stand for two values. No disk lags by so many rounds.
-	startSkip = 1 << 20
+	ballotSkipOnStart = 1 << 20
 
-	mostCommands = 256 // that wait at one voter; further ones are refused
+	maxPending = 256 // that wait at one voter; further ones are refused
 )
 
 // Ballot orders attempts to change the value.
@@ -218,43 +218,43 @@
 type Voter struct {
 	Counters Counters
 
-	cfg  Config
-	pcg  *rand.PCG
-	rng  *rand.Rand
-	now  time.Duration
-	out  []Action
-	vote AcceptorState
-
-	number  uint64 // of the latest vote to be stored,
-	stored  uint64 // and of the latest that is
-	held    []heldReply
-	known   State  // the newest that is known to be agreed on
-	knownAt Ballot // under which
-	top     uint64 // number of the newest ballot seen
-
-	phase   phase
-	ballot  Ballot
-	forming bool   // this round begins it all
-	holds   bool   // a majority's promises to ahead may still hold, and known is what they had accepted then
-	ahead   Ballot // for the next value, without a Prepare
-	until   time.Duration
-	read    time.Duration // the latest round for questions alone began
-	wait    time.Duration // nothing is begun before
-	crossed int           // in a row
-	got     map[string]Message
-	counted map[string]uint64 // lives whose answers count in this round
-	next    State
-	blanks  map[string]uint64 // lives that wait to be let in
-	replies map[string][]byte
-	work    []Propose // of the round under way
-	reads   []Read
-	queue   []Propose
-	asks    []Read
+	cfg      Config
+	pcg      *rand.PCG
+	rng      *rand.Rand
+	now      time.Duration
+	actions  []Action
+	acceptor AcceptorState
+
+	lastWrite       uint64 // of the latest vote to be stored,
+	durableWrite    uint64 // and of the latest that is
+	heldReplies     []heldReply
+	chosen          State  // the newest that is known to be agreed on
+	chosenAt        Ballot // under which
+	maxBallotNumber uint64 // number of the newest ballot seen
+
+	phase           phase
+	ballot          Ballot
+	bootstrapping   bool   // this round begins it all
+	nextPromised    bool   // a majority's promises to ahead may still hold, and known is what they had accepted then
+	nextBallot      Ballot // for the next value, without a Prepare
+	roundDeadline   time.Duration
+	lastReadRound   time.Duration // the latest round for questions alone began
+	backoffUntil    time.Duration // nothing is begun before
+	conflictsInRow  int           // in a row
+	replies         map[string]Message
+	quorum          map[string]uint64 // lives whose answers count in this round
+	proposed        State
+	unadmitted      map[string]uint64 // lives that wait to be let in
+	commandReplies  map[string][]byte
+	proposals       []Propose // of the round under way
+	reads           []Read
+	queuedProposals []Propose
+	queuedReads     []Read
 }
 
 type heldReply struct {
-	number uint64
-	send   Send
+	afterWrite uint64
+	message    Send
 }
 
 // New returns a voter.
@@ -262,234 +262,236 @@
 	if err := c.check(); err != nil {
 		return nil, err
 	}
-	v := &Voter{cfg: c, pcg: rand.NewPCG(c.Seed, 0x5bd1e995), vote: c.Acceptor, blanks: map[string]uint64{}}
+	v := &Voter{cfg: c, pcg: rand.NewPCG(c.Seed, 0x5bd1e995), acceptor: c.Acceptor, unadmitted: map[string]uint64{}}
 	v.rng = rand.New(v.pcg)
-	v.vote.State = v.vote.State.clone()
-	if v.top = v.vote.Promised.Number; c.Acceptor.Initialized {
-		v.top += startSkip
+	v.acceptor.State = v.acceptor.State.clone()
+	if v.maxBallotNumber = v.acceptor.Promised.Number; c.Acceptor.Initialized {
+		v.maxBallotNumber += ballotSkipOnStart
 	}
 	return v, nil
 }
 
 // Handle takes one event at the given time and appends the actions to out. Time must not run backwards.
 func (v *Voter) Handle(now time.Duration, e Event, out []Action) []Action {
-	v.now, v.out = now, out
+	v.now, v.actions = now, out
 	switch e := e.(type) {
 	case MessageReceived:
 		if slices.Contains(v.cfg.Voters, e.From) && e.From != v.cfg.Self {
-			v.heard(e.From, e.Message)
+			v.receive(e.From, e.Message)
 		}
 	case StateStored:
-		v.stored = max(v.stored, e.Number)
-		v.release()
+		v.durableWrite = max(v.durableWrite, e.Number)
+		v.releaseReplies()
 	case Propose:
-		if len(v.queue) >= mostCommands {
-			v.do(Completed{ID: e.ID, Rejected: true})
+		if len(v.queuedProposals) >= maxPending {
+			v.emit(Completed{ID: e.ID, Rejected: true})
 		} else {
-			v.queue = append(v.queue, e)
+			v.queuedProposals = append(v.queuedProposals, e)
 		}
 	case Read:
-		if len(v.asks) >= mostCommands {
-			v.do(Completed{ID: e.ID, Rejected: true})
+		if len(v.queuedReads) >= maxPending {
+			v.emit(Completed{ID: e.ID, Rejected: true})
 		} else {
-			v.asks = append(v.asks, e)
+			v.queuedReads = append(v.queuedReads, e)
 		}
 	case Tick:
-		if v.phase != idle && now >= v.until {
+		if v.phase != idle && now >= v.roundDeadline {
 			v.Counters.Timeouts++
-			v.giveUp()
+			v.abandonRound()
 		}
 	}
-	v.begin()
-	out, v.out = v.out, nil
+	v.beginRound()
+	out, v.actions = v.actions, nil
 	return out
 }
 
-func (v *Voter) do(a Action) { v.out = append(v.out, a) }
+func (v *Voter) emit(a Action) { v.actions = append(v.actions, a) }
 
 // Chosen is the newest value that is known to be agreed on. It may be old; false: none is known.
-func (v *Voter) Chosen() (State, bool) { return v.known, v.known.Revision > 0 }
+func (v *Voter) Chosen() (State, bool) { return v.chosen, v.chosen.Revision > 0 }
 
 // CanVote says whether this voter's vote counts, as far as is known.
 func (v *Voter) CanVote() bool {
-	return v.has() && (v.known.Revision == 0 || v.known.Incarnations[v.cfg.Self] == v.vote.Incarnation)
+	return v.initialized() && (v.chosen.Revision == 0 || v.chosen.Incarnations[v.cfg.Self] == v.acceptor.Incarnation)
 }
 
-// has says that there is a vote, and that it is this life's.
-func (v *Voter) has() bool {
-	return v.vote.Initialized && v.vote.State.Incarnations[v.cfg.Self] == v.vote.Incarnation
+// initialized says that there is a vote, and that it is this life's.
+func (v *Voter) initialized() bool {
+	return v.acceptor.Initialized && v.acceptor.State.Incarnations[v.cfg.Self] == v.acceptor.Incarnation
 }
 
 // HasPending says whether anything is under way or waits.
-func (v *Voter) HasPending() bool { return v.phase != idle || len(v.queue)+len(v.asks) > 0 }
+func (v *Voter) HasPending() bool {
+	return v.phase != idle || len(v.queuedProposals)+len(v.queuedReads) > 0
+}
 
-// others sends to all other voters.
-func (v *Voter) others(m Message) {
-	m.Incarnation = v.vote.Incarnation
+// broadcast sends to all other voters.
+func (v *Voter) broadcast(m Message) {
+	m.Incarnation = v.acceptor.Incarnation
 	for _, to := range v.cfg.Voters {
 		if to != v.cfg.Self {
-			v.do(Send{To: to, Message: m})
+			v.emit(Send{To: to, Message: m})
 		}
 	}
 }
 
 // reply answers once the vote that it follows from is stored.
 func (v *Voter) reply(to string, m Message) {
-	m.Incarnation = v.vote.Incarnation
+	m.Incarnation = v.acceptor.Incarnation
 	switch {
-	case v.number > v.stored:
-		v.held = append(v.held, heldReply{v.number, Send{To: to, Message: m}})
+	case v.lastWrite > v.durableWrite:
+		v.heldReplies = append(v.heldReplies, heldReply{v.lastWrite, Send{To: to, Message: m}})
 	case to == v.cfg.Self:
-		v.heard(to, m)
+		v.receive(to, m)
 	default:
-		v.do(Send{To: to, Message: m})
+		v.emit(Send{To: to, Message: m})
 	}
 }
 
-func (v *Voter) release() {
-	all := v.held
-	v.held = nil
+func (v *Voter) releaseReplies() {
+	all := v.heldReplies
+	v.heldReplies = nil
 	for _, h := range all {
 		switch {
-		case h.number > v.stored:
-			v.held = append(v.held, h)
-		case h.send.To == v.cfg.Self:
-			v.heard(v.cfg.Self, h.send.Message)
+		case h.afterWrite > v.durableWrite:
+			v.heldReplies = append(v.heldReplies, h)
+		case h.message.To == v.cfg.Self:
+			v.receive(v.cfg.Self, h.message.Message)
 		default:
-			v.do(h.send)
+			v.emit(h.message)
 		}
 	}
 }
 
-// keep has the vote stored.
-func (v *Voter) keep() {
-	v.number++
-	vote := v.vote
+// persist has the vote stored.
+func (v *Voter) persist() {
+	v.lastWrite++
+	vote := v.acceptor
 	vote.State = vote.State.clone()
-	v.do(StoreState{Number: v.number, State: vote})
+	v.emit(StoreState{Number: v.lastWrite, State: vote})
 }
 
 // ---- as one who votes ----
 
-func (v *Voter) heard(from string, m Message) {
-	v.top = max(v.top, m.Ballot.Number, m.NextBallot.Number)
+func (v *Voter) receive(from string, m Message) {
+	v.maxBallotNumber = max(v.maxBallotNumber, m.Ballot.Number, m.NextBallot.Number)
 	switch m.Kind {
 	case Prepare:
-		if life, would := m.State.Incarnations[v.cfg.Self]; !v.has() && would && life == v.vote.Incarnation && v.known.Revision == 0 {
-			v.vote.Initialized, v.vote.State = true, State{Incarnations: maps.Clone(m.State.Incarnations)} // it begins
+		if life, would := m.State.Incarnations[v.cfg.Self]; !v.initialized() && would && life == v.acceptor.Incarnation && v.chosen.Revision == 0 {
+			v.acceptor.Initialized, v.acceptor.State = true, State{Incarnations: maps.Clone(m.State.Incarnations)} // it begins
 		}
 		switch {
-		case !v.has():
+		case !v.initialized():
 			v.reply(from, Message{Kind: Uninitialized, Ballot: m.Ballot})
-		case m.Ballot.Less(v.vote.Promised):
-			v.reply(from, Message{Kind: Conflict, Ballot: v.vote.Promised})
+		case m.Ballot.Less(v.acceptor.Promised):
+			v.reply(from, Message{Kind: Conflict, Ballot: v.acceptor.Promised})
 		default:
-			v.vote.Promised = m.Ballot
-			v.keep()
-			v.reply(from, Message{Kind: Promise, Ballot: m.Ballot, AcceptedBallot: v.vote.Accepted, State: v.vote.State.clone()})
+			v.acceptor.Promised = m.Ballot
+			v.persist()
+			v.reply(from, Message{Kind: Promise, Ballot: m.Ballot, AcceptedBallot: v.acceptor.Accepted, State: v.acceptor.State.clone()})
 		}
 	case Accept:
 		switch {
-		case !v.has():
+		case !v.initialized():
 			v.reply(from, Message{Kind: Uninitialized, Ballot: m.Ballot})
-		case m.Ballot.Less(v.vote.Promised):
-			v.reply(from, Message{Kind: Conflict, Ballot: v.vote.Promised})
+		case m.Ballot.Less(v.acceptor.Promised):
+			v.reply(from, Message{Kind: Conflict, Ballot: v.acceptor.Promised})
 		default:
-			v.vote.Promised, v.vote.Accepted, v.vote.State = m.Ballot, m.Ballot, m.State.clone()
+			v.acceptor.Promised, v.acceptor.Accepted, v.acceptor.State = m.Ballot, m.Ballot, m.State.clone()
 			if m.Ballot.Less(m.NextBallot) { // what is proposed without a Prepare must have a majority's promise before it is accepted anywhere
-				v.vote.Promised = m.NextBallot
+				v.acceptor.Promised = m.NextBallot
 			}
-			v.keep()
+			v.persist()
 			v.reply(from, Message{Kind: Accepted, Ballot: m.Ballot, NextBallot: m.NextBallot})
 		}
 	case Confirm:
 		switch {
-		case !v.has():
+		case !v.initialized():
 			v.reply(from, Message{Kind: Uninitialized, Ballot: m.Ballot})
-		case m.Ballot != v.vote.Promised:
-			v.reply(from, Message{Kind: Conflict, Ballot: v.vote.Promised})
+		case m.Ballot != v.acceptor.Promised:
+			v.reply(from, Message{Kind: Conflict, Ballot: v.acceptor.Promised})
 		default:
 			v.reply(from, Message{Kind: Confirmed, Ballot: m.Ballot})
 		}
 	case Learn:
-		v.learn(m.State, m.Ballot)
+		v.learnChosen(m.State, m.Ballot)
 	case Promise, Uninitialized, Accepted, Confirmed, Conflict:
-		v.answered(from, m)
+		v.receiveReply(from, m)
 	}
 }
 
-// learn takes in a value that was agreed on. A voter that it names, and that has none, has its vote by it.
-func (v *Voter) learn(s State, at Ballot) {
-	v.top = max(v.top, at.Number)
-	if s.Revision == 0 || s.Revision < v.known.Revision || at.Less(v.knownAt) {
+// learnChosen takes in a value that was agreed on. A voter that it names, and that has none, has its vote by it.
+func (v *Voter) learnChosen(s State, at Ballot) {
+	v.maxBallotNumber = max(v.maxBallotNumber, at.Number)
+	if s.Revision == 0 || s.Revision < v.chosen.Revision || at.Less(v.chosenAt) {
 		return
 	}
-	if v.holds && v.ahead.Less(at) {
-		v.holds = false
+	if v.nextPromised && v.nextBallot.Less(at) {
+		v.nextPromised = false
 	}
-	changed := s.Revision > v.known.Revision
-	v.known, v.knownAt = s.clone(), at
+	changed := s.Revision > v.chosen.Revision
+	v.chosen, v.chosenAt = s.clone(), at
 	// Guards against one that lost its vote and speaks as it did before: its new life is named by a value that a majority
 	// of the others has accepted, and it begins with that value.
-	if (!v.has() || v.vote.Accepted == Ballot{}) && s.Incarnations[v.cfg.Self] == v.vote.Incarnation {
-		v.vote.Initialized, v.vote.State, v.vote.Accepted = true, s.clone(), at
-		if v.vote.Promised.Less(at) {
-			v.vote.Promised = at
+	if (!v.initialized() || v.acceptor.Accepted == Ballot{}) && s.Incarnations[v.cfg.Self] == v.acceptor.Incarnation {
+		v.acceptor.Initialized, v.acceptor.State, v.acceptor.Accepted = true, s.clone(), at
+		if v.acceptor.Promised.Less(at) {
+			v.acceptor.Promised = at
 		}
-		v.keep()
+		v.persist()
 	}
 	if changed {
-		v.do(Learned{State: v.known.clone()})
+		v.emit(Learned{State: v.chosen.clone()})
 	}
 }
 
 // ---- as one who proposes ----
 
-// begin begins a round, if there is something to do and nothing under way.
-func (v *Voter) begin() {
-	if v.phase != idle || len(v.queue)+len(v.asks)+len(v.blanks) == 0 || v.now < v.wait {
+// beginRound begins a round, if there is something to do and nothing under way.
+func (v *Voter) beginRound() {
+	if v.phase != idle || len(v.queuedProposals)+len(v.queuedReads)+len(v.unadmitted) == 0 || v.now < v.backoffUntil {
 		return
 	}
-	if len(v.queue)+len(v.blanks) == 0 {
-		if v.read > 0 && v.now < v.read+v.cfg.ReadInterval {
+	if len(v.queuedProposals)+len(v.unadmitted) == 0 {
+		if v.lastReadRound > 0 && v.now < v.lastReadRound+v.cfg.ReadInterval {
 			return
 		}
-		v.read = v.now
+		v.lastReadRound = v.now
 	}
-	v.until = v.now + v.cfg.RoundTimeout
-	v.got = map[string]Message{}
-	v.work, v.queue = v.queue, nil
-	v.reads, v.asks = v.asks, nil
-	if v.holds && len(v.work)+len(v.blanks) == 0 {
+	v.roundDeadline = v.now + v.cfg.RoundTimeout
+	v.replies = map[string]Message{}
+	v.proposals, v.queuedProposals = v.queuedProposals, nil
+	v.reads, v.queuedReads = v.queuedReads, nil
+	if v.nextPromised && len(v.proposals)+len(v.unadmitted) == 0 {
 		v.Counters.Confirms++
-		v.phase, v.counted, v.ballot = confirming, v.known.Incarnations, v.ahead
-		v.others(Message{Kind: Confirm, Ballot: v.ballot})
-		v.heard(v.cfg.Self, Message{Kind: Confirm, Ballot: v.ballot})
+		v.phase, v.quorum, v.ballot = confirming, v.chosen.Incarnations, v.nextBallot
+		v.broadcast(Message{Kind: Confirm, Ballot: v.ballot})
+		v.receive(v.cfg.Self, Message{Kind: Confirm, Ballot: v.ballot})
 		return
 	}
 	v.Counters.Rounds++
-	if v.holds {
-		v.accept(v.known)
+	if v.nextPromised {
+		v.sendAccept(v.chosen)
 		return
 	}
-	v.top++
-	v.ballot = Ballot{v.top, v.cfg.Self}
-	v.phase, v.forming = preparing, false
-	v.prepare(nil)
+	v.maxBallotNumber++
+	v.ballot = Ballot{v.maxBallotNumber, v.cfg.Self}
+	v.phase, v.bootstrapping = preparing, false
+	v.sendPrepare(nil)
 }
 
-func (v *Voter) prepare(begin map[string]uint64) {
+func (v *Voter) sendPrepare(begin map[string]uint64) {
 	m := Message{Kind: Prepare, Ballot: v.ballot, State: State{Incarnations: begin}}
-	v.others(m)
-	v.heard(v.cfg.Self, m)
+	v.broadcast(m)
+	v.receive(v.cfg.Self, m)
 }
 
-// answered takes in an answer to what is under way.
-func (v *Voter) answered(from string, m Message) {
+// receiveReply takes in an answer to what is under way.
+func (v *Voter) receiveReply(from string, m Message) {
 	if m.Kind == Conflict {
 		if v.phase != idle && v.ballot.Less(m.Ballot) {
 			v.Counters.Conflicts++
-			v.giveUp()
+			v.abandonRound()
 		}
 		return
 	}
@@ -500,40 +502,40 @@
 	if m.Kind != want && m.Kind != Uninitialized {
 		return
 	}
-	v.got[from] = m
-	if m.Kind == Uninitialized && v.known.Revision > 0 {
-		if v.known.Incarnations[from] != m.Incarnation {
-			v.blanks[from] = m.Incarnation
+	v.replies[from] = m
+	if m.Kind == Uninitialized && v.chosen.Revision > 0 {
+		if v.chosen.Incarnations[from] != m.Incarnation {
+			v.unadmitted[from] = m.Incarnation
 		} else if from != v.cfg.Self { // it is let in, and hasn't heard of it
-			v.do(Send{To: from, Message: Message{Kind: Learn, Incarnation: v.vote.Incarnation, Ballot: v.knownAt, State: v.known.clone()}})
+			v.emit(Send{To: from, Message: Message{Kind: Learn, Incarnation: v.acceptor.Incarnation, Ballot: v.chosenAt, State: v.chosen.clone()}})
 		}
 	}
 	switch {
 	case v.phase == preparing:
-		v.promised()
-	case v.majority(want) && v.phase == accepting:
-		v.agreed()
-	case v.majority(want):
-		v.finish(v.known)
+		v.receivePromises()
+	case v.hasMajority(want) && v.phase == accepting:
+		v.commit()
+	case v.hasMajority(want):
+		v.completeRound(v.chosen)
 	}
 }
 
-// majority says whether so many of those whose answers count have given one.
-func (v *Voter) majority(kind MessageKind) bool {
+// hasMajority says whether so many of those whose answers count have given one.
+func (v *Voter) hasMajority(kind MessageKind) bool {
 	n := 0
-	for from, m := range v.got {
-		if m.Kind == kind && m.Incarnation != 0 && v.counted[from] == m.Incarnation {
+	for from, m := range v.replies {
+		if m.Kind == kind && m.Incarnation != 0 && v.quorum[from] == m.Incarnation {
 			n++
 		}
 	}
 	return n > len(v.cfg.Voters)/2
 }
 
-// promised goes on once a majority has promised, or begins it all where nobody has a vote.
-func (v *Voter) promised() {
+// receivePromises goes on once a majority has promised, or begins it all where nobody has a vote.
+func (v *Voter) receivePromises() {
 	newest, some, blank := Message{}, false, map[string]uint64{}
-	for _, from := range slices.Sorted(maps.Keys(v.got)) {
-		m := v.got[from]
+	for _, from := range slices.Sorted(maps.Keys(v.replies)) {
+		m := v.replies[from]
 		if m.Kind == Uninitialized {
 			blank[from] = m.Incarnation
 			continue
@@ -542,17 +544,17 @@
 			newest, some = m, true
 		}
 	}
-	if newest.AcceptedBallot == (Ballot{}) && v.known.Revision == 0 && len(v.got) == len(v.cfg.Voters) && len(blank) > 0 && !v.forming {
+	if newest.AcceptedBallot == (Ballot{}) && v.chosen.Revision == 0 && len(v.replies) == len(v.cfg.Voters) && len(blank) > 0 && !v.bootstrapping {
 		lives := newest.State.Incarnations // some have begun already: by those lives, and no others
 		if !some {
 			lives = blank
 		}
 		v.Counters.Bootstraps++
-		v.forming = true
-		v.got = map[string]Message{}
-		v.top++
-		v.ballot = Ballot{v.top, v.cfg.Self}
-		v.prepare(lives)
+		v.bootstrapping = true
+		v.replies = map[string]Message{}
+		v.maxBallotNumber++
+		v.ballot = Ballot{v.maxBallotNumber, v.cfg.Self}
+		v.sendPrepare(lives)
 		return
 	}
 	if !some {
@@ -561,30 +563,30 @@
 	// The lives that count are those of the newest value: no majority of older ones can miss it. What nobody has
 	// accepted a value of begins with all voters there. Guards against one that was lost and returns while it begins: a
 	// majority could do without those that remember.
-	v.counted = newest.State.Incarnations
-	if !v.majority(Promise) || newest.AcceptedBallot == (Ballot{}) && len(v.got) < len(v.cfg.Voters) {
+	v.quorum = newest.State.Incarnations
+	if !v.hasMajority(Promise) || newest.AcceptedBallot == (Ballot{}) && len(v.replies) < len(v.cfg.Voters) {
 		return
 	}
-	for from, m := range v.got {
-		if newest.State.Revision > 0 && v.counted[from] != m.Incarnation {
-			v.blanks[from] = m.Incarnation
+	for from, m := range v.replies {
+		if newest.State.Revision > 0 && v.quorum[from] != m.Incarnation {
+			v.unadmitted[from] = m.Incarnation
 		}
 	}
-	v.accept(newest.State)
+	v.sendAccept(newest.State)
 }
 
-// accept applies what is wanted to a value and proposes the outcome.
-func (v *Voter) accept(base State) {
+// sendAccept applies what is wanted to a value and proposes the outcome.
+func (v *Voter) sendAccept(base State) {
 	next := base.clone()
-	v.replies = map[string][]byte{}
-	for _, w := range v.work {
+	v.commandReplies = map[string][]byte{}
+	for _, w := range v.proposals {
 		value, reply := v.cfg.Apply(next.Value, w.Command)
-		next.Value, v.replies[w.ID] = value, reply
+		next.Value, v.commandReplies[w.ID] = value, reply
 	}
 	admitted := false
-	for _, name := range slices.Sorted(maps.Keys(v.blanks)) { // one at a time: a majority of the rest vouches for each
-		if life := v.blanks[name]; next.Incarnations[name] == life {
-			delete(v.blanks, name)
+	for _, name := range slices.Sorted(maps.Keys(v.unadmitted)) { // one at a time: a majority of the rest vouches for each
+		if life := v.unadmitted[name]; next.Incarnations[name] == life {
+			delete(v.unadmitted, name)
 		} else if !admitted && next.Revision > 0 {
 			next.Incarnations[name], admitted = life, true
 			v.Counters.Admitted++
@@ -593,69 +595,69 @@
 	if admitted || next.Revision == 0 || !bytes.Equal(next.Value, base.Value) {
 		next.Revision++
 	}
-	v.next, v.counted = next, base.Incarnations // what this lets in doesn't count for it
-	if v.holds {                                // under the promises that are kept
-		v.ballot = v.ahead
+	v.proposed, v.quorum = next, base.Incarnations // what this lets in doesn't count for it
+	if v.nextPromised {                            // under the promises that are kept
+		v.ballot = v.nextBallot
 	}
-	v.top = max(v.top, v.ballot.Number) + 1
-	v.ahead = Ballot{v.top, v.cfg.Self}
-	v.phase, v.holds, v.got = accepting, false, map[string]Message{}
-	m := Message{Kind: Accept, Ballot: v.ballot, NextBallot: v.ahead, State: next.clone()}
-	v.others(m)
-	v.heard(v.cfg.Self, m)
+	v.maxBallotNumber = max(v.maxBallotNumber, v.ballot.Number) + 1
+	v.nextBallot = Ballot{v.maxBallotNumber, v.cfg.Self}
+	v.phase, v.nextPromised, v.replies = accepting, false, map[string]Message{}
+	m := Message{Kind: Accept, Ballot: v.ballot, NextBallot: v.nextBallot, State: next.clone()}
+	v.broadcast(m)
+	v.receive(v.cfg.Self, m)
 }
 
-// agreed has all know of a value that a majority has accepted.
-func (v *Voter) agreed() {
+// commit has all know of a value that a majority has accepted.
+func (v *Voter) commit() {
 	v.Counters.Chosen++
-	s := v.next
+	s := v.proposed
 	promised := 0
-	for from, m := range v.got {
-		if m.Kind == Accepted && m.NextBallot == v.ahead && v.counted[from] == m.Incarnation {
+	for from, m := range v.replies {
+		if m.Kind == Accepted && m.NextBallot == v.nextBallot && v.quorum[from] == m.Incarnation {
 			promised++
 		}
 	}
-	for name, life := range v.blanks {
+	for name, life := range v.unadmitted {
 		if s.Incarnations[name] == life {
-			delete(v.blanks, name)
+			delete(v.unadmitted, name)
 		}
 	}
-	v.learn(s, v.ballot)
+	v.learnChosen(s, v.ballot)
 	// Guards against a further value upon another one than that which the promises are about.
-	v.holds = promised > len(v.cfg.Voters)/2 && v.knownAt == v.ballot
-	v.others(Message{Kind: Learn, Ballot: v.ballot, State: s.clone()})
-	v.finish(s)
+	v.nextPromised = promised > len(v.cfg.Voters)/2 && v.chosenAt == v.ballot
+	v.broadcast(Message{Kind: Learn, Ballot: v.ballot, State: s.clone()})
+	v.completeRound(s)
 }
 
-// finish answers what the round was for.
-func (v *Voter) finish(s State) {
-	for _, w := range v.work {
-		v.do(Completed{ID: w.ID, State: s.clone(), Reply: v.replies[w.ID]})
+// completeRound answers what the round was for.
+func (v *Voter) completeRound(s State) {
+	for _, w := range v.proposals {
+		v.emit(Completed{ID: w.ID, State: s.clone(), Reply: v.commandReplies[w.ID]})
 	}
 	for _, a := range v.reads {
-		v.do(Completed{ID: a.ID, State: s.clone()})
+		v.emit(Completed{ID: a.ID, State: s.clone()})
 	}
-	v.work, v.reads, v.phase, v.crossed = nil, nil, idle, 0
+	v.proposals, v.reads, v.phase, v.conflictsInRow = nil, nil, idle, 0
 }
 
-// giveUp ends a round that failed. What it was for is tried again: commands may come twice.
-func (v *Voter) giveUp() {
-	v.phase, v.holds = idle, false
-	v.queue = append(v.work, v.queue...)
-	v.asks = append(v.reads, v.asks...)
-	v.work, v.reads = nil, nil
-	v.crossed = min(3, v.crossed+1)
-	v.wait = v.now + time.Duration(v.rng.Int64N(int64(v.cfg.BackoffBase)<<v.crossed))
+// abandonRound ends a round that failed. What it was for is tried again: commands may come twice.
+func (v *Voter) abandonRound() {
+	v.phase, v.nextPromised = idle, false
+	v.queuedProposals = append(v.proposals, v.queuedProposals...)
+	v.queuedReads = append(v.reads, v.queuedReads...)
+	v.proposals, v.reads = nil, nil
+	v.conflictsInRow = min(3, v.conflictsInRow+1)
+	v.backoffUntil = v.now + time.Duration(v.rng.Int64N(int64(v.cfg.BackoffBase)<<v.conflictsInRow))
 }
 
 // RejectPending answers all that waits as refused, for one who asked and waits no longer.
 func (v *Voter) RejectPending(out []Action) []Action {
-	for _, w := range append(v.work, v.queue...) {
+	for _, w := range append(v.proposals, v.queuedProposals...) {
 		out = append(out, Completed{ID: w.ID, Rejected: true})
 	}
-	for _, a := range append(v.reads, v.asks...) {
+	for _, a := range append(v.reads, v.queuedReads...) {
 		out = append(out, Completed{ID: a.ID, Rejected: true})
 	}
-	v.work, v.queue, v.reads, v.asks = nil, nil, nil, nil
+	v.proposals, v.queuedProposals, v.reads, v.queuedReads = nil, nil, nil, nil
 	return out
 }
--- a/consensus/explore_test.go
+++ b/consensus/explore_test.go
@@ -80,9 +80,9 @@
 			k := *v
 			pcg := *v.pcg
 			k.pcg, k.rng = &pcg, rand.New(&pcg)
-			k.got, k.blanks, k.replies, k.counted = maps.Clone(v.got), maps.Clone(v.blanks), maps.Clone(v.replies), maps.Clone(v.counted)
-			k.held, k.work, k.reads, k.queue, k.asks = slices.Clone(v.held), slices.Clone(v.work), slices.Clone(v.reads), slices.Clone(v.queue), slices.Clone(v.asks)
-			k.vote.State, k.known, k.next = v.vote.State.clone(), v.known.clone(), v.next.clone()
+			k.replies, k.unadmitted, k.commandReplies, k.quorum = maps.Clone(v.replies), maps.Clone(v.unadmitted), maps.Clone(v.commandReplies), maps.Clone(v.quorum)
+			k.heldReplies, k.proposals, k.reads, k.queuedProposals, k.queuedReads = slices.Clone(v.heldReplies), slices.Clone(v.proposals), slices.Clone(v.reads), slices.Clone(v.queuedProposals), slices.Clone(v.queuedReads)
+			k.acceptor.State, k.chosen, k.proposed = v.acceptor.State.clone(), v.chosen.clone(), v.proposed.clone()
 			c.voters[n] = &k
 		}
 	}
@@ -242,36 +242,36 @@
 			k.num(99)
 			continue
 		}
-		k.vote(v.vote)
-		k.state(v.known)
-		k.state(v.next)
-		k.ballot(v.knownAt, v.ballot, v.ahead)
-		k.lives(v.counted)
-		k.lives(v.blanks)
+		k.vote(v.acceptor)
+		k.state(v.chosen)
+		k.state(v.proposed)
+		k.ballot(v.chosenAt, v.ballot, v.nextBallot)
+		k.lives(v.quorum)
+		k.lives(v.unadmitted)
 		holds := uint64(0)
-		if v.holds {
+		if v.nextPromised {
 			holds = 1
 		}
-		if v.forming {
+		if v.bootstrapping {
 			holds += 2
 		}
-		k.num(v.top, uint64(v.phase), holds, v.number-v.stored, uint64(len(v.reads)), uint64(len(v.asks)))
-		for _, q := range [][]Propose{v.work, v.queue} {
+		k.num(v.maxBallotNumber, uint64(v.phase), holds, v.lastWrite-v.durableWrite, uint64(len(v.reads)), uint64(len(v.queuedReads)))
+		for _, q := range [][]Propose{v.proposals, v.queuedProposals} {
 			for _, x := range q {
 				k.text(x.ID)
 			}
 			k.num(77)
 		}
 		for _, from := range names {
-			if m, ok := v.got[from]; ok {
+			if m, ok := v.replies[from]; ok {
 				k.message(m)
 			}
 			k.num(78)
 		}
-		for _, h := range v.held {
-			k.num(v.number - h.number)
-			k.text(h.send.To)
-			k.message(h.send.Message)
+		for _, h := range v.heldReplies {
+			k.num(v.lastWrite - h.afterWrite)
+			k.text(h.message.To)
+			k.message(h.message.Message)
 		}
 	}
 	var sum uint64
@@ -486,7 +486,7 @@
 // must not answer with what it holds.
 func TestAHeldPromiseIsNoProofByItself(t *testing.T) {
 	w := formed(bounds{}, false)
-	w.voters["b"].wait, w.voters["c"].wait = 0, 0
+	w.voters["b"].backoffUntil, w.voters["c"].backoffUntil = 0, 0
 	w.do("b", Propose{"x1", []byte("x1")})
 	between := func(a, b string) {
 		for i := 0; i < len(w.flights); {
@@ -571,7 +571,7 @@
 			w.do("b", MessageReceived{f.from, f.m})
 		}
 	}
-	first := w.voters["b"].vote.Accepted
+	first := w.voters["b"].acceptor.Accepted
 	w.flights, w.pending["a"], w.voters["a"] = nil, nil, nil
 	w.start("a")
 	w.do("a", Propose{"y1", []byte("y1")})
--- a/internal/clusternode/files.go
+++ b/internal/clusternode/files.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	voteFile = "fleet-vote"
-	viewFile = "fleet-view"
-	partial  = ".tmp"
-	fileMost = 2 << 20
+	acceptorFile = "fleet-vote"
+	viewFile     = "fleet-view"
+	tempSuffix   = ".tmp"
+	maxFileBytes = 2 << 20
 )
 
-// errSpoilt says that a file is not what was written.
-var errSpoilt = errors.New("the file is spoilt")
+// errCorrupt says that a file is not what was written.
+var errCorrupt = errors.New("the file is spoilt")
 
-// keepFile writes a file so that it is there whole, or as it was before, whatever happens on the way.
-func keepFile(fs snapshot.FS, name string, key, data []byte) error {
-	f, err := fs.Create(name + partial)
+// writeFile writes a file so that it is there whole, or as it was before, whatever happens on the way.
+func writeFile(fs snapshot.FS, name string, key, data []byte) error {
+	f, err := fs.Create(name + tempSuffix)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
@@ -35,7 +35,7 @@
 		err = f.Sync()
 	}
 	if err = errors.Join(err, f.Close()); err == nil {
-		err = fs.Rename(name+partial, name)
+		err = fs.Rename(name+tempSuffix, name)
 	}
 	if err == nil {
 		err = fs.SyncDir()
@@ -48,7 +48,7 @@
 
 // readFile reads what keepFile wrote; nil: there is none.
 func readFile(dir snapshot.FS, name string, key []byte) ([]byte, error) {
-	b, err := dir.Read(name, fileMost)
+	b, err := dir.Read(name, maxFileBytes)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
@@ -56,73 +56,73 @@
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	if len(b) < sha256.Size {
-		return nil, fmt.Errorf("%s: %w", name, errSpoilt)
+		return nil, fmt.Errorf("%s: %w", name, errCorrupt)
 	}
 	h := hmac.New(sha256.New, key)
 	h.Write(b[sha256.Size:])
 	if !hmac.Equal(b[:sha256.Size], h.Sum(nil)) {
-		return nil, fmt.Errorf("%s: %w", name, errSpoilt)
+		return nil, fmt.Errorf("%s: %w", name, errCorrupt)
 	}
 	return b[sha256.Size:], nil
 }
 
-// keeper writes files beside the loop, one at a time; of those that wait for the same name the newest.
-type keeper struct {
-	fs   snapshot.FS
-	key  []byte
-	mu   sync.Mutex
-	cond *sync.Cond
-	next map[string]job
-	ends bool
-	done chan struct{}
+// fileWriter writes files beside the loop, one at a time; of those that wait for the same name the newest.
+type fileWriter struct {
+	fs      snapshot.FS
+	key     []byte
+	mu      sync.Mutex
+	cond    *sync.Cond
+	pending map[string]pendingFile
+	closing bool
+	done    chan struct{}
 }
 
-type job struct {
-	data  []byte
-	after func(error)
+type pendingFile struct {
+	data    []byte
+	written func(error)
 }
 
-func newKeeper(fs snapshot.FS, key []byte) *keeper {
-	k := &keeper{fs: fs, key: key, next: map[string]job{}, done: make(chan struct{})}
+func newFileWriter(fs snapshot.FS, key []byte) *fileWriter {
+	k := &fileWriter{fs: fs, key: key, pending: map[string]pendingFile{}, done: make(chan struct{})}
 	k.cond = sync.NewCond(&k.mu)
 	go k.run()
 	return k
 }
 
 // write has a file written, and after called from elsewhere once it lasts.
-func (k *keeper) write(name string, data []byte, after func(error)) {
+func (k *fileWriter) write(name string, data []byte, after func(error)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.next[name] = job{data, after}
+	k.pending[name] = pendingFile{data, after}
 	k.cond.Signal()
 }
 
-func (k *keeper) run() {
+func (k *fileWriter) run() {
 	defer close(k.done)
 	for {
 		k.mu.Lock()
-		for len(k.next) == 0 && !k.ends {
+		for len(k.pending) == 0 && !k.closing {
 			k.cond.Wait()
 		}
-		all := k.next
-		k.next = map[string]job{}
-		ends := k.ends
+		all := k.pending
+		k.pending = map[string]pendingFile{}
+		ends := k.closing
 		k.mu.Unlock()
 		if len(all) == 0 && ends {
 			return
 		}
-		for _, name := range [...]string{voteFile, viewFile} {
+		for _, name := range [...]string{acceptorFile, viewFile} {
 			if j, ok := all[name]; ok {
-				j.after(keepFile(k.fs, name, k.key, j.data))
+				j.written(writeFile(k.fs, name, k.key, j.data))
 			}
 		}
 	}
 }
 
 // close ends the writing, after what waits.
-func (k *keeper) close() {
+func (k *fileWriter) close() {
 	k.mu.Lock()
-	k.ends = true
+	k.closing = true
 	k.cond.Signal()
 	k.mu.Unlock()
 	<-k.done
--- a/internal/clusternode/share.go
+++ b/internal/clusternode/share.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	tellEvery   = 500 * time.Millisecond
-	rowsMost    = 2000 // slots that a tool is shown
-	queryShared = "shared"
-	queryForget = "forget"
+	publishInterval = 500 * time.Millisecond
+	maxRows         = 2000 // slots that a tool is shown
+	queryShared     = "shared"
+	queryForget     = "forget"
 )
 
-// sharing is the part that keeps in common what gateways know. It lives on the loop.
-type sharing struct {
-	h      *Node
-	node   *replication.Node
-	sharer *warmstart.Sharer
-	told   time.Time
-	news   int             // of the journal, that was told on
-	held   map[string]bool // on others' word
-	slow   time.Duration   // the longest that the loop was held up
-	caught *replication.CaughtUp
+// replicator is the part that keeps in common what gateways know. It lives on the loop.
+type replicator struct {
+	owner       *Node
+	node        *replication.Node
+	sharer      *warmstart.Sharer
+	publishedAt time.Time
+	seenEvents  int             // of the journal, that was told on
+	draining    map[string]bool // on others' word
+	slowest     time.Duration   // the longest that the loop was held up
+	caughtUp    *replication.CaughtUp
 }
 
-func (h *Node) share() error {
+func (h *Node) startReplication() error {
 	r := h.cfg.Replicate
 	if r == nil {
 		return nil
 	}
-	c := replication.Config{Self: replication.Incarnation{Name: h.cfg.Name, Number: newLife()}, PurgeSettleTime: h.settles, BytesPerSecond: r.Bytes, CatchUpTimeout: r.Wait, Seed: newLife(),
-		WallClock: func() time.Duration { return time.Duration(h.wall()) * time.Millisecond }}
+	c := replication.Config{Self: replication.Incarnation{Name: h.cfg.Name, Number: newIncarnation()}, PurgeSettleTime: h.purgeSettleTime, BytesPerSecond: r.Bytes, CatchUpTimeout: r.Wait, Seed: newIncarnation(),
+		WallClock: func() time.Duration { return time.Duration(h.wallClockMs()) * time.Millisecond }}
 	for _, m := range h.cfg.Members {
 		c.Members = append(c.Members, m.Name)
 	}
@@ -44,60 +44,60 @@
 	if err != nil {
 		return err
 	}
-	h.shared = &sharing{h: h, node: node, sharer: warmstart.NewSharer(node, h.zone, r.Listings)}
+	h.replication = &replicator{owner: h, node: node, sharer: warmstart.NewSharer(node, h.zone, r.Listings)}
 	return nil
 }
 
 // CatchingUp says that the gateway doesn't know yet what its neighbours know.
-func (h *Node) CatchingUp() bool { return h.shared != nil && h.shared.node.CatchingUp() }
+func (h *Node) CatchingUp() bool { return h.replication != nil && h.replication.node.CatchingUp() }
 
-func (s *sharing) do(e replication.Event) {
+func (s *replicator) handle(e replication.Event) {
 	began := time.Now()
-	for _, a := range s.node.Handle(s.h.now(), e, nil) {
+	for _, a := range s.node.Handle(s.owner.now(), e, nil) {
 		switch a := a.(type) {
 		case replication.Send:
 			m := a.Message
-			s.h.link.Send(a.To, cluster.Message{Kind: cluster.ReplicationMessage, Replication: &m})
+			s.owner.transport.Send(a.To, cluster.Message{Kind: cluster.ReplicationMessage, Replication: &m})
 		case replication.SafetySlotsLearned:
 			for _, x := range a.Slots {
 				if x.Kind == replication.Purge { // at once: the own journal may be late
-					s.h.gw.Told(x.Key, s.sharer.Purged(s.h.now(), s.h.gw.Clock(s.h.loop.Now()), x.Key, x.SeenBefore))
+					s.owner.gateway.Told(x.Key, s.sharer.Purged(s.owner.now(), s.owner.gateway.Clock(s.owner.loop.Now()), x.Key, x.SeenBefore))
 				}
 			}
-			s.hold()
+			s.updateDrains()
 		case replication.CaughtUp:
-			s.caught = &a
-			u := s.h.gw.Remember(s.sharer.Gather(s.h.now(), s.h.gw.Clock(s.h.loop.Now()), s.h.gw.Listed()))
-			s.h.log.WithField("from", a.From).Infof("caught up after %v: %d listings, %d stores and %d purges used of %d slots", a.Took.Round(time.Millisecond), u.Listings, u.Endpoints,
+			s.caughtUp = &a
+			u := s.owner.gateway.Remember(s.sharer.Gather(s.owner.now(), s.owner.gateway.Clock(s.owner.loop.Now()), s.owner.gateway.Listed()))
+			s.owner.log.WithField("from", a.From).Infof("caught up after %v: %d listings, %d stores and %d purges used of %d slots", a.Took.Round(time.Millisecond), u.Listings, u.Endpoints,
 				u.Purges, s.node.Len())
 		}
 	}
-	s.slow = max(s.slow, time.Since(began))
+	s.slowest = max(s.slowest, time.Since(began))
 }
 
-func (s *sharing) tick() {
-	s.do(replication.Tick{})
+func (s *replicator) tick() {
+	s.handle(replication.Tick{})
 	// What the journal told is told on at once; what is learned by itself, now and then.
-	if now, news := s.h.loop.Now(), s.h.gw.News(); now.Sub(s.told) >= tellEvery || news != s.news {
-		s.told, s.news = now, news
+	if now, news := s.owner.loop.Now(), s.owner.gateway.News(); now.Sub(s.publishedAt) >= publishInterval || news != s.seenEvents {
+		s.publishedAt, s.seenEvents = now, news
 		began := time.Now()
-		for _, m := range s.h.gw.Learned(s.h.cfg.Replicate.Listings)[:1] { // of the own zone
-			s.sharer.Publish(s.h.now(), m, s.h.gw.Listed())
+		for _, m := range s.owner.gateway.Learned(s.owner.cfg.Replicate.Listings)[:1] { // of the own zone
+			s.sharer.Publish(s.owner.now(), m, s.owner.gateway.Listed())
 		}
-		s.hold()
-		s.slow = max(s.slow, time.Since(began))
+		s.updateDrains()
+		s.slowest = max(s.slowest, time.Since(began))
 	}
 }
 
-// hold has stores drained that a neighbour was told drain, beside those that are out for work.
-func (s *sharing) hold() {
-	held := s.sharer.Holds(s.h.now(), s.h.gw.Listed())
-	if maps.Equal(held, s.held) {
+// updateDrains has stores drained that a neighbour was told drain, beside those that are out for work.
+func (s *replicator) updateDrains() {
+	held := s.sharer.Holds(s.owner.now(), s.owner.gateway.Listed())
+	if maps.Equal(held, s.draining) {
 		return
 	}
-	s.held = held
-	s.h.log.WithField("stores", slices.Sorted(maps.Keys(held))).Info("held on others' word")
-	s.h.holdAll()
+	s.draining = held
+	s.owner.log.WithField("stores", slices.Sorted(maps.Keys(held))).Info("held on others' word")
+	s.owner.applyDrains()
 }
 
 // SharedState is what a tool is told.
@@ -116,14 +116,14 @@
 	Reason string `json:"Why"`
 }
 
-// query answers a tool by itself: what is kept in common is asked of the gateway that is asked.
-func (s *sharing) query(from string, m cluster.Message) {
+// serveQuery answers a tool by itself: what is kept in common is asked of the gateway that is asked.
+func (s *replicator) serveQuery(from string, m cluster.Message) {
 	reply := cluster.Message{Kind: cluster.OperatorReply, ID: m.ID}
 	var err error
 	switch {
 	case m.Query == queryShared:
-		out := SharedState{Gateway: s.h.cfg.Name, CatchingUp: s.node.CatchingUp(), Divergences: s.node.Divergences()}
-		out.Rows, out.Slots = s.node.Rows(s.h.now(), string(m.Value), rowsMost)
+		out := SharedState{Gateway: s.owner.cfg.Name, CatchingUp: s.node.CatchingUp(), Divergences: s.node.Divergences()}
+		out.Rows, out.Slots = s.node.Rows(s.owner.now(), string(m.Value), maxRows)
 		reply.Value, err = json.Marshal(out)
 	default:
 		var f ForgetRequest
@@ -131,22 +131,22 @@
 			var key string
 			var value []byte
 			if key, value, err = warmstart.ParseForget(f.Kind, f.Key, f.Reason); err == nil {
-				s.node.Publish(s.h.now(), replication.Tombstone, key, value, s.h.now())
-				s.h.log.WithField("audit", "state").Infof("%s of %s is forgotten, asked by %s: %s", f.Kind, f.Key, from, f.Reason)
+				s.node.Publish(s.owner.now(), replication.Tombstone, key, value, s.owner.now())
+				s.owner.log.WithField("audit", "state").Infof("%s of %s is forgotten, asked by %s: %s", f.Kind, f.Key, from, f.Reason)
 			}
 		}
 	}
 	if err != nil {
 		reply.Rejected = err.Error()
 	}
-	s.h.link.Send(from, reply)
+	s.owner.transport.Send(from, reply)
 }
 
-func (s *sharing) values(v map[string]float64) {
+func (s *replicator) addMetrics(v map[string]float64) {
 	c, n := s.node.Counters, s.node.Stats
 	for name, x := range map[string]uint64{"written": c.Written, "taken": c.Merged, "known": c.Duplicates, "expired": c.Expired, "crowded": c.Evicted, "refused": c.Rejected, "aged": c.Outdated,
 		"buried": c.Tombstoned, "pulls": n.Pulls, "answers": n.PullReplies, "lost": n.PullTimeouts, "hints": n.Announcements, "stale": n.Stale, "throttled": n.Throttled, "checked": n.Checked,
-		"differed": n.Divergences, "slots": uint64(s.node.Len()), "living": uint64(s.node.LivePeers(s.h.now())), "held": uint64(len(s.held)), "slowest_us": uint64(s.slow.Microseconds())} {
+		"differed": n.Divergences, "slots": uint64(s.node.Len()), "living": uint64(s.node.LivePeers(s.owner.now())), "held": uint64(len(s.draining)), "slowest_us": uint64(s.slowest.Microseconds())} {
 		v["shared_"+name] = float64(x)
 	}
 	if s.node.CatchingUp() {
--- a/internal/clusternode/stored_test.go
+++ b/internal/clusternode/stored_test.go
@@ -27,7 +27,7 @@
 			t.Errorf("%s: %q, %v", name, got, err)
 		}
 	}
-	if voteFile != "fleet-vote" || viewFile != "fleet-view" {
-		t.Errorf("the files are %s and %s now", voteFile, viewFile)
+	if acceptorFile != "fleet-vote" || viewFile != "fleet-view" {
+		t.Errorf("the files are %s and %s now", acceptorFile, viewFile)
 	}
 }
--- a/internal/net/clustertransport/frame.go
+++ b/internal/net/clustertransport/frame.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	magic         = "LFL1"
-	challengeSize = 16
-	greetingSize  = len(magic) + challengeSize
-	headSize      = 4 + sha256.Size
-	frameMost     = 512 << 10 // bytes of an envelope
-	nameMost      = 64
+	magic            = "LFL1"
+	challengeSize    = 16
+	greetingSize     = len(magic) + challengeSize
+	headerSize       = 4 + sha256.Size
+	maxEnvelopeBytes = 512 << 10 // bytes of an envelope
+	maxNameBytes     = 64
 )
 
 // Why a frame is refused, to be told apart by errors.Is.
@@ -52,7 +52,7 @@
 
 // FrameSize is what a message takes on the wire, between members with names of such a length.
 func FrameSize(m cluster.Message) int {
-	w := &writer{from: "gateway-00", to: "gateway-00"}
+	w := &frameWriter{from: "gateway-00", to: "gateway-00"}
 	f, err := w.frame(m)
 	if err != nil {
 		return 0
@@ -60,57 +60,57 @@
 	return len(f)
 }
 
-// writer words the frames of one direction of a connection.
-type writer struct {
+// frameWriter words the frames of one direction of a connection.
+type frameWriter struct {
 	key, challenge []byte // the reader's
 	from, to       string
 	sequence       uint64
-	own            []byte // challenge for what comes back; told once
+	ownChallenge   []byte // challenge for what comes back; told once
 }
 
-func (w *writer) frame(m cluster.Message) ([]byte, error) {
+func (w *frameWriter) frame(m cluster.Message) ([]byte, error) {
 	w.sequence++
-	e := &linkpb.Envelope{Version: cluster.Version, From: w.from, To: w.to, Sequence: w.sequence, Message: out(m), Challenge: w.own}
-	w.own = nil
+	e := &linkpb.Envelope{Version: cluster.Version, From: w.from, To: w.to, Sequence: w.sequence, Message: encodeMessage(m), Challenge: w.ownChallenge}
+	w.ownChallenge = nil
 	b, err := proto.Marshal(e)
 	if err != nil {
 		return nil, fmt.Errorf("a frame: %w", err)
 	}
-	if len(b) > frameMost {
+	if len(b) > maxEnvelopeBytes {
 		return nil, fmt.Errorf("%w: %d bytes", ErrFrameTooLong, len(b))
 	}
-	f := make([]byte, 0, headSize+len(b))
+	f := make([]byte, 0, headerSize+len(b))
 	f = binary.BigEndian.AppendUint32(f, uint32(len(b)))
 	f = append(f, mac(w.key, w.challenge, b)...)
 	return append(f, b...), nil
 }
 
-// reader cuts a stream into frames and checks each. Its first error is final.
-type reader struct {
+// frameReader cuts a stream into frames and checks each. Its first error is final.
+type frameReader struct {
 	key, challenge []byte // its own
 	self           string
 	from           string // of the first frame; others are refused
 	sequence       uint64
 	replayed       uint64 // frames that came again, or late
-	theirs         []byte // challenge that the first frame told
+	peerChallenge  []byte // challenge that the first frame told
 	buf            []byte
 }
 
 // feed takes bytes and calls emit with each message.
-func (r *reader) feed(b []byte, emit func(from string, m cluster.Message)) error {
+func (r *frameReader) feed(b []byte, emit func(from string, m cluster.Message)) error {
 	r.buf = append(r.buf, b...)
 	for {
-		if len(r.buf) < headSize {
+		if len(r.buf) < headerSize {
 			return nil
 		}
 		n := int(binary.BigEndian.Uint32(r.buf))
-		if n > frameMost { // before it is waited for
+		if n > maxEnvelopeBytes { // before it is waited for
 			return fmt.Errorf("%w: %d bytes", ErrFrameTooLong, n)
 		}
-		if len(r.buf) < headSize+n {
+		if len(r.buf) < headerSize+n {
 			return nil
 		}
-		sum, body := r.buf[4:headSize], r.buf[headSize:headSize+n]
+		sum, body := r.buf[4:headerSize], r.buf[headerSize:headerSize+n]
 		if !hmac.Equal(sum, mac(r.key, r.challenge, body)) {
 			return ErrNotAuthenticated
 		}
@@ -121,13 +121,13 @@
 		switch {
 		case e.GetVersion() == 0:
 			return ErrNoVersion
-		case e.GetTo() != r.self || e.GetFrom() == "" || len(e.GetFrom()) > nameMost || r.from != "" && e.GetFrom() != r.from:
+		case e.GetTo() != r.self || e.GetFrom() == "" || len(e.GetFrom()) > maxNameBytes || r.from != "" && e.GetFrom() != r.from:
 			return fmt.Errorf("%w: from %.64q to %.64q", ErrWrongRecipient, e.GetFrom(), e.GetTo())
 		}
 		if r.from == "" {
-			r.from, r.theirs = e.GetFrom(), e.GetChallenge()
+			r.from, r.peerChallenge = e.GetFrom(), e.GetChallenge()
 		}
-		r.buf = r.buf[headSize+n:]
+		r.buf = r.buf[headerSize+n:]
 		if len(r.buf) == 0 {
 			r.buf = nil
 		}
@@ -136,6 +136,6 @@
 			continue
 		}
 		r.sequence = e.GetSequence()
-		emit(r.from, in(e.GetMessage()))
+		emit(r.from, decodeMessage(e.GetMessage()))
 	}
 }
--- a/internal/net/clustertransport/link.go
+++ b/internal/net/clustertransport/link.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	dialFor     = 500 * time.Millisecond
-	againFirst  = 100 * time.Millisecond // after a connection that failed, doubled
-	againMost   = 2 * time.Second
-	waitingMost = 1 << 20          // bytes that may wait for one member; beyond, messages are dropped
-	idleFor     = 30 * time.Second // a tool's connection without a frame
-	greetFor    = 2 * time.Second  // and one that has not sent any
-	toolsMost   = 32
+	dialTimeout     = 500 * time.Millisecond
+	minBackoff      = 100 * time.Millisecond // after a connection that failed, doubled
+	maxBackoff      = 2 * time.Second
+	maxQueuedBytes  = 1 << 20          // bytes that may wait for one member; beyond, messages are dropped
+	toolIdleTimeout = 30 * time.Second // a tool's connection without a frame
+	greetingTimeout = 2 * time.Second  // and one that has not sent any
+	maxTools        = 32
 )
 
 // Member is another gateway.
@@ -38,43 +38,43 @@
 type Transport struct {
 	Counters Counters
 
-	self   string
-	key    []byte
-	loop   *gateway.Loop
-	engine *transport.Engine
-	log    logrus.FieldLogger
-	heard  func(from string, m cluster.Message)
-	to     map[string]*outgoing
-	tools  map[string]*incoming
-	open   map[*incoming]bool
-	listen *transport.Listener
-	closed bool
+	self     string
+	key      []byte
+	loop     *gateway.Loop
+	engine   *transport.Engine
+	log      logrus.FieldLogger
+	receive  func(from string, m cluster.Message)
+	members  map[string]*outgoing
+	tools    map[string]*incoming
+	accepted map[*incoming]bool
+	listener *transport.Listener
+	closed   bool
 }
 
 // Open listens for the other members and for tools. Each message that comes is handed to heard, on the loop.
 func Open(self, listen string, members []Member, key []byte, loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger,
 	heard func(from string, m cluster.Message)) (*Transport, error) {
-	l := &Transport{self: self, key: key, loop: loop, engine: engine, log: log, heard: heard, to: map[string]*outgoing{}, tools: map[string]*incoming{},
-		open: map[*incoming]bool{}}
+	l := &Transport{self: self, key: key, loop: loop, engine: engine, log: log, receive: heard, members: map[string]*outgoing{}, tools: map[string]*incoming{},
+		accepted: map[*incoming]bool{}}
 	for _, m := range members {
 		if m.Name != self {
-			l.to[m.Name] = &outgoing{link: l, name: m.Name, addr: m.Addr, again: againFirst}
+			l.members[m.Name] = &outgoing{transport: l, name: m.Name, addr: m.Addr, backoff: minBackoff}
 		}
 	}
 	var err error
-	if l.listen, err = engine.Listen(listen, 2*len(members)+toolsMost, nil, func() transport.Handler { return &incoming{link: l} }); err != nil {
+	if l.listener, err = engine.Listen(listen, 2*len(members)+maxTools, nil, func() transport.Handler { return &incoming{transport: l} }); err != nil {
 		return nil, fmt.Errorf("listening for the fleet: %w", err)
 	}
-	loop.After(greetFor, l.sweep)
+	loop.After(greetingTimeout, l.sweep)
 	return l, nil
 }
 
 // Addr is where it listens.
-func (l *Transport) Addr() string { return l.listen.Addr().String() }
+func (l *Transport) Addr() string { return l.listener.Addr().String() }
 
 // Send sends a message to a member, or back to a tool. It may get lost.
 func (l *Transport) Send(to string, m cluster.Message) {
-	if o := l.to[to]; o != nil {
+	if o := l.members[to]; o != nil {
 		o.send(m)
 	} else if c := l.tools[to]; c != nil {
 		c.reply(m)
@@ -86,11 +86,11 @@
 // Close ends the link.
 func (l *Transport) Close() {
 	l.closed = true
-	l.listen.Close()
-	for _, o := range l.to {
-		o.drop(errors.New("closed"))
+	l.listener.Close()
+	for _, o := range l.members {
+		o.reset(errors.New("closed"))
 	}
-	for c := range l.open {
+	for c := range l.accepted {
 		c.tc.Close(errors.New("closed"))
 	}
 }
@@ -98,44 +98,44 @@
 // sweep closes connections that say nothing.
 func (l *Transport) sweep() {
 	now := l.loop.Now()
-	for c := range l.open {
-		if c.from == "" && now.Sub(c.since) > greetFor || c.tool && now.Sub(c.since) > idleFor {
+	for c := range l.accepted {
+		if c.from == "" && now.Sub(c.lastFrame) > greetingTimeout || c.tool && now.Sub(c.lastFrame) > toolIdleTimeout {
 			c.tc.Close(errors.New("it says nothing"))
 		}
 	}
 	if !l.closed {
-		l.loop.After(greetFor, l.sweep)
+		l.loop.After(greetingTimeout, l.sweep)
 	}
 }
 
 // outgoing is the way to one member: a connection, while there is one.
 type outgoing struct {
-	link *Transport
-	name string
-	addr string
+	transport *Transport
+	name      string
+	addr      string
 
-	conn  *dialled
-	next  time.Time // not dialled before
-	again time.Duration
-	first []cluster.Message // until the connection is up
+	conn      *outgoingConn
+	dialAfter time.Time // not dialled before
+	backoff   time.Duration
+	queued    []cluster.Message // until the connection is up
 }
 
 func (o *outgoing) send(m cluster.Message) {
-	l := o.link
-	if o.conn == nil && !l.closed && !l.loop.Now().Before(o.next) {
+	l := o.transport
+	if o.conn == nil && !l.closed && !l.loop.Now().Before(o.dialAfter) {
 		l.Counters.Dials++
-		d := &dialled{way: o}
+		d := &outgoingConn{member: o}
 		o.conn = d
-		l.engine.Dial(o.addr, dialFor, d, func(*transport.Conn) {}, func(err error) {
-			l.loop.Post(func() { o.lost(d, err) })
+		l.engine.Dial(o.addr, dialTimeout, d, func(*transport.Conn) {}, func(err error) {
+			l.loop.Post(func() { o.disconnected(d, err) })
 		})
 	}
 	switch {
 	case o.conn == nil:
 		l.Counters.Dropped++
 	case o.conn.w == nil: // it is coming up; what is old by then is asked for again
-		if len(o.first) < 16 {
-			o.first = append(o.first, m)
+		if len(o.queued) < 16 {
+			o.queued = append(o.queued, m)
 		} else {
 			l.Counters.Dropped++
 		}
@@ -145,8 +145,8 @@
 }
 
 func (o *outgoing) write(m cluster.Message) {
-	l, d := o.link, o.conn
-	if d.tc.Waiting() > waitingMost { // one that does not read costs this much and no more
+	l, d := o.transport, o.conn
+	if d.tc.Waiting() > maxQueuedBytes { // one that does not read costs this much and no more
 		l.Counters.Dropped++
 		return
 	}
@@ -159,40 +159,40 @@
 	l.Counters.Sent++
 	l.Counters.SentBytes += uint64(len(f))
 	if err := d.tc.Write(f); err != nil {
-		o.lost(d, err)
+		o.disconnected(d, err)
 	}
 }
 
-// lost takes in that a connection did not come up, or ended.
-func (o *outgoing) lost(d *dialled, err error) {
+// disconnected takes in that a connection did not come up, or ended.
+func (o *outgoing) disconnected(d *outgoingConn, err error) {
 	if o.conn != d {
 		return
 	}
-	o.link.Counters.Disconnects++
-	o.link.log.WithError(err).WithField("member", o.name).Debug("fleet: connection lost")
-	o.drop(err)
-	o.next = o.link.loop.Now().Add(o.again)
-	o.again = min(againMost, 2*o.again)
+	o.transport.Counters.Disconnects++
+	o.transport.log.WithError(err).WithField("member", o.name).Debug("fleet: connection lost")
+	o.reset(err)
+	o.dialAfter = o.transport.loop.Now().Add(o.backoff)
+	o.backoff = min(maxBackoff, 2*o.backoff)
 }
 
-func (o *outgoing) drop(err error) {
+func (o *outgoing) reset(err error) {
 	if o.conn != nil && o.conn.tc != nil {
 		o.conn.tc.Close(err)
 	}
-	o.link.Counters.Dropped += uint64(len(o.first))
-	o.conn, o.first = nil, nil
+	o.transport.Counters.Dropped += uint64(len(o.queued))
+	o.conn, o.queued = nil, nil
 }
 
-// dialled is a connection to a member. The member speaks first, with its challenge; nothing else is read.
-type dialled struct {
-	way *outgoing
-	buf []byte // poller
-	tc  *transport.Conn
-	w   *writer
+// outgoingConn is a connection to a member. The member speaks first, with its challenge; nothing else is read.
+type outgoingConn struct {
+	member *outgoing
+	buf    []byte // poller
+	tc     *transport.Conn
+	w      *frameWriter
 }
 
 // OnBytes reads the greeting.
-func (d *dialled) OnBytes(tc *transport.Conn, b []byte, _ time.Time) error {
+func (d *outgoingConn) OnBytes(tc *transport.Conn, b []byte, _ time.Time) error {
 	if len(d.buf) >= greetingSize {
 		return errors.New("a member that says more than its greeting")
 	}
@@ -204,15 +204,15 @@
 		return errors.New("not the greeting of a member")
 	}
 	challenge := d.buf[len(magic):greetingSize]
-	o := d.way
-	o.link.loop.Post(func() {
+	o := d.member
+	o.transport.loop.Post(func() {
 		if o.conn != d {
 			tc.Close(errors.New("given up"))
 			return
 		}
-		d.tc, d.w, o.again = tc, &writer{key: o.link.key, challenge: challenge, from: o.link.self, to: o.name}, againFirst
-		first := o.first
-		o.first = nil
+		d.tc, d.w, o.backoff = tc, &frameWriter{key: o.transport.key, challenge: challenge, from: o.transport.self, to: o.name}, minBackoff
+		first := o.queued
+		o.queued = nil
 		for _, m := range first {
 			if o.conn == d {
 				o.write(m)
@@ -223,32 +223,32 @@
 }
 
 // OnClosed has the next message dial again.
-func (d *dialled) OnClosed(_ *transport.Conn, err error) {
+func (d *outgoingConn) OnClosed(_ *transport.Conn, err error) {
 	if err == nil {
 		err = errors.New("closed")
 	}
-	d.way.link.loop.Post(func() { d.way.lost(d, err) })
+	d.member.transport.loop.Post(func() { d.member.disconnected(d, err) })
 }
 
 // incoming is a connection that a member or a tool has made.
 type incoming struct {
-	link *Transport
-	r    reader // poller
+	transport *Transport
+	frames    frameReader // poller
 
-	tc    *transport.Conn // loop: the rest
-	from  string
-	tool  bool
-	since time.Time // latest frame, or its beginning
-	w     *writer   // back to a tool
+	tc        *transport.Conn // loop: the rest
+	from      string
+	tool      bool
+	lastFrame time.Time    // latest frame, or its beginning
+	w         *frameWriter // back to a tool
 }
 
 // OnOpened makes the challenge, before the first byte can come.
 func (c *incoming) OnOpened(tc *transport.Conn) {
-	c.r = reader{key: c.link.key, challenge: newChallenge(), self: c.link.self}
-	c.link.loop.Post(func() {
-		c.tc, c.since = tc, c.link.loop.Now()
-		c.link.open[c] = true
-		if c.link.closed {
+	c.frames = frameReader{key: c.transport.key, challenge: newChallenge(), self: c.transport.self}
+	c.transport.loop.Post(func() {
+		c.tc, c.lastFrame = tc, c.transport.loop.Now()
+		c.transport.accepted[c] = true
+		if c.transport.closed {
 			tc.Close(errors.New("closed"))
 		}
 	})
@@ -256,36 +256,36 @@
 
 // OnReady speaks first: frames have to answer the challenge.
 func (c *incoming) OnReady(tc *transport.Conn) {
-	_ = tc.Write([]byte(magic), c.r.challenge)
+	_ = tc.Write([]byte(magic), c.frames.challenge)
 }
 
 // OnBytes takes frames.
 func (c *incoming) OnBytes(tc *transport.Conn, b []byte, _ time.Time) error {
-	l := c.link
-	err := c.r.feed(b, func(from string, m cluster.Message) {
-		theirs := c.r.theirs
+	l := c.transport
+	err := c.frames.feed(b, func(from string, m cluster.Message) {
+		theirs := c.frames.peerChallenge
 		n := len(m.Value)
 		l.loop.Post(func() {
-			c.since = l.loop.Now()
+			c.lastFrame = l.loop.Now()
 			if c.from == "" {
 				c.from = from
-				if l.to[from] == nil {
-					if len(theirs) != challengeSize || len(l.tools) >= toolsMost || l.tools[from] != nil || from == l.self {
+				if l.members[from] == nil {
+					if len(theirs) != challengeSize || len(l.tools) >= maxTools || l.tools[from] != nil || from == l.self {
 						l.Counters.Rejected++
 						tc.Close(fmt.Errorf("%.64q is neither a member nor a tool", from))
 						return
 					}
-					c.tool, c.w = true, &writer{key: l.key, challenge: theirs, from: l.self, to: from}
+					c.tool, c.w = true, &frameWriter{key: l.key, challenge: theirs, from: l.self, to: from}
 					l.tools[from] = c
 				}
 			}
 			l.Counters.Received++
 			l.Counters.ReceivedBytes += uint64(n)
-			l.heard(from, m)
+			l.receive(from, m)
 		})
 	})
-	if n := c.r.replayed; n > 0 {
-		c.r.replayed = 0
+	if n := c.frames.replayed; n > 0 {
+		c.frames.replayed = 0
 		l.loop.Post(func() { l.Counters.Replayed += n })
 	}
 	if err != nil {
@@ -299,9 +299,9 @@
 
 // OnClosed forgets the connection.
 func (c *incoming) OnClosed(*transport.Conn, error) {
-	l := c.link
+	l := c.transport
 	l.loop.Post(func() {
-		delete(l.open, c)
+		delete(l.accepted, c)
 		if l.tools[c.from] == c {
 			delete(l.tools, c.from)
 		}
@@ -315,10 +315,10 @@
 		err = c.tc.Write(f)
 	}
 	if err != nil {
-		c.link.Counters.Dropped++
-		c.link.log.WithError(err).Warn("a reply to a tool")
+		c.transport.Counters.Dropped++
+		c.transport.log.WithError(err).Warn("a reply to a tool")
 		return
 	}
-	c.link.Counters.Sent++
-	c.link.Counters.SentBytes += uint64(len(f))
+	c.transport.Counters.Sent++
+	c.transport.Counters.SentBytes += uint64(len(f))
 }
--- a/internal/net/clustertransport/link_test.go
+++ b/internal/net/clustertransport/link_test.go
@@ -56,12 +56,12 @@
 
 // What a former version proposed without a Prepare had no majority's promise: it is not a message that a voter heeds.
 func TestAFormerVersionHasToPrepare(t *testing.T) {
-	pb := out(cluster.Message{Kind: cluster.ConsensusMessage, Consensus: consensus.Message{Kind: consensus.Accept, Ballot: consensus.Ballot{Number: 5, Voter: "a"}}})
-	if in(pb).Consensus.Kind != consensus.Accept {
+	pb := encodeMessage(cluster.Message{Kind: cluster.ConsensusMessage, Consensus: consensus.Message{Kind: consensus.Accept, Ballot: consensus.Ballot{Number: 5, Voter: "a"}}})
+	if decodeMessage(pb).Consensus.Kind != consensus.Accept {
 		t.Fatal("an accept after a prepare is not read")
 	}
-	pb.Vote.Prior = ballotOut(consensus.Ballot{Number: 4, Voter: "a"})
-	if got := in(pb).Consensus.Kind; got != 0 {
+	pb.Vote.Prior = encodeBallot(consensus.Ballot{Number: 4, Voter: "a"})
+	if got := decodeMessage(pb).Consensus.Kind; got != 0 {
 		t.Errorf("it is read as %v", got)
 	}
 }
@@ -71,7 +71,7 @@
 func TestFramesAreReadAsWrittenOrNotAtAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		challenge := bytes.Repeat([]byte{7}, challengeSize)
-		w := &writer{key: key, challenge: challenge, from: "a", to: "b"}
+		w := &frameWriter{key: key, challenge: challenge, from: "a", to: "b"}
 		var sent []cluster.Message
 		var stream []byte
 		var ends []int
@@ -91,7 +91,7 @@
 			for whole = 0; whole < len(ends) && ends[whole] <= at; whole++ {
 			}
 		}
-		r := &reader{key: key, challenge: challenge, self: "b"}
+		r := &frameReader{key: key, challenge: challenge, self: "b"}
 		var got []cluster.Message
 		var err error
 		for len(stream) > 0 && err == nil {
@@ -105,7 +105,7 @@
 	})
 }
 
-func frameOf(t *testing.T, w *writer, m cluster.Message) []byte {
+func frameOf(t *testing.T, w *frameWriter, m cluster.Message) []byte {
 	t.Helper()
 	f, err := w.frame(m)
 	if err != nil {
@@ -118,7 +118,7 @@
 // long; and what comes again on the same connection is passed over.
 func TestForgedAndReplayedFrames(t *testing.T) {
 	one, two := bytes.Repeat([]byte{1}, challengeSize), bytes.Repeat([]byte{2}, challengeSize)
-	good := func() *writer { return &writer{key: key, challenge: one, from: "a", to: "b"} }
+	good := func() *frameWriter { return &frameWriter{key: key, challenge: one, from: "a", to: "b"} }
 	none := func() []byte {
 		b, _ := proto.Marshal(&linkpb.Envelope{From: "a", To: "b", Sequence: 1})
 		return append(append([]byte{0, 0, 0, byte(len(b))}, mac(key, one, b)...), b...)
@@ -128,15 +128,15 @@
 		stream []byte
 		want   error
 	}{
-		{"another key", frameOf(t, &writer{key: []byte("x"), challenge: one, from: "a", to: "b"}, cluster.Message{Kind: cluster.RenewLease}), ErrNotAuthenticated},
-		{"another connection's", frameOf(t, &writer{key: key, challenge: two, from: "a", to: "b"}, cluster.Message{Kind: cluster.RenewLease}), ErrNotAuthenticated},
-		{"for another", frameOf(t, &writer{key: key, challenge: one, from: "a", to: "c"}, cluster.Message{Kind: cluster.RenewLease}), ErrWrongRecipient},
-		{"from nobody", frameOf(t, &writer{key: key, challenge: one, to: "b"}, cluster.Message{Kind: cluster.RenewLease}), ErrWrongRecipient},
+		{"another key", frameOf(t, &frameWriter{key: []byte("x"), challenge: one, from: "a", to: "b"}, cluster.Message{Kind: cluster.RenewLease}), ErrNotAuthenticated},
+		{"another connection's", frameOf(t, &frameWriter{key: key, challenge: two, from: "a", to: "b"}, cluster.Message{Kind: cluster.RenewLease}), ErrNotAuthenticated},
+		{"for another", frameOf(t, &frameWriter{key: key, challenge: one, from: "a", to: "c"}, cluster.Message{Kind: cluster.RenewLease}), ErrWrongRecipient},
+		{"from nobody", frameOf(t, &frameWriter{key: key, challenge: one, to: "b"}, cluster.Message{Kind: cluster.RenewLease}), ErrWrongRecipient},
 		{"no version", none(), ErrNoVersion},
 		{"too long", []byte{0x7f, 0, 0, 0, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1}, ErrFrameTooLong},
 		{"HTTP", []byte("GET / HTTP/1.1\r\nHost: somewhere.example\r\n\r\n"), ErrFrameTooLong},
 	} {
-		r := &reader{key: key, challenge: one, self: "b"}
+		r := &frameReader{key: key, challenge: one, self: "b"}
 		err := r.feed(c.stream, func(string, cluster.Message) { t.Errorf("%s is read", c.name) })
 		if !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
@@ -144,7 +144,7 @@
 	}
 	w := good()
 	first, second := frameOf(t, w, cluster.Message{Kind: cluster.RenewLease, ID: 1}), frameOf(t, w, cluster.Message{Kind: cluster.RenewLease, ID: 2})
-	r, n := &reader{key: key, challenge: one, self: "b"}, 0
+	r, n := &frameReader{key: key, challenge: one, self: "b"}, 0
 	for _, f := range [][]byte{second, first, second} {
 		if err := r.feed(f, func(string, cluster.Message) { n++ }); err != nil {
 			t.Fatal(err)
@@ -153,12 +153,12 @@
 	if n != 1 || r.replayed != 2 {
 		t.Errorf("%d of a frame, one overtaken and one that comes again are read, %d passed over", n, r.replayed)
 	}
-	r = &reader{key: key, challenge: one, self: "b"}
-	other := &writer{key: key, challenge: one, from: "c", to: "b", sequence: 5}
+	r = &frameReader{key: key, challenge: one, self: "b"}
+	other := &frameWriter{key: key, challenge: one, from: "c", to: "b", sequence: 5}
 	if err := r.feed(append(frameOf(t, good(), cluster.Message{}), frameOf(t, other, cluster.Message{})...), func(string, cluster.Message) {}); !errors.Is(err, ErrWrongRecipient) {
 		t.Errorf("two senders on one connection: %v", err)
 	}
-	if _, err := good().frame(cluster.Message{Value: make([]byte, frameMost+1)}); !errors.Is(err, ErrFrameTooLong) {
+	if _, err := good().frame(cluster.Message{Value: make([]byte, maxEnvelopeBytes+1)}); !errors.Is(err, ErrFrameTooLong) {
 		t.Errorf("a message over the bound: %v", err)
 	}
 }
--- a/internal/net/clustertransport/tool.go
+++ b/internal/net/clustertransport/tool.go
@@ -16,8 +16,8 @@
 // Tool is an operator's connection to one gateway. It blocks, and is not for use in a gateway.
 type Tool struct {
 	conn   net.Conn
-	w      *writer
-	r      reader
+	w      *frameWriter
+	r      frameReader
 	serial uint64
 }
 
@@ -39,8 +39,8 @@
 	id := make([]byte, 8)
 	_, _ = rand.Read(id)
 	self, own := "tool-"+hex.EncodeToString(id), newChallenge()
-	return &Tool{conn: conn, w: &writer{key: key, challenge: greeting[len(magic):], from: self, to: name, own: own},
-		r: reader{key: key, challenge: own, self: self}}, nil
+	return &Tool{conn: conn, w: &frameWriter{key: key, challenge: greeting[len(magic):], from: self, to: name, ownChallenge: own},
+		r: frameReader{key: key, challenge: own, self: self}}, nil
 }
 
 // Request sends an order and waits for its reply.
--- a/internal/net/clustertransport/words.go
+++ b/internal/net/clustertransport/words.go
@@ -17,34 +17,34 @@
 
 // The form of messages: what package cluster deals in, and back.
 
-func ballotOut(b consensus.Ballot) *linkpb.Ballot {
+func encodeBallot(b consensus.Ballot) *linkpb.Ballot {
 	if b == (consensus.Ballot{}) {
 		return nil
 	}
 	return &linkpb.Ballot{Number: b.Number, Voter: b.Voter}
 }
 
-func ballotIn(b *linkpb.Ballot) consensus.Ballot {
+func decodeBallot(b *linkpb.Ballot) consensus.Ballot {
 	return consensus.Ballot{Number: b.GetNumber(), Voter: b.GetVoter()}
 }
 
-func stateOut(s consensus.State) *linkpb.State {
+func encodeState(s consensus.State) *linkpb.State {
 	return &linkpb.State{Revision: s.Revision, Lives: s.Incarnations, Value: s.Value}
 }
 
-func stateIn(s *linkpb.State) consensus.State {
+func decodeState(s *linkpb.State) consensus.State {
 	return consensus.State{Revision: s.GetRevision(), Incarnations: s.GetLives(), Value: s.GetValue()}
 }
 
-func out(m cluster.Message) *linkpb.Message {
+func encodeMessage(m cluster.Message) *linkpb.Message {
 	pb := &linkpb.Message{Kind: int32(m.Kind), Id: m.ID, Life: m.Incarnation, Blank: m.NoView, Have: m.ViewDigest, Revision: m.Revision, Heard: m.NotifiedEpoch, Stopped: m.StoppedEpoch,
 		Value: m.Value, HasValue: m.Value != nil, Query: m.Query, Refused: m.Rejected}
 	if m.Kind == cluster.ConsensusMessage {
 		v := m.Consensus
-		pb.Vote = &linkpb.Vote{Kind: int32(v.Kind), Life: v.Incarnation, Ballot: ballotOut(v.Ballot), Next: ballotOut(v.NextBallot), Accepted: ballotOut(v.AcceptedBallot), State: stateOut(v.State)}
+		pb.Vote = &linkpb.Vote{Kind: int32(v.Kind), Life: v.Incarnation, Ballot: encodeBallot(v.Ballot), Next: encodeBallot(v.NextBallot), Accepted: encodeBallot(v.AcceptedBallot), State: encodeState(v.State)}
 	}
 	if m.Replication != nil {
-		pb.Copy = copyOut(m.Replication)
+		pb.Copy = encodeReplication(m.Replication)
 	}
 	if m.Report != nil {
 		pb.Report = &linkpb.Report{Strain: m.Report.Pressure}
@@ -56,21 +56,21 @@
 	return pb
 }
 
-func in(pb *linkpb.Message) cluster.Message {
+func decodeMessage(pb *linkpb.Message) cluster.Message {
 	m := cluster.Message{Kind: cluster.MessageKind(pb.GetKind()), ID: pb.GetId(), Incarnation: pb.GetLife(), NoView: pb.GetBlank(), ViewDigest: pb.GetHave(), Revision: pb.GetRevision(),
 		NotifiedEpoch: pb.GetHeard(), StoppedEpoch: pb.GetStopped(), Value: pb.GetValue(), Query: pb.GetQuery(), Rejected: pb.GetRefused()}
 	if pb.GetHasValue() && m.Value == nil {
 		m.Value = []byte{}
 	}
 	if v := pb.GetVote(); v != nil {
-		m.Consensus = consensus.Message{Kind: consensus.MessageKind(v.GetKind()), Incarnation: v.GetLife(), Ballot: ballotIn(v.GetBallot()), NextBallot: ballotIn(v.GetNext()),
-			AcceptedBallot: ballotIn(v.GetAccepted()), State: stateIn(v.GetState())}
+		m.Consensus = consensus.Message{Kind: consensus.MessageKind(v.GetKind()), Incarnation: v.GetLife(), Ballot: decodeBallot(v.GetBallot()), NextBallot: decodeBallot(v.GetNext()),
+			AcceptedBallot: decodeBallot(v.GetAccepted()), State: decodeState(v.GetState())}
 		if v.GetPrior() != nil { // of a version whose further values nobody had promised: it has to prepare them
 			m.Consensus.Kind = 0
 		}
 	}
 	if c := pb.GetCopy(); c != nil {
-		m.Replication = copyIn(c)
+		m.Replication = decodeReplication(c)
 	}
 	if r := pb.GetReport(); r != nil {
 		m.Report = &cluster.Report{Pressure: r.GetStrain(), Machines: map[string]maintenance.Machine{}}
@@ -82,7 +82,7 @@
 	return m
 }
 
-func copyOut(m *replication.Message) *linkpb.Copy {
+func encodeReplication(m *replication.Message) *linkpb.Copy {
 	pb := &linkpb.Copy{Kind: int32(m.Kind), Id: m.ID, Most: int32(m.MaxBytes), More: m.More, Blank: m.CatchingUp}
 	for _, h := range m.Versions {
 		pb.Have = append(pb.Have, &linkpb.Have{Name: h.Incarnation.Name, Life: h.Incarnation.Number, Safety: h.UpTo[replication.Safety], Bulk: h.UpTo[replication.Bulk]})
@@ -98,17 +98,17 @@
 	return pb
 }
 
-// oldest is the greatest age that a slot can be told to have, so that no number overflows.
-const oldest = uint64(24 * time.Hour / time.Microsecond)
+// maxAgeMicros is the greatest age that a slot can be told to have, so that no number overflows.
+const maxAgeMicros = uint64(24 * time.Hour / time.Microsecond)
 
-func copyIn(pb *linkpb.Copy) *replication.Message {
+func decodeReplication(pb *linkpb.Copy) *replication.Message {
 	m := &replication.Message{Kind: replication.MessageKind(pb.GetKind()), ID: pb.GetId(), MaxBytes: int(pb.GetMost()), More: pb.GetMore(), CatchingUp: pb.GetBlank()}
 	for _, h := range pb.GetHave() {
 		m.Versions = append(m.Versions, replication.StreamVersions{Incarnation: replication.Incarnation{Name: h.GetName(), Number: h.GetLife()}, UpTo: [2]uint64{h.GetSafety(), h.GetBulk()}})
 	}
 	for _, s := range pb.GetSlot() {
 		m.Slots = append(m.Slots, replication.TransferredSlot{Slot: replication.Slot{Writer: replication.Incarnation{Name: s.GetWriter(), Number: s.GetLife()}, Seq: s.GetSeq(), Kind: replication.Kind(s.GetKind()), Key: s.GetKey(),
-			Value: s.GetValue(), Timestamp: s.GetStamp()}, MaxAge: time.Duration(min(oldest, s.GetOldestUs())) * time.Microsecond, MinAge: time.Duration(min(oldest, s.GetYoungestUs())) * time.Microsecond})
+			Value: s.GetValue(), Timestamp: s.GetStamp()}, MaxAge: time.Duration(min(maxAgeMicros, s.GetOldestUs())) * time.Microsecond, MinAge: time.Duration(min(maxAgeMicros, s.GetYoungestUs())) * time.Microsecond})
 	}
 	if b := pb.GetBlock(); b != nil {
 		m.Checksum = &replication.RangeChecksum{Incarnation: replication.Incarnation{Name: b.GetName(), Number: b.GetLife()}, Stream: replication.Stream(b.GetStream()), From: b.GetFrom(), To: b.GetTo(), Sum: b.GetSum()}
@@ -118,8 +118,8 @@
 
 // EncodeAcceptorState words a vote for its file, and DecodeVote reads it.
 func EncodeAcceptorState(v consensus.AcceptorState) ([]byte, error) {
-	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(&linkpb.Kept{Life: v.Incarnation, Promised: ballotOut(v.Promised), Accepted: ballotOut(v.Accepted),
-		State: stateOut(v.State), Has: v.Initialized})
+	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(&linkpb.Kept{Life: v.Incarnation, Promised: encodeBallot(v.Promised), Accepted: encodeBallot(v.Accepted),
+		State: encodeState(v.State), Has: v.Initialized})
 	if err != nil {
 		return nil, fmt.Errorf("a vote: %w", err)
 	}
@@ -135,5 +135,5 @@
 	if k.GetLife() == 0 {
 		return consensus.AcceptorState{}, fmt.Errorf("a vote without a life")
 	}
-	return consensus.AcceptorState{Incarnation: k.GetLife(), Promised: ballotIn(k.GetPromised()), Accepted: ballotIn(k.GetAccepted()), State: stateIn(k.GetState()), Initialized: k.GetHas()}, nil
+	return consensus.AcceptorState{Incarnation: k.GetLife(), Promised: decodeBallot(k.GetPromised()), Accepted: decodeBallot(k.GetAccepted()), State: decodeState(k.GetState()), Initialized: k.GetHas()}, nil
 }
--- a/maintenance/maintenance.go
+++ b/maintenance/maintenance.go
@@ -41,16 +41,16 @@
 // Ended says that nothing more comes of a request at that stage.
 func (s Stage) Ended() bool { return s == Completed || s == Withdrawn }
 
-// away says that a machine is, or may be, out at that stage.
-func (s Stage) away() bool { return s != Requested && !s.Ended() }
+// countsAsOut says that a machine is, or may be, out at that stage.
+func (s Stage) countsAsOut() bool { return s != Requested && !s.Ended() }
 
 const (
-	mostOpen    = 128 // requests that are not ended
-	mostEnded   = 64  // that are kept for those who look
-	mostSteps   = 12  // of a request's history
-	mostName    = 64
-	mostAfter   = 16
-	mostGateway = 1024
+	maxOpenRequests  = 128 // requests that are not ended
+	maxEndedRequests = 64  // that are kept for those who look
+	maxHistory       = 12  // of a request's history
+	maxNameLength    = 64
+	maxPredecessors  = 16
+	maxGateways      = 1024
 )
 
 // Transition is a line of a request's history: who moved it where, when by that one's clock, and why.
@@ -204,20 +204,20 @@
 func (s *State) apply(c *Command, b Limits) (Reply, error) {
 	switch {
 	case c.Request != nil:
-		return s.ask(c)
+		return s.addRequest(c)
 	case c.Withdraw != nil:
 		return s.withdraw(c)
 	case c.Finish != nil:
-		r := s.open(c.Finish.Name)
+		r := s.openRequest(c.Finish.Name)
 		if r == nil || r.Stage != OutOfService {
 			return Reply{}, fmt.Errorf("%q is not out", c.Finish.Name)
 		}
-		r.move(c, Returned, cmp.Or(c.Finish.Reason, "said to be done"))
+		r.transition(c, Returned, cmp.Or(c.Finish.Reason, "said to be done"))
 		return Reply{ID: r.ID}, nil
 	case c.Join != nil:
 		return Reply{}, s.join(c)
 	case c.Notified != nil:
-		return Reply{}, s.told(c.Notified)
+		return Reply{}, s.notify(c.Notified)
 	case c.Forget != nil:
 		if _, ok := s.Gateways[c.Forget.Name]; !ok {
 			return Reply{}, fmt.Errorf("no gateway %q", c.Forget.Name)
@@ -225,14 +225,14 @@
 		delete(s.Gateways, c.Forget.Name)
 		return Reply{}, nil
 	case c.Advance != nil:
-		s.step(c, b)
+		s.advance(c, b)
 		return Reply{}, nil
 	}
 	return Reply{}, errors.New("an empty command")
 }
 
-// open is the open request for a machine; nil: there is none.
-func (s *State) open(machine string) *Request {
+// openRequest is the open request for a machine; nil: there is none.
+func (s *State) openRequest(machine string) *Request {
 	for _, r := range s.Requests {
 		if r.Machine == machine && !r.Stage.Ended() {
 			return r
@@ -241,16 +241,16 @@
 	return nil
 }
 
-// move takes a request to a stage, with a line in its history.
-func (r *Request) move(c *Command, to Stage, why string) {
+// transition takes a request to a stage, with a line in its history.
+func (r *Request) transition(c *Command, to Stage, why string) {
 	r.Stage = to
 	r.History = append(r.History, Transition{To: to, Actor: c.Actor, AtMs: c.AtMs, Reason: why})
-	if n := len(r.History) - mostSteps; n > 0 {
+	if n := len(r.History) - maxHistory; n > 0 {
 		r.History = slices.Delete(r.History, 1, 1+n) // how it began stays
 	}
 }
 
-func (s *State) ask(c *Command) (Reply, error) {
+func (s *State) addRequest(c *Command) (Reply, error) {
 	a, open, ended := c.Request, 0, 0
 	for _, r := range s.Requests {
 		if r.Key == a.Key { // it was asked already
@@ -263,34 +263,34 @@
 		}
 	}
 	switch {
-	case a.Key == "" || len(a.Key) > mostName:
-		return Reply{}, fmt.Errorf("key: %d characters, 1 to %d are allowed", len(a.Key), mostName)
+	case a.Key == "" || len(a.Key) > maxNameLength:
+		return Reply{}, fmt.Errorf("key: %d characters, 1 to %d are allowed", len(a.Key), maxNameLength)
 	case a.Kind == "":
 		return Reply{}, fmt.Errorf("machine %q: %w", a.Machine, ErrUnknownMachine)
-	case len(a.Machine) > mostName || len(a.Zone) > mostName || len(a.Kind) > mostName:
-		return Reply{}, fmt.Errorf("machine: a name over %d characters", mostName)
+	case len(a.Machine) > maxNameLength || len(a.Zone) > maxNameLength || len(a.Kind) > maxNameLength:
+		return Reply{}, fmt.Errorf("machine: a name over %d characters", maxNameLength)
 	case a.DurationMs <= 0 || a.DurationMs > (30*24*time.Hour).Milliseconds():
 		return Reply{}, fmt.Errorf("for: %v is not up to 30 days", time.Duration(a.DurationMs)*time.Millisecond)
 	case a.Priority < -100 || a.Priority > 100:
 		return Reply{}, fmt.Errorf("priority: %d is not from -100 to 100", a.Priority)
-	case len(a.After) > mostAfter:
-		return Reply{}, fmt.Errorf("after: %d machines, %d are allowed", len(a.After), mostAfter)
+	case len(a.After) > maxPredecessors:
+		return Reply{}, fmt.Errorf("after: %d machines, %d are allowed", len(a.After), maxPredecessors)
 	case slices.Contains(a.After, a.Machine):
 		return Reply{}, fmt.Errorf("after: %q can't go after itself", a.Machine)
-	case s.open(a.Machine) != nil:
-		return Reply{ID: s.open(a.Machine).ID}, fmt.Errorf("machine %q: %w", a.Machine, ErrAlreadyRequested)
-	case open >= mostOpen:
+	case s.openRequest(a.Machine) != nil:
+		return Reply{ID: s.openRequest(a.Machine).ID}, fmt.Errorf("machine %q: %w", a.Machine, ErrAlreadyRequested)
+	case open >= maxOpenRequests:
 		return Reply{}, fmt.Errorf("%w: %d", ErrTooManyRequests, open)
-	case s.circle(a.Machine, a.After):
+	case s.wouldCycle(a.Machine, a.After):
 		return Reply{}, fmt.Errorf("after: %q would go after itself, by way of others", a.Machine)
 	}
-	if ended >= mostEnded { // the oldest goes
+	if ended >= maxEndedRequests { // the oldest goes
 		s.Requests = slices.Delete(s.Requests, s.firstEnded(), s.firstEnded()+1)
 	}
 	s.LastRequestID++
 	r := &Request{ID: s.LastRequestID, Key: a.Key, Machine: a.Machine, Kind: a.Kind, Zone: a.Zone, DurationMs: a.DurationMs, DeadlineMs: a.DeadlineMs, Priority: a.Priority,
 		After: slices.Clone(a.After)}
-	r.move(c, Requested, "")
+	r.transition(c, Requested, "")
 	s.Requests = append(s.Requests, r)
 	return Reply{ID: r.ID}, nil
 }
@@ -299,8 +299,8 @@
 	return slices.IndexFunc(s.Requests, func(r *Request) bool { return r.Stage.Ended() })
 }
 
-// circle says that a machine would have to go after itself. Guards against requests that wait for each other for ever.
-func (s *State) circle(machine string, after []string) bool {
+// wouldCycle says that a machine would have to go after itself. Guards against requests that wait for each other for ever.
+func (s *State) wouldCycle(machine string, after []string) bool {
 	seen := map[string]bool{}
 	for next := slices.Clone(after); len(next) > 0; {
 		m := next[0]
@@ -308,7 +308,7 @@
 		if m == machine {
 			return true
 		}
-		if r := s.open(m); r != nil && !seen[m] {
+		if r := s.openRequest(m); r != nil && !seen[m] {
 			seen[m] = true
 			next = append(next, r.After...)
 		}
@@ -317,14 +317,14 @@
 }
 
 func (s *State) withdraw(c *Command) (Reply, error) {
-	r := s.open(c.Withdraw.Name)
+	r := s.openRequest(c.Withdraw.Name)
 	if r == nil {
 		return Reply{}, fmt.Errorf("%q has no open request", c.Withdraw.Name)
 	}
-	if r.Stage.away() && r.Stage != Granted && r.Stage != Draining {
+	if r.Stage.countsAsOut() && r.Stage != Granted && r.Stage != Draining {
 		return Reply{}, fmt.Errorf("%q is %s: it can only be finished", r.Machine, r.Stage)
 	}
-	r.move(c, Withdrawn, c.Withdraw.Reason)
+	r.transition(c, Withdrawn, c.Withdraw.Reason)
 	return Reply{ID: r.ID}, nil
 }
 
@@ -332,14 +332,14 @@
 // one: it has heard of all grants up to now. One that has stored a view goes by that until then.
 func (s *State) join(c *Command) error {
 	m := c.Join
-	if m.Name == "" || len(m.Name) > mostName || m.Incarnation == 0 {
+	if m.Name == "" || len(m.Name) > maxNameLength || m.Incarnation == 0 {
 		return fmt.Errorf("join: name %q, life %d", m.Name, m.Incarnation)
 	}
 	old, known := s.Gateways[m.Name]
 	if known && old.Incarnation == m.Incarnation {
 		return nil
 	}
-	if !known && len(s.Gateways) >= mostGateway {
+	if !known && len(s.Gateways) >= maxGateways {
 		return fmt.Errorf("join: there are %d gateways", len(s.Gateways))
 	}
 	heard := s.Epoch
@@ -347,18 +347,18 @@
 		heard = min(m.NotifiedEpoch, s.Epoch)
 	}
 	s.Gateways[m.Name] = Gateway{Incarnation: m.Incarnation, NotifiedEpoch: heard}
-	if r := s.open(m.Name); r != nil && r.Incarnation != m.Incarnation { // its own turn: another life is there
+	if r := s.openRequest(m.Name); r != nil && r.Incarnation != m.Incarnation { // its own turn: another life is there
 		switch r.Stage {
 		case Granted, Draining: // it went before it was let
-			r.move(c, Requested, "it started anew before it was out")
+			r.transition(c, Requested, "it started anew before it was out")
 		case OutOfService:
-			r.move(c, Returned, "it has joined")
+			r.transition(c, Returned, "it has joined")
 		}
 	}
 	return nil
 }
 
-func (s *State) told(m *GatewayUpdate) error {
+func (s *State) notify(m *GatewayUpdate) error {
 	g, ok := s.Gateways[m.Name]
 	if !ok || g.Incarnation != m.Incarnation {
 		return fmt.Errorf("%s has joined with another life", m.Name)
--- a/maintenance/maintenance_test.go
+++ b/maintenance/maintenance_test.go
@@ -146,11 +146,11 @@
 		}
 		r := &Request{ID: 9, Machine: c.machine, Kind: o.Machines[c.machine].Kind, Zone: o.Machines[c.machine].Zone, Stage: Requested}
 		s.Requests = append(s.Requests, r)
-		why := s.bound(r, o, b)
+		why := s.blockedBy(r, o, b)
 		if (why == "") != (c.why == "") || !strings.Contains(why, c.why) {
 			t.Errorf("%s: %q, want %q", c.name, why, c.why)
 		}
-		if got := s.next(o, b) != nil; got != (c.why == "") {
+		if got := s.nextToGrant(o, b) != nil; got != (c.why == "") {
 			t.Errorf("%s: granted %v", c.name, got)
 		}
 	}
--- a/maintenance/order.go
+++ b/maintenance/order.go
@@ -88,42 +88,42 @@
 	Elapsed  []ElapsedLimits    `json:"spans,omitempty"`
 }
 
-// step takes every request forward, or back, as far as the state and what was observed allow.
-func (s *State) step(c *Command, b Limits) {
+// advance takes every request forward, or back, as far as the state and what was observed allow.
+func (s *State) advance(c *Command, b Limits) {
 	o := c.Advance
 	for _, r := range s.Requests {
 		if !r.Stage.Ended() {
-			s.forward(r, c, o)
+			s.advanceRequest(r, c, o)
 		}
 	}
 	for _, r := range s.Requests { // what has not begun is taken back, if the rest could not bear it
 		if r.Stage != Granted && r.Stage != Draining {
 			continue
 		}
-		if why := s.bound(r, o, b); why != "" {
-			r.move(c, Requested, "taken back: "+why)
+		if why := s.blockedBy(r, o, b); why != "" {
+			r.transition(c, Requested, "taken back: "+why)
 			r.TimesOvertaken = 0
 		}
 	}
 	for range b.MaxOut {
-		r := s.next(o, b)
+		r := s.nextToGrant(o, b)
 		if r == nil {
 			return
 		}
 		for _, older := range s.Requests {
-			if older.Stage == Requested && older != r && older.group() == r.group() && s.before(older, r) {
+			if older.Stage == Requested && older != r && older.group() == r.group() && s.precedes(older, r) {
 				older.TimesOvertaken++
 			}
 		}
 		s.Epoch++
 		r.GrantEpoch, r.BootMs, r.TimesOvertaken, r.Overdue = s.Epoch, o.Machines[r.Machine].BootMs, 0, false
 		r.Incarnation = s.Gateways[r.Machine].Incarnation
-		r.move(c, Granted, "")
+		r.transition(c, Granted, "")
 	}
 }
 
-// forward takes a request that was granted one stage on, if it may go.
-func (s *State) forward(r *Request, c *Command, o *Observations) {
+// advanceRequest takes a request that was granted one stage on, if it may go.
+func (s *State) advanceRequest(r *Request, c *Command, o *Observations) {
 	span := ElapsedLimits{}
 	for _, x := range o.Elapsed {
 		if x.ID == r.ID && x.Stage == r.Stage && x.Epoch == r.GrantEpoch {
@@ -140,7 +140,7 @@
 		}
 		s.Epoch++
 		r.DrainEpoch = s.Epoch
-		r.move(c, Draining, "")
+		r.transition(c, Draining, "")
 	case Draining:
 		if r.Kind == KindGateway {
 			if g := s.Gateways[r.Machine]; g.Incarnation == r.Incarnation && g.StoppedEpoch < r.DrainEpoch {
@@ -154,36 +154,36 @@
 				}
 			}
 		}
-		r.move(c, OutOfService, "")
+		r.transition(c, OutOfService, "")
 	case OutOfService:
 		if seen && m.Up && m.BootMs > r.BootMs && r.Kind != KindGateway {
-			r.move(c, Returned, "it started anew")
+			r.transition(c, Returned, "it started anew")
 		} else if span.Overdue && !r.Overdue {
 			r.Overdue = true
-			r.move(c, OutOfService, "overdue")
+			r.transition(c, OutOfService, "overdue")
 		}
 	case Returned:
 		if seen && m.Up {
-			r.move(c, WarmingUp, "")
+			r.transition(c, WarmingUp, "")
 		}
 	case WarmingUp:
 		if seen && m.Up && (m.Warm || span.SlowStartOver && r.Kind != KindGateway) {
 			r.Overdue = false
-			r.move(c, Completed, "")
+			r.transition(c, Completed, "")
 		} else if !seen || !m.Up {
-			r.move(c, Returned, "it went again")
+			r.transition(c, Returned, "it went again")
 		}
 	}
 }
 
-// before says whether a goes before b, where both may go.
-func (s *State) before(a, b *Request) bool {
+// precedes says whether a goes before b, where both may go.
+func (s *State) precedes(a, b *Request) bool {
 	due := func(r *Request) int64 { return cmp.Or(r.DeadlineMs, 1<<62) }
 	return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(due(a), due(b)), cmp.Compare(a.ID, b.ID)) < 0
 }
 
-// queue are the requests that wait, in the order in which they go.
-func (s *State) queue(patience int) (l []*Request) {
+// waiting are the requests that wait, in the order in which they go.
+func (s *State) waiting(patience int) (l []*Request) {
 	for _, r := range s.Requests {
 		if r.Stage == Requested {
 			l = append(l, r)
@@ -196,7 +196,7 @@
 			}
 			return 1
 		}
-		if s.before(a, b) {
+		if s.precedes(a, b) {
 			return -1
 		}
 		return 1
@@ -204,14 +204,14 @@
 	return l
 }
 
-// next is the request to be granted now; nil: none may be.
-func (s *State) next(o *Observations, b Limits) *Request {
+// nextToGrant is the request to be granted now; nil: none may be.
+func (s *State) nextToGrant(o *Observations, b Limits) *Request {
 	closed := map[string]bool{} // groups in which one has waited for long enough: nothing goes before it any more
-	for _, r := range s.queue(b.MaxTimesOvertaken) {
+	for _, r := range s.waiting(b.MaxTimesOvertaken) {
 		if closed[r.group()] {
 			continue
 		}
-		if s.waits(r) == "" && s.bound(r, o, b) == "" {
+		if s.waitsFor(r) == "" && s.blockedBy(r, o, b) == "" {
 			return r
 		}
 		if r.TimesOvertaken >= b.MaxTimesOvertaken {
@@ -221,19 +221,19 @@
 	return nil
 }
 
-// waits says for whom a request waits by its own wish; empty: for nobody.
-func (s *State) waits(r *Request) string {
+// waitsFor says for whom a request waits by its own wish; empty: for nobody.
+func (s *State) waitsFor(r *Request) string {
 	for _, m := range r.After {
-		if o := s.open(m); o != nil {
+		if o := s.openRequest(m); o != nil {
 			return fmt.Sprintf("it goes after %s, which is %s", m, o.Stage)
 		}
 	}
 	return ""
 }
 
-// bound says which bound keeps a machine from being out beside those that are; empty: none does. A machine that is granted
+// blockedBy says which bound keeps a machine from being out beside those that are; empty: none does. A machine that is granted
 // is judged as if it were not yet.
-func (s *State) bound(r *Request, o *Observations, b Limits) string {
+func (s *State) blockedBy(r *Request, o *Observations, b Limits) string {
 	own, known := o.Machines[r.Machine]
 	if !known {
 		return "it is not in the list"
@@ -243,7 +243,7 @@
 	}
 	out, stages := 0, map[string]Stage{}
 	for _, x := range s.Requests {
-		if x != r && x.Stage.away() {
+		if x != r && x.Stage.countsAsOut() {
 			stages[x.Machine] = x.Stage
 			out++
 		}
@@ -338,8 +338,8 @@
 // each back now.
 func (s *State) Plan(o *Observations, b Limits) []PlanEntry {
 	var all []PlanEntry
-	for _, r := range s.queue(b.MaxTimesOvertaken) {
-		all = append(all, PlanEntry{Request: r, BlockedBy: cmp.Or(s.waits(r), s.bound(r, o, b))})
+	for _, r := range s.waiting(b.MaxTimesOvertaken) {
+		all = append(all, PlanEntry{Request: r, BlockedBy: cmp.Or(s.waitsFor(r), s.blockedBy(r, o, b))})
 	}
 	sim, err := Decode(s.Encode())
 	if err != nil {
@@ -349,8 +349,8 @@
 	for wave := 1; wave <= len(all)+1; wave++ {
 		granted := map[uint64]bool{}
 		for range b.MaxOut {
-			if r := sim.next(o, b); r != nil {
-				r.move(c, Granted, "")
+			if r := sim.nextToGrant(o, b); r != nil {
+				r.transition(c, Granted, "")
 				granted[r.ID] = true
 			}
 		}
@@ -360,8 +360,8 @@
 			}
 		}
 		for _, r := range sim.Requests {
-			if r.Stage.away() {
-				r.move(c, Completed, "")
+			if r.Stage.countsAsOut() {
+				r.transition(c, Completed, "")
 			}
 		}
 	}
--- a/replication/explore_test.go
+++ b/replication/explore_test.go
@@ -48,30 +48,30 @@
 
 // clone copies a copy, slot by slot.
 func (c *Replica) clone() *Replica {
-	k := NewReplica(c.self, c.settl)
-	k.stamp = c.stamp
-	for l, f := range c.lives {
-		g := &followed{active: f.active}
+	k := NewReplica(c.self, c.purgeSettleTime)
+	k.timestamp = c.timestamp
+	for l, f := range c.incarnations {
+		g := &incarnationState{lastActive: f.lastActive}
 		for st := range streams {
-			g.tracks[st].upTo = f.tracks[st].upTo
+			g.logs[st].upTo = f.logs[st].upTo
 		}
-		k.lives[l] = g
+		k.incarnations[l] = g
 	}
 	for _, s := range c.slots {
 		x := *s
-		t := &k.lives[s.Writer].tracks[s.Kind.stream()]
-		t.log = append(t.log, &x)
+		t := &k.incarnations[s.Writer].logs[s.Kind.stream()]
+		t.slots = append(t.slots, &x)
 		k.slots[x.id()] = &x
 		if k.byKey[x.Kind] == nil {
-			k.byKey[x.Kind], k.of[x.Kind] = map[string][]*Slot{}, map[string]int{}
+			k.byKey[x.Kind], k.countByWriter[x.Kind] = map[string][]*Slot{}, map[string]int{}
 		}
 		k.byKey[x.Kind][x.Key] = append(k.byKey[x.Kind][x.Key], &x)
 		k.count[x.Kind]++
-		k.of[x.Kind][x.Writer.Name]++
+		k.countByWriter[x.Kind][x.Writer.Name]++
 	}
-	for _, f := range k.lives {
+	for _, f := range k.incarnations {
 		for st := range streams {
-			slices.SortFunc(f.tracks[st].log, func(a, b *Slot) int { return int(a.Seq) - int(b.Seq) })
+			slices.SortFunc(f.logs[st].slots, func(a, b *Slot) int { return int(a.Seq) - int(b.Seq) })
 		}
 	}
 	return k
@@ -139,7 +139,7 @@
 	if !e.jump {
 		all = append(all, func(e *exploring) {
 			e.jump = true
-			e.now += rules[Tombstone].life - 30*time.Second // all but the tombstone runs out
+			e.now += rules[Tombstone].maxAge - 30*time.Second // all but the tombstone runs out
 			for _, c := range e.copies {
 				c.Sweep(e.now)
 			}
@@ -178,7 +178,7 @@
 	var sums [3]uint64
 	for i, c := range e.copies {
 		for _, s := range c.slots {
-			sums[i] += c.part(e.now, s)
+			sums[i] += c.slotChecksum(e.now, s)
 		}
 		if had && c.Purges(e.now)["o"] == 0 {
 			return fmt.Sprintf("%c does not know of the purge, which somebody knew of", 'a'+i)
--- a/replication/node.go
+++ b/replication/node.go
@@ -17,18 +17,18 @@
 	// DefaultCatchUpTimeout is how long one that starts waits for neighbours before it goes by what it has.
 	DefaultCatchUpTimeout = 3 * time.Second
 
-	pullFor   = 1500 * time.Millisecond // an answer that takes longer is not waited for
-	quick     = 250 * time.Millisecond  // one that takes less may be larger the next time
-	mostFirst = 32 << 10                // bytes that an answer may have, at first,
-	mostLeast = 2 << 10                 // at the least,
-	mostMost  = 64 << 10                // and at the most
-	hintTo    = 3                       // others that are told at once of what is a matter of safety
-	hintAfter = 10 * time.Millisecond   // what comes within it is told together
-	reserved  = 4                       // one in so many bytes a second is for safety
-	ownMost   = 4096                    // bytes of the own bulk that may be saved up, at the least
-	overhead  = 64                      // bytes of a message, about, beside its slots
-	repairs   = 64                      // differences that are remembered
-	checks    = 10                      // of so many questions one compares copies whole
+	pullTimeout       = 1500 * time.Millisecond // an answer that takes longer is not waited for
+	fastReply         = 250 * time.Millisecond  // one that takes less may be larger the next time
+	initialReplyBytes = 32 << 10                // bytes that an answer may have, at first,
+	minReplyBytes     = 2 << 10                 // at the least,
+	maxReplyBytes     = 64 << 10                // and at the most
+	announcePeers     = 3                       // others that are told at once of what is a matter of safety
+	announceDelay     = 10 * time.Millisecond   // what comes within it is told together
+	safetyReserve     = 4                       // one in so many bytes a second is for safety
+	minBulkBudget     = 4096                    // bytes of the own bulk that may be saved up, at the least
+	messageOverhead   = 64                      // bytes of a message, about, beside its slots
+	maxDivergences    = 64                      // differences that are remembered
+	pullsPerChecksum  = 10                      // of so many questions one compares copies whole
 )
 
 // MessageKind is what a message says.
@@ -124,8 +124,8 @@
 	Pulls, PullReplies, PullTimeouts, Announcements, Stale, Throttled, Checked, Divergences uint64
 }
 
-// pull is a question under way.
-type pull struct {
+// pendingPull is a question under way.
+type pendingPull struct {
 	id uint64
 	to string
 	at time.Duration
@@ -136,26 +136,26 @@
 	*Replica
 	Stats NodeCounters
 
-	cfg    Config
-	rng    *rand.Rand
-	now    time.Duration
-	out    []Action
-	began  time.Duration
-	caught bool
-	blanks map[string]bool // neighbours that were asked, and were catching up themselves
-	serial uint64
-	open   *pull
-	next   time.Duration
-	hinted string // who has something newer that is a matter of safety; empty: nobody
-	hints  []StreamVersions
-	hint   time.Duration // due then; 0: none is
-	most   int
-	bucket float64 // bytes that may be sent now
-	filled time.Duration
-	own    float64 // bytes that the own bulk may cost now
-	living map[string]time.Duration
-	differ []Divergence
-	doubts map[string]int // checks in a row that found a difference, by member
+	cfg             Config
+	rng             *rand.Rand
+	now             time.Duration
+	actions         []Action
+	started         time.Duration
+	caughtUp        bool
+	peersCatchingUp map[string]bool // neighbours that were asked, and were catching up themselves
+	lastPullID      uint64
+	pull            *pendingPull
+	nextPull        time.Duration
+	announcer       string // who has something newer that is a matter of safety; empty: nobody
+	announced       []StreamVersions
+	announceAt      time.Duration // due then; 0: none is
+	replyBytes      int
+	sendBudget      float64 // bytes that may be sent now
+	budgetsAt       time.Duration
+	bulkBudget      float64 // bytes that the own bulk may cost now
+	lastReceived    map[string]time.Duration
+	divergences     []Divergence
+	mismatches      map[string]int // checks in a row that found a difference, by member
 }
 
 // NewNode returns a node.
@@ -173,80 +173,80 @@
 	if c.SlotBytes == nil {
 		c.SlotBytes = func(s *Slot) int { return 48 + len(s.Key) + len(s.Value) + len(s.Writer.Name) }
 	}
-	return &Node{Replica: NewReplica(c.Self, c.PurgeSettleTime), cfg: c, rng: rand.New(rand.NewPCG(c.Seed, 0x2545f491)), began: -1, blanks: map[string]bool{}, most: mostFirst,
-		living: map[string]time.Duration{}, doubts: map[string]int{}, bucket: float64(c.BytesPerSecond), own: ownMost}, nil
+	return &Node{Replica: NewReplica(c.Self, c.PurgeSettleTime), cfg: c, rng: rand.New(rand.NewPCG(c.Seed, 0x2545f491)), started: -1, peersCatchingUp: map[string]bool{}, replyBytes: initialReplyBytes,
+		lastReceived: map[string]time.Duration{}, mismatches: map[string]int{}, sendBudget: float64(c.BytesPerSecond), bulkBudget: minBulkBudget}, nil
 }
 
 // Handle takes one event at the given time and appends the actions to out. Time must not run backwards.
 func (n *Node) Handle(now time.Duration, e Event, out []Action) []Action {
-	n.now, n.out = now, out
-	if n.began < 0 {
-		n.began, n.filled = now, now
-		n.caught = len(n.cfg.Members) == 1
+	n.now, n.actions = now, out
+	if n.started < 0 {
+		n.started, n.budgetsAt = now, now
+		n.caughtUp = len(n.cfg.Members) == 1
 	}
-	n.fill()
+	n.refillBudgets()
 	switch e := e.(type) {
 	case MessageReceived:
 		if slices.Contains(n.cfg.Members, e.From) && e.From != n.cfg.Self.Name {
-			n.living[e.From] = now
-			n.heard(e.From, e.Message)
+			n.lastReceived[e.From] = now
+			n.receive(e.From, e.Message)
 		}
 	case Tick:
 		n.tick()
 	}
-	out, n.out = n.out, nil
+	out, n.actions = n.actions, nil
 	return out
 }
 
-func (n *Node) do(a Action) { n.out = append(n.out, a) }
+func (n *Node) emit(a Action) { n.actions = append(n.actions, a) }
 
-// fill lets so much be sent again.
-func (n *Node) fill() {
-	took := (n.now - n.filled).Seconds()
-	n.filled = n.now
+// refillBudgets lets so much be sent again.
+func (n *Node) refillBudgets() {
+	took := (n.now - n.budgetsAt).Seconds()
+	n.budgetsAt = n.now
 	rate := float64(n.cfg.BytesPerSecond)
-	n.bucket = min(rate, n.bucket+took*rate)
+	n.sendBudget = min(rate, n.sendBudget+took*rate)
 	mine := rate / 4 / float64(len(n.cfg.Members))
-	n.own = min(max(4*mine, ownMost), n.own+took*mine)
+	n.bulkBudget = min(max(4*mine, minBulkBudget), n.bulkBudget+took*mine)
 }
 
 // Publish has the own life say something of a key, as Write does; what is a matter of safety is told others soon.
 func (n *Node) Publish(now time.Duration, k Kind, key string, value []byte, seen time.Duration) bool {
 	if k.stream() == Bulk {
 		cost := float64(48 + len(key) + len(value) + len(n.cfg.Self.Name))
-		if n.own < cost { // each copy of it costs another member as much
+		if n.bulkBudget < cost { // each copy of it costs another member as much
 			n.Stats.Throttled++
 			return false
 		}
 		if !n.Write(now, n.cfg.WallClock(), k, key, value, seen) {
 			return false
 		}
-		n.own -= cost
+		n.bulkBudget -= cost
 		return true
 	}
 	if !n.Write(now, n.cfg.WallClock(), k, key, value, seen) {
 		return false
 	}
-	n.soon(now)
+	n.announceSoon(now)
 	return true
 }
 
 // BulkBudgetSpent says that the own bulk has used up what it may cost the others for now.
-func (n *Node) BulkBudgetSpent() bool { return n.own < 256 }
+func (n *Node) BulkBudgetSpent() bool { return n.bulkBudget < 256 }
 
-func (n *Node) soon(now time.Duration) {
-	if n.hint == 0 {
-		n.hint = now + hintAfter
+func (n *Node) announceSoon(now time.Duration) {
+	if n.announceAt == 0 {
+		n.announceAt = now + announceDelay
 	}
 }
 
 // CatchingUp says that the node doesn't know yet what its neighbours know.
-func (n *Node) CatchingUp() bool { return !n.caught }
+func (n *Node) CatchingUp() bool { return !n.caughtUp }
 
 // LivePeers is how many other members were heard lately.
 func (n *Node) LivePeers(now time.Duration) (count int) {
-	for _, at := range n.living {
-		if now-at < 10*n.every() {
+	for _, at := range n.lastReceived {
+		if now-at < 10*n.pullInterval() {
 			count++
 		}
 	}
@@ -254,44 +254,44 @@
 }
 
 // Divergences are the latest that were found.
-func (n *Node) Divergences() []Divergence { return slices.Clone(n.differ) }
+func (n *Node) Divergences() []Divergence { return slices.Clone(n.divergences) }
 
-func (n *Node) every() time.Duration {
-	return n.cfg.PullInterval * time.Duration(max(1, len(n.lives)/100))
+func (n *Node) pullInterval() time.Duration {
+	return n.cfg.PullInterval * time.Duration(max(1, len(n.incarnations)/100))
 }
 
 func (n *Node) tick() {
 	n.Sweep(n.now)
-	if n.open != nil && n.now-n.open.at > pullFor {
+	if n.pull != nil && n.now-n.pull.at > pullTimeout {
 		n.Stats.PullTimeouts++
-		n.most = max(mostLeast, n.most/4)
-		n.open, n.hinted = nil, ""
-		n.next = n.now // another one, at once
+		n.replyBytes = max(minReplyBytes, n.replyBytes/4)
+		n.pull, n.announcer = nil, ""
+		n.nextPull = n.now // another one, at once
 	}
-	if !n.caught && n.now-n.began >= n.cfg.CatchUpTimeout {
-		n.catch("")
+	if !n.caughtUp && n.now-n.started >= n.cfg.CatchUpTimeout {
+		n.finishCatchUp("")
 	}
-	if n.hint > 0 && n.now >= n.hint {
-		n.hint = 0
-		n.tell()
+	if n.announceAt > 0 && n.now >= n.announceAt {
+		n.announceAt = 0
+		n.announce()
 	}
-	if n.open == nil && n.now >= n.next {
-		n.ask("")
+	if n.pull == nil && n.now >= n.nextPull {
+		n.pullFrom("")
 	}
 }
 
-func (n *Node) catch(from string) {
-	if !n.caught {
-		n.caught = true
-		n.do(CaughtUp{from, n.now - n.began})
+func (n *Node) finishCatchUp(from string) {
+	if !n.caughtUp {
+		n.caughtUp = true
+		n.emit(CaughtUp{from, n.now - n.started})
 	}
 }
 
-// tell tells a few others that there is something newer.
-func (n *Node) tell() {
+// announce tells a few others that there is something newer.
+func (n *Node) announce() {
 	m := Message{Kind: Announce}
 	for _, h := range n.VersionVector() {
-		if h.UpTo[Safety] > 0 && n.now-n.lives[h.Incarnation].active < 2*n.cfg.PullInterval {
+		if h.UpTo[Safety] > 0 && n.now-n.incarnations[h.Incarnation].lastActive < 2*n.cfg.PullInterval {
 			m.Versions = append(m.Versions, StreamVersions{Incarnation: h.Incarnation, UpTo: [streams]uint64{Safety: h.UpTo[Safety]}})
 		}
 	}
@@ -299,98 +299,98 @@
 		return
 	}
 	n.Stats.Announcements++
-	for range hintTo {
-		if to := n.pick(); to != "" {
+	for range announcePeers {
+		if to := n.pickPeer(); to != "" {
 			n.send(to, m)
 		}
 	}
 }
 
-// pick draws another member. One that starts asks those first that it has not asked yet.
-func (n *Node) pick() string {
+// pickPeer draws another member. One that starts asks those first that it has not asked yet.
+func (n *Node) pickPeer() string {
 	if len(n.cfg.Members) < 2 {
 		return ""
 	}
 	for range 8 {
 		to := n.cfg.Members[n.rng.IntN(len(n.cfg.Members))]
-		if to != n.cfg.Self.Name && (n.caught || !n.blanks[to]) {
+		if to != n.cfg.Self.Name && (n.caughtUp || !n.peersCatchingUp[to]) {
 			return to
 		}
 	}
 	for _, to := range n.cfg.Members {
-		if to != n.cfg.Self.Name && !n.blanks[to] {
+		if to != n.cfg.Self.Name && !n.peersCatchingUp[to] {
 			return to
 		}
 	}
 	return n.cfg.Members[(slices.Index(n.cfg.Members, n.cfg.Self.Name)+1)%len(n.cfg.Members)]
 }
 
-// ask asks somebody what is new; an empty name: whom the draw says.
-func (n *Node) ask(to string) {
-	every := n.every()
-	n.next = n.now + every*3/4 + time.Duration(n.rng.Int64N(int64(every/2)))
-	if to = cmp.Or(to, n.pick()); to == "" {
+// pullFrom asks somebody what is new; an empty name: whom the draw says.
+func (n *Node) pullFrom(to string) {
+	every := n.pullInterval()
+	n.nextPull = n.now + every*3/4 + time.Duration(n.rng.Int64N(int64(every/2)))
+	if to = cmp.Or(to, n.pickPeer()); to == "" {
 		return
 	}
-	n.serial++
-	n.open = &pull{n.serial, to, n.now}
+	n.lastPullID++
+	n.pull = &pendingPull{n.lastPullID, to, n.now}
 	n.Stats.Pulls++
-	n.send(to, Message{Kind: Pull, ID: n.serial, Versions: n.VersionVector(), MaxBytes: n.most, CatchingUp: !n.caught})
+	n.send(to, Message{Kind: Pull, ID: n.lastPullID, Versions: n.VersionVector(), MaxBytes: n.replyBytes, CatchingUp: !n.caughtUp})
 }
 
-func (n *Node) send(to string, m Message) { n.do(Send{to, m}) }
+func (n *Node) send(to string, m Message) { n.emit(Send{to, m}) }
 
-func (n *Node) heard(from string, m Message) {
+func (n *Node) receive(from string, m Message) {
 	switch m.Kind {
 	case Pull:
-		n.answer(from, m)
+		n.servePull(from, m)
 	case PullReply:
-		n.answered(from, m)
+		n.receivePullReply(from, m)
 	case Announce:
 		if !n.Lags(m.Versions) {
 			return
 		}
-		if n.open == nil {
-			n.ask(from)
+		if n.pull == nil {
+			n.pullFrom(from)
 		} else { // after what is under way, and before more of that
-			n.hinted, n.hints = from, m.Versions
+			n.announcer, n.announced = from, m.Versions
 		}
 	}
 }
 
-// answer sends what is newer, as much as may be sent now: safety first.
-func (n *Node) answer(from string, m Message) {
+// servePull sends what is newer, as much as may be sent now: safety first.
+func (n *Node) servePull(from string, m Message) {
 	// A part of what may be sent is for safety alone: it must not wait for the bulk.
-	most, bulk := min(max(m.MaxBytes, mostLeast), mostMost), int(n.bucket)-n.cfg.BytesPerSecond/reserved
-	if n.bucket < mostLeast {
+	most, bulk := min(max(m.MaxBytes, minReplyBytes), maxReplyBytes), int(n.sendBudget)-n.cfg.BytesPerSecond/safetyReserve
+	if n.sendBudget < minReplyBytes {
 		n.Stats.Throttled++
 		return // it asks another one
 	}
-	if bulk < mostLeast {
+	if bulk < minReplyBytes {
 		n.Stats.Throttled++
 	}
 	slots, reached, more := n.Delta(m.Versions, most, min(most, bulk), n.cfg.SlotBytes)
-	a := Message{Kind: PullReply, ID: m.ID, Versions: reached, More: more, CatchingUp: !n.caught}
-	bytes := overhead + 24*len(reached)
+	a := Message{Kind: PullReply, ID: m.ID, Versions: reached, More: more, CatchingUp: !n.caughtUp}
+	bytes := messageOverhead + 24*len(reached)
 	for _, s := range slots {
 		w := TransferredSlot{Slot: *s, MaxAge: n.now - s.SeenAfter, MinAge: max(0, n.now-s.SeenBefore)}
 		w.Slot.SeenAfter, w.Slot.SeenBefore = 0, 0
 		a.Slots = append(a.Slots, w)
 		bytes += n.cfg.SlotBytes(s)
 	}
-	if len(slots) == 0 && !n.Lags(m.Versions) && m.ID%checks == 0 {
-		a.Checksum = n.block()
+	if len(slots) == 0 && !n.Lags(m.Versions) && m.ID%pullsPerChecksum == 0 {
+		a.Checksum = n.drawChecksum()
 	}
-	n.bucket -= float64(bytes)
+	n.sendBudget -= float64(bytes)
 	n.Stats.PullReplies++
 	n.send(from, a)
-	if n.Lags(m.Versions) && n.open == nil && n.caught { // the other one has what is not here
-		n.next = min(n.next, n.now+n.cfg.PullInterval/8)
+	if n.Lags(m.Versions) && n.pull == nil && n.caughtUp { // the other one has what is not here
+		n.nextPull = min(n.nextPull, n.now+n.cfg.PullInterval/8)
 	}
 }
 
-// block draws a stretch of a stream to be compared; nil: there is none.
-func (n *Node) block() *RangeChecksum {
+// drawChecksum draws a stretch of a stream to be compared; nil: there is none.
+func (n *Node) drawChecksum() *RangeChecksum {
 	all := slices.DeleteFunc(n.VersionVector(), func(h StreamVersions) bool { return h.UpTo == [streams]uint64{} })
 	if len(all) == 0 {
 		return nil
@@ -399,25 +399,25 @@
 	if l.UpTo[st] == 0 {
 		st = streams - 1 - st
 	}
-	if b, ok := n.Replica.Checksum(n.now, l.Incarnation, st, 1+blockMost*n.rng.Uint64N(1+l.UpTo[st]/blockMost)); ok {
+	if b, ok := n.Replica.Checksum(n.now, l.Incarnation, st, 1+checksumSlots*n.rng.Uint64N(1+l.UpTo[st]/checksumSlots)); ok {
 		return &b
 	}
 	return nil
 }
 
-// answered takes in what another has.
-func (n *Node) answered(from string, m Message) {
-	if n.open == nil || n.open.id != m.ID || n.open.to != from {
+// receivePullReply takes in what another has.
+func (n *Node) receivePullReply(from string, m Message) {
+	if n.pull == nil || n.pull.id != m.ID || n.pull.to != from {
 		n.Stats.Stale++
 		return
 	}
-	asked := n.open.at
-	n.open = nil
+	asked := n.pull.at
+	n.pull = nil
 	switch took := n.now - asked; {
-	case took < quick:
-		n.most = min(mostMost, 2*n.most)
-	case took > 2*quick:
-		n.most = max(mostLeast, n.most/2)
+	case took < fastReply:
+		n.replyBytes = min(maxReplyBytes, 2*n.replyBytes)
+	case took > 2*fastReply:
+		n.replyBytes = max(minReplyBytes, n.replyBytes/2)
 	}
 	var news []Slot
 	for _, w := range m.Slots {
@@ -438,54 +438,54 @@
 		}
 	}
 	if len(news) > 0 {
-		n.do(SafetySlotsLearned{news})
-		n.soon(n.now)
+		n.emit(SafetySlotsLearned{news})
+		n.announceSoon(n.now)
 	}
-	n.check(from, m)
-	hinted := n.hinted
-	if n.hinted = ""; hinted != "" && !n.Lags(n.hints) {
+	n.compareChecksum(from, m)
+	hinted := n.announcer
+	if n.announcer = ""; hinted != "" && !n.Lags(n.announced) {
 		hinted = ""
 	}
 	switch {
 	case hinted != "":
-		n.ask(hinted)
+		n.pullFrom(hinted)
 	case m.More && len(m.Slots) == 0: // it may not send more now
-		n.next = min(n.next, n.now+n.cfg.PullInterval/4)
+		n.nextPull = min(n.nextPull, n.now+n.cfg.PullInterval/4)
 	case m.More:
-		n.ask(from)
-	case n.caught:
+		n.pullFrom(from)
+	case n.caughtUp:
 	case !m.CatchingUp:
-		n.catch(from)
+		n.finishCatchUp(from)
 	default: // it knows no more than this one; another may
-		n.blanks[from] = true
-		if len(n.blanks) >= len(n.cfg.Members)-1 {
-			n.catch(from)
+		n.peersCatchingUp[from] = true
+		if len(n.peersCatchingUp) >= len(n.cfg.Members)-1 {
+			n.finishCatchUp(from)
 		} else {
-			n.ask("")
+			n.pullFrom("")
 		}
 	}
 }
 
-// check holds a stretch of two copies against each other. What differs once may be of what ran out meanwhile; three times with the same
+// compareChecksum holds a stretch of two copies against each other. What differs once may be of what ran out meanwhile; three times with the same
 // member it is noted, and that life's streams are asked for anew.
-func (n *Node) check(from string, m Message) {
+func (n *Node) compareChecksum(from string, m Message) {
 	if m.Checksum == nil || len(m.Slots) > 0 {
 		return
 	}
 	n.Stats.Checked++
 	if n.Matches(n.now, *m.Checksum) {
-		n.doubts[from] = max(0, n.doubts[from]-1)
+		n.mismatches[from] = max(0, n.mismatches[from]-1)
 		return
 	}
-	if n.doubts[from]++; n.doubts[from] < 3 {
+	if n.mismatches[from]++; n.mismatches[from] < 3 {
 		return
 	}
-	n.doubts[from] = 0
+	n.mismatches[from] = 0
 	n.Stats.Divergences++
-	if len(n.differ) >= repairs {
-		n.differ = n.differ[1:]
+	if len(n.divergences) >= maxDivergences {
+		n.divergences = n.divergences[1:]
 	}
-	n.differ = append(n.differ, Divergence{Peer: from, Writer: m.Checksum.Incarnation, From: m.Checksum.From, To: m.Checksum.To, Cause: "the same numbers, other slots: they are asked for anew, or said anew by who wrote them", At: n.now})
+	n.divergences = append(n.divergences, Divergence{Peer: from, Writer: m.Checksum.Incarnation, From: m.Checksum.From, To: m.Checksum.To, Cause: "the same numbers, other slots: they are asked for anew, or said anew by who wrote them", At: n.now})
 	if m.Checksum.Incarnation == n.cfg.Self {
 		n.Rewrite(n.now, *m.Checksum)
 	} else {
--- a/replication/reading.go
+++ b/replication/reading.go
@@ -48,15 +48,15 @@
 	return b
 }
 
-// decode reads a value; one that can't be read says nothing.
-func decode[T any](s *Slot) (v T, ok bool) { return v, json.Unmarshal(s.Value, &v) == nil }
+// decodeValue reads a value; one that can't be read says nothing.
+func decodeValue[T any](s *Slot) (v T, ok bool) { return v, json.Unmarshal(s.Value, &v) == nil }
 
 // Purges gives each name with its newest purge. A purge counts as young as it can be: what was fetched meanwhile is fetched again.
 func (c *Replica) Purges(now time.Duration) map[string]time.Duration {
 	all := map[string]time.Duration{}
 	for key, l := range c.byKey[Purge] {
 		for _, s := range l {
-			if now-s.SeenBefore <= c.lifeOf(Purge) {
+			if now-s.SeenBefore <= c.maxAge(Purge) {
 				all[key] = max(all[key], s.SeenBefore)
 			}
 		}
@@ -82,7 +82,7 @@
 				best = s
 			}
 		}
-		if p, ok := decode[ListingValue](best); ok && p.Server != "" && now-best.SeenAfter <= c.lifeOf(Listing) {
+		if p, ok := decodeValue[ListingValue](best); ok && p.Server != "" && now-best.SeenAfter <= c.maxAge(Listing) {
 			all = append(all, ListingEntry{key, best.SeenAfter, best.Writer, p})
 		}
 	}
@@ -97,7 +97,7 @@
 
 // newer orders two slots of one key.
 func newer(a, b *Slot) bool {
-	if d := a.SeenBefore - b.SeenBefore; d > near || d < -near {
+	if d := a.SeenBefore - b.SeenBefore; d > ageTolerance || d < -ageTolerance {
 		return d > 0
 	}
 	return cmp.Or(cmp.Compare(a.Timestamp, b.Timestamp), a.Writer.compare(b.Writer)) > 0
@@ -112,8 +112,8 @@
 }
 
 const (
-	leastVoices = 2 // gateways, the reader apart, that have to say the same,
-	voicesShare = 3 // and one in so many of those that live
+	minReporters  = 2 // gateways, the reader apart, that have to say the same,
+	reporterShare = 3 // and one in so many of those that live
 )
 
 // FaultReports gives the stores that several gateways hold for ill: the middle one of what they say. A single gateway's word is
@@ -122,7 +122,7 @@
 	for key, l := range c.byKey[Health] {
 		latest := map[string]*Slot{} // by name: of several lives the latest
 		for _, s := range l {
-			if now-s.SeenAfter > c.lifeOf(Health) {
+			if now-s.SeenAfter > c.maxAge(Health) {
 				continue
 			}
 			if old := latest[s.Writer.Name]; old == nil || newer(s, old) {
@@ -132,7 +132,7 @@
 		boot := int64(0)
 		said := map[string]HealthValue{}
 		for name, s := range latest {
-			if e, ok := decode[HealthValue](s); ok && e.sane() {
+			if e, ok := decodeValue[HealthValue](s); ok && e.valid() {
 				said[name] = e
 				boot = max(boot, e.BootMs)
 			}
@@ -150,10 +150,10 @@
 			}
 		}
 		_, own := said[c.self.Name]
-		if len(voices) == 0 || !own && (others < leastVoices || others*voicesShare < living) {
+		if len(voices) == 0 || !own && (others < minReporters || others*reporterShare < living) {
 			continue
 		}
-		if own && (others < leastVoices || others*voicesShare < living) { // the former life's word alone
+		if own && (others < minReporters || others*reporterShare < living) { // the former life's word alone
 			e := said[c.self.Name]
 			if !e.Faulty() || e.BootMs != boot {
 				continue
@@ -170,8 +170,8 @@
 	return all
 }
 
-// sane says that evidence can be what it says it is.
-func (e HealthValue) sane() bool {
+// valid says that evidence can be what it says it is.
+func (e HealthValue) valid() bool {
 	return e.ErrorRate >= 0 && e.ErrorRate <= 1 && e.LateShare >= 0 && e.LateShare <= 1 && e.EjectedMs >= 0 && e.EjectedMs <= time.Minute.Milliseconds() && e.ConcurrencyLimit >= 0 && e.ConcurrencyLimit < 1e9
 }
 
@@ -180,7 +180,7 @@
 	all := map[string]int64{}
 	for key, l := range c.byKey[Drain] {
 		for _, s := range l {
-			if n, ok := decode[DrainValue](s); ok && !n.Up && s.Writer != c.self && now-s.SeenBefore <= within {
+			if n, ok := decodeValue[DrainValue](s); ok && !n.Up && s.Writer != c.self && now-s.SeenBefore <= within {
 				all[key] = max(all[key], n.BootMs)
 			}
 		}
@@ -191,7 +191,7 @@
 // WorkSent is what all gateways together have sent a store since a start, in the unit that writers count in: each one's own count, summed.
 func (c *Replica) WorkSent(key string) (sum float64) {
 	for _, s := range c.byKey[SlowStart][key] {
-		if n, ok := decode[float64](s); ok && n > 0 && n < 1e12 {
+		if n, ok := decodeValue[float64](s); ok && n > 0 && n < 1e12 {
 			sum += n
 		}
 	}
@@ -231,7 +231,7 @@
 }
 
 // HasWritten says whether the own life has said something of a key that still counts.
-func (c *Replica) HasWritten(k Kind, key string) bool { return c.slots[id{k, key, c.self}] != nil }
+func (c *Replica) HasWritten(k Kind, key string) bool { return c.slots[slotID{k, key, c.self}] != nil }
 
 // Locate is where a key was found last, and when; false: nobody says.
 func (c *Replica) Locate(now time.Duration, key string) (server string, at time.Duration, ok bool) {
@@ -245,6 +245,6 @@
 			best = s
 		}
 	}
-	p, ok := decode[ListingValue](best)
+	p, ok := decodeValue[ListingValue](best)
 	return p.Server, best.SeenAfter, ok
 }
--- a/replication/replication.go
+++ b/replication/replication.go
@@ -83,9 +83,9 @@
 // rule is what holds for a kind: how long a slot lasts, and how many are kept. Beyond, the oldest goes; of those of one
 // writer that holds over a quarter, its own.
 type rule struct {
-	name string
-	life time.Duration
-	most int
+	name     string
+	maxAge   time.Duration
+	maxSlots int
 }
 
 var rules = map[Kind]rule{
@@ -97,24 +97,24 @@
 	Listing:   {"listing", 2 * time.Minute, 65536},
 }
 
-// unknown holds for kinds of later versions.
-var unknown = rule{"", 3 * time.Minute, 1024}
+// unknownKindRule holds for kinds of later versions.
+var unknownKindRule = rule{"", 3 * time.Minute, 1024}
 
 func ruleOf(k Kind) rule {
 	if r, ok := rules[k]; ok {
 		return r
 	}
-	return unknown
+	return unknownKindRule
 }
 
 const (
-	mostKey   = 128 // bytes
-	mostValue = 512
-	sweepMost = 1000 // slots that are looked at in one go
-	blockMost = 64   // that two copies compare at once
-	mostLives = 4096 // lives whose streams are followed
-	share     = 4    // a writer holds at most one in so many of a kind
-	near      = 2 * time.Second
+	maxKeyBytes     = 128 // bytes
+	maxValueBytes   = 512
+	maxSweepSlots   = 1000 // slots that are looked at in one go
+	checksumSlots   = 64   // that two copies compare at once
+	maxIncarnations = 4096 // lives whose streams are followed
+	writerShare     = 4    // a writer holds at most one in so many of a kind
+	ageTolerance    = 2 * time.Second
 )
 
 // Incarnation names a start of a gateway.
@@ -138,39 +138,39 @@
 
 	// Early and Late are between which moments the evidence was seen, by the holder's clock.
 	SeenAfter, SeenBefore time.Duration
-	gone                  bool // it stays in its log until that is gone through
+	removed               bool // it stays in its log until that is gone through
 }
 
-// id tells slots apart.
-type id struct {
+// slotID tells slots apart.
+type slotID struct {
 	kind   Kind
 	key    string
 	writer Incarnation
 }
 
-func (s *Slot) id() id { return id{s.Kind, s.Key, s.Writer} }
+func (s *Slot) id() slotID { return slotID{s.Kind, s.Key, s.Writer} }
 
-// track is one stream of a life: the slots in the order of their numbers, and up to which number all of them are known.
-type track struct {
-	upTo uint64
-	log  []*Slot
-	dead int
+// streamLog is one stream of a life: the slots in the order of their numbers, and up to which number all of them are known.
+type streamLog struct {
+	upTo    uint64
+	slots   []*Slot
+	removed int
 }
 
-func (t *track) live() int { return len(t.log) - t.dead }
+func (t *streamLog) live() int { return len(t.slots) - t.removed }
 
-// clean goes through the log once half of it is gone.
-func (t *track) clean() {
-	if t.dead*2 > len(t.log)+8 {
-		t.log = slices.DeleteFunc(t.log, func(s *Slot) bool { return s.gone })
-		t.dead = 0
+// compact goes through the log once half of it is gone.
+func (t *streamLog) compact() {
+	if t.removed*2 > len(t.slots)+8 {
+		t.slots = slices.DeleteFunc(t.slots, func(s *Slot) bool { return s.removed })
+		t.removed = 0
 	}
 }
 
-// followed is a life with its streams.
-type followed struct {
-	tracks [streams]track
-	active time.Duration // it was last heard of anything new
+// incarnationState is a life with its streams.
+type incarnationState struct {
+	logs       [streams]streamLog
+	lastActive time.Duration // it was last heard of anything new
 }
 
 // Counters count what befell a copy.
@@ -183,65 +183,65 @@
 type Replica struct {
 	Counters Counters
 
-	self  Incarnation
-	settl time.Duration // of purges
-	lives map[Incarnation]*followed
-	slots map[id]*Slot
-	byKey map[Kind]map[string][]*Slot
-	count map[Kind]int
-	of    map[Kind]map[string]int // slots by name of writer
-	stamp uint64
+	self            Incarnation
+	purgeSettleTime time.Duration // of purges
+	incarnations    map[Incarnation]*incarnationState
+	slots           map[slotID]*Slot
+	byKey           map[Kind]map[string][]*Slot
+	count           map[Kind]int
+	countByWriter   map[Kind]map[string]int // slots by name of writer
+	timestamp       uint64
 
-	sweeping []Incarnation // that are still to be swept in this pass, the first from sweptAt
-	sweptAt  int
+	sweeping    []Incarnation // that are still to be swept in this pass, the first from sweptAt
+	sweepOffset int
 }
 
 // NewReplica returns an empty copy for a life. Purges last for settles: no older copy can be left anywhere after that.
 func NewReplica(self Incarnation, settles time.Duration) *Replica {
-	c := &Replica{self: self, settl: settles, lives: map[Incarnation]*followed{}, slots: map[id]*Slot{}, byKey: map[Kind]map[string][]*Slot{}, count: map[Kind]int{},
-		of: map[Kind]map[string]int{}}
-	c.lives[self] = &followed{}
+	c := &Replica{self: self, purgeSettleTime: settles, incarnations: map[Incarnation]*incarnationState{}, slots: map[slotID]*Slot{}, byKey: map[Kind]map[string][]*Slot{}, count: map[Kind]int{},
+		countByWriter: map[Kind]map[string]int{}}
+	c.incarnations[self] = &incarnationState{}
 	return c
 }
 
-func (c *Replica) lifeOf(k Kind) time.Duration {
-	if k == Purge && c.settl > 0 {
-		return min(c.settl, rules[Purge].life)
+func (c *Replica) maxAge(k Kind) time.Duration {
+	if k == Purge && c.purgeSettleTime > 0 {
+		return min(c.purgeSettleTime, rules[Purge].maxAge)
 	}
-	return ruleOf(k).life
+	return ruleOf(k).maxAge
 }
 
 // Write has the own life say something of a key. Seen is when its evidence was seen. It says whether that is news: the same
 // value again is, once half of its life is over.
 func (c *Replica) Write(now, wall time.Duration, k Kind, key string, value []byte, seen time.Duration) bool {
-	if len(key) > mostKey || len(value) > mostValue || key == "" || now-seen > c.lifeOf(k) {
+	if len(key) > maxKeyBytes || len(value) > maxValueBytes || key == "" || now-seen > c.maxAge(k) {
 		c.Counters.Rejected++
 		return false
 	}
-	if old := c.slots[id{k, key, c.self}]; old != nil && string(old.Value) == string(value) && (seen <= old.SeenBefore || k != Purge && seen-old.SeenBefore < c.lifeOf(k)/2) {
+	if old := c.slots[slotID{k, key, c.self}]; old != nil && string(old.Value) == string(value) && (seen <= old.SeenBefore || k != Purge && seen-old.SeenBefore < c.maxAge(k)/2) {
 		return false // a later purge of the same name is another one
 	}
-	c.stamp = max(c.stamp+1, uint64(max(0, wall.Milliseconds()))<<16)
-	f := c.lives[c.self]
-	t := &f.tracks[k.stream()]
+	c.timestamp = max(c.timestamp+1, uint64(max(0, wall.Milliseconds()))<<16)
+	f := c.incarnations[c.self]
+	t := &f.logs[k.stream()]
 	t.upTo++
 	c.Counters.Written++
-	c.put(now, &Slot{Writer: c.self, Seq: t.upTo, Kind: k, Key: key, Value: value, Timestamp: c.stamp, SeenAfter: seen, SeenBefore: seen})
+	c.insert(now, &Slot{Writer: c.self, Seq: t.upTo, Kind: k, Key: key, Value: value, Timestamp: c.timestamp, SeenAfter: seen, SeenBefore: seen})
 	return true
 }
 
 // Merge takes in a slot from another copy, with the span of its evidence by the own clock. True: it is news.
 func (c *Replica) Merge(now, wall time.Duration, s Slot) bool {
 	switch {
-	case s.Writer == c.self, s.Writer.Name == "" || len(s.Writer.Name) > 64, s.Key == "" || len(s.Key) > mostKey, len(s.Value) > mostValue, s.SeenBefore < s.SeenAfter,
+	case s.Writer == c.self, s.Writer.Name == "" || len(s.Writer.Name) > 64, s.Key == "" || len(s.Key) > maxKeyBytes, len(s.Value) > maxValueBytes, s.SeenBefore < s.SeenAfter,
 		s.SeenBefore > now, s.Seq == 0:
 		c.Counters.Rejected++
 		return false
-	case now-s.SeenBefore > c.lifeOf(s.Kind):
+	case now-s.SeenBefore > c.maxAge(s.Kind):
 		c.Counters.Outdated++
 		return false
 	}
-	if c.lives[s.Writer] == nil && len(c.lives) >= mostLives {
+	if c.incarnations[s.Writer] == nil && len(c.incarnations) >= maxIncarnations {
 		c.Counters.Rejected++
 		return false
 	}
@@ -250,70 +250,70 @@
 		c.Counters.Duplicates++
 		return false
 	}
-	if s.Kind != Tombstone && c.buried(&s) {
+	if s.Kind != Tombstone && c.tombstoned(&s) {
 		c.Counters.Tombstoned++
 		return false
 	}
 	// Guards against a clock far ahead: it does not take this one along. What it stamps is ordered by age all the same.
-	if ahead := uint64(max(0, (wall+near).Milliseconds())) << 16; s.Timestamp <= ahead {
-		c.stamp = max(c.stamp, s.Timestamp)
+	if ahead := uint64(max(0, (wall+ageTolerance).Milliseconds())) << 16; s.Timestamp <= ahead {
+		c.timestamp = max(c.timestamp, s.Timestamp)
 	}
 	c.Counters.Merged++
-	s.gone = false
-	c.put(now, &s)
+	s.removed = false
+	c.insert(now, &s)
 	return true
 }
 
-// put puts a slot in the place of the one that was there.
-func (c *Replica) put(now time.Duration, s *Slot) {
+// insert puts a slot in the place of the one that was there.
+func (c *Replica) insert(now time.Duration, s *Slot) {
 	if old := c.slots[s.id()]; old != nil {
 		c.remove(old)
 	}
-	f := c.lives[s.Writer]
+	f := c.incarnations[s.Writer]
 	if f == nil {
-		f = &followed{}
-		c.lives[s.Writer] = f
+		f = &incarnationState{}
+		c.incarnations[s.Writer] = f
 	}
-	f.active = now
-	t := &f.tracks[s.Kind.stream()]
-	at, _ := slices.BinarySearchFunc(t.log, s.Seq, func(x *Slot, seq uint64) int { return cmp.Compare(x.Seq, seq) })
-	t.log = slices.Insert(t.log, at, s) // mostly at the end
+	f.lastActive = now
+	t := &f.logs[s.Kind.stream()]
+	at, _ := slices.BinarySearchFunc(t.slots, s.Seq, func(x *Slot, seq uint64) int { return cmp.Compare(x.Seq, seq) })
+	t.slots = slices.Insert(t.slots, at, s) // mostly at the end
 	c.slots[s.id()] = s
 	if c.byKey[s.Kind] == nil {
-		c.byKey[s.Kind], c.of[s.Kind] = map[string][]*Slot{}, map[string]int{}
+		c.byKey[s.Kind], c.countByWriter[s.Kind] = map[string][]*Slot{}, map[string]int{}
 	}
 	c.byKey[s.Kind][s.Key] = append(c.byKey[s.Kind][s.Key], s)
 	c.count[s.Kind]++
-	c.of[s.Kind][s.Writer.Name]++
+	c.countByWriter[s.Kind][s.Writer.Name]++
 	if s.Kind == Tombstone {
-		c.bury(s)
+		c.applyTombstone(s)
 	}
-	most := ruleOf(s.Kind).most
+	most := ruleOf(s.Kind).maxSlots
 	switch {
-	case c.of[s.Kind][s.Writer.Name] > max(1, most/share): // guards against one that fills the others' room
-		c.crowd(s.Kind, s.Writer.Name)
+	case c.countByWriter[s.Kind][s.Writer.Name] > max(1, most/writerShare): // guards against one that fills the others' room
+		c.evict(s.Kind, s.Writer.Name)
 	case c.count[s.Kind] > most:
-		c.crowd(s.Kind, "")
+		c.evict(s.Kind, "")
 	}
 }
 
-// crowd drops a sixteenth of a writer's slots of a kind, those that it said first; an empty name: of the writer that has the most.
+// evict drops a sixteenth of a writer's slots of a kind, those that it said first; an empty name: of the writer that has the most.
 // Guards against sorting all there is at every message once a bound is reached.
-func (c *Replica) crowd(k Kind, writer string) {
+func (c *Replica) evict(k Kind, writer string) {
 	if writer == "" {
-		for name, n := range c.of[k] {
-			if n > c.of[k][writer] || n == c.of[k][writer] && name < writer {
+		for name, n := range c.countByWriter[k] {
+			if n > c.countByWriter[k][writer] || n == c.countByWriter[k][writer] && name < writer {
 				writer = name
 			}
 		}
 	}
-	drop := max(1, c.of[k][writer]/16)
-	for _, l := range slices.SortedFunc(maps.Keys(c.lives), Incarnation.compare) {
+	drop := max(1, c.countByWriter[k][writer]/16)
+	for _, l := range slices.SortedFunc(maps.Keys(c.incarnations), Incarnation.compare) {
 		if l.Name != writer {
 			continue
 		}
-		for _, s := range slices.Clone(c.lives[l].tracks[k.stream()].log) {
-			if drop > 0 && s.Kind == k && !s.gone {
+		for _, s := range slices.Clone(c.incarnations[l].logs[k.stream()].slots) {
+			if drop > 0 && s.Kind == k && !s.removed {
 				drop--
 				c.Counters.Evicted++
 				c.remove(s)
@@ -323,10 +323,10 @@
 }
 
 func (c *Replica) remove(s *Slot) {
-	if s.gone {
+	if s.removed {
 		return
 	}
-	s.gone = true
+	s.removed = true
 	delete(c.slots, s.id())
 	l := c.byKey[s.Kind][s.Key]
 	if l = slices.DeleteFunc(l, func(x *Slot) bool { return x == s }); len(l) == 0 {
@@ -335,21 +335,21 @@
 		c.byKey[s.Kind][s.Key] = l
 	}
 	c.count[s.Kind]--
-	if c.of[s.Kind][s.Writer.Name]--; c.of[s.Kind][s.Writer.Name] <= 0 {
-		delete(c.of[s.Kind], s.Writer.Name)
+	if c.countByWriter[s.Kind][s.Writer.Name]--; c.countByWriter[s.Kind][s.Writer.Name] <= 0 {
+		delete(c.countByWriter[s.Kind], s.Writer.Name)
 	}
-	if f := c.lives[s.Writer]; f != nil {
-		t := &f.tracks[s.Kind.stream()]
-		t.dead++
-		t.clean()
+	if f := c.incarnations[s.Writer]; f != nil {
+		t := &f.logs[s.Kind.stream()]
+		t.removed++
+		t.compact()
 	}
 }
 
 // TombstoneKey is the key of a Forget for a key of a kind.
 func TombstoneKey(k Kind, key string) string { return fmt.Sprintf("%d %s", uint32(k), key) }
 
-// buried says that somebody had a slot's key forgotten after its evidence was seen.
-func (c *Replica) buried(s *Slot) bool {
+// tombstoned says that somebody had a slot's key forgotten after its evidence was seen.
+func (c *Replica) tombstoned(s *Slot) bool {
 	for _, t := range c.byKey[Tombstone][TombstoneKey(s.Kind, s.Key)] {
 		if s.SeenBefore <= t.SeenBefore {
 			return true
@@ -358,8 +358,8 @@
 	return false
 }
 
-// bury drops what a tombstone covers.
-func (c *Replica) bury(t *Slot) {
+// applyTombstone drops what a tombstone covers.
+func (c *Replica) applyTombstone(t *Slot) {
 	var k uint32
 	if n, err := fmt.Sscanf(t.Key, "%d ", &k); n != 1 || err != nil || Kind(k) == Tombstone {
 		return
@@ -377,35 +377,35 @@
 // next time: whoever reads looks at ages anyway.
 func (c *Replica) Sweep(now time.Duration) {
 	if len(c.sweeping) == 0 {
-		for l, f := range c.lives {
+		for l, f := range c.incarnations {
 			c.sweeping = append(c.sweeping, l)
 			// Twice the longest life of a slot: what comes of such a life later than that has outlived itself anyway.
-			if l != c.self && now-f.active > 2*unknown.life && f.tracks[Safety].live()+f.tracks[Bulk].live() == 0 {
-				delete(c.lives, l)
+			if l != c.self && now-f.lastActive > 2*unknownKindRule.maxAge && f.logs[Safety].live()+f.logs[Bulk].live() == 0 {
+				delete(c.incarnations, l)
 			}
 		}
 		slices.SortFunc(c.sweeping, Incarnation.compare)
 	}
-	for left := sweepMost; left > 0 && len(c.sweeping) > 0; {
-		f := c.lives[c.sweeping[0]]
-		if f == nil || c.sweptAt >= len(f.tracks[Safety].log)+len(f.tracks[Bulk].log) {
-			c.sweeping, c.sweptAt = c.sweeping[1:], 0
+	for left := maxSweepSlots; left > 0 && len(c.sweeping) > 0; {
+		f := c.incarnations[c.sweeping[0]]
+		if f == nil || c.sweepOffset >= len(f.logs[Safety].slots)+len(f.logs[Bulk].slots) {
+			c.sweeping, c.sweepOffset = c.sweeping[1:], 0
 			left-- // for the life
 			continue
 		}
-		i, t := c.sweptAt, &f.tracks[Safety]
-		if i >= len(t.log) {
-			i, t = i-len(t.log), &f.tracks[Bulk]
+		i, t := c.sweepOffset, &f.logs[Safety]
+		if i >= len(t.slots) {
+			i, t = i-len(t.slots), &f.logs[Bulk]
 		}
-		s := t.log[i]
-		c.sweptAt++
+		s := t.slots[i]
+		c.sweepOffset++
 		left--
-		if !s.gone && now-s.SeenBefore > c.lifeOf(s.Kind) {
+		if !s.removed && now-s.SeenBefore > c.maxAge(s.Kind) {
 			c.Counters.Expired++
-			before := len(t.log)
+			before := len(t.slots)
 			c.remove(s)
-			if len(t.log) < before { // it was gone through: from its beginning
-				c.sweptAt = 0
+			if len(t.slots) < before { // it was gone through: from its beginning
+				c.sweepOffset = 0
 			}
 		}
 	}
@@ -419,8 +419,8 @@
 
 // VersionVector are those of all lives, in order.
 func (c *Replica) VersionVector() (all []StreamVersions) {
-	for l, f := range c.lives {
-		all = append(all, StreamVersions{l, [streams]uint64{f.tracks[Safety].upTo, f.tracks[Bulk].upTo}})
+	for l, f := range c.incarnations {
+		all = append(all, StreamVersions{l, [streams]uint64{f.logs[Safety].upTo, f.logs[Bulk].upTo}})
 	}
 	slices.SortFunc(all, func(a, b StreamVersions) int { return a.Incarnation.compare(b.Incarnation) })
 	return all
@@ -429,9 +429,9 @@
 // Lags says whether anything in there is newer than what is here.
 func (c *Replica) Lags(theirs []StreamVersions) bool {
 	for _, h := range theirs {
-		f := c.lives[h.Incarnation]
+		f := c.incarnations[h.Incarnation]
 		for st := range streams {
-			if h.UpTo[st] > 0 && (f == nil || f.tracks[st].upTo < h.UpTo[st]) {
+			if h.UpTo[st] > 0 && (f == nil || f.logs[st].upTo < h.UpTo[st]) {
 				return true
 			}
 		}
@@ -444,16 +444,16 @@
 	if l == c.self || st < 0 || st >= streams || l.Name == "" || len(l.Name) > 64 {
 		return
 	}
-	f := c.lives[l]
+	f := c.incarnations[l]
 	if f == nil {
-		if len(c.lives) >= mostLives {
+		if len(c.incarnations) >= maxIncarnations {
 			return
 		}
-		f = &followed{active: now}
-		c.lives[l] = f
+		f = &incarnationState{lastActive: now}
+		c.incarnations[l] = f
 	}
-	if t := &f.tracks[st]; upTo > t.upTo {
-		t.upTo, f.active = upTo, now
+	if t := &f.logs[st]; upTo > t.upTo {
+		t.upTo, f.lastActive = upTo, now
 	}
 }
 
@@ -464,28 +464,28 @@
 	for _, h := range theirs {
 		has[h.Incarnation] = h.UpTo
 	}
-	lives := slices.SortedFunc(maps.Keys(c.lives), Incarnation.compare)
+	lives := slices.SortedFunc(maps.Keys(c.incarnations), Incarnation.compare)
 	bytes := 0
 	upTo := map[Incarnation]*[streams]uint64{}
 	for st := range streams {
 		for _, l := range lives {
-			t := &c.lives[l].tracks[st]
+			t := &c.incarnations[l].logs[st]
 			from := has[l][st]
 			if t.upTo <= from {
 				continue
 			}
 			if more {
-				return slots, order(upTo), true
+				return slots, sortedVersions(upTo), true
 			}
 			u := upTo[l]
 			if u == nil {
 				u = &[streams]uint64{}
 				upTo[l] = u
 			}
-			at, _ := slices.BinarySearchFunc(t.log, from+1, func(x *Slot, seq uint64) int { return cmp.Compare(x.Seq, seq) })
+			at, _ := slices.BinarySearchFunc(t.slots, from+1, func(x *Slot, seq uint64) int { return cmp.Compare(x.Seq, seq) })
 			u[st] = t.upTo
-			for _, s := range t.log[at:] {
-				if s.gone {
+			for _, s := range t.slots[at:] {
+				if s.removed {
 					continue
 				}
 				n := size(s)
@@ -498,10 +498,10 @@
 			}
 		}
 	}
-	return slots, order(upTo), more
+	return slots, sortedVersions(upTo), more
 }
 
-func order(m map[Incarnation]*[streams]uint64) (all []StreamVersions) {
+func sortedVersions(m map[Incarnation]*[streams]uint64) (all []StreamVersions) {
 	for l, u := range m {
 		all = append(all, StreamVersions{l, *u})
 	}
@@ -511,11 +511,11 @@
 
 // Rewrite says what the own life has said in a stretch once more, under new numbers: the writer has the last word on its own.
 func (c *Replica) Rewrite(now time.Duration, b RangeChecksum) {
-	t := &c.lives[c.self].tracks[b.Stream]
-	at, _ := slices.BinarySearchFunc(t.log, b.From, func(x *Slot, seq uint64) int { return cmp.Compare(x.Seq, seq) })
+	t := &c.incarnations[c.self].logs[b.Stream]
+	at, _ := slices.BinarySearchFunc(t.slots, b.From, func(x *Slot, seq uint64) int { return cmp.Compare(x.Seq, seq) })
 	var all []Slot
-	for _, s := range t.log[at:] {
-		if s.Seq <= b.To && len(all) <= blockMost && !s.gone {
+	for _, s := range t.slots[at:] {
+		if s.Seq <= b.To && len(all) <= checksumSlots && !s.removed {
 			all = append(all, *s)
 		}
 	}
@@ -523,7 +523,7 @@
 		t.upTo++
 		s.Seq = t.upTo
 		c.Counters.Written++
-		c.put(now, &s)
+		c.insert(now, &s)
 	}
 }
 
@@ -545,26 +545,26 @@
 // clocks differ. False: there is none.
 func (c *Replica) Checksum(now time.Duration, l Incarnation, st Stream, from uint64) (RangeChecksum, bool) {
 	b := RangeChecksum{Incarnation: l, Stream: st, From: from}
-	f := c.lives[l]
+	f := c.incarnations[l]
 	if f == nil {
 		return b, false
 	}
-	t := &f.tracks[st]
-	at, _ := slices.BinarySearchFunc(t.log, from, func(x *Slot, seq uint64) int { return cmp.Compare(x.Seq, seq) })
+	t := &f.logs[st]
+	at, _ := slices.BinarySearchFunc(t.slots, from, func(x *Slot, seq uint64) int { return cmp.Compare(x.Seq, seq) })
 	n := 0
-	for _, s := range t.log[at:] {
-		if n++; n > blockMost {
+	for _, s := range t.slots[at:] {
+		if n++; n > checksumSlots {
 			break
 		}
 		b.To = s.Seq
-		b.Sum += c.part(now, s)
+		b.Sum += c.slotChecksum(now, s)
 	}
 	return b, n > 0
 }
 
-// part is what a slot adds to a sum.
-func (c *Replica) part(now time.Duration, s *Slot) uint64 {
-	if s.gone || now-s.SeenBefore > c.lifeOf(s.Kind)-near {
+// slotChecksum is what a slot adds to a sum.
+func (c *Replica) slotChecksum(now time.Duration, s *Slot) uint64 {
+	if s.removed || now-s.SeenBefore > c.maxAge(s.Kind)-ageTolerance {
 		return 0
 	}
 	return s.hash()
@@ -572,28 +572,28 @@
 
 // Matches says whether a stretch is the same here. It is, too, where this copy is not as far.
 func (c *Replica) Matches(now time.Duration, b RangeChecksum) bool {
-	f := c.lives[b.Incarnation]
-	if b.Stream < 0 || b.Stream >= streams || f == nil || f.tracks[b.Stream].upTo < b.To {
+	f := c.incarnations[b.Incarnation]
+	if b.Stream < 0 || b.Stream >= streams || f == nil || f.logs[b.Stream].upTo < b.To {
 		return true
 	}
-	t := &f.tracks[b.Stream]
-	at, _ := slices.BinarySearchFunc(t.log, b.From, func(x *Slot, seq uint64) int { return cmp.Compare(x.Seq, seq) })
+	t := &f.logs[b.Stream]
+	at, _ := slices.BinarySearchFunc(t.slots, b.From, func(x *Slot, seq uint64) int { return cmp.Compare(x.Seq, seq) })
 	sum, n := uint64(0), 0
-	for _, s := range t.log[at:] {
-		if s.Seq > b.To || n > 4*blockMost { // more than anybody says there are
+	for _, s := range t.slots[at:] {
+		if s.Seq > b.To || n > 4*checksumSlots { // more than anybody says there are
 			break
 		}
 		n++
-		sum += c.part(now, s)
+		sum += c.slotChecksum(now, s)
 	}
 	return sum == b.Sum
 }
 
 // ResetVersions forgets how far a life's streams are known, so that all of it is sent anew.
 func (c *Replica) ResetVersions(l Incarnation) {
-	if f := c.lives[l]; f != nil && l != c.self {
+	if f := c.incarnations[l]; f != nil && l != c.self {
 		for st := range streams {
-			f.tracks[st].upTo = 0
+			f.logs[st].upTo = 0
 		}
 	}
 }
--- a/replication/replication_test.go
+++ b/replication/replication_test.go
@@ -110,7 +110,7 @@
 	now := 100 * sec
 	a := NewReplica(life("a", 1), 0)
 	a.Write(now, now, Listing, "o", Encode(ListingValue{Server: "b1"}), now)
-	held := a.slots[id{Listing, "o", life("a", 1)}]
+	held := a.slots[slotID{Listing, "o", life("a", 1)}]
 	early, late := held.SeenAfter, held.SeenBefore
 	for i := range 40 {
 		c, err := NewNode(Config{Self: life("n", 2), Members: []string{"a", "n"}, WallClock: func() time.Duration { return now }})
@@ -180,13 +180,13 @@
 	for i := range uint64(20000) {
 		c.Merge(now, now, liar(i+1, Purge, fmt.Sprint("x", i), 0))
 	}
-	if n := c.Count(Purge); n > rules[Purge].most/share+1 {
+	if n := c.Count(Purge); n > rules[Purge].maxSlots/writerShare+1 {
 		t.Errorf("%d of its purges are kept", n)
 	}
 	if c.Purges(now)["mine"] == 0 {
 		t.Error("it has pushed out another one's")
 	}
-	if c.stamp >= 1<<61 {
+	if c.timestamp >= 1<<61 {
 		t.Error("its clock took this one along")
 	}
 	c.Merge(now, now, liar(1, Health, "b1", HealthValue{ErrorRate: 1, EjectedMs: 1000}))
@@ -195,13 +195,13 @@
 		t.Errorf("its word alone counts: %+v", got)
 	}
 	for _, bad := range []Slot{
-		{Writer: life("c", 1), Seq: 99, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                 // in this one's name
-		{Writer: life("liar", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now + sec},                         // of the future
-		{Writer: life("liar", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now - 50*sec, SeenBefore: now - 50*sec},             // outlived
-		{Writer: life("liar", 9), Seq: 0, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                               // without a number
-		{Writer: life("liar", 9), Seq: 1, Kind: Purge, Key: string(make([]byte, mostKey+1)), SeenAfter: now, SeenBefore: now},   // too long
-		{Writer: life("liar", 9), Seq: 1, Kind: Purge, Key: "o", Value: make([]byte, mostValue+1), SeenAfter: 0, SeenBefore: 0}, // likewise
-		{Writer: life("", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                   // of nobody
+		{Writer: life("c", 1), Seq: 99, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                     // in this one's name
+		{Writer: life("liar", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now + sec},                             // of the future
+		{Writer: life("liar", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now - 50*sec, SeenBefore: now - 50*sec},                 // outlived
+		{Writer: life("liar", 9), Seq: 0, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                   // without a number
+		{Writer: life("liar", 9), Seq: 1, Kind: Purge, Key: string(make([]byte, maxKeyBytes+1)), SeenAfter: now, SeenBefore: now},   // too long
+		{Writer: life("liar", 9), Seq: 1, Kind: Purge, Key: "o", Value: make([]byte, maxValueBytes+1), SeenAfter: 0, SeenBefore: 0}, // likewise
+		{Writer: life("", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                       // of nobody
 	} {
 		if c.Merge(now, now, bad) {
 			t.Errorf("taken: %+v", bad)
--- a/replication/world_test.go
+++ b/replication/world_test.go
@@ -150,7 +150,7 @@
 		}
 		now := w.local(a)
 		for x, s := range a.node.slots {
-			if now-s.SeenBefore > a.node.lifeOf(s.Kind)*6/10 {
+			if now-s.SeenBefore > a.node.maxAge(s.Kind)*6/10 {
 				continue
 			}
 			for _, b := range w.nodes {
@@ -329,7 +329,7 @@
 	w.clock.Pass(2 * time.Second)
 	g0 := w.nodes["g0"]
 	for i := range 3000 {
-		g0.node.own = 1e9
+		g0.node.bulkBudget = 1e9
 		g0.node.Publish(w.local(g0), Listing, fmt.Sprintf("o%d", i), Encode(ListingValue{Server: "b1", Requests: 1}), w.local(g0))
 	}
 	if _, ok := w.settle(20 * time.Second); !ok {
@@ -343,7 +343,7 @@
 			t.Fatalf("it says that it has caught up with %d", back.node.Len())
 		}
 	}
-	from := back.node.open.to
+	from := back.node.pull.to
 	w.nodes[from].epoch++
 	w.nodes[from].node = nil
 	half := back.node.Counters.Merged
@@ -386,7 +386,7 @@
 	w.clock.Pass(2 * time.Second)
 	g0 := w.nodes["g0"]
 	for i := range 20000 {
-		g0.node.own = 1e9
+		g0.node.bulkBudget = 1e9
 		g0.node.Publish(w.local(g0), Listing, fmt.Sprintf("o%d", i), Encode(ListingValue{Server: "b1"}), w.local(g0))
 	}
 	w.clock.Pass(300 * time.Millisecond)
@@ -416,7 +416,7 @@
 	g0, g1 := w.nodes["g0"], w.nodes["g1"]
 	say := func() {
 		for i := range 30 {
-			g0.node.own = 1e9
+			g0.node.bulkBudget = 1e9
 			g0.node.Publish(w.local(g0), Listing, fmt.Sprintf("o%d", i), Encode(ListingValue{Server: "b1", Requests: 1}), w.local(g0))
 		}
 	}
@@ -425,7 +425,7 @@
 		t.Fatal("the listings do not spread")
 	}
 	for i := range 5 {
-		x := g1.node.slots[id{Listing, fmt.Sprintf("o%d", i), g0.node.self}]
+		x := g1.node.slots[slotID{Listing, fmt.Sprintf("o%d", i), g0.node.self}]
 		if i == 0 {
 			x.Value = Encode(ListingValue{Server: "b9"})
 		} else {
