--- a/consensus/explore_test.go
+++ b/consensus/explore_test.go
@@ -15,14 +15,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The explorer goes through all that can happen to three voters, up to stated numbers of commands, time-outs, losses, crashes
+// The explorer goes through all that can happen to three voters, up to stated numbers of commands, timeouts, losses, crashes
 // and cuts, and the random runs through longer stretches of the same. Values are lists of the commands applied, so that
-// two values that were both agreed on must be one the beginning of the other.
+// two values that were both chosen must be one the beginning of the other.
 
-var names = []string{"a", "b", "c"}
+var voterNames = []string{"a", "b", "c"}
 
-// list applies a command to a list, once.
-func list(value, command []byte) (next, reply []byte) {
+// appendOnce applies a command to a list, once.
+func appendOnce(value, command []byte) (next, reply []byte) {
 	all := strings.Fields(string(value))
 	if !slices.Contains(all, string(command)) {
 		all = append(all, string(command))
@@ -30,51 +30,51 @@
 	return []byte(strings.Join(all, " ")), []byte(strconv.Itoa(len(all)))
 }
 
-type flight struct {
+type inFlight struct {
 	from, to string
-	m        Message
-}
-
-// bounds are what may still happen.
-type bounds struct{ commands, asks, ticks, losses, crashes, forgets, cuts, doubles int }
-
-type world struct {
-	voters  map[string]*Voter        // nil: down
-	votes   map[string]AcceptorState // as stored
-	pending map[string][]StoreState
-	late    bool // votes are stored some time after, not at once
-	flights []flight
-	cut     string // this one hears nobody and is heard by nobody; empty: none
-	left    bounds
-	now     time.Duration
-	lives   uint64
-	agreed  []string // the longest list that was told to be agreed on
-	acked   map[string]bool
-	asked   map[string]int // by question: how many were acknowledged before it
-	bad     string
-}
-
-func newWorld(left bounds, late bool) *world {
-	w := &world{voters: map[string]*Voter{}, votes: map[string]AcceptorState{}, pending: map[string][]StoreState{}, late: late, left: left, acked: map[string]bool{}, asked: map[string]int{}}
-	for _, n := range names {
-		w.lives++
-		w.votes[n] = AcceptorState{Incarnation: w.lives}
+	message  Message
+}
+
+// budget are what may still happen.
+type budget struct{ commands, reads, ticks, losses, crashes, stateLosses, cuts, duplicates int }
+
+type cluster struct {
+	voters             map[string]*Voter        // nil: down
+	durable            map[string]AcceptorState // as stored
+	unwritten          map[string][]StoreState
+	delayedWrites      bool // writes take time
+	inFlight           []inFlight
+	isolated           string // no message reaches or leaves this voter; empty: none
+	budget             budget
+	now                time.Duration
+	lastIncarnation    uint64
+	chosen             []string // the longest list that is known to be chosen
+	acknowledged       map[string]bool
+	acknowledgedBefore map[string]int // by question: commands acknowledged before it
+	violation          string
+}
+
+func newCluster(left budget, late bool) *cluster {
+	w := &cluster{voters: map[string]*Voter{}, durable: map[string]AcceptorState{}, unwritten: map[string][]StoreState{}, delayedWrites: late, budget: left, acknowledged: map[string]bool{}, acknowledgedBefore: map[string]int{}}
+	for _, n := range voterNames {
+		w.lastIncarnation++
+		w.durable[n] = AcceptorState{Incarnation: w.lastIncarnation}
 		w.start(n)
 	}
 	return w
 }
 
-func (w *world) start(name string) {
-	v, err := New(Config{Self: name, Voters: names, Acceptor: w.votes[name], Apply: list, RoundTimeout: 1, BackoffBase: 1, Seed: 1})
+func (w *cluster) start(name string) {
+	v, err := New(Config{Self: name, Voters: voterNames, Acceptor: w.durable[name], Apply: appendOnce, RoundTimeout: 1, BackoffBase: 1, Seed: 1})
 	if err != nil {
 		panic(err)
 	}
 	w.voters[name] = v
 }
 
-func (w *world) clone() *world {
+func (w *cluster) clone() *cluster {
 	c := *w
-	c.voters, c.votes, c.pending, c.acked, c.asked = map[string]*Voter{}, maps.Clone(w.votes), map[string][]StoreState{}, maps.Clone(w.acked), maps.Clone(w.asked)
+	c.voters, c.durable, c.unwritten, c.acknowledged, c.acknowledgedBefore = map[string]*Voter{}, maps.Clone(w.durable), map[string][]StoreState{}, maps.Clone(w.acknowledged), maps.Clone(w.acknowledgedBefore)
 	for n, v := range w.voters {
 		if v != nil {
 			k := *v
@@ -86,14 +86,14 @@
 			c.voters[n] = &k
 		}
 	}
-	for n, p := range w.pending {
-		c.pending[n] = slices.Clone(p)
+	for n, p := range w.unwritten {
+		c.unwritten[n] = slices.Clone(p)
 	}
-	c.flights, c.agreed = slices.Clone(w.flights), slices.Clone(w.agreed)
+	c.inFlight, c.chosen = slices.Clone(w.inFlight), slices.Clone(w.chosen)
 	return &c
 }
 
-func (w *world) do(name string, e Event) {
+func (w *cluster) handle(name string, e Event) {
 	v := w.voters[name]
 	if v == nil {
 		return
@@ -106,148 +106,165 @@
 		for _, a := range out {
 			switch a := a.(type) {
 			case Send:
-				w.flights = append(w.flights, flight{name, a.To, a.Message})
+				w.inFlight = append(w.inFlight, inFlight{name, a.To, a.Message})
 			case StoreState:
-				if w.late {
-					w.pending[name] = append(w.pending[name], a)
+				if w.delayedWrites {
+					w.unwritten[name] = append(w.unwritten[name], a)
 				} else {
-					w.votes[name] = a.State
+					w.durable[name] = a.State
 					events = append(events, StateStored{a.Number})
 				}
 			case Completed:
 				if !a.Rejected {
-					w.told(name, a.State)
+					w.checkChosen(name, a.State)
 					if a.Reply != nil {
-						w.acked[a.ID] = true
-					} else if n := w.asked[a.ID]; len(strings.Fields(string(a.State.Value))) < n {
-						w.bad = fmt.Sprintf("%s answers %q with %q, and %d were acknowledged before", name, a.ID, a.State.Value, n)
+						w.acknowledged[a.ID] = true
+					} else if n := w.acknowledgedBefore[a.ID]; len(strings.Fields(string(a.State.Value))) < n {
+						w.violation = fmt.Sprintf("%s answers %q with %q, and %d were acknowledged before", name, a.ID, a.State.Value, n)
 					}
 				}
 			case Learned:
-				w.told(name, a.State)
+				w.checkChosen(name, a.State)
 			}
 		}
 	}
 }
 
-// told checks a value that was told to be agreed on against all before.
-func (w *world) told(name string, s State) {
+// checkChosen checks a value that a voter takes for chosen against all before.
+func (w *cluster) checkChosen(name string, s State) {
 	got := strings.Fields(string(s.Value))
-	n := min(len(got), len(w.agreed))
-	if !slices.Equal(got[:n], w.agreed[:n]) {
-		w.bad = fmt.Sprintf("%s says that %v was agreed on, and %v was", name, got, w.agreed)
+	n := min(len(got), len(w.chosen))
+	if !slices.Equal(got[:n], w.chosen[:n]) {
+		w.violation = fmt.Sprintf("%s says that %v was agreed on, and %v was", name, got, w.chosen)
 	}
-	if len(got) > len(w.agreed) {
-		w.agreed = got
+	if len(got) > len(w.chosen) {
+		w.chosen = got
 	}
-	for id := range w.acked {
-		if !slices.Contains(w.agreed, id) {
-			w.bad = fmt.Sprintf("%s was acknowledged, and the value is %v", id, w.agreed)
+	for id := range w.acknowledged {
+		if !slices.Contains(w.chosen, id) {
+			w.violation = fmt.Sprintf("%s was acknowledged, and the value is %v", id, w.chosen)
 		}
 	}
 }
 
 // steps are all that can happen next.
-func (w *world) steps() (all []func(*world)) {
+func (w *cluster) steps() (all []func(*cluster)) {
+	all = w.networkSteps()
+	for _, n := range voterNames {
+		if w.voters[n] == nil {
+			all = append(all, func(w *cluster) { w.start(n) })
+			continue
+		}
+		all = append(all, w.workSteps(n)...)
+		all = append(all, w.faultSteps(n)...)
+	}
+	if w.isolated != "" {
+		all = append(all, func(w *cluster) { w.isolated = "" })
+	}
+	return all
+}
+
+// networkSteps deliver, lose or duplicate a message.
+func (w *cluster) networkSteps() (all []func(*cluster)) {
 	seen := map[string]bool{}
-	for i, f := range w.flights {
-		m := &keyer{}
-		m.text(f.from, f.to)
-		m.message(f.m)
-		key := string(m.b)
+	for i, f := range w.inFlight {
+		k := &fingerprint{}
+		k.text(f.from, f.to)
+		k.message(f.message)
+		key := string(k.b)
 		if seen[key] { // the same message twice is one case
 			continue
 		}
 		seen[key] = true
-		if w.cut != "" && (f.from == w.cut) != (f.to == w.cut) {
+		if w.isolated != "" && (f.from == w.isolated) != (f.to == w.isolated) {
 			continue
 		}
-		all = append(all, func(w *world) {
-			w.flights = slices.Delete(w.flights, i, i+1)
-			w.do(f.to, MessageReceived{f.from, f.m})
+		all = append(all, func(w *cluster) {
+			w.inFlight = slices.Delete(w.inFlight, i, i+1)
+			w.handle(f.to, MessageReceived{f.from, f.message})
 		})
-		if w.left.losses > 0 {
-			all = append(all, func(w *world) { w.left.losses--; w.flights = slices.Delete(w.flights, i, i+1) })
+		if w.budget.losses > 0 {
+			all = append(all, func(w *cluster) { w.budget.losses--; w.inFlight = slices.Delete(w.inFlight, i, i+1) })
 		}
-		if w.left.doubles > 0 {
-			all = append(all, func(w *world) { w.left.doubles--; w.do(f.to, MessageReceived{f.from, f.m}) })
+		if w.budget.duplicates > 0 {
+			all = append(all, func(w *cluster) { w.budget.duplicates--; w.handle(f.to, MessageReceived{f.from, f.message}) })
 		}
 	}
-	for _, n := range names {
-		v := w.voters[n]
-		if v == nil {
-			all = append(all, func(w *world) { w.start(n) })
-			continue
-		}
-		if len(w.pending[n]) > 0 {
-			all = append(all, func(w *world) {
-				p := w.pending[n][0]
-				w.pending[n] = w.pending[n][1:]
-				w.votes[n] = p.State
-				w.do(n, StateStored{p.Number})
-			})
-		}
-		if w.left.commands > 0 {
-			all = append(all, func(w *world) {
-				id := "x" + strconv.Itoa(w.left.commands)
-				w.left.commands--
-				w.do(n, Propose{id, []byte(id)})
-			})
-		}
-		if w.left.asks > 0 {
-			all = append(all, func(w *world) {
-				id := "q" + strconv.Itoa(w.left.asks)
-				w.left.asks--
-				w.asked[id] = len(w.acked)
-				w.do(n, Read{id})
-			})
-		}
-		if w.left.ticks > 0 && v.HasPending() {
-			all = append(all, func(w *world) { w.left.ticks--; w.now += 100; w.do(n, Tick{}) })
-		}
-		if w.left.crashes > 0 {
-			all = append(all, func(w *world) { w.left.crashes--; w.voters[n], w.pending[n] = nil, nil })
-		}
-		if w.left.forgets > 0 {
-			all = append(all, func(w *world) {
-				w.left.forgets--
-				w.lives++
-				w.voters[n], w.pending[n], w.votes[n] = nil, nil, AcceptorState{Incarnation: w.lives}
-			})
-		}
-		if w.left.cuts > 0 && w.cut == "" {
-			all = append(all, func(w *world) { w.left.cuts--; w.cut = n })
-		}
+	return all
+}
+
+// workSteps are a write that becomes durable, a command, a read, and time that passes.
+func (w *cluster) workSteps(n string) (all []func(*cluster)) {
+	if len(w.unwritten[n]) > 0 {
+		all = append(all, func(w *cluster) {
+			p := w.unwritten[n][0]
+			w.unwritten[n] = w.unwritten[n][1:]
+			w.durable[n] = p.State
+			w.handle(n, StateStored{p.Number})
+		})
+	}
+	if w.budget.commands > 0 {
+		all = append(all, func(w *cluster) {
+			id := "x" + strconv.Itoa(w.budget.commands)
+			w.budget.commands--
+			w.handle(n, Propose{id, []byte(id)})
+		})
+	}
+	if w.budget.reads > 0 {
+		all = append(all, func(w *cluster) {
+			id := "q" + strconv.Itoa(w.budget.reads)
+			w.budget.reads--
+			w.acknowledgedBefore[id] = len(w.acknowledged)
+			w.handle(n, Read{id})
+		})
+	}
+	if w.budget.ticks > 0 && w.voters[n].HasPending() {
+		all = append(all, func(w *cluster) { w.budget.ticks--; w.now += 100; w.handle(n, Tick{}) })
+	}
+	return all
+}
+
+// faultSteps are a crash, one that loses the stored state as well, and an isolated voter.
+func (w *cluster) faultSteps(n string) (all []func(*cluster)) {
+	if w.budget.crashes > 0 {
+		all = append(all, func(w *cluster) { w.budget.crashes--; w.voters[n], w.unwritten[n] = nil, nil })
+	}
+	if w.budget.stateLosses > 0 {
+		all = append(all, func(w *cluster) {
+			w.budget.stateLosses--
+			w.lastIncarnation++
+			w.voters[n], w.unwritten[n], w.durable[n] = nil, nil, AcceptorState{Incarnation: w.lastIncarnation}
+		})
 	}
-	if w.cut != "" {
-		all = append(all, func(w *world) { w.cut = "" })
+	if w.budget.cuts > 0 && w.isolated == "" {
+		all = append(all, func(w *cluster) { w.budget.cuts--; w.isolated = n })
 	}
 	return all
 }
 
 // key tells states apart: all but the time and what only counts.
-func (w *world) key() uint64 {
-	k := &keyer{}
-	k.num(uint64(w.left.commands), uint64(w.left.asks), uint64(w.asked["q1"]), uint64(w.asked["q2"]), uint64(w.left.ticks), uint64(w.left.losses), uint64(w.left.crashes), uint64(w.left.forgets), uint64(w.left.cuts),
-		uint64(w.left.doubles), uint64(len(w.acked)))
-	k.text(w.cut)
-	k.text(w.agreed...)
-	for _, n := range names {
-		k.vote(w.votes[n])
-		for _, p := range w.pending[n] {
-			k.vote(p.State)
+func (w *cluster) key() uint64 {
+	k := &fingerprint{}
+	k.num(uint64(w.budget.commands), uint64(w.budget.reads), uint64(w.acknowledgedBefore["q1"]), uint64(w.acknowledgedBefore["q2"]), uint64(w.budget.ticks), uint64(w.budget.losses), uint64(w.budget.crashes), uint64(w.budget.stateLosses), uint64(w.budget.cuts),
+		uint64(w.budget.duplicates), uint64(len(w.acknowledged)))
+	k.text(w.isolated)
+	k.text(w.chosen...)
+	for _, n := range voterNames {
+		k.acceptor(w.durable[n])
+		for _, p := range w.unwritten[n] {
+			k.acceptor(p.State)
 		}
 		v := w.voters[n]
 		if v == nil {
 			k.num(99)
 			continue
 		}
-		k.vote(v.acceptor)
+		k.acceptor(v.acceptor)
 		k.state(v.chosen)
 		k.state(v.proposed)
 		k.ballot(v.chosenAt, v.ballot, v.nextBallot)
-		k.lives(v.quorum)
-		k.lives(v.unadmitted)
+		k.incarnations(v.quorum)
+		k.incarnations(v.unadmitted)
 		holds := uint64(0)
 		if v.nextPromised {
 			holds = 1
@@ -262,7 +279,7 @@
 			}
 			k.num(77)
 		}
-		for _, from := range names {
+		for _, from := range voterNames {
 			if m, ok := v.replies[from]; ok {
 				k.message(m)
 			}
@@ -275,67 +292,67 @@
 		}
 	}
 	var sum uint64
-	for _, f := range w.flights { // in any order
-		m := &keyer{}
+	for _, f := range w.inFlight { // in any order
+		m := &fingerprint{}
 		m.text(f.from, f.to)
-		m.message(f.m)
+		m.message(f.message)
 		sum += xxhash.Sum64(m.b)
 	}
 	k.num(sum)
 	return xxhash.Sum64(k.b)
 }
 
-type keyer struct{ b []byte }
+type fingerprint struct{ b []byte }
 
-func (k *keyer) num(all ...uint64) {
+func (k *fingerprint) num(all ...uint64) {
 	for _, n := range all {
 		k.b = binary.LittleEndian.AppendUint64(k.b, n)
 	}
 }
 
-func (k *keyer) text(all ...string) {
+func (k *fingerprint) text(all ...string) {
 	for _, s := range all {
 		k.num(uint64(len(s)))
 		k.b = append(k.b, s...)
 	}
 }
 
-func (k *keyer) ballot(all ...Ballot) {
+func (k *fingerprint) ballot(all ...Ballot) {
 	for _, b := range all {
 		k.num(b.Number)
 		k.text(b.Voter)
 	}
 }
 
-func (k *keyer) lives(m map[string]uint64) {
-	for _, n := range names {
+func (k *fingerprint) incarnations(m map[string]uint64) {
+	for _, n := range voterNames {
 		k.num(m[n])
 	}
 }
 
-func (k *keyer) state(s State) {
+func (k *fingerprint) state(s State) {
 	k.num(s.Revision)
-	k.lives(s.Incarnations)
+	k.incarnations(s.Incarnations)
 	k.text(string(s.Value))
 }
 
-func (k *keyer) vote(v AcceptorState) {
+func (k *fingerprint) acceptor(v AcceptorState) {
 	k.num(v.Incarnation)
 	k.ballot(v.Promised, v.Accepted)
 	k.state(v.State)
 }
 
-func (k *keyer) message(m Message) {
+func (k *fingerprint) message(m Message) {
 	k.num(uint64(m.Kind), m.Incarnation)
 	k.ballot(m.Ballot, m.NextBallot, m.AcceptedBallot)
 	k.state(m.State)
 }
 
 // explore goes through all states, at most so many, and says how many there were and whether that was all.
-func explore(first *world, most int) (states int, all bool, bad string, path int) {
+func explore(first *cluster, most int) (states int, all bool, bad string, path int) {
 	seen := map[uint64]bool{first.key(): true}
 	type node struct {
-		w     *world
+		w     *cluster
 		depth int
 	}
 	stack := []node{{first, 0}}
@@ -345,8 +362,8 @@
 		for _, step := range n.w.steps() {
 			next := n.w.clone()
 			step(next)
-			if next.bad != "" {
-				return len(seen), false, next.bad, n.depth
+			if next.violation != "" {
+				return len(seen), false, next.violation, n.depth
 			}
 			k := next.key()
 			if seen[k] {
@@ -363,37 +380,37 @@
 }
 
 // settle lets all that is under way end, with time passing, nothing lost and nobody down.
-func (w *world) settle() {
-	w.cut, w.left.losses, w.left.crashes, w.left.forgets, w.left.doubles = "", 0, 0, 0, 0
+func (w *cluster) settle() {
+	w.isolated, w.budget.losses, w.budget.crashes, w.budget.stateLosses, w.budget.duplicates = "", 0, 0, 0, 0
 	for range 4000 {
-		for _, n := range names {
+		for _, n := range voterNames {
 			if w.voters[n] == nil {
 				w.start(n)
 			}
 		}
-		if len(w.flights) > 0 {
-			f := w.flights[0]
-			w.flights = w.flights[1:]
-			w.do(f.to, MessageReceived{f.from, f.m})
+		if len(w.inFlight) > 0 {
+			f := w.inFlight[0]
+			w.inFlight = w.inFlight[1:]
+			w.handle(f.to, MessageReceived{f.from, f.message})
 			continue
 		}
 		moved := false
-		for _, n := range names {
-			for len(w.pending[n]) > 0 {
-				p := w.pending[n][0]
-				w.pending[n] = w.pending[n][1:]
-				w.votes[n] = p.State
-				w.do(n, StateStored{p.Number})
+		for _, n := range voterNames {
+			for len(w.unwritten[n]) > 0 {
+				p := w.unwritten[n][0]
+				w.unwritten[n] = w.unwritten[n][1:]
+				w.durable[n] = p.State
+				w.handle(n, StateStored{p.Number})
 				moved = true
 			}
 		}
-		if moved || len(w.flights) > 0 {
+		if moved || len(w.inFlight) > 0 {
 			continue
 		}
 		w.now += 100
-		for _, n := range names { // one after the other: who is first has time
+		for _, n := range voterNames { // one after the other: who is first has time
 			if w.voters[n].HasPending() {
-				w.do(n, Tick{})
+				w.handle(n, Tick{})
 				moved = true
 				break
 			}
@@ -402,19 +419,19 @@
 			return
 		}
 	}
-	w.bad = "it does not come to rest"
+	w.violation = "it does not come to rest"
 }
 
-// formed is a world in which a first value stands.
-func formed(left bounds, late bool) *world {
-	w := newWorld(bounds{}, late)
-	w.do("a", Propose{"x0", []byte("x0")})
+// bootstrapped is a world in which a first value stands.
+func bootstrapped(left budget, late bool) *cluster {
+	w := newCluster(budget{}, late)
+	w.handle("a", Propose{"x0", []byte("x0")})
 	w.settle()
-	w.left = left
+	w.budget = left
 	return w
 }
 
-func most(def int) int {
+func maxStates(def int) int {
 	if n, err := strconv.Atoi(os.Getenv("EXPLORE")); err == nil {
 		return n
 	}
@@ -426,18 +443,18 @@
 func TestExplore(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		w    *world
+		w    *cluster
 	}{
-		{"two commands, a time-out", formed(bounds{commands: 2, ticks: 1}, false)},
-		{"a command, a loss, a time-out", formed(bounds{commands: 1, ticks: 1, losses: 1}, false)},
-		{"a command, a question, a time-out", formed(bounds{commands: 1, asks: 1, ticks: 1}, false)},
-		{"a command, a crash", formed(bounds{commands: 1, ticks: 1, crashes: 1}, false)},
-		{"a command, a memory lost", formed(bounds{commands: 1, ticks: 1, forgets: 1}, false)},
-		{"a command, one cut off", formed(bounds{commands: 1, ticks: 1, cuts: 1}, false)},
-		{"the beginning", newWorld(bounds{commands: 1, ticks: 1}, false)},
-		{"the beginning, a memory lost", newWorld(bounds{commands: 1, ticks: 1, forgets: 1}, false)},
+		{"two commands, a time-out", bootstrapped(budget{commands: 2, ticks: 1}, false)},
+		{"a command, a loss, a time-out", bootstrapped(budget{commands: 1, ticks: 1, losses: 1}, false)},
+		{"a command, a question, a time-out", bootstrapped(budget{commands: 1, reads: 1, ticks: 1}, false)},
+		{"a command, a crash", bootstrapped(budget{commands: 1, ticks: 1, crashes: 1}, false)},
+		{"a command, a memory lost", bootstrapped(budget{commands: 1, ticks: 1, stateLosses: 1}, false)},
+		{"a command, one cut off", bootstrapped(budget{commands: 1, ticks: 1, cuts: 1}, false)},
+		{"the beginning", newCluster(budget{commands: 1, ticks: 1}, false)},
+		{"the beginning, a memory lost", newCluster(budget{commands: 1, ticks: 1, stateLosses: 1}, false)},
 	} {
-		states, all, bad, depth := explore(c.w, most(3000))
+		states, all, bad, depth := explore(c.w, maxStates(3000))
 		if bad != "" {
 			t.Errorf("%s: after %d steps: %s", c.name, depth, bad)
 		}
@@ -448,10 +465,10 @@
 // random plays a long run.
 func random(seed uint64, late bool) (string, int) {
 	rng := rand.New(rand.NewPCG(seed, 77))
-	left := bounds{commands: 3 + rng.IntN(5), asks: 3, ticks: 40, losses: rng.IntN(12), crashes: rng.IntN(4), forgets: rng.IntN(2), cuts: rng.IntN(3), doubles: rng.IntN(6)}
-	w := newWorld(left, late)
+	left := budget{commands: 3 + rng.IntN(5), reads: 3, ticks: 40, losses: rng.IntN(12), crashes: rng.IntN(4), stateLosses: rng.IntN(2), cuts: rng.IntN(3), duplicates: rng.IntN(6)}
+	w := newCluster(left, late)
 	if rng.IntN(3) > 0 {
-		w = formed(left, late)
+		w = bootstrapped(left, late)
 	}
 	for range 60 + rng.IntN(200) {
 		all := w.steps()
@@ -459,18 +476,18 @@
 			break
 		}
 		all[rng.IntN(len(all))](w)
-		if w.bad != "" {
-			return w.bad, 0
+		if w.violation != "" {
+			return w.violation, 0
 		}
 	}
 	w.settle()
-	return w.bad, len(w.agreed)
+	return w.violation, len(w.chosen)
 }
 
 // Long random runs with all kinds of failure. In the end, with nobody down, all comes to rest. EXPLORE sets how many.
 func TestRandomRuns(t *testing.T) {
 	agreed := 0
-	for seed := range uint64(most(1000)) {
+	for seed := range uint64(maxStates(1000)) {
 		bad, n := random(seed, seed%2 == 1)
 		if bad != "" {
 			t.Fatalf("seed %d: %s", seed, bad)
@@ -483,78 +500,78 @@
 }
 
 // A voter that made the latest change it knows of is asked for the value after another has made a later one with the third: it
-// must not answer with what it holds.
-func TestAHeldPromiseIsNoProofByItself(t *testing.T) {
-	w := formed(bounds{}, false)
+// must not answer with the one that it knows.
+func TestAPromiseIsNoProofByItself(t *testing.T) {
+	w := bootstrapped(budget{}, false)
 	w.voters["b"].backoffUntil, w.voters["c"].backoffUntil = 0, 0
-	w.do("b", Propose{"x1", []byte("x1")})
+	w.handle("b", Propose{"x1", []byte("x1")})
 	between := func(a, b string) {
-		for i := 0; i < len(w.flights); {
-			f := w.flights[i]
-			w.flights = slices.Delete(w.flights, i, i+1)
+		for i := 0; i < len(w.inFlight); {
+			f := w.inFlight[i]
+			w.inFlight = slices.Delete(w.inFlight, i, i+1)
 			if (f.from == a || f.from == b) && (f.to == a || f.to == b) {
-				w.do(f.to, MessageReceived{f.from, f.m})
+				w.handle(f.to, MessageReceived{f.from, f.message})
 				i = 0
 			}
 		}
 	}
 	between("b", "c") // a hears nothing of it
-	if !w.acked["x1"] {
+	if !w.acknowledged["x1"] {
 		t.Fatal("b and c are a majority, and did not agree")
 	}
-	w.asked["q"] = len(w.acked)
-	w.do("a", Read{"q"})
+	w.acknowledgedBefore["q"] = len(w.acknowledged)
+	w.handle("a", Read{"q"})
 	between("a", "c") // b is silent now
 	w.settle()
-	if w.bad != "" {
-		t.Error(w.bad)
+	if w.violation != "" {
+		t.Error(w.violation)
 	}
 }
 
-// While it all began a voter lost its memory, after it had accepted a value with a. Another beginning, to which b and its new
-// life are bound, is a majority by number: without a it must not go on.
-func TestABeginningNeedsAll(t *testing.T) {
+// During the bootstrap a voter lost its state, after it had accepted a value with a. Another bootstrap, to which b and c's new
+// incarnation are bound, is a majority by number: without a it must not go on.
+func TestABootstrapNeedsAll(t *testing.T) {
 	one, two := map[string]uint64{"a": 1, "b": 2, "c": 3}, map[string]uint64{"a": 1, "b": 2, "c": 9}
 	ballot := Ballot{5, "a"}
 	votes := map[string]AcceptorState{
 		"a": {Incarnation: 1, Initialized: true, Promised: ballot, Accepted: ballot, State: State{Revision: 1, Incarnations: one, Value: []byte("x")}},
 		"b": {Incarnation: 2, Initialized: true, State: State{Incarnations: two}}, "c": {Incarnation: 9, Initialized: true, State: State{Incarnations: two}},
 	}
-	w := newWorld(bounds{}, false)
+	w := newCluster(budget{}, false)
 	for n, v := range votes {
-		w.votes[n] = v
+		w.durable[n] = v
 		w.start(n)
 	}
-	w.do("c", Propose{"y", []byte("y")})
+	w.handle("c", Propose{"y", []byte("y")})
 	for range 50 {
-		for i := 0; i < len(w.flights); i++ {
-			if f := w.flights[i]; f.from != "a" && f.to != "a" {
-				w.flights = slices.Delete(w.flights, i, i+1)
-				w.do(f.to, MessageReceived{f.from, f.m})
+		for i := 0; i < len(w.inFlight); i++ {
+			if f := w.inFlight[i]; f.from != "a" && f.to != "a" {
+				w.inFlight = slices.Delete(w.inFlight, i, i+1)
+				w.handle(f.to, MessageReceived{f.from, f.message})
 				break
 			}
 		}
 	}
-	if len(w.agreed) > 0 {
-		t.Fatalf("%v was agreed on without a, which has a value", w.agreed)
+	if len(w.chosen) > 0 {
+		t.Fatalf("%v was agreed on without a, which has a value", w.chosen)
 	}
-	w.flights = nil
+	w.inFlight = nil
 	w.settle()
-	if w.bad != "" || !slices.Contains(w.agreed, "x") {
-		t.Errorf("%v is agreed on in the end, without a's value; %s", w.agreed, w.bad)
+	if w.violation != "" || !slices.Contains(w.chosen, "x") {
+		t.Errorf("%v is agreed on in the end, without a's value; %s", w.chosen, w.violation)
 	}
 }
 
-// A life that the value does not name has no vote, whatever it says.
-func TestAnotherLifeHasNoVote(t *testing.T) {
-	w := formed(bounds{}, false)
-	w.do("a", Propose{"x1", []byte("x1")})
+// An incarnation that the value does not name has no vote, whatever it says.
+func TestAnotherIncarnationHasNoVote(t *testing.T) {
+	w := bootstrapped(budget{}, false)
+	w.handle("a", Propose{"x1", []byte("x1")})
 	v := w.voters["a"]
 	was := v.phase
 	for _, from := range []string{"b", "c"} {
-		w.do("a", MessageReceived{from, Message{Kind: Accepted, Incarnation: 77, Ballot: v.ballot}})
+		w.handle("a", MessageReceived{from, Message{Kind: Accepted, Incarnation: 77, Ballot: v.ballot}})
 	}
-	if v.phase != was || w.acked["x1"] {
+	if v.phase != was || w.acknowledged["x1"] {
 		t.Error("two strangers were taken for a majority")
 	}
 }
@@ -562,63 +579,63 @@
 // A voter is killed before the vote for a ballot of its own lasts, which it has sent: b has accepted a value under it. Having started
 // anew it must not use that ballot for another value, or there are two of one ballot, and the one that was agreed on is lost.
 func TestABallotIsNeverUsedTwice(t *testing.T) {
-	w := formed(bounds{}, true)
-	w.do("a", Propose{"x1", []byte("x1")}) // under the promises that it holds: to all, before its own vote lasts
-	for i := 0; i < len(w.flights); {      // b accepts it; c never hears of it
-		f := w.flights[i]
-		w.flights = slices.Delete(w.flights, i, i+1)
+	w := bootstrapped(budget{}, true)
+	w.handle("a", Propose{"x1", []byte("x1")}) // under the promises that were given to it: to all, before its own vote lasts
+	for i := 0; i < len(w.inFlight); {         // b accepts it; c never hears of it
+		f := w.inFlight[i]
+		w.inFlight = slices.Delete(w.inFlight, i, i+1)
 		if f.to == "b" {
-			w.do("b", MessageReceived{f.from, f.m})
+			w.handle("b", MessageReceived{f.from, f.message})
 		}
 	}
 	first := w.voters["b"].acceptor.Accepted
-	w.flights, w.pending["a"], w.voters["a"] = nil, nil, nil
+	w.inFlight, w.unwritten["a"], w.voters["a"] = nil, nil, nil
 	w.start("a")
-	w.do("a", Propose{"y1", []byte("y1")})
-	for _, f := range w.flights {
-		if f.from == "a" && !first.Less(f.m.Ballot) {
-			t.Fatalf("%s of %v, and b has a value of %v", f.m.Kind, f.m.Ballot, first)
+	w.handle("a", Propose{"y1", []byte("y1")})
+	for _, f := range w.inFlight {
+		if f.from == "a" && !first.Less(f.message.Ballot) {
+			t.Fatalf("%s of %v, and b has a value of %v", f.message.Kind, f.message.Ballot, first)
 		}
 	}
 	w.settle()
-	if w.bad != "" {
-		t.Error(w.bad)
+	if w.violation != "" {
+		t.Error(w.violation)
 	}
 }
 
-// Two voters propose at once: c a further value under the promises that it holds, which only c itself has accepted; a another one, for
+// Two voters propose at once: c a further value under the promises that were given to it, which only c itself has accepted; a another one, for
 // which a and b are a majority. What is under c's ballot must not outrank it later on. Random run 75,962 of 100,000 found the loss of
 // an acknowledged command while promises for what followed were not given beforehand.
-func TestWhatFollowsWithoutAPrepareIsPromised(t *testing.T) {
-	w := newWorld(bounds{}, false)
-	w.do("c", Propose{"x0", []byte("x0")})
+func TestABallotWithoutAPrepareIsPromised(t *testing.T) {
+	w := newCluster(budget{}, false)
+	w.handle("c", Propose{"x0", []byte("x0")})
 	w.settle()
 	between := func(only string) { // who hears what goes on
-		for i := 0; i < len(w.flights); {
-			f := w.flights[i]
-			w.flights = slices.Delete(w.flights, i, i+1)
+		for i := 0; i < len(w.inFlight); {
+			f := w.inFlight[i]
+			w.inFlight = slices.Delete(w.inFlight, i, i+1)
 			if strings.Contains(only, f.from) && strings.Contains(only, f.to) {
-				w.do(f.to, MessageReceived{f.from, f.m})
+				w.handle(f.to, MessageReceived{f.from, f.message})
 				i = 0
 			}
 		}
 	}
-	w.do("c", Propose{"x1", []byte("x1")})
+	w.handle("c", Propose{"x1", []byte("x1")})
 	between("bc") // a does not know how far c is
-	w.do("c", Propose{"x2", []byte("x2")})
+	w.handle("c", Propose{"x2", []byte("x2")})
 	between("c") // nobody hears it
-	w.do("a", Propose{"y1", []byte("y1")})
+	w.handle("a", Propose{"y1", []byte("y1")})
 	between("ab")
 	for range 5 { // what was crossed is tried again
 		w.now += 100
-		w.do("a", Tick{})
+		w.handle("a", Tick{})
 		between("ab")
 	}
-	if !w.acked["y1"] {
+	if !w.acknowledged["y1"] {
 		t.Fatal("a and b are a majority, and did not agree")
 	}
 	w.settle()
-	if w.bad != "" || !slices.Equal(w.agreed, []string{"x0", "x1", "y1", "x2"}) {
-		t.Errorf("%v is agreed on in the end; %s", w.agreed, w.bad)
+	if w.violation != "" || !slices.Equal(w.chosen, []string{"x0", "x1", "y1", "x2"}) {
+		t.Errorf("%v is agreed on in the end; %s", w.chosen, w.violation)
 	}
 }
