--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -274,14 +274,39 @@
 		seen[l.GetName()] = true
 		c.Localities = append(c.Localities, locality.Locality{Name: l.GetName(), Level: int(l.GetLevel()), Weight: l.GetWeight()})
 	}
-	if err := c.Validate(); err != nil { // it names the field, which is the key in other letters
-		text := strings.TrimPrefix(err.Error(), "tiers: ")
-		name, rest, _ := strings.Cut(text, ": ")
-		return nil, fault("tiers."+snake(name), errors.New(rest))
+	if err := c.Validate(); err != nil {
+		return nil, localityFault(err)
 	}
 	return &c, nil
 }
 
+// localityKeys are the keys of the fields of locality.Config that Validate may find at fault.
+var localityKeys = map[string]string{
+	"Localities[0].Weight": "tiers.own_weight",
+	"OverProvisioning":     "tiers.over",
+	"MaxSpillover":         "tiers.spill",
+	"SpareCapacityShare":   "tiers.spare",
+	"FullUtilization":      "tiers.full",
+	"SpilloverRise":        "tiers.rise",
+	"PanicThreshold":       "tiers.panic",
+	"MinHealth":            "tiers.ill",
+	"RampStart":            "tiers.start",
+	"RampDuration":         "tiers.ramp",
+	"WarmHitRatio":         "tiers.warm",
+	"SilenceTimeout":       "tiers.silence",
+	"BaseBackoff":          "tiers.back",
+	"MaxBackoff":           "tiers.back_most",
+}
+
+// localityFault names the key of the field that an error of locality.Config.Validate is about.
+func localityFault(err error) error {
+	var field *locality.FieldError
+	if !errors.As(err, &field) || localityKeys[field.Field] == "" {
+		return fault("tiers", err)
+	}
+	return fault(localityKeys[field.Field], errors.New(field.Reason))
+}
+
 // snake turns a field's name into that of a key: BackMost is back_most.
 func snake(name string) string {
 	var b strings.Builder
--- a/locality/config.go
+++ b/locality/config.go
@@ -1,15 +1,7 @@
-// Package locality decides which locality a request is for when its own one can't serve all: how much stays, how much spills
-// to the next levels of preference and within what stated bounds, what is refused instead, and how a locality that was
-// away is given its load back.
-//
-// It does no I/O, reads no clock and holds no global state: the gateway tells it how attempts end, and it answers from
-// that, from configuration and from draws that it is given. Equal inputs give equal answers. Times are on one clock that
-// runs forward, from any beginning. A T is not safe for concurrent use.
 package locality
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"time"
 )
@@ -17,8 +9,8 @@
 // Locality is a place with caches that may serve requests.
 type Locality struct {
 	Name   string
-	Level  int     // of preference: 0 for the own one, 1 and up for those that load may spill to
-	Weight float64 // what its caches can do together, relative to the others'; 0: 1
+	Level  int     // priority level: 0 for the own one, 1 and up for those that load may spill over to
+	Weight float64 // capacity of its caches together, relative to the others'; 0: 1
 }
 
 // Defaults for what a Config leaves out.
@@ -40,78 +32,136 @@
 	DefaultMaxRetryAfter      = 2 * time.Second
 )
 
-// Config is what the decisions go by. The zero value of a field is its default.
+// Config configures the decisions. The zero value of a field is its default.
 type Config struct {
 	Localities []Locality // the own one first
-	Bands      int        // of worth, the most first (see overload.Order); 0: 1
+	Bands      int        // priority bands of requests, the first served first (see overload.Order); 0: 1
 
-	OverProvisioning   float64 // over-provisioning: a locality of which a share of 1/Over is well still takes all its load; 1 and up
-	MaxSpillover       float64 // of the own load, at most this share goes to the localities of one level
-	SpareCapacityShare float64 // and at most this share of what they have to spare, by their reports, of all gateways of the own locality
-	FullUtilization    float64 // how full a locality's link may be, spill counted; what is less than that is spare
-	SpilloverRise      float64 // the share that spills to a locality grows by no more than this in a second; it falls at once
-	PanicThreshold     float64 // if no more than this share of all weight looks well, the fault is taken to be elsewhere: nothing spills
-	MinHealth          float64 // share of good ends below which a locality is away
+	// OverProvisioning is the factor by which a locality has more capacity than its load needs: it takes all of its load
+	// while a share of 1/OverProvisioning of it is healthy. 1 to 10.
+	OverProvisioning float64
+	// MaxSpillover is the share of the own load that goes to the localities of one level at most. 0 to 1.
+	MaxSpillover float64
+	// SpareCapacityShare is the share of what a locality reports to be spare that all gateways of the own locality use
+	// together at most. 0 to 1.
+	SpareCapacityShare float64
+	// FullUtilization is the utilization that a locality's links may have, spillover included; the rest is spare. 0 to 2.
+	FullUtilization float64
+	// SpilloverRise is by how much the share that spills over to a locality grows in a second at most; it falls at once. 0 to 10.
+	SpilloverRise float64
+	// PanicThreshold is the share of all weight that must be healthy. At or below it the fault is taken to be elsewhere, and
+	// nothing spills over. 0 to 1.
+	PanicThreshold float64
+	// MinHealth is the share of good results below which a locality is ejected. 0 to 1.
+	MinHealth float64
 
-	RampStart    float64       // share with which a locality that returns begins
-	RampDuration time.Duration // and the least time until it has its full share
-	WarmHitRatio float64       // it grows at full pace while so much of the usual share of hits is there, at a fifth of it below
+	RampStart    float64       // share of its load with which a locality recovers; 0 to 1
+	RampDuration time.Duration // least time until it has all of its load
+	WarmHitRatio float64       // share of the usual hit ratio from which a recovering locality ramps up at full pace; 0 to 1
 
-	SilenceTimeout time.Duration // with work out and no good end for so long, a locality is away
-	BaseBackoff    time.Duration // wait before one that is away is tried; it doubles when it fails again,
-	MaxBackoff     time.Duration // up to this, and is forgiven after as long in good health
+	SilenceTimeout time.Duration // a locality with attempts in flight and no success for so long is ejected
+	BaseBackoff    time.Duration // wait before an ejected locality is tried; it doubles when the locality is ejected again ...
+	MaxBackoff     time.Duration // ... up to this, and halves after as long in good health
 
 	Tick          time.Duration // how often shares are set
-	MaxRetryAfter time.Duration // longest advice on when to come back
-	Seed          uint64        // of this gateway, for waits that differ from gateway to gateway
+	MaxRetryAfter time.Duration // longest Retry-After that rejected requests are told
+	Seed          uint64        // of this gateway, so that backoffs differ from gateway to gateway
 }
 
-// Validate fills in defaults, or names the first field that can't be worked with.
+// FieldError says that a field of a [Config] is faulty.
+type FieldError struct {
+	Field  string // for instance "MaxBackoff" or "Localities[1].Name"
+	Reason string
+}
+
+func (e *FieldError) Error() string { return "locality: " + e.Field + ": " + e.Reason }
+
+func fieldError(field, format string, args ...any) error {
+	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
+}
+
+// Validate fills in defaults. Its error is a [*FieldError] for the first faulty field.
 func (c *Config) Validate() error {
+	if err := c.validateLocalities(); err != nil {
+		return err
+	}
+	if c.Bands < 0 {
+		return fieldError("Bands", "%d is negative", c.Bands)
+	}
+	c.Bands = cmp.Or(c.Bands, 1)
+	if err := c.validateNumbers(); err != nil {
+		return err
+	}
+	return c.validateDurations()
+}
+
+func (c *Config) validateLocalities() error {
 	if len(c.Localities) == 0 {
-		return errors.New("tiers: Localities is empty")
+		return fieldError("Localities", "there is none")
 	}
 	seen := map[string]bool{}
 	for i := range c.Localities {
 		l := &c.Localities[i]
+		field := fmt.Sprintf("Localities[%d]", i)
 		switch {
 		case l.Name == "" || seen[l.Name]:
-			return fmt.Errorf("tiers: Localities[%d].Name: %q is empty or stands twice", i, l.Name)
+			return fieldError(field+".Name", "%q is empty or stands twice", l.Name)
 		case (i == 0) != (l.Level == 0) || l.Level < 0:
-			return fmt.Errorf("tiers: Localities[%d].Level: %d; the first is the own one, of level 0, and no other", i, l.Level)
-		case !(l.Weight >= 0):
-			return fmt.Errorf("tiers: Localities[%d].Weight: %v", i, l.Weight)
+			return fieldError(field+".Level", "%d; the first is the own one, of level 0, and no other", l.Level)
+		case !(l.Weight >= 0): // NaN fails, too
+			return fieldError(field+".Weight", "%v", l.Weight)
 		}
 		seen[l.Name] = true
 		l.Weight = cmp.Or(l.Weight, 1)
 	}
-	if c.Bands < 0 {
-		return fmt.Errorf("tiers: Bands: %d", c.Bands)
-	}
-	c.Bands = cmp.Or(c.Bands, 1)
+	return nil
+}
+
+func (c *Config) validateNumbers() error {
 	for _, f := range []struct {
-		name             string
-		v                *float64
-		def, least, most float64
-	}{{"Over", &c.OverProvisioning, DefaultOverProvisioning, 1, 10}, {"Spill", &c.MaxSpillover, DefaultMaxSpillover, 0, 1}, {"Spare", &c.SpareCapacityShare, DefaultSpareCapacityShare, 0, 1},
-		{"Full", &c.FullUtilization, DefaultFullUtilization, 0, 2}, {"Rise", &c.SpilloverRise, DefaultSpilloverRise, 0, 10}, {"Panic", &c.PanicThreshold, DefaultPanicThreshold, 0, 1},
-		{"Ill", &c.MinHealth, DefaultMinHealth, 0, 1}, {"Start", &c.RampStart, DefaultRampStart, 0, 1}, {"Warm", &c.WarmHitRatio, DefaultWarmHitRatio, 0, 1}} {
-		if *f.v = cmp.Or(*f.v, f.def); !(*f.v >= f.least && *f.v <= f.most) {
-			return fmt.Errorf("tiers: %s: %v is not from %v to %v", f.name, *f.v, f.least, f.most)
+		name               string
+		value              *float64
+		byDefault          float64
+		smallest, greatest float64
+	}{
+		{"OverProvisioning", &c.OverProvisioning, DefaultOverProvisioning, 1, 10},
+		{"MaxSpillover", &c.MaxSpillover, DefaultMaxSpillover, 0, 1},
+		{"SpareCapacityShare", &c.SpareCapacityShare, DefaultSpareCapacityShare, 0, 1},
+		{"FullUtilization", &c.FullUtilization, DefaultFullUtilization, 0, 2},
+		{"SpilloverRise", &c.SpilloverRise, DefaultSpilloverRise, 0, 10},
+		{"PanicThreshold", &c.PanicThreshold, DefaultPanicThreshold, 0, 1},
+		{"MinHealth", &c.MinHealth, DefaultMinHealth, 0, 1},
+		{"RampStart", &c.RampStart, DefaultRampStart, 0, 1},
+		{"WarmHitRatio", &c.WarmHitRatio, DefaultWarmHitRatio, 0, 1},
+	} {
+		*f.value = cmp.Or(*f.value, f.byDefault)
+		if !(*f.value >= f.smallest && *f.value <= f.greatest) { // NaN fails, too
+			return fieldError(f.name, "%v is not from %v to %v", *f.value, f.smallest, f.greatest)
 		}
 	}
+	return nil
+}
+
+func (c *Config) validateDurations() error {
 	for _, f := range []struct {
-		name string
-		v    *time.Duration
-		def  time.Duration
-	}{{"Ramp", &c.RampDuration, DefaultRampDuration}, {"Silence", &c.SilenceTimeout, DefaultSilenceTimeout}, {"Back", &c.BaseBackoff, DefaultBaseBackoff},
-		{"BackMost", &c.MaxBackoff, DefaultMaxBackoff}, {"Tick", &c.Tick, DefaultTick}, {"LaterMost", &c.MaxRetryAfter, DefaultMaxRetryAfter}} {
-		if *f.v = cmp.Or(*f.v, f.def); *f.v < 0 {
-			return fmt.Errorf("tiers: %s: %v is negative", f.name, *f.v)
+		name      string
+		value     *time.Duration
+		byDefault time.Duration
+	}{
+		{"RampDuration", &c.RampDuration, DefaultRampDuration},
+		{"SilenceTimeout", &c.SilenceTimeout, DefaultSilenceTimeout},
+		{"BaseBackoff", &c.BaseBackoff, DefaultBaseBackoff},
+		{"MaxBackoff", &c.MaxBackoff, DefaultMaxBackoff},
+		{"Tick", &c.Tick, DefaultTick},
+		{"MaxRetryAfter", &c.MaxRetryAfter, DefaultMaxRetryAfter},
+	} {
+		*f.value = cmp.Or(*f.value, f.byDefault)
+		if *f.value < 0 {
+			return fieldError(f.name, "%v is negative", *f.value)
 		}
 	}
 	if c.MaxBackoff < c.BaseBackoff {
-		return fmt.Errorf("tiers: BackMost: %v is under Back, which is %v", c.MaxBackoff, c.BaseBackoff)
+		return fieldError("MaxBackoff", "%v is less than the first wait, which is %v", c.MaxBackoff, c.BaseBackoff)
 	}
 	return nil
 }
--- a/locality/locality_test.go
+++ b/locality/locality_test.go
@@ -27,15 +27,15 @@
 
 func TestConfigNamesWhatIsWrong(t *testing.T) {
 	for want, spoil := range map[string]func(*Config){
-		"Localities is empty":           func(c *Config) { c.Localities = nil },
-		`Localities[1].Name: "own"`:     func(c *Config) { c.Localities[1].Name = "own" },
-		"Localities[2].Level: 0":        func(c *Config) { c.Localities[2].Level = 0 },
-		"Localities[0].Level: 1":        func(c *Config) { c.Localities[0].Level = 1 },
-		"Localities[1].Weight: NaN":     func(c *Config) { c.Localities[1].Weight = math.NaN() },
-		"Over: 0.5 is not from 1":       func(c *Config) { c.OverProvisioning = 0.5 },
-		"Spill: 1.5 is not from 0":      func(c *Config) { c.MaxSpillover = 1.5 },
-		"Silence: -1s is negative":      func(c *Config) { c.SilenceTimeout = -time.Second },
-		"BackMost: 500ms is under Back": func(c *Config) { c.MaxBackoff = 500 * ms },
+		"Localities: there is none":                                  func(c *Config) { c.Localities = nil },
+		`Localities[1].Name: "own"`:                                  func(c *Config) { c.Localities[1].Name = "own" },
+		"Localities[2].Level: 0":                                     func(c *Config) { c.Localities[2].Level = 0 },
+		"Localities[0].Level: 1":                                     func(c *Config) { c.Localities[0].Level = 1 },
+		"Localities[1].Weight: NaN":                                  func(c *Config) { c.Localities[1].Weight = math.NaN() },
+		"OverProvisioning: 0.5 is not from 1 to 10":                  func(c *Config) { c.OverProvisioning = 0.5 },
+		"MaxSpillover: 1.5 is not from 0 to 1":                       func(c *Config) { c.MaxSpillover = 1.5 },
+		"SilenceTimeout: -1s is negative":                            func(c *Config) { c.SilenceTimeout = -time.Second },
+		"MaxBackoff: 500ms is less than the first wait, which is 1s": func(c *Config) { c.MaxBackoff = 500 * ms },
 	} {
 		c := config()
 		spoil(&c)
