--- a/warmstart/pace.go
+++ b/warmstart/pace.go
@@ -5,8 +5,8 @@
 // Defaults of a Pace.
 const (
 	DefaultSaveInterval = 5 * time.Second
-	failMost            = 5 * time.Minute  // waits after failures double up to this
-	hangAfter           = 30 * time.Second // a write that takes longer hangs: no second one is begun beside it
+	maxBackoff          = 5 * time.Minute  // waits after failures double up to this
+	hangTimeout         = 30 * time.Second // a write that takes longer hangs: no second one is begun beside it
 )
 
 // SaveSchedule decides when knowledge is written: at steady intervals while that goes well, ever more seldom while it fails, and
@@ -14,23 +14,25 @@
 type SaveSchedule struct {
 	Interval time.Duration // 0: DefaultEvery
 
-	next  time.Duration
-	began time.Duration
-	busy  bool
-	told  bool // that it hangs
-	wait  time.Duration
+	next         time.Duration
+	startedAt    time.Duration
+	writing      bool
+	hangReported bool // that it hangs
+	backoff      time.Duration
 
 	Written, Failed, Hung uint64
 }
 
 // Due says whether a write is to begin now.
-func (p *SaveSchedule) Due(now time.Duration) bool { return !p.busy && now >= p.next }
+func (p *SaveSchedule) Due(now time.Duration) bool { return !p.writing && now >= p.next }
 
 // Force has the next write due at once.
 func (p *SaveSchedule) Force() { p.next = 0 }
 
 // Started notes that one has.
-func (p *SaveSchedule) Started(now time.Duration) { p.began, p.busy, p.told = now, true, false }
+func (p *SaveSchedule) Started(now time.Duration) {
+	p.startedAt, p.writing, p.hangReported = now, true, false
+}
 
 // Finished notes how it went.
 func (p *SaveSchedule) Finished(now time.Duration, failed bool) {
@@ -38,23 +40,23 @@
 	if every <= 0 {
 		every = DefaultSaveInterval
 	}
-	p.busy = false
+	p.writing = false
 	if !failed {
 		p.Written++
-		p.wait, p.next = 0, max(now, p.began+every)
+		p.backoff, p.next = 0, max(now, p.startedAt+every)
 		return
 	}
 	p.Failed++
-	p.wait = min(failMost, max(every, 2*p.wait))
-	p.next = now + p.wait
+	p.backoff = min(maxBackoff, max(every, 2*p.backoff))
+	p.next = now + p.backoff
 }
 
 // Hanging says, once for each, that the write that is out has taken too long.
 func (p *SaveSchedule) Hanging(now time.Duration) bool {
-	if !p.busy || p.told || now-p.began < hangAfter {
+	if !p.writing || p.hangReported || now-p.startedAt < hangTimeout {
 		return false
 	}
-	p.told = true
+	p.hangReported = true
 	p.Hung++
 	return true
 }
--- a/warmstart/shared.go
+++ b/warmstart/shared.go
@@ -18,32 +18,32 @@
 // replica and back. Two clocks meet here, the director's and the copy's; only ages go from one to the other.
 
 const (
-	sameListing = 20 * time.Second       // what somebody said of an object so lately is not said again
-	samePurge   = 100 * time.Millisecond // two notices of one purge differ by less, mostly: what is purged again so soon is not told, but covered
-	ownWord     = 20 * time.Millisecond  // by more than this a purge is another one than a neighbour told this gateway of
-	heldWithin  = 10 * time.Second       // a drain that the own list has not told of counts for so long
-	heldShare   = 4                      // at most one in so many stores of a kind and zone is held on others' word alone
+	listingRepeatAfter = 20 * time.Second       // what somebody said of an object so lately is not said again
+	samePurgeWithin    = 100 * time.Millisecond // two notices of one purge differ by less, mostly: what is purged again so soon is not told, but covered
+	ownPurgeMargin     = 20 * time.Millisecond  // by more than this a purge is another one than a neighbour told this gateway of
+	peerDrainMaxAge    = 10 * time.Second       // a drain that the own list has not told of counts for so long
+	maxHeldDivisor     = 4                      // at most one in so many stores of a kind and zone is held on others' word alone
 )
 
 // Sharer does both for one gateway. Use NewSharer.
 type Sharer struct {
 	Published, Held int // slots said; stores held on others' word now
 
-	node  *replication.Node
-	zone  string
-	most  int
-	up    map[string]routing.Endpoint // stores that the list had in use, when it was last looked at
-	voice map[string]bool             // stores of which something was said
-	heard map[string]time.Duration    // purges that neighbours told of, as the director has them
+	node         *replication.Node
+	zone         string
+	maxListings  int
+	listedUp     map[string]routing.Endpoint // stores that the list had in use, when it was last looked at
+	complainedOf map[string]bool             // stores of which something was said
+	peerPurges   map[string]time.Duration    // purges that neighbours told of, as the director has them
 }
 
 // NewSharer returns a sharer for a gateway of a zone, that tells of so many listings at most.
 func NewSharer(node *replication.Node, zone string, most int) *Sharer {
-	return &Sharer{node: node, zone: zone, most: most, up: map[string]routing.Endpoint{}, voice: map[string]bool{}, heard: map[string]time.Duration{}}
+	return &Sharer{node: node, zone: zone, maxListings: most, listedUp: map[string]routing.Endpoint{}, complainedOf: map[string]bool{}, peerPurges: map[string]time.Duration{}}
 }
 
-// bootMs tells starts apart at all gateways alike, whose clocks give one to a few microseconds.
-func bootMs(boot time.Duration) int64 { return boot.Round(time.Millisecond).Milliseconds() }
+// incarnationMs tells starts apart at all gateways alike, whose clocks give one to a few microseconds.
+func incarnationMs(boot time.Duration) int64 { return boot.Round(time.Millisecond).Milliseconds() }
 
 // Publish says what is news of what a director has learned and of the list: what is a matter of safety first, then what speaks against
 // stores, then listings, the most used first, until the copy takes no more. Now is the copy's clock; m.At the director's.
@@ -60,36 +60,36 @@
 	held := map[string]bool{}
 	for _, p := range m.Purges {
 		held[p.Name] = true
-		if at, ok := s.heard[p.Name]; ok && p.At <= at+ownWord {
+		if at, ok := s.peerPurges[p.Name]; ok && p.At <= at+ownPurgeMargin {
 			continue // guards against what a neighbour said being said on, each time a little younger
 		}
 		// What a neighbour said of it will do: three hundred gateways need not say it each.
-		if at, ok := known[p.Name]; !ok || seen(p.At) > at+samePurge {
+		if at, ok := known[p.Name]; !ok || seen(p.At) > at+samePurgeWithin {
 			say(replication.Purge, p.Name, nil, seen(p.At))
 		}
 	}
-	maps.DeleteFunc(s.heard, func(name string, _ time.Duration) bool { return !held[name] }) // it has settled
+	maps.DeleteFunc(s.peerPurges, func(name string, _ time.Duration) bool { return !held[name] }) // it has settled
 	for id, e := range list {
 		if e.Phase == routing.Up {
-			if s.up[id] = e; s.node.HasWritten(replication.Drain, id) {
-				say(replication.Drain, id, replication.Encode(replication.DrainValue{BootMs: bootMs(e.Incarnation), Up: true}), now)
+			if s.listedUp[id] = e; s.node.HasWritten(replication.Drain, id) {
+				say(replication.Drain, id, replication.Encode(replication.DrainValue{BootMs: incarnationMs(e.Incarnation), Up: true}), now)
 			}
 		}
 	}
-	for id, was := range s.up {
+	for id, was := range s.listedUp {
 		if e, ok := list[id]; !ok || e.Phase != routing.Up {
-			say(replication.Drain, id, replication.Encode(replication.DrainValue{BootMs: bootMs(was.Incarnation)}), now)
-			delete(s.up, id)
+			say(replication.Drain, id, replication.Encode(replication.DrainValue{BootMs: incarnationMs(was.Incarnation)}), now)
+			delete(s.listedUp, id)
 		}
 	}
 	for _, h := range m.Endpoints {
 		e := evidence(h, m.At)
 		switch bad := e.Faulty(); {
 		case bad && h.LastAnswer > 0 && m.At-h.LastAnswer < FailureHalfLife:
-			s.voice[h.Endpoint] = true
+			s.complainedOf[h.Endpoint] = true
 			say(replication.Health, h.Endpoint, replication.Encode(e), seen(h.LastAnswer))
-		case !bad && s.voice[h.Endpoint]: // it is well again: that is said once
-			if delete(s.voice, h.Endpoint); s.node.HasWritten(replication.Health, h.Endpoint) {
+		case !bad && s.complainedOf[h.Endpoint]: // it is well again: that is said once
+			if delete(s.complainedOf, h.Endpoint); s.node.HasWritten(replication.Health, h.Endpoint) {
 				say(replication.Health, h.Endpoint, replication.Encode(replication.HealthValue{BootMs: e.BootMs}), now)
 			}
 		}
@@ -98,12 +98,12 @@
 	slices.SortFunc(hot, func(a, b routing.Listing) int {
 		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.Key, b.Key))
 	})
-	for _, l := range hot[:min(s.most, len(hot))] {
+	for _, l := range hot[:min(s.maxListings, len(hot))] {
 		key := s.key(l.Key)
-		if by, at, ok := s.node.Locate(now, key); ok && by == l.Endpoint && now-at < sameListing {
+		if by, at, ok := s.node.Locate(now, key); ok && by == l.Endpoint && now-at < listingRepeatAfter {
 			continue
 		}
-		p := replication.ListingValue{Server: l.Endpoint, BootMs: bootMs(l.Incarnation), Requests: math.Round(l.Count), MeanGapMs: l.MeanGap.Milliseconds(), MinLatencyMs: l.TransferTime.Milliseconds()}
+		p := replication.ListingValue{Server: l.Endpoint, BootMs: incarnationMs(l.Incarnation), Requests: math.Round(l.Count), MeanGapMs: l.MeanGap.Milliseconds(), MinLatencyMs: l.TransferTime.Milliseconds()}
 		if !say(replication.Listing, key, replication.Encode(p), seen(l.LastRequest)) && s.node.BulkBudgetSpent() {
 			return
 		}
@@ -113,7 +113,7 @@
 // evidence words what is known of a store, coarsely: what hardly changes is not said again.
 func evidence(h routing.EndpointHealth, at time.Duration) replication.HealthValue {
 	tenth := func(x float64) float64 { return math.Round(min(1, max(0, x))*10) / 10 }
-	e := replication.HealthValue{BootMs: bootMs(h.Incarnation), ErrorRate: tenth(h.ErrorRate), LateShare: tenth(h.LateShare)}
+	e := replication.HealthValue{BootMs: incarnationMs(h.Incarnation), ErrorRate: tenth(h.ErrorRate), LateShare: tenth(h.LateShare)}
 	if h.EjectedUntil > at {
 		e.EjectedMs = min(time.Minute, (h.EjectedUntil-at).Round(5*time.Second)+5*time.Second).Milliseconds()
 	}
@@ -128,8 +128,8 @@
 // PurgeAge is how long ago the director, whose clock is at, is to take a purge for made that others were told of. What was purged again
 // within samePurge of it is covered by that, as nobody may have said it.
 func (s *Sharer) PurgeAge(now, at time.Duration, name string, told time.Duration) (ago time.Duration) {
-	ago = max(0, now-told-samePurge)
-	s.heard[name] = max(s.heard[name], at-ago)
+	ago = max(0, now-told-samePurgeWithin)
+	s.peerPurges[name] = max(s.peerPurges[name], at-ago)
 	return ago
 }
 
@@ -137,7 +137,7 @@
 // knows a store; without it that is taken as it was told.
 func (s *Sharer) Collect(now, at time.Duration, list map[string]routing.Endpoint) routing.LearnedState {
 	boot := func(server string, ms int64) time.Duration {
-		if e, ok := list[server]; ok && bootMs(e.Incarnation) == ms {
+		if e, ok := list[server]; ok && incarnationMs(e.Incarnation) == ms {
 			return e.Incarnation
 		}
 		return time.Duration(ms) * time.Millisecond
@@ -174,7 +174,7 @@
 	for _, e := range list {
 		all[e.Kind+" "+e.Zone]++
 	}
-	drains := s.node.Drains(now, heldWithin)
+	drains := s.node.Drains(now, peerDrainMaxAge)
 	ids := make([]string, 0, len(drains))
 	for id := range drains {
 		ids = append(ids, id)
@@ -183,7 +183,7 @@
 	for _, id := range ids {
 		e, ok := list[id]
 		group := e.Kind + " " + e.Zone
-		if !ok || e.Phase != routing.Up || bootMs(e.Incarnation) != drains[id] || some[group] >= max(1, all[group]/heldShare) {
+		if !ok || e.Phase != routing.Up || incarnationMs(e.Incarnation) != drains[id] || some[group] >= max(1, all[group]/maxHeldDivisor) {
 			continue
 		}
 		some[group]++
--- a/warmstart/shared_test.go
+++ b/warmstart/shared_test.go
@@ -82,7 +82,7 @@
 	if len(m.Purges) != 1 || m.Purges[0].Name != " 3" {
 		t.Fatalf("%+v", m.Purges)
 	}
-	near("the purge", 2*director-m.Purges[0].At+samePurge, time.Second)
+	near("the purge", 2*director-m.Purges[0].At+samePurgeWithin, time.Second)
 	if len(m.Endpoints) != 0 {
 		t.Errorf("one gateway's word makes a store ill for another: %+v", m.Endpoints)
 	}
@@ -167,7 +167,7 @@
 	if held := p.s["b"].HeldEndpoints(p.now, list(routing.Up, 2*time.Hour)); len(held) != 0 {
 		t.Errorf("another start is held: %v", held)
 	}
-	if held := p.s["b"].HeldEndpoints(p.now+heldWithin+time.Second, list(routing.Up, time.Hour)); len(held) != 0 {
+	if held := p.s["b"].HeldEndpoints(p.now+peerDrainMaxAge+time.Second, list(routing.Up, time.Hour)); len(held) != 0 {
 		t.Errorf("it is held for ever: %v", held)
 	}
 	if held := p.s["a"].HeldEndpoints(p.now, list(routing.Up, time.Hour)); len(held) != 0 {
--- a/warmstart/warmstart.go
+++ b/warmstart/warmstart.go
@@ -20,9 +20,9 @@
 	FailureHalfLife     = 2 * time.Minute  // that a server fails, or answers late: for sending less
 	LimitHalfLife       = 2 * time.Minute  // how much may be out: likewise
 
-	least     = 0.001           // what counts for less counts for nothing
-	skew      = 2 * time.Second // by which a clock may have been put back
-	oldestDay = 24 * time.Hour  // nothing is taken in that is older
+	minConfidence  = 0.001           // what counts for less counts for nothing
+	maxClockSkew   = 2 * time.Second // by which a clock may have been put back
+	maxSnapshotAge = 24 * time.Hour  // nothing is taken in that is older
 )
 
 // Snapshot is all that a gateway has learned at a time.
@@ -50,9 +50,9 @@
 		return fmt.Errorf("%w: %q, and this is %q", ErrOtherGateway, s.Gateway, gateway)
 	case s.Settings != settings:
 		return ErrOtherSettings
-	case age < -skew:
+	case age < -maxClockSkew:
 		return fmt.Errorf("%w, by %v", ErrFromFuture, -age)
-	case age > oldestDay:
+	case age > maxSnapshotAge:
 		return fmt.Errorf("%w: %v", ErrExpired, age.Round(time.Second))
 	}
 	return nil
@@ -61,11 +61,11 @@
 // ConfidenceAt is what knowledge of an age still counts for. What is of the future counts for nothing.
 func ConfidenceAt(age time.Duration) routing.Confidence {
 	w := func(half time.Duration) float64 {
-		if age < -skew {
+		if age < -maxClockSkew {
 			return 0
 		}
 		x := math.Exp2(-float64(max(0, age)) / float64(half))
-		if x < least {
+		if x < minConfidence {
 			return 0
 		}
 		return x
--- a/warmstart/warmstart_test.go
+++ b/warmstart/warmstart_test.go
@@ -69,7 +69,7 @@
 	if n := tick(time.Hour, true); n > 22 || n < 12 {
 		t.Errorf("%d writes in an hour of failures", n)
 	}
-	now += failMost
+	now += maxBackoff
 	if n := tick(10*time.Second, false); n < 9 {
 		t.Errorf("%d writes in 10 s after them", n)
 	}
