--- a/warmstart/shared_test.go
+++ b/warmstart/sharer_test.go
@@ -62,7 +62,7 @@
 const director = 1000 * time.Hour // its clock is another one
 
 // What one has learned is what the other takes in, with its ages, by clocks that have nothing in common.
-func TestWhatIsToldIsTakenInWithItsAge(t *testing.T) {
+func TestPublishedStateKeepsItsAge(t *testing.T) {
 	p := newPair(t, "a", "b")
 	boot := 500*time.Hour + 300*time.Nanosecond
 	p.s["a"].Publish(p.now, routing.LearnedState{At: director, Listings: []routing.Listing{{Key: 77, Endpoint: "b1", Incarnation: boot, LastRequest: director - 10*time.Second, Count: 4, MeanGap: time.Second}},
@@ -84,12 +84,12 @@
 	}
 	near("the purge", 2*director-m.Purges[0].At+samePurgeWithin, time.Second)
 	if len(m.Endpoints) != 0 {
-		t.Errorf("one gateway's word makes a store ill for another: %+v", m.Endpoints)
+		t.Errorf("one gateway's word makes a store faulty for another: %+v", m.Endpoints)
 	}
 }
 
-// A store is well again: what was said of it is over at all others.
-func TestRecoveryIsTold(t *testing.T) {
+// A store has recovered: what was published of its faults is over at all others.
+func TestRecoveryIsPublished(t *testing.T) {
 	p := newPair(t, "a", "b", "c")
 	ill := routing.LearnedState{At: director, Endpoints: []routing.EndpointHealth{{Endpoint: "b2", LastAnswer: director, ErrorRate: 0.8, EjectedUntil: director + 3*time.Second}}}
 	for _, n := range []string{"a", "b"} {
@@ -104,35 +104,35 @@
 	}
 	p.sync()
 	if m := p.s["c"].Collect(p.now, director, nil); len(m.Endpoints) != 0 {
-		t.Errorf("it is still ill: %+v", m.Endpoints)
+		t.Errorf("it is still faulty: %+v", m.Endpoints)
 	}
 }
 
-// What hardly changes is not said again, and a purge that a neighbour has told of is not said by everybody.
-func TestLittleIsSaidTwice(t *testing.T) {
+// What hardly changes is not published again, and a purge that another gateway has published is not published by everybody.
+func TestLittleIsPublishedTwice(t *testing.T) {
 	p := newPair(t, "a", "b")
 	m := routing.LearnedState{At: director, Endpoints: []routing.EndpointHealth{{Endpoint: "b2", LastAnswer: director, ErrorRate: 0.8}}, Purges: []routing.PurgeRecord{{Name: "o", At: director}}}
 	p.s["a"].Publish(p.now, m, nil)
 	p.sync()
 	m.At += 4 * time.Second
-	told := p.s["a"].Published
+	published := p.s["a"].Published
 	for range 20 {
 		m.At += 100 * time.Millisecond
 		p.now += 100 * time.Millisecond
 		m.Endpoints[0].LastAnswer, m.Endpoints[0].ErrorRate = m.At, m.Endpoints[0].ErrorRate-0.001
 		p.s["a"].Publish(p.now, m, nil)
 	}
-	if got := p.s["a"].Published; got != told {
-		t.Errorf("%d things were said, and %d again", told, got-told)
+	if got := p.s["a"].Published; got != published {
+		t.Errorf("%d slots were published, and %d again", published, got-published)
 	}
 	p.s["b"].Publish(p.now, routing.LearnedState{At: m.At, Purges: []routing.PurgeRecord{{Name: "o", At: m.At - p.now + p.nodes["b"].Purges(p.now)["o"]}}}, nil)
 	if p.s["b"].Published != 0 {
-		t.Error("both say the same purge")
+		t.Error("both publish the same purge")
 	}
 }
 
-// An object is purged again, and again: sooner after the first than anybody tells it, and later. What a neighbour makes of it is never
-// older than the latest; and what it was told it does not say on as its own.
+// An object is purged again, and again: sooner after the first than anybody hears of it, and later. What another gateway makes of it is
+// never older than the latest; and it does not publish it as its own.
 func TestPurgesInARowAreCovered(t *testing.T) {
 	for _, apart := range []time.Duration{30 * time.Millisecond, 99 * time.Millisecond, 130 * time.Millisecond, 495 * time.Millisecond, 2 * time.Second} {
 		p := newPair(t, "a", "b")
@@ -150,13 +150,13 @@
 		p.now += 300 * time.Millisecond
 		p.s["b"].Publish(p.now, routing.LearnedState{At: m.At, Purges: m.Purges}, nil)
 		if p.s["b"].Published != 0 {
-			t.Errorf("%v apart: b says on what it was told", apart)
+			t.Errorf("%v apart: b publishes what it was told", apart)
 		}
 	}
 }
 
-// A drain that the own list has not told of yet is heeded, for the start that is meant, for a while, and for a few stores only.
-func TestADrainIsHeededOnOthersWord(t *testing.T) {
+// A drain that the own list does not have yet holds the store: in the incarnation that is meant, for a while, and few stores only.
+func TestHeldEndpoints(t *testing.T) {
 	p := newPair(t, "a", "b")
 	p.s["a"].Publish(p.now, routing.LearnedState{At: director}, list(routing.Up, time.Hour))
 	p.s["a"].Publish(p.now, routing.LearnedState{At: director}, list(routing.Draining, time.Hour))
@@ -165,7 +165,7 @@
 		t.Fatalf("%v", held)
 	}
 	if held := p.s["b"].HeldEndpoints(p.now, list(routing.Up, 2*time.Hour)); len(held) != 0 {
-		t.Errorf("another start is held: %v", held)
+		t.Errorf("another incarnation is held: %v", held)
 	}
 	if held := p.s["b"].HeldEndpoints(p.now+peerDrainMaxAge+time.Second, list(routing.Up, time.Hour)); len(held) != 0 {
 		t.Errorf("it is held for ever: %v", held)
