--- a/internal/hotrestart/hotrestart.go
+++ b/internal/hotrestart/hotrestart.go
@@ -22,20 +22,20 @@
 )
 
 const (
-	activeLock   = "active.lock"  // held by the process that serves
-	nextLock     = "next.lock"    // held by its successor while both run
-	servingLock  = "serving.lock" // held by the successor once it takes clients, while both run
-	requestFile  = "request"      // the successor's: it holds a token
-	statePrefix  = "state-"       // followed by the token: the answer
-	socketPrefix = "s-"           // likewise: a Unix socket of the successor\'s, which takes sockets. Short: a path has 107 bytes at most
-	partial      = ".tmp"
-	folderMode   = 0o700
-	fileMode     = 0o600
-	stateMost    = 16 << 20 // bytes of a state that is read
-	tokenBytes   = 4
+	activeLockFile    = "active.lock"  // held by the process that serves
+	successorLockFile = "next.lock"    // held by its successor while both run
+	servingLockFile   = "serving.lock" // held by the successor once it takes clients, while both run
+	requestFile       = "request"      // the successor's: it holds a token
+	statePrefix       = "state-"       // followed by the token: the answer
+	socketPrefix      = "s-"           // likewise: a Unix socket of the successor\'s, which takes sockets. Short: a path has 107 bytes at most
+	temporarySuffix   = ".tmp"
+	folderMode        = 0o700
+	fileMode          = 0o600
+	maxStateBytes     = 16 << 20 // bytes of a state that is read
+	tokenBytes        = 4
 
-	poll      = 20 * time.Millisecond  // between two looks for a file or a lock, while both processes run
-	watchPoll = 200 * time.Millisecond // between two looks for a successor: it costs little, and a successor waits
+	pollInterval  = 20 * time.Millisecond  // between two looks for a file or a lock, while both processes run
+	watchInterval = 200 * time.Millisecond // between two looks for a successor: it costs little, and a successor waits
 )
 
 // Errors to be told apart by errors.Is.
@@ -48,54 +48,54 @@
 
 // Process is this process's place in a handover.
 type Process struct {
-	dir     string
-	active  *os.File // holds activeLock, or waits for it
-	next    *os.File // holds nextLock; nil: this process was alone at its start
-	serving *os.File // holds servingLock; nil: it does not
+	dir           string
+	activeLock    *os.File // holds activeLock, or waits for it
+	successorLock *os.File // holds nextLock; nil: this process was alone at its start
+	servingLock   *os.File // holds servingLock; nil: it does not
 
-	mu     sync.Mutex
-	alone  bool
-	closed chan struct{}
-	once   sync.Once
+	mu        sync.Mutex
+	alone     bool
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 // Join takes this process's place among those that share a folder, which is made if need be. If a process and its successor run
 // already it waits until one of them has ended, and fails with ErrThird if that takes longer than within.
 func Join(dir string, within time.Duration) (*Process, error) {
-	if err := ownFolder(dir); err != nil {
+	if err := ensurePrivateFolder(dir); err != nil {
 		return nil, err
 	}
 	p := &Process{dir: dir, closed: make(chan struct{})}
 	var err error
-	if p.active, err = open(dir, activeLock); err != nil {
+	if p.activeLock, err = openLockFile(dir, activeLockFile); err != nil {
 		return nil, err
 	}
-	next, err := open(dir, nextLock)
+	next, err := openLockFile(dir, successorLockFile)
 	if err != nil {
-		_ = p.active.Close()
+		_ = p.activeLock.Close()
 		return nil, err
 	}
 	// The successor's lock comes first: whoever holds it is the one to take the other, once that comes free.
-	for end := time.Now().Add(within); !tryLock(next, unix.LOCK_EX); time.Sleep(poll) {
+	for end := time.Now().Add(within); !tryLock(next, unix.LOCK_EX); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			_ = p.active.Close()
+			_ = p.activeLock.Close()
 			_ = next.Close()
 			return nil, fmt.Errorf("%s: %w", dir, ErrTooManyProcesses)
 		}
 	}
-	if !tryLock(p.active, unix.LOCK_EX) {
-		p.next = next
+	if !tryLock(p.activeLock, unix.LOCK_EX) {
+		p.successorLock = next
 		return p, nil
 	}
 	p.alone = true
-	p.sweep()
+	p.removeLeftovers()
 	_ = next.Close() // last: a successor may ask from now on
 	return p, nil
 }
 
-// ownFolder makes the folder, or checks that it is this user's and nobody else's. Guards against a folder that somebody else
+// ensurePrivateFolder makes the folder, or checks that it is this user's and nobody else's. Guards against a folder that somebody else
 // has made in a temporary folder that all share.
-func ownFolder(dir string) error {
+func ensurePrivateFolder(dir string) error {
 	if err := os.Mkdir(dir, folderMode); err != nil && !errors.Is(err, os.ErrExist) {
 		return fmt.Errorf("the handover's folder: %w", err)
 	}
@@ -109,7 +109,7 @@
 	return nil
 }
 
-func open(dir, name string) (*os.File, error) {
+func openLockFile(dir, name string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(dir, name), os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
 		return nil, fmt.Errorf("the handover's lock: %w", err)
@@ -127,8 +127,8 @@
 	}
 }
 
-// sweep removes what earlier processes have left.
-func (p *Process) sweep() {
+// removeLeftovers removes what earlier processes have left.
+func (p *Process) removeLeftovers() {
 	entries, _ := os.ReadDir(p.dir)
 	for _, e := range entries {
 		if name := e.Name(); name == requestFile || strings.HasPrefix(name, statePrefix) || strings.HasPrefix(name, socketPrefix) {
@@ -138,7 +138,7 @@
 }
 
 // IsSuccessor says whether this process takes over from another one, which may have ended by now.
-func (p *Process) IsSuccessor() bool { return p.next != nil }
+func (p *Process) IsSuccessor() bool { return p.successorLock != nil }
 
 // Handover is what the process that serves has handed over.
 type Handover struct {
@@ -160,7 +160,7 @@
 	if missed == nil {
 		defer sockets.Close() // and removes it
 	}
-	if err := p.write(requestFile, []byte(name)); err != nil {
+	if err := p.writeFile(requestFile, []byte(name)); err != nil {
 		return h, err
 	}
 	if h.State, err = p.awaitState(name, within); err != nil {
@@ -175,26 +175,26 @@
 // awaitState waits for the file that answers a token.
 func (p *Process) awaitState(name string, within time.Duration) ([]byte, error) {
 	answer := filepath.Join(p.dir, statePrefix+name)
-	for end := time.Now().Add(within); ; time.Sleep(poll) {
+	for end := time.Now().Add(within); ; time.Sleep(pollInterval) {
 		info, err := os.Stat(answer)
-		if err == nil && info.Size() <= stateMost {
+		if err == nil && info.Size() <= maxStateBytes {
 			state, err := os.ReadFile(answer)
 			_ = os.Remove(answer)
 			return state, err
 		}
-		if time.Now().After(end) || tryLock(p.active, unix.LOCK_EX) {
+		if time.Now().After(end) || tryLock(p.activeLock, unix.LOCK_EX) {
 			return nil, ErrNoState
 		}
 	}
 }
 
-// write puts a file in place whole.
-func (p *Process) write(name string, data []byte) error {
+// writeFile puts a file in place whole.
+func (p *Process) writeFile(name string, data []byte) error {
 	path := filepath.Join(p.dir, name)
-	if err := os.WriteFile(path+partial, data, fileMode); err != nil {
+	if err := os.WriteFile(path+temporarySuffix, data, fileMode); err != nil {
 		return fmt.Errorf("handing over: %w", err)
 	}
-	if err := os.Rename(path+partial, path); err != nil {
+	if err := os.Rename(path+temporarySuffix, path); err != nil {
 		return fmt.Errorf("handing over: %w", err)
 	}
 	return nil
@@ -204,17 +204,17 @@
 func (p *Process) StartServing() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.next == nil || p.alone || p.serving != nil {
+	if p.successorLock == nil || p.alone || p.servingLock != nil {
 		return nil
 	}
-	f, err := open(p.dir, servingLock)
+	f, err := openLockFile(p.dir, servingLockFile)
 	if err != nil {
 		return err
 	}
 	for !tryLock(f, unix.LOCK_EX) { // the other process may be looking whether it is held
 		time.Sleep(time.Millisecond)
 	}
-	p.serving = f
+	p.servingLock = f
 	return nil
 }
 
@@ -226,27 +226,27 @@
 }
 
 func (p *Process) stopServing() {
-	if p.serving != nil {
-		_ = p.serving.Close()
-		p.serving = nil
+	if p.servingLock != nil {
+		_ = p.servingLock.Close()
+		p.servingLock = nil
 	}
 }
 
 // AwaitAlone calls alone, on a goroutine of its own, once the process that this one takes over from has ended.
 func (p *Process) AwaitAlone(alone func()) {
 	go func() {
-		for !tryLock(p.active, unix.LOCK_EX) {
+		for !tryLock(p.activeLock, unix.LOCK_EX) {
 			select {
 			case <-p.closed:
 				return
-			case <-time.After(poll):
+			case <-time.After(pollInterval):
 			}
 		}
 		p.mu.Lock()
 		p.alone = true
 		p.stopServing()
-		p.sweep()
-		_ = p.next.Close() // last: the next one may ask from now on
+		p.removeLeftovers()
+		_ = p.successorLock.Close() // last: the next one may ask from now on
 		p.mu.Unlock()
 		alone()
 	}()
@@ -260,7 +260,7 @@
 // answerTo answers the successor with a token.
 func (p *Process) answerTo(token string) AnswerFunc {
 	return func(state []byte, sockets []Socket) (*Link, error) {
-		if err := p.write(statePrefix+token, state); err != nil {
+		if err := p.writeFile(statePrefix+token, state); err != nil {
 			return nil, err
 		}
 		link, err := p.dialLink(token, sockets)
@@ -276,7 +276,7 @@
 func (p *Process) Watch(came func(answer AnswerFunc), gone func()) {
 	go func() {
 		present, last := false, ""
-		look := time.NewTicker(watchPoll)
+		look := time.NewTicker(watchInterval)
 		defer look.Stop()
 		for {
 			select {
@@ -284,10 +284,10 @@
 				return
 			case <-look.C:
 			}
-			if !p.serves() {
+			if !p.isActive() {
 				continue
 			}
-			if token := p.requested(); token != "" && token != last && p.HasSuccessor() {
+			if token := p.requestedToken(); token != "" && token != last && p.HasSuccessor() {
 				present, last = true, token
 				came(p.answerTo(last))
 			} else if present && !p.HasSuccessor() {
@@ -298,8 +298,8 @@
 	}()
 }
 
-// requested is the token of the latest request; empty: there is none.
-func (p *Process) requested() string {
+// requestedToken is the token of the latest request; empty: there is none.
+func (p *Process) requestedToken() string {
 	path := filepath.Join(p.dir, requestFile)
 	if err := unix.Access(path, unix.F_OK); err != nil { // nearly always; it costs less than an open that fails
 		return ""
@@ -311,22 +311,22 @@
 	return string(token)
 }
 
-// serves says whether this process holds the place of the one that serves.
-func (p *Process) serves() bool {
+// isActive says whether this process holds the place of the one that serves.
+func (p *Process) isActive() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.alone
 }
 
 // HasSuccessor says whether a successor of this process runs.
-func (p *Process) HasSuccessor() bool { return p.serves() && p.held(nextLock) }
+func (p *Process) HasSuccessor() bool { return p.isActive() && p.heldByOther(successorLockFile) }
 
 // SuccessorServes says whether a successor of this process runs and takes clients.
-func (p *Process) SuccessorServes() bool { return p.HasSuccessor() && p.held(servingLock) }
+func (p *Process) SuccessorServes() bool { return p.HasSuccessor() && p.heldByOther(servingLockFile) }
 
-// held says whether another process holds a lock.
-func (p *Process) held(name string) bool {
-	probe, err := open(p.dir, name)
+// heldByOther says whether another process holds a lock.
+func (p *Process) heldByOther(name string) bool {
+	probe, err := openLockFile(p.dir, name)
 	if err != nil {
 		return false
 	}
@@ -336,14 +336,14 @@
 
 // Close gives up this process's place. It is to be called last: a successor takes it as the end of this process.
 func (p *Process) Close() {
-	p.once.Do(func() {
+	p.closeOnce.Do(func() {
 		close(p.closed)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		_ = p.active.Close()
+		_ = p.activeLock.Close()
 		p.stopServing()
-		if p.next != nil {
-			_ = p.next.Close()
+		if p.successorLock != nil {
+			_ = p.successorLock.Close()
 		}
 	})
 }
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -15,7 +15,7 @@
 // those of two programs are.
 func join(t *testing.T, dir string) *Process {
 	t.Helper()
-	p, err := Join(dir, 5*poll)
+	p, err := Join(dir, 5*pollInterval)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-		if err := link.Migrate("too long", []BufferedInput{{Data: make([]byte, packetMost)}}, 0); err == nil {
+		if err := link.Migrate("too long", []BufferedInput{{Data: make([]byte, maxPacketBytes)}}, 0); err == nil {
 			t.Error("a packet that is too long goes over")
 		}
 		link.Close()
@@ -99,7 +99,7 @@
 	for _, f := range handed.Sockets {
 		f.Close()
 	}
-	if _, err := Join(dir, 5*poll); !errors.Is(err, ErrTooManyProcesses) {
+	if _, err := Join(dir, 5*pollInterval); !errors.Is(err, ErrTooManyProcesses) {
 		t.Errorf("a third one: %v", err)
 	}
 	if first.SuccessorServes() {
@@ -117,7 +117,7 @@
 	select {
 	case <-alone:
 		t.Fatal("the former process still runs")
-	case <-time.After(4 * poll):
+	case <-time.After(4 * pollInterval):
 	}
 	first.Close()
 	await(t, "the former process has ended", alone)
@@ -143,7 +143,7 @@
 	select {
 	case <-joined:
 		t.Fatal("three processes at once")
-	case <-time.After(4 * poll):
+	case <-time.After(4 * pollInterval):
 	}
 	first.Close()
 	third := <-joined
@@ -160,7 +160,7 @@
 	asked, gone := make(chan AnswerFunc, 1), make(chan struct{})
 	first.Watch(func(answer AnswerFunc) { asked <- answer }, func() { close(gone) })
 	second := join(t, dir)
-	if _, err := second.RequestHandover(5 * poll); !errors.Is(err, ErrNoState) {
+	if _, err := second.RequestHandover(5 * pollInterval); !errors.Is(err, ErrNoState) {
 		t.Errorf("nobody answered: %v", err)
 	}
 	late := <-asked
--- a/internal/hotrestart/sockets.go
+++ b/internal/hotrestart/sockets.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	socketsMost   = 64                     // that go over in one packet
-	packetMost    = 192 << 10              // bytes of a packet beside its sockets
-	socketsWithin = 500 * time.Millisecond // of the state
-	sendWithin    = 20 * time.Millisecond  // for a successor that does not read: whoever sends may have more to do
-	network       = "unixpacket"           // keeps packets apart
+	maxSocketsPerPacket = 64                     // that go over in one packet
+	maxPacketBytes      = 192 << 10              // bytes of a packet beside its sockets
+	socketsTimeout      = 500 * time.Millisecond // of the state
+	sendTimeout         = 20 * time.Millisecond  // for a successor that does not read: whoever sends may have more to do
+	network             = "unixpacket"           // keeps packets apart
 )
 
 // Socket is a listening socket that goes over to a successor. What waits in its queue goes over with it.
@@ -84,10 +84,10 @@
 	if err != nil {
 		return fmt.Errorf("handing sockets over: %w", err)
 	}
-	if len(data) > packetMost || len(descriptors) > socketsMost {
+	if len(data) > maxPacketBytes || len(descriptors) > maxSocketsPerPacket {
 		return fmt.Errorf("handing over %d sockets and %d bytes: too many", len(descriptors), len(data))
 	}
-	_ = l.conn.SetWriteDeadline(time.Now().Add(sendWithin))
+	_ = l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 	if _, _, err := l.conn.WriteMsgUnix(data, unix.UnixRights(descriptors...), nil); err != nil {
 		return fmt.Errorf("handing sockets over: %w", err)
 	}
@@ -117,13 +117,13 @@
 
 // receive waits for the process that serves, and returns its listening sockets by their addresses.
 func receive(l *net.UnixListener) (*Receiver, map[string]*os.File, error) {
-	_ = l.SetDeadline(time.Now().Add(socketsWithin))
+	_ = l.SetDeadline(time.Now().Add(socketsTimeout))
 	conn, err := l.AcceptUnix()
 	if err != nil {
 		return nil, nil, fmt.Errorf("waiting for sockets: %w", err)
 	}
-	r := &Receiver{conn: conn, data: make([]byte, packetMost)}
-	_ = conn.SetReadDeadline(time.Now().Add(socketsWithin))
+	r := &Receiver{conn: conn, data: make([]byte, maxPacketBytes)}
+	_ = conn.SetReadDeadline(time.Now().Add(socketsTimeout))
 	listening, files, err := r.next()
 	if err != nil {
 		r.Close()
@@ -152,7 +152,7 @@
 
 // next reads one packet: as many sockets as addresses.
 func (r *Receiver) next() (p packet, files []*os.File, err error) {
-	control := make([]byte, unix.CmsgSpace(4*socketsMost))
+	control := make([]byte, unix.CmsgSpace(4*maxSocketsPerPacket))
 	n, controls, _, _, err := r.conn.ReadMsgUnix(r.data, control)
 	if err != nil {
 		return p, nil, fmt.Errorf("receiving sockets: %w", err)
--- a/internal/snapshot/encode.go
+++ b/internal/snapshot/encode.go
@@ -29,11 +29,11 @@
 const Version = 1
 
 const (
-	magic      = "LKSN"
-	headBytes  = 8
-	frameBytes = 8
-	recordMost = 4 << 10  // bytes of one record
-	fileMost   = 64 << 20 // and of a file: nothing longer is read
+	magic          = "LKSN"
+	headerBytes    = 8
+	frameBytes     = 8
+	maxRecordBytes = 4 << 10  // bytes of one record
+	maxFileBytes   = 64 << 20 // and of a file: nothing longer is read
 )
 
 // Errors of a file of which nothing is used, to be told apart by errors.Is.
@@ -63,11 +63,11 @@
 			return
 		}
 		n := len(b) - at - frameBytes
-		if n > recordMost {
+		if n > maxRecordBytes {
 			err = errors.Join(err, fmt.Errorf("a record of %d bytes", n))
 		}
 		binary.BigEndian.PutUint32(b[at:], uint32(n))
-		binary.BigEndian.PutUint32(b[at+4:], sum(b[at:at+4], b[at+frameBytes:]))
+		binary.BigEndian.PutUint32(b[at+4:], recordChecksum(b[at:at+4], b[at+frameBytes:]))
 		records++
 	}
 	add(&snapshotpb.Record{Is: &snapshotpb.Record_Head{Head: &snapshotpb.Head{Made: int64(s.Made), Gateway: s.Gateway, Settings: s.Settings,
@@ -89,10 +89,10 @@
 	}
 	tail := &snapshotpb.Tail{Records: records, Sum: xxhash.Sum64(b)}
 	if len(key) > 0 {
-		tail.Mac = mac(b, key)
+		tail.Mac = computeMAC(b, key)
 	}
 	add(&snapshotpb.Record{Is: &snapshotpb.Record_Tail{Tail: tail}})
-	if len(b) > fileMost {
+	if len(b) > maxFileBytes {
 		err = errors.Join(err, fmt.Errorf("%w: %d bytes", ErrTooLong, len(b)))
 	}
 	if err != nil {
@@ -101,11 +101,11 @@
 	return b, nil
 }
 
-func sum(length, payload []byte) uint32 {
+func recordChecksum(length, payload []byte) uint32 {
 	return crc32.Update(crc32.Checksum(length, castagnoli), castagnoli, payload)
 }
 
-func mac(b, key []byte) []byte {
+func computeMAC(b, key []byte) []byte {
 	h := hmac.New(sha256.New, key)
 	h.Write(b)
 	return h.Sum(nil)
@@ -121,10 +121,10 @@
 
 // Decode reads a snapshot. An error says that nothing of it may be used.
 func Decode(data, key []byte) (s *warmstart.Snapshot, d Damage, err error) {
-	if len(data) > fileMost {
+	if len(data) > maxFileBytes {
 		return nil, d, fmt.Errorf("%w: %d bytes", ErrTooLong, len(data))
 	}
-	if len(data) < headBytes || !bytes.HasPrefix(data, []byte(magic)) {
+	if len(data) < headerBytes || !bytes.HasPrefix(data, []byte(magic)) {
 		return nil, d, ErrNotSnapshot
 	}
 	if v := binary.BigEndian.Uint16(data[4:]); v > Version {
@@ -133,20 +133,20 @@
 		return nil, d, ErrNotSnapshot
 	}
 	s = &warmstart.Snapshot{}
-	rest, records, headed, signed := data[headBytes:], uint32(0), false, false
+	rest, records, headed, signed := data[headerBytes:], uint32(0), false, false
 	for len(rest) > 0 {
 		if len(rest) < frameBytes {
 			d.Truncated = true
 			break
 		}
 		n := int(binary.BigEndian.Uint32(rest))
-		if n > recordMost || n > len(rest)-frameBytes {
+		if n > maxRecordBytes || n > len(rest)-frameBytes {
 			d.Truncated = true
 			break
 		}
 		payload := rest[frameBytes : frameBytes+n]
 		before := data[:len(data)-len(rest)]
-		good := binary.BigEndian.Uint32(rest[4:]) == sum(rest[:4], payload)
+		good := binary.BigEndian.Uint32(rest[4:]) == recordChecksum(rest[:4], payload)
 		rest = rest[frameBytes+n:]
 		var r snapshotpb.Record
 		if !good || proto.Unmarshal(payload, &r) != nil {
@@ -156,7 +156,7 @@
 		}
 		if t := r.GetTail(); t != nil {
 			d.Whole = len(rest) == 0 && d.BadRecords == 0 && t.GetRecords() == records && t.GetSum() == xxhash.Sum64(before)
-			signed = len(key) > 0 && hmac.Equal(t.GetMac(), mac(before, key))
+			signed = len(key) > 0 && hmac.Equal(t.GetMac(), computeMAC(before, key))
 			if len(rest) > 0 {
 				d.Truncated = true
 			}
@@ -168,7 +168,7 @@
 			headed = true
 			continue
 		}
-		d.take(s, &r)
+		d.addRecord(s, &r)
 	}
 	switch {
 	case len(key) > 0 && !(signed && d.Whole):
@@ -179,8 +179,8 @@
 	return s, d, nil
 }
 
-// take adds a record to a snapshot.
-func (d *Damage) take(s *warmstart.Snapshot, r *snapshotpb.Record) {
+// addRecord adds a record to a snapshot.
+func (d *Damage) addRecord(s *warmstart.Snapshot, r *snapshotpb.Record) {
 	if x := r.GetDirector(); x != nil {
 		s.Directors = append(s.Directors, routing.LearnedState{At: time.Duration(x.GetAt()), Zone: x.GetZone()})
 		return
--- a/internal/snapshot/keeper.go
+++ b/internal/snapshot/keeper.go
@@ -13,14 +13,14 @@
 // Saver writes snapshots beside the loop of a gateway: what is to be written is copied out on the loop, and one goroutine
 // of its own writes it. Whatever a disk does, requests do not wait for it. Its methods are for the loop.
 type Saver struct {
-	store  *Store
-	log    logrus.FieldLogger
-	export func() *warmstart.Snapshot
-	post   func(func()) bool
-	work   chan *warmstart.Snapshot
-	idle   chan struct{} // closed when the writer has ended
-	pace   warmstart.SaveSchedule
-	unlock func()
+	store      *Store
+	log        logrus.FieldLogger
+	export     func() *warmstart.Snapshot
+	post       func(func()) bool
+	work       chan *warmstart.Snapshot
+	writerDone chan struct{} // closed when the writer has ended
+	schedule   warmstart.SaveSchedule
+	unlock     func()
 
 	Size            int           // of the latest file
 	LastStarted     time.Duration // when the latest was begun, Unix time; 0: none was
@@ -31,8 +31,8 @@
 	BadRecords      int  // records that could not
 }
 
-// readWithin bounds how long a start waits for its folder.
-const readWithin = 2 * time.Second
+// openTimeout bounds how long a start waits for its folder.
+const openTimeout = 2 * time.Second
 
 // Open locks a folder and reads what is there; found is nil if there is nothing. An error says that this process goes
 // without it.
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	k = &Saver{store: NewStore(Folder(folder), key), log: log, unlock: unlock, work: make(chan *warmstart.Snapshot, 1), idle: make(chan struct{})}
+	k = &Saver{store: NewStore(Folder(folder), key), log: log, unlock: unlock, work: make(chan *warmstart.Snapshot, 1), writerDone: make(chan struct{})}
 	type result struct {
 		best *Found
 		all  []Found
@@ -72,46 +72,46 @@
 			found = r.best.Snap
 		}
 		return k, found, nil
-	case <-time.After(readWithin): // its goroutine ends with the folder's answer
+	case <-time.After(openTimeout): // its goroutine ends with the folder's answer
 		return nil, nil, errors.New("the folder does not answer")
 	}
 }
 
 // Start has snapshots written at a pace. export copies out what is known, on the loop; post has the loop run something.
 func (k *Saver) Start(every time.Duration, post func(func()) bool, export func() *warmstart.Snapshot) {
-	k.pace.Interval, k.post, k.export = every, post, export
+	k.schedule.Interval, k.post, k.export = every, post, export
 	go func() {
-		defer close(k.idle)
+		defer close(k.writerDone)
 		for s := range k.work {
 			size, err := k.store.Save(s)
-			post(func() { k.ended(s.Made, size, err) })
+			post(func() { k.saveFinished(s.Made, size, err) })
 		}
 	}()
 }
 
 // Tick is called now and then, with the Unix time.
 func (k *Saver) Tick(now time.Duration) {
-	if k.pace.Hanging(now) {
+	if k.schedule.Hanging(now) {
 		k.log.Error("writing a snapshot hangs: none is written until it ends")
 	}
-	if !k.pace.Due(now) {
+	if !k.schedule.Due(now) {
 		return
 	}
-	k.pace.Started(now)
+	k.schedule.Started(now)
 	k.LastStarted = now
-	k.work <- k.copyOut() // there is room: no write is out
+	k.work <- k.exportState() // there is room: no write is out
 }
 
-func (k *Saver) copyOut() *warmstart.Snapshot {
+func (k *Saver) exportState() *warmstart.Snapshot {
 	began := time.Now()
 	s := k.export()
 	k.LongestExport = max(k.LongestExport, time.Since(began))
 	return s
 }
 
-func (k *Saver) ended(now time.Duration, size int, err error) {
-	first := k.pace.Failed == 0
-	k.pace.Finished(now, err != nil)
+func (k *Saver) saveFinished(now time.Duration, size int, err error) {
+	first := k.schedule.Failed == 0
+	k.schedule.Finished(now, err != nil)
 	if err == nil {
 		k.Size = size
 	} else if first {
@@ -121,7 +121,7 @@
 
 // SaveNow has a snapshot written soon, whatever the pace: the program is about to end, and may be killed at any moment.
 func (k *Saver) SaveNow(now time.Duration) {
-	k.pace.Force()
+	k.schedule.Force()
 	k.Tick(now)
 }
 
@@ -130,7 +130,7 @@
 func (k *Saver) Close(within time.Duration) {
 	close(k.work)
 	select {
-	case <-k.idle:
+	case <-k.writerDone:
 	case <-time.After(within): // its file will be there whole, or not at all
 	}
 	k.unlock()
@@ -141,9 +141,9 @@
 	add := func(kind metrics.Kind, name, help string, v float64, labels ...metrics.Label) {
 		all = append(all, metrics.Value{Name: name, Help: help, Kind: kind, Value: v, Labels: labels})
 	}
-	add(metrics.Counter, "state_written", "Snapshots written.", float64(k.pace.Written))
-	add(metrics.Counter, "state_failed", "Snapshots that could not be written.", float64(k.pace.Failed))
-	add(metrics.Counter, "state_hung", "Writes that took over half a minute.", float64(k.pace.Hung))
+	add(metrics.Counter, "state_written", "Snapshots written.", float64(k.schedule.Written))
+	add(metrics.Counter, "state_failed", "Snapshots that could not be written.", float64(k.schedule.Failed))
+	add(metrics.Counter, "state_hung", "Writes that took over half a minute.", float64(k.schedule.Hung))
 	add(metrics.Gauge, "state_bytes", "Size of the latest one.", float64(k.Size))
 	add(metrics.Gauge, "state_copy_us", "Longest time that copying out took of the loop, in microseconds.", float64(k.LongestExport.Microseconds()))
 	if k.LastStarted > 0 {
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -111,12 +111,12 @@
 		sound(t, fmt.Sprintf("cut at %d", n), s, want)
 	}
 	var records [][]byte
-	for rest := data[headBytes:]; len(rest) > 0; {
+	for rest := data[headerBytes:]; len(rest) > 0; {
 		n := frameBytes + int(binary.BigEndian.Uint32(rest))
 		records, rest = append(records, rest[:n]), rest[n:]
 	}
 	build := func(order ...int) []byte {
-		b := bytes.Clone(data[:headBytes])
+		b := bytes.Clone(data[:headerBytes])
 		for _, i := range order {
 			b = append(b, records[i]...)
 		}
@@ -135,7 +135,7 @@
 		sound(t, name, s, want)
 	}
 	spoilt := bytes.Clone(data)
-	at := headBytes
+	at := headerBytes
 	for _, r := range records[:8] {
 		at += len(r)
 	}
@@ -143,7 +143,7 @@
 	if s, d, err := Decode(spoilt, nil); err != nil || d.BadRecords != 1 || len(s.Directors[0].Listings) != 11 || len(s.Directors) != 2 {
 		t.Errorf("one record: %+v, %v", d, err)
 	}
-	binary.BigEndian.PutUint32(spoilt[headBytes:], 1<<31)
+	binary.BigEndian.PutUint32(spoilt[headerBytes:], 1<<31)
 	if _, _, err := Decode(spoilt, nil); !errors.Is(err, ErrHeader) {
 		t.Errorf("a length of 2 GB: %v", err)
 	}
@@ -347,7 +347,7 @@
 				if got < good {
 					t.Fatalf("step %d, power %v, seed %d: write %d went well, and %d is read (%d files)", fail, power, seed, good, got, len(all))
 				}
-				if len(all) > generations+2 {
+				if len(all) > keptGenerations+2 {
 					t.Errorf("step %d: %d files", fail, len(all))
 				}
 			}
@@ -447,7 +447,7 @@
 		last = best.Snap.Position
 	}
 	names, err := Folder(folder).List()
-	if err != nil || len(names) > generations+3 {
+	if err != nil || len(names) > keptGenerations+3 {
 		t.Errorf("%v are left, %v", names, err)
 	}
 }
@@ -504,8 +504,8 @@
 		(<-posted)()
 	}
 	beat()
-	if k.pace.Written != 1 || k.Size == 0 {
-		t.Errorf("%+v", k.pace)
+	if k.schedule.Written != 1 || k.Size == 0 {
+		t.Errorf("%+v", k.schedule)
 	}
 	if err := os.Chmod(folder, 0); err != nil {
 		t.Fatal(err)
@@ -516,16 +516,16 @@
 	}
 	now += 2 * time.Second
 	beat()
-	if k.pace.Failed != 1 {
-		t.Errorf("it writes to nowhere: %+v", k.pace)
+	if k.schedule.Failed != 1 {
+		t.Errorf("it writes to nowhere: %+v", k.schedule)
 	}
 	if err := errors.Join(os.Rename(moved, folder), os.Chmod(folder, 0o700)); err != nil {
 		t.Fatal(err)
 	}
 	now += 10 * time.Second
 	beat()
-	if k.pace.Written != 2 || k.pace.Due(now) {
-		t.Errorf("%+v", k.pace)
+	if k.schedule.Written != 2 || k.schedule.Due(now) {
+		t.Errorf("%+v", k.schedule)
 	}
 	k.SaveNow(now)
 	(<-posted)()
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	prefix      = "knowledge-"
-	suffix      = ".lks"
-	temporary   = ".tmp"
-	lockName    = "lock"
-	generations = 2 // that are kept
+	filePrefix      = "knowledge-"
+	fileSuffix      = ".lks"
+	temporarySuffix = ".tmp"
+	lockName        = "lock"
+	keptGenerations = 2 // that are kept
 )
 
 // FS is the folder that a Store writes to. Its methods are those steps of a write that can fail by themselves.
@@ -113,34 +113,34 @@
 
 // Store keeps generations of snapshots in a folder. It is not safe for concurrent use.
 type Store struct {
-	fs   FS
-	key  []byte // of the MAC; empty: none
-	last uint64 // generation
+	fs               FS
+	key              []byte // of the MAC; empty: none
+	latestGeneration uint64 // generation
 }
 
 // NewStore returns a store; key may be empty.
 func NewStore(fs FS, key []byte) *Store { return &Store{fs: fs, key: key} }
 
-// number is the generation of a file; false: it is none.
-func number(name string) (n uint64, ok bool) {
-	x, ok1 := strings.CutPrefix(name, prefix)
-	x, ok2 := strings.CutSuffix(x, suffix)
+// generationOf is the generation of a file; false: it is none.
+func generationOf(name string) (n uint64, ok bool) {
+	x, ok1 := strings.CutPrefix(name, filePrefix)
+	x, ok2 := strings.CutSuffix(x, fileSuffix)
 	n, err := strconv.ParseUint(x, 16, 64)
 	return n, ok1 && ok2 && len(x) == 16 && err == nil
 }
 
-func fileName(n uint64) string { return fmt.Sprintf("%s%016x%s", prefix, n, suffix) }
+func fileName(n uint64) string { return fmt.Sprintf("%s%016x%s", filePrefix, n, fileSuffix) }
 
-// all names the generations, the newest first, and what was left of writes that did not end.
-func (s *Store) all() (numbers []uint64, left []string, err error) {
+// list names the generations, the newest first, and what was left of writes that did not end.
+func (s *Store) list() (numbers []uint64, left []string, err error) {
 	names, err := s.fs.List()
 	if err != nil {
 		return nil, nil, fmt.Errorf("snapshot: listing: %w", err)
 	}
 	for _, name := range names {
-		if n, ok := number(name); ok {
+		if n, ok := generationOf(name); ok {
 			numbers = append(numbers, n)
-		} else if strings.HasPrefix(name, prefix) && strings.HasSuffix(name, temporary) {
+		} else if strings.HasPrefix(name, filePrefix) && strings.HasSuffix(name, temporarySuffix) {
 			left = append(left, name)
 		}
 	}
@@ -156,15 +156,15 @@
 	if err != nil {
 		return 0, err
 	}
-	numbers, left, err := s.all()
+	numbers, left, err := s.list()
 	if err != nil {
 		return 0, err
 	}
 	for _, n := range numbers {
-		s.last = max(s.last, n)
+		s.latestGeneration = max(s.latestGeneration, n)
 	}
-	s.last++
-	temp, name := fileName(s.last)+temporary, fileName(s.last)
+	s.latestGeneration++
+	temp, name := fileName(s.latestGeneration)+temporarySuffix, fileName(s.latestGeneration)
 	f, err := s.fs.Create(temp)
 	if err != nil {
 		return 0, fmt.Errorf("snapshot: creating %s: %w", temp, err)
@@ -189,20 +189,20 @@
 	}
 	kept := 1
 	for _, n := range numbers {
-		if kept < generations {
+		if kept < keptGenerations {
 			kept++
 			continue
 		}
-		if !s.newer(fileName(n)) {
+		if !s.isNewerVersion(fileName(n)) {
 			_ = s.fs.Remove(fileName(n))
 		}
 	}
 	return len(data), nil
 }
 
-// newer says that a file is of a newer version, which is not ours to remove.
-func (s *Store) newer(name string) bool {
-	data, err := s.fs.Read(name, fileMost)
+// isNewerVersion says that a file is of a newer version, which is not ours to remove.
+func (s *Store) isNewerVersion(name string) bool {
+	data, err := s.fs.Read(name, maxFileBytes)
 	if err != nil {
 		return false
 	}
@@ -221,13 +221,13 @@
 
 // Inspect reads all generations, the newest first.
 func (s *Store) Inspect() (all []Found, err error) {
-	numbers, _, err := s.all()
+	numbers, _, err := s.list()
 	if err != nil {
 		return nil, err
 	}
 	for _, n := range numbers {
 		f := Found{Name: fileName(n)}
-		data, err := s.fs.Read(f.Name, fileMost)
+		data, err := s.fs.Read(f.Name, maxFileBytes)
 		if f.Size = len(data); err != nil {
 			f.Err = err
 		} else {
@@ -269,7 +269,7 @@
 		}
 		removed = append(removed, f.Name)
 	}
-	_, left, err := s.all()
+	_, left, err := s.list()
 	for _, name := range left {
 		if e := s.fs.Remove(name); e != nil {
 			return removed, fmt.Errorf("snapshot: removing %s: %w", name, e)
