--- /dev/null
+++ b/internal/snapshot/folder.go
@@ -0,0 +1,106 @@
+package snapshot
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+
+	"golang.org/x/sys/unix"
+)
+
+// FS is the folder that a [Store] writes to. Its methods are those steps of a write that can fail by themselves.
+type FS interface {
+	Create(name string) (File, error) // empties what is there
+	Rename(from, to string) error     // replaces what is there, atomically
+	SyncDir() error                   // what was renamed or removed survives a loss of power
+	List() ([]string, error)
+	Read(name string, maxBytes int) ([]byte, error) // an error for a longer file
+	Remove(name string) error
+}
+
+// File is a file that is written.
+type File interface {
+	io.Writer
+	Sync() error
+	Close() error
+}
+
+// Folder is an [FS] of the operating system, by its path.
+type Folder string
+
+const (
+	lockName = "lock"
+	fileMode = 0o600
+)
+
+func (f Folder) path(name string) string { return filepath.Join(string(f), name) }
+
+// Create makes a file, or empties it.
+func (f Folder) Create(name string) (File, error) {
+	return os.OpenFile(f.path(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
+}
+
+// Rename puts a file in the place of another, atomically.
+func (f Folder) Rename(from, to string) error { return os.Rename(f.path(from), f.path(to)) }
+
+// SyncDir writes the folder itself to disk.
+func (f Folder) SyncDir() error {
+	d, err := os.Open(string(f))
+	if err != nil {
+		return err
+	}
+	return errors.Join(d.Sync(), d.Close())
+}
+
+// List returns the names of the folder's files.
+func (f Folder) List() (names []string, err error) {
+	entries, err := os.ReadDir(string(f))
+	for _, e := range entries {
+		names = append(names, e.Name())
+	}
+	return names, err
+}
+
+// Read reads a regular file. It fails with [ErrTooLong] for a file of more than maxBytes.
+func (f Folder) Read(name string, maxBytes int) ([]byte, error) {
+	file, err := os.Open(f.path(name))
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = file.Close() }() // nothing was written
+	info, err := file.Stat()
+	if err != nil {
+		return nil, err
+	}
+	if !info.Mode().IsRegular() {
+		return nil, errors.New("not a regular file")
+	}
+	if info.Size() > int64(maxBytes) { // before memory is allocated for it
+		return nil, fmt.Errorf("%w: %d bytes", ErrTooLong, info.Size())
+	}
+	b, err := io.ReadAll(io.LimitReader(file, int64(maxBytes)+1)) // it may have grown
+	if err == nil && len(b) > maxBytes {
+		err = ErrTooLong
+	}
+	return b, err
+}
+
+// Remove removes a file.
+func (f Folder) Remove(name string) error { return os.Remove(f.path(name)) }
+
+// Lock locks the folder for this process, until unlock is called or the process ends. It fails if another process holds the
+// lock.
+func (f Folder) Lock() (unlock func(), err error) {
+	file, err := os.OpenFile(f.path(lockName), os.O_CREATE|os.O_RDWR, fileMode)
+	if err != nil {
+		return nil, err
+	}
+	closeFile := func() { _ = file.Close() } // gives the lock back, even if it fails; nothing was written
+	if err := unix.Flock(int(file.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
+		closeFile()
+		return nil, fmt.Errorf("%s is held by another process: %w", file.Name(), err)
+	}
+	return closeFile, nil
+}
