--- a/routing/gossip.go
+++ b/routing/gossip.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-const gossipInterval = 50 * time.Millisecond // moves are gathered for this long before they are told
+const gossipInterval = 50 * time.Millisecond // moves are gathered for this long before they are sent
 
-// queueMove queues a moved listing for this location's directors.
+// queueMove queues a moved listing for the other directors of this location.
 func (d *Director) queueMove(e *mappingEntry) {
-	if d.pendingMoves = append(d.pendingMoves, e); len(d.pendingMoves) == 1 {
+	d.pendingMoves = append(d.pendingMoves, e)
+	if len(d.pendingMoves) == 1 {
 		d.emit(SetTimer{At: d.now + gossipInterval, Token: gossipToken})
 	}
 }
 
-// sendMoves tells the location's other directors of the queued moves.
+// sendMoves sends the queued moves to the other directors of this location.
 func (d *Director) sendMoves() {
 	for _, msg := range encodePendingMoves(d.now, d.zone, d.pendingMoves) {
 		for n := range d.set.Directors {
@@ -23,33 +24,52 @@
 	d.pendingMoves = d.pendingMoves[:0]
 }
 
-// receiveGossip takes a peer's message whole, or drops it whole.
-func (d *Director) receiveGossip(p GossipReceived) {
-	zone, id, tips, err := decodeGossip(p.Data)
-	if err != nil || !d.set.Gossip || zone != d.zone || p.From == d.set.Index || p.From < 0 ||
-		p.From >= d.set.Directors {
+// receiveGossip takes in another director's message. Messages that are malformed, of another location, or not from another
+// director are dropped, and so are moves to a cache that is not of this location.
+func (d *Director) receiveGossip(g GossipReceived) {
+	zone, cache, moves, err := decodeGossip(g.Data)
+	if err != nil || zone != d.zone || !d.listensTo(g.From) {
 		return
 	}
-	if id == "" {
-		if !d.localDirectors[p.From] {
-			d.localDirectors[p.From] = true
-			d.emit(SendGossip{To: p.From, Data: greeting(d.zone)})
-		}
+	if cache == "" {
+		d.answerGreeting(g.From)
 		return
 	}
-	s := d.endpoints[id]
-	if s == nil || s.role != roleCache || s.zone != d.zone {
+	ep := d.endpoints[cache]
+	if ep == nil || ep.role != roleCache || ep.zone != d.zone {
 		return
 	}
-	d.localDirectors[p.From] = true
-	for _, t := range tips {
-		e := d.table[t.key]
-		if e == nil {
-			e = d.recordRequest(t.key)
-			e.recentRequests = 0
-		}
-		if moved := d.now - t.age; moved > e.movedAt {
-			e.cache, e.cacheIncarnation, e.movedAt, e.copySeenAt = s, s.incarnation, moved, moved
-		}
+	d.localDirectors[g.From] = true
+	for _, m := range moves {
+		d.believeMove(m, ep)
+	}
+}
+
+// listensTo reports whether messages of a director, by its number, are taken in.
+func (d *Director) listensTo(from int) bool {
+	return d.set.Gossip && from != d.set.Index && from >= 0 && from < d.set.Directors
+}
+
+// answerGreeting greets a director of this location that was not known, so that both know of each other.
+func (d *Director) answerGreeting(from int) {
+	if d.localDirectors[from] {
+		return
+	}
+	d.localDirectors[from] = true
+	d.emit(SendGossip{To: from, Data: greeting(d.zone)})
+}
+
+// believeMove lists an object where another director has seen it, unless our own listing moved later. An object that was not
+// known counts no request.
+func (d *Director) believeMove(m movedListing, ep *endpoint) {
+	e := d.table[m.key]
+	if e == nil {
+		e = d.recordRequest(m.key)
+		e.recentRequests = 0
+	}
+	movedAt := d.now - m.age
+	if movedAt > e.movedAt {
+		e.cache, e.cacheIncarnation = ep, ep.incarnation
+		e.movedAt, e.copySeenAt = movedAt, movedAt
 	}
 }
--- a/routing/gossip_format.go
+++ b/routing/gossip_format.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"maps"
 	"slices"
 	"strconv"
@@ -9,39 +10,39 @@
 	"time"
 )
 
-// The form of the messages between directors: "w1|zone" greets, and
-// "w1|zone|cache|age in ms,key;age,key;..." tells of moved listings.
+// Messages between directors are text. "w1|zone" is a greeting, "w1|zone|cache|age,key;age,key;..." tells of listings that moved
+// to a cache: the age of the move is in ms, the object's key in base 36, and zone an index into Settings.Zones.
 const (
 	gossipTag          = "w1"
 	maxGossipBytes     = 256 // longest message
-	maxGossipItemBytes = 32  // longest item of one
+	maxGossipItemBytes = 32  // longest "age,key;"
 )
 
-var errMalformedGossip = errors.New("hint: malformed")
+var errMalformedGossip = errors.New("malformed gossip message")
 
-// movedListing says that a listing moved some time ago.
+// movedListing says that the listing of a key moved some time ago.
 type movedListing struct {
 	key uint64
 	age time.Duration
 }
 
-// greeting opens each message, and alone tells who serves which location.
+// greeting is the head of each message; by itself it tells who serves which location.
 func greeting(zone int) string { return gossipTag + "|" + strconv.Itoa(zone) }
 
-// encodeMovedListings gives as few messages as hold the tips.
-func encodeMovedListings(zone int, cache string, tips []movedListing) (msgs []string) {
+// encodeMovedListings words moves to one cache in as few messages as hold them.
+func encodeMovedListings(zone int, cache string, moves []movedListing) (msgs []string) {
 	head := greeting(zone) + "|" + cache + "|"
 	msg := head
-	for _, t := range tips {
+	for _, m := range moves {
 		if len(msg)+maxGossipItemBytes > maxGossipBytes && msg != head {
 			msgs, msg = append(msgs, msg), head
 		}
-		msg += strconv.FormatInt(t.age.Milliseconds(), 10) + "," + strconv.FormatUint(t.key, 36) + ";"
+		msg += strconv.FormatInt(m.age.Milliseconds(), 10) + "," + strconv.FormatUint(m.key, 36) + ";"
 	}
 	return append(msgs, msg)
 }
 
-// encodePendingMoves words moved listings, cache by cache.
+// encodePendingMoves words moved listings, cache by cache in order of id.
 func encodePendingMoves(now time.Duration, zone int, moves []*mappingEntry) (msgs []string) {
 	byCache := map[string][]movedListing{}
 	for _, e := range moves {
@@ -53,23 +54,44 @@
 	return msgs
 }
 
-// decodeGossip reads a message whole or not at all. A greeting has no cache.
-func decodeGossip(data string) (zone int, cache string, tips []movedListing, err error) {
-	f := strings.Split(data, "|")
-	if len(data) > maxGossipBytes || len(f) != 2 && len(f) != 4 || f[0] != gossipTag {
+// decodeGossip reads a message as a whole or not at all; its errors wrap errMalformedGossip. A greeting has no cache.
+func decodeGossip(data string) (zone int, cache string, moves []movedListing, err error) {
+	parts := strings.Split(data, "|")
+	isGreeting := len(parts) == 2
+	if len(data) > maxGossipBytes || !isGreeting && len(parts) != 4 || parts[0] != gossipTag {
 		return 0, "", nil, errMalformedGossip
 	}
-	if zone, err = strconv.Atoi(f[1]); err != nil || len(f) == 2 {
-		return zone, "", nil, err
+	zone, err = strconv.Atoi(parts[1])
+	if err != nil {
+		return 0, "", nil, fmt.Errorf("%w: zone: %w", errMalformedGossip, err)
 	}
-	for item := range strings.SplitSeq(strings.TrimSuffix(f[3], ";"), ";") {
-		age, key, _ := strings.Cut(item, ",")
-		ms, err1 := strconv.ParseUint(age, 10, 31)
-		k, err2 := strconv.ParseUint(key, 36, 64)
-		if err := errors.Join(err1, err2); err != nil || f[2] == "" {
-			return 0, "", nil, errMalformedGossip
+	if isGreeting {
+		return zone, "", nil, nil
+	}
+	cache = parts[2]
+	if cache == "" {
+		return 0, "", nil, fmt.Errorf("%w: no cache", errMalformedGossip)
+	}
+	for item := range strings.SplitSeq(strings.TrimSuffix(parts[3], ";"), ";") {
+		move, err := decodeMove(item)
+		if err != nil {
+			return 0, "", nil, fmt.Errorf("%w: %w", errMalformedGossip, err)
 		}
-		tips = append(tips, movedListing{k, time.Duration(ms) * time.Millisecond})
+		moves = append(moves, move)
+	}
+	return zone, cache, moves, nil
+}
+
+// decodeMove reads "age,key".
+func decodeMove(item string) (movedListing, error) {
+	age, key, _ := strings.Cut(item, ",")
+	ms, err := strconv.ParseUint(age, 10, 31)
+	if err != nil {
+		return movedListing{}, fmt.Errorf("age of a move: %w", err)
+	}
+	k, err := strconv.ParseUint(key, 36, 64)
+	if err != nil {
+		return movedListing{}, fmt.Errorf("key of a move: %w", err)
 	}
-	return zone, f[2], tips, nil
+	return movedListing{k, time.Duration(ms) * time.Millisecond}, nil
 }
