--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -447,7 +447,7 @@
 		return
 	}
 	now := g.cfg.Loop.Now()
-	at := &Attempt{Request: r, Server: a.Endpoint, Source: a.FillSource, Keep: a.CacheRank, MaxAge: a.MaxAge, Join: a.Coalesce,
+	at := &Attempt{Request: r, Server: a.Endpoint, Source: a.FillSource, Keep: int(a.CacheRank), MaxAge: a.MaxAge, Join: a.Coalesce,
 		Held: a.OnlyIfCached, NoCopy: a.NoParentCopy, Renew: a.RefreshAhead, Expiry: r.Deadline, number: len(r.attempts) - r.first, where: where,
 		sent: now, lost: g.lost}
 	if a.FillSource == a.Endpoint {
--- a/internal/simprotocol/encode.go
+++ b/internal/simprotocol/encode.go
@@ -70,7 +70,7 @@
 			}
 		}
 		r.integer(how)
-		r.integer(a.CacheRank)
+		r.integer(int(a.CacheRank))
 		r.text(a.Endpoint)
 	case routing.Reject:
 		r.open("decline", director)
--- a/routing/actions.go
+++ b/routing/actions.go
@@ -5,6 +5,18 @@
 // Action is anything that a director wants done.
 type Action interface{ action() }
 
+// CacheRank is the rank at which a cache keeps a copy: those of the lowest rank are evicted first, of one rank the least recently
+// used first.
+type CacheRank int
+
+// Ranks of a copy, with their values on the wire.
+const (
+	RankNone   CacheRank = 0 // no copy is kept, and one that is there keeps its rank
+	RankLow    CacheRank = 1
+	RankMiddle CacheRank = 2
+	RankTop    CacheRank = 3
+)
+
 // ForwardAttempt sends an attempt to a server.
 type ForwardAttempt struct {
 	ID           string
@@ -12,11 +24,11 @@
 	FillSource   string        // who fills a miss; the server itself: nobody
 	Timeout      time.Duration // 0: until the client gives up
 	MaxAge       time.Duration // oldest copy that will do; 0: the class's fresh time
-	CacheRank    int           // 0: pass through; 1 to 3: keep at that rank
-	Coalesce     bool          // wait for a running fill
-	OnlyIfCached bool          // the source gives only what it holds
-	NoParentCopy bool          // leave no copy at the parent
-	RefreshAhead bool          // serve an ageing copy and fetch it anew
+	CacheRank    CacheRank
+	Coalesce     bool // wait for a running fill
+	OnlyIfCached bool // the source gives only what it holds
+	NoParentCopy bool // leave no copy at the parent
+	RefreshAhead bool // serve an ageing copy and fetch it anew
 }
 
 // Reject is a final answer that promises that trying again is harmless.
--- a/routing/deadline.go
+++ b/routing/deadline.go
@@ -2,61 +2,72 @@
 
 import "time"
 
-// objectiveAt is when the request loses most of its worth.
+// objectiveAt is when the request loses most of its priority weight: its latency objective on the director's clock.
 func (r *request) objectiveAt() time.Duration {
-	return min(r.startedAt+r.class.LatencyObjective+time.Duration(r.class.ObjectiveStretch*float64(r.transferTime)), r.Deadline)
+	stretch := time.Duration(r.class.ObjectiveStretch * float64(r.transferTime))
+	return min(r.startedAt+r.class.LatencyObjective+stretch, r.Deadline)
 }
 
-// checkProgress looks at a request that takes long: a silent server is left for another one.
+// atDeadline reports whether no answer can reach the request's client in time any more.
+func (d *Director) atDeadline(r *request) bool { return d.now >= r.Deadline-d.set.ClockStep }
+
+// checkProgress looks at a request whose answer is due: at its deadline it ends, a silent endpoint is left for another one, and
+// an answer that seems lost is hedged.
 func (d *Director) checkProgress(r *request) {
-	if d.now >= r.Deadline-d.set.ClockStep && !r.streaming {
+	if d.atDeadline(r) && !r.streaming {
 		d.rejectOrFail(r)
 	}
 	if r.finished || r.streaming || !r.hasInFlight() {
 		return
 	}
-	a := r.attempts[len(r.attempts)-1]
-	s := a.target
-	if a.fillExpected && a.fillSource.role == roleParent {
-		if s = a.fillSource; a.target.lastOK < a.sentAt { // whether the cache or the parent is silent can't be told
-			s = nil
-		}
-	} else if a.fillExpected {
-		s = nil // the origin is judged by its answers
-	}
-	if s != nil && a.inFlight && s.lastOK < a.sentAt {
-		// An answer was due and nothing at all came: the server is silent, whatever the cause. Merely slow
-		// ones answer something in between.
-		if !a.overdue {
-			a.overdue = true
-			s.overdueAnswers++
-		}
-		if s.overdueAnswers >= ejectionOverdueAnswers {
-			d.recordFailure(s, true)
-			if d.retryBudget >= 1 && r.class.Effect == Idempotent {
-				d.retryBudget--
-				r.failedEndpoints = append(r.failedEndpoints, s)
-				if d.set.CanCancel {
-					d.emit(CancelAttempt{ID: r.ID, Attempt: len(r.attempts) - 1})
-				}
-				d.forward(r)
-				return
-			}
-		}
+	latest := r.attempts[len(r.attempts)-1]
+	if silent := latest.silentEndpoint(); silent != nil && d.recordOverdue(latest, silent) && d.canLeaveSilent(r) {
+		d.leaveSilent(r, silent)
+		return
 	}
-	if d.shouldHedge(r, a) {
+	if d.shouldHedge(r, latest) {
 		d.hedgeBudget--
 		d.forward(r)
 		return
 	}
-	d.emit(SetTimer{At: d.now + max(d.set.ClockStep, r.class.LatencyObjective/2), Token: r.token, RequestID: r.ID})
+	d.setRequestTimer(r, d.now+max(d.set.ClockStep, r.class.LatencyObjective/2))
 }
 
-// rejectOrFail gives the final answer at once: a refusal where trying again is harmless, else a failure.
+// silentEndpoint is the endpoint from which nothing came since the attempt was sent; nil if there is none, or if it can't be told
+// which. The origin is judged by its answers alone.
+func (a *attempt) silentEndpoint() *endpoint {
+	suspect := a.target
+	if a.fillExpected {
+		if a.fillSource.role != roleParent || a.target.lastOK < a.sentAt { // cache and parent may both be the silent one
+			return nil
+		}
+		suspect = a.fillSource
+	}
+	if !a.inFlight || suspect.lastOK >= a.sentAt {
+		return nil
+	}
+	return suspect
+}
+
+// canLeaveSilent reports whether a request may be sent elsewhere though its attempt may still run.
+func (d *Director) canLeaveSilent(r *request) bool {
+	return d.retryBudget >= 1 && r.class.Effect == Idempotent
+}
+
+// leaveSilent cancels the latest attempt, at a silent endpoint, and retries elsewhere.
+func (d *Director) leaveSilent(r *request, silent *endpoint) {
+	d.retryBudget--
+	r.failedEndpoints = append(r.failedEndpoints, silent)
+	if d.set.CanCancel {
+		d.emit(CancelAttempt{ID: r.ID, Attempt: len(r.attempts) - 1})
+	}
+	d.forward(r)
+}
+
+// rejectOrFail gives the final answer at once: a rejection where the client may safely repeat the request, else a failure.
 func (d *Director) rejectOrFail(r *request) {
 	d.cancelInFlight(r)
-	harmless := r.class.Effect == Idempotent || r.class.Effect == IdempotentWithKey && r.class.DedupScope == ScopeAll
-	if harmless || r.mayHaveRun(nil) == nil {
+	if r.clientMayRepeat() {
 		d.emit(Reject{ID: r.ID, RetryAfter: d.retryAfter()})
 	} else {
 		d.emit(Fail{ID: r.ID})
@@ -65,10 +76,23 @@
 	d.release(r)
 }
 
-// retryAfter is when a refused client may come back, spread so that not all do at once.
+// clientMayRepeat reports whether a repeat by the client, wherever it arrives, does no harm.
+func (r *request) clientMayRepeat() bool {
+	switch {
+	case r.class.Effect == Idempotent:
+		return true
+	case r.class.Effect == IdempotentWithKey && r.class.DedupScope == ScopeAll:
+		return true
+	}
+	return r.firstThatMayHaveRun(nil) == nil
+}
+
+// retryAfter is when a rejected client may come back: between half of Settings.MaxRetryAfter and all of it, so that clients
+// don't come back all at once; 0 where no Retry-After is sent.
 func (d *Director) retryAfter() time.Duration {
 	if !d.set.SendRetryAfter {
 		return 0
 	}
-	return d.set.MaxRetryAfter/2 + time.Duration(d.rng.Int64N(int64(d.set.MaxRetryAfter/2+1)))
+	half := d.set.MaxRetryAfter / 2
+	return half + time.Duration(d.rng.Int64N(int64(half+1)))
 }
--- a/routing/director.go
+++ b/routing/director.go
@@ -18,46 +18,62 @@
 	pollToken   = math.MaxUint64 >> 1 // discovery is polled again
 )
 
-// Director decides for one location's traffic. Use New.
+// Director decides for one location's traffic. Use New. It is not safe for concurrent use.
 type Director struct {
-	set                   Settings
-	rng                   *rand.Rand
-	now                   time.Duration
-	positionSeed          uint64 // drawn for this director alone
-	actions               []Action
-	zone                  int
-	classes               map[string]*class
-	endpoints             map[string]*endpoint
-	inUse                 [3][]*endpoint // by role, those that are up, in order of id; caches of this location only
-	table                 map[uint64]*mappingEntry
-	byRecency             *list.List // the table's entries, the latest used first
-	requests              map[string]*request
-	tokens                map[uint64]*request // by the token of their timers
-	lastToken             uint64
-	retryBudget           float64    // further attempts that recent success has earned
-	unattributedErrorRate [3]float64 // by role, share of recent attempts that ended in an error of no told cause
-	hedgeBudget           float64    // second copies that lost answers have earned
-	purged                *purge.Registry
+	set          Settings
+	rng          *rand.Rand
+	now          time.Duration
+	actions      []Action // of the event in hand
+	zone         int      // index into set.Zones
+	positionSeed uint64   // drawn for this director alone; see senderPosition
+
+	endpoints      map[string]*endpoint
+	inUse          byRole[[]*endpoint] // those that are up, in order of id; caches of this location only
+	localDirectors map[int]bool        // other directors known to serve this location
+
+	table        map[uint64]*mappingEntry
+	byRecency    *list.List      // the table's entries, the latest used first
+	pendingMoves []*mappingEntry // moved listings that the other directors are still to be told of
+	purged       *purge.Registry
+
+	classes   map[string]*class
+	requests  map[string]*request
+	tokens    map[uint64]*request // by the token of their timers
+	lastToken uint64
+
+	retryBudget           float64         // retries that success has earned
+	hedgeBudget           float64         // hedged requests that lost answers have earned
+	unattributedErrorRate byRole[float64] // share of recent attempts that ended in an error of no told cause
+	originFetches         concurrency.Limit
 	meanCost              concurrency.MeanCost
 	loadFields            loadreport.Fields
-	carriedRate           [3]float64        // by role, work a second for each weight that warm ones carried for us
-	originFetches         concurrency.Limit // fills that may go through to the origin
-	pendingMoves          []*mappingEntry   // still to be told
-	localDirectors        map[int]bool      // directors known to serve this location
-	slowStartPausedUntil  time.Duration     // nothing is sent to cold servers until then
+	carriedRate           byRole[float64] // work a second, for each unit of weight, that warm endpoints did for us
+	slowStartPausedUntil  time.Duration   // nothing is sent to endpoints that are warming up until then
 }
 
-// New returns a director for the given settings. Equal seeds and events give equal actions.
+// New returns a director for the given settings. Equal seeds and events give equal actions. The error names the setting that
+// can't be worked with.
 func New(s Settings, seed uint64) (*Director, error) {
-	d := &Director{set: s, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		classes: map[string]*class{}, endpoints: map[string]*endpoint{},
-		table: map[uint64]*mappingEntry{}, requests: map[string]*request{}, tokens: map[uint64]*request{},
-		purged: purge.New(s.PurgeSettleTime), loadFields: loadreport.FindFields(s.LoadReportFields), retryBudget: maxSavedRetries,
-		originFetches: concurrency.Unlimited(), localDirectors: map[int]bool{}, byRecency: list.New(), positionSeed: mix(seed)}
-	d.zone = slices.Index(s.Zones, s.Zone)
 	if err := s.validate(); err != nil {
 		return nil, err
 	}
+	d := &Director{
+		set:            s,
+		rng:            rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
+		zone:           slices.Index(s.Zones, s.Zone),
+		positionSeed:   mix(seed),
+		endpoints:      map[string]*endpoint{},
+		localDirectors: map[int]bool{},
+		table:          map[uint64]*mappingEntry{},
+		byRecency:      list.New(),
+		purged:         purge.New(s.PurgeSettleTime),
+		classes:        map[string]*class{},
+		requests:       map[string]*request{},
+		tokens:         map[uint64]*request{},
+		retryBudget:    maxSavedRetries,
+		originFetches:  concurrency.Unlimited(),
+		loadFields:     loadreport.FindFields(s.LoadReportFields),
+	}
 	for _, c := range s.Classes {
 		d.classes[c.Name] = &class{Class: c}
 	}
@@ -73,9 +89,7 @@
 	case Request:
 		d.startRequest(ev)
 	case FirstByte:
-		if r := d.requests[ev.ID]; r != nil {
-			r.streaming = true
-		}
+		d.markStreaming(ev.ID)
 	case AttemptResult:
 		d.handleResult(ev)
 	case Purge:
@@ -83,25 +97,31 @@
 	case GossipReceived:
 		d.receiveGossip(ev)
 	case ClientGone:
-		if r := d.requests[ev.ID]; r != nil {
-			r.finished = true
-			d.release(r)
-		}
+		d.abandonRequest(ev.ID)
 	case Reconfigured:
 		d.reconfigure(ev)
 	case PauseSlowStart:
 		d.slowStartPausedUntil = ev.Until
 	case TimerFired:
-		if ev.Token == gossipToken {
-			d.sendMoves()
-		} else if ev.Token == pollToken {
-			d.emit(PollEndpoints{})
-		} else if r := d.tokens[ev.Token]; r != nil {
-			d.checkProgress(r)
-		}
+		d.handleTimer(ev.Token)
+	case HealthCheckResult:
+		// Nothing: endpoints are judged by the results of attempts.
 	}
 	out, d.actions = d.actions, nil
 	return out
 }
 
+func (d *Director) handleTimer(token uint64) {
+	switch token {
+	case gossipToken:
+		d.sendMoves()
+	case pollToken:
+		d.emit(PollEndpoints{})
+	default:
+		if r := d.tokens[token]; r != nil {
+			d.checkProgress(r)
+		}
+	}
+}
+
 func (d *Director) emit(a Action) { d.actions = append(d.actions, a) }
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -1,7 +1,32 @@
-// Package routing decides, for one director in front of a location's caches, where each request goes,
-// where a miss is filled from, what is kept, and what is refused.
+// Package routing decides, for one director in front of a location's caches, where each request goes, who fills a miss, at
+// which rank a copy is cached, what is retried or hedged, and what is rejected. It places objects by Adaptive Distributed
+// Caching (Kaiser, Tsui, Liu).
 //
-// The package does no I/O and reads no clock: the caller hands events to [Director.Handle] and carries out
-// the actions it returns, in order. A Director is not safe for concurrent use. Given the same settings, seed
-// and events it always returns the same actions.
+// A [Director] does no I/O, reads no clock and starts no goroutine. Its caller hands it one event at a time through
+// [Director.Handle], from one goroutine at a time, and carries out the actions that it returns, in order. No call blocks.
+// The same settings, seed and events always give the same actions: the order of iteration, of floating-point sums and of
+// random draws is part of the behavior.
+//
+// Times are durations on the caller's clock, which must not run backwards. Sizes are in kB. Work, the unit of slow-start
+// budgets and of request costs, is in seconds of transfer at full pace.
+//
+// Each file holds one decision, with its constants at the top:
+//
+//	director.go      dispatches events
+//	endpoints.go     which endpoints are in use
+//	request.go       the way of a request: route, check, forward
+//	result.go        what the result of an attempt teaches, and what follows
+//	mapping_table.go what is remembered of an object, and what is evicted
+//	placement.go     which cache serves, and which rank a copy gets
+//	fill_source.go   who fills a miss
+//	freshness.go     which copies are too old
+//	inference.go     what answers imply that don't tell how they were served
+//	limits.go        whether one more may be in flight
+//	slow_start.go    what endpoints that are warming up may be sent
+//	transfer_time.go how long an answer's transfer takes
+//	retry.go         what may be sent twice
+//	deadline.go      when a silent endpoint is left, and when a request is rejected or failed
+//	outlier.go       which endpoint is ejected, and when it returns
+//	gossip.go        what other directors are told, and believed
+//	snapshot.go      what outlives the process
 package routing
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -10,6 +10,10 @@
 	"larchusher/slowstart"
 )
 
+// discoveryRetryDivisor divides Settings.PollWithin into the wait before discovery is polled again, when a poll was lost.
+const discoveryRetryDivisor = 10
+
+// role is what an endpoint does for a location. Roles are walked in this order.
 type role int
 
 const (
@@ -18,99 +22,133 @@
 	roleOrigin
 )
 
-// endpoint is a member that discovery has named.
+const roleCount = int(roleOrigin) + 1
+
+// byRole holds a value for each role; it is indexed by role.
+type byRole[T any] [roleCount]T
+
+// endpoint is an endpoint that discovery has named, as it runs since its latest start.
 type endpoint struct {
 	id          string
 	hash        uint64
 	role        role
-	zone, cell  int
+	zone, cell  int // zone is an index into Settings.Zones; -1: not among them
 	weight      float64
-	incarnation time.Duration
+	incarnation time.Duration // clock of its latest start
 	up          bool
 
-	lastOK                     time.Duration     // latest answer of any use
-	overdueAnswers             int               // answers that were due since then
-	lastLateFill               time.Duration     // latest late fill by it
-	lastSuccessSentAt          time.Duration     // latest sending that it answered well, by itself or as a source
-	errorRate                  float64           // share of recent attempts that failed
-	unattributedErrorRate      float64           // and that ended in an error of no told cause
-	ejectedUntil               time.Duration     // out of use until then
-	backoff                    time.Duration     // length of the latest ejection
-	probationInFlight          bool              // back from ejection, with one attempt out to try it
-	fillLatency, fillLatencyAt time.Duration     // fills: time beyond the sending itself, lately, and when it was seen
-	lastHitRejectedAt          time.Duration     // latest sending of what should have been a hit and was refused at once
-	minFillLatency             time.Duration     // of the times in which fills from here came; 0: none did
-	concurrencyLimit           concurrency.Limit // our attempts that are out here, and those that wait for a fill from here
-	workRate                   float64           // work a second that it did for us, lately
-	workRateAt                 time.Duration
-	slowStartBudget            slowstart.Budget // cold: work in seconds
-	load                       loadreport.Load
-	listings                   []*mappingEntry // the objects listed here, the worst first
+	// Outlier detection.
+	lastOK                time.Duration // latest answer of any use
+	overdueAnswers        int           // answers that were due since then
+	errorRate             float64       // share of recent attempts that failed
+	unattributedErrorRate float64       // share of them that ended in an error of no told cause
+	ejectedUntil          time.Duration
+	backoff               time.Duration // length of the latest ejection; 0: it was not ejected since it was well
+	probationInFlight     bool          // back from ejection, with one attempt in flight to try it
+
+	// Limits.
+	concurrencyLimit  concurrency.Limit // of our attempts in flight here, and of those that wait for a fill from here
+	lastSuccessSentAt time.Duration     // latest sending that it answered well, by itself or as a fill source
+	lastHitRejectedAt time.Duration     // latest sending of what should have been a hit and was rejected at once
+	lastLateFill      time.Duration     // latest late fill by it
+	load              loadreport.Load
+
+	// Fills from it.
+	fillLatency    time.Duration // recent time beyond the transfer itself,
+	fillLatencyAt  time.Duration // when it was last seen
+	minFillLatency time.Duration // least time of an attempt with a fill; 0: there was none
+
+	// Slow start.
+	workRate        float64 // work a second that it did for us recently,
+	workRateAt      time.Duration
+	slowStartBudget slowstart.Budget
+
+	listings []*mappingEntry // the objects listed here, the one with the longest gap first
+}
+
+// update takes in what an endpoint list says of the endpoint.
+func (ep *endpoint) update(set *Settings, listed Endpoint) {
+	ep.id, ep.hash = listed.ID, hash(listed.ID)
+	ep.role = set.roleOf(listed.Kind)
+	ep.zone, ep.cell = slices.Index(set.Zones, listed.Zone), listed.Cell
+	ep.up = listed.Phase == Up
+	ep.weight = cmp.Or(max(0, listed.Weight), 1)
 }
 
-// update takes in what a list says of a server.
-func (s *endpoint) update(set *Settings, e Endpoint) {
-	s.id, s.hash, s.role = e.ID, hash(e.ID), roleCache
-	if k := slices.Index(set.Kinds, e.Kind); k >= 0 && k == set.ParentKind {
-		s.role = roleParent
-	} else if k == set.OriginKind {
-		s.role = roleOrigin
+// roleOf is the role of a kind of machine: a cache unless it is the parents' or the origin's kind.
+func (s *Settings) roleOf(kind string) role {
+	k := slices.Index(s.Kinds, kind)
+	switch {
+	case k >= 0 && k == s.ParentKind:
+		return roleParent
+	case k == s.OriginKind:
+		return roleOrigin
 	}
-	s.zone, s.cell, s.up = slices.Index(set.Zones, e.Zone), e.Cell, e.Phase == Up
-	s.weight = cmp.Or(max(0, e.Weight), 1)
+	return roleCache
 }
 
-// transferSlots is how many transfers a server's link bears; 0: not told.
-func (s *endpoint) transferSlots(told bool) float64 {
-	if !told {
+// transferSlots is how many transfers at full pace the endpoint's link bears; 0: not known.
+func (ep *endpoint) transferSlots(weightsKnown bool) float64 {
+	if !weightsKnown {
 		return 0
 	}
-	return s.weight
+	return ep.weight
 }
 
-func (d *Director) updateEndpoints(m EndpointUpdate) {
-	if m.Kind == WatchLost {
+// updateEndpoints takes in a watch event. A lost watch leaves the list as it was.
+func (d *Director) updateEndpoints(u EndpointUpdate) {
+	if u.Kind == WatchLost {
 		if d.set.PollDiscovery {
-			d.emit(SetTimer{At: d.now + d.set.PollWithin/10, Token: pollToken})
+			d.emit(SetTimer{At: d.now + d.set.PollWithin/discoveryRetryDivisor, Token: pollToken})
 		}
 		return
 	}
-	if m.Kind == StaleList && d.set.Gossip {
+	if u.Kind == StaleList && d.set.Gossip {
 		d.emit(SendGossip{To: AllDirectors, Data: greeting(d.zone)})
 	}
-	if m.Kind == StaleList && d.set.PollDiscovery {
+	if u.Kind == StaleList && d.set.PollDiscovery {
 		d.emit(PollEndpoints{})
 	}
-	for _, s := range d.endpoints {
-		s.up = s.up && m.Kind == DeltaList
-	}
-	for _, e := range m.Endpoints {
-		s := d.endpoints[e.ID]
-		if s == nil {
-			s = &endpoint{}
-			d.endpoints[e.ID] = s
-		}
-		if s.id == "" || s.incarnation != e.Incarnation { // a restart is a new, empty server; attempts may still be out
-			out := s.concurrencyLimit.InFlight
-			*s = endpoint{incarnation: e.Incarnation, concurrencyLimit: concurrency.Unlimited()}
-			s.concurrencyLimit.InFlight = out
-		}
-		s.update(&d.set, e)
-		if e.Phase == Removed {
-			delete(d.endpoints, e.ID) // attempts that are out hold on to it
+	if u.Kind != DeltaList { // what a full list doesn't name is not up
+		for _, ep := range d.endpoints {
+			ep.up = false
 		}
 	}
-	d.inUse = [3][]*endpoint{}
-	for _, s := range d.endpoints {
-		if s.up && (s.role != roleCache || s.zone == d.zone) {
-			d.inUse[s.role] = append(d.inUse[s.role], s)
-		}
+	for _, listed := range u.Endpoints {
+		d.updateEndpoint(listed)
+	}
+	d.collectInUse()
+	d.updateMinLimits()
+}
+
+// updateEndpoint takes in one endpoint of a list. A restart makes a new, empty endpoint, but for the attempts that are still in
+// flight. Attempts in flight hold on to an endpoint that is removed.
+func (d *Director) updateEndpoint(listed Endpoint) {
+	ep := d.endpoints[listed.ID]
+	if ep == nil {
+		ep = &endpoint{}
+		d.endpoints[listed.ID] = ep
 	}
-	for _, s := range d.endpoints {
-		s.concurrencyLimit.Min = max(minDirectorLimit, minSharedLimit/d.senders(s.role))
+	if ep.id == "" || ep.incarnation != listed.Incarnation {
+		inFlight := ep.concurrencyLimit.InFlight
+		*ep = endpoint{incarnation: listed.Incarnation, concurrencyLimit: concurrency.Unlimited()}
+		ep.concurrencyLimit.InFlight = inFlight
+	}
+	ep.update(&d.set, listed)
+	if listed.Phase == Removed {
+		delete(d.endpoints, listed.ID)
+	}
+}
+
+// collectInUse finds the endpoints that may be chosen: those that are up, of caches only this location's.
+func (d *Director) collectInUse() {
+	d.inUse = byRole[[]*endpoint]{}
+	for _, ep := range d.endpoints {
+		if ep.up && (ep.role != roleCache || ep.zone == d.zone) {
+			d.inUse[ep.role] = append(d.inUse[ep.role], ep)
+		}
 	}
-	d.originFetches.Min = max(minDirectorLimit, minSharedLimit*float64(len(d.inUse[roleParent]))/d.senders(roleOrigin))
-	for _, l := range d.inUse {
-		slices.SortFunc(l, func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) })
+	for _, endpoints := range d.inUse {
+		slices.SortFunc(endpoints, func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) })
 	}
 }
--- a/routing/events.go
+++ b/routing/events.go
@@ -84,6 +84,16 @@
 // broken says that a connection did not come up, or ended under the attempt.
 func (s Status) broken() bool { return s == ConnectFailed || s == Reset }
 
+// mayHaveRun says that an attempt which ended so may have taken effect.
+func (s Status) mayHaveRun() bool {
+	switch s {
+	case Rejected, ConnectFailed, NotSent, Miss:
+		return false
+	default:
+		return true
+	}
+}
+
 // Reason says how an answer was served or why a fill failed, as far as Settings.Tells goes.
 type Reason int
 
--- a/routing/fill_source.go
+++ b/routing/fill_source.go
@@ -6,50 +6,102 @@
 	"time"
 )
 
-const fillLatencyAdvantage = 2 // a parent is quicker than another if it waits this many times less
+// fillLatencyAdvantage is how many times the fill latency of the first parent must exceed the second's for the second to be
+// chosen. Less is a tie, which the shared preference order decides: two directors that differ would have both parents fetch and
+// cache the object.
+const fillLatencyAdvantage = 2
 
-// pickFillSource chooses who fills a miss: of the object's first two usable parents the quicker one, else the
-// origin. Quicker by less than a multiple is a tie, which the shared order decides: two directors that differ
-// in it would have both parents fetch and keep the object. A wait that was not seen for long is forgotten.
-func (d *Director) pickFillSource(r *request) *endpoint {
-	var pair []*endpoint
-	for _, p := range d.preferenceOrder(r.key, d.inUse[roleParent]) {
-		if d.usable(p, r) && !slices.Contains(r.failedEndpoints, p) && len(pair) < 2 {
-			pair = append(pair, p)
-		}
+// pickSourceFor chooses who fills a miss at a cache. A cache that is explored is filled by the listed one, where that was hit
+// recently; where there is no source at all, the cache itself may still have a copy.
+func (d *Director) pickSourceFor(r *request, target *endpoint, exploring bool) *endpoint {
+	source := d.pickFillSource(r)
+	if exploring && d.siblingCanFill(r) {
+		return r.entry.cache
+	}
+	if source == nil {
+		return target
 	}
-	if len(pair) == 2 && pair[1].recentFillLatency(d.now)*fillLatencyAdvantage < pair[0].recentFillLatency(d.now) {
-		return pair[1]
+	return source
+}
+
+// siblingCanFill reports whether the listed cache may fill a miss at another one.
+func (d *Director) siblingCanFill(r *request) bool {
+	e := r.entry
+	return d.set.Siblings != NoSiblings && e.lastHit > 0 && d.now-e.lastHit < recentWindow && d.usable(e.cache, r)
+}
+
+// pickFillSource chooses who fills a miss: of the object's first two usable parents the one with the lower fill latency, else
+// the origin. A parent in use only by the floor (see keptByFloor) fills if fetches from the origin are at their limit, or if
+// there is no origin. It is nil if there is no source.
+func (d *Director) pickFillSource(r *request) *endpoint {
+	parents := d.firstUsableParents(r)
+	if len(parents) == 2 && parents[1].recentFillLatency(d.now)*fillLatencyAdvantage < parents[0].recentFillLatency(d.now) {
+		return parents[1]
 	}
-	// With none in health the origin fills, within the limit on fetches: the floor is for want of any other.
-	if o := d.inUse[roleOrigin]; len(o) > 0 && !(slices.ContainsFunc(pair, d.healthy) ||
-		len(pair) > 0 && !d.hasCapacity(&d.originFetches, r)) {
-		return o[0]
+	if origins := d.inUse[roleOrigin]; len(origins) > 0 && !d.parentsGoFirst(r, parents) {
+		return origins[0]
 	}
-	if len(pair) == 0 {
+	if len(parents) == 0 {
 		return nil
 	}
-	return pair[0]
+	return parents[0]
+}
+
+// firstUsableParents are the first two parents in the object's preference order that can serve.
+func (d *Director) firstUsableParents(r *request) []*endpoint {
+	var parents []*endpoint
+	for _, ep := range d.preferenceOrder(r.key, d.inUse[roleParent]) {
+		if d.canServe(ep, r) && len(parents) < 2 {
+			parents = append(parents, ep)
+		}
+	}
+	return parents
+}
+
+// parentsGoFirst reports whether one of these parents is to fill rather than the origin.
+func (d *Director) parentsGoFirst(r *request, parents []*endpoint) bool {
+	if slices.ContainsFunc(parents, d.healthy) {
+		return true
+	}
+	return len(parents) > 0 && !d.hasCapacity(&d.originFetches, r)
 }
 
-// recentFillLatency is the wait for fills from s, which halves with each rateWindow in which none was seen.
-func (s *endpoint) recentFillLatency(now time.Duration) float64 {
-	return float64(s.fillLatency) * math.Exp2(-float64(now-s.fillLatencyAt)/float64(recentWindow))
+// recentFillLatency is the latency of fills from the endpoint, in nanoseconds. It halves with each recentWindow in which none
+// was seen, so that a slow source is tried again.
+func (ep *endpoint) recentFillLatency(now time.Duration) float64 {
+	return float64(ep.fillLatency) * math.Exp2(-float64(now-ep.fillLatencyAt)/float64(recentWindow))
 }
 
-// fillAllowed says whether a fill may be asked for now. Where fetches from the origin are at their limit a
-// parent is asked for what it holds: that spares the origin, and costs little where it lacks the object. This
-// goes for attempts that should hit, too: a copy may have been purged, dropped or grown too old. May hurt
-// where the origin is well and the parents' links are full.
-func (d *Director) fillAllowed(r *request, a *attempt) bool {
-	fetch := d.hasCapacity(&d.originFetches, r)
-	switch a.onlyIfCached = a.fillSource.role == roleParent && !fetch; {
-	case a.fillExpected && a.fillSource.role == roleParent:
-		return d.hasCapacity(&a.fillSource.concurrencyLimit, r)
-	case a.fillSource.role == roleOrigin && !fetch && a.fillExpected:
-		return false
-	case a.fillSource.role == roleOrigin && !fetch:
-		a.fillSource = a.target
+// recordFillLatency takes in how long an attempt with a fill from the endpoint took, and which part of it was the transfer.
+func (ep *endpoint) recordFillLatency(now, latency, transferTime time.Duration) {
+	beyond := max(0, latency-transferTime)
+	ep.fillLatency += time.Duration(averageWeight * float64(beyond-ep.fillLatency))
+	ep.fillLatencyAt = now
+	if ep.minFillLatency == 0 || latency < ep.minFillLatency {
+		ep.minFillLatency = latency
+	}
+}
+
+// restrictFill reports whether an attempt may ask for a fill now, and restricts it to what the limits allow. Where fetches from
+// the origin are at their limit, a parent is asked only for what it has cached: that spares the origin, and costs little if the
+// parent lacks the object. Attempts that should hit are restricted too, since a copy may have been purged, evicted or grown too
+// old.
+func (d *Director) restrictFill(r *request, a *attempt) bool {
+	mayFetch := d.hasCapacity(&d.originFetches, r)
+	switch a.fillSource.role {
+	case roleParent:
+		a.onlyIfCached = !mayFetch
+		return !a.fillExpected || d.hasCapacity(&a.fillSource.concurrencyLimit, r)
+	case roleOrigin:
+		if mayFetch {
+			return true
+		}
+		if a.fillExpected {
+			return false
+		}
+		a.fillSource = a.target // no fill, if the copy is gone after all
+		return true
+	default:
+		return true
 	}
-	return true
 }
--- a/routing/freshness.go
+++ b/routing/freshness.go
@@ -2,28 +2,30 @@
 
 import "time"
 
-// maxAge is the age limit that keeps an answer younger than the latest live purge; 0 if there is none.
+// maxAge is the age limit that keeps an answer younger than the latest purge of the object that may still matter; 0 if there is
+// none. It is never longer than the class's fresh time.
 func (d *Director) maxAge(r *request) time.Duration {
-	at, ok := d.purged.Latest(d.now, r.Object, r.Group)
-	if !ok {
+	purgedAt, purged := d.purged.Latest(d.now, r.Object, r.Group)
+	if !purged {
 		return 0
 	}
-	age := max(time.Millisecond, d.now-at-time.Millisecond)
+	// Ages on the wire are in whole milliseconds: one less is surely younger than the purge.
+	age := max(time.Millisecond, d.now-purgedAt-time.Millisecond)
 	if r.class.FreshFor > 0 {
 		age = min(age, r.class.FreshFor)
 	}
 	return age
 }
 
-// copyGone says that no copy can be left where an object is listed. Guards the sources against fills that nobody
-// counts, when the copies of many objects go at once.
+// copyGone reports whether no current copy can be left where an object is listed. A hit that is expected there isn't counted as
+// a fill; without this, sources would get fills that nobody counted when the copies of many objects go at once.
 func (d *Director) copyGone(r *request) bool {
-	at, purged := d.purged.Latest(d.now, r.Object, r.Group)
-	return copyOutdated(d.now, r.entry.copySeenAt, at, purged, r.class.FreshFor)
+	purgedAt, purged := d.purged.Latest(d.now, r.Object, r.Group)
+	return copyOutdated(d.now, r.entry.copySeenAt, purgedAt, purged, r.class.FreshFor)
 }
 
 // copyOutdated reports whether a copy seen at a time can't be current any more: its object was purged since, or it is
-// older than freshFor (0: no limit). A copy may go sooner, unseen: it was dropped, or was older than thought.
+// older than freshFor (0: no limit). A copy may go sooner, unseen: it was evicted, or was older than thought.
 func copyOutdated(now, seen, purgedAt time.Duration, purged bool, freshFor time.Duration) bool {
 	return purged && seen <= purgedAt || freshFor > 0 && now-seen > freshFor
 }
--- a/routing/limits.go
+++ b/routing/limits.go
@@ -7,115 +7,181 @@
 	"larchusher/concurrency"
 )
 
+// How far the limits of requests in flight go down. A limit below one is a chance: it lets that share of requests through.
 const (
-	clientRetryQuota     = 0.8             // a client's repeat stops at this share of the limit
-	minSharedLimit       = 2               // a limit is not cut below this, shared by all directors,
-	minDirectorLimit     = 0.1             // nor below this for each
-	promptRejectionRatio = 4               // a refusal that came this many times sooner than any fill asked no source
-	sharedFaultWindow    = 2 * time.Second // late fills by two sources within this speak of what is behind both
+	clientRetryQuota = 0.8 // share of a limit that a client's own retry may use
+	minSharedLimit   = 2.0 // a limit is not cut below this for all directors together,
+	minDirectorLimit = 0.1 // nor below this for each
 )
 
-// usable says whether a server may be sent something now.
-func (d *Director) usable(s *endpoint, r *request) bool {
-	return s.up && d.slowStartAllows(s, r) && (d.healthy(s) || d.keptByFloor(s))
+// Whose fault a late or rejected attempt is, where that isn't told.
+const (
+	promptRejectionRatio = 4               // a rejection that came this many times sooner than any fill did not ask a source
+	sharedFaultWindow    = 2 * time.Second // late fills by two sources within this are the fault of the origin behind both
+)
+
+// usable reports whether an endpoint may be sent a request now, by its phase, its slow start and its health.
+func (d *Director) usable(ep *endpoint, r *request) bool {
+	return ep.up && d.slowStartAllows(ep, r) && (d.healthy(ep) || d.keptByFloor(ep))
 }
 
-// hasCapacity says whether one more attempt may be out. A client's repeat has lost part of its time, and what costs
-// much for its worth takes the place of others: they stop first.
+// hasCapacity reports whether one more attempt may be in flight under a limit. A client's retry has spent part of its time,
+// and a request that costs much for its priority weight displaces others: both are stopped at a part of the limit.
 func (d *Director) hasCapacity(l *concurrency.Limit, r *request) bool {
-	part := d.meanCost.Quota(r.costPerWeight)
+	quota := d.meanCost.Quota(r.costPerWeight)
 	if r.Retry {
-		part *= clientRetryQuota
+		quota *= clientRetryQuota
 	}
-	return l.HasCapacity(part, r.draw)
+	return l.HasCapacity(quota, r.draw)
+}
+
+// fitsObjective reports whether a cache has capacity for one more attempt, and can finish it within the latency objective
+// beside our attempts that are in flight there.
+func (d *Director) fitsObjective(ep *endpoint, r *request) bool {
+	slots := ep.transferSlots(d.set.WeightsKnown)
+	most := concurrency.MaxWithinObjective(slots, r.class.ObjectiveStretch, r.class.LatencyObjective, r.transferTime)
+	return d.hasCapacity(&ep.concurrencyLimit, r) && float64(ep.concurrencyLimit.InFlight)+r.draw < most
 }
 
-// fitsObjective says whether a cache has room for one more, and can finish it in aim beside what of ours is there.
-func (d *Director) fitsObjective(s *endpoint, r *request) bool {
-	most := concurrency.MaxWithinObjective(s.transferSlots(d.set.WeightsKnown), r.class.ObjectiveStretch, r.class.LatencyObjective, r.transferTime)
-	return d.hasCapacity(&s.concurrencyLimit, r) && float64(s.concurrencyLimit.InFlight)+r.draw < most
+// updateMinLimits sets what limits are not cut below. Fetches from the origin get the sum of what the parents get.
+func (d *Director) updateMinLimits() {
+	for _, ep := range d.endpoints {
+		ep.concurrencyLimit.Min = max(minDirectorLimit, minSharedLimit/d.senders(ep.role))
+	}
+	parents := float64(len(d.inUse[roleParent]))
+	d.originFetches.Min = max(minDirectorLimit, minSharedLimit*parents/d.senders(roleOrigin))
 }
 
-// updateLimits learns how much may be out at a cache, at a source of fills, and at the origin behind the sources.
-// Answers later than the aim, and refusals, say that what is out there shares too little. The limit is then
-// cut to the share that was in time; only what was sent after a cut counts for the next one. Holds against
-// slow parts, full links and overload alike; may hurt where answers are late for reasons that no limit mends.
+// updateLimits adapts the limits of requests in flight by the result of an attempt: at a cache, at a fill source, and at the
+// origin behind the sources. Answers after the latency objective, and rejections, say that too much is in flight there. The
+// limit is then cut to the share that was in time; only what was sent after a cut counts for the next one (package concurrency).
+// This holds for slow endpoints, full links and overload alike.
 func (d *Director) updateLimits(r *request, a *attempt, o AttemptResult, hit bool) {
-	late := a.sentAt+o.Latency > r.objectiveAt() && !o.Status.broken() || o.Status == Rejected
-	if (o.Status == TimedOut || o.Status == Canceled) && a.overtaken() {
-		if d.now >= r.Deadline-2*d.set.ClockStep && len(r.attempts) == 1 {
-			d.hedgeBudget = min(2*hedgesPerLostAnswer, d.hedgeBudget+hedgesPerLostAnswer)
-		}
-		return // an answer that got lost on its way says nothing of load
+	if answerLost(a, o) {
+		d.earnHedges(r)
+		return // it says nothing of load
 	}
 	a.rejectedByCache = o.Status == Rejected && a.rejectedByTarget(o)
-	earlier := late && (o.Status == OK || o.Status == ServerError) && o.Latency <= r.objectiveAt()-r.startedAt
-	if earlier || a.rejectedByCache && a.fillExpected { // other attempts took the time, or the cache alone is closed
+	late := o.Status == Rejected || a.isLate(r, o) && !o.Status.broken()
+	if late && r.lateByEarlierAttempts(o) {
+		return
+	}
+	if a.rejectedByCache && a.fillExpected { // the cache alone has no capacity for fills
 		return
 	}
-	a.sharedFault = !hit && !a.rejectedByCache && (late || o.Status == ServerError) && (a.fillExpected || o.Reason != ReasonNone) &&
-		d.isSharedFault(a, o)
+	if !hit && d.failedOverFill(a, o, late) {
+		a.sharedFault = d.isSharedFault(a, o)
+	}
+	if late && a.target.role == roleOrigin {
+		a.target.lastLateFill = d.now
+	}
 	for _, l := range d.limitsToUpdate(a, o, hit, late) {
 		l.Observe(d.now, a.sentAt, late, o.Status == OK || o.Status == Miss)
 	}
 }
 
-// limitsToUpdate names what an outcome's time speaks of: the cache if it answered by itself, else a part of the fill.
-func (d *Director) limitsToUpdate(a *attempt, o AttemptResult, hit, late bool) []*concurrency.Limit {
-	seen := evidence{hitExpected: !a.fillExpected, rejected: o.Status == Rejected}
-	seen.late = late && d.hitUnknown(a, o)
-	seen.utilization, seen.utilizationKnown = a.target.load.Utilization(d.now)
-	fill := a.fillSource != a.target && !hit && !a.rejectedByCache && (o.Reason != ReasonNone || seen.judgesSource())
-	switch {
-	case a.target.role == roleOrigin: // a write, say: it speaks for what fills fetch there
-		if late {
-			a.target.lastLateFill = d.now
-		}
-		return []*concurrency.Limit{&d.originFetches}
-	case !fill:
-		return []*concurrency.Limit{&a.target.concurrencyLimit}
-	case a.onlyIfCached || a.fillSource.role == roleCache || late && !a.sharedFault ||
-		o.Reason == ReasonFilled && d.set.AnswerDetail == DetailAll:
-		return []*concurrency.Limit{&a.fillSource.concurrencyLimit}
-	case late || a.fillSource.role == roleOrigin:
-		return []*concurrency.Limit{&d.originFetches}
+// isLate reports whether an attempt's result came after the latency objective.
+func (a *attempt) isLate(r *request, o AttemptResult) bool {
+	return a.sentAt+o.Latency > r.objectiveAt()
+}
+
+// answerLost reports whether an attempt got no answer because that was lost on its way, and not for load: what was sent later,
+// by the same way, was answered.
+func answerLost(a *attempt, o AttemptResult) bool {
+	return (o.Status == TimedOut || o.Status == Canceled) && a.overtaken()
+}
+
+// overtaken reports whether what was sent later, by the same way, has been answered.
+func (a *attempt) overtaken() bool {
+	return a.target.lastSuccessSentAt > a.sentAt && (!a.fillExpected || a.fillSource.lastSuccessSentAt > a.sentAt)
+}
+
+// lateByEarlierAttempts reports whether an answer would have met the latency objective but for the time that earlier attempts
+// took.
+func (r *request) lateByEarlierAttempts(o AttemptResult) bool {
+	return (o.Status == OK || o.Status == ServerError) && o.Latency <= r.objectiveAt()-r.startedAt
+}
+
+// rejectedByTarget reports whether a rejection is the cache's own, and not its source's. Where that isn't told: it came sooner
+// than a source can be asked. For a fill that may only mean that no slot for fills is free, so it counts only if the cache
+// has rejected a hit since it last answered well. Otherwise the rejections of a cache that drains before the list says so would
+// close the sources, and through them the whole branch.
+func (a *attempt) rejectedByTarget(o AttemptResult) bool {
+	prompt := o.Reason == ReasonNone && o.Latency < a.fillSource.minFillLatency/promptRejectionRatio
+	own := a.fillSource == a.target || prompt
+	if own && !a.fillExpected {
+		a.target.lastHitRejectedAt = a.sentAt
 	}
-	return []*concurrency.Limit{&a.fillSource.concurrencyLimit, &d.originFetches}
+	return own && a.target.lastHitRejectedAt > a.target.lastSuccessSentAt
 }
 
-// hitUnknown says that an outcome doesn't tell whether a cache had the object, since none does here.
-func (d *Director) hitUnknown(a *attempt, o AttemptResult) bool {
-	return d.set.AnswerDetail == DetailNone && o.Reason == ReasonNone && a.target.role == roleCache
+// failedOverFill reports whether an attempt that was no hit was late or failed by its fill, as far as is known.
+func (d *Director) failedOverFill(a *attempt, o AttemptResult, late bool) bool {
+	if a.rejectedByCache || !late && o.Status != ServerError {
+		return false
+	}
+	return a.fillExpected || o.Reason != ReasonNone
 }
 
-// isSharedFault says whether a late or failed fill is the origin's fault rather than its parent's: where that isn't
-// told, if another source's were late at about that time, or writes there. One that is slow, silent or gone
-// stays alone with it.
+// isSharedFault reports whether a late or failed fill is the origin's fault rather than its parent's: where that isn't told, if
+// another parent's fill was late at about that time, or a write at the origin. A parent that alone is slow, silent or gone is
+// judged alone.
 func (d *Director) isSharedFault(a *attempt, o AttemptResult) bool {
 	if a.fillSource.role != roleParent || a.onlyIfCached || o.Reason == ReasonSourceLost && o.Status == Rejected {
 		return a.fillSource.role == roleOrigin
 	}
-	too := func(s *endpoint) bool {
-		return s != a.fillSource && s.lastLateFill > 0 && d.now-s.lastLateFill < sharedFaultWindow
-	}
 	a.fillSource.lastLateFill = d.now
-	return len(d.inUse[roleParent]) < 2 || o.Reason == ReasonOriginFailed ||
-		slices.ContainsFunc(d.inUse[roleParent], too) || slices.ContainsFunc(d.inUse[roleOrigin], too)
+	if o.Reason == ReasonOriginFailed || len(d.inUse[roleParent]) < 2 {
+		return true
+	}
+	alsoLate := func(ep *endpoint) bool {
+		return ep != a.fillSource && ep.lastLateFill > 0 && d.now-ep.lastLateFill < sharedFaultWindow
+	}
+	return slices.ContainsFunc(d.inUse[roleParent], alsoLate) || slices.ContainsFunc(d.inUse[roleOrigin], alsoLate)
 }
 
-// rejectedByTarget says that a refusal is the cache's own, and not its source's. Where that isn't told: it came
-// sooner than a source can be asked. For a fill that may only mean that no place for fills is free, unless
-// the cache has refused a hit since it answered well. Guards against a cache that drains before the list says
-// so: its refusals closed the sources, and through them the whole branch.
-func (a *attempt) rejectedByTarget(o AttemptResult) bool {
-	own := a.fillSource == a.target || o.Reason == ReasonNone && o.Latency < a.fillSource.minFillLatency/promptRejectionRatio
-	if own && !a.fillExpected {
-		a.target.lastHitRejectedAt = a.sentAt
+// limitsToUpdate are the limits that a result speaks of: the cache's if it answered by itself, else those of the fill.
+func (d *Director) limitsToUpdate(a *attempt, o AttemptResult, hit, late bool) []*concurrency.Limit {
+	target, source := &a.target.concurrencyLimit, &a.fillSource.concurrencyLimit
+	switch {
+	case a.target.role == roleOrigin: // such as a write: fills are fetched there, too
+		return []*concurrency.Limit{&d.originFetches}
+	case hit || !d.judgesSource(a, o, late):
+		return []*concurrency.Limit{target}
+	case d.sourceAnsweredAlone(a, o) || late && !a.sharedFault:
+		return []*concurrency.Limit{source}
+	case late || a.fillSource.role == roleOrigin:
+		return []*concurrency.Limit{&d.originFetches}
 	}
-	return own && a.target.lastHitRejectedAt > a.target.lastSuccessSentAt
+	return []*concurrency.Limit{source, &d.originFetches}
 }
 
-// overtaken says that what was sent later, by the same way, has been answered.
-func (a *attempt) overtaken() bool {
-	return a.target.lastSuccessSentAt > a.sentAt && (!a.fillExpected || a.fillSource.lastSuccessSentAt > a.sentAt)
+// judgesSource reports whether a result that was no hit speaks of the fill source and not of the cache.
+func (d *Director) judgesSource(a *attempt, o AttemptResult, late bool) bool {
+	if a.fillSource == a.target || a.rejectedByCache {
+		return false
+	}
+	if o.Reason != ReasonNone {
+		return true
+	}
+	seen := evidence{
+		hitExpected: !a.fillExpected,
+		rejected:    o.Status == Rejected,
+		late:        late && d.hitUnknown(a, o),
+	}
+	seen.utilization, seen.utilizationKnown = a.target.load.Utilization(d.now)
+	return seen.judgesSource()
+}
+
+// sourceAnsweredAlone reports whether the fill source had no part of an answer from the origin.
+func (d *Director) sourceAnsweredAlone(a *attempt, o AttemptResult) bool {
+	if a.onlyIfCached || a.fillSource.role == roleCache {
+		return true
+	}
+	return o.Reason == ReasonFilled && d.set.AnswerDetail == DetailAll
+}
+
+// hitUnknown reports whether a result doesn't tell if a cache had the object, since none does in this deployment.
+func (d *Director) hitUnknown(a *attempt, o AttemptResult) bool {
+	return d.set.AnswerDetail == DetailNone && o.Reason == ReasonNone && a.target.role == roleCache
 }
--- a/routing/mapping_table.go
+++ b/routing/mapping_table.go
@@ -12,37 +12,47 @@
 	listingsPerCache  = 256              // objects listed per cache
 	tableListMultiple = 16               // entries remembered, in multiples of what all lists of the location hold
 	unknownGap        = time.Hour        // gap of an object seen once
-	requestCountDecay = 15 * time.Second // requests count for a rank for so long
+	requestCountDecay = 15 * time.Second // in which the count of recent requests falls to 1/e
 )
 
-// mappingEntry is a row of the mapping table: one part of one object.
+// mappingEntry is a row of the mapping table: what is remembered of one part of one object.
 type mappingEntry struct {
-	key                  uint64
-	cache                *endpoint     // cache that serves it; nil: not known
-	cacheIncarnation     time.Duration // of that cache when it was listed
-	movedAt              time.Duration // when the listing last moved
-	lastHit              time.Duration // latest hit
-	copySeenAt           time.Duration // sending of the latest request that it served, or the filling that was told
-	lastRequest, meanGap time.Duration // latest request, and smoothed gap between requests
-	recentRequests       float64       // recent requests
-	transferTime         time.Duration // where sizes aren't told: its quickest answer yet
-	listedAt             *endpoint     // whose list holds it
-	listedIncarnation    time.Duration
-	recency              *list.Element // its place in the order of use
+	key              uint64
+	cache            *endpoint     // that serves it; nil: not known
+	cacheIncarnation time.Duration // of that cache when it was listed
+	movedAt          time.Duration // when the listing last moved
+	lastHit          time.Duration // 0: none
+	copySeenAt       time.Duration // sending of the latest request that the cache served, or the filling of which gossip told
+	lastRequest      time.Duration
+	meanGap          time.Duration // smoothed gap between requests
+	recentRequests   float64       // with requestCountDecay
+	transferTime     time.Duration // where sizes aren't known: the quickest answer yet; 0: none
+
+	listedAt          *endpoint // whose list holds it; nil: none
+	listedIncarnation time.Duration
+	recency           *list.Element // its place in Director.byRecency
 }
 
-// sortKey is the entry's smoothed gap at any moment, but for a part that is the same for all.
-func (e *mappingEntry) sortKey() time.Duration { return 3*e.meanGap - e.lastRequest }
+// hitExpectedAt reports whether the entry's object is likely to be cached at an endpoint as it runs now.
+func (e *mappingEntry) hitExpectedAt(ep *endpoint) bool {
+	return e.cache == ep && e.cacheIncarnation == ep.incarnation
+}
 
+// currentGap is the mean gap with the time since the latest request counted as one more gap, at the weight that
+// recordRequest gives it.
 func (e *mappingEntry) currentGap(now time.Duration) time.Duration {
 	return (3*e.meanGap + now - e.lastRequest) / 4
 }
 
+// gapOrder sorts entries as currentGap does at any moment: what is left out of it is the same for all.
+func (e *mappingEntry) gapOrder() time.Duration { return 3*e.meanGap - e.lastRequest }
+
+// isListed reports whether a list holds the entry. A cache that restarted has an empty list.
 func (e *mappingEntry) isListed() bool {
 	return e.listedAt != nil && e.listedAt.incarnation == e.listedIncarnation
 }
 
-// unlist takes an entry off its list; relist puts it where its gap belongs, the worst first.
+// unlist takes the entry off its list.
 func (e *mappingEntry) unlist() {
 	if e.isListed() {
 		i := slices.Index(e.listedAt.listings, e)
@@ -51,43 +61,73 @@
 	e.listedAt = nil
 }
 
-func (e *mappingEntry) relist(s *endpoint) {
-	worse := func(a, b *mappingEntry) int { return cmp.Compare(b.sortKey(), a.sortKey()) }
-	i, _ := slices.BinarySearchFunc(s.listings, e, worse)
-	s.listings = slices.Insert(s.listings, i, e)
-	e.listedAt, e.listedIncarnation = s, s.incarnation
+// relist puts the entry on a cache's list where its gap belongs, the longest first.
+func (e *mappingEntry) relist(ep *endpoint) {
+	longerGap := func(a, b *mappingEntry) int { return cmp.Compare(b.gapOrder(), a.gapOrder()) }
+	i, _ := slices.BinarySearchFunc(ep.listings, e, longerGap)
+	ep.listings = slices.Insert(ep.listings, i, e)
+	e.listedAt, e.listedIncarnation = ep, ep.incarnation
 }
 
-// hitExpectedAt says that a hit is to be expected: the entry is listed at s as it runs now.
-func (e *mappingEntry) hitExpectedAt(s *endpoint) bool {
-	return e.cache == s && e.cacheIncarnation == s.incarnation
-}
-
-// recordRequest finds or makes the row of a key, and counts a request for it.
+// recordRequest finds or makes the entry of a key, and counts a request for it.
 func (d *Director) recordRequest(key uint64) *mappingEntry {
 	e := d.table[key]
 	if e == nil {
-		e = &mappingEntry{key: key, meanGap: unknownGap, lastRequest: d.now, recentRequests: 1}
-		e.recency = d.byRecency.PushFront(e)
-		d.table[key] = e
-		if len(d.table) > tableListMultiple*listingsPerCache*max(1, len(d.inUse[roleCache])) {
-			old := d.byRecency.Remove(d.byRecency.Back()).(*mappingEntry)
-			old.unlist()
-			delete(d.table, old.key)
-		}
-		return e
+		return d.addEntry(key)
 	}
-	in, was := e.listedAt, e.isListed()
-	e.unlist()
-	gap := d.now - e.lastRequest
+	listedAt, wasListed := e.listedAt, e.isListed()
+	e.unlist() // its place in the list is by the gap, which changes
+	e.countRequest(d.now)
+	d.byRecency.MoveToFront(e.recency)
+	if wasListed {
+		e.relist(listedAt)
+	}
+	return e
+}
+
+// countRequest takes a request into the entry's averages.
+func (e *mappingEntry) countRequest(now time.Duration) {
+	gap := now - e.lastRequest
 	if e.meanGap == unknownGap {
 		e.meanGap = gap
 	}
-	e.meanGap, e.lastRequest = (3*e.meanGap+gap)/4, d.now
+	e.meanGap = (3*e.meanGap + gap) / 4
+	e.lastRequest = now
 	e.recentRequests = e.recentRequests*math.Exp(-float64(gap)/float64(requestCountDecay)) + 1
-	d.byRecency.MoveToFront(e.recency)
-	if was {
-		e.relist(in)
+}
+
+// addEntry makes the entry of a key that is requested for the first time. When the table is full, the entry that was used least
+// recently is evicted.
+func (d *Director) addEntry(key uint64) *mappingEntry {
+	e := &mappingEntry{key: key, meanGap: unknownGap, lastRequest: d.now, recentRequests: 1}
+	d.insertEntry(e)
+	if len(d.table) > d.tableCapacity() {
+		oldest := d.byRecency.Remove(d.byRecency.Back()).(*mappingEntry)
+		oldest.unlist()
+		delete(d.table, oldest.key)
 	}
 	return e
 }
+
+func (d *Director) insertEntry(e *mappingEntry) {
+	e.recency = d.byRecency.PushFront(e)
+	d.table[e.key] = e
+}
+
+// tableCapacity is how many entries are remembered.
+func (d *Director) tableCapacity() int {
+	return tableListMultiple * listingsPerCache * max(1, len(d.inUse[roleCache]))
+}
+
+// recordCopy notes that a cache has served an entry's object from a copy, or has a copy now, and lists the object there.
+func (d *Director) recordCopy(e *mappingEntry, a *attempt, hit bool) {
+	if hit {
+		e.lastHit = d.now
+	}
+	e.copySeenAt = max(e.copySeenAt, a.sentAt)
+	if e.hitExpectedAt(a.target) {
+		return
+	}
+	e.cache, e.cacheIncarnation, e.movedAt = a.target, a.target.incarnation, d.now
+	d.queueMove(e)
+}
--- a/routing/mapping_table_test.go
+++ b/routing/mapping_table_test.go
@@ -47,7 +47,7 @@
 // Where nothing is told, popular objects rise to the top rank as they do where hits are told, and rare ones don't.
 func TestRanksFollowRequestsWhereNothingIsTold(t *testing.T) {
 	r := newRig(t, untold)
-	keep := 0
+	keep := RankNone
 	for range 12 {
 		keep = r.after(100*ms).serve("film", "popular", ReasonNone).CacheRank
 	}
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -3,65 +3,102 @@
 import "time"
 
 const (
-	ejectionErrorRate      = 0.4             // share of recent attempts failing that ejects a server
-	errorRateWeight        = 0.2             // weight of the newest in it: three failures in a row eject
-	outlierErrorMultiple   = 1.6             // times the share of untold errors of its like that ejects a server
-	ejectionOverdueAnswers = 3               // answers overdue, with none in between, that eject a server
-	minInUseShare          = 0.5             // share of the caches here, or of the parents, that stays in use whatever their health
-	firstEjection          = time.Second     // length of a first ejection
-	maxEjection            = 8 * time.Second // of the longest: each further one doubles
+	ejectionErrorRate      = 0.4 // share of recent attempts failing that ejects an endpoint
+	errorRateWeight        = 0.2 // weight of the newest attempt in it: three failures in a row eject
+	outlierErrorMultiple   = 1.6 // multiple of its role's rate of unattributed errors that ejects an endpoint
+	ejectionOverdueAnswers = 3   // overdue answers, with none in between, that eject an endpoint
+	minInUseShare          = 0.5 // share of the caches here, or of the parents, that stays in use whatever their health
+
+	firstEjection = time.Second
+	maxEjection   = 8 * time.Second // each further ejection lasts twice as long, up to this
 )
 
-func (d *Director) recordSuccess(s *endpoint) {
-	s.lastOK, s.overdueAnswers = d.now, 0
-	d.unattributedErrorRate[s.role] -= errorRateWeight * d.unattributedErrorRate[s.role]
-	s.unattributedErrorRate -= errorRateWeight * s.unattributedErrorRate
-	if s.errorRate -= errorRateWeight * s.errorRate; s.errorRate < ejectionErrorRate {
-		s.backoff = 0
+// recordSuccess takes in an answer of any use. An endpoint whose error rate has fallen is well again: its next ejection is a
+// first one.
+func (d *Director) recordSuccess(ep *endpoint) {
+	ep.lastOK, ep.overdueAnswers = d.now, 0
+	d.unattributedErrorRate[ep.role] -= errorRateWeight * d.unattributedErrorRate[ep.role]
+	ep.unattributedErrorRate -= errorRateWeight * ep.unattributedErrorRate
+	ep.errorRate -= errorRateWeight * ep.errorRate
+	if ep.errorRate < ejectionErrorRate {
+		ep.backoff = 0
+	}
+}
+
+// recordFailure takes in a failure of an endpoint, and ejects the endpoint when its error rate is too high.
+func (d *Director) recordFailure(ep *endpoint) {
+	ep.errorRate += errorRateWeight * (1 - ep.errorRate)
+	if ep.errorRate >= ejectionErrorRate {
+		d.eject(ep)
 	}
 }
 
-// recordFailure notes a failure of a server, and takes it out of use when they mount up.
-func (d *Director) recordFailure(s *endpoint, silent bool) {
-	s.errorRate += errorRateWeight * (1 - s.errorRate)
-	if s.ejectedUntil > d.now || s.errorRate < ejectionErrorRate && !silent {
+// recordOutlier takes in a failure that ejects an endpoint whatever its error rate.
+func (d *Director) recordOutlier(ep *endpoint) {
+	ep.errorRate += errorRateWeight * (1 - ep.errorRate)
+	d.eject(ep)
+}
+
+// eject takes an endpoint out of use for a while. It returns by one attempt at a time (see healthy), until it answers well.
+func (d *Director) eject(ep *endpoint) {
+	if ep.ejectedUntil > d.now {
 		return
 	}
-	s.backoff = min(maxEjection, max(firstEjection, 2*s.backoff))
-	s.ejectedUntil = d.now + s.backoff
+	ep.backoff = min(maxEjection, max(firstEjection, 2*ep.backoff))
+	ep.ejectedUntil = d.now + ep.backoff
 }
 
-// confirmSuspects books a request's errors on their servers, once another has shown by its answer that the request was
-// well formed.
+// confirmSuspects counts a request's errors against their endpoints, once another endpoint's answer has shown that the
+// request is well formed.
 func (d *Director) confirmSuspects(r *request) {
-	for _, s := range r.suspects {
-		d.recordFailure(s, false)
+	for _, ep := range r.suspects {
+		d.recordFailure(ep)
 	}
 	r.suspects = nil
 }
 
-// recordUnattributedError weighs an error that may be its request's fault. Requests at fault fail wherever they are sent: a
-// server with far more such errors than all of its role have is ill. Guards against a store whose errors take
-// all further attempts, so that none is left whose success would show who was at fault.
-func (d *Director) recordUnattributedError(s *endpoint) {
-	s.unattributedErrorRate += errorRateWeight * (1 - s.unattributedErrorRate)
-	d.unattributedErrorRate[s.role] += errorRateWeight * (1 - d.unattributedErrorRate[s.role])
-	if s.unattributedErrorRate >= ejectionErrorRate && s.unattributedErrorRate >= outlierErrorMultiple*d.unattributedErrorRate[s.role] {
-		d.recordFailure(s, true)
+// recordUnattributedError takes in an error that may be its request's fault. Malformed requests fail wherever they are sent, so
+// an endpoint with far more such errors than its role has is an outlier. Without this, an endpoint whose errors spend the
+// retry budget would never be found: no retry would be left whose success could confirm the suspicion.
+func (d *Director) recordUnattributedError(ep *endpoint) {
+	ep.unattributedErrorRate += errorRateWeight * (1 - ep.unattributedErrorRate)
+	d.unattributedErrorRate[ep.role] += errorRateWeight * (1 - d.unattributedErrorRate[ep.role])
+	if ep.unattributedErrorRate < ejectionErrorRate {
+		return
+	}
+	if ep.unattributedErrorRate >= outlierErrorMultiple*d.unattributedErrorRate[ep.role] {
+		d.recordOutlier(ep)
+	}
+}
+
+// recordOverdue counts, once an attempt, that an answer was due and nothing at all came from an endpoint since the sending, and
+// reports whether that ejected the endpoint. Merely slow ones answer something in between.
+func (d *Director) recordOverdue(a *attempt, ep *endpoint) bool {
+	if !a.overdue {
+		a.overdue = true
+		ep.overdueAnswers++
+	}
+	if ep.overdueAnswers < ejectionOverdueAnswers {
+		return false
 	}
+	d.recordOutlier(ep)
+	return true
 }
 
-func (d *Director) healthy(s *endpoint) bool {
-	return s.backoff == 0 || s.ejectedUntil <= d.now && !s.probationInFlight
+// healthy reports whether an endpoint is not ejected. One that is back from ejection is healthy while no attempt is in flight that
+// tries it.
+func (d *Director) healthy(ep *endpoint) bool {
+	return ep.backoff == 0 || ep.ejectedUntil <= d.now && !ep.probationInFlight
 }
 
-// keptByFloor says that so many of the servers of a role look ill that the fault is likely elsewhere.
-func (d *Director) keptByFloor(s *endpoint) bool {
-	n := 0
-	for _, p := range d.inUse[s.role] {
-		if d.healthy(p) {
-			n++
+// keptByFloor reports whether an ejected endpoint stays in use, as so many of its role are ejected that the fault is likely
+// elsewhere. The origin always stays.
+func (d *Director) keptByFloor(ep *endpoint) bool {
+	healthy := 0
+	for _, other := range d.inUse[ep.role] {
+		if d.healthy(other) {
+			healthy++
 		}
 	}
-	return s.role == roleOrigin || float64(n) < minInUseShare*float64(len(d.inUse[s.role]))
+	return ep.role == roleOrigin || float64(healthy) < minInUseShare*float64(len(d.inUse[ep.role]))
 }
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -89,7 +89,7 @@
 	s := r.d.endpoints["c1"]
 	for range 8 {
 		r.d.now = r.now
-		r.d.recordFailure(s, false)
+		r.d.recordFailure(s)
 		r.after(10 * ms)
 	}
 	r.d.recordSuccess(s)
@@ -109,7 +109,7 @@
 	r := newRig(t, nil)
 	r.d.now = r.now
 	for _, s := range r.d.inUse[roleCache] {
-		r.d.recordFailure(s, true)
+		r.d.recordOutlier(s)
 	}
 	if _, a := r.ask("film", "f"); a == nil || r.d.endpoints[a.Endpoint].role != roleCache {
 		t.Errorf("all caches ejected: %+v", a)
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -7,57 +7,87 @@
 	"larchusher/loadreport"
 )
 
+// The values of the paper.
 const (
-	listedCacheProbability = 0.98 // chance of using the listed cache (the paper's value)
-	listingGapRatio        = 0.5  // a fill must beat this share of the worst listed gap (the paper's value)
-	topRankRequests        = 4    // recent requests that earn the top rank
-	middleRankRequests     = 1.3  // and the middle one
+	listedCacheProbability = 0.98 // with which the listed cache is used; else another one is explored
+	listingGapRatio        = 0.5  // an object with less than this share of the longest listed gap displaces that object
 )
 
-// pickCache chooses the cache for a request. detour says that it is not the listed one by design.
-func (d *Director) pickCache(r *request) (s *endpoint, detour bool) {
-	e := r.entry
-	ok := func(s *endpoint) bool { return d.usable(s, r) && !slices.Contains(r.failedEndpoints, s) }
-	listed := e != nil && e.cache != nil && e.hitExpectedAt(e.cache) && ok(e.cache)
-	// A cache at its limit is relieved, whatever filled it: the next of the object's homes that has room
-	// serves, where copies gather in the shared order. The limits on sources bound what the extra fills cost.
-	relief := listed && !d.fitsObjective(e.cache, r)
-	if listed && !relief {
-		l := slices.Clone(d.inUse[roleCache])
-		l = slices.DeleteFunc(l, func(s *endpoint) bool { return s == e.cache || !ok(s) })
-		if len(r.failedEndpoints) > 0 || len(l) == 0 || d.rng.Float64() < listedCacheProbability {
-			return d.rebalance(e.cache, l, true), false
-		}
-		return l[d.rng.IntN(len(l))], true
+// Recent requests that earn a rank; see rankAfterHit.
+const (
+	topRankRequests    = 4
+	middleRankRequests = 1.3
+)
+
+// pickCache chooses the cache for a request: the listed one, unless it is at its limit, or else the first in the preference
+// order that has capacity. Crowded caches are rebalanced, and now and then another cache is explored, which exploring reports.
+// It is nil if there is none.
+func (d *Director) pickCache(r *request) (picked *endpoint, exploring bool) {
+	listed := d.listedCache(r)
+	if listed == nil {
+		return d.pickPreferred(r), false
 	}
-	homes := slices.DeleteFunc(d.preferenceOrder(r.key, d.inUse[roleCache]), func(s *endpoint) bool { return !ok(s) })
-	for _, s := range homes {
-		if !relief || s != e.cache && d.fitsObjective(s, r) {
-			return d.rebalance(s, homes, false), false
-		}
+	if !d.fitsObjective(listed, r) {
+		return d.pickSubstitute(r, listed), false
 	}
-	if relief {
-		return e.cache, false
+	others := d.otherCaches(r, listed)
+	if len(r.failedEndpoints) > 0 || len(others) == 0 || d.rng.Float64() < listedCacheProbability {
+		return d.rebalance(listed, others, true), false
 	}
-	return nil, false
+	return others[d.rng.IntN(len(others))], true
 }
 
-// rebalance gives the least busy of others in place of a cache that is crowded beside it. What is listed moves
-// along, so few are moved at a time. Guards against popular objects that met at one cache by their hashes.
-func (d *Director) rebalance(s *endpoint, others []*endpoint, held bool) *endpoint {
-	best, gap := s, 0.0
-	for _, o := range others {
-		if d.isWarm(o) && loadreport.Imbalance(d.now, &s.load, &o.load) > gap {
-			best, gap = o, loadreport.Imbalance(d.now, &s.load, &o.load)
-		}
+// canServe reports whether an endpoint may be sent the request and has not failed it.
+func (d *Director) canServe(ep *endpoint, r *request) bool {
+	return d.usable(ep, r) && !slices.Contains(r.failedEndpoints, ep)
+}
+
+// listedCache is the cache at which a hit is expected, if it can serve; else nil.
+func (d *Director) listedCache(r *request) *endpoint {
+	e := r.entry
+	if e == nil || e.cache == nil || !e.hitExpectedAt(e.cache) || !d.canServe(e.cache, r) {
+		return nil
 	}
-	if gap > 0 && d.rng.Float64() >= loadreport.MoveProbability(gap, held) {
-		return s
+	return e.cache
+}
+
+// otherCaches are the caches that can serve, but for one, in order of id.
+func (d *Director) otherCaches(r *request, except *endpoint) []*endpoint {
+	return slices.DeleteFunc(slices.Clone(d.inUse[roleCache]), func(ep *endpoint) bool {
+		return ep == except || !d.canServe(ep, r)
+	})
+}
+
+// preferredCaches are the caches that can serve, in the preference order.
+func (d *Director) preferredCaches(r *request) []*endpoint {
+	return slices.DeleteFunc(d.preferenceOrder(r.key, d.inUse[roleCache]), func(ep *endpoint) bool {
+		return !d.canServe(ep, r)
+	})
+}
+
+// pickPreferred is the first of the preferred caches, rebalanced; nil if there is none.
+func (d *Director) pickPreferred(r *request) *endpoint {
+	caches := d.preferredCaches(r)
+	if len(caches) == 0 {
+		return nil
 	}
-	return best
+	return d.rebalance(caches[0], caches, false)
 }
 
-// preferenceOrder are the servers in the shared hash order of a key.
+// pickSubstitute chooses in place of a listed cache that is at its limit: the next preferred one that has capacity, whatever
+// filled the listed one, so that copies gather in the shared order. The limits on fill sources bound what the extra fills cost.
+// It is the listed cache if none has capacity.
+func (d *Director) pickSubstitute(r *request, listed *endpoint) *endpoint {
+	caches := d.preferredCaches(r)
+	for _, ep := range caches {
+		if ep != listed && d.fitsObjective(ep, r) {
+			return d.rebalance(ep, caches, false)
+		}
+	}
+	return listed
+}
+
+// preferenceOrder sorts endpoints for a key: by rendezvous hashing in proportion to their weights. All directors share it.
 func (d *Director) preferenceOrder(key uint64, from []*endpoint) []*endpoint {
 	l := slices.Clone(from)
 	slices.SortStableFunc(l, func(a, b *endpoint) int {
@@ -66,41 +96,82 @@
 	return l
 }
 
-// list puts an entry on a cache's list and returns the rank at which the fill is kept: the middle one
-// until the list is full, then the top one if it passes the halving test against the worst, else the lowest.
-func (d *Director) list(e *mappingEntry, s *endpoint, detour bool) int {
-	full := len(s.listings) >= listingsPerCache
-	passes := len(s.listings) > 0 && float64(e.currentGap(d.now)) < listingGapRatio*float64(s.listings[0].currentGap(d.now))
-	switch {
-	case e.isListed() && e.listedAt == s:
-		return 2
-	case passes && (full || detour):
+// rebalance gives the least utilized of others in place of a cache that reports a higher utilization, with a probability that
+// grows with the difference. Popular objects that share a cache by their hashes are spread by it. A listing moves along, so that
+// only some requests are moved at a time; cached says that a copy is expected at the cache, which makes a move dearer.
+func (d *Director) rebalance(ep *endpoint, others []*endpoint, cached bool) *endpoint {
+	best, imbalance := ep, 0.0
+	for _, other := range others {
+		if !d.isWarm(other) {
+			continue
+		}
+		if by := loadreport.Imbalance(d.now, &ep.load, &other.load); by > imbalance {
+			best, imbalance = other, by
+		}
+	}
+	if imbalance > 0 && d.rng.Float64() >= loadreport.MoveProbability(imbalance, cached) {
+		return ep
+	}
+	return best
+}
+
+// rankOfCopy is the rank at which an attempt has its copy cached. An object that was hit where it is listed is ranked by its
+// requests; what is not known to be cached, by the list of the cache.
+func (d *Director) rankOfCopy(r *request, ep *endpoint, exploring bool) CacheRank {
+	e := r.entry
+	rank := d.list(e, ep, exploring)
+	if e.cache == ep && e.lastHit > 0 && e.movedAt <= e.lastHit {
+		return d.rankAfterHit(r)
+	}
+	return rank
+}
+
+// list puts an entry on a cache's list, if it earns a place there, and returns the rank at which a fill is cached: the middle
+// one until the list is full; then the top one if the entry displaces the one with the longest gap, else the lowest. A fill at
+// a cache that is explored is cached only if it displaces one.
+func (d *Director) list(e *mappingEntry, ep *endpoint, exploring bool) CacheRank {
+	if e.isListed() && e.listedAt == ep {
+		return RankMiddle
+	}
+	full := len(ep.listings) >= listingsPerCache
+	if (full || exploring) && d.beatsLongestGap(e, ep) {
 		if full {
-			s.listings[0].unlist()
+			ep.listings[0].unlist()
 		}
 		e.unlist()
-		e.relist(s)
-		return 3
-	case detour:
-		return 0
-	case full:
-		return 1
+		e.relist(ep)
+		return RankTop
+	}
+	if exploring {
+		return RankNone
+	}
+	if full {
+		return RankLow
 	}
 	e.unlist()
-	e.relist(s)
-	return 2
+	e.relist(ep)
+	return RankMiddle
+}
+
+// beatsLongestGap reports whether an entry's gap is well below the longest of a cache's list.
+func (d *Director) beatsLongestGap(e *mappingEntry, ep *endpoint) bool {
+	if len(ep.listings) == 0 {
+		return false
+	}
+	longest := ep.listings[0].currentGap(d.now)
+	return float64(e.currentGap(d.now)) < listingGapRatio*float64(longest)
 }
 
-// rankAfterHit is the rank that a hit gives: by the requests lately. Each of many directors sees its part of them,
-// so what counts beyond the first is their part of what one alone would see. Objects above the class's mean
-// size don't get the top rank, so that it holds a small share of the bytes.
-func (d *Director) rankAfterHit(r *request) int {
-	more := (r.entry.recentRequests - 1) * d.senders(roleCache)
+// rankAfterHit is the rank that recent requests earn. A director sees its part of an object's requests, so those beyond the
+// first are multiplied by the number of directors. Objects above their class's mean size don't get the top rank, so that it
+// holds a small share of the bytes.
+func (d *Director) rankAfterHit(r *request) CacheRank {
+	further := (r.entry.recentRequests - 1) * d.senders(roleCache)
 	switch {
-	case more >= topRankRequests-1 && r.transferTime <= r.class.meanTransferTime:
-		return 3
-	case more >= middleRankRequests-1:
-		return 2
+	case further >= topRankRequests-1 && r.transferTime <= r.class.meanTransferTime:
+		return RankTop
+	case further >= middleRankRequests-1:
+		return RankMiddle
 	}
-	return 1
+	return RankLow
 }
--- a/routing/request.go
+++ b/routing/request.go
@@ -7,56 +7,77 @@
 	"larchusher/concurrency"
 )
 
+// progressCheckDivisor divides a class's latency objective into the wait before an attempt without an answer is looked at.
+const progressCheckDivisor = 3
+
+// class is a class of requests and what was learned of it.
 type class struct {
 	Class
-	meanTransferTime time.Duration // mean sending time seen
-	sizedAnswers     int           // answers whose size was told
+	meanTransferTime time.Duration // moving average of the time that a transfer takes at full pace; 0: none was seen
+	sizedAnswers     int           // answers whose size was known
 }
 
+// request is a request that is not finished, or has attempts in flight.
 type request struct {
 	Request
-	class               *class
-	maxAttempts         int // 0: no limit
-	key                 uint64
-	entry               *mappingEntry // nil: never kept
-	transferTime        time.Duration // sending time at full pace
-	costPerWeight       float64       // what it costs for its worth
-	draw                float64       // drawn once, for limits that are not whole
-	token               uint64
-	startedAt           time.Duration
-	attempts            []*attempt
-	failedEndpoints     []*endpoint // servers that failed it
-	suspects            []*endpoint // those at fault unless the request is
-	streaming, finished bool
-	retryPending        bool // another attempt is wanted once those out have ended
+	class           *class
+	maxAttempts     int // 0: no limit
+	key             uint64
+	entry           *mappingEntry // nil: its answer is never cached
+	transferTime    time.Duration // at full pace
+	costPerWeight   float64       // seconds of transfer for each unit of priority weight
+	draw            float64       // a sampling draw in [0, 1), made once, for limits with a fraction
+	token           uint64        // of its timers
+	startedAt       time.Duration
+	attempts        []*attempt
+	failedEndpoints []*endpoint // not to be tried again
+	suspects        []*endpoint // at fault, unless the request is malformed; see confirmSuspects
+	streaming       bool        // the client has the first byte
+	finished        bool        // the final answer is given, or the client is gone
+	retryPending    bool        // to be forwarded again once the attempts in flight have ended
 }
 
+// attempt is one forwarding of a request.
 type attempt struct {
-	target, fillSource   *endpoint
-	sentAt               time.Duration
-	slowStartCost        float64 // as a cold server counts it: work in seconds
-	cacheRank            int
-	inFlight, mayHaveRun bool // it has no outcome yet; it may have run
-	probation            bool // it tries a server that was ejected
-	fillExpected         bool // a fill from source is expected
-	onlyIfCached         bool // from what the source holds
-	rejectedByCache      bool // refused by the cache itself
-	sharedFault          bool // late or failed by what lies behind the source
-	overdue              bool // an answer was due by now
+	target          *endpoint
+	fillSource      *endpoint // who fills a miss; target: nobody
+	sentAt          time.Duration
+	slowStartCost   float64 // seconds of transfer
+	cacheRank       CacheRank
+	inFlight        bool // it has no result yet
+	mayHaveRun      bool // by its result
+	probation       bool // it tries an endpoint that is back from ejection
+	fillExpected    bool // no current copy is known at the target
+	onlyIfCached    bool // the source gives only what it has cached
+	rejectedByCache bool // by the target itself, not by its source
+	sharedFault     bool // late or failed by what lies behind the source
+	overdue         bool // it counts in the overdue answers of an endpoint
+}
+
+// route is where an attempt goes.
+type route struct {
+	target, fillSource *endpoint // nil: there is none
+	exploring          bool      // target is another cache than the listed one by design
 }
 
+// startRequest takes in a request, and forwards it or answers it at once.
 func (d *Director) startRequest(q Request) {
-	c := d.classOf(q)
 	if d.requests[q.ID] != nil {
 		return
 	}
-	known := len(d.set.Tenants) == 0 || slices.Contains(d.set.Tenants, q.Tenant)
-	if c == nil || q.Deadline <= d.now || !known {
+	c := d.classOf(q)
+	if c == nil || q.Deadline <= d.now || !d.knownTenant(q.Tenant) {
 		d.emit(Reject{ID: q.ID, RetryAfter: d.retryAfter()})
 		return
 	}
-	r := &request{Request: q, class: c, maxAttempts: d.set.MaxAttempts, startedAt: d.now, draw: d.rng.Float64(),
-		key: mix(hash(q.Object) + uint64(q.Part))}
+	r := &request{
+		Request:     q,
+		class:       c,
+		maxAttempts: d.set.MaxAttempts,
+		key:         mix(hash(q.Object) + uint64(q.Part)),
+		draw:        d.rng.Float64(),
+		startedAt:   d.now,
+	}
 	if !c.Uncacheable && !q.Write {
 		r.entry = d.recordRequest(r.key)
 	}
@@ -65,76 +86,152 @@
 	d.meanCost.Observe(r.costPerWeight)
 	d.lastToken++
 	r.token = d.lastToken
-	d.requests[q.ID], d.tokens[r.token] = r, r
-	d.emit(SetTimer{At: max(d.now+d.set.ClockStep, q.Deadline-d.set.ClockStep), Token: r.token, RequestID: r.ID})
+	d.requests[q.ID] = r
+	d.tokens[r.token] = r
+	d.setRequestTimer(r, max(d.now+d.set.ClockStep, q.Deadline-d.set.ClockStep))
 	d.forward(r)
 }
 
-// classOf finds the class of a request, with the rules by which it came; nil: there is none of that name.
+func (d *Director) knownTenant(name string) bool {
+	return len(d.set.Tenants) == 0 || slices.Contains(d.set.Tenants, name)
+}
+
+// classOf finds the class of a request, with the rules by which it was admitted; nil: there is none of that name.
 func (d *Director) classOf(q Request) *class {
 	c := d.classes[q.Class]
 	if q.AdmittedClass == nil {
 		return c
 	}
-	former := &class{Class: *q.AdmittedClass}
+	return c.withRules(*q.AdmittedClass)
+}
+
+// withRules is a class with other rules and what was learned of c, which may be nil.
+func (c *class) withRules(rules Class) *class {
+	next := &class{Class: rules}
 	if c != nil {
-		former.meanTransferTime, former.sizedAnswers = c.meanTransferTime, c.sizedAnswers
+		next.meanTransferTime = c.meanTransferTime
+		next.sizedAnswers = c.sizedAnswers
 	}
-	return former
+	return next
 }
 
 // reconfigure takes in other classes. What was learned of a class goes on under its name.
 func (d *Director) reconfigure(e Reconfigured) {
 	classes := map[string]*class{}
-	for _, c := range e.Classes {
-		next := &class{Class: c}
-		if was := d.classes[c.Name]; was != nil {
-			next.meanTransferTime, next.sizedAnswers = was.meanTransferTime, was.sizedAnswers
-		}
-		classes[c.Name] = next
+	for _, rules := range e.Classes {
+		classes[rules.Name] = d.classes[rules.Name].withRules(rules)
 	}
-	d.classes, d.set.MaxAttempts = classes, e.MaxAttempts
+	d.classes = classes
+	d.set.MaxAttempts = e.MaxAttempts
 }
 
-// forward sends the request on, or gives it up at once.
+// forward sends the request on if a route, the rules and the limits allow it. Otherwise it is rejected or failed, unless an
+// attempt in flight may still bring an answer. Where hedged requests are not allowed, it waits for the attempts in flight.
 func (d *Director) forward(r *request) {
-	if r.retryPending = r.hasInFlight() && !d.set.HedgedRequests; r.retryPending {
+	r.retryPending = r.hasInFlight() && !d.set.HedgedRequests
+	if r.retryPending {
 		return
 	}
-	e, a, detour := r.entry, &attempt{sentAt: d.now, inFlight: true, slowStartCost: d.slowStartCost(r)}, false
-	if origins := d.inUse[roleOrigin]; e == nil { // never kept: it runs at the origin, straight where allowed
-		if len(origins) > 0 {
-			a.target, a.fillSource = origins[0], origins[0]
-		}
-		if !d.set.AllowBypass {
-			a.target, _ = d.pickCache(r)
-		}
-	} else if a.target, detour = d.pickCache(r); a.target != nil {
-		if a.fillSource = d.pickFillSource(r); detour && d.set.Siblings != NoSiblings && e.lastHit > 0 &&
-			d.now-e.lastHit < recentWindow && d.usable(e.cache, r) {
-			a.fillSource = e.cache
-		} else if a.fillSource == nil {
-			a.fillSource = a.target
-		}
-	} else if a.target = d.pickFillSource(r); d.set.AllowBypass && a.target != nil { // no cache is left
-		if a.fillSource = a.target; a.target.role == roleParent && len(origins) > 0 {
-			a.fillSource = origins[0]
-		}
+	to := d.chooseRoute(r)
+	a := &attempt{
+		target:        to.target,
+		fillSource:    to.fillSource,
+		sentAt:        d.now,
+		slowStartCost: d.slowStartCost(r),
+		inFlight:      true,
+		fillExpected:  d.expectsFill(r, to),
 	}
-	a.fillExpected = a.fillSource != a.target && (e == nil || !e.hitExpectedAt(a.target) || d.copyGone(r))
-	if a.target == nil || a.fillSource == nil || r.Deadline-d.now <= r.transferTime || !d.repeatAllowed(r, a.target, nil) ||
-		r.maxAttempts > 0 && len(r.attempts) >= r.maxAttempts ||
-		e != nil && (len(r.attempts) == 0 && !d.fitsObjective(a.target, r) || !d.fillAllowed(r, a)) {
+	if !d.mayForward(r, a) {
 		if !r.hasInFlight() {
 			d.rejectOrFail(r)
 		}
 		return
 	}
-	if e != nil && a.target.role == roleCache {
-		if a.cacheRank = d.list(e, a.target, detour); e.cache == a.target && e.lastHit > 0 && e.movedAt <= e.lastHit {
-			a.cacheRank = d.rankAfterHit(r)
-		}
+	if r.entry != nil && a.target.role == roleCache {
+		a.cacheRank = d.rankOfCopy(r, a.target, to.exploring)
+	}
+	d.recordAttempt(r, a)
+	d.emit(ForwardAttempt{
+		ID:           r.ID,
+		Endpoint:     a.target.id,
+		FillSource:   a.fillSource.id,
+		Timeout:      r.Deadline - d.now,
+		MaxAge:       d.maxAge(r),
+		CacheRank:    a.cacheRank,
+		Coalesce:     d.set.AllowCoalescing,
+		OnlyIfCached: a.onlyIfCached,
+		RefreshAhead: r.entry != nil && r.class.FreshFor > 0,
+	})
+	d.setFirstCheck(r)
+}
+
+// chooseRoute finds where the request may go now.
+func (d *Director) chooseRoute(r *request) route {
+	if r.entry == nil {
+		return d.routeToOrigin(r)
+	}
+	if target, exploring := d.pickCache(r); target != nil {
+		return route{target, d.pickSourceFor(r, target, exploring), exploring}
+	}
+	return d.routePastCaches(r)
+}
+
+// routeToOrigin is the route of a request whose answer is never cached: it runs at the origin, and goes there straight where
+// that is allowed.
+func (d *Director) routeToOrigin(r *request) (to route) {
+	if origins := d.inUse[roleOrigin]; len(origins) > 0 {
+		to.target, to.fillSource = origins[0], origins[0]
+	}
+	if !d.set.AllowBypass {
+		to.target, _ = d.pickCache(r)
+	}
+	return to
+}
+
+// routePastCaches is the route when no cache can be used: straight to who would fill the miss, where that is allowed.
+func (d *Director) routePastCaches(r *request) route {
+	target := d.pickFillSource(r)
+	if !d.set.AllowBypass || target == nil {
+		return route{}
 	}
+	if origins := d.inUse[roleOrigin]; target.role == roleParent && len(origins) > 0 {
+		return route{target: target, fillSource: origins[0]}
+	}
+	return route{target: target, fillSource: target}
+}
+
+// expectsFill reports whether the target of a route is likely to ask the source.
+func (d *Director) expectsFill(r *request, to route) bool {
+	if to.target == nil || to.fillSource == nil || to.fillSource == to.target {
+		return false
+	}
+	return r.entry == nil || !r.entry.hitExpectedAt(to.target) || d.copyGone(r)
+}
+
+// mayForward reports whether an attempt may be sent by its route, the deadline, the rules on repeats and the limits. A retry is
+// not held to its target's limit, since its request was admitted by that of the first target.
+func (d *Director) mayForward(r *request, a *attempt) bool {
+	if a.target == nil || a.fillSource == nil {
+		return false
+	}
+	if r.Deadline-d.now <= r.transferTime || !d.repeatAllowed(r, a.target, nil) || r.attemptsSpent() {
+		return false
+	}
+	if r.entry == nil {
+		return true
+	}
+	if len(r.attempts) == 0 && !d.fitsObjective(a.target, r) {
+		return false
+	}
+	return d.restrictFill(r, a)
+}
+
+func (r *request) attemptsSpent() bool {
+	return r.maxAttempts > 0 && len(r.attempts) >= r.maxAttempts
+}
+
+// recordAttempt counts an attempt that is about to be sent, in slow-start budgets, limits and probation.
+func (d *Director) recordAttempt(r *request, a *attempt) {
 	r.attempts = append(r.attempts, a)
 	d.spendSlowStart(a.target, a.slowStartCost)
 	if a.fillSource != a.target {
@@ -143,28 +240,54 @@
 	d.countInFlight(a, 1)
 	a.probation = a.target.backoff > 0
 	a.target.probationInFlight = a.target.probationInFlight || a.probation
-	d.emit(ForwardAttempt{ID: r.ID, Endpoint: a.target.id, FillSource: a.fillSource.id, Timeout: r.Deadline - d.now, MaxAge: d.maxAge(r),
-		CacheRank: a.cacheRank, Coalesce: d.set.AllowCoalescing, OnlyIfCached: a.onlyIfCached, RefreshAhead: e != nil && r.class.FreshFor > 0})
-	at := r.objectiveAt() - r.transferTime - r.class.LatencyObjective/3 // from then on another attempt would miss the aim
-	d.emit(SetTimer{At: max(at, d.now+r.class.LatencyObjective/3+r.transferTime), Token: r.token, RequestID: r.ID})
+}
+
+// setFirstCheck sets the timer at which an attempt without an answer is looked at: while another one can still meet the latency
+// objective, but not before an answer was due.
+func (d *Director) setFirstCheck(r *request) {
+	share := r.class.LatencyObjective / progressCheckDivisor
+	lastChance := r.objectiveAt() - r.transferTime - share
+	due := d.now + share + r.transferTime
+	d.setRequestTimer(r, max(lastChance, due))
+}
+
+func (d *Director) setRequestTimer(r *request, at time.Duration) {
+	d.emit(SetTimer{At: at, Token: r.token, RequestID: r.ID})
 }
 
 func (r *request) hasInFlight() bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.inFlight })
 }
 
-// countInFlight books an attempt where it is out.
+// countInFlight adds n to the attempts in flight wherever this one counts: at its target, and for a fill at the source, and at
+// the origin behind it.
 func (d *Director) countInFlight(a *attempt, n int) {
 	a.target.concurrencyLimit.InFlight += n
-	if a.fillExpected && a.fillSource != a.target {
-		a.fillSource.concurrencyLimit.InFlight += n
-		if !a.onlyIfCached && a.fillSource.role != roleCache {
-			d.originFetches.InFlight += n
-		}
+	if !a.fillExpected || a.fillSource == a.target {
+		return
+	}
+	a.fillSource.concurrencyLimit.InFlight += n
+	if !a.onlyIfCached && a.fillSource.role != roleCache {
+		d.originFetches.InFlight += n
+	}
+}
+
+// markStreaming notes that the client has the first byte: from now on the request is not given up by itself.
+func (d *Director) markStreaming(id string) {
+	if r := d.requests[id]; r != nil {
+		r.streaming = true
+	}
+}
+
+// abandonRequest ends a request whose client is gone. Results still due are counted.
+func (d *Director) abandonRequest(id string) {
+	if r := d.requests[id]; r != nil {
+		r.finished = true
+		d.release(r)
 	}
 }
 
-// cancelInFlight stops waiting for the attempts that are out, where that is allowed.
+// cancelInFlight stops waiting for the attempts in flight, where that is allowed.
 func (d *Director) cancelInFlight(r *request) {
 	for i, a := range r.attempts {
 		if a.inFlight && d.set.CanCancel {
@@ -173,7 +296,7 @@
 	}
 }
 
-// release drops what is over; outcomes still due find the request while it has attempts out.
+// release drops a finished request. While attempts are in flight it stays, so that their results find it.
 func (d *Director) release(r *request) {
 	delete(d.tokens, r.token)
 	if !r.hasInFlight() {
--- a/routing/result.go
+++ b/routing/result.go
@@ -1,11 +1,6 @@
 package routing
 
-import (
-	"cmp"
-	"slices"
-	"time"
-)
-
+// handleResult takes in the end of an attempt, and forwards the request again or ends it where that is called for.
 func (d *Director) handleResult(o AttemptResult) {
 	r := d.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].inFlight {
@@ -15,15 +10,21 @@
 	a.inFlight = false
 	a.target.probationInFlight = a.target.probationInFlight && !a.probation
 	d.countInFlight(a, -1)
-	if share, ok := d.loadFields.Utilization(o.LoadReport, a.target.transferSlots(d.set.WeightsKnown)); ok {
-		a.target.load.Observe(d.now, share)
+	slots := a.target.transferSlots(d.set.WeightsKnown)
+	if utilization, ok := d.loadFields.Utilization(o.LoadReport, slots); ok {
+		a.target.load.Observe(d.now, utilization)
 	}
 	d.learnFromResult(r, a, o)
+	d.continueRequest(r, a, o)
+}
+
+// continueRequest decides what follows a result: the end of the request, a retry, or waiting for the attempts in flight.
+func (d *Director) continueRequest(r *request, a *attempt, o AttemptResult) {
 	switch {
-	case r.finished || o.Final:
-		if !r.finished {
-			d.cancelInFlight(r)
-		}
+	case r.finished:
+		d.release(r)
+	case o.Final:
+		d.cancelInFlight(r)
 		r.finished = true
 		d.release(r)
 	case r.retryPending:
@@ -31,8 +32,7 @@
 	case r.hasInFlight():
 	case o.Status == Miss && (a.onlyIfCached || a.fillSource == a.target): // what could fill it is at its limit
 		d.rejectOrFail(r)
-	case d.now >= r.Deadline-d.set.ClockStep || d.retryBudget < 1,
-		o.Status == ServerError && len(r.attempts) >= maxErrorAttempts:
+	case !d.retryAllowed(r, o):
 		d.rejectOrFail(r)
 	default:
 		d.retryBudget--
@@ -40,75 +40,96 @@
 	}
 }
 
-// learnFromResult moves the table and the health of those involved by an outcome.
+// learnFromResult takes a result into what is known of the endpoints, the limits, the transfer times and the mapping table.
 func (d *Director) learnFromResult(r *request, a *attempt, o AttemptResult) {
-	seen := evidence{hitExpected: !a.fillExpected, served: o.Status == OK, late: a.sentAt+o.Latency > r.objectiveAt()}
-	hit := o.Status == OK && (o.Reason == ReasonHit || o.Reason == ReasonStale) || d.hitUnknown(a, o) && seen.isHit()
+	hit := d.wasHit(r, a, o)
 	if hit && a.fillSource != a.target {
 		a.fillSource.slowStartBudget.Refund(a.slowStartCost) // it was not asked
 	}
-	if o.SizeKB > 0 && o.Status == OK && d.set.FlowKBps > 0 { // now it is known how long it had to take
-		d.learnSize(r, o.SizeKB)
+	if o.SizeKB > 0 && o.Status == OK && d.set.FlowKBps > 0 {
+		d.learnSize(r, o.SizeKB) // before the limits: by the size it is known whether the answer was late
 	}
-	a.mayHaveRun = !slices.Contains([]Status{Rejected, ConnectFailed, NotSent, Miss}, o.Status)
+	a.mayHaveRun = o.Status.mayHaveRun()
 	d.updateLimits(r, a, o, hit)
+	d.judgeEndpoints(r, a, o, hit)
+	if r.entry == nil || o.Status != OK {
+		return
+	}
+	if r.SizeKB <= 0 {
+		r.learnTransferTime(o.Latency, hit)
+	}
+	if a.target.role == roleCache && (hit || a.cacheRank != RankNone) {
+		d.recordCopy(r.entry, a, hit)
+	}
+}
+
+// wasHit reports whether a result was served from a copy at the target, as it says itself or as it implies.
+func (d *Director) wasHit(r *request, a *attempt, o AttemptResult) bool {
+	if o.Status == OK && (o.Reason == ReasonHit || o.Reason == ReasonStale) {
+		return true
+	}
+	seen := evidence{hitExpected: !a.fillExpected, served: o.Status == OK, late: a.isLate(r, o)}
+	return d.hitUnknown(a, o) && seen.isHit()
+}
+
+// judgeEndpoints takes a result into the health of the target and of the fill source.
+func (d *Director) judgeEndpoints(r *request, a *attempt, o AttemptResult, hit bool) {
 	switch o.Status {
 	case OK:
-		d.retryBudget = min(maxSavedRetries, d.retryBudget+retriesPerSuccess)
+		d.earnRetry()
 		d.confirmSuspects(r)
-		d.recordSuccess(a.target)
-		a.target.lastSuccessSentAt = max(a.target.lastSuccessSentAt, a.sentAt)
-		a.target.recordWork(d.now, d.completedWork(r))
+		d.creditServer(r, a, a.target, true)
 		d.updateCarriedRate(a.target.role)
 		if !hit && a.fillSource != a.target {
-			if o.Reason != ReasonCoalesced {
-				a.fillSource.recordWork(d.now, d.completedWork(r))
-			}
-			d.recordSuccess(a.fillSource)
-			a.fillSource.lastSuccessSentAt = max(a.fillSource.lastSuccessSentAt, a.sentAt)
-			a.fillSource.fillLatency += time.Duration(averageWeight * float64(max(0, o.Latency-r.transferTime)-a.fillSource.fillLatency))
-			a.fillSource.fillLatencyAt = d.now
-			a.fillSource.minFillLatency = min(cmp.Or(a.fillSource.minFillLatency, o.Latency), o.Latency)
+			d.creditServer(r, a, a.fillSource, o.Reason != ReasonCoalesced)
+			a.fillSource.recordFillLatency(d.now, o.Latency, r.transferTime)
 		}
 	case ServerError, Reset, ConnectFailed, Rejected:
-		bad := a.target
-		if a.fillSource != a.target && !a.rejectedByCache && (o.Reason >= ReasonSourceRejected || o.Status == Rejected ||
-			o.Status == ServerError && o.Reason == ReasonNone && a.fillSource.lastOK < a.target.lastOK) { // untold
-			bad = a.fillSource
-		}
-		r.failedEndpoints = append(r.failedEndpoints, bad)
-		switch {
-		case o.Reason == ReasonNoFillSlot || o.CollateralReset || bad.role == roleParent && a.sharedFault:
-		case o.Status == ServerError && o.Reason == ReasonNone: // or the request is at fault: the next one tells
-			r.suspects = append(r.suspects, bad)
-			d.recordUnattributedError(bad)
-		default:
-			d.recordFailure(bad, false)
-		}
+		d.blame(r, a, o)
 	case Miss:
 		d.confirmSuspects(r)
 		if a.onlyIfCached {
 			d.recordSuccess(a.fillSource)
 		}
+	case TimedOut, Canceled, NotSent:
+		// Silence is judged while the attempt is in flight; see checkProgress.
 	}
-	e := r.entry
-	if e != nil && o.Status == OK && r.SizeKB <= 0 { // the quickest answer is closest to the sending alone
-		if e.transferTime == 0 || o.Latency < e.transferTime {
-			e.transferTime = o.Latency
-		}
-		if hit {
-			r.class.meanTransferTime += time.Duration(averageWeight / 10 * float64(e.transferTime-r.class.meanTransferTime))
-		}
+}
+
+// creditServer takes in that an endpoint served an attempt, by work of its own or not.
+func (d *Director) creditServer(r *request, a *attempt, ep *endpoint, worked bool) {
+	if worked {
+		ep.recordWork(d.now, d.completedWork(r))
 	}
-	if e == nil || o.Status != OK || a.target.role != roleCache || !hit && a.cacheRank == 0 {
-		return
+	d.recordSuccess(ep)
+	ep.lastSuccessSentAt = max(ep.lastSuccessSentAt, a.sentAt)
+}
+
+// blame takes a failed attempt into the health of the endpoint at fault. That endpoint is not tried again by this request.
+func (d *Director) blame(r *request, a *attempt, o AttemptResult) {
+	ep := a.target
+	if a.fillSource != a.target && !a.rejectedByCache && a.sourceAtFault(o) {
+		ep = a.fillSource
 	}
-	if hit {
-		e.lastHit = d.now
+	r.failedEndpoints = append(r.failedEndpoints, ep)
+	switch {
+	case o.Reason == ReasonNoFillSlot || o.CollateralReset:
+		// No fault of the endpoint's.
+	case ep.role == roleParent && a.sharedFault:
+		// The origin's fault.
+	case o.Status == ServerError && o.Reason == ReasonNone:
+		r.suspects = append(r.suspects, ep) // unless the request is malformed: the next endpoint's answer tells
+		d.recordUnattributedError(ep)
+	default:
+		d.recordFailure(ep)
 	}
-	e.copySeenAt = max(e.copySeenAt, a.sentAt)
-	if !e.hitExpectedAt(a.target) {
-		e.cache, e.cacheIncarnation, e.movedAt = a.target, a.target.incarnation, d.now
-		d.queueMove(e)
+}
+
+// sourceAtFault reports whether a failed attempt, which was not rejected by its target itself, is the fault of the fill source.
+// Of an error that names nobody, the one that has been without success for longer is held at fault.
+func (a *attempt) sourceAtFault(o AttemptResult) bool {
+	if o.Reason >= ReasonSourceRejected || o.Status == Rejected {
+		return true
 	}
+	return o.Status == ServerError && o.Reason == ReasonNone && a.fillSource.lastOK < a.target.lastOK
 }
--- a/routing/slow_start.go
+++ b/routing/slow_start.go
@@ -7,72 +7,98 @@
 	"larchusher/slowstart"
 )
 
-const recentWindow = 3 * time.Second // work is averaged over this; waits and hits are recent within it
+// recentWindow is the time over which work is averaged. Fill latencies and hits are recent within it.
+const recentWindow = 3 * time.Second
 
-// slowStartRamp is how servers of a role warm up.
+// slowStartRamp is how endpoints of a role warm up. The origin is always warm.
 func (d *Director) slowStartRamp(of role) slowstart.Ramp {
 	switch of {
 	case roleCache:
-		return slowstart.Ramp{InitialShare: d.set.SlowStartFrom, Duration: d.set.SlowStartFor, OverloadMultiple: d.set.OverloadMultiple,
-			OverloadWindow: d.set.OverloadWindow}
+		return slowstart.Ramp{
+			InitialShare:     d.set.SlowStartFrom,
+			Duration:         d.set.SlowStartFor,
+			OverloadMultiple: d.set.OverloadMultiple,
+			OverloadWindow:   d.set.OverloadWindow,
+		}
 	case roleParent:
-		return slowstart.Ramp{InitialShare: d.set.ParentSlowStartFrom, Duration: d.set.ParentSlowStartFor,
-			OverloadMultiple: d.set.ParentOverloadMultiple, OverloadWindow: d.set.OverloadWindow}
+		return slowstart.Ramp{
+			InitialShare:     d.set.ParentSlowStartFrom,
+			Duration:         d.set.ParentSlowStartFor,
+			OverloadMultiple: d.set.ParentOverloadMultiple,
+			OverloadWindow:   d.set.OverloadWindow,
+		}
+	default:
+		return slowstart.Ramp{}
 	}
-	return slowstart.Ramp{}
 }
 
-func (d *Director) isWarm(s *endpoint) bool {
-	return d.slowStartRamp(s.role).CapacityShare(d.now, s.incarnation) >= 1
+func (d *Director) isWarm(ep *endpoint) bool {
+	return d.slowStartRamp(ep.role).CapacityShare(d.now, ep.incarnation) >= 1
 }
 
-// slowStartAllows says whether a cold server's budget holds one more attempt.
-func (d *Director) slowStartAllows(s *endpoint, r *request) bool {
-	if d.isWarm(s) {
+// slowStartAllows reports whether the budget of an endpoint that is warming up holds one more attempt; a warm one has no budget.
+func (d *Director) slowStartAllows(ep *endpoint, r *request) bool {
+	if d.isWarm(ep) {
 		return true
 	}
 	if d.now < d.slowStartPausedUntil {
 		return false
 	}
-	d.updateCarriedRate(s.role)
-	from := slowstart.Sender{Senders: d.knownSenders(s.role), Position: d.senderPosition(s), WarmRate: d.carriedRate[s.role] * s.weight,
-		ObservedRate: s.recentWorkRate(d.now), ObservedOver: recentWindow}
-	return d.slowStartRamp(s.role).Allows(&s.slowStartBudget, d.now, s.incarnation, d.slowStartCost(r), from)
+	d.updateCarriedRate(ep.role)
+	sender := slowstart.Sender{
+		Senders:      d.knownSenders(ep.role),
+		Position:     d.senderPosition(ep),
+		WarmRate:     d.carriedRate[ep.role] * ep.weight,
+		ObservedRate: ep.recentWorkRate(d.now),
+		ObservedOver: recentWindow,
+	}
+	return d.slowStartRamp(ep.role).Allows(&ep.slowStartBudget, d.now, ep.incarnation, d.slowStartCost(r), sender)
 }
 
-// spendSlowStart notes that something of a cost goes to a server.
-func (d *Director) spendSlowStart(s *endpoint, cost float64) {
-	d.slowStartRamp(s.role).Spend(&s.slowStartBudget, d.now, s.incarnation, cost)
+// spendSlowStart takes a cost, in seconds of transfer, off an endpoint's budget.
+func (d *Director) spendSlowStart(ep *endpoint, cost float64) {
+	d.slowStartRamp(ep.role).Spend(&ep.slowStartBudget, d.now, ep.incarnation, cost)
 }
 
+// slowStartCost is what an attempt costs of a budget, in seconds of transfer: the mean of its class.
 func (d *Director) slowStartCost(r *request) float64 { return r.class.meanTransferTime.Seconds() }
 
-// senderPosition is this director's among those that send to a server; drawn by itself where it is not told.
-func (d *Director) senderPosition(s *endpoint) float64 {
-	if d.knownSenders(s.role) <= 0 || d.set.IndexUnknown {
-		return slowstart.SenderPosition(0, d.positionSeed^s.hash)
+// completedWork is what serving a request shows that an endpoint can do, in seconds of transfer: at most what it cost. A small
+// object counts as what it is and not as its class's mean: small ones are served first where capacity is short, and endpoints
+// would seem to do several times what they can.
+func (d *Director) completedWork(r *request) float64 {
+	return min(d.slowStartCost(r), r.transferTime.Seconds())
+}
+
+// senderPosition is this director's place, in [0, 1), among those that send to an endpoint (see slowstart.Sender). It is drawn
+// where the director's number is not known.
+func (d *Director) senderPosition(ep *endpoint) float64 {
+	if d.knownSenders(ep.role) <= 0 || d.set.IndexUnknown {
+		return slowstart.SenderPosition(0, d.positionSeed^ep.hash)
 	}
-	return slowstart.SenderPosition(d.set.Index, s.hash)
+	return slowstart.SenderPosition(d.set.Index, ep.hash)
 }
 
-// senders is the number of directors that send to servers of a role.
-func (d *Director) senders(r role) float64 { return max(1, d.knownSenders(r)) }
+// senders is the number of directors that send to endpoints of a role, at least this one.
+func (d *Director) senders(to role) float64 { return max(1, d.knownSenders(to)) }
 
-// knownSenders is that number, or 0 where it is not told.
-func (d *Director) knownSenders(r role) float64 {
-	if r == roleCache && d.zone < len(d.set.ZoneDirectors) && d.set.ZoneDirectors[d.zone] > 0 {
+// knownSenders is the number of directors that send to endpoints of a role, or 0 where it is not known: to caches those of
+// this location, where they are counted by zone, else all.
+func (d *Director) knownSenders(to role) float64 {
+	if to == roleCache && d.zone < len(d.set.ZoneDirectors) && d.set.ZoneDirectors[d.zone] > 0 {
 		return float64(d.set.ZoneDirectors[d.zone])
 	}
 	return float64(d.set.Directors)
 }
 
-// updateCarriedRate notes what warm servers of a role carry, ill ones too. It holds where none is left.
+// updateCarriedRate takes the mean of what the warm endpoints of a role do for us, for each unit of weight, ejected ones
+// included. Where none is warm, the latest value holds.
 func (d *Director) updateCarriedRate(of role) {
 	rate, weight := 0.0, 0.0
-	for _, p := range d.inUse[of] {
-		if d.isWarm(p) {
-			rate += p.recentWorkRate(d.now)
-			weight += p.weight
+	for _, ep := range d.inUse[of] {
+		if d.isWarm(ep) {
+			rate += ep.recentWorkRate(d.now)
+			weight += ep.weight
 		}
 	}
 	if weight > 0 {
@@ -80,20 +106,15 @@
 	}
 }
 
-// recentWorkRate is the work a second that a server has done for us lately. Only what it answered counts: what was
-// sent may be more than it can do.
-func (s *endpoint) recentWorkRate(now time.Duration) float64 {
-	s.workRate *= math.Exp(-float64(now-s.workRateAt) / float64(recentWindow))
-	s.workRateAt = now
-	return s.workRate
-}
-
-func (s *endpoint) recordWork(now time.Duration, work float64) {
-	s.workRate = s.recentWorkRate(now) + work/recentWindow.Seconds()
+// recentWorkRate is the work a second that the endpoint did for us, averaged over recentWindow. Only what it answered counts:
+// what was sent may be more than it can do.
+func (ep *endpoint) recentWorkRate(now time.Duration) float64 {
+	ep.workRate *= math.Exp(-float64(now-ep.workRateAt) / float64(recentWindow))
+	ep.workRateAt = now
+	return ep.workRate
 }
 
-// completedWork is the work that serving a request shows a server can do. Guards against small objects, served first
-// where room is short, that count as their class's mean: servers seemed to do four times what they can.
-func (d *Director) completedWork(r *request) float64 {
-	return min(d.slowStartCost(r), r.transferTime.Seconds())
+// recordWork counts work, in seconds of transfer, that the endpoint did.
+func (ep *endpoint) recordWork(now time.Duration, work float64) {
+	ep.workRate = ep.recentWorkRate(now) + work/recentWindow.Seconds()
 }
--- a/routing/slow_start_test.go
+++ b/routing/slow_start_test.go
@@ -82,7 +82,7 @@
 	for _, id := range []string{"c1", "c2"} { // these have answered nothing lately
 		r.d.endpoints[id].workRate = 0
 		for range 3 {
-			r.d.recordFailure(r.d.endpoints[id], false)
+			r.d.recordFailure(r.d.endpoints[id])
 		}
 	}
 	r.d.updateCarriedRate(roleCache)
--- a/routing/transfer_time.go
+++ b/routing/transfer_time.go
@@ -3,34 +3,57 @@
 import "time"
 
 const (
-	averageWeight     = 0.1 // weight of the newest sample in moving averages
-	transferTimeGuess = 0.1 // sending time, as a share of the aim, where nothing tells of sizes yet
+	averageWeight      = 0.1                // weight of the newest sample in moving averages
+	transferTimeWeight = averageWeight / 10 // and in the mean transfer time of a class, whose answers differ more
+	transferTimeGuess  = 0.1                // transfer time where nothing is known of sizes yet, as a share of the latency objective
 )
 
-// estimateTransferTime finds a request's sending time: by its size, or where that isn't told by a guess, which answers correct.
+// estimateTransferTime finds how long a request's answer takes to transfer at full pace: by its size, or where that isn't known
+// by what the object's or the class's answers took.
 func (d *Director) estimateTransferTime(r *request) {
 	c := r.class
-	if r.transferTime = d.set.TransferTime(r.SizeKB); r.SizeKB <= 0 {
-		if r.transferTime = max(c.meanTransferTime, time.Duration(transferTimeGuess*float64(c.LatencyObjective))); r.entry != nil && r.entry.transferTime > 0 {
-			r.transferTime = r.entry.transferTime
-		}
+	if r.SizeKB > 0 {
+		r.transferTime = d.set.TransferTime(r.SizeKB)
+	} else {
+		r.transferTime = r.guessTransferTime()
 	}
 	if c.meanTransferTime == 0 {
 		c.meanTransferTime = r.transferTime
 	}
 	if r.SizeKB > 0 {
-		c.meanTransferTime += time.Duration(averageWeight / 10 * float64(r.transferTime-c.meanTransferTime))
+		c.meanTransferTime += time.Duration(transferTimeWeight * float64(r.transferTime-c.meanTransferTime))
+	}
+}
+
+func (r *request) guessTransferTime() time.Duration {
+	if r.entry != nil && r.entry.transferTime > 0 {
+		return r.entry.transferTime
 	}
+	return max(r.class.meanTransferTime, time.Duration(transferTimeGuess*float64(r.class.LatencyObjective)))
 }
 
-// learnSize takes in what a request's answer weighed. Until then its sending time was a guess, from what others of its class or
-// object took: large answers looked late.
+// learnSize takes in the size of a request's answer, in kB. Until then its transfer time was a guess, by which large answers
+// would look late.
 func (d *Director) learnSize(r *request, sizeKB float64) {
-	r.SizeKB, r.transferTime = sizeKB, d.set.TransferTime(sizeKB)
+	r.SizeKB = sizeKB
+	r.transferTime = d.set.TransferTime(sizeKB)
 	if r.entry != nil {
 		r.entry.transferTime = r.transferTime
 	}
 	c := r.class
 	c.sizedAnswers++
-	c.meanTransferTime += time.Duration(max(averageWeight/10, 1/float64(c.sizedAnswers)) * float64(r.transferTime-c.meanTransferTime))
+	weight := max(transferTimeWeight, 1/float64(c.sizedAnswers))
+	c.meanTransferTime += time.Duration(weight * float64(r.transferTime-c.meanTransferTime))
+}
+
+// learnTransferTime takes in how long an answer of unknown size took: the quickest of an object's answers is closest to its
+// transfer alone.
+func (r *request) learnTransferTime(latency time.Duration, hit bool) {
+	e, c := r.entry, r.class
+	if e.transferTime == 0 || latency < e.transferTime {
+		e.transferTime = latency
+	}
+	if hit {
+		c.meanTransferTime += time.Duration(transferTimeWeight * float64(e.transferTime-c.meanTransferTime))
+	}
 }
