--- a/routing/actions.go
+++ b/routing/actions.go
@@ -17,24 +17,24 @@
 	RankTop    CacheRank = 3
 )
 
-// ForwardAttempt sends an attempt to a server.
+// ForwardAttempt sends an attempt to an endpoint.
 type ForwardAttempt struct {
-	ID           string
+	ID           string // of the request
 	Endpoint     string
-	FillSource   string        // who fills a miss; the server itself: nobody
+	FillSource   string        // who fills a miss; the endpoint itself: nobody
 	Timeout      time.Duration // 0: until the client gives up
 	MaxAge       time.Duration // oldest copy that will do; 0: the class's fresh time
-	CacheRank    CacheRank
-	Coalesce     bool // wait for a running fill
-	OnlyIfCached bool // the source gives only what it holds
-	NoParentCopy bool // leave no copy at the parent
-	RefreshAhead bool // serve an ageing copy and fetch it anew
+	CacheRank    CacheRank     // of the copy
+	Coalesce     bool          // wait for a fill that is running
+	OnlyIfCached bool          // the source gives only what it has cached
+	NoParentCopy bool          // leave no copy at the parent
+	RefreshAhead bool          // serve an aging copy and fetch it anew
 }
 
-// Reject is a final answer that promises that trying again is harmless.
+// Reject is a final answer that promises that repeating the request does no harm.
 type Reject struct {
 	ID         string
-	RetryAfter time.Duration // advice on when to come back
+	RetryAfter time.Duration // 0: none is sent
 }
 
 // Fail is a final answer that promises nothing.
@@ -43,26 +43,26 @@
 // CancelAttempt stops waiting for an attempt.
 type CancelAttempt struct {
 	ID      string
-	Attempt int
+	Attempt int // from 0, in order of sending
 }
 
-// SetTimer asks for a Timer event.
+// SetTimer asks for a TimerFired event.
 type SetTimer struct {
 	At        time.Duration
 	Token     uint64
-	RequestID string // of the request that it is for, and void with it; empty: of none
+	RequestID string // the timer is void when this request is finished; empty: it belongs to none
 }
 
 // SendGossip sends a message of at most 256 bytes to one director.
 type SendGossip struct {
-	To   int // Everyone: all of them
+	To   int // its number, or AllDirectors
 	Data string
 }
 
-// AllDirectors addresses a Tell to all other directors.
+// AllDirectors addresses a SendGossip to all other directors.
 const AllDirectors = -1
 
-// StartHealthCheck checks a server.
+// StartHealthCheck checks an endpoint.
 type StartHealthCheck struct{ Endpoint string }
 
 // PollEndpoints asks discovery for changes from now on.
--- a/routing/events.go
+++ b/routing/events.go
@@ -5,36 +5,36 @@
 // Event is anything that reaches a director.
 type Event interface{ event() }
 
-// Phase is the state of a member in a list.
+// Phase is the state of an endpoint in a list.
 type Phase int
 
-// Phases of a member.
+// Phases of an endpoint.
 const (
-	Up Phase = iota
-	Draining
+	Up       Phase = iota
+	Draining       // to be sent nothing new
 	Removed
 )
 
-// Endpoint is one entry of the list of servers.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID          string
 	Zone        string
 	Kind        string
 	Cell        int
 	Incarnation time.Duration // clock of its latest start; 0: long ago
-	Weight      float64
+	Weight      float64       // capacity, relative to others of its kind; 0 or less: 1
 	Phase       Phase
 }
 
-// UpdateKind says what a Members event holds.
+// UpdateKind says what an EndpointUpdate holds.
 type UpdateKind int
 
-// Kinds of list.
+// Kinds of update.
 const (
-	FullList UpdateKind = iota
-	DeltaList
-	StaleList // the full list as last held, possibly outdated
-	WatchLost // a call to discovery failed; the prior list stands
+	FullList  UpdateKind = iota
+	DeltaList            // the endpoints that changed
+	StaleList            // the full list as last held, possibly outdated
+	WatchLost            // a call to discovery failed; the prior list stands
 )
 
 // EndpointUpdate is what discovery reports.
@@ -46,45 +46,45 @@
 // Request asks the director for one final answer.
 type Request struct {
 	ID            string
-	Class         string
+	Class         string // its name
 	Tenant        string
 	Object        string
 	Part          int
 	Group         int
-	SizeKB        float64
+	SizeKB        float64       // of the answer; 0: not known
 	Deadline      time.Duration // on the director's clock
 	Write         bool
-	Retry         bool
-	AdmittedClass *Class // by which it came in, where other ones hold for its class by now; nil: those that hold now
+	Retry         bool   // the client's own, of a request that was rejected or failed
+	AdmittedClass *Class // the class as it was when the request was admitted; nil: as it is now
 }
 
 // FirstByte says that the answer of a streamed class has begun.
 type FirstByte struct {
 	ID       string
-	Attempt  int
+	Attempt  int // from 0, in order of sending
 	Endpoint string
 }
 
-// Status is how an attempt or probe ended.
+// Status is how an attempt or a health check ended.
 type Status int
 
-// Statuses of an outcome. NotConnected, TurnedAway, NotSent and Miss prove that the request did not run.
+// Statuses of a result.
 const (
 	OK Status = iota
 	ServerError
 	Rejected
 	TimedOut
 	ConnectFailed
-	Reset
+	Reset // the connection ended under it
 	Canceled
 	NotSent
-	Miss
+	Miss // no copy, and nobody to fill it
 )
 
-// broken says that a connection did not come up, or ended under the attempt.
+// broken reports whether a connection did not come up, or ended under the attempt.
 func (s Status) broken() bool { return s == ConnectFailed || s == Reset }
 
-// mayHaveRun says that an attempt which ended so may have taken effect.
+// mayHaveRun reports whether a request whose attempt ended so may have taken effect.
 func (s Status) mayHaveRun() bool {
 	switch s {
 	case Rejected, ConnectFailed, NotSent, Miss:
@@ -94,40 +94,43 @@
 	}
 }
 
-// Reason says how an answer was served or why a fill failed, as far as Settings.Tells goes.
+// Reason says how an answer was served or why a fill failed, as far as Settings.AnswerDetail goes.
 type Reason int
 
-// Notes of an outcome.
+// Reasons of a result. From ReasonSourceRejected on they tell of a fill that failed.
 const (
-	ReasonNone Reason = iota
-	ReasonHit
-	ReasonFilled
-	ReasonFilledByOrigin
-	ReasonCoalesced
-	ReasonStale
-	ReasonSourceRejected
-	ReasonSourceLost
-	ReasonSourceMiss
-	ReasonNoFillSlot
-	ReasonOriginFailed
+	ReasonNone           Reason = iota // not told
+	ReasonHit                          // from a fresh copy
+	ReasonFilled                       // by the fill source, from a copy that it had
+	ReasonFilledByOrigin               // by the origin, through the fill source or straight
+	ReasonCoalesced                    // with a fill that was running
+	ReasonStale                        // from a copy within the class's stale grace
+	ReasonSourceRejected               // the fill source rejected the fill
+	ReasonSourceLost                   // the connection to the fill source broke
+	ReasonSourceMiss                   // the fill source lacks the object
+	ReasonNoFillSlot                   // the cache has no slot left for fills
+	ReasonOriginFailed                 // the origin failed the fill source
 )
 
+// fillFailed reports whether a fill failed.
+func (r Reason) fillFailed() bool { return r >= ReasonSourceRejected }
+
 // AttemptResult is the end of one attempt.
 type AttemptResult struct {
-	ID              string
-	Attempt         int
+	ID              string // of the request
+	Attempt         int    // from 0, in order of sending
 	Endpoint        string
 	Status          Status
 	Reason          Reason
-	Final           bool // the request is finished
-	Latency         time.Duration
+	Final           bool          // the request is finished
+	Latency         time.Duration // since the sending
 	FillWait        time.Duration
-	SizeKB          float64   // of the answer; 0: not told
-	LoadReport      []float64 // nil: no report came with it
+	SizeKB          float64   // of the answer; 0: not known
+	LoadReport      []float64 // by Settings.LoadReportFields; nil: no report came with it
 	CollateralReset bool      // Reset by what befell another attempt on its connection
 }
 
-// HealthCheckResult is the result of a Probe.
+// HealthCheckResult is the result of a StartHealthCheck.
 type HealthCheckResult struct {
 	Endpoint   string
 	Status     Status
@@ -137,7 +140,7 @@
 
 // GossipReceived is a message from another director.
 type GossipReceived struct {
-	From int
+	From int // its number
 	Data string
 }
 
@@ -145,24 +148,24 @@
 type Purge struct {
 	Object string
 	Group  int
-	Age    time.Duration
+	Age    time.Duration // time since it was purged
 }
 
-// ClientGone says that a client left; nothing more is owed to its request.
+// ClientGone says that a client left; no answer is owed to its request any more.
 type ClientGone struct{ ID string }
 
-// TimerFired is a Wake that fell due.
+// TimerFired is a SetTimer that fell due.
 type TimerFired struct{ Token uint64 }
 
-// Reconfigured says that other classes, and another limit on attempts, hold for the requests that come from now on. Those
-// that are open keep the rules by which they came.
+// Reconfigured says that other classes, and another limit on attempts, hold for the requests that come from now on. Open requests
+// keep the rules by which they were admitted.
 type Reconfigured struct {
 	Classes     []Class
 	MaxAttempts int // 0: no limit
 }
 
-// PauseSlowStart says that nothing is to be sent to stores that are cold until a time, on the director's clock: another process
-// has the budget, or had it a moment ago.
+// PauseSlowStart says that nothing is to be sent to endpoints that are warming up until a time, on the director's clock: another
+// process has the budget, or had it a moment ago.
 type PauseSlowStart struct{ Until time.Duration }
 
 func (EndpointUpdate) event()    {}
--- a/routing/result.go
+++ b/routing/result.go
@@ -128,7 +128,7 @@
 // sourceAtFault reports whether a failed attempt, which was not rejected by its target itself, is the fault of the fill source.
 // Of an error that names nobody, the one that has been without success for longer is held at fault.
 func (a *attempt) sourceAtFault(o AttemptResult) bool {
-	if o.Reason >= ReasonSourceRejected || o.Status == Rejected {
+	if o.Reason.fillFailed() || o.Status == Rejected {
 		return true
 	}
 	return o.Status == ServerError && o.Reason == ReasonNone && a.fillSource.lastOK < a.target.lastOK
