--- a/routing/rules_test.go
+++ b/routing/rules_test.go
@@ -25,8 +25,65 @@
 	ran    bool // may have run
 }
 
+// oddRequest is a request as the checks see it.
+type oddRequest struct {
+	q        Request
+	attempts []sent
+	over     bool
+	class    Class // as it was when the request came
+	most     int   // attempts; likewise
+}
+
+// oddRun is one sequence of odd events, and what the checks know of it.
+type oddRun struct {
+	rng    *rand.Rand
+	s      Settings
+	list   []Endpoint
+	d      *Director
+	now    time.Duration
+	open   map[string]*oddRequest
+	ids    []string
+	timers []SetTimer
+	down   map[string]bool
+	zone   map[string]string
+	cell   map[string]int
+	boot   map[string]time.Duration
+	purged time.Duration
+	paused time.Duration // until then nothing goes to endpoints that are warming up
+}
+
 func odd(seed uint64) error {
 	rng := rand.New(rand.NewPCG(seed, 1))
+	s := oddSettings(rng)
+	list := oddMembers(rng, s)
+	d, err := New(s, seed)
+	if err != nil {
+		return err
+	}
+	o := &oddRun{rng: rng, s: s, list: list, d: d, now: 100 * time.Second, open: map[string]*oddRequest{},
+		down: map[string]bool{}, zone: map[string]string{}, cell: map[string]int{}, boot: map[string]time.Duration{}}
+	for _, m := range list {
+		o.zone[m.ID], o.cell[m.ID] = m.Zone, m.Cell
+	}
+	if err := o.handle(EndpointUpdate{Kind: StaleList, Endpoints: list}); err != nil {
+		return err
+	}
+	for n := range 3000 {
+		o.now += time.Duration(rng.IntN(20)) * ms
+		if err := o.fireTimers(); err != nil {
+			return err
+		}
+		if err := o.checkDeadlines(); err != nil {
+			return err
+		}
+		if err := o.step(n); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func oddSettings(rng *rand.Rand) Settings {
 	s := settings()
 	s.HedgedRequests = rng.IntN(2) == 0
 	s.CanCancel = rng.IntN(4) > 0
@@ -44,6 +101,10 @@
 	if rng.IntN(4) == 0 {
 		s.ZoneDirectors, s.FlowKBps, s.PurgeGrace = nil, 0, 0
 	}
+	return s
+}
+
+func oddMembers(rng *rand.Rand, s Settings) []Endpoint {
 	list := members()
 	for i := range list {
 		list[i].Weight = float64(rng.IntN(10))
@@ -51,199 +112,226 @@
 	if s.ParentKind < 0 {
 		list = slices.DeleteFunc(list, func(m Endpoint) bool { return m.Kind == "parent" })
 	}
-	d, err := New(s, seed)
-	if err != nil {
-		return err
+	return list
+}
+
+// handle gives the director an event, and checks its actions.
+func (o *oddRun) handle(e Event) error {
+	for _, a := range o.d.Handle(o.now, e, nil) {
+		if err := o.check(a); err != nil {
+			return err
+		}
 	}
-	now := 100 * time.Second
-	type state struct {
-		q        Request
-		attempts []sent
-		over     bool
-		class    Class // as it was when the request came
-		most     int   // attempts; likewise
-	}
-	var (
-		open   = map[string]*state{}
-		ids    []string
-		timers []SetTimer
-		down   = map[string]bool{}
-		zone   = map[string]string{}
-		cell   = map[string]int{}
-		boot   = map[string]time.Duration{}
-		purged time.Duration
-		paused time.Duration // until then nothing goes to cold servers
-	)
-	for _, m := range list {
-		zone[m.ID], cell[m.ID] = m.Zone, m.Cell
-	}
-	apply := func(out []Action) error {
-		for _, a := range out {
-			switch a := a.(type) {
-			case ForwardAttempt:
-				st := open[a.ID]
-				if st == nil || st.over {
-					return fmt.Errorf("%v: attempt for %s, which is over", now, a.ID)
-				}
-				if down[a.Endpoint] || down[a.FillSource] {
-					return fmt.Errorf("%v: %s or %s is not up", now, a.Endpoint, a.FillSource)
-				}
-				if len(st.attempts) >= st.most {
-					return fmt.Errorf("%v: attempt %d of %s, %d at most", now, len(st.attempts)+1, a.ID, st.most)
-				}
-				for _, id := range []string{a.Endpoint, a.FillSource} {
-					if started := boot[id]; now < paused && started > 0 && d.warmsFor(id) > now-started {
-						return fmt.Errorf("%v: %s is cold, and nothing is to go there until %v", now, id, paused)
-					}
-				}
-				if purged > 0 && now-purged < s.PurgeSettleTime && (a.MaxAge <= 0 || a.MaxAge > now-purged+ms) {
-					return fmt.Errorf("%v: age limit %v, purged %v ago", now, a.MaxAge, now-purged)
-				}
-				for _, b := range st.attempts {
-					if !s.HedgedRequests && !b.done {
-						return fmt.Errorf("%v: second copy of %s", now, a.ID)
-					}
-					if st.class.Effect == Idempotent || b.done && !b.ran {
-						continue
-					}
-					if st.class.Effect == NonIdempotent || now-b.at > st.class.DedupWindow ||
-						st.class.DedupScope == ScopeZone && zone[a.Endpoint] != zone[b.server] ||
-						st.class.DedupScope == ScopeCell && cell[a.Endpoint] != cell[b.server] {
-						return fmt.Errorf("%v: repeats %s of %s", now, a.ID, st.class.Name)
-					}
-				}
-				st.attempts = append(st.attempts, sent{server: a.Endpoint, at: now})
-			case Reject:
-				st := open[a.ID]
-				if st == nil || st.over {
-					return fmt.Errorf("%v: second answer for %s", now, a.ID)
-				}
-				for _, b := range st.attempts {
-					if (b.ran || !b.done) && (st.class.Effect == NonIdempotent ||
-						st.class.Effect == IdempotentWithKey && st.class.DedupScope != ScopeAll) {
-						return fmt.Errorf("%v: refuses %s of %s, which may have run", now, a.ID, st.class.Name)
-					}
-				}
-				st.over = true
-			case Fail:
-				st := open[a.ID]
-				if st == nil || st.over {
-					return fmt.Errorf("%v: second answer for %s", now, a.ID)
-				}
-				st.over = true
-			case CancelAttempt:
-				if !s.CanCancel || a.Attempt >= len(open[a.ID].attempts) {
-					return fmt.Errorf("%v: cancels attempt %d of %s", now, a.Attempt, a.ID)
-				}
-			case SendGossip:
-				if !s.Gossip || len(a.Data) > 256 {
-					return fmt.Errorf("%v: tells %q", now, a.Data)
-				}
-			case SetTimer:
-				timers = append(timers, a)
-			}
+	return nil
+}
+
+func (o *oddRun) check(a Action) error {
+	switch a := a.(type) {
+	case ForwardAttempt:
+		return o.checkAttempt(a)
+	case Reject:
+		return o.checkReject(a)
+	case Fail:
+		st := o.open[a.ID]
+		if st == nil || st.over {
+			return fmt.Errorf("%v: second answer for %s", o.now, a.ID)
 		}
-		return nil
+		st.over = true
+	case CancelAttempt:
+		if !o.s.CanCancel || a.Attempt >= len(o.open[a.ID].attempts) {
+			return fmt.Errorf("%v: cancels attempt %d of %s", o.now, a.Attempt, a.ID)
+		}
+	case SendGossip:
+		if !o.s.Gossip || len(a.Data) > 256 {
+			return fmt.Errorf("%v: tells %q", o.now, a.Data)
+		}
+	case SetTimer:
+		o.timers = append(o.timers, a)
+	}
+	return nil
+}
+
+func (o *oddRun) checkAttempt(a ForwardAttempt) error {
+	st := o.open[a.ID]
+	if st == nil || st.over {
+		return fmt.Errorf("%v: attempt for %s, which is over", o.now, a.ID)
+	}
+	if o.down[a.Endpoint] || o.down[a.FillSource] {
+		return fmt.Errorf("%v: %s or %s is not up", o.now, a.Endpoint, a.FillSource)
 	}
-	handle := func(e Event) error { return apply(d.Handle(now, e, nil)) }
-	if err := handle(EndpointUpdate{Kind: StaleList, Endpoints: list}); err != nil {
+	if len(st.attempts) >= st.most {
+		return fmt.Errorf("%v: attempt %d of %s, %d at most", o.now, len(st.attempts)+1, a.ID, st.most)
+	}
+	for _, id := range []string{a.Endpoint, a.FillSource} {
+		if started := o.boot[id]; o.now < o.paused && started > 0 && o.d.warmsFor(id) > o.now-started {
+			return fmt.Errorf("%v: %s is cold, and nothing is to go there until %v", o.now, id, o.paused)
+		}
+	}
+	if o.purged > 0 && o.now-o.purged < o.s.PurgeSettleTime && (a.MaxAge <= 0 || a.MaxAge > o.now-o.purged+ms) {
+		return fmt.Errorf("%v: age limit %v, purged %v ago", o.now, a.MaxAge, o.now-o.purged)
+	}
+	if err := o.checkRepeat(st, a); err != nil {
 		return err
 	}
-	end := func(id string, i int, status Status) error {
-		st := open[id]
-		b := &st.attempts[i]
-		if b.done {
-			return nil
+	st.attempts = append(st.attempts, sent{server: a.Endpoint, at: o.now})
+	return nil
+}
+
+// checkRepeat holds an attempt against those before it.
+func (o *oddRun) checkRepeat(st *oddRequest, a ForwardAttempt) error {
+	for _, b := range st.attempts {
+		if !o.s.HedgedRequests && !b.done {
+			return fmt.Errorf("%v: second copy of %s", o.now, a.ID)
+		}
+		if st.class.Effect == Idempotent || b.done && !b.ran {
+			continue
 		}
-		b.done = true
-		b.ran = status != Rejected && status != ConnectFailed && status != NotSent && status != Miss
-		if status == OK && !st.over {
-			st.over = true
+		if st.class.Effect == NonIdempotent || o.now-b.at > st.class.DedupWindow ||
+			st.class.DedupScope == ScopeZone && o.zone[a.Endpoint] != o.zone[b.server] ||
+			st.class.DedupScope == ScopeCell && o.cell[a.Endpoint] != o.cell[b.server] {
+			return fmt.Errorf("%v: repeats %s of %s", o.now, a.ID, st.class.Name)
 		}
-		return handle(AttemptResult{ID: id, Attempt: i, Endpoint: b.server, Status: status, Reason: Reason(rng.IntN(11)),
-			Final: st.over, Latency: now - b.at, LoadReport: []float64{2 * rng.Float64(), math.NaN(), -1}[:rng.IntN(4)]})
 	}
-	for n := range 3000 {
-		now += time.Duration(rng.IntN(20)) * ms
-		slices.SortStableFunc(timers, func(a, b SetTimer) int { return int(a.At - b.At) })
-		for len(timers) > 0 && timers[0].At <= now {
-			w := timers[0]
-			timers = timers[1:]
-			if err := handle(TimerFired{Token: w.Token}); err != nil {
-				return err
-			}
+	return nil
+}
+
+func (o *oddRun) checkReject(a Reject) error {
+	st := o.open[a.ID]
+	if st == nil || st.over {
+		return fmt.Errorf("%v: second answer for %s", o.now, a.ID)
+	}
+	for _, b := range st.attempts {
+		if (b.ran || !b.done) && (st.class.Effect == NonIdempotent ||
+			st.class.Effect == IdempotentWithKey && st.class.DedupScope != ScopeAll) {
+			return fmt.Errorf("%v: refuses %s of %s, which may have run", o.now, a.ID, st.class.Name)
 		}
-		for _, id := range ids {
-			st := open[id]
-			if !st.over && now > st.q.Deadline+8*ms {
-				return fmt.Errorf("%v: %s was lost, due %v", now, id, st.q.Deadline)
-			}
-			if now >= st.q.Deadline {
-				for i := range st.attempts {
-					if err := end(id, i, TimedOut); err != nil {
-						return err
-					}
-				}
-			}
+	}
+	st.over = true
+	return nil
+}
+
+// end gives the director the result of an attempt, if that is still due.
+func (o *oddRun) end(id string, i int, status Status) error {
+	st := o.open[id]
+	b := &st.attempts[i]
+	if b.done {
+		return nil
+	}
+	b.done = true
+	b.ran = status != Rejected && status != ConnectFailed && status != NotSent && status != Miss
+	if status == OK && !st.over {
+		st.over = true
+	}
+	return o.handle(AttemptResult{ID: id, Attempt: i, Endpoint: b.server, Status: status, Reason: Reason(o.rng.IntN(11)),
+		Final: st.over, Latency: o.now - b.at, LoadReport: []float64{2 * o.rng.Float64(), math.NaN(), -1}[:o.rng.IntN(4)]})
+}
+
+func (o *oddRun) fireTimers() error {
+	slices.SortStableFunc(o.timers, func(a, b SetTimer) int { return int(a.At - b.At) })
+	for len(o.timers) > 0 && o.timers[0].At <= o.now {
+		w := o.timers[0]
+		o.timers = o.timers[1:]
+		if err := o.handle(TimerFired{Token: w.Token}); err != nil {
+			return err
 		}
-		var err error
-		pick := func() string { return ids[max(0, len(ids)-1-rng.IntN(30))] }
-		switch k := rng.IntN(20); {
-		case k < 8:
-			c := s.Classes[rng.IntN(len(s.Classes)-1)] // all but the streamed one
-			id := fmt.Sprint("q", n)
-			ids = append(ids, id)
-			q := Request{ID: id, Class: c.Name, Object: fmt.Sprint("o", rng.IntN(40)), Group: 1, Write: c.Uncacheable,
-				SizeKB: float64(rng.IntN(3000)), Deadline: now + time.Duration(1+rng.IntN(int(c.Deadline/ms)))*ms}
-			open[id] = &state{q: q, class: c, most: s.MaxAttempts}
-			err = handle(q)
-		case k < 15 && len(ids) > 0:
-			id := pick()
-			if st := open[id]; len(st.attempts) > 0 {
-				err = end(id, rng.IntN(len(st.attempts)), Status(rng.IntN(9)))
-			}
-		case k < 16:
-			i := rng.IntN(len(list))
-			list[i].Phase = Phase(rng.IntN(3))
-			if list[i].Phase == Up && rng.IntN(2) == 0 {
-				list[i].Incarnation = now
-			}
-			boot[list[i].ID] = list[i].Incarnation
-			down[list[i].ID] = list[i].Phase != Up
-			kind := DeltaList
-			if rng.IntN(3) == 0 {
-				kind = FullList
-			}
-			err = handle(EndpointUpdate{Kind: kind, Endpoints: list})
-		case k < 17:
-			err = handle(EndpointUpdate{Kind: WatchLost})
-		case k < 18:
-			err = handle(GossipReceived{From: rng.IntN(4), Data: fmt.Sprintf("w1|%d|c%d|%d,a;", rng.IntN(3), rng.IntN(5), n)})
-		case k < 19 && rng.IntN(10) == 0:
-			purged = now
-			err = handle(Purge{Group: 1})
-		case k < 19 && rng.IntN(10) == 0: // other rules for some classes, and another number of attempts
-			s.Classes = slices.Clone(s.Classes)
-			c := &s.Classes[rng.IntN(len(s.Classes)-1)]
-			c.Effect, c.DedupScope, c.DedupWindow = Effect(rng.IntN(3)), DedupScope(rng.IntN(3)), time.Duration(1+rng.IntN(2000))*ms
-			s.MaxAttempts = 1 + rng.IntN(8)
-			err = handle(Reconfigured{Classes: s.Classes, MaxAttempts: s.MaxAttempts})
-		case k < 19 && rng.IntN(10) == 0:
-			paused = now + time.Duration(rng.IntN(4000))*ms
-			err = handle(PauseSlowStart{Until: paused})
-		case len(ids) > 0:
-			id := pick()
-			if !open[id].over {
-				open[id].over = true
-				err = handle(ClientGone{ID: id})
-			}
-			if err == nil { // outcomes and departures that it no longer knows are passed over
-				err = handle(AttemptResult{ID: "nobody", Status: OK})
+	}
+	return nil
+}
+
+// checkDeadlines finds requests without an answer, and lets attempts time out.
+func (o *oddRun) checkDeadlines() error {
+	for _, id := range o.ids {
+		st := o.open[id]
+		if !st.over && o.now > st.q.Deadline+8*ms {
+			return fmt.Errorf("%v: %s was lost, due %v", o.now, id, st.q.Deadline)
+		}
+		if o.now < st.q.Deadline {
+			continue
+		}
+		for i := range st.attempts {
+			if err := o.end(id, i, TimedOut); err != nil {
+				return err
 			}
 		}
-		if err != nil {
-			return err
+	}
+	return nil
+}
+
+// step draws the next event.
+func (o *oddRun) step(n int) error {
+	rng := o.rng
+	pick := func() string { return o.ids[max(0, len(o.ids)-1-rng.IntN(30))] }
+	switch k := rng.IntN(20); {
+	case k < 8:
+		return o.ask(n)
+	case k < 15 && len(o.ids) > 0:
+		id := pick()
+		if st := o.open[id]; len(st.attempts) > 0 {
+			return o.end(id, rng.IntN(len(st.attempts)), Status(rng.IntN(9)))
 		}
+	case k < 16:
+		return o.changeList()
+	case k < 17:
+		return o.handle(EndpointUpdate{Kind: WatchLost})
+	case k < 18:
+		return o.handle(GossipReceived{From: rng.IntN(4), Data: fmt.Sprintf("w1|%d|c%d|%d,a;", rng.IntN(3), rng.IntN(5), n)})
+	case k < 19 && rng.IntN(10) == 0:
+		o.purged = o.now
+		return o.handle(Purge{Group: 1})
+	case k < 19 && rng.IntN(10) == 0:
+		return o.changeClasses()
+	case k < 19 && rng.IntN(10) == 0:
+		o.paused = o.now + time.Duration(rng.IntN(4000))*ms
+		return o.handle(PauseSlowStart{Until: o.paused})
+	case len(o.ids) > 0:
+		return o.leave(pick())
 	}
 	return nil
 }
+
+func (o *oddRun) ask(n int) error {
+	rng := o.rng
+	c := o.s.Classes[rng.IntN(len(o.s.Classes)-1)] // all but the streamed one
+	id := fmt.Sprint("q", n)
+	o.ids = append(o.ids, id)
+	q := Request{ID: id, Class: c.Name, Object: fmt.Sprint("o", rng.IntN(40)), Group: 1, Write: c.Uncacheable,
+		SizeKB: float64(rng.IntN(3000)), Deadline: o.now + time.Duration(1+rng.IntN(int(c.Deadline/ms)))*ms}
+	o.open[id] = &oddRequest{q: q, class: c, most: o.s.MaxAttempts}
+	return o.handle(q)
+}
+
+func (o *oddRun) changeList() error {
+	m := &o.list[o.rng.IntN(len(o.list))]
+	m.Phase = Phase(o.rng.IntN(3))
+	if m.Phase == Up && o.rng.IntN(2) == 0 {
+		m.Incarnation = o.now
+	}
+	o.boot[m.ID] = m.Incarnation
+	o.down[m.ID] = m.Phase != Up
+	kind := DeltaList
+	if o.rng.IntN(3) == 0 {
+		kind = FullList
+	}
+	return o.handle(EndpointUpdate{Kind: kind, Endpoints: o.list})
+}
+
+// changeClasses draws other rules for some class, and another number of attempts.
+func (o *oddRun) changeClasses() error {
+	rng := o.rng
+	o.s.Classes = slices.Clone(o.s.Classes)
+	c := &o.s.Classes[rng.IntN(len(o.s.Classes)-1)]
+	c.Effect, c.DedupScope, c.DedupWindow = Effect(rng.IntN(3)), DedupScope(rng.IntN(3)), time.Duration(1+rng.IntN(2000))*ms
+	o.s.MaxAttempts = 1 + rng.IntN(8)
+	return o.handle(Reconfigured{Classes: o.s.Classes, MaxAttempts: o.s.MaxAttempts})
+}
+
+// leave lets a client go. Results and departures of requests that the director no longer knows are passed over.
+func (o *oddRun) leave(id string) error {
+	if !o.open[id].over {
+		o.open[id].over = true
+		if err := o.handle(ClientGone{ID: id}); err != nil {
+			return err
+		}
+	}
+	return o.handle(AttemptResult{ID: "nobody", Status: OK})
+}
