--- a/cluster/cluster_test.go
+++ b/cluster/node_test.go
@@ -10,8 +10,8 @@
 
 const second = time.Second
 
-// lone is a node that does not vote, whose voter is played by the test.
-func lone(t *testing.T, lasts bool, view []byte) *Node {
+// nonVoter is a node that does not vote, whose voter is played by the test.
+func nonVoter(t *testing.T, lasts bool, view []byte) *Node {
 	t.Helper()
 	n, err := New(Config{Self: "g9", Incarnation: 5, Members: []string{"v", "g9"}, Voters: []string{"v"}, View: view, Durable: lasts,
 		Limits: maintenance.Limits{Lease: 2 * second}, WallClockMs: func() int64 { return 0 }, Seed: 1})
@@ -21,7 +21,7 @@
 	return n
 }
 
-func state(epoch uint64, stages map[string]maintenance.Stage) []byte {
+func encodedState(epoch uint64, stages map[string]maintenance.Stage) []byte {
 	s := &maintenance.State{Epoch: epoch, Gateways: map[string]maintenance.Gateway{}}
 	for _, m := range []string{"m1", "m2"} {
 		if st, ok := stages[m]; ok {
@@ -31,8 +31,8 @@
 	return s.Encode()
 }
 
-// renew has the node ask at a time and returns the question.
-func renew(t *testing.T, n *Node, now time.Duration) Message {
+// leaseRequest has the node ask at a time and returns the request.
+func leaseRequest(t *testing.T, n *Node, now time.Duration) Message {
 	t.Helper()
 	for _, a := range n.Handle(now, Tick{}, nil) {
 		if s, ok := a.(Send); ok && s.Message.Kind == RenewLease {
@@ -43,21 +43,21 @@
 	return Message{}
 }
 
-func answer(q Message, revision uint64, value []byte) MessageReceived {
+func viewReply(q Message, revision uint64, value []byte) MessageReceived {
 	return MessageReceived{"v", Message{Kind: View, ID: q.ID, Revision: revision, ViewDigest: maintenance.Digest(value), Value: value}}
 }
 
-// Nothing is sent before anything is known; with a lease only what drains is held; without one what was granted as well.
-func TestPermitFollowsTheLease(t *testing.T) {
-	n := lone(t, false, nil)
+// Nothing is sent before anything is known; with a lease only to what does not drain; without one not to what was granted either.
+func TestMaySendFollowsTheLease(t *testing.T) {
+	n := nonVoter(t, false, nil)
 	if n.MaySend(second, "m3") || n.Ready() {
 		t.Error("it sends before it knows of anything")
 	}
-	q := renew(t, n, second)
+	q := leaseRequest(t, n, second)
 	if !q.NoView {
 		t.Error("it does not say that it knows of nothing")
 	}
-	n.Handle(1200*time.Millisecond, answer(q, 4, state(3, map[string]maintenance.Stage{"m1": maintenance.Granted, "m2": maintenance.Draining})), nil)
+	n.Handle(1200*time.Millisecond, viewReply(q, 4, encodedState(3, map[string]maintenance.Stage{"m1": maintenance.Granted, "m2": maintenance.Draining})), nil)
 	for _, c := range []struct {
 		at         time.Duration
 		m1, m2, m3 bool
@@ -68,62 +68,62 @@
 	}
 }
 
-// A lease counts from the question, not from its answer: what was agreed on meanwhile is not in it.
-func TestALeaseCountsFromTheQuestion(t *testing.T) {
-	n := lone(t, false, nil)
-	q := renew(t, n, second)
-	n.Handle(3500*time.Millisecond, answer(q, 4, state(3, nil)), nil)
+// A lease counts from its request, not from the answer: what was agreed on meanwhile is not in it.
+func TestALeaseCountsFromItsRequest(t *testing.T) {
+	n := nonVoter(t, false, nil)
+	q := leaseRequest(t, n, second)
+	n.Handle(3500*time.Millisecond, viewReply(q, 4, encodedState(3, nil)), nil)
 	if n.HasLease(3500 * time.Millisecond) {
 		t.Error("an answer that took 2.5 s gives a lease of two")
 	}
 }
 
 // An answer that is older than what is known, by another way round, proves nothing.
-func TestAnOldAnswerGivesNoLease(t *testing.T) {
-	n := lone(t, false, nil)
-	old := renew(t, n, second)
-	late := renew(t, n, 1600*time.Millisecond)
-	news := state(3, map[string]maintenance.Stage{"m1": maintenance.Draining})
-	n.Handle(1700*time.Millisecond, answer(late, 9, news), nil)
+func TestAnOutdatedViewGivesNoLease(t *testing.T) {
+	n := nonVoter(t, false, nil)
+	old := leaseRequest(t, n, second)
+	late := leaseRequest(t, n, 1600*time.Millisecond)
+	news := encodedState(3, map[string]maintenance.Stage{"m1": maintenance.Draining})
+	n.Handle(1700*time.Millisecond, viewReply(late, 9, news), nil)
 	before := n.leaseUntil
-	n.Handle(1800*time.Millisecond, answer(old, 4, state(1, nil)), nil)
+	n.Handle(1800*time.Millisecond, viewReply(old, 4, encodedState(1, nil)), nil)
 	if n.MaySend(1900*time.Millisecond, "m1") {
 		t.Error("an old view took the place of a newer one")
 	}
-	n.Handle(1900*time.Millisecond, answer(late, 9, news), nil)
+	n.Handle(1900*time.Millisecond, viewReply(late, 9, news), nil)
 	if n.leaseUntil != before {
 		t.Error("a second answer to one question gives more lease")
 	}
 }
 
-// What was heard is said once it lasts, and what was stored holds after a start until more is known.
-func TestHeardIsWhatLasts(t *testing.T) {
-	n := lone(t, true, nil)
-	n.Handle(1100*time.Millisecond, answer(renew(t, n, second), 4, state(3, map[string]maintenance.Stage{"m1": maintenance.Granted})), nil)
-	if q := renew(t, n, 1600*time.Millisecond); q.NotifiedEpoch != 0 {
+// A grant is reported as known once it is durable, and what was stored holds after a start until more is known.
+func TestOnlyDurableGrantsAreReported(t *testing.T) {
+	n := nonVoter(t, true, nil)
+	n.Handle(1100*time.Millisecond, viewReply(leaseRequest(t, n, second), 4, encodedState(3, map[string]maintenance.Stage{"m1": maintenance.Granted})), nil)
+	if q := leaseRequest(t, n, 1600*time.Millisecond); q.NotifiedEpoch != 0 {
 		t.Errorf("it says that it has heard of %d, which is not stored yet", q.NotifiedEpoch)
 	}
 	n.Handle(1700*time.Millisecond, ViewStored{4}, nil)
-	if q := renew(t, n, 2300*time.Millisecond); q.NotifiedEpoch != 3 {
+	if q := leaseRequest(t, n, 2300*time.Millisecond); q.NotifiedEpoch != 3 {
 		t.Errorf("it says that it has heard of %d", q.NotifiedEpoch)
 	}
-	again := lone(t, true, state(3, map[string]maintenance.Stage{"m1": maintenance.Granted}))
+	again := nonVoter(t, true, encodedState(3, map[string]maintenance.Stage{"m1": maintenance.Granted}))
 	if again.MaySend(second, "m1") || !again.MaySend(second, "m2") {
 		t.Error("after a start it does not go by what was stored")
 	}
-	if q := renew(t, again, second); q.NoView || q.NotifiedEpoch != 3 {
+	if q := leaseRequest(t, again, second); q.NoView || q.NotifiedEpoch != 3 {
 		t.Errorf("after a start it says %+v", q)
 	}
 }
 
 // Strangers and what can't be read are passed over.
 func TestOnlyMembersAreHeard(t *testing.T) {
-	n := lone(t, false, nil)
-	q := renew(t, n, second)
-	h := answer(q, 4, state(3, nil))
+	n := nonVoter(t, false, nil)
+	q := leaseRequest(t, n, second)
+	h := viewReply(q, 4, encodedState(3, nil))
 	h.From = "stranger"
 	n.Handle(1100*time.Millisecond, h, nil)
-	bad := answer(q, 4, []byte("{"))
+	bad := viewReply(q, 4, []byte("{"))
 	n.Handle(1100*time.Millisecond, bad, nil)
 	n.Handle(1100*time.Millisecond, MessageReceived{"v", Message{Kind: MessageKind(99)}}, nil)
 	n.Handle(1100*time.Millisecond, MessageReceived{"stranger", Message{Kind: ConsensusMessage, Consensus: consensus.Message{Kind: consensus.Learn}}}, nil)
--- a/lab/faultinjection/mutants.go
+++ b/lab/faultinjection/mutants.go
@@ -59,7 +59,7 @@
 	{Name: "any number is out at once", File: "maintenance/order.go", Old: "if out >= b.MaxOut {", New: "if false {", Text: crowded},
 	{Name: "any share of a zone is out", File: "maintenance/order.go", Old: "if gone > 0 && gone+1 >", New: "if false && gone+1 >", Text: crowded},
 	{Name: "half of the voters are a majority", File: "consensus/proposer.go", Old: "return n > len(v.cfg.Voters)/2", New: "return n >= len(v.cfg.Voters)/2", Text: parting},
-	{Name: "a lease never runs out", File: "cluster/cluster.go", Old: "n.leaseUntil = max(n.leaseUntil, at+n.cfg.Limits.Lease)", New: "n.leaseUntil = max(n.leaseUntil, at+time.Hour)", Text: unheard},
+	{Name: "a lease never runs out", File: "cluster/lease.go", Old: "n.leaseUntil = max(n.leaseUntil, sentAt+n.cfg.Limits.Lease)", New: "n.leaseUntil = max(n.leaseUntil, sentAt+time.Hour)", Text: unheard},
 	{Name: "a gateway is idle while work is out at what it holds", File: "gateway/drain.go", Old: "if !a.ended && (stores", New: "if false && (stores", Text: slowStores},
 	{Name: "a start forgets what was granted", File: "internal/clusternode/host.go", Old: "if nc.View, err = readFile(dir, viewFile, h.cfg.Key); err == nil && nc.View != nil {", New: "nc.View = []byte(\"{}\")\n\tif nc.View != nil {", Text: forgetful},
 }
