--- a/lab/faultinjection/mutants.go
+++ b/lab/faultinjection/mutants.go
@@ -53,11 +53,11 @@
 // Mutants are the rules whose loss the plots must find. That one upper cache has to stay is not among them: the share of a zone
 // and the load of the upper caches hold it by themselves.
 var Mutants = []Mutant{
-	{Name: "a drain begins though a gateway has not heard of the grant", File: "maintenance/order.go", Old: "if g.NotifiedEpoch < r.GrantEpoch {", New: "if false && g.NotifiedEpoch < r.GrantEpoch {", Text: cutBefore},
-	{Name: "a machine is called out though a gateway has not stopped", File: "maintenance/order.go", Old: "} else if !span.LeasesExpired {", New: "} else if false {", Text: slowStores},
-	{Name: "what is held is sent to all the same", File: "maintenance/maintenance.go", Old: "held[r.Machine] = true\n\t\t}\n\t}\n\treturn held", New: "_ = held\n\t\t}\n\t}\n\treturn held", Text: crowded},
-	{Name: "any number is out at once", File: "maintenance/order.go", Old: "if out >= b.MaxOut {", New: "if false {", Text: crowded},
-	{Name: "any share of a zone is out", File: "maintenance/order.go", Old: "if gone > 0 && gone+1 >", New: "if false && gone+1 >", Text: crowded},
+	{Name: "a drain begins though a gateway has not heard of the grant", File: "maintenance/advance.go", Old: "if g.NotifiedEpoch < grantEpoch {", New: "if false && g.NotifiedEpoch < grantEpoch {", Text: cutBefore},
+	{Name: "a machine is called out though a gateway has not stopped", File: "maintenance/advance.go", Old: "} else if !elapsed.LeasesExpired && !s.allStopped(r.DrainEpoch) {", New: "} else if false {", Text: slowStores},
+	{Name: "what is held is sent to all the same", File: "maintenance/state.go", Old: "excluded[r.Machine] = true\n\t\t}\n\t}\n\treturn excluded", New: "_ = excluded\n\t\t}\n\t}\n\treturn excluded", Text: crowded},
+	{Name: "any number is out at once", File: "maintenance/budget.go", Old: "if out >= l.MaxOut {", New: "if false {", Text: crowded},
+	{Name: "any share of a zone is out", File: "maintenance/budget.go", Old: "if g.unavailable > 0 && g.unavailable+1 >", New: "if false && g.unavailable+1 >", Text: crowded},
 	{Name: "half of the voters are a majority", File: "consensus/proposer.go", Old: "return n > len(v.cfg.Voters)/2", New: "return n >= len(v.cfg.Voters)/2", Text: parting},
 	{Name: "a lease never runs out", File: "cluster/lease.go", Old: "n.leaseUntil = max(n.leaseUntil, sentAt+n.cfg.Limits.Lease)", New: "n.leaseUntil = max(n.leaseUntil, sentAt+time.Hour)", Text: unheard},
 	{Name: "a gateway is idle while work is out at what it holds", File: "gateway/drain.go", Old: "if !a.ended && (stores", New: "if false && (stores", Text: slowStores},
--- a/maintenance/maintenance_test.go
+++ b/maintenance/maintenance_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-func bounds(t interface{ Fatal(...any) }) Limits {
+func limits(t interface{ Fatal(...any) }) Limits {
 	b := Limits{DrainGrace: time.Second, SlowStart: 10 * time.Second}
 	if err := b.Check(); err != nil {
 		t.Fatal(err)
@@ -72,26 +72,27 @@
 	return r.do(Command{Actor: "x", Request: a})
 }
 
-func (r *rig) stage(machine string) Stage {
+// stage is that of the latest request for b00.
+func (r *rig) stage() Stage {
 	for _, q := range slices.Backward(r.state().Requests) {
-		if q.Machine == machine {
+		if q.Machine == "b00" {
 			return q.Stage
 		}
 	}
 	return ""
 }
 
-// fill has all machines of a kind report a load.
-func fill(o *Observations, kind string, busy float64) {
+// setParentLoad has all upper caches report a utilization.
+func setParentLoad(o *Observations, utilization float64) {
 	for n, m := range o.Machines {
-		if m.Utilization = busy; m.Kind == kind {
+		if m.Utilization = utilization; m.Kind == KindParent {
 			o.Machines[n] = m
 		}
 	}
 }
 
-// each bound by itself holds a machine back, and says so.
-func TestEachBoundHoldsBack(t *testing.T) {
+// Each limit by itself blocks a request, and says so.
+func TestEachLimitBlocks(t *testing.T) {
 	for _, c := range []struct {
 		name, machine string
 		change        func(*Observations)
@@ -120,10 +121,10 @@
 		{"two have to stay", "p0", nil, func(b *Limits) { b.MinWarmParents = 2 }, nil, "1 warm upper caches would stay"},
 		{"the other gateway", "g00", nil, func(b *Limits) { b.MaxZoneShareOut = 0.99 }, []string{"g01"}, "no other gateway"},
 		{"a gateway", "g00", nil, nil, nil, ""},
-		{"upper caches at their load", "p0", func(o *Observations) { fill(o, KindParent, 0.44) }, func(b *Limits) { b.MaxZoneShareOut = 0.99 }, nil, "the load of the upper caches, 17.6"},
-		{"a box would come back empty before them", "b00", func(o *Observations) { fill(o, KindParent, 0.9) }, nil, nil, "the load of the upper caches, 36.0"},
-		{"one of them is out already", "b00", func(o *Observations) { fill(o, KindParent, 0.44) }, nil, []string{"p1"}, "the load of the upper caches"},
-		{"they tell nothing", "b00", func(o *Observations) { fill(o, KindParent, -1) }, nil, nil, ""},
+		{"upper caches at their load", "p0", func(o *Observations) { setParentLoad(o, 0.44) }, func(b *Limits) { b.MaxZoneShareOut = 0.99 }, nil, "the load of the upper caches, 17.6"},
+		{"a box would come back empty before them", "b00", func(o *Observations) { setParentLoad(o, 0.9) }, nil, nil, "the load of the upper caches, 36.0"},
+		{"one of them is out already", "b00", func(o *Observations) { setParentLoad(o, 0.44) }, nil, []string{"p1"}, "the load of the upper caches"},
+		{"they tell nothing", "b00", func(o *Observations) { setParentLoad(o, -1) }, nil, nil, ""},
 		{"a zone is away", "p0", func(o *Observations) {
 			for _, n := range []string{"b10", "b11", "b12", "b13"} {
 				m := o.Machines[n]
@@ -132,7 +133,7 @@
 			}
 		}, nil, nil, "zone z1 is away"},
 	} {
-		b := bounds(t)
+		b := limits(t)
 		if c.more != nil {
 			c.more(&b)
 		}
@@ -156,15 +157,15 @@
 	}
 }
 
-// A request goes its way only as every gateway takes part, and what is lost on the way is made good.
+// A request moves on only once every gateway has reported, and what is lost on the way is repeated.
 func TestStagesWaitForEveryGateway(t *testing.T) {
-	r := &rig{t: t, b: bounds(t)}
+	r := &rig{t: t, b: limits(t)}
 	o := observed()
 	step := func(spans ...ElapsedLimits) { o.Elapsed = spans; r.do(Command{Actor: "x", Advance: o}) }
 	want := func(s Stage) {
 		t.Helper()
 		step()
-		if got := r.stage("b00"); got != s {
+		if got := r.stage(); got != s {
 			t.Fatalf("it is %s, want %s", got, s)
 		}
 	}
@@ -178,10 +179,10 @@
 	r.do(Command{Notified: &GatewayUpdate{Name: "g1", Incarnation: 1, NotifiedEpoch: 1}})
 	want(Granted)
 	if got := r.do(Command{Notified: &GatewayUpdate{Name: "g2", Incarnation: 77, NotifiedEpoch: 1}}); got.Rejected == "" {
-		t.Error("another life's word is taken")
+		t.Error("the report of another incarnation is taken")
 	}
 	if got := r.do(Command{Notified: &GatewayUpdate{Name: "g2", Incarnation: 2, NotifiedEpoch: 99}}); got.Rejected == "" {
-		t.Error("a word of what has not been is taken")
+		t.Error("a report of a later epoch is taken")
 	}
 	// g2 starts anew with a view that it had stored before the grant: it has not heard of it.
 	r.do(Command{Join: &GatewayUpdate{Name: "g2", Incarnation: 3, NotifiedEpoch: 0}})
@@ -193,7 +194,7 @@
 	step(ElapsedLimits{ID: 1, Stage: Draining, Epoch: 99, LeasesExpired: true}) // of another grant
 	want(Draining)
 	step(ElapsedLimits{ID: 1, Stage: Draining, Epoch: 1, LeasesExpired: true}) // all leases have run out
-	if r.stage("b00") != OutOfService {
+	if r.stage() != OutOfService {
 		t.Fatal("it is not out though all leases have run out")
 	}
 	if got := r.do(Command{Withdraw: &Target{Name: "b00"}}); got.Rejected == "" {
@@ -218,9 +219,9 @@
 	}
 }
 
-// What has not begun is taken back when a box crashes meanwhile, and granted again when there is room.
+// A grant is taken back when boxes crash before the machine is out, and given again once there is capacity.
 func TestAGrantIsTakenBack(t *testing.T) {
-	r := &rig{t: t, b: bounds(t)}
+	r := &rig{t: t, b: limits(t)}
 	r.do(Command{Join: &GatewayUpdate{Name: "g1", Incarnation: 1, NoView: true}})
 	r.ask("b00", nil)
 	o := observed()
@@ -232,7 +233,7 @@
 		bad.Machines[n] = m
 	}
 	r.do(Command{Advance: bad})
-	if got := r.stage("b00"); got != Requested {
+	if got := r.stage(); got != Requested {
 		t.Fatalf("two boxes crashed, and it is %s", got)
 	}
 	r.do(Command{Advance: o})
@@ -241,9 +242,9 @@
 	}
 }
 
-// An early request that can't go is passed by so many later ones of its group at most; then its group waits for it.
-func TestNobodyIsPassedForEver(t *testing.T) {
-	r := &rig{t: t, b: bounds(t)}
+// A request that can not go is overtaken by so many later ones of its group at most; then its group waits for it.
+func TestNoRequestIsOvertakenForEver(t *testing.T) {
+	r := &rig{t: t, b: limits(t)}
 	r.b.MaxTimesOvertaken, r.b.MaxOut = 3, 1
 	r.do(Command{Join: &GatewayUpdate{Name: "g1", Incarnation: 1, NoView: true}})
 	o := observed()
@@ -270,12 +271,12 @@
 	big.Utilization = 0.05
 	o.Machines["b00"] = big
 	r.do(Command{Advance: o})
-	if got := r.stage("b00"); got != Granted {
+	if got := r.stage(); got != Granted {
 		t.Errorf("there is room for it, and it is %s", got)
 	}
 }
 
-func TestOrdersAreRefusedByName(t *testing.T) {
+func TestRejectionsNameTheField(t *testing.T) {
 	for _, c := range []struct {
 		want   string
 		change func(*RequestOrder)
@@ -286,13 +287,13 @@
 		{"after: 17", func(a *RequestOrder) { a.After = make([]string, 17) }},
 		{"a name over", func(a *RequestOrder) { a.Machine = strings.Repeat("m", 65) }},
 	} {
-		r := &rig{t: t, b: bounds(t)}
+		r := &rig{t: t, b: limits(t)}
 		r.ask("b01", func(a *RequestOrder) { a.After = []string{"b00"} })
 		if got := r.ask("b00", c.change); !strings.Contains(got.Rejected, c.want) || len(r.state().Requests) != 1 {
 			t.Errorf("%q, want %q", got.Rejected, c.want)
 		}
 	}
-	r := &rig{t: t, b: bounds(t)}
+	r := &rig{t: t, b: limits(t)}
 	r.ask("b00", nil)
 	if got := r.ask("b00", func(a *RequestOrder) { a.Key = "other" }); !strings.Contains(got.Rejected, "open request") || got.ID != 1 {
 		t.Errorf("a second request for a machine: %+v", got)
@@ -307,8 +308,8 @@
 	}
 }
 
-func TestPlanSaysWavesAndBounds(t *testing.T) {
-	r := &rig{t: t, b: bounds(t)}
+func TestPlanNamesWavesAndLimits(t *testing.T) {
+	r := &rig{t: t, b: limits(t)}
 	for _, m := range []string{"p0", "p1", "b00", "b01", "b02"} {
 		r.ask(m, func(a *RequestOrder) {
 			if m == "b00" {
@@ -327,85 +328,105 @@
 	}
 }
 
-// Whatever commands and observations come, in whatever order: no more machines are away than may be, none twice, the upper
+// Whatever commands and observations come, in whatever order: no more machines are out than may be, none twice, the upper
 // caches never all; a command that comes twice changes nothing more; and a state is read as it was written.
-func TestNothingGoesBeyondTheBounds(t *testing.T) {
+func TestNothingGoesBeyondTheLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := bounds(t)
+		l := limits(t)
 		value := []byte(nil)
-		names := []string{"b00", "b01", "b02", "b03", "b10", "p0", "p1", "g00", "g01"}
 		epoch := uint64(0)
 		for i := range rapid.IntRange(1, 60).Draw(t, "commands") {
-			o := observed()
-			for _, n := range names {
-				if rapid.IntRange(0, 9).Draw(t, "ill") == 0 {
-					m := o.Machines[n]
-					m.Up, m.Warm, m.BootMs = rapid.Bool().Draw(t, "up"), rapid.Bool().Draw(t, "warm"), int64(i)
-					o.Machines[n] = m
-				}
-			}
-			name, gw := rapid.SampledFrom(names).Draw(t, "name"), rapid.SampledFrom([]string{"g00", "g01"}).Draw(t, "gateway")
-			var c Command
-			switch rapid.IntRange(0, 9).Draw(t, "kind") {
-			case 0, 1:
-				m := o.Machines[name]
-				c.Request = &RequestOrder{Key: fmt.Sprint(i), Machine: name, DurationMs: 1000, Kind: m.Kind, Zone: m.Zone}
-			case 2:
-				c.Withdraw = &Target{Name: name}
-			case 3:
-				c.Finish = &Target{Name: name}
-			case 4:
-				c.Join = &GatewayUpdate{Name: gw, Incarnation: uint64(i + 1), NoView: rapid.Bool().Draw(t, "blank"), NotifiedEpoch: epoch}
-			case 5, 6:
-				s, _ := Decode(value)
-				c.Notified = &GatewayUpdate{Name: gw, Incarnation: s.Gateways[gw].Incarnation, NotifiedEpoch: epoch, StoppedEpoch: epoch}
-			default:
-				c.Advance = o
-				s, _ := Decode(value)
-				for _, r := range s.Requests {
-					o.Elapsed = append(o.Elapsed, ElapsedLimits{ID: r.ID, Stage: r.Stage, Epoch: r.GrantEpoch, LeasesExpired: rapid.Bool().Draw(t, "lapsed"), SlowStartOver: rapid.Bool().Draw(t, "ramped")})
-				}
+			before, err := Decode(value)
+			if err != nil {
+				t.Fatal(err)
 			}
-			in, _ := json.Marshal(c)
-			next, _ := Apply(b)(value, in)
-			s, err := Decode(next)
+			c := drawCommand(t, i, epoch, before)
+			command := mustMarshal(c)
+			next, _ := Apply(l)(value, command)
+			after, err := Decode(next)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if string(s.Encode()) != string(next) && len(next) > 0 {
-				t.Fatalf("%s is read as %s", next, s.Encode())
+			if string(after.Encode()) != string(next) && len(next) > 0 {
+				t.Fatalf("%s is read as %s", next, after.Encode())
 			}
-			if c.Advance == nil {
-				if again, _ := Apply(b)(next, in); string(again) != string(next) && c.Finish == nil {
-					t.Fatalf("a second %s changed %s to %s", in, next, again)
+			if c.Advance == nil && c.Finish == nil {
+				if again, _ := Apply(l)(next, command); string(again) != string(next) {
+					t.Fatalf("a second %s changed %s to %s", command, next, again)
 				}
 			}
-			was, _ := Decode(value)
-			away, parents, seen := 0, 0, map[string]bool{}
-			for _, r := range s.Requests {
-				if r.Stage.Ended() || r.Stage == Requested {
-					continue
-				}
-				if seen[r.Machine] {
-					t.Fatalf("%s is away twice", r.Machine)
-				}
-				seen[r.Machine] = true
-				away++
-				if r.Kind == KindParent {
-					parents++
-				}
-				if r.Stage == Draining {
-					for name, g := range s.Gateways {
-						if before := was.Gateways[name]; g.NotifiedEpoch < r.GrantEpoch && before.Incarnation == g.Incarnation {
-							t.Fatalf("%s drains, and %s has not heard of its grant", r.Machine, name)
-						}
-					}
-				}
-			}
-			if away > b.MaxOut || parents > 1 {
-				t.Fatalf("%d are away, %d upper caches", away, parents)
-			}
-			value, epoch = next, s.Epoch
+			checkOut(t, after, l)
+			checkNotified(t, before, after)
+			value, epoch = next, after.Epoch
 		}
 	})
 }
+
+// drawCommand draws a command, by number i, after drawing faults of the machines that it may report.
+func drawCommand(t *rapid.T, i int, epoch uint64, s *State) (c Command) {
+	names := []string{"b00", "b01", "b02", "b03", "b10", "p0", "p1", "g00", "g01"}
+	o := observed()
+	for _, n := range names {
+		if rapid.IntRange(0, 9).Draw(t, "faulty") == 0 {
+			m := o.Machines[n]
+			m.Up, m.Warm, m.BootMs = rapid.Bool().Draw(t, "up"), rapid.Bool().Draw(t, "warm"), int64(i)
+			o.Machines[n] = m
+		}
+	}
+	name, gw := rapid.SampledFrom(names).Draw(t, "name"), rapid.SampledFrom([]string{"g00", "g01"}).Draw(t, "gateway")
+	switch rapid.IntRange(0, 9).Draw(t, "kind") {
+	case 0, 1:
+		m := o.Machines[name]
+		c.Request = &RequestOrder{Key: fmt.Sprint(i), Machine: name, DurationMs: 1000, Kind: m.Kind, Zone: m.Zone}
+	case 2:
+		c.Withdraw = &Target{Name: name}
+	case 3:
+		c.Finish = &Target{Name: name}
+	case 4:
+		c.Join = &GatewayUpdate{Name: gw, Incarnation: uint64(i + 1), NoView: rapid.Bool().Draw(t, "no view"), NotifiedEpoch: epoch}
+	case 5, 6:
+		c.Notified = &GatewayUpdate{Name: gw, Incarnation: s.Gateways[gw].Incarnation, NotifiedEpoch: epoch, StoppedEpoch: epoch}
+	default:
+		c.Advance = o
+		for _, r := range s.Requests {
+			o.Elapsed = append(o.Elapsed, ElapsedLimits{ID: r.ID, Stage: r.Stage, Epoch: r.GrantEpoch,
+				LeasesExpired: rapid.Bool().Draw(t, "leases expired"), SlowStartOver: rapid.Bool().Draw(t, "slow start over")})
+		}
+	}
+	return c
+}
+
+// checkOut checks that no machine is out twice, no more are out than may be, and one upper cache remains.
+func checkOut(t *rapid.T, s *State, l Limits) {
+	out, parents, seen := 0, 0, map[string]bool{}
+	for _, r := range s.Requests {
+		if r.Stage.Ended() || r.Stage == Requested {
+			continue
+		}
+		if seen[r.Machine] {
+			t.Fatalf("%s is out twice", r.Machine)
+		}
+		seen[r.Machine] = true
+		out++
+		if r.Kind == KindParent {
+			parents++
+		}
+	}
+	if out > l.MaxOut || parents > 1 {
+		t.Fatalf("%d are out, %d upper caches", out, parents)
+	}
+}
+
+// checkNotified checks that no machine drains while a gateway does not know of its grant, but for one that has just started.
+func checkNotified(t *rapid.T, before, after *State) {
+	for _, r := range after.Requests {
+		if r.Stage != Draining {
+			continue
+		}
+		for name, g := range after.Gateways {
+			if g.NotifiedEpoch < r.GrantEpoch && before.Gateways[name].Incarnation == g.Incarnation {
+				t.Fatalf("%s drains, and %s does not know of its grant", r.Machine, name)
+			}
+		}
+	}
+}
