--- a/internal/clusternode/host.go
+++ b/internal/clusternode/host.go
@@ -35,7 +35,7 @@
 
 // Node is a running part. It lives on the loop.
 type Node struct {
-	cfg       *config.Fleet
+	cfg       *config.Cluster
 	loop      *gateway.Loop
 	gateway   *gateway.Gateway
 	log       logrus.FieldLogger
@@ -60,7 +60,7 @@
 }
 
 // Start starts the part of a gateway. Zone is its own. The gateway must ask Permit before it writes.
-func Start(cfg *config.Fleet, set routing.Settings, gw *gateway.Gateway, loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger) (*Node, error) {
+func Start(cfg *config.Cluster, set routing.Settings, gw *gateway.Gateway, loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger) (*Node, error) {
 	h := &Node{cfg: cfg, loop: loop, gateway: gw, log: log.WithField("fleet", cfg.Name), zone: set.Zone, purgeSettleTime: set.PurgeSettleTime, started: time.Now().Add(-time.Second)}
 	bounds := cfg.Bounds
 	longest := time.Duration(0)
@@ -126,7 +126,7 @@
 		}
 		maps.Copy(all, h.replication.draining)
 	}
-	h.gateway.Hold(all)
+	h.gateway.DrainEndpoints(all)
 }
 
 // newIncarnation is a number that no start before had.
@@ -219,14 +219,14 @@
 
 // report is what this gateway has seen of stores, and of itself.
 func (h *Node) report() cluster.Report {
-	stores, strain := h.gateway.Observed()
+	stores, strain := h.gateway.ObservedEndpoints()
 	r := cluster.Report{Pressure: strain, Machines: map[string]maintenance.Machine{}}
 	for _, s := range stores {
 		if s.Kind == "origin" {
 			continue
 		}
 		m := maintenance.Machine{Kind: s.Kind, Zone: s.Zone, Up: s.Up, Warm: s.Warm, Weight: s.Weight, Utilization: s.Utilization}
-		if at := h.gateway.StartedAt(s.Incarnation); !at.IsZero() {
+		if at := h.gateway.IncarnationTime(s.Incarnation); !at.IsZero() {
 			m.BootMs = at.UnixMilli()
 		}
 		r.Machines[s.ID] = m
@@ -237,7 +237,7 @@
 
 // reportDrained tells the node once nothing is out at what is held.
 func (h *Node) reportDrained() {
-	if h.draining.Generation > 0 && h.gateway.Quiet(h.draining.Machines) {
+	if h.draining.Generation > 0 && h.gateway.NoAttemptsAt(h.draining.Machines) {
 		h.handle(cluster.Drained{Generation: h.draining.Generation})
 	}
 }
--- a/internal/clusternode/share.go
+++ b/internal/clusternode/share.go
@@ -31,7 +31,7 @@
 }
 
 func (h *Node) startReplication() error {
-	r := h.cfg.Replicate
+	r := h.cfg.Replication
 	if r == nil {
 		return nil
 	}
@@ -61,13 +61,13 @@
 		case replication.SafetySlotsLearned:
 			for _, x := range a.Slots {
 				if x.Kind == replication.Purge { // at once: the own journal may be late
-					s.owner.gateway.Told(x.Key, s.sharer.Purged(s.owner.now(), s.owner.gateway.Clock(s.owner.loop.Now()), x.Key, x.SeenBefore))
+					s.owner.gateway.ApplyPeerPurge(x.Key, s.sharer.PurgeAge(s.owner.now(), s.owner.gateway.DirectorTime(s.owner.loop.Now()), x.Key, x.SeenBefore))
 				}
 			}
 			s.updateDrains()
 		case replication.CaughtUp:
 			s.caughtUp = &a
-			u := s.owner.gateway.Remember(s.sharer.Gather(s.owner.now(), s.owner.gateway.Clock(s.owner.loop.Now()), s.owner.gateway.Listed()))
+			u := s.owner.gateway.ImportLearned(s.sharer.Collect(s.owner.now(), s.owner.gateway.DirectorTime(s.owner.loop.Now()), s.owner.gateway.ListedEndpoints()))
 			s.owner.log.WithField("from", a.From).Infof("caught up after %v: %d listings, %d stores and %d purges used of %d slots", a.Took.Round(time.Millisecond), u.Listings, u.Endpoints,
 				u.Purges, s.node.Len())
 		}
@@ -78,11 +78,11 @@
 func (s *replicator) tick() {
 	s.handle(replication.Tick{})
 	// What the journal told is told on at once; what is learned by itself, now and then.
-	if now, news := s.owner.loop.Now(), s.owner.gateway.News(); now.Sub(s.publishedAt) >= publishInterval || news != s.seenEvents {
+	if now, news := s.owner.loop.Now(), s.owner.gateway.WatchEvents(); now.Sub(s.publishedAt) >= publishInterval || news != s.seenEvents {
 		s.publishedAt, s.seenEvents = now, news
 		began := time.Now()
-		for _, m := range s.owner.gateway.Learned(s.owner.cfg.Replicate.Listings)[:1] { // of the own zone
-			s.sharer.Publish(s.owner.now(), m, s.owner.gateway.Listed())
+		for _, m := range s.owner.gateway.ExportLearned(s.owner.cfg.Replication.Listings)[:1] { // of the own zone
+			s.sharer.Publish(s.owner.now(), m, s.owner.gateway.ListedEndpoints())
 		}
 		s.updateDrains()
 		s.slowest = max(s.slowest, time.Since(began))
@@ -91,7 +91,7 @@
 
 // updateDrains has stores drained that a neighbour was told drain, beside those that are out for work.
 func (s *replicator) updateDrains() {
-	held := s.sharer.Holds(s.owner.now(), s.owner.gateway.Listed())
+	held := s.sharer.HeldEndpoints(s.owner.now(), s.owner.gateway.ListedEndpoints())
 	if maps.Equal(held, s.draining) {
 		return
 	}
--- a/locality/settings.go
+++ b/locality/settings.go
@@ -7,12 +7,12 @@
 	"larchusher/routing"
 )
 
-// Settings are what the director of a locality goes by, of a gateway that has one for each: base is that of the own one.
+// DirectorSettings are what the director of a locality goes by, of a gateway that has one for each: base is that of the own one.
 //
 // Every gateway of the installation may send to every locality, and has as many directors that use the same upper caches.
 // A director spends on a cold server by what warm ones of its size do for it, which adds up to what they can do however
 // many directors there are; but each has a floor, and floors are shared out by the number of directors.
-func Settings(base routing.Settings, localities []Locality, where int) (routing.Settings, error) {
+func DirectorSettings(base routing.Settings, localities []Locality, where int) (routing.Settings, error) {
 	s, l := base, localities[where]
 	if !slices.Contains(s.Zones, l.Name) {
 		return s, fmt.Errorf("tiers: Localities[%d].Name: %q is none of the zones, which are %q", where, l.Name, s.Zones)
@@ -29,86 +29,86 @@
 	return s, nil
 }
 
-// Judge says what an attempt's end tells of its locality. cache: it went to a cache there, and not past them, which
+// ClassifyResult says what an attempt's end tells of its locality. cache: it went to a cache there, and not past them, which
 // speaks against a locality that has caches. late: its answer came after its aim. along: another attempt's answer broke
 // the connection that they shared.
-func Judge(s routing.Status, cache, late, along bool) (r Result) {
+func ClassifyResult(s routing.Status, cache, late, along bool) (r Result) {
 	switch s {
 	case routing.OK:
-		if r = Good; late {
-			r = Late
+		if r = ResultSuccess; late {
+			r = ResultLate
 		}
 	case routing.ServerError, routing.TimedOut, routing.ConnectFailed, routing.Reset:
-		if r = Bad; along {
-			r = None
+		if r = ResultFailure; along {
+			r = ResultNeutral
 		}
 	case routing.Rejected:
-		r = Turned
+		r = ResultRejected
 	default:
-		r = None
+		r = ResultNeutral
 	}
-	if !cache && r != None {
-		r = Bad
+	if !cache && r != ResultNeutral {
+		r = ResultFailure
 	}
 	return r
 }
 
-// Roster tells from lists of servers how many caches each locality has.
-type Roster struct {
-	places map[string]int // locality by zone
-	cache  func(kind string) bool
-	all    map[string]entry
-	up     []int
+// EndpointIndex tells from lists of servers how many caches each locality has.
+type EndpointIndex struct {
+	localities  map[string]int // locality by zone
+	isCacheKind func(kind string) bool
+	endpoints   map[string]indexedEndpoint
+	cachesUp    []int
 }
 
-type entry struct {
+type indexedEndpoint struct {
 	where int // -1: no locality of ours
 	cache bool
 	up    bool
 }
 
-// NewRoster returns an empty one.
-func NewRoster(s routing.Settings, localities []Locality) *Roster {
-	r := &Roster{places: map[string]int{}, all: map[string]entry{}, up: make([]int, len(localities)), cache: func(kind string) bool {
+// NewEndpointIndex returns an empty one.
+func NewEndpointIndex(s routing.Settings, localities []Locality) *EndpointIndex {
+	r := &EndpointIndex{localities: map[string]int{}, endpoints: map[string]indexedEndpoint{}, cachesUp: make([]int, len(localities)), isCacheKind: func(kind string) bool {
 		k := slices.Index(s.Kinds, kind)
 		return k < 0 || k != s.OriginKind && k != s.ParentKind
 	}}
 	for i, l := range localities {
-		r.places[l.Name] = i
+		r.localities[l.Name] = i
 	}
 	return r
 }
 
-// Take takes a list in, and returns how many caches are up, by locality. It is the roster's own.
-func (r *Roster) Take(m routing.EndpointUpdate) []int {
+// Update takes a list in, and returns how many caches are up, by locality. It is the roster's own.
+func (r *EndpointIndex) Update(m routing.EndpointUpdate) []int {
 	if m.Kind == routing.WatchLost {
-		return r.up
+		return r.cachesUp
 	}
 	if m.Kind != routing.DeltaList {
-		clear(r.all)
+		clear(r.endpoints)
 	}
 	for _, e := range m.Endpoints {
 		if e.Phase == routing.Removed {
-			delete(r.all, e.ID)
+			delete(r.endpoints, e.ID)
 			continue
 		}
-		where, ok := r.places[e.Zone]
+		where, ok := r.localities[e.Zone]
 		if !ok {
 			where = -1
 		}
-		r.all[e.ID] = entry{where: where, cache: r.cache(e.Kind), up: e.Phase == routing.Up}
+		r.endpoints[e.ID] = indexedEndpoint{where: where, cache: r.isCacheKind(e.Kind), up: e.Phase == routing.Up}
 	}
-	clear(r.up)
-	for _, e := range r.all {
+	clear(r.cachesUp)
+	for _, e := range r.endpoints {
 		if e.up && e.cache && e.where >= 0 {
-			r.up[e.where]++
+			r.cachesUp[e.where]++
 		}
 	}
-	return r.up
+	return r.cachesUp
 }
 
-// Cache says whether a server is a cache of a locality, and not one behind it.
-func (r *Roster) Cache(id string, where int) bool {
-	e, ok := r.all[id]
+// IsCache says whether a server is a cache of a locality, and not one behind it.
+func (r *EndpointIndex) IsCache(id string, where int) bool {
+	e, ok := r.endpoints[id]
 	return ok && e.cache && e.where == where
 }
--- /dev/null
+++ b/overload/bands.go
@@ -0,0 +1,81 @@
+package overload
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+)
+
+// Order ranks requests into bands: by priority weight for each unit of cost, and within a class first attempts and clients'
+// retries next to each other. Band 0 is served first and shed last. An Order doesn't change.
+type Order struct {
+	ranks        map[string]int // by class name: 0 for the class served first
+	names        []string       // by rank
+	costs        []float64      // by rank
+	repeatsFirst bool
+}
+
+// NewOrder ranks classes. Those of equal weight for their cost keep the order in which they are given.
+func NewOrder(classes []Class, repeatsFirst bool) *Order {
+	ranked := slices.Clone(classes)
+	slices.SortStableFunc(ranked, func(a, b Class) int {
+		return cmp.Compare(b.PriorityWeight/cmp.Or(b.Cost, 1), a.PriorityWeight/cmp.Or(a.Cost, 1))
+	})
+	o := &Order{ranks: map[string]int{}, repeatsFirst: repeatsFirst}
+	for i, c := range ranked {
+		o.ranks[c.Name] = i
+		o.names = append(o.names, c.Name)
+		o.costs = append(o.costs, cmp.Or(c.Cost, 1))
+	}
+	return o
+}
+
+// Bands returns the number of bands: two for each class, and a last one for requests of unknown classes.
+func (o *Order) Bands() int { return 2*len(o.names) + 1 }
+
+// Band returns the band of a request.
+func (o *Order) Band(class string, repeat bool) int {
+	rank, ok := o.ranks[class]
+	return o.band(rank, ok, repeat)
+}
+
+// BandOf is [Order.Band] for a class name in a buffer. It allocates nothing.
+func (o *Order) BandOf(class []byte, repeat bool) int {
+	rank, ok := o.ranks[string(class)]
+	return o.band(rank, ok, repeat)
+}
+
+func (o *Order) band(rank int, known, repeat bool) int {
+	if !known {
+		return 2 * len(o.names)
+	}
+	if repeat != o.repeatsFirst {
+		return 2*rank + 1
+	}
+	return 2 * rank
+}
+
+// Cost returns the cost of one request of a band.
+func (o *Order) Cost(band int) float64 {
+	if band/2 >= len(o.costs) {
+		return 1
+	}
+	return o.costs[band/2]
+}
+
+// Name returns the name of a band, as counters have it: its class, followed by "+repeat" for clients' retries.
+func (o *Order) Name(band int) string {
+	if band/2 >= len(o.names) {
+		return "unknown"
+	}
+	if (band%2 == 1) != o.repeatsFirst {
+		return o.names[band/2] + repeatSuffix
+	}
+	return o.names[band/2]
+}
+
+// repeatSuffix ends the names of bands for clients' retries.
+const repeatSuffix = "+repeat"
+
+// ClassOf returns the class in a band's name.
+func ClassOf(band string) string { return strings.TrimSuffix(band, repeatSuffix) }
