--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -2,9 +2,11 @@
 
 import (
 	"errors"
+	"io"
 	"net"
 	"os"
 	"path/filepath"
+	"syscall"
 	"testing"
 	"time"
 )
@@ -32,73 +34,104 @@
 	}
 }
 
-// The state goes over, the successor hears of the end of the former process, and takes its place: the next one may come.
-func TestStateGoesOver(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), "gateway")
-	first := join(t, dir)
-	if first.IsSuccessor() || first.HasSuccessor() {
-		t.Error("one that is alone has company")
-	}
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+// listening is a TCP socket that listens, its address and its raw connection.
+func listening(t *testing.T) (*net.TCPListener, string, syscall.RawConn) {
+	t.Helper()
+	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, err := listener.(*net.TCPListener).SyscallConn()
+	raw, err := l.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := listener.Addr().String()
-	first.Watch(func(answer AnswerFunc) {
-		link, err := answer([]byte("all that is known"), []Socket{{addr, raw}, {"again", raw}})
-		if err != nil {
-			t.Error(err)
-			return
-		}
-		pieces := []BufferedInput{{Data: []byte("half"), Age: time.Second}, {Data: []byte("rest")}}
-		_ = raw.Control(func(fd uintptr) { err = link.Migrate("where", pieces, int(fd)) })
-		if err != nil {
-			t.Error(err)
-		}
-		if err := link.Migrate("too long", []BufferedInput{{Data: make([]byte, maxPacketBytes)}}, 0); err == nil {
-			t.Error("a packet that is too long goes over")
-		}
-		link.Close()
-	}, func() {})
-	second := join(t, dir)
-	if !second.IsSuccessor() || second.HasSuccessor() || !first.HasSuccessor() {
-		t.Error("who takes over from whom?")
-	}
-	queued, err := net.Dial("tcp", addr)
+	return l.(*net.TCPListener), l.Addr().String(), raw
+}
+
+// closeLater closes something at the end of a test.
+func closeLater(t *testing.T, what io.Closer) {
+	t.Cleanup(func() { _ = what.Close() }) // nothing is written to it
+}
+
+// answerWith answers a successor with a state, the socket at an address twice, and a connection with two inputs.
+func answerWith(t *testing.T, answer AnswerFunc, addr string, raw syscall.RawConn) {
+	link, err := answer([]byte("all that is known"), []Socket{{addr, raw}, {"again", raw}})
 	if err != nil {
-		t.Fatal(err)
+		t.Error(err)
+		return
+	}
+	inputs := []BufferedInput{{Data: []byte("half"), Age: time.Second}, {Data: []byte("rest")}}
+	if controlErr := raw.Control(func(fd uintptr) { err = link.Migrate("where", inputs, int(fd)) }); controlErr != nil || err != nil {
+		t.Error(controlErr, err)
+	}
+	if err := link.Migrate("too long", []BufferedInput{{Data: make([]byte, maxPacketBytes)}}, 0); err == nil {
+		t.Error("a packet that is too long goes over")
 	}
-	defer queued.Close()
-	handed, err := second.RequestHandover(patience)
-	if err != nil || string(handed.State) != "all that is known" || handed.SocketsErr != nil || len(handed.Sockets) != 2 {
-		t.Fatalf("%+v, %v", handed, err)
+	link.Close()
+}
+
+// checkHandover checks that what answerWith has sent has come.
+func checkHandover(t *testing.T, h Handover) {
+	t.Helper()
+	if string(h.State) != "all that is known" || h.SocketsErr != nil || len(h.Sockets) != 2 {
+		t.Fatalf("%+v", h)
 	}
-	moved, err := handed.Connections.Next()
+	moved, err := h.Connections.Next()
 	if err != nil || moved.Addr != "where" || len(moved.Inputs) != 2 || string(moved.Inputs[0].Data) != "half" ||
 		moved.Inputs[0].Age != time.Second || string(moved.Inputs[1].Data) != "rest" {
-		t.Errorf("%+v, %v", moved, err)
+		t.Fatalf("%+v, %v", moved, err)
 	}
-	moved.File.Close()
-	if _, err := handed.Connections.Next(); err == nil {
+	closeLater(t, moved.File)
+	if _, err := h.Connections.Next(); err == nil {
 		t.Error("the link has no end")
 	}
-	// What waits to be accepted is not reset with the former process's socket.
-	listener.Close()
+}
+
+// checkSockets has a successor ask for the state and the sockets of the process that answers with answerWith. What waits to be
+// accepted is not reset with the former process's socket.
+func checkSockets(t *testing.T, successor *Process, listener *net.TCPListener) {
+	t.Helper()
+	addr := listener.Addr().String()
+	queued, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeLater(t, queued)
+	handed, err := successor.RequestHandover(patience)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkHandover(t, handed)
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
+	}
 	over, err := net.FileListener(handed.Sockets[addr])
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer over.Close()
+	closeLater(t, over)
 	if conn, err := over.Accept(); err != nil || conn.RemoteAddr().String() != queued.LocalAddr().String() {
 		t.Errorf("%v", err)
 	}
 	for _, f := range handed.Sockets {
-		f.Close()
+		closeLater(t, f)
+	}
+}
+
+// The state goes over, the successor hears of the end of the former process, and takes its place: the next one may come.
+func TestStateGoesOver(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "gateway")
+	first := join(t, dir)
+	if first.IsSuccessor() || first.HasSuccessor() {
+		t.Error("one that is alone has company")
+	}
+	listener, addr, raw := listening(t)
+	first.Watch(func(answer AnswerFunc) { answerWith(t, answer, addr, raw) }, func() {})
+	second := join(t, dir)
+	if !second.IsSuccessor() || second.HasSuccessor() || !first.HasSuccessor() {
+		t.Error("who takes over from whom?")
 	}
+	checkSockets(t, second, listener)
 	if _, err := Join(dir, 5*pollInterval); !errors.Is(err, ErrTooManyProcesses) {
 		t.Errorf("a third one: %v", err)
 	}
