--- a/cmd/larchusher/gateway_metrics.go
+++ b/cmd/larchusher/gateway_metrics.go
@@ -5,7 +5,73 @@
 	"larchusher/internal/metrics"
 )
 
-// gatewayMetrics are what the gateway counts of load and of localities, as metrics.
+// gatewayMetrics are what the gateway counts of load and of localities, under the names that operators scrape.
 func gatewayMetrics(gw *gateway.Gateway) []metrics.Value {
-	return append(gw.LoadValues(), gw.LocalityValues()...)
+	all := loadMetrics(gw.LoadStats())
+	if s, ok := gw.LocalityStats(); ok {
+		all = append(all, localityMetrics(s)...)
+	}
+	return all
+}
+
+func loadMetrics(s gateway.LoadStats) []metrics.Value {
+	all := []metrics.Value{
+		counter("load_overdue", "Requests refused since they had waited for their turn for too long.", float64(s.QueueTimeouts)),
+		counter("load_no_memory", "Requests refused for want of memory for their answers.", float64(s.NoMemory)),
+		counter("load_slow_ended", "Clients closed since they left answers unread.", float64(s.SlowClientsClosed)),
+		gauge("load_memory_peak", "Most bytes that answers on their way have taken.", float64(s.PeakAnswerBytes)),
+		gauge("load_memory", "Bytes that answers on their way take.", float64(s.AnswerBytes)),
+		counter("load_stalls", "Times that the host stood still.", float64(s.Pauses)),
+		counter("load_stalled_ms", "Milliseconds that it did.", float64(s.PausedTime.Milliseconds())),
+		gauge("load_level", "Share of the offer that is shed.", s.ShedShare),
+		gauge("load_weight", "Weight told to balancers, in percent.", float64(s.BalancerWeight)),
+		gauge("load_waiting", "Requests that wait for their turn.", float64(s.Queued)),
+		summary("load_turn_seconds", "Waits of requests for their turn.", s.QueueWait),
+		summary("load_loop_seconds", "Delay of the loop, from when something is posted until it runs.", s.LoopDelay),
+		summary("load_poll_seconds", "Lateness in reading what has come.", s.PollerLag),
+	}
+	for _, shed := range s.Shed {
+		all = append(all, counter("load_shed", "Requests shed at the door, by front and band.", float64(shed.Count),
+			metrics.Label{Name: "front", Value: shed.Front.String()}, metrics.Label{Name: "band", Value: shed.Band}))
+	}
+	return all
+}
+
+func localityMetrics(s gateway.LocalityStats) []metrics.Value {
+	c := s.Counters
+	all := []metrics.Value{
+		counter("tier_spilled", "Requests given to another locality than the own one.", float64(c.Spilled)),
+		counter("tier_moved", "Requests given to another locality after one had refused them.", float64(c.Rerouted)),
+		counter("tier_passed", "Requests that fit in no locality, and were sent past the caches.", float64(c.Bypassed)),
+		gauge("tier_passing", "Share of what fits nowhere that is.", s.BypassShare),
+		counter("tier_refused", "Requests that fit in no locality.", float64(c.Rejected)),
+		counter("tier_bounded", "Of those, refused since a bound was reached in the very moment.", float64(c.BoundReached)),
+		counter("tier_changes", "Changes of a locality's state.", float64(c.StateChanges)),
+		counter("tier_panics", "Ticks in which nearly all looked ill, and load stayed.", float64(c.PanicTicks)),
+	}
+	for _, v := range s.Localities {
+		where := metrics.Label{Name: "locality", Value: v.Name}
+		all = append(all,
+			counter("tier_picked", "Requests by locality.", float64(v.Picked), where),
+			gauge("tier_share", "Share of the load that goes to a locality.", v.Share, where),
+			gauge("tier_health", "Share of good ends there, lately.", v.Health, where),
+			gauge("tier_ramp", "Share that a locality which returned may have of its own.", v.Ramp, where),
+			gauge("tier_load", "How full its link is, by its reports; negative: not known.", v.Utilization, where),
+			gauge("tier_state", "0 steady, 1 away, 2 on trial, 3 returning.", float64(v.State), where),
+			gauge("tier_wait_seconds", "The latest wait before it was tried.", v.Backoff.Seconds(), where),
+		)
+	}
+	return all
+}
+
+func counter(name, help string, v float64, labels ...metrics.Label) metrics.Value {
+	return metrics.Value{Name: name, Help: help, Kind: metrics.Counter, Value: v, Labels: labels}
+}
+
+func gauge(name, help string, v float64, labels ...metrics.Label) metrics.Value {
+	return metrics.Value{Name: name, Help: help, Kind: metrics.Gauge, Value: v, Labels: labels}
+}
+
+func summary(name, help string, d gateway.Distribution) metrics.Value {
+	return metrics.Value{Name: name, Help: help, Kind: metrics.Summary, Count: d.Count, Sum: d.Sum, Quantiles: d.Quantiles}
 }
--- /dev/null
+++ b/gateway/dispatch.go
@@ -0,0 +1,134 @@
+package gateway
+
+import (
+	"fmt"
+	"runtime/debug"
+
+	"larchusher/routing"
+)
+
+// dispatch is the part of a gateway that gives events to directors and applies the actions that they return. What
+// happens while an action is applied is queued, so that a director sees every event completely and in order.
+type dispatch struct {
+	events   []event
+	handling bool             // an event is being handled further up the stack
+	actions  []routing.Action // memory that is used again for each event
+}
+
+// event is one event for the director of one locality.
+type event struct {
+	routing.Event
+	locality int
+	request  *Request // of a routing.Request; nil for other events
+}
+
+// GossipSender carries messages to the other gateways, on the loop and without blocking. to is a gateway's index or
+// routing.AllDirectors. A message may get lost.
+type GossipSender interface {
+	SendGossip(to int, data string)
+}
+
+// UpdateEndpoints takes in an update of the endpoint list.
+func (g *Gateway) UpdateEndpoints(u routing.EndpointUpdate) {
+	u = g.drain.applyList(u)
+	g.updateLocalityEndpoints(u)
+	g.handleInAll(u)
+}
+
+// Purge takes in a purge event.
+func (g *Gateway) Purge(p routing.Purge) {
+	g.Counters.Purges++
+	g.handleInAll(p)
+}
+
+// ReceiveGossip takes in a message of another gateway. It is for the director of the own locality.
+func (g *Gateway) ReceiveGossip(from int, data string) {
+	g.Counters.GossipReceived++
+	g.handleEvent(event{Event: routing.GossipReceived{From: from, Data: data}})
+}
+
+// handleInAll gives an event to every director.
+func (g *Gateway) handleInAll(e routing.Event) {
+	for i := range g.directors {
+		g.handleEvent(event{Event: e, locality: i})
+	}
+}
+
+// handleEvent gives an event to its director and applies the actions that it returns.
+func (g *Gateway) handleEvent(e event) {
+	g.events = append(g.events, e)
+	if g.handling {
+		return
+	}
+	g.handling = true
+	for len(g.events) > 0 {
+		e := g.events[0]
+		g.events = g.events[1:]
+		for _, a := range g.callDirector(e) {
+			g.apply(a, e.locality)
+		}
+	}
+	g.handling, g.events = false, nil
+}
+
+// callDirector returns the actions of a director for an event. If the director panics, the request at hand fails and the
+// gateway goes on.
+func (g *Gateway) callDirector(e event) (actions []routing.Action) {
+	defer func() {
+		if p := recover(); p != nil {
+			g.Counters.DirectorPanics++
+			g.cfg.Log.WithField("event", fmt.Sprintf("%T", e.Event)).Errorf("the director broke: %v\n%s", p, debug.Stack())
+			actions = nil
+			if e.request != nil {
+				g.answerRequest(e.request, Answer{Outcome: Failed})
+			}
+		}
+	}()
+	g.actions = g.directors[e.locality].Handle(g.now(), e.Event, g.actions[:0])
+	return g.actions
+}
+
+// apply carries out one action of the director of a locality.
+func (g *Gateway) apply(a routing.Action, locality int) {
+	switch a := a.(type) {
+	case routing.ForwardAttempt:
+		g.startAttempt(a, locality)
+	case routing.Reject:
+		if !g.rerouteRejected(a.ID, locality) {
+			g.answerByID(a.ID, Answer{Outcome: Rejected, RetryAfter: a.RetryAfter, Retryable: true})
+		}
+	case routing.Fail:
+		// The request may have moved to another locality, whose director answers for it now.
+		if r := g.requests[a.ID]; r != nil && r.locality == locality {
+			g.answerByID(a.ID, Answer{Outcome: Failed})
+		}
+	case routing.CancelAttempt:
+		if at := g.findAttempt(a.ID, a.Attempt, locality); at != nil {
+			g.cancelAttempt(at, routing.Canceled)
+		}
+	case routing.SetTimer:
+		g.setDirectorTimer(a, locality)
+	case routing.SendGossip:
+		if g.cfg.Gossip != nil {
+			g.Counters.GossipSent++
+			g.cfg.Gossip.SendGossip(a.To, a.Data)
+		}
+	case routing.Log:
+		g.cfg.Log.Info(a.Text)
+	case routing.StartHealthCheck, routing.PollEndpoints: // the platform allows no health checks, and pushes the endpoint list
+	}
+}
+
+// setDirectorTimer sets a timer of a director. One for a request ends with it.
+func (g *Gateway) setDirectorTimer(a routing.SetTimer, locality int) {
+	r := g.requests[a.RequestID]
+	if a.RequestID != "" && r == nil {
+		return
+	}
+	t := g.cfg.Loop.At(g.wallTime(a.At), func() {
+		g.handleEvent(event{locality: locality, Event: routing.TimerFired{Token: a.Token}})
+	})
+	if r != nil {
+		r.directorTimers = append(r.directorTimers, t)
+	}
+}
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -3,22 +3,20 @@
 import (
 	"maps"
 	"slices"
-	"time"
+	"strings"
 
 	"larchusher/routing"
 )
 
-// Machines out for work are drained as if the list said so. What the list says and what is held are kept apart and merged: the
-// more cautious holds.
-
-// drainState joins the list with what is held.
+// drainState merges the endpoint list with the endpoints that planned maintenance drains: directors see an endpoint as
+// draining if either says so.
 type drainState struct {
 	listed      map[string]routing.Endpoint // as the list has it
-	draining    map[string]bool
-	watchEvents int // lists and purges that were told
+	draining    map[string]bool             // by planned maintenance
+	watchEvents int                         // endpoint list updates so far
 }
 
-// applyList takes in a list and gives it as the director is to see it.
+// applyList takes in an update of the endpoint list, and returns it as directors are to see it.
 func (h *drainState) applyList(m routing.EndpointUpdate) routing.EndpointUpdate {
 	h.watchEvents++
 	if h.listed == nil {
@@ -28,7 +26,8 @@
 		clear(h.listed)
 	}
 	for _, e := range m.Endpoints {
-		if h.listed[e.ID] = e; e.Phase == routing.Removed {
+		h.listed[e.ID] = e
+		if e.Phase == routing.Removed {
 			delete(h.listed, e.ID)
 		}
 	}
@@ -42,6 +41,7 @@
 	return m
 }
 
+// merge is an endpoint of the list as directors are to see it.
 func (h *drainState) merge(e routing.Endpoint) routing.Endpoint {
 	if h.draining[e.ID] && e.Phase == routing.Up {
 		e.Phase = routing.Draining
@@ -49,32 +49,28 @@
 	return e
 }
 
-// DrainEndpoints says which stores nothing new may be sent to from now on, nor be named as a source. Those that were held before and are
-// not named any more are what the list says.
-func (g *Gateway) DrainEndpoints(stores map[string]bool) {
+// DrainEndpoints says which endpoints get nothing new from now on, and are named as no fill source, for planned
+// maintenance. Those that were named by the call before and are not any more go back to what the list says.
+func (g *Gateway) DrainEndpoints(endpoints map[string]bool) {
 	was := g.drain.draining
-	g.drain.draining = maps.Clone(stores)
+	g.drain.draining = maps.Clone(endpoints)
 	var changed []routing.Endpoint
 	for id, e := range g.drain.listed {
-		if was[id] != stores[id] {
+		if was[id] != endpoints[id] {
 			changed = append(changed, g.drain.merge(e))
 		}
 	}
 	if len(changed) == 0 {
 		return
 	}
-	slices.SortFunc(changed, func(a, b routing.Endpoint) int {
-		if a.ID < b.ID {
-			return -1
-		}
-		return 1
-	})
-	m := routing.EndpointUpdate{Kind: routing.DeltaList, Endpoints: changed}
-	g.updateLocalityRoster(m)
-	g.handleInAll(m)
+	slices.SortFunc(changed, func(a, b routing.Endpoint) int { return strings.Compare(a.ID, b.ID) })
+	u := routing.EndpointUpdate{Kind: routing.DeltaList, Endpoints: changed}
+	g.updateLocalityEndpoints(u)
+	g.handleInAll(u)
 }
 
-// NoAttemptsAt says that no attempt is out at any of the stores, nor one that names one of them as its source.
+// NoAttemptsAt reports whether no attempt is in flight at any of the endpoints, nor one that names one of them as its fill
+// source.
 func (g *Gateway) NoAttemptsAt(stores map[string]bool) bool {
 	if len(stores) == 0 {
 		return true
@@ -91,33 +87,25 @@
 	return true
 }
 
-// ObservedEndpoints is what the gateway knows of the stores on its list, and why now is no time to take one out; empty: nothing speaks
-// against it.
-func (g *Gateway) ObservedEndpoints() (stores []routing.Observed, strain string) {
-	now := g.now()
-	stores, strain = g.directors[0].Observe(now)
-	if strain == "" && g.ShedShare() > maxShedShareForMaintenance {
-		strain = "a gateway sheds load"
-	}
-	for i, s := range stores { // as the list has it: what is held is not down for that
-		stores[i].Up = g.drain.listed[s.ID].Phase == routing.Up
-	}
-	return stores, strain
-}
-
-// maxShedShareForMaintenance is the share of the offer that may be shed without holding work back.
+// maxShedShareForMaintenance is the share of the offered requests that may be shed while maintenance still takes endpoints
+// out.
 const maxShedShareForMaintenance = 0.05
 
-// IncarnationTime is the Unix time of a store's start on the director's clock; zero: long ago.
-func (g *Gateway) IncarnationTime(boot time.Duration) time.Time {
-	if boot <= 0 {
-		return time.Time{}
+// ObservedEndpoints is what the own locality's director knows of the endpoints on its list, and why none should be taken
+// out for maintenance now; empty: nothing speaks against it.
+func (g *Gateway) ObservedEndpoints() (endpoints []routing.Observed, pressure string) {
+	endpoints, pressure = g.directors[0].Observe(g.now())
+	if pressure == "" && g.ShedShare() > maxShedShareForMaintenance {
+		pressure = "a gateway sheds load"
+	}
+	for i, e := range endpoints { // as the list has it: one that is drained for maintenance is not down
+		endpoints[i].Up = g.drain.listed[e.ID].Phase == routing.Up
 	}
-	return g.base.Add(boot - g.baseDirectorTime)
+	return endpoints, pressure
 }
 
-// WatchEvents counts the lists and purges that the gateway was told by its journal.
+// WatchEvents counts the updates of the endpoint list and the purges that the gateway has taken in.
 func (g *Gateway) WatchEvents() int { return g.drain.watchEvents + int(g.Counters.Purges) }
 
-// ListedEndpoints are the stores as the list has them. They are not to be changed.
+// ListedEndpoints are the endpoints as the list has them. The map is the gateway's own and must not be changed.
 func (g *Gateway) ListedEndpoints() map[string]routing.Endpoint { return g.drain.listed }
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// Loop is the one event loop that owns a gateway's state. Whatever happens elsewhere reaches it by
-// [Loop.Post]; everything else here may be called only from functions that the loop runs. Its one heap holds
-// every deadline and wake. The zero value is not usable; call [NewLoop].
+// Loop is the event loop that owns a gateway's state. What happens on other goroutines reaches it by [Loop.Post];
+// everything else here may be called only from functions that the loop runs, or before it runs. Make one with [NewLoop].
 type Loop struct {
-	mu          sync.Mutex
+	mu          sync.Mutex // guards queue, queuedSince and closed
 	queue       []func()
-	queuedSince time.Time   // when the first of the queue was posted
-	hasPosted   atomic.Bool // something is in the queue
+	queuedSince time.Time   // when the first of queue was posted
+	hasPosted   atomic.Bool // queue is not empty
 	wake        chan struct{}
 	closed      bool
 	done        chan struct{}
 
 	now             time.Time
 	timers          timerHeap
-	order           uint64
-	timersHeldUntil time.Time // timers wait until then
+	order           uint64    // of the latest timer that was set
+	timersHeldUntil time.Time // zero: they are not held
+	roundsDeferred  int       // rounds in a row in which queued work gave way to what was posted
 
-	runQueued   func() bool                 // work that comes after all that was posted; it says whether there is more
-	onLateTimer func(by time.Duration) bool // told of late timers; it says whether they are to be held for a moment
-	onDelay     func(posted time.Duration)  // told how long what was posted waited
+	runQueued   func() (more bool)              // runs one piece of queued work; nil: there is none
+	onLateTimer func(late time.Duration) bool   // told of late timers, it reports whether they are to be held for a moment
+	onDelay     func(sincePosted time.Duration) // told how long what was posted waited
 }
 
 const (
-	maxQueuedPerRound  = 16                    // pieces of low work before timers are looked at again
-	maxRoundsDeferred  = 8                     // low work is passed over no more often than this for what was posted
-	lateTimerThreshold = 30 * time.Millisecond // a timer later than this is told of
-	maxTimerHold       = 20 * time.Millisecond // timers are held no longer: an answer may be 50 ms late
+	maxQueuedPerRound  = 16                    // pieces of queued work before timers are looked at again
+	maxRoundsDeferred  = 8                     // rounds in a row in which queued work gives way to what was posted
+	lateTimerThreshold = 30 * time.Millisecond // lateness of a timer that onLateTimer is told of
+	maxTimerHold       = 20 * time.Millisecond // an answer may be no more than 50 ms late
 )
 
 // NewLoop returns a loop that [Loop.Run] starts.
@@ -41,8 +41,8 @@
 	return &Loop{wake: make(chan struct{}, 1), done: make(chan struct{}), now: time.Now()}
 }
 
-// Post has the loop run f after all that was posted before. It may be called from any goroutine, and never
-// blocks. It reports false, and drops f, once the loop is closed.
+// Post has the loop run f after everything that was posted before. It may be called from any goroutine, and never blocks.
+// It drops f and reports false once the loop is closed.
 func (l *Loop) Post(f func()) bool {
 	l.mu.Lock()
 	if l.closed {
@@ -56,7 +56,7 @@
 	}
 	l.queue = append(l.queue, f)
 	l.mu.Unlock()
-	if !first { // it has been woken for what came before
+	if !first { // the loop has been woken for what came before
 		return true
 	}
 	select {
@@ -66,7 +66,8 @@
 	return true
 }
 
-// Close ends the loop after the function that runs now; what was posted and is still due is dropped.
+// Close ends the loop after the function that runs now, and drops what was posted and has not run. It may be called from any
+// goroutine.
 func (l *Loop) Close() {
 	l.mu.Lock()
 	if !l.closed {
@@ -80,10 +81,10 @@
 	}
 }
 
-// Done is closed when the loop is.
+// Done is closed when the loop is. It may be called from any goroutine.
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
-// Now is the time at which the present function began to run. It never goes back.
+// Now is the time at which the function that runs now began. It never goes back.
 func (l *Loop) Now() time.Time { return l.now }
 
 // At has the loop run f at t, or as soon after as it can.
@@ -97,70 +98,30 @@
 // After is At for a span from now.
 func (l *Loop) After(d time.Duration, f func()) *Timer { return l.At(l.now.Add(d), f) }
 
-// Run runs the loop until it is closed.
+// Run runs the loop until it is closed. A round runs what was posted, then the timers that are due, then some queued work.
 func (l *Loop) Run() {
 	clock := time.NewTimer(time.Hour)
 	defer clock.Stop()
 	var batch []func()
-	passed := 0 // times in a row that low work was passed over
 	for {
-		l.mu.Lock()
-		batch, l.queue = l.queue, batch[:0]
-		closed, since := l.closed, l.queuedSince
-		l.hasPosted.Store(false)
-		l.mu.Unlock()
+		var postedSince time.Time
+		var closed bool
+		batch, postedSince, closed = l.takePosted(batch)
 		if closed {
 			return
 		}
 		l.now = time.Now()
 		if len(batch) > 0 && l.onDelay != nil {
-			l.onDelay(l.now.Sub(since))
-		}
-		// Before anything else: what is done next must know whether the program stood still.
-		if len(l.timers) > 0 && l.onLateTimer != nil && l.timersHeldUntil.IsZero() {
-			if by := l.now.Sub(l.timers[0].at); by > lateTimerThreshold && l.onLateTimer(by) {
-				l.timersHeldUntil = l.now.Add(maxTimerHold)
-			}
-		}
-		for i, f := range batch {
-			l.now = time.Now()
-			f()
-			batch[i] = nil
-		}
-		l.now = time.Now()
-		if !l.timersHeldUntil.IsZero() && !l.now.Before(l.timersHeldUntil) {
-			l.timersHeldUntil = time.Time{}
+			l.onDelay(l.now.Sub(postedSince))
 		}
-		for l.timersHeldUntil.IsZero() && len(l.timers) > 0 && !l.timers[0].at.After(l.now) {
-			t := heap.Pop(&l.timers).(*Timer)
-			t.run()
-			l.now = time.Now()
-		}
-		more := false
-		// Nor is low work done while timers are held: a request whose client left while the program stood still would begin.
-		for n := 0; l.runQueued != nil && l.timersHeldUntil.IsZero() && n < maxQueuedPerRound; n++ {
-			if l.hasPosted.Load() && passed < maxRoundsDeferred { // it goes first
-				more = true
-				passed++
-				break
-			}
-			passed = 0
-			l.now = time.Now()
-			if more = l.runQueued(); !more {
-				break
-			}
-		}
-		if more || len(batch) > 0 { // more may have come meanwhile
+		l.checkLateTimer()
+		l.runPosted(batch)
+		l.runTimers()
+		moreQueued := l.runSomeQueued()
+		if moreQueued || len(batch) > 0 { // more may have been posted meanwhile
 			continue
 		}
-		wait := time.Hour
-		if len(l.timers) > 0 {
-			wait = l.timers[0].at.Sub(l.now)
-		}
-		if !l.timersHeldUntil.IsZero() {
-			wait = l.timersHeldUntil.Sub(l.now)
-		}
-		clock.Reset(wait)
+		clock.Reset(l.idleTime())
 		select {
 		case <-l.wake:
 		case <-clock.C:
@@ -168,7 +129,80 @@
 	}
 }
 
-// releaseTimers lets timers run that are held.
+// takePosted takes what was posted, since when it waits, and whether the loop is closed. The memory of the former batch is
+// used again.
+func (l *Loop) takePosted(former []func()) (batch []func(), since time.Time, closed bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	batch, l.queue = l.queue, former[:0]
+	l.hasPosted.Store(false)
+	return batch, l.queuedSince, l.closed
+}
+
+// checkLateTimer tells onLateTimer of a timer that is late, before anything else is done in a round: all that follows must
+// know whether the program was paused.
+func (l *Loop) checkLateTimer() {
+	if len(l.timers) == 0 || l.onLateTimer == nil || !l.timersHeldUntil.IsZero() {
+		return
+	}
+	late := l.now.Sub(l.timers[0].at)
+	if late > lateTimerThreshold && l.onLateTimer(late) {
+		l.timersHeldUntil = l.now.Add(maxTimerHold)
+	}
+}
+
+// runPosted runs what was posted, in order.
+func (l *Loop) runPosted(batch []func()) {
+	for i, f := range batch {
+		l.now = time.Now()
+		f()
+		batch[i] = nil
+	}
+	l.now = time.Now()
+}
+
+// runTimers runs the timers that are due, unless they are held.
+func (l *Loop) runTimers() {
+	if !l.timersHeldUntil.IsZero() && !l.now.Before(l.timersHeldUntil) {
+		l.timersHeldUntil = time.Time{}
+	}
+	for l.timersHeldUntil.IsZero() && len(l.timers) > 0 && !l.timers[0].at.After(l.now) {
+		t := heap.Pop(&l.timers).(*Timer)
+		t.run()
+		l.now = time.Now()
+	}
+}
+
+// runSomeQueued runs queued work, unless something was posted meanwhile, and reports whether more is queued. None is run
+// while timers are held: a request whose client left during the pause would start.
+func (l *Loop) runSomeQueued() (more bool) {
+	for n := 0; l.runQueued != nil && l.timersHeldUntil.IsZero() && n < maxQueuedPerRound; n++ {
+		if l.hasPosted.Load() && l.roundsDeferred < maxRoundsDeferred {
+			l.roundsDeferred++
+			return true
+		}
+		l.roundsDeferred = 0
+		l.now = time.Now()
+		more = l.runQueued()
+		if !more {
+			return false
+		}
+	}
+	return more
+}
+
+// idleTime is how long the loop may sleep if nothing is posted.
+func (l *Loop) idleTime() time.Duration {
+	switch {
+	case !l.timersHeldUntil.IsZero():
+		return l.timersHeldUntil.Sub(l.now)
+	case len(l.timers) > 0:
+		return l.timers[0].at.Sub(l.now)
+	}
+	return time.Hour
+}
+
+// releaseTimers ends the hold on timers.
 func (l *Loop) releaseTimers() { l.timersHeldUntil = time.Time{} }
 
 // Timer is one entry of a loop's heap.
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -2,11 +2,11 @@
 
 import "larchusher/overload"
 
-// ClassOutcomes counts the final answers to requests of one class, as their clients see them. With those that are open they add up
-// to what was taken: a request whose client left first counts as failed.
+// ClassOutcomes counts the final answers to requests of one class, as their clients see them. With the open requests they
+// add up to those that were submitted or shed: a request whose client left first counts as failed.
 type ClassOutcomes struct {
 	Served   uint64
-	Rejected uint64 // trying again is harmless
+	Rejected uint64 // retrying is harmless
 	Failed   uint64
 }
 
@@ -23,14 +23,14 @@
 }
 
 // CountAnswer counts a final answer that a front gave by itself, such as the one to a request that cannot be read. Answers
-// that the gateway gives are counted by it. A class that the settings do not name is not counted.
+// of the gateway are counted already. A class that the settings do not name is not counted.
 func (g *Gateway) CountAnswer(class string, a Answer) {
 	if o := g.outcomes[class]; o != nil {
 		o.add(a)
 	}
 }
 
-// initClassOutcomes has the classes of the settings counted. Those of former settings are counted on.
+// initClassOutcomes has the classes of the settings counted; those of former settings stay.
 func (g *Gateway) initClassOutcomes() {
 	for _, c := range g.cfg.Settings.Classes {
 		if g.outcomes[c.Name] == nil {
@@ -39,8 +39,8 @@
 	}
 }
 
-// OutcomesByClass returns the final answers so far for each class that the settings name or have named, with those
-// refused at the door.
+// OutcomesByClass returns the final answers so far for each class that the settings name or have named, with the requests
+// that were not admitted.
 func (g *Gateway) OutcomesByClass() map[string]ClassOutcomes {
 	all := map[string]ClassOutcomes{}
 	for class, o := range g.outcomes {
@@ -58,8 +58,8 @@
 	return all
 }
 
-// EndpointCounts returns how many stores are on the list, and how many of those nothing new is sent to at present: they drain, are
-// out for work, or are out of use for their failures.
+// EndpointCounts returns how many endpoints are on the list, and to how many of them nothing new is sent at present: they
+// are draining, out for maintenance, or ejected.
 func (g *Gateway) EndpointCounts() (listed, avoided int) {
 	seen, _ := g.directors[0].Observe(g.now())
 	for _, s := range seen {
--- /dev/null
+++ b/gateway/queue.go
@@ -0,0 +1,129 @@
+package gateway
+
+import (
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"larchusher/overload"
+)
+
+// rejectionWaitDivisor divides the longest wait in the queue to give that of work to reject requests.
+const rejectionWaitDivisor = 3
+
+// QueuedWork is the place in the queue of work that a front has to do before it can submit a request, such as checking a
+// token. Its zero value is not queued.
+type QueuedWork struct {
+	item  overload.Item
+	class string
+	band  int
+	run   func(late bool)
+}
+
+// Enqueue has f run as soon as a request of that class, arrived at that time, would have its turn: the work that a front
+// does for its requests takes no more of the loop than its share. late says that it has waited for too long, and the
+// request is to be rejected. A request that f submits carries Admitted, and starts at once.
+func (g *Gateway) Enqueue(w *QueuedWork, front Front, class string, arrived time.Time, f func(late bool)) {
+	w.class, w.band, w.run = class, g.classOrder().Band(class, false), f
+	w.item.Value = w
+	g.queue.Push(&w.item, w.band, int(front), g.DirectorTime(arrived))
+}
+
+// EnqueueRejection has f run for a request that is to be shed, where that takes work: at once if nothing else waits, and
+// soon in any case. Clients that come back at once would otherwise take all of the loop's time with rejections.
+func (g *Gateway) EnqueueRejection(w *QueuedWork, front Front, f func()) {
+	w.run = func(bool) { f() }
+	w.item.Value = w
+	g.rejectionQueue.Push(&w.item, 0, int(front), g.now())
+}
+
+// CancelQueued takes work off the queue. Work that is not queued is left alone.
+func (g *Gateway) CancelQueued(w *QueuedWork) {
+	g.queue.Remove(&w.item)
+	g.rejectionQueue.Remove(&w.item)
+}
+
+// enqueueRequest queues a request, or sheds it.
+func (g *Gateway) enqueueRequest(r *Request) {
+	r.band = g.classOrder().Band(r.Class, r.Retry)
+	if !r.Admitted {
+		if retryAfter, ok := g.admissionController().Admit(int(r.Front), r.band, xxhash.Sum64String(r.ID)); !ok {
+			g.shedRequest(r, retryAfter)
+			return
+		}
+	}
+	if g.runningQueuedWork { // it has had its wait already
+		g.startIfMemory(r)
+		return
+	}
+	arrived := r.ArrivedAt
+	if arrived.IsZero() {
+		arrived = g.cfg.Loop.Now()
+	}
+	r.queueItem.Value = r
+	g.queue.Push(&r.queueItem, r.band, int(r.Front), g.DirectorTime(arrived))
+}
+
+// runNextQueued gives the next request its turn, and reports whether more wait. The loop calls it when nothing else is due.
+func (g *Gateway) runNextQueued() (more bool) {
+	now := g.now()
+	for i := g.rejectionQueue.PopExpired(now); i != nil; i = g.rejectionQueue.PopExpired(now) {
+		i.Value.(*QueuedWork).run(true)
+	}
+	if g.queue.Len() == 0 {
+		if i := g.rejectionQueue.Pop(); i != nil {
+			i.Value.(*QueuedWork).run(true)
+		}
+		return g.rejectionQueue.Len() > 0
+	}
+	g.rejectExpired(now)
+	i := g.queue.Pop()
+	if i == nil {
+		return false
+	}
+	g.runQueuedItem(i, now)
+	return g.queue.Len() > 0
+}
+
+// rejectExpired rejects what has waited in the queue for too long.
+func (g *Gateway) rejectExpired(now time.Duration) {
+	for i := g.queue.PopExpired(now); i != nil; i = g.queue.PopExpired(now) {
+		g.Load.QueueTimeouts++
+		g.sample.LongestWait = max(g.sample.LongestWait, g.queue.WaitLimit(now))
+		switch v := i.Value.(type) {
+		case *Request:
+			g.sample.ExpiredCost += g.classOrder().Cost(v.band)
+			g.shedRequest(v, g.RetryAfter(v.ID))
+		case *QueuedWork:
+			g.sample.ExpiredCost += g.classOrder().Cost(v.band)
+			v.run(true)
+		}
+	}
+}
+
+// runQueuedItem runs what has come off the queue.
+func (g *Gateway) runQueuedItem(i *overload.Item, now time.Duration) {
+	waited := g.queue.Waited(i, now)
+	recordDuration(g.Load.QueueWait, waited)
+	g.sample.LongestWait = max(g.sample.LongestWait, waited)
+	switch v := i.Value.(type) {
+	case *Request:
+		g.sample.StartedCost += g.classOrder().Cost(v.band)
+		g.startIfMemory(v)
+	case *QueuedWork:
+		g.sample.StartedCost += g.classOrder().Cost(v.band)
+		g.runningQueuedWork = true
+		v.run(false)
+		g.runningQueuedWork = false
+	}
+}
+
+// startIfMemory starts a request whose turn it is, or sheds it if there is no memory for its answer.
+func (g *Gateway) startIfMemory(r *Request) {
+	if !g.reserveAnswer(r) {
+		g.Load.NoMemory++
+		g.shedRequest(r, g.RetryAfter(r.ID))
+		return
+	}
+	g.startRequest(r)
+}
--- a/gateway/reconfigure.go
+++ b/gateway/reconfigure.go
@@ -11,26 +11,30 @@
 	"larchusher/routing"
 )
 
-// retiredClassLifetime is for how long requests of a class that a new configuration drops are still served by its old rules: clients
-// learn of new settings some time after the gateway does.
+// retiredClassLifetime is for how long requests of a class that a new configuration drops are still served by its old
+// rules: clients learn of new settings some time after the gateway does.
 const retiredClassLifetime = 3 * time.Second
 
-// admissionPolicy is what requests pass before they wait for their turn: how classes are ranked, and the door. It never changes;
-// new classes bring another. It is read on whatever goroutine reads requests.
-type admissionPolicy struct {
+// admissionRules are how classes are ranked and what admits their requests. They never change: new classes bring others.
+// They are read on whatever goroutine reads requests.
+type admissionRules struct {
 	order      *overload.Order
 	controller *overload.AdmissionController
 }
 
-// admissions are the present admission and what earlier ones counted.
+func newAdmissionRules(order *overload.Order) *admissionRules {
+	return &admissionRules{order: order, controller: overload.NewAdmissionController(order.Bands(), int(frontCount))}
+}
+
+// admissions are the present rules and what earlier ones counted.
 type admissions struct {
-	current  atomic.Pointer[admissionPolicy]
-	previous *admissionPolicy              // the one before: a goroutine may still be in the middle of using it
-	shed     [frontCount]map[string]uint64 // by band's name, of those before that
+	current  atomic.Pointer[admissionRules]
+	previous *admissionRules               // the rules before: a goroutine may still be using them
+	shed     [frontCount]map[string]uint64 // by name of the band, under the rules before those
 }
 
-// replace puts another admission in place of the present one.
-func (a *admissions) replace(next *admissionPolicy) {
+// replace has other rules hold from now on.
+func (a *admissions) replace(next *admissionRules) {
 	if a.previous != nil {
 		for front := range frontCount {
 			if a.shed[front] == nil {
@@ -43,7 +47,7 @@
 }
 
 // addShed adds what one front shed to a sum by the names of bands.
-func (a *admissionPolicy) addShed(front Front, sum map[string]uint64) {
+func (a *admissionRules) addShed(front Front, sum map[string]uint64) {
 	for band := range a.order.Bands() {
 		if n := a.controller.Shed(int(front), band); n > 0 {
 			sum[a.order.Name(band)] += n
@@ -67,9 +71,9 @@
 // Classes returns the classes whose requests are served at present, retired ones among them.
 func (g *Gateway) Classes() []routing.Class { return g.cfg.Settings.Classes }
 
-// ReconfigureClasses has other classes and another limit on attempts (0: none) hold for requests that come from now on. Those that
-// are open keep the rules by which they came. A class that is served and not among the new ones is served on for a short
-// while. On an error all stays as it was.
+// ReconfigureClasses has other classes and another limit on attempts (0: none) hold for requests that come from now on.
+// Open requests keep the rules by which they came. A class that is not among the new ones is served on for a short while.
+// On an error all stays as it was.
 func (g *Gateway) ReconfigureClasses(classes []routing.Class, maxAttempts int) error {
 	if err := routing.CheckClasses(classes); err != nil {
 		return fmt.Errorf("gateway: %w", err)
@@ -99,15 +103,15 @@
 	cfg := g.cfg.Overload
 	cfg.Classes = overloadClasses(classes)
 	order := overload.NewOrder(cfg.Classes, cfg.RepeatsFirst)
-	ruler, err := overload.NewController(cfg, order)
+	controller, err := overload.NewController(cfg, order)
 	if err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
 	// A new slice: requests that are open point into the old one.
 	g.cfg.Settings.Classes, g.cfg.Settings.MaxAttempts = slices.Clone(classes), maxAttempts
-	g.cfg.Overload, g.overloadController = cfg, ruler
+	g.cfg.Overload, g.overloadController = cfg, controller
 	g.initClassOutcomes()
-	g.admissions.replace(&admissionPolicy{order: order, controller: overload.NewAdmissionController(order.Bands(), int(frontCount))})
+	g.admissions.replace(newAdmissionRules(order))
 	g.queue = g.queue.Rebanded(order.Bands(), g.bandOf)
 	g.handleInAll(routing.Reconfigured{Classes: g.cfg.Settings.Classes, MaxAttempts: maxAttempts})
 	if g.localityPolicy == nil {
@@ -129,7 +133,7 @@
 	return g.classOrder().Bands() - 1
 }
 
-// PauseSlowStart has nothing sent to cold stores for a time from now; a negative one: until it is called again.
+// PauseSlowStart has nothing sent to endpoints that are warming up for a span from now; negative: until it is called again.
 func (g *Gateway) PauseSlowStart(span time.Duration) {
 	until := time.Duration(math.MaxInt64)
 	if span >= 0 {
@@ -138,14 +142,6 @@
 	g.handleInAll(routing.PauseSlowStart{Until: until})
 }
 
-// classOrder ranks the classes that are served at present.
-func (g *Gateway) classOrder() *overload.Order { return g.admissions.current.Load().order }
-
-// admissionController is the present door.
-func (g *Gateway) admissionController() *overload.AdmissionController {
-	return g.admissions.current.Load().controller
-}
-
 // overloadClasses is what package overload needs to know of classes.
 func overloadClasses(classes []routing.Class) (all []overload.Class) {
 	for _, c := range classes {
--- a/test/crossing_test.go
+++ b/test/crossing_test.go
@@ -344,14 +344,7 @@
 	for range 20 { // more than the kernel takes
 		c.send("films", object, 5*time.Second, "")
 	}
-	memory := func() (n uint64) {
-		for _, v := range in.gw.LoadValues() {
-			if v.Name == "load_memory" {
-				n = uint64(v.Value)
-			}
-		}
-		return n
-	}
+	memory := func() uint64 { return uint64(in.gw.LoadStats().AnswerBytes) }
 	eventually(t, "answers wait", func() bool { return in.count(memory) > 1<<20 })
 	c.conn.Close()
 	eventually(t, "they are forgotten", func() bool {
