--- a/cmd/larchusher/counters.go
+++ b/cmd/larchusher/counters.go
@@ -5,6 +5,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"larchusher/internal/logfields"
 	"larchusher/internal/metrics"
 )
 
@@ -68,5 +69,5 @@
 
 // print writes the counters to the log.
 func (p *program) print() {
-	p.log.WithFields(logrus.Fields(metrics.Source(p.counters).Fields())).Info("counters")
+	p.log.WithFields(logrus.Fields(metrics.Source(p.counters).Fields())).Info(logfields.Counters)
 }
--- a/cmd/larchusher/drain.go
+++ b/cmd/larchusher/drain.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"larchusher/internal/logfields"
 	"larchusher/internal/net/transport"
 )
 
@@ -20,7 +21,7 @@
 	if p.draining { // for its own turn, and then by a signal
 		return
 	}
-	p.log.Info("draining")
+	p.log.Info(logfields.Draining)
 	p.draining = true
 	if p.keeper != nil {
 		p.keeper.SaveNow(p.gw.DirectorTime(p.loop.Now()))
--- a/cmd/larchusher/figures.go
+++ b/cmd/larchusher/figures.go
@@ -25,7 +25,7 @@
 		return err
 	}
 	p.console = l
-	p.log.WithField("listen", l.Addr().String()).Info("answering operators")
+	p.logListening(l, "admin")
 	return nil
 }
 
--- a/cmd/larchusher/leave.go
+++ b/cmd/larchusher/leave.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"larchusher/internal/hotrestart"
+	"larchusher/internal/logfields"
 	"larchusher/internal/net/transport"
 	"larchusher/warmstart"
 )
@@ -14,7 +15,7 @@
 
 // handState hands this process's state to its successor. From this moment on the successor has the budget for cold stores.
 func (p *program) handState(answer hotrestart.AnswerFunc) {
-	p.log.Info("upgrade: handing over to a new process")
+	p.log.Info(logfields.UpgradeHandingOver)
 	p.gw.PauseSlowStart(-1)
 	p.useShares(overlapShare)
 	state := handedState{Format: stateFormat, Since: p.since, Known: p.book.CurrentState(p.feed.Position()),
@@ -32,7 +33,7 @@
 			link, err = answer(data, sockets)
 		}
 		if err != nil {
-			p.log.WithError(err).Error("upgrade: not all is handed over")
+			p.log.WithError(err).Error(logfields.UpgradeHandoverFailed)
 		}
 		p.loop.Post(func() { p.successor = link })
 	}()
@@ -65,7 +66,7 @@
 // yield leaves clients to the successor: nothing new is accepted, and each connection goes over as soon as nothing is open on it.
 // Where connections can't go over they end in that moment.
 func (p *program) yield() {
-	p.log.Info("upgrade: leaving clients to the new process")
+	p.log.Info(logfields.UpgradeMigratingClients)
 	for _, l := range p.accept {
 		l.CloseAfterQueued()
 	}
--- a/cmd/larchusher/main.go
+++ b/cmd/larchusher/main.go
@@ -13,6 +13,7 @@
 	"github.com/sirupsen/logrus"
 
 	"larchusher/internal/config"
+	"larchusher/internal/logfields"
 	"larchusher/signedurl"
 )
 
@@ -32,7 +33,7 @@
 	log := logrus.New() // to standard error
 	ctx := kong.Parse(&cli{}, kong.Name("larchusher"), kong.Description("The gateway before asset caches."))
 	if err := ctx.Run(log); err != nil {
-		log.Error(err)
+		log.WithError(err).Error(logfields.CommandFailed)
 		os.Exit(1)
 	}
 }
--- a/cmd/larchusher/reload.go
+++ b/cmd/larchusher/reload.go
@@ -6,6 +6,7 @@
 
 	"larchusher/internal/config"
 	"larchusher/internal/httpapi"
+	"larchusher/internal/logfields"
 	"larchusher/routing"
 	"larchusher/signedurl"
 )
@@ -32,7 +33,7 @@
 // keepOld notes a reload whose files are at fault.
 func (p *program) keepOld(err error) {
 	p.badReloads++
-	p.log.WithError(err).Error("reload: the old configuration stays")
+	p.log.WithError(err).Error(logfields.ReloadRejected)
 }
 
 // takeOver takes over what may change while the program runs: the journal's address, the classes, the limit on attempts, the
@@ -63,10 +64,10 @@
 	p.useSigned(op.Signed)
 	if p.op.Localities != nil && tiers != nil && p.op.SameRestartSettings(op) {
 		if err := p.gw.ReconfigureLocalities(*tiers); err != nil {
-			p.log.WithError(err).Error("reload: tiers stay as they were")
+			p.log.WithError(err).Error(logfields.ReloadLocalityFailed)
 		}
 	}
-	p.log.Info("reloaded")
+	p.log.Info(logfields.Reloaded)
 	return nil
 }
 
@@ -77,7 +78,7 @@
 		keys = append(keys, "listeners, overload and localities of the operator's file")
 	}
 	if len(keys) > 0 {
-		p.log.WithField("keys", strings.Join(keys, " ")).Warn("reload: these keys take effect with the next start")
+		p.log.WithField(logfields.Keys, strings.Join(keys, " ")).Warn(logfields.ReloadNeedsRestart)
 	}
 }
 
@@ -90,15 +91,15 @@
 		p.retired = true
 		p.signedAt.Close()
 		p.signed.Retire()
-		p.log.Warn("reload: the signed front has ended")
+		p.log.Warn(logfields.ReloadSignedFrontDone)
 	case signed != nil && p.retired:
-		p.log.WithField("keys", "signed_front").Warn("reload: these keys take effect with the next start")
+		p.log.WithField(logfields.Keys, "signed_front").Warn(logfields.ReloadNeedsRestart)
 	case signed != nil:
 		settings := p.cfg.Settings
 		settings.Classes = p.gw.Classes()
 		api, err := signedAPI(signed, settings)
 		if err != nil { // it was checked a moment ago
-			p.log.WithError(err).Error("reload: the signed front stays as it was")
+			p.log.WithError(err).Error(logfields.ReloadSignedFailed)
 			return
 		}
 		p.signed.SetAPI(api)
--- a/cmd/larchusher/serve.go
+++ b/cmd/larchusher/serve.go
@@ -13,6 +13,7 @@
 	"larchusher/internal/clusternode"
 	"larchusher/internal/config"
 	"larchusher/internal/hotrestart"
+	"larchusher/internal/logfields"
 	"larchusher/internal/net/discovery"
 	"larchusher/internal/net/gossip"
 	"larchusher/internal/net/msgpackrpc"
@@ -91,7 +92,7 @@
 	// Garbage is let grow where there is memory for it: collecting took a fifth of the time at full load.
 	debug.SetGCPercent(min(400, max(100, 2*cfg.Limits.MemoryMB)))
 
-	p := &program{log: log.WithField("gateway", cfg.Name), loop: gateway.NewLoop(), cfg: cfg, op: op, file: s.Operator}
+	p := &program{log: log.WithField(logfields.Gateway, cfg.Name), loop: gateway.NewLoop(), cfg: cfg, op: op, file: s.Operator}
 	defer p.close()
 	if err := p.start(); err != nil {
 		return err
--- a/cmd/larchusher/upgrade.go
+++ b/cmd/larchusher/upgrade.go
@@ -16,6 +16,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"larchusher/internal/hotrestart"
+	"larchusher/internal/logfields"
 	"larchusher/internal/net/discovery"
 	"larchusher/internal/net/transport"
 	"larchusher/warmstart"
@@ -64,7 +65,7 @@
 	p.process, err = hotrestart.Join(filepath.Join(os.TempDir(), name), turnWithin)
 	if err != nil {
 		p.process = nil
-		p.log.WithError(err).Warn("upgrade: no state will be handed over")
+		p.log.WithError(err).Warn(logfields.UpgradeUnavailable)
 		return nil
 	}
 	if p.process.IsSuccessor() && p.op.Cluster != nil {
@@ -89,19 +90,19 @@
 	}
 	p.closeRest, p.moves = p.engine.Inherit(handed.Sockets), handed.Connections
 	if handed.SocketsErr != nil {
-		p.log.WithError(handed.SocketsErr).Warn("upgrade: listening beside the process that serves")
+		p.log.WithError(handed.SocketsErr).Warn(logfields.UpgradeSocketsMissing)
 	}
 	switch {
 	case err != nil:
-		p.log.WithError(err).Warn("upgrade: starting without the state of the process that serves")
+		p.log.WithError(err).Warn(logfields.UpgradeStateMissing)
 		return known, nil
 	case state.Format != stateFormat:
-		p.log.WithField("format", state.Format).Warn("upgrade: the state of the process that serves is of another format")
+		p.log.WithField(logfields.Format, state.Format).Warn(logfields.UpgradeStateUnknown)
 		return known, nil
 	case state.Since == fingerprint(p.cfg.InitialState) && state.Known.Position >= known.Position:
 		known = state.Known
 	}
-	p.log.WithField("after", known.Position).Info("upgrade: taking over from the process that serves")
+	p.log.WithField(logfields.Position, known.Position).Info(logfields.UpgradeTakingOver)
 	return known, state.Learned
 }
 
@@ -112,14 +113,15 @@
 		return
 	}
 	if learned != nil {
-		p.log.Infof("upgrade: what was learned: %v", p.gw.ImportSnapshot(learned, p.cfg.Name, p.cfg.Fingerprint()))
+		report := p.gw.ImportSnapshot(learned, p.cfg.Name, p.cfg.Fingerprint())
+		p.log.WithField(logfields.Detail, report.String()).Info(logfields.UpgradeStateImported)
 	}
 	if p.process.IsSuccessor() {
 		p.useShares(overlapShare)
 		p.takeColdBudget(learned != nil)
 		p.process.AwaitAlone(func() {
 			p.loop.Post(func() {
-				p.log.Info("upgrade: the former process has ended")
+				p.log.Info(logfields.UpgradePredecessorGone)
 				p.useShares(1)
 				if learned == nil {
 					p.takeColdBudget(true)
@@ -131,7 +133,7 @@
 		p.loop.Post(func() { p.handState(answer) })
 	}, func() {
 		p.loop.Post(func() {
-			p.log.Warn("upgrade: the new process has ended; going on")
+			p.log.Warn(logfields.UpgradeSuccessorGone)
 			p.useShares(1)
 			p.takeColdBudget(true)
 		})
@@ -180,7 +182,7 @@
 		return
 	}
 	if err := p.process.StartServing(); err != nil {
-		p.log.WithError(err).Warn("upgrade: the process that serves cannot be told that this one does")
+		p.log.WithError(err).Warn(logfields.UpgradeNotAnnounced)
 	}
 }
 
@@ -198,12 +200,12 @@
 		conn, err := net.FileConn(moved.File)
 		_ = moved.File.Close()
 		if err != nil {
-			p.log.WithError(err).Warn("upgrade: a connection that was handed over")
+			p.log.WithError(err).Warn(logfields.UpgradeConnFaulty)
 			continue
 		}
 		at := slices.IndexFunc(p.accept, func(l *transport.Listener) bool { return l.Addr().String() == moved.Addr })
 		if at < 0 {
-			p.log.WithField("listen", moved.Addr).Warn("upgrade: a connection of an address that is not served")
+			p.log.WithField(logfields.Address, moved.Addr).Warn(logfields.UpgradeConnAddress)
 			_ = conn.Close()
 			continue
 		}
--- a/cmd/larchusher/wiring.go
+++ b/cmd/larchusher/wiring.go
@@ -5,9 +5,12 @@
 	"fmt"
 	"time"
 
+	"github.com/sirupsen/logrus"
+
 	"larchusher/gateway"
 	"larchusher/internal/clusternode"
 	"larchusher/internal/config"
+	"larchusher/internal/logfields"
 	"larchusher/internal/metrics"
 	"larchusher/internal/net/agentcheck"
 	"larchusher/internal/net/discovery"
@@ -31,7 +34,7 @@
 // start makes the parts of the program in the order in which they need each other. Nothing runs on the loop yet.
 func (p *program) start() error {
 	for _, n := range p.cfg.Warnings {
-		p.log.Warn(n)
+		p.log.WithField(logfields.Detail, n).Warn(logfields.ConfigCorrected)
 	}
 	p.setMemory(1)
 	p.since = fingerprint(p.cfg.InitialState)
@@ -65,7 +68,7 @@
 	if p.moves != nil {
 		go p.adopt()
 	}
-	p.log.WithField("listen", p.clients.Addr().String()).Info("serving")
+	p.log.WithField(logfields.Address, p.clients.Addr().String()).Info(logfields.Serving)
 	p.loop.Post(p.serve)
 	return nil
 }
@@ -163,15 +166,15 @@
 // remember takes in what was learned before this start, once the list is known, and has what is learned from now on kept.
 // A folder that can't be used costs its use alone.
 func (p *program) remember() {
-	log := p.log.WithField("folder", p.op.State.Folder)
+	log := p.log.WithField(logfields.Folder, p.op.State.Folder)
 	keeper, found, err := snapshot.Open(p.op.State.Folder, p.op.State.Key, log)
 	if err != nil {
-		log.WithError(err).Error("what is learned is not kept")
+		log.WithError(err).Error(logfields.StateNotSaved)
 		return
 	}
 	if found != nil {
 		keeper.Imported = p.gw.ImportSnapshot(found, p.cfg.Name, p.cfg.Fingerprint())
-		log.Infof("what was learned before: %v", keeper.Imported)
+		log.WithField(logfields.Detail, keeper.Imported.String()).Info(logfields.StateImported)
 	}
 	p.keeper = keeper
 	keeper.Start(p.op.State.SnapshotInterval, p.loop.Post, func() *warmstart.Snapshot {
@@ -192,6 +195,11 @@
 	return p.cfg.ConnQuotas(p.op.Signed != nil, checks)
 }
 
+// logListening says that a further address is listened on, and what for.
+func (p *program) logListening(l *transport.Listener, listener string) {
+	p.log.WithFields(logrus.Fields{logfields.Listener: listener, logfields.Address: l.Addr().String()}).Info(logfields.Listening)
+}
+
 // others starts what the operator's file asks for: the front for signed URLs, what balancers ask, counters.
 func (p *program) others() error {
 	share := p.shares()
@@ -204,7 +212,7 @@
 			return err
 		}
 		p.accept = append(p.accept, open)
-		p.log.WithField("listen", open.Addr().String()).Info(what)
+		p.logListening(open, what)
 		return nil
 	}
 	if s := p.op.Signed; s != nil {
@@ -213,7 +221,7 @@
 			return err
 		}
 		p.signed = signedfront.New(p.loop, p.gw, api, share.Signed, p.cfg.Seed, p.log)
-		err = listen(s.Listen, "serving signed URLs", func(a string) (l *transport.Listener, err error) {
+		err = listen(s.Listen, "signed front", func(a string) (l *transport.Listener, err error) {
 			l, err = p.engine.Listen(a, share.Signed, p.signed.EvictIdle, p.signed.NewHandler)
 			p.signedAt = l
 			return l, err
@@ -232,8 +240,8 @@
 	for _, l := range []struct {
 		addr, what string
 		listen     func(*transport.Engine, string, int) (*transport.Listener, error)
-	}{{p.op.AgentListen, "answering agent checks", check.ListenAgent}, {p.op.HTTPListen, "answering health checks", check.ListenHealth},
-		{p.op.MetricsListen, "telling counters", check.ListenMetrics}} {
+	}{{p.op.AgentListen, "agent check", check.ListenAgent}, {p.op.HTTPListen, "health check", check.ListenHealth},
+		{p.op.MetricsListen, "metrics", check.ListenMetrics}} {
 		err := listen(l.addr, l.what, func(a string) (*transport.Listener, error) { return l.listen(p.engine, a, share.Checks) })
 		if err != nil {
 			return err
--- a/gateway/answers.go
+++ b/gateway/answers.go
@@ -26,6 +26,8 @@
 	ETag       string        // of the copy served
 	RetryAfter time.Duration // advice to the client; 0: none
 	Retryable  bool          // retrying is harmless
+
+	cause failureCause // of Failed and Expired, for the log
 }
 
 // answerRequest gives a request its final answer, unless it has had one or its client has left: an answer of a second
@@ -37,6 +39,9 @@
 	g.closeRequest(r)
 	g.Counters.Answered[a.Outcome]++
 	g.CountAnswer(r.Class, a)
+	if a.Outcome == Failed || a.Outcome == Expired {
+		g.logFailure(r, a)
+	}
 	r.Answer(a)
 	g.accountAnswer(r, a)
 }
@@ -49,7 +54,7 @@
 		return
 	}
 	if !g.cfg.Loop.Now().Before(r.Deadline.Add(-g.cfg.Settings.ClockStep - time.Millisecond)) {
-		a.Outcome = Expired
+		a.Outcome, a.cause = Expired, causeDeadline
 	}
 	g.answerRequest(r, a)
 }
--- a/gateway/attempts.go
+++ b/gateway/attempts.go
@@ -27,6 +27,7 @@
 	startedAt     time.Time
 	pausedAtStart time.Duration // Gateway.pausedTime by then
 	ended         bool
+	status        routing.Status // once it has ended
 	timer         *Timer
 }
 
@@ -165,7 +166,7 @@
 	if res.ReceivedAt.IsZero() || res.ReceivedAt.After(now) {
 		res.ReceivedAt = now
 	}
-	a.ended = true
+	a.ended, a.status = true, res.Status
 	a.timer.Stop()
 	g.Counters.Ended[res.Status]++
 	r.attemptsInFlight--
@@ -192,7 +193,7 @@
 		if r.idempotent() {
 			return Answer{Outcome: Rejected, RetryAfter: g.RetryAfter(r.ID), Retryable: true}
 		}
-		return Answer{Outcome: Failed}
+		return Answer{Outcome: Failed, cause: causeNoMemory}
 	case g.tooLargeForClient(r, res):
 		g.Load.NoMemory++
 		answer := Answer{Outcome: Rejected, RetryAfter: g.RetryAfter(r.ID), Retryable: true}
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -4,6 +4,9 @@
 	"fmt"
 	"runtime/debug"
 
+	"github.com/sirupsen/logrus"
+
+	"larchusher/internal/logfields"
 	"larchusher/routing"
 )
 
@@ -77,10 +80,11 @@
 	defer func() {
 		if p := recover(); p != nil {
 			g.Counters.DirectorPanics++
-			g.cfg.Log.WithField("event", fmt.Sprintf("%T", e.Event)).Errorf("the director broke: %v\n%s", p, debug.Stack())
+			g.cfg.Log.WithFields(logrus.Fields{logfields.Input: fmt.Sprintf("%T", e.Event), logfields.Reason: p,
+				logfields.Stack: string(debug.Stack())}).Error(logfields.DirectorPanicked)
 			actions = nil
 			if e.request != nil {
-				g.answerRequest(e.request, Answer{Outcome: Failed})
+				g.answerRequest(e.request, Answer{Outcome: Failed, cause: causeDirectorPanic})
 			}
 		}
 	}()
@@ -100,7 +104,7 @@
 	case routing.Fail:
 		// The request may have moved to another locality, whose director answers for it now.
 		if r := g.requests[a.ID]; r != nil && r.locality == locality {
-			g.answerByID(a.ID, Answer{Outcome: Failed})
+			g.answerByID(a.ID, Answer{Outcome: Failed, cause: causeGivenUp})
 		}
 	case routing.CancelAttempt:
 		if at := g.findAttempt(a.ID, a.Attempt, locality); at != nil {
@@ -114,7 +118,7 @@
 			g.cfg.Gossip.SendGossip(a.To, a.Data)
 		}
 	case routing.Log:
-		g.cfg.Log.Info(a.Text)
+		g.cfg.Log.WithField(logfields.Detail, a.Text).Info(logfields.DirectorNote)
 	case routing.StartHealthCheck, routing.PollEndpoints: // the platform allows no health checks, and pushes the endpoint list
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -61,7 +61,8 @@
 	retiredClassesTimer  *Timer                    // ends classes that a new configuration dropped; nil: there never were any
 
 	dispatch
-	drain drainState
+	drain      drainState
+	failureLog failureLog
 	admissionState
 	localityState
 }
--- a/gateway/reconfigure.go
+++ b/gateway/reconfigure.go
@@ -7,6 +7,7 @@
 	"sync/atomic"
 	"time"
 
+	"larchusher/internal/logfields"
 	"larchusher/overload"
 	"larchusher/routing"
 )
@@ -91,7 +92,7 @@
 	if len(served) > len(classes) {
 		g.retiredClassesTimer = g.cfg.Loop.After(retiredClassLifetime, func() {
 			if err := g.applyClasses(classes, maxAttempts); err != nil {
-				g.cfg.Log.WithError(err).Error("classes that were dropped are still served")
+				g.cfg.Log.WithError(err).Error(logfields.ReloadClassesFailed)
 			}
 		})
 	}
--- a/gateway/requests.go
+++ b/gateway/requests.go
@@ -82,11 +82,11 @@
 	}
 	if !g.claimID(r) {
 		g.Counters.DuplicateIDs++
-		g.answerRequest(r, Answer{Outcome: Failed})
+		g.answerRequest(r, Answer{Outcome: Failed, cause: causeDuplicateID})
 		return
 	}
 	if r.IdempotencyKey == "" && r.needsIdempotencyKey() { // a retry could not be told from another request
-		g.answerRequest(r, Answer{Outcome: Failed})
+		g.answerRequest(r, Answer{Outcome: Failed, cause: causeNoIdempotencyKey})
 		return
 	}
 	g.limitDeadline(r)
@@ -184,7 +184,7 @@
 	if r.answered {
 		return
 	}
-	g.answerRequest(r, Answer{Outcome: Expired, Retryable: r.idempotent(), RetryAfter: g.cfg.Settings.MaxRetryAfter / 2})
+	g.answerRequest(r, Answer{Outcome: Expired, Retryable: r.idempotent(), RetryAfter: g.cfg.Settings.MaxRetryAfter / 2, cause: causeDeadline})
 	g.handleEvent(event{locality: r.locality, Event: routing.ClientGone{ID: r.directorID}})
 	g.cancelAttempts(r)
 }
--- a/internal/clusternode/host.go
+++ b/internal/clusternode/host.go
@@ -17,6 +17,7 @@
 	"larchusher/consensus"
 	"larchusher/gateway"
 	"larchusher/internal/config"
+	"larchusher/internal/logfields"
 	"larchusher/internal/net/clustertransport"
 	"larchusher/internal/net/transport"
 	"larchusher/internal/snapshot"
@@ -61,7 +62,7 @@
 
 // Start starts the part of a gateway. Zone is its own. The gateway must ask Permit before it writes.
 func Start(cfg *config.Cluster, set routing.Settings, gw *gateway.Gateway, loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger) (*Node, error) {
-	h := &Node{cfg: cfg, loop: loop, gateway: gw, log: log.WithField("fleet", cfg.Name), zone: set.Zone, purgeSettleTime: set.PurgeSettleTime, started: time.Now().Add(-time.Second)}
+	h := &Node{cfg: cfg, loop: loop, gateway: gw, log: log.WithField(logfields.Self, cfg.Name), zone: set.Zone, purgeSettleTime: set.PurgeSettleTime, started: time.Now().Add(-time.Second)}
 	bounds := cfg.Bounds
 	longest := time.Duration(0)
 	for _, c := range set.Classes {
@@ -154,14 +155,14 @@
 		}
 	}
 	if err != nil {
-		h.log.WithError(err).Error("the vote is lost: the others have to let this one vote again")
+		h.log.WithError(err).Error(logfields.ClusterVoteLost)
 	}
 	if nc.View, err = readFile(dir, viewFile, h.cfg.Key); err == nil && nc.View != nil {
 		_, err = maintenance.Decode(nc.View)
 	}
 	if err != nil {
 		nc.View = nil
-		h.log.WithError(err).Error("the view is lost: nothing is sent before the others are heard")
+		h.log.WithError(err).Error(logfields.ClusterViewLost)
 	}
 	nc.Durable = true
 	h.files = newFileWriter(dir, h.cfg.Key)
@@ -259,12 +260,12 @@
 			h.applyDrains()
 			h.loop.Post(h.reportDrained)
 		case cluster.ShutDown:
-			h.log.Info("this gateway's own turn: it drains itself")
+			h.log.Info(logfields.ClusterOwnMaintenance)
 			if h.OnShutDown != nil {
 				h.OnShutDown(func() { h.handle(cluster.ShutdownCompleted{}) })
 			}
 		case cluster.AuditEntry:
-			h.log.WithField("audit", "work").Info(a.Text)
+			h.log.WithFields(logrus.Fields{logfields.Audit: "work", logfields.Detail: a.Text}).Info(logfields.AuditTrail)
 		}
 	}
 }
@@ -272,7 +273,7 @@
 func (h *Node) storeAcceptorState(s consensus.StoreState) {
 	b, err := clustertransport.EncodeAcceptorState(s.State)
 	if err != nil {
-		h.log.WithError(err).Error("a vote can't be stored")
+		h.log.WithError(err).Error(logfields.ClusterVoteUnstorable)
 		return
 	}
 	h.store(acceptorFile, b, cluster.AcceptorStateStored{Number: s.Number})
@@ -294,7 +295,7 @@
 			}
 			if h.failed = err; time.Since(h.warnedAt) > warnInterval { // it is not said to last: the others do without this vote
 				h.warnedAt = time.Now()
-				h.log.WithError(err).Error("what must last can't be written")
+				h.log.WithError(err).Error(logfields.ClusterWriteFailed)
 			}
 		})
 	})
--- a/internal/clusternode/share.go
+++ b/internal/clusternode/share.go
@@ -2,11 +2,15 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"maps"
 	"slices"
 	"time"
 
+	"github.com/sirupsen/logrus"
+
 	"larchusher/cluster"
+	"larchusher/internal/logfields"
 	"larchusher/replication"
 	"larchusher/warmstart"
 )
@@ -68,8 +72,9 @@
 		case replication.CaughtUp:
 			s.caughtUp = &a
 			u := s.owner.gateway.ImportLearned(s.sharer.Collect(s.owner.now(), s.owner.gateway.DirectorTime(s.owner.loop.Now()), s.owner.gateway.ListedEndpoints()))
-			s.owner.log.WithField("from", a.From).Infof("caught up after %v: %d listings, %d stores and %d purges used of %d slots", a.Took.Round(time.Millisecond), u.Listings, u.Endpoints,
-				u.Purges, s.node.Len())
+			detail := fmt.Sprintf("after %v: %d listings, %d endpoints and %d purges used of %d slots", a.Took.Round(time.Millisecond),
+				u.Listings, u.Endpoints, u.Purges, s.node.Len())
+			s.owner.log.WithFields(logrus.Fields{logfields.From: a.From, logfields.Detail: detail}).Info(logfields.ClusterCaughtUp)
 		}
 	}
 	s.slowest = max(s.slowest, time.Since(began))
@@ -96,7 +101,7 @@
 		return
 	}
 	s.draining = held
-	s.owner.log.WithField("stores", slices.Sorted(maps.Keys(held))).Info("held on others' word")
+	s.owner.log.WithField(logfields.Endpoints, slices.Sorted(maps.Keys(held))).Info(logfields.ClusterPrecautionaryDrain)
 	s.owner.applyDrains()
 }
 
@@ -132,7 +137,8 @@
 			var value []byte
 			if key, value, err = warmstart.ParseForget(f.Kind, f.Key, f.Reason); err == nil {
 				s.node.Publish(s.owner.now(), replication.Tombstone, key, value, s.owner.now())
-				s.owner.log.WithField("audit", "state").Infof("%s of %s is forgotten, asked by %s: %s", f.Kind, f.Key, from, f.Reason)
+				detail := fmt.Sprintf("%s of %s is forgotten, asked by %s: %s", f.Kind, f.Key, from, f.Reason)
+				s.owner.log.WithFields(logrus.Fields{logfields.Audit: "state", logfields.Detail: detail}).Info(logfields.AuditTrail)
 			}
 		}
 	}
--- a/internal/net/clustertransport/link.go
+++ b/internal/net/clustertransport/link.go
@@ -9,6 +9,7 @@
 
 	"larchusher/cluster"
 	"larchusher/gateway"
+	"larchusher/internal/logfields"
 	"larchusher/internal/net/transport"
 )
 
@@ -153,7 +154,7 @@
 	f, err := d.w.frame(m)
 	if err != nil {
 		l.Counters.Dropped++
-		l.log.WithError(err).Warn("a message to the fleet")
+		l.log.WithError(err).Warn(logfields.ClusterMessageUnencodable)
 		return
 	}
 	l.Counters.Sent++
@@ -169,7 +170,7 @@
 		return
 	}
 	o.transport.Counters.Disconnects++
-	o.transport.log.WithError(err).WithField("member", o.name).Debug("fleet: connection lost")
+	o.transport.log.WithError(err).WithField(logfields.Member, o.name).Debug(logfields.ClusterConnLost)
 	o.reset(err)
 	o.dialAfter = o.transport.loop.Now().Add(o.backoff)
 	o.backoff = min(maxBackoff, 2*o.backoff)
@@ -291,7 +292,7 @@
 	if err != nil {
 		l.loop.Post(func() {
 			l.Counters.Rejected++
-			l.log.WithError(err).Warn("fleet: a connection is refused")
+			l.log.WithError(err).Warn(logfields.ClusterConnRejected)
 		})
 	}
 	return err
@@ -316,7 +317,7 @@
 	}
 	if err != nil {
 		c.transport.Counters.Dropped++
-		c.transport.log.WithError(err).Warn("a reply to a tool")
+		c.transport.log.WithError(err).Warn(logfields.ClusterReplyUnencodable)
 		return
 	}
 	c.transport.Counters.Sent++
--- a/internal/net/discovery/client.go
+++ b/internal/net/discovery/client.go
@@ -11,6 +11,7 @@
 	"github.com/sirupsen/logrus"
 
 	"larchusher/gateway"
+	"larchusher/internal/logfields"
 	"larchusher/internal/net/transport"
 )
 
@@ -54,7 +55,7 @@
 	if addr == c.addr {
 		return
 	}
-	c.log.WithFields(logrus.Fields{"from": c.addr, "to": addr, "after": c.pos}).Info("journal: moving")
+	c.log.WithFields(logrus.Fields{logfields.From: c.addr, logfields.To: addr, logfields.Position: c.pos}).Info(logfields.DiscoveryMoved)
 	c.addr, c.retry = addr, retryFirst
 	c.again.Stop()
 	old := c.current
@@ -108,7 +109,7 @@
 		s.tc.Close(err)
 	}
 	if s.tc != nil || c.retry == retryFirst { // once a loss, not once a try
-		c.log.WithError(err).Warn("journal: lost, reconnecting")
+		c.log.WithError(err).Warn(logfields.DiscoveryLost)
 	}
 	c.again = c.loop.After(c.retry, c.connect)
 	c.retry = min(2*c.retry, retryMost)
@@ -147,7 +148,7 @@
 			e.Position = n
 		}
 		if bad != nil { // it alone is passed over
-			s.client.log.WithError(bad).Warn("journal: an event that cannot be used")
+			s.client.log.WithError(bad).Warn(logfields.DiscoveryEventFaulty)
 			dropped++
 			e = Event{Position: e.Position}
 		}
--- a/internal/net/msgpackrpc/front.go
+++ b/internal/net/msgpackrpc/front.go
@@ -13,6 +13,7 @@
 	"github.com/sirupsen/logrus"
 
 	"larchusher/gateway"
+	"larchusher/internal/logfields"
 	"larchusher/internal/net/transport"
 )
 
@@ -407,7 +408,7 @@
 		err = errors.New("the body is too long")
 	}
 	if err != nil {
-		c.front.log.WithError(err).Debug("a request that cannot be read")
+		c.front.log.WithError(err).Debug(logfields.RequestUnreadable)
 		return word{kind: wordBad, id: m.id, class: class}
 	}
 	// A size helps to decide and reaches no store: one that can't be read is not told.
--- a/internal/net/msgpackrpc/move.go
+++ b/internal/net/msgpackrpc/move.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"larchusher/internal/logfields"
 	"larchusher/internal/net/transport"
 )
 
@@ -35,7 +36,7 @@
 			err = move(c.tc, c.pieces())
 		}
 		if c.moved = err == nil; !c.moved {
-			f.log.WithError(err).Warn("a connection has not gone over to the new process")
+			f.log.WithError(err).Warn(logfields.ConnMigrationFailed)
 			c.tc.CloseGracefully(errEnding, transport.LingerTime)
 		}
 	}
--- a/internal/net/resp/answer.go
+++ b/internal/net/resp/answer.go
@@ -13,6 +13,7 @@
 	pool "github.com/libp2p/go-buffer-pool"
 
 	"larchusher/gateway"
+	"larchusher/internal/logfields"
 	"larchusher/internal/net/transport"
 	"larchusher/routing"
 )
@@ -76,7 +77,7 @@
 						c.pool.free(s)
 					}
 				}
-				c.pool.log.WithError(bad).WithField("store", c.store.id).Warn("an answer that cannot be read")
+				c.pool.log.WithError(bad).WithField(logfields.Endpoint, c.store.id).Warn(logfields.EndpointAnswerFaulty)
 				tc.Close(bad)
 				c.end(bad)
 				return
--- a/internal/net/resp/conn.go
+++ b/internal/net/resp/conn.go
@@ -10,6 +10,7 @@
 	"github.com/sirupsen/logrus"
 
 	"larchusher/gateway"
+	"larchusher/internal/logfields"
 	"larchusher/internal/net/transport"
 	"larchusher/routing"
 )
@@ -87,7 +88,7 @@
 	}
 	if len(c.open) > 0 {
 		p.Counters.ConnsLost++
-		p.log.WithError(err).WithFields(logrus.Fields{"store": c.store.id, "out": len(c.open)}).Debug("connection lost")
+		p.log.WithError(err).WithFields(logrus.Fields{logfields.Endpoint: c.store.id, logfields.InFlight: len(c.open)}).Debug(logfields.EndpointConnLost)
 	}
 	var out []*gateway.Attempt
 	for _, a := range c.open {
--- a/internal/net/transport/echo.go
+++ b/internal/net/transport/echo.go
@@ -9,6 +9,8 @@
 
 	"github.com/lesismal/nbio"
 	"golang.org/x/sys/unix"
+
+	"larchusher/internal/logfields"
 )
 
 // echoWithin is how long the first echo may take, at the start; it guards against waiting for ever for a poller that
@@ -56,7 +58,7 @@
 		return
 	}
 	if _, err := unix.Write(e.echo.fd, binary.NativeEndian.AppendUint64(nil, 1)); err != nil {
-		e.log.WithError(err).Warn("the echo cannot be written to")
+		e.log.WithError(err).Warn(logfields.PollerBarrierFailed)
 	}
 }
 
--- a/internal/net/transport/listener.go
+++ b/internal/net/transport/listener.go
@@ -12,6 +12,8 @@
 
 	"github.com/lesismal/nbio"
 	"golang.org/x/sys/unix"
+
+	"larchusher/internal/logfields"
 )
 
 const (
@@ -150,7 +152,7 @@
 	if err != nil {
 		_ = conn.Close()
 		l.slots.free()
-		l.engine.log.WithError(err).Warn("taking a connection over")
+		l.engine.log.WithError(err).Warn(logfields.ConnTakeoverFailed)
 		return
 	}
 	h := l.handler()
@@ -195,7 +197,7 @@
 		conn, err := net.FileConn(file)
 		_ = file.Close()
 		if err != nil {
-			l.engine.log.WithError(err).Warn("taking a queued connection over")
+			l.engine.log.WithError(err).Warn(logfields.ConnTakeoverFailed)
 			continue
 		}
 		l.take(conn)
--- a/internal/net/transport/transport.go
+++ b/internal/net/transport/transport.go
@@ -16,6 +16,8 @@
 	pool "github.com/libp2p/go-buffer-pool"
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sys/unix"
+
+	"larchusher/internal/logfields"
 )
 
 const (
@@ -74,7 +76,7 @@
 
 // New starts an engine with one poller. It lets so many bytes wait to be written.
 func New(log logrus.FieldLogger, most int) (*Engine, error) {
-	logging.DefaultLogger = quiet{log}
+	logging.DefaultLogger = nbioLog{log}
 	e := &Engine{log: log, most: int64(most), buffer: make([]byte, readSize)}
 	e.engine = nbio.NewEngine(nbio.Config{Name: "larchusher", NPoller: 1, ReadBufferSize: 1,
 		MaxWriteBufferSize: min(writeMost, most)})
@@ -360,7 +362,7 @@
 
 func (e *Engine) add(c *Conn) {
 	if _, err := e.engine.AddConn(c.nc); err != nil { // OnClosed has been called
-		e.log.WithError(err).Warn("adding a connection")
+		e.log.WithError(err).Warn(logfields.ConnRegisterFailed)
 	}
 }
 
@@ -390,11 +392,24 @@
 	}()
 }
 
-// quiet hands nbio's own messages on; what it reports of single connections is told by callbacks anyway.
-type quiet struct{ logrus.FieldLogger }
+// nbioLog hands on what nbio logs itself. What it reports of single connections reaches their handlers anyway.
+type nbioLog struct{ log logrus.FieldLogger }
+
+// detail words one of nbio's messages as a field.
+func (l nbioLog) detail(format string, v []any) logrus.FieldLogger {
+	return l.log.WithField(logfields.Detail, fmt.Sprintf(format, v...))
+}
 
-func (quiet) SetLevel(int)                       {}
-func (q quiet) Debug(f string, v ...interface{}) { q.FieldLogger.Debugf("nbio: "+f, v...) }
-func (q quiet) Info(f string, v ...interface{})  { q.FieldLogger.Debugf("nbio: "+f, v...) }
-func (q quiet) Warn(f string, v ...interface{})  { q.FieldLogger.Warnf("nbio: "+f, v...) }
-func (q quiet) Error(f string, v ...interface{}) { q.FieldLogger.Errorf("nbio: "+f, v...) }
+func (nbioLog) SetLevel(int) {}
+func (l nbioLog) Debug(format string, v ...any) {
+	l.detail(format, v).Debug(logfields.PollerLibraryReported)
+}
+func (l nbioLog) Info(format string, v ...any) {
+	l.detail(format, v).Debug(logfields.PollerLibraryReported)
+}
+func (l nbioLog) Warn(format string, v ...any) {
+	l.detail(format, v).Warn(logfields.PollerLibraryReported)
+}
+func (l nbioLog) Error(format string, v ...any) {
+	l.detail(format, v).Error(logfields.PollerLibraryReported)
+}
--- a/internal/snapshot/keeper.go
+++ b/internal/snapshot/keeper.go
@@ -6,6 +6,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"larchusher/internal/logfields"
 	"larchusher/internal/metrics"
 	"larchusher/warmstart"
 )
@@ -61,13 +62,14 @@
 		for _, f := range r.all {
 			if f.Err != nil {
 				k.UnreadableFiles++
-				log.WithError(f.Err).WithField("file", f.Name).Warn("a snapshot is not used")
+				log.WithError(f.Err).WithField(logfields.File, f.Name).Warn(logfields.SnapshotUnusable)
 			}
 		}
 		if r.best != nil {
 			k.Found, k.BadRecords, k.Size = true, r.best.Damage.BadRecords, r.best.Size
 			if !r.best.Damage.Whole {
-				log.WithFields(logrus.Fields{"file": r.best.Name, "bad": r.best.Damage.BadRecords, "cut": r.best.Damage.Truncated}).Warn("a snapshot is damaged: the rest of it is used")
+				log.WithFields(logrus.Fields{logfields.File: r.best.Name, logfields.BadRecords: r.best.Damage.BadRecords,
+					logfields.Truncated: r.best.Damage.Truncated}).Warn(logfields.SnapshotDamaged)
 			}
 			found = r.best.Snap
 		}
@@ -92,7 +94,7 @@
 // Tick is called now and then, with the Unix time.
 func (k *Saver) Tick(now time.Duration) {
 	if k.pace.Hanging(now) {
-		k.log.Error("writing a snapshot hangs: none is written until it ends")
+		k.log.Error(logfields.SnapshotWriteHangs)
 	}
 	if !k.pace.Due(now) {
 		return
@@ -115,7 +117,7 @@
 	if err == nil {
 		k.Size = size
 	} else if first {
-		k.log.WithError(err).Error("a snapshot could not be written; it is tried again")
+		k.log.WithError(err).Error(logfields.SnapshotWriteFailed)
 	}
 }
 
--- a/test/reload_test.go
+++ b/test/reload_test.go
@@ -60,7 +60,7 @@
 		r.config["journal"] = fault
 		r.write()
 		r.signal(syscall.SIGHUP)
-		if line := r.logged("the old configuration stays"); !strings.Contains(line, "journal") {
+		if line := r.logged("msg=\"reload rejected\""); !strings.Contains(line, "journal") {
 			t.Error(line)
 		}
 		r.log.Reset()
@@ -69,14 +69,14 @@
 		t.Fatal(err)
 	}
 	r.signal(syscall.SIGHUP)
-	r.logged("the old configuration stays")
+	r.logged("msg=\"reload rejected\"")
 	r.journal.Tell(2, `"expire":{"set":40,"stamp":1}`)
 	eventually(t, "the old journal is read", func() bool { return r.counter("journal_events") == 1 })
 
 	r.config["journal"], r.config["seed"] = good, "1" // the same address: its connection stays
 	r.write()
 	r.signal(syscall.SIGHUP)
-	if line := r.logged("with the next start"); !strings.Contains(line, "keys=seed") {
+	if line := r.logged("msg=\"reload needs restart\""); !strings.Contains(line, "keys=seed") {
 		t.Error(line)
 	}
 	eventually(t, "it is taken", func() bool { return r.counter("reloads") == 1 })
@@ -126,7 +126,7 @@
 		t.Fatal(err)
 	}
 	r.signal(syscall.SIGHUP)
-	r.logged("the signed front has ended")
+	r.logged("msg=\"reload closed the signed front\"")
 	if n, err := idle.r.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("an idle connection: %d bytes, %v", n, err)
 	}
@@ -151,7 +151,7 @@
 	}
 	r.log.Reset()
 	r.signal(syscall.SIGHUP)
-	if line := r.logged("with the next start"); !strings.Contains(line, "signed_front") {
+	if line := r.logged("msg=\"reload needs restart\""); !strings.Contains(line, "signed_front") {
 		t.Error(line)
 	}
 }
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -161,7 +161,7 @@
 		r.write()
 		r.log.Reset()
 		r.signal(syscall.SIGHUP)
-		if line := r.logged("the old configuration stays"); !strings.Contains(line, f.word) {
+		if line := r.logged("msg=\"reload rejected\""); !strings.Contains(line, f.word) {
 			t.Errorf("%s: %s", f.name, line)
 		}
 		if got := r.figures(console); got["reload_failure"] != i+1 || got["reload_success"] != 0 {
@@ -173,7 +173,7 @@
 	}
 	r.log.Reset()
 	r.signal(syscall.SIGHUP)
-	r.logged("the old configuration stays")
+	r.logged("msg=\"reload rejected\"")
 	c := r.client()
 	c.send("maps", object, 2*time.Second, "")
 	if a := c.next(); a.err == "" {
--- a/test/state_test.go
+++ b/test/state_test.go
@@ -50,7 +50,7 @@
 	if err := w.Again(); err != nil {
 		t.Fatal(err)
 	}
-	if line, err := w.Logged(ctx, "what was learned before"); err != nil || strings.Contains(line, " 0 listings") || strings.Contains(line, "void") {
+	if line, err := w.Logged(ctx, "msg=\"learned state imported\""); err != nil || strings.Contains(line, " 0 listings") || strings.Contains(line, "void") {
 		t.Errorf("%s, %v", line, err)
 	}
 	if _, err := w.Logged(ctx, "msg=serving"); err != nil {
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	_, second := keeping(t, folder, "")
-	if _, err := second.Logged(ctx, "what is learned is not kept"); err != nil {
+	if _, err := second.Logged(ctx, "msg=\"learned state not saved\""); err != nil {
 		t.Error(err)
 	}
 	drive(t, ctx, second, 1)
@@ -105,7 +105,7 @@
 	if err := w.Again(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := w.Logged(ctx, "a snapshot is not used"); err != nil {
+	if _, err := w.Logged(ctx, "msg=\"snapshot unusable\""); err != nil {
 		t.Error(err)
 	}
 	if _, err := w.Logged(ctx, "msg=serving"); err != nil {
--- a/test/tiers_test.go
+++ b/test/tiers_test.go
@@ -55,7 +55,7 @@
 		{"tiers {\n  spill: 1.5" + place, "line 2: tiers.spill: 1.5 is not from 0 to 1"},
 		{"tiers {\n  locality { name: \"moon\" level: 1 }\n}\n", "is none of the zones"},
 		{"tiers {\n  spill: 0.1" + place, "msg=reloaded"},
-		{"", "take effect with the next start"},
+		{"", `msg="reload needs restart"`},
 	} {
 		w.Log.Reset()
 		write(step.text)
--- a/test/upgrade_test.go
+++ b/test/upgrade_test.go
@@ -65,12 +65,12 @@
 	r.journal.Close()
 
 	second, console := r.beside()
-	second.logged("taking over from the process that serves")
+	second.logged("msg=\"upgrade: taking over\"")
 	if got := second.figures(console); got["targets"] != 4 || got["targets_disabled"] != 1 {
 		t.Errorf("it knows %d stores, of which %d are out of use", got["targets"], got["targets_disabled"])
 	}
 	r.signal(syscall.SIGTERM)
-	r.logged("leaving clients to the new process")
+	r.logged("msg=\"upgrade: migrating clients\"")
 	idle.ended()
 	r.on(done)
 	for i := range 40 {
@@ -94,7 +94,7 @@
 	if err := r.ended(); err != nil {
 		t.Errorf("the former process: %v", err)
 	}
-	second.logged("the former process has ended")
+	second.logged("msg=\"upgrade: predecessor has ended\"")
 }
 
 // upgrades is how many follow each other in TestNoRequestIsLostOverUpgrades, unless the environment says UPGRADES=N.
@@ -205,12 +205,12 @@
 	if err := second.cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	r.logged("the new process has ended; going on")
+	r.logged("msg=\"upgrade: successor has ended\"")
 	third, _ := r.beside()
 	if err := r.cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	third.logged("the former process has ended")
+	third.logged("msg=\"upgrade: predecessor has ended\"")
 	c := r.client()
 	c.send("films", object, 5*time.Second, "")
 	if a := c.next(); a.err != "" {
@@ -241,7 +241,7 @@
 	slow.raw(request[:len(request)/2])
 	second, console := r.beside()
 	r.signal(syscall.SIGTERM)
-	r.logged("leaving clients to the new process")
+	r.logged("msg=\"upgrade: migrating clients\"")
 	for i := range rounds {
 		c.send("films", object, 5*time.Second, "")
 		done(open)
@@ -280,7 +280,7 @@
 	open := next(t, held)
 	second, console := r.beside()
 	r.signal(syscall.SIGTERM)
-	r.logged("leaving clients to the new process")
+	r.logged("msg=\"upgrade: migrating clients\"")
 	c.raw(append([]byte{0x93, 2}, append(packText("cancelRequest"), 0x91, byte(first))...))
 	eventually(t, "the store is told", func() bool {
 		return r.sum(func(s *store) int { return len(s.Quits) }) == 1
@@ -345,7 +345,7 @@
 	}
 	load(func() bool { return toCold() > 0 })
 	r.beside()
-	r.logged("handing over to a new process") // a moment ago
+	r.logged("msg=\"upgrade: handing over\"") // a moment ago
 	before, until := toCold(), time.Now().Add(window*4/5)
 	load(func() bool { return time.Now().After(until) })
 	if n := toCold() - before; n != 0 {
@@ -365,8 +365,8 @@
 	r.env = append(r.env, "TMPDIR="+folder)
 	r.start()
 	second, _ := r.beside()
-	second.logged("listening beside the process that serves")
-	second.logged("taking over from the process that serves")
+	second.logged("msg=\"upgrade: sockets not handed over\"")
+	second.logged("msg=\"upgrade: taking over\"")
 	r.signal(syscall.SIGTERM)
 	if err := r.ended(); err != nil {
 		t.Error(err)
@@ -389,7 +389,7 @@
 	open := next(t, held)
 	second, _ := r.beside()
 	r.signal(syscall.SIGTERM)
-	r.logged("leaving clients to the new process")
+	r.logged("msg=\"upgrade: migrating clients\"")
 	third := *second
 	third.run()
 	r.on(done)
@@ -400,8 +400,8 @@
 	if err := r.ended(); err != nil {
 		t.Error(err)
 	}
-	second.logged("the former process has ended")
-	third.logged("taking over from the process that serves")
+	second.logged("msg=\"upgrade: predecessor has ended\"")
+	third.logged("msg=\"upgrade: taking over\"")
 	third.logged("msg=serving")
 	second.signal(syscall.SIGTERM)
 	if err := second.ended(); err != nil {
