--- a/cmd/larchusher/counters.go
+++ b/cmd/larchusher/counters.go
@@ -25,10 +25,10 @@
 	count("malformed", "Connections closed for what they sent.", p.front.Malformed)
 	count("excess", "Requests beyond those that a connection may have open.", p.front.TooManyOpen)
 	count("reloads", "Configurations taken in while running.", uint64(p.reloads))
-	count("journal_connects", "Connections to the journal service.", uint64(p.feed.Connects))
-	count("journal_events", "Events taken in.", uint64(p.feed.Events))
-	count("journal_dropped", "Events that could not be used.", uint64(p.feed.Dropped))
-	for name, n := range p.gw.Counters.ByName() {
+	count("journal_connects", "Connections to the journal service.", uint64(p.discovery.Connects))
+	count("journal_events", "Events taken in.", uint64(p.discovery.Events))
+	count("journal_dropped", "Events that could not be used.", uint64(p.discovery.Dropped))
+	for name, n := range p.gateway.Counters.ByName() {
 		count(name, "Of the gateway's core; see the operators' page.", n)
 	}
 	c := p.pool.Counters
@@ -40,34 +40,34 @@
 	count("store_late", "Answers that came too late.", c.LateAnswers)
 	count("store_dropped", "Answers passed over for want of memory.", c.AnswersDropped)
 	count("store_noop", "Tests of silent connections.", c.Pings)
-	all = append(all, gatewayMetrics(p.gw)...)
-	if p.keeper != nil {
-		all = append(all, p.keeper.Metrics(p.gw.DirectorTime(p.loop.Now()))...)
+	all = append(all, gatewayMetrics(p.gateway)...)
+	if p.snapshots != nil {
+		all = append(all, p.snapshots.Metrics(p.gateway.DirectorTime(p.loop.Now()))...)
 	}
-	if p.fleet != nil {
-		values := p.fleet.Metrics()
-		for _, name := range p.fleet.MetricNames() {
+	if p.cluster != nil {
+		values := p.cluster.Metrics()
+		for _, name := range p.cluster.MetricNames() {
 			add(metrics.Gauge, name, "Of what gateways settle among themselves; see the operators' page.", values[name])
 		}
 	}
-	if p.link != nil {
-		count("peer_sent", "Datagrams sent.", uint64(p.link.Sent))
-		count("peer_heard", "Datagrams heard.", uint64(p.link.Received))
-		count("peer_dropped", "Datagrams dropped.", uint64(p.link.Dropped))
+	if p.gossip != nil {
+		count("peer_sent", "Datagrams sent.", uint64(p.gossip.Sent))
+		count("peer_heard", "Datagrams heard.", uint64(p.gossip.Received))
+		count("peer_dropped", "Datagrams dropped.", uint64(p.gossip.Dropped))
 	}
-	if p.signed != nil {
-		count("signed_admitted", "Requests whose token was good.", p.signed.Admitted)
-		for reason, n := range p.signed.ProblemsByReason {
+	if p.signedFront != nil {
+		count("signed_admitted", "Requests whose token was good.", p.signedFront.Admitted)
+		for reason, n := range p.signedFront.ProblemsByReason {
 			count("signed_problem", "Requests turned away, by reason.", n, metrics.Label{Name: "reason", Value: reason})
 		}
-		for status, n := range p.signed.AnswersByStatus {
+		for status, n := range p.signedFront.AnswersByStatus {
 			count("signed_status", "Answers, by status.", n, metrics.Label{Name: "status", Value: strconv.Itoa(status)})
 		}
 	}
 	return all
 }
 
-// print writes the counters to the log.
-func (p *program) print() {
+// logCounters writes the counters to the log.
+func (p *program) logCounters() {
 	p.log.WithFields(logrus.Fields(metrics.Source(p.counters).Fields())).Info(logfields.Counters)
 }
--- a/cmd/larchusher/main.go
+++ b/cmd/larchusher/main.go
@@ -94,29 +94,29 @@
 	return err
 }
 
-// rest are arguments that are handed on.
-type rest struct {
+// passedArguments are arguments that are handed on.
+type passedArguments struct {
 	Args []string `arg:"" optional:""`
 }
 
 type (
-	lab  struct{ rest }
-	get  struct{ rest }
-	ping struct{ rest }
+	lab  struct{ passedArguments }
+	get  struct{ passedArguments }
+	ping struct{ passedArguments }
 )
 
 // Run becomes the workshop's program.
-func (l *lab) Run() error { return workshop(l.Args) }
+func (l *lab) Run() error { return execLab(l.Args) }
 
 // Run becomes the workshop's program, as a client.
-func (g *get) Run() error { return workshop(append([]string{"get"}, g.Args...)) }
+func (g *get) Run() error { return execLab(append([]string{"get"}, g.Args...)) }
 
 // Run becomes the workshop's program, as a client.
-func (p *ping) Run() error { return workshop(append([]string{"ping"}, p.Args...)) }
+func (p *ping) Run() error { return execLab(append([]string{"ping"}, p.Args...)) }
 
-// workshop runs the workshop's program in place of this one. It stands beside this one: what it needs takes none of the
+// execLab runs the workshop's program in place of this one. It stands beside this one: what it needs takes none of the
 // gateway's memory.
-func workshop(args []string) error {
+func execLab(args []string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
--- a/cmd/larchusher/reload.go
+++ b/cmd/larchusher/reload.go
@@ -15,36 +15,36 @@
 func (p *program) reload() {
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
-		p.loop.Post(func() { p.keepOld(err) })
+		p.loop.Post(func() { p.rejectReload(err) })
 		return
 	}
-	op, err := config.LoadOperator(p.file, os.Getenv)
+	op, err := config.LoadOperator(p.operatorPath, os.Getenv)
 	if err != nil {
-		p.loop.Post(func() { p.keepOld(err) })
+		p.loop.Post(func() { p.rejectReload(err) })
 		return
 	}
 	p.loop.Post(func() {
-		if err := p.takeOver(cfg, op); err != nil {
-			p.keepOld(err)
+		if err := p.applyReload(cfg, op); err != nil {
+			p.rejectReload(err)
 		}
 	})
 }
 
-// keepOld notes a reload whose files are at fault.
-func (p *program) keepOld(err error) {
-	p.badReloads++
+// rejectReload notes a reload whose files are at fault.
+func (p *program) rejectReload(err error) {
+	p.rejectedReloads++
 	p.log.WithError(err).Error(logfields.ReloadRejected)
 }
 
-// takeOver takes over what may change while the program runs: the journal's address, the classes, the limit on attempts, the
+// applyReload takes over what may change while the program runs: the journal's address, the classes, the limit on attempts, the
 // signed front's keys and the bounds of localities. Requests and connections stay as they are. All is checked before
 // anything is used: if one file is at fault, all stays as it was.
-func (p *program) takeOver(cfg *config.Gateway, op *config.Operator) error {
+func (p *program) applyReload(cfg *config.Gateway, op *config.Operator) error {
 	if err := p.cfg.CheckReload(cfg); err != nil {
 		return err
 	}
 	if op.Signed != nil {
-		if _, err := signedAPI(op.Signed, cfg.Settings); err != nil {
+		if _, err := newSignedAPI(op.Signed, cfg.Settings); err != nil {
 			return err
 		}
 	}
@@ -52,18 +52,18 @@
 	if err != nil {
 		return err
 	}
-	if err := p.gw.ReconfigureClasses(cfg.Settings.Classes, cfg.Settings.MaxAttempts); err != nil {
+	if err := p.gateway.ReconfigureClasses(cfg.Settings.Classes, cfg.Settings.MaxAttempts); err != nil {
 		return err
 	}
 	p.reloads++
-	p.warnFixed(cfg, op)
+	p.warnRestartKeys(cfg, op)
 	p.cfg.Settings.Classes, p.cfg.Settings.MaxAttempts = cfg.Settings.Classes, cfg.Settings.MaxAttempts
-	p.front.SetClasses(classNames(p.gw.Classes()))
-	p.pool.SetAnswerTimeout(p.longest())
-	p.feed.SetAddress(cfg.Journal)
-	p.useSigned(op.Signed)
-	if p.op.Localities != nil && tiers != nil && p.op.SameRestartSettings(op) {
-		if err := p.gw.ReconfigureLocalities(*tiers); err != nil {
+	p.front.SetClasses(classNames(p.gateway.Classes()))
+	p.pool.SetAnswerTimeout(p.longestDeadline())
+	p.discovery.SetAddress(cfg.Journal)
+	p.reloadSignedFront(op.Signed)
+	if p.operator.Localities != nil && tiers != nil && p.operator.SameRestartSettings(op) {
+		if err := p.gateway.ReconfigureLocalities(*tiers); err != nil {
 			p.log.WithError(err).Error(logfields.ReloadLocalityFailed)
 		}
 	}
@@ -71,10 +71,10 @@
 	return nil
 }
 
-// warnFixed names what differs and takes effect with the next start only.
-func (p *program) warnFixed(cfg *config.Gateway, op *config.Operator) {
+// warnRestartKeys names what differs and takes effect with the next start only.
+func (p *program) warnRestartKeys(cfg *config.Gateway, op *config.Operator) {
 	keys := p.cfg.ChangedRestartKeys(cfg)
-	if !p.op.SameRestartSettings(op) {
+	if !p.operator.SameRestartSettings(op) {
 		keys = append(keys, "listeners, overload and localities of the operator's file")
 	}
 	if len(keys) > 0 {
@@ -82,32 +82,32 @@
 	}
 }
 
-// useSigned has the signed front go by what a newer file says. One that the file has no more ends, for good: its keys may be
+// reloadSignedFront has the signed front go by what a newer file says. One that the file has no more ends, for good: its keys may be
 // somebody's who is not served here any longer.
-func (p *program) useSigned(signed *config.Signed) {
+func (p *program) reloadSignedFront(signed *config.Signed) {
 	switch {
-	case p.signed == nil:
-	case signed == nil && !p.retired:
-		p.retired = true
-		p.signedAt.Close()
-		p.signed.Retire()
+	case p.signedFront == nil:
+	case signed == nil && !p.signedFrontClosed:
+		p.signedFrontClosed = true
+		p.signedListener.Close()
+		p.signedFront.Retire()
 		p.log.Warn(logfields.ReloadSignedFrontDone)
-	case signed != nil && p.retired:
+	case signed != nil && p.signedFrontClosed:
 		p.log.WithField(logfields.Keys, "signed_front").Warn(logfields.ReloadNeedsRestart)
 	case signed != nil:
 		settings := p.cfg.Settings
-		settings.Classes = p.gw.Classes()
-		api, err := signedAPI(signed, settings)
+		settings.Classes = p.gateway.Classes()
+		api, err := newSignedAPI(signed, settings)
 		if err != nil { // it was checked a moment ago
 			p.log.WithError(err).Error(logfields.ReloadSignedFailed)
 			return
 		}
-		p.signed.SetAPI(api)
+		p.signedFront.SetAPI(api)
 	}
 }
 
-// signedAPI has the keys of the signed front's file.
-func signedAPI(s *config.Signed, settings routing.Settings) (*httpapi.API, error) {
+// newSignedAPI has the keys of the signed front's file.
+func newSignedAPI(s *config.Signed, settings routing.Settings) (*httpapi.API, error) {
 	verifier, err := signedurl.NewVerifier(s.URLs)
 	if err != nil {
 		return nil, err
--- a/cmd/larchusher/serve.go
+++ b/cmd/larchusher/serve.go
@@ -23,48 +23,48 @@
 	"larchusher/internal/snapshot"
 )
 
-// sink joins the gateway and its stores for the journal.
-type sink struct {
+// endpointSink joins the gateway and its stores for the journal.
+type endpointSink struct {
 	*gateway.Gateway
 	*resp.Pool
 }
 
 // program is the running whole.
 type program struct {
-	log    logrus.FieldLogger
-	loop   *gateway.Loop
-	engine *transport.Engine
-	gw     *gateway.Gateway
-	pool   *resp.Pool
-	front  *msgpackrpc.Front
-	feed   *discovery.Client
-	link   *gossip.Link
-	signed *signedfront.Front // nil: off
-	keeper *snapshot.Saver    // nil: what is learned is not kept
-	fleet  *clusternode.Node  // nil: this gateway is alone
-	left   func()             // to be called once all is answered; nil: nobody waits for that
-	accept []*transport.Listener
-	book   *discovery.EventApplier
+	log         logrus.FieldLogger
+	loop        *gateway.Loop
+	engine      *transport.Engine
+	gateway     *gateway.Gateway
+	pool        *resp.Pool
+	front       *msgpackrpc.Front
+	discovery   *discovery.Client
+	gossip      *gossip.Link
+	signedFront *signedfront.Front // nil: off
+	snapshots   *snapshot.Saver    // nil: what is learned is not kept
+	cluster     *clusternode.Node  // nil: this gateway is alone
+	onShutDown  func()             // to be called once all is answered; nil: nobody waits for that
+	listeners   []*transport.Listener
+	endpoints   *discovery.EventApplier
 
-	moves     *hotrestart.Receiver // of clients' connections of a former process; nil: none come
-	successor *hotrestart.Link     // to which clients' connections go over; nil: they do not
-	process   *hotrestart.Process  // nil: no other process of this gateway can take over
-	since     string               // fingerprint of the journal's events at the start
-	clients   *transport.Listener  // of the platform's front
-	closeRest func()               // closes sockets of a former process that nobody listens on any more; nil: there are none
+	migratedConns      *hotrestart.Receiver // of clients' connections of a former process; nil: none come
+	successor          *hotrestart.Link     // to which clients' connections go over; nil: they do not
+	process            *hotrestart.Process  // nil: no other process of this gateway can take over
+	initialEventsID    string               // fingerprint of the journal's events at the start
+	platformListener   *transport.Listener  // of the platform's front
+	closeUnusedSockets func()               // closes sockets of a former process that nobody listens on any more; nil: there are none
 
-	signedAt *transport.Listener // where the signed front listens
-	retired  bool                // a reload has ended that front
+	signedListener    *transport.Listener // where the signed front listens
+	signedFrontClosed bool                // a reload has ended that front
 
-	cfg     *config.Gateway     // as taken in at the start
-	op      *config.Operator    // likewise
-	file    string              // of the operator; empty: none
-	console *transport.Listener // nil: operators have no address
-	serving bool                // clients are accepted
+	cfg           *config.Gateway     // as taken in at the start
+	operator      *config.Operator    // likewise
+	operatorPath  string              // of the operator; empty: none
+	adminListener *transport.Listener // nil: operators have no address
+	accepting     bool                // clients are accepted
 
-	reloads    int
-	badReloads int // files that were at fault
-	draining   bool
+	reloads         int
+	rejectedReloads int // files that were at fault
+	draining        bool
 }
 
 // serve is the sub-command of that name.
@@ -92,31 +92,31 @@
 	// Garbage is let grow where there is memory for it: collecting took a fifth of the time at full load.
 	debug.SetGCPercent(min(400, max(100, 2*cfg.Limits.MemoryMB)))
 
-	p := &program{log: log.WithField(logfields.Gateway, cfg.Name), loop: gateway.NewLoop(), cfg: cfg, op: op, file: s.Operator}
+	p := &program{log: log.WithField(logfields.Gateway, cfg.Name), loop: gateway.NewLoop(), cfg: cfg, operator: op, operatorPath: s.Operator}
 	defer p.close()
 	if err := p.start(); err != nil {
 		return err
 	}
-	go p.mind(signals)
+	go p.handleSignals(signals)
 	go func() { // a second one changes nothing
 		<-end
-		p.loop.Post(p.drain)
+		p.loop.Post(p.shutDown)
 	}()
 	p.loop.Run()
-	if p.keeper != nil {
-		p.keeper.Close(lastSnapshot)
+	if p.snapshots != nil {
+		p.snapshots.Close(finalSnapshotTimeout)
 	}
-	p.print()
+	p.logCounters()
 	return nil
 }
 
-// mind hands signals to the loop.
-func (p *program) mind(signals <-chan os.Signal) {
+// handleSignals hands signals to the loop.
+func (p *program) handleSignals(signals <-chan os.Signal) {
 	for s := range signals {
 		if s == syscall.SIGHUP {
 			p.reload()
 		} else {
-			p.loop.Post(p.print)
+			p.loop.Post(p.logCounters)
 		}
 	}
 }
--- a/cmd/larchusher/shared.go
+++ b/cmd/larchusher/shared.go
@@ -13,12 +13,12 @@
 	"larchusher/replication"
 )
 
-func (f *fleetFlags) shared(at, kind string) (*clusternode.SharedState, error) {
+func (f *clusterFlags) sharedState(at, kind string) (*clusternode.SharedState, error) {
 	one := *f
 	if at != "" {
 		one.At = at
 	}
-	m, err := one.ask(cluster.Message{Query: "shared", Value: []byte(kind)})
+	m, err := one.query(cluster.Message{Query: "shared", Value: []byte(kind)})
 	if err == nil && m.Rejected != "" {
 		err = errors.New("state: refused: " + m.Rejected)
 	}
@@ -34,14 +34,14 @@
 
 // stateShared is the sub-command `state shared`.
 type stateShared struct {
-	fleetFlags
+	clusterFlags
 	Kind string `help:"Of this kind only: purge, drain, cold, forget, health, listing."`
 	JSON bool   `name:"json" help:"Print JSON."`
 }
 
 // Run shows a gateway's copy.
 func (c *stateShared) Run() error {
-	s, err := c.shared("", c.Kind)
+	s, err := c.sharedState("", c.Kind)
 	if err != nil {
 		return err
 	}
@@ -69,7 +69,7 @@
 
 // stateDiff is the sub-command `state diff`.
 type stateDiff struct {
-	fleetFlags
+	clusterFlags
 	A    string `arg:"" help:"A gateway."`
 	B    string `arg:"" help:"Another one."`
 	Kind string `help:"Of this kind only."`
@@ -77,11 +77,11 @@
 
 // Run compares two copies. What one was told a moment ago the other may not have heard yet.
 func (c *stateDiff) Run() error {
-	a, err := c.shared(c.A, c.Kind)
+	a, err := c.sharedState(c.A, c.Kind)
 	if err != nil {
 		return err
 	}
-	b, err := c.shared(c.B, c.Kind)
+	b, err := c.sharedState(c.B, c.Kind)
 	if err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 
 // stateForget is the sub-command `state forget`.
 type stateForget struct {
-	fleetFlags
+	clusterFlags
 	Kind string   `arg:"" help:"health or listing."`
 	Key  string   `arg:"" help:"As state shared shows it."`
 	Why  []string `arg:"" help:"The reason, which is told with it."`
@@ -129,11 +129,11 @@
 
 // Run has something forgotten at all gateways.
 func (c *stateForget) Run() error {
-	value, err := json.Marshal(clusternode.ForgetRequest{Kind: c.Kind, Key: c.Key, Reason: strings.Join(c.Why, " ") + ", " + by()})
+	value, err := json.Marshal(clusternode.ForgetRequest{Kind: c.Kind, Key: c.Key, Reason: strings.Join(c.Why, " ") + ", " + currentUser()})
 	if err != nil {
 		return err
 	}
-	m, err := c.ask(cluster.Message{Query: "forget", Value: value})
+	m, err := c.query(cluster.Message{Query: "forget", Value: value})
 	if err == nil && m.Rejected != "" {
 		err = errors.New("state: refused: " + m.Rejected)
 	}
--- a/cmd/larchusher/state.go
+++ b/cmd/larchusher/state.go
@@ -76,7 +76,7 @@
 	Ill      int    `json:"Ill"`      // servers that fail, or are out of use
 }
 
-func look(f snapshot.Found, now time.Time) fileState {
+func describeFile(f snapshot.Found, now time.Time) fileState {
 	s := fileState{File: f.Name, Bytes: f.Size, Whole: f.Damage.Whole, Bad: f.Damage.BadRecords, Cut: f.Damage.Truncated}
 	if f.Err != nil {
 		s.Error = f.Err.Error()
@@ -133,7 +133,7 @@
 	all, err := store.Inspect()
 	for _, found := range all {
 		if err == nil {
-			err = f.print(look(found, time.Now()))
+			err = f.print(describeFile(found, time.Now()))
 		}
 	}
 	return folder, len(all), len(all) > 0 && all[0].Err == nil && all[0].Damage.Whole, err
--- a/cmd/larchusher/upgrade.go
+++ b/cmd/larchusher/successor.go
@@ -26,14 +26,14 @@
 // that one is sent SIGTERM and has answered what is open.
 
 const (
-	turnWithin   = 3 * time.Second       // for which a third process waits until one of the two that run has ended
-	stateWithin  = 2 * time.Second       // for which a new process waits for the state of the one that serves
-	overlapShare = 0.4                   // of its descriptors and memory that each process may use while both run
-	listingsMost = 20000                 // listings that are handed over
-	queueWithin  = 50 * time.Millisecond // until what the kernel had accepted is known to the fronts
-	leaveTick    = 2 * time.Millisecond  // between two looks for connections that can go
-	stateFormat  = 1                     // of handedState; another one is not used
-	memoryPart   = 0.6                   // of the limit on memory at which garbage is collected at once
+	joinTimeout       = 3 * time.Second       // for which a third process waits until one of the two that run has ended
+	stateTimeout      = 2 * time.Second       // for which a new process waits for the state of the one that serves
+	overlapShare      = 0.4                   // of its descriptors and memory that each process may use while both run
+	maxHandedListings = 20000                 // listings that are handed over
+	acceptQueueTime   = 50 * time.Millisecond // until what the kernel had accepted is known to the fronts
+	migrateInterval   = 2 * time.Millisecond  // between two looks for connections that can go
+	stateFormat       = 1                     // of handedState; another one is not used
+	softMemoryShare   = 0.6                   // of the limit on memory at which garbage is collected at once
 )
 
 // handedState is what a process hands over to its successor.
@@ -44,8 +44,8 @@
 	Learned *warmstart.Snapshot    `json:"Learned"` // nil: none
 }
 
-// fingerprint tells the journal's events of one start from those of another: they are numbered from 1 in each.
-func fingerprint(known discovery.InitialState) string {
+// eventsID tells the journal's events of one start from those of another: they are numbered from 1 in each.
+func eventsID(known discovery.InitialState) string {
 	b, err := json.Marshal(known)
 	if err != nil { // it was read from JSON
 		return ""
@@ -53,42 +53,42 @@
 	return strconv.FormatUint(xxhash.Sum64(b), 16)
 }
 
-// joinHandover finds out whether another process of this gateway serves. Where the folder can't be used the program goes
+// joinProcess finds out whether another process of this gateway serves. Where the folder can't be used the program goes
 // without: a new process then starts as if the other one were none of its business.
-func (p *program) joinHandover() error {
+func (p *program) joinProcess() error {
 	addr, err := netip.ParseAddrPort(p.cfg.Listen)
 	if err != nil || addr.Port() == 0 { // whoever draws its port has no address in common with anybody
 		return nil
 	}
 	// Short: a Unix socket in it has a path of 107 bytes at most.
 	name := fmt.Sprintf("larchusher-%012x", xxhash.Sum64String(fmt.Sprintf("%d %s", os.Geteuid(), p.cfg.Listen))>>16)
-	p.process, err = hotrestart.Join(filepath.Join(os.TempDir(), name), turnWithin)
+	p.process, err = hotrestart.Join(filepath.Join(os.TempDir(), name), joinTimeout)
 	if err != nil {
 		p.process = nil
 		p.log.WithError(err).Warn(logfields.UpgradeUnavailable)
 		return nil
 	}
-	if p.process.IsSuccessor() && p.op.Cluster != nil {
+	if p.process.IsSuccessor() && p.operator.Cluster != nil {
 		p.process.Close()
 		return errors.New("fleet: another process of this gateway runs, and would be the same member: end it first")
 	}
 	return nil
 }
 
-// takeState takes over the state of the process that serves, if there is one, and returns the list of stores to start with.
+// requestState takes over the state of the process that serves, if there is one, and returns the list of stores to start with.
 // Its listening sockets are left to the engine.
-func (p *program) takeState() (known discovery.InitialState, learned *warmstart.Snapshot) {
+func (p *program) requestState() (known discovery.InitialState, learned *warmstart.Snapshot) {
 	known = p.cfg.InitialState
 	if p.process == nil || !p.process.IsSuccessor() {
 		return known, nil
 	}
 	p.setMemory(overlapShare)
-	handed, err := p.process.RequestHandover(stateWithin)
+	handed, err := p.process.RequestHandover(stateTimeout)
 	var state handedState
 	if err == nil {
 		err = json.Unmarshal(handed.State, &state)
 	}
-	p.closeRest, p.moves = p.engine.Inherit(handed.Sockets), handed.Connections
+	p.closeUnusedSockets, p.migratedConns = p.engine.Inherit(handed.Sockets), handed.Connections
 	if handed.SocketsErr != nil {
 		p.log.WithError(handed.SocketsErr).Warn(logfields.UpgradeSocketsMissing)
 	}
@@ -99,72 +99,72 @@
 	case state.Format != stateFormat:
 		p.log.WithField(logfields.Format, state.Format).Warn(logfields.UpgradeStateUnknown)
 		return known, nil
-	case state.Since == fingerprint(p.cfg.InitialState) && state.Known.Position >= known.Position:
+	case state.Since == eventsID(p.cfg.InitialState) && state.Known.Position >= known.Position:
 		known = state.Known
 	}
 	p.log.WithField(logfields.Position, known.Position).Info(logfields.UpgradeTakingOver)
 	return known, state.Learned
 }
 
-// followHandover takes in what the former process had learned, has this one use all of its shares once it is alone, and
+// startHandover takes in what the former process had learned, has this one use all of its shares once it is alone, and
 // answers its own successor.
-func (p *program) followHandover(learned *warmstart.Snapshot) {
+func (p *program) startHandover(learned *warmstart.Snapshot) {
 	if p.process == nil {
 		return
 	}
 	if learned != nil {
-		report := p.gw.ImportSnapshot(learned, p.cfg.Name, p.cfg.Fingerprint())
+		report := p.gateway.ImportSnapshot(learned, p.cfg.Name, p.cfg.Fingerprint())
 		p.log.WithField(logfields.Detail, report.String()).Info(logfields.UpgradeStateImported)
 	}
 	if p.process.IsSuccessor() {
-		p.useShares(overlapShare)
-		p.takeColdBudget(learned != nil)
+		p.useResourceShare(overlapShare)
+		p.takeSlowStartBudget(learned != nil)
 		p.process.AwaitAlone(func() {
 			p.loop.Post(func() {
 				p.log.Info(logfields.UpgradePredecessorGone)
-				p.useShares(1)
+				p.useResourceShare(1)
 				if learned == nil {
-					p.takeColdBudget(true)
+					p.takeSlowStartBudget(true)
 				}
 			})
 		})
 	}
 	p.process.Watch(func(answer hotrestart.AnswerFunc) {
-		p.loop.Post(func() { p.handState(answer) })
+		p.loop.Post(func() { p.handOver(answer) })
 	}, func() {
 		p.loop.Post(func() {
 			p.log.Warn(logfields.UpgradeSuccessorGone)
-			p.useShares(1)
-			p.takeColdBudget(true)
+			p.useResourceShare(1)
+			p.takeSlowStartBudget(true)
 		})
 	})
 }
 
-// takeColdBudget has this process send to cold stores once a whole window has passed since the other one has stopped: it has
+// takeSlowStartBudget has this process send to cold stores once a whole window has passed since the other one has stopped: it has
 // stopped now, or (false) it does not know of this one and goes on until it ends.
-func (p *program) takeColdBudget(stopped bool) {
+func (p *program) takeSlowStartBudget(stopped bool) {
 	if stopped {
-		p.gw.PauseSlowStart(p.cfg.Settings.OverloadWindow)
+		p.gateway.PauseSlowStart(p.cfg.Settings.OverloadWindow)
 	} else {
-		p.gw.PauseSlowStart(-1)
+		p.gateway.PauseSlowStart(-1)
 	}
 }
 
-// useShares has this process use a part of the descriptors and the memory that the program may use.
-func (p *program) useShares(part float64) {
+// useResourceShare has this process use a part of the descriptors and the memory that the program may use.
+func (p *program) useResourceShare(part float64) {
 	p.setMemory(part)
-	p.pool.SetMaxConns(scaled(p.shares().Stores, part))
-	p.useClientShares(part)
+	p.pool.SetMaxConns(scaled(p.connQuotas().Stores, part))
+	p.useConnShare(part)
 }
 
-// useClientShares has this process use a part of the descriptors that clients may have.
-func (p *program) useClientShares(part float64) {
-	share := p.shares()
+// useConnShare has this process use a part of the descriptors that clients may have.
+func (p *program) useConnShare(part float64) {
+	share := p.connQuotas()
 	p.front.SetMaxConns(scaled(share.Clients, part))
-	p.clients.SetMaxConns(scaled(share.Clients, part))
-	if p.signed != nil {
-		p.signed.SetMaxConns(scaled(share.Signed, part))
-		p.signedAt.SetMaxConns(scaled(share.Signed, part))
+	p.platformListener.SetMaxConns(scaled(share.Clients, part))
+	if p.signedFront != nil {
+		p.signedFront.SetMaxConns(scaled(share.Signed, part))
+		p.signedListener.SetMaxConns(scaled(share.Signed, part))
 	}
 }
 
@@ -172,12 +172,12 @@
 func scaled(n int, part float64) int { return max(1, int(part*float64(n))) }
 
 func (p *program) setMemory(part float64) {
-	debug.SetMemoryLimit(int64(part * memoryPart * float64(p.cfg.Limits.MemoryMB<<20)))
+	debug.SetMemoryLimit(int64(part * softMemoryShare * float64(p.cfg.Limits.MemoryMB<<20)))
 }
 
-// serve notes that clients are taken from now on.
-func (p *program) serve() {
-	p.serving = true
+// startAccepting notes that clients are taken from now on.
+func (p *program) startAccepting() {
+	p.accepting = true
 	if p.process == nil {
 		return
 	}
@@ -186,16 +186,16 @@
 	}
 }
 
-// adopt serves clients' connections that the former process hands over, until it has ended.
-func (p *program) adopt() {
+// adoptConns serves clients' connections that the former process hands over, until it has ended.
+func (p *program) adoptConns() {
 	for first := true; ; first = false {
-		moved, err := p.moves.Next()
+		moved, err := p.migratedConns.Next()
 		if err != nil {
-			p.moves.Close()
+			p.migratedConns.Close()
 			return
 		}
 		if first { // the former process accepts no more
-			p.loop.Post(func() { p.useClientShares(1) })
+			p.loop.Post(func() { p.useConnShare(1) })
 		}
 		conn, err := net.FileConn(moved.File)
 		_ = moved.File.Close()
@@ -203,7 +203,7 @@
 			p.log.WithError(err).Warn(logfields.UpgradeConnFaulty)
 			continue
 		}
-		at := slices.IndexFunc(p.accept, func(l *transport.Listener) bool { return l.Addr().String() == moved.Addr })
+		at := slices.IndexFunc(p.listeners, func(l *transport.Listener) bool { return l.Addr().String() == moved.Addr })
 		if at < 0 {
 			p.log.WithField(logfields.Address, moved.Addr).Warn(logfields.UpgradeConnAddress)
 			_ = conn.Close()
@@ -214,6 +214,6 @@
 		for _, piece := range moved.Inputs {
 			pieces = append(pieces, transport.ReceivedChunk{Data: piece.Data, At: now.Add(-piece.Age)})
 		}
-		p.accept[at].Adopt(conn, pieces)
+		p.listeners[at].Adopt(conn, pieces)
 	}
 }
--- a/cmd/larchusher/work.go
+++ b/cmd/larchusher/work.go
@@ -30,30 +30,30 @@
 	Forget   workForget   `cmd:"" help:"Say that a gateway is gone for good: nothing waits for it any more. It must not be running."`
 }
 
-// fleetFlags say whom to ask.
-type fleetFlags struct {
+// clusterFlags say whom to ask.
+type clusterFlags struct {
 	operatorFile
 	At      string        `help:"The gateway to ask; any, one after the other, without." placeholder:"NAME"`
 	Timeout time.Duration `help:"How long to try." default:"15s"`
 }
 
-// order sends an order to one gateway after the other until one answers.
-func (f *fleetFlags) order(c *maintenance.Command, query string) (cluster.Message, error) {
+// sendCommand sends an order to one gateway after the other until one answers.
+func (f *clusterFlags) sendCommand(c *maintenance.Command, query string) (cluster.Message, error) {
 	m := cluster.Message{Query: query}
 	if c != nil {
 		if c.Actor == "" {
-			c.Actor = by()
+			c.Actor = currentUser()
 		}
 		var err error
 		if m.Value, err = json.Marshal(c); err != nil {
 			return cluster.Message{}, fmt.Errorf("work: %w", err)
 		}
 	}
-	return f.ask(m)
+	return f.query(m)
 }
 
-// ask sends a message to one gateway after the other until one answers.
-func (f *fleetFlags) ask(m cluster.Message) (cluster.Message, error) {
+// query sends a message to one gateway after the other until one answers.
+func (f *clusterFlags) query(m cluster.Message) (cluster.Message, error) {
 	op, err := config.LoadOperator(f.Operator, os.Getenv)
 	if err != nil {
 		return cluster.Message{}, err
@@ -74,7 +74,7 @@
 	var last error
 	for ctx.Err() == nil {
 		for _, g := range members {
-			reply, err := askOne(ctx, g, op.Cluster.Key, m)
+			reply, err := queryMember(ctx, g, op.Cluster.Key, m)
 			if err == nil {
 				return reply, nil
 			}
@@ -88,7 +88,7 @@
 	return cluster.Message{}, fmt.Errorf("no gateway answered in %v: %w", f.Timeout, last)
 }
 
-func askOne(ctx context.Context, g config.ClusterMember, key []byte, m cluster.Message) (cluster.Message, error) {
+func queryMember(ctx context.Context, g config.ClusterMember, key []byte, m cluster.Message) (cluster.Message, error) {
 	one, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	t, err := clustertransport.DialTool(one, g.Name, g.Address, key)
@@ -99,8 +99,8 @@
 	return t.Request(one, m)
 }
 
-// by names who gives an order, for the history.
-func by() string {
+// currentUser names who gives an order, for the history.
+func currentUser() string {
 	host, _ := os.Hostname()
 	name := os.Getenv("USER")
 	if name == "" {
@@ -109,9 +109,9 @@
 	return name + "@" + host
 }
 
-// do sends a command and reads what it came to.
-func (f *fleetFlags) do(c *maintenance.Command) (maintenance.Reply, error) {
-	m, err := f.order(c, "")
+// execute sends a command and reads what it came to.
+func (f *clusterFlags) execute(c *maintenance.Command) (maintenance.Reply, error) {
+	m, err := f.sendCommand(c, "")
 	if err != nil {
 		return maintenance.Reply{}, err
 	}
@@ -128,8 +128,8 @@
 	return r, nil
 }
 
-func (f *fleetFlags) state() (*maintenance.State, error) {
-	m, err := f.order(nil, "state")
+func (f *clusterFlags) maintenanceState() (*maintenance.State, error) {
+	m, err := f.sendCommand(nil, "state")
 	if err != nil {
 		return nil, err
 	}
@@ -137,7 +137,7 @@
 }
 
 type workAsk struct {
-	fleetFlags
+	clusterFlags
 	Machine  string        `arg:"" help:"Name of the box, upper cache or gateway."`
 	For      time.Duration `help:"How long it is likely to be out." required:""`
 	By       time.Duration `help:"Wanted within so long from now; earlier ones go first."`
@@ -157,7 +157,7 @@
 	if a.By > 0 {
 		q.DeadlineMs = time.Now().Add(a.By).UnixMilli()
 	}
-	r, err := a.do(&maintenance.Command{Request: q})
+	r, err := a.execute(&maintenance.Command{Request: q})
 	if err != nil {
 		return err
 	}
@@ -166,13 +166,13 @@
 }
 
 type workList struct {
-	fleetFlags
+	clusterFlags
 	All bool `help:"Those that ended, too."`
 }
 
 // Run lists.
 func (l *workList) Run() error {
-	s, err := l.state()
+	s, err := l.maintenanceState()
 	if err != nil {
 		return err
 	}
@@ -194,13 +194,13 @@
 }
 
 type workShow struct {
-	fleetFlags
+	clusterFlags
 	Machine string `arg:"" help:"Name of the machine."`
 }
 
 // Run shows the latest request for a machine.
 func (c *workShow) Run() error {
-	s, err := c.state()
+	s, err := c.maintenanceState()
 	if err != nil {
 		return err
 	}
@@ -216,42 +216,42 @@
 }
 
 type workWithdraw struct {
-	fleetFlags
+	clusterFlags
 	Machine string `arg:"" help:"Name of the machine."`
 	Why     string `help:"Reason, for the history."`
 }
 
 // Run withdraws.
 func (c *workWithdraw) Run() error {
-	_, err := c.do(&maintenance.Command{Withdraw: &maintenance.Target{Name: c.Machine, Reason: c.Why}})
+	_, err := c.execute(&maintenance.Command{Withdraw: &maintenance.Target{Name: c.Machine, Reason: c.Why}})
 	return err
 }
 
 type workFinish struct {
-	fleetFlags
+	clusterFlags
 	Machine string `arg:"" help:"Name of the machine."`
 	Why     string `help:"Remark, for the history."`
 }
 
 // Run finishes.
 func (c *workFinish) Run() error {
-	_, err := c.do(&maintenance.Command{Finish: &maintenance.Target{Name: c.Machine, Reason: c.Why}})
+	_, err := c.execute(&maintenance.Command{Finish: &maintenance.Target{Name: c.Machine, Reason: c.Why}})
 	return err
 }
 
 type workForget struct {
-	fleetFlags
+	clusterFlags
 	Gateway string `arg:"" help:"Name of the gateway."`
 }
 
 // Run forgets a gateway.
 func (c *workForget) Run() error {
-	_, err := c.do(&maintenance.Command{Forget: &maintenance.Target{Name: c.Gateway}})
+	_, err := c.execute(&maintenance.Command{Forget: &maintenance.Target{Name: c.Gateway}})
 	return err
 }
 
 type workWait struct {
-	fleetFlags
+	clusterFlags
 	Machine string        `arg:"" help:"Name of the machine."`
 	Until   string        `help:"Stage to wait for." default:"done"`
 	Within  time.Duration `help:"How long to wait." default:"1h"`
@@ -261,7 +261,7 @@
 func (c *workWait) Run() error {
 	end := time.Now().Add(c.Within)
 	for {
-		s, err := c.state()
+		s, err := c.maintenanceState()
 		if err != nil {
 			return err
 		}
@@ -283,11 +283,11 @@
 	}
 }
 
-type workPlan struct{ fleetFlags }
+type workPlan struct{ clusterFlags }
 
 // Run plans.
 func (c *workPlan) Run() error {
-	m, err := c.order(nil, "plan")
+	m, err := c.sendCommand(nil, "plan")
 	if err != nil {
 		return err
 	}
