--- a/cmd/larchusher/admin.go
+++ b/cmd/larchusher/admin.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"maps"
 	"slices"
 
@@ -14,7 +15,7 @@
 	errDraining = errors.New("draining")
 )
 
-// openAdmin takes operators' calls, if the configuration names an address for them.
+// openAdmin answers operators, if the configuration names an address for them.
 func (p *program) openAdmin() error {
 	if p.cfg.AdminListen == "" {
 		return nil
@@ -22,14 +23,14 @@
 	server := admin.New(admin.Config{Loop: p.loop, Ready: p.readiness, Stats: p.adminStats, MaxConns: p.connQuotas().Admin})
 	l, err := server.Listen(p.engine, p.cfg.AdminListen)
 	if err != nil {
-		return err
+		return fmt.Errorf("configuration key console: %w", err)
 	}
 	p.adminListener = l
 	p.logListening(l, "admin")
 	return nil
 }
 
-// readiness says whether this process takes clients, or why it does not. It runs on the loop.
+// readiness is why this process does not take clients; nil: it does.
 func (p *program) readiness() error {
 	switch {
 	case p.draining:
@@ -40,7 +41,7 @@
 	return nil
 }
 
-// adminStats are what operators ask for. They run on the loop.
+// adminStats are the figures that operators ask for.
 func (p *program) adminStats() (all []metrics.Value) {
 	add := func(kind metrics.Kind, name string, n uint64, labels ...metrics.Label) {
 		all = append(all, metrics.Value{Name: name, Kind: kind, Value: float64(n), Labels: labels})
--- /dev/null
+++ b/cmd/larchusher/listeners.go
@@ -0,0 +1,100 @@
+package main
+
+import (
+	"fmt"
+
+	"github.com/sirupsen/logrus"
+
+	"larchusher/internal/config"
+	"larchusher/internal/logfields"
+	"larchusher/internal/metrics"
+	"larchusher/internal/net/agentcheck"
+	"larchusher/internal/net/msgpackrpc"
+	"larchusher/internal/net/signedfront"
+	"larchusher/internal/net/transport"
+)
+
+// connQuotas divides the descriptors among listeners and endpoints.
+func (p *program) connQuotas() config.ConnQuotas {
+	checks := p.operator.AgentListen != "" || p.operator.HTTPListen != "" || p.operator.MetricsListen != ""
+	return p.cfg.ConnQuotas(p.operator.Signed != nil, checks)
+}
+
+// openFronts opens the platform's front, and what the operator's file asks for.
+func (p *program) openFronts() error {
+	quota := p.connQuotas().Clients
+	p.front = msgpackrpc.New(p.loop, p.gateway, classNames(p.cfg.Settings.Classes), quota, p.log)
+	l, err := p.engine.Listen(p.cfg.Listen, quota, p.front.EvictIdle, p.front.NewHandler)
+	if err != nil {
+		return fmt.Errorf("configuration key listen: %w", err)
+	}
+	p.listeners, p.platformListener = append(p.listeners, l), l
+	if err := p.openSignedFront(); err != nil {
+		return err
+	}
+	return p.openChecks()
+}
+
+// openSignedFront opens the front for signed URLs, if the operator's file has one.
+func (p *program) openSignedFront() error {
+	if p.operator.Signed == nil {
+		return nil
+	}
+	api, err := newSignedAPI(p.operator.Signed, p.cfg.Settings)
+	if err != nil {
+		return err
+	}
+	quota := p.connQuotas().Signed
+	p.signedFront = signedfront.New(p.loop, p.gateway, api, quota, p.cfg.Seed, p.log)
+	l, err := p.engine.Listen(p.operator.Signed.Listen, quota, p.signedFront.EvictIdle, p.signedFront.NewHandler)
+	if err != nil {
+		return p.operatorError(fmt.Errorf("signed_front.listen: %w", err))
+	}
+	p.signedListener = l
+	p.listeners = append(p.listeners, l)
+	p.logListening(l, "signed front")
+	return nil
+}
+
+// openChecks opens what load balancers and metrics collectors ask, if the operator's file has their addresses.
+func (p *program) openChecks() error {
+	checker := &agentcheck.Checker{Loop: p.loop, Metrics: metrics.Source(p.counters).Text, State: p.checkState}
+	quota := p.connQuotas().HealthChecks
+	for _, c := range []struct {
+		key, addr, listener string
+		listen              func(*transport.Engine, string, int) (*transport.Listener, error)
+	}{
+		{"health.agent_listen", p.operator.AgentListen, "agent check", checker.ListenAgent},
+		{"health.http_listen", p.operator.HTTPListen, "health check", checker.ListenHealth},
+		{"metrics.listen", p.operator.MetricsListen, "metrics", checker.ListenMetrics},
+	} {
+		if c.addr == "" {
+			continue
+		}
+		l, err := c.listen(p.engine, c.addr, quota)
+		if err != nil {
+			return p.operatorError(fmt.Errorf("%s: %w", c.key, err))
+		}
+		p.listeners = append(p.listeners, l)
+		p.logListening(l, c.listener)
+	}
+	return nil
+}
+
+// checkState is what load balancers are told.
+func (p *program) checkState() agentcheck.State {
+	s := agentcheck.State{
+		Ready:    p.discovery.Connected() && (p.cluster == nil || p.cluster.Ready()),
+		Draining: p.draining,
+		Weight:   p.gateway.BalancerWeight(),
+	}
+	if p.cluster != nil && p.cluster.CatchingUp() {
+		s.Ready, s.Reason = false, "catching up"
+	}
+	return s
+}
+
+// logListening says that a further address is listened on, and what for.
+func (p *program) logListening(l *transport.Listener, listener string) {
+	p.log.WithFields(logrus.Fields{logfields.Listener: listener, logfields.Address: l.Addr().String()}).Info(logfields.Listening)
+}
--- a/cmd/larchusher/main.go
+++ b/cmd/larchusher/main.go
@@ -1,4 +1,4 @@
-// Command larchusher is the gateway on real sockets. This file reads its command line; serve.go wires its parts together.
+// Command larchusher is the gateway on real sockets. main.go reads the command line, serve.go and start.go run the daemon.
 package main
 
 import (
@@ -6,6 +6,8 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"slices"
+	"strings"
 	"syscall"
 	"time"
 
@@ -31,13 +33,31 @@
 
 func main() {
 	log := logrus.New() // to standard error
-	ctx := kong.Parse(&cli{}, kong.Name("larchusher"), kong.Description("The gateway before asset caches."))
+	parser := kong.Must(&cli{}, kong.Name("larchusher"), kong.Description("The gateway before asset caches."))
+	ctx, err := parser.Parse(os.Args[1:])
+	parser.FatalIfErrorf(explainUsageError(parser.Model.Node, os.Args[1:], err))
 	if err := ctx.Run(log); err != nil {
 		log.WithError(err).Error(logfields.CommandFailed)
 		os.Exit(1)
 	}
 }
 
+// explainUsageError says of an error that the first argument is no sub-command, where that is so: since a bare start serves,
+// the error itself is about an argument of serve.
+func explainUsageError(commands *kong.Node, args []string, err error) error {
+	if err == nil || len(args) == 0 || strings.HasPrefix(args[0], "-") {
+		return err
+	}
+	var names []string
+	for _, c := range commands.Children {
+		names = append(names, c.Name)
+	}
+	if slices.Contains(names, args[0]) {
+		return err
+	}
+	return fmt.Errorf("%q is no sub-command, there are %s: %w", args[0], strings.Join(names, ", "), err)
+}
+
 // operatorFile is the flag that all sub-commands share which read the operator's file.
 type operatorFile struct {
 	Operator string `help:"The operator's own file, such as deploy/operator.textproto." env:"BALANCER_OPERATOR" placeholder:"FILE"`
@@ -94,7 +114,7 @@
 	return err
 }
 
-// passedArguments are arguments that are handed on.
+// passedArguments are arguments that are handed on to larchusher-lab.
 type passedArguments struct {
 	Args []string `arg:"" optional:""`
 }
@@ -105,17 +125,17 @@
 	ping struct{ passedArguments }
 )
 
-// Run becomes the workshop's program.
+// Run becomes larchusher-lab.
 func (l *lab) Run() error { return execLab(l.Args) }
 
-// Run becomes the workshop's program, as a client.
+// Run becomes larchusher-lab, as a client.
 func (g *get) Run() error { return execLab(append([]string{"get"}, g.Args...)) }
 
-// Run becomes the workshop's program, as a client.
+// Run becomes larchusher-lab, as a client.
 func (p *ping) Run() error { return execLab(append([]string{"ping"}, p.Args...)) }
 
-// execLab runs the workshop's program in place of this one. It stands beside this one: what it needs takes none of the
-// gateway's memory.
+// execLab runs larchusher-lab, which stands beside this program, in place of it. It is a program of its own so that what it
+// needs takes none of the gateway's memory.
 func execLab(args []string) error {
 	self, err := os.Executable()
 	if err != nil {
--- a/cmd/larchusher/predecessor.go
+++ b/cmd/larchusher/predecessor.go
@@ -7,24 +7,22 @@
 	"larchusher/internal/hotrestart"
 	"larchusher/internal/logfields"
 	"larchusher/internal/net/transport"
-	"larchusher/warmstart"
 )
 
-// This file has the part of an upgrade of the process that ends: it hands its state, its listening sockets and its clients'
-// connections to the new process.
+// The predecessor's part of an upgrade: it hands its state, its listening sockets and its clients' connections to the
+// process that takes over. The successor's part is in successor.go.
 
-// handOver hands this process's state to its successor. From this moment on the successor has the budget for cold stores.
+// handOver hands this process's state to its successor. From now on the successor has the slow-start budget.
 func (p *program) handOver(answer hotrestart.AnswerFunc) {
 	p.log.Info(logfields.UpgradeHandingOver)
 	p.gateway.PauseSlowStart(-1)
 	p.useResourceShare(overlapShare)
 	state := handedState{Format: stateFormat, Since: p.initialEventsID, Known: p.endpoints.CurrentState(p.discovery.Position()),
-		Learned: &warmstart.Snapshot{Made: p.gateway.DirectorTime(p.loop.Now()), Gateway: p.cfg.Name, Settings: p.cfg.Fingerprint(),
-			Position: p.discovery.Position(), Directors: p.gateway.ExportLearned(maxHandedListings)}}
+		Learned: p.exportSnapshot(maxHandedListings)}
 	sockets := p.listeningSockets()
-	go func() { // the loop waits for no file
+	go func() { // encoding and writing would block the loop
 		data, err := json.Marshal(state)
-		if err != nil { // of a figure that JSON has no form for: the list is what matters
+		if err != nil { // a figure has no form in JSON: the endpoint list matters more
 			state.Learned = nil
 			data, err = json.Marshal(state)
 		}
@@ -49,22 +47,22 @@
 	return all
 }
 
-// hasSuccessor says whether a new process takes clients in place of this one.
+// hasSuccessor reports whether a successor accepts clients.
 func (p *program) hasSuccessor() bool { return p.process != nil && p.process.SuccessorServes() }
 
 // migrateConn hands a client's connection to the successor.
-func (p *program) migrateConn(conn *transport.Conn, pieces []transport.ReceivedChunk) error {
+func (p *program) migrateConn(conn *transport.Conn, received []transport.ReceivedChunk) error {
 	now := time.Now()
-	var over []hotrestart.BufferedInput
-	for _, piece := range pieces {
-		over = append(over, hotrestart.BufferedInput{Data: piece.Data, Age: now.Sub(piece.At)})
+	var buffered []hotrestart.BufferedInput
+	for _, chunk := range received {
+		buffered = append(buffered, hotrestart.BufferedInput{Data: chunk.Data, Age: now.Sub(chunk.At)})
 	}
 	addr := p.platformListener.Addr().String()
-	return conn.Detach(func(descriptor int) error { return p.successor.Migrate(addr, over, descriptor) })
+	return conn.Detach(func(descriptor int) error { return p.successor.Migrate(addr, buffered, descriptor) })
 }
 
-// leaveToSuccessor leaves clients to the successor: nothing new is accepted, and each connection goes over as soon as nothing is open on it.
-// Where connections can't go over they end in that moment.
+// leaveToSuccessor leaves clients to the successor: nothing new is accepted, and each connection goes over as soon as
+// nothing is open on it. Where it cannot go over it is closed in that moment.
 func (p *program) leaveToSuccessor() {
 	p.log.Info(logfields.UpgradeMigratingClients)
 	for _, l := range p.listeners {
@@ -80,11 +78,12 @@
 	p.migrateIdleConns(began.Add(acceptQueueTime), began.Add(p.answerTimeAfterUpgrade()))
 }
 
-// migrateIdleConns lets connections go on which nothing is open, until none is left, or at the last moment with an answer to what is
-// open. It goes on for a while in any case: what the kernel had accepted may still be on its way.
-func (p *program) migrateIdleConns(least, last time.Time) {
+// migrateIdleConns lets idle connections go until none is left, and ends the program then, or at the latest moment with an
+// answer to what is open. It goes on until the earliest moment in any case: connections that the kernel had accepted may
+// still be on their way to the front.
+func (p *program) migrateIdleConns(earliest, latest time.Time) {
 	now := p.loop.Now()
-	if !now.Before(last) {
+	if !now.Before(latest) {
 		p.gateway.Close()
 	}
 	var left int
@@ -94,9 +93,10 @@
 	} else {
 		left = p.front.CloseIdle()
 	}
-	if now.Before(least) || now.Before(last) && (left > 0 || p.gateway.OpenRequests() > 0) {
-		p.loop.After(migrateInterval, func() { p.migrateIdleConns(least, last) })
+	unfinished := left > 0 || p.gateway.OpenRequests() > 0
+	if now.Before(earliest) || now.Before(latest) && unfinished {
+		p.loop.After(migrateInterval, func() { p.migrateIdleConns(earliest, latest) })
 		return
 	}
-	p.endWhenAnswered(last)
+	p.endWhenAnswered(latest)
 }
--- a/cmd/larchusher/serve.go
+++ b/cmd/larchusher/serve.go
@@ -10,75 +10,34 @@
 	"github.com/sirupsen/logrus"
 
 	"larchusher/gateway"
-	"larchusher/internal/clusternode"
 	"larchusher/internal/config"
-	"larchusher/internal/hotrestart"
 	"larchusher/internal/logfields"
-	"larchusher/internal/net/discovery"
-	"larchusher/internal/net/gossip"
-	"larchusher/internal/net/msgpackrpc"
-	"larchusher/internal/net/resp"
-	"larchusher/internal/net/signedfront"
-	"larchusher/internal/net/transport"
-	"larchusher/internal/snapshot"
 )
 
-// endpointSink joins the gateway and its stores for the journal.
-type endpointSink struct {
-	*gateway.Gateway
-	*resp.Pool
-}
-
-// program is the running whole.
-type program struct {
-	log         logrus.FieldLogger
-	loop        *gateway.Loop
-	engine      *transport.Engine
-	gateway     *gateway.Gateway
-	pool        *resp.Pool
-	front       *msgpackrpc.Front
-	discovery   *discovery.Client
-	gossip      *gossip.Link
-	signedFront *signedfront.Front // nil: off
-	snapshots   *snapshot.Saver    // nil: what is learned is not kept
-	cluster     *clusternode.Node  // nil: this gateway is alone
-	onShutDown  func()             // to be called once all is answered; nil: nobody waits for that
-	listeners   []*transport.Listener
-	endpoints   *discovery.EventApplier
-
-	migratedConns      *hotrestart.Receiver // of clients' connections of a former process; nil: none come
-	successor          *hotrestart.Link     // to which clients' connections go over; nil: they do not
-	process            *hotrestart.Process  // nil: no other process of this gateway can take over
-	initialEventsID    string               // fingerprint of the journal's events at the start
-	platformListener   *transport.Listener  // of the platform's front
-	closeUnusedSockets func()               // closes sockets of a former process that nobody listens on any more; nil: there are none
-
-	signedListener    *transport.Listener // where the signed front listens
-	signedFrontClosed bool                // a reload has ended that front
-
-	cfg           *config.Gateway     // as taken in at the start
-	operator      *config.Operator    // likewise
-	operatorPath  string              // of the operator; empty: none
-	adminListener *transport.Listener // nil: operators have no address
-	accepting     bool                // clients are accepted
+// Percentages of the heap that may be garbage before it is collected. Garbage may grow where there is memory for it:
+// collecting takes processor time.
+const (
+	minGCPercent   = 100
+	maxGCPercent   = 400
+	gcPercentPerMB = 2 // of the limit on memory
+)
 
-	reloads         int
-	rejectedReloads int // files that were at fault
-	draining        bool
-}
+// minProcessors lets the poller wait in the kernel without holding up the loop's timers. What they may use of a core is
+// the platform's to say.
+const minProcessors = 2
 
 // serve is the sub-command of that name.
 type serve struct{ operatorFile }
 
 // Run serves until SIGTERM.
 func (s *serve) Run(log *logrus.Logger) error {
-	// Before anything else. Guards against a signal that comes during the start: SIGUSR1 was lost, and SIGTERM and SIGHUP
-	// would have ended the program at once. What is to end it has a channel of its own: others can't take its place.
+	// Before anything else: a signal during the start would be lost, or end the program at once. The signals that end it
+	// have a channel of their own, which others cannot fill.
 	signals, end := make(chan os.Signal, 4), make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR1, syscall.SIGHUP)
 	signal.Notify(end, syscall.SIGTERM, syscall.SIGINT)
 
-	op, err := config.LoadOperator(s.Operator, os.Getenv)
+	operator, err := config.LoadOperator(s.Operator, os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -86,20 +45,18 @@
 	if err != nil {
 		return err
 	}
-	// Two, so that a poller waiting in the kernel never holds up the loop's timers; what they may use of the
-	// core is the platform's to say.
-	runtime.GOMAXPROCS(max(2, int(cfg.Limits.Cores)))
-	// Garbage is let grow where there is memory for it: collecting took a fifth of the time at full load.
-	debug.SetGCPercent(min(400, max(100, 2*cfg.Limits.MemoryMB)))
+	runtime.GOMAXPROCS(max(minProcessors, int(cfg.Limits.Cores)))
+	debug.SetGCPercent(min(maxGCPercent, max(minGCPercent, gcPercentPerMB*cfg.Limits.MemoryMB)))
 
-	p := &program{log: log.WithField(logfields.Gateway, cfg.Name), loop: gateway.NewLoop(), cfg: cfg, operator: op, operatorPath: s.Operator}
+	p := &program{log: log.WithField(logfields.Gateway, cfg.Name), loop: gateway.NewLoop(), cfg: cfg, operator: operator,
+		operatorPath: s.Operator}
 	defer p.close()
 	if err := p.start(); err != nil {
 		return err
 	}
 	go p.handleSignals(signals)
-	go func() { // a second one changes nothing
-		<-end
+	go func() {
+		<-end // the first one alone counts
 		p.loop.Post(p.shutDown)
 	}()
 	p.loop.Run()
@@ -110,7 +67,7 @@
 	return nil
 }
 
-// handleSignals hands signals to the loop.
+// handleSignals hands signals to the loop. It runs on a goroutine of its own.
 func (p *program) handleSignals(signals <-chan os.Signal) {
 	for s := range signals {
 		if s == syscall.SIGHUP {
--- a/cmd/larchusher/successor.go
+++ b/cmd/larchusher/successor.go
@@ -22,29 +22,29 @@
 	"larchusher/warmstart"
 )
 
-// An upgrade: a new process of a gateway starts beside the one that serves, takes over its state, and serves beside it until
-// that one is sent SIGTERM and has answered what is open.
+// An upgrade: a new process of a gateway, the successor, starts beside the one that serves, takes over its state, and
+// serves beside it until that one, the predecessor, is sent SIGTERM and has answered what is open.
 
 const (
 	joinTimeout       = 3 * time.Second       // for which a third process waits until one of the two that run has ended
-	stateTimeout      = 2 * time.Second       // for which a new process waits for the state of the one that serves
-	overlapShare      = 0.4                   // of its descriptors and memory that each process may use while both run
-	maxHandedListings = 20000                 // listings that are handed over
-	acceptQueueTime   = 50 * time.Millisecond // until what the kernel had accepted is known to the fronts
-	migrateInterval   = 2 * time.Millisecond  // between two looks for connections that can go
+	stateTimeout      = 2 * time.Second       // for which a successor waits for the predecessor's state
+	overlapShare      = 0.4                   // of the descriptors and memory, that each process may use while both run
+	maxHandedListings = 20000                 // of each director's mapping table, that are handed over
+	acceptQueueTime   = 50 * time.Millisecond // until connections that the kernel had accepted reach the fronts
+	migrateInterval   = 2 * time.Millisecond  // between two looks for idle connections
 	stateFormat       = 1                     // of handedState; another one is not used
-	softMemoryShare   = 0.6                   // of the limit on memory at which garbage is collected at once
+	softMemoryShare   = 0.6                   // of the limit on memory, from which garbage is collected at once
 )
 
-// handedState is what a process hands over to its successor.
+// handedState is what a predecessor hands over to its successor, as JSON.
 type handedState struct {
 	Format  int                    `json:"Format"`
-	Known   discovery.InitialState `json:"Known"`   // the present list of stores, and the latest event taken in
-	Since   string                 `json:"Since"`   // fingerprint of the journal's events that this process was started with
+	Known   discovery.InitialState `json:"Known"`   // the present endpoint list, and the latest event taken in
+	Since   string                 `json:"Since"`   // eventsID of the endpoint list that the predecessor was started with
 	Learned *warmstart.Snapshot    `json:"Learned"` // nil: none
 }
 
-// eventsID tells the journal's events of one start from those of another: they are numbered from 1 in each.
+// eventsID tells the events of one feed of the endpoint list from those of another: each numbers them from 1.
 func eventsID(known discovery.InitialState) string {
 	b, err := json.Marshal(known)
 	if err != nil { // it was read from JSON
@@ -53,14 +53,14 @@
 	return strconv.FormatUint(xxhash.Sum64(b), 16)
 }
 
-// joinProcess finds out whether another process of this gateway serves. Where the folder can't be used the program goes
-// without: a new process then starts as if the other one were none of its business.
+// joinProcess finds out whether another process of this gateway serves. Where the folder cannot be used there will be no
+// handover: a new process starts beside this one without knowing of it.
 func (p *program) joinProcess() error {
 	addr, err := netip.ParseAddrPort(p.cfg.Listen)
-	if err != nil || addr.Port() == 0 { // whoever draws its port has no address in common with anybody
+	if err != nil || addr.Port() == 0 { // with a port that the kernel draws there is no other process
 		return nil
 	}
-	// Short: a Unix socket in it has a path of 107 bytes at most.
+	// Short, since the path of a Unix socket in it may have 107 bytes.
 	name := fmt.Sprintf("larchusher-%012x", xxhash.Sum64String(fmt.Sprintf("%d %s", os.Geteuid(), p.cfg.Listen))>>16)
 	p.process, err = hotrestart.Join(filepath.Join(os.TempDir(), name), joinTimeout)
 	if err != nil {
@@ -75,14 +75,14 @@
 	return nil
 }
 
-// requestState takes over the state of the process that serves, if there is one, and returns the list of stores to start with.
-// Its listening sockets are left to the engine.
+// requestState takes over the state of the predecessor, if there is one, and returns the endpoint list to start with and
+// what was learned; nil: nothing. The predecessor's listening sockets are left to the engine.
 func (p *program) requestState() (known discovery.InitialState, learned *warmstart.Snapshot) {
 	known = p.cfg.InitialState
 	if p.process == nil || !p.process.IsSuccessor() {
 		return known, nil
 	}
-	p.setMemory(overlapShare)
+	p.setMemoryLimit(overlapShare)
 	handed, err := p.process.RequestHandover(stateTimeout)
 	var state handedState
 	if err == nil {
@@ -106,8 +106,8 @@
 	return known, state.Learned
 }
 
-// startHandover takes in what the former process had learned, has this one use all of its shares once it is alone, and
-// answers its own successor.
+// startHandover takes in what the predecessor had learned, has this process use all of its resources once it is alone, and
+// answers a successor of its own.
 func (p *program) startHandover(learned *warmstart.Snapshot) {
 	if p.process == nil {
 		return
@@ -140,24 +140,24 @@
 	})
 }
 
-// takeSlowStartBudget has this process send to cold stores once a whole window has passed since the other one has stopped: it has
-// stopped now, or (false) it does not know of this one and goes on until it ends.
-func (p *program) takeSlowStartBudget(stopped bool) {
-	if stopped {
+// takeSlowStartBudget has this process send to endpoints that are warming up once a complete window has passed since the
+// other process stopped to: it has stopped now, or (false) it does not know of this one and goes on until it ends.
+func (p *program) takeSlowStartBudget(otherStopped bool) {
+	if otherStopped {
 		p.gateway.PauseSlowStart(p.cfg.Settings.OverloadWindow)
 	} else {
 		p.gateway.PauseSlowStart(-1)
 	}
 }
 
-// useResourceShare has this process use a part of the descriptors and the memory that the program may use.
+// useResourceShare has this process use a share of the descriptors and the memory that the program may use.
 func (p *program) useResourceShare(part float64) {
-	p.setMemory(part)
+	p.setMemoryLimit(part)
 	p.pool.SetMaxConns(scaled(p.connQuotas().Stores, part))
 	p.useConnShare(part)
 }
 
-// useConnShare has this process use a part of the descriptors that clients may have.
+// useConnShare has this process use a share of the descriptors that clients may have.
 func (p *program) useConnShare(part float64) {
 	share := p.connQuotas()
 	p.front.SetMaxConns(scaled(share.Clients, part))
@@ -168,14 +168,15 @@
 	}
 }
 
-// scaled is a part of a number of descriptors, and one at least.
+// scaled is a share of a number of descriptors, and one at least.
 func scaled(n int, part float64) int { return max(1, int(part*float64(n))) }
 
-func (p *program) setMemory(part float64) {
+// setMemoryLimit has this process use a share of the memory that the program may use.
+func (p *program) setMemoryLimit(part float64) {
 	debug.SetMemoryLimit(int64(part * softMemoryShare * float64(p.cfg.Limits.MemoryMB<<20)))
 }
 
-// startAccepting notes that clients are taken from now on.
+// startAccepting says that clients are accepted from now on.
 func (p *program) startAccepting() {
 	p.accepting = true
 	if p.process == nil {
@@ -186,34 +187,40 @@
 	}
 }
 
-// adoptConns serves clients' connections that the former process hands over, until it has ended.
+// adoptConns serves clients' connections that the predecessor hands over, until it has ended. It runs on a goroutine of
+// its own.
 func (p *program) adoptConns() {
 	for first := true; ; first = false {
-		moved, err := p.migratedConns.Next()
-		if err != nil {
+		migrated, err := p.migratedConns.Next()
+		if err != nil { // the predecessor has ended
 			p.migratedConns.Close()
 			return
 		}
-		if first { // the former process accepts no more
+		if first { // the predecessor accepts no more
 			p.loop.Post(func() { p.useConnShare(1) })
 		}
-		conn, err := net.FileConn(moved.File)
-		_ = moved.File.Close()
-		if err != nil {
-			p.log.WithError(err).Warn(logfields.UpgradeConnFaulty)
-			continue
-		}
-		at := slices.IndexFunc(p.listeners, func(l *transport.Listener) bool { return l.Addr().String() == moved.Addr })
-		if at < 0 {
-			p.log.WithField(logfields.Address, moved.Addr).Warn(logfields.UpgradeConnAddress)
-			_ = conn.Close()
-			continue
-		}
-		now := time.Now()
-		var pieces []transport.ReceivedChunk
-		for _, piece := range moved.Inputs {
-			pieces = append(pieces, transport.ReceivedChunk{Data: piece.Data, At: now.Add(-piece.Age)})
-		}
-		p.listeners[at].Adopt(conn, pieces)
+		p.adoptConn(migrated)
+	}
+}
+
+// adoptConn serves a client's connection that the predecessor has handed over.
+func (p *program) adoptConn(migrated hotrestart.MigratedConn) {
+	conn, err := net.FileConn(migrated.File)
+	_ = migrated.File.Close() // conn has a descriptor of its own
+	if err != nil {
+		p.log.WithError(err).Warn(logfields.UpgradeConnFaulty)
+		return
+	}
+	at := slices.IndexFunc(p.listeners, func(l *transport.Listener) bool { return l.Addr().String() == migrated.Addr })
+	if at < 0 {
+		p.log.WithField(logfields.Address, migrated.Addr).Warn(logfields.UpgradeConnAddress)
+		_ = conn.Close() // nothing was written to it
+		return
+	}
+	now := time.Now()
+	var received []transport.ReceivedChunk
+	for _, input := range migrated.Inputs {
+		received = append(received, transport.ReceivedChunk{Data: input.Data, At: now.Add(-input.Age)})
 	}
+	p.listeners[at].Adopt(conn, received)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -2,6 +2,7 @@
 package config
 
 import (
+	"bytes"
 	"cmp"
 	"encoding/json"
 	"errors"
@@ -39,7 +40,7 @@
 }
 
 // ConnQuotas are the descriptors that each side may hold. They add up to less than the limit.
-type ConnQuotas struct{ Stores, Clients, Signed, Checks, Admin int }
+type ConnQuotas struct{ Stores, Clients, Signed, HealthChecks, Admin int }
 
 // ConnQuotas divides the descriptors up. A third is for stores; what the program needs for itself (poller, listeners,
 // journal, peers, standard streams, a connection that is closed as it comes) is set aside; clients get the rest.
@@ -52,8 +53,8 @@
 		s.Clients -= s.Admin
 	}
 	if checks {
-		s.Checks = min(16, n/32)
-		s.Clients -= 3 * s.Checks
+		s.HealthChecks = min(16, n/32)
+		s.Clients -= 3 * s.HealthChecks
 	}
 	if signed {
 		s.Signed = n / 8
@@ -126,7 +127,7 @@
 func Parse(data []byte, over Overrides) (*Gateway, error) {
 	var c Gateway
 	if err := json.Unmarshal(data, &c); err != nil {
-		return nil, err
+		return nil, jsonError(data, err)
 	}
 	c.Name = cmp.Or(over.Name, c.Name)
 	c.Listen = cmp.Or(over.Listen, c.Listen)
@@ -225,6 +226,23 @@
 	return nil
 }
 
+// jsonError adds the line to an error of JSON, which names the key if it is about one.
+func jsonError(data []byte, err error) error {
+	offset := int64(-1)
+	var syntax *json.SyntaxError
+	var wrongType *json.UnmarshalTypeError
+	if errors.As(err, &syntax) {
+		offset = syntax.Offset
+	} else if errors.As(err, &wrongType) {
+		offset = wrongType.Offset
+	}
+	if offset < 0 || offset > int64(len(data)) {
+		return err
+	}
+	return fmt.Errorf("line %d: %w", 1+bytes.Count(data[:offset], []byte("\n")), err)
+}
+
+// orDefault replaces a value that is not set.
 func orDefault[T int | float64 | time.Duration](v *T, d T) {
 	if *v == 0 {
 		*v = d
