--- a/internal/net/clustertransport/tool.go
+++ b/internal/net/clustertransport/tool.go
@@ -16,13 +16,13 @@
 // Tool is an operator's connection to one gateway. It blocks, and is not for use in a gateway.
 type Tool struct {
 	conn   net.Conn
-	w      *writer
-	r      reader
+	w      *frameWriter
+	r      frameReader
 	serial uint64
 }
 
-// Call connects to a gateway of that name.
-func Call(ctx context.Context, name, addr string, key []byte) (*Tool, error) {
+// DialTool connects to a gateway of that name.
+func DialTool(ctx context.Context, name, addr string, key []byte) (*Tool, error) {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -39,14 +39,14 @@
 	id := make([]byte, 8)
 	_, _ = rand.Read(id)
 	self, own := "tool-"+hex.EncodeToString(id), newChallenge()
-	return &Tool{conn: conn, w: &writer{key: key, challenge: greeting[len(magic):], from: self, to: name, own: own},
-		r: reader{key: key, challenge: own, self: self}}, nil
+	return &Tool{conn: conn, w: &frameWriter{key: key, challenge: greeting[len(magic):], from: self, to: name, ownChallenge: own},
+		r: frameReader{key: key, challenge: own, self: self}}, nil
 }
 
-// Ask sends an order and waits for its reply.
-func (t *Tool) Ask(ctx context.Context, m cluster.Message) (cluster.Message, error) {
+// Request sends an order and waits for its reply.
+func (t *Tool) Request(ctx context.Context, m cluster.Message) (cluster.Message, error) {
 	t.serial++
-	m.Kind, m.ID = cluster.Order, t.serial
+	m.Kind, m.ID = cluster.OperatorRequest, t.serial
 	f, err := t.w.frame(m)
 	if err != nil {
 		return cluster.Message{}, err
@@ -67,7 +67,7 @@
 		}
 		var reply *cluster.Message
 		if err := t.r.feed(buf[:n], func(_ string, got cluster.Message) {
-			if got.Kind == cluster.Reply && got.ID == m.ID {
+			if got.Kind == cluster.OperatorReply && got.ID == m.ID {
 				reply = &got
 			}
 		}); err != nil {
