--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"context"
+	"net"
 	"strings"
 	"testing"
 	"time"
@@ -28,34 +29,38 @@
 			if err != nil {
 				return
 			}
-			go func() {
-				defer loopback.Close(c)
-				in, d := bufio.NewReader(c), msgpack.NewDecoder(nil)
-				d.Reset(in)
-				var out bytes.Buffer
-				e := msgpack.NewEncoder(&out)
-				e.UseCompactInts(true)
-				for {
-					v, err := d.DecodeInterfaceLoose()
-					if err != nil {
-						return
-					}
-					if m := v.([]any); len(m) == 4 {
-						_ = e.Encode([]any{1, m[1], nil, []any{body, map[string]string{}}})
-					}
-					if in.Buffered() == 0 {
-						if _, err := c.Write(out.Bytes()); err != nil {
-							return
-						}
-						out.Reset()
-					}
-				}
-			}()
+			go answerAll(c, body)
 		}
 	}()
 	return l.Addr().String()
 }
 
+// answerAll answers each request on a connection with a body, until the connection ends.
+func answerAll(c net.Conn, body []byte) {
+	defer loopback.Close(c)
+	in, d := bufio.NewReader(c), msgpack.NewDecoder(nil)
+	d.Reset(in)
+	var out bytes.Buffer
+	e := msgpack.NewEncoder(&out)
+	e.UseCompactInts(true)
+	for {
+		v, err := d.DecodeInterfaceLoose()
+		if err != nil {
+			return
+		}
+		if m := v.([]any); len(m) == 4 {
+			_ = e.Encode([]any{1, m[1], nil, []any{body, map[string]string{}}}) // a buffer takes it all
+		}
+		if in.Buffered() > 0 {
+			continue
+		}
+		if _, err := c.Write(out.Bytes()); err != nil {
+			return
+		}
+		out.Reset()
+	}
+}
+
 const benchObject = "7f3a9c21e0b4d655"
 
 // A request by the library on an open connection.
--- a/client/client.go
+++ b/client/client.go
@@ -370,61 +370,82 @@
 func (c *Client) step(ev plan.Event) {
 	c.acts = c.plan.Handle(c.now(), ev, c.acts[:0])
 	for _, a := range c.acts {
-		switch a := a.(type) {
-		case plan.Connect:
-			c.all.Add(1)
-			c.conns[a.Conn] = c.cfg.Transport.Connect(a.Gateway, c.timeout(), &events{client: c, id: a.Conn})
-		case plan.Send:
-			if k, cn := c.calls[a.Call], c.conns[a.Conn]; k != nil && cn != nil {
-				t := Try{ID: a.Try, Request: k.request, Txn: c.hex(8), Limit: a.Limit, Second: a.Second}
-				if a.Key {
-					t.Key = k.key
-				}
-				cn.Send(t)
-				k.span.AddEvent("try", trace.WithAttributes(attribute.String("larchusher.txn", t.Txn),
-					attribute.Bool("larchusher.second", t.Second), attribute.Int64("larchusher.limit_ms", t.Limit.Milliseconds())))
-			}
-		case plan.Abandon:
-			if cn := c.conns[a.Conn]; cn != nil {
-				cn.Abandon(a.Try)
-			}
-		case plan.Probe:
-			if cn := c.conns[a.Conn]; cn != nil {
-				cn.Probe()
-			}
-		case plan.Hangup:
-			c.hangup(a.Conn)
-		case plan.End:
-			if k := c.calls[a.Call]; k != nil {
-				delete(c.calls, a.Call)
-				k.span.SetAttributes(attribute.String("larchusher.ending", a.Ending.String()), attribute.Int("larchusher.tries", a.Tries))
-				if a.Ending != plan.Served {
-					k.span.SetStatus(codes.Error, a.Ending.String())
-				}
-				k.done <- a
-				c.meters.ended(k.request.Class, a.Ending.String(), a.Tries, time.Since(k.began))
-				if c.cfg.Hook != nil {
-					c.cfg.Hook(Ended{Request: k.request, Ending: a.Ending, Tries: a.Tries, Took: time.Since(k.began)})
-				}
-			}
+		c.carryOut(a)
+	}
+	if _, ok := ev.(plan.Timer); ok {
+		c.wakeAt = timerRanOut
+	}
+	c.setTimer()
+}
+
+// timerRanOut is what wakeAt says of a timer that has run out: no time is equal to it, so that it is set again.
+const timerRanOut = time.Duration(-1)
+
+// carryOut does what the planner wants. It is called under the lock.
+func (c *Client) carryOut(a plan.Action) {
+	switch a := a.(type) {
+	case plan.Connect:
+		c.all.Add(1)
+		c.conns[a.Conn] = c.cfg.Transport.Connect(a.Gateway, c.timeout(), &events{client: c, id: a.Conn})
+	case plan.Send:
+		if k, cn := c.calls[a.Call], c.conns[a.Conn]; k != nil && cn != nil {
+			c.send(k, cn, a)
+		}
+	case plan.Abandon:
+		if cn := c.conns[a.Conn]; cn != nil {
+			cn.Abandon(a.Try)
+		}
+	case plan.Probe:
+		if cn := c.conns[a.Conn]; cn != nil {
+			cn.Probe()
 		}
+	case plan.Hangup:
+		c.hangup(a.Conn)
+	case plan.End:
+		if k := c.calls[a.Call]; k != nil {
+			c.end(k, a)
+		}
+	}
+}
+
+// send sends an attempt of a call on a connection.
+func (c *Client) send(k *call, cn Conn, a plan.Send) {
+	t := Try{ID: a.Try, Request: k.request, Txn: c.hex(8), Limit: a.Limit, Second: a.Second}
+	if a.Key {
+		t.Key = k.key
+	}
+	cn.Send(t)
+	k.span.AddEvent("try", trace.WithAttributes(attribute.String("larchusher.txn", t.Txn),
+		attribute.Bool("larchusher.second", t.Second), attribute.Int64("larchusher.limit_ms", t.Limit.Milliseconds())))
+}
+
+// end gives a call its result, and reports it.
+func (c *Client) end(k *call, a plan.End) {
+	delete(c.calls, a.Call)
+	k.span.SetAttributes(attribute.String("larchusher.ending", a.Ending.String()), attribute.Int("larchusher.tries", a.Tries))
+	if a.Ending != plan.Served {
+		k.span.SetStatus(codes.Error, a.Ending.String())
+	}
+	k.done <- a
+	c.meters.ended(k.request.Class, a.Ending.String(), a.Tries, time.Since(k.began))
+	if c.cfg.Hook != nil {
+		c.cfg.Hook(Ended{Request: k.request, Ending: a.Ending, Tries: a.Tries, Took: time.Since(k.began)})
 	}
-	if at, ok := c.plan.Wake(); ok && !c.closed {
+}
+
+// setTimer has the timer run out when the planner wants to be woken, or stops it.
+func (c *Client) setTimer() {
+	at, ok := c.plan.Wake()
+	switch {
+	case ok && !c.closed:
 		if at != c.wakeAt {
 			c.wakeAt = at
 			c.timer.Reset(max(0, at-c.now()))
 		}
-	} else if c.wakeAt != 0 {
+	case c.wakeAt != 0:
 		c.wakeAt = 0
 		c.timer.Stop()
 	}
-	if _, ok := ev.(plan.Timer); ok { // it has run out, whatever it was set to
-		c.wakeAt = 0
-		if at, ok := c.plan.Wake(); ok && !c.closed {
-			c.wakeAt = at
-			c.timer.Reset(max(0, at-c.now()))
-		}
-	}
 }
 
 func (c *Client) timeout() time.Duration {
--- a/client/plan/planner.go
+++ b/client/plan/planner.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"container/heap"
+	"maps"
 	"math"
 	"math/rand/v2"
 	"slices"
@@ -243,8 +244,7 @@
 		}
 	}
 	if cn.limbo && len(cn.tries) == 0 {
-		p.lose(cn)
-		p.do(Hangup{cn.id})
+		p.hangUp(cn)
 	}
 }
 
@@ -387,8 +387,7 @@
 func (p *Planner) probed(cn *conn, alive bool) {
 	cn.probing = false
 	if !alive {
-		p.lose(cn)
-		p.do(Hangup{cn.id})
+		p.hangUp(cn)
 		p.fail(cn.gateway)
 		return
 	}
@@ -427,41 +426,9 @@
 		p.expire(p.due[0])
 	}
 	for _, g := range p.gateways {
-		for class, until := range g.hold {
-			if until <= p.now {
-				delete(g.hold, class)
-			}
-		}
+		maps.DeleteFunc(g.hold, func(_ string, until time.Duration) bool { return until <= p.now })
 		for _, cn := range slices.Clone(g.conns) {
-			switch {
-			case !cn.up:
-				if p.now >= cn.since+p.cfg.Connect {
-					p.lose(cn)
-					p.do(Hangup{cn.id})
-					p.fail(g)
-				}
-			case cn.limbo:
-				if len(cn.tries) == 0 {
-					p.lose(cn)
-					p.do(Hangup{cn.id})
-				}
-			case cn.asked > 0 && p.now >= cn.asked+p.cfg.Silence:
-				p.Counters.Hung++
-				if cn.probing {
-					p.lose(cn)
-					p.do(Hangup{cn.id})
-					p.fail(g)
-					continue
-				}
-				p.hang(cn)
-			case cn.asked == 0 && len(cn.tries) > 0 && p.now >= max(cn.heard, cn.used)+p.cfg.Silence:
-				cn.asked = max(1, p.now)
-				p.Counters.Probes++
-				p.do(Probe{cn.id})
-			case len(cn.tries) == 0 && !cn.probing && p.now >= cn.used+p.cfg.Idle:
-				p.lose(cn)
-				p.do(Hangup{cn.id})
-			}
+			p.connTimes(g, cn)
 		}
 		if g.dead && !p.coming(g) && p.now >= g.probe && p.wanted() {
 			p.connect(g)
@@ -469,6 +436,42 @@
 	}
 }
 
+// connTimes does what is due on a connection: it is given up if it does not come up, is asked whether the gateway serves if it is
+// silent with attempts out, and is closed when it is idle.
+func (p *Planner) connTimes(g *gateway, cn *conn) {
+	switch {
+	case !cn.up:
+		if p.now >= cn.since+p.cfg.Connect {
+			p.hangUp(cn)
+			p.fail(g)
+		}
+	case cn.limbo:
+		if len(cn.tries) == 0 {
+			p.hangUp(cn)
+		}
+	case cn.asked > 0 && p.now >= cn.asked+p.cfg.Silence:
+		p.Counters.Hung++
+		if cn.probing {
+			p.hangUp(cn)
+			p.fail(g)
+		} else {
+			p.hang(cn)
+		}
+	case cn.asked == 0 && len(cn.tries) > 0 && p.now >= max(cn.heard, cn.used)+p.cfg.Silence:
+		cn.asked = max(1, p.now)
+		p.Counters.Probes++
+		p.do(Probe{cn.id})
+	case len(cn.tries) == 0 && !cn.probing && p.now >= cn.used+p.cfg.Idle:
+		p.hangUp(cn)
+	}
+}
+
+// hangUp closes a connection and forgets it.
+func (p *Planner) hangUp(cn *conn) {
+	p.lose(cn)
+	p.do(Hangup{cn.id})
+}
+
 // hang leaves a connection that is silent. Its tries stay out, since their answers may yet come; what may be sent again
 // is, elsewhere.
 func (p *Planner) hang(cn *conn) {
@@ -523,16 +526,7 @@
 			continue
 		}
 		if c.tries > 0 && !p.repeatable(c) { // while it waited, its window closed
-			p.Counters.NoRepeat++
-			as := Unknown
-			if c.failed {
-				as = Failed
-			}
-			if len(c.out) > 0 { // an answer may yet come
-				p.waiting = slices.DeleteFunc(p.waiting, func(o *call) bool { return o == c })
-			} else {
-				p.end(c, as, 0)
-			}
+			p.stopRetrying(c)
 			continue
 		}
 		if c.moved && !p.mayRedirect(c) {
@@ -540,30 +534,62 @@
 		}
 		var g *gateway
 		until, known := held[c.Class]
-		if c.want != nil && !c.want.dead && c.want.hold[c.Class] <= p.now && (p.coming(c.want) || p.slot(c.want) != nil) {
+		if p.mayKeepWanted(c) {
 			g = c.want // or it would have others connected to as well
 		} else if !known {
 			g, until = p.pick(c)
 		}
 		if g == nil {
 			held[c.Class] = until
-			if until == never { // none is alive
-				continue
-			}
-			c.refused = max(c.refused, until)
-			if until >= c.Deadline-p.cfg.Way { // all refuse it for longer than it can wait
-				p.end(c, Refused, 0)
-			}
-			continue
-		}
-		if cn := p.slot(g); cn != nil {
-			p.send(c, cn)
+			p.holdBack(c, until)
 			continue
 		}
-		c.want = g
-		if len(g.conns) < p.cfg.Conns && p.now >= p.mayConnect(g, c) && !p.coming(g) {
-			p.connect(g)
-		}
+		p.placeAt(c, g)
+	}
+}
+
+// stopRetrying ends a call that may not be sent again, unless one of its attempts may still be answered.
+func (p *Planner) stopRetrying(c *call) {
+	p.Counters.NoRepeat++
+	switch {
+	case len(c.out) > 0:
+		p.waiting = slices.DeleteFunc(p.waiting, func(o *call) bool { return o == c })
+	case c.failed:
+		p.end(c, Failed, 0)
+	default:
+		p.end(c, Unknown, 0)
+	}
+}
+
+// mayKeepWanted says whether the gateway that a call waits for may still be sent it, now or once a connection is up.
+func (p *Planner) mayKeepWanted(c *call) bool {
+	g := c.want
+	if g == nil || g.dead || g.hold[c.Class] > p.now {
+		return false
+	}
+	return p.coming(g) || p.slot(g) != nil
+}
+
+// holdBack has a call wait until a gateway that refuses its class may be asked again, or ends it if that is too late.
+func (p *Planner) holdBack(c *call, until time.Duration) {
+	if until == never { // none is alive
+		return
+	}
+	c.refused = max(c.refused, until)
+	if until >= c.Deadline-p.cfg.Way {
+		p.end(c, Refused, 0)
+	}
+}
+
+// placeAt sends a call to a gateway, or connects to it if no connection has a place.
+func (p *Planner) placeAt(c *call, g *gateway) {
+	if cn := p.slot(g); cn != nil {
+		p.send(c, cn)
+		return
+	}
+	c.want = g
+	if len(g.conns) < p.cfg.Conns && p.now >= p.mayConnect(g, c) && !p.coming(g) {
+		p.connect(g)
 	}
 }
 
--- a/client/plan/planner_test.go
+++ b/client/plan/planner_test.go
@@ -187,16 +187,7 @@
 		id := uint64(0)
 		for range rapid.IntRange(10, 150).Draw(t, "steps") {
 			w.now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * ms
-			for at, ok := w.p.Wake(); ok && at <= w.now; at, ok = w.p.Wake() { // timers run in their time
-				now := w.now
-				w.now = at
-				w.do(Timer{})
-				w.now = now
-				if next, again := w.p.Wake(); again && next <= at {
-					t.Fatalf("it wants to be woken at %v, where it was: %+v", next, w.p.stuck(at))
-				}
-			}
-			w.do(Timer{})
+			w.timers(t)
 			ids := w.ids()
 			step := rapid.IntRange(0, 9).Draw(t, "step")
 			if step <= 3 || len(ids) == 0 {
@@ -205,34 +196,7 @@
 					Deadline: w.now + time.Duration(rapid.IntRange(0, 5000).Draw(t, "limit"))*ms})
 				continue
 			}
-			conn := rapid.SampledFrom(ids).Draw(t, "conn")
-			cn := w.conns[conn]
-			if !cn.up {
-				if rapid.IntRange(0, 3).Draw(t, "up") > 0 {
-					cn.up = true
-					w.do(Up{Conn: conn})
-				} else {
-					w.lose(conn, false)
-				}
-				continue
-			}
-			tries := slices.Sorted(maps.Keys(cn.tries))
-			switch {
-			case step == 9:
-				w.lose(conn, rapid.Bool().Draw(t, "clean"))
-			case step == 8:
-				w.do(Heard{Conn: conn, Alive: rapid.Bool().Draw(t, "alive")})
-			case len(tries) > 0:
-				try := rapid.SampledFrom(tries).Draw(t, "try")
-				kind := rapid.IntRange(0, 3).Draw(t, "answer")
-				w.answer(conn, try, kind <= 1, kind == 2, time.Duration(rapid.IntRange(0, 2000).Draw(t, "later"))*ms)
-			default:
-				w.do(Answered{Conn: conn, Try: 999999, OK: true}) // never asked
-				if id > 0 {
-					w.do(Cancelled{ID: id})
-					w.calls[id].ended = true
-				}
-			}
+			w.drawn(t, step, rapid.SampledFrom(ids).Draw(t, "conn"), id)
 		}
 		w.do(Close{})
 		for id, c := range w.calls {
@@ -246,6 +210,52 @@
 	})
 }
 
+// timers has the timers that ran out by now run in their time.
+func (w *world) timers(t *rapid.T) {
+	for at, ok := w.p.Wake(); ok && at <= w.now; at, ok = w.p.Wake() {
+		now := w.now
+		w.now = at
+		w.do(Timer{})
+		w.now = now
+		if next, again := w.p.Wake(); again && next <= at {
+			t.Fatalf("it wants to be woken at %v, where it was: %+v", next, w.p.stuck(at))
+		}
+	}
+	w.do(Timer{})
+}
+
+// drawn has something happen on a connection: it comes up or is lost, it says whether its gateway is alive, or an attempt is answered. By
+// another step the latest call is canceled.
+func (w *world) drawn(t *rapid.T, step int, conn, latest uint64) {
+	cn := w.conns[conn]
+	if !cn.up {
+		if rapid.IntRange(0, 3).Draw(t, "up") > 0 {
+			cn.up = true
+			w.do(Up{Conn: conn})
+		} else {
+			w.lose(conn, false)
+		}
+		return
+	}
+	tries := slices.Sorted(maps.Keys(cn.tries))
+	switch {
+	case step == 9:
+		w.lose(conn, rapid.Bool().Draw(t, "clean"))
+	case step == 8:
+		w.do(Heard{Conn: conn, Alive: rapid.Bool().Draw(t, "alive")})
+	case len(tries) > 0:
+		try := rapid.SampledFrom(tries).Draw(t, "try")
+		kind := rapid.IntRange(0, 3).Draw(t, "answer")
+		w.answer(conn, try, kind <= 1, kind == 2, time.Duration(rapid.IntRange(0, 2000).Draw(t, "later"))*ms)
+	default:
+		w.do(Answered{Conn: conn, Try: 999999, OK: true}) // never asked
+		if latest > 0 {
+			w.do(Cancelled{ID: latest})
+			w.calls[latest].ended = true
+		}
+	}
+}
+
 // run plays on for a while: every millisecond, timers and what react does.
 func (w *world) run(d time.Duration, react func()) {
 	for end := w.now + d; w.now < end; w.now += ms {
@@ -381,39 +391,7 @@
 	all, kept := 0, 0
 	for n := range uint64(600) {
 		w := newWorld(t, config(), n)
-		w.do(Call{ID: 1, Class: "safe", Deadline: 5 * time.Second})
-		w.run(3*ms, nil)
-		kill := func(name string) {
-			for _, id := range w.ids() {
-				if w.conns[id].gateway == name {
-					w.lose(id, false)
-				}
-			}
-		}
-		down := map[string]bool{"a": true}
-		kill("a")
-		before := len(w.connects)
-		for end := w.now + 5*time.Second; w.now < end; w.now += 5 * ms {
-			if w.now >= 503*ms && !down["b"] {
-				down["b"] = true
-				kill("b")
-			}
-			w.do(Timer{})
-			for _, id := range w.ids() {
-				if cn := w.conns[id]; down[cn.gateway] {
-					w.lose(id, false)
-				} else if !cn.up {
-					cn.up = true
-					w.do(Up{Conn: id})
-				}
-			}
-			if w.now > time.Second { // nobody answers before
-				for _, s := range w.open() {
-					w.answer(s.Conn, s.Try, true, false, 0)
-				}
-			}
-		}
-		for _, at := range w.connects[before:] {
+		for _, at := range w.twoDeaths() {
 			tenths[at/(100*ms)]++
 			all++
 		}
@@ -431,6 +409,36 @@
 	}
 }
 
+// twoDeaths has gateway a die under a call, and b half a second later, and returns when connections were begun from then on.
+func (w *world) twoDeaths() []time.Duration {
+	w.do(Call{ID: 1, Class: "safe", Deadline: 5 * time.Second})
+	w.run(3*ms, nil)
+	kill := func(name string) {
+		for _, id := range w.ids() {
+			if w.conns[id].gateway == name {
+				w.lose(id, false)
+			}
+		}
+	}
+	down := map[string]bool{"a": true}
+	kill("a")
+	before := len(w.connects)
+	for end := w.now + 5*time.Second; w.now < end; w.now += 5 * ms {
+		if w.now >= 503*ms && !down["b"] {
+			down["b"] = true
+			kill("b")
+		}
+		w.do(Timer{})
+		w.connect(func(cn *wconn) bool { return down[cn.gateway] }, nil)
+		if w.now > time.Second { // nobody answers before
+			for _, s := range w.open() {
+				w.answer(s.Conn, s.Try, true, false, 0)
+			}
+		}
+	}
+	return w.connects[before:]
+}
+
 // A gateway that answers whether it is there, and nothing else: calls end by their deadlines, and it is not left for it.
 func TestAGatewayThatOnlySaysItIsAlive(t *testing.T) {
 	w := newWorld(t, config(), 5)
@@ -499,15 +507,9 @@
 			}
 			for end := w.now + 100*ms; w.now < end; w.now += 10 * ms {
 				w.do(Timer{})
-				for _, c := range w.ids() {
-					if cn := w.conns[c]; !cn.up && w.now < 10*time.Second {
-						w.lose(c, false)
-					} else if !cn.up {
-						cn.up = true
-						w.do(Up{Conn: c})
-						w.do(Heard{Conn: c, Alive: true})
-					}
-				}
+				w.connect(func(cn *wconn) bool { return !cn.up && w.now < 10*time.Second }, func(c uint64) {
+					w.do(Heard{Conn: c, Alive: true})
+				})
 				for _, s := range w.open() {
 					tries[w.now/(100*ms)]++
 					w.answer(s.Conn, s.Try, true, false, 0)
@@ -553,6 +555,22 @@
 	}
 }
 
+// connect ends the connections that are lost, and has the others come up; came is called with each one that does.
+func (w *world) connect(lost func(*wconn) bool, came func(id uint64)) {
+	for _, id := range w.ids() {
+		switch cn := w.conns[id]; {
+		case lost(cn):
+			w.lose(id, false)
+		case !cn.up:
+			cn.up = true
+			w.do(Up{Conn: id})
+			if came != nil {
+				came(id)
+			}
+		}
+	}
+}
+
 // stuck tells what asks to be woken at a time that has passed.
 func (p *Planner) stuck(at time.Duration) (all []string) {
 	for _, c := range p.waiting {
--- a/client/rpc/rpc.go
+++ b/client/rpc/rpc.go
@@ -112,62 +112,97 @@
 	return &Reader{d: msgpack.NewDecoder(bufio.NewReaderSize(r, 64<<10))}
 }
 
+// The codes of MessagePack that an answer is told apart by.
+const (
+	codeNil   = 0xc0
+	codeFalse = 0xc2
+	codeTrue  = 0xc3
+)
+
 // Next reads an answer.
 func (r *Reader) Next() (a Response, err error) {
-	n, err := r.d.DecodeArrayLen()
+	if a.ID, err = r.head(); err != nil {
+		return a, err
+	}
+	code, err := r.d.PeekCode()
 	if err != nil {
 		return a, err
 	}
+	if code == codeNil {
+		err = r.result(&a)
+	} else {
+		err = r.failure(&a)
+	}
+	return a, err
+}
+
+// head reads what comes before an answer's error and result, and returns the id of its request.
+func (r *Reader) head() (id uint32, err error) {
+	n, err := r.d.DecodeArrayLen()
+	if err != nil {
+		return 0, err
+	}
 	kind, err1 := r.d.DecodeInt()
 	id, err2 := r.d.DecodeUint32()
 	if err = errors.Join(err1, err2); err != nil || n != 4 || kind != 1 {
-		return a, fmt.Errorf("a message of type %d with %d items: %w", kind, n, errors.Join(err, errors.New("not an answer")))
+		return 0, fmt.Errorf("a message of type %d with %d items: %w", kind, n, errors.Join(err, errors.New("not an answer")))
 	}
-	a.ID = id
-	code, err := r.d.PeekCode()
+	return id, nil
+}
+
+// failure reads [WORD, FIELDS], and no result.
+func (r *Reader) failure(a *Response) error {
+	n, err := r.d.DecodeArrayLen()
+	if err != nil || n != 2 {
+		return fmt.Errorf("an error of %d items: %w", n, errors.Join(err, errors.New("not [WORD, FIELDS]")))
+	}
+	word, err := r.bytes(nil, textMost)
 	if err != nil {
-		return a, err
+		return err
 	}
-	if code != 0xc0 { // an error
-		if n, err = r.d.DecodeArrayLen(); err != nil || n != 2 {
-			return a, fmt.Errorf("an error of %d items: %w", n, errors.Join(err, errors.New("not [WORD, FIELDS]")))
-		}
-		word, err := r.bytes(nil, textMost)
-		if err != nil {
-			return a, err
-		}
-		if a.Error = string(word); a.Error == "" {
-			return a, errors.New("an error without a word")
-		}
-		if err = r.fields(&a); err != nil {
-			return a, err
-		}
-		return a, r.d.DecodeNil()
+	if a.Error = string(word); a.Error == "" {
+		return errors.New("an error without a word")
 	}
-	if err = r.d.DecodeNil(); err != nil {
-		return a, err
+	if err = r.fields(a); err != nil {
+		return err
 	}
-	if n, err = r.d.DecodeArrayLen(); err != nil || n != 2 {
-		return a, fmt.Errorf("a result of %d items: %w", n, errors.Join(err, errors.New("not [BODY, FIELDS]")))
+	return r.d.DecodeNil()
+}
+
+// result reads no error, and [BODY, FIELDS].
+func (r *Reader) result(a *Response) error {
+	if err := r.d.DecodeNil(); err != nil {
+		return err
 	}
-	if code, err = r.d.PeekCode(); err != nil {
-		return a, err
+	n, err := r.d.DecodeArrayLen()
+	if err != nil || n != 2 {
+		return fmt.Errorf("a result of %d items: %w", n, errors.Join(err, errors.New("not [BODY, FIELDS]")))
 	}
-	if code == 0xc2 || code == 0xc3 {
-		a.Alive, err = r.d.DecodeBool()
-	} else {
-		var into []byte
-		if r.Reuse {
-			into = r.body
-		}
-		if a.Body, err = r.bytes(into, bodyMost); r.Reuse {
-			r.body = a.Body
-		}
+	if err := r.content(a); err != nil {
+		return err
 	}
+	return r.fields(a)
+}
+
+// content reads a body, or whether the gateway serves.
+func (r *Reader) content(a *Response) error {
+	code, err := r.d.PeekCode()
 	if err != nil {
-		return a, err
+		return err
 	}
-	return a, r.fields(&a)
+	if code == codeFalse || code == codeTrue {
+		a.Alive, err = r.d.DecodeBool()
+		return err
+	}
+	var into []byte
+	if r.Reuse {
+		into = r.body
+	}
+	a.Body, err = r.bytes(into, bodyMost)
+	if r.Reuse {
+		r.body = a.Body
+	}
+	return err
 }
 
 // bytes reads a string of bytes, into a buffer if it holds so many.
--- a/client/trace_test.go
+++ b/client/trace_test.go
@@ -46,6 +46,39 @@
 	}
 }
 
+// figures are what the instruments tell, by name and ending or decision.
+func figures(t *testing.T, reader *metric.ManualReader) map[string]int64 {
+	t.Helper()
+	var all metricdata.ResourceMetrics
+	if err := reader.Collect(context.Background(), &all); err != nil {
+		t.Fatal(err)
+	}
+	got := map[string]int64{}
+	for _, s := range all.ScopeMetrics {
+		for _, m := range s.Metrics {
+			add(got, m)
+		}
+	}
+	return got
+}
+
+func add(got map[string]int64, m metricdata.Metrics) {
+	switch d := m.Data.(type) {
+	case metricdata.Histogram[float64]:
+		for _, p := range d.DataPoints {
+			ending, _ := p.Attributes.Value("ending")
+			got[m.Name+" "+ending.AsString()] += int64(p.Count)
+		}
+	case metricdata.Sum[int64]:
+		for _, p := range d.DataPoints {
+			name, _ := p.Attributes.Value("decision")
+			got[m.Name+" "+name.AsString()] = p.Value
+		}
+	case metricdata.Gauge[int64]:
+		got[m.Name] = d.DataPoints[0].Value
+	}
+}
+
 // Instruments tell of calls by class and ending, and of decisions; those of a closed client are read no more.
 func TestMeters(t *testing.T) {
 	reader := metric.NewManualReader()
@@ -64,33 +97,7 @@
 	if _, err := c.Do(gone, Request{Class: "images", Object: benchObject}); err == nil {
 		t.Fatal("a call without time is served")
 	}
-	read := func() map[string]int64 {
-		var all metricdata.ResourceMetrics
-		if err := reader.Collect(context.Background(), &all); err != nil {
-			t.Fatal(err)
-		}
-		got := map[string]int64{}
-		for _, s := range all.ScopeMetrics {
-			for _, m := range s.Metrics {
-				switch d := m.Data.(type) {
-				case metricdata.Histogram[float64]:
-					for _, p := range d.DataPoints {
-						ending, _ := p.Attributes.Value("ending")
-						got[m.Name+" "+ending.AsString()] += int64(p.Count)
-					}
-				case metricdata.Sum[int64]:
-					for _, p := range d.DataPoints {
-						name, _ := p.Attributes.Value("decision")
-						got[m.Name+" "+name.AsString()] = p.Value
-					}
-				case metricdata.Gauge[int64]:
-					got[m.Name] = d.DataPoints[0].Value
-				}
-			}
-		}
-		return got
-	}
-	got := read()
+	got := figures(t, reader)
 	for name, want := range map[string]int64{MetricDuration + " served": 3, MetricDuration + " unsent": 1, MetricTries + " served": 3,
 		MetricDecisions + " tries": 3, MetricDecisions + " calls": 4, MetricDecisions + " connects": 1, MetricAlive: 1} {
 		if got[name] != want {
@@ -100,7 +107,7 @@
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if n, ok := read()[MetricAlive]; ok {
+	if n, ok := figures(t, reader)[MetricAlive]; ok {
 		t.Errorf("a closed client has %d gateways", n)
 	}
 }
--- a/signedurl/edgeauth.go
+++ b/signedurl/edgeauth.go
@@ -19,62 +19,87 @@
 	if !ok {
 		return Grant{}, refuse(MalformedToken, "hmac is missing")
 	}
+	fields, err := parseEdgeFields(body)
+	if err != nil {
+		return Grant{}, err
+	}
+	sum, err := hex.DecodeString(code)
+	if err != nil || len(sum) != sha256.Size {
+		return Grant{}, refuse(MalformedToken, "hmac is no SHA-256")
+	}
+	g := Grant{Form: EdgeAuth, Subject: fields["id"]}
+	if g.KeyID, err = v.edgeKey(body, sum); err != nil {
+		return Grant{}, err
+	}
+	if g.Expiry, err = v.edgeTimes(fields, now); err != nil {
+		return Grant{}, err
+	}
+	for acl := range strings.SplitSeq(fields["acl"], "!") {
+		if acl != "" && matches(acl, path) {
+			return g, nil
+		}
+	}
+	return Grant{}, refuse(URIMismatch, "no entry of acl matches")
+}
+
+// parseEdgeFields reads the signed part of a token.
+func parseEdgeFields(body string) (map[string]string, error) {
 	fields := map[string]string{}
 	for f := range strings.SplitSeq(body, "~") {
 		name, value, ok := strings.Cut(f, "=")
 		_, twice := fields[name]
 		if name == "ip" || name == "url" { // a bond that is not checked must not be passed over
-			return Grant{}, refuse(UnsupportedClaim, "the field %s", name)
+			return nil, refuse(UnsupportedClaim, "the field %s", name)
 		}
 		if !ok || twice || !edgeFields[name] {
-			return Grant{}, refuse(MalformedToken, "the field %.20q", name)
+			return nil, refuse(MalformedToken, "the field %.20q", name)
 		}
 		fields[name] = value
 	}
-	sum, err := hex.DecodeString(code)
-	if err != nil || len(sum) != sha256.Size {
-		return Grant{}, refuse(MalformedToken, "hmac is no SHA-256")
-	}
-	g := Grant{Form: EdgeAuth, Subject: fields["id"]}
+	return fields, nil
+}
+
+// edgeKey returns the id of the key that signed a token. A token has no kid: every key in force is tried, the last that fits counts.
+func (v *Verifier) edgeKey(body string, sum []byte) (id string, err error) {
 	keys := 0
-	for _, k := range v.cfg.Keys { // there is no kid: every key in force is tried
+	for _, k := range v.cfg.Keys {
 		if k.Form != EdgeAuth {
 			continue
 		}
 		keys++
 		if hmac.Equal(edgeSum(k.Secret, body), sum) {
-			g.KeyID = k.ID
+			id = k.ID
 		}
 	}
 	switch {
 	case keys == 0:
-		return Grant{}, &Error{Reason: UnknownKey}
-	case g.KeyID == "":
-		return Grant{}, &Error{Reason: BadSignature}
+		return "", &Error{Reason: UnknownKey}
+	case id == "":
+		return "", &Error{Reason: BadSignature}
 	}
+	return id, nil
+}
+
+// edgeTimes checks from when and until when a token is good, and returns the latter.
+func (v *Verifier) edgeTimes(fields map[string]string, now time.Time) (expiry time.Time, err error) {
 	exp, err := strconv.ParseInt(fields["exp"], 10, 64)
 	if err != nil {
-		return Grant{}, refuse(MalformedToken, "exp: %w", err)
+		return expiry, refuse(MalformedToken, "exp: %w", err)
 	}
-	g.Expiry = time.Unix(exp, 0)
+	expiry = time.Unix(exp, 0)
 	if s, ok := fields["st"]; ok {
 		st, err := strconv.ParseInt(s, 10, 64)
 		if err != nil {
-			return Grant{}, refuse(MalformedToken, "st: %w", err)
+			return expiry, refuse(MalformedToken, "st: %w", err)
 		}
 		if now.Before(time.Unix(st, 0).Add(-v.cfg.Leeway)) {
-			return Grant{}, &Error{Reason: NotYetValid}
+			return expiry, &Error{Reason: NotYetValid}
 		}
 	}
-	if !now.Before(g.Expiry.Add(v.cfg.Leeway)) {
-		return Grant{}, &Error{Reason: Expired}
-	}
-	for acl := range strings.SplitSeq(fields["acl"], "!") {
-		if acl != "" && matches(acl, path) {
-			return g, nil
-		}
+	if !now.Before(expiry.Add(v.cfg.Leeway)) {
+		return expiry, &Error{Reason: Expired}
 	}
-	return Grant{}, refuse(URIMismatch, "no entry of acl matches")
+	return expiry, nil
 }
 
 func edgeSum(secret []byte, body string) []byte {
--- a/test/client_http_test.go
+++ b/test/client_http_test.go
@@ -77,6 +77,16 @@
 }
 
 // An object is read over its parts, goes on after one that could not be had, and may be read again; each part has a token
+// httpGet asks by an HTTP client. The body is the caller's to close.
+func httpGet(t *testing.T, c *http.Client, url string) (*http.Response, error) {
+	t.Helper()
+	q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c.Do(q)
+}
+
 // of its own, so that none runs out between two.
 func TestObjectsAsReaders(t *testing.T) {
 	r, addr := signedRig(t, "")
@@ -129,14 +139,7 @@
 		t.Error("a closed object is read")
 	}
 	hc := &http.Client{Transport: &lib.RoundTripper{Client: c}}
-	get := func(url string) (*http.Response, error) {
-		q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return hc.Do(q)
-	}
-	resp, err := get("http://any/images/" + object + "/3?shard=17")
+	resp, err := httpGet(t, hc, "http://any/images/" + object + "/3?shard=17")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +147,7 @@
 	if b, _ := io.ReadAll(resp.Body); resp.StatusCode != 200 || string(b) != content(object, "3") || resp.Header.Get("ETag") == "" {
 		t.Errorf("%d, %d bytes", resp.StatusCode, len(b))
 	}
-	nowhere, err := get("http://any/nowhere")
+	nowhere, err := httpGet(t, hc, "http://any/nowhere")
 	if err == nil {
 		_ = nowhere.Body.Close() // the test fails below
 	}
--- a/test/client_test.go
+++ b/test/client_test.go
@@ -105,21 +105,58 @@
 	}
 }
 
+// brokenOrLate answers by the request's id: one in 4,096 breaks, one in 16 takes 50 ms.
+func brokenOrLate(a *ask) {
+	switch {
+	case a.ID[13:] == "000":
+		a.Reply("BROKE", "-", "")
+	case a.ID[15] == '1':
+		time.AfterFunc(50*time.Millisecond, func() { fakeserver.Done(a) })
+	default:
+		fakeserver.Done(a)
+	}
+}
+
+// callEnds counts how calls ended.
+type callEnds struct {
+	served, others, late atomic.Int64
+	latest               atomic.Int64 // the most nanoseconds after the deadline that one ended
+}
+
+// call makes a call with a second's time, and checks that it ends as one may.
+func (e *callEnds) call(ctx context.Context, t *testing.T, c *lib.Client, class, object string) {
+	call, cancel := context.WithTimeout(ctx, time.Second)
+	defer cancel()
+	began := time.Now()
+	r, err := c.Do(call, lib.Request{Class: class, Object: object, Part: 2})
+	took := time.Since(began) - time.Second
+	if took > 50*time.Millisecond {
+		e.late.Add(1)
+	}
+	for most := e.latest.Load(); int64(took) > most; most = e.latest.Load() {
+		if e.latest.CompareAndSwap(most, int64(took)) {
+			break
+		}
+	}
+	switch {
+	case err == nil && string(r.Body) == content(object, "2"):
+		e.served.Add(1)
+	case err == nil:
+		t.Errorf("served with %.40q", r.Body)
+	case errors.Is(err, lib.ErrRefused), errors.Is(err, lib.ErrFailed), errors.Is(err, lib.ErrUnknown),
+		errors.Is(err, lib.ErrExpired), errors.Is(err, lib.ErrUnsent):
+		e.others.Add(1)
+	default:
+		t.Errorf("%v", err)
+	}
+}
+
 // Through cut connections, split answers and a gateway that is deaf: each call ends once and in time, and the rules are kept.
 func TestTheRulesHoldThroughFaults(t *testing.T) {
 	ctx, ws, rs := pair(t)
 	for _, w := range ws {
 		for _, s := range w.Stores {
-			s.On(func(a *ask) {
-				switch {
-				case a.ID[13:] == "000":
-					a.Reply("BROKE", "-", "")
-				case a.ID[15] == '1':
-					time.AfterFunc(50*time.Millisecond, func() { fakeserver.Done(a) })
-				default:
-					fakeserver.Done(a)
-				}
-			})
+			s.On(brokenOrLate)
 		}
 	}
 	long := 1 // LARCHUSHER_LONG=25 makes it 100,000 requests, for docs/measurements/client.md
@@ -135,49 +172,26 @@
 	}
 	time.AfterFunc(500*time.Millisecond, func() { rs[1].Deaf(true); rs[1].Cut() })
 	time.AfterFunc(1200*time.Millisecond, func() { rs[1].Deaf(false); rs[1].Cut() })
-	var served, others, late, latest atomic.Int64
-	latest.Store(math.MinInt64)
+	var ends callEnds
+	ends.latest.Store(math.MinInt64)
 	var all sync.WaitGroup
 	for g := range 40 {
 		all.Go(func() {
 			for i := range 100 * long {
-				class := clientClasses[(g+i)%3].Name
-				call, cancel := context.WithTimeout(ctx, time.Second)
-				began := time.Now()
-				r, err := c.Do(call, lib.Request{Class: class, Object: fmt.Sprintf("%08x%08x", g+1, i), Part: 2})
-				took := time.Since(began) - time.Second
-				if took > 50*time.Millisecond {
-					late.Add(1)
-				}
-				for most := latest.Load(); int64(took) > most; most = latest.Load() {
-					if latest.CompareAndSwap(most, int64(took)) {
-						break
-					}
-				}
-				cancel()
-				switch {
-				case err == nil && string(r.Body) == content(fmt.Sprintf("%08x%08x", g+1, i), "2"):
-					served.Add(1)
-				case err == nil:
-					t.Errorf("served with %.40q", r.Body)
-				case errors.Is(err, lib.ErrRefused), errors.Is(err, lib.ErrFailed), errors.Is(err, lib.ErrUnknown),
-					errors.Is(err, lib.ErrExpired), errors.Is(err, lib.ErrUnsent):
-					others.Add(1)
-				default:
-					t.Errorf("%v", err)
-				}
+				ends.call(ctx, t, c, clientClasses[(g+i)%3].Name, fmt.Sprintf("%08x%08x", g+1, i))
 				time.Sleep(10 * time.Millisecond)
 			}
 		})
 	}
 	all.Wait()
-	if late.Load() > 0 || served.Load() < 2000*int64(long) {
-		t.Errorf("%d ended late, %d were served, %d not: %v", late.Load(), served.Load(), others.Load(), c.Counters())
+	if ends.late.Load() > 0 || ends.served.Load() < 2000*int64(long) {
+		t.Errorf("%d ended late, %d were served, %d not: %v", ends.late.Load(), ends.served.Load(), ends.others.Load(), c.Counters())
 	}
 	for _, b := range (faultproxy.Rules{Tries: 4, Keyed: map[string]time.Duration{"orders": 3 * time.Second}}).Check(rs[:]...) {
 		t.Error(b)
 	}
-	t.Logf("%d served, %d not, the latest %v after its deadline, %v", served.Load(), others.Load(), time.Duration(latest.Load()), c.Counters())
+	t.Logf("%d served, %d not, the latest %v after its deadline, %v", ends.served.Load(), ends.others.Load(), time.Duration(ends.latest.Load()),
+		c.Counters())
 	if n := c.Counters(); n["retries"] == 0 || n["deaths"] == 0 {
 		t.Errorf("nothing was tried again, or no gateway was left: %v", n)
 	}
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -218,6 +218,35 @@
 	r.signal(syscall.SIGTERM)
 }
 
+// flood asks for a target on one connection, eight requests at a time, until ctx ends. Those with a bad token must be told 403.
+func flood(ctx context.Context, t *testing.T, addr, target string, bad bool, served *atomic.Int64) {
+	c, err := loopback.Dial(addr)
+	if err != nil {
+		t.Error(err)
+		return
+	}
+	go func() { <-ctx.Done(); loopback.Close(c) }()
+	r := bufio.NewReader(c)
+	for ctx.Err() == nil {
+		if _, err := io.WriteString(c, strings.Repeat(request("GET", target), 8)); err != nil {
+			return
+		}
+		for range 8 {
+			resp, err := http.ReadResponse(r, nil)
+			if err != nil {
+				return
+			}
+			_, _ = io.Copy(io.Discard, resp.Body) // a cut one ends the next read
+			_ = resp.Body.Close()                 // read to its end
+			if resp.StatusCode == 200 {
+				served.Add(1)
+			} else if bad && resp.StatusCode != 403 {
+				t.Errorf("a bad token is told %d", resp.StatusCode)
+			}
+		}
+	}
+}
+
 // A flood of one class on the signed front, with tokens good and bad, does not starve the platform's clients, and the other way round.
 func TestFrontsDoNotStarveEachOther(t *testing.T) {
 	addr, err := testbed.Free()
@@ -234,40 +263,14 @@
 	good := signer(t, signedurl.Config{Base: base, Keys: signedKeys.Keys[2:3]}, signedKeys.Keys[2].ID)(signedurl.Order{
 		Target: "/images/" + object + "/3", Expiry: time.Now().Add(time.Hour)})
 	flooding, stop := context.WithCancel(ctx)
-	var served, other atomic.Int64
+	var served atomic.Int64
 	var all sync.WaitGroup
 	for i := range 100 {
 		target := strings.TrimPrefix(good, base)
 		if i%2 == 1 {
 			target += "0" // no longer what was signed
 		}
-		all.Go(func() {
-			c, err := loopback.Dial(addr)
-			if err != nil {
-				t.Error(err)
-				return
-			}
-			go func() { <-flooding.Done(); loopback.Close(c) }()
-			r := bufio.NewReader(c)
-			for flooding.Err() == nil {
-				if _, err := io.WriteString(c, strings.Repeat(request("GET", target), 8)); err != nil {
-					return
-				}
-				for range 8 {
-					resp, err := http.ReadResponse(r, nil)
-					if err != nil {
-						return
-					}
-					_, _ = io.Copy(io.Discard, resp.Body) // a cut one ends the next read
-					_ = resp.Body.Close()                 // read to its end
-					if resp.StatusCode == 200 {
-						served.Add(1)
-					} else if other.Add(1); i%2 == 1 && resp.StatusCode != 403 {
-						t.Errorf("a bad token is told %d", resp.StatusCode)
-					}
-				}
-			}
-		})
+		all.Go(func() { flood(flooding, t, addr, target, i%2 == 1, &served) })
 	}
 	res, err := load.Run(ctx, load.Spec{Addr: w.Addr, Conns: 50, Rate: load.Constant(1000), For: 3 * time.Second, Seed: 1})
 	if err != nil {
--- a/test/signed_test.go
+++ b/test/signed_test.go
@@ -120,6 +120,76 @@
 	return p.StatusCode, strings.TrimSuffix(body, "\n"), p.Header
 }
 
+// signedRequest is a request with the answer that it must get; an empty body: any.
+type signedRequest struct {
+	target string
+	status int
+	body   string
+}
+
+// drawSigned draws the i-th of so many requests: half are valid, a quarter expired, a quarter ask for something else than was signed.
+func drawSigned(i, total int, now time.Time, sign func(signedurl.Order) string) signedRequest {
+	o := fmt.Sprintf("%016x", i)
+	order := signedurl.Order{Target: "/images/" + o + "/1", Expiry: now.Add(time.Hour)}
+	switch i % 4 {
+	case 2:
+		order.Expiry = now.Add(-time.Minute)
+		return signedRequest{sign(order), 403, "expired"}
+	case 3:
+		return signedRequest{tamper(sign(order), o, i, total), 403, ""}
+	default:
+		return signedRequest{sign(order), 200, content(o, "1")}
+	}
+}
+
+// tamper makes another object, part or signature of a signed URI.
+func tamper(uri, object string, i, total int) string {
+	switch i / 12 % 3 {
+	case 0:
+		return strings.Replace(uri, object, fmt.Sprintf("%016x", i+total), 1)
+	case 1:
+		return strings.Replace(uri, "/1?", "/2?", 1)
+	default:
+		last := "A"
+		if at := len(uri) - 8; uri[at] == 'A' || uri[at] == 'a' {
+			last = "0"
+		}
+		return uri[:len(uri)-8] + last + uri[len(uri)-7:]
+	}
+}
+
+// checkSigned reads the answers to what was sent, and one more for a request that it sends at the end: nothing came beyond the one
+// answer each. It returns how many were served and refused.
+func (w *web) checkSigned(wants <-chan signedRequest) (got [2]int, err error) {
+	for want := range wants {
+		p, err := http.ReadResponse(w.r, nil)
+		if err != nil {
+			return got, err
+		}
+		b, err := io.ReadAll(p.Body)
+		_ = p.Body.Close() // read to its end
+		if err != nil {
+			return got, fmt.Errorf("%d %.60q, want %d %.60q: %w", p.StatusCode, b, want.status, want.body, err)
+		}
+		if p.StatusCode != want.status || want.body != "" && strings.TrimSuffix(string(b), "\n") != want.body {
+			return got, fmt.Errorf("%d %.60q, want %d %.60q", p.StatusCode, b, want.status, want.body)
+		}
+		got[map[bool]int{true: 0, false: 1}[want.status == 200]]++
+	}
+	if _, err := io.WriteString(w.conn, request("GET", "/none")); err != nil {
+		return got, err
+	}
+	p, err := http.ReadResponse(w.r, nil)
+	if err != nil {
+		return got, fmt.Errorf("after all: %w", err)
+	}
+	_ = p.Body.Close() // read to its end
+	if p.StatusCode != 403 {
+		return got, fmt.Errorf("after all: %v", p)
+	}
+	return got, nil
+}
+
 // The proof: of 10,000 valid, expired and tampered requests each gets one answer, no tampered or expired one
 // is served, and no store sees one that is refused.
 func TestTenThousandSignedRequests(t *testing.T) {
@@ -131,44 +201,15 @@
 	errs := make(chan error, conns)
 	for n := range conns {
 		w := newWeb(t, addr)
-		type want struct {
-			status int
-			body   string
-		}
-		wants := make(chan want, window) // as many are under way on the connection
-		var lines []string
-		var due []want
+		var sent []signedRequest
 		for i := n; i < total; i += conns {
-			o := fmt.Sprintf("%016x", i)
-			order := signedurl.Order{Target: "/images/" + o + "/1", Expiry: now.Add(time.Hour)}
-			sign := signs[i/4%3]
-			switch i % 4 {
-			case 0, 1:
-				lines, due = append(lines, sign(order)), append(due, want{200, content(o, "1")})
-			case 2:
-				order.Expiry = now.Add(-time.Minute)
-				lines, due = append(lines, sign(order)), append(due, want{403, "expired"})
-			case 3: // another object, part or signature than the one signed
-				uri := sign(order)
-				switch i / 12 % 3 {
-				case 0:
-					uri = strings.Replace(uri, o, fmt.Sprintf("%016x", i+total), 1)
-				case 1:
-					uri = strings.Replace(uri, "/1?", "/2?", 1)
-				case 2:
-					last := "A"
-					if at := len(uri) - 8; uri[at] == 'A' || uri[at] == 'a' {
-						last = "0"
-					}
-					uri = uri[:len(uri)-8] + last + uri[len(uri)-7:]
-				}
-				lines, due = append(lines, uri), append(due, want{403, ""})
-			}
+			sent = append(sent, drawSigned(i, total, now, signs[i/4%3]))
 		}
+		wants := make(chan signedRequest, window) // as many are under way on the connection
 		go func() {
-			for i, l := range lines {
-				wants <- due[i]
-				if _, err := io.WriteString(w.conn, request("GET", l)); err != nil {
+			for _, s := range sent {
+				wants <- s
+				if _, err := io.WriteString(w.conn, request("GET", s.target)); err != nil {
 					errs <- err
 					return
 				}
@@ -176,38 +217,9 @@
 			close(wants)
 		}()
 		go func() {
-			var got [2]int
-			for want := range wants {
-				p, err := http.ReadResponse(w.r, nil)
-				if err != nil {
-					errs <- err
-					return
-				}
-				b, err := io.ReadAll(p.Body)
-				_ = p.Body.Close() // read to its end
-				if err != nil {
-					errs <- fmt.Errorf("%d %.60q, want %d %.60q: %w", p.StatusCode, b, want.status, want.body, err)
-					return
-				}
-				if p.StatusCode != want.status || want.body != "" && strings.TrimSuffix(string(b), "\n") != want.body {
-					errs <- fmt.Errorf("%d %.60q, want %d %.60q", p.StatusCode, b, want.status, want.body)
-					return
-				}
-				got[map[bool]int{true: 0, false: 1}[want.status == 200]]++
-			}
-			// Nothing beyond the one answer each: the next one is this request's.
-			if _, err := io.WriteString(w.conn, request("GET", "/none")); err != nil {
-				errs <- err
-				return
-			}
-			p, err := http.ReadResponse(w.r, nil)
+			got, err := w.checkSigned(wants)
 			if err != nil {
-				errs <- fmt.Errorf("after all: %w", err)
-				return
-			}
-			_ = p.Body.Close() // read to its end
-			if p.StatusCode != 403 {
-				errs <- fmt.Errorf("after all: %v", p)
+				errs <- err
 				return
 			}
 			results <- got
