--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -449,7 +449,7 @@
 		return
 	}
 	now := g.cfg.Loop.Now()
-	at := &Attempt{Request: r, Endpoint: a.Endpoint, FillSource: a.FillSource, CacheRank: a.CacheRank, MaxAge: a.MaxAge, Coalesce: a.Coalesce,
+	at := &Attempt{Request: r, Endpoint: a.Endpoint, FillSource: a.FillSource, CacheRank: int(a.CacheRank), MaxAge: a.MaxAge, Coalesce: a.Coalesce,
 		OnlyIfCached: a.OnlyIfCached, NoParentCopy: a.NoParentCopy, RefreshAhead: a.RefreshAhead, Deadline: r.Deadline, number: len(r.attempts) - r.firstInLocality, locality: where,
 		startedAt: now, pausedAtStart: g.pausedTime}
 	if a.FillSource == a.Endpoint {
