--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -12,15 +12,16 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"larchusher/client/rpc"
+	"larchusher/lab/loopback"
 )
 
 // answering is a gateway that answers everything at once with 7.6 kB.
 func answering(tb testing.TB) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := loopback.Listen("127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	tb.Cleanup(func() { l.Close() })
+	tb.Cleanup(func() { loopback.Close(l) })
 	body := []byte(strings.Repeat("x", 7600))
 	go func() {
 		for {
@@ -28,34 +29,38 @@
 			if err != nil {
 				return
 			}
-			go func() {
-				defer c.Close()
-				in, d := bufio.NewReader(c), msgpack.NewDecoder(nil)
-				d.Reset(in)
-				var out bytes.Buffer
-				e := msgpack.NewEncoder(&out)
-				e.UseCompactInts(true)
-				for {
-					v, err := d.DecodeInterfaceLoose()
-					if err != nil {
-						return
-					}
-					if m := v.([]any); len(m) == 4 {
-						_ = e.Encode([]any{1, m[1], nil, []any{body, map[string]string{}}})
-					}
-					if in.Buffered() == 0 {
-						if _, err := c.Write(out.Bytes()); err != nil {
-							return
-						}
-						out.Reset()
-					}
-				}
-			}()
+			go answerAll(c, body)
 		}
 	}()
 	return l.Addr().String()
 }
 
+// answerAll answers each request on a connection with a body, until the connection ends.
+func answerAll(c net.Conn, body []byte) {
+	defer loopback.Close(c)
+	in, d := bufio.NewReader(c), msgpack.NewDecoder(nil)
+	d.Reset(in)
+	var out bytes.Buffer
+	e := msgpack.NewEncoder(&out)
+	e.UseCompactInts(true)
+	for {
+		v, err := d.DecodeInterfaceLoose()
+		if err != nil {
+			return
+		}
+		if m := v.([]any); len(m) == 4 {
+			_ = e.Encode([]any{1, m[1], nil, []any{body, map[string]string{}}}) // a buffer takes it all
+		}
+		if in.Buffered() > 0 {
+			continue
+		}
+		if _, err := c.Write(out.Bytes()); err != nil {
+			return
+		}
+		out.Reset()
+	}
+}
+
 const benchObject = "7f3a9c21e0b4d655"
 
 // A request by the library on an open connection.
@@ -64,7 +69,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer c.Close()
+	defer loopback.Close(c)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
 	defer cancel()
 	b.ReportAllocs()
@@ -81,7 +86,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer c.Close()
+	defer loopback.Close(c)
 	b.ReportAllocs()
 	b.SetParallelism(64)
 	b.RunParallel(func(p *testing.PB) {
@@ -95,11 +100,11 @@
 
 // The plain way: a request over the same kind of socket, with nothing decided.
 func BenchmarkBare(b *testing.B) {
-	nc, err := net.Dial("tcp", answering(b))
+	nc, err := loopback.Dial(answering(b))
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer nc.Close()
+	defer loopback.Close(nc)
 	var out bytes.Buffer
 	e, r := rpc.NewEncoder(&out), rpc.NewReader(nc)
 	id := uint32(0)
