--- a/internal/snapshot/saver.go
+++ b/internal/snapshot/saver.go
@@ -6,6 +6,7 @@
 
 	"github.com/sirupsen/logrus"
 
+	"larchusher/internal/logfields"
 	"larchusher/warmstart"
 )
 
@@ -78,7 +79,7 @@
 	for _, f := range l.all {
 		if f.Err != nil {
 			s.UnreadableFiles++
-			s.log.WithError(f.Err).WithField("file", f.Name).Warn("a snapshot is not used")
+			s.log.WithError(f.Err).WithField(logfields.File, f.Name).Warn(logfields.SnapshotUnusable)
 		}
 	}
 	if l.best == nil {
@@ -86,8 +87,11 @@
 	}
 	s.Found, s.BadRecords, s.Size = true, l.best.Damage.BadRecords, l.best.Size
 	if !l.best.Damage.Whole {
-		s.log.WithFields(logrus.Fields{"file": l.best.Name, "bad": l.best.Damage.BadRecords, "cut": l.best.Damage.Truncated}).
-			Warn("a snapshot is damaged: the rest of it is used")
+		s.log.WithFields(logrus.Fields{
+			logfields.File:       l.best.Name,
+			logfields.BadRecords: l.best.Damage.BadRecords,
+			logfields.Truncated:  l.best.Damage.Truncated,
+		}).Warn(logfields.SnapshotDamaged)
 	}
 	return l.best.Snap
 }
@@ -108,7 +112,7 @@
 // Tick starts a write if one is due. It is to be called several times an interval, with the Unix time.
 func (s *Saver) Tick(now time.Duration) {
 	if s.schedule.Hanging(now) {
-		s.log.Error("writing a snapshot hangs: none is written until it ends")
+		s.log.Error(logfields.SnapshotWriteHangs)
 	}
 	if !s.schedule.Due(now) {
 		return
@@ -133,7 +137,7 @@
 	if err == nil {
 		s.Size = size
 	} else if isFirst {
-		s.log.WithError(err).Error("a snapshot could not be written; it is tried again")
+		s.log.WithError(err).Error(logfields.SnapshotWriteFailed)
 	}
 }
 
--- a/test/signed_test.go
+++ b/test/signed_test.go
@@ -14,6 +14,7 @@
 	"testing"
 	"time"
 
+	"larchusher/lab/loopback"
 	"larchusher/lab/testbed"
 	"larchusher/signedurl"
 )
@@ -69,11 +70,11 @@
 }
 
 func newWeb(t *testing.T, addr string) *web {
-	conn, err := net.Dial("tcp", addr)
+	conn, err := loopback.Dial(addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
+	t.Cleanup(func() { loopback.Close(conn) })
 	_ = conn.SetDeadline(time.Now().Add(60 * time.Second))
 	return &web{t, conn, bufio.NewReader(conn)}
 }
@@ -86,18 +87,27 @@
 	return s + "\r\n"
 }
 
-// read reads the next response.
-func (w *web) read() (*http.Response, string) {
+// webAnswer is what a response says before its body.
+type webAnswer struct {
+	StatusCode int
+	Header     http.Header
+	Cookies    []*http.Cookie
+	Close      bool // the connection ends behind it
+}
+
+// read reads the next response and its body.
+func (w *web) read() (webAnswer, string) {
 	w.t.Helper()
 	p, err := http.ReadResponse(w.r, nil)
 	if err != nil {
 		w.t.Fatal(err)
 	}
+	defer func() { _ = p.Body.Close() }() // read to its end
 	b, err := io.ReadAll(p.Body)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	return p, string(b)
+	return webAnswer{StatusCode: p.StatusCode, Header: p.Header, Cookies: p.Cookies(), Close: p.Close}, string(b)
 }
 
 // get sends a request and reads its response.
@@ -110,6 +120,76 @@
 	return p.StatusCode, strings.TrimSuffix(body, "\n"), p.Header
 }
 
+// signedRequest is a request with the answer that it must get; an empty body: any.
+type signedRequest struct {
+	target string
+	status int
+	body   string
+}
+
+// drawSigned draws the i-th of so many requests: half are valid, a quarter expired, a quarter ask for something else than was signed.
+func drawSigned(i, total int, now time.Time, sign func(signedurl.Order) string) signedRequest {
+	o := fmt.Sprintf("%016x", i)
+	order := signedurl.Order{Target: "/images/" + o + "/1", Expiry: now.Add(time.Hour)}
+	switch i % 4 {
+	case 2:
+		order.Expiry = now.Add(-time.Minute)
+		return signedRequest{sign(order), 403, "expired"}
+	case 3:
+		return signedRequest{tamper(sign(order), o, i, total), 403, ""}
+	default:
+		return signedRequest{sign(order), 200, content(o, "1")}
+	}
+}
+
+// tamper makes another object, part or signature of a signed URI.
+func tamper(uri, object string, i, total int) string {
+	switch i / 12 % 3 {
+	case 0:
+		return strings.Replace(uri, object, fmt.Sprintf("%016x", i+total), 1)
+	case 1:
+		return strings.Replace(uri, "/1?", "/2?", 1)
+	default:
+		last := "A"
+		if at := len(uri) - 8; uri[at] == 'A' || uri[at] == 'a' {
+			last = "0"
+		}
+		return uri[:len(uri)-8] + last + uri[len(uri)-7:]
+	}
+}
+
+// checkSigned reads the answers to what was sent, and one more for a request that it sends at the end: nothing came beyond the one
+// answer each. It returns how many were served and refused.
+func (w *web) checkSigned(wants <-chan signedRequest) (got [2]int, err error) {
+	for want := range wants {
+		p, err := http.ReadResponse(w.r, nil)
+		if err != nil {
+			return got, err
+		}
+		b, err := io.ReadAll(p.Body)
+		_ = p.Body.Close() // read to its end
+		if err != nil {
+			return got, fmt.Errorf("%d %.60q, want %d %.60q: %w", p.StatusCode, b, want.status, want.body, err)
+		}
+		if p.StatusCode != want.status || want.body != "" && strings.TrimSuffix(string(b), "\n") != want.body {
+			return got, fmt.Errorf("%d %.60q, want %d %.60q", p.StatusCode, b, want.status, want.body)
+		}
+		got[map[bool]int{true: 0, false: 1}[want.status == 200]]++
+	}
+	if _, err := io.WriteString(w.conn, request("GET", "/none")); err != nil {
+		return got, err
+	}
+	p, err := http.ReadResponse(w.r, nil)
+	if err != nil {
+		return got, fmt.Errorf("after all: %w", err)
+	}
+	_ = p.Body.Close() // read to its end
+	if p.StatusCode != 403 {
+		return got, fmt.Errorf("after all: %v", p)
+	}
+	return got, nil
+}
+
 // The proof: of 10,000 valid, expired and tampered requests each gets one answer, no tampered or expired one
 // is served, and no store sees one that is refused.
 func TestTenThousandSignedRequests(t *testing.T) {
@@ -121,44 +201,15 @@
 	errs := make(chan error, conns)
 	for n := range conns {
 		w := newWeb(t, addr)
-		type want struct {
-			status int
-			body   string
-		}
-		wants := make(chan want, window) // as many are under way on the connection
-		var lines []string
-		var due []want
+		var sent []signedRequest
 		for i := n; i < total; i += conns {
-			o := fmt.Sprintf("%016x", i)
-			order := signedurl.Order{Target: "/images/" + o + "/1", Expiry: now.Add(time.Hour)}
-			sign := signs[i/4%3]
-			switch i % 4 {
-			case 0, 1:
-				lines, due = append(lines, sign(order)), append(due, want{200, content(o, "1")})
-			case 2:
-				order.Expiry = now.Add(-time.Minute)
-				lines, due = append(lines, sign(order)), append(due, want{403, "expired"})
-			case 3: // another object, part or signature than the one signed
-				uri := sign(order)
-				switch i / 12 % 3 {
-				case 0:
-					uri = strings.Replace(uri, o, fmt.Sprintf("%016x", i+total), 1)
-				case 1:
-					uri = strings.Replace(uri, "/1?", "/2?", 1)
-				case 2:
-					last := "A"
-					if at := len(uri) - 8; uri[at] == 'A' || uri[at] == 'a' {
-						last = "0"
-					}
-					uri = uri[:len(uri)-8] + last + uri[len(uri)-7:]
-				}
-				lines, due = append(lines, uri), append(due, want{403, ""})
-			}
+			sent = append(sent, drawSigned(i, total, now, signs[i/4%3]))
 		}
+		wants := make(chan signedRequest, window) // as many are under way on the connection
 		go func() {
-			for i, l := range lines {
-				wants <- due[i]
-				if _, err := io.WriteString(w.conn, request("GET", l)); err != nil {
+			for _, s := range sent {
+				wants <- s
+				if _, err := io.WriteString(w.conn, request("GET", s.target)); err != nil {
 					errs <- err
 					return
 				}
@@ -166,29 +217,11 @@
 			close(wants)
 		}()
 		go func() {
-			var got [2]int
-			for want := range wants {
-				p, err := http.ReadResponse(w.r, nil)
-				if err != nil {
-					errs <- err
-					return
-				}
-				b, err := io.ReadAll(p.Body)
-				if err != nil || p.StatusCode != want.status || want.body != "" && strings.TrimSuffix(string(b), "\n") != want.body {
-					errs <- fmt.Errorf("%d %.60q, want %d %.60q: %v", p.StatusCode, b, want.status, want.body, err)
-					return
-				}
-				got[map[bool]int{true: 0, false: 1}[want.status == 200]]++
-			}
-			// Nothing beyond the one answer each: the next one is this request's.
-			if _, err := io.WriteString(w.conn, request("GET", "/none")); err != nil {
+			got, err := w.checkSigned(wants)
+			if err != nil {
 				errs <- err
 				return
 			}
-			if p, err := http.ReadResponse(w.r, nil); err != nil || p.StatusCode != 403 {
-				errs <- fmt.Errorf("after all: %v %v", p, err)
-				return
-			}
 			results <- got
 		}()
 	}
@@ -244,7 +277,7 @@
 	if p.StatusCode != 200 || body != content(object, "3") {
 		t.Fatalf("part 3: %d", p.StatusCode)
 	}
-	cookies := p.Cookies()
+	cookies := p.Cookies
 	if len(cookies) != 1 || cookies[0].Name != signedurl.URISigningPackage {
 		t.Fatalf("no fresh token: %v", p.Header)
 	}
@@ -275,8 +308,13 @@
 	if _, err := io.WriteString(w.conn, request("HEAD", asset)); err != nil {
 		t.Fatal(err)
 	}
-	if p, err := http.ReadResponse(w.r, &http.Request{Method: "HEAD"}); err != nil || p.StatusCode != 200 || p.ContentLength != int64(len(body)) {
-		t.Errorf("HEAD: %v %v", p, err)
+	p, err := http.ReadResponse(w.r, &http.Request{Method: "HEAD"})
+	if err != nil {
+		t.Fatalf("HEAD: %v", err)
+	}
+	_ = p.Body.Close() // read to its end
+	if p.StatusCode != 200 || p.ContentLength != int64(len(body)) {
+		t.Errorf("HEAD: %v", p)
 	}
 	r.on(func(a *ask) { a.Reply("KEEP", "why=warm,digest="+a.Fields["got"], "") })
 	if status, body, h := w.get("GET", asset, `If-None-Match: "tag-1"`); status != 304 || body != "" || h.Get("ETag") != `"tag-1"` {
@@ -331,8 +369,8 @@
 		t.Errorf("past the deadline: %d after %v", status, time.Since(began))
 	}
 	for _, s := range r.stores {
-		s.Listener.Close()
-		s.On(func(a *ask) { a.Conn.Close() })
+		loopback.Close(s.Listener)
+		s.On(func(a *ask) { loopback.Close(a.Conn) })
 	}
 	if status, _, h := w.get("GET", asset); status != 503 || h.Get("Retry-After") == "" {
 		t.Errorf("refused: %d %v", status, h)
@@ -344,7 +382,7 @@
 	r, addr := signedRig(t, "", func(r *rig) {
 		r.config["settings"] = json.RawMessage(strings.Replace(testbed.Settings, `"effect":"by_key"`, `"effect":"once"`, 1))
 	})
-	r.on(func(a *ask) { a.Conn.Close() })
+	r.on(func(a *ask) { loopback.Close(a.Conn) })
 	target := signer(t, signedKeys, "edge")(signedurl.Order{Target: "/orders/" + object + "/0", Expiry: time.Now().Add(time.Hour)})
 	if status, _, _ := newWeb(t, addr).get("POST", target, "Idempotency-Key: k", "Content-Length: 0"); status != 502 {
 		t.Errorf("%d", status)
@@ -365,11 +403,11 @@
 	agent, health := free(t), free(t)
 	r, _ := signedRig(t, fmt.Sprintf("health {\nagent_listen: %q\nhttp_listen: %q\n}", agent, health))
 	ask := func() string {
-		c, err := net.Dial("tcp", agent)
+		c, err := loopback.Dial(agent)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer loopback.Close(c)
 		_ = c.SetDeadline(time.Now().Add(patience))
 		b, err := io.ReadAll(c)
 		if err != nil {
@@ -382,18 +420,18 @@
 		t.Errorf("health: %d", status)
 	}
 	for range 40 { // they say nothing, and hold all places for checks
-		c, err := net.Dial("tcp", health)
+		c, err := loopback.Dial(health)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer loopback.Close(c)
 	}
 	eventually(t, "a place comes free for a check", func() bool {
-		c, err := net.Dial("tcp", health)
+		c, err := loopback.Dial(health)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer loopback.Close(c)
 		_ = c.SetDeadline(time.Now().Add(patience))
 		_, _ = io.WriteString(c, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
 		b, _ := io.ReadAll(c)
