--- a/locality/pick.go
+++ b/locality/pick.go
@@ -1,6 +1,10 @@
 package locality
 
-import "time"
+import (
+	"time"
+
+	"larchusher/overload"
+)
 
 // noPick is the index of no locality.
 const noPick = -1
@@ -137,19 +141,16 @@
 	return noPick, s.retryAfter(id), false
 }
 
-// Shares of Config.MaxRetryAfter that rejected requests are told: the least while little fits nowhere, and the most while
-// everything does. Each is told from minRetryAfterJitter of that to half more, by retryAfterSteps steps.
+// A rejected request is told from minRetryAfterJitter of the Retry-After to half more, in retryAfterSteps steps, so that clients
+// don't all come back at once.
 const (
-	minRetryAfterShare  = 0.25
-	maxRetryAfterShare  = 0.8
 	minRetryAfterJitter = 0.75
 	retryAfterSteps     = 1024
 )
 
 // retryAfter returns the Retry-After of a rejected request.
 func (s *Selector) retryAfter(id uint64) time.Duration {
-	share := minRetryAfterShare + (maxRetryAfterShare-minRetryAfterShare)*min(1, 1-s.servedShare)
-	base := float64(s.cfg.MaxRetryAfter) * share
+	base := float64(s.cfg.MaxRetryAfter) * overload.RetryAfterShare(s.RejectedShare())
 	return time.Duration(base * (minRetryAfterJitter + float64(id%retryAfterSteps)/(2*retryAfterSteps)))
 }
 
--- a/overload/allowance.go
+++ b/overload/allowance.go
@@ -133,17 +133,22 @@
 	}
 }
 
-// Shares of Config.MaxRetryAfter that rejected requests are told: the least, while little is shed, and the most, while
-// everything is.
+// Shares of the longest Retry-After that rejected requests are told: the least, while few are rejected, and the most, while all
+// are.
 const (
 	minRetryAfterShare = 0.25
 	maxRetryAfterShare = 0.8
 )
 
+// RetryAfterShare returns the share of the longest Retry-After that requests are told while a share of them, 0 to 1, is
+// rejected. Both shedding by overload and rejections by locality go by it.
+func RetryAfterShare(rejectedShare float64) float64 {
+	return minRetryAfterShare + (maxRetryAfterShare-minRetryAfterShare)*min(1, rejectedShare)
+}
+
 // retryAfterFor is the Retry-After while a share of the offered cost is shed, before [Jitter].
 func (c *Controller) retryAfterFor(shed float64) time.Duration {
-	share := minRetryAfterShare + (maxRetryAfterShare-minRetryAfterShare)*min(1, shed)
-	return time.Duration(float64(c.cfg.MaxRetryAfter) * share)
+	return time.Duration(float64(c.cfg.MaxRetryAfter) * RetryAfterShare(shed))
 }
 
 // RetryAfter returns the Retry-After, before [Jitter], for a request that was admitted and is rejected later.
