--- a/gateway/pauses.go
+++ b/gateway/pauses.go
@@ -117,5 +117,5 @@
 	}
 	s.Grace = g.queue.Grace(g.now())
 	s.Queued = g.queue.Queued()
-	s.LoopLag, s.MemoryPressure = g.pollerLag, g.memory.Pressure()
+	s.LoopLag = g.pollerLag
 }
--- a/overload/controller.go
+++ b/overload/controller.go
@@ -8,15 +8,14 @@
 
 // Sample is what the gateway measured in one tick.
 type Sample struct {
-	Interval       time.Duration // length of the tick, in time that the program ran
-	StartedCost    float64       // cost of requests that left the queue to be served
-	ExpiredCost    float64       // cost of requests that waited for too long
-	Queued         []int         // requests in the queue at its end, by band
-	LongestWait    time.Duration // longest wait of any request in it, or at its end
-	Grace          time.Duration // by which waits may be longer now, after a pause
-	LoopLag        time.Duration // time that received requests lay unread
-	Paused         bool          // the program did not run for a part of it: the sample says nothing of load
-	MemoryPressure float64       // share of the memory for responses that is taken, 0 to 1
+	Interval    time.Duration // length of the tick, in time that the program ran
+	StartedCost float64       // cost of requests that left the queue to be served
+	ExpiredCost float64       // cost of requests that waited for too long
+	Queued      []int         // requests in the queue at its end, by band
+	LongestWait time.Duration // longest wait of any request in it, or at its end
+	Grace       time.Duration // by which waits may be longer now, after a pause
+	LoopLag     time.Duration // time that received requests lay unread
+	Paused      bool          // the program did not run for a part of it: the sample says nothing of load
 }
 
 // Controller computes the policy of an [AdmissionController], tick by tick.
