--- a/internal/snapshot/decode_test.go
+++ b/internal/snapshot/decode_test.go
@@ -18,10 +18,34 @@
 // example is a snapshot of n listings, whose values follow from the number.
 func example(n int) *warmstart.Snapshot {
 	s := &warmstart.Snapshot{Made: time.Duration(n+1) * time.Hour, Gateway: "n1", Settings: "abc", Position: int64(n)}
-	m := routing.LearnedState{At: s.Made, Zone: "edge-1", Purges: []routing.PurgeRecord{{Name: "7f3a9c21e0b4d655", At: time.Hour}, {Name: " 17", At: time.Minute}},
-		Endpoints: []routing.EndpointHealth{{Endpoint: "s-1", Incarnation: 5, LastAnswer: 9, ErrorRate: 0.25, EjectedUntil: 7, Backoff: time.Second, FillLatency: time.Millisecond, FillLatencyAt: 3, ConcurrencyLimit: 12.5, LateShare: 0.1}}}
+	m := routing.LearnedState{
+		At:     s.Made,
+		Zone:   "edge-1",
+		Purges: []routing.PurgeRecord{{Name: "7f3a9c21e0b4d655", At: time.Hour}, {Name: " 17", At: time.Minute}},
+		Endpoints: []routing.EndpointHealth{{
+			Endpoint:         "s-1",
+			Incarnation:      5,
+			LastAnswer:       9,
+			ErrorRate:        0.25,
+			EjectedUntil:     7,
+			Backoff:          time.Second,
+			FillLatency:      time.Millisecond,
+			FillLatencyAt:    3,
+			ConcurrencyLimit: 12.5,
+			LateShare:        0.1,
+		}},
+	}
 	for i := range n {
-		m.Listings = append(m.Listings, routing.Listing{Key: uint64(i) * 7919, Endpoint: "s-1", Incarnation: 5, HitAt: 3, LastRequest: time.Duration(i), MeanGap: time.Second, Count: float64(n), TransferTime: 4})
+		m.Listings = append(m.Listings, routing.Listing{
+			Key:          uint64(i) * 7919,
+			Endpoint:     "s-1",
+			Incarnation:  5,
+			HitAt:        3,
+			LastRequest:  time.Duration(i),
+			MeanGap:      time.Second,
+			Count:        float64(n),
+			TransferTime: 4,
+		})
 	}
 	s.Directors = []routing.LearnedState{m, {At: 1, Zone: "edge-2"}}
 	return s
@@ -141,8 +165,13 @@
 	for i := range records {
 		all = append(all, i)
 	}
-	for name, order := range map[string][]int{"swapped": append([]int{0, 1, 2, 3, 4, 6, 5}, all[7:]...), "repeated": append([]int{0, 1, 2, 3, 4, 5, 5}, all[6:]...),
-		"left out": append([]int{0, 1, 2, 3, 4}, all[6:]...), "after the tail": append(slices.Clone(all), 5), "head last": append(all[1:len(all):len(all)], 0)} {
+	for name, order := range map[string][]int{
+		"swapped":        append([]int{0, 1, 2, 3, 4, 6, 5}, all[7:]...),
+		"repeated":       append([]int{0, 1, 2, 3, 4, 5, 5}, all[6:]...),
+		"left out":       append([]int{0, 1, 2, 3, 4}, all[6:]...),
+		"after the tail": append(slices.Clone(all), 5),
+		"head last":      append(all[1:len(all):len(all)], 0),
+	} {
 		s, d, err := Decode(build(order...), nil)
 		if err == nil && d.Whole {
 			t.Errorf("%s: it is called whole", name)
--- a/warmstart/sharer_test.go
+++ b/warmstart/sharer_test.go
@@ -20,8 +20,12 @@
 func newPair(t *testing.T, names ...string) *pair {
 	p := &pair{t: t, now: time.Minute, nodes: map[string]*replication.Node{}, s: map[string]*Sharer{}}
 	for i, n := range names {
-		node, err := replication.NewNode(replication.Config{Self: replication.Incarnation{Name: n, Number: uint64(i + 1)}, Members: names, PurgeSettleTime: 6 * time.Second,
-			WallClock: func() time.Duration { return p.now }})
+		node, err := replication.NewNode(replication.Config{
+			Self:            replication.Incarnation{Name: n, Number: uint64(i + 1)},
+			Members:         names,
+			PurgeSettleTime: 6 * time.Second,
+			WallClock:       func() time.Duration { return p.now },
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -65,8 +69,13 @@
 func TestPublishedStateKeepsItsAge(t *testing.T) {
 	p := newPair(t, "a", "b")
 	boot := 500*time.Hour + 300*time.Nanosecond
-	p.s["a"].Publish(p.now, routing.LearnedState{At: director, Listings: []routing.Listing{{Key: 77, Endpoint: "b1", Incarnation: boot, LastRequest: director - 10*time.Second, Count: 4, MeanGap: time.Second}},
-		Purges: []routing.PurgeRecord{{Name: " 3", At: director - time.Second}}, Endpoints: []routing.EndpointHealth{{Endpoint: "b2", Incarnation: boot, LastAnswer: director - 2*time.Second, ErrorRate: 0.8}}}, list(routing.Up, boot))
+	learned := routing.LearnedState{
+		At:        director,
+		Listings:  []routing.Listing{{Key: 77, Endpoint: "b1", Incarnation: boot, LastRequest: director - 10*time.Second, Count: 4, MeanGap: time.Second}},
+		Purges:    []routing.PurgeRecord{{Name: " 3", At: director - time.Second}},
+		Endpoints: []routing.EndpointHealth{{Endpoint: "b2", Incarnation: boot, LastAnswer: director - 2*time.Second, ErrorRate: 0.8}},
+	}
+	p.s["a"].Publish(p.now, learned, list(routing.Up, boot))
 	p.sync()
 	other := list(routing.Up, boot-200*time.Nanosecond) // another gateway's clock
 	m := p.s["b"].Collect(p.now, 2*director, other)
@@ -91,9 +100,10 @@
 // A store has recovered: what was published of its faults is over at all others.
 func TestRecoveryIsPublished(t *testing.T) {
 	p := newPair(t, "a", "b", "c")
-	ill := routing.LearnedState{At: director, Endpoints: []routing.EndpointHealth{{Endpoint: "b2", LastAnswer: director, ErrorRate: 0.8, EjectedUntil: director + 3*time.Second}}}
+	faulty := routing.LearnedState{At: director, Endpoints: []routing.EndpointHealth{
+		{Endpoint: "b2", LastAnswer: director, ErrorRate: 0.8, EjectedUntil: director + 3*time.Second}}}
 	for _, n := range []string{"a", "b"} {
-		p.s[n].Publish(p.now, ill, nil)
+		p.s[n].Publish(p.now, faulty, nil)
 	}
 	p.sync()
 	if m := p.s["c"].Collect(p.now, director, nil); len(m.Endpoints) != 1 || m.Endpoints[0].ErrorRate != 0.8 || m.Endpoints[0].EjectedUntil == 0 {
@@ -111,7 +121,11 @@
 // What hardly changes is not published again, and a purge that another gateway has published is not published by everybody.
 func TestLittleIsPublishedTwice(t *testing.T) {
 	p := newPair(t, "a", "b")
-	m := routing.LearnedState{At: director, Endpoints: []routing.EndpointHealth{{Endpoint: "b2", LastAnswer: director, ErrorRate: 0.8}}, Purges: []routing.PurgeRecord{{Name: "o", At: director}}}
+	m := routing.LearnedState{
+		At:        director,
+		Endpoints: []routing.EndpointHealth{{Endpoint: "b2", LastAnswer: director, ErrorRate: 0.8}},
+		Purges:    []routing.PurgeRecord{{Name: "o", At: director}},
+	}
 	p.s["a"].Publish(p.now, m, nil)
 	p.sync()
 	m.At += 4 * time.Second
@@ -125,7 +139,8 @@
 	if got := p.s["a"].Published; got != published {
 		t.Errorf("%d slots were published, and %d again", published, got-published)
 	}
-	p.s["b"].Publish(p.now, routing.LearnedState{At: m.At, Purges: []routing.PurgeRecord{{Name: "o", At: m.At - p.now + p.nodes["b"].Purges(p.now)["o"]}}}, nil)
+	known := m.At - p.now + p.nodes["b"].Purges(p.now)["o"]
+	p.s["b"].Publish(p.now, routing.LearnedState{At: m.At, Purges: []routing.PurgeRecord{{Name: "o", At: known}}}, nil)
 	if p.s["b"].Published != 0 {
 		t.Error("both publish the same purge")
 	}
@@ -134,7 +149,8 @@
 // An object is purged again, and again: sooner after the first than anybody hears of it, and later. What another gateway makes of it is
 // never older than the latest; and it does not publish it as its own.
 func TestPurgesInARowAreCovered(t *testing.T) {
-	for _, apart := range []time.Duration{30 * time.Millisecond, 99 * time.Millisecond, 130 * time.Millisecond, 495 * time.Millisecond, 2 * time.Second} {
+	const ms = time.Millisecond
+	for _, apart := range []time.Duration{30 * ms, 99 * ms, 130 * ms, 495 * ms, 2000 * ms} {
 		p := newPair(t, "a", "b")
 		first := director
 		p.s["a"].Publish(p.now, routing.LearnedState{At: first, Purges: []routing.PurgeRecord{{Name: "o", At: first}}}, nil)
