--- a/cmd/larchusher/successor.go
+++ b/cmd/larchusher/successor.go
@@ -119,7 +119,7 @@
 	if p.process.IsSuccessor() {
 		p.useResourceShare(overlapShare)
 		p.takeSlowStartBudget(learned != nil)
-		p.process.AwaitAlone(func() {
+		p.process.OnPredecessorExit(func() {
 			p.loop.Post(func() {
 				p.log.Info(logfields.UpgradePredecessorGone)
 				p.useResourceShare(1)
--- a/gateway/pauses.go
+++ b/gateway/pauses.go
@@ -54,7 +54,7 @@
 		g.queue.AddPausedTime(paused)
 	} else {
 		g.sample.Paused = true
-		g.queue.Paused(g.now(), paused)
+		g.queue.AddPauseWithGrace(g.now(), paused)
 	}
 	return true
 }
--- a/internal/hotrestart/doc.go
+++ b/internal/hotrestart/doc.go
@@ -10,11 +10,11 @@
 //	returns a Handover                <--  AnswerFunc: writes the state, sends listening sockets
 //	StartServing: takes a lock        -->  SuccessorServes
 //	Handover.Connections.Next         <--  Link.Migrate: sends connections of clients
-//	AwaitAlone calls back             <--  Close, or the end of the process
+//	OnPredecessorExit calls back      <--  Close, or the end of the process
 //
 // The package knows nothing of what the state is. Where Unix sockets don't work, no sockets go over, and the state does.
 //
-// [Join], [Process.RequestHandover] and [Receiver.Next] block. [Process.Watch] and [Process.AwaitAlone] start goroutines, which
-// [Process.Close] ends. The methods of a Process may be called from any goroutine; RequestHandover and AwaitAlone once, one after
-// the other.
+// [Join], [Process.RequestHandover] and [Receiver.Next] block. [Process.Watch] and [Process.OnPredecessorExit] start goroutines,
+// which [Process.Close] ends. The methods of a Process may be called from any goroutine; RequestHandover and OnPredecessorExit
+// once, one after the other.
 package hotrestart
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -146,7 +146,7 @@
 		t.Error("the successor takes no clients any more")
 	}
 	alone := make(chan struct{})
-	second.AwaitAlone(func() { close(alone) })
+	second.OnPredecessorExit(func() { close(alone) })
 	select {
 	case <-alone:
 		t.Fatal("the former process still runs")
@@ -164,7 +164,7 @@
 func TestAThirdProcessWaits(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "gateway")
 	first, second := join(t, dir), join(t, dir)
-	second.AwaitAlone(func() {})
+	second.OnPredecessorExit(func() {})
 	joined := make(chan *Process, 1)
 	go func() {
 		third, err := Join(dir, patience)
--- a/internal/hotrestart/process.go
+++ b/internal/hotrestart/process.go
@@ -30,7 +30,7 @@
 	successorLock *os.File // nil: this process was active from its start
 
 	mu          sync.Mutex
-	alone       bool     // it is the active process
+	active      bool     // this process is the active one
 	servingLock *os.File // nil: not locked
 	closed      chan struct{}
 	closeOnce   sync.Once
@@ -65,7 +65,7 @@
 		p.successorLock = successor
 		return p, nil
 	}
-	p.alone = true
+	p.active = true
 	p.removeLeftovers()
 	closeLockFile(successor) // last: a successor may make a request from now on
 	return p, nil
@@ -89,7 +89,7 @@
 func (p *Process) StartServing() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.successorLock == nil || p.alone || p.servingLock != nil {
+	if p.successorLock == nil || p.active || p.servingLock != nil {
 		return nil
 	}
 	f, err := openLockFile(p.dir, servingLockFile)
@@ -118,9 +118,9 @@
 	}
 }
 
-// AwaitAlone calls alone, on a goroutine of its own, once the process that this one takes over from has ended. This process is
-// the active one from then on.
-func (p *Process) AwaitAlone(alone func()) {
+// OnPredecessorExit calls exited, on a goroutine of its own, once the process that this one takes over from has ended. This process
+// is the active one from then on.
+func (p *Process) OnPredecessorExit(exited func()) {
 	go func() {
 		for !tryLock(p.activeLock, unix.LOCK_EX) {
 			select {
@@ -130,14 +130,14 @@
 			}
 		}
 		p.becomeActive()
-		alone()
+		exited()
 	}()
 }
 
 func (p *Process) becomeActive() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.alone = true
+	p.active = true
 	p.releaseServingLock()
 	p.removeLeftovers()
 	closeLockFile(p.successorLock) // last: the next successor may make a request from now on
@@ -147,7 +147,7 @@
 func (p *Process) isActive() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.alone
+	return p.active
 }
 
 // HasSuccessor reports whether a successor of this process runs.
--- a/overload/queue.go
+++ b/overload/queue.go
@@ -152,8 +152,9 @@
 	graceMultiple = 6
 )
 
-// Paused records an unusual pause that ended just now: as AddPausedTime, and what has queued up meanwhile may wait for longer.
-func (q *Queue) Paused(now, d time.Duration) {
+// AddPauseWithGrace records an unusual pause that ended just now: as AddPausedTime, and what has queued up meanwhile may wait for
+// longer.
+func (q *Queue) AddPauseWithGrace(now, d time.Duration) {
 	q.AddPausedTime(d)
 	if g := min(d, maxGrace); g >= q.grace || now >= q.graceEnds {
 		q.grace, q.graceEnds = g, now+graceMultiple*g
--- a/overload/queue_test.go
+++ b/overload/queue_test.go
@@ -158,7 +158,7 @@
 	q := NewQueue(1, 1, 20*ms)
 	i, j := &Item{}, &Item{}
 	q.Push(i, 0, 0, 0)
-	q.Paused(300*ms, 300*ms)
+	q.AddPauseWithGrace(300*ms, 300*ms)
 	q.Push(j, 0, 0, 300*ms)
 	if w := q.Waited(i, 310*ms); w != 10*ms {
 		t.Errorf("waited %v", w)
