--- a/internal/snapshot/decode_test.go
+++ b/internal/snapshot/decode_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// sound fails if a decoded snapshot has anything in it that was not written.
-func sound(t *testing.T, what string, s, want *warmstart.Snapshot) {
+// checkSound fails if a decoded snapshot has anything in it that was not written.
+func checkSound(t *testing.T, what string, s, want *warmstart.Snapshot) {
 	t.Helper()
 	if s == nil {
 		return
@@ -128,7 +128,7 @@
 			if err == nil && d.Whole {
 				t.Fatalf("byte %d, bit %d: it is called whole", i, bit)
 			}
-			sound(t, fmt.Sprintf("byte %d, bit %d", i, bit), s, want)
+			checkSound(t, fmt.Sprintf("byte %d, bit %d", i, bit), s, want)
 			if _, _, err := Decode(spoilt, testKey); err == nil {
 				t.Fatalf("byte %d, bit %d: it is used without its MAC", i, bit)
 			}
@@ -145,7 +145,7 @@
 		if err == nil && d.Whole {
 			t.Fatalf("%d of %d bytes are called whole", n, len(data))
 		}
-		sound(t, fmt.Sprintf("cut at %d", n), s, want)
+		checkSound(t, fmt.Sprintf("cut at %d", n), s, want)
 	}
 }
 
@@ -176,7 +176,7 @@
 		if err == nil && d.Whole {
 			t.Errorf("%s: it is called whole", name)
 		}
-		sound(t, name, s, want)
+		checkSound(t, name, s, want)
 	}
 }
 
--- a/overload/controller_test.go
+++ b/overload/controller_test.go
@@ -9,17 +9,17 @@
 
 // machine is a gateway of a certain capacity, in time steps of a tick: what it can't serve waits, and expires.
 type machine struct {
-	ctl       *Controller
-	order     *Order
-	admission *AdmissionController
-	queue     *Queue
-	cap       float64 // requests a tick
-	now       time.Duration
-	draw      uint64
-	got       map[int]float64 // served, by band
-	asked     map[int]float64
-	by        map[int]float64 // served, by front
-	owed      float64
+	controller    *Controller
+	order         *Order
+	admission     *AdmissionController
+	queue         *Queue
+	capacity      float64 // requests a tick
+	now           time.Duration
+	draw          uint64
+	served        map[int]float64 // requests by band
+	offered       map[int]float64 // requests by band
+	servedByFront map[int]float64 // requests by front
+	credit        float64         // requests that it may serve now
 }
 
 func newMachine(t testing.TB, capacity float64) *machine {
@@ -29,10 +29,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &machine{ctl: ctl, order: order, admission: NewAdmissionController(order.Bands(), 2), cap: capacity,
-		queue: NewQueue(order.Bands(), 2, DefaultMaxWait), got: map[int]float64{}, asked: map[int]float64{}, by: map[int]float64{}}
+	return &machine{controller: ctl, order: order, admission: NewAdmissionController(order.Bands(), 2), capacity: capacity,
+		queue: NewQueue(order.Bands(), 2, DefaultMaxWait), served: map[int]float64{}, offered: map[int]float64{}, servedByFront: map[int]float64{}}
 }
 
+// load is what one class offers by one front.
 type load struct {
 	class  string
 	repeat bool
@@ -40,13 +41,14 @@
 	n      float64 // a tick
 }
 
+// tick offers the loads of a tick, and serves what the capacity allows.
 func (m *machine) tick(loads ...load) {
 	s := Sample{}
 	for _, l := range loads {
 		band := m.order.Band(l.class, l.repeat)
 		for range int(l.n) {
 			m.draw = m.draw*6364136223846793005 + 1442695040888963407
-			m.asked[band]++
+			m.offered[band]++
 			if _, ok := m.admission.Admit(l.front, band, m.draw>>33); ok {
 				m.queue.Push(&Item{Value: l.front}, band, l.front, m.now)
 			}
@@ -56,26 +58,27 @@
 	for i := m.queue.PopExpired(m.now); i != nil; i = m.queue.PopExpired(m.now) {
 		s.ExpiredCost++
 	}
-	for m.owed += m.cap; m.owed >= 1; m.owed-- {
+	for m.credit += m.capacity; m.credit >= 1; m.credit-- {
 		i := m.queue.Pop()
 		if i == nil {
-			m.owed = 0
+			m.credit = 0
 			break
 		}
 		s.StartedCost++
 		s.LongestWait = max(s.LongestWait, m.queue.Waited(i, m.now)-DefaultTick)
-		m.got[i.band]++
-		m.by[i.Value.(int)]++
+		m.served[i.band]++
+		m.servedByFront[i.Value.(int)]++
 	}
 	s.LongestWait, s.Queued = max(s.LongestWait, m.queue.LongestWait(m.now)), m.queue.Queued()
-	m.admission.SetPolicy(m.ctl.Tick(s, m.admission))
+	m.admission.SetPolicy(m.controller.Tick(s, m.admission))
 }
 
-func (m *machine) reset() { clear(m.got); clear(m.asked); clear(m.by) }
+func (m *machine) reset() { clear(m.served); clear(m.offered); clear(m.servedByFront) }
 
+// share is the share of a class's first attempts that was served.
 func (m *machine) share(class string) float64 {
 	b := m.order.Band(class, false)
-	return m.got[b] / max(1, m.asked[b])
+	return m.served[b] / max(1, m.offered[b])
 }
 
 // Three times what it can do, with any mix: what is served stays at capacity, and no class is shed while one of less
@@ -98,7 +101,7 @@
 			m.tick(loads...)
 		}
 		served := 0.0
-		for _, n := range m.got {
+		for _, n := range m.served {
 			served += n
 		}
 		if served < 0.93*200*capacity-200 {
@@ -125,8 +128,8 @@
 			n = 240
 		}
 		m.tick(load{"assets", false, 0, n})
-		if m.ctl.ShedLevel() > 0.02 {
-			t.Fatalf("tick %d: level %.2f", i, m.ctl.ShedLevel())
+		if m.controller.ShedLevel() > 0.02 {
+			t.Fatalf("tick %d: level %.2f", i, m.controller.ShedLevel())
 		}
 	}
 	if m.share("assets") < 0.999 {
@@ -169,8 +172,8 @@
 		if i == 100 {
 			m.reset()
 		}
-		if m.cap = 300; i%25 >= 23 { // 40 ms in half a second are lost,
-			m.cap = 0
+		if m.capacity = 300; i%25 >= 23 { // 40 ms in half a second are lost,
+			m.capacity = 0
 		}
 		burst := float64(1 + i%2) // and of two ticks' requests two thirds come in the second
 		m.tick(load{"turn", false, 0, 10}, load{"replay", false, 0, 150 * burst}, load{"assets", false, 0, 140 * burst})
@@ -188,8 +191,8 @@
 		}
 		m.tick(load{"replay", false, 0, 60}, load{"replay", false, 1, 3000})
 	}
-	if m.by[0] < 0.97*200*60 {
-		t.Errorf("beside a flood by another front, %.0f of %d are served", m.by[0], 200*60)
+	if m.servedByFront[0] < 0.97*200*60 {
+		t.Errorf("beside a flood by another front, %.0f of %d are served", m.servedByFront[0], 200*60)
 	}
 }
 
@@ -201,7 +204,7 @@
 		}
 		m.tick(load{"replay", true, 0, 300})
 	}
-	if got := m.got[m.order.Band("replay", true)]; got < 0.93*200*100 {
+	if got := m.served[m.order.Band("replay", true)]; got < 0.93*200*100 {
 		t.Errorf("served %.0f of %d", got, 200*100)
 	}
 }
@@ -212,10 +215,10 @@
 		for range 100 {
 			m.admission.Admit(0, 4, 1)
 		}
-		m.admission.SetPolicy(m.ctl.Tick(Sample{LoopLag: 100 * ms, StartedCost: 100}, m.admission))
+		m.admission.SetPolicy(m.controller.Tick(Sample{LoopLag: 100 * ms, StartedCost: 100}, m.admission))
 	}
-	if m.ctl.ShedLevel() < 0.5 {
-		t.Errorf("level %.2f", m.ctl.ShedLevel())
+	if m.controller.ShedLevel() < 0.5 {
+		t.Errorf("level %.2f", m.controller.ShedLevel())
 	}
 }
 
@@ -223,7 +226,7 @@
 func TestPausedTicksChangeNothing(t *testing.T) {
 	m := newMachine(t, 100)
 	for range 50 {
-		if m.ctl.Tick(Sample{Paused: true, LongestWait: time.Second, ExpiredCost: 10}, m.admission) != nil {
+		if m.controller.Tick(Sample{Paused: true, LongestWait: time.Second, ExpiredCost: 10}, m.admission) != nil {
 			t.Fatal("load is shed")
 		}
 	}
--- a/slowstart/fleet_test.go
+++ b/slowstart/fleet_test.go
@@ -9,21 +9,21 @@
 
 // fleet is many senders to one cold store.
 type fleet struct {
-	ramp     Ramp
-	senders  int
-	among    float64 // number of senders as the settings tell it; 0: unknown
-	capacity float64 // seconds of work a second
-	load     float64 // share of the capacity that all senders together want to send to the store
-	known    bool    // each sender knows what warm stores carry for it; else the floor alone holds
-	spread   time.Duration
-
-	restarts int           // senders that end each second, come back at once, and know nothing
-	surge    float64       // factor by which the demand grows, from two seconds on
-	quiet    float64       // factor by which it was smaller before; 0: it was as it is
-	all      time.Duration // from then on everyone wants the store all the time; 0: never
-	killed   float64       // share of the senders that ends in one moment, three seconds on, and is back 0.2 s later
-	uneven   bool          // some have several times the others' traffic
-	numbers  func(i int) int
+	ramp          Ramp
+	senders       int
+	knownSenders  float64       // number of senders as the settings tell it; 0: unknown
+	capacity      float64       // seconds of work a second
+	load          float64       // share of the capacity that all senders together want to send to the store
+	warmRateKnown bool          // each sender knows what warm stores carry for it; else the floor alone holds
+	learnSpread   time.Duration // senders learn of the start within this
+
+	restartsPerSecond int             // senders that end each second, come back at once, and know nothing
+	surgeFactor       float64         // factor by which the demand grows, from two seconds on
+	quietDivisor      float64         // factor by which it was smaller before; 0: it was as it is
+	rushAfter         time.Duration   // from then on everyone wants the store all the time; 0: never
+	killedShare       float64         // share of the senders that ends in one moment, three seconds on, and is back 0.2 s later
+	uneven            bool            // some have several times the others' traffic
+	senderNumber      func(i int) int // by index; nil: the index
 }
 
 const (
@@ -75,7 +75,7 @@
 	r.store = r.rng.Uint64()
 	for i := range r.senders {
 		s := &r.senders[i]
-		s.learns = r.start + time.Duration(r.rng.Float64()*float64(f.spread))
+		s.learns = r.start + time.Duration(r.rng.Float64()*float64(f.learnSpread))
 		if s.weight = 1; f.uneven {
 			s.weight = math.Exp(r.rng.NormFloat64())
 		}
@@ -87,32 +87,32 @@
 // demandFactor is the factor on the fleet's demand at a time.
 func (r *fleetRun) demandFactor(now time.Duration) float64 {
 	switch {
-	case r.surge > 0 && now >= r.start+2*time.Second:
-		return r.surge
-	case r.quiet > 0:
-		return 1 / r.quiet
+	case r.surgeFactor > 0 && now >= r.start+2*time.Second:
+		return r.surgeFactor
+	case r.quietDivisor > 0:
+		return 1 / r.quietDivisor
 	}
 	return 1
 }
 
 // isKilled reports whether a sender is down at a time.
 func (r *fleetRun) isKilled(i int, now time.Duration) bool {
-	if r.killed <= 0 || now < r.start+3*time.Second || now >= r.start+3200*time.Millisecond {
+	if r.killedShare <= 0 || now < r.start+3*time.Second || now >= r.start+3200*time.Millisecond {
 		return false
 	}
-	return float64(i) < r.killed*float64(len(r.senders))
+	return float64(i) < r.killedShare*float64(len(r.senders))
 }
 
 // describe is what a sender tells Allows of itself.
 func (r *fleetRun) describe(i int, now time.Duration, carried float64) Sender {
-	s := Sender{Senders: r.among, Position: SenderPosition(i, r.store), WarmRate: carried, ObservedOver: observedWindow}
-	if r.numbers != nil {
-		s.Position = SenderPosition(r.numbers(i), r.store)
+	s := Sender{Senders: r.knownSenders, Position: SenderPosition(i, r.store), WarmRate: carried, ObservedOver: observedWindow}
+	if r.senderNumber != nil {
+		s.Position = SenderPosition(r.senderNumber(i), r.store)
 	}
-	if r.among == 0 {
+	if r.knownSenders == 0 {
 		s.Position = SenderPosition(0, r.rng.Uint64())
 	}
-	if !r.known {
+	if !r.warmRateKnown {
 		s.WarmRate = 0
 	} else if r.senders[i].restarted { // what warm ones carry it sees again
 		s.WarmRate *= 1 - math.Exp(-float64(now-r.senders[i].began)/float64(observedWindow))
@@ -130,7 +130,7 @@
 	carried := r.capacity * r.load * sim.weight / r.weights
 	wants := r.rng.Float64() < carried/fleetCost*factor*fleetStep.Seconds()
 	times := 1
-	if r.all > 0 && now >= r.start+r.all {
+	if r.rushAfter > 0 && now >= r.start+r.rushAfter {
 		wants, times = true, 20
 	}
 	if now < sim.learns || !wants {
@@ -156,7 +156,7 @@
 	for now := r.start; now < r.start+fleetSpan; now += fleetStep {
 		share := r.ramp.CapacityShare(now, r.start)
 		r.room = min(r.capacity*share, r.room+r.capacity*share*fleetStep.Seconds())
-		for range r.restarts {
+		for range r.restartsPerSecond {
 			if r.rng.Float64() < fleetStep.Seconds() {
 				r.senders[r.rng.IntN(len(r.senders))].restart(now)
 			}
@@ -197,35 +197,35 @@
 	short := Ramp{InitialShare: 0.2, Duration: 12 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second}
 	apart := 300 * time.Millisecond
 	for name, f := range map[string]fleet{
-		"thirty":                          {ramp: base, senders: 30, among: 30, capacity: 6, load: 0.6, known: true, spread: apart},
-		"thirty, a start told at once":    {ramp: base, senders: 30, among: 30, capacity: 6, load: 0.6, known: true},
-		"thirty, a short window":          {ramp: short, senders: 30, among: 30, capacity: 6, load: 0.6, known: true},
-		"a hundred, a short window":       {ramp: short, senders: 100, among: 100, capacity: 10, load: 0.6, known: true},
-		"four":                            {ramp: base, senders: 4, among: 4, capacity: 6, load: 0.9, known: true},
-		"four, a short window":            {ramp: short, senders: 4, among: 4, capacity: 12, load: 0.9, known: true},
-		"thirty that know nothing":        {ramp: base, senders: 30, among: 30, capacity: 2, load: 0.9},
-		"three hundred, a floor each":     {ramp: base, senders: 300, among: 300, capacity: 2, load: 0.9},
+		"thirty":                          {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.6, warmRateKnown: true, learnSpread: apart},
+		"thirty, a start told at once":    {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.6, warmRateKnown: true},
+		"thirty, a short window":          {ramp: short, senders: 30, knownSenders: 30, capacity: 6, load: 0.6, warmRateKnown: true},
+		"a hundred, a short window":       {ramp: short, senders: 100, knownSenders: 100, capacity: 10, load: 0.6, warmRateKnown: true},
+		"four":                            {ramp: base, senders: 4, knownSenders: 4, capacity: 6, load: 0.9, warmRateKnown: true},
+		"four, a short window":            {ramp: short, senders: 4, knownSenders: 4, capacity: 12, load: 0.9, warmRateKnown: true},
+		"thirty that know nothing":        {ramp: base, senders: 30, knownSenders: 30, capacity: 2, load: 0.9},
+		"three hundred, a floor each":     {ramp: base, senders: 300, knownSenders: 300, capacity: 2, load: 0.9},
 		"thirty, their number untold":     {ramp: base, senders: 30, capacity: 2, load: 0.9},
 		"a hundred, their number untold":  {ramp: short, senders: 100, capacity: 2, load: 0.9},
-		"thirty that restart":             {ramp: base, senders: 30, among: 30, capacity: 6, load: 0.6, known: true, restarts: 10},
-		"thirty that restart, untold":     {ramp: base, senders: 30, capacity: 3, load: 0.6, known: true, restarts: 10},
-		"a burst of twice the traffic":    {ramp: base, senders: 30, among: 30, capacity: 6, load: 0.6, known: true, surge: 2},
-		"four, quiet and then in a burst": {ramp: short, senders: 4, among: 4, capacity: 40, load: 1, known: true, surge: 20, quiet: 20},
-		"a hundred, and a burst":          {ramp: base, senders: 100, among: 100, capacity: 8, load: 0.6, known: true, restarts: 5, surge: 1.5},
+		"thirty that restart":             {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.6, warmRateKnown: true, restartsPerSecond: 10},
+		"thirty that restart, untold":     {ramp: base, senders: 30, capacity: 3, load: 0.6, warmRateKnown: true, restartsPerSecond: 10},
+		"a burst of twice the traffic":    {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.6, warmRateKnown: true, surgeFactor: 2},
+		"four, quiet and then in a burst": {ramp: short, senders: 4, knownSenders: 4, capacity: 40, load: 1, warmRateKnown: true, surgeFactor: 20, quietDivisor: 20},
+		"a hundred, and a burst":          {ramp: base, senders: 100, knownSenders: 100, capacity: 8, load: 0.6, warmRateKnown: true, restartsPerSecond: 5, surgeFactor: 1.5},
 		// A release: everyone wants the store in the same moment, after hardly anyone did. Each took one that it had saved up.
-		"twenty, all at once":                 {ramp: base, senders: 20, among: 20, capacity: 4, load: 0.9, known: true, quiet: 20, all: 4 * time.Second},
-		"thirty, all at once, a short window": {ramp: short, senders: 30, among: 30, capacity: 6, load: 1, known: true, quiet: 20, all: 4 * time.Second},
-		"a hundred, all at once":              {ramp: base, senders: 100, among: 100, capacity: 6, load: 0.9, known: true, quiet: 20, all: 4 * time.Second},
-		"three hundred, all at once":          {ramp: base, senders: 300, among: 300, capacity: 6, load: 0.9, known: true, quiet: 20, all: 4 * time.Second},
-		"three hundred, from the first":       {ramp: base, senders: 300, among: 300, capacity: 6, load: 1, known: true, all: 1},
-		"three hundred that know nothing":     {ramp: base, senders: 300, among: 300, capacity: 2, load: 1, all: 1},
-		"thirty, uneven, all at once":         {ramp: base, senders: 30, among: 30, capacity: 6, load: 0.9, known: true, uneven: true, quiet: 5, all: 4 * time.Second},
-		"every fifth of a hundred and fifty":  {ramp: base, senders: 30, among: 30, capacity: 6, load: 0.9, known: true, all: time.Second, numbers: func(i int) int { return 5*i + 2 }},
-		"every twenty-first of many":          {ramp: base, senders: 30, among: 30, capacity: 6, load: 0.9, known: true, all: time.Second, numbers: func(i int) int { return 21 * i }},
+		"twenty, all at once":                 {ramp: base, senders: 20, knownSenders: 20, capacity: 4, load: 0.9, warmRateKnown: true, quietDivisor: 20, rushAfter: 4 * time.Second},
+		"thirty, all at once, a short window": {ramp: short, senders: 30, knownSenders: 30, capacity: 6, load: 1, warmRateKnown: true, quietDivisor: 20, rushAfter: 4 * time.Second},
+		"a hundred, all at once":              {ramp: base, senders: 100, knownSenders: 100, capacity: 6, load: 0.9, warmRateKnown: true, quietDivisor: 20, rushAfter: 4 * time.Second},
+		"three hundred, all at once":          {ramp: base, senders: 300, knownSenders: 300, capacity: 6, load: 0.9, warmRateKnown: true, quietDivisor: 20, rushAfter: 4 * time.Second},
+		"three hundred, from the first":       {ramp: base, senders: 300, knownSenders: 300, capacity: 6, load: 1, warmRateKnown: true, rushAfter: 1},
+		"three hundred that know nothing":     {ramp: base, senders: 300, knownSenders: 300, capacity: 2, load: 1, rushAfter: 1},
+		"thirty, uneven, all at once":         {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.9, warmRateKnown: true, uneven: true, quietDivisor: 5, rushAfter: 4 * time.Second},
+		"every fifth of a hundred and fifty":  {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.9, warmRateKnown: true, rushAfter: time.Second, senderNumber: func(i int) int { return 5*i + 2 }},
+		"every twenty-first of many":          {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.9, warmRateKnown: true, rushAfter: time.Second, senderNumber: func(i int) int { return 21 * i }},
 		// Those that are back know nothing of what they sent in the same window.
-		"seven in ten killed at once":      {ramp: base, senders: 30, among: 30, capacity: 20, load: 0.9, known: true, killed: 0.7, all: time.Second},
-		"seven in ten of three hundred":    {ramp: base, senders: 300, among: 300, capacity: 20, load: 0.9, known: true, killed: 0.7, all: time.Second},
-		"thirty that restart, and want it": {ramp: base, senders: 30, among: 30, capacity: 6, load: 0.9, known: true, restarts: 10, all: 1},
+		"seven in ten killed at once":      {ramp: base, senders: 30, knownSenders: 30, capacity: 20, load: 0.9, warmRateKnown: true, killedShare: 0.7, rushAfter: time.Second},
+		"seven in ten of three hundred":    {ramp: base, senders: 300, knownSenders: 300, capacity: 20, load: 0.9, warmRateKnown: true, killedShare: 0.7, rushAfter: time.Second},
+		"thirty that restart, and want it": {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.9, warmRateKnown: true, restartsPerSecond: 10, rushAfter: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
