--- a/replication/explore_test.go
+++ b/replication/explore_test.go
@@ -11,21 +11,21 @@
 )
 
 // The explorer goes through every order in which three members can make three writes of different kinds, among them a tombstone, and
-// exchange what they have (whole, or broken off after the first slot), with one loss of memory, one member cut off and joined again, and
+// exchange what they have (whole, or broken off after the first slot), with one loss of memory, one member isolated and connected again, and
 // one stretch of time in which all of it, the tombstone last, runs out.
 
-type exploring struct {
-	now    time.Duration
-	copies [3]*Replica
-	lives  uint64
-	writes [3]bool // who has written
-	loss   bool    // it has been
-	cut    int     // this one is cut off; 3: nobody; it was, 4
-	jump   bool
-	buried time.Duration // when the tombstone was said; 0: not yet
-	purged time.Duration
-	bad    string
-	parts  bool // exchanges break off, too
+type explored struct {
+	now             time.Duration
+	replicas        [3]*Replica
+	lastIncarnation uint64
+	written         [3]bool // who has written
+	memoryLost      bool    // it has been
+	isolated        int     // this one is cut off; 3: nobody; it was, 4
+	timePassed      bool
+	tombstonedAt    time.Duration // when the tombstone was said; 0: not yet
+	purgedAt        time.Duration
+	violation       string
+	breakOff        bool // exchanges break off, too
 }
 
 var writers = [3]struct {
@@ -33,31 +33,31 @@
 	key  string
 }{{Purge, "o"}, {Health, "b"}, {Tombstone, TombstoneKey(Health, "b")}}
 
-func beginExploring() *exploring {
-	e := &exploring{now: 100 * time.Second, cut: 3}
-	for i := range e.copies {
-		e.fresh(i)
+func newExplored() *explored {
+	e := &explored{now: 100 * time.Second, isolated: 3}
+	for i := range e.replicas {
+		e.restart(i)
 	}
 	return e
 }
 
-func (e *exploring) fresh(i int) {
-	e.lives++
-	e.copies[i] = NewReplica(Incarnation{string(rune('a' + i)), e.lives}, 0)
+func (e *explored) restart(i int) {
+	e.lastIncarnation++
+	e.replicas[i] = NewReplica(Incarnation{string(rune('a' + i)), e.lastIncarnation}, 0)
 }
 
-// clone copies a copy, slot by slot.
-func (c *Replica) clone() *Replica {
-	k := NewReplica(c.self, c.purgeSettleTime)
-	k.timestamp = c.timestamp
-	for l, f := range c.incarnations {
+// clone copies a replica, slot by slot.
+func (r *Replica) clone() *Replica {
+	k := NewReplica(r.self, r.purgeSettleTime)
+	k.timestamp = r.timestamp
+	for l, f := range r.incarnations {
 		g := &incarnationState{lastActive: f.lastActive}
 		for st := range streams {
 			g.logs[st].upTo = f.logs[st].upTo
 		}
 		k.incarnations[l] = g
 	}
-	for _, s := range c.slots {
+	for _, s := range r.slots {
 		x := *s
 		t := &k.incarnations[s.Writer].logs[s.Kind.stream()]
 		t.slots = append(t.slots, &x)
@@ -77,70 +77,71 @@
 	return k
 }
 
-func (e *exploring) clone() *exploring {
+func (e *explored) clone() *explored {
 	x := *e
-	for i, c := range e.copies {
-		x.copies[i] = c.clone()
+	for i, c := range e.replicas {
+		x.replicas[i] = c.clone()
 	}
 	return &x
 }
 
 // exchange has one ask another; part: it breaks off after the first slot.
-func (e *exploring) exchange(i, j int, part bool) {
+func (e *explored) exchange(i, j int, part bool) {
 	most := 1 << 20
 	if part {
 		most = 1
 	}
-	slots, reached, _ := e.copies[j].Delta(e.copies[i].VersionVector(), most, most, func(*Slot) int { return 1 })
+	slots, reached, _ := e.replicas[j].Delta(e.replicas[i].VersionVector(), most, most, func(*Slot) int { return 1 })
 	for _, s := range slots {
-		e.copies[i].Merge(e.now, e.now, *s)
+		e.replicas[i].Merge(e.now, e.now, *s)
 	}
 	for _, h := range reached {
 		for st := range streams {
-			e.copies[i].AdvanceTo(e.now, h.Incarnation, st, h.UpTo[st])
+			e.replicas[i].AdvanceTo(e.now, h.Incarnation, st, h.UpTo[st])
 		}
 	}
 }
 
-func (e *exploring) steps() (all []func(*exploring)) {
+func (e *explored) steps() (all []func(*explored)) {
 	for i, w := range writers {
-		if !e.writes[i] {
-			all = append(all, func(e *exploring) {
-				e.writes[i] = true
+		if !e.written[i] {
+			all = append(all, func(e *explored) {
+				e.written[i] = true
 				e.now += time.Second
-				e.copies[i].Write(e.now, e.now, w.kind, w.key, []byte{1}, e.now)
+				e.replicas[i].Write(e.now, e.now, w.kind, w.key, []byte{1}, e.now)
 				switch w.kind {
 				case Tombstone:
-					e.buried = e.now
+					e.tombstonedAt = e.now
 				case Purge:
-					e.purged = e.now
+					e.purgedAt = e.now
+				case Drain, SlowStart, Health, Listing:
 				}
 			})
 		}
 		for j := range writers {
-			if i == j || e.cut == i || e.cut == j || !e.copies[i].Lags(e.copies[j].VersionVector()) {
+			if i == j || e.isolated == i || e.isolated == j || !e.replicas[i].Lags(e.replicas[j].VersionVector()) {
 				continue
 			}
-			all = append(all, func(e *exploring) { e.exchange(i, j, false) })
-			if e.parts {
-				all = append(all, func(e *exploring) { e.exchange(i, j, true) })
+			all = append(all, func(e *explored) { e.exchange(i, j, false) })
+			if e.breakOff {
+				all = append(all, func(e *explored) { e.exchange(i, j, true) })
 			}
 		}
-		if !e.loss {
-			all = append(all, func(e *exploring) { e.loss = true; e.fresh(i) })
+		if !e.memoryLost {
+			all = append(all, func(e *explored) { e.memoryLost = true; e.restart(i) })
 		}
-		if e.cut == 3 {
-			all = append(all, func(e *exploring) { e.cut = i })
+		if e.isolated == 3 {
+			all = append(all, func(e *explored) { e.isolated = i })
 		}
 	}
-	if e.cut < 3 {
-		all = append(all, func(e *exploring) { e.cut = 4 })
+	if e.isolated < 3 {
+		all = append(all, func(e *explored) { e.isolated = 4 })
 	}
-	if !e.jump {
-		all = append(all, func(e *exploring) {
-			e.jump = true
+	if !e.timePassed {
+		all = append(all, func(e *explored) {
+			e.timePassed = true
 			e.now += rules[Tombstone].maxAge - 30*time.Second // all but the tombstone runs out
-			for _, c := range e.copies {
+			for _, c := range e.replicas {
 				c.Sweep(e.now)
 			}
 		})
@@ -149,25 +150,25 @@
 }
 
 // check is what must hold at every moment.
-func (e *exploring) check() {
-	for i, c := range e.copies {
+func (e *explored) check() {
+	for i, c := range e.replicas {
 		for _, s := range c.slots {
-			if s.Kind == Health && e.buried > 0 && s.SeenBefore <= e.buried && len(c.byKey[Tombstone]) > 0 {
-				e.bad = fmt.Sprintf("%c holds what it was told to forget", 'a'+i)
+			if s.Kind == Health && e.tombstonedAt > 0 && s.SeenBefore <= e.tombstonedAt && len(c.byKey[Tombstone]) > 0 {
+				e.violation = fmt.Sprintf("%c holds what a tombstone covers", 'a'+i)
 			}
 		}
 	}
 }
 
-// settle lets all hear each other, and holds the copies against each other.
-func (e *exploring) settle() string {
+// settle has all exchange what they have, and compares the replicas.
+func (e *explored) settle() string {
 	had := false // somebody holds the purge, or has said that it has been told of it
-	for _, c := range e.copies {
+	for _, c := range e.replicas {
 		had = had || c.Purges(e.now)["o"] > 0
 	}
 	for range 4 {
-		for i := range e.copies {
-			for j := range e.copies {
+		for i := range e.replicas {
+			for j := range e.replicas {
 				if i != j {
 					e.exchange(i, j, false)
 				}
@@ -176,7 +177,7 @@
 	}
 	e.check()
 	var sums [3]uint64
-	for i, c := range e.copies {
+	for i, c := range e.replicas {
 		for _, s := range c.slots {
 			sums[i] += c.slotChecksum(e.now, s)
 		}
@@ -187,17 +188,17 @@
 	if sums[0] != sums[1] || sums[1] != sums[2] {
 		return "they do not know the same in the end"
 	}
-	return e.bad
+	return e.violation
 }
 
-func (e *exploring) key() uint64 {
+func (e *explored) key() uint64 {
 	h := fnv.New64a()
 	num := func(all ...uint64) {
 		for _, n := range all {
 			_ = binary.Write(h, binary.LittleEndian, n)
 		}
 	}
-	for i, c := range e.copies {
+	for i, c := range e.replicas {
 		num(uint64(i), c.self.Number)
 		for _, x := range c.VersionVector() {
 			_, _ = h.Write([]byte(x.Incarnation.Name))
@@ -209,16 +210,16 @@
 		}
 		num(sum)
 	}
-	fmt.Fprint(h, e.writes, e.loss, e.cut, e.jump, e.buried > 0, e.now)
+	_, _ = fmt.Fprint(h, e.written, e.memoryLost, e.isolated, e.timePassed, e.tombstonedAt > 0, e.now)
 	return h.Sum64()
 }
 
 // exploreAll goes through all states, and says how many there were.
 func exploreAll(parts bool) (states int, bad string) {
-	first := beginExploring()
-	first.parts = parts
+	first := newExplored()
+	first.breakOff = parts
 	seen := map[uint64]bool{first.key(): true}
-	stack := []*exploring{first}
+	stack := []*explored{first}
 	for len(stack) > 0 {
 		e := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
@@ -228,8 +229,8 @@
 		for _, step := range e.steps() {
 			n := e.clone()
 			step(n)
-			if n.check(); n.bad != "" {
-				return len(seen), n.bad
+			if n.check(); n.violation != "" {
+				return len(seen), n.violation
 			}
 			if k := n.key(); !seen[k] {
 				seen[k] = true
--- a/replication/replication_test.go
+++ b/replication/replica_test.go
@@ -10,110 +10,117 @@
 
 const sec = time.Second
 
-func life(name string, n uint64) Incarnation { return Incarnation{name, n} }
+func incarnation(name string, n uint64) Incarnation { return Incarnation{name, n} }
 
-// spoken is a set of slots as several lives could have said them: what one life says under a number is one thing.
-func spoken(t *rapid.T) (all []Slot) {
+// drawSlots is a set of slots as several incarnations could have written them: one slot for each number of one incarnation.
+func drawSlots(t *rapid.T) (all []Slot) {
 	for w := range 3 {
 		for n := range rapid.IntRange(0, 6).Draw(t, "n") {
 			k := rapid.SampledFrom([]Kind{Purge, Drain, Health, Listing, 99}).Draw(t, "kind")
 			at := time.Duration(rapid.IntRange(50, 99).Draw(t, "at")) * sec
-			all = append(all, Slot{Writer: life(fmt.Sprint("w", w), 1), Seq: uint64(n + 1), Kind: k, Key: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key"),
+			all = append(all, Slot{Writer: incarnation(fmt.Sprint("w", w), 1), Seq: uint64(n + 1), Kind: k, Key: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key"),
 				Value: []byte{byte(n)}, Timestamp: uint64(n), SeenAfter: at, SeenBefore: at})
 		}
 	}
 	return all
 }
 
-func copyOf(slots []Slot) *Replica {
-	c := NewReplica(life("self", 1), 0)
+func replicaOf(slots []Slot) *Replica {
+	c := NewReplica(incarnation("self", 1), 0)
 	for _, s := range slots {
 		c.Merge(100*sec, 100*sec, s)
 	}
 	return c
 }
 
-func (c *Replica) sum() (sum uint64) {
-	for _, s := range c.slots {
+func (r *Replica) sum() (sum uint64) {
+	for _, s := range r.slots {
 		sum += s.hash()
 	}
 	return sum
 }
 
-// Joining is the same in any order, any number of times, and however what is joined was grouped.
-func TestCopiesJoin(t *testing.T) {
+// Merging gives the same in any order, any number of times, and however it is grouped.
+func TestReplicasMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := spoken(t)
+		all := drawSlots(t)
 		mixed := rapid.Permutation(all).Draw(t, "order")
 		again := append(append([]Slot{}, mixed...), rapid.SliceOfN(rapid.SampledFrom(append(mixed, Slot{})), 0, 8).Draw(t, "again")...)
-		want := copyOf(all).sum()
-		if got := copyOf(mixed).sum(); got != want {
-			t.Fatalf("in another order it is something else")
+		want := replicaOf(all).sum()
+		if got := replicaOf(mixed).sum(); got != want {
+			t.Fatalf("merged in another order, the replica differs")
 		}
-		if got := copyOf(again).sum(); got != want {
-			t.Fatalf("taken twice it is something else")
+		if got := replicaOf(again).sum(); got != want {
+			t.Fatalf("merged twice, the replica differs")
 		}
 		half := rapid.IntRange(0, len(all)).Draw(t, "half")
-		a, b := copyOf(mixed[:half]), copyOf(mixed[half:])
+		a, b := replicaOf(mixed[:half]), replicaOf(mixed[half:])
 		for _, s := range b.slots {
 			a.Merge(100*sec, 100*sec, *s)
 		}
 		if got := a.sum(); got != want {
-			t.Fatalf("grouped otherwise it is something else")
+			t.Fatalf("grouped otherwise, the replica differs")
 		}
 	})
 }
 
-// Whatever is cut off where, what one copy sends another makes it alike, with nothing sent twice.
-func TestDeltasAreBeginnings(t *testing.T) {
+// Wherever an exchange breaks off, deltas make two replicas the same, with no slot sent twice and no bulk before safety.
+func TestDeltasArePrefixes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		from, to := NewReplica(life("from", 1), 0), NewReplica(life("to", 1), 0)
+		from, to := NewReplica(incarnation("from", 1), 0), NewReplica(incarnation("to", 1), 0)
 		for i := range rapid.IntRange(1, 40).Draw(t, "n") {
 			k := rapid.SampledFrom([]Kind{Purge, Drain, Health, Listing}).Draw(t, "kind")
 			from.Write(100*sec, 100*sec, k, fmt.Sprint("k", rapid.IntRange(0, 9).Draw(t, "key")), []byte{byte(i)}, 99*sec+time.Duration(i)*time.Millisecond)
 		}
 		for range 200 {
-			slots, reached, more := from.Delta(to.VersionVector(), rapid.IntRange(1, 5).Draw(t, "most"), 5, func(*Slot) int { return 1 })
-			if bulk := false; true {
-				for _, s := range slots {
-					if bulk && s.Kind.stream() == Safety {
-						t.Fatal("bulk goes before safety")
-					}
-					bulk = bulk || s.Kind.stream() == Bulk
-				}
-			}
+			slots, reached, more := from.Delta(to.VersionVector(), rapid.IntRange(1, 5).Draw(t, "max"), 5, func(*Slot) int { return 1 })
+			checkSafetyFirst(t, slots)
 			if rapid.IntRange(0, 3).Draw(t, "lost") == 0 {
 				continue
 			}
-			for _, s := range slots {
-				if !to.Merge(100*sec, 100*sec, *s) {
-					t.Fatalf("%v was sent twice", s)
-				}
-			}
-			for _, h := range reached {
-				for st := range streams {
-					to.AdvanceTo(100*sec, h.Incarnation, st, h.UpTo[st])
-				}
-			}
+			mergeDelta(t, to, slots, reached)
 			if !more {
 				break
 			}
 		}
 		if from.sum() != to.sum() || to.Lags(from.VersionVector()) {
-			t.Fatal("they are not alike")
+			t.Fatal("the replicas differ")
 		}
 	})
 }
 
-// A rumour does not grow young by being handed on, however often and slowly.
-func TestARumourAges(t *testing.T) {
+func checkSafetyFirst(t *rapid.T, slots []*Slot) {
+	bulk := false
+	for _, s := range slots {
+		if bulk && s.Kind.stream() == Safety {
+			t.Fatal("bulk goes before safety")
+		}
+		bulk = bulk || s.Kind.stream() == Bulk
+	}
+}
+
+func mergeDelta(t *rapid.T, to *Replica, slots []*Slot, reached []StreamVersions) {
+	for _, s := range slots {
+		if !to.Merge(100*sec, 100*sec, *s) {
+			t.Fatalf("%v was sent twice", s)
+		}
+	}
+	for _, v := range reached {
+		for st := range streams {
+			to.AdvanceTo(100*sec, v.Incarnation, st, v.UpTo[st])
+		}
+	}
+}
+
+// A slot does not grow younger by being passed on, however often and slowly.
+func TestASlotAgesAsItIsPassedOn(t *testing.T) {
 	now := 100 * sec
-	a := NewReplica(life("a", 1), 0)
+	a := NewReplica(incarnation("a", 1), 0)
 	a.Write(now, now, Listing, "o", Encode(ListingValue{Server: "b1"}), now)
-	held := a.slots[slotID{Listing, "o", life("a", 1)}]
+	held := a.slots[slotID{Listing, "o", incarnation("a", 1)}]
 	early, late := held.SeenAfter, held.SeenBefore
 	for i := range 40 {
-		c, err := NewNode(Config{Self: life("n", 2), Members: []string{"a", "n"}, WallClock: func() time.Duration { return now }})
+		c, err := NewNode(Config{Self: incarnation("n", 2), Members: []string{"a", "n"}, WallClock: func() time.Duration { return now }})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -139,10 +146,10 @@
 	}
 }
 
-// A tombstone buries what was seen before it, wherever that turns up, for longer than that lasts; what is seen later stands.
-func TestATombstoneOutlivesWhatItBuries(t *testing.T) {
-	c := NewReplica(life("c", 1), 0)
-	old := Slot{Writer: life("w", 1), Seq: 1, Kind: Health, Key: "b1", Value: Encode(HealthValue{ErrorRate: 1}), SeenAfter: 100 * sec, SeenBefore: 100 * sec}
+// A tombstone covers what was seen before it, wherever that turns up, for longer than that lasts; what is seen later stands.
+func TestATombstoneOutlivesWhatItCovers(t *testing.T) {
+	c := NewReplica(incarnation("c", 1), 0)
+	old := Slot{Writer: incarnation("w", 1), Seq: 1, Kind: Health, Key: "b1", Value: Encode(HealthValue{ErrorRate: 1}), SeenAfter: 100 * sec, SeenBefore: 100 * sec}
 	c.Merge(100*sec, 0, old)
 	c.Write(110*sec, 0, Tombstone, TombstoneKey(Health, "b1"), []byte(`"a bad cable"`), 110*sec)
 	if c.Count(Health) != 0 {
@@ -152,7 +159,7 @@
 		c.Sweep(now)
 		s := old
 		s.Seq = 2
-		s.Writer.Number = uint64(now) // another life that had kept it
+		s.Writer.Number = uint64(now) // another incarnation that had it
 		if c.Merge(now, 0, s) {
 			t.Fatalf("it is back at %v", now)
 		}
@@ -161,21 +168,20 @@
 		t.Error("the tombstone stays for ever")
 	}
 	c.Write(500*sec, 0, Tombstone, TombstoneKey(Health, "b1"), nil, 500*sec)
-	if s := old; true {
-		s.SeenAfter, s.SeenBefore = 501*sec, 501*sec
-		if !c.Merge(502*sec, 0, s) {
-			t.Error("newer evidence is buried, too")
-		}
+	later := old
+	later.SeenAfter, later.SeenBefore = 501*sec, 501*sec
+	if !c.Merge(502*sec, 0, later) {
+		t.Error("newer evidence is covered, too")
 	}
 }
 
-// One that lies in every field, in due form, is bounded.
+// A member that lies in every field, in valid form, is bounded.
 func TestALiarIsBounded(t *testing.T) {
-	c := NewReplica(life("c", 1), 6*sec)
+	c := NewReplica(incarnation("c", 1), 6*sec)
 	now := 100 * sec
 	c.Write(now, now, Purge, "mine", nil, now)
 	liar := func(seq uint64, k Kind, key string, v any) Slot {
-		return Slot{Writer: life("liar", 9), Seq: seq, Kind: k, Key: key, Value: Encode(v), Timestamp: 1 << 62, SeenAfter: now, SeenBefore: now}
+		return Slot{Writer: incarnation("liar", 9), Seq: seq, Kind: k, Key: key, Value: Encode(v), Timestamp: 1 << 62, SeenAfter: now, SeenBefore: now}
 	}
 	for i := range uint64(20000) {
 		c.Merge(now, now, liar(i+1, Purge, fmt.Sprint("x", i), 0))
@@ -195,13 +201,13 @@
 		t.Errorf("its word alone counts: %+v", got)
 	}
 	for _, bad := range []Slot{
-		{Writer: life("c", 1), Seq: 99, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                     // in this one's name
-		{Writer: life("liar", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now + sec},                             // of the future
-		{Writer: life("liar", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now - 50*sec, SeenBefore: now - 50*sec},                 // outlived
-		{Writer: life("liar", 9), Seq: 0, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                   // without a number
-		{Writer: life("liar", 9), Seq: 1, Kind: Purge, Key: string(make([]byte, maxKeyBytes+1)), SeenAfter: now, SeenBefore: now},   // too long
-		{Writer: life("liar", 9), Seq: 1, Kind: Purge, Key: "o", Value: make([]byte, maxValueBytes+1), SeenAfter: 0, SeenBefore: 0}, // likewise
-		{Writer: life("", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                       // of nobody
+		{Writer: incarnation("c", 1), Seq: 99, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                     // in this one's name
+		{Writer: incarnation("liar", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now + sec},                             // of the future
+		{Writer: incarnation("liar", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now - 50*sec, SeenBefore: now - 50*sec},                 // outlived
+		{Writer: incarnation("liar", 9), Seq: 0, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                   // without a number
+		{Writer: incarnation("liar", 9), Seq: 1, Kind: Purge, Key: string(make([]byte, maxKeyBytes+1)), SeenAfter: now, SeenBefore: now},   // too long
+		{Writer: incarnation("liar", 9), Seq: 1, Kind: Purge, Key: "o", Value: make([]byte, maxValueBytes+1), SeenAfter: 0, SeenBefore: 0}, // likewise
+		{Writer: incarnation("", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                       // of nobody
 	} {
 		if c.Merge(now, now, bad) {
 			t.Errorf("taken: %+v", bad)
@@ -209,11 +215,11 @@
 	}
 }
 
-// A store is held for ill on several gateways' word, for the start that they mean, and no further than the middle one goes.
-func TestComplaintsNeedSeveralVoices(t *testing.T) {
+// A server counts as faulty when several gateways report it, for the start that they mean, by the median of their reports.
+func TestFaultReportsNeedSeveralReporters(t *testing.T) {
 	now := 100 * sec
 	say := func(c *Replica, who string, seen time.Duration, e HealthValue) {
-		c.Merge(now, now, Slot{Writer: life(who, 1), Seq: 1, Kind: Health, Key: "b1", Value: Encode(e), SeenAfter: seen, SeenBefore: seen})
+		c.Merge(now, now, Slot{Writer: incarnation(who, 1), Seq: 1, Kind: Health, Key: "b1", Value: Encode(e), SeenAfter: seen, SeenBefore: seen})
 	}
 	for _, x := range []struct {
 		name   string
@@ -234,13 +240,13 @@
 			say(c, "a", now, HealthValue{ErrorRate: 1})
 			say(c, "b", now, HealthValue{ErrorRate: 1, BootMs: 5})
 		}, 0},
-		{"the own former life", 9, func(c *Replica) { say(c, "c", now, HealthValue{ErrorRate: 0.7}) }, 0.7},
+		{"an own former incarnation", 9, func(c *Replica) { say(c, "c", now, HealthValue{ErrorRate: 0.7}) }, 0.7},
 		{"old", 3, func(c *Replica) {
 			say(c, "a", now-121*sec, HealthValue{ErrorRate: 1})
 			say(c, "b", now, HealthValue{ErrorRate: 1})
 		}, 0},
 	} {
-		c := NewReplica(life("c", 2), 0)
+		c := NewReplica(incarnation("c", 2), 0)
 		x.say(c)
 		got := c.FaultReports(now, x.living)
 		if x.want == 0 && len(got) > 0 || x.want > 0 && (len(got) != 1 || got[0].Value.ErrorRate != x.want) {
@@ -253,10 +259,10 @@
 func TestTheNewestListingIsRead(t *testing.T) {
 	now := 100 * sec
 	put := func(c *Replica, who string, seen time.Duration, stamp uint64, server string) {
-		c.Merge(now, now, Slot{Writer: life(who, 1), Seq: 1, Kind: Listing, Key: "o", Value: Encode(ListingValue{Server: server}), Timestamp: stamp, SeenAfter: seen, SeenBefore: seen})
+		c.Merge(now, now, Slot{Writer: incarnation(who, 1), Seq: 1, Kind: Listing, Key: "o", Value: Encode(ListingValue{Server: server}), Timestamp: stamp, SeenAfter: seen, SeenBefore: seen})
 	}
 	read := func(f func(c *Replica)) string {
-		c := NewReplica(life("c", 2), 0)
+		c := NewReplica(incarnation("c", 2), 0)
 		f(c)
 		l := c.Listings(now, 10)
 		if len(l) != 1 {
@@ -275,13 +281,13 @@
 	}
 }
 
-// Counts of each life are summed, and a life's newest is all of its own.
-func TestWhatColdStoresWereSentAddsUp(t *testing.T) {
-	c := NewReplica(life("c", 2), 0)
+// The counts of all incarnations are summed, the newest of each.
+func TestWorkSentAddsUp(t *testing.T) {
+	c := NewReplica(incarnation("c", 2), 0)
 	for i, n := range []float64{3, 7, 5} { // the third is late, and older
-		c.Merge(100*sec, 0, Slot{Writer: life("a", 1), Seq: []uint64{1, 3, 2}[i], Kind: SlowStart, Key: "b1 7", Value: Encode(n), SeenAfter: 99 * sec, SeenBefore: 99 * sec})
+		c.Merge(100*sec, 0, Slot{Writer: incarnation("a", 1), Seq: []uint64{1, 3, 2}[i], Kind: SlowStart, Key: "b1 7", Value: Encode(n), SeenAfter: 99 * sec, SeenBefore: 99 * sec})
 	}
-	c.Merge(100*sec, 0, Slot{Writer: life("a", 2), Seq: 1, Kind: SlowStart, Key: "b1 7", Value: Encode(10.0), SeenAfter: 99 * sec, SeenBefore: 99 * sec})
+	c.Merge(100*sec, 0, Slot{Writer: incarnation("a", 2), Seq: 1, Kind: SlowStart, Key: "b1 7", Value: Encode(10.0), SeenAfter: 99 * sec, SeenBefore: 99 * sec})
 	c.Write(100*sec, 0, SlowStart, "b1 7", Encode(1.0), 100*sec)
 	if got := c.WorkSent("b1 7"); got != 18 {
 		t.Errorf("%v", got)
@@ -290,22 +296,22 @@
 
 func TestConfigNamesWhatIsWrong(t *testing.T) {
 	wall := func() time.Duration { return 0 }
-	for _, c := range []Config{{}, {Self: life("a", 1), WallClock: wall}, {Self: life("a", 1), Members: []string{"a"}}, {Self: life("a", 1), Members: []string{"a"}, WallClock: wall, BytesPerSecond: -1}} {
+	for _, c := range []Config{{}, {Self: incarnation("a", 1), WallClock: wall}, {Self: incarnation("a", 1), Members: []string{"a"}}, {Self: incarnation("a", 1), Members: []string{"a"}, WallClock: wall, BytesPerSecond: -1}} {
 		if _, err := NewNode(c); err == nil {
 			t.Errorf("%+v is taken", c)
 		}
 	}
 }
 
-// What nobody asked for, or asked somebody else for, says nothing: its ages can't be counted from a question.
-func TestOnlyAnswersToQuestionsAreTaken(t *testing.T) {
-	n, err := NewNode(Config{Self: life("n", 2), Members: []string{"a", "b", "n"}, WallClock: func() time.Duration { return sec }})
+// A reply to no pull, or of another peer than the one that was asked, is not taken: its ages can't be counted from a pull.
+func TestOnlyRepliesToPullsAreTaken(t *testing.T) {
+	n, err := NewNode(Config{Self: incarnation("n", 2), Members: []string{"a", "b", "n"}, WallClock: func() time.Duration { return sec }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ask := n.Handle(sec, Tick{}, nil)[0].(Send)
 	other := map[string]string{"a": "b", "b": "a"}[ask.To]
-	w := []TransferredSlot{{Slot: Slot{Writer: life("w", 1), Seq: 1, Kind: Purge, Key: "o"}}}
+	w := []TransferredSlot{{Slot: Slot{Writer: incarnation("w", 1), Seq: 1, Kind: Purge, Key: "o"}}}
 	n.Handle(sec, MessageReceived{ask.To, Message{Kind: PullReply, ID: ask.Message.ID + 1, Slots: w}}, nil)
 	n.Handle(sec, MessageReceived{other, Message{Kind: PullReply, ID: ask.Message.ID, Slots: w}}, nil)
 	n.Handle(sec, MessageReceived{"stranger", Message{Kind: PullReply, ID: ask.Message.ID, Slots: w}}, nil)
--- a/warmstart/shared.go
+++ b/warmstart/shared.go
@@ -100,7 +100,7 @@
 	})
 	for _, l := range hot[:min(s.most, len(hot))] {
 		key := s.key(l.Key)
-		if by, at, ok := s.node.Locate(now, key); ok && by == l.Endpoint && now-at < sameListing {
+		if by, at, ok := s.node.Locate(key); ok && by == l.Endpoint && now-at < sameListing {
 			continue
 		}
 		p := replication.ListingValue{Server: l.Endpoint, BootMs: bootMs(l.Incarnation), Requests: math.Round(l.Count), MeanGapMs: l.MeanGap.Milliseconds(), MinLatencyMs: l.TransferTime.Milliseconds()}
