--- a/replication/replica.go
+++ b/replication/replica.go
@@ -175,7 +175,7 @@
 	r.enforceCapacity(s.Kind, s.Writer.Name)
 }
 
-// remove drops a slot from all indexes; its log is compacted now and then.
+// remove drops a slot; in its log it stays until that is compacted.
 func (r *Replica) remove(s *Slot) {
 	if s.removed {
 		return
--- a/test/upgrade_test.go
+++ b/test/upgrade_test.go
@@ -12,6 +12,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"larchusher/lab/loopback"
 )
 
 // beside starts another process of the same gateway with the same files, and waits until it says that it takes clients.
@@ -23,11 +25,11 @@
 	second.env = append(append([]string{}, r.env...), "BALANCER_CONSOLE="+console)
 	second.run()
 	eventually(r.t, "the new process takes clients", func() bool {
-		conn, err := net.Dial("tcp", console)
+		conn, err := loopback.Dial(console)
 		if err != nil {
 			return false
 		}
-		conn.Close()
+		loopback.Close(conn)
 		return second.call(console, "READY")[0] == "ok"
 	})
 	return second, console
@@ -65,12 +67,12 @@
 	r.journal.Close()
 
 	second, console := r.beside()
-	second.logged("taking over from the process that serves")
+	second.logged("msg=\"upgrade: taking over\"")
 	if got := second.figures(console); got["targets"] != 4 || got["targets_disabled"] != 1 {
 		t.Errorf("it knows %d stores, of which %d are out of use", got["targets"], got["targets_disabled"])
 	}
 	r.signal(syscall.SIGTERM)
-	r.logged("leaving clients to the new process")
+	r.logged("msg=\"upgrade: migrating clients\"")
 	idle.ended()
 	r.on(done)
 	for i := range 40 {
@@ -79,7 +81,7 @@
 		if a := c.next(); a.err != "" {
 			t.Fatalf("new connection %d: %+v", i, a)
 		}
-		c.conn.Close()
+		loopback.Close(c.conn)
 	}
 	for _, a := range r.asks("") {
 		if a.Store.Name == "c1" && a.Fields["name"] != object {
@@ -94,7 +96,7 @@
 	if err := r.ended(); err != nil {
 		t.Errorf("the former process: %v", err)
 	}
-	second.logged("the former process has ended")
+	second.logged("msg=\"upgrade: predecessor has ended\"")
 }
 
 // upgrades is how many follow each other in TestNoRequestIsLostOverUpgrades, unless the environment says UPGRADES=N.
@@ -141,7 +143,7 @@
 	var conn net.Conn
 	defer func() {
 		if conn != nil {
-			conn.Close()
+			loopback.Close(conn)
 		}
 	}()
 	for i := 0; ; i++ {
@@ -154,7 +156,7 @@
 		for {
 			if conn == nil {
 				var err error
-				if conn, err = net.Dial("tcp", r.addr); err != nil {
+				if conn, err = loopback.Dial(r.addr); err != nil {
 					return err
 				}
 			}
@@ -163,7 +165,7 @@
 			if err == nil {
 				break
 			}
-			conn.Close()
+			loopback.Close(conn)
 			conn = nil
 			if again || time.Since(sent) > 50*time.Millisecond {
 				return fmt.Errorf("request %d after %v, sent again: %v: %w", i, time.Since(sent), again, err)
@@ -171,7 +173,7 @@
 			again = true
 		}
 		if i%3 == 2 {
-			conn.Close()
+			loopback.Close(conn)
 			conn = nil
 		}
 	}
@@ -205,12 +207,12 @@
 	if err := second.cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	r.logged("the new process has ended; going on")
+	r.logged("msg=\"upgrade: successor has ended\"")
 	third, _ := r.beside()
 	if err := r.cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	third.logged("the former process has ended")
+	third.logged("msg=\"upgrade: predecessor has ended\"")
 	c := r.client()
 	c.send("films", object, 5*time.Second, "")
 	if a := c.next(); a.err != "" {
@@ -241,7 +243,7 @@
 	slow.raw(request[:len(request)/2])
 	second, console := r.beside()
 	r.signal(syscall.SIGTERM)
-	r.logged("leaving clients to the new process")
+	r.logged("msg=\"upgrade: migrating clients\"")
 	for i := range rounds {
 		c.send("films", object, 5*time.Second, "")
 		done(open)
@@ -280,7 +282,7 @@
 	open := next(t, held)
 	second, console := r.beside()
 	r.signal(syscall.SIGTERM)
-	r.logged("leaving clients to the new process")
+	r.logged("msg=\"upgrade: migrating clients\"")
 	c.raw(append([]byte{0x93, 2}, append(packText("cancelRequest"), 0x91, byte(first))...))
 	eventually(t, "the store is told", func() bool {
 		return r.sum(func(s *store) int { return len(s.Quits) }) == 1
@@ -340,12 +342,12 @@
 			number++
 			c.send("images", fmt.Sprintf("%016x", number), 2*time.Second, "")
 			c.next()
-			c.conn.Close()
+			loopback.Close(c.conn)
 		}
 	}
 	load(func() bool { return toCold() > 0 })
 	r.beside()
-	r.logged("handing over to a new process") // a moment ago
+	r.logged("msg=\"upgrade: handing over\"") // a moment ago
 	before, until := toCold(), time.Now().Add(window*4/5)
 	load(func() bool { return time.Now().After(until) })
 	if n := toCold() - before; n != 0 {
@@ -365,8 +367,8 @@
 	r.env = append(r.env, "TMPDIR="+folder)
 	r.start()
 	second, _ := r.beside()
-	second.logged("listening beside the process that serves")
-	second.logged("taking over from the process that serves")
+	second.logged("msg=\"upgrade: sockets not handed over\"")
+	second.logged("msg=\"upgrade: taking over\"")
 	r.signal(syscall.SIGTERM)
 	if err := r.ended(); err != nil {
 		t.Error(err)
@@ -389,7 +391,7 @@
 	open := next(t, held)
 	second, _ := r.beside()
 	r.signal(syscall.SIGTERM)
-	r.logged("leaving clients to the new process")
+	r.logged("msg=\"upgrade: migrating clients\"")
 	third := *second
 	third.run()
 	r.on(done)
@@ -400,8 +402,8 @@
 	if err := r.ended(); err != nil {
 		t.Error(err)
 	}
-	second.logged("the former process has ended")
-	third.logged("taking over from the process that serves")
+	second.logged("msg=\"upgrade: predecessor has ended\"")
+	third.logged("msg=\"upgrade: taking over\"")
 	third.logged("msg=serving")
 	second.signal(syscall.SIGTERM)
 	if err := second.ended(); err != nil {
