--- a/internal/clusternode/files.go
+++ b/internal/clusternode/files.go
@@ -1,4 +1,3 @@
-// Package clusternode runs a gateway's part in its fleet: package cluster on the loop, its link, and the files that must last.
 package clusternode
 
 import (
@@ -13,40 +12,47 @@
 )
 
 const (
-	acceptorFile = "fleet-vote"
-	viewFile     = "fleet-view"
 	tempSuffix   = ".tmp"
 	maxFileBytes = 2 << 20
 )
 
-// errCorrupt says that a file is not what was written.
+// errCorrupt reports that a file is not as it was written.
 var errCorrupt = errors.New("the file is spoilt")
 
-// writeFile writes a file so that it is there whole, or as it was before, whatever happens on the way.
-func writeFile(fs snapshot.FS, name string, key, data []byte) error {
-	f, err := fs.Create(name + tempSuffix)
-	if err != nil {
-		return fmt.Errorf("%s: %w", name, err)
-	}
+// authenticate is the code that stands before the data of a file.
+func authenticate(key, data []byte) []byte {
 	h := hmac.New(sha256.New, key)
 	h.Write(data)
-	_, err = f.Write(append(h.Sum(nil), data...))
-	if err == nil {
-		err = f.Sync()
+	return h.Sum(nil)
+}
+
+// writeFile replaces a file atomically: it is complete, or as it was before.
+func writeFile(dir snapshot.FS, name string, key, data []byte) error {
+	if err := replaceFile(dir, name, append(authenticate(key, data), data...)); err != nil {
+		return fmt.Errorf("%s: %w", name, err)
 	}
-	if err = errors.Join(err, f.Close()); err == nil {
-		err = fs.Rename(name+tempSuffix, name)
+	return nil
+}
+
+func replaceFile(dir snapshot.FS, name string, data []byte) error {
+	f, err := dir.Create(name + tempSuffix)
+	if err != nil {
+		return err
 	}
+	_, err = f.Write(data)
 	if err == nil {
-		err = fs.SyncDir()
+		err = f.Sync()
 	}
-	if err != nil {
-		return fmt.Errorf("%s: %w", name, err)
+	if err = errors.Join(err, f.Close()); err != nil {
+		return err
 	}
-	return nil
+	if err := dir.Rename(name+tempSuffix, name); err != nil {
+		return err
+	}
+	return dir.SyncDir()
 }
 
-// readFile reads what keepFile wrote; nil: there is none.
+// readFile reads what writeFile wrote; nil: there is no file.
 func readFile(dir snapshot.FS, name string, key []byte) ([]byte, error) {
 	b, err := dir.Read(name, maxFileBytes)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -58,23 +64,22 @@
 	if len(b) < sha256.Size {
 		return nil, fmt.Errorf("%s: %w", name, errCorrupt)
 	}
-	h := hmac.New(sha256.New, key)
-	h.Write(b[sha256.Size:])
-	if !hmac.Equal(b[:sha256.Size], h.Sum(nil)) {
+	code, data := b[:sha256.Size], b[sha256.Size:]
+	if !hmac.Equal(code, authenticate(key, data)) {
 		return nil, fmt.Errorf("%s: %w", name, errCorrupt)
 	}
-	return b[sha256.Size:], nil
+	return data, nil
 }
 
-// fileWriter writes files beside the loop, one at a time; of those that wait for the same name the newest.
+// fileWriter writes files in a goroutine of its own, one at a time. Of the writes that wait for one name, the latest is made.
 type fileWriter struct {
-	fs      snapshot.FS
+	dir     snapshot.FS
 	key     []byte
 	mu      sync.Mutex
-	cond    *sync.Cond
-	pending map[string]pendingFile
+	changed *sync.Cond
+	pending map[string]pendingFile // by name
 	closing bool
-	done    chan struct{}
+	done    chan struct{} // closed once the goroutine has ended
 }
 
 type pendingFile struct {
@@ -82,48 +87,53 @@
 	written func(error)
 }
 
-func newFileWriter(fs snapshot.FS, key []byte) *fileWriter {
-	k := &fileWriter{fs: fs, key: key, pending: map[string]pendingFile{}, done: make(chan struct{})}
-	k.cond = sync.NewCond(&k.mu)
-	go k.run()
-	return k
+func newFileWriter(dir snapshot.FS, key []byte) *fileWriter {
+	w := &fileWriter{dir: dir, key: key, pending: map[string]pendingFile{}, done: make(chan struct{})}
+	w.changed = sync.NewCond(&w.mu)
+	go w.run()
+	return w
 }
 
-// write has a file written, and after called from elsewhere once it lasts.
-func (k *fileWriter) write(name string, data []byte, after func(error)) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.pending[name] = pendingFile{data, after}
-	k.cond.Signal()
+// write has a file written. It does not block; written is called in the writer's goroutine once the file is durable, unless a
+// later write of the name replaces this one.
+func (w *fileWriter) write(name string, data []byte, written func(error)) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.pending[name] = pendingFile{data, written}
+	w.changed.Signal()
 }
 
-func (k *fileWriter) run() {
-	defer close(k.done)
+func (w *fileWriter) run() {
+	defer close(w.done)
 	for {
-		k.mu.Lock()
-		for len(k.pending) == 0 && !k.closing {
-			k.cond.Wait()
-		}
-		all := k.pending
-		k.pending = map[string]pendingFile{}
-		ends := k.closing
-		k.mu.Unlock()
-		if len(all) == 0 && ends {
+		pending, closing := w.take()
+		if len(pending) == 0 && closing {
 			return
 		}
 		for _, name := range [...]string{acceptorFile, viewFile} {
-			if j, ok := all[name]; ok {
-				j.written(writeFile(k.fs, name, k.key, j.data))
+			if f, ok := pending[name]; ok {
+				f.written(writeFile(w.dir, name, w.key, f.data))
 			}
 		}
 	}
 }
 
-// close ends the writing, after what waits.
-func (k *fileWriter) close() {
-	k.mu.Lock()
-	k.closing = true
-	k.cond.Signal()
-	k.mu.Unlock()
-	<-k.done
+// take waits for something to write, or for the end, and takes all that waits.
+func (w *fileWriter) take() (pending map[string]pendingFile, closing bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for len(w.pending) == 0 && !w.closing {
+		w.changed.Wait()
+	}
+	pending, w.pending = w.pending, map[string]pendingFile{}
+	return pending, w.closing
+}
+
+// close ends the writer after what waits. It blocks until then.
+func (w *fileWriter) close() {
+	w.mu.Lock()
+	w.closing = true
+	w.changed.Signal()
+	w.mu.Unlock()
+	<-w.done
 }
--- a/lab/faultinjection/mutants.go
+++ b/lab/faultinjection/mutants.go
@@ -61,7 +61,7 @@
 	{Name: "half of the voters are a majority", File: "consensus/proposer.go", Old: "return n > len(v.cfg.Voters)/2", New: "return n >= len(v.cfg.Voters)/2", Text: parting},
 	{Name: "a lease never runs out", File: "cluster/lease.go", Old: "n.leaseUntil = max(n.leaseUntil, sentAt+n.cfg.Limits.Lease)", New: "n.leaseUntil = max(n.leaseUntil, sentAt+time.Hour)", Text: unheard},
 	{Name: "a gateway is idle while work is out at what it holds", File: "gateway/drain.go", Old: "if !a.ended && (stores", New: "if false && (stores", Text: slowStores},
-	{Name: "a start forgets what was granted", File: "internal/clusternode/host.go", Old: "if nc.View, err = readFile(dir, viewFile, h.cfg.Key); err == nil && nc.View != nil {", New: "nc.View = []byte(\"{}\")\n\tif nc.View != nil {", Text: forgetful},
+	{Name: "a start forgets what was granted", File: "internal/clusternode/storage.go", Old: "view, err := readFile(dir, viewFile, n.cfg.Key)", New: "view, err := []byte(\"{}\"), error(nil)", Text: forgetful},
 }
 
 // slowStores has machines go out right after their answers have begun to take long.
