--- a/internal/net/clustertransport/tool.go
+++ b/internal/net/clustertransport/tool.go
@@ -4,7 +4,6 @@
 	"context"
 	"crypto/rand"
 	"encoding/hex"
-	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -13,52 +12,80 @@
 	"larchusher/cluster"
 )
 
-// Tool is an operator's connection to one gateway. It blocks, and is not for use in a gateway.
+// defaultRequestTimeout is how long a request without a deadline may take.
+const defaultRequestTimeout = 10 * time.Second
+
+// Tool is an operator's connection to one gateway. Its methods block; it is not for use in a gateway.
 type Tool struct {
 	conn   net.Conn
-	w      *frameWriter
-	r      frameReader
-	serial uint64
+	writer *frameWriter
+	reader frameReader
+	lastID uint64
 }
 
-// DialTool connects to a gateway of that name.
+// DialTool connects to the gateway of a name. The context's deadline, if any, is that of the whole connection until Request is called.
 func DialTool(ctx context.Context, name, addr string, key []byte) (*Tool, error) {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("gateway %s: %w", name, err)
 	}
+	challenge, err := readGreeting(ctx, conn)
+	if err != nil {
+		_ = conn.Close() // the greeting's error says what is wrong
+		return nil, fmt.Errorf("gateway %s at %s: %w", name, addr, err)
+	}
+	id := make([]byte, 8)
+	_, _ = rand.Read(id) // never fails
+	self, ownChallenge := "tool-"+hex.EncodeToString(id), newChallenge()
+	return &Tool{
+		conn:   conn,
+		writer: &frameWriter{key: key, challenge: challenge, from: self, to: name, ownChallenge: ownChallenge},
+		reader: frameReader{key: key, challenge: ownChallenge, self: self},
+	}, nil
+}
+
+// readGreeting returns the challenge of the gateway's greeting.
+func readGreeting(ctx context.Context, conn net.Conn) ([]byte, error) {
 	if at, ok := ctx.Deadline(); ok {
-		_ = conn.SetDeadline(at)
+		if err := conn.SetDeadline(at); err != nil {
+			return nil, err
+		}
 	}
 	greeting := make([]byte, greetingSize)
-	if _, err := io.ReadFull(conn, greeting); err != nil || string(greeting[:len(magic)]) != magic {
-		conn.Close()
-		return nil, fmt.Errorf("gateway %s at %s: not the greeting of a member: %w", name, addr, errors.Join(err))
+	if _, err := io.ReadFull(conn, greeting); err != nil {
+		return nil, fmt.Errorf("%w: %w", errNoGreeting, err)
 	}
-	id := make([]byte, 8)
-	_, _ = rand.Read(id)
-	self, own := "tool-"+hex.EncodeToString(id), newChallenge()
-	return &Tool{conn: conn, w: &frameWriter{key: key, challenge: greeting[len(magic):], from: self, to: name, ownChallenge: own},
-		r: frameReader{key: key, challenge: own, self: self}}, nil
+	challenge, ok := parseGreeting(greeting)
+	if !ok {
+		return nil, errNoGreeting
+	}
+	return challenge, nil
 }
 
-// Request sends an order and waits for its reply.
+// Request sends a command or a query and waits for its reply, until the context's deadline or for defaultRequestTimeout.
 func (t *Tool) Request(ctx context.Context, m cluster.Message) (cluster.Message, error) {
-	t.serial++
-	m.Kind, m.ID = cluster.OperatorRequest, t.serial
-	f, err := t.w.frame(m)
+	t.lastID++
+	m.Kind, m.ID = cluster.OperatorRequest, t.lastID
+	f, err := t.writer.frame(m)
 	if err != nil {
 		return cluster.Message{}, err
 	}
 	at, ok := ctx.Deadline()
 	if !ok {
-		at = time.Now().Add(10 * time.Second)
+		at = time.Now().Add(defaultRequestTimeout)
+	}
+	if err := t.conn.SetDeadline(at); err != nil {
+		return cluster.Message{}, fmt.Errorf("asking: %w", err)
 	}
-	_ = t.conn.SetDeadline(at)
 	if _, err := t.conn.Write(f); err != nil {
 		return cluster.Message{}, fmt.Errorf("asking: %w", err)
 	}
+	return t.receiveReply(m.ID)
+}
+
+// receiveReply waits for the reply to a request; other messages are ignored.
+func (t *Tool) receiveReply(id uint64) (cluster.Message, error) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := t.conn.Read(buf)
@@ -66,11 +93,12 @@
 			return cluster.Message{}, fmt.Errorf("waiting for the reply: %w", err)
 		}
 		var reply *cluster.Message
-		if err := t.r.feed(buf[:n], func(_ string, got cluster.Message) {
-			if got.Kind == cluster.OperatorReply && got.ID == m.ID {
-				reply = &got
+		err = t.reader.feed(buf[:n], func(_ string, m cluster.Message) {
+			if m.Kind == cluster.OperatorReply && m.ID == id {
+				reply = &m
 			}
-		}); err != nil {
+		})
+		if err != nil {
 			return cluster.Message{}, err
 		}
 		if reply != nil {
--- a/internal/net/clustertransport/link_test.go
+++ b/internal/net/clustertransport/transport_test.go
@@ -54,7 +54,7 @@
 	return m
 }
 
-// What a former version proposed without a Prepare had no majority's promise: it is not a message that a voter heeds.
+// What a former version proposed without a Prepare had no majority's promise: it is read as a message that voters ignore.
 func TestAFormerVersionHasToPrepare(t *testing.T) {
 	pb := encodeMessage(cluster.Message{Kind: cluster.ConsensusMessage, Consensus: consensus.Message{Kind: consensus.Accept, Ballot: consensus.Ballot{Number: 5, Voter: "a"}}})
 	if decodeMessage(pb).Consensus.Kind != consensus.Accept {
@@ -88,7 +88,9 @@
 		if rapid.Bool().Draw(t, "change") {
 			at := rapid.IntRange(0, len(stream)-1).Draw(t, "at")
 			stream[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
-			for whole = 0; whole < len(ends) && ends[whole] <= at; whole++ {
+			whole = 0
+			for whole < len(ends) && ends[whole] <= at {
+				whole++
 			}
 		}
 		r := &frameReader{key: key, challenge: challenge, self: "b"}
@@ -96,7 +98,7 @@
 		var err error
 		for len(stream) > 0 && err == nil {
 			n := rapid.IntRange(1, len(stream)).Draw(t, "piece")
-			err = r.feed(stream[:n], func(from string, m cluster.Message) { got = append(got, m) })
+			err = r.feed(stream[:n], func(_ string, m cluster.Message) { got = append(got, m) })
 			stream = stream[n:]
 		}
 		if !reflect.DeepEqual(got, sent[:whole]) && len(got)+whole > 0 {
@@ -114,8 +116,8 @@
 	return f
 }
 
-// What nobody with the key would say now is refused: with another key, to another connection, for another, without a version, too
-// long; and what comes again on the same connection is passed over.
+// What nobody with the key would send now is rejected: with another key, to another connection, for another, without a version, too
+// long; and what comes again on the same connection is ignored.
 func TestForgedAndReplayedFrames(t *testing.T) {
 	one, two := bytes.Repeat([]byte{1}, challengeSize), bytes.Repeat([]byte{2}, challengeSize)
 	good := func() *frameWriter { return &frameWriter{key: key, challenge: one, from: "a", to: "b"} }
@@ -163,7 +165,7 @@
 	}
 }
 
-func TestVotesAreReadAsWritten(t *testing.T) {
+func TestAcceptorStatesAreReadAsWritten(t *testing.T) {
 	v := consensus.AcceptorState{Incarnation: 9, Promised: consensus.Ballot{Number: 4, Voter: "a"}, Accepted: consensus.Ballot{Number: 3, Voter: "b"}, Initialized: true,
 		State: consensus.State{Revision: 2, Incarnations: map[string]uint64{"a": 1}, Value: []byte("{}")}}
 	b, err := EncodeAcceptorState(v)
@@ -180,90 +182,134 @@
 	}
 }
 
-// Two ends of a link speak, over a real connection each way; a member that goes and returns is found again; a tool is answered on its
-// own connection; strangers are turned away.
-func TestLink(t *testing.T) {
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	type end struct {
-		loop  *gateway.Loop
-		link  *Transport
-		heard chan cluster.Message
-	}
-	var members []Member
-	for _, n := range []string{"a", "b"} {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
+// Two members exchange messages over a connection each way; a member that ends and starts again is found; a tool is answered on
+// its own connection; who has not the key is rejected.
+func TestTransport(t *testing.T) {
+	members := freeMembers(t, "a", "b")
+	a, b := startMember(t, members, 0), startMember(t, members, 1)
+	sendUntilReceived(t, a, b, "b", 1)
+	sendUntilReceived(t, b, a, "a", 2)
+	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	defer cancel()
+	tool := dialTool(ctx, t, members[0], key)
+	for range 2 {
+		if m, err := tool.Request(ctx, cluster.Message{Query: "state"}); err != nil || string(m.Value) != "yes" {
+			t.Fatalf("a tool's request: %+v, %v", m, err)
 		}
-		members = append(members, Member{n, l.Addr().String()})
-		l.Close()
 	}
-	start := func(i int) *end {
-		e := &end{loop: gateway.NewLoop(), heard: make(chan cluster.Message, 100)}
-		engine, err := transport.New(log, 1<<20)
+	thief := dialTool(ctx, t, members[0], []byte("another key altogether, 32 bytes"))
+	if _, err := thief.Request(ctx, cluster.Message{Query: "state"}); err == nil || strings.Contains(err.Error(), "deadline") {
+		t.Errorf("without the key: %v", err)
+	}
+	closed := make(chan struct{})
+	b.loop.Post(func() { b.transport.Close(); close(closed) })
+	<-closed
+	b = startMember(t, members, 1)
+	sendUntilReceived(t, a, b, "b", 3)
+}
+
+// freeMembers are members with addresses that nobody listens on.
+func freeMembers(t *testing.T, names ...string) (members []Member) {
+	t.Helper()
+	for _, name := range names {
+		var lc net.ListenConfig
+		l, err := lc.Listen(t.Context(), "tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		var link atomic.Pointer[Transport]
-		l, err := Open(members[i].Name, members[i].Addr, members, key, e.loop, engine, log, func(from string, m cluster.Message) {
-			if m.Kind == cluster.OperatorRequest {
-				link.Load().Send(from, cluster.Message{Kind: cluster.OperatorReply, ID: m.ID, Value: []byte("yes")})
-				return
-			}
-			e.heard <- m
-		})
-		if err != nil {
+		members = append(members, Member{name, l.Addr().String()})
+		if err := l.Close(); err != nil {
 			t.Fatal(err)
 		}
-		link.Store(l)
-		e.link = l
-		go e.loop.Run()
-		t.Cleanup(func() { e.loop.Post(l.Close); e.loop.Post(e.loop.Close); engine.Stop() })
-		return e
 	}
-	say := func(from, to *end, name string, id uint64) { // until it arrives: messages may get lost while a connection comes up
-		t.Helper()
-		late := time.After(10 * time.Second)
-		for {
-			from.loop.Post(func() { from.link.Send(name, cluster.Message{Kind: cluster.RenewLease, ID: id}) })
-			select {
-			case m := <-to.heard:
-				if m.ID == id {
-					return
-				}
-			case <-time.After(50 * time.Millisecond):
-			case <-late:
-				t.Fatalf("nothing arrives at %s", name)
-			}
-		}
+	return members
+}
+
+// runningMember answers operators' requests with yes, and hands on all other messages.
+type runningMember struct {
+	loop      *gateway.Loop
+	transport *Transport
+	received  chan cluster.Message
+}
+
+func startMember(t *testing.T, members []Member, i int) *runningMember {
+	t.Helper()
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	m := &runningMember{loop: gateway.NewLoop(), received: make(chan cluster.Message, 100)}
+	engine, err := transport.New(log, 1<<20)
+	if err != nil {
+		t.Fatal(err)
 	}
-	a, b := start(0), start(1)
-	say(a, b, "b", 1)
-	say(b, a, "a", 2)
-	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-	defer cancel()
-	tool, err := DialTool(ctx, "a", members[0].Addr, key)
+	var opened atomic.Pointer[Transport]
+	m.transport, err = Open(members[i].Name, members[i].Addr, members, key, m.loop, engine, log, func(from string, msg cluster.Message) {
+		if msg.Kind == cluster.OperatorRequest {
+			opened.Load().Send(from, cluster.Message{Kind: cluster.OperatorReply, ID: msg.ID, Value: []byte("yes")})
+			return
+		}
+		m.received <- msg
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer tool.Close()
-	for range 2 {
-		if m, err := tool.Request(ctx, cluster.Message{Query: "state"}); err != nil || string(m.Value) != "yes" {
-			t.Fatalf("a tool's question: %+v, %v", m, err)
+	opened.Store(m.transport)
+	go m.loop.Run()
+	t.Cleanup(func() { m.loop.Post(m.transport.Close); m.loop.Post(m.loop.Close); engine.Stop() })
+	return m
+}
+
+// sendUntilReceived repeats a message until it arrives: it may get lost while a connection comes up.
+func sendUntilReceived(t *testing.T, from, to *runningMember, name string, id uint64) {
+	t.Helper()
+	late := time.After(10 * time.Second)
+	for {
+		from.loop.Post(func() { from.transport.Send(name, cluster.Message{Kind: cluster.RenewLease, ID: id}) })
+		select {
+		case m := <-to.received:
+			if m.ID == id {
+				return
+			}
+		case <-time.After(50 * time.Millisecond):
+		case <-late:
+			t.Fatalf("nothing arrives at %s", name)
 		}
 	}
-	thief, err := DialTool(ctx, "a", members[0].Addr, []byte("another key altogether, 32 bytes"))
+}
+
+func dialTool(ctx context.Context, t *testing.T, m Member, key []byte) *Tool {
+	t.Helper()
+	tool, err := DialTool(ctx, m.Name, m.Addr, key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer thief.Close()
-	if _, err := thief.Request(ctx, cluster.Message{Query: "state"}); err == nil || strings.Contains(err.Error(), "deadline") {
-		t.Errorf("without the key: %v", err)
+	t.Cleanup(func() { _ = tool.Close() }) // the gateway may have closed it
+	return tool
+}
+
+// A tool that reaches another program says so, whether that greets with something else or closes.
+func TestDialToolNamesAWrongGreeting(t *testing.T) {
+	for name, greeting := range map[string]string{"another protocol": "HTTP/1.1 400 Bad Request\r\n\r\n", "closed": ""} {
+		var lc net.ListenConfig
+		l, err := lc.Listen(t.Context(), "tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		go func() {
+			conn, err := l.Accept()
+			if err != nil {
+				return
+			}
+			_, _ = conn.Write([]byte(greeting))
+			_ = conn.Close()
+		}()
+		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
+		_, err = DialTool(ctx, "a", l.Addr().String(), key)
+		cancel()
+		if !errors.Is(err, errNoGreeting) || strings.Contains(err.Error(), "nil") {
+			t.Errorf("%s: %v", name, err)
+		}
+		if err := l.Close(); err != nil {
+			t.Error(err)
+		}
 	}
-	gone := make(chan struct{})
-	b.loop.Post(func() { b.link.Close(); close(gone) })
-	<-gone
-	b = start(1)
-	say(a, b, "b", 3)
 }
