--- a/cmd/larchusher/shared.go
+++ b/cmd/larchusher/shared.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"os"
 	"strings"
-	"text/tabwriter"
 
 	"larchusher/cluster"
 	"larchusher/internal/clusternode"
@@ -48,12 +47,12 @@
 	if c.JSON {
 		return json.NewEncoder(os.Stdout).Encode(s)
 	}
-	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "KIND\tKEY\tBY\tNUMBER\tAGE MS\tVALUE")
+	w := newTable(os.Stdout)
+	w.row("KIND\tKEY\tBY\tNUMBER\tAGE MS\tVALUE")
 	for _, r := range s.Rows {
-		fmt.Fprintf(w, "%s\t%q\t%s\t%d\t%d\t%s\n", r.Kind, r.Key, r.Writer, r.Seq, r.AgeMs, r.Value)
+		w.row("%s\t%q\t%s\t%d\t%d\t%s", r.Kind, r.Key, r.Writer, r.Seq, r.AgeMs, r.Value)
 	}
-	if err := w.Flush(); err != nil {
+	if err := w.flush(); err != nil {
 		return err
 	}
 	fmt.Printf("%s: %d slots", s.Gateway, s.Slots)
--- a/cmd/larchusher/work.go
+++ b/cmd/larchusher/work.go
@@ -1,23 +1,20 @@
 package main
 
 import (
-	"context"
 	"crypto/rand"
 	"encoding/hex"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
 	"strings"
-	"text/tabwriter"
 	"time"
 
-	"larchusher/cluster"
-	"larchusher/internal/config"
-	"larchusher/internal/net/clustertransport"
 	"larchusher/maintenance"
 )
 
+// stagePollInterval is how often `work wait` looks at a request.
+const stagePollInterval = 500 * time.Millisecond
+
 // workCommand is the sub-command `work`.
 type workCommand struct {
 	Ask      workAsk      `cmd:"" help:"Ask for work on a machine."`
@@ -30,112 +27,6 @@
 	Forget   workForget   `cmd:"" help:"Say that a gateway is gone for good: nothing waits for it any more. It must not be running."`
 }
 
-// clusterFlags say whom to ask.
-type clusterFlags struct {
-	operatorFile
-	At      string        `help:"The gateway to ask; any, one after the other, without." placeholder:"NAME"`
-	Timeout time.Duration `help:"How long to try." default:"15s"`
-}
-
-// sendCommand sends an order to one gateway after the other until one answers.
-func (f *clusterFlags) sendCommand(c *maintenance.Command, query string) (cluster.Message, error) {
-	m := cluster.Message{Query: query}
-	if c != nil {
-		if c.Actor == "" {
-			c.Actor = currentUser()
-		}
-		var err error
-		if m.Value, err = json.Marshal(c); err != nil {
-			return cluster.Message{}, fmt.Errorf("work: %w", err)
-		}
-	}
-	return f.query(m)
-}
-
-// query sends a message to one gateway after the other until one answers.
-func (f *clusterFlags) query(m cluster.Message) (cluster.Message, error) {
-	op, err := config.LoadOperator(f.Operator, os.Getenv)
-	if err != nil {
-		return cluster.Message{}, err
-	}
-	if op.Cluster == nil {
-		return cluster.Message{}, errors.New("the operator's file (--operator) has no fleet")
-	}
-	members := op.Cluster.Members
-	if f.At != "" {
-		addr := op.Cluster.Address(f.At)
-		if addr == "" {
-			return cluster.Message{}, fmt.Errorf("--at: %q is none of the members", f.At)
-		}
-		members = []config.ClusterMember{{Name: f.At, Address: addr}}
-	}
-	ctx, cancel := context.WithTimeout(context.Background(), f.Timeout)
-	defer cancel()
-	var last error
-	for ctx.Err() == nil {
-		for _, g := range members {
-			reply, err := queryMember(ctx, g, op.Cluster.Key, m)
-			if err == nil {
-				return reply, nil
-			}
-			last = err
-		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(200 * time.Millisecond):
-		}
-	}
-	return cluster.Message{}, fmt.Errorf("no gateway answered in %v: %w", f.Timeout, last)
-}
-
-func queryMember(ctx context.Context, g config.ClusterMember, key []byte, m cluster.Message) (cluster.Message, error) {
-	one, cancel := context.WithTimeout(ctx, 3*time.Second)
-	defer cancel()
-	t, err := clustertransport.DialTool(one, g.Name, g.Address, key)
-	if err != nil {
-		return cluster.Message{}, err
-	}
-	defer t.Close()
-	return t.Request(one, m)
-}
-
-// currentUser names who gives an order, for the history.
-func currentUser() string {
-	host, _ := os.Hostname()
-	name := os.Getenv("USER")
-	if name == "" {
-		name = fmt.Sprint("uid ", os.Getuid())
-	}
-	return name + "@" + host
-}
-
-// execute sends a command and reads what it came to.
-func (f *clusterFlags) execute(c *maintenance.Command) (maintenance.Reply, error) {
-	m, err := f.sendCommand(c, "")
-	if err != nil {
-		return maintenance.Reply{}, err
-	}
-	var r maintenance.Reply
-	if m.Rejected == "" {
-		if err := json.Unmarshal(m.Value, &r); err != nil {
-			return r, fmt.Errorf("work: the reply: %w", err)
-		}
-		m.Rejected = r.Rejected
-	}
-	if m.Rejected != "" {
-		return r, fmt.Errorf("work: refused: %s", m.Rejected)
-	}
-	return r, nil
-}
-
-func (f *clusterFlags) maintenanceState() (*maintenance.State, error) {
-	m, err := f.sendCommand(nil, "state")
-	if err != nil {
-		return nil, err
-	}
-	return maintenance.Decode(m.Value)
-}
-
 type workAsk struct {
 	clusterFlags
 	Machine  string        `arg:"" help:"Name of the box, upper cache or gateway."`
@@ -150,7 +41,7 @@
 func (a *workAsk) Run() error {
 	if a.Key == "" {
 		b := make([]byte, 8)
-		_, _ = rand.Read(b)
+		_, _ = rand.Read(b) // it never fails
 		a.Key = hex.EncodeToString(b)
 	}
 	q := &maintenance.RequestOrder{Key: a.Key, Machine: a.Machine, DurationMs: a.For.Milliseconds(), Priority: a.Priority, After: a.After}
@@ -176,8 +67,8 @@
 	if err != nil {
 		return err
 	}
-	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "ID\tMACHINE\tKIND\tPLACE\tSTAGE\tSINCE\tFOR")
+	w := newTable(os.Stdout)
+	w.row("ID\tMACHINE\tKIND\tPLACE\tSTAGE\tSINCE\tFOR")
 	for _, r := range s.Requests {
 		if r.Stage.Ended() && !l.All {
 			continue
@@ -187,10 +78,10 @@
 			stage += ", overdue"
 		}
 		last := r.History[len(r.History)-1]
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\t%v\n", r.ID, r.Machine, r.Kind, r.Zone, stage, time.UnixMilli(last.AtMs).UTC().Format(time.RFC3339),
+		w.row("%d\t%s\t%s\t%s\t%s\t%s\t%v", r.ID, r.Machine, r.Kind, r.Zone, stage, time.UnixMilli(last.AtMs).UTC().Format(time.RFC3339),
 			time.Duration(r.DurationMs)*time.Millisecond)
 	}
-	return w.Flush()
+	return w.flush()
 }
 
 type workShow struct {
@@ -279,7 +170,7 @@
 		case time.Now().After(end):
 			return fmt.Errorf("work: %s is still %s after %v", c.Machine, stage, c.Within)
 		}
-		time.Sleep(500 * time.Millisecond)
+		time.Sleep(stagePollInterval)
 	}
 }
 
@@ -295,14 +186,14 @@
 	if err := json.Unmarshal(m.Value, &all); err != nil {
 		return fmt.Errorf("work: the plan: %w", err)
 	}
-	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "WAVE\tID\tMACHINE\tHELD BACK NOW BY")
+	w := newTable(os.Stdout)
+	w.row("WAVE\tID\tMACHINE\tHELD BACK NOW BY")
 	for _, v := range all {
 		wave := fmt.Sprint(v.Wave)
 		if v.Wave == 0 {
 			wave = "-"
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", wave, v.Request.ID, v.Request.Machine, v.BlockedBy)
+		w.row("%s\t%d\t%s\t%s", wave, v.Request.ID, v.Request.Machine, v.BlockedBy)
 	}
-	return w.Flush()
+	return w.flush()
 }
