--- a/gateway/attempts.go
+++ b/gateway/attempts.go
@@ -82,7 +82,7 @@
 		Request:       r,
 		Endpoint:      f.Endpoint,
 		FillSource:    f.FillSource,
-		CacheRank:     f.CacheRank,
+		CacheRank:     int(f.CacheRank),
 		MaxAge:        f.MaxAge,
 		Coalesce:      f.Coalesce,
 		OnlyIfCached:  f.OnlyIfCached,
