--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,14 +22,14 @@
 
 // Defaults for what the configuration leaves out.
 const (
-	defaultMemoryMB   = 192
-	defaultSockets    = 1024
-	defaultCores      = 1
-	defaultStreams    = 32
-	defaultConnect    = 400 * time.Millisecond
-	defaultKeepAlive  = 30 * time.Second
-	defaultMostHeld   = 20000
-	environmentPrefix = "BALANCER_"
+	defaultMemoryMB        = 192
+	defaultSockets         = 1024
+	defaultCores           = 1
+	defaultStreams         = 32
+	defaultConnect         = 400 * time.Millisecond
+	defaultKeepAlive       = 30 * time.Second
+	defaultMaxOpenRequests = 20000
+	environmentPrefix      = "BALANCER_"
 )
 
 // Limits are what the platform lets the program use.
@@ -98,7 +98,7 @@
 	Settings routing.Settings    `json:"-"`
 	Sockets  simprotocol.Sockets `json:"-"`
 
-	layout layout
+	keys keySet
 }
 
 // Load reads the configuration that the environment names: the file in BALANCER_CONFIG, over which
@@ -162,10 +162,10 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	c.RawSettings = nil
-	if c.layout, err = layoutOf(data); err != nil {
+	if c.keys, err = keysOf(data); err != nil {
 		return nil, err
 	}
-	if err := c.directors(); err != nil {
+	if err := c.checkDirectorCount(); err != nil {
 		return nil, err
 	}
 	c.SizeScale = 1
@@ -193,13 +193,13 @@
 	orDefault(&c.Sockets.StreamsPerConn, defaultStreams)
 	orDefault(&c.Sockets.ConnectTimeout, defaultConnect)
 	orDefault(&c.Sockets.KeepAlive, defaultKeepAlive)
-	orDefault(&c.Sockets.MaxOpenRequests, defaultMostHeld)
+	orDefault(&c.Sockets.MaxOpenRequests, defaultMaxOpenRequests)
 	return &c, nil
 }
 
-// directors checks the number of gateways. Shares of budgets are reckoned by it: where it disagrees with the list of
+// checkDirectorCount checks the number of gateways. Shares of budgets are reckoned by it: where it disagrees with the list of
 // peers, or is missing, the larger one holds, so that all together spend no more than is allowed.
-func (c *Gateway) directors() error {
+func (c *Gateway) checkDirectorCount() error {
 	s := &c.Settings
 	n, zones := max(len(c.Peers), s.Index+1), 0
 	for _, p := range s.ZoneDirectors {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -36,26 +36,26 @@
 }
 
 const (
-	replicateWait     = 3 * time.Second
-	replicateWaitMost = 30 * time.Second
-	replicateBytes    = 256 << 10
-	replicateListings = 512
-	replicateMost     = 4096
+	defaultReplicationWait     = 3 * time.Second
+	maxReplicationWait         = 30 * time.Second
+	defaultReplicationBytes    = 256 << 10
+	defaultReplicationListings = 512
+	maxReplicationListings     = 4096
 )
 
-func readReplicate(pb *operatorpb.Replicate) (r *Replication, err error) {
+func readReplication(pb *operatorpb.Replicate) (r *Replication, err error) {
 	if pb == nil {
 		return nil, nil
 	}
-	r = &Replication{Bytes: cmp.Or(int(pb.GetBytes()), replicateBytes), Listings: cmp.Or(int(pb.GetListings()), replicateListings)}
-	if r.Wait, err = span("fleet.replicate.wait", pb.GetWait(), replicateWait, 100*time.Millisecond, replicateWaitMost); err != nil {
+	r = &Replication{Bytes: cmp.Or(int(pb.GetBytes()), defaultReplicationBytes), Listings: cmp.Or(int(pb.GetListings()), defaultReplicationListings)}
+	if r.Wait, err = parseDuration("fleet.replicate.wait", pb.GetWait(), defaultReplicationWait, 100*time.Millisecond, maxReplicationWait); err != nil {
 		return nil, err
 	}
 	if r.Bytes < 16<<10 || r.Bytes > 64<<20 {
-		return nil, fault("fleet.replicate.bytes", fmt.Errorf("%d is not from 16384 to 67108864", r.Bytes))
+		return nil, newKeyError("fleet.replicate.bytes", fmt.Errorf("%d is not from 16384 to 67108864", r.Bytes))
 	}
-	if r.Listings < 0 || r.Listings > replicateMost {
-		return nil, fault("fleet.replicate.listings", fmt.Errorf("%d is not from 0 to %d", r.Listings, replicateMost))
+	if r.Listings < 0 || r.Listings > maxReplicationListings {
+		return nil, newKeyError("fleet.replicate.listings", fmt.Errorf("%d is not from 0 to %d", r.Listings, maxReplicationListings))
 	}
 	return r, nil
 }
@@ -74,35 +74,35 @@
 }
 
 const (
-	fleetMost    = 1024
-	votersMost   = 9
-	fleetKey     = 32 // bytes, at least
+	maxMembers   = 1024
+	maxVoters    = 9
+	minKeyBytes  = 32 // bytes, at least
 	clockFileEnv = "LARCHUSHER_LAB_CLOCK"
 )
 
-// readFleet reads who belongs to the installation; nil: this gateway is alone.
-func readFleet(pb *operatorpb.Fleet, env func(string) string) (*Cluster, error) {
+// readCluster reads who belongs to the installation; nil: this gateway is alone.
+func readCluster(pb *operatorpb.Fleet, env func(string) string) (*Cluster, error) {
 	if pb == nil {
 		return nil, nil
 	}
 	f := &Cluster{Name: pb.GetName(), Listen: pb.GetListen(), Folder: pb.GetFolder(), ClockFile: env(clockFileEnv)}
 	if _, err := netip.ParseAddrPort(f.Listen); err != nil {
-		return nil, fault("fleet.listen", err)
+		return nil, newKeyError("fleet.listen", err)
 	}
 	seen, addresses := map[string]bool{}, map[string]bool{}
 	for i, m := range pb.GetMember() {
 		key := fmt.Sprintf("fleet.member[%d]", i)
 		if m.GetName() == "" || len(m.GetName()) > 64 || strings.HasPrefix(m.GetName(), "tool-") {
-			return nil, fault(key+".name", fmt.Errorf("%q: 1 to 64 characters, and tool- is for tools", m.GetName()))
+			return nil, newKeyError(key+".name", fmt.Errorf("%q: 1 to 64 characters, and tool- is for tools", m.GetName()))
 		}
 		if seen[m.GetName()] {
-			return nil, fault(key+".name", fmt.Errorf("%q stands twice", m.GetName()))
+			return nil, newKeyError(key+".name", fmt.Errorf("%q stands twice", m.GetName()))
 		}
 		if _, err := netip.ParseAddrPort(m.GetAddress()); err != nil {
-			return nil, fault(key+".address", err)
+			return nil, newKeyError(key+".address", err)
 		}
 		if addresses[m.GetAddress()] {
-			return nil, fault(key+".address", fmt.Errorf("%q stands twice", m.GetAddress()))
+			return nil, newKeyError(key+".address", fmt.Errorf("%q stands twice", m.GetAddress()))
 		}
 		seen[m.GetName()], addresses[m.GetAddress()] = true, true
 		f.Members = append(f.Members, ClusterMember{m.GetName(), m.GetAddress()})
@@ -112,13 +112,13 @@
 	}
 	switch {
 	case len(f.Members) == 0:
-		return nil, fault("fleet.member", errors.New("there is none"))
-	case len(f.Members) > fleetMost:
-		return nil, fault("fleet.member", fmt.Errorf("%d, %d may be", len(f.Members), fleetMost))
+		return nil, newKeyError("fleet.member", errors.New("there is none"))
+	case len(f.Members) > maxMembers:
+		return nil, newKeyError("fleet.member", fmt.Errorf("%d, %d may be", len(f.Members), maxMembers))
 	case !seen[f.Name]:
-		return nil, fault("fleet.name", fmt.Errorf("%q is none of the members", f.Name))
-	case len(f.Voters) > votersMost:
-		return nil, fault("fleet.member", fmt.Errorf("%d vote, %d may", len(f.Voters), votersMost))
+		return nil, newKeyError("fleet.name", fmt.Errorf("%q is none of the members", f.Name))
+	case len(f.Voters) > maxVoters:
+		return nil, newKeyError("fleet.member", fmt.Errorf("%d vote, %d may", len(f.Voters), maxVoters))
 	}
 	if len(f.Voters) == 0 {
 		n := min(3, len(f.Members))
@@ -130,20 +130,20 @@
 		}
 	}
 	var err error
-	if f.Key, err = hex.DecodeString(env(pb.GetKeyEnv())); pb.GetKeyEnv() == "" || err != nil || len(f.Key) < fleetKey {
-		return nil, fault("fleet.key_env", fmt.Errorf("%q is not the name of a variable with %d bytes or more in hex", pb.GetKeyEnv(), fleetKey))
+	if f.Key, err = hex.DecodeString(env(pb.GetKeyEnv())); pb.GetKeyEnv() == "" || err != nil || len(f.Key) < minKeyBytes {
+		return nil, newKeyError("fleet.key_env", fmt.Errorf("%q is not the name of a variable with %d bytes or more in hex", pb.GetKeyEnv(), minKeyBytes))
 	}
-	if f.Replication, err = readReplicate(pb.GetReplicate()); err != nil {
+	if f.Replication, err = readReplication(pb.GetReplicate()); err != nil {
 		return nil, err
 	}
 	w := pb.GetWork()
 	f.Bounds = maintenance.Limits{MaxUtilization: w.GetFull(), MaxZoneShareOut: w.GetZoneShare(), MinWarmParents: int(w.GetParents()), MaxOut: int(w.GetAtOnce()), MaxTimesOvertaken: int(w.GetPatience())}
-	if f.Bounds.Lease, err = span("fleet.work.lease", w.GetLease(), 0, 0, 1<<62); err != nil {
+	if f.Bounds.Lease, err = parseDuration("fleet.work.lease", w.GetLease(), 0, 0, 1<<62); err != nil {
 		return nil, err
 	}
 	if err := f.Bounds.Check(); err != nil {
 		name, rest, _ := strings.Cut(err.Error(), ": ")
-		return nil, fault("fleet.work."+snake(name), errors.New(rest))
+		return nil, newKeyError("fleet.work."+keyName(name), errors.New(rest))
 	}
 	return f, nil
 }
--- a/internal/config/localityfault_test.go
+++ b/internal/config/localityfault_test.go
@@ -16,7 +16,7 @@
 	for i := range fields.NumField() {
 		name := fields.Field(i).Name
 		err := localityFault(&locality.FieldError{Field: name, Reason: "odd"})
-		var f *faulty
+		var f *keyError
 		if !errors.As(err, &f) || !unset[name] && (!strings.HasPrefix(f.key, "tiers.") || f.err.Error() != "odd") {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -49,31 +49,31 @@
 	Key              []byte // of a MAC; empty: none
 }
 
-const defaultListings = 4096
+const defaultMaxListings = 4096
 
 // readState reads where knowledge is kept; nil: nowhere.
 func readState(pb *operatorpb.State, env func(string) string) (*State, error) {
 	if pb == nil {
 		return nil, nil
 	}
-	s := &State{Folder: pb.GetFolder(), MaxListings: cmp.Or(int(pb.GetListings()), defaultListings)}
+	s := &State{Folder: pb.GetFolder(), MaxListings: cmp.Or(int(pb.GetListings()), defaultMaxListings)}
 	if s.Folder == "" {
-		return nil, fault("state.folder", errors.New("it is needed"))
+		return nil, newKeyError("state.folder", errors.New("it is needed"))
 	}
 	if s.MaxListings < 0 || s.MaxListings > 1<<20 {
-		return nil, fault("state.listings", fmt.Errorf("%d is not from 1 to %d", s.MaxListings, 1<<20))
+		return nil, newKeyError("state.listings", fmt.Errorf("%d is not from 1 to %d", s.MaxListings, 1<<20))
 	}
 	var err error
-	if s.SnapshotInterval, err = span("state.every", pb.GetEvery(), warmstart.DefaultSaveInterval, 100*time.Millisecond, time.Hour); err != nil {
+	if s.SnapshotInterval, err = parseDuration("state.every", pb.GetEvery(), warmstart.DefaultSaveInterval, 100*time.Millisecond, time.Hour); err != nil {
 		return nil, err
 	}
 	if name := pb.GetKeyEnv(); name != "" {
 		text := env(name)
 		if text == "" {
-			return nil, fault("state.key_env", fmt.Errorf("%s is not set", name))
+			return nil, newKeyError("state.key_env", fmt.Errorf("%s is not set", name))
 		}
 		if s.Key, err = hex.DecodeString(text); err != nil || len(s.Key) < 16 {
-			return nil, fault("state.key_env", fmt.Errorf("%s is not 16 bytes or more in hex", name))
+			return nil, newKeyError("state.key_env", fmt.Errorf("%s is not 16 bytes or more in hex", name))
 		}
 	}
 	return s, nil
@@ -90,10 +90,10 @@
 	for i, l := range c.Localities[1:] {
 		key := fmt.Sprintf("tiers.locality[%d].name", i)
 		if l.Name == zone {
-			return nil, fault(key, fmt.Errorf("%q is the own locality", l.Name))
+			return nil, newKeyError(key, fmt.Errorf("%q is the own locality", l.Name))
 		}
 		if !slices.Contains(zones, l.Name) {
-			return nil, fault(key, fmt.Errorf("%q is none of the zones, which are %q", l.Name, zones))
+			return nil, newKeyError(key, fmt.Errorf("%q is none of the zones, which are %q", l.Name, zones))
 		}
 	}
 	return &c, nil
@@ -122,16 +122,16 @@
 	URLs      signedurl.Config
 }
 
-// faulty is an error with the key it is about.
-type faulty struct {
+// keyError is an error with the key it is about.
+type keyError struct {
 	key string
 	err error
 }
 
-func (f *faulty) Error() string { return f.key + ": " + f.err.Error() }
-func (f *faulty) Unwrap() error { return f.err }
+func (f *keyError) Error() string { return f.key + ": " + f.err.Error() }
+func (f *keyError) Unwrap() error { return f.err }
 
-func fault(key string, err error) error { return &faulty{key, err} }
+func newKeyError(key string, err error) error { return &keyError{key, err} }
 
 // LoadOperator reads the operator's file; an empty path is an empty file. Errors name the key and its line.
 func LoadOperator(path string, env func(string) string) (*Operator, error) {
@@ -156,7 +156,7 @@
 		return nil, err
 	}
 	o, err := readOperator(&pb, env)
-	var f *faulty
+	var f *keyError
 	if errors.As(err, &f) {
 		if line := lineOf(data, f.key); line > 0 {
 			return nil, fmt.Errorf("line %d: %w", line, err)
@@ -212,7 +212,7 @@
 		{"health.agent_listen", o.AgentListen, false}, {"health.http_listen", o.HTTPListen, false},
 		{"metrics.listen", o.MetricsListen, false}} {
 		if _, err := netip.ParseAddrPort(a.value); err != nil && (a.needed || a.value != "") {
-			return nil, fault(a.key, err)
+			return nil, newKeyError(a.key, err)
 		}
 	}
 	var err error
@@ -227,20 +227,20 @@
 	if o.State, err = readState(pb.GetState(), env); err != nil {
 		return nil, err
 	}
-	if o.Cluster, err = readFleet(pb.GetFleet(), env); err != nil {
+	if o.Cluster, err = readCluster(pb.GetFleet(), env); err != nil {
 		return nil, err
 	}
-	if o.Localities, err = readTiers(pb.GetTiers()); err != nil {
+	if o.Localities, err = readLocalities(pb.GetTiers()); err != nil {
 		return nil, err
 	}
 	return o, nil
 }
 
-// readTiers reads what tiers go by; nil: they are off.
-func readTiers(pb *operatorpb.Tiers) (*locality.Config, error) {
+// readLocalities reads what tiers go by; nil: they are off.
+func readLocalities(pb *operatorpb.Tiers) (*locality.Config, error) {
 	if len(pb.GetLocality()) == 0 {
 		if pb != nil {
-			return nil, fault("tiers.locality", errors.New("there is none"))
+			return nil, newKeyError("tiers.locality", errors.New("there is none"))
 		}
 		return nil, nil
 	}
@@ -254,7 +254,7 @@
 		to        *time.Duration
 	}{{"tiers.ramp", pb.GetRamp(), locality.DefaultRampDuration, &c.RampDuration}, {"tiers.silence", pb.GetSilence(), locality.DefaultSilenceTimeout, &c.SilenceTimeout},
 		{"tiers.back", pb.GetBack(), locality.DefaultBaseBackoff, &c.BaseBackoff}, {"tiers.back_most", pb.GetBackMost(), locality.DefaultMaxBackoff, &c.MaxBackoff}} {
-		if *s.to, err = span(s.key, s.text, s.def, 10*time.Millisecond, time.Hour); err != nil {
+		if *s.to, err = parseDuration(s.key, s.text, s.def, 10*time.Millisecond, time.Hour); err != nil {
 			return nil, err
 		}
 	}
@@ -263,13 +263,13 @@
 		key := fmt.Sprintf("tiers.locality[%d]", i)
 		switch {
 		case l.GetName() == "":
-			return nil, fault(key+".name", errors.New("empty"))
+			return nil, newKeyError(key+".name", errors.New("empty"))
 		case seen[l.GetName()]:
-			return nil, fault(key+".name", fmt.Errorf("%q stands twice", l.GetName()))
+			return nil, newKeyError(key+".name", fmt.Errorf("%q stands twice", l.GetName()))
 		case l.GetLevel() < 1 || l.GetLevel() > 16:
-			return nil, fault(key+".level", fmt.Errorf("%d is not from 1 to 16", l.GetLevel()))
+			return nil, newKeyError(key+".level", fmt.Errorf("%d is not from 1 to 16", l.GetLevel()))
 		case !(l.GetWeight() >= 0):
-			return nil, fault(key+".weight", fmt.Errorf("%v", l.GetWeight()))
+			return nil, newKeyError(key+".weight", fmt.Errorf("%v", l.GetWeight()))
 		}
 		seen[l.GetName()] = true
 		c.Localities = append(c.Localities, locality.Locality{Name: l.GetName(), Level: int(l.GetLevel()), Weight: l.GetWeight()})
@@ -302,13 +302,13 @@
 func localityFault(err error) error {
 	var field *locality.FieldError
 	if !errors.As(err, &field) || localityKeys[field.Field] == "" {
-		return fault("tiers", err)
+		return newKeyError("tiers", err)
 	}
-	return fault(localityKeys[field.Field], errors.New(field.Reason))
+	return newKeyError(localityKeys[field.Field], errors.New(field.Reason))
 }
 
-// snake turns a field's name into that of a key: BackMost is back_most.
-func snake(name string) string {
+// keyName turns a field's name into that of a key: BackMost is back_most.
+func keyName(name string) string {
 	var b strings.Builder
 	for i, r := range name {
 		if unicode.IsUpper(r) && i > 0 {
@@ -319,8 +319,8 @@
 	return b.String()
 }
 
-// span reads a length of time; an empty one is the default.
-func span(key, text string, def, least, most time.Duration) (time.Duration, error) {
+// parseDuration reads a length of time; an empty one is the default.
+func parseDuration(key, text string, def, least, most time.Duration) (time.Duration, error) {
 	if text == "" {
 		return def, nil
 	}
@@ -329,7 +329,7 @@
 		err = fmt.Errorf("%v is not from %v to %v", d, least, most)
 	}
 	if err != nil {
-		return 0, fault(key, err)
+		return 0, newKeyError(key, err)
 	}
 	return d, nil
 }
@@ -346,17 +346,17 @@
 		{"overload.tick", pb.GetTick(), overload.DefaultTick, 5 * time.Millisecond, time.Second, &c.Tick},
 		{"overload.stall_least", pb.GetStallLeast(), overload.DefaultMinPause, 10 * time.Millisecond, time.Minute, &c.MinPause},
 	} {
-		if *s.to, err = span(s.key, s.text, s.def, s.least, s.most); err != nil {
+		if *s.to, err = parseDuration(s.key, s.text, s.def, s.least, s.most); err != nil {
 			return c, err
 		}
 	}
 	switch {
 	case c.TargetWait > c.MaxWait:
-		return c, fault("overload.target", fmt.Errorf("%v is over wait, which is %v", c.TargetWait, c.MaxWait))
+		return c, newKeyError("overload.target", fmt.Errorf("%v is over wait, which is %v", c.TargetWait, c.MaxWait))
 	case !(pb.GetProbe() >= 0 && pb.GetProbe() <= 1):
-		return c, fault("overload.probe", fmt.Errorf("%v is not from 0 to 1", pb.GetProbe()))
+		return c, newKeyError("overload.probe", fmt.Errorf("%v is not from 0 to 1", pb.GetProbe()))
 	case pb.GetAnswersMb() < 0:
-		return c, fault("overload.answers_mb", errors.New("negative"))
+		return c, newKeyError("overload.answers_mb", errors.New("negative"))
 	}
 	c.ProbeShare = cmp.Or(pb.GetProbe(), overload.DefaultProbeShare)
 	c.RepeatsFirst, c.MemoryLimit = pb.GetRepeatsFirst(), int64(pb.GetAnswersMb())<<20
@@ -366,22 +366,22 @@
 func readSigned(pb *operatorpb.SignedFront, env func(string) string) (*Signed, error) {
 	s := &Signed{Listen: pb.GetListen(), RenewWith: pb.GetRenewWith(), URLs: signedurl.Config{Base: pb.GetBase()}}
 	var err error
-	if s.URLs.Leeway, err = span("signed_front.leeway", pb.GetLeeway(), defaultLeeway, 0, time.Hour); err != nil {
+	if s.URLs.Leeway, err = parseDuration("signed_front.leeway", pb.GetLeeway(), defaultLeeway, 0, time.Hour); err != nil {
 		return nil, err
 	}
 	for i, k := range pb.GetKey() {
 		key, name, err := loadKey(k, env)
 		if err != nil {
-			return nil, fault(fmt.Sprintf("signed_front.key[%d].%s", i, name), err)
+			return nil, newKeyError(fmt.Sprintf("signed_front.key[%d].%s", i, name), err)
 		}
 		s.URLs.Keys = append(s.URLs.Keys, key)
 	}
 	if _, err := signedurl.NewVerifier(s.URLs); err != nil {
-		return nil, fault("signed_front", err)
+		return nil, newKeyError("signed_front", err)
 	}
 	if s.RenewWith != "" {
 		if _, err := signedurl.NewIssuer(s.URLs, s.RenewWith); err != nil {
-			return nil, fault("signed_front.renew_with", err)
+			return nil, newKeyError("signed_front.renew_with", err)
 		}
 	}
 	return s, nil
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -10,9 +10,9 @@
 	"larchusher/routing"
 )
 
-// layout is which keys a configuration has: a reload is not to lose one. A file that is cut short, or was written half, may
+// keySet is which keys a configuration has: a reload is not to lose one. A file that is cut short, or was written half, may
 // still be valid JSON, and what it lacks would silently become a default.
-type layout struct {
+type keySet struct {
 	keys    []string // of objects within objects, as paths with dots between names
 	classes []string // that each element of settings.classes has
 }
@@ -20,8 +20,8 @@
 // classesKey is the list whose elements come and go.
 const classesKey = "settings.classes"
 
-// layoutOf reads which keys a configuration has.
-func layoutOf(data []byte) (l layout, err error) {
+// keysOf reads which keys a configuration has.
+func keysOf(data []byte) (l keySet, err error) {
 	var root map[string]any
 	if err := json.Unmarshal(data, &root); err != nil {
 		return l, err
@@ -45,7 +45,7 @@
 }
 
 // add notes the keys of an object.
-func (l *layout) add(path string, object map[string]any) {
+func (l *keySet) add(path string, object map[string]any) {
 	for name, value := range object {
 		key := path + name
 		l.keys = append(l.keys, key)
@@ -55,9 +55,9 @@
 	}
 }
 
-// lost names the first key that a newer configuration lacks; empty: none. What is known of stores is told anew by the
+// missingKey names the first key that a newer configuration lacks; empty: none. What is known of stores is told anew by the
 // journal, so it may be missing.
-func (l layout) lost(newer layout) string {
+func (l keySet) missingKey(newer keySet) string {
 	for _, key := range l.keys {
 		if _, found := slices.BinarySearch(newer.keys, key); !found && key != "known" && !strings.HasPrefix(key, "known.") {
 			return key
@@ -66,8 +66,8 @@
 	return ""
 }
 
-// lostOfClasses is lost for the elements of the list of classes.
-func (l layout) lostOfClasses(newer layout) string {
+// missingClassKey is lost for the elements of the list of classes.
+func (l keySet) missingClassKey(newer keySet) string {
 	for _, name := range l.classes {
 		if !slices.Contains(newer.classes, name) {
 			return classesKey + "[]." + name
@@ -79,8 +79,8 @@
 // CheckReload says why a newer configuration may not take the place of c while the program runs; nil: it may. It is
 // stricter than a start: what was there must still be, and the figures that bound each request must be positive.
 func (c *Gateway) CheckReload(newer *Gateway) error {
-	if key := c.layout.lost(newer.layout); key != "" {
-		return missing(key)
+	if key := c.keys.missingKey(newer.keys); key != "" {
+		return missingKeyError(key)
 	}
 	if newer.Settings.MaxAttempts <= 0 {
 		return fmt.Errorf("settings.limits.sendCap: %d is not positive", newer.Settings.MaxAttempts)
@@ -88,8 +88,8 @@
 	if err := routing.CheckClasses(newer.Settings.Classes); err != nil {
 		return err
 	}
-	if key := c.layout.lostOfClasses(newer.layout); key != "" {
-		return missing(key)
+	if key := c.keys.missingClassKey(newer.keys); key != "" {
+		return missingKeyError(key)
 	}
 	for i, k := range newer.Settings.Classes {
 		switch {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func missing(key string) error {
+func missingKeyError(key string) error {
 	return fmt.Errorf("%s: missing, and the configuration in use has it", key)
 }
 
@@ -116,7 +116,7 @@
 	}{{"name", c.Name, newer.Name}, {"listen", c.Listen, newer.Listen}, {"console", c.AdminListen, newer.AdminListen}, {"limits", c.Limits, newer.Limits},
 		{"peer_listen", c.PeerListen, newer.PeerListen}, {"peers", c.Peers, newer.Peers},
 		{"peers_all", c.PeersAll, newer.PeersAll}, {"seed", c.SeedText, newer.SeedText},
-		{"settings", []any{fixedSettings(c.Settings), c.Sockets}, []any{fixedSettings(newer.Settings), newer.Sockets}}} {
+		{"settings", []any{restartSettings(c.Settings), c.Sockets}, []any{restartSettings(newer.Settings), newer.Sockets}}} {
 		if !reflect.DeepEqual(k.old, k.new) {
 			keys = append(keys, k.key)
 		}
@@ -124,8 +124,8 @@
 	return keys
 }
 
-// fixedSettings is the part of the settings that is taken in at the start only.
-func fixedSettings(s routing.Settings) routing.Settings {
+// restartSettings is the part of the settings that is taken in at the start only.
+func restartSettings(s routing.Settings) routing.Settings {
 	s.Classes, s.MaxAttempts = nil, 0
 	return s
 }
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -28,7 +28,7 @@
 
 func (p *Problem) Error() string { return strconv.Itoa(p.Status) + " " + p.Reason }
 
-func problem(status int, reason string, header ...[2]string) *Problem {
+func newProblem(status int, reason string, header ...[2]string) *Problem {
 	return &Problem{Status: status, Reason: reason, Header: header}
 }
 
@@ -61,7 +61,7 @@
 
 // Overloaded is the answer to a request whose token is good and which is shed for load.
 func Overloaded(later time.Duration) *Problem {
-	return problem(http.StatusServiceUnavailable, "refused: trying again is harmless", retryAfter(later))
+	return newProblem(http.StatusServiceUnavailable, "refused: trying again is harmless", retryAfter(later))
 }
 
 // retryAfter words advice on when to come back: whole seconds (RFC 9110, 10.2.3), and one at least.
@@ -97,30 +97,30 @@
 	if err != nil {
 		var refused *signedurl.Error
 		if errors.As(err, &refused) {
-			return nil, problem(http.StatusForbidden, string(refused.Reason))
+			return nil, newProblem(http.StatusForbidden, string(refused.Reason))
 		}
-		return nil, problem(http.StatusForbidden, "refused")
+		return nil, newProblem(http.StatusForbidden, "refused")
 	}
 	path, query, _ := strings.Cut(c.Target, "?")
 	parts := strings.Split(path[1:], "/")
 	if len(parts) != 3 {
-		return nil, problem(http.StatusNotFound, "no such path: /CLASS/OBJECT/PART")
+		return nil, newProblem(http.StatusNotFound, "no such path: /CLASS/OBJECT/PART")
 	}
 	class, ok := a.classes[parts[0]]
 	if !ok {
-		return nil, problem(http.StatusNotFound, "no such class")
+		return nil, newProblem(http.StatusNotFound, "no such class")
 	}
 	r := &gateway.Request{Class: class.Name, Object: parts[1], Body: c.Body, Deadline: c.ReceivedAt.Add(class.Deadline)}
-	if !objectName(r.Object) {
-		return nil, problem(http.StatusNotFound, "an object is 16 hex digits")
+	if !isObjectName(r.Object) {
+		return nil, newProblem(http.StatusNotFound, "an object is 16 hex digits")
 	}
-	if r.Part, ok = number(parts[2], 1<<20); !ok {
-		return nil, problem(http.StatusNotFound, "no such part")
+	if r.Part, ok = parseNumber(parts[2], 1<<20); !ok {
+		return nil, newProblem(http.StatusNotFound, "no such part")
 	}
 	for q := range strings.SplitSeq(query, "&") {
 		if v, is := strings.CutPrefix(q, "shard="); is {
-			if r.Group, ok = number(v, 255); !ok {
-				return nil, problem(http.StatusBadRequest, "shard is from 0 to 255")
+			if r.Group, ok = parseNumber(v, 255); !ok {
+				return nil, newProblem(http.StatusBadRequest, "shard is from 0 to 255")
 			}
 		}
 	}
@@ -128,25 +128,25 @@
 	keyed := class.Effect != routing.Idempotent
 	switch {
 	case keyed && c.Method != http.MethodPost:
-		return nil, problem(http.StatusMethodNotAllowed, "POST only", [2]string{"Allow", "POST"})
+		return nil, newProblem(http.StatusMethodNotAllowed, "POST only", [2]string{"Allow", "POST"})
 	case !keyed && c.Method != http.MethodGet && c.Method != http.MethodHead:
-		return nil, problem(http.StatusMethodNotAllowed, "GET and HEAD only", [2]string{"Allow", "GET, HEAD"})
+		return nil, newProblem(http.StatusMethodNotAllowed, "GET and HEAD only", [2]string{"Allow", "GET, HEAD"})
 	case len(c.Body) > MaxBodyBytes:
-		return nil, problem(http.StatusRequestEntityTooLarge, "the body is too long")
+		return nil, newProblem(http.StatusRequestEntityTooLarge, "the body is too long")
 	case keyed:
 		keys := c.Header("Idempotency-Key")
-		if len(keys) != 1 || !plain(unquoted(keys[0])) {
-			return nil, problem(http.StatusBadRequest, "one Idempotency-Key of letters, digits, - and _ is needed")
+		if len(keys) != 1 || !isPlainField(unquoted(keys[0])) {
+			return nil, newProblem(http.StatusBadRequest, "one Idempotency-Key of letters, digits, - and _ is needed")
 		}
 		r.IdempotencyKey = unquoted(keys[0])
 	default:
-		r.IfNoneMatch = have(c.Header("If-None-Match"))
+		r.IfNoneMatch = singleTag(c.Header("If-None-Match"))
 	}
 	return &AdmittedRequest{Request: r, Grant: grant, HeadOnly: c.Method == http.MethodHead}, nil
 }
 
-// objectName says whether s is 16 lower-case hex digits.
-func objectName(s string) bool {
+// isObjectName says whether s is 16 lower-case hex digits.
+func isObjectName(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f') {
 			return false
@@ -155,8 +155,8 @@
 	return len(s) == 16
 }
 
-// number reads a number without sign or leading zeros, which would give one part two names.
-func number(s string, most int) (int, bool) {
+// parseNumber reads a number without sign or leading zeros, which would give one part two names.
+func parseNumber(s string, most int) (int, bool) {
 	n, err := strconv.ParseUint(s, 10, 31)
 	return int(n), err == nil && int(n) <= most && strconv.FormatUint(n, 10) == s
 }
@@ -168,8 +168,8 @@
 	return s
 }
 
-// plain says whether s can be passed on to a store.
-func plain(s string) bool {
+// isPlainField says whether s can be passed on to a store.
+func isPlainField(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_') {
 			return false
@@ -178,13 +178,13 @@
 	return s != "" && len(s) <= 128
 }
 
-// have returns the tag in If-None-Match, if there is just one and it can be passed on. Of several, none is
+// singleTag returns the tag in If-None-Match, if there is just one and it can be passed on. Of several, none is
 // passed on: the answer is then whole, which is always right.
-func have(values []string) string {
+func singleTag(values []string) string {
 	if len(values) != 1 {
 		return ""
 	}
-	if tag := unquoted(strings.TrimPrefix(values[0], "W/")); tag != values[0] && plain(tag) {
+	if tag := unquoted(strings.TrimPrefix(values[0], "W/")); tag != values[0] && isPlainField(tag) {
 		return tag
 	}
 	return ""
@@ -214,7 +214,7 @@
 			add("ETag", `"`+ans.ETag+`"`)
 		}
 		add("Cache-Control", "private")
-		if cookie := a.renewal(ad, now); cookie != "" {
+		if cookie := a.renewalCookie(ad, now); cookie != "" {
 			add("Set-Cookie", cookie)
 		}
 	case gateway.Rejected:
@@ -235,8 +235,8 @@
 	return r
 }
 
-// renewal is the cookie with the fresh token that a grant asks for.
-func (a *API) renewal(ad *AdmittedRequest, now time.Time) string {
+// renewalCookie is the cookie with the fresh token that a grant asks for.
+func (a *API) renewalCookie(ad *AdmittedRequest, now time.Time) string {
 	if a.issuer == nil || !ad.Grant.Renewal.Cookie {
 		return ""
 	}
--- a/internal/net/admin/admin.go
+++ b/internal/net/admin/admin.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	lineMost = 256                    // bytes of a call
-	sweep    = 250 * time.Millisecond // between two looks for callers that complete no call
-	prefix   = "balancer"             // of the figures
+	maxCallBytes  = 256                    // bytes of a call
+	sweepInterval = 250 * time.Millisecond // between two looks for callers that complete no call
+	metricPrefix  = "balancer"             // of the figures
 )
 
 // Names of the calls.
@@ -47,7 +47,7 @@
 // New returns a server that does not listen yet.
 func New(cfg Config) *Server {
 	s := &Server{cfg: cfg, callers: transport.NewConnTracker(cfg.MaxConns)}
-	cfg.Loop.After(sweep, s.sweep)
+	cfg.Loop.After(sweepInterval, s.sweep)
 	return s
 }
 
@@ -60,7 +60,7 @@
 // sweep closes callers that complete no call.
 func (s *Server) sweep() {
 	s.callers.Sweep(s.cfg.Loop.Now(), nil)
-	s.cfg.Loop.After(sweep, s.sweep)
+	s.cfg.Loop.After(sweepInterval, s.sweep)
 }
 
 // reply words the reply to a call.
@@ -72,16 +72,16 @@
 		}
 		return []byte("ok\n")
 	case callStats:
-		return append(metrics.StatsD(prefix, s.cfg.Stats()), "eof\n"...)
+		return append(metrics.StatsD(metricPrefix, s.cfg.Stats()), "eof\n"...)
 	}
 	return fmt.Appendf(nil, "fail unknown call %.40q: %s or %s\n", call, callReady, callStats)
 }
 
 // caller is one connection.
 type caller struct {
-	server *Server
-	line   []byte // poller: what has come of the call
-	called bool   // poller: it has come whole
+	server   *Server
+	line     []byte // poller: what has come of the call
+	answered bool   // poller: it has come whole
 
 	slot *transport.TrackedConn // loop
 	gone bool                   // loop
@@ -98,14 +98,14 @@
 
 // OnBytes answers once the line has come whole. What follows it is passed over.
 func (c *caller) OnBytes(tc *transport.Conn, b []byte, _ time.Time) error {
-	if c.called {
+	if c.answered {
 		return nil
 	}
 	line, _, whole := bytes.Cut(append(c.line, b...), []byte("\n"))
-	if c.line = line; len(line) > lineMost {
+	if c.line = line; len(line) > maxCallBytes {
 		return errNoLine
 	}
-	if c.called = whole; !whole {
+	if c.answered = whole; !whole {
 		return nil
 	}
 	call := string(bytes.TrimSpace(line))
--- a/internal/net/agentcheck/agentcheck.go
+++ b/internal/net/agentcheck/agentcheck.go
@@ -12,8 +12,8 @@
 	"larchusher/internal/net/transport"
 )
 
-// headMost is the longest head of a health request.
-const headMost = 8 << 10
+// maxHeadBytes is the longest head of a health request.
+const maxHeadBytes = 8 << 10
 
 // State is what a balancer is told.
 type State struct {
@@ -30,8 +30,8 @@
 	Metrics func() ([]byte, error) // nil: none
 }
 
-// agent words a state for HAProxy: its weight falls as the gateway sheds load.
-func (s State) agent() string {
+// agentReply words a state for HAProxy: its weight falls as the gateway sheds load.
+func (s State) agentReply() string {
 	switch {
 	case s.Draining:
 		return "drain\n"
@@ -49,18 +49,18 @@
 	return engine.Listen(addr, most, nil, func() transport.Handler { return agent{c} })
 }
 
-// bound ends a connection that is still there after a while. Guards against checks that hold their few places and
+// limitTime ends a connection that is still there after a while. Guards against checks that hold their few places and
 // say nothing: the balancer's own would find none.
-func (c *Checker) bound(tc *transport.Conn) {
+func (c *Checker) limitTime(tc *transport.Conn) {
 	c.Loop.Post(func() {
 		c.Loop.After(transport.FirstByteTimeout, func() { tc.Close(errors.New("it takes too long")) })
 	})
 }
 
-// close ends a connection once its answer has left.
-func (c *Checker) close(tc *transport.Conn) {
+// closeWhenWritten ends a connection once its answer has left.
+func (c *Checker) closeWhenWritten(tc *transport.Conn) {
 	if tc.UnsentBytes() > 0 {
-		c.Loop.After(time.Millisecond, func() { c.close(tc) })
+		c.Loop.After(time.Millisecond, func() { c.closeWhenWritten(tc) })
 		return
 	}
 	tc.CloseGracefully(errors.New("done"), transport.LingerTime)
@@ -70,13 +70,13 @@
 type agent struct{ checker *Checker }
 
 // OnOpened bounds the connection's time.
-func (a agent) OnOpened(tc *transport.Conn) { a.checker.bound(tc) }
+func (a agent) OnOpened(tc *transport.Conn) { a.checker.limitTime(tc) }
 
 // OnReady answers at once.
 func (a agent) OnReady(tc *transport.Conn) {
 	a.checker.Loop.Post(func() {
-		_ = tc.Write([]byte(a.checker.State().agent()))
-		a.checker.close(tc)
+		_ = tc.Write([]byte(a.checker.State().agentReply()))
+		a.checker.closeWhenWritten(tc)
 	})
 }
 
@@ -102,13 +102,13 @@
 }
 
 // OnOpened bounds the connection's time.
-func (h *health) OnOpened(tc *transport.Conn) { h.checker.bound(tc) }
+func (h *health) OnOpened(tc *transport.Conn) { h.checker.limitTime(tc) }
 
 func (h *health) OnBytes(tc *transport.Conn, b []byte, _ time.Time) error {
 	if h.done {
 		return nil
 	}
-	if h.buf = append(h.buf, b...); len(h.buf) > headMost {
+	if h.buf = append(h.buf, b...); len(h.buf) > maxHeadBytes {
 		return errors.New("a head that does not end")
 	}
 	if !bytes.Contains(h.buf, []byte("\r\n\r\n")) {
@@ -142,7 +142,7 @@
 		}
 		_ = tc.Write([]byte(fmt.Sprintf("HTTP/1.1 %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n"+
 			"Cache-Control: no-store\r\nConnection: close\r\n\r\n%s", status, kind, len(text), body)))
-		h.checker.close(tc)
+		h.checker.closeWhenWritten(tc)
 	})
 	return nil
 }
--- a/internal/net/discovery/client.go
+++ b/internal/net/discovery/client.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	connectFor = 500 * time.Millisecond
-	silence    = 2500 * time.Millisecond // a comment comes each second
-	retryFirst = 50 * time.Millisecond
-	retryMost  = 500 * time.Millisecond // what the journal holds counts as told after 7 s
-	lineMost   = 1 << 20
+	connectTimeout = 500 * time.Millisecond
+	silenceTimeout = 2500 * time.Millisecond // a comment comes each second
+	minBackoff     = 50 * time.Millisecond
+	maxBackoff     = 500 * time.Millisecond // what the journal holds counts as told after 7 s
+	maxEventBytes  = 1 << 20
 )
 
 // Client reads the journal, and reconnects when it ends or falls silent. It lives on the loop.
 type Client struct {
-	loop   *gateway.Loop
-	engine *transport.Engine
-	log    logrus.FieldLogger
-	addr   string
-	book   *EventApplier
+	loop    *gateway.Loop
+	engine  *transport.Engine
+	log     logrus.FieldLogger
+	addr    string
+	applier *EventApplier
 
-	pos     int64 // the latest event taken in
-	current *stream
-	heard   time.Time
-	retry   time.Duration
-	again   *gateway.Timer // of the next try, while there is no connection
+	position       int64 // the latest event taken in
+	current        *stream
+	lastByte       time.Time
+	backoff        time.Duration
+	reconnectTimer *gateway.Timer // of the next try, while there is no connection
 
 	Connects, Events, Dropped uint64
 }
@@ -43,9 +43,9 @@
 // Watch begins to read the journal after the event pos.
 func Watch(loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger, addr string, book *EventApplier,
 	pos int64) *Client {
-	c := &Client{loop: loop, engine: engine, log: log, addr: addr, book: book, pos: pos, retry: retryFirst}
+	c := &Client{loop: loop, engine: engine, log: log, addr: addr, applier: book, position: pos, backoff: minBackoff}
 	c.connect()
-	c.watch()
+	c.checkSilence()
 	return c
 }
 
@@ -55,9 +55,9 @@
 	if addr == c.addr {
 		return
 	}
-	c.log.WithFields(logrus.Fields{logfields.From: c.addr, logfields.To: addr, logfields.Position: c.pos}).Info(logfields.DiscoveryMoved)
-	c.addr, c.retry = addr, retryFirst
-	c.again.Stop()
+	c.log.WithFields(logrus.Fields{logfields.From: c.addr, logfields.To: addr, logfields.Position: c.position}).Info(logfields.DiscoveryMoved)
+	c.addr, c.backoff = addr, minBackoff
+	c.reconnectTimer.Stop()
 	old := c.current
 	c.connect()
 	if old != nil && old.tc != nil {
@@ -70,37 +70,37 @@
 
 func (c *Client) connect() {
 	s := &stream{client: c}
-	c.current, c.heard = s, c.loop.Now()
+	c.current, c.lastByte = s, c.loop.Now()
 	c.Connects++
-	c.engine.Dial(c.addr, connectFor, s,
+	c.engine.Dial(c.addr, connectTimeout, s,
 		func(tc *transport.Conn) {
 			c.loop.Post(func() {
 				if c.current != s {
 					tc.Close(errors.New("given up"))
 					return
 				}
-				s.tc, c.heard = tc, c.loop.Now()
+				s.tc, c.lastByte = tc, c.loop.Now()
 				_ = tc.Write([]byte("GET /journal HTTP/1.1\r\nHost: " + c.addr +
 					"\r\nAccept: text/event-stream\r\nCache-Control: no-cache\r\nLast-Event-ID: " +
-					strconv.FormatInt(c.pos, 10) + "\r\n\r\n"))
+					strconv.FormatInt(c.position, 10) + "\r\n\r\n"))
 			})
 		},
-		func(err error) { c.loop.Post(func() { c.lost(s, err) }) })
+		func(err error) { c.loop.Post(func() { c.reconnect(s, err) }) })
 }
 
-// watch gives up a connection that has come to nothing or fallen silent.
-func (c *Client) watch() {
+// checkSilence gives up a connection that has come to nothing or fallen silent.
+func (c *Client) checkSilence() {
 	if s := c.current; s != nil {
-		quiet := c.loop.Now().Sub(c.heard)
-		if s.tc == nil && quiet > connectFor || quiet > silence {
-			c.lost(s, errors.New("silent"))
+		quiet := c.loop.Now().Sub(c.lastByte)
+		if s.tc == nil && quiet > connectTimeout || quiet > silenceTimeout {
+			c.reconnect(s, errors.New("silent"))
 		}
 	}
-	c.loop.After(connectFor/5, c.watch)
+	c.loop.After(connectTimeout/5, c.checkSilence)
 }
 
-// lost drops a connection and comes back soon.
-func (c *Client) lost(s *stream, err error) {
+// reconnect drops a connection and comes back soon.
+func (c *Client) reconnect(s *stream, err error) {
 	if c.current != s {
 		return
 	}
@@ -108,11 +108,11 @@
 	if s.tc != nil {
 		s.tc.Close(err)
 	}
-	if s.tc != nil || c.retry == retryFirst { // once a loss, not once a try
+	if s.tc != nil || c.backoff == minBackoff { // once a loss, not once a try
 		c.log.WithError(err).Warn(logfields.DiscoveryLost)
 	}
-	c.again = c.loop.After(c.retry, c.connect)
-	c.retry = min(2*c.retry, retryMost)
+	c.reconnectTimer = c.loop.After(c.backoff, c.connect)
+	c.backoff = min(2*c.backoff, maxBackoff)
 }
 
 // stream is one connection to the journal service.
@@ -121,12 +121,12 @@
 	tc     *transport.Conn // loop
 
 	// The poller's: what is read of the response.
-	buf   []byte
-	state int
-	left  int64 // bytes of the present chunk, with its closing line end
-	text  []byte
-	data  []byte
-	id    string
+	buf            []byte
+	state          int
+	chunkBytesLeft int64 // bytes of the present chunk, with its closing line end
+	line           []byte
+	data           []byte
+	id             string
 }
 
 // States of a response.
@@ -142,8 +142,8 @@
 func (s *stream) OnBytes(_ *transport.Conn, b []byte, at time.Time) error {
 	var events []Event
 	var dropped uint64
-	err := s.read(b, func(data []byte, id string) {
-		e, bad := parse(data)
+	err := s.parseResponse(b, func(data []byte, id string) {
+		e, bad := parseEvent(data)
 		if n, numeric := strconv.ParseInt(id, 10, 64); numeric == nil {
 			e.Position = n
 		}
@@ -160,14 +160,14 @@
 		if c.current != s {
 			return
 		}
-		c.heard, c.retry = at, retryFirst
+		c.lastByte, c.backoff = at, minBackoff
 		for _, e := range events {
-			if e.Position != 0 && e.Position <= c.pos { // told again after a reconnect
+			if e.Position != 0 && e.Position <= c.position { // told again after a reconnect
 				continue
 			}
-			c.pos = max(c.pos, e.Position)
+			c.position = max(c.position, e.Position)
 			c.Events++
-			c.book.Apply(c.loop.Now(), e)
+			c.applier.Apply(c.loop.Now(), e)
 		}
 	})
 	return err
@@ -178,11 +178,11 @@
 	if err == nil {
 		err = errors.New("closed")
 	}
-	s.client.loop.Post(func() { s.client.lost(s, err) })
+	s.client.loop.Post(func() { s.client.reconnect(s, err) })
 }
 
-// read takes the next bytes of a response and calls event with each whole event.
-func (s *stream) read(b []byte, event func(data []byte, id string)) error {
+// parseResponse takes the next bytes of a response and calls event with each whole event.
+func (s *stream) parseResponse(b []byte, event func(data []byte, id string)) error {
 	s.buf = append(s.buf, b...)
 	for len(s.buf) > 0 {
 		switch s.state {
@@ -194,12 +194,12 @@
 				}
 				return nil
 			}
-			if err := s.head(string(s.buf[:i])); err != nil {
+			if err := s.parseHead(string(s.buf[:i])); err != nil {
 				return err
 			}
 			s.buf = s.buf[i+4:]
 		case inBody:
-			if err := s.events(s.buf, event); err != nil {
+			if err := s.parseEvents(s.buf, event); err != nil {
 				return err
 			}
 			s.buf = s.buf[:0]
@@ -217,17 +217,17 @@
 				return fmt.Errorf("the chunk's length %.20q", word)
 			}
 			s.buf = s.buf[i+1:]
-			if s.state, s.left = inChunk, int64(n)+2; n == 0 {
+			if s.state, s.chunkBytesLeft = inChunk, int64(n)+2; n == 0 {
 				s.state = atEnd
 			}
 		case inChunk:
-			n := min(s.left, int64(len(s.buf)))
-			body := min(n, max(0, s.left-2))
-			if err := s.events(s.buf[:body], event); err != nil {
+			n := min(s.chunkBytesLeft, int64(len(s.buf)))
+			body := min(n, max(0, s.chunkBytesLeft-2))
+			if err := s.parseEvents(s.buf[:body], event); err != nil {
 				return err
 			}
 			s.buf = s.buf[n:]
-			if s.left -= n; s.left == 0 {
+			if s.chunkBytesLeft -= n; s.chunkBytesLeft == 0 {
 				s.state = inChunkLine
 			}
 		case atEnd:
@@ -237,7 +237,7 @@
 	return nil
 }
 
-func (s *stream) head(head string) error {
+func (s *stream) parseHead(head string) error {
 	lines := strings.Split(head, "\r\n")
 	if word := strings.SplitN(lines[0], " ", 3); len(word) < 2 || !strings.HasPrefix(word[0], "HTTP/1.") ||
 		word[1] != "200" {
@@ -253,19 +253,19 @@
 	return nil
 }
 
-// events reads lines of server-sent events.
-func (s *stream) events(b []byte, event func(data []byte, id string)) error {
-	s.text = append(s.text, b...)
+// parseEvents reads lines of server-sent events.
+func (s *stream) parseEvents(b []byte, event func(data []byte, id string)) error {
+	s.line = append(s.line, b...)
 	for {
-		i := bytes.IndexByte(s.text, '\n')
+		i := bytes.IndexByte(s.line, '\n')
 		if i < 0 {
-			if len(s.text)+len(s.data) > lineMost {
+			if len(s.line)+len(s.data) > maxEventBytes {
 				return errors.New("an event that does not end")
 			}
 			return nil
 		}
-		line := bytes.TrimSuffix(s.text[:i], []byte("\r"))
-		s.text = s.text[i+1:]
+		line := bytes.TrimSuffix(s.line[:i], []byte("\r"))
+		s.line = s.line[i+1:]
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		value = bytes.TrimPrefix(value, []byte(" "))
 		switch string(name) {
@@ -286,4 +286,4 @@
 }
 
 // Position is the number of the latest event that was taken in.
-func (c *Client) Position() int64 { return c.pos }
+func (c *Client) Position() int64 { return c.position }
--- a/internal/net/discovery/events.go
+++ b/internal/net/discovery/events.go
@@ -53,8 +53,8 @@
 var phases = map[string]routing.Phase{"SERVING": routing.Up, "DRAINING": routing.Draining,
 	"DELETED": routing.Removed}
 
-// check names the first part of an event that cannot be used.
-func (e Event) check() error {
+// validate names the first part of an event that cannot be used.
+func (e Event) validate() error {
 	if e.EndpointList != nil {
 		for _, h := range e.EndpointList.Endpoints {
 			if h.Name == "" {
@@ -71,12 +71,12 @@
 	return nil
 }
 
-// parse reads the data of one event.
-func parse(data []byte) (e Event, err error) {
+// parseEvent reads the data of one event.
+func parseEvent(data []byte) (e Event, err error) {
 	if err = json.Unmarshal(data, &e); err != nil {
 		return e, fmt.Errorf("not an event: %w", err)
 	}
-	return e, e.check()
+	return e, e.validate()
 }
 
 // Sink takes in what the journal tells. Its methods are called on the loop.
@@ -92,24 +92,24 @@
 	Sink  Sink
 	Clock func(time.Time) time.Duration // the director's
 
-	boots map[string]boot
-	here  map[string]EndpointEntry // stores that are on the list
+	incarnations map[string]incarnation
+	listed       map[string]EndpointEntry // stores that are on the list
 }
 
-// boot is when a store started, on the journal's clock and on the director's. It is turned once: a start
+// incarnation is when a store started, on the journal's clock and on the director's. It is turned once: a start
 // whose time moves would look like another start.
-type boot struct {
-	since int64
-	at    time.Duration
+type incarnation struct {
+	startedAtMs  int64
+	directorTime time.Duration
 }
 
 // ApplyInitial takes in what is known at the start, as one stale list.
 func (b *EventApplier) ApplyInitial(now time.Time, k InitialState) error {
-	b.boots, b.here = map[string]boot{}, map[string]EndpointEntry{}
+	b.incarnations, b.listed = map[string]incarnation{}, map[string]EndpointEntry{}
 	hosts := map[string]EndpointEntry{}
 	var order []string
 	for _, e := range k.Entries {
-		if err := e.check(); err != nil {
+		if err := e.validate(); err != nil {
 			return err
 		}
 		if e.EndpointList == nil {
@@ -130,10 +130,10 @@
 	for _, name := range order {
 		all = append(all, hosts[name])
 	}
-	b.hosts(now, routing.StaleList, all)
+	b.applyList(now, routing.StaleList, all)
 	for _, e := range k.Entries {
 		if e.Purge != nil {
-			b.purge(now, *e.Purge)
+			b.applyPurge(now, *e.Purge)
 		}
 	}
 	return nil
@@ -142,8 +142,8 @@
 // CurrentState is the present list of stores as a process could be told it at its start, after the event pos.
 func (b *EventApplier) CurrentState(pos int64) InitialState {
 	list := &EndpointListEvent{Snapshot: true}
-	for _, name := range slices.Sorted(maps.Keys(b.here)) {
-		list.Endpoints = append(list.Endpoints, b.here[name])
+	for _, name := range slices.Sorted(maps.Keys(b.listed)) {
+		list.Endpoints = append(list.Endpoints, b.listed[name])
 	}
 	return InitialState{Position: pos, Entries: []Event{{Position: pos, EndpointList: list}}}
 }
@@ -155,49 +155,49 @@
 		if e.EndpointList.Snapshot {
 			kind = routing.FullList
 		}
-		b.hosts(now, kind, e.EndpointList.Endpoints)
+		b.applyList(now, kind, e.EndpointList.Endpoints)
 	}
 	if e.Purge != nil {
-		b.purge(now, *e.Purge)
+		b.applyPurge(now, *e.Purge)
 	}
 }
 
-func (b *EventApplier) hosts(now time.Time, kind routing.UpdateKind, hosts []EndpointEntry) {
+func (b *EventApplier) applyList(now time.Time, kind routing.UpdateKind, hosts []EndpointEntry) {
 	m := routing.EndpointUpdate{Kind: kind}
 	named := map[string]bool{}
 	for _, h := range hosts {
-		at := b.boots[h.Name]
-		if at.since != h.StartedAtMs {
-			at = boot{since: h.StartedAtMs}
+		at := b.incarnations[h.Name]
+		if at.startedAtMs != h.StartedAtMs {
+			at = incarnation{startedAtMs: h.StartedAtMs}
 			if h.StartedAtMs > 0 {
-				at.at = b.Clock(now) - now.Sub(time.UnixMilli(h.StartedAtMs))
+				at.directorTime = b.Clock(now) - now.Sub(time.UnixMilli(h.StartedAtMs))
 			}
-			b.boots[h.Name] = at
+			b.incarnations[h.Name] = at
 		}
 		m.Endpoints = append(m.Endpoints, routing.Endpoint{ID: h.Name, Zone: h.Zone, Kind: h.Kind, Cell: h.Cell,
-			Incarnation: at.at, Weight: h.Weight, Phase: phases[h.Status]})
+			Incarnation: at.directorTime, Weight: h.Weight, Phase: phases[h.Status]})
 		if phases[h.Status] == routing.Removed {
 			b.Sink.RemoveEndpoint(h.Name)
-			delete(b.here, h.Name)
-			delete(b.boots, h.Name) // ids come and go all day
+			delete(b.listed, h.Name)
+			delete(b.incarnations, h.Name) // ids come and go all day
 			continue
 		}
-		named[h.Name], b.here[h.Name] = true, h
+		named[h.Name], b.listed[h.Name] = true, h
 		b.Sink.SetAddress(h.Name, h.Address, h.StartedAtMs)
 	}
 	if kind != routing.DeltaList { // what a whole list does not name is gone
-		for name := range b.here {
+		for name := range b.listed {
 			if !named[name] {
 				b.Sink.RemoveEndpoint(name)
-				delete(b.here, name)
-				delete(b.boots, name)
+				delete(b.listed, name)
+				delete(b.incarnations, name)
 			}
 		}
 	}
 	b.Sink.UpdateEndpoints(m)
 }
 
-func (b *EventApplier) purge(now time.Time, x PurgeEvent) {
+func (b *EventApplier) applyPurge(now time.Time, x PurgeEvent) {
 	p := routing.Purge{Object: x.Object, Age: max(0, now.Sub(time.UnixMilli(x.IssuedAtMs)))}
 	if x.Group != nil && x.Object == "" {
 		p.Group = *x.Group
--- a/internal/net/gossip/gossip.go
+++ b/internal/net/gossip/gossip.go
@@ -15,38 +15,38 @@
 	"larchusher/routing"
 )
 
-// most is the length of a datagram; a longer one breaks the platform's rule.
-const most = 256
+// maxDatagramBytes is the length of a datagram; a longer one breaks the platform's rule.
+const maxDatagramBytes = 256
 
 // Link is the one socket for all peers. nbio gives each remote end of a UDP socket a connection of its own
 // and none to one that has not spoken first, so this is the standard library's, with one reader.
 type Link struct {
-	conn *net.UDPConn
-	all  netip.AddrPort
-	to   []netip.AddrPort
-	from map[netip.AddrPort]int
-	log  logrus.FieldLogger
+	conn        *net.UDPConn
+	broadcast   netip.AddrPort
+	peers       []netip.AddrPort
+	indexByAddr map[netip.AddrPort]int
+	log         logrus.FieldLogger
 
 	Sent, Received, Dropped uint64 // the loop's
 }
 
 // Listen listens on addr. Peers are known by their place in list; all reaches every one of them.
 func Listen(addr string, list []string, all string, log logrus.FieldLogger) (*Link, error) {
-	l := &Link{from: map[netip.AddrPort]int{}, log: log}
+	l := &Link{indexByAddr: map[netip.AddrPort]int{}, log: log}
 	for i, s := range list {
 		a, err := netip.ParseAddrPort(s)
 		if err != nil {
 			return nil, fmt.Errorf("peers[%d]: %w", i, err)
 		}
-		l.to = append(l.to, a)
-		l.from[a] = i
+		l.peers = append(l.peers, a)
+		l.indexByAddr[a] = i
 	}
 	if all != "" {
 		a, err := netip.ParseAddrPort(all)
 		if err != nil {
 			return nil, fmt.Errorf("peers_all: %w", err)
 		}
-		l.all = a
+		l.broadcast = a
 	}
 	a, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -64,7 +64,7 @@
 
 // ReadLoop hands each message to heard, on the loop. It returns when the link is closed.
 func (l *Link) ReadLoop(loop *gateway.Loop, heard func(from int, data string)) {
-	buf := make([]byte, most+1)
+	buf := make([]byte, maxDatagramBytes+1)
 	for {
 		n, addr, err := l.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -73,10 +73,10 @@
 		if err != nil { // a peer's port was closed, say
 			continue
 		}
-		from, known := l.from[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
+		from, known := l.indexByAddr[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
 		data := string(buf[:n])
 		loop.Post(func() {
-			if !known || len(data) > most { // only peers are heard
+			if !known || len(data) > maxDatagramBytes { // only peers are heard
 				l.Dropped++
 				return
 			}
@@ -88,14 +88,14 @@
 
 // SendGossip sends a message to one peer, or to all of them. It may get lost.
 func (l *Link) SendGossip(to int, data string) {
-	addr := l.all
+	addr := l.broadcast
 	if to != routing.AllDirectors {
-		if to < 0 || to >= len(l.to) {
+		if to < 0 || to >= len(l.peers) {
 			return
 		}
-		addr = l.to[to]
+		addr = l.peers[to]
 	}
-	if len(data) > most || !addr.IsValid() {
+	if len(data) > maxDatagramBytes || !addr.IsValid() {
 		l.Dropped++
 		return
 	}
--- a/internal/net/msgpackrpc/codec.go
+++ b/internal/net/msgpackrpc/codec.go
@@ -13,10 +13,10 @@
 var errShort = errors.New("incomplete")
 
 const (
-	frameMost = 96 << 10 // bytes of one message; bodies go up to 48,000
-	depthMost = 5
-	itemsMost = 64  // of one array or map
-	valueMost = 256 // values in one message: what has not come whole is looked at again with each further byte
+	maxFrameBytes = 96 << 10 // bytes of one message; bodies go up to 48,000
+	maxDepth      = 5
+	maxItems      = 64  // of one array or map
+	maxValues     = 256 // values in one message: what has not come whole is looked at again with each further byte
 )
 
 // kind is the family of a MessagePack value.
@@ -41,9 +41,9 @@
 	bytes []byte
 }
 
-// next decodes the value at the start of b and returns what follows it. The items of an array or a map are
+// decodeValue decodes the value at the start of b and returns what follows it. The items of an array or a map are
 // values of their own.
-func next(b []byte) (v value, rest []byte, err error) {
+func decodeValue(b []byte) (v value, rest []byte, err error) {
 	if len(b) == 0 {
 		return v, nil, errShort
 	}
@@ -63,7 +63,7 @@
 		if v.kind = k; err != nil {
 			return
 		}
-		if n > frameMost {
+		if n > maxFrameBytes {
 			err = fmt.Errorf("a value of %d bytes", n)
 		} else if uint64(len(b)) < n {
 			err = errShort
@@ -113,21 +113,21 @@
 	default:
 		err = fmt.Errorf("byte %#x begins no value", c)
 	}
-	if (v.kind == kindArray || v.kind == kindMap) && err == nil && v.n > itemsMost {
+	if (v.kind == kindArray || v.kind == kindMap) && err == nil && v.n > maxItems {
 		err = fmt.Errorf("a value of %d items", v.n)
 	}
 	return v, b, err
 }
 
-// skip passes over the value at the start of b, items and all, if it has no more values than are left.
-func skip(b []byte, depth int, left *int) (rest []byte, err error) {
-	if depth > depthMost {
+// skipValue passes over the value at the start of b, items and all, if it has no more values than are left.
+func skipValue(b []byte, depth int, left *int) (rest []byte, err error) {
+	if depth > maxDepth {
 		return nil, errors.New("values nested too deeply")
 	}
 	if *left--; *left < 0 {
 		return nil, errors.New("too many values")
 	}
-	v, rest, err := next(b)
+	v, rest, err := decodeValue(b)
 	items := uint64(0)
 	switch v.kind {
 	case kindArray:
@@ -136,7 +136,7 @@
 		items = 2 * v.n
 	}
 	for ; err == nil && items > 0; items-- {
-		rest, err = skip(rest, depth+1, left)
+		rest, err = skipValue(rest, depth+1, left)
 	}
 	return rest, err
 }
@@ -234,7 +234,7 @@
 
 func (d *decoder) value() (v value) {
 	if d.err == nil {
-		v, d.rest, d.err = next(d.rest)
+		v, d.rest, d.err = decodeValue(d.rest)
 	}
 	return v
 }
@@ -314,7 +314,7 @@
 	if ms := later.Milliseconds(); ms > 0 {
 		name, value = "later", strconv.FormatInt(ms, 10)
 	}
-	return appendError(b, id, errorBack, name, value)
+	return appendError(b, id, errorRejected, name, value)
 }
 
 // appendResponse begins a response: its type and id.
--- a/internal/net/msgpackrpc/front.go
+++ b/internal/net/msgpackrpc/front.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	openMost     = 32 // requests open on one connection; further ones are refused
-	sweep        = 250 * time.Millisecond
-	bodyMost     = 48000   // bytes that a request carries
-	partMost     = 1 << 20 // parts of one object
-	groupMost    = 255     // the last group
-	sizeMost     = 1 << 20 // KB that a part can have
-	limitMost    = time.Minute
-	keptMost     = 16 << 10  // of a connection's buffer, between messages
-	refusalsMost = 32 << 10  // bytes of refusals that are written at once
-	messageCost  = 512       // memory of a message beside its body
-	errorBack    = "Backoff" // refused
-	errorLost    = "Lost"    // failed
+	maxOpenPerConn    = 32 // requests open on one connection; further ones are refused
+	sweepInterval     = 250 * time.Millisecond
+	maxBodyBytes      = 48000   // bytes that a request carries
+	maxPart           = 1 << 20 // parts of one object
+	maxGroup          = 255     // the last group
+	maxSizeKB         = 1 << 20 // KB that a part can have
+	maxTimeLimit      = time.Minute
+	maxIdleBuffer     = 16 << 10  // of a connection's buffer, between messages
+	maxRejectionBatch = 32 << 10  // bytes of refusals that are written at once
+	messageCost       = 512       // memory of a message beside its body
+	errorRejected     = "Backoff" // refused
+	errorFailed       = "Lost"    // failed
 )
 
 // errEnding ends connections with the program.
@@ -42,7 +42,7 @@
 	log     logrus.FieldLogger
 	conns   map[*conn]bool
 	tracker *transport.ConnTracker
-	shut    bool        // Shut was called
+	closed  bool        // Shut was called
 	holding atomic.Bool // Hold was called
 
 	classes atomic.Pointer[map[string]string] // names, so that each is held once
@@ -55,7 +55,7 @@
 func New(loop *gateway.Loop, g *gateway.Gateway, classes []string, most int, log logrus.FieldLogger) *Front {
 	f := &Front{loop: loop, gateway: g, log: log, conns: map[*conn]bool{}, tracker: transport.NewConnTracker(most)}
 	f.SetClasses(classes)
-	loop.After(sweep, f.sweep)
+	loop.After(sweepInterval, f.sweep)
 	return f
 }
 
@@ -85,7 +85,7 @@
 
 // CloseAll ends all connections, once nothing is in work on them: what comes on them from now on is not taken in.
 func (f *Front) CloseAll() {
-	f.shut = true
+	f.closed = true
 	for c := range f.conns {
 		c.tc.CloseGracefully(errEnding, transport.LingerTime)
 	}
@@ -111,7 +111,7 @@
 
 // idle says whether nothing is owed on the connection.
 func (c *conn) idle() bool {
-	return len(c.open) == 0 && c.tc.InputDrained() && c.handed.Load() == 0 && c.tracked.PartialSince.IsZero()
+	return len(c.open) == 0 && c.tc.InputDrained() && c.postedBatches.Load() == 0 && c.tracked.PartialSince.IsZero()
 }
 
 // EvictIdle has an idle connection closed, for one that waits to be accepted. It may be called from anywhere.
@@ -120,7 +120,7 @@
 // sweep closes connections that hold their places for nothing.
 func (f *Front) sweep() {
 	f.tracker.Sweep(f.loop.Now(), nil)
-	f.loop.After(sweep, f.sweep)
+	f.loop.After(sweepInterval, f.sweep)
 }
 
 // conn is one client's connection.
@@ -128,30 +128,30 @@
 	front *Front
 	buf   []byte // poller: bytes of a message that has not come whole; what is held comes behind them
 
-	tc      *transport.Conn // loop: the rest
-	client  *gateway.Client
-	open    map[uint64]*gateway.Request
-	tracked *transport.TrackedConn
-	gone    bool
-	half    bool         // poller: a part of a message has come
-	handed  atomic.Int64 // pieces of work that were handed to the loop, and that it has not done
-	asked   atomic.Int64 // requests that were shed, and the loop has not counted
+	tc            *transport.Conn // loop: the rest
+	client        *gateway.Client
+	open          map[uint64]*gateway.Request
+	tracked       *transport.TrackedConn
+	gone          bool
+	partial       bool         // poller: a part of a message has come
+	postedBatches atomic.Int64 // pieces of work that were handed to the loop, and that it has not done
+	shedUncounted atomic.Int64 // requests that were shed, and the loop has not counted
 
-	cancels cancels // that were read, and that the loop has not taken in
+	pendingCancels pendingCancels // that were read, and that the loop has not taken in
 
-	held    []transport.ReceivedChunk // poller: what came since Hold
-	scanned int                       // poller: bytes of buf in which cancels have been looked for
-	moved   bool                      // it has gone over to another process
+	heldInput    []transport.ReceivedChunk // poller: what came since Hold
+	scannedBytes int                       // poller: bytes of buf in which cancels have been looked for
+	migrated     bool                      // it has gone over to another process
 }
 
-// cancels are message ids, counted. The zero value has none.
-type cancels struct {
+// pendingCancels are message ids, counted. The zero value has none.
+type pendingCancels struct {
 	n   atomic.Int64
 	mu  sync.Mutex
 	ids map[uint64]int
 }
 
-func (c *cancels) add(id uint64) {
+func (c *pendingCancels) add(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ids == nil {
@@ -161,7 +161,7 @@
 	c.n.Add(1)
 }
 
-func (c *cancels) done(id uint64) {
+func (c *pendingCancels) remove(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ids[id]--; c.ids[id] <= 0 {
@@ -170,8 +170,8 @@
 	c.n.Add(-1)
 }
 
-// has says whether an id is among them; where there are none, which is nearly always, it costs one load.
-func (c *cancels) has(id uint64) bool {
+// contains says whether an id is among them; where there are none, which is nearly always, it costs one load.
+func (c *pendingCancels) contains(id uint64) bool {
 	if c.n.Load() == 0 {
 		return false
 	}
@@ -183,12 +183,12 @@
 // OnOpened counts the connection among those that are swept, though it may never send a byte.
 func (c *conn) OnOpened(tc *transport.Conn) {
 	c.front.loop.Post(func() {
-		if c.front.shut { // it was accepted just before the end
+		if c.front.closed { // it was accepted just before the end
 			tc.CloseGracefully(errEnding, transport.LingerTime)
 		} else if !c.gone {
 			c.tc = tc
 			c.tracked = c.front.tracker.Add(tc, c.front.loop.Now(), func() bool {
-				if n := c.asked.Swap(0); n > 0 && c.tracked != nil { // it is at work, though none of it is in work
+				if n := c.shedUncounted.Swap(0); n > 0 && c.tracked != nil { // it is at work, though none of it is in work
 					c.tracked.Received(c.front.loop.Now(), int(n), false)
 				}
 				return len(c.open) > 0
@@ -199,43 +199,43 @@
 	})
 }
 
-// word is one message on its way to the loop.
-type word struct {
-	kind    wordKind
+// clientMessage is one message on its way to the loop.
+type clientMessage struct {
+	kind    clientMessageKind
 	id      uint64
 	request *gateway.Request
 	class   string // of a request that cannot be read
 }
 
-type wordKind byte
+type clientMessageKind byte
 
 const (
-	wordRequest wordKind = iota
-	wordBad              // a request that cannot be read
-	wordCancel
-	wordAlive
-	wordNothing // a notification that means nothing here
+	requestMessage    clientMessageKind = iota
+	unreadableMessage                   // a request that cannot be read
+	cancelMessage
+	aliveMessage
+	ignoredMessage // a notification that means nothing here
 )
 
 // OnBytes cuts what came into messages. A message that has come whole carries the time at which it did. What is to be
 // shed is refused right here, and costs the loop nothing.
 func (c *conn) OnBytes(tc *transport.Conn, b []byte, at time.Time) error {
 	if c.front.holding.Load() {
-		return c.hold(tc, b, at)
+		return c.holdInput(tc, b, at)
 	}
 	if len(c.buf) > 0 {
 		c.buf = append(c.buf, b...)
 		b = c.buf
 	}
-	var batch []word
+	var batch []clientMessage
 	var refusals []byte
 	shed := 0
 	var bad error
 	held := 0
 	for len(b) > 0 && bad == nil {
-		left := valueMost
-		rest, err := skip(b, 0, &left)
-		if errors.Is(err, errShort) && len(b) <= frameMost {
+		left := maxValues
+		rest, err := skipValue(b, 0, &left)
+		if errors.Is(err, errShort) && len(b) <= maxFrameBytes {
 			break
 		}
 		if err == nil {
@@ -249,15 +249,15 @@
 				if !ok {
 					shed++
 					refusals = appendRefusal(refusals, m.id, later)
-					if len(refusals) > refusalsMost {
+					if len(refusals) > maxRejectionBatch {
 						bad = tc.Write(refusals)
 						refusals = refusals[:0]
 					}
 					continue
 				}
-				w := c.word(m, at)
-				if w.kind == wordCancel {
-					c.cancels.add(w.id)
+				w := c.parseMessage(m, at)
+				if w.kind == cancelMessage {
+					c.pendingCancels.add(w.id)
 				}
 				batch = append(batch, w)
 				held += messageCost + len(m.body)
@@ -268,7 +268,7 @@
 		bad = fmt.Errorf("malformed message: %w", err)
 		break
 	}
-	if len(b) == 0 && cap(c.buf) > keptMost { // many clients send a large body once in a while
+	if len(b) == 0 && cap(c.buf) > maxIdleBuffer { // many clients send a large body once in a while
 		c.buf = nil
 	}
 	c.buf = append(c.buf[:0], b...)
@@ -276,18 +276,18 @@
 	if len(refusals) > 0 && bad == nil {
 		bad = tc.Write(refusals)
 	}
-	if shed > 0 && len(batch) == 0 && !half && !c.half && bad == nil {
-		c.asked.Add(int64(shed)) // the loop learns of it when it next looks
+	if shed > 0 && len(batch) == 0 && !half && !c.partial && bad == nil {
+		c.shedUncounted.Add(int64(shed)) // the loop learns of it when it next looks
 		return nil
 	}
-	c.half = half
-	c.handed.Add(1)
+	c.partial = half
+	c.postedBatches.Add(1)
 	c.front.loop.Post(func() {
-		c.handed.Add(-1)
+		c.postedBatches.Add(-1)
 		if bad != nil {
 			c.front.Malformed++
 		}
-		c.take(tc, batch, shed, half, at)
+		c.handleBatch(tc, batch, shed, half, at)
 		tc.ReleaseInput(held)
 	})
 	return bad
@@ -307,7 +307,7 @@
 	})
 }
 
-func (c *conn) take(tc *transport.Conn, batch []word, shed int, half bool, at time.Time) {
+func (c *conn) handleBatch(tc *transport.Conn, batch []clientMessage, shed int, half bool, at time.Time) {
 	// What was read before the end and comes after it belongs to nobody: its client asks elsewhere.
 	if c.gone || tc.Closing() {
 		return
@@ -315,30 +315,30 @@
 	c.tracked.Received(c.front.loop.Now(), len(batch)+shed, half)
 	for _, w := range batch {
 		switch w.kind {
-		case wordCancel:
-			c.cancels.done(w.id)
+		case cancelMessage:
+			c.pendingCancels.remove(w.id)
 			if r := c.open[w.id]; r != nil {
 				delete(c.open, w.id)
 				c.front.gateway.Abandon(r)
 			}
-		case wordAlive:
+		case aliveMessage:
 			b := append(appendResponse(nil, w.id), 0xc0, 0x92, 0xc3)
 			_ = tc.Write(appendFields(b, "", ""))
-		case wordBad:
-			if !c.opened(w.id) {
+		case unreadableMessage:
+			if !c.rejectReusedID(w.id) {
 				c.front.gateway.CountAnswer(w.class, gateway.Answer{Outcome: gateway.Failed})
-				c.fail(w.id, errorLost, "", "")
+				c.writeError(w.id, errorFailed, "", "")
 			}
-		case wordRequest:
-			if !c.opened(w.id) {
-				c.request(w)
+		case requestMessage:
+			if !c.rejectReusedID(w.id) {
+				c.submit(w)
 			}
 		}
 	}
 }
 
-// opened closes the connection if a message id is in use.
-func (c *conn) opened(id uint64) bool {
+// rejectReusedID closes the connection if a message id is in use.
+func (c *conn) rejectReusedID(id uint64) bool {
 	if c.open[id] == nil {
 		return false
 	}
@@ -347,30 +347,30 @@
 	return true
 }
 
-// request hands a request in.
-func (c *conn) request(w word) {
-	if len(c.open) >= openMost {
+// submit hands a request in.
+func (c *conn) submit(w clientMessage) {
+	if len(c.open) >= maxOpenPerConn {
 		c.front.TooManyOpen++
 		c.front.gateway.CountAnswer(w.request.Class, gateway.Answer{Outcome: gateway.Rejected})
-		c.fail(w.id, errorBack, "later", "100")
+		c.writeError(w.id, errorRejected, "later", "100")
 		return
 	}
 	w.request.Client = c.client
-	w.request.Answer = func(a gateway.Answer) { c.answer(w.id, a) }
-	w.request.ClientConnected = func() bool { return !c.tc.Closing() && !c.cancels.has(w.id) && !c.tc.PeerClosed() }
+	w.request.Answer = func(a gateway.Answer) { c.writeAnswer(w.id, a) }
+	w.request.ClientConnected = func() bool { return !c.tc.Closing() && !c.pendingCancels.contains(w.id) && !c.tc.PeerClosed() }
 	c.open[w.id] = w.request
 	c.front.gateway.Submit(w.request)
 }
 
-// word reads a message; the frame's memory is used again. A request counts its time from when its last byte came.
-func (c *conn) word(m message, at time.Time) word {
+// parseMessage reads a message; the frame's memory is used again. A request counts its time from when its last byte came.
+func (c *conn) parseMessage(m message, at time.Time) clientMessage {
 	switch {
 	case m.kind == typeNotify && string(m.method) == "cancelRequest":
-		return word{kind: wordCancel, id: m.number}
+		return clientMessage{kind: cancelMessage, id: m.number}
 	case m.kind == typeNotify: // unknown notifications are passed over
-		return word{kind: wordNothing}
+		return clientMessage{kind: ignoredMessage}
 	case string(m.method) == "alive":
-		return word{kind: wordAlive, id: m.id}
+		return clientMessage{kind: aliveMessage, id: m.id}
 	}
 	class, ok := (*c.front.classes.Load())[string(m.method)] // makes no string
 	if !ok {
@@ -397,30 +397,30 @@
 		}
 		return n
 	}
-	limit := min(time.Duration(number("limit", f.limit, true, 1<<31))*time.Millisecond, limitMost)
-	r.Part, r.Group = int(number("n", f.n, false, partMost)), int(number("shard", f.shard, false, groupMost))
+	limit := min(time.Duration(number("limit", f.limit, true, 1<<31))*time.Millisecond, maxTimeLimit)
+	r.Part, r.Group = int(number("n", f.n, false, maxPart)), int(number("shard", f.shard, false, maxGroup))
 	switch {
-	case !hexName(r.ID) || !hexName(r.Object):
+	case !isHexID(r.ID) || !isHexID(r.Object):
 		err = errors.New("txn and item have 16 hex digits")
-	case r.IdempotencyKey != "" && !plain(r.IdempotencyKey) || r.IfNoneMatch != "" && !plain(r.IfNoneMatch):
+	case r.IdempotencyKey != "" && !isPlainField(r.IdempotencyKey) || r.IfNoneMatch != "" && !isPlainField(r.IfNoneMatch):
 		err = errors.New("a field that cannot be passed on")
-	case len(r.Body) > bodyMost:
+	case len(r.Body) > maxBodyBytes:
 		err = errors.New("the body is too long")
 	}
 	if err != nil {
 		c.front.log.WithError(err).Debug(logfields.RequestUnreadable)
-		return word{kind: wordBad, id: m.id, class: class}
+		return clientMessage{kind: unreadableMessage, id: m.id, class: class}
 	}
 	// A size helps to decide and reaches no store: one that can't be read is not told.
-	if kb, err := strconv.ParseFloat(string(f.ram), 64); err == nil && kb > 0 && kb <= sizeMost {
+	if kb, err := strconv.ParseFloat(string(f.ram), 64); err == nil && kb > 0 && kb <= maxSizeKB {
 		r.SizeKB = kb
 	}
 	r.Deadline = at.Add(limit)
-	return word{kind: wordRequest, id: m.id, request: r}
+	return clientMessage{kind: requestMessage, id: m.id, request: r}
 }
 
-// hexName says whether s is 16 hex digits.
-func hexName(s string) bool {
+// isHexID says whether s is 16 hex digits.
+func isHexID(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f') {
 			return false
@@ -429,8 +429,8 @@
 	return len(s) == 16
 }
 
-// plain says whether s can stand in a field of any wire that it is passed on to.
-func plain(s string) bool {
+// isPlainField says whether s can stand in a field of any wire that it is passed on to.
+func isPlainField(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' ||
 			c == '_' || c == '.') {
@@ -440,7 +440,7 @@
 	return s != "" && len(s) <= 128
 }
 
-func (c *conn) answer(id uint64, a gateway.Answer) {
+func (c *conn) writeAnswer(id uint64, a gateway.Answer) {
 	delete(c.open, id)
 	switch {
 	case c.gone:
@@ -453,11 +453,11 @@
 	case a.Retryable:
 		_ = c.tc.Write(appendRefusal(nil, id, a.RetryAfter))
 	default:
-		c.fail(id, errorLost, "", "")
+		c.writeError(id, errorFailed, "", "")
 	}
 }
 
-// fail answers with an error and at most one field.
-func (c *conn) fail(id uint64, word, name, value string) {
+// writeError answers with an error and at most one field.
+func (c *conn) writeError(id uint64, word, name, value string) {
 	_ = c.tc.Write(appendError(nil, id, word, name, value))
 }
--- a/internal/net/msgpackrpc/move.go
+++ b/internal/net/msgpackrpc/move.go
@@ -7,8 +7,8 @@
 	"larchusher/internal/net/transport"
 )
 
-// heldMost is how many bytes of requests are held for another process on one connection; what comes beyond stays in the kernel.
-const heldMost = 64 << 10
+// maxHeldBytes is how many bytes of requests are held for another process on one connection; what comes beyond stays in the kernel.
+const maxHeldBytes = 64 << 10
 
 // A connection goes over to another process once nothing is open on it. From HoldRequests on no request is taken any more, so that this
 // moment comes: what comes is held, and goes over with the connection. Cancels are heeded all the same.
@@ -20,22 +20,22 @@
 // is ended.
 func (f *Front) MigrateIdle(move func(tc *transport.Conn, pieces []transport.ReceivedChunk) error) (left int) {
 	for c := range f.conns {
-		if c.tc.Closing() || c.moved {
+		if c.tc.Closing() || c.migrated {
 			continue
 		}
-		if len(c.open) > 0 || c.handed.Load() > 0 || c.tc.UnsentBytes() > 0 {
+		if len(c.open) > 0 || c.postedBatches.Load() > 0 || c.tc.UnsentBytes() > 0 {
 			left++
 			continue
 		}
 		stopped, err := c.tc.StopReading()
-		if err == nil && (!stopped || c.handed.Load() > 0) {
+		if err == nil && (!stopped || c.postedBatches.Load() > 0) {
 			left++
 			continue
 		}
 		if err == nil {
-			err = move(c.tc, c.pieces())
+			err = move(c.tc, c.unhandledInput())
 		}
-		if c.moved = err == nil; !c.moved {
+		if c.migrated = err == nil; !c.migrated {
 			f.log.WithError(err).Warn(logfields.ConnMigrationFailed)
 			c.tc.CloseGracefully(errEnding, transport.LingerTime)
 		}
@@ -43,32 +43,32 @@
 	return left
 }
 
-// pieces are what has come and was not taken in. Nothing is read from the connection any more.
-func (c *conn) pieces() (all []transport.ReceivedChunk) {
+// unhandledInput are what has come and was not taken in. Nothing is read from the connection any more.
+func (c *conn) unhandledInput() (all []transport.ReceivedChunk) {
 	before := c.buf[:len(c.buf)-c.heldBytes()]
 	if len(before) > 0 {
 		// The beginning of a message. Its time does not count: a request's runs from its last byte.
 		all = append(all, transport.ReceivedChunk{Data: before, At: c.front.loop.Now()})
 	}
-	return append(all, c.held...)
+	return append(all, c.heldInput...)
 }
 
 // heldBytes is how many bytes are held.
 func (c *conn) heldBytes() (n int) {
-	for _, p := range c.held {
+	for _, p := range c.heldInput {
 		n += len(p.Data)
 	}
 	return n
 }
 
-// hold keeps what came for another process, and heeds the cancels in it. It runs on the poller.
-func (c *conn) hold(tc *transport.Conn, b []byte, at time.Time) error {
-	c.held = append(c.held, transport.ReceivedChunk{Data: append([]byte(nil), b...), At: at})
+// holdInput keeps what came for another process, and heeds the cancels in it. It runs on the poller.
+func (c *conn) holdInput(tc *transport.Conn, b []byte, at time.Time) error {
+	c.heldInput = append(c.heldInput, transport.ReceivedChunk{Data: append([]byte(nil), b...), At: at})
 	c.buf = append(c.buf, b...)
-	var cancels []word
-	for rest := c.buf[c.scanned:]; len(rest) > 0; {
-		left := valueMost
-		next, err := skip(rest, 0, &left)
+	var cancels []clientMessage
+	for rest := c.buf[c.scannedBytes:]; len(rest) > 0; {
+		left := maxValues
+		next, err := skipValue(rest, 0, &left)
 		if err != nil { // it is not whole, or cannot be read: whoever takes it in next deals with it
 			break
 		}
@@ -77,20 +77,20 @@
 			break
 		}
 		if m.kind == typeNotify && string(m.method) == "cancelRequest" {
-			c.cancels.add(m.number)
-			cancels = append(cancels, word{kind: wordCancel, id: m.number})
+			c.pendingCancels.add(m.number)
+			cancels = append(cancels, clientMessage{kind: cancelMessage, id: m.number})
 		}
-		c.scanned += len(rest) - len(next)
+		c.scannedBytes += len(rest) - len(next)
 		rest = next
 	}
 	if len(cancels) > 0 {
-		c.handed.Add(1)
+		c.postedBatches.Add(1)
 		c.front.loop.Post(func() {
-			c.handed.Add(-1)
-			c.take(tc, cancels, 0, false, at)
+			c.postedBatches.Add(-1)
+			c.handleBatch(tc, cancels, 0, false, at)
 		})
 	}
-	if len(c.buf) > heldMost {
+	if len(c.buf) > maxHeldBytes {
 		_, err := tc.StopReading()
 		return err
 	}
--- a/internal/net/resp/parser_test.go
+++ b/internal/net/resp/parser_test.go
@@ -15,18 +15,18 @@
 		var stream []byte
 		var want [][]string
 		for range rapid.IntRange(1, 6).Draw(t, "arrays") {
-			body := strings.Repeat("x", rapid.SampledFrom([]int{0, 1, shortMost, shortMost + 1, 50000}).Draw(t, "size"))
+			body := strings.Repeat("x", rapid.SampledFrom([]int{0, 1, maxUnreservedBytes, maxUnreservedBytes + 1, 50000}).Draw(t, "size"))
 			args := []string{"id", "DONE", "why=warm", body}
 			stream, want = appendCommand(stream, args...), append(want, args)
 		}
 		room := rapid.Bool().Draw(t, "room")
-		p := parser{room: func(int) bool { return room }}
+		p := parser{reserve: func(int) bool { return room }}
 		n := 0
 		for len(stream) > 0 {
 			cut := rapid.IntRange(1, min(len(stream), 30000)).Draw(t, "cut")
 			err := p.feed(stream[:cut], func(args [][]byte) error {
 				for i, w := range want[n] {
-					if !room && len(w) > shortMost {
+					if !room && len(w) > maxUnreservedBytes {
 						if args[i] != nil {
 							t.Fatal("held without room")
 						}
@@ -42,7 +42,7 @@
 			}
 			stream = stream[cut:]
 		}
-		if n != len(want) || p.within() {
+		if n != len(want) || p.partial() {
 			t.Fatalf("%d of %d arrays", n, len(want))
 		}
 	})
@@ -54,7 +54,7 @@
 	answer := appendCommand(nil, "id", "DONE", "-", strings.Repeat("x", 60_000))
 	feed := func(c *conn, b []byte) (got [][]byte) {
 		err := c.parser.feed(b, func(args [][]byte) error {
-			c.coming.Add(-int64(len(args[3])))
+			c.reservedBytes.Add(-int64(len(args[3])))
 			got = append(got, args[3])
 			return nil
 		})
@@ -64,19 +64,19 @@
 		return got
 	}
 	a, b := &conn{pool: p}, &conn{pool: p}
-	a.parser.room, b.parser.room = a.room, b.room
+	a.parser.reserve, b.parser.reserve = a.reserve, b.reserve
 	feed(a, answer[:1000]) // cut off there
 	if got := feed(b, answer); len(got) != 1 || got[0] != nil {
 		t.Error("an answer is held beyond the bound")
 	}
-	a.drop()
+	a.releaseReserved()
 	got := feed(b, answer)
-	if len(got) != 1 || got[0] == nil || p.held.Load() != 60_000 {
-		t.Errorf("%d answers, %d bytes held", len(got), p.held.Load())
+	if len(got) != 1 || got[0] == nil || p.answerBytes.Load() != 60_000 {
+		t.Errorf("%d answers, %d bytes held", len(got), p.answerBytes.Load())
 	}
-	p.free(got[0])
-	b.drop()
-	if n := p.held.Load(); n != 0 {
+	p.releaseBody(got[0])
+	b.releaseReserved()
+	if n := p.answerBytes.Load(); n != 0 {
 		t.Errorf("%d bytes are held for nothing", n)
 	}
 }
--- a/internal/net/resp/pool.go
+++ b/internal/net/resp/pool.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	sweep     = 100 * time.Millisecond
-	silence   = 700 * time.Millisecond // with work out and no byte for so long, a connection is tested;
-	testFor   = time.Second            // without an answer to that, it is given up
-	stall     = 600 * time.Millisecond // an answer that has begun and stops for so long has broken off
-	few       = 4                      // attempts that share a connection while there are descriptors for others
-	quitKept  = 10 * time.Second       // an id given up on a connection is not used there again for so long
-	waitMost  = 60_000                 // ms that a fill can have waited; more can't be read
-	idleShare = 0.8                    // of the keep-alive time after which an idle connection is closed
+	sweepInterval      = 100 * time.Millisecond
+	pingAfterSilence   = 700 * time.Millisecond // with work out and no byte for so long, a connection is tested;
+	pingTimeout        = time.Second            // without an answer to that, it is given up
+	stallTimeout       = 600 * time.Millisecond // an answer that has begun and stops for so long has broken off
+	preferredStreams   = 4                      // attempts that share a connection while there are descriptors for others
+	canceledIDLifetime = 10 * time.Second       // an id given up on a connection is not used there again for so long
+	maxFillWaitMs      = 60_000                 // ms that a fill can have waited; more can't be read
+	idleKeepAliveShare = 0.8                    // of the keep-alive time after which an idle connection is closed
 )
 
 // Config says how stores are spoken to.
@@ -54,20 +54,20 @@
 	Gateway  Gateway // to be set before anything is sent
 	Counters Counters
 
-	cfg    Config
-	loop   *gateway.Loop
-	engine *transport.Engine
-	log    logrus.FieldLogger
-	stores map[string]*store
-	conns  int
-	tests  uint64
-	held   atomic.Int64 // bytes of answers
+	cfg         Config
+	loop        *gateway.Loop
+	engine      *transport.Engine
+	log         logrus.FieldLogger
+	endpoints   map[string]*endpoint
+	connCount   int
+	pings       uint64
+	answerBytes atomic.Int64 // bytes of answers
 }
 
 // New returns an empty pool.
 func New(cfg Config, loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger) *Pool {
-	p := &Pool{cfg: cfg, loop: loop, engine: engine, log: log, stores: map[string]*store{}}
-	loop.After(sweep, p.sweep)
+	p := &Pool{cfg: cfg, loop: loop, engine: engine, log: log, endpoints: map[string]*endpoint{}}
+	loop.After(sweepInterval, p.sweep)
 	return p
 }
 
@@ -77,40 +77,40 @@
 // SetAnswerTimeout sets how long an answer that has begun may take to come whole.
 func (p *Pool) SetAnswerTimeout(d time.Duration) { p.cfg.AnswerTimeout = d }
 
-// store is one member of the list. Connections belong to it, not to its address: addresses are reused.
-type store struct {
-	id, addr string
-	since    int64
-	conns    []*conn
+// endpoint is one member of the list. Connections belong to it, not to its address: addresses are reused.
+type endpoint struct {
+	id, addr    string
+	startedAtMs int64
+	conns       []*conn
 }
 
 // SetAddress says where a store listens and since when it runs, as the list named it.
 func (p *Pool) SetAddress(id, addr string, since int64) {
-	s := p.stores[id]
+	s := p.endpoints[id]
 	if s == nil {
-		s = &store{id: id}
-		p.stores[id] = s
+		s = &endpoint{id: id}
+		p.endpoints[id] = s
 	}
 	// Guards against connections to what ran before: a machine that vanished left them open without a word.
-	if s.addr != addr || s.since != since {
+	if s.addr != addr || s.startedAtMs != since {
 		s.retire()
-		s.addr, s.since = addr, since
+		s.addr, s.startedAtMs = addr, since
 	}
 }
 
 // RemoveEndpoint says that a store is gone from the list. What is out there may still end.
 func (p *Pool) RemoveEndpoint(id string) {
-	if s := p.stores[id]; s != nil {
+	if s := p.endpoints[id]; s != nil {
 		s.addr = ""
 		s.retire()
 		if len(s.conns) == 0 {
-			delete(p.stores, id)
+			delete(p.endpoints, id)
 		}
 	}
 }
 
 // retire has the store's connections take nothing new.
-func (s *store) retire() {
+func (s *endpoint) retire() {
 	for _, c := range s.conns {
 		c.retired = true
 	}
@@ -118,75 +118,75 @@
 
 // Send queues an attempt at its store, on a connection that is up if there is one.
 func (p *Pool) Send(a *gateway.Attempt) {
-	s := p.stores[a.Endpoint]
+	s := p.endpoints[a.Endpoint]
 	if s == nil || s.addr == "" { // only what our own list has named
 		p.Gateway.AttemptEnded(a, gateway.Result{Status: routing.ConnectFailed})
 		return
 	}
-	c := p.choose(s, a.Request.ID)
+	c := p.chooseConn(s, a.Request.ID)
 	// Guards against a request on a connection that its store has closed, which nobody has read yet: it would look as if it
 	// might have run.
 	for c != nil && c.tc != nil && c.tc.PeerClosed() {
-		if c.retired = true; len(c.open) == 0 { // else its answers may have come, and wait to be read
+		if c.retired = true; len(c.inFlight) == 0 { // else its answers may have come, and wait to be read
 			c.end(errors.New("closed by the store"))
 		}
-		c = p.choose(s, a.Request.ID)
+		c = p.chooseConn(s, a.Request.ID)
 	}
-	if c == nil || c.dead {
+	if c == nil || c.ended {
 		p.Gateway.AttemptEnded(a, gateway.Result{Status: routing.ConnectFailed})
 		return
 	}
 	a.BackendState = c
 	if c.tc == nil {
-		c.waiting = append(c.waiting, a)
+		c.pending = append(c.pending, a)
 		return
 	}
-	c.write(a)
+	c.writeAttempt(a)
 }
 
-// choose returns a connection for a request's next attempt, a new one if need be; nil: there is none to be had.
-func (p *Pool) choose(s *store, ref string) *conn {
+// chooseConn returns a connection for a request's next attempt, a new one if need be; nil: there is none to be had.
+func (p *Pool) chooseConn(s *endpoint, ref string) *conn {
 	// Guards against one spoilt answer that takes many others down: what shares its connection is lost with it.
-	c := s.pick(ref, min(few, p.cfg.StreamsPerConn))
-	if c == nil && p.conns < p.cfg.MaxConns/2 {
+	c := s.leastBusyConn(ref, min(preferredStreams, p.cfg.StreamsPerConn))
+	if c == nil && p.connCount < p.cfg.MaxConns/2 {
 		c = p.dial(s)
 	}
 	if c == nil {
-		c = s.pick(ref, p.cfg.StreamsPerConn)
+		c = s.leastBusyConn(ref, p.cfg.StreamsPerConn)
 	}
-	if c == nil && p.conns < p.cfg.MaxConns {
+	if c == nil && p.connCount < p.cfg.MaxConns {
 		c = p.dial(s)
 	}
 	return c
 }
 
-// pick returns the connection with the least out that can take the id, one that is up before one that is not.
-func (s *store) pick(ref string, streams int) *conn {
+// leastBusyConn returns the connection with the least out that can take the id, one that is up before one that is not.
+func (s *endpoint) leastBusyConn(ref string, streams int) *conn {
 	var best *conn
 	for _, c := range s.conns {
-		n := len(c.open) + len(c.waiting)
-		_, quit := c.quit[ref]
-		if c.retired || c.dead || n >= streams || quit || c.open[ref] != nil || c.test != "" ||
-			slices.ContainsFunc(c.waiting, func(a *gateway.Attempt) bool { return a.Request.ID == ref }) {
+		n := len(c.inFlight) + len(c.pending)
+		_, quit := c.canceled[ref]
+		if c.retired || c.ended || n >= streams || quit || c.inFlight[ref] != nil || c.pingID != "" ||
+			slices.ContainsFunc(c.pending, func(a *gateway.Attempt) bool { return a.Request.ID == ref }) {
 			continue
 		}
 		if best == nil || (c.tc != nil) != (best.tc != nil) && c.tc != nil ||
-			(c.tc != nil) == (best.tc != nil) && n < len(best.open)+len(best.waiting) {
+			(c.tc != nil) == (best.tc != nil) && n < len(best.inFlight)+len(best.pending) {
 			best = c
 		}
 	}
 	return best
 }
 
-func (p *Pool) dial(s *store) *conn {
-	c := &conn{pool: p, store: s, open: map[string]*gateway.Attempt{}, quit: map[string]time.Time{}, used: p.loop.Now()}
-	c.parser.room = c.room
+func (p *Pool) dial(s *endpoint) *conn {
+	c := &conn{pool: p, endpoint: s, inFlight: map[string]*gateway.Attempt{}, canceled: map[string]time.Time{}, lastUsed: p.loop.Now()}
+	c.parser.reserve = c.reserve
 	s.conns = append(s.conns, c)
-	p.conns++
+	p.connCount++
 	p.Counters.ConnectsStarted++
 	// A store that is cut off answers no connect at all, so the time-out is ours.
 	c.timer = p.loop.After(p.cfg.ConnectTimeout, func() { c.end(errors.New("no connection in time")) })
-	p.engine.Dial(s.addr, p.cfg.ConnectTimeout+sweep, c,
+	p.engine.Dial(s.addr, p.cfg.ConnectTimeout+sweepInterval, c,
 		func(tc *transport.Conn) { p.loop.Post(func() { c.opened(tc) }) },
 		func(err error) { p.loop.Post(func() { c.end(err) }) })
 	return c
@@ -195,19 +195,19 @@
 // Cancel gives an attempt up: the store is told, if it was written.
 func (p *Pool) Cancel(a *gateway.Attempt) {
 	c, _ := a.BackendState.(*conn)
-	if c == nil || c.dead {
+	if c == nil || c.ended {
 		return
 	}
-	if i := slices.Index(c.waiting, a); i >= 0 {
-		c.waiting = slices.Delete(c.waiting, i, i+1)
+	if i := slices.Index(c.pending, a); i >= 0 {
+		c.pending = slices.Delete(c.pending, i, i+1)
 		return
 	}
-	if c.open[a.Request.ID] != a {
+	if c.inFlight[a.Request.ID] != a {
 		return
 	}
 	p.Counters.Canceled++
-	delete(c.open, a.Request.ID)
-	c.quit[a.Request.ID] = p.loop.Now()
+	delete(c.inFlight, a.Request.ID)
+	c.canceled[a.Request.ID] = p.loop.Now()
 	if err := c.tc.Write(appendCommand(nil, "QUIT", a.Request.ID)); err != nil {
 		c.end(err)
 	}
@@ -217,38 +217,38 @@
 // open without a word.
 func (p *Pool) sweep() {
 	now := p.loop.Now()
-	for _, s := range p.stores {
+	for _, s := range p.endpoints {
 		for _, c := range slices.Clone(s.conns) {
-			if c.tc == nil || c.dead {
+			if c.tc == nil || c.ended {
 				continue
 			}
-			for id, at := range c.quit {
-				if now.Sub(at) > quitKept {
-					delete(c.quit, id)
+			for id, at := range c.canceled {
+				if now.Sub(at) > canceledIDLifetime {
+					delete(c.canceled, id)
 				}
 			}
 			switch {
-			case c.within && now.Sub(c.heard) > stall:
+			case c.partial && now.Sub(c.lastByte) > stallTimeout:
 				c.end(errors.New("an answer stops short"))
 			// Guards the requests that share the connection: they wait behind an answer that comes a byte at a time, for ever.
-			case c.within && p.cfg.AnswerTimeout > 0 && now.Sub(c.begun) > p.cfg.AnswerTimeout:
+			case c.partial && p.cfg.AnswerTimeout > 0 && now.Sub(c.partialSince) > p.cfg.AnswerTimeout:
 				c.end(errors.New("an answer does not end"))
-			case c.test != "" && c.heard.After(c.tested): // any byte will do
-				c.test = ""
-			case c.test != "" && now.Sub(c.tested) > testFor:
+			case c.pingID != "" && c.lastByte.After(c.pingedAt): // any byte will do
+				c.pingID = ""
+			case c.pingID != "" && now.Sub(c.pingedAt) > pingTimeout:
 				c.end(errors.New("silent"))
-			case c.test == "" && len(c.open) > 0 && now.Sub(c.heard) > silence:
-				p.tests++
+			case c.pingID == "" && len(c.inFlight) > 0 && now.Sub(c.lastByte) > pingAfterSilence:
+				p.pings++
 				p.Counters.Pings++
-				c.test, c.tested = "t"+strconv.FormatUint(p.tests, 10), now
-				if err := c.tc.Write(appendCommand(nil, "NOOP", c.test)); err != nil {
+				c.pingID, c.pingedAt = "t"+strconv.FormatUint(p.pings, 10), now
+				if err := c.tc.Write(appendCommand(nil, "NOOP", c.pingID)); err != nil {
 					c.end(err)
 				}
-			case len(c.open) == 0 && (c.retired ||
-				now.Sub(c.used) > time.Duration(idleShare*float64(p.cfg.KeepAlive))):
+			case len(c.inFlight) == 0 && (c.retired ||
+				now.Sub(c.lastUsed) > time.Duration(idleKeepAliveShare*float64(p.cfg.KeepAlive))):
 				c.end(errors.New("idle"))
 			}
 		}
 	}
-	p.loop.After(sweep, p.sweep)
+	p.loop.After(sweepInterval, p.sweep)
 }
--- a/internal/net/resp/request.go
+++ b/internal/net/resp/request.go
@@ -8,21 +8,21 @@
 	"larchusher/gateway"
 )
 
-// write sends one attempt, if it may still go.
-func (c *conn) write(a *gateway.Attempt) {
+// writeAttempt sends one attempt, if it may still go.
+func (c *conn) writeAttempt(a *gateway.Attempt) {
 	if !c.pool.Gateway.ConfirmAttempt(a) {
 		return
 	}
 	now := c.pool.loop.Now()
-	if len(c.open) == 0 {
-		c.heard = now
+	if len(c.inFlight) == 0 {
+		c.lastByte = now
 	}
-	c.used = now
-	c.open[a.Request.ID] = a
+	c.lastUsed = now
+	c.inFlight[a.Request.ID] = a
 	c.pool.Counters.Written++
 	r := a.Request
 	head := append(make([]byte, 0, 256), "*4\r\n"...)
-	for _, s := range [...]string{"ASK", r.ID, fields(a, now)} {
+	for _, s := range [...]string{"ASK", r.ID, encodeFields(a, now)} {
 		head = append(append(appendLength(head, len(s)), s...), "\r\n"...)
 	}
 	if err := c.tc.Write(appendLength(head, len(r.Body)), r.Body, []byte("\r\n")); err != nil {
@@ -30,8 +30,8 @@
 	}
 }
 
-// fields words the fields of an attempt.
-func fields(a *gateway.Attempt, now time.Time) string {
+// encodeFields words the fields of an attempt.
+func encodeFields(a *gateway.Attempt, now time.Time) string {
 	r := a.Request
 	b := make([]byte, 0, 192)
 	add := func(name, value string) {
--- a/internal/net/resp/words_test.go
+++ b/internal/net/resp/words_test.go
@@ -27,7 +27,7 @@
 		{"first=NaN", routing.ReasonNone, 0},
 	} {
 		var res gateway.Result
-		if err := c.fields(w.fields, &res); err != nil || res.Reason != w.note || res.FillWait != w.wait {
+		if err := c.parseFields(w.fields, &res); err != nil || res.Reason != w.note || res.FillWait != w.wait {
 			t.Errorf("%s: note %v, wait %v, %v", w.fields, res.Reason, res.FillWait, err)
 		}
 	}
@@ -36,10 +36,10 @@
 // The answer to a test of a connection says that it works, also where the store says that it isn't fit.
 func TestUnfitStoresAnswerTests(t *testing.T) {
 	for _, word := range []string{"FIT", "UNFIT"} {
-		c := &conn{pool: &Pool{}, test: "t1"}
-		err := c.answer([][]byte{[]byte("t1"), []byte(word), []byte("rep=cpu_share:0.4"), nil}, time.Time{})
-		if err != nil || c.test != "" {
-			t.Errorf("%s: %v, test %q is still out", word, err, c.test)
+		c := &conn{pool: &Pool{}, pingID: "t1"}
+		err := c.handleAnswer([][]byte{[]byte("t1"), []byte(word), []byte("rep=cpu_share:0.4"), nil}, time.Time{})
+		if err != nil || c.pingID != "" {
+			t.Errorf("%s: %v, test %q is still out", word, err, c.pingID)
 		}
 	}
 }
@@ -49,7 +49,7 @@
 	for _, fields := range [][]string{{"util", "x1", "inflight"}, {"cpu_share", "x1", "busy_reqs"}} {
 		c := &conn{pool: &Pool{cfg: Config{LoadReportFields: fields}}}
 		for _, report := range []string{"inflight:7;util:0.61;x1:0.2", "busy_reqs:7;cpu_share:0.61;x1:0.2;new:3"} {
-			if got := c.load(report); got[0] != 0.61 || got[1] != 0.2 || got[2] != 7 {
+			if got := c.parseLoadReport(report); got[0] != 0.61 || got[1] != 0.2 || got[2] != 7 {
 				t.Errorf("%v of %q: %v", fields, report, got)
 			}
 		}
--- a/internal/net/signedfront/front.go
+++ b/internal/net/signedfront/front.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	sweep     = 250 * time.Millisecond
-	aheadMost = headMost + httpapi.MaxBodyBytes + 4 // bytes that may come ahead of an answer
+	sweepInterval     = 250 * time.Millisecond
+	maxPipelinedBytes = maxHeadBytes + httpapi.MaxBodyBytes + 4 // bytes that may come ahead of an answer
 )
 
 var (
@@ -27,16 +27,16 @@
 // Front takes signed requests over HTTP/1.1. One request of a connection is in work at a time; others that
 // have come wait for their turn, so that answers leave in order.
 type Front struct {
-	loop    *gateway.Loop
-	gateway *gateway.Gateway
-	api     *httpapi.API
-	log     logrus.FieldLogger
-	conns   map[*conn]bool
-	tracker *transport.ConnTracker
-	serial  uint64
-	seed    uint64
-	ending  bool
-	shut    bool // Shut or Retire was called
+	loop             *gateway.Loop
+	gateway          *gateway.Gateway
+	api              *httpapi.API
+	log              logrus.FieldLogger
+	conns            map[*conn]bool
+	tracker          *transport.ConnTracker
+	requestNumber    uint64
+	seed             uint64
+	closeAfterAnswer bool
+	closed           bool // Shut or Retire was called
 
 	Admitted         uint64
 	ProblemsByReason map[string]uint64 // by reason
@@ -47,7 +47,7 @@
 func New(loop *gateway.Loop, g *gateway.Gateway, api *httpapi.API, most int, seed uint64, log logrus.FieldLogger) *Front {
 	f := &Front{loop: loop, gateway: g, api: api, log: log, conns: map[*conn]bool{}, seed: seed,
 		tracker: transport.NewConnTracker(most), ProblemsByReason: map[string]uint64{}, AnswersByStatus: map[int]uint64{}}
-	loop.After(sweep, f.sweep)
+	loop.After(sweepInterval, f.sweep)
 	return f
 }
 
@@ -60,7 +60,7 @@
 // Idle says whether all that was answered has left.
 func (f *Front) Idle() bool {
 	for c := range f.conns {
-		if c.tc.UnsentBytes() > 0 || c.busy != nil || c.checks {
+		if c.tc.UnsentBytes() > 0 || c.current != nil || c.checking {
 			return false
 		}
 	}
@@ -69,12 +69,12 @@
 
 // CloseAfterAnswers has connections close after the answer that is due.
 func (f *Front) CloseAfterAnswers() {
-	f.ending = true
+	f.closeAfterAnswer = true
 }
 
 // CloseAll ends all connections, once nothing is in work on them.
 func (f *Front) CloseAll() {
-	f.shut = true
+	f.closed = true
 	for c := range f.conns {
 		c.tc.CloseGracefully(errEnding, transport.LingerTime)
 	}
@@ -83,9 +83,9 @@
 // Retire ends the front while the program goes on: nothing is admitted any more, what was is answered, and each connection ends
 // behind its last answer.
 func (f *Front) Retire() {
-	f.shut, f.ending = true, true
+	f.closed, f.closeAfterAnswer = true, true
 	for c := range f.conns {
-		if c.last = true; c.busy == nil && !c.checks {
+		if c.closing = true; c.current == nil && !c.checking {
 			c.tc.CloseGracefully(errRetired, transport.LingerTime)
 		}
 	}
@@ -101,39 +101,39 @@
 func (f *Front) sweep() {
 	f.tracker.Sweep(f.loop.Now(), func(n *transport.TrackedConn) {
 		for c := range f.conns {
-			if c.tracked == n && !c.last {
-				c.last = true
-				c.problem(&httpapi.Problem{Status: http.StatusRequestTimeout, Reason: "the request did not come whole"})
+			if c.tracked == n && !c.closing {
+				c.closing = true
+				c.respondProblem(&httpapi.Problem{Status: http.StatusRequestTimeout, Reason: "the request did not come whole"})
 			}
 		}
 	})
-	f.loop.After(sweep, f.sweep)
+	f.loop.After(sweepInterval, f.sweep)
 }
 
 // conn is one client's connection. All of it lives on the loop.
 type conn struct {
-	front   *Front
-	tc      *transport.Conn
-	client  *gateway.Client
-	buf     []byte
-	at      time.Time // when the latest bytes came
-	tracked *transport.TrackedConn
-	busy    *httpapi.AdmittedRequest // the request in work
-	turn    gateway.QueuedWork       // of checking the next request
-	checks  bool                     // it waits for that
-	proceed bool                     // 100 Continue was sent for the request that is coming
-	last    bool                     // nothing is read after the present answer
-	gone    bool
+	front        *Front
+	tc           *transport.Conn
+	client       *gateway.Client
+	buf          []byte
+	at           time.Time // when the latest bytes came
+	tracked      *transport.TrackedConn
+	current      *httpapi.AdmittedRequest // the request in work
+	queued       gateway.QueuedWork       // of checking the next request
+	checking     bool                     // it waits for that
+	sentContinue bool                     // 100 Continue was sent for the request that is coming
+	closing      bool                     // nothing is read after the present answer
+	gone         bool
 }
 
 // OnOpened counts the connection among those that are swept, though it may never send a byte.
 func (c *conn) OnOpened(tc *transport.Conn) {
 	c.front.loop.Post(func() {
-		if c.front.shut { // it was accepted just before the end
+		if c.front.closed { // it was accepted just before the end
 			tc.CloseGracefully(errEnding, transport.LingerTime)
 		} else if !c.gone {
 			c.tc = tc
-			c.tracked = c.front.tracker.Add(tc, c.front.loop.Now(), func() bool { return c.busy != nil || c.checks })
+			c.tracked = c.front.tracker.Add(tc, c.front.loop.Now(), func() bool { return c.current != nil || c.checking })
 			c.front.conns[c] = true
 			c.client = c.front.gateway.AddClient(tc.UnsentBytes, tc.Close)
 		}
@@ -147,7 +147,7 @@
 		return err
 	}
 	b = append([]byte(nil), b...)
-	if !c.front.loop.Post(func() { c.take(tc, b, at); tc.ReleaseInput(len(b)) }) {
+	if !c.front.loop.Post(func() { c.receive(tc, b, at); tc.ReleaseInput(len(b)) }) {
 		return errEnding
 	}
 	return nil
@@ -159,87 +159,87 @@
 		c.gone = true
 		delete(c.front.conns, c)
 		c.front.tracker.Remove(c.tracked)
-		c.front.gateway.CancelQueued(&c.turn)
-		if c.busy != nil {
-			ad := c.busy
-			c.busy = nil
+		c.front.gateway.CancelQueued(&c.queued)
+		if c.current != nil {
+			ad := c.current
+			c.current = nil
 			c.front.gateway.Abandon(ad.Request)
 		}
 		c.front.gateway.RemoveClient(c.client)
 	})
 }
 
-func (c *conn) take(tc *transport.Conn, b []byte, at time.Time) {
-	if c.gone || c.last || tc.Closing() {
+func (c *conn) receive(tc *transport.Conn, b []byte, at time.Time) {
+	if c.gone || c.closing || tc.Closing() {
 		return
 	}
 	c.at = at
-	if len(c.buf)+len(b) > aheadMost {
-		c.last = true
-		tc.CloseGracefully(fmt.Errorf("more than %d bytes ahead of an answer", aheadMost), transport.LingerTime)
+	if len(c.buf)+len(b) > maxPipelinedBytes {
+		c.closing = true
+		tc.CloseGracefully(fmt.Errorf("more than %d bytes ahead of an answer", maxPipelinedBytes), transport.LingerTime)
 		return
 	}
 	c.buf = append(c.buf, b...)
-	c.next()
+	c.startNext()
 }
 
-// next begins the next request, once it has come whole.
-func (c *conn) next() {
-	for c.busy == nil && !c.checks && !c.last && !c.gone && len(c.buf) > 0 {
+// startNext begins the next request, once it has come whole.
+func (c *conn) startNext() {
+	for c.current == nil && !c.checking && !c.closing && !c.gone && len(c.buf) > 0 {
 		h, size, p := parseHead(c.buf)
 		if p != nil { // where the next request begins can't be told
-			c.last = true
-			c.problem(p)
+			c.closing = true
+			c.respondProblem(p)
 			return
 		}
 		if h == nil {
 			c.tracked.Received(c.front.loop.Now(), 0, true)
 			return
 		}
-		if len(c.buf) < size+h.length {
+		if len(c.buf) < size+h.bodyLength {
 			c.tracked.Received(c.front.loop.Now(), 0, true)
-			if h.expect && !c.proceed {
-				c.proceed = true
+			if h.expectContinue && !c.sentContinue {
+				c.sentContinue = true
 				_ = c.tc.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 			}
 			return
 		}
-		body := append([]byte(nil), c.buf[size:size+h.length]...)
-		c.buf = append(c.buf[:0], c.buf[size+h.length:]...)
-		c.proceed, c.last = false, !h.keep || c.front.ending
+		body := append([]byte(nil), c.buf[size:size+h.bodyLength]...)
+		c.buf = append(c.buf[:0], c.buf[size+h.bodyLength:]...)
+		c.sentContinue, c.closing = false, !h.keepAlive || c.front.closeAfterAnswer
 		c.tracked.Received(c.front.loop.Now(), 1, false)
-		c.request(h, body, c.at)
+		c.enqueueCheck(h, body, c.at)
 	}
 }
 
-// request has a request checked when its turn comes. Guards the platform's clients: checking tokens takes longer than
+// enqueueCheck has a request checked when its turn comes. Guards the platform's clients: checking tokens takes longer than
 // all that the loop does for one of their requests before its turn.
-func (c *conn) request(h *head, body []byte, at time.Time) {
+func (c *conn) enqueueCheck(h *head, body []byte, at time.Time) {
 	f := c.front
 	class := f.api.Class(h.target)
 	_, welcome := f.gateway.Admit(gateway.SignedFront, []byte(class), httpapi.IsRetry(h.get), []byte(h.target))
 	run := func(shed bool) {
-		c.checks = false
-		c.check(h, body, at, shed)
-		if c.busy == nil && !c.last {
-			f.loop.Post(c.next)
+		c.checking = false
+		c.checkAndSubmit(h, body, at, shed)
+		if c.current == nil && !c.closing {
+			f.loop.Post(c.startNext)
 		}
 	}
-	c.checks = true
+	c.checking = true
 	if !welcome {
-		f.gateway.EnqueueRejection(&c.turn, gateway.SignedFront, func() { run(true) })
+		f.gateway.EnqueueRejection(&c.queued, gateway.SignedFront, func() { run(true) })
 		return
 	}
-	f.gateway.Enqueue(&c.turn, gateway.SignedFront, class, at, run)
+	f.gateway.Enqueue(&c.queued, gateway.SignedFront, class, at, run)
 }
 
-// check checks a request's token and hands it in, or refuses it if it is to be shed: which of both is told only to who
+// checkAndSubmit checks a request's token and hands it in, or refuses it if it is to be shed: which of both is told only to who
 // has a good token.
-func (c *conn) check(h *head, body []byte, at time.Time, shed bool) {
+func (c *conn) checkAndSubmit(h *head, body []byte, at time.Time, shed bool) {
 	f := c.front
-	if f.shut { // its turn came after the end: by keys that are not there any more nothing is admitted
-		c.last = true
-		c.problem(httpapi.Overloaded(f.gateway.RetryAfter(h.target)))
+	if f.closed { // its turn came after the end: by keys that are not there any more nothing is admitted
+		c.closing = true
+		c.respondProblem(httpapi.Overloaded(f.gateway.RetryAfter(h.target)))
 		return
 	}
 	ad, p := f.api.Authorize(httpapi.Request{Method: h.method, Target: h.target, Header: h.get, Body: body, ReceivedAt: at})
@@ -247,29 +247,29 @@
 		p = httpapi.Overloaded(f.gateway.RetryAfter(h.target))
 	}
 	if p != nil {
-		c.problem(p)
+		c.respondProblem(p)
 		return
 	}
 	f.Admitted++
-	f.serial++
-	ad.Request.ID = fmt.Sprintf("%016x", (f.seed^f.serial*0x9e3779b97f4a7c15)|1<<63)
-	c.busy = ad
+	f.requestNumber++
+	ad.Request.ID = fmt.Sprintf("%016x", (f.seed^f.requestNumber*0x9e3779b97f4a7c15)|1<<63)
+	c.current = ad
 	ad.Request.ArrivedAt, ad.Request.Front, ad.Request.Client, ad.Request.Admitted = at, gateway.SignedFront, c.client, true
 	ad.Request.ClientConnected = func() bool { return !c.tc.Closing() && !c.tc.PeerClosed() }
 	ad.Request.Answer = func(a gateway.Answer) {
-		if c.busy != ad { // the client has left
+		if c.current != ad { // the client has left
 			return
 		}
-		c.busy = nil
+		c.current = nil
 		c.respond(f.api.Respond(ad, a, time.Now()), ad.HeadOnly)
-		if !c.last {
-			f.loop.Post(c.next)
+		if !c.closing {
+			f.loop.Post(c.startNext)
 		}
 	}
 	f.gateway.Submit(ad.Request)
 }
 
-func (c *conn) problem(p *httpapi.Problem) {
+func (c *conn) respondProblem(p *httpapi.Problem) {
 	c.front.ProblemsByReason[p.Reason]++
 	c.respond(p.Response(), false)
 }
@@ -287,20 +287,20 @@
 	if r.Status != http.StatusNotModified {
 		b = append(strconv.AppendInt(append(b, "Content-Length: "...), int64(len(r.Body)), 10), "\r\n"...)
 	}
-	if c.last {
+	if c.closing {
 		b = append(b, "Connection: close\r\n"...)
 	}
 	b = append(b, "\r\n"...)
 	if headOnly {
 		r.Body = nil
 	}
-	if c.tc.Write(b, r.Body) == nil && c.last {
-		c.flush()
+	if c.tc.Write(b, r.Body) == nil && c.closing {
+		c.closeWhenFlushed()
 	}
 }
 
-// flush closes the connection once its last answer has left.
-func (c *conn) flush() {
+// closeWhenFlushed closes the connection once its last answer has left.
+func (c *conn) closeWhenFlushed() {
 	if c.gone {
 		return
 	}
@@ -308,5 +308,5 @@
 		c.tc.CloseGracefully(errors.New("done"), transport.LingerTime)
 		return
 	}
-	c.front.loop.After(5*time.Millisecond, c.flush)
+	c.front.loop.After(5*time.Millisecond, c.closeWhenFlushed)
 }
--- a/internal/net/signedfront/parser.go
+++ b/internal/net/signedfront/parser.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	headMost   = 16 << 10
-	fieldsMost = 64
+	maxHeadBytes = 16 << 10
+	maxFields    = 64
 )
 
 // head is the head of a request.
 type head struct {
 	method, target string
 	fields         map[string][]string // by lower-case name
-	length         int                 // of the body
-	keep           bool                // the connection stays open afterwards
-	expect         bool                // the client waits for 100 Continue
+	bodyLength     int                 // of the body
+	keepAlive      bool                // the connection stays open afterwards
+	expectContinue bool                // the client waits for 100 Continue
 }
 
 func (h *head) get(name string) []string { return h.fields[strings.ToLower(name)] }
@@ -33,7 +33,7 @@
 		return nil, 0, &httpapi.Problem{Status: status, Reason: reason}
 	}
 	end := bytes.Index(b, []byte("\r\n\r\n"))
-	if end > headMost || end < 0 && len(b) > headMost {
+	if end > maxHeadBytes || end < 0 && len(b) > maxHeadBytes {
 		return bad(http.StatusRequestHeaderFieldsTooLarge, "the head is too long")
 	}
 	if end < 0 {
@@ -47,10 +47,10 @@
 	if words[2] != "HTTP/1.1" && words[2] != "HTTP/1.0" {
 		return bad(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is spoken here")
 	}
-	if len(lines)-1 > fieldsMost {
+	if len(lines)-1 > maxFields {
 		return bad(http.StatusRequestHeaderFieldsTooLarge, "too many fields")
 	}
-	h = &head{method: words[0], target: words[1], fields: map[string][]string{}, keep: words[2] == "HTTP/1.1"}
+	h = &head{method: words[0], target: words[1], fields: map[string][]string{}, keepAlive: words[2] == "HTTP/1.1"}
 	for _, l := range lines[1:] {
 		name, value, ok := strings.Cut(l, ":")
 		if !ok || name == "" || !isToken(name) || strings.ContainsFunc(value, isControl) {
@@ -73,15 +73,15 @@
 		if n > httpapi.MaxBodyBytes {
 			return bad(http.StatusRequestEntityTooLarge, "the body is too long")
 		}
-		h.length = int(n)
+		h.bodyLength = int(n)
 	}
 	for _, v := range h.fields["connection"] {
 		for option := range strings.SplitSeq(v, ",") {
 			switch strings.ToLower(strings.TrimSpace(option)) {
 			case "close":
-				h.keep = false
+				h.keepAlive = false
 			case "keep-alive":
-				h.keep = h.keep || words[2] == "HTTP/1.0"
+				h.keepAlive = h.keepAlive || words[2] == "HTTP/1.0"
 			}
 		}
 	}
@@ -89,7 +89,7 @@
 		if !strings.EqualFold(v, "100-continue") {
 			return bad(http.StatusExpectationFailed, "unknown expectation")
 		}
-		h.expect = true
+		h.expectContinue = true
 	}
 	return h, end + 4, nil
 }
--- a/internal/net/transport/detach.go
+++ b/internal/net/transport/detach.go
@@ -29,7 +29,7 @@
 func (c *Conn) Detach(send func(descriptor int) error) error {
 	c.nc.Lock() // its descriptor stays its own meanwhile
 	closed, _ := c.nc.IsClosed()
-	err := errEnded
+	err := errConnEnded
 	if !closed {
 		err = send(c.nc.Hash())
 	}
@@ -50,7 +50,7 @@
 	c.nc.Lock() // its descriptor stays its own meanwhile
 	defer c.nc.Unlock()
 	if closed, _ := c.nc.IsClosed(); closed {
-		return errEnded
+		return errConnEnded
 	}
 	return unix.EpollCtl(poller, unix.EPOLL_CTL_DEL, c.nc.Hash(), nil)
 }
@@ -62,17 +62,17 @@
 	err  error
 }
 
-const pollerBelow = 256 // the poller is made at the start, when few descriptors are open
+const maxPollerDescriptor = 256 // the poller is made at the start, when few descriptors are open
 
 func (p *pollerDescriptor) descriptor(e *Engine) (int, error) {
 	p.once.Do(func() {
 		p.err = errNoPoller
-		e.echo.mu.Lock()
-		defer e.echo.mu.Unlock()
-		known := e.echo.nc.Hash()
+		e.barrier.mu.Lock()
+		defer e.barrier.mu.Unlock()
+		known := e.barrier.nc.Hash()
 		// As nbio has it: nothing changes by this where it succeeds.
 		event := unix.EpollEvent{Fd: int32(known), Events: unix.EPOLLERR | unix.EPOLLHUP | unix.EPOLLRDHUP | unix.EPOLLPRI | unix.EPOLLIN}
-		for fd := range pollerBelow {
+		for fd := range maxPollerDescriptor {
 			if unix.EpollCtl(fd, unix.EPOLL_CTL_MOD, known, &event) == nil {
 				p.fd, p.err = fd, nil
 				return
--- a/internal/net/transport/echo.go
+++ b/internal/net/transport/echo.go
@@ -13,21 +13,21 @@
 	"larchusher/internal/logfields"
 )
 
-// echoWithin is how long the first echo may take, at the start; it guards against waiting for ever for a poller that
+// firstBarrierTimeout is how long the first echo may take, at the start; it guards against waiting for ever for a poller that
 // doesn't run.
-const echoWithin = 10 * time.Second
+const firstBarrierTimeout = 10 * time.Second
 
-// echo is an eventfd by which the program speaks to its own poller: once it was written to, the poller reads it after
+// barrier is an eventfd by which the program speaks to its own poller: once it was written to, the poller reads it after
 // all connections that were ready before. It is no socket: where only TCP and UDP are served, a pair of Unix sockets
 // has no name, and the start failed for that.
-type echo struct {
-	mu   sync.Mutex
-	nc   *nbio.Conn // the poller's descriptor of it
-	fd   int        // the program's own
-	want []func()
+type barrier struct {
+	mu        sync.Mutex
+	nc        *nbio.Conn // the poller's descriptor of it
+	fd        int        // the program's own
+	callbacks []func()
 }
 
-func (e *echo) open(engine *nbio.Engine) error {
+func (e *barrier) open(engine *nbio.Engine) error {
 	fd, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
 	if err != nil {
 		return err
@@ -42,7 +42,7 @@
 }
 
 // close gives the descriptors back, once the engine has stopped. nbio closes only those that it knows as sockets.
-func (e *echo) close() {
+func (e *barrier) close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	_ = unix.Close(e.nc.Hash()) // that is the descriptor
@@ -51,24 +51,24 @@
 
 // Barrier calls f on the poller, once it has read what had come on all connections by now. f must not block.
 func (e *Engine) Barrier(f func()) {
-	e.echo.mu.Lock()
-	defer e.echo.mu.Unlock()
-	e.echo.want = append(e.echo.want, f)
-	if len(e.echo.want) > 1 { // it has been written to
+	e.barrier.mu.Lock()
+	defer e.barrier.mu.Unlock()
+	e.barrier.callbacks = append(e.barrier.callbacks, f)
+	if len(e.barrier.callbacks) > 1 { // it has been written to
 		return
 	}
-	if _, err := unix.Write(e.echo.fd, binary.NativeEndian.AppendUint64(nil, 1)); err != nil {
+	if _, err := unix.Write(e.barrier.fd, binary.NativeEndian.AppendUint64(nil, 1)); err != nil {
 		e.log.WithError(err).Warn(logfields.PollerBarrierFailed)
 	}
 }
 
-// heard calls what was wanted.
-func (e *echo) heard() {
+// passed calls what was wanted.
+func (e *barrier) passed() {
 	e.mu.Lock()
 	var count [8]byte
 	_, _ = unix.Read(e.fd, count[:]) // before what is wanted is taken: what comes later writes anew
-	want := e.want
-	e.want = nil
+	want := e.callbacks
+	e.callbacks = nil
 	e.mu.Unlock()
 	for _, f := range want {
 		f()
@@ -96,16 +96,16 @@
 	return nil
 }
 
-// boundUnsent bounds what the kernel takes of a connection's answers before they can be sent (TCP_NOTSENT_LOWAT, tcp(7)).
+// limitKernelUnsent bounds what the kernel takes of a connection's answers before they can be sent (TCP_NOTSENT_LOWAT, tcp(7)).
 // Guards against clients that do not read: the kernel's buffers count as the program's memory, and would hide them.
-func boundUnsent(conn net.Conn) {
+func limitKernelUnsent(conn net.Conn) {
 	t, ok := conn.(*net.TCPConn)
 	if !ok {
 		return
 	}
 	if raw, err := t.SyscallConn(); err == nil {
 		_ = raw.Control(func(fd uintptr) {
-			_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, unsentMost)
+			_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, maxKernelUnsent)
 		})
 	}
 }
--- a/internal/net/transport/listener.go
+++ b/internal/net/transport/listener.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	slotWithin  = 100 * time.Millisecond // a connection beyond the most waits so long for a slot
-	acceptPause = 5 * time.Millisecond   // after an accept that failed for want of descriptors
+	slotTimeout         = 100 * time.Millisecond // a connection beyond the most waits so long for a slot
+	acceptRetryInterval = 5 * time.Millisecond   // after an accept that failed for want of descriptors
 )
 
 // Listener accepts connections on one address.
 type Listener struct {
-	engine  *Engine
-	tcp     *net.TCPListener
-	slots   *slots
-	full    func()
-	handler func() Handler
+	engine     *Engine
+	tcp        *net.TCPListener
+	slots      *slots
+	onFull     func()
+	newHandler func() Handler
 
-	once     sync.Once
-	yielding sync.Once
-	yield    chan struct{} // closed by Yield
+	once      sync.Once
+	closeOnce sync.Once
+	closing   chan struct{} // closed by Yield
 }
 
 // Listen accepts connections on addr, and asks handler for the callbacks of each. At most `most` are held
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listening on %s: %w", addr, err)
 	}
-	l := &Listener{engine: e, tcp: tcp, slots: newSlots(most), full: full, handler: handler, yield: make(chan struct{})}
+	l := &Listener{engine: e, tcp: tcp, slots: newSlots(most), onFull: full, newHandler: handler, closing: make(chan struct{})}
 	go l.run() // one for the listener: nbio's own ends with the engine only
 	return l, nil
 }
@@ -103,12 +103,12 @@
 		switch {
 		case err == nil:
 			l.take(conn)
-		case l.yielded():
+		case l.isClosing():
 			l.acceptQueued()
 			l.Close()
 			return
 		case errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ECONNABORTED):
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryInterval)
 		default:
 			return
 		}
@@ -118,10 +118,10 @@
 // take has a connection served, if there is a slot for it.
 func (l *Listener) take(conn net.Conn) {
 	if !l.slots.take(0) {
-		if l.full != nil {
-			l.full()
+		if l.onFull != nil {
+			l.onFull()
 		}
-		if !l.slots.take(slotWithin) {
+		if !l.slots.take(slotTimeout) {
 			l.engine.RejectedConns.Add(1)
 			_ = conn.Close()
 			return
@@ -140,14 +140,14 @@
 // slot even if there is none.
 func (l *Listener) Adopt(conn net.Conn, pieces []ReceivedChunk) {
 	if !l.slots.take(0) {
-		l.slots.takeAnyway()
+		l.slots.takeBeyondLimit()
 	}
 	l.serve(conn, pieces)
 }
 
 // serve has a connection, which has its slot, read and answered.
 func (l *Listener) serve(conn net.Conn, pieces []ReceivedChunk) {
-	boundUnsent(conn)
+	limitKernelUnsent(conn)
 	nc, err := nbio.NBConn(conn)
 	if err != nil {
 		_ = conn.Close()
@@ -155,7 +155,7 @@
 		l.engine.log.WithError(err).Warn(logfields.ConnTakeoverFailed)
 		return
 	}
-	h := l.handler()
+	h := l.newHandler()
 	c := l.engine.wrap(nc, h, l.slots.free)
 	if o, ok := h.(OpenHandler); ok {
 		o.OnOpened(c)
@@ -164,7 +164,7 @@
 	l.engine.add(c)
 	for _, p := range pieces {
 		if err := h.OnBytes(c, p.Data, p.At); err != nil {
-			c.CloseGracefully(err, lingerLeast)
+			c.CloseGracefully(err, shortLinger)
 			break
 		}
 	}
@@ -213,15 +213,15 @@
 // CloseAfterQueued stops accepting in favour of another process that listens on the same address: all connections that wait to be
 // accepted are taken first.
 func (l *Listener) CloseAfterQueued() {
-	l.yielding.Do(func() {
-		close(l.yield)
+	l.closeOnce.Do(func() {
+		close(l.closing)
 		_ = l.tcp.SetDeadline(time.Unix(1, 0)) // wakes run
 	})
 }
 
-func (l *Listener) yielded() bool {
+func (l *Listener) isClosing() bool {
 	select {
-	case <-l.yield:
+	case <-l.closing:
 		return true
 	default:
 		return false
@@ -230,18 +230,18 @@
 
 // SetMaxConns sets how many connections are held open at once. If more are open they stay, and none is accepted until enough
 // have ended.
-func (l *Listener) SetMaxConns(most int) { l.slots.setMost(most) }
+func (l *Listener) SetMaxConns(most int) { l.slots.setLimit(most) }
 
 // slots bounds how many connections are open. It is safe for concurrent use.
 type slots struct {
 	mu    sync.Mutex
-	most  int
+	limit int
 	used  int
 	freed chan struct{} // has an element if a slot may have come free
 }
 
 func newSlots(most int) *slots {
-	return &slots{most: max(1, most), freed: make(chan struct{}, 1)}
+	return &slots{limit: max(1, most), freed: make(chan struct{}, 1)}
 }
 
 // take takes a slot, or reports false if none came free within a time.
@@ -269,15 +269,15 @@
 func (s *slots) tryTake() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.used >= s.most {
+	if s.used >= s.limit {
 		return false
 	}
 	s.used++
 	return true
 }
 
-// takeAnyway takes a slot beyond the most, if need be.
-func (s *slots) takeAnyway() {
+// takeBeyondLimit takes a slot beyond the most, if need be.
+func (s *slots) takeBeyondLimit() {
 	s.mu.Lock()
 	s.used++
 	s.mu.Unlock()
@@ -291,9 +291,9 @@
 	s.wake()
 }
 
-func (s *slots) setMost(most int) {
+func (s *slots) setLimit(most int) {
 	s.mu.Lock()
-	s.most = max(1, most)
+	s.limit = max(1, most)
 	s.mu.Unlock()
 	s.wake()
 }
--- a/internal/net/transport/listener_test.go
+++ b/internal/net/transport/listener_test.go
@@ -88,7 +88,7 @@
 			t.Fatal("no slot")
 		}
 	}
-	s.setMost(1)
+	s.setLimit(1)
 	s.free()
 	s.free()
 	if s.take(0) {
@@ -100,7 +100,7 @@
 	if !<-taken {
 		t.Error("a slot that came free is not taken")
 	}
-	s.setMost(2)
+	s.setLimit(2)
 	if !s.take(0) || s.take(0) {
 		t.Error("one more, and no more than one")
 	}
--- a/internal/net/transport/tracker.go
+++ b/internal/net/transport/tracker.go
@@ -9,15 +9,15 @@
 const (
 	FirstByteTimeout = 2 * time.Second         // without a word since it was opened
 	MessageTimeout   = 2500 * time.Millisecond // with a message that has begun to come and has not come whole
-	idleMost         = 10 * time.Second        // with nothing in work; usual clients close after 4 s
-	newcomer         = 200 * time.Millisecond
+	idleTimeout      = 10 * time.Second        // with nothing in work; usual clients close after 4 s
+	newcomerGrace    = 200 * time.Millisecond
 )
 
 // ConnTracker knows the connections of one front and ends those that hold their slots for nothing: that never speak, stop in
 // the middle of a message, or asked once and stay for good. It lives on the front's loop.
 type ConnTracker struct {
-	all  map[*TrackedConn]bool
-	most int
+	all      map[*TrackedConn]bool
+	maxConns int
 }
 
 // TrackedConn is one connection in a ConnTracker.
@@ -31,19 +31,19 @@
 
 // NewConnTracker returns a tracker with slots for so many connections.
 func NewConnTracker(most int) *ConnTracker {
-	return &ConnTracker{all: map[*TrackedConn]bool{}, most: most}
+	return &ConnTracker{all: map[*TrackedConn]bool{}, maxConns: most}
 }
 
 // Add tracks a connection. The last eighth of the slots is kept free for those to come: idle connections are ended for it.
 func (t *ConnTracker) Add(c *Conn, now time.Time, busy func() bool) *TrackedConn {
 	n := &TrackedConn{Conn: c, Busy: busy, LastActive: now}
 	t.all[n] = true
-	t.EvictIdle(now, len(t.all)-(t.most-t.most/8))
+	t.EvictIdle(now, len(t.all)-(t.maxConns-t.maxConns/8))
 	return n
 }
 
 // SetMaxConns sets how many slots there are.
-func (t *ConnTracker) SetMaxConns(most int) { t.most = most }
+func (t *ConnTracker) SetMaxConns(most int) { t.maxConns = most }
 
 // Remove ends the tracking of a connection. One that is not tracked, or nil, is left alone.
 func (t *ConnTracker) Remove(n *TrackedConn) { delete(t.all, n) }
@@ -80,7 +80,7 @@
 		case !n.idle():
 		case n.Messages == 0 && quiet > FirstByteTimeout:
 			n.Conn.CloseGracefully(errors.New("it never spoke"), LingerTime)
-		case quiet > idleMost:
+		case quiet > idleTimeout:
 			n.Conn.CloseGracefully(errors.New("idle"), LingerTime)
 		}
 	}
@@ -96,7 +96,7 @@
 			return
 		}
 		t.Remove(longest) // it is on its way out
-		longest.Conn.CloseGracefully(errors.New("its slot is needed"), lingerLeast)
+		longest.Conn.CloseGracefully(errors.New("its slot is needed"), shortLinger)
 	}
 }
 
@@ -106,7 +106,7 @@
 	for n := range t.all {
 		n.Busy()
 		quiet := now.Sub(n.LastActive)
-		if n.Messages == 0 && quiet < newcomer {
+		if n.Messages == 0 && quiet < newcomerGrace {
 			continue
 		}
 		if n.Messages <= 1 {
--- a/internal/net/transport/transport.go
+++ b/internal/net/transport/transport.go
@@ -21,25 +21,25 @@
 )
 
 const (
-	readSize   = 64 << 10  // of the one buffer that all connections read into
-	readsMost  = 3         // times that one is read in a row, before the others have their turn
-	writeMost  = 10 << 20  // bytes that may wait to be written on one connection
-	joinedMost = 64 << 10  // pieces up to this size are joined into one write
-	unsentMost = 128 << 10 // bytes that the kernel takes ahead of what it sends, for a client
+	readBufferSize      = 64 << 10  // of the one buffer that all connections read into
+	maxReadsInRow       = 3         // times that one is read in a row, before the others have their turn
+	maxUnwrittenPerConn = 10 << 20  // bytes that may wait to be written on one connection
+	maxJoinedWrite      = 64 << 10  // pieces up to this size are joined into one write
+	maxKernelUnsent     = 128 << 10 // bytes that the kernel takes ahead of what it sends, for a client
 
-	heldMost = 2 << 20  // memory that one connection may hold (see Conn.Hold)
-	heldFair = 64 << 10 // and that each may hold however much all do
+	maxReservedPerConn  = 2 << 20  // memory that one connection may hold (see Conn.Hold)
+	fairReservedPerConn = 64 << 10 // and that each may hold however much all do
 
 	// What an ended connection may still hold its descriptor for. A message that crosses an end within 50 ms is sent
 	// anew by its client, so it is read and thrown away for longer than that.
-	LingerTime  = 500 * time.Millisecond
-	lingerLeast = 60 * time.Millisecond // where its place is needed, or what it sent was at fault
-	thrownMost  = 1 << 20               // bytes that are thrown away meanwhile: one that floods is closed
+	LingerTime        = 500 * time.Millisecond
+	shortLinger       = 60 * time.Millisecond // where its place is needed, or what it sent was at fault
+	maxDiscardedBytes = 1 << 20               // bytes that are thrown away meanwhile: one that floods is closed
 )
 
 var (
-	errEnded = errors.New("the connection has ended") // of a write
-	errFlood = errors.New("it goes on sending behind the end")
+	errConnEnded       = errors.New("the connection has ended") // of a write
+	errTooMuchAfterEnd = errors.New("it goes on sending behind the end")
 )
 
 // Handler has the callbacks of one connection. All run on the engine's poller, one at a time, and must not
@@ -57,17 +57,17 @@
 
 // Engine owns the connections of a program.
 type Engine struct {
-	log       logrus.FieldLogger
-	engine    *nbio.Engine
-	most      int64        // bytes that may wait to be written on all connections
-	waiting   atomic.Int64 // bytes that do
-	held      atomic.Int64 // memory that all connections hold, half of most at the most
-	lingering atomic.Int64 // connections that have ended and are not closed
-	echo      echo
-	inherited map[string]*os.File // listening sockets of a former process, by address
-	poller    pollerDescriptor
-	buffer    []byte     // the poller's, for reading
-	handing   sync.Mutex // held while a connection is made, and taken before its parts are read
+	log           logrus.FieldLogger
+	engine        *nbio.Engine
+	maxUnwritten  int64        // bytes that may wait to be written on all connections
+	unwritten     atomic.Int64 // bytes that do
+	reservedInput atomic.Int64 // memory that all connections hold, half of most at the most
+	lingering     atomic.Int64 // connections that have ended and are not closed
+	barrier       barrier
+	inherited     map[string]*os.File // listening sockets of a former process, by address
+	poller        pollerDescriptor
+	buffer        []byte     // the poller's, for reading
+	connMu        sync.Mutex // held while a connection is made, and taken before its parts are read
 
 	Opened, Closed atomic.Uint64
 	RejectedConns  atomic.Uint64 // connections closed because there was no place
@@ -77,51 +77,51 @@
 // New starts an engine with one poller. It lets so many bytes wait to be written.
 func New(log logrus.FieldLogger, most int) (*Engine, error) {
 	logging.DefaultLogger = nbioLog{log}
-	e := &Engine{log: log, most: int64(most), buffer: make([]byte, readSize)}
+	e := &Engine{log: log, maxUnwritten: int64(most), buffer: make([]byte, readBufferSize)}
 	e.engine = nbio.NewEngine(nbio.Config{Name: "larchusher", NPoller: 1, ReadBufferSize: 1,
-		MaxWriteBufferSize: min(writeMost, most)})
+		MaxWriteBufferSize: min(maxUnwrittenPerConn, most)})
 	e.engine.OnRead(e.read)
 	e.engine.OnWrittenSize(func(nc *nbio.Conn, _ []byte, n int) {
 		e.Out.Add(uint64(n))
-		if c := e.of(nc); c != nil {
-			left := c.waiting.Add(int64(-n))
-			e.waiting.Add(int64(-n))
+		if c := e.connOf(nc); c != nil {
+			left := c.unwritten.Add(int64(-n))
+			e.unwritten.Add(int64(-n))
 			if left <= 0 && c.ended.Load() {
-				c.shut()
+				c.shutdownWrite()
 			}
 		}
 	})
 	e.engine.OnClose(func(nc *nbio.Conn, err error) {
-		c := e.of(nc)
+		c := e.connOf(nc)
 		if c == nil {
 			return
 		}
 		e.Closed.Add(1)
-		c.gone.Store(true)
+		c.closed.Store(true)
 		if c.ended.Load() {
 			e.lingering.Add(-1)
 		}
-		c.settle()
-		c.told(err)
-		if c.left != nil {
-			c.left()
+		c.releaseUnwritten()
+		c.notifyClosed(err)
+		if c.onDescriptorFree != nil {
+			c.onDescriptorFree()
 		}
 	})
 	if err := e.engine.Start(); err != nil {
 		return nil, fmt.Errorf("starting the poller: %w", err)
 	}
 	// Not stopped where this fails: nbio's Stop waits for ever for a poller that has not begun to run.
-	if err := e.echo.open(e.engine); err != nil {
+	if err := e.barrier.open(e.engine); err != nil {
 		return nil, fmt.Errorf("opening the echo: %w", err)
 	}
 	runs := make(chan struct{})
 	e.Barrier(func() { close(runs) })
-	late := time.NewTimer(echoWithin)
+	late := time.NewTimer(firstBarrierTimeout)
 	defer late.Stop()
 	select {
 	case <-runs:
 	case <-late.C:
-		return nil, fmt.Errorf("the poller has not answered in %v", echoWithin)
+		return nil, fmt.Errorf("the poller has not answered in %v", firstBarrierTimeout)
 	}
 	return e, nil
 }
@@ -129,32 +129,32 @@
 // Stop closes every connection.
 func (e *Engine) Stop() {
 	e.engine.Stop()
-	e.echo.close()
+	e.barrier.close()
 }
 
 // read takes in what has come on a connection, and hands it to its handler. Of one whose other end has closed it takes
 // all: nbio closes it right after. Guards against a store that closes behind a long answer, whose end was thrown away.
 func (e *Engine) read(nc *nbio.Conn) {
-	c := e.of(nc)
+	c := e.connOf(nc)
 	if c == nil {
-		e.echo.heard()
+		e.barrier.passed()
 		return
 	}
 	c.reading.Store(true)
 	defer c.reading.Store(false)
-	for i := 0; (i < readsMost || c.PeerClosed()) && !c.stopped.Load(); i++ {
+	for i := 0; (i < maxReadsInRow || c.PeerClosed()) && !c.stopped.Load(); i++ {
 		n, err := nc.Read(e.buffer)
 		if n > 0 {
 			e.In.Add(uint64(n))
 			if c.ended.Load() { // what crosses the end is thrown away
-				if c.thrown += n; c.thrown > thrownMost {
-					c.Close(errFlood)
+				if c.discardedBytes += n; c.discardedBytes > maxDiscardedBytes {
+					c.Close(errTooMuchAfterEnd)
 					return
 				}
 				continue
 			}
 			if err := c.handler.OnBytes(c, e.buffer[:n], time.Now()); err != nil {
-				c.CloseGracefully(err, lingerLeast)
+				c.CloseGracefully(err, shortLinger)
 				return
 			}
 		}
@@ -173,29 +173,29 @@
 
 // Conn is one connection. Write and Close may be called from any goroutine.
 type Conn struct {
-	Remote  string
-	engine  *Engine
-	nc      *nbio.Conn
-	handler Handler
-	waiting atomic.Int64
-	held    atomic.Int64
-
-	ended   atomic.Bool // by this side: nothing more is taken in or written
-	gone    atomic.Bool // it is closed
-	reading atomic.Bool // what has come is being taken in
-	stopped atomic.Bool // nothing more is (see StopReading)
-	closed  sync.Once   // OnClosed has been called
-	thrown  int         // poller: bytes that came after that
-	left    func()      // to be called once it holds no descriptor any more; nil: nobody waits for that
+	Remote        string
+	engine        *Engine
+	nc            *nbio.Conn
+	handler       Handler
+	unwritten     atomic.Int64
+	reservedInput atomic.Int64
+
+	ended            atomic.Bool // by this side: nothing more is taken in or written
+	closed           atomic.Bool // it is closed
+	reading          atomic.Bool // what has come is being taken in
+	stopped          atomic.Bool // nothing more is (see StopReading)
+	notifyOnce       sync.Once   // OnClosed has been called
+	discardedBytes   int         // poller: bytes that came after that
+	onDescriptorFree func()      // to be called once it holds no descriptor any more; nil: nobody waits for that
 }
 
-// told tells the handler, once, that the connection is over.
-func (c *Conn) told(err error) { c.closed.Do(func() { c.handler.OnClosed(c, err) }) }
+// notifyClosed tells the handler, once, that the connection is over.
+func (c *Conn) notifyClosed(err error) { c.notifyOnce.Do(func() { c.handler.OnClosed(c, err) }) }
 
 // PeerClosed says whether the other end has closed the connection, by the kernel's word at this moment: what has come before
 // that may not have been read yet.
 func (c *Conn) PeerClosed() bool {
-	if c.gone.Load() {
+	if c.closed.Load() {
 		return true
 	}
 	left := false
@@ -223,11 +223,11 @@
 		return
 	}
 	c.engine.lingering.Add(1)
-	if c.waiting.Load() <= 0 {
-		c.shut()
+	if c.unwritten.Load() <= 0 {
+		c.shutdownWrite()
 	}
 	c.nc.Unlock()
-	c.told(err)
+	c.notifyClosed(err)
 	time.AfterFunc(linger, func() { c.Close(err) })
 }
 
@@ -237,7 +237,7 @@
 // InputDrained says whether nothing that the other end has sent lies unread in the kernel, nor is just being handed to the handler.
 // What the handler was handed before that is its own to know.
 func (c *Conn) InputDrained() bool {
-	if c.gone.Load() {
+	if c.closed.Load() {
 		return true
 	}
 	return c.unread() == 0 && !c.reading.Load() // in this order: what was read meanwhile is being handed over, or has been
@@ -260,16 +260,16 @@
 // Closing says whether End was called.
 func (c *Conn) Closing() bool { return c.ended.Load() }
 
-// shut closes the sending side. nbio's lock is held: the descriptor is the connection's own.
-func (c *Conn) shut() { _ = unix.Shutdown(c.nc.Hash(), unix.SHUT_WR) }
+// shutdownWrite closes the sending side. nbio's lock is held: the descriptor is the connection's own.
+func (c *Conn) shutdownWrite() { _ = unix.Shutdown(c.nc.Hash(), unix.SHUT_WR) }
 
 // ReserveInput notes memory that what has come on the connection takes until the loop has dealt with it, and Release that it
 // has. An error says that this is too much. Guards against clients that send at full speed what is quicker to read
 // than to answer: it would pile up between the poller and the loop.
 func (c *Conn) ReserveInput(n int) error {
-	e, own := c.engine, c.held.Add(int64(n))
-	all := e.held.Add(int64(n))
-	if own > min(heldMost, e.most/4) || all > e.most/2 && own > heldFair {
+	e, own := c.engine, c.reservedInput.Add(int64(n))
+	all := e.reservedInput.Add(int64(n))
+	if own > min(maxReservedPerConn, e.maxUnwritten/4) || all > e.maxUnwritten/2 && own > fairReservedPerConn {
 		return fmt.Errorf("%d bytes have come and wait, and %d on all connections", own, all)
 	}
 	return nil
@@ -277,33 +277,33 @@
 
 // ReleaseInput gives back what was held, on an error of ReserveInput, too.
 func (c *Conn) ReleaseInput(n int) {
-	c.held.Add(int64(-n))
-	c.engine.held.Add(int64(-n))
+	c.reservedInput.Add(int64(-n))
+	c.engine.reservedInput.Add(int64(-n))
 }
 
 // UnsentBytes is the number of bytes that wait to be written.
-func (c *Conn) UnsentBytes() int64 { return c.waiting.Load() }
+func (c *Conn) UnsentBytes() int64 { return c.unwritten.Load() }
 
 // Write sends the pieces in order, and never blocks. It keeps nothing of them. If more waits than the
 // engine holds, the connection is closed: its other end does not read.
 func (c *Conn) Write(pieces ...[]byte) error {
 	if c.ended.Load() {
-		return errEnded
+		return errConnEnded
 	}
 	total := 0
 	for _, p := range pieces {
 		total += len(p)
 	}
-	if c.engine.waiting.Load()+int64(total) > c.engine.most && c.waiting.Load() > 0 {
+	if c.engine.unwritten.Load()+int64(total) > c.engine.maxUnwritten && c.unwritten.Load() > 0 {
 		err := fmt.Errorf("%d bytes wait to be written, and %d on this connection",
-			c.engine.waiting.Load(), c.waiting.Load())
+			c.engine.unwritten.Load(), c.unwritten.Load())
 		_ = c.nc.CloseWithError(err)
 		return err
 	}
-	c.waiting.Add(int64(total))
-	c.engine.waiting.Add(int64(total))
+	c.unwritten.Add(int64(total))
+	c.engine.unwritten.Add(int64(total))
 	// One write, one packet: a copy costs less than another system call. nbio copies what the kernel does not take.
-	if len(pieces) > 1 && total <= joinedMost {
+	if len(pieces) > 1 && total <= maxJoinedWrite {
 		buf := pool.Get(total)
 		defer pool.Put(buf)
 		joined := buf[:0]
@@ -311,7 +311,7 @@
 			joined = append(joined, p...)
 		}
 		_, err := c.nc.Write(joined)
-		return c.written(err)
+		return c.checkWritten(err)
 	}
 	// Guards against nbio's Writev, which loses what follows the piece at which the socket's buffer is full.
 	for _, p := range pieces {
@@ -319,41 +319,41 @@
 			continue
 		}
 		if _, err := c.nc.Write(p); err != nil {
-			return c.written(err)
+			return c.checkWritten(err)
 		}
 	}
 	return nil
 }
 
-// written settles after a write.
-func (c *Conn) written(err error) error {
+// checkWritten settles after a write.
+func (c *Conn) checkWritten(err error) error {
 	if err == nil {
 		return nil
 	}
-	c.settle() // it may have been closed before the pieces were counted
+	c.releaseUnwritten() // it may have been closed before the pieces were counted
 	return fmt.Errorf("writing to %s: %w", c.Remote, err)
 }
 
-// settle takes what waits off the engine's sum, once the connection is closed.
-func (c *Conn) settle() { c.engine.waiting.Add(-c.waiting.Swap(0)) }
+// releaseUnwritten takes what waits off the engine's sum, once the connection is closed.
+func (c *Conn) releaseUnwritten() { c.engine.unwritten.Add(-c.unwritten.Swap(0)) }
 
 // Close ends the connection; OnClosed follows.
 func (c *Conn) Close(err error) { _ = c.nc.CloseWithError(err) }
 
-// of returns the Conn of one of nbio's. Guards against reading it half made: nbio hands connections to its poller
+// connOf returns the Conn of one of nbio's. Guards against reading it half made: nbio hands connections to its poller
 // through the kernel alone, which the memory model of Go knows nothing of.
-func (e *Engine) of(nc *nbio.Conn) *Conn {
-	e.handing.Lock()
-	defer e.handing.Unlock()
+func (e *Engine) connOf(nc *nbio.Conn) *Conn {
+	e.connMu.Lock()
+	defer e.connMu.Unlock()
 	c, _ := nc.Session().(*Conn)
 	return c
 }
 
 // wrap makes a Conn, and add has the poller read it. left is called once it has given its descriptor back.
 func (e *Engine) wrap(nc *nbio.Conn, h Handler, left func()) *Conn {
-	e.handing.Lock()
-	defer e.handing.Unlock()
-	c := &Conn{Remote: nc.RemoteAddr().String(), engine: e, nc: nc, handler: h, left: left}
+	e.connMu.Lock()
+	defer e.connMu.Unlock()
+	c := &Conn{Remote: nc.RemoteAddr().String(), engine: e, nc: nc, handler: h, onDescriptorFree: left}
 	nc.SetSession(c)
 	_ = nc.SetNoDelay(true)
 	e.Opened.Add(1)
--- a/internal/net/transport/transport_test.go
+++ b/internal/net/transport/transport_test.go
@@ -52,7 +52,7 @@
 		if err := c.Write(make([]byte, 100<<10)); err == nil {
 			t.Error("a closed connection can be written")
 		}
-		if n := e.waiting.Load(); n != 0 || c.UnsentBytes() != 0 {
+		if n := e.unwritten.Load(); n != 0 || c.UnsentBytes() != 0 {
 			t.Errorf("%d bytes wait on all connections, %d on a closed one", n, c.UnsentBytes())
 		}
 	}
@@ -152,8 +152,8 @@
 	})
 	c := <-k.opened
 	within(t, "it is read", func() bool { // OnOpened comes before that
-		e.handing.Lock()
-		defer e.handing.Unlock()
+		e.connMu.Lock()
+		defer e.connMu.Unlock()
 		return c.nc.Session() != nil
 	})
 	return e, c, other.(*net.TCPConn), k
@@ -215,14 +215,14 @@
 // One whose other end stays open gives its descriptor back all the same.
 func TestAnEndDoesNotWaitForEver(t *testing.T) {
 	e, c, other, k := pair(t, 0)
-	c.CloseGracefully(io.EOF, lingerLeast)
+	c.CloseGracefully(io.EOF, shortLinger)
 	<-k.closed
 	within(t, "it is closed", func() bool { return e.Lingering() == 0 && e.Closed.Load() == 1 })
 	_ = other.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if _, err := other.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the other end sees %v", err)
 	}
-	c.CloseGracefully(io.EOF, lingerLeast) // a second one changes nothing
+	c.CloseGracefully(io.EOF, shortLinger) // a second one changes nothing
 	if e.Lingering() != 0 {
 		t.Error("a closed connection lingers")
 	}
@@ -238,7 +238,7 @@
 	if err := c.nc.SetReadBuffer(1 << 20); err != nil { // the kernel must take it all, and the end, too
 		t.Fatal(err)
 	}
-	const sent = readsMost*readSize + 8<<10
+	const sent = maxReadsInRow*readBufferSize + 8<<10
 	if _, err := other.Write(make([]byte, sent)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -14,8 +14,8 @@
 	"larchusher/routing"
 )
 
-// maxList is the highest number that a list may bear.
-const maxList = 15
+// maxListNumber is the highest number that a list may bear.
+const maxListNumber = 15
 
 // ItemKind says what an Item is.
 type ItemKind int
@@ -48,8 +48,8 @@
 	// Unknown, if set, is called with the name of each event that the decoder does not know.
 	Unknown func(name string)
 
-	lists [maxList + 1][]routing.Endpoint
-	known [maxList + 1]bool
+	lists [maxListNumber + 1][]routing.Endpoint
+	known [maxListNumber + 1]bool
 }
 
 // Decode reads one line. An error names the event and the field that was wrong.
@@ -120,13 +120,13 @@
 	return item, true
 }
 
-var listKinds = map[string]routing.UpdateKind{
+var updateKinds = map[string]routing.UpdateKind{
 	"total": routing.FullList, "incr": routing.DeltaList, "warm_copy": routing.StaleList, "lost": routing.WatchLost,
 }
 
 func (d *Decoder) sync(f *fields) routing.Event {
 	how := f.text(3, "how")
-	kind, ok := listKinds[how]
+	kind, ok := updateKinds[how]
 	if !ok {
 		f.fail("how", fmt.Errorf("unknown kind of list %q", how))
 		return nil
@@ -135,7 +135,7 @@
 		return routing.EndpointUpdate{Kind: kind}
 	}
 	n := f.integer(2, "list")
-	if n < 0 || n > maxList || !d.known[n] {
+	if n < 0 || n > maxListNumber || !d.known[n] {
 		f.fail("list", fmt.Errorf("list %d was not defined", n))
 		return nil
 	}
@@ -146,8 +146,8 @@
 
 func (d *Decoder) define(f *fields) {
 	n := f.integer(1, "list")
-	if f.err == nil && (n < 0 || n > maxList) {
-		f.fail("list", fmt.Errorf("%d is not from 0 to %d", n, maxList))
+	if f.err == nil && (n < 0 || n > maxListNumber) {
+		f.fail("list", fmt.Errorf("%d is not from 0 to %d", n, maxListNumber))
 	}
 	var rows [][]json.RawMessage
 	f.value(2, "records", &rows, true)
@@ -197,8 +197,8 @@
 
 // The bits of a request's marks.
 const (
-	markRepeat = 2
-	markWrite  = 4
+	markRetry = 2
+	markWrite = 4
 )
 
 var decoders = map[string]func(*fields) routing.Event{
@@ -208,7 +208,7 @@
 			ID: f.text(2, "job"), Class: f.text(3, "profile"), Tenant: f.name(4, "team"),
 			Object: f.optionalText(5, "asset"), Deadline: duration(f.number(6, "deadlineMs")),
 			SizeKB: f.optional(7, "bytesK"), Group: int(f.optional(8, "tag")),
-			Part: int(f.optional(9, "chunk")), Retry: marks&markRepeat != 0, Write: marks&markWrite != 0,
+			Part: int(f.optional(9, "chunk")), Retry: marks&markRetry != 0, Write: marks&markWrite != 0,
 		}
 	},
 	"firstByte": func(f *fields) routing.Event {
--- a/internal/simprotocol/encode.go
+++ b/internal/simprotocol/encode.go
@@ -11,10 +11,10 @@
 
 // The bits of an attempt's `how`.
 const (
-	howJoin     = 1
-	howOnlyHeld = 2
-	howNoCopy   = 4
-	howRenew    = 8
+	howCoalesce     = 1
+	howOnlyIfCached = 2
+	howNoParentCopy = 4
+	howRefreshAhead = 8
 )
 
 // Reply collects the actions of one batch. The zero value is an empty reply.
@@ -64,7 +64,7 @@
 		for _, b := range [...]struct {
 			set bool
 			bit int
-		}{{a.Coalesce, howJoin}, {a.OnlyIfCached, howOnlyHeld}, {a.NoParentCopy, howNoCopy}, {a.RefreshAhead, howRenew}} {
+		}{{a.Coalesce, howCoalesce}, {a.OnlyIfCached, howOnlyIfCached}, {a.NoParentCopy, howNoParentCopy}, {a.RefreshAhead, howRefreshAhead}} {
 			if b.set {
 				how += b.bit
 			}
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -9,8 +9,8 @@
 	"larchusher/routing"
 )
 
-// env mirrors the settings object of the wire.
-type env struct {
+// wireSettings mirrors the settings object of the wire.
+type wireSettings struct {
 	Balancers int `json:"balancers"`
 	Classes   []struct {
 		AimMs          float64 `json:"aimMs"`
@@ -90,14 +90,14 @@
 		"": routing.Idempotent, "repeatable": routing.Idempotent, "by_key": routing.IdempotentWithKey, "once": routing.NonIdempotent}
 	scopes = map[string]routing.DedupScope{
 		"": routing.ScopeAll, "all": routing.ScopeAll, "zone": routing.ScopeZone, "cell": routing.ScopeCell}
-	tells = map[string]routing.AnswerDetail{
+	answerDetails = map[string]routing.AnswerDetail{
 		"": routing.DetailNone, "off": routing.DetailNone, "hit": routing.DetailHit, "all": routing.DetailAll}
-	neighbours = map[string]routing.SiblingMode{"": routing.NoSiblings, "off": routing.NoSiblings,
+	siblingModes = map[string]routing.SiblingMode{"": routing.NoSiblings, "off": routing.NoSiblings,
 		"location": routing.SiblingsInLocation, "any": routing.SiblingsAnywhere}
 )
 
-// word looks up one of the wire's words.
-func word[T any](f *fields, table map[string]T, name, w string) T {
+// lookup looks up one of the wire's words.
+func lookup[T any](f *fields, table map[string]T, name, w string) T {
 	v, ok := table[w]
 	if !ok {
 		f.fail(name, fmt.Errorf("unknown word %q", w))
@@ -125,7 +125,7 @@
 // the key that was wrong.
 func ParseSettings(object []byte) (routing.Settings, Sockets, error) {
 	f := fields{values: []json.RawMessage{object}}
-	var e env
+	var e wireSettings
 	f.value(0, "settings", &e, true)
 	s := e.settings(&f)
 	return s, Sockets{ConnectTimeout: duration(e.Limits.ConnectTimeoutMs),
@@ -134,12 +134,12 @@
 }
 
 func (f *fields) settings(i int, name string) routing.Settings {
-	var e env
+	var e wireSettings
 	f.value(i, name, &e, true)
 	return e.settings(f)
 }
 
-func (e *env) settings(f *fields) routing.Settings {
+func (e *wireSettings) settings(f *fields) routing.Settings {
 	if f.err != nil {
 		return routing.Settings{}
 	}
@@ -149,8 +149,8 @@
 		ZoneDirectors: fi.CountByZone, ZoneLink: fi.ZoneLinkKbPerS, Kinds: e.Flavors, ParentKind: -1,
 		WeightsKnown: e.WeightSource != "" && e.WeightSource != "off", FlowKBps: fi.StreamKbPerS,
 		PollDiscovery: e.Discovery == "ask", AllowBypass: fi.MayPassBy, AllowCoalescing: fi.Joins,
-		Siblings:     word(f, neighbours, "familyInfo.neighbours", fi.Neighbours),
-		AnswerDetail: word(f, tells, "familyInfo.says", fi.Says),
+		Siblings:     lookup(f, siblingModes, "familyInfo.neighbours", fi.Neighbours),
+		AnswerDetail: lookup(f, answerDetails, "familyInfo.says", fi.Says),
 		HealthChecks: e.Limits.Probing, Gossip: e.Limits.PeerMessages, CanCancel: e.Limits.Cancelling,
 		HedgedRequests: e.Limits.SecondCopies, SendRetryAfter: e.Limits.RetryAfter,
 		MaxRetryAfter: duration(e.Limits.MaxRetryAfterMs), MaxAttempts: e.Limits.SendCap,
@@ -183,8 +183,8 @@
 		s.Classes = append(s.Classes, routing.Class{
 			Name: c.Name, LatencyObjective: duration(c.AimMs), ObjectiveStretch: c.AimStretch, Deadline: duration(c.HardLimitMs),
 			PriorityWeight: c.Value, LateWeight: c.LateWorth,
-			Effect:     word(f, effects, "classes.effect", c.Effect),
-			DedupScope: word(f, scopes, "classes.dedupScope", c.DedupScope), DedupWindow: duration(c.RepeatWindowMs),
+			Effect:     lookup(f, effects, "classes.effect", c.Effect),
+			DedupScope: lookup(f, scopes, "classes.dedupScope", c.DedupScope), DedupWindow: duration(c.RepeatWindowMs),
 			Stream: c.Streaming, FreshFor: duration(at(fi.LifetimeByClassMs, i)),
 			StaleGrace: duration(at(fi.StaleForMs, i)), StaleWeight: at(fi.OldCopyWorth, i),
 			Parts: at(fi.InPieces, i), Uncacheable: at(fi.NeverKept, i),
