--- /dev/null
+++ b/internal/net/msgpackrpc/conn.go
@@ -0,0 +1,156 @@
+package msgpackrpc
+
+import (
+	"fmt"
+	"sync/atomic"
+
+	"larchusher/gateway"
+	"larchusher/internal/net/transport"
+)
+
+// conn is one client's connection.
+type conn struct {
+	front *Front
+
+	// The poller's.
+	buf          []byte                    // a message that has come in part; held input follows it
+	partial      bool                      // the latest batch ended with a part of a message
+	heldInput    []transport.ReceivedChunk // what came since Front.HoldRequests
+	scannedBytes int                       // of buf, in which cancels have been looked for
+
+	// Shared by both.
+	postedBatches  atomic.Int64 // that the loop has not handled
+	shedUncounted  atomic.Int64 // requests that were shed, and that the loop has not counted
+	pendingCancels pendingCancels
+
+	// The loop's.
+	tc       *transport.Conn
+	client   *gateway.Client
+	open     map[uint64]*gateway.Request // by message id
+	tracked  *transport.TrackedConn
+	gone     bool // the connection is closed
+	migrated bool // it has gone over to another process
+}
+
+// idle reports whether nothing is owed on the connection.
+func (c *conn) idle() bool {
+	return len(c.open) == 0 && c.tc.InputDrained() && c.postedBatches.Load() == 0 && c.tracked.PartialSince.IsZero()
+}
+
+// busy reports whether requests are open, and counts those that were shed as activity.
+func (c *conn) busy() bool {
+	if n := c.shedUncounted.Swap(0); n > 0 && c.tracked != nil {
+		c.tracked.Received(c.front.loop.Now(), int(n), false)
+	}
+	return len(c.open) > 0
+}
+
+// OnOpened has the connection swept, though it may never send a byte.
+func (c *conn) OnOpened(tc *transport.Conn) {
+	c.front.loop.Post(func() {
+		switch {
+		case c.front.closed: // it was accepted just before the end
+			tc.CloseGracefully(errEnding, transport.LingerTime)
+		case !c.gone:
+			c.tc = tc
+			c.tracked = c.front.tracker.Add(tc, c.front.loop.Now(), c.busy)
+			c.front.conns[c] = true
+			c.client = c.front.gateway.AddClient(tc.UnsentBytes, tc.Close)
+		}
+	})
+}
+
+// OnClosed abandons the requests that are open on the connection.
+func (c *conn) OnClosed(_ *transport.Conn, _ error) {
+	c.front.loop.Post(func() {
+		c.gone = true
+		delete(c.front.conns, c)
+		c.front.tracker.Remove(c.tracked)
+		for id, r := range c.open {
+			delete(c.open, id)
+			c.front.gateway.Abandon(r)
+		}
+		c.front.gateway.RemoveClient(c.client)
+	})
+}
+
+// handleBatch handles what one read has brought, on the loop.
+func (c *conn) handleBatch(tc *transport.Conn, b *batch) {
+	// What was read before the end and comes after it belongs to nobody: its client asks elsewhere.
+	if c.gone || tc.Closing() {
+		return
+	}
+	c.tracked.Received(c.front.loop.Now(), len(b.messages)+b.shed, b.partial)
+	for _, m := range b.messages {
+		c.handleMessage(m)
+	}
+}
+
+// handleMessage handles one message, on the loop.
+func (c *conn) handleMessage(m clientMessage) {
+	switch m.kind {
+	case cancelMessage:
+		c.pendingCancels.remove(m.id)
+		if r := c.open[m.id]; r != nil {
+			delete(c.open, m.id)
+			c.front.gateway.Abandon(r)
+		}
+	case aliveMessage:
+		c.write(appendAlive(nil, m.id))
+	case unreadableMessage:
+		if !c.rejectReusedID(m.id) {
+			c.front.gateway.CountAnswer(m.class, gateway.Answer{Outcome: gateway.Failed})
+			c.write(appendError(nil, m.id, errorFailed, "", ""))
+		}
+	case requestMessage:
+		if !c.rejectReusedID(m.id) {
+			c.submit(m)
+		}
+	case ignoredMessage:
+	}
+}
+
+// rejectReusedID closes the connection and reports true if a message id is in use.
+func (c *conn) rejectReusedID(id uint64) bool {
+	if c.open[id] == nil {
+		return false
+	}
+	c.front.Malformed++
+	c.tc.CloseGracefully(fmt.Errorf("message id %d is open already", id), transport.LingerTime)
+	return true
+}
+
+// submit submits a request to the gateway, or rejects it if too many are open on the connection.
+func (c *conn) submit(m clientMessage) {
+	r := m.request
+	if len(c.open) >= maxOpenPerConn {
+		c.front.TooManyOpen++
+		c.front.gateway.CountAnswer(r.Class, gateway.Answer{Outcome: gateway.Rejected})
+		c.write(appendRejection(nil, m.id, tooManyOpenRetryAfter))
+		return
+	}
+	r.Client = c.client
+	r.Answer = func(a gateway.Answer) { c.writeAnswer(m.id, a) }
+	r.ClientConnected = func() bool { return !c.tc.Closing() && !c.pendingCancels.contains(m.id) && !c.tc.PeerClosed() }
+	c.open[m.id] = r
+	c.front.gateway.Submit(r)
+}
+
+// writeAnswer writes the final answer to a request.
+func (c *conn) writeAnswer(id uint64, a gateway.Answer) {
+	delete(c.open, id)
+	switch {
+	case c.gone:
+	case a.Outcome == gateway.Served:
+		c.write(appendServedHead(make([]byte, 0, 16), id, len(a.Body)), a.Body, noFields)
+	case a.Outcome == gateway.NotModified:
+		c.write(appendNotModified(nil, id))
+	case a.Retryable:
+		c.write(appendRejection(nil, id, a.RetryAfter))
+	default:
+		c.write(appendError(nil, id, errorFailed, "", ""))
+	}
+}
+
+// write writes to the client. A write that fails has closed the connection, and OnClosed follows.
+func (c *conn) write(pieces ...[]byte) { _ = c.tc.Write(pieces...) }
--- a/internal/net/msgpackrpc/front.go
+++ b/internal/net/msgpackrpc/front.go
@@ -1,35 +1,23 @@
 package msgpackrpc
 
 import (
-	"bytes"
 	"errors"
-	"fmt"
-	"slices"
-	"strconv"
-	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/sirupsen/logrus"
 
 	"larchusher/gateway"
-	"larchusher/internal/logfields"
 	"larchusher/internal/net/transport"
 )
 
 const (
-	maxOpenPerConn    = 32 // requests open on one connection; further ones are refused
-	sweepInterval     = 250 * time.Millisecond
-	maxBodyBytes      = 48000   // bytes that a request carries
-	maxPart           = 1 << 20 // parts of one object
-	maxGroup          = 255     // the last group
-	maxSizeKB         = 1 << 20 // KB that a part can have
-	maxTimeLimit      = time.Minute
-	maxIdleBuffer     = 16 << 10  // of a connection's buffer, between messages
-	maxRejectionBatch = 32 << 10  // bytes of refusals that are written at once
-	messageCost       = 512       // memory of a message beside its body
-	errorRejected     = "Backoff" // refused
-	errorFailed       = "Lost"    // failed
+	maxOpenPerConn        = 32                     // requests open on one connection; others are rejected,
+	tooManyOpenRetryAfter = 100 * time.Millisecond // to come back after this
+	sweepInterval         = 250 * time.Millisecond // between two looks for connections that hold their places for nothing
+	maxIdleBuffer         = 16 << 10               // bytes of a connection's buffer, between messages
+	maxRejectionBatch     = 32 << 10               // bytes of rejections that are written at once
+	messageCost           = 512                    // bytes of a message beside its body
 )
 
 // errEnding ends connections with the program.
@@ -42,24 +30,25 @@
 	log     logrus.FieldLogger
 	conns   map[*conn]bool
 	tracker *transport.ConnTracker
-	closed  bool        // Shut was called
-	holding atomic.Bool // Hold was called
+	closed  bool        // by CloseAll
+	holding atomic.Bool // since HoldRequests
 
-	classes atomic.Pointer[map[string]string] // names, so that each is held once
+	classes atomic.Pointer[map[string]string] // by their names, so that requests share one string each
 
 	Malformed   uint64 // connections closed for what they sent
 	TooManyOpen uint64 // requests beyond those that a connection may have open
 }
 
-// New returns a front for so many connections. Its Accept makes the handlers of a listener.
-func New(loop *gateway.Loop, g *gateway.Gateway, classes []string, most int, log logrus.FieldLogger) *Front {
-	f := &Front{loop: loop, gateway: g, log: log, conns: map[*conn]bool{}, tracker: transport.NewConnTracker(most)}
+// New returns a front for at most maxConns connections, whose handlers its NewHandler makes. classes are the names of the
+// classes that are served.
+func New(loop *gateway.Loop, g *gateway.Gateway, classes []string, maxConns int, log logrus.FieldLogger) *Front {
+	f := &Front{loop: loop, gateway: g, log: log, conns: map[*conn]bool{}, tracker: transport.NewConnTracker(maxConns)}
 	f.SetClasses(classes)
 	loop.After(sweepInterval, f.sweep)
 	return f
 }
 
-// SetClasses takes in the names of the classes that are served. It may be called from anywhere.
+// SetClasses sets the names of the classes that are served. It may be called from any goroutine.
 func (f *Front) SetClasses(names []string) {
 	classes := make(map[string]string, len(names))
 	for _, name := range names {
@@ -73,7 +62,7 @@
 	return &conn{front: f, open: map[uint64]*gateway.Request{}}
 }
 
-// Idle says whether all that was answered has left.
+// Idle reports whether no request is open, and every answer has been written.
 func (f *Front) Idle() bool {
 	for c := range f.conns {
 		if c.tc.UnsentBytes() > 0 || len(c.open) > 0 {
@@ -83,7 +72,7 @@
 	return true
 }
 
-// CloseAll ends all connections, once nothing is in work on them: what comes on them from now on is not taken in.
+// CloseAll closes all connections, once nothing is open on them. What comes on them from now on is ignored.
 func (f *Front) CloseAll() {
 	f.closed = true
 	for c := range f.conns {
@@ -92,10 +81,10 @@
 }
 
 // SetMaxConns sets how many connections are held at once.
-func (f *Front) SetMaxConns(most int) { f.tracker.SetMaxConns(most) }
+func (f *Front) SetMaxConns(maxConns int) { f.tracker.SetMaxConns(maxConns) }
 
-// CloseIdle ends all connections on which nothing is open and nothing has come that is not answered, and returns how many are
-// left. A request that crosses the end on its way is its client's to send anew.
+// CloseIdle closes all connections on which nothing is open and nothing has come that is not answered, and returns how many
+// are left. A request that crosses the close on its way is its client's to send again.
 func (f *Front) CloseIdle() (left int) {
 	for c := range f.conns {
 		switch {
@@ -109,12 +98,7 @@
 	return left
 }
 
-// idle says whether nothing is owed on the connection.
-func (c *conn) idle() bool {
-	return len(c.open) == 0 && c.tc.InputDrained() && c.postedBatches.Load() == 0 && c.tracked.PartialSince.IsZero()
-}
-
-// EvictIdle has an idle connection closed, for one that waits to be accepted. It may be called from anywhere.
+// EvictIdle has an idle connection closed, for one that waits to be accepted. It may be called from any goroutine.
 func (f *Front) EvictIdle() { f.loop.Post(func() { f.tracker.EvictIdle(f.loop.Now(), 1) }) }
 
 // sweep closes connections that hold their places for nothing.
@@ -122,342 +106,3 @@
 	f.tracker.Sweep(f.loop.Now(), nil)
 	f.loop.After(sweepInterval, f.sweep)
 }
-
-// conn is one client's connection.
-type conn struct {
-	front *Front
-	buf   []byte // poller: bytes of a message that has not come whole; what is held comes behind them
-
-	tc            *transport.Conn // loop: the rest
-	client        *gateway.Client
-	open          map[uint64]*gateway.Request
-	tracked       *transport.TrackedConn
-	gone          bool
-	partial       bool         // poller: a part of a message has come
-	postedBatches atomic.Int64 // pieces of work that were handed to the loop, and that it has not done
-	shedUncounted atomic.Int64 // requests that were shed, and the loop has not counted
-
-	pendingCancels pendingCancels // that were read, and that the loop has not taken in
-
-	heldInput    []transport.ReceivedChunk // poller: what came since Hold
-	scannedBytes int                       // poller: bytes of buf in which cancels have been looked for
-	migrated     bool                      // it has gone over to another process
-}
-
-// pendingCancels are message ids, counted. The zero value has none.
-type pendingCancels struct {
-	n   atomic.Int64
-	mu  sync.Mutex
-	ids map[uint64]int
-}
-
-func (c *pendingCancels) add(id uint64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.ids == nil {
-		c.ids = map[uint64]int{}
-	}
-	c.ids[id]++
-	c.n.Add(1)
-}
-
-func (c *pendingCancels) remove(id uint64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.ids[id]--; c.ids[id] <= 0 {
-		delete(c.ids, id)
-	}
-	c.n.Add(-1)
-}
-
-// contains says whether an id is among them; where there are none, which is nearly always, it costs one load.
-func (c *pendingCancels) contains(id uint64) bool {
-	if c.n.Load() == 0 {
-		return false
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.ids[id] > 0
-}
-
-// OnOpened counts the connection among those that are swept, though it may never send a byte.
-func (c *conn) OnOpened(tc *transport.Conn) {
-	c.front.loop.Post(func() {
-		if c.front.closed { // it was accepted just before the end
-			tc.CloseGracefully(errEnding, transport.LingerTime)
-		} else if !c.gone {
-			c.tc = tc
-			c.tracked = c.front.tracker.Add(tc, c.front.loop.Now(), func() bool {
-				if n := c.shedUncounted.Swap(0); n > 0 && c.tracked != nil { // it is at work, though none of it is in work
-					c.tracked.Received(c.front.loop.Now(), int(n), false)
-				}
-				return len(c.open) > 0
-			})
-			c.front.conns[c] = true
-			c.client = c.front.gateway.AddClient(tc.UnsentBytes, tc.Close)
-		}
-	})
-}
-
-// clientMessage is one message on its way to the loop.
-type clientMessage struct {
-	kind    clientMessageKind
-	id      uint64
-	request *gateway.Request
-	class   string // of a request that cannot be read
-}
-
-type clientMessageKind byte
-
-const (
-	requestMessage    clientMessageKind = iota
-	unreadableMessage                   // a request that cannot be read
-	cancelMessage
-	aliveMessage
-	ignoredMessage // a notification that means nothing here
-)
-
-// OnBytes cuts what came into messages. A message that has come whole carries the time at which it did. What is to be
-// shed is refused right here, and costs the loop nothing.
-func (c *conn) OnBytes(tc *transport.Conn, b []byte, at time.Time) error {
-	if c.front.holding.Load() {
-		return c.holdInput(tc, b, at)
-	}
-	if len(c.buf) > 0 {
-		c.buf = append(c.buf, b...)
-		b = c.buf
-	}
-	var batch []clientMessage
-	var refusals []byte
-	shed := 0
-	var bad error
-	held := 0
-	for len(b) > 0 && bad == nil {
-		left := maxValues
-		rest, err := skipValue(b, 0, &left)
-		if errors.Is(err, errShort) && len(b) <= maxFrameBytes {
-			break
-		}
-		if err == nil {
-			var m message
-			if m, err = decode(b[:len(b)-len(rest)]); err == nil {
-				b = rest
-				later, ok := time.Duration(0), true
-				if m.kind == typeRequest && string(m.method) != "alive" {
-					later, ok = c.front.gateway.Admit(gateway.PlatformFront, m.method, string(m.fields.second) == "1", m.fields.txn)
-				}
-				if !ok {
-					shed++
-					refusals = appendRefusal(refusals, m.id, later)
-					if len(refusals) > maxRejectionBatch {
-						bad = tc.Write(refusals)
-						refusals = refusals[:0]
-					}
-					continue
-				}
-				w := c.parseMessage(m, at)
-				if w.kind == cancelMessage {
-					c.pendingCancels.add(w.id)
-				}
-				batch = append(batch, w)
-				held += messageCost + len(m.body)
-				bad = tc.ReserveInput(messageCost + len(m.body))
-				continue
-			}
-		}
-		bad = fmt.Errorf("malformed message: %w", err)
-		break
-	}
-	if len(b) == 0 && cap(c.buf) > maxIdleBuffer { // many clients send a large body once in a while
-		c.buf = nil
-	}
-	c.buf = append(c.buf[:0], b...)
-	half := len(b) > 0
-	if len(refusals) > 0 && bad == nil {
-		bad = tc.Write(refusals)
-	}
-	if shed > 0 && len(batch) == 0 && !half && !c.partial && bad == nil {
-		c.shedUncounted.Add(int64(shed)) // the loop learns of it when it next looks
-		return nil
-	}
-	c.partial = half
-	c.postedBatches.Add(1)
-	c.front.loop.Post(func() {
-		c.postedBatches.Add(-1)
-		if bad != nil {
-			c.front.Malformed++
-		}
-		c.handleBatch(tc, batch, shed, half, at)
-		tc.ReleaseInput(held)
-	})
-	return bad
-}
-
-// OnClosed gives up what is open on the connection.
-func (c *conn) OnClosed(_ *transport.Conn, _ error) {
-	c.front.loop.Post(func() {
-		c.gone = true
-		delete(c.front.conns, c)
-		c.front.tracker.Remove(c.tracked)
-		for id, r := range c.open {
-			delete(c.open, id)
-			c.front.gateway.Abandon(r)
-		}
-		c.front.gateway.RemoveClient(c.client)
-	})
-}
-
-func (c *conn) handleBatch(tc *transport.Conn, batch []clientMessage, shed int, half bool, at time.Time) {
-	// What was read before the end and comes after it belongs to nobody: its client asks elsewhere.
-	if c.gone || tc.Closing() {
-		return
-	}
-	c.tracked.Received(c.front.loop.Now(), len(batch)+shed, half)
-	for _, w := range batch {
-		switch w.kind {
-		case cancelMessage:
-			c.pendingCancels.remove(w.id)
-			if r := c.open[w.id]; r != nil {
-				delete(c.open, w.id)
-				c.front.gateway.Abandon(r)
-			}
-		case aliveMessage:
-			b := append(appendResponse(nil, w.id), 0xc0, 0x92, 0xc3)
-			_ = tc.Write(appendFields(b, "", ""))
-		case unreadableMessage:
-			if !c.rejectReusedID(w.id) {
-				c.front.gateway.CountAnswer(w.class, gateway.Answer{Outcome: gateway.Failed})
-				c.writeError(w.id, errorFailed, "", "")
-			}
-		case requestMessage:
-			if !c.rejectReusedID(w.id) {
-				c.submit(w)
-			}
-		}
-	}
-}
-
-// rejectReusedID closes the connection if a message id is in use.
-func (c *conn) rejectReusedID(id uint64) bool {
-	if c.open[id] == nil {
-		return false
-	}
-	c.front.Malformed++
-	c.tc.CloseGracefully(fmt.Errorf("message id %d is open already", id), transport.LingerTime)
-	return true
-}
-
-// submit hands a request in.
-func (c *conn) submit(w clientMessage) {
-	if len(c.open) >= maxOpenPerConn {
-		c.front.TooManyOpen++
-		c.front.gateway.CountAnswer(w.request.Class, gateway.Answer{Outcome: gateway.Rejected})
-		c.writeError(w.id, errorRejected, "later", "100")
-		return
-	}
-	w.request.Client = c.client
-	w.request.Answer = func(a gateway.Answer) { c.writeAnswer(w.id, a) }
-	w.request.ClientConnected = func() bool { return !c.tc.Closing() && !c.pendingCancels.contains(w.id) && !c.tc.PeerClosed() }
-	c.open[w.id] = w.request
-	c.front.gateway.Submit(w.request)
-}
-
-// parseMessage reads a message; the frame's memory is used again. A request counts its time from when its last byte came.
-func (c *conn) parseMessage(m message, at time.Time) clientMessage {
-	switch {
-	case m.kind == typeNotify && string(m.method) == "cancelRequest":
-		return clientMessage{kind: cancelMessage, id: m.number}
-	case m.kind == typeNotify: // unknown notifications are passed over
-		return clientMessage{kind: ignoredMessage}
-	case string(m.method) == "alive":
-		return clientMessage{kind: aliveMessage, id: m.id}
-	}
-	class, ok := (*c.front.classes.Load())[string(m.method)] // makes no string
-	if !ok {
-		class = string(m.method)
-	}
-	// One string that all have a part of.
-	f := &m.fields
-	all := string(slices.Concat(f.txn, f.item, f.unique, f.mine))
-	cut := func(b []byte) (s string) {
-		s, all = all[:len(b)], all[len(b):]
-		return s
-	}
-	// Its wait for a turn begins now; at may be long ago, of a connection that another process has held.
-	r := &gateway.Request{Class: class, ID: cut(f.txn), Object: cut(f.item), IdempotencyKey: cut(f.unique), IfNoneMatch: cut(f.mine),
-		Retry: string(f.second) == "1", Body: bytes.Clone(m.body), ArrivedAt: time.Now(), Front: gateway.PlatformFront, Admitted: true}
-	// Guards the other requests of a store's connection: the store closes it on what it cannot read.
-	var err error
-	number := func(name string, s []byte, needed bool, most uint64) (n uint64) {
-		if len(s) == 0 && !needed || err != nil {
-			return 0
-		}
-		if n, err = strconv.ParseUint(string(s), 10, 31); err == nil && n > most {
-			err = fmt.Errorf("%s: %d is out of range", name, n)
-		}
-		return n
-	}
-	limit := min(time.Duration(number("limit", f.limit, true, 1<<31))*time.Millisecond, maxTimeLimit)
-	r.Part, r.Group = int(number("n", f.n, false, maxPart)), int(number("shard", f.shard, false, maxGroup))
-	switch {
-	case !isHexID(r.ID) || !isHexID(r.Object):
-		err = errors.New("txn and item have 16 hex digits")
-	case r.IdempotencyKey != "" && !isPlainField(r.IdempotencyKey) || r.IfNoneMatch != "" && !isPlainField(r.IfNoneMatch):
-		err = errors.New("a field that cannot be passed on")
-	case len(r.Body) > maxBodyBytes:
-		err = errors.New("the body is too long")
-	}
-	if err != nil {
-		c.front.log.WithError(err).Debug(logfields.RequestUnreadable)
-		return clientMessage{kind: unreadableMessage, id: m.id, class: class}
-	}
-	// A size helps to decide and reaches no store: one that can't be read is not told.
-	if kb, err := strconv.ParseFloat(string(f.ram), 64); err == nil && kb > 0 && kb <= maxSizeKB {
-		r.SizeKB = kb
-	}
-	r.Deadline = at.Add(limit)
-	return clientMessage{kind: requestMessage, id: m.id, request: r}
-}
-
-// isHexID says whether s is 16 hex digits.
-func isHexID(s string) bool {
-	for i := 0; i < len(s); i++ {
-		if c := s[i]; !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f') {
-			return false
-		}
-	}
-	return len(s) == 16
-}
-
-// isPlainField says whether s can stand in a field of any wire that it is passed on to.
-func isPlainField(s string) bool {
-	for i := 0; i < len(s); i++ {
-		if c := s[i]; !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' ||
-			c == '_' || c == '.') {
-			return false
-		}
-	}
-	return s != "" && len(s) <= 128
-}
-
-func (c *conn) writeAnswer(id uint64, a gateway.Answer) {
-	delete(c.open, id)
-	switch {
-	case c.gone:
-	case a.Outcome == gateway.Served:
-		head := append(appendResponse(make([]byte, 0, 16), id), 0xc0, 0x92)
-		_ = c.tc.Write(appendBinHead(head, len(a.Body)), a.Body, []byte{0x80})
-	case a.Outcome == gateway.NotModified:
-		b := appendBinHead(append(appendResponse(nil, id), 0xc0, 0x92), 0)
-		_ = c.tc.Write(appendFields(b, "still", "1"))
-	case a.Retryable:
-		_ = c.tc.Write(appendRefusal(nil, id, a.RetryAfter))
-	default:
-		c.writeError(id, errorFailed, "", "")
-	}
-}
-
-// writeError answers with an error and at most one field.
-func (c *conn) writeError(id uint64, word, name, value string) {
-	_ = c.tc.Write(appendError(nil, id, word, name, value))
-}
--- a/internal/net/msgpackrpc/move.go
+++ b/internal/net/msgpackrpc/move.go
@@ -7,43 +7,51 @@
 	"larchusher/internal/net/transport"
 )
 
-// maxHeldBytes is how many bytes of requests are held for another process on one connection; what comes beyond stays in the kernel.
-const maxHeldBytes = 64 << 10
+// A connection migrates to another process once nothing is open on it. From HoldRequests on no request is taken in any more,
+// so that this moment comes: what arrives is held, and goes over with the connection. Cancel messages take effect all the same.
 
-// A connection goes over to another process once nothing is open on it. From HoldRequests on no request is taken any more, so that this
-// moment comes: what comes is held, and goes over with the connection. Cancels are heeded all the same.
+// maxHeldBytes is how many bytes of requests are held on one connection; what comes beyond stays in the kernel.
+const maxHeldBytes = 64 << 10
 
-// HoldRequests has no further request taken in: what comes goes over with its connection.
+// HoldRequests has no further request taken in. It may be called from any goroutine.
 func (f *Front) HoldRequests() { f.holding.Store(true) }
 
-// MigrateIdle hands all connections to move on which nothing is open, and returns how many are left. One that move fails for
-// is ended.
-func (f *Front) MigrateIdle(move func(tc *transport.Conn, pieces []transport.ReceivedChunk) error) (left int) {
+// MigrateIdle hands all idle connections to migrate, with what has arrived on them and was not taken in, and returns how
+// many are left. One that migrate fails for is closed.
+func (f *Front) MigrateIdle(migrate func(tc *transport.Conn, received []transport.ReceivedChunk) error) (left int) {
 	for c := range f.conns {
 		if c.tc.Closing() || c.migrated {
 			continue
 		}
-		if len(c.open) > 0 || c.postedBatches.Load() > 0 || c.tc.UnsentBytes() > 0 {
-			left++
-			continue
-		}
-		stopped, err := c.tc.StopReading()
-		if err == nil && (!stopped || c.postedBatches.Load() > 0) {
+		ready, err := c.prepareMigration()
+		if err == nil && !ready {
 			left++
 			continue
 		}
 		if err == nil {
-			err = move(c.tc, c.unhandledInput())
+			err = migrate(c.tc, c.unhandledInput())
 		}
-		if c.migrated = err == nil; !c.migrated {
+		if err != nil {
 			f.log.WithError(err).Warn(logfields.ConnMigrationFailed)
 			c.tc.CloseGracefully(errEnding, transport.LingerTime)
+			continue
 		}
+		c.migrated = true
 	}
 	return left
 }
 
-// unhandledInput are what has come and was not taken in. Nothing is read from the connection any more.
+// prepareMigration stops reading from an idle connection, and reports whether it can migrate now.
+func (c *conn) prepareMigration() (ready bool, err error) {
+	if len(c.open) > 0 || c.postedBatches.Load() > 0 || c.tc.UnsentBytes() > 0 {
+		return false, nil
+	}
+	stopped, err := c.tc.StopReading()
+	// Of what was being read meanwhile, a batch may have been posted.
+	return stopped && c.postedBatches.Load() == 0, err
+}
+
+// unhandledInput is what has arrived and was not taken in. Nothing is read from the connection any more.
 func (c *conn) unhandledInput() (all []transport.ReceivedChunk) {
 	before := c.buf[:len(c.buf)-c.heldBytes()]
 	if len(before) > 0 {
@@ -61,38 +69,34 @@
 	return n
 }
 
-// holdInput keeps what came for another process, and heeds the cancels in it. It runs on the poller.
+// holdInput holds what came for another process, and has the cancel messages in it take effect. It runs on the poller.
 func (c *conn) holdInput(tc *transport.Conn, b []byte, at time.Time) error {
 	c.heldInput = append(c.heldInput, transport.ReceivedChunk{Data: append([]byte(nil), b...), At: at})
 	c.buf = append(c.buf, b...)
-	var cancels []clientMessage
+	if cancels := c.scanCancels(); len(cancels) > 0 {
+		c.post(tc, &batch{messages: cancels})
+	}
+	if len(c.buf) > maxHeldBytes {
+		_, err := tc.StopReading()
+		return err
+	}
+	return nil
+}
+
+// scanCancels finds the cancel messages in what is held. A message that is incomplete, or cannot be read, is left to the
+// process that takes it in next.
+func (c *conn) scanCancels() (cancels []clientMessage) {
 	for rest := c.buf[c.scannedBytes:]; len(rest) > 0; {
-		left := maxValues
-		next, err := skipValue(rest, 0, &left)
-		if err != nil { // it is not whole, or cannot be read: whoever takes it in next deals with it
-			break
-		}
-		m, err := decode(rest[:len(rest)-len(next)])
-		if err != nil {
+		m, after, incomplete, err := nextMessage(rest)
+		if incomplete || err != nil {
 			break
 		}
-		if m.kind == typeNotify && string(m.method) == "cancelRequest" {
+		if m.isCancel() {
 			c.pendingCancels.add(m.number)
 			cancels = append(cancels, clientMessage{kind: cancelMessage, id: m.number})
 		}
-		c.scannedBytes += len(rest) - len(next)
-		rest = next
+		c.scannedBytes += len(rest) - len(after)
+		rest = after
 	}
-	if len(cancels) > 0 {
-		c.postedBatches.Add(1)
-		c.front.loop.Post(func() {
-			c.postedBatches.Add(-1)
-			c.handleBatch(tc, cancels, 0, false, at)
-		})
-	}
-	if len(c.buf) > maxHeldBytes {
-		_, err := tc.StopReading()
-		return err
-	}
-	return nil
+	return cancels
 }
