--- a/internal/net/resp/answer.go
+++ b/internal/net/resp/answer.go
@@ -3,139 +3,104 @@
 import (
 	"errors"
 	"fmt"
-	"maps"
 	"math"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
 
-	pool "github.com/libp2p/go-buffer-pool"
-
 	"larchusher/gateway"
 	"larchusher/internal/logfields"
 	"larchusher/internal/net/transport"
 	"larchusher/routing"
 )
 
-// reserve says whether an answer may be held, and counts it. Guards the memory: what was asked of stores for slow clients
-// may come all at once, and longer than expected.
-func (c *conn) reserve(n int) bool {
-	p := c.pool
-	if held := p.answerBytes.Add(int64(n)); p.cfg.MaxAnswerBytes > 0 && held > p.cfg.MaxAnswerBytes {
-		p.answerBytes.Add(int64(-n))
-		return false
-	}
-	c.reservedBytes.Add(int64(n))
-	return true
-}
-
-// releaseReserved gives back what is held for an answer that will not come whole. It may run beside OnBytes: each calls it once
-// the connection has ended, and what the other has taken meanwhile evens out.
-func (c *conn) releaseReserved() { c.pool.answerBytes.Add(-c.reservedBytes.Swap(0)) }
-
-// releaseBody gives an answer's memory back.
-func (p *Pool) releaseBody(body []byte) {
-	if len(body) > maxUnreservedBytes {
-		p.answerBytes.Add(int64(-len(body)))
-	}
-	pool.Put(body)
-}
+// errNoCopy is of an answer that the client's copy is current, where the client has none.
+var errNoCopy = errors.New(notModified + " without a copy")
 
 // OnBytes cuts what came into answers.
 func (c *conn) OnBytes(tc *transport.Conn, b []byte, at time.Time) error {
-	var batch [][][]byte
+	var answers [][][]byte
 	err := c.parser.feed(b, func(args [][]byte) error {
-		if len(args) != 4 && len(args) != 2 {
+		if len(args) != answerStrings && len(args) != pingAnswerStrings {
 			return fmt.Errorf("an answer of %d strings", len(args))
 		}
-		for _, s := range args {
+		for _, s := range args { // they are complete: the answer itself holds the memory from now on
 			if len(s) > maxUnreservedBytes {
 				c.reservedBytes.Add(int64(-len(s)))
 			}
 		}
-		batch = append(batch, args)
+		answers = append(answers, args)
 		return nil
 	})
 	if c.closed.Load() {
 		c.releaseReserved()
 	}
-	within := c.parser.partial()
-	c.pool.loop.Post(func() {
-		if within && (!c.partial || len(batch) > 0) {
-			c.partialSince = at
-		}
-		c.lastByte, c.partial = at, within
-		for i, args := range batch {
-			bad := c.handleAnswer(args, at)
-			for _, s := range args { // the body is nil if it has become the answer's
-				c.pool.releaseBody(s)
-			}
-			if bad != nil {
-				for _, rest := range batch[i+1:] {
-					for _, s := range rest {
-						c.pool.releaseBody(s)
-					}
-				}
-				c.pool.log.WithError(bad).WithField(logfields.Endpoint, c.endpoint.id).Warn(logfields.EndpointAnswerFaulty)
-				tc.Close(bad)
-				c.end(bad)
-				return
-			}
-		}
-	})
+	partial := c.parser.partial()
+	c.pool.loop.Post(func() { c.handleAnswers(tc, answers, partial, at) })
 	return err
 }
 
-var statuses = map[string]routing.Status{"DONE": routing.OK, "KEEP": routing.OK, "LACK": routing.Miss,
-	"WAIT": routing.Rejected, "BROKE": routing.ServerError, "PAST": routing.NotSent}
-
-// What stores may say of how they served a request, or why not; a word that is not here says nothing.
-var reasons = map[string]routing.Reason{"warm": routing.ReasonHit, "fill": routing.ReasonFilled,
-	"deep_fill": routing.ReasonFilledByOrigin, "piggy": routing.ReasonCoalesced, "aged": routing.ReasonStale,
-	"bounced": routing.ReasonSourceRejected, "dropped": routing.ReasonSourceLost, "lacking": routing.ReasonSourceMiss,
-	"jammed": routing.ReasonNoFillSlot, "backfire": routing.ReasonOriginFailed}
+// handleAnswers handles what one read has brought, on the loop. partial: a part of a further answer has come.
+func (c *conn) handleAnswers(tc *transport.Conn, answers [][][]byte, partial bool, at time.Time) {
+	if partial && (!c.partial || len(answers) > 0) {
+		c.partialSince = at
+	}
+	c.lastByte, c.partial = at, partial
+	for i, args := range answers {
+		err := c.handleAnswer(args, at)
+		c.pool.releaseStrings(args) // the body is nil if it has become the answer's
+		if err == nil {
+			continue
+		}
+		for _, rest := range answers[i+1:] {
+			c.pool.releaseStrings(rest)
+		}
+		c.pool.log.WithError(err).WithField(logfields.Endpoint, c.endpoint.id).Warn(logfields.EndpointAnswerFaulty)
+		tc.Close(err)
+		c.end(err)
+		return
+	}
+}
 
-// handleAnswer takes one answer in, that came at a time. It takes the body out of args if that is to live on.
+// handleAnswer handles one answer, whose last byte came at a time. It takes the body out of args if that is used further.
 func (c *conn) handleAnswer(args [][]byte, at time.Time) error {
 	if c.ended {
 		return nil
 	}
 	id, word := string(args[0]), string(args[1])
-	if word == "FIT" || word == "UNFIT" { // whatever it says of the store, the connection works
+	if isPingAnswer(word) {
 		if id == c.pingID {
 			c.pingID = ""
 		}
 		return nil
 	}
 	status, ok := statuses[word]
-	if !ok || len(args) != 4 {
+	if !ok || len(args) != answerStrings {
 		return fmt.Errorf("the answer %.20q", word)
 	}
 	a := c.inFlight[id]
-	if a == nil { // it was given up, and its answer crossed that
+	if a == nil { // it was canceled, and its answer crossed that
 		c.pool.Counters.LateAnswers++
 		return nil
 	}
 	body := args[3]
-	if body == nil {
+	if body == nil { // there was no memory for it
 		c.pool.Counters.AnswersDropped++
-		delete(c.inFlight, id)
-		c.lastUsed = c.pool.loop.Now()
+		c.finish(id)
 		c.canceled[id] = c.lastUsed
 		c.pool.Gateway.AttemptEnded(a, gateway.Result{Status: status, ReceivedAt: at, BodyDropped: status == routing.OK})
 		return nil
 	}
-	res := gateway.Result{Status: status, Body: body, NotModified: word == "KEEP", ReceivedAt: at}
+	res := gateway.Result{Status: status, Body: body, NotModified: word == notModified, ReceivedAt: at}
 	if err := c.parseFields(string(args[2]), &res); err != nil {
 		return err
 	}
 	if res.NotModified && a.Request.IfNoneMatch == "" {
-		return errors.New("KEEP without a copy")
+		return errNoCopy
 	}
-	delete(c.inFlight, id)
-	c.lastUsed = c.pool.loop.Now()
-	if status != routing.OK { // a second copy of this answer must not be taken for that of another try
+	c.finish(id)
+	if status != routing.OK { // a second answer with the id must not be taken for that of a further attempt
 		c.canceled[id] = c.lastUsed
 	}
 	args[3] = nil
@@ -144,7 +109,13 @@
 	return nil
 }
 
-// parseFields reads the fields of an answer.
+// finish takes an attempt off those in flight.
+func (c *conn) finish(id string) {
+	delete(c.inFlight, id)
+	c.lastUsed = c.pool.loop.Now()
+}
+
+// parseFields reads the fields of an answer. What this protocol does not know is ignored.
 func (c *conn) parseFields(list string, res *gateway.Result) error {
 	if list == "-" || list == "" {
 		return nil
@@ -170,17 +141,7 @@
 	return nil
 }
 
-// loadFieldAliases are the simulator's words for values of load reports by those of its wire, and back: the settings may use
-// either, whatever stores do.
-var loadFieldAliases = func() map[string]string {
-	all := map[string]string{"inflight": "busy_reqs", "util": "cpu_share", "queue": "pending", "latency_ms": "svc_ms", "qps": "served_ps", "eps": "failed_ps"}
-	for a, b := range maps.Clone(all) {
-		all[b] = a
-	}
-	return all
-}()
-
-// parseLoadReport reads a load report into the order of the settings.
+// parseLoadReport reads a load report into the order of Config.LoadReportFields; NaN: not reported.
 func (c *conn) parseLoadReport(report string) []float64 {
 	load := make([]float64, len(c.pool.cfg.LoadReportFields))
 	for i := range load {
--- a/internal/net/resp/parser.go
+++ b/internal/net/resp/parser.go
@@ -1,4 +1,5 @@
-// Package resp carries attempts to stores: RESP arrays of bulk strings, many requests on one connection.
+// Package resp carries attempts to endpoints: RESP arrays of bulk strings, many attempts on one connection. Its Pool lives on
+// the gateway's loop; what comes on connections is parsed on the poller.
 package resp
 
 import (
@@ -18,6 +19,14 @@
 	maxUnreservedBytes = 4 << 10 // a string no longer than this is always held
 )
 
+// lineEnd ends lines and strings.
+const lineEnd = "\r\n"
+
+var (
+	errStringEnd   = errors.New("a string does not end where it should")
+	errLineTooLong = errors.New("a length's line is too long")
+)
+
 // parser cuts a stream into arrays of bulk strings. The zero value is ready for use.
 type parser struct {
 	reserve func(n int) bool // whether so long a string may be held; nil: any may
@@ -30,61 +39,75 @@
 	received    int      // bytes of it
 }
 
-// partial says that an answer has begun and not come whole.
+// partial reports whether an answer has begun and is not complete.
 func (p *parser) partial() bool { return p.stringsLeft > 0 || len(p.line) > 0 || p.skipBytes > 0 }
 
-// feed takes the next bytes and calls emit with each whole array. Its strings are emit's, to be given back to the pool;
-// one that there was no room for is nil.
+// feed takes the next bytes and calls emit with each complete array. Its strings are emit's, to be given back to the pool;
+// one that there was no memory for is nil.
 func (p *parser) feed(b []byte, emit func(args [][]byte) error) error {
 	for len(b) > 0 {
-		if p.skipBytes > 0 {
-			n := min(p.skipBytes, len(b))
-			b = b[n:]
-			if p.skipBytes -= n; p.skipBytes == 0 {
-				if err := p.addString(nil, emit); err != nil {
-					return err
-				}
-			}
-			continue
-		}
-		if p.current != nil {
-			n := copy(p.current[p.received:], b)
-			p.received, b = p.received+n, b[n:]
-			if p.received < len(p.current) {
-				return nil
-			}
-			end := len(p.current) - 2
-			if p.current[end] != '\r' || p.current[end+1] != '\n' {
-				return errors.New("a string does not end where it should")
-			}
-			s := p.current[:end]
-			p.current = nil
-			if err := p.addString(s, emit); err != nil {
-				return err
-			}
-			continue
-		}
-		i := bytes.IndexByte(b, '\n')
-		if i < 0 && len(p.line)+len(b) <= maxLineBytes {
-			p.line = append(p.line, b...)
-			return nil
+		var err error
+		switch {
+		case p.skipBytes > 0:
+			b, err = p.feedSkipped(b, emit)
+		case p.current != nil:
+			b, err = p.feedString(b, emit)
+		default:
+			b, err = p.feedLine(b)
 		}
-		if i < 0 || len(p.line)+i > maxLineBytes {
-			return errors.New("a length's line is too long")
-		}
-		line := append(p.line, b[:i]...)
-		p.line, b = p.line[:0], b[i+1:]
-		if err := p.parseLength(line); err != nil {
+		if err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// addString takes a string that has come, and emits the array that it ends.
+// feedSkipped passes over bytes of a string that there was no memory for, and returns what follows.
+func (p *parser) feedSkipped(b []byte, emit func(args [][]byte) error) (rest []byte, err error) {
+	n := min(p.skipBytes, len(b))
+	p.skipBytes -= n
+	if p.skipBytes == 0 {
+		err = p.addString(nil, emit)
+	}
+	return b[n:], err
+}
+
+// feedString adds bytes to the string that is read, and returns what follows.
+func (p *parser) feedString(b []byte, emit func(args [][]byte) error) (rest []byte, err error) {
+	n := copy(p.current[p.received:], b)
+	p.received, b = p.received+n, b[n:]
+	if p.received < len(p.current) {
+		return b, nil
+	}
+	end := len(p.current) - len(lineEnd)
+	if string(p.current[end:]) != lineEnd {
+		return b, errStringEnd
+	}
+	s := p.current[:end]
+	p.current = nil
+	return b, p.addString(s, emit)
+}
+
+// feedLine adds bytes to the line that is read, and returns what follows it.
+func (p *parser) feedLine(b []byte) (rest []byte, err error) {
+	i := bytes.IndexByte(b, '\n')
+	if i < 0 && len(p.line)+len(b) <= maxLineBytes {
+		p.line = append(p.line, b...)
+		return nil, nil
+	}
+	if i < 0 || len(p.line)+i > maxLineBytes {
+		return b, errLineTooLong
+	}
+	line := append(p.line, b[:i]...)
+	p.line = p.line[:0]
+	return b[i+1:], p.parseLength(line)
+}
+
+// addString takes a complete string, and emits the array if that is complete, too.
 func (p *parser) addString(s []byte, emit func(args [][]byte) error) error {
 	p.args = append(p.args, s)
-	if p.stringsLeft--; p.stringsLeft > 0 {
+	p.stringsLeft--
+	if p.stringsLeft > 0 {
 		return nil
 	}
 	args := p.args
--- a/internal/net/resp/request.go
+++ b/internal/net/resp/request.go
@@ -8,7 +8,7 @@
 	"larchusher/gateway"
 )
 
-// writeAttempt sends one attempt, if it may still go.
+// writeAttempt writes one attempt, if it may still be sent.
 func (c *conn) writeAttempt(a *gateway.Attempt) {
 	if !c.pool.Gateway.ConfirmAttempt(a) {
 		return
@@ -30,7 +30,7 @@
 	}
 }
 
-// encodeFields words the fields of an attempt.
+// encodeFields words the fields of an attempt: here alone the names of the wire stand.
 func encodeFields(a *gateway.Attempt, now time.Time) string {
 	r := a.Request
 	b := make([]byte, 0, 192)
@@ -56,6 +56,17 @@
 	if a.MaxAge > 0 {
 		add("accept", strconv.FormatInt(max(1, a.MaxAge.Milliseconds()), 10))
 	}
+	if hints := encodeHints(a); hints != "" {
+		add("hints", hints)
+	}
+	if r.IfNoneMatch != "" {
+		add("got", r.IfNoneMatch)
+	}
+	return string(b)
+}
+
+// encodeHints words the options of an attempt.
+func encodeHints(a *gateway.Attempt) string {
 	var hints []string
 	for _, h := range [...]struct {
 		set  bool
@@ -65,11 +76,5 @@
 			hints = append(hints, h.word)
 		}
 	}
-	if len(hints) > 0 {
-		add("hints", strings.Join(hints, "+"))
-	}
-	if r.IfNoneMatch != "" {
-		add("got", r.IfNoneMatch)
-	}
-	return string(b)
+	return strings.Join(hints, "+")
 }
--- /dev/null
+++ b/internal/net/resp/wire_test.go
@@ -0,0 +1,78 @@
+package resp
+
+import (
+	"testing"
+	"time"
+
+	"larchusher/gateway"
+	"larchusher/routing"
+)
+
+// answers takes in how attempts ended.
+type answers struct{ got []gateway.Result }
+
+func (*answers) ConfirmAttempt(*gateway.Attempt) bool                { return true }
+func (a *answers) AttemptEnded(_ *gateway.Attempt, r gateway.Result) { a.got = append(a.got, r) }
+
+// Each status word of an answer stands for one status, and any other breaks the connection.
+func TestStatusesOfAnswers(t *testing.T) {
+	for word, want := range map[string]gateway.Result{
+		"DONE":  {Status: routing.OK},
+		"KEEP":  {Status: routing.OK, NotModified: true},
+		"LACK":  {Status: routing.Miss},
+		"WAIT":  {Status: routing.Rejected},
+		"BROKE": {Status: routing.ServerError},
+		"PAST":  {Status: routing.NotSent},
+	} {
+		ended := &answers{}
+		a := &gateway.Attempt{Request: &gateway.Request{ID: "r", IfNoneMatch: "tag"}}
+		c := &conn{pool: &Pool{Gateway: ended, loop: gateway.NewLoop()}, inFlight: map[string]*gateway.Attempt{"r": a}, canceled: map[string]time.Time{}}
+		err := c.handleAnswer([][]byte{[]byte("r"), []byte(word), []byte("digest=v1"), {}}, time.Time{})
+		if err != nil || len(ended.got) != 1 {
+			t.Fatal(word, err, ended.got)
+		}
+		if r := ended.got[0]; r.Status != want.Status || r.NotModified != want.NotModified || r.ETag != "v1" {
+			t.Errorf("%s: %+v", word, r)
+		}
+		if _, blocked := c.canceled["r"]; blocked != (want.Status != routing.OK) {
+			t.Errorf("%s: the id may be used again: %v", word, !blocked)
+		}
+	}
+	c := &conn{pool: &Pool{}}
+	if err := c.handleAnswer([][]byte{[]byte("r"), []byte("NOVEL"), []byte("-"), {}}, time.Time{}); err == nil {
+		t.Error("an unknown status is taken")
+	}
+	if len(statuses) != 6 || len(reasons) != int(routing.ReasonOriginFailed) {
+		t.Errorf("%d statuses and %d reasons are on the wire", len(statuses), len(reasons))
+	}
+}
+
+// Each field of an attempt has one name on the wire.
+func TestFieldsOfAttempts(t *testing.T) {
+	now := time.Unix(1000, 0)
+	base := gateway.Attempt{Deadline: now.Add(1500 * time.Millisecond)}
+	request := gateway.Request{Class: "images", Object: "o", Part: 3}
+	const first = "lane=images,name=o,piece=3,ttl=1500"
+	for want, change := range map[string]func(a *gateway.Attempt, r *gateway.Request){
+		"":                  func(*gateway.Attempt, *gateway.Request) {},
+		",dedupe=k":         func(_ *gateway.Attempt, r *gateway.Request) { r.IdempotencyKey = "k" },
+		",parent=p":         func(a *gateway.Attempt, _ *gateway.Request) { a.FillSource = "p" },
+		",shelf=2":          func(a *gateway.Attempt, _ *gateway.Request) { a.CacheRank = 2 },
+		",accept=250":       func(a *gateway.Attempt, _ *gateway.Request) { a.MaxAge = 250 * time.Millisecond },
+		",hints=merge":      func(a *gateway.Attempt, _ *gateway.Request) { a.Coalesce = true },
+		",hints=local":      func(a *gateway.Attempt, _ *gateway.Request) { a.OnlyIfCached = true },
+		",hints=skip":       func(a *gateway.Attempt, _ *gateway.Request) { a.NoParentCopy = true },
+		",hints=revalidate": func(a *gateway.Attempt, _ *gateway.Request) { a.RefreshAhead = true },
+		",got=t":            func(_ *gateway.Attempt, r *gateway.Request) { r.IfNoneMatch = "t" },
+		",hints=merge+local+skip,got=t2": func(a *gateway.Attempt, r *gateway.Request) {
+			a.Coalesce, a.OnlyIfCached, a.NoParentCopy, r.IfNoneMatch = true, true, true, "t2"
+		},
+	} {
+		a, r := base, request
+		a.Request = &r
+		change(&a, &r)
+		if got := encodeFields(&a, now); got != first+want {
+			t.Errorf("%q, not %q", got, first+want)
+		}
+	}
+}
