--- a/internal/net/signedfront/parser.go
+++ b/internal/net/signedfront/parser.go
@@ -13,89 +13,141 @@
 const (
 	maxHeadBytes = 16 << 10
 	maxFields    = 64
+
+	headEnd = "\r\n\r\n"
+	http10  = "HTTP/1.0"
+	http11  = "HTTP/1.1"
 )
 
 // head is the head of a request.
 type head struct {
 	method, target string
+	version        string              // http10 or http11
 	fields         map[string][]string // by lower-case name
 	bodyLength     int                 // of the body
 	keepAlive      bool                // the connection stays open afterwards
 	expectContinue bool                // the client waits for 100 Continue
 }
 
+// get returns the values of a field, by its name in any case.
 func (h *head) get(name string) []string { return h.fields[strings.ToLower(name)] }
 
-// parseHead reads a request's head from the start of b. It returns nil and no problem while that has not come
-// whole. What it can't read for certain it rejects: whatever stands before us might read it otherwise.
+// parseHead reads a request's head from the start of b, and returns its size in bytes. It returns nil and no problem while
+// the head is incomplete. What it cannot read for certain it rejects: whatever stands before the gateway might read it
+// otherwise.
 func parseHead(b []byte) (h *head, size int, p *httpapi.Problem) {
-	bad := func(status int, reason string) (*head, int, *httpapi.Problem) {
-		return nil, 0, &httpapi.Problem{Status: status, Reason: reason}
-	}
-	end := bytes.Index(b, []byte("\r\n\r\n"))
+	end := bytes.Index(b, []byte(headEnd))
 	if end > maxHeadBytes || end < 0 && len(b) > maxHeadBytes {
-		return bad(http.StatusRequestHeaderFieldsTooLarge, "the head is too long")
+		return nil, 0, problem(http.StatusRequestHeaderFieldsTooLarge, "the head is too long")
 	}
 	if end < 0 {
 		return nil, 0, nil
 	}
 	lines := strings.Split(string(b[:end]), "\r\n")
-	words := strings.Split(lines[0], " ")
+	h, p = parseRequestLine(lines[0])
+	if p == nil {
+		p = h.parseFields(lines[1:])
+	}
+	if p == nil {
+		p = h.interpret()
+	}
+	if p != nil {
+		return nil, 0, p
+	}
+	return h, end + len(headEnd), nil
+}
+
+func problem(status int, reason string) *httpapi.Problem {
+	return &httpapi.Problem{Status: status, Reason: reason}
+}
+
+// parseRequestLine reads the first line of a head.
+func parseRequestLine(line string) (*head, *httpapi.Problem) {
+	words := strings.Split(line, " ")
 	if len(words) != 3 || words[0] == "" || !isToken(words[0]) {
-		return bad(http.StatusBadRequest, "malformed request line")
+		return nil, problem(http.StatusBadRequest, "malformed request line")
 	}
-	if words[2] != "HTTP/1.1" && words[2] != "HTTP/1.0" {
-		return bad(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is spoken here")
+	h := &head{method: words[0], target: words[1], version: words[2], fields: map[string][]string{}}
+	if h.version != http11 && h.version != http10 {
+		return nil, problem(http.StatusHTTPVersionNotSupported, "HTTP/1.1 is spoken here")
 	}
-	if len(lines)-1 > maxFields {
-		return bad(http.StatusRequestHeaderFieldsTooLarge, "too many fields")
+	return h, nil
+}
+
+// parseFields reads the lines after the first.
+func (h *head) parseFields(lines []string) *httpapi.Problem {
+	if len(lines) > maxFields {
+		return problem(http.StatusRequestHeaderFieldsTooLarge, "too many fields")
 	}
-	h = &head{method: words[0], target: words[1], fields: map[string][]string{}, keepAlive: words[2] == "HTTP/1.1"}
-	for _, l := range lines[1:] {
+	for _, l := range lines {
 		name, value, ok := strings.Cut(l, ":")
 		if !ok || name == "" || !isToken(name) || strings.ContainsFunc(value, isControl) {
-			return bad(http.StatusBadRequest, "malformed field")
+			return problem(http.StatusBadRequest, "malformed field")
 		}
 		name = strings.ToLower(name)
 		h.fields[name] = append(h.fields[name], strings.Trim(value, " \t"))
 	}
-	if words[2] == "HTTP/1.1" && len(h.fields["host"]) != 1 {
-		return bad(http.StatusBadRequest, "one Host is needed")
+	return nil
+}
+
+// interpret reads what the fields say of the connection and the body.
+func (h *head) interpret() *httpapi.Problem {
+	if h.version == http11 && len(h.fields["host"]) != 1 {
+		return problem(http.StatusBadRequest, "one Host is needed")
 	}
 	if len(h.fields["transfer-encoding"]) > 0 {
-		return bad(http.StatusNotImplemented, "send a Content-Length, not a Transfer-Encoding")
+		return problem(http.StatusNotImplemented, "send a Content-Length, not a Transfer-Encoding")
 	}
-	if l := h.fields["content-length"]; len(l) > 0 {
-		n, err := strconv.ParseUint(l[0], 10, 31)
-		if err != nil || len(l) > 1 || strings.HasPrefix(l[0], "+") {
-			return bad(http.StatusBadRequest, "malformed Content-Length")
-		}
-		if n > httpapi.MaxBodyBytes {
-			return bad(http.StatusRequestEntityTooLarge, "the body is too long")
+	if p := h.interpretContentLength(); p != nil {
+		return p
+	}
+	h.interpretConnection()
+	for _, v := range h.fields["expect"] {
+		if !strings.EqualFold(v, "100-continue") {
+			return problem(http.StatusExpectationFailed, "unknown expectation")
 		}
-		h.bodyLength = int(n)
+		h.expectContinue = true
+	}
+	return nil
+}
+
+// interpretContentLength reads the length of the body.
+func (h *head) interpretContentLength() *httpapi.Problem {
+	lengths := h.fields["content-length"]
+	if len(lengths) == 0 {
+		return nil
+	}
+	const bits = 31
+	n, err := strconv.ParseUint(lengths[0], 10, bits)
+	if err != nil || len(lengths) > 1 || strings.HasPrefix(lengths[0], "+") {
+		return problem(http.StatusBadRequest, "malformed Content-Length")
+	}
+	if n > httpapi.MaxBodyBytes {
+		return problem(http.StatusRequestEntityTooLarge, "the body is too long")
 	}
+	h.bodyLength = int(n)
+	return nil
+}
+
+// interpretConnection reads whether the connection stays open: by default it does in HTTP/1.1, and not in HTTP/1.0.
+func (h *head) interpretConnection() {
+	h.keepAlive = h.version == http11
 	for _, v := range h.fields["connection"] {
 		for option := range strings.SplitSeq(v, ",") {
 			switch strings.ToLower(strings.TrimSpace(option)) {
 			case "close":
 				h.keepAlive = false
 			case "keep-alive":
-				h.keepAlive = h.keepAlive || words[2] == "HTTP/1.0"
+				h.keepAlive = h.keepAlive || h.version == http10
 			}
 		}
 	}
-	for _, v := range h.fields["expect"] {
-		if !strings.EqualFold(v, "100-continue") {
-			return bad(http.StatusExpectationFailed, "unknown expectation")
-		}
-		h.expectContinue = true
-	}
-	return h, end + 4, nil
 }
 
+// isControl reports whether a field's value may not have a character.
 func isControl(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
 
+// isToken reports whether s has only characters of a token (RFC 9110, 5.6.2).
 func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
