--- a/internal/net/discovery/events.go
+++ b/internal/net/discovery/events.go
@@ -1,4 +1,5 @@
-// Package discovery follows the journal service: server-sent events that tell of stores and purges.
+// Package discovery watches the service that pushes the endpoint list and purges as server-sent events. The wire calls it
+// the journal. A Client reads the events, an EventApplier applies them; both live on the gateway's loop and never block.
 package discovery
 
 import (
@@ -11,7 +12,7 @@
 	"larchusher/routing"
 )
 
-// EndpointEntry is a store as the journal names it.
+// EndpointEntry is an endpoint as the wire has it.
 type EndpointEntry struct {
 	Name        string  `json:"name"`
 	Address     string  `json:"address"`
@@ -23,28 +24,28 @@
 	StartedAtMs int64   `json:"since_ms"`
 }
 
-// EndpointListEvent is an event about the list of stores.
+// EndpointListEvent is a complete endpoint list, or changes to it.
 type EndpointListEvent struct {
 	Index     int64           `json:"index"`
 	Snapshot  bool            `json:"snapshot"`
 	Endpoints []EndpointEntry `json:"endpoints"`
 }
 
-// PurgeEvent is a purge: of an object, or of a group.
+// PurgeEvent is a purge of an object, or of a group.
 type PurgeEvent struct {
 	Object     string `json:"name"`
 	Group      *int   `json:"set"`
 	IssuedAtMs int64  `json:"stamp"`
 }
 
-// Event is one entry of the journal.
+// Event is one event of the service.
 type Event struct {
 	Position     int64              `json:"pos"`
 	EndpointList *EndpointListEvent `json:"hosts"`
 	Purge        *PurgeEvent        `json:"expire"`
 }
 
-// InitialState is what a gateway is told of the journal at its start.
+// InitialState is what a gateway is given at its start of the events so far.
 type InitialState struct {
 	Position int64   `json:"pos"`
 	Entries  []Event `json:"entries"`
@@ -53,7 +54,7 @@
 var phases = map[string]routing.Phase{"SERVING": routing.Up, "DRAINING": routing.Draining,
 	"DELETED": routing.Removed}
 
-// validate names the first part of an event that cannot be used.
+// validate is why an event cannot be used; nil: it can.
 func (e Event) validate() error {
 	if e.EndpointList != nil {
 		for _, h := range e.EndpointList.Endpoints {
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// parseEvent reads the data of one event.
+// parseEvent reads the data of one event. With an error, the event is not to be used.
 func parseEvent(data []byte) (e Event, err error) {
 	if err = json.Unmarshal(data, &e); err != nil {
 		return e, fmt.Errorf("not an event: %w", err)
@@ -79,7 +80,7 @@
 	return e, e.validate()
 }
 
-// Sink takes in what the journal tells. Its methods are called on the loop.
+// Sink takes in what events say. Its methods are called on the loop.
 type Sink interface {
 	UpdateEndpoints(routing.EndpointUpdate)
 	Purge(routing.Purge)
@@ -87,23 +88,23 @@
 	RemoveEndpoint(id string)
 }
 
-// EventApplier turns events into what the director and the pool of stores are told.
+// EventApplier turns events into updates for directors and for the pool of connections.
 type EventApplier struct {
 	Sink  Sink
-	Clock func(time.Time) time.Duration // the director's
+	Clock func(time.Time) time.Duration // converts to the directors' clock
 
 	incarnations map[string]incarnation
-	listed       map[string]EndpointEntry // stores that are on the list
+	listed       map[string]EndpointEntry // endpoints on the list, by name
 }
 
-// incarnation is when a store started, on the journal's clock and on the director's. It is turned once: a start
-// whose time moves would look like another start.
+// incarnation is when an endpoint started, on the service's clock and on the directors'. It is converted once: a start whose
+// time moves would look like another start.
 type incarnation struct {
 	startedAtMs  int64
 	directorTime time.Duration
 }
 
-// ApplyInitial takes in what is known at the start, as one stale list.
+// ApplyInitial applies what is known at the start, as one stale list.
 func (b *EventApplier) ApplyInitial(now time.Time, k InitialState) error {
 	b.incarnations, b.listed = map[string]incarnation{}, map[string]EndpointEntry{}
 	hosts := map[string]EndpointEntry{}
@@ -139,7 +140,7 @@
 	return nil
 }
 
-// CurrentState is the present list of stores as a process could be told it at its start, after the event pos.
+// CurrentState is the present endpoint list, behind the event at a position, as another process could start with it.
 func (b *EventApplier) CurrentState(pos int64) InitialState {
 	list := &EndpointListEvent{Snapshot: true}
 	for _, name := range slices.Sorted(maps.Keys(b.listed)) {
@@ -148,7 +149,7 @@
 	return InitialState{Position: pos, Entries: []Event{{Position: pos, EndpointList: list}}}
 }
 
-// Apply takes in one further event.
+// Apply applies one further event.
 func (b *EventApplier) Apply(now time.Time, e Event) {
 	if e.EndpointList != nil {
 		kind := routing.DeltaList
@@ -162,41 +163,59 @@
 	}
 }
 
-func (b *EventApplier) applyList(now time.Time, kind routing.UpdateKind, hosts []EndpointEntry) {
-	m := routing.EndpointUpdate{Kind: kind}
+// applyList applies a list of endpoints, or of changes to one.
+func (b *EventApplier) applyList(now time.Time, kind routing.UpdateKind, entries []EndpointEntry) {
+	update := routing.EndpointUpdate{Kind: kind}
 	named := map[string]bool{}
-	for _, h := range hosts {
-		at := b.incarnations[h.Name]
-		if at.startedAtMs != h.StartedAtMs {
-			at = incarnation{startedAtMs: h.StartedAtMs}
-			if h.StartedAtMs > 0 {
-				at.directorTime = b.Clock(now) - now.Sub(time.UnixMilli(h.StartedAtMs))
-			}
-			b.incarnations[h.Name] = at
-		}
-		m.Endpoints = append(m.Endpoints, routing.Endpoint{ID: h.Name, Zone: h.Zone, Kind: h.Kind, Cell: h.Cell,
-			Incarnation: at.directorTime, Weight: h.Weight, Phase: phases[h.Status]})
-		if phases[h.Status] == routing.Removed {
-			b.Sink.RemoveEndpoint(h.Name)
-			delete(b.listed, h.Name)
-			delete(b.incarnations, h.Name) // ids come and go all day
+	for _, e := range entries {
+		phase := phases[e.Status]
+		update.Endpoints = append(update.Endpoints, routing.Endpoint{
+			ID:          e.Name,
+			Zone:        e.Zone,
+			Kind:        e.Kind,
+			Cell:        e.Cell,
+			Incarnation: b.incarnationOf(now, e),
+			Weight:      e.Weight,
+			Phase:       phase,
+		})
+		if phase == routing.Removed {
+			b.remove(e.Name)
 			continue
 		}
-		named[h.Name], b.listed[h.Name] = true, h
-		b.Sink.SetAddress(h.Name, h.Address, h.StartedAtMs)
+		named[e.Name], b.listed[e.Name] = true, e
+		b.Sink.SetAddress(e.Name, e.Address, e.StartedAtMs)
 	}
-	if kind != routing.DeltaList { // what a whole list does not name is gone
+	if kind != routing.DeltaList { // what a complete list does not name is gone
 		for name := range b.listed {
 			if !named[name] {
-				b.Sink.RemoveEndpoint(name)
-				delete(b.listed, name)
-				delete(b.incarnations, name)
+				b.remove(name)
 			}
 		}
 	}
-	b.Sink.UpdateEndpoints(m)
+	b.Sink.UpdateEndpoints(update)
+}
+
+// remove forgets an endpoint. Names come and go all day, so that nothing of it is kept.
+func (b *EventApplier) remove(name string) {
+	b.Sink.RemoveEndpoint(name)
+	delete(b.listed, name)
+	delete(b.incarnations, name)
+}
+
+// incarnationOf is when an endpoint started, on the directors' clock; 0: long ago.
+func (b *EventApplier) incarnationOf(now time.Time, e EndpointEntry) time.Duration {
+	known := b.incarnations[e.Name]
+	if known.startedAtMs != e.StartedAtMs {
+		known = incarnation{startedAtMs: e.StartedAtMs}
+		if e.StartedAtMs > 0 {
+			known.directorTime = b.Clock(now) - now.Sub(time.UnixMilli(e.StartedAtMs))
+		}
+		b.incarnations[e.Name] = known
+	}
+	return known.directorTime
 }
 
+// applyPurge applies a purge.
 func (b *EventApplier) applyPurge(now time.Time, x PurgeEvent) {
 	p := routing.Purge{Object: x.Object, Age: max(0, now.Sub(time.UnixMilli(x.IssuedAtMs)))}
 	if x.Group != nil && x.Object == "" {
