--- a/gateway/outcomes_test.go
+++ b/gateway/outcomes_test.go
@@ -11,14 +11,42 @@
 	"larchusher/routing"
 )
 
+// randomTraffic does at random what clients, endpoints and operators do.
+type randomTraffic struct {
+	t    *testing.T
+	rng  *rand.Rand
+	open []*gateway.Request
+	sent []*gateway.Attempt
+}
+
+// step does one thing; a request that it submits has the id.
+func (r *randomTraffic) step(h *host, id string) {
+	switch k := r.rng.IntN(10); {
+	case k < 4:
+		request := &gateway.Request{ID: id, Class: []string{"page", "order"}[r.rng.IntN(2)], Object: fmt.Sprint(r.rng.IntN(20)),
+			Deadline: time.Now().Add(time.Duration(r.rng.IntN(2000)) * time.Millisecond), Answer: func(gateway.Answer) {}}
+		h.g.Submit(request)
+		r.open = append(r.open, request)
+	case k < 6 && len(r.open) > 0:
+		h.g.Abandon(r.open[r.rng.IntN(len(r.open))]) // it may have been answered
+	case k < 9 && len(r.sent) > 0:
+		h.g.AttemptEnded(r.sent[r.rng.IntN(len(r.sent))], gateway.Result{Status: routing.Status(r.rng.IntN(9))})
+	case k == 9 && r.rng.IntN(10) == 0:
+		classes := []routing.Class{{Name: "page", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1, Effect: routing.Effect(r.rng.IntN(3))},
+			{Name: "order", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 3}}
+		if err := h.g.ReconfigureClasses(classes[:1+r.rng.IntN(2)], 1+r.rng.IntN(5)); err != nil {
+			r.t.Error(err)
+		}
+	}
+}
+
 // What was answered, by class, and what is open add up to what was taken at every moment: whatever crosses what, answers of
 // stores, clients that leave, deadlines, new classes and the end of the program.
 func TestOutcomesAddUpToWhatWasTaken(t *testing.T) {
 	var left, served uint64
 	for seed := range uint64(20) {
 		h, rng := newHost(t, overload.Config{}), rand.New(rand.NewPCG(seed, 1))
-		var open []*gateway.Request
-		var out []*gateway.Attempt
+		traffic := &randomTraffic{t: t, rng: rng}
 		check := func(step int) {
 			t.Helper()
 			sum := uint64(h.g.OpenRequests())
@@ -31,27 +59,11 @@
 		}
 		for step := range 400 {
 			h.on(func() {
-				switch k := rng.IntN(10); {
-				case k < 4:
-					r := &gateway.Request{ID: fmt.Sprint(seed, step), Class: []string{"page", "order"}[rng.IntN(2)], Object: fmt.Sprint(rng.IntN(20)),
-						Deadline: time.Now().Add(time.Duration(rng.IntN(2000)) * time.Millisecond), Answer: func(gateway.Answer) {}}
-					h.g.Submit(r)
-					open = append(open, r)
-				case k < 6 && len(open) > 0:
-					h.g.Abandon(open[rng.IntN(len(open))]) // it may have been answered
-				case k < 9 && len(out) > 0:
-					h.g.AttemptEnded(out[rng.IntN(len(out))], gateway.Result{Status: routing.Status(rng.IntN(9))})
-				case k == 9 && rng.IntN(10) == 0:
-					classes := []routing.Class{{Name: "page", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1, Effect: routing.Effect(rng.IntN(3))},
-						{Name: "order", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 3}}
-					if err := h.g.ReconfigureClasses(classes[:1+rng.IntN(2)], 1+rng.IntN(5)); err != nil {
-						t.Error(err)
-					}
-				}
+				traffic.step(h, fmt.Sprint(seed, step))
 				check(step)
 			})
 			for len(h.sent) > 0 {
-				out = append(out, <-h.sent)
+				traffic.sent = append(traffic.sent, <-h.sent)
 			}
 		}
 		h.on(func() {
--- a/internal/config/sites_test.go
+++ b/internal/config/sites_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"go/ast"
 	"go/parser"
@@ -97,6 +98,30 @@
 	return words
 }
 
+// eachText calls f with each comment and each string of a file, but for imports.
+func eachText(path string, text []byte, f func(found string)) error {
+	file, err := parser.ParseFile(token.NewFileSet(), path, text, parser.ParseComments)
+	if err != nil {
+		return err
+	}
+	for _, g := range file.Comments {
+		f(g.Text())
+	}
+	var unreadable error
+	ast.Inspect(file, func(n ast.Node) bool {
+		if _, ok := n.(*ast.ImportSpec); ok {
+			return false
+		}
+		if l, ok := n.(*ast.BasicLit); ok && l.Kind == token.STRING {
+			s, err := strconv.Unquote(l.Value)
+			unreadable = errors.Join(unreadable, err)
+			f(s)
+		}
+		return true
+	})
+	return unreadable
+}
+
 // No class, site or operator of a deployment is named in the deploy file, nor in a string or comment of the code. Tests
 // may.
 func TestNothingIsFittedToADeployment(t *testing.T) {
@@ -104,9 +129,9 @@
 	for i, w := range words {
 		words[i] = regexp.QuoteMeta(w)
 	}
-	any := regexp.MustCompile(`(?i)(^|[^a-z0-9])(` + strings.Join(words, "|") + `)([^a-z0-9]|$)`)
+	anyName := regexp.MustCompile(`(?i)(^|[^a-z0-9])(` + strings.Join(words, "|") + `)([^a-z0-9]|$)`)
 	check := func(where, text string) {
-		if m := any.FindStringSubmatch(text); m != nil {
+		if m := anyName.FindStringSubmatch(text); m != nil {
 			t.Errorf("%s names %q: %.80q", where, m[2], text)
 		}
 	}
@@ -135,28 +160,7 @@
 			return err
 		}
 		seen++
-		set := token.NewFileSet()
-		file, err := parser.ParseFile(set, path, text, parser.ParseComments)
-		if err != nil {
-			return err
-		}
-		for _, g := range file.Comments {
-			check(rel, g.Text())
-		}
-		ast.Inspect(file, func(n ast.Node) bool {
-			if _, ok := n.(*ast.ImportSpec); ok {
-				return false
-			}
-			if l, ok := n.(*ast.BasicLit); ok && l.Kind == token.STRING {
-				s, err := strconv.Unquote(l.Value)
-				if err != nil {
-					t.Errorf("%s: %v", rel, err)
-				}
-				check(rel, s)
-			}
-			return true
-		})
-		return nil
+		return eachText(path, text, func(found string) { check(rel, found) })
 	})
 	if err != nil || seen < 50 {
 		t.Errorf("%d files were read: %v", seen, err)
--- a/internal/metrics/statsd.go
+++ b/internal/metrics/statsd.go
@@ -6,12 +6,14 @@
 )
 
 // StatsD words values as lines of the StatsD protocol, PREFIX.NAME.LABEL:VALUE|TYPE, where the value of each label follows
-// the name. Counters are told in whole, as they stand since the start. Summaries are left out.
+// the name. Counters are totals since the start. Summaries are left out.
 func StatsD(prefix string, values []Value) []byte {
 	var b bytes.Buffer
 	for _, v := range values {
-		kind := "c"
+		var kind string
 		switch v.Kind {
+		case Counter:
+			kind = "c"
 		case Gauge:
 			kind = "g"
 		case Summary:
--- a/internal/net/resp/parser_test.go
+++ b/internal/net/resp/parser_test.go
@@ -8,6 +8,20 @@
 	"pgregory.net/rapid"
 )
 
+// checkArray checks the strings of one array; without room, long ones are nil.
+func checkArray(t *rapid.T, args [][]byte, want []string, room bool) {
+	for i, w := range want {
+		switch {
+		case !room && len(w) > maxUnreservedBytes:
+			if args[i] != nil {
+				t.Fatal("held without room")
+			}
+		case args[i] == nil || !bytes.Equal(args[i], []byte(w)):
+			t.Fatalf("string %d: %.20q", i, args[i])
+		}
+	}
+}
+
 // However a stream is cut, the same arrays come out; strings that there is no room for come out as nil, and nothing
 // else is lost with them.
 func TestParserPassesOverWhatHasNoRoom(t *testing.T) {
@@ -25,15 +39,7 @@
 		for len(stream) > 0 {
 			cut := rapid.IntRange(1, min(len(stream), 30000)).Draw(t, "cut")
 			err := p.feed(stream[:cut], func(args [][]byte) error {
-				for i, w := range want[n] {
-					if !room && len(w) > maxUnreservedBytes {
-						if args[i] != nil {
-							t.Fatal("held without room")
-						}
-					} else if args[i] == nil || !bytes.Equal(args[i], []byte(w)) {
-						t.Fatalf("array %d: %.20q", n, args[i])
-					}
-				}
+				checkArray(t, args, want[n], room)
 				n++
 				return nil
 			})
--- a/internal/net/transport/listener_test.go
+++ b/internal/net/transport/listener_test.go
@@ -47,11 +47,11 @@
 	}
 	var clients []net.Conn
 	for i := range 30 {
-		c, err := net.Dial("tcp", l.Addr().String())
+		c, err := dial(t, l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }() // nothing more is wanted of it
 		if _, err := c.Write([]byte("x")); err != nil {
 			t.Fatal(err)
 		}
@@ -69,11 +69,11 @@
 		}
 	}
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		c, err := net.Dial("tcp", l.Addr().String())
+		c, err := dial(t, l.Addr().String())
 		if err != nil {
 			break
 		}
-		c.Close()
+		_ = c.Close() // nothing was sent on it
 		if time.Now().After(end) {
 			t.Fatal("it still accepts")
 		}
--- a/internal/net/transport/transport.go
+++ b/internal/net/transport/transport.go
@@ -1,7 +1,9 @@
-// Package transport runs TCP connections as objects with callbacks, on lesismal/nbio. It reads no protocol.
+// Package transport runs TCP connections as objects with callbacks, on lesismal/nbio. It reads no protocol. Callbacks run on
+// the one poller goroutine of an Engine and must not block; connections may be written and closed from any goroutine.
 package transport
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"net"
@@ -13,28 +15,15 @@
 
 	"github.com/lesismal/nbio"
 	"github.com/lesismal/nbio/logging"
-	pool "github.com/libp2p/go-buffer-pool"
 	"github.com/sirupsen/logrus"
-	"golang.org/x/sys/unix"
 
 	"larchusher/internal/logfields"
 )
 
 const (
-	readBufferSize      = 64 << 10  // of the one buffer that all connections read into
-	maxReadsInRow       = 3         // times that one is read in a row, before the others have their turn
-	maxUnwrittenPerConn = 10 << 20  // bytes that may wait to be written on one connection
-	maxJoinedWrite      = 64 << 10  // pieces up to this size are joined into one write
-	maxKernelUnsent     = 128 << 10 // bytes that the kernel takes ahead of what it sends, for a client
-
-	maxReservedPerConn  = 2 << 20  // memory that one connection may hold (see Conn.Hold)
-	fairReservedPerConn = 64 << 10 // and that each may hold however much all do
-
-	// What an ended connection may still hold its descriptor for. A message that crosses an end within 50 ms is sent
-	// anew by its client, so it is read and thrown away for longer than that.
-	LingerTime        = 500 * time.Millisecond
-	shortLinger       = 60 * time.Millisecond // where its place is needed, or what it sent was at fault
-	maxDiscardedBytes = 1 << 20               // bytes that are thrown away meanwhile: one that floods is closed
+	readBufferSize  = 64 << 10  // bytes of the one buffer that all connections are read into
+	maxReadsInRow   = 3         // times that one is read before the others have their turn
+	maxKernelUnsent = 128 << 10 // bytes that the kernel takes ahead of what it has sent to a client
 )
 
 var (
@@ -42,8 +31,9 @@
 	errTooMuchAfterEnd = errors.New("it goes on sending behind the end")
 )
 
-// Handler has the callbacks of one connection. All run on the engine's poller, one at a time, and must not
-// block. Bytes belong to the engine: they hold until OnBytes returns.
+// Handler has the callbacks of one connection. OnBytes runs on the engine's poller and must not block; its bytes belong to
+// the engine, and hold until it returns. OnClosed is called once, and nothing after it; it may run on the goroutine that
+// ends the connection.
 type Handler interface {
 	OnBytes(c *Conn, b []byte, at time.Time) error // an error closes the connection
 	OnClosed(c *Conn, err error)
@@ -61,58 +51,34 @@
 	engine        *nbio.Engine
 	maxUnwritten  int64        // bytes that may wait to be written on all connections
 	unwritten     atomic.Int64 // bytes that do
-	reservedInput atomic.Int64 // memory that all connections hold, half of most at the most
+	reservedInput atomic.Int64 // bytes (see Conn.ReserveInput), at most half of maxUnwritten
 	lingering     atomic.Int64 // connections that have ended and are not closed
 	barrier       barrier
 	inherited     map[string]*os.File // listening sockets of a former process, by address
 	poller        pollerDescriptor
 	buffer        []byte     // the poller's, for reading
-	connMu        sync.Mutex // held while a connection is made, and taken before its parts are read
+	connMu        sync.Mutex // makes a Conn visible to the poller completely: nbio hands connections over through the kernel alone
 
-	Opened, Closed atomic.Uint64
-	RejectedConns  atomic.Uint64 // connections closed because there was no place
+	Opened, Closed atomic.Uint64 // connections
+	RejectedConns  atomic.Uint64 // connections closed since there was no place
 	In, Out        atomic.Uint64 // bytes
 }
 
-// New starts an engine with one poller. It lets so many bytes wait to be written.
-func New(log logrus.FieldLogger, most int) (*Engine, error) {
+// New starts an engine with one poller, on which at most maxUnwritten bytes may wait to be written.
+func New(log logrus.FieldLogger, maxUnwritten int) (*Engine, error) {
 	logging.DefaultLogger = nbioLog{log}
-	e := &Engine{log: log, maxUnwritten: int64(most), buffer: make([]byte, readBufferSize)}
+	e := &Engine{log: log, maxUnwritten: int64(maxUnwritten), buffer: make([]byte, readBufferSize)}
 	e.engine = nbio.NewEngine(nbio.Config{Name: "larchusher", NPoller: 1, ReadBufferSize: 1,
-		MaxWriteBufferSize: min(maxUnwrittenPerConn, most)})
+		MaxWriteBufferSize: min(maxUnwrittenPerConn, maxUnwritten)})
 	e.engine.OnRead(e.read)
-	e.engine.OnWrittenSize(func(nc *nbio.Conn, _ []byte, n int) {
-		e.Out.Add(uint64(n))
-		if c := e.connOf(nc); c != nil {
-			left := c.unwritten.Add(int64(-n))
-			e.unwritten.Add(int64(-n))
-			if left <= 0 && c.ended.Load() {
-				c.shutdownWrite()
-			}
-		}
-	})
-	e.engine.OnClose(func(nc *nbio.Conn, err error) {
-		c := e.connOf(nc)
-		if c == nil {
-			return
-		}
-		e.Closed.Add(1)
-		c.closed.Store(true)
-		if c.ended.Load() {
-			e.lingering.Add(-1)
-		}
-		c.releaseUnwritten()
-		c.notifyClosed(err)
-		if c.onDescriptorFree != nil {
-			c.onDescriptorFree()
-		}
-	})
+	e.engine.OnWrittenSize(e.written)
+	e.engine.OnClose(e.closed)
 	if err := e.engine.Start(); err != nil {
 		return nil, fmt.Errorf("starting the poller: %w", err)
 	}
-	// Not stopped where this fails: nbio's Stop waits for ever for a poller that has not begun to run.
+	// The poller is not stopped where this fails: nbio's Stop waits for ever for one that has not begun to run.
 	if err := e.barrier.open(e.engine); err != nil {
-		return nil, fmt.Errorf("opening the echo: %w", err)
+		return nil, fmt.Errorf("opening the barrier: %w", err)
 	}
 	runs := make(chan struct{})
 	e.Barrier(func() { close(runs) })
@@ -126,14 +92,49 @@
 	return e, nil
 }
 
+// written counts bytes that nbio has written.
+func (e *Engine) written(nc *nbio.Conn, _ []byte, n int) {
+	e.Out.Add(uint64(n))
+	c := e.connOf(nc)
+	if c == nil {
+		return
+	}
+	left := c.unwritten.Add(int64(-n))
+	e.unwritten.Add(int64(-n))
+	if left <= 0 && c.ended.Load() {
+		c.shutdownWrite()
+	}
+}
+
+// closed settles a connection that nbio has closed.
+func (e *Engine) closed(nc *nbio.Conn, err error) {
+	c := e.connOf(nc)
+	if c == nil {
+		return
+	}
+	e.Closed.Add(1)
+	c.closed.Store(true)
+	if c.ended.Load() {
+		e.lingering.Add(-1)
+	}
+	c.releaseUnwritten()
+	c.notifyClosed(err)
+	if c.onDescriptorFree != nil {
+		c.onDescriptorFree()
+	}
+}
+
+// Lingering is the number of connections that have ended, and whose other ends have not closed yet.
+func (e *Engine) Lingering() int64 { return e.lingering.Load() }
+
 // Stop closes every connection.
 func (e *Engine) Stop() {
 	e.engine.Stop()
 	e.barrier.close()
 }
 
-// read takes in what has come on a connection, and hands it to its handler. Of one whose other end has closed it takes
-// all: nbio closes it right after. Guards against a store that closes behind a long answer, whose end was thrown away.
+// read reads what has come on a connection, and hands it to its handler. If the other end has closed it reads everything:
+// nbio closes the connection right after, and the end of a long answer would be lost.
 func (e *Engine) read(nc *nbio.Conn) {
 	c := e.connOf(nc)
 	if c == nil {
@@ -146,9 +147,8 @@
 		n, err := nc.Read(e.buffer)
 		if n > 0 {
 			e.In.Add(uint64(n))
-			if c.ended.Load() { // what crosses the end is thrown away
-				if c.discardedBytes += n; c.discardedBytes > maxDiscardedBytes {
-					c.Close(errTooMuchAfterEnd)
+			if c.ended.Load() {
+				if !c.discard(n) {
 					return
 				}
 				continue
@@ -163,7 +163,7 @@
 		case errors.Is(err, syscall.EAGAIN):
 			return
 		case err != nil:
-			_ = nc.CloseWithError(err)
+			c.Close(err)
 			return
 		case n < len(e.buffer): // that was all; at the end of the stream nbio closes
 			return
@@ -171,177 +171,17 @@
 	}
 }
 
-// Conn is one connection. Write and Close may be called from any goroutine.
-type Conn struct {
-	Remote        string
-	engine        *Engine
-	nc            *nbio.Conn
-	handler       Handler
-	unwritten     atomic.Int64
-	reservedInput atomic.Int64
-
-	ended            atomic.Bool // by this side: nothing more is taken in or written
-	closed           atomic.Bool // it is closed
-	reading          atomic.Bool // what has come is being taken in
-	stopped          atomic.Bool // nothing more is (see StopReading)
-	notifyOnce       sync.Once   // OnClosed has been called
-	discardedBytes   int         // poller: bytes that came after that
-	onDescriptorFree func()      // to be called once it holds no descriptor any more; nil: nobody waits for that
-}
-
-// notifyClosed tells the handler, once, that the connection is over.
-func (c *Conn) notifyClosed(err error) { c.notifyOnce.Do(func() { c.handler.OnClosed(c, err) }) }
-
-// PeerClosed says whether the other end has closed the connection, by the kernel's word at this moment: what has come before
-// that may not have been read yet.
-func (c *Conn) PeerClosed() bool {
-	if c.closed.Load() {
-		return true
+// discard discards bytes that came behind the end, and reports false once it has closed the connection for them.
+func (c *Conn) discard(n int) bool {
+	c.discardedBytes += n
+	if c.discardedBytes > maxDiscardedBytes {
+		c.Close(errTooMuchAfterEnd)
+		return false
 	}
-	left := false
-	c.nc.Lock() // its descriptor stays its own meanwhile
-	if closed, _ := c.nc.IsClosed(); closed {
-		left = true
-	} else {
-		fds := [1]unix.PollFd{{Fd: int32(c.nc.Hash()), Events: unix.POLLRDHUP}}
-		n, err := unix.Poll(fds[:], 0)
-		left = err == nil && n > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
-	}
-	c.nc.Unlock()
-	return left
+	return true
 }
 
-// CloseGracefully ends the connection for its handler, which is told so at once, and lets its other end take all that was written:
-// the sending side is shut behind that, what still comes is thrown away, and the descriptor is given back once the
-// other end has closed, too, or after linger. Guards against the reset that a close over unread bytes sends, which
-// takes answers away that had not been read.
-func (c *Conn) CloseGracefully(err error, linger time.Duration) {
-	c.nc.Lock()
-	closed, _ := c.nc.IsClosed()
-	if closed || c.ended.Swap(true) {
-		c.nc.Unlock()
-		return
-	}
-	c.engine.lingering.Add(1)
-	if c.unwritten.Load() <= 0 {
-		c.shutdownWrite()
-	}
-	c.nc.Unlock()
-	c.notifyClosed(err)
-	time.AfterFunc(linger, func() { c.Close(err) })
-}
-
-// Lingering is the number of connections that have ended, and whose other ends have not closed yet.
-func (e *Engine) Lingering() int64 { return e.lingering.Load() }
-
-// InputDrained says whether nothing that the other end has sent lies unread in the kernel, nor is just being handed to the handler.
-// What the handler was handed before that is its own to know.
-func (c *Conn) InputDrained() bool {
-	if c.closed.Load() {
-		return true
-	}
-	return c.unread() == 0 && !c.reading.Load() // in this order: what was read meanwhile is being handed over, or has been
-}
-
-// unread is how many bytes lie unread in the kernel.
-func (c *Conn) unread() int {
-	c.nc.Lock() // its descriptor stays its own meanwhile
-	defer c.nc.Unlock()
-	if closed, _ := c.nc.IsClosed(); closed {
-		return 0
-	}
-	n, err := unix.IoctlGetInt(c.nc.Hash(), unix.TIOCINQ)
-	if err != nil {
-		return 0
-	}
-	return n
-}
-
-// Closing says whether End was called.
-func (c *Conn) Closing() bool { return c.ended.Load() }
-
-// shutdownWrite closes the sending side. nbio's lock is held: the descriptor is the connection's own.
-func (c *Conn) shutdownWrite() { _ = unix.Shutdown(c.nc.Hash(), unix.SHUT_WR) }
-
-// ReserveInput notes memory that what has come on the connection takes until the loop has dealt with it, and Release that it
-// has. An error says that this is too much. Guards against clients that send at full speed what is quicker to read
-// than to answer: it would pile up between the poller and the loop.
-func (c *Conn) ReserveInput(n int) error {
-	e, own := c.engine, c.reservedInput.Add(int64(n))
-	all := e.reservedInput.Add(int64(n))
-	if own > min(maxReservedPerConn, e.maxUnwritten/4) || all > e.maxUnwritten/2 && own > fairReservedPerConn {
-		return fmt.Errorf("%d bytes have come and wait, and %d on all connections", own, all)
-	}
-	return nil
-}
-
-// ReleaseInput gives back what was held, on an error of ReserveInput, too.
-func (c *Conn) ReleaseInput(n int) {
-	c.reservedInput.Add(int64(-n))
-	c.engine.reservedInput.Add(int64(-n))
-}
-
-// UnsentBytes is the number of bytes that wait to be written.
-func (c *Conn) UnsentBytes() int64 { return c.unwritten.Load() }
-
-// Write sends the pieces in order, and never blocks. It keeps nothing of them. If more waits than the
-// engine holds, the connection is closed: its other end does not read.
-func (c *Conn) Write(pieces ...[]byte) error {
-	if c.ended.Load() {
-		return errConnEnded
-	}
-	total := 0
-	for _, p := range pieces {
-		total += len(p)
-	}
-	if c.engine.unwritten.Load()+int64(total) > c.engine.maxUnwritten && c.unwritten.Load() > 0 {
-		err := fmt.Errorf("%d bytes wait to be written, and %d on this connection",
-			c.engine.unwritten.Load(), c.unwritten.Load())
-		_ = c.nc.CloseWithError(err)
-		return err
-	}
-	c.unwritten.Add(int64(total))
-	c.engine.unwritten.Add(int64(total))
-	// One write, one packet: a copy costs less than another system call. nbio copies what the kernel does not take.
-	if len(pieces) > 1 && total <= maxJoinedWrite {
-		buf := pool.Get(total)
-		defer pool.Put(buf)
-		joined := buf[:0]
-		for _, p := range pieces {
-			joined = append(joined, p...)
-		}
-		_, err := c.nc.Write(joined)
-		return c.checkWritten(err)
-	}
-	// Guards against nbio's Writev, which loses what follows the piece at which the socket's buffer is full.
-	for _, p := range pieces {
-		if len(p) == 0 {
-			continue
-		}
-		if _, err := c.nc.Write(p); err != nil {
-			return c.checkWritten(err)
-		}
-	}
-	return nil
-}
-
-// checkWritten settles after a write.
-func (c *Conn) checkWritten(err error) error {
-	if err == nil {
-		return nil
-	}
-	c.releaseUnwritten() // it may have been closed before the pieces were counted
-	return fmt.Errorf("writing to %s: %w", c.Remote, err)
-}
-
-// releaseUnwritten takes what waits off the engine's sum, once the connection is closed.
-func (c *Conn) releaseUnwritten() { c.engine.unwritten.Add(-c.unwritten.Swap(0)) }
-
-// Close ends the connection; OnClosed follows.
-func (c *Conn) Close(err error) { _ = c.nc.CloseWithError(err) }
-
-// connOf returns the Conn of one of nbio's. Guards against reading it half made: nbio hands connections to its poller
-// through the kernel alone, which the memory model of Go knows nothing of.
+// connOf returns the Conn of one of nbio's connections; nil: it has none.
 func (e *Engine) connOf(nc *nbio.Conn) *Conn {
 	e.connMu.Lock()
 	defer e.connMu.Unlock()
@@ -349,40 +189,40 @@
 	return c
 }
 
-// wrap makes a Conn, and add has the poller read it. left is called once it has given its descriptor back.
-func (e *Engine) wrap(nc *nbio.Conn, h Handler, left func()) *Conn {
+// wrap makes a Conn. onDescriptorFree is called once it holds no descriptor any more; nil: nobody waits for that.
+func (e *Engine) wrap(nc *nbio.Conn, h Handler, onDescriptorFree func()) *Conn {
 	e.connMu.Lock()
 	defer e.connMu.Unlock()
-	c := &Conn{Remote: nc.RemoteAddr().String(), engine: e, nc: nc, handler: h, onDescriptorFree: left}
+	c := &Conn{Remote: nc.RemoteAddr().String(), engine: e, nc: nc, handler: h, onDescriptorFree: onDescriptorFree}
 	nc.SetSession(c)
-	_ = nc.SetNoDelay(true)
+	_ = nc.SetNoDelay(true) // without it the connection is slower, no more
 	e.Opened.Add(1)
 	return c
 }
 
+// add has the poller read a connection.
 func (e *Engine) add(c *Conn) {
 	if _, err := e.engine.AddConn(c.nc); err != nil { // OnClosed has been called
 		e.log.WithError(err).Warn(logfields.ConnRegisterFailed)
 	}
 }
 
-// Dial connects to addr without blocking. Either opened is called and the handler's callbacks follow, or
-// failed is, and nothing ever ran.
+// Dial connects to addr without blocking. Either opened is called, and the handler's callbacks follow, or failed is, and the
+// handler is never called. Both run on a goroutine of the dial's own.
 //
-// Guards against nbio's own DialAsync (1.6.8), which connects every IPv4 address as 0.0.0.0, since it takes
-// the first four of the sixteen bytes that net.ResolveTCPAddr returns, and which reports a refused connection
-// as an open one. The standard library's dialer takes its place: a goroutine for each connection that is
-// coming up, none for a request.
+// It does not use nbio's DialAsync (1.6.8), which connects every IPv4 address as 0.0.0.0, since it takes the first four of
+// the sixteen bytes that net.ResolveTCPAddr returns, and which reports a connection that was rejected as open.
 func (e *Engine) Dial(addr string, timeout time.Duration, h Handler, opened func(*Conn), failed func(error)) {
 	go func() {
-		conn, err := net.DialTimeout("tcp", addr, timeout)
+		dialer := net.Dialer{Timeout: timeout}
+		conn, err := dialer.DialContext(context.Background(), "tcp", addr)
 		if err != nil {
 			failed(err)
 			return
 		}
 		nc, err := nbio.NBConn(conn)
 		if err != nil {
-			_ = conn.Close()
+			_ = conn.Close() // nothing was written to it
 			failed(fmt.Errorf("taking over the connection to %s: %w", addr, err))
 			return
 		}
@@ -392,24 +232,15 @@
 	}()
 }
 
-// nbioLog hands on what nbio logs itself. What it reports of single connections reaches their handlers anyway.
+// nbioLog hands on what nbio warns of. Its other messages are about single connections, whose handlers hear of them anyway.
 type nbioLog struct{ log logrus.FieldLogger }
 
-// detail words one of nbio's messages as a field.
-func (l nbioLog) detail(format string, v []any) logrus.FieldLogger {
-	return l.log.WithField(logfields.Detail, fmt.Sprintf(format, v...))
-}
-
-func (nbioLog) SetLevel(int) {}
-func (l nbioLog) Debug(format string, v ...any) {
-	l.detail(format, v).Debug(logfields.PollerLibraryReported)
-}
-func (l nbioLog) Info(format string, v ...any) {
-	l.detail(format, v).Debug(logfields.PollerLibraryReported)
-}
+func (nbioLog) SetLevel(int)         {}
+func (nbioLog) Debug(string, ...any) {}
+func (nbioLog) Info(string, ...any)  {}
 func (l nbioLog) Warn(format string, v ...any) {
-	l.detail(format, v).Warn(logfields.PollerLibraryReported)
+	l.log.WithField(logfields.Detail, fmt.Sprintf(format, v...)).Warn(logfields.PollerLibraryReported)
 }
 func (l nbioLog) Error(format string, v ...any) {
-	l.detail(format, v).Error(logfields.PollerLibraryReported)
+	l.log.WithField(logfields.Detail, fmt.Sprintf(format, v...)).Error(logfields.PollerLibraryReported)
 }
--- a/internal/net/transport/transport_test.go
+++ b/internal/net/transport/transport_test.go
@@ -42,13 +42,13 @@
 	}
 	defer l.Close()
 	for range 3 {
-		client, err := net.Dial("tcp", l.Addr().String())
+		client, err := dial(t, l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		c := <-p.opened
 		_ = client.Close()
-		<-p.closed
+		_ = <-p.closed // with whatever error
 		if err := c.Write(make([]byte, 100<<10)); err == nil {
 			t.Error("a closed connection can be written")
 		}
@@ -146,7 +146,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		other.Close()
+		_ = other.Close() // a test may have closed it
 		l.Close()
 		e.Stop()
 	})
@@ -191,7 +191,7 @@
 		t.Fatal(err)
 	}
 	c.CloseGracefully(io.ErrShortBuffer, LingerTime)
-	if err := <-k.closed; err != io.ErrShortBuffer {
+	if err := <-k.closed; err != io.ErrShortBuffer { //nolint:errorlint // the handler is handed the very error
 		t.Errorf("the handler was told %v", err)
 	}
 	free()
@@ -203,7 +203,9 @@
 	if c.Write([]byte("x")) == nil {
 		t.Error("an ended connection can be written")
 	}
-	other.Close()
+	if err := other.Close(); err != nil {
+		t.Fatal(err)
+	}
 	within(t, "it is closed", func() bool { return e.Lingering() == 0 })
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -216,10 +218,10 @@
 func TestAnEndDoesNotWaitForEver(t *testing.T) {
 	e, c, other, k := pair(t, 0)
 	c.CloseGracefully(io.EOF, shortLinger)
-	<-k.closed
+	_ = <-k.closed // with whatever error
 	within(t, "it is closed", func() bool { return e.Lingering() == 0 && e.Closed.Load() == 1 })
 	_ = other.SetReadDeadline(time.Now().Add(20 * time.Second))
-	if _, err := other.Read(make([]byte, 1)); err != io.EOF {
+	if _, err := other.Read(make([]byte, 1)); err != io.EOF { //nolint:errorlint // io.Reader returns io.EOF itself
 		t.Errorf("the other end sees %v", err)
 	}
 	c.CloseGracefully(io.EOF, shortLinger) // a second one changes nothing
@@ -245,13 +247,20 @@
 	if c.PeerClosed() {
 		t.Error("it is said to have left before it has")
 	}
-	other.Close()
+	if err := other.Close(); err != nil {
+		t.Fatal(err)
+	}
 	within(t, "the kernel says so", c.PeerClosed)
 	free()
-	<-k.closed
+	_ = <-k.closed // with whatever error
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.got != sent {
 		t.Errorf("%d of %d bytes were read", k.got, sent)
 	}
 }
+
+// dial connects to an address.
+func dial(t *testing.T, addr string) (net.Conn, error) {
+	return new(net.Dialer).DialContext(t.Context(), "tcp", addr)
+}
