--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter hosts directors and speaks the wire of package simprotocol on standard input and output.
+// Command simulator-adapter hosts directors and speaks the simulator's protocol (package simprotocol) on standard input and
+// output. It ends with status 1 on a line that it cannot read.
 package main
 
 import (
@@ -27,7 +28,7 @@
 	h.decoder.Unknown = func(name string) {
 		if !noted[name] {
 			noted[name] = true
-			fmt.Fprintf(notes, "adapter: passing over unknown event %q\n", name)
+			_, _ = fmt.Fprintf(notes, "adapter: passing over unknown event %q\n", name) // a note that is lost changes nothing
 		}
 	}
 	r := bufio.NewReaderSize(in, 1<<20)
@@ -58,40 +59,42 @@
 	actions   []routing.Action
 }
 
-// batch carries out one line of input and returns the reply.
+// batch handles one line of input and returns the reply.
 func (h *host) batch(line []byte) ([]byte, error) {
 	b, err := h.decoder.Decode(line)
 	if err != nil {
 		return nil, err
 	}
 	var reply simprotocol.Reply
-	for _, it := range b.Items {
-		switch it.Kind {
-		case simprotocol.ItemStop:
-			delete(h.directors, it.Director)
-		case simprotocol.ItemStart:
-			d, err := routing.New(it.Settings, it.Seed)
-			if err != nil {
-				delete(h.directors, it.Director)
-				reply.AddFault(it.Director, err.Error())
-				continue
-			}
-			h.directors[it.Director] = d
-		case simprotocol.ItemEvent:
-			d := h.directors[it.Director]
-			if d == nil {
-				continue // it was killed, or never started
-			}
-			if err := h.handle(d, b, it, &reply); err != nil {
-				delete(h.directors, it.Director)
-				reply.AddFault(it.Director, err.Error())
-			}
+	for _, item := range b.Items {
+		if err := h.item(b, item, &reply); err != nil {
+			delete(h.directors, item.Director)
+			reply.AddFault(item.Director, err.Error())
 		}
 	}
 	return reply.Line(), nil
 }
 
-// handle gives one event to its director. A panic in the module comes back as an error.
+// item handles one item of a batch. After an error its director is not used any more.
+func (h *host) item(b simprotocol.Batch, item simprotocol.Item, reply *simprotocol.Reply) error {
+	switch item.Kind {
+	case simprotocol.ItemStop:
+		delete(h.directors, item.Director)
+	case simprotocol.ItemStart:
+		d, err := routing.New(item.Settings, item.Seed)
+		if err != nil {
+			return err
+		}
+		h.directors[item.Director] = d
+	case simprotocol.ItemEvent:
+		if d := h.directors[item.Director]; d != nil { // else it was stopped, or never started
+			return h.handle(d, b, item, reply)
+		}
+	}
+	return nil
+}
+
+// handle gives one event to its director. A panic in its decisions comes back as an error.
 func (h *host) handle(d *routing.Director, b simprotocol.Batch, it simprotocol.Item, reply *simprotocol.Reply) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -1,6 +1,7 @@
 // Package simprotocol reads and writes the adapter protocol: one JSON batch a line in, one JSON reply a line out.
 //
-// It translates between the protocol's words and the types of package routing, and decides nothing.
+// It translates between the protocol's words and the types of package routing, and decides nothing. It knows no clock and no
+// goroutine, and does not block.
 package simprotocol
 
 import (
@@ -14,9 +15,6 @@
 	"larchusher/routing"
 )
 
-// maxListNumber is the highest number that a list may bear.
-const maxListNumber = 15
-
 // ItemKind says what an Item is.
 type ItemKind int
 
@@ -93,12 +91,12 @@
 
 // event decodes the event called name. It reports false for what is for no director.
 func (d *Decoder) event(name string, f *fields) (Item, bool) {
-	if name == "defineList" {
+	if name == eventDefineList {
 		d.define(f)
 		return Item{}, false
 	}
 	decode, ok := decoders[name]
-	if !ok && name != "enlist" && name != "teardown" && name != "sync" {
+	if !ok && name != eventStart && name != eventStop && name != eventEndpointUpdate {
 		if d.Unknown != nil {
 			d.Unknown(name)
 		}
@@ -106,13 +104,13 @@
 	}
 	item := Item{Director: f.text(1, "i")}
 	switch name {
-	case "enlist":
+	case eventStart:
 		item.Kind = ItemStart
 		item.Seed = f.seed(2, "initSeed")
 		item.Settings = f.settings(3, "env")
-	case "teardown":
+	case eventStop:
 		item.Kind = ItemStop
-	case "sync":
+	case eventEndpointUpdate:
 		item.Event = d.sync(f)
 	default:
 		item.Event = decode(f)
@@ -120,10 +118,6 @@
 	return item, true
 }
 
-var updateKinds = map[string]routing.UpdateKind{
-	"total": routing.FullList, "incr": routing.DeltaList, "warm_copy": routing.StaleList, "lost": routing.WatchLost,
-}
-
 func (d *Decoder) sync(f *fields) routing.Event {
 	how := f.text(3, "how")
 	kind, ok := updateKinds[how]
@@ -142,8 +136,6 @@
 	return routing.EndpointUpdate{Kind: kind, Endpoints: d.lists[n]}
 }
 
-var phases = map[string]routing.Phase{"U": routing.Up, "L": routing.Draining, "D": routing.Removed}
-
 func (d *Decoder) define(f *fields) {
 	n := f.integer(1, "list")
 	if f.err == nil && (n < 0 || n > maxListNumber) {
@@ -180,12 +172,6 @@
 	d.lists[n], d.known[n] = members, true
 }
 
-var statuses = map[int]routing.Status{
-	200: routing.OK, 500: routing.ServerError, 503: routing.Rejected, 504: routing.TimedOut,
-	502: routing.ConnectFailed, 598: routing.Reset, 499: routing.Canceled, 410: routing.NotSent,
-	404: routing.Miss,
-}
-
 func (f *fields) status(i int, name string) routing.Status {
 	n := f.integer(i, name)
 	s, ok := statuses[n]
@@ -195,14 +181,8 @@
 	return s
 }
 
-// The bits of a request's marks.
-const (
-	markRetry = 2
-	markWrite = 4
-)
-
 var decoders = map[string]func(*fields) routing.Event{
-	"demand": func(f *fields) routing.Event {
+	eventRequest: func(f *fields) routing.Event {
 		marks := int(f.optional(10, "marks"))
 		return routing.Request{
 			ID: f.text(2, "job"), Class: f.text(3, "profile"), Tenant: f.name(4, "team"),
@@ -211,11 +191,11 @@
 			Part: int(f.optional(9, "chunk")), Retry: marks&markRetry != 0, Write: marks&markWrite != 0,
 		}
 	},
-	"firstByte": func(f *fields) routing.Event {
+	eventFirstByte: func(f *fields) routing.Event {
 		return routing.FirstByte{ID: f.text(2, "job"), Attempt: f.integer(3, "copy"),
 			Endpoint: f.optionalText(5, "node")}
 	},
-	"ended": func(f *fields) routing.Event {
+	eventAttemptResult: func(f *fields) routing.Event {
 		note := f.optional(7, "info")
 		if note < 0 || note > float64(routing.ReasonOriginFailed) {
 			note = 0
@@ -227,26 +207,26 @@
 			Latency: duration(f.optional(9, "latencyMs")), LoadReport: f.numbers(10, "feedback"),
 		}
 	},
-	"noteFrom": func(f *fields) routing.Event {
+	eventGossip: func(f *fields) routing.Event {
 		return routing.GossipReceived{From: f.integer(2, "srcPeer"), Data: f.optionalText(3, "data")}
 	},
-	"replaced": func(f *fields) routing.Event {
+	eventPurge: func(f *fields) routing.Event {
 		return routing.Purge{Object: f.optionalText(2, "asset"), Group: int(f.optional(3, "familyId")),
 			Age: duration(f.optional(4, "ageSpanMs"))}
 	},
-	"healthResult": func(f *fields) routing.Event {
+	eventHealthCheckResult: func(f *fields) routing.Event {
 		return routing.HealthCheckResult{Status: f.status(2, "ending"), Endpoint: f.text(3, "node"),
 			Latency: duration(f.optional(4, "latencyMs")), LoadReport: f.numbers(5, "feedback")}
 	},
-	"expired": func(f *fields) routing.Event { return routing.ClientGone{ID: f.text(2, "job")} },
-	"alarm": func(f *fields) routing.Event {
+	eventClientGone: func(f *fields) routing.Event { return routing.ClientGone{ID: f.text(2, "job")} },
+	eventTimerFired: func(f *fields) routing.Event {
 		var n uint64
 		f.value(2, "tag", &n, true)
 		return routing.TimerFired{Token: n}
 	},
 }
 
-// fields are the values of one event. The first error sticks.
+// fields are the values of one event, by their places. The first error sticks.
 type fields struct {
 	values []json.RawMessage
 	err    error
--- a/internal/simprotocol/encode.go
+++ b/internal/simprotocol/encode.go
@@ -9,14 +9,6 @@
 	"larchusher/routing"
 )
 
-// The bits of an attempt's `how`.
-const (
-	howCoalesce     = 1
-	howOnlyIfCached = 2
-	howNoParentCopy = 4
-	howRefreshAhead = 8
-)
-
 // Reply collects the actions of one batch. The zero value is an empty reply.
 type Reply struct {
 	buf []byte
@@ -55,7 +47,7 @@
 func (r *Reply) AddAction(director string, a routing.Action) error {
 	switch a := a.(type) {
 	case routing.ForwardAttempt:
-		r.open("answerFrom", director)
+		r.open(actionForwardAttempt, director)
 		r.text(a.ID)
 		r.time(a.Timeout)
 		r.time(a.MaxAge)
@@ -73,22 +65,22 @@
 		r.integer(int(a.CacheRank))
 		r.text(a.Endpoint)
 	case routing.Reject:
-		r.open("decline", director)
+		r.open(actionReject, director)
 		r.text(a.ID)
 		r.time(a.RetryAfter)
 	case routing.Fail:
-		r.open("reportFailure", director)
+		r.open(actionFail, director)
 		r.text(a.ID)
 	case routing.CancelAttempt:
-		r.open("abortAttempt", director)
+		r.open(actionCancelAttempt, director)
 		r.text(a.ID)
 		r.integer(a.Attempt)
 	case routing.SetTimer:
-		r.open("wakeAt", director)
+		r.open(actionSetTimer, director)
 		r.time(a.At)
 		r.buf = strconv.AppendUint(append(r.buf, ','), a.Token, 10)
 	case routing.SendGossip:
-		r.open("notify", director)
+		r.open(actionSendGossip, director)
 		if a.To == routing.AllDirectors {
 			r.buf = append(r.buf, ",null"...)
 		} else {
@@ -96,13 +88,13 @@
 		}
 		r.text(a.Data)
 	case routing.StartHealthCheck:
-		r.open("sample", director)
+		r.open(actionStartHealthCheck, director)
 		r.text(a.Endpoint)
 	case routing.PollEndpoints:
-		r.open("tail", director)
+		r.open(actionPollEndpoints, director)
 		r.flag(true)
 	case routing.Log:
-		r.open("record", director)
+		r.open(actionLog, director)
 		r.text(a.Text)
 	default:
 		return fmt.Errorf("no wire form for action %T", a)
@@ -113,7 +105,7 @@
 
 // AddFault appends the report that a director's decision code has failed.
 func (r *Reply) AddFault(director, text string) {
-	r.open("bug", director)
+	r.open(actionFault, director)
 	r.text(text)
 	r.close()
 }
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -9,7 +9,7 @@
 	"larchusher/routing"
 )
 
-// wireSettings mirrors the settings object of the wire.
+// wireSettings is the settings object of the wire.
 type wireSettings struct {
 	Balancers int `json:"balancers"`
 	Classes   []struct {
@@ -85,17 +85,6 @@
 	Zone         string `json:"zone"`
 }
 
-var (
-	effects = map[string]routing.Effect{
-		"": routing.Idempotent, "repeatable": routing.Idempotent, "by_key": routing.IdempotentWithKey, "once": routing.NonIdempotent}
-	scopes = map[string]routing.DedupScope{
-		"": routing.ScopeAll, "all": routing.ScopeAll, "zone": routing.ScopeZone, "cell": routing.ScopeCell}
-	answerDetails = map[string]routing.AnswerDetail{
-		"": routing.DetailNone, "off": routing.DetailNone, "hit": routing.DetailHit, "all": routing.DetailAll}
-	siblingModes = map[string]routing.SiblingMode{"": routing.NoSiblings, "off": routing.NoSiblings,
-		"location": routing.SiblingsInLocation, "any": routing.SiblingsAnywhere}
-)
-
 // lookup looks up one of the wire's words.
 func lookup[T any](f *fields, table map[string]T, name, w string) T {
 	v, ok := table[w]
@@ -133,34 +122,27 @@
 		StreamsPerConn: e.Limits.StreamsPerConn}, f.err
 }
 
+// settings reads the settings at an index.
 func (f *fields) settings(i int, name string) routing.Settings {
 	var e wireSettings
 	f.value(i, name, &e, true)
 	return e.settings(f)
 }
 
+// settings converts the settings. The first error goes to f.
 func (e *wireSettings) settings(f *fields) routing.Settings {
 	if f.err != nil {
 		return routing.Settings{}
 	}
-	fi := &e.FamilyInfo
-	s := routing.Settings{
-		IndexUnknown: e.Position == nil, Directors: e.Balancers, Zone: e.Zone, Zones: e.DCs, ZoneHub: fi.HomeHub,
-		ZoneDirectors: fi.CountByZone, ZoneLink: fi.ZoneLinkKbPerS, Kinds: e.Flavors, ParentKind: -1,
-		WeightsKnown: e.WeightSource != "" && e.WeightSource != "off", FlowKBps: fi.StreamKbPerS,
-		PollDiscovery: e.Discovery == "ask", AllowBypass: fi.MayPassBy, AllowCoalescing: fi.Joins,
-		Siblings:     lookup(f, siblingModes, "familyInfo.neighbours", fi.Neighbours),
-		AnswerDetail: lookup(f, answerDetails, "familyInfo.says", fi.Says),
-		HealthChecks: e.Limits.Probing, Gossip: e.Limits.PeerMessages, CanCancel: e.Limits.Cancelling,
-		HedgedRequests: e.Limits.SecondCopies, SendRetryAfter: e.Limits.RetryAfter,
-		MaxRetryAfter: duration(e.Limits.MaxRetryAfterMs), MaxAttempts: e.Limits.SendCap,
-		ClockStep: duration(e.StepMs), DrainGrace: duration(e.Invariants.StopSendingWithinMs),
-		SlowStartFrom: e.Invariants.ColdFrom, SlowStartFor: duration(e.Invariants.RampTimeMs),
-		OverloadMultiple: e.Invariants.TipMultiple, OverloadWindow: duration(e.Invariants.OverloadForMs),
-		ParentSlowStartFrom: fi.ParentColdFrom, ParentSlowStartFor: duration(fi.ParentColdMs),
-		ParentOverloadMultiple: fi.UpperFallMultiple, OriginOverloadMultiple: fi.OriginFallMultiple,
-		OriginOverloadWindow: duration(fi.OriginFallMs), PurgeGrace: duration(fi.NoticeTimeMs),
-		PurgeSettleTime: duration(fi.PurgeSettlesMs), PollWithin: duration(e.Invariants.AskWithinMs),
+	s := e.scalarSettings(f)
+	s.ParentKind = -1 // none
+	if e.FamilyInfo.ShieldKind != nil {
+		s.ParentKind = *e.FamilyInfo.ShieldKind
+	}
+	if e.FamilyInfo.RootKind == nil {
+		f.fail("familyInfo.rootKind", errors.New("missing"))
+	} else {
+		s.OriginKind = *e.FamilyInfo.RootKind
 	}
 	if e.LoadInfo.How == "inline" || e.LoadInfo.How == "on_probe" {
 		s.LoadReportFields = e.LoadInfo.Fields
@@ -168,30 +150,79 @@
 	if e.Position != nil {
 		s.Index = *e.Position
 	}
-	if fi.ShieldKind != nil {
-		s.ParentKind = *fi.ShieldKind
-	}
-	if fi.RootKind == nil {
-		f.fail("familyInfo.rootKind", errors.New("missing"))
-	} else {
-		s.OriginKind = *fi.RootKind
-	}
 	for _, t := range e.Tenants {
 		s.Tenants = append(s.Tenants, t.Name)
 	}
-	for i, c := range e.Classes {
-		s.Classes = append(s.Classes, routing.Class{
-			Name: c.Name, LatencyObjective: duration(c.AimMs), ObjectiveStretch: c.AimStretch, Deadline: duration(c.HardLimitMs),
-			PriorityWeight: c.Value, LateWeight: c.LateWorth,
-			Effect:     lookup(f, effects, "classes.effect", c.Effect),
-			DedupScope: lookup(f, scopes, "classes.dedupScope", c.DedupScope), DedupWindow: duration(c.RepeatWindowMs),
-			Stream: c.Streaming, FreshFor: duration(at(fi.LifetimeByClassMs, i)),
-			StaleGrace: duration(at(fi.StaleForMs, i)), StaleWeight: at(fi.OldCopyWorth, i),
-			Parts: at(fi.InPieces, i), Uncacheable: at(fi.NeverKept, i),
-		})
+	for i := range e.Classes {
+		s.Classes = append(s.Classes, e.class(f, i))
 	}
 	return s
 }
 
+// scalarSettings are the settings that follow from one key each.
+func (e *wireSettings) scalarSettings(f *fields) routing.Settings {
+	fi := &e.FamilyInfo
+	return routing.Settings{
+		IndexUnknown:           e.Position == nil,
+		Directors:              e.Balancers,
+		Zone:                   e.Zone,
+		Zones:                  e.DCs,
+		ZoneHub:                fi.HomeHub,
+		ZoneDirectors:          fi.CountByZone,
+		ZoneLink:               fi.ZoneLinkKbPerS,
+		Kinds:                  e.Flavors,
+		WeightsKnown:           e.WeightSource != "" && e.WeightSource != "off",
+		FlowKBps:               fi.StreamKbPerS,
+		PollDiscovery:          e.Discovery == "ask",
+		AllowBypass:            fi.MayPassBy,
+		AllowCoalescing:        fi.Joins,
+		Siblings:               lookup(f, siblingModes, "familyInfo.neighbours", fi.Neighbours),
+		AnswerDetail:           lookup(f, answerDetails, "familyInfo.says", fi.Says),
+		HealthChecks:           e.Limits.Probing,
+		Gossip:                 e.Limits.PeerMessages,
+		CanCancel:              e.Limits.Cancelling,
+		HedgedRequests:         e.Limits.SecondCopies,
+		SendRetryAfter:         e.Limits.RetryAfter,
+		MaxRetryAfter:          duration(e.Limits.MaxRetryAfterMs),
+		MaxAttempts:            e.Limits.SendCap,
+		ClockStep:              duration(e.StepMs),
+		DrainGrace:             duration(e.Invariants.StopSendingWithinMs),
+		SlowStartFrom:          e.Invariants.ColdFrom,
+		SlowStartFor:           duration(e.Invariants.RampTimeMs),
+		OverloadMultiple:       e.Invariants.TipMultiple,
+		OverloadWindow:         duration(e.Invariants.OverloadForMs),
+		ParentSlowStartFrom:    fi.ParentColdFrom,
+		ParentSlowStartFor:     duration(fi.ParentColdMs),
+		ParentOverloadMultiple: fi.UpperFallMultiple,
+		OriginOverloadMultiple: fi.OriginFallMultiple,
+		OriginOverloadWindow:   duration(fi.OriginFallMs),
+		PurgeGrace:             duration(fi.NoticeTimeMs),
+		PurgeSettleTime:        duration(fi.PurgeSettlesMs),
+		PollWithin:             duration(e.Invariants.AskWithinMs),
+	}
+}
+
+// class is the class at an index.
+func (e *wireSettings) class(f *fields, i int) routing.Class {
+	c, fi := &e.Classes[i], &e.FamilyInfo
+	return routing.Class{
+		Name:             c.Name,
+		LatencyObjective: duration(c.AimMs),
+		ObjectiveStretch: c.AimStretch,
+		Deadline:         duration(c.HardLimitMs),
+		PriorityWeight:   c.Value,
+		LateWeight:       c.LateWorth,
+		Effect:           lookup(f, effects, "classes.effect", c.Effect),
+		DedupScope:       lookup(f, scopes, "classes.dedupScope", c.DedupScope),
+		DedupWindow:      duration(c.RepeatWindowMs),
+		Stream:           c.Streaming,
+		FreshFor:         duration(at(fi.LifetimeByClassMs, i)),
+		StaleGrace:       duration(at(fi.StaleForMs, i)),
+		StaleWeight:      at(fi.OldCopyWorth, i),
+		Parts:            at(fi.InPieces, i),
+		Uncacheable:      at(fi.NeverKept, i),
+	}
+}
+
 // ms turns a Duration into the wire's milliseconds.
 func ms(d time.Duration) float64 { return float64(d/time.Microsecond) / 1000 }
