--- a/cmd/larchusher/start.go
+++ b/cmd/larchusher/start.go
@@ -108,7 +108,7 @@
 		StreamsPerConn:   p.cfg.Sockets.StreamsPerConn,
 		ConnectTimeout:   p.cfg.Sockets.ConnectTimeout,
 		KeepAlive:        p.cfg.Sockets.KeepAlive,
-		MaxConns:         p.connQuotas().Stores,
+		MaxConns:         p.connQuotas().Endpoints,
 		LoadReportFields: p.cfg.Settings.LoadReportFields,
 		MaxAnswerBytes:   int64(p.memoryPart(endpointAnswersDivisor)),
 		AnswerTimeout:    p.longestDeadline(),
--- a/cmd/larchusher/successor.go
+++ b/cmd/larchusher/successor.go
@@ -153,7 +153,7 @@
 // useResourceShare has this process use a share of the descriptors and the memory that the program may use.
 func (p *program) useResourceShare(part float64) {
 	p.setMemoryLimit(part)
-	p.pool.SetMaxConns(scaled(p.connQuotas().Stores, part))
+	p.pool.SetMaxConns(scaled(p.connQuotas().Endpoints, part))
 	p.useConnShare(part)
 }
 
--- a/internal/clusternode/host.go
+++ b/internal/clusternode/host.go
@@ -63,7 +63,7 @@
 // Start starts the part of a gateway. Zone is its own. The gateway must ask Permit before it writes.
 func Start(cfg *config.Cluster, set routing.Settings, gw *gateway.Gateway, loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger) (*Node, error) {
 	h := &Node{cfg: cfg, loop: loop, gateway: gw, log: log.WithField(logfields.Self, cfg.Name), zone: set.Zone, purgeSettleTime: set.PurgeSettleTime, started: time.Now().Add(-time.Second)}
-	bounds := cfg.Bounds
+	bounds := cfg.Limits
 	longest := time.Duration(0)
 	for _, c := range set.Classes {
 		longest = max(longest, c.Deadline)
