--- a/internal/clusternode/node.go
+++ b/internal/clusternode/node.go
@@ -107,7 +107,7 @@
 }
 
 func (n *Node) clusterConfig(set routing.Settings) cluster.Config {
-	limits := n.cfg.Bounds
+	limits := n.cfg.Limits
 	longestDeadline := time.Duration(0)
 	for _, c := range set.Classes {
 		longestDeadline = max(longestDeadline, c.Deadline)
