--- a/cmd/larchusher-lab/load.go
+++ b/cmd/larchusher-lab/load.go
@@ -85,36 +85,22 @@
 		defer w.Stop()
 		addr = w.Addr
 	}
-	profile, err := loadgen.ParseProfile(l.Profile, rate)
+	spec, err := l.spec(addr, rate)
 	if err != nil {
 		return err
 	}
-	spec := loadgen.Spec{Addr: addr, Conns: l.Conns, Open: l.Open, Rate: profile, For: l.For, Seed: l.Seed,
-		Repeat: l.Repeat, Marked: l.Marked}
-	if l.Only != "" {
-		if spec.Mix, err = loadgen.Only(l.Only); err != nil {
-			return err
-		}
-	}
 	if l.Slow > 0 {
-		stop, err := loadgen.Slow(loadgen.SlowSpec{Addr: addr, Conns: l.Slow, Pace: l.SlowPace, Ask: l.SlowAsk})
+		stop, err := l.slow(addr, w)
 		if err != nil {
 			return err
 		}
 		defer stop()
-		if w != nil {
-			for _, s := range w.Stores {
-				s.On(loadgen.SlowContent(l.SlowSize))
-			}
-		}
 	}
+	var before testbed.Usage
 	if w != nil {
 		if err := l.trouble(ctx, w); err != nil {
 			return err
 		}
-	}
-	var before testbed.Usage
-	if w != nil {
 		if before, err = w.Use(); err != nil {
 			return err
 		}
@@ -125,26 +111,65 @@
 	}
 	f := figures{Rate: rate, Sum: res.Sum(l.Warm, 0)}
 	if w != nil {
-		u, err := w.Use()
-		if err != nil {
-			return fmt.Errorf("the gateway is gone: %w\n%s", err, w.Log.String())
+		if err := l.use(ctx, w, before, res.Took, &f); err != nil {
+			return err
 		}
-		f.PeakMB, f.CPU = float64(u.PeakKB)/1024, (u.CPU-before.CPU).Seconds()/res.Took.Seconds()
-		if len(l.Counters) > 0 {
-			all, err := w.Counters(ctx)
-			if err != nil {
-				return err
-			}
-			f.Counters = map[string]float64{}
-			for name, v := range all {
-				for _, p := range l.Counters {
-					if strings.HasPrefix(name, p) {
-						f.Counters[name] = v
-					}
-				}
-			}
+	}
+	return l.report(res, f)
+}
+
+// spec is what is asked of the gateway.
+func (l *load) spec(addr string, rate float64) (spec loadgen.Spec, err error) {
+	profile, err := loadgen.ParseProfile(l.Profile, rate)
+	if err != nil {
+		return spec, err
+	}
+	spec = loadgen.Spec{Addr: addr, Conns: l.Conns, Open: l.Open, Rate: profile, For: l.For, Seed: l.Seed,
+		Repeat: l.Repeat, Marked: l.Marked}
+	if l.Only != "" {
+		spec.Mix, err = loadgen.Only(l.Only)
+	}
+	return spec, err
+}
+
+// slow starts clients that read slowly, and has the stores answer them with much.
+func (l *load) slow(addr string, w *testbed.World) (stop func() (closed int), err error) {
+	stop, err = loadgen.Slow(loadgen.SlowSpec{Addr: addr, Conns: l.Slow, Pace: l.SlowPace, Ask: l.SlowAsk})
+	if err != nil || w == nil {
+		return stop, err
+	}
+	for _, s := range w.Stores {
+		s.On(loadgen.SlowContent(l.SlowSize))
+	}
+	return stop, nil
+}
+
+// use takes in what the gateway used, and its counters.
+func (l *load) use(ctx context.Context, w *testbed.World, before testbed.Usage, took time.Duration, f *figures) error {
+	u, err := w.Use()
+	if err != nil {
+		return fmt.Errorf("the gateway is gone: %w\n%s", err, w.Log.String())
+	}
+	f.PeakMB, f.CPU = float64(u.PeakKB)/1024, (u.CPU-before.CPU).Seconds()/took.Seconds()
+	if len(l.Counters) == 0 {
+		return nil
+	}
+	all, err := w.Counters(ctx)
+	if err != nil {
+		return err
+	}
+	f.Counters = map[string]float64{}
+	for name, v := range all {
+		if slices.ContainsFunc(l.Counters, func(prefix string) bool { return strings.HasPrefix(name, prefix) }) {
+			f.Counters[name] = v
 		}
 	}
+	return nil
+}
+
+// report writes the rows if asked to, and prints the figures.
+func (l *load) report(res *loadgen.Result, f figures) error {
+	rate := f.Rate
 	if l.Out != "" {
 		if err := res.WriteParquet(fmt.Sprintf("%s-%.0f.parquet", l.Out, rate)); err != nil {
 			return err
--- a/cmd/larchusher-lab/model.go
+++ b/cmd/larchusher-lab/model.go
@@ -25,16 +25,46 @@
 	Plot    string        `help:"Draw worth over load to this file."`
 }
 
-// Run compares ways of overload control.
-func (m *modelCmd) Run() error {
-	mix, costs := loadgen.Site(), model.Measured
-	capacity := float64(time.Second) / float64(costs.Serve)
+// modelRow is what came of a policy under a load.
+type modelRow struct {
+	load float64
+	name string
+	out  model.Outcome
+}
+
+// costs are what the modelled gateway's work costs.
+func (m *modelCmd) costs() (model.Costs, error) {
+	costs := model.Measured
 	if m.Burst < 0 || m.Away < 0 || m.Away > 0 && m.Every <= m.Away {
-		return fmt.Errorf("--away %v of --every %v, --burst %v: a processor that never serves", m.Away, m.Every, m.Burst)
+		return costs, fmt.Errorf("--away %v of --every %v, --burst %v: a processor that never serves", m.Away, m.Every, m.Burst)
 	}
-	if costs.Burst = m.Burst; m.Away > 0 {
+	costs.Burst = m.Burst
+	if m.Away > 0 {
 		costs.Away, costs.Every = m.Away, m.Every
 	}
+	return costs, nil
+}
+
+// trace reads a recorded run, or draws requests at so many a second.
+func (m *modelCmd) trace(mix []loadgen.Class, rate float64) ([]model.Req, error) {
+	if m.Trace != "" {
+		return model.Read(m.Trace, mix, m.Seed)
+	}
+	profile, err := loadgen.ParseProfile(m.Profile, rate)
+	if err != nil {
+		return nil, err
+	}
+	return model.Draw(profile, m.For, mix, m.Marked, m.Seed), nil
+}
+
+// Run compares ways of overload control.
+func (m *modelCmd) Run() error {
+	costs, err := m.costs()
+	if err != nil {
+		return err
+	}
+	mix := loadgen.Site()
+	capacity := float64(time.Second) / float64(costs.Serve)
 	names, policies := model.Policies(mix)
 	for _, n := range m.Only {
 		if policies[n] == nil {
@@ -50,30 +80,16 @@
 	if m.Trace != "" {
 		m.Times = []float64{0}
 	}
-	type row struct {
-		load float64
-		name string
-		out  model.Outcome
-	}
-	var rows []row
+	var rows []modelRow
 	for _, times := range m.Times {
 		for _, name := range names {
-			var trace []model.Req
-			var err error
-			if m.Trace != "" {
-				trace, err = model.Read(m.Trace, mix, m.Seed)
-			} else {
-				var profile loadgen.Profile
-				if profile, err = loadgen.ParseProfile(m.Profile, times*capacity); err == nil {
-					trace = model.Draw(profile, m.For, mix, m.Marked, m.Seed)
-				}
-			}
+			trace, err := m.trace(mix, times*capacity)
 			if err != nil {
 				return err
 			}
 			out := model.Run(trace, mix, costs, policies[name](), m.Warm)
 			best = max(best, out.Worth)
-			rows = append(rows, row{times, name, out})
+			rows = append(rows, modelRow{times, name, out})
 			if lines[name] == nil {
 				lines[name] = &plot.Line{Name: name}
 			}
--- a/cmd/larchusher-lab/procs.go
+++ b/cmd/larchusher-lab/procs.go
@@ -47,100 +47,87 @@
 		}
 		c.Program = filepath.Join(filepath.Dir(self), "larchusher")
 	}
-	if c.Plan > 0 {
+	switch {
+	case c.Plan > 0:
 		return c.plan()
-	}
-	if len(c.Rest)+len(c.Grants)+len(c.Spread)+len(c.CatchUp) > 0 {
+	case len(c.Rest)+len(c.Grants)+len(c.Spread)+len(c.CatchUp) > 0:
 		return c.measure()
-	}
-	if c.Mutants != "" {
+	case c.Mutants != "":
 		return c.mutate()
 	}
-	var plots []*faultinjection.Plot
-	if len(c.Named) > 0 {
-		named, err := faultinjection.Named()
-		if err != nil {
-			return err
-		}
-		for _, name := range slices.Sorted(maps.Keys(named)) {
-			if slices.Contains(c.Named, name) || slices.Contains(c.Named, "all") {
-				plots = append(plots, named[name])
-			}
+	plots, err := c.plots()
+	if err != nil {
+		return err
+	}
+	if c.Show {
+		for _, p := range plots {
+			fmt.Print(p)
 		}
-	} else if c.Plot != "" {
+		return nil
+	}
+	var s plotSummary
+	c.playAll(plots, &s)
+	s.print(len(plots))
+	if s.bad > 0 {
+		return fmt.Errorf("%d of %d plots broke a rule", s.bad, len(plots))
+	}
+	return nil
+}
+
+// plots are those that are named, the one in a file, or drawn ones.
+func (c *procsCmd) plots() ([]*faultinjection.Plot, error) {
+	switch {
+	case len(c.Named) > 0:
+		return c.namedPlots()
+	case c.Plot != "":
 		text, err := os.ReadFile(c.Plot)
 		if err != nil {
-			return err
+			return nil, err
 		}
 		p, err := faultinjection.Parse(string(text))
 		if err != nil {
-			return fmt.Errorf("%s: %w", c.Plot, err)
+			return nil, fmt.Errorf("%s: %w", c.Plot, err)
 		}
-		plots = append(plots, p)
-	} else {
-		for i := range c.Plots {
-			p := faultinjection.Draw(c.Seed + uint64(i))
-			if c.Shared != "" {
-				p = faultinjection.DrawShared(c.Seed + uint64(i))
-			}
-			if c.Shared == "off" {
-				p.Events[0].What = "apart"
-			}
-			plots = append(plots, p)
+		return []*faultinjection.Plot{p}, nil
+	}
+	var plots []*faultinjection.Plot
+	for i := range c.Plots {
+		p := faultinjection.Draw(c.Seed + uint64(i))
+		if c.Shared != "" {
+			p = faultinjection.DrawShared(c.Seed + uint64(i))
+		}
+		if c.Shared == "off" {
+			p.Events[0].What = "apart"
 		}
+		plots = append(plots, p)
 	}
-	if c.Show {
-		for _, p := range plots {
-			fmt.Print(p)
+	return plots, nil
+}
+
+func (c *procsCmd) namedPlots() (plots []*faultinjection.Plot, err error) {
+	named, err := faultinjection.Named()
+	if err != nil {
+		return nil, err
+	}
+	for _, name := range slices.Sorted(maps.Keys(named)) {
+		if slices.Contains(c.Named, name) || slices.Contains(c.Named, "all") {
+			plots = append(plots, named[name])
 		}
-		return nil
 	}
-	var (
-		mu            sync.Mutex
-		all           sync.WaitGroup
-		bad, done     int
-		asked, served int
-		took          []time.Duration
-		equal         []time.Duration
-		stale, drain  int
-		told          int
-		next          = make(chan *faultinjection.Plot)
-	)
+	return plots, nil
+}
+
+// playAll plays plots, several at once.
+func (c *procsCmd) playAll(plots []*faultinjection.Plot, s *plotSummary) {
+	var all sync.WaitGroup
+	next := make(chan *faultinjection.Plot)
 	for range max(1, c.Jobs) {
 		all.Go(func() {
 			for p := range next {
 				ctx, cancel := context.WithTimeout(context.Background(), p.For+100*time.Second)
 				v, err := faultinjection.Run(ctx, c.Program, p)
 				cancel()
-				mu.Lock()
-				switch {
-				case err != nil:
-					bad++
-					fmt.Printf("seed %d: %v\n%s", p.Seed, err, p)
-				case len(v.Faults) > 0:
-					bad++
-					fmt.Printf("seed %d:\n", p.Seed)
-					for _, f := range v.Faults {
-						fmt.Println("  ", f)
-					}
-					fmt.Print(p)
-				default:
-					fmt.Printf("seed %d: %d gateways, %d of %d works done after %v; clients asked %d, served %d, refused %d, failed %d, lost with a gateway %d; withheld %.0f\n", p.Seed,
-						p.Gateways, v.Done, v.Asked, v.Ended.Round(100*time.Millisecond), v.Client.Asked, v.Client.Served, v.Client.Refused, v.Client.Failed, v.Client.Excused, v.Held)
-				}
-				if v != nil {
-					stale, drain, told = stale+v.Stale, drain+v.Drained, told+v.Told
-					if v.Equal > 0 {
-						equal = append(equal, v.Equal)
-					}
-					done += v.Done
-					asked += v.Client.Asked
-					served += v.Client.Served
-					for _, d := range v.Took {
-						took = append(took, d)
-					}
-				}
-				mu.Unlock()
+				s.add(p, v, err)
 			}
 		})
 	}
@@ -150,23 +137,67 @@
 	}
 	close(next)
 	all.Wait()
-	slices.Sort(took)
-	if n := len(took); n > 0 {
-		fmt.Printf("from asking to granted, faults and bounds included: median %v, p99 %v\n", took[n/2].Round(time.Millisecond), took[n*99/100].Round(time.Millisecond))
-	}
-	if told > 0 {
-		slices.Sort(equal)
-		fmt.Printf("%d purges told; %d asks would have taken what others knew to be purged, %d went where others knew of a drain", told, stale, drain)
-		if n := len(equal); n > 0 {
-			fmt.Printf("; all knew the same after the last fault: median %v, most %v", equal[n/2].Round(time.Millisecond), equal[n-1].Round(time.Millisecond))
+}
+
+// plotSummary is what came of several plots.
+type plotSummary struct {
+	mu            sync.Mutex
+	bad, done     int
+	asked, served int
+	took          []time.Duration // from asking to granted
+	equal         []time.Duration // from the last fault until all knew the same
+	stale, drain  int
+	told          int
+}
+
+// add takes in what came of a plot, and prints it.
+func (s *plotSummary) add(p *faultinjection.Plot, v *faultinjection.Verdict, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	switch {
+	case err != nil:
+		s.bad++
+		fmt.Printf("seed %d: %v\n%s", p.Seed, err, p)
+	case len(v.Faults) > 0:
+		s.bad++
+		fmt.Printf("seed %d:\n", p.Seed)
+		for _, f := range v.Faults {
+			fmt.Println("  ", f)
 		}
-		fmt.Println()
+		fmt.Print(p)
+	default:
+		fmt.Printf("seed %d: %d gateways, %d of %d works done after %v; clients asked %d, served %d, refused %d, failed %d, lost with a gateway %d; withheld %.0f\n", p.Seed,
+			p.Gateways, v.Done, v.Asked, v.Ended.Round(100*time.Millisecond), v.Client.Asked, v.Client.Served, v.Client.Refused, v.Client.Failed, v.Client.Excused, v.Held)
 	}
-	fmt.Printf("%d plots, %d with a fault; %d works done; of %d requests %d were served\n", len(plots), bad, done, asked, served)
-	if bad > 0 {
-		return fmt.Errorf("%d of %d plots broke a rule", bad, len(plots))
+	if v == nil {
+		return
+	}
+	s.stale, s.drain, s.told = s.stale+v.Stale, s.drain+v.Drained, s.told+v.Told
+	if v.Equal > 0 {
+		s.equal = append(s.equal, v.Equal)
+	}
+	s.done += v.Done
+	s.asked += v.Client.Asked
+	s.served += v.Client.Served
+	for _, d := range v.Took {
+		s.took = append(s.took, d)
 	}
-	return nil
+}
+
+func (s *plotSummary) print(plots int) {
+	slices.Sort(s.took)
+	if n := len(s.took); n > 0 {
+		fmt.Printf("from asking to granted, faults and bounds included: median %v, p99 %v\n", s.took[n/2].Round(time.Millisecond), s.took[n*99/100].Round(time.Millisecond))
+	}
+	if s.told > 0 {
+		slices.Sort(s.equal)
+		fmt.Printf("%d purges told; %d asks would have taken what others knew to be purged, %d went where others knew of a drain", s.told, s.stale, s.drain)
+		if n := len(s.equal); n > 0 {
+			fmt.Printf("; all knew the same after the last fault: median %v, most %v", s.equal[n/2].Round(time.Millisecond), s.equal[n-1].Round(time.Millisecond))
+		}
+		fmt.Println()
+	}
+	fmt.Printf("%d plots, %d with a fault; %d works done; of %d requests %d were served\n", plots, s.bad, s.done, s.asked, s.served)
 }
 
 // mutate has the plots find rules that were taken out.
@@ -233,6 +264,17 @@
 		fmt.Printf("%d gateways: one that does not vote %.1f messages and %.0f bytes a second, the busiest voter %.0f and %.0f; %.1f writes a second of all; all ready after %v, granted after %v, out after %v\n", n,
 			r.Messages, r.Bytes, r.VoterMessages, r.VoterBytes, r.Writes, r.Formed, r.Granted, r.Drained)
 	}
+	if err := c.measureCatchUp(); err != nil {
+		return err
+	}
+	if err := c.measureSpread(); err != nil {
+		return err
+	}
+	return c.measureGrants()
+}
+
+// measureCatchUp is what it takes one that returns to know so many items.
+func (c *procsCmd) measureCatchUp() error {
 	for _, n := range c.CatchUp {
 		for _, bytes := range []int{256 << 10, 16 << 20} {
 			r, err := faultinjection.CatchUp(n, bytes, c.Seed)
@@ -242,6 +284,11 @@
 			fmt.Printf("%d items, %d bytes a second from each: %v, %d bytes, %v the longest held, %d bytes of memory an item\n", n, bytes, r.Took, r.Bytes, r.Held.Round(10*time.Microsecond), r.Size)
 		}
 	}
+	return nil
+}
+
+// measureSpread is how fleets of so many gateways come to know the same, by several ways.
+func (c *procsCmd) measureSpread() error {
 	lines := map[string]plot.Line{}
 	for _, n := range c.Spread {
 		for _, way := range []string{faultinjection.WayOurs, faultinjection.WayPull, faultinjection.WayFull, faultinjection.WayPush} {
@@ -259,15 +306,18 @@
 			}
 		}
 	}
-	if c.Draw != "" && len(lines) > 0 {
-		var all []plot.Line
-		for _, way := range slices.Sorted(maps.Keys(lines)) {
-			all = append(all, lines[way])
-		}
-		if err := plot.Draw(c.Draw, "A heal of two halves", "gateways", "seconds until all know the same", all); err != nil {
-			return err
-		}
+	if c.Draw == "" || len(lines) == 0 {
+		return nil
+	}
+	var all []plot.Line
+	for _, way := range slices.Sorted(maps.Keys(lines)) {
+		all = append(all, lines[way])
 	}
+	return plot.Draw(c.Draw, "A heal of two halves", "gateways", "seconds until all know the same", all)
+}
+
+// measureGrants is how long a grant takes, without and with the first voter killed.
+func (c *procsCmd) measureGrants() error {
 	for _, n := range c.Grants {
 		for _, kill := range []bool{false, true} {
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Minute)
--- a/cmd/larchusher-lab/scene.go
+++ b/cmd/larchusher-lab/scene.go
@@ -91,6 +91,65 @@
 	Program string `help:"The gateway's program." default:"" placeholder:"PATH"`
 }
 
+// socketsConfig is a scene for real gateways.
+func socketsConfig(program string, sc localitysim.Scene) (fleet.Config, error) {
+	cfg := fleet.Config{Program: program, BoxRate: sc.BoxRate, Objects: sc.Objects, Late: sc.List, For: sc.For, Seed: sc.Seed}
+	for i, z := range sc.Zones {
+		if z.Gateways != 1 || z.Hub > 1 {
+			return cfg, fmt.Errorf("zone[%d]: %d gateways at hub %d; to compare, one gateway and hubs 0 and 1", i, z.Gateways, z.Hub)
+		}
+		cfg.Zones = append(cfg.Zones, fleet.Zone{Name: z.Name, Hub: z.Hub, Boxes: z.Boxes, Rate: z.Load * sc.BoxRate * float64(z.Boxes)})
+	}
+	for i, x := range sc.Faults {
+		if x.Kind != localitysim.Dead {
+			return cfg, fmt.Errorf("fault[%d].kind: %s can't be played on sockets", i, x.Kind)
+		}
+		cfg.Deaths = append(cfg.Deaths, fleet.Death{Zone: x.Zone, At: x.At, Back: x.Till})
+	}
+	return cfg, nil
+}
+
+// shares are parts of what was asked in a span.
+type shares struct{ spilled, refused float64 }
+
+func sharesOf(spilled, refused, asked float64) shares {
+	return shares{spilled: spilled / max(1, asked), refused: refused / max(1, asked)}
+}
+
+// modelShares are those of the model between two seconds.
+func modelShares(r *localitysim.Result, from, to int) shares {
+	var asked, spilled, refused float64
+	for _, s := range r.Seconds[from:to] {
+		asked, refused = asked+float64(s.Asked), refused+float64(s.Refused)
+		for _, n := range s.Spilled {
+			spilled += float64(n)
+		}
+	}
+	return sharesOf(spilled, refused, asked)
+}
+
+// socketsShares are those of real gateways between two seconds.
+func socketsShares(r *fleet.Result, from, to int) shares {
+	var asked, spilled, refused float64
+	for k, zone := range r.Zones {
+		for _, s := range zone[min(from, len(zone)):min(to, len(zone))] {
+			asked, refused = asked+float64(s.Asked), refused+float64(s.Refused)
+			spilled += float64(awayFrom(k, s.At))
+		}
+	}
+	return sharesOf(spilled, refused, asked)
+}
+
+// awayFrom is how many of the attempts at zones were at others than the own one.
+func awayFrom(own int, at []int) (away int) {
+	for zone, n := range at {
+		if zone != own {
+			away += n
+		}
+	}
+	return away
+}
+
 // Run plays a scene in the model with directors and with real gateways on loopback, and tells both side by side, by spans
 // of five seconds.
 func (c *compareCmd) Run() error {
@@ -104,18 +163,9 @@
 	}
 	sc := f.Scene
 	sc.Policy = localitysim.Ours
-	cfg := fleet.Config{Program: program, BoxRate: sc.BoxRate, Objects: sc.Objects, Late: sc.List, For: sc.For, Seed: sc.Seed}
-	for i, z := range sc.Zones {
-		if z.Gateways != 1 || z.Hub > 1 {
-			return fmt.Errorf("zone[%d]: %d gateways at hub %d; to compare, one gateway and hubs 0 and 1", i, z.Gateways, z.Hub)
-		}
-		cfg.Zones = append(cfg.Zones, fleet.Zone{Name: z.Name, Hub: z.Hub, Boxes: z.Boxes, Rate: z.Load * sc.BoxRate * float64(z.Boxes)})
-	}
-	for i, x := range sc.Faults {
-		if x.Kind != localitysim.Dead {
-			return fmt.Errorf("fault[%d].kind: %s can't be played on sockets", i, x.Kind)
-		}
-		cfg.Deaths = append(cfg.Deaths, fleet.Death{Zone: x.Zone, At: x.At, Back: x.Till})
+	cfg, err := socketsConfig(program, sc)
+	if err != nil {
+		return err
 	}
 	model, err := localitysim.Directed(sc)
 	if err != nil {
@@ -132,28 +182,10 @@
 	const step = 5
 	var most float64
 	for at := int(sc.Warm / time.Second); at+step <= int(sc.For/time.Second); at += step {
-		var asked, spilled, refused [2]float64
-		for i := at; i < at+step; i++ {
-			m := model.Seconds[i]
-			asked[0], refused[0] = asked[0]+float64(m.Asked), refused[0]+float64(m.Refused)
-			for _, n := range m.Spilled {
-				spilled[0] += float64(n)
-			}
-			for k, z := range sockets.Zones {
-				if i < len(z) {
-					asked[1], refused[1] = asked[1]+float64(z[i].Asked), refused[1]+float64(z[i].Refused)
-					for to, n := range z[i].At {
-						if to != k {
-							spilled[1] += float64(n)
-						}
-					}
-				}
-			}
-		}
+		m, r := modelShares(model, at, at+step), socketsShares(sockets, at, at+step)
 		a, b := model.Share(time.Duration(at)*time.Second, time.Duration(at+step)*time.Second), sockets.Share(at, at+step)
 		most = max(most, a-b, b-a)
-		t.row("%d to %d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t", at, at+step, a, b, spilled[0]/max(1, asked[0]), spilled[1]/max(1, asked[1]),
-			refused[0]/max(1, asked[0]), refused[1]/max(1, asked[1]))
+		t.row("%d to %d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t", at, at+step, a, b, m.spilled, r.spilled, m.refused, r.refused)
 	}
 	if err := t.flush(); err != nil {
 		return err
--- a/cmd/larchusher-lab/up.go
+++ b/cmd/larchusher-lab/up.go
@@ -40,90 +40,131 @@
 	if err != nil {
 		return err
 	}
-	secret := []byte("a secret of the workshop, not of anyone else")
 	dir, err := os.MkdirTemp("", "larchusher-up")
 	if err != nil {
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder, which the system clears otherwise
+	d := &demo{front: front, secret: []byte("a secret of the workshop, not of anyone else")}
+	if err := d.start(ctx, program, dir, u.Caches); err != nil {
+		return err
+	}
+	defer d.world.Stop()
+	if err := d.askAll(ctx); err != nil {
+		return err
+	}
+	if u.Stay {
+		return d.stay()
+	}
+	return nil
+}
+
+// demo is a gateway with stand-ins, and what signs for its signed front.
+type demo struct {
+	front  string // the signed front's address
+	secret []byte // of its key
+	world  *testbed.World
+	issuer *signedurl.Issuer
+}
+
+// start starts the gateway with an operator's file in a folder, and tells where everything is.
+func (d *demo) start(ctx context.Context, program, dir string, caches int) (err error) {
+	d.issuer, err = signedurl.NewIssuer(signedurl.Config{Base: upBase, Keys: []signedurl.Key{{ID: "lab",
+		Form: signedurl.URISigning, Algorithm: "HS256", Secret: d.secret}}}, "lab")
+	if err != nil {
+		return err
+	}
 	file := filepath.Join(dir, "operator.textproto")
 	text := fmt.Sprintf("signed_front {\n  listen: %q\n  base: %q\n  key { id: \"lab\" form: \"uri-signing\" algorithm: \"HS256\" secret_env: \"LAB_KEY\" }\n}\n",
-		front, upBase)
+		d.front, upBase)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
 	}
 	w, err := testbed.Start(ctx, testbed.Config{Program: program, Args: []string{"serve", "--operator", file},
-		Env: []string{"LAB_KEY=" + hex.EncodeToString(secret)}, Caches: u.Caches, Pin: -1})
+		Env: []string{"LAB_KEY=" + hex.EncodeToString(d.secret)}, Caches: caches, Pin: -1})
 	if err != nil {
 		return err
 	}
-	defer w.Stop()
+	d.world = w
 	for _, s := range w.Stores {
 		s.Lock()
 		s.Forget = false
 		s.Unlock()
 		s.Cache(w.Stores, func(string) int { return 5000 })
 	}
-	fmt.Printf("platform's front at %s, signed front at http://%s, journal at %s\n", w.Addr, front, w.Journal.Addr)
+	fmt.Printf("platform's front at %s, signed front at http://%s, journal at %s\n", w.Addr, d.front, w.Journal.Addr)
 	for name, s := range w.Stores {
 		fmt.Printf("  %s (%s) at %s\n", name, s.Kind, s.Addr)
 	}
-	issuer, err := signedurl.NewIssuer(signedurl.Config{Base: upBase, Keys: []signedurl.Key{{ID: "lab",
-		Form: signedurl.URISigning, Algorithm: "HS256", Secret: secret}}}, "lab")
-	if err != nil {
-		return err
-	}
+	return nil
+}
+
+// askAll asks for some objects by both fronts, and prints a row for each answer.
+func (d *demo) askAll(ctx context.Context) error {
 	t := newTextTable()
 	t.head("front\tasked\tanswer\tserved by\tfilled from\ttook")
-	show := func(front, asked, answer string, took time.Duration) {
-		by, from := "-", "-"
-		if a := latest(w.Stores); a != nil {
-			by = a.Store.Name
-			if from = "its own copy"; a.Note != "warm" {
-				from = a.Fields["parent"]
-			} else if a.Store.Kind == "origin" || a.Fields["parent"] == a.Store.Name {
-				from = "itself"
-			}
-		}
-		t.row("%s\t%s\t%s\t%s\t%s\t%v", front, asked, answer, by, from, took.Round(10*time.Microsecond))
-	}
 	for _, object := range []string{"7f3a9c21e0b4d655", "00000000000000aa", "7f3a9c21e0b4d655"} {
-		began := time.Now()
-		answer, err := loadgen.One(w.Addr, "images", object, 3)
-		if err != nil {
+		if err := d.askPlatform(t, "images "+object+"/3", "images", object, 3); err != nil {
 			return err
 		}
-		show("platform", "images "+object+"/3", answer, time.Since(began))
-		uri, err := issuer.Sign(signedurl.Order{Target: "/films/" + object + "/1?shard=17", Expiry: time.Now().Add(time.Hour)})
-		if err != nil {
+		if err := d.askSigned(ctx, t, object); err != nil {
 			return err
 		}
-		began = time.Now()
-		answer, err = get(ctx, "http://"+front+strings.TrimPrefix(uri, upBase))
-		if err != nil {
-			return err
-		}
-		show("signed", "films "+object+"/1", answer, time.Since(began))
 	}
+	if err := d.askPlatform(t, "orders", "orders", "7f3a9c21e0b4d655", 0); err != nil {
+		return err
+	}
+	return t.flush()
+}
+
+func (d *demo) askPlatform(t *table, asked, class, object string, part int) error {
 	began := time.Now()
-	answer, err := loadgen.One(w.Addr, "orders", "7f3a9c21e0b4d655", 0)
+	answer, err := loadgen.One(d.world.Addr, class, object, part)
 	if err != nil {
 		return err
 	}
-	show("platform", "orders", answer, time.Since(began))
-	if err := t.flush(); err != nil {
+	d.show(t, "platform", asked, answer, time.Since(began))
+	return nil
+}
+
+func (d *demo) askSigned(ctx context.Context, t *table, object string) error {
+	uri, err := d.issuer.Sign(signedurl.Order{Target: "/films/" + object + "/1?shard=17", Expiry: time.Now().Add(time.Hour)})
+	if err != nil {
 		return err
 	}
-	if u.Stay {
-		uri, err := issuer.Sign(signedurl.Order{Target: "/films/7f3a9c21e0b4d655/1?shard=17", Expiry: time.Now().Add(time.Hour)})
-		if err != nil {
-			return err
+	began := time.Now()
+	answer, err := get(ctx, "http://"+d.front+strings.TrimPrefix(uri, upBase))
+	if err != nil {
+		return err
+	}
+	d.show(t, "signed", "films "+object+"/1", answer, time.Since(began))
+	return nil
+}
+
+// show adds a row: what was asked, and which store served it from where.
+func (d *demo) show(t *table, front, asked, answer string, took time.Duration) {
+	by, from := "-", "-"
+	if a := latest(d.world.Stores); a != nil {
+		by = a.Store.Name
+		if from = "its own copy"; a.Note != "warm" {
+			from = a.Fields["parent"]
+		} else if a.Store.Kind == "origin" || a.Fields["parent"] == a.Store.Name {
+			from = "itself"
 		}
-		fmt.Printf("\nit goes on until SIGINT; try: curl -i 'http://%s%s'\n", front, strings.TrimPrefix(uri, upBase))
-		stop := make(chan os.Signal, 1)
-		signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
-		<-stop
 	}
+	t.row("%s\t%s\t%s\t%s\t%s\t%v", front, asked, answer, by, from, took.Round(10*time.Microsecond))
+}
+
+// stay goes on until SIGINT or SIGTERM.
+func (d *demo) stay() error {
+	uri, err := d.issuer.Sign(signedurl.Order{Target: "/films/7f3a9c21e0b4d655/1?shard=17", Expiry: time.Now().Add(time.Hour)})
+	if err != nil {
+		return err
+	}
+	fmt.Printf("\nit goes on until SIGINT; try: curl -i 'http://%s%s'\n", d.front, strings.TrimPrefix(uri, upBase))
+	stop := make(chan os.Signal, 1)
+	signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
+	<-stop
 	return nil
 }
 
--- a/cmd/larchusher-lab/zones.go
+++ b/cmd/larchusher-lab/zones.go
@@ -33,7 +33,7 @@
 	Print    bool          `help:"Print each second."`
 }
 
-// span is a fault of a zone in time.
+// parseFault reads ZONE:KIND@WHEN..TILL.
 func parseFault(s string) (f localitysim.Fault, err error) {
 	zone, rest, ok := strings.Cut(s, ":")
 	kind, when, ok2 := strings.Cut(rest, "@")
@@ -102,56 +102,68 @@
 	return 0
 }
 
+// model plays zones in simulated time, by each policy.
 func (z *zonesCmd) model(t *table, faults []localitysim.Fault) (curves []curve, err error) {
 	t.head("policy\tworth in aim, all\tworst 5 s\tlast 20 s\trefused: replays\tassets\tfailed\tspill over its bound\tzones that fell\torigin refused\tevents a second\t")
+	run := localitysim.Run
+	if z.Directed {
+		run = localitysim.Directed
+	}
 	for _, p := range z.Policy {
-		sc := localitysim.Scene{BoxRate: z.BoxRate, Objects: z.Objects, Parent: z.Parent, Origin: z.Origin, Faults: faults, List: z.Late, For: z.For, Warm: 10 * time.Second,
-			Policy: localitysim.Policy(p), Seed: z.Seed}
-		for i, b := range z.Boxes {
-			sc.Zones = append(sc.Zones, localitysim.Zone{Name: fmt.Sprintf("z%d", i), Hub: z.hub(i), Boxes: b, Gateways: z.Gateways, Load: z.Load})
-		}
 		if z.Directed && p == string(localitysim.Unbounded) {
 			continue
 		}
-		began, run := time.Now(), localitysim.Run
-		if z.Directed {
-			run = localitysim.Directed
-		}
-		r, err := run(sc)
+		began := time.Now()
+		r, err := run(z.scene(p, faults))
 		if err != nil {
 			return nil, err
 		}
-		took := time.Since(began).Seconds()
-		c := curve{name: p}
-		failed, refusals, worst := 0, 0, 1.0
-		for i, s := range r.Seconds {
-			if i < 10 || time.Duration(i+1)*time.Second > z.For {
-				continue
-			}
-			away := 0
-			for _, n := range s.Spilled {
-				away += n
-			}
-			asked := float64(max(1, s.Asked))
-			c.service = append(c.service, [2]float64{float64(i), s.Worth / max(1, s.WorthAsked)})
-			c.spill = append(c.spill, [2]float64{float64(i), float64(away) / asked})
-			failed, refusals = failed+s.Failed, refusals+s.OriginRefused
-			if time.Duration(i+5)*time.Second <= z.For {
-				worst = min(worst, r.Share(time.Duration(i)*time.Second, time.Duration(i+5)*time.Second))
-			}
-			if z.Print {
-				fmt.Printf("%s %d: asked %d in aim %d late %d failed %d refused %d spilled %v at %v fills %d origin %d\n", p, i, s.Asked, s.InAim, s.Late,
-					s.Failed, s.Refused, s.Spilled, s.At, s.Fills, s.Origin)
-			}
-		}
-		curves = append(curves, c)
-		part := func(class int) float64 { return 100 * float64(r.Refused[class]) / float64(max(1, r.Asked[class])) }
-		t.row("%s\t%.3f\t%.3f\t%.3f\t%.1f %%\t%.1f %%\t%d\t%.3f\t%v\t%d\t%.0f\t", p, r.Share(10*time.Second, z.For), worst,
-			r.Share(z.For-20*time.Second, z.For), part(0), part(1), failed, r.Over, r.Falls, refusals, float64(r.Events)/took)
+		curves = append(curves, z.modelCurve(t, p, r, time.Since(began)))
 	}
 	return curves, nil
 }
 
+// scene is what the model plays by a policy.
+func (z *zonesCmd) scene(policy string, faults []localitysim.Fault) localitysim.Scene {
+	sc := localitysim.Scene{BoxRate: z.BoxRate, Objects: z.Objects, Parent: z.Parent, Origin: z.Origin, Faults: faults, List: z.Late, For: z.For, Warm: 10 * time.Second,
+		Policy: localitysim.Policy(policy), Seed: z.Seed}
+	for i, b := range z.Boxes {
+		sc.Zones = append(sc.Zones, localitysim.Zone{Name: fmt.Sprintf("z%d", i), Hub: z.hub(i), Boxes: b, Gateways: z.Gateways, Load: z.Load})
+	}
+	return sc
+}
+
+// modelCurve adds a policy's row, and returns its curve.
+func (z *zonesCmd) modelCurve(t *table, policy string, r *localitysim.Result, took time.Duration) curve {
+	c := curve{name: policy}
+	failed, refusals, worst := 0, 0, 1.0
+	for i, s := range r.Seconds {
+		if i < 10 || time.Duration(i+1)*time.Second > z.For {
+			continue
+		}
+		away := 0
+		for _, n := range s.Spilled {
+			away += n
+		}
+		asked := float64(max(1, s.Asked))
+		c.service = append(c.service, [2]float64{float64(i), s.Worth / max(1, s.WorthAsked)})
+		c.spill = append(c.spill, [2]float64{float64(i), float64(away) / asked})
+		failed, refusals = failed+s.Failed, refusals+s.OriginRefused
+		if time.Duration(i+5)*time.Second <= z.For {
+			worst = min(worst, r.Share(time.Duration(i)*time.Second, time.Duration(i+5)*time.Second))
+		}
+		if z.Print {
+			fmt.Printf("%s %d: asked %d in aim %d late %d failed %d refused %d spilled %v at %v fills %d origin %d\n", policy, i, s.Asked, s.InAim, s.Late,
+				s.Failed, s.Refused, s.Spilled, s.At, s.Fills, s.Origin)
+		}
+	}
+	part := func(class int) float64 { return 100 * float64(r.Refused[class]) / float64(max(1, r.Asked[class])) }
+	t.row("%s\t%.3f\t%.3f\t%.3f\t%.1f %%\t%.1f %%\t%d\t%.3f\t%v\t%d\t%.0f\t", policy, r.Share(10*time.Second, z.For), worst,
+		r.Share(z.For-20*time.Second, z.For), part(0), part(1), failed, r.Over, r.Falls, refusals, float64(r.Events)/took.Seconds())
+	return c
+}
+
+// sockets plays zones with real gateways, by each policy that they have.
 func (z *zonesCmd) sockets(t *table, faults []localitysim.Fault) (curves []curve, err error) {
 	if z.Program, err = programPath(z.Program); err != nil {
 		return nil, err
@@ -161,15 +173,9 @@
 		if p == "unbounded" {
 			continue
 		}
-		cfg := fleet.Config{Program: z.Program, BoxRate: z.BoxRate, Objects: z.Objects, Late: z.Late, For: z.For, Off: p != "tiers", Seed: z.Seed}
-		for i, b := range z.Boxes {
-			cfg.Zones = append(cfg.Zones, fleet.Zone{Name: fmt.Sprintf("z%d", i), Hub: z.hub(i), Boxes: b, Rate: z.Load * z.BoxRate * float64(b)})
-		}
-		for _, f := range faults {
-			if f.Kind != localitysim.Dead {
-				return nil, fmt.Errorf("--fault: %s is played in the model only", f.Kind)
-			}
-			cfg.Deaths = append(cfg.Deaths, fleet.Death{Zone: f.Zone, At: f.At, Back: f.Till})
+		cfg, err := z.fleet(p, faults)
+		if err != nil {
+			return nil, err
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), z.For+time.Minute)
 		r, err := fleet.Run(ctx, cfg)
@@ -177,45 +183,66 @@
 		if err != nil {
 			return nil, err
 		}
-		c := curve{name: p}
-		refused, other, worst := 0, 0, 1.0
-		n := int(z.For / time.Second)
-		for i := range n {
-			asked, away, worth, whole := 0, 0, 0.0, 0.0
-			for k, zone := range r.Zones {
-				if i >= len(zone) {
-					continue
-				}
-				s := zone[i]
-				asked, worth, whole = asked+s.Asked, worth+s.Worth, whole+s.WorthAsked
-				refused, other = refused+s.Refused, other+s.Other
-				for at, m := range s.At {
-					if at != k {
-						away += m
-					}
-				}
-				if z.Print {
-					fmt.Printf("%s %d: z%d asked %d in aim %d refused %d other %d at %v\n", p, i, k, s.Asked, s.InAim, s.Refused, s.Other, s.At)
-				}
+		curves = append(curves, z.socketsCurve(t, p, r))
+		if z.Print {
+			printCounters(p, r)
+		}
+	}
+	return curves, nil
+}
+
+// fleet is what real gateways play by a policy.
+func (z *zonesCmd) fleet(policy string, faults []localitysim.Fault) (fleet.Config, error) {
+	cfg := fleet.Config{Program: z.Program, BoxRate: z.BoxRate, Objects: z.Objects, Late: z.Late, For: z.For, Off: policy != "tiers", Seed: z.Seed}
+	for i, b := range z.Boxes {
+		cfg.Zones = append(cfg.Zones, fleet.Zone{Name: fmt.Sprintf("z%d", i), Hub: z.hub(i), Boxes: b, Rate: z.Load * z.BoxRate * float64(b)})
+	}
+	for _, f := range faults {
+		if f.Kind != localitysim.Dead {
+			return cfg, fmt.Errorf("--fault: %s is played in the model only", f.Kind)
+		}
+		cfg.Deaths = append(cfg.Deaths, fleet.Death{Zone: f.Zone, At: f.At, Back: f.Till})
+	}
+	return cfg, nil
+}
+
+// socketsCurve adds a policy's row, and returns its curve.
+func (z *zonesCmd) socketsCurve(t *table, policy string, r *fleet.Result) curve {
+	c := curve{name: policy}
+	refused, other, worst := 0, 0, 1.0
+	n := int(z.For / time.Second)
+	for i := range n {
+		asked, away, worth, offered := 0, 0, 0.0, 0.0
+		for k, zone := range r.Zones {
+			if i >= len(zone) {
+				continue
 			}
-			c.service = append(c.service, [2]float64{float64(i), worth / max(1, whole)})
-			c.spill = append(c.spill, [2]float64{float64(i), float64(away) / float64(max(1, asked))})
-			if i+5 <= n {
-				worst = min(worst, r.Share(i, i+5))
+			s := zone[i]
+			asked, worth, offered = asked+s.Asked, worth+s.Worth, offered+s.WorthAsked
+			refused, other = refused+s.Refused, other+s.Other
+			away += awayFrom(k, s.At)
+			if z.Print {
+				fmt.Printf("%s %d: z%d asked %d in aim %d refused %d other %d at %v\n", policy, i, k, s.Asked, s.InAim, s.Refused, s.Other, s.At)
 			}
 		}
-		curves = append(curves, c)
-		t.row("%s\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%d\t%.3f\t%v\t%.2f\t", p, r.Share(0, n), worst, r.Share(n-10, n), refused, other, r.Silent,
-			r.Second, r.Spoilt, r.Over, r.Fallen, r.Most)
-		if z.Print {
-			for k, c := range r.Counters {
-				for name, v := range c {
-					if strings.HasPrefix(name, "tier_") || strings.HasPrefix(name, "answered_") || strings.HasPrefix(name, "ended_") {
-						fmt.Printf("%s z%d %s %g\n", p, k, name, v)
-					}
-				}
+		c.service = append(c.service, [2]float64{float64(i), worth / max(1, offered)})
+		c.spill = append(c.spill, [2]float64{float64(i), float64(away) / float64(max(1, asked))})
+		if i+5 <= n {
+			worst = min(worst, r.Share(i, i+5))
+		}
+	}
+	t.row("%s\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%d\t%.3f\t%v\t%.2f\t", policy, r.Share(0, n), worst, r.Share(n-10, n), refused, other, r.Silent,
+		r.Second, r.Spoilt, r.Over, r.Fallen, r.Most)
+	return c
+}
+
+// printCounters prints what the gateways counted of localities, answers and attempts.
+func printCounters(policy string, r *fleet.Result) {
+	for k, c := range r.Counters {
+		for name, v := range c {
+			if strings.HasPrefix(name, "tier_") || strings.HasPrefix(name, "answered_") || strings.HasPrefix(name, "ended_") {
+				fmt.Printf("%s z%d %s %g\n", policy, k, name, v)
 			}
 		}
 	}
-	return curves, nil
 }
--- a/test/client_http_test.go
+++ b/test/client_http_test.go
@@ -139,7 +139,7 @@
 		t.Error("a closed object is read")
 	}
 	hc := &http.Client{Transport: &lib.RoundTripper{Client: c}}
-	resp, err := httpGet(t, hc, "http://any/images/" + object + "/3?shard=17")
+	resp, err := httpGet(t, hc, "http://any/images/"+object+"/3?shard=17")
 	if err != nil {
 		t.Fatal(err)
 	}
