--- a/lab/faultinjection/clients.go
+++ b/lab/faultinjection/clients.go
@@ -33,7 +33,7 @@
 
 const clientWaits = 1500 * time.Millisecond
 
-// run asks until the time is over.
+// run asks until the time is over, on a new connection where one ends.
 func (c *clients) run(until time.Time, first int) {
 	n := 0
 	for time.Now().Before(until) {
@@ -46,60 +46,63 @@
 		c.conn, c.open, c.answered = conn, map[uint32]time.Time{}, map[uint32]bool{}
 		c.mu.Unlock()
 		ended := make(chan struct{})
-		go func() {
-			defer close(ended)
-			r := rpc.NewReader(conn)
-			for {
-				a, err := r.Next()
-				if err != nil {
-					return
-				}
-				c.answer(a)
-			}
-		}()
-		e := rpc.NewEncoder(conn)
-		id := uint32(0)
-		for time.Now().Before(until) {
-			if c.rests() {
-				select {
-				case <-ended:
-				case <-time.After(c.every):
-					continue
-				}
-				break
-			}
+		go c.read(conn, ended)
+		n = c.ask(conn, ended, until, first, n)
+		if !time.Now().Before(until) { // the last answers
+			endedWithin(ended, clientWaits+300*time.Millisecond)
+		}
+		loopback.Close(conn)
+		<-ended
+		c.mu.Lock()
+		c.sweepAll()
+		c.mu.Unlock()
+	}
+}
+
+// read takes answers until the connection ends.
+func (c *clients) read(conn net.Conn, ended chan<- struct{}) {
+	defer close(ended)
+	r := rpc.NewReader(conn)
+	for {
+		a, err := r.Next()
+		if err != nil {
+			return
+		}
+		c.answer(a)
+	}
+}
+
+// ask sends requests on a connection until it ends or the time is over, n having been sent before, and returns how many were sent.
+func (c *clients) ask(conn net.Conn, ended <-chan struct{}, until time.Time, first, n int) int {
+	e := rpc.NewEncoder(conn)
+	for id := uint32(1); time.Now().Before(until); {
+		if !c.rests() {
 			n++
-			id++
 			c.mu.Lock()
 			c.Asked++
 			c.open[id] = time.Now()
 			c.sweep()
 			c.mu.Unlock()
-			err := e.Request(&rpc.Request{ID: id, Class: c.class, Txn: fmt.Sprintf("%016x", first<<32+n), Limit: clientWaits,
-				Object: fmt.Sprintf("%016x", first<<16+n%objects), Group: n % objects % groups})
-			if err != nil {
-				break
-			}
-			select {
-			case <-ended:
-				err = net.ErrClosed
-			case <-time.After(c.every):
-			}
-			if err != nil {
-				break
+			if err := e.Request(&rpc.Request{ID: id, Class: c.class, Txn: fmt.Sprintf("%016x", first<<32+n), Limit: clientWaits,
+				Object: fmt.Sprintf("%016x", first<<16+n%objects), Group: n % objects % groups}); err != nil {
+				return n
 			}
+			id++
 		}
-		if !time.Now().Before(until) { // the last answers
-			select {
-			case <-ended:
-			case <-time.After(clientWaits + 300*time.Millisecond):
-			}
+		if endedWithin(ended, c.every) {
+			return n
 		}
-		loopback.Close(conn)
-		<-ended
-		c.mu.Lock()
-		c.sweepAll()
-		c.mu.Unlock()
+	}
+	return n
+}
+
+// endedWithin waits for the end of a connection, and says whether it came within a time.
+func endedWithin(ended <-chan struct{}, within time.Duration) bool {
+	select {
+	case <-ended:
+		return true
+	case <-time.After(within):
+		return false
 	}
 }
 
--- a/lab/faultinjection/events.go
+++ b/lab/faultinjection/events.go
@@ -14,105 +14,30 @@
 
 // do carries out an event.
 func (p *play) do(ctx context.Context, e Event) error {
-	find := func(name string) *process {
-		i := slices.IndexFunc(p.gateways, func(g *process) bool { return g.name == name })
-		return p.gateways[max(0, i)]
-	}
 	switch e.What {
 	case "ask":
-		p.ask(ctx, e.Args[0], find(e.Args[1]))
+		p.ask(ctx, e.Args[0], p.find(e.Args[1]))
 	case "kill":
-		g := find(e.Args[0])
-		g.clients.excuse(true)
-		g.set(false)
-		p.forgotten(g, time.Now().Add(time.Hour))
-		if err := g.world.Kill(); err != nil {
-			return err
-		}
-		if e.Args[1] == "lose" {
-			return os.RemoveAll(g.folder)
-		}
+		return p.kill(p.find(e.Args[0]), e.Args[1] == "lose")
 	case "start":
-		g := find(e.Args[0])
-		if err := g.world.Again(); err != nil {
-			return err
-		}
-		p.wg.Go(func() {
-			if _, err := g.world.Logged(ctx, "msg=serving"); err != nil {
-				p.faults.add("%s does not start again: %v", g.name, err)
-			}
-			p.forgotten(g, time.Now().Add(500*time.Millisecond))
-			g.clients.excuse(false)
-			g.set(true)
-		})
+		return p.startAgain(ctx, p.find(e.Args[0]))
 	case "roll":
-		g := find(e.Args[0])
-		g.clients.rest(true) // as those do that are told of a drain
-		g.set(false)
-		if err := g.world.Signal(syscall.SIGTERM); err != nil {
-			return err
-		}
-		p.wg.Go(func() {
-			if err := g.world.Ended(ctx); err != nil {
-				p.faults.add("%s does not end by SIGTERM: %v", g.name, err)
-				return
-			}
-			g.clients.rest(false)
-			if err := g.world.Again(); err != nil {
-				p.faults.add("%s: %v", g.name, err)
-				return
-			}
-			if _, err := g.world.Logged(ctx, "msg=serving"); err != nil {
-				p.faults.add("%s does not start again: %v", g.name, err)
-			}
-			g.set(true)
-		})
+		return p.roll(ctx, p.find(e.Args[0]))
 	case "stop":
-		g := find(e.Args[0])
+		g := p.find(e.Args[0])
 		g.clients.excuse(true)
 		g.set(false)
 		return g.world.Signal(syscall.SIGSTOP)
 	case "cont":
-		g := find(e.Args[0])
-		if err := g.world.Signal(syscall.SIGCONT); err != nil {
-			return err
-		}
-		p.forgotten(g, time.Now().Add(time.Second)) // what came meanwhile it hears now
-		p.wg.Go(func() {
-			time.Sleep(300 * time.Millisecond)
-			g.clients.excuse(false)
-			g.set(true)
-		})
-	case "cut":
-		for _, pair := range e.Args {
-			if r := p.relays[pair]; r != nil {
-				r.set(func(r *relay) { r.cut = true })
-			}
-		}
-	case "heal":
-		for _, r := range p.relays {
-			r.set(func(r *relay) { r.cut, r.lose, r.double, r.delay, r.breaks, r.rate = false, 0, 0, 0, false, 0 })
-		}
-	case "bad":
-		lose, err1 := strconv.ParseFloat(e.Args[0], 64)
-		double, err2 := strconv.ParseFloat(e.Args[1], 64)
-		delay, err3 := time.ParseDuration(e.Args[2])
-		for _, r := range p.relays {
-			r.set(func(r *relay) { r.lose, r.double, r.delay, r.breaks = lose, double, delay, e.Args[3] == "cut" })
-		}
-		return errors.Join(err1, err2, err3)
-	case "slow":
-		n, err := strconv.Atoi(e.Args[0])
-		for _, r := range p.relays {
-			r.set(func(r *relay) { r.rate = n })
-		}
-		return err
+		return p.resume(p.find(e.Args[0]))
+	case "cut", "heal", "bad", "slow":
+		return p.spoilLinks(e)
 	case "slowly":
 		d, err := time.ParseDuration(e.Args[0])
 		p.takes.Store(int64(d))
 		return err
 	case "clock":
-		return os.WriteFile(find(e.Args[0]).clock, []byte(e.Args[1]), 0o600)
+		return os.WriteFile(p.find(e.Args[0]).clock, []byte(e.Args[1]), 0o600)
 	case "crash":
 		m := p.machines[e.Args[0]]
 		m.store.Close()
@@ -124,7 +49,112 @@
 	case "drain":
 		return p.drain(e.Args)
 	case "forge":
-		forge(find(e.Args[0]).link)
+		forge(p.find(e.Args[0]).link)
+	}
+	return nil
+}
+
+// find is the gateway of a name, the first one if there is none.
+func (p *play) find(name string) *process {
+	i := slices.IndexFunc(p.gateways, func(g *process) bool { return g.name == name })
+	return p.gateways[max(0, i)]
+}
+
+// kill kills a gateway; lose takes its folder as well.
+func (p *play) kill(g *process, lose bool) error {
+	g.clients.excuse(true)
+	g.set(false)
+	p.forgotten(g, time.Now().Add(time.Hour))
+	if err := g.world.Kill(); err != nil {
+		return err
+	}
+	if lose {
+		return os.RemoveAll(g.folder)
+	}
+	return nil
+}
+
+// startAgain starts a gateway that was killed.
+func (p *play) startAgain(ctx context.Context, g *process) error {
+	if err := g.world.Again(); err != nil {
+		return err
+	}
+	p.wg.Go(func() {
+		if _, err := g.world.Logged(ctx, "msg=serving"); err != nil {
+			p.faults.add("%s does not start again: %v", g.name, err)
+		}
+		p.forgotten(g, time.Now().Add(500*time.Millisecond))
+		g.clients.excuse(false)
+		g.set(true)
+	})
+	return nil
+}
+
+// roll ends a gateway by SIGTERM, and starts it again.
+func (p *play) roll(ctx context.Context, g *process) error {
+	g.clients.rest(true) // as those do that are told of a drain
+	g.set(false)
+	if err := g.world.Signal(syscall.SIGTERM); err != nil {
+		return err
+	}
+	p.wg.Go(func() {
+		if err := g.world.Ended(ctx); err != nil {
+			p.faults.add("%s does not end by SIGTERM: %v", g.name, err)
+			return
+		}
+		g.clients.rest(false)
+		if err := g.world.Again(); err != nil {
+			p.faults.add("%s: %v", g.name, err)
+			return
+		}
+		if _, err := g.world.Logged(ctx, "msg=serving"); err != nil {
+			p.faults.add("%s does not start again: %v", g.name, err)
+		}
+		g.set(true)
+	})
+	return nil
+}
+
+// resume has a gateway that was stopped go on.
+func (p *play) resume(g *process) error {
+	if err := g.world.Signal(syscall.SIGCONT); err != nil {
+		return err
+	}
+	p.forgotten(g, time.Now().Add(time.Second)) // what came meanwhile it hears now
+	p.wg.Go(func() {
+		time.Sleep(300 * time.Millisecond)
+		g.clients.excuse(false)
+		g.set(true)
+	})
+	return nil
+}
+
+// spoilLinks cuts some links, heals all, or has all lose, double, delay, break or slow down what they carry.
+func (p *play) spoilLinks(e Event) error {
+	each := func(change func(r *relay)) {
+		for _, r := range p.relays {
+			r.set(change)
+		}
+	}
+	switch e.What {
+	case "cut":
+		for _, pair := range e.Args {
+			if r := p.relays[pair]; r != nil {
+				r.set(func(r *relay) { r.cut = true })
+			}
+		}
+	case "heal":
+		each(func(r *relay) { r.cut, r.lose, r.double, r.delay, r.breaks, r.rate = false, 0, 0, 0, false, 0 })
+	case "bad":
+		lose, err1 := strconv.ParseFloat(e.Args[0], 64)
+		double, err2 := strconv.ParseFloat(e.Args[1], 64)
+		delay, err3 := time.ParseDuration(e.Args[2])
+		each(func(r *relay) { r.lose, r.double, r.delay, r.breaks = lose, double, delay, e.Args[3] == "cut" })
+		return errors.Join(err1, err2, err3)
+	case "slow":
+		n, err := strconv.Atoi(e.Args[0])
+		each(func(r *relay) { r.rate = n })
+		return err
 	}
 	return nil
 }
--- a/lab/faultinjection/plot.go
+++ b/lab/faultinjection/plot.go
@@ -160,67 +160,95 @@
 		add(t, "ask", "p0", gateway(0))
 		add(t, "ask", "p1", gateway(p.Gateways-1))
 	}
-	last := time.Duration(0)
-	until := func(from time.Duration) time.Duration {
-		t := min(from+at(300, 5000), 9*time.Second)
-		last = max(last, t)
-		return t
-	}
-	lost, busy := false, map[string]bool{}
+	d := &drawnFaults{p: p, rng: rng, at: at, add: add, machines: machines[asks:], busy: map[string]bool{}}
 	for range 1 + rng.IntN(4) {
-		t, g := at(1000, 6500), anyGateway()
-		switch rng.IntN(9) {
-		case 0, 1, 2:
-			if busy[g] {
-				continue
-			}
-			busy[g] = true
-			folder := "keep"
-			if !lost && rng.IntN(3) == 0 {
-				folder, lost = "lose", true
-			}
-			add(t, "kill", g, folder)
-			add(until(t), "start", g)
-		case 3:
-			if busy[g] {
-				continue
-			}
-			busy[g] = true
-			add(t, "stop", g)
-			add(until(t), "cont", g)
-		case 4, 5: // a partition into two, or one way only
-			side := rng.Perm(p.Gateways)[:1+rng.IntN(p.Gateways-1)]
-			oneWay := rng.IntN(2) == 0
-			var pairs []string
-			for a := range p.Gateways {
-				for b := range p.Gateways {
-					if in := slices.Contains(side, a); in != slices.Contains(side, b) && (in || !oneWay) {
-						pairs = append(pairs, gateway(a)+">"+gateway(b))
-					}
-				}
-			}
-			add(t, "cut", pairs...)
-			add(until(t), "heal")
-		case 6:
-			breaks := "-"
-			if rng.IntN(2) == 0 {
-				breaks = "cut"
-			}
-			add(t, "bad", fmt.Sprintf("%.2f", 0.2*rng.Float64()), fmt.Sprintf("%.2f", 0.2*rng.Float64()), at(0, 40).String(), breaks)
-			add(until(t), "heal")
-		case 7:
-			add(t, "clock", g, strconv.Itoa(rng.IntN(60000)-30000))
-			add(t, "forge", anyGateway())
-		case 8:
-			m := machines[asks+rng.IntN(len(machines)-asks)]
-			if m[0] == 'b' && !busy[m] {
-				busy[m] = true
-				add(t, "crash", m)
-				add(until(t), "revive", m)
-			}
-		}
+		d.one(at(1000, 6500), anyGateway())
 	}
-	add(max(last, 9*time.Second)+100*time.Millisecond, "heal")
+	add(max(d.last, 9*time.Second)+100*time.Millisecond, "heal")
 	slices.SortStableFunc(p.Events, func(a, b Event) int { return int(a.At - b.At) })
 	return p
 }
+
+// drawnFaults draws the faults of a plot.
+type drawnFaults struct {
+	p        *Plot
+	rng      *rand.Rand
+	at       func(fromMs, toMs int) time.Duration
+	add      func(t time.Duration, what string, args ...string)
+	machines []string // that nobody asks work on
+	last     time.Duration
+	lost     bool // a gateway has lost its folder: one in a plot may
+	busy     map[string]bool
+}
+
+// until draws when a fault that begins at a time ends.
+func (d *drawnFaults) until(from time.Duration) time.Duration {
+	t := min(from+d.at(300, 5000), 9*time.Second)
+	d.last = max(d.last, t)
+	return t
+}
+
+// one draws a fault that begins at a time, of a gateway if it is a gateway's.
+func (d *drawnFaults) one(t time.Duration, g string) {
+	switch d.rng.IntN(9) {
+	case 0, 1, 2:
+		d.kill(t, g)
+	case 3:
+		if d.busy[g] {
+			return
+		}
+		d.busy[g] = true
+		d.add(t, "stop", g)
+		d.add(d.until(t), "cont", g)
+	case 4, 5:
+		d.cut(t)
+	case 6:
+		breaks := "-"
+		if d.rng.IntN(2) == 0 {
+			breaks = "cut"
+		}
+		d.add(t, "bad", fmt.Sprintf("%.2f", 0.2*d.rng.Float64()), fmt.Sprintf("%.2f", 0.2*d.rng.Float64()), d.at(0, 40).String(), breaks)
+		d.add(d.until(t), "heal")
+	case 7:
+		d.add(t, "clock", g, strconv.Itoa(d.rng.IntN(60000)-30000))
+		d.add(t, "forge", gateway(d.rng.IntN(d.p.Gateways)))
+	case 8:
+		m := d.machines[d.rng.IntN(len(d.machines))]
+		if m[0] == 'b' && !d.busy[m] {
+			d.busy[m] = true
+			d.add(t, "crash", m)
+			d.add(d.until(t), "revive", m)
+		}
+	}
+}
+
+// kill has a gateway die, and start again; one of a plot may lose its folder.
+func (d *drawnFaults) kill(t time.Duration, g string) {
+	if d.busy[g] {
+		return
+	}
+	d.busy[g] = true
+	folder := "keep"
+	if !d.lost && d.rng.IntN(3) == 0 {
+		folder, d.lost = "lose", true
+	}
+	d.add(t, "kill", g, folder)
+	d.add(d.until(t), "start", g)
+}
+
+// cut draws a partition into two, or one way only.
+func (d *drawnFaults) cut(t time.Duration) {
+	n := d.p.Gateways
+	side := d.rng.Perm(n)[:1+d.rng.IntN(n-1)]
+	oneWay := d.rng.IntN(2) == 0
+	var pairs []string
+	for a := range n {
+		for b := range n {
+			if in := slices.Contains(side, a); in != slices.Contains(side, b) && (in || !oneWay) {
+				pairs = append(pairs, gateway(a)+">"+gateway(b))
+			}
+		}
+	}
+	d.add(t, "cut", pairs...)
+	d.add(d.until(t), "heal")
+}
--- a/lab/faultinjection/processes.go
+++ b/lab/faultinjection/processes.go
@@ -82,32 +82,10 @@
 	g.world.Journal.Tell(g.pos, text(g.pos))
 }
 
+// build makes the machines, the processes and the relays between them, and starts the processes.
 func (p *play) build(ctx context.Context) error {
-	// At an address of the plot's own: at 127.0.0.1 the system gives the port of a store that is down to a connection that goes out.
-	host := fmt.Sprintf("127.%d.%d.200:0", 64+os.Getpid()%100, p.plot.Seed%250)
-	add := func(name, kind, zone string) error {
-		s, err := fakeserver.NewStore(name, kind, host)
-		if err != nil {
-			return err
-		}
-		s.Forget = true
-		m := &machine{name: name, kind: kind, zone: zone, addr: s.Addr, store: s, faults: p.faults}
-		s.On(func(a *fakeserver.Ask) { p.answer(m, a) })
-		p.machines[name] = m
-		p.names = append(p.names, name)
-		return nil
-	}
-	for z := range 2 {
-		for i := range p.plot.Boxes {
-			if err := add(box(z, i), "box", "edge-"+strconv.Itoa(z)); err != nil {
-				return err
-			}
-		}
-	}
-	for _, x := range [][2]string{{"p0", "parent"}, {"p1", "parent"}, {"o", "origin"}} {
-		if err := add(x[0], x[1], "north"); err != nil {
-			return err
-		}
+	if err := p.buildMachines(); err != nil {
+		return err
 	}
 	var hosts []string
 	for _, name := range p.names {
@@ -115,7 +93,7 @@
 	}
 	known := json.RawMessage(`{"pos":1,"entries":[{"pos":1,"hosts":{"index":1,"snapshot":true,"endpoints":[` + strings.Join(hosts, ",") + `]}}]}`)
 	for i := range p.plot.Gateways {
-		host := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%100, p.plot.Seed%250, i+1)
+		host := p.address(i + 1)
 		link, err := testbed.FreeAt(host)
 		if err != nil {
 			return err
@@ -123,16 +101,8 @@
 		name := gateway(i)
 		p.gateways = append(p.gateways, &process{name: name, host: host, zone: "edge-" + strconv.Itoa(i%2), link: link, folder: filepath.Join(p.dir, name), clock: filepath.Join(p.dir, name+".clock")})
 	}
-	for _, a := range p.gateways {
-		for _, b := range p.gateways {
-			if a != b {
-				r, err := newRelay(b.link, p.plot.Seed)
-				if err != nil {
-					return err
-				}
-				p.relays[a.name+">"+b.name] = r
-			}
-		}
+	if err := p.buildRelays(); err != nil {
+		return err
 	}
 	var all sync.WaitGroup
 	errs := make([]error, len(p.gateways))
@@ -143,6 +113,58 @@
 	return errors.Join(errs...)
 }
 
+// address is one of the plot's own on loopback: at 127.0.0.1 the system gives the port of a store that is down to a connection that goes out.
+func (p *play) address(last int) string {
+	return fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%100, p.plot.Seed%250, last)
+}
+
+// buildMachines starts the boxes of two zones, two parents and the origin.
+func (p *play) buildMachines() error {
+	for z := range 2 {
+		for i := range p.plot.Boxes {
+			if err := p.addMachine(box(z, i), "box", "edge-"+strconv.Itoa(z)); err != nil {
+				return err
+			}
+		}
+	}
+	for _, x := range [][2]string{{"p0", "parent"}, {"p1", "parent"}, {"o", "origin"}} {
+		if err := p.addMachine(x[0], x[1], "north"); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (p *play) addMachine(name, kind, zone string) error {
+	s, err := fakeserver.NewStore(name, kind, p.address(200)+":0")
+	if err != nil {
+		return err
+	}
+	s.Forget = true
+	m := &machine{name: name, kind: kind, zone: zone, addr: s.Addr, store: s, faults: p.faults}
+	s.On(func(a *fakeserver.Ask) { p.answer(m, a) })
+	p.machines[name] = m
+	p.names = append(p.names, name)
+	return nil
+}
+
+// buildRelays puts a relay between any two gateways, one for each way.
+func (p *play) buildRelays() error {
+	for _, a := range p.gateways {
+		for _, b := range p.gateways {
+			if a == b {
+				continue
+			}
+			r, err := newRelay(b.link, p.plot.Seed)
+			if err != nil {
+				return err
+			}
+			p.relays[a.name+">"+b.name] = r
+		}
+	}
+	return nil
+}
+
 // operator is the operator's file of a gateway.
 func (p *play) operator(g *process) string {
 	var b strings.Builder
--- a/lab/faultinjection/rest.go
+++ b/lab/faultinjection/rest.go
@@ -119,10 +119,36 @@
 	return 0
 }
 
+// traffic counts what a fleet sends and stores while counting is on.
+type traffic struct {
+	on     bool
+	sent   map[string]gatewayTraffic
+	writes float64
+}
+
+// gatewayTraffic is what one gateway sent and heard.
+type gatewayTraffic struct{ messages, bytes float64 }
+
+func (t *traffic) count(from, to string, bytes int) {
+	if !t.on {
+		return
+	}
+	for _, who := range []string{from, to} {
+		s := t.sent[who]
+		t.sent[who] = gatewayTraffic{s.messages + 1, s.bytes + float64(bytes)}
+	}
+}
+
+func (t *traffic) wrote() {
+	if t.on {
+		t.writes++
+	}
+}
+
 // Rest drives the same packages as the daemon with so many gateways, over links of a millisecond, with 20 machines in each
 // one's report.
 func Rest(n int, seed uint64) (Resting, error) {
-	out, sent, busy := Resting{Gateways: n}, map[string][2]float64{}, false
+	out, counted := Resting{Gateways: n}, &traffic{sent: map[string]gatewayTraffic{}}
 	report := cluster.Report{Machines: map[string]maintenance.Machine{}}
 	for i := range 20 {
 		report.Machines[fmt.Sprintf("box-%02d", i)] = maintenance.Machine{Kind: maintenance.KindBox, Zone: "z", Up: true, Warm: true, Weight: 10, Utilization: 0.3}
@@ -131,51 +157,49 @@
 	if err != nil {
 		return out, err
 	}
-	f.sent = func(from, to string, bytes int) {
-		if busy {
-			for _, who := range []string{from, to} {
-				sent[who] = [2]float64{sent[who][0] + 1, sent[who][1] + float64(bytes)}
-			}
-		}
-	}
-	f.wrote = func() {
-		if busy {
-			out.Writes++
-		}
-	}
+	f.sent, f.wrote = counted.count, counted.wrote
 	out.Formed = f.ready()
 	f.clock.Run(f.clock.Now + 10*time.Second)
-	busy = true
-	const long = 20
-	f.clock.Run(f.clock.Now + long*time.Second)
-	busy = false
+	counted.on = true
+	const seconds = 20
+	f.clock.Run(f.clock.Now + seconds*time.Second)
+	counted.on = false
 	for i, name := range f.names {
-		s := sent[name]
+		s := counted.sent[name]
 		if i == n-1 {
-			out.Messages, out.Bytes = s[0]/long, s[1]/long
+			out.Messages, out.Bytes = s.messages/seconds, s.bytes/seconds
 		}
-		if s[1]/long > out.VoterBytes {
-			out.VoterMessages, out.VoterBytes = s[0]/long, s[1]/long
+		if s.bytes/seconds > out.VoterBytes {
+			out.VoterMessages, out.VoterBytes = s.messages/seconds, s.bytes/seconds
 		}
 	}
-	out.Writes /= long
+	out.Writes = counted.writes / seconds
 	asked := f.clock.Now
 	if err := f.order(f.names[n-1], maintenance.Command{Request: &maintenance.RequestOrder{Key: "k", Machine: "box-01", DurationMs: 1000}}); err != nil {
 		return out, err
 	}
-	for until := asked; out.Drained == 0 && until < asked+30*time.Second; {
+	out.Granted, out.Drained = f.timeOrder(asked)
+	return out, nil
+}
+
+// timeOrder is how long the one request that was asked for takes until it is granted, and until its machine is out; 0: longer than half
+// a minute.
+func (f *simulated) timeOrder(asked time.Duration) (granted, out time.Duration) {
+	for until := asked; out == 0 && until < asked+30*time.Second; {
 		until += 5 * time.Millisecond
 		f.clock.Run(until)
-		if s := f.nodes[f.names[0]].View(); s != nil && len(s.Requests) > 0 {
-			if out.Granted == 0 {
-				out.Granted = until - asked
-			}
-			if s.Requests[0].Stage == maintenance.OutOfService {
-				out.Drained = until - asked
-			}
+		s := f.nodes[f.names[0]].View()
+		if s == nil || len(s.Requests) == 0 {
+			continue
+		}
+		if granted == 0 {
+			granted = until - asked
+		}
+		if s.Requests[0].Stage == maintenance.OutOfService {
+			out = until - asked
 		}
 	}
-	return out, nil
+	return granted, out
 }
 
 // Grants measures, with real processes and no machine worked on, how long it takes from asking to granted, as a tool sees it: kill has the
@@ -186,16 +210,8 @@
 		return nil, err
 	}
 	defer p.close()
-	state := func(g *process) *maintenance.State {
-		m, err := p.order(ctx, g, cluster.Message{Query: "state"})
-		if err != nil || m.Rejected != "" {
-			return nil
-		}
-		s, _ := maintenance.Decode(m.Value)
-		return s
-	}
 	last := p.gateways[gateways-1]
-	for s := state(last); s == nil || len(s.Gateways) < gateways; s = state(last) {
+	for s := p.stateOf(ctx, last); s == nil || len(s.Gateways) < gateways; s = p.stateOf(ctx, last) {
 		if err := wait(ctx, time.Now().Add(50*time.Millisecond)); err != nil {
 			return nil, err
 		}
@@ -204,56 +220,84 @@
 	var all []time.Duration
 	for n := range times {
 		dies := kill && n%3 == 2
-		name := box(0, n%6)
-		value, _ := json.Marshal(maintenance.Command{Actor: "measure", Request: &maintenance.RequestOrder{Key: fmt.Sprint("m", n), Machine: name, DurationMs: 1000}})
-		if dies {
-			p.gateways[0].set(false)
-			if err := p.gateways[0].world.Kill(); err != nil {
-				return nil, err
-			}
-		}
-		began := time.Now()
-		taken := false
-		for granted := false; !granted; {
-			if ctx.Err() != nil {
-				return nil, ctx.Err()
-			}
-			if !taken {
-				m, err := p.order(ctx, last, cluster.Message{Value: value})
-				taken = err == nil && m.Rejected == ""
-				continue
-			}
-			if s := state(last); s != nil {
-				for _, r := range s.Requests {
-					granted = granted || r.Key == fmt.Sprint("m", n) && r.Stage != maintenance.Requested
-				}
-			}
-			time.Sleep(5 * time.Millisecond)
+		took, err := p.timeGrant(ctx, last, n, dies)
+		if err != nil {
+			return nil, err
 		}
 		if !kill || dies {
-			all = append(all, time.Since(began))
-		}
-		if dies {
-			if err := p.gateways[0].world.Again(); err != nil {
-				return nil, err
-			}
-			if _, err := p.gateways[0].world.Logged(ctx, "msg=serving"); err != nil {
-				return nil, err
-			}
-			p.gateways[0].set(true)
-		}
-		value, _ = json.Marshal(maintenance.Command{Actor: "measure", Withdraw: &maintenance.Target{Name: name}})
-		for {
-			m, err := p.order(ctx, last, cluster.Message{Value: value})
-			if err == nil && m.Rejected == "" || ctx.Err() != nil {
-				break
-			}
+			all = append(all, took)
 		}
-		// It may have been called out meanwhile: then its work is over at once.
-		value, _ = json.Marshal(maintenance.Command{Actor: "measure", Finish: &maintenance.Target{Name: name}})
-		_, _ = p.order(ctx, last, cluster.Message{Value: value})
-		time.Sleep(1200 * time.Millisecond)
+		p.withdraw(ctx, last, box(0, n%6))
 	}
 	slices.Sort(all)
 	return all, nil
 }
+
+// stateOf is what a gateway tells of the order of work; nil: nothing.
+func (p *play) stateOf(ctx context.Context, g *process) *maintenance.State {
+	m, err := p.order(ctx, g, cluster.Message{Query: "state"})
+	if err != nil || m.Rejected != "" {
+		return nil
+	}
+	s, _ := maintenance.Decode(m.Value) // nil if it can't be read
+	return s
+}
+
+// timeGrant is how long the n-th request takes from asking to granted; dies has the first voter killed for as long.
+func (p *play) timeGrant(ctx context.Context, at *process, n int, dies bool) (time.Duration, error) {
+	request := fmt.Sprint("m", n)
+	value, err := json.Marshal(maintenance.Command{Actor: "measure", Request: &maintenance.RequestOrder{Key: request, Machine: box(0, n%6), DurationMs: 1000}})
+	if err != nil {
+		return 0, err
+	}
+	voter := p.gateways[0]
+	if dies {
+		voter.set(false)
+		if err := voter.world.Kill(); err != nil {
+			return 0, err
+		}
+	}
+	began := time.Now()
+	for taken := false; !taken; {
+		if ctx.Err() != nil {
+			return 0, ctx.Err()
+		}
+		m, err := p.order(ctx, at, cluster.Message{Value: value})
+		taken = err == nil && m.Rejected == ""
+	}
+	for granted := false; !granted; {
+		if ctx.Err() != nil {
+			return 0, ctx.Err()
+		}
+		if s := p.stateOf(ctx, at); s != nil {
+			granted = slices.ContainsFunc(s.Requests, func(r *maintenance.Request) bool { return r.Key == request && r.Stage != maintenance.Requested })
+		}
+		time.Sleep(5 * time.Millisecond)
+	}
+	took := time.Since(began)
+	if !dies {
+		return took, nil
+	}
+	if err := voter.world.Again(); err != nil {
+		return 0, err
+	}
+	if _, err := voter.world.Logged(ctx, "msg=serving"); err != nil {
+		return 0, err
+	}
+	voter.set(true)
+	return took, nil
+}
+
+// withdraw takes a request back. Its machine may have been called out meanwhile: then its work is over at once.
+func (p *play) withdraw(ctx context.Context, at *process, machine string) {
+	value, _ := json.Marshal(maintenance.Command{Actor: "measure", Withdraw: &maintenance.Target{Name: machine}}) // it has no field that can fail
+	for {
+		m, err := p.order(ctx, at, cluster.Message{Value: value})
+		if err == nil && m.Rejected == "" || ctx.Err() != nil {
+			break
+		}
+	}
+	value, _ = json.Marshal(maintenance.Command{Actor: "measure", Finish: &maintenance.Target{Name: machine}})
+	_, _ = p.order(ctx, at, cluster.Message{Value: value}) // rejected if it was not out
+	time.Sleep(1200 * time.Millisecond)
+}
--- a/lab/faultinjection/shared.go
+++ b/lab/faultinjection/shared.go
@@ -119,34 +119,53 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, n := range p.ledger.purges {
-		// What the store would have served: any copy, or one that is no older than so much.
-		older := accept == 0 || now.Add(-time.Duration(accept)*time.Millisecond-looseness).Before(n.made)
-		if n.what != group || now.Sub(n.made) > purgeSettle || !older || accept > 0 && !now.Add(-time.Duration(accept)*time.Millisecond+looseness).Before(n.made) {
-			continue
-		}
-		if told, ok := n.told[g.name]; ok && now.Sub(told) > purgeGrace+looseness {
-			p.faults.add("%v: %s was told %v ago of the purge of %s, and would take an older copy from %s (accept %d)", now.Sub(p.began).Round(time.Millisecond), g.name,
-				now.Sub(told).Round(time.Millisecond), n.what, m.name, accept)
-		}
-		if now.Sub(n.first) > purgeGrace+byOthers+looseness {
-			p.ledger.stale++
-			if p.ledger.shared && p.plot.calm() {
-				p.faults.add("%v: others were told %v ago of the purge of %s, and %s would take an older copy", now.Sub(p.began).Round(time.Millisecond), now.Sub(n.first).Round(time.Millisecond), n.what, g.name)
-			}
+		if n.what == group && n.forbids(now, accept) {
+			p.heedPurge(n, g, m, now, accept)
 		}
 	}
 	for _, n := range p.ledger.drains {
-		if n.what != m.name {
-			continue
+		if n.what == m.name {
+			p.heedDrain(n, g, m, now)
 		}
-		if told, ok := n.told[g.name]; ok && now.Sub(told) > drainGrace+looseness {
-			p.faults.add("%v: %s was told %v ago that %s drains, and sends to it", now.Sub(p.began).Round(time.Millisecond), g.name, now.Sub(told).Round(time.Millisecond), m.name)
+	}
+}
+
+// forbids says that a purge that has not settled forbids the copies that an ask would take: any, or with accept those that are no
+// older than so many milliseconds.
+func (n *notice) forbids(now time.Time, accept int) bool {
+	if now.Sub(n.made) > purgeSettle {
+		return false
+	}
+	if accept == 0 {
+		return true
+	}
+	oldest := now.Add(-time.Duration(accept) * time.Millisecond)
+	return oldest.Add(looseness).Before(n.made)
+}
+
+// heedPurge holds an ask that a purge forbids against when its gateway, and any other, was told of it.
+func (p *play) heedPurge(n *notice, g *process, m *machine, now time.Time, accept int) {
+	if told, ok := n.told[g.name]; ok && now.Sub(told) > purgeGrace+looseness {
+		p.faults.add("%v: %s was told %v ago of the purge of %s, and would take an older copy from %s (accept %d)", now.Sub(p.began).Round(time.Millisecond), g.name,
+			now.Sub(told).Round(time.Millisecond), n.what, m.name, accept)
+	}
+	if now.Sub(n.first) > purgeGrace+byOthers+looseness {
+		p.ledger.stale++
+		if p.ledger.shared && p.plot.calm() {
+			p.faults.add("%v: others were told %v ago of the purge of %s, and %s would take an older copy", now.Sub(p.began).Round(time.Millisecond), now.Sub(n.first).Round(time.Millisecond), n.what, g.name)
 		}
-		if now.Sub(n.first) > drainGrace+byOthers+looseness {
-			p.ledger.drained++
-			if p.ledger.shared && p.plot.calm() {
-				p.faults.add("%v: others were told %v ago that %s drains, and %s sends to it", now.Sub(p.began).Round(time.Millisecond), now.Sub(n.first).Round(time.Millisecond), m.name, g.name)
-			}
+	}
+}
+
+// heedDrain holds an ask of a machine that drains against when its gateway, and any other, was told of that.
+func (p *play) heedDrain(n *notice, g *process, m *machine, now time.Time) {
+	if told, ok := n.told[g.name]; ok && now.Sub(told) > drainGrace+looseness {
+		p.faults.add("%v: %s was told %v ago that %s drains, and sends to it", now.Sub(p.began).Round(time.Millisecond), g.name, now.Sub(told).Round(time.Millisecond), m.name)
+	}
+	if now.Sub(n.first) > drainGrace+byOthers+looseness {
+		p.ledger.drained++
+		if p.ledger.shared && p.plot.calm() {
+			p.faults.add("%v: others were told %v ago that %s drains, and %s sends to it", now.Sub(p.began).Round(time.Millisecond), now.Sub(n.first).Round(time.Millisecond), m.name, g.name)
 		}
 	}
 }
@@ -212,25 +231,39 @@
 		}
 	}
 	// The bulk is said all the time: what was seen a while ago may have been said just now.
-	for _, a := range slices.Sorted(maps.Keys(all)) {
-		for _, b := range slices.Sorted(maps.Keys(all)) {
-			missing := 0
-			for name, r := range all[a] {
-				low, high := int64(1000), int64(20_000)
-				if r.Kind == "purge" {
-					high = 3500
-				}
-				got, ok := all[b][name]
-				of := r.Kind == "listing" || r.Kind == "health"
-				switch {
-				case r.AgeMs < low || r.AgeMs > high || ok && (got.Seq >= r.Seq || of):
-				case !of:
-					return fmt.Sprintf("%s lacks %s, number %d, which %s has for %d ms", b, name, r.Seq, a, r.AgeMs), ""
-				default:
-					if missing++; missing > len(all[a])/10 {
-						bulk = fmt.Sprintf("%s lacks a tenth of the %d slots of %s, %s among them", b, len(all[a]), a, name)
-					}
-				}
+	names := slices.Sorted(maps.Keys(all))
+	for _, a := range names {
+		for _, b := range names {
+			safety, lacksBulk := lackingOf(a, b, all[a], all[b])
+			if safety != "" {
+				return safety, ""
+			}
+			if lacksBulk != "" {
+				bulk = lacksBulk
+			}
+		}
+	}
+	return "", bulk
+}
+
+// lackingOf says what gateway b lacks of what a has: a slot of safety, or more than a tenth of the bulk. What was just seen, or is
+// about to run out, does not count.
+func lackingOf(a, b string, ofA, ofB map[string]replication.Row) (safety, bulk string) {
+	missing := 0
+	for name, r := range ofA {
+		low, high := int64(1000), int64(20_000)
+		if r.Kind == "purge" {
+			high = 3500
+		}
+		got, ok := ofB[name]
+		isBulk := r.Kind == "listing" || r.Kind == "health"
+		switch {
+		case r.AgeMs < low || r.AgeMs > high || ok && (got.Seq >= r.Seq || isBulk):
+		case !isBulk:
+			return fmt.Sprintf("%s lacks %s, number %d, which %s has for %d ms", b, name, r.Seq, a, r.AgeMs), ""
+		default:
+			if missing++; missing > len(ofA)/10 {
+				bulk = fmt.Sprintf("%s lacks a tenth of the %d slots of %s, %s among them", b, len(ofA), a, name)
 			}
 		}
 	}
--- a/lab/faultinjection/timetable.go
+++ b/lab/faultinjection/timetable.go
@@ -222,6 +222,42 @@
 	}
 }
 
+// report is what gateways see of the machines at a time.
+func (p *plant) report(at time.Duration) cluster.Report {
+	r := cluster.Report{Machines: map[string]maintenance.Machine{}}
+	for _, m := range p.machines {
+		busy := 0.0
+		if !m.down {
+			busy = p.hub // of boxes see below
+		}
+		r.Machines[m.name] = maintenance.Machine{Kind: m.kind, Zone: m.zone, Up: !m.down, Warm: m.warm(at) >= 1, BootMs: m.boot, Weight: 1, Utilization: busy}
+	}
+	// What the boxes of a zone can't take stands at those that are there.
+	for z := range planZones {
+		capacity := 0.0
+		all := p.machines[z*planBoxes : (z+1)*planBoxes]
+		for _, m := range all {
+			capacity += m.warm(at)
+		}
+		for _, m := range all {
+			if x := r.Machines[m.name]; x.Up {
+				x.Utilization = min(1, p.load(at)*planBoxes/max(0.01, capacity))
+				r.Machines[m.name] = x
+			}
+		}
+	}
+	return r
+}
+
+// work begins work on the machines that are called out.
+func (p *plant) work(s *maintenance.State, now time.Duration) {
+	for _, r := range s.Requests {
+		if m := p.by[r.Machine]; m != nil && r.Stage == maintenance.OutOfService {
+			m.begin(now)
+		}
+	}
+}
+
 // Settled has five gateways settle it, within bounds as in the operators' file.
 func Settled(seed uint64, bounds maintenance.Limits) (Planned, error) {
 	p, t := newPlant(seed), tally{}
@@ -232,32 +268,11 @@
 	var f *simulated
 	began := time.Duration(0) // on the fleet's clock; 0: not yet
 	f, err := simulate(5, seed, bounds, func(string) cluster.Report {
-		r, at := cluster.Report{Machines: map[string]maintenance.Machine{}}, time.Duration(0)
+		at := time.Duration(0)
 		if began > 0 {
 			at = f.clock.Now - began
 		}
-		for _, m := range p.machines {
-			busy := 0.0
-			if !m.down {
-				busy = p.hub // of boxes see below
-			}
-			r.Machines[m.name] = maintenance.Machine{Kind: m.kind, Zone: m.zone, Up: !m.down, Warm: m.warm(at) >= 1, BootMs: m.boot, Weight: 1, Utilization: busy}
-		}
-		// What the boxes of a zone can't take stands at those that are there.
-		for z := range planZones {
-			capacity := 0.0
-			all := p.machines[z*planBoxes : (z+1)*planBoxes]
-			for _, m := range all {
-				capacity += m.warm(at)
-			}
-			for _, m := range all {
-				if x := r.Machines[m.name]; x.Up {
-					x.Utilization = min(1, p.load(at)*planBoxes/max(0.01, capacity))
-					r.Machines[m.name] = x
-				}
-			}
-		}
-		return r
+		return p.report(at)
 	})
 	if err != nil {
 		return Planned{}, err
@@ -275,11 +290,7 @@
 		f.clock.Run(at)
 		p.events(at - began)
 		if s := f.nodes[f.names[0]].View(); s != nil {
-			for _, r := range s.Requests {
-				if m := p.by[r.Machine]; m != nil && r.Stage == maintenance.OutOfService {
-					m.begin(at - began)
-				}
-			}
+			p.work(s, at-began)
 		}
 		t.step(p, at-began)
 		if p.finished(at-began) || at-began > planMost {
--- a/lab/faultinjection/verdict.go
+++ b/lab/faultinjection/verdict.go
@@ -46,17 +46,7 @@
 		}
 	}
 	for _, g := range p.gateways {
-		c := g.clients
-		v.Client.Asked += c.Asked
-		v.Client.Served += c.Served
-		v.Client.Refused += c.Refused
-		v.Client.Failed += c.Failed
-		v.Client.Twice += c.Twice
-		v.Client.Lost += c.Lost
-		v.Client.Excused += c.Excused
-		if c.Twice > 0 || c.Lost > 0 {
-			p.faults.add("%s: %d requests were answered twice, %d never", g.name, c.Twice, c.Lost)
-		}
+		p.addClients(v, g.name, g.clients)
 		if all, err := g.world.Counters(ctx); err != nil {
 			p.faults.add("%s: %v", g.name, err)
 		} else {
@@ -66,18 +56,33 @@
 			}
 		}
 	}
-	// In the end all tell the same: what still changes between two looks is looked at again.
+	p.checkOneState(ctx)
+	v.Faults = p.faults.all
+	return v
+}
+
+// addClients adds what the clients of a gateway saw.
+func (p *play) addClients(v *Verdict, gateway string, c *clients) {
+	v.Client.Asked += c.Asked
+	v.Client.Served += c.Served
+	v.Client.Refused += c.Refused
+	v.Client.Failed += c.Failed
+	v.Client.Twice += c.Twice
+	v.Client.Lost += c.Lost
+	v.Client.Excused += c.Excused
+	if c.Twice > 0 || c.Lost > 0 {
+		p.faults.add("%s: %d requests were answered twice, %d never", gateway, c.Twice, c.Lost)
+	}
+}
+
+// checkOneState checks that in the end all tell the same: what still changes between two looks is looked at again.
+func (p *play) checkOneState(ctx context.Context) {
 	told := map[string]bool{}
 	for range 30 {
 		clear(told)
 		for _, g := range p.gateways {
-			for range 20 {
-				m, err := p.order(ctx, g, cluster.Message{Query: "state"})
-				if err == nil && m.Rejected == "" {
-					told[string(m.Value)] = true
-					break
-				}
-				time.Sleep(100 * time.Millisecond)
+			if state, ok := p.tryState(ctx, g); ok {
+				told[state] = true
 			}
 		}
 		if len(told) == 1 || ctx.Err() != nil {
@@ -91,6 +96,16 @@
 	if len(told) == 0 {
 		p.faults.add("in the end nobody tells the state")
 	}
-	v.Faults = p.faults.all
-	return v
+}
+
+// tryState asks a gateway for the state until it tells it, twenty times at most.
+func (p *play) tryState(ctx context.Context, g *process) (state string, ok bool) {
+	for range 20 {
+		m, err := p.order(ctx, g, cluster.Message{Query: "state"})
+		if err == nil && m.Rejected == "" {
+			return string(m.Value), true
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+	return "", false
 }
