--- a/lab/clientsim/clientsim.go
+++ b/lab/clientsim/clientsim.go
@@ -253,41 +253,8 @@
 }
 
 func (c *planned) step(ev plan.Event) {
-	acts := c.p.Handle(c.s.clock.Now, ev, nil)
-	for _, a := range acts {
-		switch a := a.(type) {
-		case plan.Connect:
-			n := 0
-			_, _ = fmt.Sscan(a.Gateway, &n)
-			c.s.dial(c.s.gateways[n], func(l *link) {
-				c.links[a.Conn] = l
-				c.step(plan.Up{Conn: a.Conn})
-			}, func() { c.step(plan.Down{Conn: a.Conn}) })
-		case plan.Send:
-			if l := c.links[a.Conn]; l != nil {
-				c.s.ask(l, func(ok bool, later time.Duration) {
-					c.step(plan.Answered{Conn: a.Conn, Try: a.Try, OK: ok, Backoff: !ok, Later: later})
-				})
-			}
-		case plan.Probe:
-			if l := c.links[a.Conn]; l != nil {
-				c.s.clock.At(c.s.clock.Now+2*way, func() {
-					if l.gateway.up && l.epoch == l.gateway.epoch {
-						c.step(plan.Heard{Conn: a.Conn, Alive: true})
-					}
-				})
-			}
-		case plan.Hangup:
-			if l := c.links[a.Conn]; l != nil {
-				delete(l.gateway.conns, l)
-				delete(c.links, a.Conn)
-			}
-		case plan.End:
-			if f := c.done[a.Call]; f != nil {
-				delete(c.done, a.Call)
-				f(a.Ending == plan.Served)
-			}
-		}
+	for _, a := range c.p.Handle(c.s.clock.Now, ev, nil) {
+		c.carryOut(a)
 	}
 	if at, ok := c.p.Wake(); ok && (c.wake < c.s.clock.Now || at < c.wake) {
 		c.wake = max(at, c.s.clock.Now+time.Millisecond)
@@ -301,6 +268,43 @@
 	}
 }
 
+// carryOut does what the planner wants.
+func (c *planned) carryOut(a plan.Action) {
+	switch a := a.(type) {
+	case plan.Connect:
+		n := 0
+		_, _ = fmt.Sscan(a.Gateway, &n) // newPlanned named them by their numbers
+		c.s.dial(c.s.gateways[n], func(l *link) {
+			c.links[a.Conn] = l
+			c.step(plan.Up{Conn: a.Conn})
+		}, func() { c.step(plan.Down{Conn: a.Conn}) })
+	case plan.Send:
+		if l := c.links[a.Conn]; l != nil {
+			c.s.ask(l, func(ok bool, later time.Duration) {
+				c.step(plan.Answered{Conn: a.Conn, Try: a.Try, OK: ok, Backoff: !ok, Later: later})
+			})
+		}
+	case plan.Probe:
+		if l := c.links[a.Conn]; l != nil {
+			c.s.clock.At(c.s.clock.Now+2*way, func() {
+				if l.gateway.up && l.epoch == l.gateway.epoch {
+					c.step(plan.Heard{Conn: a.Conn, Alive: true})
+				}
+			})
+		}
+	case plan.Hangup:
+		if l := c.links[a.Conn]; l != nil {
+			delete(l.gateway.conns, l)
+			delete(c.links, a.Conn)
+		}
+	case plan.End:
+		if f := c.done[a.Call]; f != nil {
+			delete(c.done, a.Call)
+			f(a.Ending == plan.Served)
+		}
+	}
+}
+
 // naive is a client as one writes it in an hour.
 type naive struct {
 	s     *play
--- a/lab/failover/failover.go
+++ b/lab/failover/failover.go
@@ -104,59 +104,26 @@
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	var worlds []*testbed.World
-	var relays []*faultproxy.Relay
-	defer func() {
-		for _, r := range relays {
-			r.Close()
-		}
-		for _, w := range worlds {
-			w.Stop()
-		}
-	}()
+	p := &player{cfg: cfg, mix: load.Site(), res: &Result{Kind: cfg.Kind, Ended: map[string]int{}}}
+	defer p.close()
 	var addrs []string
 	for i := range cfg.Gateways {
-		w, err := testbed.Start(ctx, testbed.Config{Program: cfg.Program, Caches: 2, Pin: -1, Sockets: 4096, Seed: fmt.Sprintf("%016x", i+1)})
-		if err != nil {
-			return nil, err
-		}
-		worlds = append(worlds, w)
-		for _, s := range w.Stores {
-			switch {
-			case cfg.Refuse:
-				s.On(func(a *fakeserver.Ask) { a.Reply("WAIT", "-", "") })
-			case cfg.Store > 0:
-				s.On(func(a *fakeserver.Ask) { time.AfterFunc(cfg.Store, func() { fakeserver.Done(a) }) })
-			}
-		}
-		r, err := faultproxy.New(w.Addr, uint64(i))
+		addr, err := p.addGateway(ctx, i)
 		if err != nil {
 			return nil, err
 		}
-		relays, addrs = append(relays, r), append(addrs, r.Addr)
+		addrs = append(addrs, addr)
 	}
-	mix := load.Site()
-	p := &player{cfg: cfg, mix: mix, res: &Result{Kind: cfg.Kind, Ended: map[string]int{}}}
-	firstDeath := time.Duration(math.MaxInt64)
+	p.first = time.Duration(math.MaxInt64)
 	for _, d := range cfg.Deaths {
-		firstDeath = min(firstDeath, d.At)
+		p.first = min(p.first, d.At)
 	}
-	p.first = firstDeath
 	p.began = time.Now()
-	var troubles, clients sync.WaitGroup
+	var deaths, clients sync.WaitGroup
 	fail := make(chan error, 2*len(cfg.Deaths)+cfg.Clients)
 	for _, d := range cfg.Deaths {
-		w, r := worlds[d.Gateway], relays[d.Gateway]
-		troubles.Go(func() {
-			if !p.until(ctx, d.At) {
-				return
-			}
-			err := w.Kill()
-			r.Down() // the platform resets what a dead process had open
-			if err == nil && d.Back > 0 && p.until(ctx, d.Back) {
-				err = errors.Join(w.Again(), r.Up())
-			}
-			if err != nil {
+		deaths.Go(func() {
+			if err := p.die(ctx, d); err != nil {
 				fail <- err
 			}
 		})
@@ -172,20 +139,69 @@
 		})
 	}
 	clients.Wait()
-	troubles.Wait()
+	deaths.Wait()
 	close(fail)
 	for e := range fail {
 		return nil, e
 	}
-	p.sum(relays)
+	p.sum()
 	return p.res, ctx.Err()
 }
 
+// addGateway starts a gateway behind a relay, and returns where clients reach it.
+func (p *player) addGateway(ctx context.Context, i int) (addr string, err error) {
+	w, err := testbed.Start(ctx, testbed.Config{Program: p.cfg.Program, Caches: 2, Pin: -1, Sockets: 4096, Seed: fmt.Sprintf("%016x", i+1)})
+	if err != nil {
+		return "", err
+	}
+	p.worlds = append(p.worlds, w)
+	for _, s := range w.Stores {
+		switch {
+		case p.cfg.Refuse:
+			s.On(func(a *fakeserver.Ask) { a.Reply("WAIT", "-", "") })
+		case p.cfg.Store > 0:
+			s.On(func(a *fakeserver.Ask) { time.AfterFunc(p.cfg.Store, func() { fakeserver.Done(a) }) })
+		}
+	}
+	r, err := faultproxy.New(w.Addr, uint64(i))
+	if err != nil {
+		return "", err
+	}
+	p.relays = append(p.relays, r)
+	return r.Addr, nil
+}
+
+// die kills a gateway in its time, and starts it again if it comes back.
+func (p *player) die(ctx context.Context, d Death) error {
+	w, r := p.worlds[d.Gateway], p.relays[d.Gateway]
+	if !p.until(ctx, d.At) {
+		return nil
+	}
+	err := w.Kill()
+	r.Down() // the platform resets what a dead process had open
+	if err == nil && d.Back > 0 && p.until(ctx, d.Back) {
+		err = errors.Join(w.Again(), r.Up())
+	}
+	return err
+}
+
+// close ends the relays and the gateways.
+func (p *player) close() {
+	for _, r := range p.relays {
+		r.Close()
+	}
+	for _, w := range p.worlds {
+		w.Stop()
+	}
+}
+
 type player struct {
-	cfg   Config
-	mix   []load.Class
-	began time.Time
-	first time.Duration
+	cfg    Config
+	mix    []load.Class
+	worlds []*testbed.World
+	relays []*faultproxy.Relay // by gateway
+	began  time.Time
+	first  time.Duration // when the first gateway dies; the largest: none does
 
 	mu   sync.Mutex
 	late []time.Duration
@@ -260,67 +276,86 @@
 	return "served"
 }
 
+// attemptKey names an attempt that passed a relay.
+type attemptKey struct {
+	relay, conn int
+	id          uint64
+}
+
 // sum takes in what the relays saw.
-func (p *player) sum(relays []*faultproxy.Relay) {
+func (p *player) sum() {
+	r := p.res
+	asked := p.count()
+	for k, one := range p.relays {
+		r.Early += early(k, one, asked)
+	}
+	if p.cfg.Kind == clientsim.Planned {
+		r.Broken = faultproxy.Rules{Tries: 1 + plan.DefaultRetries + 1, Keyed: map[string]time.Duration{"orders": 3 * time.Second}}.Check(p.relays...)
+	}
+	slices.Sort(p.late)
+	if len(p.late) > 0 {
+		r.Late, r.Late99 = p.late[len(p.late)-1], p.late[len(p.late)*99/100]
+	}
+	if p.first < p.cfg.For {
+		p.sumPeaks()
+	}
+}
+
+// count counts connects and attempts by window, and returns the attempts.
+func (p *player) count() map[attemptKey]faultproxy.Seen {
 	r := p.res
 	n := int(p.cfg.For/Window) + 1
 	r.Connects, r.Sent = make([]int, n), make([]int, n)
-	place := func(at time.Time) int { return int(at.Sub(p.began) / Window) }
-	type who struct {
-		relay, conn int
-		id          uint64
+	add := func(to []int, at time.Time) {
+		if i := int(at.Sub(p.began) / Window); i >= 0 && i < n {
+			to[i]++
+		}
 	}
-	asked := map[who]faultproxy.Seen{}
-	for k, one := range relays {
+	asked := map[attemptKey]faultproxy.Seen{}
+	for k, one := range p.relays {
 		for _, at := range one.Opened() {
-			if i := place(at); i >= 0 && i < n {
-				r.Connects[i]++
-			}
+			add(r.Connects, at)
 		}
 		for _, s := range one.Seen() {
 			r.Tries++
 			if s.Second {
 				r.Marked++
 			}
-			if i := place(s.At); i >= 0 && i < n {
-				r.Sent[i]++
-			}
-			asked[who{k, s.Conn, s.ID}] = s
-		}
-	}
-	// Of one connection: nothing of a class goes out before the time is over that a refusal of that class told.
-	for k, one := range relays {
-		type hold struct {
-			conn  int
-			class string
-		}
-		until := map[hold][]faultproxy.Refusal{}
-		for _, f := range one.Refusals() {
-			if s, ok := asked[who{k, f.Conn, f.ID}]; ok {
-				h := hold{f.Conn, s.Class}
-				until[h] = append(until[h], f)
-			}
-		}
-		for _, s := range one.Seen() {
-			for _, f := range until[hold{s.Conn, s.Class}] {
-				// What was sent while the refusal was on its way knew nothing of it.
-				if since := s.At.Sub(f.At); since > 100*time.Millisecond && since < f.Later {
-					r.Early++
-					break
-				}
-			}
+			add(r.Sent, s.At)
+			asked[attemptKey{k, s.Conn, s.ID}] = s
 		}
 	}
-	if p.cfg.Kind == clientsim.Planned {
-		r.Broken = faultproxy.Rules{Tries: 1 + plan.DefaultRetries + 1, Keyed: map[string]time.Duration{"orders": 3 * time.Second}}.Check(relays...)
+	return asked
+}
+
+// early is how many attempts were sent on a connection before the time that a rejection of their class had told on it.
+func early(relay int, one *faultproxy.Relay, asked map[attemptKey]faultproxy.Seen) (n int) {
+	type hold struct {
+		conn  int
+		class string
 	}
-	slices.Sort(p.late)
-	if len(p.late) > 0 {
-		r.Late, r.Late99 = p.late[len(p.late)-1], p.late[len(p.late)*99/100]
+	until := map[hold][]faultproxy.Refusal{}
+	for _, f := range one.Refusals() {
+		if s, ok := asked[attemptKey{relay, f.Conn, f.ID}]; ok {
+			h := hold{f.Conn, s.Class}
+			until[h] = append(until[h], f)
+		}
 	}
-	if p.first >= p.cfg.For {
-		return
+	for _, s := range one.Seen() {
+		if slices.ContainsFunc(until[hold{s.Conn, s.Class}], func(f faultproxy.Refusal) bool {
+			// What was sent while the rejection was on its way knew nothing of it.
+			since := s.At.Sub(f.At)
+			return since > 100*time.Millisecond && since < f.Later
+		}) {
+			n++
+		}
 	}
+	return n
+}
+
+// sumPeaks is how much more than before came at once after the first death.
+func (p *player) sumPeaks() {
+	r := p.res
 	k := int(p.first / Window)
 	mean, connects := 0.0, 0
 	for _, m := range r.Sent[k/2 : k] {
@@ -330,7 +365,7 @@
 		r.PeakLoad = max(r.PeakLoad, float64(m)/max(1, mean))
 	}
 	most := 0
-	for _, m := range r.Connects[k:min(n, k+int(5*time.Second/Window))] {
+	for _, m := range r.Connects[k:min(len(r.Connects), k+int(5*time.Second/Window))] {
 		connects, most = connects+m, max(most, m)
 		if m > 0 {
 			r.Spread++
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -306,6 +306,25 @@
 	return nil
 }
 
+// second is what clients of a zone got in a window, with what the boxes saw of them in that second; away are their attempts at other zones.
+func (f *fleet) second(s load.Summary, at, zone int) (sec Second, away int) {
+	sec = Second{At: make([]int, len(f.cfg.Zones)), Worth: s.Worth * s.Seconds, WorthAsked: s.WorthOffered * s.Seconds}
+	for _, c := range s.Classes {
+		sec.Asked += c.Asked
+		sec.InAim += c.InAim
+		sec.Refused += c.Outcomes["refused"]
+		sec.Other += c.Asked - c.Outcomes["served"] - c.Outcomes["refused"]
+	}
+	for _, b := range f.all {
+		seen := b.SeenIn(at, zone)
+		sec.At[f.zoneOf[b]] += seen
+		if f.zoneOf[b] != zone {
+			away += seen
+		}
+	}
+	return sec, away
+}
+
 // sum takes in what the boxes saw and what the clients got.
 func (f *fleet) sum(ctx context.Context, results []*load.Result, shift time.Duration) (*Result, error) {
 	r := &Result{}
@@ -323,21 +342,7 @@
 			}
 		}
 		for n, s := range res.Windows() {
-			sec := Second{At: make([]int, len(f.cfg.Zones)), Worth: s.Worth * s.Seconds, WorthAsked: s.WorthOffered * s.Seconds}
-			for _, c := range s.Classes {
-				sec.Asked += c.Asked
-				sec.InAim += c.InAim
-				sec.Refused += c.Outcomes["refused"]
-				sec.Other += c.Asked - c.Outcomes["served"] - c.Outcomes["refused"]
-			}
-			away := 0
-			for _, b := range f.all {
-				at := b.SeenIn(first+n, i)
-				sec.At[f.zoneOf[b]] += at
-				if f.zoneOf[b] != i {
-					away += at
-				}
-			}
+			sec, away := f.second(s, first+n, i)
 			if !f.cfg.Off && sec.Asked > 0 {
 				// The seconds of the two sides are not quite the same, and requests come by chance.
 				r.Over = max(r.Over, float64(away)/math.Max(float64(sec.Asked), f.cfg.Zones[i].Rate)-spill*float64(len(levels)))
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -190,12 +190,8 @@
 			}
 			s.advance(&next)
 		}
-		s.mu.Lock()
-		for len(s.again) > 0 && !s.again[0].at.After(now) {
-			waiting = append(waiting, heap.Pop(&s.again).(*job))
-		}
-		left := len(s.again)
-		s.mu.Unlock()
+		again, left := s.repeats(now)
+		waiting = append(waiting, again...)
 		for _, c := range s.conns {
 			c.kick()
 		}
@@ -217,6 +213,16 @@
 	}
 }
 
+// repeats takes the repeats that are due, and says how many are not yet.
+func (s *shard) repeats(now time.Time) (due []*job, left int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for len(s.again) > 0 && !s.again[0].at.After(now) {
+		due = append(due, heap.Pop(&s.again).(*job))
+	}
+	return due, len(s.again)
+}
+
 // flush sends what waited for room, and drops what waited for too long.
 func (s *shard) flush(waiting []*job, now time.Time) []*job {
 	kept := waiting[:0]
--- a/lab/localitysim/directed.go
+++ b/lab/localitysim/directed.go
@@ -618,11 +618,7 @@
 			}
 		case routing.CancelAttempt:
 			if r := g.reqs[a.ID]; r != nil {
-				for _, at := range r.all {
-					if at.where == where && at.number == a.Attempt && !at.over {
-						d.end(at, 0, routing.AttemptResult{Status: routing.Canceled})
-					}
-				}
+				d.cancel(r, where, a.Attempt)
 			}
 		case routing.SetTimer:
 			dir := g.ds[where]
@@ -635,6 +631,15 @@
 	}
 }
 
+// cancel ends an attempt that a director gives up.
+func (d *directed) cancel(r *request, where, number int) {
+	for _, at := range r.all {
+		if at.where == where && at.number == number && !at.over {
+			d.end(at, 0, routing.AttemptResult{Status: routing.Canceled})
+		}
+	}
+}
+
 // move is what the gateway does with a refusal.
 func (d *directed) move(g *dgateway, r *request) bool {
 	if g.t == nil || g.classes[r.class].Uncacheable {
--- a/lab/localitysim/localitysim.go
+++ b/lab/localitysim/localitysim.go
@@ -326,28 +326,9 @@
 	s.origin.rate = sc.Origin * misses * (1 - parentGot) * whole
 	for home, z := range sc.Zones {
 		for range z.Gateways {
-			g := &gateway{home: home, places: []int{home}, place: make([]int, len(sc.Zones))}
-			cfg := sc.Tiers
-			cfg.Localities = []locality.Locality{{Name: z.Name, Weight: float64(z.Boxes)}}
-			for distance := range 2 {
-				for k, o := range sc.Zones {
-					if k != home && (o.Hub != z.Hub) == (distance == 1) {
-						cfg.Localities = append(cfg.Localities, locality.Locality{Name: o.Name, Level: 1 + distance, Weight: float64(o.Boxes)})
-						g.place[k] = len(g.places)
-						g.places = append(g.places, k)
-					}
-				}
+			if err := s.addGateway(home, order.Bands()); err != nil {
+				return err
 			}
-			cfg.Bands, cfg.Seed = order.Bands(), sc.Seed*1_000_003+uint64(len(s.gateways))
-			var err error
-			if g.t, err = locality.New(cfg); err != nil {
-				return fmt.Errorf("scene: %w", err)
-			}
-			s.res.Gateways = append(s.res.Gateways, g.t)
-			s.gateways = append(s.gateways, g)
-			id := int32(len(s.gateways) - 1)
-			s.at(time.Duration(s.rng.Float64()*float64(locality.DefaultTick)), event{kind: tick, gw: id})
-			s.at(time.Duration(s.rng.ExpFloat64()*float64(s.gaps[home])), event{kind: arrive, gw: id})
 		}
 	}
 	for i := range sc.Faults {
@@ -358,6 +339,35 @@
 	return nil
 }
 
+// addGateway adds a gateway of a zone, which prefers the zones of its own hub to others.
+func (s *scene) addGateway(home int, bands int) error {
+	sc := &s.sc
+	z := sc.Zones[home]
+	g := &gateway{home: home, places: []int{home}, place: make([]int, len(sc.Zones))}
+	cfg := sc.Tiers
+	cfg.Localities = []locality.Locality{{Name: z.Name, Weight: float64(z.Boxes)}}
+	for distance := range 2 {
+		for k, o := range sc.Zones {
+			if k != home && (o.Hub != z.Hub) == (distance == 1) {
+				cfg.Localities = append(cfg.Localities, locality.Locality{Name: o.Name, Level: 1 + distance, Weight: float64(o.Boxes)})
+				g.place[k] = len(g.places)
+				g.places = append(g.places, k)
+			}
+		}
+	}
+	cfg.Bands, cfg.Seed = bands, sc.Seed*1_000_003+uint64(len(s.gateways))
+	var err error
+	if g.t, err = locality.New(cfg); err != nil {
+		return fmt.Errorf("scene: %w", err)
+	}
+	s.res.Gateways = append(s.res.Gateways, g.t)
+	s.gateways = append(s.gateways, g)
+	id := int32(len(s.gateways) - 1)
+	s.at(time.Duration(s.rng.Float64()*float64(locality.DefaultTick)), event{kind: tick, gw: id})
+	s.at(time.Duration(s.rng.ExpFloat64()*float64(s.gaps[home])), event{kind: arrive, gw: id})
+	return nil
+}
+
 func (s *scene) at(t time.Duration, e event) {
 	s.order++
 	e.at, e.order = t, s.order
--- a/lab/localitysim/scene.go
+++ b/lab/localitysim/scene.go
@@ -66,60 +66,86 @@
 		}
 		*s.to = d
 	}
-	names := map[string]int{}
+	if err := f.addZones(&pb); err != nil {
+		return nil, err
+	}
+	if err := f.addPolicies(&pb); err != nil {
+		return nil, err
+	}
+	if err := f.addSweep(&pb); err != nil {
+		return nil, err
+	}
+	return f, nil
+}
+
+// addZones takes in the zones and their faults.
+func (f *File) addZones(pb *scenepb.Scene) error {
+	sc, names := &f.Scene, map[string]int{}
 	for i, z := range pb.GetZone() {
 		if _, twice := names[z.GetName()]; z.GetName() == "" || twice {
-			return nil, fmt.Errorf("zone[%d].name: %q is empty or stands twice", i, z.GetName())
+			return fmt.Errorf("zone[%d].name: %q is empty or stands twice", i, z.GetName())
 		}
 		names[z.GetName()] = i
 		sc.Zones = append(sc.Zones, Zone{Name: z.GetName(), Hub: int(z.GetHub()), Boxes: int(z.GetBoxes()),
-			Gateways: int(cmp.Or(z.GetGateways(), 3)), Load: def(z.GetLoad(), 0.55)})
+			Gateways: int(cmp.Or(z.GetGateways(), 3)), Load: cmp.Or(z.GetLoad(), 0.55)})
 	}
 	for i, x := range pb.GetFault() {
 		zone, ok := names[x.GetZone()]
 		if !ok {
-			return nil, fmt.Errorf("fault[%d].zone: there is no %q", i, x.GetZone())
+			return fmt.Errorf("fault[%d].zone: there is no %q", i, x.GetZone())
 		}
 		at, err1 := time.ParseDuration(x.GetAt())
 		till, err2 := time.ParseDuration(x.GetTill())
 		if err := errors.Join(err1, err2); err != nil {
-			return nil, fmt.Errorf("fault[%d]: %w", i, err)
+			return fmt.Errorf("fault[%d]: %w", i, err)
 		}
 		sc.Faults = append(sc.Faults, Fault{Zone: zone, Kind: FaultKind(x.GetKind()), At: at, Till: till})
 	}
+	return nil
+}
+
+// addPolicies takes in the policies, all if none is named, and checks the scene with each.
+func (f *File) addPolicies(pb *scenepb.Scene) error {
 	for _, p := range pb.GetPolicy() {
 		f.Policies = append(f.Policies, Policy(p))
 	}
 	if len(f.Policies) == 0 {
-		if f.Policies = []Policy{Ours, NoSpill, Unbounded}; f.Directed {
+		f.Policies = []Policy{Ours, NoSpill, Unbounded}
+		if f.Directed {
 			f.Policies = f.Policies[:2]
 		}
 	}
 	for i, p := range f.Policies {
-		try := *sc
-		if try.Policy = p; f.Directed && p == Unbounded {
-			return nil, fmt.Errorf("policy[%d]: %q has no director", i, p)
+		if f.Directed && p == Unbounded {
+			return fmt.Errorf("policy[%d]: %q has no director", i, p)
 		}
+		try := f.Scene
+		try.Policy = p
 		if err := try.check(); err != nil {
-			return nil, err
+			return err
 		}
 	}
+	return nil
+}
+
+// addSweep takes in the axes of a sweep, and tries each of their values.
+func (f *File) addSweep(pb *scenepb.Scene) error {
 	if len(pb.GetSweep()) > 2 {
-		return nil, fmt.Errorf("sweep: %d axes; one or two", len(pb.GetSweep()))
+		return fmt.Errorf("sweep: %d axes; one or two", len(pb.GetSweep()))
 	}
 	for i, a := range pb.GetSweep() {
-		try := *sc
 		if len(a.GetValue()) == 0 {
-			return nil, fmt.Errorf("sweep[%d].value: there is none", i)
+			return fmt.Errorf("sweep[%d].value: there is none", i)
 		}
+		try := f.Scene
 		for _, v := range a.GetValue() {
 			if err := try.Set(a.GetKey(), v); err != nil {
-				return nil, fmt.Errorf("sweep[%d]: %w", i, err)
+				return fmt.Errorf("sweep[%d]: %w", i, err)
 			}
 		}
 		f.Sweep = append(f.Sweep, Axis{Key: a.GetKey(), Values: a.GetValue()})
 	}
-	return f, nil
+	return nil
 }
 
 // Set changes one figure of a scene.
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -63,73 +63,118 @@
 	Served         int
 }
 
+// run is a trace being played.
+type run struct {
+	trace  []Req
+	mix    []load.Class
+	costs  Costs
+	policy Policy
+	from   time.Duration // what is due before is not counted
+
+	now   time.Duration
+	tick  time.Duration // when the policy is ticked next
+	away  time.Duration // when the processor is away next
+	next  int           // of the trace
+	until time.Duration // nothing is read before, unless reading
+	// reading says that what has come is read before anything is served.
+	reading bool
+
+	out        Outcome
+	asked, got []int // by class, and of those served in aim
+	took       []time.Duration
+}
+
 // Run plays a trace. What is due before `from` is not counted.
 func Run(trace []Req, mix []load.Class, c Costs, p Policy, from time.Duration) Outcome {
-	var out Outcome
-	asked, got := make([]int, len(mix)), make([]int, len(mix))
-	var took []time.Duration
-	now, tick, i := time.Duration(0), TickEvery, 0
-	away, read, reading := c.Every, time.Duration(0), true
-	last := trace[len(trace)-1].Due
+	r := &run{trace: trace, mix: mix, costs: c, policy: p, from: from, tick: TickEvery, away: c.Every, reading: true,
+		asked: make([]int, len(mix)), got: make([]int, len(mix))}
 	for {
-		if c.Every > 0 && now >= away {
-			now += c.Away
-			away += c.Every
-		}
-		for tick <= now {
-			p.Tick(tick)
-			tick += TickEvery
-		}
-		if i < len(trace) && trace[i].Due <= now && (reading || now >= read) {
-			reading = true
-			r := &trace[i]
-			i++
-			r.came = now
-			if r.Due >= from {
-				asked[r.Class]++
-			}
-			if p.Arrive(now, r) {
-				now += c.Read
-			} else {
-				out.Shed++
-				now += c.Shed
-			}
-			continue
+		r.pass()
+		if r.mayRead() {
+			r.read()
+		} else if !r.serve() {
+			break
 		}
-		if reading {
-			reading, read = false, now+c.Burst
-		}
-		r, dropped := p.Next(now)
-		out.Dropped += dropped
-		now += time.Duration(dropped) * c.Drop
-		if r == nil {
-			if i >= len(trace) {
-				break
-			}
-			reading = true
-			now = max(now, min(trace[i].Due, tick))
-			continue
+	}
+	return r.outcome()
+}
+
+// pass has the processor be away, and the policy ticked, in their time.
+func (r *run) pass() {
+	if r.costs.Every > 0 && r.now >= r.away {
+		r.now += r.costs.Away
+		r.away += r.costs.Every
+	}
+	for r.tick <= r.now {
+		r.policy.Tick(r.tick)
+		r.tick += TickEvery
+	}
+}
+
+// mayRead says whether a request has come, and is read now.
+func (r *run) mayRead() bool {
+	come := r.next < len(r.trace) && r.trace[r.next].Due <= r.now
+	return come && (r.reading || r.now >= r.until)
+}
+
+// read reads one request, which the policy takes or sheds.
+func (r *run) read() {
+	r.reading = true
+	q := &r.trace[r.next]
+	r.next++
+	q.came = r.now
+	if q.Due >= r.from {
+		r.asked[q.Class]++
+	}
+	if r.policy.Arrive(r.now, q) {
+		r.now += r.costs.Read
+	} else {
+		r.out.Shed++
+		r.now += r.costs.Shed
+	}
+}
+
+// serve serves one request, or waits for the next one to come; false: there is none any more.
+func (r *run) serve() bool {
+	if r.reading {
+		r.reading, r.until = false, r.now+r.costs.Burst
+	}
+	q, dropped := r.policy.Next(r.now)
+	r.out.Dropped += dropped
+	r.now += time.Duration(dropped) * r.costs.Drop
+	if q == nil {
+		if r.next >= len(r.trace) {
+			return false
 		}
-		waited := now - r.came
-		now += c.Serve - c.Read
-		p.Done(now, r, waited, now-r.came)
-		out.Served++
-		if r.Due >= from {
-			took = append(took, now-r.Due)
-			if now-r.Due <= mix[r.Class].Aim {
-				got[r.Class]++
-			}
+		r.reading = true
+		r.now = max(r.now, min(r.trace[r.next].Due, r.tick))
+		return true
+	}
+	waited := r.now - q.came
+	r.now += r.costs.Serve - r.costs.Read
+	r.policy.Done(r.now, q, waited, r.now-q.came)
+	r.out.Served++
+	if q.Due >= r.from {
+		r.took = append(r.took, r.now-q.Due)
+		if r.now-q.Due <= r.mix[q.Class].Aim {
+			r.got[q.Class]++
 		}
 	}
-	seconds := (last - from).Seconds()
-	for k, class := range mix {
-		out.Offered += float64(asked[k]) * class.Worth / seconds
-		out.Worth += float64(got[k]) * class.Worth / seconds
-		out.InAim = append(out.InAim, float64(got[k])/float64(max(1, asked[k])))
+	return true
+}
+
+// outcome sums up.
+func (r *run) outcome() Outcome {
+	out := r.out
+	seconds := (r.trace[len(r.trace)-1].Due - r.from).Seconds()
+	for k, class := range r.mix {
+		out.Offered += float64(r.asked[k]) * class.Worth / seconds
+		out.Worth += float64(r.got[k]) * class.Worth / seconds
+		out.InAim = append(out.InAim, float64(r.got[k])/float64(max(1, r.asked[k])))
 	}
-	if len(took) > 0 {
-		slices.Sort(took)
-		out.P99 = took[len(took)*99/100]
+	if len(r.took) > 0 {
+		slices.Sort(r.took)
+		out.P99 = r.took[len(r.took)*99/100]
 	}
 	return out
 }
