--- a/lab/localitysim/localitysim.go
+++ b/lab/localitysim/localitysim.go
@@ -9,14 +9,11 @@
 
 import (
 	"container/heap"
-	"fmt"
-	"math"
 	"math/rand/v2"
 	"time"
 
 	"larchusher/lab/load"
 	"larchusher/locality"
-	"larchusher/overload"
 )
 
 // Zone is one location.
@@ -122,63 +119,6 @@
 	Gateways []*locality.Selector
 }
 
-type eventKind uint8
-
-const (
-	arrive eventKind = iota
-	ended
-	tick
-	listed
-	refused // a locality turned a request away, and its gateway hears of it
-)
-
-type event struct {
-	at     time.Duration
-	order  uint64
-	kind   eventKind
-	result locality.Result
-	hit    bool
-	moved  bool
-	gw     int32
-	zone   int32
-	class  int8
-	object int32
-	load   float32
-	due    time.Duration
-	id     uint64
-}
-
-type events []event
-
-func (h events) Len() int { return len(h) }
-func (h events) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
-}
-func (h events) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *events) Push(x any)   { *h = append(*h, x.(event)) }
-func (h *events) Pop() any {
-	old := *h
-	e := old[len(old)-1]
-	*h = old[:len(old)-1]
-	return e
-}
-
-type zone struct {
-	Zone
-	cost     time.Duration // of one request, by all its boxes while warm
-	free     time.Duration // its queue is empty then
-	began    time.Duration // cold since; negative: long warm
-	held     []bool        // by object
-	faults   map[FaultKind]int
-	fallen   bool
-	busy     float64 // share of the last report's time that it worked
-	reported time.Duration
-	done     time.Duration // work since
-	pressure float64       // requests in the last tipFor
-	pressAt  time.Duration
-	epoch    int
-}
-
 type gateway struct {
 	t      *locality.Selector
 	places []int // zones, by its localities
@@ -203,67 +143,6 @@
 	res      *Result
 }
 
-// bucket is something that does so much a second, and refuses beyond.
-type bucket struct {
-	rate float64
-	have float64
-	at   time.Duration
-	all  int
-}
-
-func (b *bucket) take(now time.Duration) bool {
-	b.have = min(b.rate/4, b.have+b.rate*(now-b.at).Seconds())
-	b.at = now
-	b.all++
-	if b.have < 1 {
-		return false
-	}
-	b.have--
-	return true
-}
-
-func (s *Scene) check() error {
-	if len(s.Zones) == 0 || s.BoxRate <= 0 || s.For <= s.Warm {
-		return fmt.Errorf("scene: %d zones, %v requests a second of a box, for %v of which %v to warm up", len(s.Zones), s.BoxRate, s.For, s.Warm)
-	}
-	for i, z := range s.Zones {
-		if z.Boxes <= 0 || z.Gateways <= 0 || z.Load < 0 || z.Hub < 0 {
-			return fmt.Errorf("scene: Zones[%d]: %+v", i, z)
-		}
-	}
-	for i, f := range s.Faults {
-		switch f.Kind {
-		case Dead, Silent, Slow, Errors, Parents, Cut, Lies, Restart:
-		default:
-			return fmt.Errorf("scene: Faults[%d].Kind: %q", i, f.Kind)
-		}
-		if f.Zone < 0 || f.Zone >= len(s.Zones) || f.Till <= f.At {
-			return fmt.Errorf("scene: Faults[%d]: %+v", i, f)
-		}
-	}
-	if !(s.Repeat >= 0 && s.Repeat <= 1) {
-		return fmt.Errorf("scene: Repeat: %v", s.Repeat)
-	}
-	switch s.Policy {
-	case Ours, NoSpill, Unbounded:
-	default:
-		return fmt.Errorf("scene: Policy: %q", s.Policy)
-	}
-	if s.Objects <= 0 {
-		s.Objects = 20000
-	}
-	if s.Skew <= 1 {
-		s.Skew = 1.1
-	}
-	if s.Origin <= 0 {
-		s.Origin = 3
-	}
-	if s.Parent <= 0 {
-		s.Parent = 3
-	}
-	return nil
-}
-
 // Run plays a scene.
 func Run(sc Scene) (*Result, error) {
 	if err := sc.check(); err != nil {
@@ -292,82 +171,6 @@
 	return s.res, nil
 }
 
-func (s *scene) build() error {
-	sc := &s.sc
-	var classes []overload.Class
-	for _, c := range s.mix {
-		classes = append(classes, overload.Class{Name: c.Name, PriorityWeight: c.Worth})
-	}
-	order := overload.NewOrder(classes, false)
-	for _, c := range s.mix {
-		s.bands = append(s.bands, order.Band(c.Name, false))
-	}
-	hubs, whole := 0, 0.0
-	for _, z := range sc.Zones {
-		hubs = max(hubs, z.Hub+1)
-		rate := float64(z.Boxes) * sc.BoxRate
-		whole += rate * z.Load
-		zz := &zone{Zone: z, cost: time.Duration(float64(time.Second) / rate), began: -time.Hour, held: make([]bool, sc.Objects), faults: map[FaultKind]int{}}
-		for i := range zz.held { // what is popular is there
-			zz.held[i] = i < sc.Objects/2
-		}
-		s.zones = append(s.zones, zz)
-		s.gaps = append(s.gaps, time.Duration(float64(time.Second)/(rate*z.Load+1e-9)*float64(z.Gateways)))
-	}
-	misses := 0.1 // of what is asked, while all is well, about
-	s.hubs = make([]bucket, hubs)
-	for i := range s.hubs {
-		for _, z := range sc.Zones {
-			if z.Hub == i {
-				s.hubs[i].rate += sc.Parent * misses * float64(z.Boxes) * sc.BoxRate
-			}
-		}
-	}
-	s.origin.rate = sc.Origin * misses * (1 - parentGot) * whole
-	for home, z := range sc.Zones {
-		for range z.Gateways {
-			if err := s.addGateway(home, order.Bands()); err != nil {
-				return err
-			}
-		}
-	}
-	for i := range sc.Faults {
-		f := sc.Faults[i]
-		s.at(f.At, event{kind: listed, zone: int32(i), hit: true, moved: true})
-		s.at(f.Till, event{kind: listed, zone: int32(i), moved: true})
-	}
-	return nil
-}
-
-// addGateway adds a gateway of a zone, which prefers the zones of its own hub to others.
-func (s *scene) addGateway(home int, bands int) error {
-	sc := &s.sc
-	z := sc.Zones[home]
-	g := &gateway{home: home, places: []int{home}, place: make([]int, len(sc.Zones))}
-	cfg := sc.Tiers
-	cfg.Localities = []locality.Locality{{Name: z.Name, Weight: float64(z.Boxes)}}
-	for distance := range 2 {
-		for k, o := range sc.Zones {
-			if k != home && (o.Hub != z.Hub) == (distance == 1) {
-				cfg.Localities = append(cfg.Localities, locality.Locality{Name: o.Name, Level: 1 + distance, Weight: float64(o.Boxes)})
-				g.place[k] = len(g.places)
-				g.places = append(g.places, k)
-			}
-		}
-	}
-	cfg.Bands, cfg.Seed = bands, sc.Seed*1_000_003+uint64(len(s.gateways))
-	var err error
-	if g.t, err = locality.New(cfg); err != nil {
-		return fmt.Errorf("scene: %w", err)
-	}
-	s.res.Gateways = append(s.res.Gateways, g.t)
-	s.gateways = append(s.gateways, g)
-	id := int32(len(s.gateways) - 1)
-	s.at(time.Duration(s.rng.Float64()*float64(locality.DefaultTick)), event{kind: tick, gw: id})
-	s.at(time.Duration(s.rng.ExpFloat64()*float64(s.gaps[home])), event{kind: arrive, gw: id})
-	return nil
-}
-
 func (s *scene) at(t time.Duration, e event) {
 	s.order++
 	e.at, e.order = t, s.order
@@ -474,134 +277,6 @@
 	s.send(e, where)
 }
 
-// take asks the origin for a place, by the link of a hub that is not cut off.
-func (s *scene) take(home int) bool {
-	ok := s.zones[home].faults[Cut] == 0 && s.origin.take(s.now)
-	if s.now >= s.sc.Warm {
-		sec := s.second()
-		sec.Origin++
-		if !ok {
-			sec.OriginRefused++
-		}
-	}
-	return ok
-}
-
-// send carries an attempt to a zone.
-func (s *scene) send(e event, where int) {
-	g := s.gateways[e.gw]
-	z := s.zones[where]
-	if s.now >= s.sc.Warm {
-		sec := s.second()
-		sec.At[where]++
-		if where != g.home {
-			sec.Spilled[g.home]++
-		}
-	}
-	g.t.AttemptStarted(s.now, g.place[where])
-	e.zone = int32(where)
-	way := near
-	if z.Hub != s.zones[g.home].Hub {
-		way = farther
-	}
-	back := func(after time.Duration, r locality.Result, hit bool) {
-		e.kind, e.result, e.hit, e.load = ended, r, hit, float32(z.busy)
-		s.at(s.now+after, e)
-	}
-	deadline := s.mix[e.class].Limit
-	far := where != g.home && z.Hub != s.zones[g.home].Hub
-	switch {
-	case z.faults[Dead] > 0 || z.fallen:
-		back(2*way, locality.ResultFailure, false)
-		return
-	case z.faults[Silent] > 0 || far && (z.faults[Cut] > 0 || s.zones[g.home].faults[Cut] > 0):
-		back(deadline, locality.ResultFailure, false)
-		return
-	case z.faults[Errors] > 0:
-		back(2*way, locality.ResultFailure, false)
-		return
-	}
-	able := 1.0
-	if age := s.now - z.began; age < coldFor {
-		able = coldFrom + (1-coldFrom)*float64(age)/float64(coldFor)
-	}
-	s.press(z, able)
-	if z.fallen {
-		back(2*way, locality.ResultFailure, false)
-		return
-	}
-	if z.faults[Slow] > 0 {
-		able /= 5
-	}
-	if z.free < s.now {
-		z.free = s.now
-	}
-	if z.free-s.now > queueMost {
-		e.kind = refused
-		s.at(s.now+2*way, e)
-		return
-	}
-	work := time.Duration(float64(z.cost) / able)
-	z.free += work
-	z.done += time.Duration(float64(z.cost) / able)
-	if since := s.now - z.reported; since >= reportAge {
-		z.busy, z.done, z.reported = min(1.5, float64(z.done)/float64(since)), 0, s.now
-	}
-	took := z.free - s.now + 2*way + 20*time.Millisecond
-	hit := z.held[e.object]
-	if !hit {
-		ok, more := s.fill(z)
-		took += more
-		if !ok {
-			back(took, locality.ResultFailure, false)
-			return
-		}
-		z.held[e.object] = true
-	}
-	r := locality.ResultSuccess
-	if took > s.mix[e.class].Aim {
-		r = locality.ResultLate
-	}
-	if took > deadline {
-		back(deadline, locality.ResultFailure, false)
-		return
-	}
-	back(took, r, hit)
-}
-
-// fill fetches what a zone lacks.
-func (s *scene) fill(z *zone) (ok bool, took time.Duration) {
-	if s.now >= s.sc.Warm {
-		s.second().Fills++
-	}
-	took = toParent
-	if z.faults[Parents] == 0 {
-		if !s.hubs[z.Hub].take(s.now) {
-			return false, took
-		}
-		if s.rng.Float64() < parentGot {
-			return true, took
-		}
-	}
-	home := 0
-	for i, o := range s.zones {
-		if o == z {
-			home = i
-		}
-	}
-	return s.take(home), took + toOrigin
-}
-
-// press counts what is sent to a zone, which falls over if it is cold and that is too much.
-func (s *scene) press(z *zone, able float64) {
-	z.pressure = z.pressure*math.Exp(-float64(s.now-z.pressAt)/float64(tipFor)) + 1
-	z.pressAt = s.now
-	if able < 1 && z.pressure > tip*able*tipFor.Seconds()*float64(time.Second)/float64(z.cost) {
-		z.fallen = true
-		s.res.Falls = append(s.res.Falls, fmt.Sprintf("%s at %v", z.Name, s.now.Round(time.Millisecond)))
-	}
-}
-
 func (s *scene) ended(e event) {
 	g := s.gateways[e.gw]
 	if e.zone >= 0 {
--- /dev/null
+++ b/lab/localitysim/scene_build.go
@@ -0,0 +1,127 @@
+package localitysim
+
+import (
+	"fmt"
+	"time"
+
+	"larchusher/locality"
+	"larchusher/overload"
+)
+
+func (s *Scene) check() error {
+	if len(s.Zones) == 0 || s.BoxRate <= 0 || s.For <= s.Warm {
+		return fmt.Errorf("scene: %d zones, %v requests a second of a box, for %v of which %v to warm up", len(s.Zones), s.BoxRate, s.For, s.Warm)
+	}
+	for i, z := range s.Zones {
+		if z.Boxes <= 0 || z.Gateways <= 0 || z.Load < 0 || z.Hub < 0 {
+			return fmt.Errorf("scene: Zones[%d]: %+v", i, z)
+		}
+	}
+	for i, f := range s.Faults {
+		switch f.Kind {
+		case Dead, Silent, Slow, Errors, Parents, Cut, Lies, Restart:
+		default:
+			return fmt.Errorf("scene: Faults[%d].Kind: %q", i, f.Kind)
+		}
+		if f.Zone < 0 || f.Zone >= len(s.Zones) || f.Till <= f.At {
+			return fmt.Errorf("scene: Faults[%d]: %+v", i, f)
+		}
+	}
+	if !(s.Repeat >= 0 && s.Repeat <= 1) {
+		return fmt.Errorf("scene: Repeat: %v", s.Repeat)
+	}
+	switch s.Policy {
+	case Ours, NoSpill, Unbounded:
+	default:
+		return fmt.Errorf("scene: Policy: %q", s.Policy)
+	}
+	if s.Objects <= 0 {
+		s.Objects = 20000
+	}
+	if s.Skew <= 1 {
+		s.Skew = 1.1
+	}
+	if s.Origin <= 0 {
+		s.Origin = 3
+	}
+	if s.Parent <= 0 {
+		s.Parent = 3
+	}
+	return nil
+}
+
+func (s *scene) build() error {
+	sc := &s.sc
+	var classes []overload.Class
+	for _, c := range s.mix {
+		classes = append(classes, overload.Class{Name: c.Name, PriorityWeight: c.Worth})
+	}
+	order := overload.NewOrder(classes, false)
+	for _, c := range s.mix {
+		s.bands = append(s.bands, order.Band(c.Name, false))
+	}
+	hubs, whole := 0, 0.0
+	for _, z := range sc.Zones {
+		hubs = max(hubs, z.Hub+1)
+		rate := float64(z.Boxes) * sc.BoxRate
+		whole += rate * z.Load
+		zz := &zone{Zone: z, cost: time.Duration(float64(time.Second) / rate), began: -time.Hour, held: make([]bool, sc.Objects), faults: map[FaultKind]int{}}
+		for i := range zz.held { // what is popular is there
+			zz.held[i] = i < sc.Objects/2
+		}
+		s.zones = append(s.zones, zz)
+		s.gaps = append(s.gaps, time.Duration(float64(time.Second)/(rate*z.Load+1e-9)*float64(z.Gateways)))
+	}
+	misses := 0.1 // of what is asked, while all is well, about
+	s.hubs = make([]bucket, hubs)
+	for i := range s.hubs {
+		for _, z := range sc.Zones {
+			if z.Hub == i {
+				s.hubs[i].rate += sc.Parent * misses * float64(z.Boxes) * sc.BoxRate
+			}
+		}
+	}
+	s.origin.rate = sc.Origin * misses * (1 - parentGot) * whole
+	for home, z := range sc.Zones {
+		for range z.Gateways {
+			if err := s.addGateway(home, order.Bands()); err != nil {
+				return err
+			}
+		}
+	}
+	for i := range sc.Faults {
+		f := sc.Faults[i]
+		s.at(f.At, event{kind: listed, zone: int32(i), hit: true, moved: true})
+		s.at(f.Till, event{kind: listed, zone: int32(i), moved: true})
+	}
+	return nil
+}
+
+// addGateway adds a gateway of a zone, which prefers the zones of its own hub to others.
+func (s *scene) addGateway(home int, bands int) error {
+	sc := &s.sc
+	z := sc.Zones[home]
+	g := &gateway{home: home, places: []int{home}, place: make([]int, len(sc.Zones))}
+	cfg := sc.Tiers
+	cfg.Localities = []locality.Locality{{Name: z.Name, Weight: float64(z.Boxes)}}
+	for distance := range 2 {
+		for k, o := range sc.Zones {
+			if k != home && (o.Hub != z.Hub) == (distance == 1) {
+				cfg.Localities = append(cfg.Localities, locality.Locality{Name: o.Name, Level: 1 + distance, Weight: float64(o.Boxes)})
+				g.place[k] = len(g.places)
+				g.places = append(g.places, k)
+			}
+		}
+	}
+	cfg.Bands, cfg.Seed = bands, sc.Seed*1_000_003+uint64(len(s.gateways))
+	var err error
+	if g.t, err = locality.New(cfg); err != nil {
+		return fmt.Errorf("scene: %w", err)
+	}
+	s.res.Gateways = append(s.res.Gateways, g.t)
+	s.gateways = append(s.gateways, g)
+	id := int32(len(s.gateways) - 1)
+	s.at(time.Duration(s.rng.Float64()*float64(locality.DefaultTick)), event{kind: tick, gw: id})
+	s.at(time.Duration(s.rng.ExpFloat64()*float64(s.gaps[home])), event{kind: arrive, gw: id})
+	return nil
+}
