--- a/lab/faultinjection/relay.go
+++ b/lab/faultinjection/relay.go
@@ -74,6 +74,30 @@
 	return r.cut
 }
 
+// frameFate is what befalls one frame.
+type frameFate struct {
+	lost, twice bool
+	broken      bool // half of it is carried, then the connection ends
+	wait        time.Duration
+}
+
+// drawFate draws what befalls a frame of so many bytes.
+func (r *relay) drawFate(bytes int) (f frameFate) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	f.lost = r.cut || r.rng.Float64() < r.lose
+	f.twice = r.rng.Float64() < r.double
+	f.broken = r.breaks && r.rng.IntN(40) == 0
+	if r.delay > 0 {
+		f.wait = time.Duration(r.rng.Int64N(int64(r.delay)))
+	}
+	if r.rate > 0 {
+		f.wait += time.Duration(bytes) * time.Second / time.Duration(r.rate)
+	}
+	return f
+}
+
+// carry carries the frames of one connection to the target.
 func (r *relay) carry(in net.Conn) {
 	defer loopback.Close(in)
 	for r.isCut() { // it comes up, and nobody says a word
@@ -107,28 +131,18 @@
 		if _, err := io.ReadFull(in, frame[frameLen:]); err != nil {
 			return
 		}
-		r.mu.Lock()
-		lost, twice := r.cut || r.rng.Float64() < r.lose, r.rng.Float64() < r.double
-		broken := r.breaks && r.rng.IntN(40) == 0
-		wait, rate := time.Duration(0), r.rate
-		if r.delay > 0 {
-			wait = time.Duration(r.rng.Int64N(int64(r.delay)))
-		}
-		r.mu.Unlock()
-		if lost {
+		fate := r.drawFate(len(frame))
+		if fate.lost {
 			continue
 		}
-		if rate > 0 {
-			wait += time.Duration(len(frame)) * time.Second / time.Duration(rate)
-		}
-		if wait > 0 {
-			time.Sleep(wait)
+		if fate.wait > 0 {
+			time.Sleep(fate.wait)
 		}
-		if broken {
-			_, _ = out.Write(frame[:len(frame)/2])
+		if fate.broken {
+			_, _ = out.Write(frame[:len(frame)/2]) // the connection ends either way
 			return
 		}
-		if twice {
+		if fate.twice {
 			frame = append(frame, frame...)
 		}
 		if _, err := out.Write(frame); err != nil {
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -191,10 +191,15 @@
 	ar, aw := io.Pipe()
 	defer loopback.Close(aw)
 	go r.answers(n, ar)
+	r.carryAnswers(c, g, aw)
+}
+
+// carryAnswers carries what a gateway answers to a client, in slices and up to a cut as the faults of the moment have it, and records it.
+func (r *Relay) carryAnswers(c, from net.Conn, record io.Writer) {
 	b := make([]byte, 64<<10)
 	for {
-		m, err := g.Read(b)
-		_, _ = aw.Write(b[:max(0, m)])
+		m, err := from.Read(b)
+		_, _ = record.Write(b[:max(0, m)]) // the recorder may have ended; what is carried goes on
 		r.mu.Lock()
 		slice, cut := r.slice, m > 0 && r.cut > 0 && r.rng.Float64() < r.cut
 		if cut {
--- a/lab/localitysim/zones.go
+++ b/lab/localitysim/zones.go
@@ -78,22 +78,14 @@
 		s.at(s.now+after, e)
 	}
 	deadline := s.mix[e.class].Limit
-	far := where != g.home && z.Hub != s.zones[g.home].Hub
-	switch {
-	case z.faults[Dead] > 0 || z.fallen:
-		back(2*way, locality.ResultFailure, false)
-		return
-	case z.faults[Silent] > 0 || far && (z.faults[Cut] > 0 || s.zones[g.home].faults[Cut] > 0):
+	if silent, failed := s.faultsBetween(g.home, where); silent {
 		back(deadline, locality.ResultFailure, false)
 		return
-	case z.faults[Errors] > 0:
+	} else if failed {
 		back(2*way, locality.ResultFailure, false)
 		return
 	}
-	able := 1.0
-	if age := s.now - z.began; age < coldFor {
-		able = coldFrom + (1-coldFrom)*float64(age)/float64(coldFor)
-	}
+	able := z.able(s.now)
 	s.press(z, able)
 	if z.fallen {
 		back(2*way, locality.ResultFailure, false)
@@ -110,12 +102,7 @@
 		s.at(s.now+2*way, e)
 		return
 	}
-	work := time.Duration(float64(z.cost) / able)
-	z.free += work
-	z.done += time.Duration(float64(z.cost) / able)
-	if since := s.now - z.reported; since >= reportAge {
-		z.busy, z.done, z.reported = min(1.5, float64(z.done)/float64(since)), 0, s.now
-	}
+	z.work(s.now, able)
 	took := z.free - s.now + 2*way + 20*time.Millisecond
 	hit := z.held[e.object]
 	if !hit {
@@ -138,6 +125,38 @@
 	back(took, r, hit)
 }
 
+// faultsBetween says whether an attempt from a zone at another gets no answer, or fails at once.
+func (s *scene) faultsBetween(home, where int) (silent, failed bool) {
+	z, h := s.zones[where], s.zones[home]
+	far := where != home && z.Hub != h.Hub
+	switch {
+	case z.faults[Dead] > 0 || z.fallen:
+		return false, true
+	case z.faults[Silent] > 0 || far && (z.faults[Cut] > 0 || h.faults[Cut] > 0):
+		return true, false
+	default:
+		return false, z.faults[Errors] > 0
+	}
+}
+
+// able is the share of its capacity that a zone has: one that has just begun is warming up.
+func (z *zone) able(now time.Duration) float64 {
+	if age := now - z.began; age < coldFor {
+		return coldFrom + (1-coldFrom)*float64(age)/float64(coldFor)
+	}
+	return 1
+}
+
+// work adds a request's work to a zone's queue, and has it report its load when that is due.
+func (z *zone) work(now time.Duration, able float64) {
+	work := time.Duration(float64(z.cost) / able)
+	z.free += work
+	z.done += work
+	if since := now - z.reported; since >= reportAge {
+		z.busy, z.done, z.reported = min(1.5, float64(z.done)/float64(since)), 0, now
+	}
+}
+
 // fill fetches what a zone lacks.
 func (s *scene) fill(z *zone) (ok bool, took time.Duration) {
 	if s.now >= s.sc.Warm {
