--- a/gateway/pauses.go
+++ b/gateway/pauses.go
@@ -54,7 +54,7 @@
 		g.queue.AddPausedTime(paused)
 	} else {
 		g.sample.Paused = true
-		g.queue.Paused(g.now(), paused)
+		g.queue.AddPauseWithGrace(g.now(), paused)
 	}
 	return true
 }
@@ -117,5 +117,5 @@
 	}
 	s.Grace = g.queue.Grace(g.now())
 	s.Queued = g.queue.Queued()
-	s.LoopLag, s.MemoryPressure = g.pollerLag, g.memory.Pressure()
+	s.LoopLag = g.pollerLag
 }
