--- a/client/client.go
+++ b/client/client.go
@@ -41,9 +41,9 @@
 
 // Effects of a class; see [plan.Effect].
 const (
-	Safe   = plan.Safe
-	Keyed  = plan.Keyed
-	Unsafe = plan.Unsafe
+	Safe   = plan.Idempotent
+	Keyed  = plan.IdempotentWithKey
+	Unsafe = plan.NonIdempotent
 )
 
 // Config is what a client is made of. Gateways and Classes are needed; all else has a default (see [plan.Config]).
@@ -309,9 +309,9 @@
 func (k *call) result(e plan.End) (Response, error) {
 	switch e.Ending {
 	case plan.Served:
-		return Response{Body: k.answer.Body, Unchanged: k.answer.Unchanged, Tag: k.answer.Tag, Tries: e.Tries}, nil
+		return Response{Body: k.answer.Body, Unchanged: k.answer.Unchanged, Tag: k.answer.Tag, Tries: e.Attempts}, nil
 	case plan.Refused:
-		return Response{}, &RefusedError{Later: e.Later}
+		return Response{}, &RefusedError{Later: e.RetryAfter}
 	case plan.Failed:
 		if k.answer.Err != nil {
 			return Response{}, fmt.Errorf("%w: %w", ErrFailed, k.answer.Err)
@@ -393,9 +393,9 @@
 		}
 	case plan.Abandon:
 		if cn := c.conns[a.Conn]; cn != nil {
-			cn.Abandon(a.Try)
+			cn.Abandon(a.Attempt)
 		}
-	case plan.Probe:
+	case plan.HealthCheck:
 		if cn := c.conns[a.Conn]; cn != nil {
 			cn.Probe()
 		}
@@ -410,8 +410,8 @@
 
 // send sends an attempt of a call on a connection.
 func (c *Client) send(k *call, cn Conn, a plan.Send) {
-	t := Try{ID: a.Try, Request: k.request, Txn: c.hex(8), Limit: a.Limit, Second: a.Second}
-	if a.Key {
+	t := Try{ID: a.Attempt, Request: k.request, Txn: c.hex(8), Limit: a.Limit, Second: a.Retry}
+	if a.SendKey {
 		t.Key = k.key
 	}
 	cn.Send(t)
@@ -422,14 +422,14 @@
 // end gives a call its result, and reports it.
 func (c *Client) end(k *call, a plan.End) {
 	delete(c.calls, a.Call)
-	k.span.SetAttributes(attribute.String("larchusher.ending", a.Ending.String()), attribute.Int("larchusher.tries", a.Tries))
+	k.span.SetAttributes(attribute.String("larchusher.ending", a.Ending.String()), attribute.Int("larchusher.tries", a.Attempts))
 	if a.Ending != plan.Served {
 		k.span.SetStatus(codes.Error, a.Ending.String())
 	}
 	k.done <- a
-	c.meters.ended(k.request.Class, a.Ending.String(), a.Tries, time.Since(k.began))
+	c.meters.ended(k.request.Class, a.Ending.String(), a.Attempts, time.Since(k.began))
 	if c.cfg.Hook != nil {
-		c.cfg.Hook(Ended{Request: k.request, Ending: a.Ending, Tries: a.Tries, Took: time.Since(k.began)})
+		c.cfg.Hook(Ended{Request: k.request, Ending: a.Ending, Tries: a.Attempts, Took: time.Since(k.began)})
 	}
 }
 
@@ -481,7 +481,7 @@
 	}
 }
 
-func (e *events) Heard(alive bool) { e.client.handle(plan.Heard{Conn: e.id, Alive: alive}) }
+func (e *events) Heard(alive bool) { e.client.handle(plan.Heard{Conn: e.id, Healthy: alive}) }
 
 func (e *events) Answer(try uint64, a Answer) {
 	c := e.client
@@ -492,5 +492,5 @@
 			k.answer = a
 		}
 	}
-	c.step(plan.Answered{Conn: e.id, Try: try, OK: a.OK, Backoff: a.Backoff, Later: a.Later})
+	c.step(plan.Answered{Conn: e.id, Attempt: try, OK: a.OK, Rejected: a.Backoff, RetryAfter: a.Later})
 }
--- a/client/plan/plan.go
+++ b/client/plan/plan.go
@@ -18,9 +18,9 @@
 
 // The effects of a class.
 const (
-	Safe   Effect = iota // may be repeated freely
-	Keyed                // a repeat with the same key is dropped for a while
-	Unsafe               // must not run twice
+	Idempotent        Effect = iota // may be repeated freely
+	IdempotentWithKey               // a repeat with the same key is dropped for a while
+	NonIdempotent                   // must not run twice
 )
 
 // Class is what the planner needs to know of a class.
@@ -49,8 +49,8 @@
 	DefaultProbeLongest = 30 * time.Second
 	DefaultRamp         = 10 * time.Second
 	DefaultRedirect     = 0.25
-	crossed             = 50 * time.Millisecond
-	startBudget         = 2
+	crossedCloseWindow  = 50 * time.Millisecond
+	initialRetryBudget  = 2
 )
 
 // Config is what a planner goes by. The zero value of a field is its default.
@@ -98,7 +98,7 @@
 		switch {
 		case k.Name == "" || names[k.Name]:
 			return fmt.Errorf("client: Classes[%d].Name: %q is empty or stands twice", i, k.Name)
-		case k.Effect < Safe || k.Effect > Unsafe:
+		case k.Effect < Idempotent || k.Effect > NonIdempotent:
 			return fmt.Errorf("client: Classes[%d].Effect: %d", i, k.Effect)
 		case k.Window < 0 || k.Deadline < 0:
 			return fmt.Errorf("client: Classes[%d]: a span is negative", i)
@@ -170,15 +170,15 @@
 
 // Heard says that something came on a connection that is no answer to a try, such as the answer to a probe.
 type Heard struct {
-	Conn  uint64
-	Alive bool // it answers a probe with yes
+	Conn    uint64
+	Healthy bool // it answers a probe with yes
 }
 
 // Answered is the answer to a try. Backoff: refused, with Later; neither that nor OK: failed.
 type Answered struct {
-	Conn, Try   uint64
-	OK, Backoff bool
-	Later       time.Duration
+	Conn, Attempt uint64
+	OK, Rejected  bool
+	RetryAfter    time.Duration
 }
 
 // Timer says that the time told by [Planner.Wake] has come. It does no harm at other times.
@@ -207,51 +207,51 @@
 
 // Send sends a try of a call. Try is new with each and rises on a connection; Second marks all but the first.
 type Send struct {
-	Conn, Try, Call uint64
-	Limit           time.Duration
-	Second          bool
-	Key             bool // the class has keys: the call's own is sent with every try
+	Conn, Attempt, Call uint64
+	Limit               time.Duration
+	Retry               bool
+	SendKey             bool // the class has keys: the call's own is sent with every try
 }
 
 // Abandon says that no answer to a try is wanted any more.
-type Abandon struct{ Conn, Try uint64 }
+type Abandon struct{ Conn, Attempt uint64 }
 
-// Probe asks a connection for a sign of life.
-type Probe struct{ Conn uint64 }
+// HealthCheck asks a connection for a sign of life.
+type HealthCheck struct{ Conn uint64 }
 
 // Hangup closes a connection; no Down follows.
 type Hangup struct{ Conn uint64 }
 
 // End ends a call. Try is the one that was answered, if one was.
 type End struct {
-	Call   uint64
-	Ending Ending
-	Try    uint64
-	Later  time.Duration // of Refused: when to come back
-	Tries  int
+	Call       uint64
+	Ending     Ending
+	Attempt    uint64
+	RetryAfter time.Duration // of Refused: when to come back
+	Attempts   int
 }
 
-func (Connect) action() {}
-func (Send) action()    {}
-func (Abandon) action() {}
-func (Probe) action()   {}
-func (Hangup) action()  {}
-func (End) action()     {}
+func (Connect) action()     {}
+func (Send) action()        {}
+func (Abandon) action()     {}
+func (HealthCheck) action() {}
+func (Hangup) action()      {}
+func (End) action()         {}
 
 // Counters count decisions.
 type Counters struct {
-	Calls, Tries, Retries, Crossed                         uint64
-	Ended                                                  [Closed + 1]uint64
-	NoBudget, NoTime, NoRepeat, NoTries                    uint64 // retries not made, by reason
-	Connects, Deaths, Probes, Held, Late, Redirected, Hung uint64
+	Calls, Attempts, Retries, Crossed                                                   uint64
+	Ended                                                                               [Closed + 1]uint64
+	BudgetSpent, NoTime, NotRepeatable, AttemptsUsedUp                                  uint64 // retries not made, by reason
+	Connects, Ejections, HealthChecks, RejectionsHeeded, Late, Redirected, Unresponsive uint64
 }
 
 // All returns the counters by name.
 func (c *Counters) All() map[string]uint64 {
-	all := map[string]uint64{"calls": c.Calls, "tries": c.Tries, "retries": c.Retries, "crossed": c.Crossed,
-		"retry_no_budget": c.NoBudget, "retry_no_time": c.NoTime, "retry_not_allowed": c.NoRepeat, "retry_used_up": c.NoTries,
-		"connects": c.Connects, "deaths": c.Deaths, "probes": c.Probes, "held_by_refusal": c.Held, "late_answers": c.Late,
-		"redirected": c.Redirected, "hung_up": c.Hung}
+	all := map[string]uint64{"calls": c.Calls, "tries": c.Attempts, "retries": c.Retries, "crossed": c.Crossed,
+		"retry_no_budget": c.BudgetSpent, "retry_no_time": c.NoTime, "retry_not_allowed": c.NotRepeatable, "retry_used_up": c.AttemptsUsedUp,
+		"connects": c.Connects, "deaths": c.Ejections, "probes": c.HealthChecks, "held_by_refusal": c.RejectionsHeeded, "late_answers": c.Late,
+		"redirected": c.Redirected, "hung_up": c.Unresponsive}
 	for i, n := range c.Ended {
 		all["ended_"+Ending(i).String()] = n
 	}
@@ -264,12 +264,12 @@
 		return nil, err
 	}
 	p := &Planner{cfg: cfg, rng: rng, classes: map[string]*Class{}, calls: map[uint64]*call{}, conns: map[uint64]*conn{},
-		budget: min(startBudget, cfg.BudgetMost)}
+		retryBudget: min(initialRetryBudget, cfg.BudgetMost)}
 	for i := range cfg.Classes {
 		p.classes[cfg.Classes[i].Name] = &cfg.Classes[i]
 	}
 	for _, name := range cfg.Gateways {
-		p.gateways = append(p.gateways, &gateway{name: name, good: 1, hold: map[string]time.Duration{}, since: -cfg.Ramp})
+		p.gateways = append(p.gateways, &gateway{name: name, successRate: 1, rejectedUntil: map[string]time.Duration{}, recoveredAt: -cfg.Ramp})
 	}
 	return p, nil
 }
--- a/client/plan/planner.go
+++ b/client/plan/planner.go
@@ -11,396 +11,398 @@
 )
 
 const (
-	rampLeast   = 0.1  // share with which a returned gateway begins
-	goodWeight  = 0.05 // of the newest result in a gateway's good share
-	goodLeast   = 0.05 // a gateway is never weighed less for its results
-	rateWindow  = 2 * time.Second
-	redirected  = 10   // redirects a second that there are always
-	slackShare  = 0.7  // of the time that a call has left, what it may wait for a reconnect
-	laterJitter = 0.25 // of a refusal's advice is added to it at most
-	never       = time.Duration(math.MaxInt64)
+	rampStartShare        = 0.1  // share with which a returned gateway begins
+	successRateGain       = 0.05 // of the newest result in a gateway's good share
+	minSuccessRate        = 0.05 // a gateway is never weighed less for its results
+	sendRateWindow        = 2 * time.Second
+	minRedirectsPerSecond = 10   // redirects a second that there are always
+	reconnectSlackShare   = 0.7  // of the time that a call has left, what it may wait for a reconnect
+	retryAfterJitter      = 0.25 // of a refusal's advice is added to it at most
+	never                 = time.Duration(math.MaxInt64)
 )
 
 // Planner decides. It is not safe for concurrent use.
 type Planner struct {
 	Counters Counters
 
-	cfg      Config
-	rng      *rand.Rand
-	now      time.Duration
-	out      []Action
-	classes  map[string]*Class
-	gateways []*gateway
-	calls    map[uint64]*call
-	conns    map[uint64]*conn
-	waiting  []*call // for a gateway, a connection or their time, the most worth first
-	sorted   bool
-	due      deadlines
-	serial   uint64
-	order    uint64
-	budget   float64
-	rate     float64 // sends a second, lately
-	rateAt   time.Duration
-	redirect float64 // redirects that may be made now
-	redirAt  time.Duration
-	closed   bool
+	cfg              Config
+	rng              *rand.Rand
+	now              time.Duration
+	actions          []Action
+	classes          map[string]*Class
+	gateways         []*gateway
+	calls            map[uint64]*call
+	conns            map[uint64]*conn
+	waiting          []*call // for a gateway, a connection or their time, the most worth first
+	waitingSorted    bool
+	byDeadline       deadlineHeap
+	lastID           uint64
+	lastOrder        uint64
+	retryBudget      float64
+	sendRate         float64 // sends a second, lately
+	sendRateAt       time.Duration
+	redirectTokens   float64 // redirects that may be made now
+	redirectTokensAt time.Duration
+	closed           bool
 }
 
 type gateway struct {
-	name  string
-	conns []*conn
-	open  int
-	good  float64                  // share of good results lately
-	hold  map[string]time.Duration // by class: refused until then
-	dead  bool
-	probe time.Duration // when it is tried again
-	wait  time.Duration // before that
-	since time.Duration // when it came, or came back
-	next  time.Duration // no new connection before that: reconnects are spread
+	name             string
+	conns            []*conn
+	inFlight         int
+	successRate      float64                  // share of good results lately
+	rejectedUntil    map[string]time.Duration // by class: refused until then
+	ejected          bool
+	healthCheckAt    time.Duration // when it is tried again
+	backoff          time.Duration // before that
+	recoveredAt      time.Duration // when it came, or came back
+	connectNotBefore time.Duration // no new connection before that: reconnects are spread
 }
 
 type conn struct {
-	id      uint64
-	gateway *gateway
-	up      bool
-	probing bool // it finds out whether a dead gateway is back
-	limbo   bool // it has been silent: nothing new goes there, but what comes is still heard
-	since   time.Duration
-	heard   time.Duration
-	asked   time.Duration // when it was asked for a sign of life; 0: it was not
-	used    time.Duration
-	tries   map[uint64]*try
+	id                uint64
+	gateway           *gateway
+	up                bool
+	checkingHealth    bool // it finds out whether a dead gateway is back
+	unresponsive      bool // it has been silent: nothing new goes there, but what comes is still heard
+	startedAt         time.Duration
+	lastReceived      time.Duration
+	healthCheckSentAt time.Duration // when it was asked for a sign of life; 0: it was not
+	lastUsed          time.Duration
+	attempts          map[uint64]*attempt
 }
 
-type try struct {
-	id   uint64
-	call *call
-	conn *conn
-	sent time.Duration
+type attempt struct {
+	id     uint64
+	call   *call
+	conn   *conn
+	sentAt time.Duration
 }
 
 type call struct {
 	Call
-	index   int // place among the deadlines; -1: none
-	class   *Class
-	order   uint64
-	tries   int
-	first   time.Duration // when a try was sent that may have run; negative: none was
-	out     []*try
-	from    time.Duration // it waits until then at least
-	want    *gateway      // whose connection it waits for
-	moved   bool          // its gateway died under it
-	crossed bool
-	refused time.Duration // what a refusal said last
-	failed  bool
+	heapIndex        int // place among the deadlines; -1: none
+	class            *Class
+	order            uint64
+	attemptCount     int
+	mayHaveRunSince  time.Duration // when a try was sent that may have run; negative: none was
+	inFlight         []*attempt
+	connectNotBefore time.Duration // it waits until then at least
+	pendingGateway   *gateway      // whose connection it waits for
+	redirecting      bool          // its gateway died under it
+	crossedClose     bool
+	rejectedUntil    time.Duration // what a refusal said last
+	failed           bool
 }
 
 // Handle takes one event and appends the actions to out. Time must not run backwards.
 func (p *Planner) Handle(now time.Duration, ev Event, out []Action) []Action {
-	p.now, p.out = max(now, p.now), out
+	p.now, p.actions = max(now, p.now), out
 	switch ev := ev.(type) {
 	case Call:
-		p.call(ev)
+		p.startCall(ev)
 	case Cancelled:
 		if c := p.calls[ev.ID]; c != nil {
-			p.drop(c)
+			p.release(c)
 		}
 	case Up:
 		if c := p.conns[ev.Conn]; c != nil {
-			c.up, c.heard, c.used = true, p.now, p.now
-			if c.gateway.dead { // it listens, which is not yet to say that it serves
-				c.probing, c.asked = true, max(1, p.now)
-				p.Counters.Probes++
-				p.do(Probe{c.id})
+			c.up, c.lastReceived, c.lastUsed = true, p.now, p.now
+			if c.gateway.ejected { // it listens, which is not yet to say that it serves
+				c.checkingHealth, c.healthCheckSentAt = true, max(1, p.now)
+				p.Counters.HealthChecks++
+				p.emit(HealthCheck{c.id})
 			}
 		}
 	case Down:
-		p.down(ev)
+		p.handleDown(ev)
 	case Heard:
 		if c := p.conns[ev.Conn]; c != nil {
-			c.heard, c.asked = p.now, 0
-			if c.probing {
-				p.probed(c, ev.Alive)
+			c.lastReceived, c.healthCheckSentAt = p.now, 0
+			if c.checkingHealth {
+				p.handleHealthCheckResult(c, ev.Healthy)
 			}
 		}
 	case Answered:
-		p.answered(ev)
+		p.handleAnswer(ev)
 	case Close:
-		p.close()
+		p.shutDown()
 	}
 	if !p.closed {
-		p.times()
-		p.place()
+		p.runTimers()
+		p.dispatchWaiting()
 	}
-	out, p.out = p.out, nil
+	out, p.actions = p.actions, nil
 	return out
 }
 
-func (p *Planner) do(a Action) { p.out = append(p.out, a) }
+func (p *Planner) emit(a Action) { p.actions = append(p.actions, a) }
 
-func (p *Planner) call(q Call) {
+func (p *Planner) startCall(q Call) {
 	p.Counters.Calls++
 	class := p.classes[q.Class]
 	if p.calls[q.ID] != nil {
 		return
 	}
-	c := &call{Call: q, class: class, first: -1, index: -1}
+	c := &call{Call: q, class: class, mayHaveRunSince: -1, heapIndex: -1}
 	switch {
 	case p.closed:
-		p.end(c, Closed, 0)
+		p.finish(c, Closed, 0)
 		return
 	case class == nil: // no gateway would know it
-		p.end(c, Unsent, 0)
+		p.finish(c, Unsent, 0)
 		return
 	case class.Deadline > 0:
 		c.Deadline = min(c.Deadline, p.now+class.Deadline)
 	}
-	p.order++
-	c.order = p.order
+	p.lastOrder++
+	c.order = p.lastOrder
 	p.calls[q.ID] = c
-	heap.Push(&p.due, c)
-	p.wait(c)
+	heap.Push(&p.byDeadline, c)
+	p.enqueue(c)
 }
 
-// wait has a call wait to be sent, if it does not yet.
-func (p *Planner) wait(c *call) {
+// enqueue has a call wait to be sent, if it does not yet.
+func (p *Planner) enqueue(c *call) {
 	if !slices.Contains(p.waiting, c) {
-		p.waiting, p.sorted = append(p.waiting, c), false
+		p.waiting, p.waitingSorted = append(p.waiting, c), false
 	}
 }
 
-// end gives a call its one ending.
-func (p *Planner) end(c *call, as Ending, by uint64) {
+// finish gives a call its one ending.
+func (p *Planner) finish(c *call, as Ending, by uint64) {
 	p.Counters.Ended[as]++
-	p.drop(c)
-	p.do(End{Call: c.ID, Ending: as, Try: by, Later: max(0, c.refused-p.now), Tries: c.tries})
+	p.release(c)
+	p.emit(End{Call: c.ID, Ending: as, Attempt: by, RetryAfter: max(0, c.rejectedUntil-p.now), Attempts: c.attemptCount})
 }
 
-// drop forgets a call; nothing more is wanted of its tries.
-func (p *Planner) drop(c *call) {
+// release forgets a call; nothing more is wanted of its tries.
+func (p *Planner) release(c *call) {
 	delete(p.calls, c.ID)
-	if c.index >= 0 {
-		heap.Remove(&p.due, c.index)
+	if c.heapIndex >= 0 {
+		heap.Remove(&p.byDeadline, c.heapIndex)
 	}
 	if i := slices.Index(p.waiting, c); i >= 0 {
 		p.waiting = slices.Delete(p.waiting, i, i+1)
 	}
-	for _, t := range c.out {
-		p.forget(t)
-		p.do(Abandon{Conn: t.conn.id, Try: t.id})
+	for _, t := range c.inFlight {
+		p.releaseAttempt(t)
+		p.emit(Abandon{Conn: t.conn.id, Attempt: t.id})
 	}
-	c.out = nil
+	c.inFlight = nil
 }
 
-// forget takes a try off its connection.
-func (p *Planner) forget(t *try) {
-	delete(t.conn.tries, t.id)
-	t.conn.gateway.open--
-	t.conn.used = p.now
+// releaseAttempt takes a try off its connection.
+func (p *Planner) releaseAttempt(t *attempt) {
+	delete(t.conn.attempts, t.id)
+	t.conn.gateway.inFlight--
+	t.conn.lastUsed = p.now
 }
 
-func (p *Planner) answered(a Answered) {
+func (p *Planner) handleAnswer(a Answered) {
 	cn := p.conns[a.Conn]
 	if cn == nil {
 		return
 	}
-	if cn.heard = p.now; !cn.probing { // one that was asked whether it serves is to say so
-		cn.asked = 0
+	if cn.lastReceived = p.now; !cn.checkingHealth { // one that was asked whether it serves is to say so
+		cn.healthCheckSentAt = 0
 	}
-	t := cn.tries[a.Try]
+	t := cn.attempts[a.Attempt]
 	g := cn.gateway
 	if t == nil { // given up, answered before, or never asked
 		p.Counters.Late++
-		if a.Backoff && a.Later > 0 { // it counts all the same, for all classes: whose it was is forgotten
-			p.Counters.Held++
+		if a.Rejected && a.RetryAfter > 0 { // it counts all the same, for all classes: whose it was is forgotten
+			p.Counters.RejectionsHeeded++
 		}
 		return
 	}
 	c := t.call
-	p.forget(t)
-	c.out = slices.DeleteFunc(c.out, func(o *try) bool { return o == t })
+	p.releaseAttempt(t)
+	c.inFlight = slices.DeleteFunc(c.inFlight, func(o *attempt) bool { return o == t })
 	switch {
 	case a.OK:
-		p.budget = min(p.cfg.BudgetMost, p.budget+p.cfg.Budget)
-		g.good += goodWeight * (1 - g.good)
-		p.end(c, Served, t.id)
-	case a.Backoff:
-		g.good += goodWeight * (0.5 - g.good)
-		if a.Later > 0 { // all requests of the class heed it; a little later than told, and not all clients at once
-			p.Counters.Held++
-			until := p.now + a.Later + time.Duration(p.rng.Float64()*laterJitter*float64(a.Later))
-			g.hold[c.Class] = max(g.hold[c.Class], until)
-			c.refused = max(c.refused, until)
+		p.retryBudget = min(p.cfg.BudgetMost, p.retryBudget+p.cfg.Budget)
+		g.successRate += successRateGain * (1 - g.successRate)
+		p.finish(c, Served, t.id)
+	case a.Rejected:
+		g.successRate += successRateGain * (0.5 - g.successRate)
+		if a.RetryAfter > 0 { // all requests of the class heed it; a little later than told, and not all clients at once
+			p.Counters.RejectionsHeeded++
+			until := p.now + a.RetryAfter + time.Duration(p.rng.Float64()*retryAfterJitter*float64(a.RetryAfter))
+			g.rejectedUntil[c.Class] = max(g.rejectedUntil[c.Class], until)
+			c.rejectedUntil = max(c.rejectedUntil, until)
 		}
 		if !p.superseded(c) {
-			p.again(c, Refused, t)
+			p.retryOrFinish(c, Refused, t)
 		}
 	default:
-		g.good += goodWeight * (0 - g.good)
+		g.successRate += successRateGain * (0 - g.successRate)
 		c.failed = true
-		c.ran(t)
+		c.recordMayHaveRun(t)
 		if !p.superseded(c) {
-			p.again(c, Failed, t)
+			p.retryOrFinish(c, Failed, t)
 		}
 	}
-	if cn.limbo && len(cn.tries) == 0 {
-		p.hangUp(cn)
+	if cn.unresponsive && len(cn.attempts) == 0 {
+		p.closeConn(cn)
 	}
 }
 
 // superseded says that a newer try of a call is out, or about to be: the end of an older one changes nothing.
-func (p *Planner) superseded(c *call) bool { return len(c.out) > 0 || slices.Contains(p.waiting, c) }
+func (p *Planner) superseded(c *call) bool {
+	return len(c.inFlight) > 0 || slices.Contains(p.waiting, c)
+}
 
-// ran notes that a try may have run.
-func (c *call) ran(t *try) {
-	if c.first < 0 || t.sent < c.first {
-		c.first = t.sent
+// recordMayHaveRun notes that a try may have run.
+func (c *call) recordMayHaveRun(t *attempt) {
+	if c.mayHaveRunSince < 0 || t.sentAt < c.mayHaveRunSince {
+		c.mayHaveRunSince = t.sentAt
 	}
 }
 
-// again puts a call back to wait for another try, or ends it.
-func (p *Planner) again(c *call, as Ending, t *try) {
+// retryOrFinish puts a call back to wait for another try, or ends it.
+func (p *Planner) retryOrFinish(c *call, as Ending, t *attempt) {
 	if as == Unknown {
-		c.ran(t)
+		c.recordMayHaveRun(t)
 	}
-	if !p.retry(c) {
-		p.end(c, as, t.id)
+	if !p.scheduleRetry(c) {
+		p.finish(c, as, t.id)
 	}
 }
 
-// retry has a call wait for another try, if it may have one.
-func (p *Planner) retry(c *call) bool {
+// scheduleRetry has a call wait for another try, if it may have one.
+func (p *Planner) scheduleRetry(c *call) bool {
 	switch {
-	case c.tries > max(0, p.cfg.Retries):
-		p.Counters.NoTries++
-	case !p.repeatable(c):
-		p.Counters.NoRepeat++
+	case c.attemptCount > max(0, p.cfg.Retries):
+		p.Counters.AttemptsUsedUp++
+	case !p.mayRepeat(c):
+		p.Counters.NotRepeatable++
 	case p.now+p.cfg.Way >= c.Deadline:
 		p.Counters.NoTime++
-	case p.budget < 1:
-		p.Counters.NoBudget++
+	case p.retryBudget < 1:
+		p.Counters.BudgetSpent++
 	default:
-		p.budget--
-		p.wait(c)
+		p.retryBudget--
+		p.enqueue(c)
 		return true
 	}
 	return false
 }
 
-// repeatable says whether another try may go out now: one that may have run binds keyed and unsafe classes.
-func (p *Planner) repeatable(c *call) bool {
-	if c.class.Effect == Safe || c.first < 0 {
+// mayRepeat says whether another try may go out now: one that may have run binds keyed and unsafe classes.
+func (p *Planner) mayRepeat(c *call) bool {
+	if c.class.Effect == Idempotent || c.mayHaveRunSince < 0 {
 		return true
 	}
 	// The repeat has to arrive within the window, too.
-	return c.class.Effect == Keyed && p.now+p.cfg.Way < c.first+c.class.Window
+	return c.class.Effect == IdempotentWithKey && p.now+p.cfg.Way < c.mayHaveRunSince+c.class.Window
 }
 
-// down settles what was out on a connection that did not come up or has ended.
-func (p *Planner) down(ev Down) {
+// handleDown settles what was out on a connection that did not come up or has ended.
+func (p *Planner) handleDown(ev Down) {
 	cn := p.conns[ev.Conn]
 	if cn == nil {
 		return
 	}
-	p.lose(cn)
-	out, crossing := p.settle(cn, ev.Clean)
+	p.removeConn(cn)
+	out, crossing := p.settleAttempts(cn, ev.Clean)
 	switch {
-	case cn.probing || !cn.up:
-		p.fail(cn.gateway)
-	case cn.limbo, ev.Clean && (out == 0 || crossing): // it is dead already, or closed one that was idle
+	case cn.checkingHealth || !cn.up:
+		p.recordConnectFailure(cn.gateway)
+	case cn.unresponsive, ev.Clean && (out == 0 || crossing): // it is dead already, or closed one that was idle
 	default:
-		p.died(cn.gateway)
+		p.eject(cn.gateway)
 	}
 }
 
-func (p *Planner) lose(cn *conn) {
+func (p *Planner) removeConn(cn *conn) {
 	delete(p.conns, cn.id)
 	g := cn.gateway
 	g.conns = slices.DeleteFunc(g.conns, func(o *conn) bool { return o == cn })
 }
 
-// settle ends the tries of a connection that is gone, in the order in which they were sent: so many, or one that
+// settleAttempts ends the tries of a connection that is gone, in the order in which they were sent: so many, or one that
 // crossed an orderly close.
-func (p *Planner) settle(cn *conn, clean bool) (n int, crossing bool) {
-	var all []*try
-	for _, t := range cn.tries {
+func (p *Planner) settleAttempts(cn *conn, clean bool) (n int, crossing bool) {
+	var all []*attempt
+	for _, t := range cn.attempts {
 		all = append(all, t)
 	}
-	slices.SortFunc(all, func(a, b *try) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(all, func(a, b *attempt) int { return cmp.Compare(a.id, b.id) })
 	for _, t := range all {
 		n++
 		c := t.call
-		p.forget(t)
-		c.out = slices.DeleteFunc(c.out, func(o *try) bool { return o == t })
+		p.releaseAttempt(t)
+		c.inFlight = slices.DeleteFunc(c.inFlight, func(o *attempt) bool { return o == t })
 		// A gateway closes only what has no request open: one that crossed that has not run, and goes out once more.
-		if clean && len(all) == 1 && p.now-t.sent <= crossed && !c.crossed {
-			c.crossed, crossing = true, true
+		if clean && len(all) == 1 && p.now-t.sentAt <= crossedCloseWindow && !c.crossedClose {
+			c.crossedClose, crossing = true, true
 			p.Counters.Crossed++
-			p.wait(c)
+			p.enqueue(c)
 			continue
 		}
-		c.moved = true
-		if c.ran(t); !p.superseded(c) {
-			p.again(c, Unknown, t)
+		c.redirecting = true
+		if c.recordMayHaveRun(t); !p.superseded(c) {
+			p.retryOrFinish(c, Unknown, t)
 		}
 	}
 	return n, crossing
 }
 
-// died takes a gateway out of use. What is out on its other connections may still be answered.
-func (p *Planner) died(g *gateway) {
-	p.Counters.Deaths++
-	if !g.dead {
-		g.dead, g.wait = true, p.cfg.ProbeFirst
-		g.good = 1
-		clear(g.hold)
+// eject takes a gateway out of use. What is out on its other connections may still be answered.
+func (p *Planner) eject(g *gateway) {
+	p.Counters.Ejections++
+	if !g.ejected {
+		g.ejected, g.backoff = true, p.cfg.ProbeFirst
+		g.successRate = 1
+		clear(g.rejectedUntil)
 	}
-	g.probe = p.now + p.jitter(g.wait)
+	g.healthCheckAt = p.now + p.jitter(g.backoff)
 	// Others are connected to as well, in place of this one: by draw, over the whole span.
-	spread := p.spread()
+	spread := p.reconnectSpread()
 	for _, o := range p.gateways {
-		if o != g && !o.dead && len(o.conns) == 0 {
-			o.next = max(o.next, p.now+time.Duration(p.rng.Float64()*float64(spread)))
+		if o != g && !o.ejected && len(o.conns) == 0 {
+			o.connectNotBefore = max(o.connectNotBefore, p.now+time.Duration(p.rng.Float64()*float64(spread)))
 		}
 	}
 }
 
-// spread is the span over which clients of a dead gateway connect anew.
-func (p *Planner) spread() time.Duration {
+// reconnectSpread is the span over which clients of a dead gateway connect anew.
+func (p *Planner) reconnectSpread() time.Duration {
 	return max(p.cfg.Spread, time.Duration(float64(p.cfg.Clients)/p.cfg.SpreadRate*float64(time.Second)))
 }
 
-// fail notes that a gateway could not be reached, or does not serve yet.
-func (p *Planner) fail(g *gateway) {
-	if !g.dead {
-		p.died(g)
+// recordConnectFailure notes that a gateway could not be reached, or does not serve yet.
+func (p *Planner) recordConnectFailure(g *gateway) {
+	if !g.ejected {
+		p.eject(g)
 		return
 	}
-	g.wait = min(p.cfg.ProbeLongest, 2*g.wait)
+	g.backoff = min(p.cfg.ProbeLongest, 2*g.backoff)
 	if p.Alive() == 0 { // someone has to find out which is back first
-		g.wait = min(g.wait, p.spread())
+		g.backoff = min(g.backoff, p.reconnectSpread())
 	}
-	g.probe = p.now + p.jitter(g.wait)
+	g.healthCheckAt = p.now + p.jitter(g.backoff)
 }
 
-// probed is the answer of a dead gateway.
-func (p *Planner) probed(cn *conn, alive bool) {
-	cn.probing = false
+// handleHealthCheckResult is the answer of a dead gateway.
+func (p *Planner) handleHealthCheckResult(cn *conn, alive bool) {
+	cn.checkingHealth = false
 	if !alive {
-		p.hangUp(cn)
-		p.fail(cn.gateway)
+		p.closeConn(cn)
+		p.recordConnectFailure(cn.gateway)
 		return
 	}
-	cn.gateway.dead, cn.gateway.since, cn.gateway.wait = false, p.now, 0
-	cn.gateway.next = p.now + time.Duration(p.rng.Float64()*float64(p.spread()))
+	cn.gateway.ejected, cn.gateway.recoveredAt, cn.gateway.backoff = false, p.now, 0
+	cn.gateway.connectNotBefore = p.now + time.Duration(p.rng.Float64()*float64(p.reconnectSpread()))
 }
 
 func (p *Planner) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(p.rng.Float64()*float64(d))
 }
 
-// close ends everything.
-func (p *Planner) close() {
+// shutDown ends everything.
+func (p *Planner) shutDown() {
 	p.closed = true
 	var all []*call
 	for _, c := range p.calls {
@@ -408,113 +410,113 @@
 	}
 	slices.SortFunc(all, func(a, b *call) int { return cmp.Compare(a.order, b.order) })
 	for _, c := range all {
-		p.end(c, Closed, 0)
+		p.finish(c, Closed, 0)
 	}
 	for _, g := range p.gateways {
 		for _, cn := range g.conns {
 			delete(p.conns, cn.id)
-			p.do(Hangup{cn.id})
+			p.emit(Hangup{cn.id})
 		}
 		g.conns = nil
 	}
 	p.waiting = nil
 }
 
-// times does what is due: deadlines, idle and silent connections, gateways to be tried again.
-func (p *Planner) times() {
-	for len(p.due) > 0 && p.due[0].Deadline <= p.now {
-		p.expire(p.due[0])
+// runTimers does what is due: deadlines, idle and silent connections, gateways to be tried again.
+func (p *Planner) runTimers() {
+	for len(p.byDeadline) > 0 && p.byDeadline[0].Deadline <= p.now {
+		p.expire(p.byDeadline[0])
 	}
 	for _, g := range p.gateways {
-		maps.DeleteFunc(g.hold, func(_ string, until time.Duration) bool { return until <= p.now })
+		maps.DeleteFunc(g.rejectedUntil, func(_ string, until time.Duration) bool { return until <= p.now })
 		for _, cn := range slices.Clone(g.conns) {
-			p.connTimes(g, cn)
+			p.runConnTimers(g, cn)
 		}
-		if g.dead && !p.coming(g) && p.now >= g.probe && p.wanted() {
+		if g.ejected && !p.isConnecting(g) && p.now >= g.healthCheckAt && p.hasCalls() {
 			p.connect(g)
 		}
 	}
 }
 
-// connTimes does what is due on a connection: it is given up if it does not come up, is asked whether the gateway serves if it is
+// runConnTimers does what is due on a connection: it is given up if it does not come up, is asked whether the gateway serves if it is
 // silent with attempts out, and is closed when it is idle.
-func (p *Planner) connTimes(g *gateway, cn *conn) {
+func (p *Planner) runConnTimers(g *gateway, cn *conn) {
 	switch {
 	case !cn.up:
-		if p.now >= cn.since+p.cfg.Connect {
-			p.hangUp(cn)
-			p.fail(g)
-		}
-	case cn.limbo:
-		if len(cn.tries) == 0 {
-			p.hangUp(cn)
-		}
-	case cn.asked > 0 && p.now >= cn.asked+p.cfg.Silence:
-		p.Counters.Hung++
-		if cn.probing {
-			p.hangUp(cn)
-			p.fail(g)
+		if p.now >= cn.startedAt+p.cfg.Connect {
+			p.closeConn(cn)
+			p.recordConnectFailure(g)
+		}
+	case cn.unresponsive:
+		if len(cn.attempts) == 0 {
+			p.closeConn(cn)
+		}
+	case cn.healthCheckSentAt > 0 && p.now >= cn.healthCheckSentAt+p.cfg.Silence:
+		p.Counters.Unresponsive++
+		if cn.checkingHealth {
+			p.closeConn(cn)
+			p.recordConnectFailure(g)
 		} else {
-			p.hang(cn)
+			p.markUnresponsive(cn)
 		}
-	case cn.asked == 0 && len(cn.tries) > 0 && p.now >= max(cn.heard, cn.used)+p.cfg.Silence:
-		cn.asked = max(1, p.now)
-		p.Counters.Probes++
-		p.do(Probe{cn.id})
-	case len(cn.tries) == 0 && !cn.probing && p.now >= cn.used+p.cfg.Idle:
-		p.hangUp(cn)
+	case cn.healthCheckSentAt == 0 && len(cn.attempts) > 0 && p.now >= max(cn.lastReceived, cn.lastUsed)+p.cfg.Silence:
+		cn.healthCheckSentAt = max(1, p.now)
+		p.Counters.HealthChecks++
+		p.emit(HealthCheck{cn.id})
+	case len(cn.attempts) == 0 && !cn.checkingHealth && p.now >= cn.lastUsed+p.cfg.Idle:
+		p.closeConn(cn)
 	}
 }
 
-// hangUp closes a connection and forgets it.
-func (p *Planner) hangUp(cn *conn) {
-	p.lose(cn)
-	p.do(Hangup{cn.id})
+// closeConn closes a connection and forgets it.
+func (p *Planner) closeConn(cn *conn) {
+	p.removeConn(cn)
+	p.emit(Hangup{cn.id})
 }
 
-// hang leaves a connection that is silent. Its tries stay out, since their answers may yet come; what may be sent again
+// markUnresponsive leaves a connection that is silent. Its tries stay out, since their answers may yet come; what may be sent again
 // is, elsewhere.
-func (p *Planner) hang(cn *conn) {
-	cn.limbo = true
-	var all []*try
-	for _, t := range cn.tries {
+func (p *Planner) markUnresponsive(cn *conn) {
+	cn.unresponsive = true
+	var all []*attempt
+	for _, t := range cn.attempts {
 		all = append(all, t)
 	}
-	slices.SortFunc(all, func(a, b *try) int { return cmp.Compare(a.id, b.id) })
-	p.died(cn.gateway)
+	slices.SortFunc(all, func(a, b *attempt) int { return cmp.Compare(a.id, b.id) })
+	p.eject(cn.gateway)
 	for _, t := range all {
 		c := t.call
-		if c.ran(t); len(c.out) == 1 && !slices.Contains(p.waiting, c) {
-			c.moved = p.retry(c)
+		if c.recordMayHaveRun(t); len(c.inFlight) == 1 && !slices.Contains(p.waiting, c) {
+			c.redirecting = p.scheduleRetry(c)
 		}
 	}
 }
 
-// wanted says whether anyone asks for anything: a client without work leaves dead gateways alone.
-func (p *Planner) wanted() bool { return len(p.calls) > 0 }
+// hasCalls says whether anyone asks for anything: a client without work leaves dead gateways alone.
+func (p *Planner) hasCalls() bool { return len(p.calls) > 0 }
 
 // expire ends a call whose time is over.
 func (p *Planner) expire(c *call) {
 	switch {
-	case len(c.out) == 0 && c.refused > 0 && c.first < 0:
-		p.end(c, Refused, 0)
-	case c.tries == 0:
-		p.end(c, Unsent, 0)
+	case len(c.inFlight) == 0 && c.rejectedUntil > 0 && c.mayHaveRunSince < 0:
+		p.finish(c, Refused, 0)
+	case c.attemptCount == 0:
+		p.finish(c, Unsent, 0)
 	default:
-		p.end(c, Expired, 0)
+		p.finish(c, Expired, 0)
 	}
 }
 
-// place gives waiting calls to gateways, the most worth first.
-func (p *Planner) place() {
+// dispatchWaiting gives waiting calls to gateways, the most worth first.
+func (p *Planner) dispatchWaiting() {
 	if len(p.waiting) == 0 {
 		return
 	}
-	if !p.sorted {
+	if !p.waitingSorted {
 		slices.SortStableFunc(p.waiting, func(a, b *call) int {
 			return cmp.Or(cmp.Compare(b.class.Worth, a.class.Worth), cmp.Compare(a.order, b.order))
 		})
-		p.sorted = true
+		p.waitingSorted = true
 	}
 	held := map[string]time.Duration{} // classes that nobody can be sent a call of now, and until when
 	for _, c := range slices.Clone(p.waiting) {
@@ -525,99 +527,99 @@
 			p.expire(c)
 			continue
 		}
-		if c.tries > 0 && !p.repeatable(c) { // while it waited, its window closed
+		if c.attemptCount > 0 && !p.mayRepeat(c) { // while it waited, its window closed
 			p.stopRetrying(c)
 			continue
 		}
-		if c.moved && !p.mayRedirect(c) {
+		if c.redirecting && !p.mayRedirect(c) {
 			continue
 		}
 		var g *gateway
 		until, known := held[c.Class]
-		if p.mayKeepWanted(c) {
-			g = c.want // or it would have others connected to as well
+		if p.canUsePendingGateway(c) {
+			g = c.pendingGateway // or it would have others connected to as well
 		} else if !known {
-			g, until = p.pick(c)
+			g, until = p.pickGateway(c)
 		}
 		if g == nil {
 			held[c.Class] = until
-			p.holdBack(c, until)
+			p.waitForRetryAfter(c, until)
 			continue
 		}
-		p.placeAt(c, g)
+		p.sendOrConnect(c, g)
 	}
 }
 
 // stopRetrying ends a call that may not be sent again, unless one of its attempts may still be answered.
 func (p *Planner) stopRetrying(c *call) {
-	p.Counters.NoRepeat++
+	p.Counters.NotRepeatable++
 	switch {
-	case len(c.out) > 0:
+	case len(c.inFlight) > 0:
 		p.waiting = slices.DeleteFunc(p.waiting, func(o *call) bool { return o == c })
 	case c.failed:
-		p.end(c, Failed, 0)
+		p.finish(c, Failed, 0)
 	default:
-		p.end(c, Unknown, 0)
+		p.finish(c, Unknown, 0)
 	}
 }
 
-// mayKeepWanted says whether the gateway that a call waits for may still be sent it, now or once a connection is up.
-func (p *Planner) mayKeepWanted(c *call) bool {
-	g := c.want
-	if g == nil || g.dead || g.hold[c.Class] > p.now {
+// canUsePendingGateway says whether the gateway that a call waits for may still be sent it, now or once a connection is up.
+func (p *Planner) canUsePendingGateway(c *call) bool {
+	g := c.pendingGateway
+	if g == nil || g.ejected || g.rejectedUntil[c.Class] > p.now {
 		return false
 	}
-	return p.coming(g) || p.slot(g) != nil
+	return p.isConnecting(g) || p.connWithCapacity(g) != nil
 }
 
-// holdBack has a call wait until a gateway that refuses its class may be asked again, or ends it if that is too late.
-func (p *Planner) holdBack(c *call, until time.Duration) {
+// waitForRetryAfter has a call wait until a gateway that refuses its class may be asked again, or ends it if that is too late.
+func (p *Planner) waitForRetryAfter(c *call, until time.Duration) {
 	if until == never { // none is alive
 		return
 	}
-	c.refused = max(c.refused, until)
+	c.rejectedUntil = max(c.rejectedUntil, until)
 	if until >= c.Deadline-p.cfg.Way {
-		p.end(c, Refused, 0)
+		p.finish(c, Refused, 0)
 	}
 }
 
-// placeAt sends a call to a gateway, or connects to it if no connection has a place.
-func (p *Planner) placeAt(c *call, g *gateway) {
-	if cn := p.slot(g); cn != nil {
+// sendOrConnect sends a call to a gateway, or connects to it if no connection has a place.
+func (p *Planner) sendOrConnect(c *call, g *gateway) {
+	if cn := p.connWithCapacity(g); cn != nil {
 		p.send(c, cn)
 		return
 	}
-	c.want = g
-	if len(g.conns) < p.cfg.Conns && p.now >= p.mayConnect(g, c) && !p.coming(g) {
+	c.pendingGateway = g
+	if len(g.conns) < p.cfg.Conns && p.now >= p.connectTime(g, c) && !p.isConnecting(g) {
 		p.connect(g)
 	}
 }
 
 // mayRedirect says whether a call whose gateway died may go to another one now: at a part of the usual rate.
 func (p *Planner) mayRedirect(c *call) bool {
-	rate := max(redirected, p.cfg.Redirect*p.lately())
-	p.redirect = min(max(1, rate/10), p.redirect+rate*(p.now-p.redirAt).Seconds())
-	p.redirAt = p.now
-	return p.redirect >= 1 || c.Deadline-p.now < 4*p.cfg.Way
+	rate := max(minRedirectsPerSecond, p.cfg.Redirect*p.recentSendRate())
+	p.redirectTokens = min(max(1, rate/10), p.redirectTokens+rate*(p.now-p.redirectTokensAt).Seconds())
+	p.redirectTokensAt = p.now
+	return p.redirectTokens >= 1 || c.Deadline-p.now < 4*p.cfg.Way
 }
 
-// lately is how many tries a second were sent.
-func (p *Planner) lately() float64 {
-	p.rate *= math.Exp(-float64(p.now-p.rateAt) / float64(rateWindow))
-	p.rateAt = p.now
-	return p.rate
+// recentSendRate is how many tries a second were sent.
+func (p *Planner) recentSendRate() float64 {
+	p.sendRate *= math.Exp(-float64(p.now-p.sendRateAt) / float64(sendRateWindow))
+	p.sendRateAt = p.now
+	return p.sendRate
 }
 
-// pick chooses the better of two gateways drawn among those that may be sent a call: the one with less open for its
+// pickGateway chooses the better of two gateways drawn among those that may be sent a call: the one with less open for its
 // weight. If there is none, until says when one that refuses the class may be asked again.
-func (p *Planner) pick(c *call) (best *gateway, until time.Duration) {
+func (p *Planner) pickGateway(c *call) (best *gateway, until time.Duration) {
 	var can []*gateway
 	until = never
 	for _, g := range p.gateways {
-		if g.dead {
+		if g.ejected {
 			continue
 		}
-		if hold, held := g.hold[c.Class]; held && hold > p.now {
+		if hold, held := g.rejectedUntil[c.Class]; held && hold > p.now {
 			until = min(until, hold)
 			continue
 		}
@@ -629,156 +631,156 @@
 	best = can[p.rng.IntN(len(can))]
 	if len(can) > 1 {
 		other := can[p.rng.IntN(len(can))]
-		if p.load(other) < p.load(best) {
+		if p.weightedLoad(other) < p.weightedLoad(best) {
 			best = other
 		}
 	}
 	return best, until
 }
 
-// load is what is open at a gateway, for its weight: its good share, and its ramp.
-func (p *Planner) load(g *gateway) float64 {
-	ramp := min(1, rampLeast+(1-rampLeast)*float64(p.now-g.since)/float64(max(1, p.cfg.Ramp)))
-	return (float64(g.open) + 1) / (max(goodLeast, g.good) * max(rampLeast, ramp))
+// weightedLoad is what is open at a gateway, for its weight: its good share, and its ramp.
+func (p *Planner) weightedLoad(g *gateway) float64 {
+	ramp := min(1, rampStartShare+(1-rampStartShare)*float64(p.now-g.recoveredAt)/float64(max(1, p.cfg.Ramp)))
+	return (float64(g.inFlight) + 1) / (max(minSuccessRate, g.successRate) * max(rampStartShare, ramp))
 }
 
-// slot is the connection with the least open that has room.
-func (p *Planner) slot(g *gateway) (best *conn) {
+// connWithCapacity is the connection with the least open that has room.
+func (p *Planner) connWithCapacity(g *gateway) (best *conn) {
 	for _, cn := range g.conns {
-		if cn.up && !cn.probing && !cn.limbo && cn.asked == 0 && len(cn.tries) < p.cfg.Open && (best == nil || len(cn.tries) < len(best.tries)) {
+		if cn.up && !cn.checkingHealth && !cn.unresponsive && cn.healthCheckSentAt == 0 && len(cn.attempts) < p.cfg.Open && (best == nil || len(cn.attempts) < len(best.attempts)) {
 			best = cn
 		}
 	}
 	return best
 }
 
-// coming says whether a connection is coming up.
-func (p *Planner) coming(g *gateway) bool {
-	return slices.ContainsFunc(g.conns, func(c *conn) bool { return !c.up || c.probing })
+// isConnecting says whether a connection is coming up.
+func (p *Planner) isConnecting(g *gateway) bool {
+	return slices.ContainsFunc(g.conns, func(c *conn) bool { return !c.up || c.checkingHealth })
 }
 
-// mayConnect is when a gateway may be connected to for a call: after a death at a time that was drawn, or sooner if the
+// connectTime is when a gateway may be connected to for a call: after a death at a time that was drawn, or sooner if the
 // call could not wait so long.
-func (p *Planner) mayConnect(g *gateway, c *call) time.Duration {
-	if slices.ContainsFunc(g.conns, func(c *conn) bool { return !c.limbo }) {
+func (p *Planner) connectTime(g *gateway, c *call) time.Duration {
+	if slices.ContainsFunc(g.conns, func(c *conn) bool { return !c.unresponsive }) {
 		return p.now
 	}
-	if c.from == 0 && g.next > p.now {
-		slack := time.Duration(slackShare * float64(c.Deadline-p.now))
-		if left := g.next - p.now; left > slack && slack > 0 {
-			c.from = p.now + time.Duration(p.rng.Float64()*float64(slack))
+	if c.connectNotBefore == 0 && g.connectNotBefore > p.now {
+		slack := time.Duration(reconnectSlackShare * float64(c.Deadline-p.now))
+		if left := g.connectNotBefore - p.now; left > slack && slack > 0 {
+			c.connectNotBefore = p.now + time.Duration(p.rng.Float64()*float64(slack))
 		}
 	}
-	if c.from > 0 {
-		return min(g.next, c.from)
+	if c.connectNotBefore > 0 {
+		return min(g.connectNotBefore, c.connectNotBefore)
 	}
-	return g.next
+	return g.connectNotBefore
 }
 
 func (p *Planner) connect(g *gateway) {
-	p.serial++
-	cn := &conn{id: p.serial, gateway: g, since: p.now, tries: map[uint64]*try{}, probing: g.dead}
+	p.lastID++
+	cn := &conn{id: p.lastID, gateway: g, startedAt: p.now, attempts: map[uint64]*attempt{}, checkingHealth: g.ejected}
 	g.conns = append(g.conns, cn)
 	p.conns[cn.id] = cn
 	p.Counters.Connects++
-	p.do(Connect{Conn: cn.id, Gateway: g.name})
+	p.emit(Connect{Conn: cn.id, Gateway: g.name})
 }
 
 func (p *Planner) send(c *call, cn *conn) {
-	p.serial++
-	t := &try{id: p.serial, call: c, conn: cn, sent: p.now}
-	cn.tries[t.id] = t
-	cn.gateway.open++
-	if len(cn.tries) == 1 {
-		cn.heard = p.now // silence counts from when work is out
-	}
-	cn.used = p.now
-	c.out = append(c.out, t)
-	c.tries++
-	p.Counters.Tries++
-	if c.tries > 1 {
+	p.lastID++
+	t := &attempt{id: p.lastID, call: c, conn: cn, sentAt: p.now}
+	cn.attempts[t.id] = t
+	cn.gateway.inFlight++
+	if len(cn.attempts) == 1 {
+		cn.lastReceived = p.now // silence counts from when work is out
+	}
+	cn.lastUsed = p.now
+	c.inFlight = append(c.inFlight, t)
+	c.attemptCount++
+	p.Counters.Attempts++
+	if c.attemptCount > 1 {
 		p.Counters.Retries++
 	}
-	if c.moved {
-		c.moved = false
-		p.redirect--
+	if c.redirecting {
+		c.redirecting = false
+		p.redirectTokens--
 		p.Counters.Redirected++
 	}
-	c.from, c.want = 0, nil
-	p.rate = p.lately() + 1/rateWindow.Seconds()
+	c.connectNotBefore, c.pendingGateway = 0, nil
+	p.sendRate = p.recentSendRate() + 1/sendRateWindow.Seconds()
 	p.waiting = slices.DeleteFunc(p.waiting, func(o *call) bool { return o == c })
-	p.do(Send{Conn: cn.id, Try: t.id, Call: c.ID, Limit: c.Deadline - p.now - p.cfg.Way, Second: c.tries > 1,
-		Key: c.class.Effect == Keyed})
+	p.emit(Send{Conn: cn.id, Attempt: t.id, Call: c.ID, Limit: c.Deadline - p.now - p.cfg.Way, Retry: c.attemptCount > 1,
+		SendKey: c.class.Effect == IdempotentWithKey})
 }
 
 // Wake is when a Timer event is wanted; false: not before something else happens.
 func (p *Planner) Wake() (at time.Duration, ok bool) {
 	at = never
 	soon := func(t time.Duration) { at = min(at, t) }
-	if len(p.due) > 0 {
-		soon(p.due[0].Deadline)
+	if len(p.byDeadline) > 0 {
+		soon(p.byDeadline[0].Deadline)
 	}
 	for _, c := range p.waiting {
 		soon(c.Deadline - p.cfg.Way)
-		if c.moved {
-			soon(p.now + time.Second/redirected/4)
+		if c.redirecting {
+			soon(p.now + time.Second/minRedirectsPerSecond/4)
 		}
-		if c.from > p.now {
-			soon(c.from)
+		if c.connectNotBefore > p.now {
+			soon(c.connectNotBefore)
 		}
 	}
 	for _, g := range p.gateways {
 		if len(p.waiting) > 0 {
-			for _, until := range g.hold {
+			for _, until := range g.rejectedUntil {
 				soon(until)
 			}
-			if g.next > p.now {
-				soon(g.next)
+			if g.connectNotBefore > p.now {
+				soon(g.connectNotBefore)
 			}
 		}
-		if g.dead && !p.coming(g) && p.wanted() {
-			soon(g.probe)
+		if g.ejected && !p.isConnecting(g) && p.hasCalls() {
+			soon(g.healthCheckAt)
 		}
 		for _, cn := range g.conns {
 			switch {
 			case !cn.up:
-				soon(cn.since + p.cfg.Connect)
-			case cn.limbo:
-			case cn.asked > 0:
-				soon(cn.asked + p.cfg.Silence)
-			case len(cn.tries) > 0:
-				soon(max(cn.heard, cn.used) + p.cfg.Silence)
+				soon(cn.startedAt + p.cfg.Connect)
+			case cn.unresponsive:
+			case cn.healthCheckSentAt > 0:
+				soon(cn.healthCheckSentAt + p.cfg.Silence)
+			case len(cn.attempts) > 0:
+				soon(max(cn.lastReceived, cn.lastUsed) + p.cfg.Silence)
 			default:
-				soon(cn.used + p.cfg.Idle)
+				soon(cn.lastUsed + p.cfg.Idle)
 			}
 		}
 	}
 	return max(at, p.now), at != never
 }
 
-// deadlines is a heap of calls.
-type deadlines []*call
+// deadlineHeap is a heap of calls.
+type deadlineHeap []*call
 
-func (h deadlines) Len() int { return len(h) }
-func (h deadlines) Less(i, j int) bool {
+func (h deadlineHeap) Len() int { return len(h) }
+func (h deadlineHeap) Less(i, j int) bool {
 	if h[i].Deadline != h[j].Deadline {
 		return h[i].Deadline < h[j].Deadline
 	}
 	return h[i].order < h[j].order
 }
-func (h deadlines) Swap(i, j int) {
+func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
-func (h *deadlines) Push(x any) {
+func (h *deadlineHeap) Push(x any) {
 	c := x.(*call)
-	c.index = len(*h)
+	c.heapIndex = len(*h)
 	*h = append(*h, c)
 }
-func (h *deadlines) Pop() any {
+func (h *deadlineHeap) Pop() any {
 	old := *h
 	c := old[len(old)-1]
-	c.index = -1
+	c.heapIndex = -1
 	*h = old[:len(old)-1]
 	return c
 }
@@ -786,7 +788,7 @@
 // CallOf is the call that a try belongs to, if it is out.
 func (p *Planner) CallOf(conn, id uint64) (uint64, bool) {
 	if cn := p.conns[conn]; cn != nil {
-		if t := cn.tries[id]; t != nil {
+		if t := cn.attempts[id]; t != nil {
 			return t.call.ID, true
 		}
 	}
@@ -796,7 +798,7 @@
 // Alive says how many gateways are in use.
 func (p *Planner) Alive() (n int) {
 	for _, g := range p.gateways {
-		n += btoi(!g.dead)
+		n += btoi(!g.ejected)
 	}
 	return n
 }
--- a/client/plan/planner_test.go
+++ b/client/plan/planner_test.go
@@ -15,8 +15,8 @@
 const ms = time.Millisecond
 
 func config() Config {
-	return Config{Gateways: []string{"a", "b", "c"}, Classes: []Class{{Name: "safe", Worth: 2}, {Name: "keyed", Effect: Keyed,
-		Window: 3 * time.Second, Worth: 3}, {Name: "unsafe", Effect: Unsafe, Worth: 1}}}
+	return Config{Gateways: []string{"a", "b", "c"}, Classes: []Class{{Name: "safe", Worth: 2}, {Name: "keyed", Effect: IdempotentWithKey,
+		Window: 3 * time.Second, Worth: 3}, {Name: "unsafe", Effect: NonIdempotent, Worth: 1}}}
 }
 
 // world plays gateways and network against a planner, and checks what it does.
@@ -86,7 +86,7 @@
 			w.sent(a)
 		case Abandon:
 			if c := w.conns[a.Conn]; c != nil {
-				delete(c.tries, a.Try)
+				delete(c.tries, a.Attempt)
 			}
 		case End:
 			c := w.calls[a.Call]
@@ -114,23 +114,23 @@
 		w.t.Fatalf("sent on a connection that is not up")
 	case len(cn.tries) >= DefaultOpen:
 		w.t.Fatalf("%d requests are open", len(cn.tries))
-	case a.Try <= w.last[a.Conn]:
+	case a.Attempt <= w.last[a.Conn]:
 		w.t.Fatalf("ids do not rise")
-	case a.Second != (c.tries > 0):
-		w.t.Fatalf("try %d is marked %v", c.tries+1, a.Second)
+	case a.Retry != (c.tries > 0):
+		w.t.Fatalf("try %d is marked %v", c.tries+1, a.Retry)
 	case a.Limit <= 0 || w.now+a.Limit > c.Deadline:
 		w.t.Fatalf("limit %v with %v left", a.Limit, c.Deadline-w.now)
-	case c.ran && k.Effect == Unsafe:
+	case c.ran && k.Effect == NonIdempotent:
 		w.t.Fatalf("an unsafe call is sent again")
-	case c.ran && k.Effect == Keyed && w.now >= c.first+k.Window:
+	case c.ran && k.Effect == IdempotentWithKey && w.now >= c.first+k.Window:
 		w.t.Fatalf("a keyed call is sent again after %v", w.now-c.first)
 	case w.now < w.held[cn.gateway+" "+c.Class]:
 		w.t.Fatalf("sent %v before the gateway is to be asked again", w.held[cn.gateway+" "+c.Class]-w.now)
-	case a.Key != (k.Effect == Keyed):
-		w.t.Fatalf("key %v for a call of effect %v", a.Key, k.Effect)
+	case a.SendKey != (k.Effect == IdempotentWithKey):
+		w.t.Fatalf("key %v for a call of effect %v", a.SendKey, k.Effect)
 	}
-	w.last[a.Conn] = a.Try
-	cn.tries[a.Try] = a
+	w.last[a.Conn] = a.Attempt
+	cn.tries[a.Attempt] = a
 	c.tries++
 	w.sends = append(w.sends, a)
 }
@@ -148,7 +148,7 @@
 			}
 		}
 	}
-	w.do(Answered{Conn: conn, Try: try, OK: ok, Backoff: backoff, Later: later})
+	w.do(Answered{Conn: conn, Attempt: try, OK: ok, Rejected: backoff, RetryAfter: later})
 }
 
 func (w *world) ran(s Send) {
@@ -204,7 +204,7 @@
 				t.Fatalf("call %d never ends", id)
 			}
 		}
-		if w.p.due.Len()+len(w.p.conns)+len(w.p.calls)+len(w.p.waiting) > 0 {
+		if w.p.byDeadline.Len()+len(w.p.conns)+len(w.p.calls)+len(w.p.waiting) > 0 {
 			t.Fatalf("something is left")
 		}
 	})
@@ -242,13 +242,13 @@
 	case step == 9:
 		w.lose(conn, rapid.Bool().Draw(t, "clean"))
 	case step == 8:
-		w.do(Heard{Conn: conn, Alive: rapid.Bool().Draw(t, "alive")})
+		w.do(Heard{Conn: conn, Healthy: rapid.Bool().Draw(t, "alive")})
 	case len(tries) > 0:
 		try := rapid.SampledFrom(tries).Draw(t, "try")
 		kind := rapid.IntRange(0, 3).Draw(t, "answer")
 		w.answer(conn, try, kind <= 1, kind == 2, time.Duration(rapid.IntRange(0, 2000).Draw(t, "later"))*ms)
 	default:
-		w.do(Answered{Conn: conn, Try: 999999, OK: true}) // never asked
+		w.do(Answered{Conn: conn, Attempt: 999999, OK: true}) // never asked
 		if latest > 0 {
 			w.do(Cancelled{ID: latest})
 			w.calls[latest].ended = true
@@ -289,10 +289,10 @@
 		n++
 		w.do(Call{ID: n, Class: "safe", Deadline: w.now + 2*time.Second})
 		for _, s := range w.open() {
-			w.answer(s.Conn, s.Try, false, true, 500*ms)
+			w.answer(s.Conn, s.Attempt, false, true, 500*ms)
 		}
 	})
-	if tries := w.p.Counters.Tries; float64(tries) > 1.1*float64(n) {
+	if tries := w.p.Counters.Attempts; float64(tries) > 1.1*float64(n) {
 		t.Errorf("%d tries for %d calls", tries, n)
 	}
 	for id, c := range w.calls {
@@ -308,14 +308,14 @@
 	w.do(Call{ID: 1, Class: "safe", Deadline: 10 * time.Second})
 	w.run(4*time.Second, nil) // the first gateway is silent, and is left
 	open := w.open()
-	if len(open) != 2 || !open[1].Second {
+	if len(open) != 2 || !open[1].Retry {
 		t.Fatalf("%d tries are out: %+v", len(open), open)
 	}
-	w.answer(open[0].Conn, open[0].Try, false, true, time.Second)
-	if w.calls[1].ended || len(w.open()) != 1 || w.p.Counters.Held != 1 {
-		t.Fatalf("ended %v, %d out, %d held", w.calls[1].ended, len(w.open()), w.p.Counters.Held)
+	w.answer(open[0].Conn, open[0].Attempt, false, true, time.Second)
+	if w.calls[1].ended || len(w.open()) != 1 || w.p.Counters.RejectionsHeeded != 1 {
+		t.Fatalf("ended %v, %d out, %d held", w.calls[1].ended, len(w.open()), w.p.Counters.RejectionsHeeded)
 	}
-	w.answer(open[1].Conn, open[1].Try, true, false, 0)
+	w.answer(open[1].Conn, open[1].Attempt, true, false, 0)
 	if c := w.calls[1]; !c.ended || c.ending != Served {
 		t.Errorf("%v", c.ending)
 	}
@@ -330,7 +330,7 @@
 		w.lose(w.open()[0].Conn, false)
 		w.run(5*time.Second, func() {
 			for _, s := range w.open() {
-				w.answer(s.Conn, s.Try, true, false, 0)
+				w.answer(s.Conn, s.Attempt, true, false, 0)
 			}
 		})
 		if c := w.calls[1]; !c.ended || c.ending != want {
@@ -362,7 +362,7 @@
 		w.lose(w.open()[0].Conn, false)
 		w.run(5*time.Second, func() {
 			for _, s := range w.open() {
-				w.answer(s.Conn, s.Try, true, false, 0)
+				w.answer(s.Conn, s.Attempt, true, false, 0)
 			}
 		})
 		for _, c := range w.connects[before:] {
@@ -432,7 +432,7 @@
 		w.connect(func(cn *wconn) bool { return down[cn.gateway] }, nil)
 		if w.now > time.Second { // nobody answers before
 			for _, s := range w.open() {
-				w.answer(s.Conn, s.Try, true, false, 0)
+				w.answer(s.Conn, s.Attempt, true, false, 0)
 			}
 		}
 	}
@@ -446,20 +446,20 @@
 	probes := 0
 	for w.now < 6*time.Second {
 		w.now += ms
-		before := w.p.Counters.Probes
+		before := w.p.Counters.HealthChecks
 		w.do(Timer{})
 		for _, id := range w.ids() {
 			if cn := w.conns[id]; !cn.up {
 				cn.up = true
 				w.do(Up{Conn: id})
-			} else if w.p.Counters.Probes > before {
+			} else if w.p.Counters.HealthChecks > before {
 				probes++
-				w.do(Heard{Conn: id, Alive: true})
+				w.do(Heard{Conn: id, Healthy: true})
 			}
 		}
 	}
-	if c := w.calls[1]; !c.ended || c.ending != Expired || probes < 3 || w.p.Counters.Deaths != 0 {
-		t.Errorf("ended %v as %v, %d probes, %d deaths", c.ended, c.ending, probes, w.p.Counters.Deaths)
+	if c := w.calls[1]; !c.ended || c.ending != Expired || probes < 3 || w.p.Counters.Ejections != 0 {
+		t.Errorf("ended %v as %v, %d probes, %d deaths", c.ended, c.ending, probes, w.p.Counters.Ejections)
 	}
 }
 
@@ -480,14 +480,14 @@
 			if cn := w.conns[id]; !cn.up {
 				cn.up = true
 				w.do(Up{Conn: id})
-				w.do(Heard{Conn: id, Alive: ready})
+				w.do(Heard{Conn: id, Healthy: ready})
 			}
 		}
 		if !ready && len(w.open()) > 0 {
 			t.Fatal("sent to one that does not serve yet")
 		}
 		for _, s := range w.open() {
-			w.answer(s.Conn, s.Try, true, false, 0)
+			w.answer(s.Conn, s.Attempt, true, false, 0)
 		}
 	}
 	if c := w.calls[1]; !c.ended || c.ending != Served {
@@ -508,11 +508,11 @@
 			for end := w.now + 100*ms; w.now < end; w.now += 10 * ms {
 				w.do(Timer{})
 				w.connect(func(cn *wconn) bool { return !cn.up && w.now < 10*time.Second }, func(c uint64) {
-					w.do(Heard{Conn: c, Alive: true})
+					w.do(Heard{Conn: c, Healthy: true})
 				})
 				for _, s := range w.open() {
 					tries[w.now/(100*ms)]++
-					w.answer(s.Conn, s.Try, true, false, 0)
+					w.answer(s.Conn, s.Attempt, true, false, 0)
 				}
 			}
 		}
@@ -574,13 +574,13 @@
 // stuck tells what asks to be woken at a time that has passed.
 func (p *Planner) stuck(at time.Duration) (all []string) {
 	for _, c := range p.waiting {
-		all = append(all, fmt.Sprintf("call %d: deadline %v from %v moved %v tries %d out %d", c.ID, c.Deadline, c.from, c.moved, c.tries, len(c.out)))
+		all = append(all, fmt.Sprintf("call %d: deadline %v from %v moved %v tries %d out %d", c.ID, c.Deadline, c.connectNotBefore, c.redirecting, c.attemptCount, len(c.inFlight)))
 	}
 	for _, g := range p.gateways {
-		all = append(all, fmt.Sprintf("%s: dead %v probe %v next %v hold %v", g.name, g.dead, g.probe, g.next, g.hold))
+		all = append(all, fmt.Sprintf("%s: dead %v probe %v next %v hold %v", g.name, g.ejected, g.healthCheckAt, g.connectNotBefore, g.rejectedUntil))
 		for _, cn := range g.conns {
-			all = append(all, fmt.Sprintf("conn %d: up %v since %v asked %v used %v heard %v tries %d probing %v limbo %v", cn.id, cn.up, cn.since,
-				cn.asked, cn.used, cn.heard, len(cn.tries), cn.probing, cn.limbo))
+			all = append(all, fmt.Sprintf("conn %d: up %v since %v asked %v used %v heard %v tries %d probing %v limbo %v", cn.id, cn.up, cn.startedAt,
+				cn.healthCheckSentAt, cn.lastUsed, cn.lastReceived, len(cn.attempts), cn.checkingHealth, cn.unresponsive))
 		}
 	}
 	return append(all, fmt.Sprint(at))
--- a/lab/clientsim/clientsim.go
+++ b/lab/clientsim/clientsim.go
@@ -281,14 +281,14 @@
 	case plan.Send:
 		if l := c.links[a.Conn]; l != nil {
 			c.s.ask(l, func(ok bool, later time.Duration) {
-				c.step(plan.Answered{Conn: a.Conn, Try: a.Try, OK: ok, Backoff: !ok, Later: later})
+				c.step(plan.Answered{Conn: a.Conn, Attempt: a.Attempt, OK: ok, Rejected: !ok, RetryAfter: later})
 			})
 		}
-	case plan.Probe:
+	case plan.HealthCheck:
 		if l := c.links[a.Conn]; l != nil {
 			c.s.clock.At(c.s.clock.Now+2*way, func() {
 				if l.gateway.up && l.epoch == l.gateway.epoch {
-					c.step(plan.Heard{Conn: a.Conn, Alive: true})
+					c.step(plan.Heard{Conn: a.Conn, Healthy: true})
 				}
 			})
 		}
