--- a/client/plan/plan.go
+++ b/client/plan/plan.go
@@ -9,7 +9,6 @@
 	"cmp"
 	"errors"
 	"fmt"
-	"math/rand/v2"
 	"time"
 )
 
@@ -49,8 +48,6 @@
 	DefaultProbeLongest = 30 * time.Second
 	DefaultRamp         = 10 * time.Second
 	DefaultRedirect     = 0.25
-	crossedCloseWindow  = 50 * time.Millisecond
-	initialRetryBudget  = 2
 )
 
 // Config is what a planner goes by. The zero value of a field is its default.
@@ -257,19 +254,3 @@
 	}
 	return all
 }
-
-// New returns a planner. All that it draws comes from rng.
-func New(cfg Config, rng *rand.Rand) (*Planner, error) {
-	if err := cfg.Check(); err != nil {
-		return nil, err
-	}
-	p := &Planner{cfg: cfg, rng: rng, classes: map[string]*Class{}, calls: map[uint64]*call{}, conns: map[uint64]*conn{},
-		retryBudget: min(initialRetryBudget, cfg.BudgetMost)}
-	for i := range cfg.Classes {
-		p.classes[cfg.Classes[i].Name] = &cfg.Classes[i]
-	}
-	for _, name := range cfg.Gateways {
-		p.gateways = append(p.gateways, &gateway{name: name, successRate: 1, rejectedUntil: map[string]time.Duration{}, recoveredAt: -cfg.Ramp})
-	}
-	return p, nil
-}
