--- a/client/plan/plan.go
+++ b/client/plan/plan.go
@@ -1,16 +1,22 @@
-// Package plan decides for a client of several gateways: which gateway a request goes to, when to connect, whether to try
-// again and how marked, and when to stop. It does no I/O, reads no clock and draws from the source it is given: the
-// library, its tests and the model of a population drive it alike.
+// Package plan decides for a client of several gateways: which gateway a call is sent to, when to connect, whether to
+// retry, and when to give up. It does no I/O, reads no clock, starts no goroutine and draws only from the source that it
+// is given, so that the same events give the same actions. Package client drives it on real connections, under a lock.
 //
-// Times are on one clock that runs forward from any beginning.
+// A driver hands each [Event] to [Planner.Handle], carries out the actions in their order, and hands in a [Timer]
+// event at the time that [Planner.Wake] returns. Times are spans on one clock that runs forward from any beginning.
+//
+// A call has one or more attempts and one [Ending]. The rules stand in these files:
+//
+//   - deadline.go: when a call is given up;
+//   - dispatch.go, gateway.go: which waiting call is sent first, and to which gateway;
+//   - retry.go: what may be sent again, and the retry budget;
+//   - health.go: when a gateway is ejected, and when it returns;
+//   - conn.go: when to connect, and how reconnects are spread;
+//   - result.go: what an answer changes;
+//   - timer.go: what is due, and when.
 package plan
 
-import (
-	"cmp"
-	"errors"
-	"fmt"
-	"time"
-)
+import "time"
 
 // Effect says what repeating a request of a class may do.
 type Effect int
@@ -18,110 +24,17 @@
 // The effects of a class.
 const (
 	Idempotent        Effect = iota // may be repeated freely
-	IdempotentWithKey               // a repeat with the same key is dropped for a while
+	IdempotentWithKey               // a repeat with the same key is dropped during the class's window
 	NonIdempotent                   // must not run twice
 )
 
-// Class is what the planner needs to know of a class.
+// Class is what the planner needs to know of a class of requests.
 type Class struct {
 	Name     string
 	Effect   Effect
-	Window   time.Duration // keyed: for how long after a try has been sent a repeat is dropped
-	Worth    float64       // of what waits, the most worth goes first
-	Deadline time.Duration // no call waits longer; 0: as long as its own deadline says
-}
-
-// Defaults for what a Config leaves out.
-const (
-	DefaultRetries      = 2
-	DefaultBudget       = 0.1
-	DefaultBudgetMost   = 10
-	DefaultOpen         = 32
-	DefaultConns        = 4
-	DefaultWay          = 10 * time.Millisecond
-	DefaultIdle         = 3 * time.Second // the gateway's front closes after 10, and its clients after 4
-	DefaultSpread       = 2 * time.Second
-	DefaultSpreadRate   = 500
-	DefaultConnect      = time.Second
-	DefaultSilence      = time.Second
-	DefaultProbeFirst   = time.Second
-	DefaultProbeLongest = 30 * time.Second
-	DefaultRamp         = 10 * time.Second
-	DefaultRedirect     = 0.25
-)
-
-// Config is what a planner goes by. The zero value of a field is its default.
-type Config struct {
-	Gateways []string
-	Classes  []Class
-
-	Retries    int     // tries of a call beyond its first; negative: none
-	Budget     float64 // retries earned by a success, over all calls
-	BudgetMost float64 // that may be saved up; two of them are there at the start: many clients that just began must not add up
-
-	Open    int           // requests open on a connection
-	Conns   int           // connections to a gateway
-	Way     time.Duration // what a request and its answer take on the way; nothing is sent that has less left
-	Idle    time.Duration // a connection without work is closed after so long
-	Connect time.Duration // a connection that is not up by then has failed
-	Silence time.Duration // with work out and no byte for so long a connection is asked for a sign of life; as long again, and it has died
-
-	Spread     time.Duration // reconnects after a death are spread over this at least,
-	Clients    int           // and over more where a gateway has so many clients
-	SpreadRate float64       // that more than so many would come a second
-	Redirect   float64       // what a dead gateway leaves goes to living ones at this share of the usual rate,
-
-	ProbeFirst, ProbeLongest time.Duration // waits between tries of a dead gateway, doubling
-	Ramp                     time.Duration // a new or returned gateway takes its full share after so long
-}
-
-// Check fills in defaults, or names the first field that can't be worked with.
-func (c *Config) Check() error {
-	if len(c.Gateways) == 0 {
-		return errors.New("client: Gateways is empty")
-	}
-	seen := map[string]bool{}
-	for i, g := range c.Gateways {
-		if g == "" || seen[g] {
-			return fmt.Errorf("client: Gateways[%d]: %q is empty or stands twice", i, g)
-		}
-		seen[g] = true
-	}
-	if len(c.Classes) == 0 {
-		return errors.New("client: Classes is empty")
-	}
-	names := map[string]bool{}
-	for i, k := range c.Classes {
-		switch {
-		case k.Name == "" || names[k.Name]:
-			return fmt.Errorf("client: Classes[%d].Name: %q is empty or stands twice", i, k.Name)
-		case k.Effect < Idempotent || k.Effect > NonIdempotent:
-			return fmt.Errorf("client: Classes[%d].Effect: %d", i, k.Effect)
-		case k.Window < 0 || k.Deadline < 0:
-			return fmt.Errorf("client: Classes[%d]: a span is negative", i)
-		}
-		names[k.Name] = true
-	}
-	for _, f := range []struct {
-		name string
-		bad  bool
-	}{{"Budget", !(c.Budget >= 0)}, {"BudgetMost", !(c.BudgetMost >= 0)}, {"Open", c.Open < 0}, {"Conns", c.Conns < 0},
-		{"Way", c.Way < 0}, {"Idle", c.Idle < 0}, {"Connect", c.Connect < 0}, {"Silence", c.Silence < 0},
-		{"Spread", c.Spread < 0}, {"Clients", c.Clients < 0}, {"SpreadRate", !(c.SpreadRate >= 0)},
-		{"Redirect", !(c.Redirect >= 0)}, {"ProbeFirst", c.ProbeFirst < 0}, {"ProbeLongest", c.ProbeLongest < 0},
-		{"Ramp", c.Ramp < 0}} {
-		if f.bad {
-			return fmt.Errorf("client: %s is negative", f.name)
-		}
-	}
-	c.Retries = cmp.Or(c.Retries, DefaultRetries)
-	c.Budget, c.BudgetMost = cmp.Or(c.Budget, DefaultBudget), cmp.Or(c.BudgetMost, DefaultBudgetMost)
-	c.Open, c.Conns, c.Way = cmp.Or(c.Open, DefaultOpen), cmp.Or(c.Conns, DefaultConns), cmp.Or(c.Way, DefaultWay)
-	c.Idle, c.Connect, c.Silence = cmp.Or(c.Idle, DefaultIdle), cmp.Or(c.Connect, DefaultConnect), cmp.Or(c.Silence, DefaultSilence)
-	c.Spread, c.SpreadRate = cmp.Or(c.Spread, DefaultSpread), cmp.Or(c.SpreadRate, DefaultSpreadRate)
-	c.Redirect, c.Ramp = cmp.Or(c.Redirect, DefaultRedirect), cmp.Or(c.Ramp, DefaultRamp)
-	c.ProbeFirst, c.ProbeLongest = cmp.Or(c.ProbeFirst, DefaultProbeFirst), cmp.Or(c.ProbeLongest, DefaultProbeLongest)
-	return nil
+	Window   time.Duration // of IdempotentWithKey: for how long after an attempt has been sent a repeat is dropped
+	Worth    float64       // priority weight: of the calls that wait, the highest is sent first
+	Deadline time.Duration // no call takes longer; 0: as long as its own deadline says
 }
 
 // Ending is how a call ended.
@@ -130,7 +43,7 @@
 // The endings of a call.
 const (
 	Served  Ending = iota // with an answer
-	Refused               // nothing ran; come back later
+	Refused               // rejected: nothing ran; come back later
 	Failed                // the gateway said so, and it may have run
 	Unknown               // it may have run, and nobody can say
 	Expired               // there was no time left
@@ -138,7 +51,7 @@
 	Closed                // the client was closed
 )
 
-// String names an ending, as counters do.
+// String is an ending's name in counters, metrics and traces.
 func (e Ending) String() string {
 	return [...]string{"served", "refused", "failed", "unknown", "expired", "unsent", "closed"}[e]
 }
@@ -146,39 +59,39 @@
 // Event is anything that reaches a planner.
 type Event interface{ event() }
 
-// Call asks for one ending, by a time.
+// Call asks for one ending, by a deadline on the planner's clock. ID must be new among the open calls.
 type Call struct {
 	ID       uint64
 	Class    string
 	Deadline time.Duration
 }
 
-// Cancelled says that nobody waits for a call any more.
+// Cancelled says that nobody waits for a call any more. No End follows.
 type Cancelled struct{ ID uint64 }
 
 // Up says that a connection came up.
 type Up struct{ Conn uint64 }
 
-// Down says that a connection did not come up or has ended. Clean: the other side closed it in order.
+// Down says that a connection did not come up or has ended.
 type Down struct {
 	Conn  uint64
-	Clean bool
+	Clean bool // the gateway closed it in order
 }
 
-// Heard says that something came on a connection that is no answer to a try, such as the answer to a probe.
+// Heard says that something came on a connection that is no answer to an attempt, such as the answer to a health check.
 type Heard struct {
 	Conn    uint64
-	Healthy bool // it answers a probe with yes
+	Healthy bool // it answers a health check with yes
 }
 
-// Answered is the answer to a try. Backoff: refused, with Later; neither that nor OK: failed.
+// Answered is the answer to an attempt: served if OK, else rejected if Rejected, else failed.
 type Answered struct {
 	Conn, Attempt uint64
 	OK, Rejected  bool
-	RetryAfter    time.Duration
+	RetryAfter    time.Duration // of a rejection; 0: none was given
 }
 
-// Timer says that the time told by [Planner.Wake] has come. It does no harm at other times.
+// Timer says that the time given by [Planner.Wake] has come. It does no harm at other times.
 type Timer struct{}
 
 // Close ends all calls and connections.
@@ -202,30 +115,30 @@
 	Gateway string
 }
 
-// Send sends a try of a call. Try is new with each and rises on a connection; Second marks all but the first.
+// Send sends an attempt of a call. Attempt ids are new with each and rise on a connection.
 type Send struct {
 	Conn, Attempt, Call uint64
-	Limit               time.Duration
-	Retry               bool
-	SendKey             bool // the class has keys: the call's own is sent with every try
+	Limit               time.Duration // the time that the gateway has for it
+	Retry               bool          // it is not the call's first attempt
+	SendKey             bool          // the call's idempotency key is sent with it
 }
 
-// Abandon says that no answer to a try is wanted any more.
+// Abandon says that no answer to an attempt is wanted any more.
 type Abandon struct{ Conn, Attempt uint64 }
 
-// HealthCheck asks a connection for a sign of life.
+// HealthCheck asks a connection whether its gateway serves; Heard follows if it answers.
 type HealthCheck struct{ Conn uint64 }
 
 // Hangup closes a connection; no Down follows.
 type Hangup struct{ Conn uint64 }
 
-// End ends a call. Try is the one that was answered, if one was.
+// End ends a call.
 type End struct {
 	Call       uint64
 	Ending     Ending
-	Attempt    uint64
+	Attempt    uint64        // the attempt that was answered; 0: none was
 	RetryAfter time.Duration // of Refused: when to come back
-	Attempts   int
+	Attempts   int           // how many were sent
 }
 
 func (Connect) action()     {}
@@ -234,23 +147,3 @@
 func (HealthCheck) action() {}
 func (Hangup) action()      {}
 func (End) action()         {}
-
-// Counters count decisions.
-type Counters struct {
-	Calls, Attempts, Retries, Crossed                                                   uint64
-	Ended                                                                               [Closed + 1]uint64
-	BudgetSpent, NoTime, NotRepeatable, AttemptsUsedUp                                  uint64 // retries not made, by reason
-	Connects, Ejections, HealthChecks, RejectionsHeeded, Late, Redirected, Unresponsive uint64
-}
-
-// All returns the counters by name.
-func (c *Counters) All() map[string]uint64 {
-	all := map[string]uint64{"calls": c.Calls, "tries": c.Attempts, "retries": c.Retries, "crossed": c.Crossed,
-		"retry_no_budget": c.BudgetSpent, "retry_no_time": c.NoTime, "retry_not_allowed": c.NotRepeatable, "retry_used_up": c.AttemptsUsedUp,
-		"connects": c.Connects, "deaths": c.Ejections, "probes": c.HealthChecks, "held_by_refusal": c.RejectionsHeeded, "late_answers": c.Late,
-		"redirected": c.Redirected, "hung_up": c.Unresponsive}
-	for i, n := range c.Ended {
-		all["ended_"+Ending(i).String()] = n
-	}
-	return all
-}
