--- a/cluster/coordinator.go
+++ b/cluster/coordinator.go
@@ -31,7 +31,7 @@
 	epoch uint64
 }
 
-// isCoordinator reports whether this voter is the first of those that were heard lately. Two that both think so do no harm: each
+// isCoordinator reports whether this voter is the first of those that have sent something lately. Two that both think so do no harm: each
 // step is checked against the agreed state when it is applied.
 func (n *Node) isCoordinator() bool {
 	for _, v := range n.cfg.Voters {
--- a/cluster/explore_test.go
+++ b/cluster/explore_test.go
@@ -58,13 +58,13 @@
 }
 
 // isolate severs the links to a node, from it, or both.
-func (w *simulation) isolate(name string, hears, says bool, long time.Duration) {
+func (w *simulation) isolate(name string, receiving, sending bool, long time.Duration) {
 	var all [][2]string
 	for _, n := range w.names {
-		if n != name && hears {
+		if n != name && receiving {
 			all = append(all, [2]string{n, name})
 		}
-		if n != name && says {
+		if n != name && sending {
 			all = append(all, [2]string{name, n})
 		}
 	}
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -58,13 +58,13 @@
 	chosen         *maintenance.State // decoded state of chosenRevision
 	chosenRevision uint64
 	pending        map[string]pendingRequest // by the ID under which the voter here was asked
-	relayed        map[uint64]pendingRequest // handed on to a voter elsewhere, by ID
+	relayed        map[uint64]pendingRequest // sent on to a voter elsewhere, by ID
 	auditedLines   map[uint64]int            // by request: lines of its history that were emitted
 
 	// The coordinator (coordinator.go).
 	ownReport    Report
 	reports      map[string]receivedReport
-	lastReceived map[string]time.Duration   // when each member was heard last
+	lastReceived map[string]time.Duration   // from each member
 	stageSince   map[stageKey]time.Duration // since when this node has seen requests at their stages
 	nextAdvance  time.Duration
 }
--- a/cluster/node_test.go
+++ b/cluster/node_test.go
@@ -101,11 +101,11 @@
 	n := nonVoter(t, true, nil)
 	n.Handle(1100*time.Millisecond, viewReply(leaseRequest(t, n, second), 4, encodedState(3, map[string]maintenance.Stage{"m1": maintenance.Granted})), nil)
 	if q := leaseRequest(t, n, 1600*time.Millisecond); q.NotifiedEpoch != 0 {
-		t.Errorf("it says that it has heard of %d, which is not stored yet", q.NotifiedEpoch)
+		t.Errorf("it reports to know of epoch %d, which is not stored yet", q.NotifiedEpoch)
 	}
 	n.Handle(1700*time.Millisecond, ViewStored{4}, nil)
 	if q := leaseRequest(t, n, 2300*time.Millisecond); q.NotifiedEpoch != 3 {
-		t.Errorf("it says that it has heard of %d", q.NotifiedEpoch)
+		t.Errorf("it reports to know of epoch %d", q.NotifiedEpoch)
 	}
 	again := nonVoter(t, true, encodedState(3, map[string]maintenance.Stage{"m1": maintenance.Granted}))
 	if again.MaySend(second, "m1") || !again.MaySend(second, "m2") {
--- a/consensus/explore_test.go
+++ b/consensus/explore_test.go
@@ -515,7 +515,7 @@
 			}
 		}
 	}
-	between("b", "c") // a hears nothing of it
+	between("b", "c") // a receives nothing
 	if !w.acknowledged["x1"] {
 		t.Fatal("b and c are a majority, and did not agree")
 	}
@@ -577,11 +577,11 @@
 }
 
 // A voter is killed before the vote for a ballot of its own lasts, which it has sent: b has accepted a value under it. Having started
-// anew it must not use that ballot for another value, or there are two of one ballot, and the one that was agreed on is lost.
+// again it must not use that ballot for another value, or there are two of one ballot, and the one that was agreed on is lost.
 func TestABallotIsNeverUsedTwice(t *testing.T) {
 	w := bootstrapped(budget{}, true)
 	w.handle("a", Propose{"x1", []byte("x1")}) // under the promises that were given to it: to all, before its own vote lasts
-	for i := 0; i < len(w.inFlight); {         // b accepts it; c never hears of it
+	for i := 0; i < len(w.inFlight); {         // b accepts it; c never receives it
 		f := w.inFlight[i]
 		w.inFlight = slices.Delete(w.inFlight, i, i+1)
 		if f.to == "b" {
@@ -610,7 +610,7 @@
 	w := newCluster(budget{}, false)
 	w.handle("c", Propose{"x0", []byte("x0")})
 	w.settle()
-	between := func(only string) { // who hears what goes on
+	between := func(only string) { // only these exchange messages
 		for i := 0; i < len(w.inFlight); {
 			f := w.inFlight[i]
 			w.inFlight = slices.Delete(w.inFlight, i, i+1)
@@ -623,7 +623,7 @@
 	w.handle("c", Propose{"x1", []byte("x1")})
 	between("bc") // a does not know how far c is
 	w.handle("c", Propose{"x2", []byte("x2")})
-	between("c") // nobody hears it
+	between("c") // nobody receives it
 	w.handle("a", Propose{"y1", []byte("y1")})
 	between("ab")
 	for range 5 { // what was crossed is tried again
--- a/consensus/membership.go
+++ b/consensus/membership.go
@@ -47,8 +47,8 @@
 	v.sendPrepare(incarnations)
 }
 
-// noteUninitialized takes in that a voter has no state: a new incarnation has to be admitted, and one that is admitted but has not
-// heard of it has to learn the value.
+// noteUninitialized takes in that a voter has no state: a new incarnation has to be admitted, and one that is admitted and does not
+// know it has to learn the value.
 func (v *Voter) noteUninitialized(from string, incarnation uint64) {
 	if v.chosen.Revision == 0 {
 		return
--- a/internal/net/clustertransport/transport_test.go
+++ b/internal/net/clustertransport/transport_test.go
@@ -29,31 +29,65 @@
 
 func drawMessage(t *rapid.T) cluster.Message {
 	text := rapid.StringMatching("[a-z0-9]{0,12}")
-	ballot := func(name string) consensus.Ballot {
-		return consensus.Ballot{Number: rapid.Uint64().Draw(t, name), Voter: text.Draw(t, name)}
+	m := cluster.Message{
+		Kind:          cluster.MessageKind(rapid.IntRange(1, 9).Draw(t, "kind")),
+		ID:            rapid.Uint64().Draw(t, "id"),
+		Incarnation:   rapid.Uint64().Draw(t, "incarnation"),
+		NoView:        rapid.Bool().Draw(t, "no view"),
+		ViewDigest:    rapid.Uint64().Draw(t, "digest"),
+		Revision:      rapid.Uint64().Draw(t, "revision"),
+		NotifiedEpoch: rapid.Uint64().Draw(t, "notified"),
+		StoppedEpoch:  rapid.Uint64().Draw(t, "stopped"),
+		Query:         text.Draw(t, "query"),
+		Rejected:      text.Draw(t, "rejected"),
 	}
-	m := cluster.Message{Kind: cluster.MessageKind(rapid.IntRange(1, 9).Draw(t, "kind")), ID: rapid.Uint64().Draw(t, "id"), Incarnation: rapid.Uint64().Draw(t, "life"), NoView: rapid.Bool().Draw(t, "blank"),
-		ViewDigest: rapid.Uint64().Draw(t, "have"), Revision: rapid.Uint64().Draw(t, "revision"), NotifiedEpoch: rapid.Uint64().Draw(t, "heard"), Query: text.Draw(t, "query"), Rejected: text.Draw(t, "refused")}
 	if rapid.Bool().Draw(t, "value") {
 		m.Value = []byte(text.Draw(t, "bytes"))
 	}
 	if m.Kind == cluster.ConsensusMessage {
-		m.Consensus = consensus.Message{Kind: consensus.MessageKind(rapid.IntRange(1, 9).Draw(t, "vote")), Incarnation: 7, Ballot: ballot("ballot"), NextBallot: ballot("next"), AcceptedBallot: ballot("accepted"),
-			State: consensus.State{Revision: 3, Incarnations: map[string]uint64{"a": rapid.Uint64().Draw(t, "a")}, Value: []byte("x")}}
+		m.Consensus = drawConsensus(t)
 	}
 	if rapid.Bool().Draw(t, "report") {
-		m.Report = &cluster.Report{Pressure: text.Draw(t, "strain"), Machines: map[string]maintenance.Machine{"b1": {Kind: "box", Zone: "z", Up: true, BootMs: 17, Weight: 2.5, Utilization: -1}}}
+		m.Report = &cluster.Report{Pressure: text.Draw(t, "pressure"), Machines: map[string]maintenance.Machine{
+			"b1": {Kind: "box", Zone: "z", Up: true, BootMs: 17, Weight: 2.5, Utilization: -1},
+		}}
 	}
-	if rapid.Bool().Draw(t, "copy") {
-		life := replication.Incarnation{Name: "w" + text.Draw(t, "writer"), Number: rapid.Uint64().Draw(t, "number")}
-		m.Replication = &replication.Message{Kind: replication.PullReply, ID: m.ID, MaxBytes: 17, More: m.NoView, Versions: []replication.StreamVersions{{Incarnation: life, UpTo: [2]uint64{m.Incarnation, 3}}},
-			Checksum: &replication.RangeChecksum{Incarnation: life, Stream: replication.Bulk, From: 3, To: m.Incarnation, Sum: m.ViewDigest},
-			Slots: []replication.TransferredSlot{{Slot: replication.Slot{Writer: life, Seq: 9, Kind: replication.Kind(rapid.Uint32().Draw(t, "slot")), Key: text.Draw(t, "key"), Value: []byte("v"), Timestamp: m.Incarnation},
-				MaxAge: 70 * time.Microsecond, MinAge: 30 * time.Microsecond}}}
+	if rapid.Bool().Draw(t, "replication") {
+		m.Replication = drawReplication(t, m)
 	}
 	return m
 }
 
+func drawConsensus(t *rapid.T) consensus.Message {
+	ballot := func(name string) consensus.Ballot {
+		return consensus.Ballot{Number: rapid.Uint64().Draw(t, name), Voter: rapid.StringMatching("[a-z0-9]{0,12}").Draw(t, name)}
+	}
+	return consensus.Message{
+		Kind:           consensus.MessageKind(rapid.IntRange(1, 9).Draw(t, "consensus kind")),
+		Incarnation:    7,
+		Ballot:         ballot("ballot"),
+		NextBallot:     ballot("next"),
+		AcceptedBallot: ballot("accepted"),
+		State:          consensus.State{Revision: 3, Incarnations: map[string]uint64{"a": rapid.Uint64().Draw(t, "a")}, Value: []byte("x")},
+	}
+}
+
+func drawReplication(t *rapid.T, m cluster.Message) *replication.Message {
+	text := rapid.StringMatching("[a-z0-9]{0,12}")
+	writer := replication.Incarnation{Name: "w" + text.Draw(t, "writer"), Number: rapid.Uint64().Draw(t, "number")}
+	slot := replication.Slot{Writer: writer, Seq: 9, Kind: replication.Kind(rapid.Uint32().Draw(t, "slot")), Key: text.Draw(t, "key"),
+		Value: []byte("v"), Timestamp: m.Incarnation}
+	return &replication.Message{
+		Kind:     replication.PullReply,
+		ID:       m.ID,
+		MaxBytes: 17,
+		More:     m.NoView,
+		Versions: []replication.StreamVersions{{Incarnation: writer, UpTo: [2]uint64{m.Incarnation, 3}}},
+		Checksum: &replication.RangeChecksum{Incarnation: writer, Stream: replication.Bulk, From: 3, To: m.Incarnation, Sum: m.ViewDigest},
+		Slots:    []replication.TransferredSlot{{Slot: slot, MaxAge: 70 * time.Microsecond, MinAge: 30 * time.Microsecond}},
+	}
+}
+
 // What a former version proposed without a Prepare had no majority's promise: it is read as a message that voters ignore.
 func TestAFormerVersionHasToPrepare(t *testing.T) {
 	pb := encodeMessage(cluster.Message{Kind: cluster.ConsensusMessage, Consensus: consensus.Message{Kind: consensus.Accept, Ballot: consensus.Ballot{Number: 5, Voter: "a"}}})
@@ -84,13 +118,13 @@
 			sent, stream = append(sent, m), append(stream, f...)
 			ends = append(ends, len(stream))
 		}
-		whole := len(sent)
+		intact := len(sent)
 		if rapid.Bool().Draw(t, "change") {
 			at := rapid.IntRange(0, len(stream)-1).Draw(t, "at")
 			stream[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
-			whole = 0
-			for whole < len(ends) && ends[whole] <= at {
-				whole++
+			intact = 0
+			for intact < len(ends) && ends[intact] <= at {
+				intact++
 			}
 		}
 		r := &frameReader{key: key, challenge: challenge, self: "b"}
@@ -101,8 +135,8 @@
 			err = r.feed(stream[:n], func(_ string, m cluster.Message) { got = append(got, m) })
 			stream = stream[n:]
 		}
-		if !reflect.DeepEqual(got, sent[:whole]) && len(got)+whole > 0 {
-			t.Fatalf("%+v are read, %+v were written", got, sent[:whole])
+		if !reflect.DeepEqual(got, sent[:intact]) && len(got)+intact > 0 {
+			t.Fatalf("%+v are read, %+v were written", got, sent[:intact])
 		}
 	})
 }
@@ -153,7 +187,7 @@
 		}
 	}
 	if n != 1 || r.replayed != 2 {
-		t.Errorf("%d of a frame, one overtaken and one that comes again are read, %d passed over", n, r.replayed)
+		t.Errorf("%d of a frame, one overtaken and one that comes again are read, %d ignored", n, r.replayed)
 	}
 	r = &frameReader{key: key, challenge: one, self: "b"}
 	other := &frameWriter{key: key, challenge: one, from: "c", to: "b", sequence: 5}
--- a/maintenance/maintenance_test.go
+++ b/maintenance/maintenance_test.go
@@ -102,7 +102,7 @@
 	}{
 		{"nothing", "b00", nil, nil, nil, ""},
 		{"not in the list", "b09", nil, nil, nil, "not in the list"},
-		{"strain", "b00", func(o *Observations) { o.Pressure = "the origin is slow" }, nil, nil, "the origin is slow"},
+		{"pressure", "b00", func(o *Observations) { o.Pressure = "the origin is slow" }, nil, nil, "the origin is slow"},
 		{"a second of six", "b00", nil, nil, []string{"b01"}, ""},
 		{"a third of six", "b00", nil, nil, []string{"b01", "b02"}, "out or cold"},
 		{"a cold one counts", "b00", func(o *Observations) { m := o.Machines["b01"]; m.Warm = false; o.Machines["b01"] = m }, nil, []string{"b02"}, "out or cold"},
@@ -184,7 +184,7 @@
 	if got := r.do(Command{Notified: &GatewayUpdate{Name: "g2", Incarnation: 2, NotifiedEpoch: 99}}); got.Rejected == "" {
 		t.Error("a report of a later epoch is taken")
 	}
-	// g2 starts anew with a view that it had stored before the grant: it has not heard of it.
+	// g2 restarts with a view that it had stored before the grant: it does not know of it.
 	r.do(Command{Join: &GatewayUpdate{Name: "g2", Incarnation: 3, NotifiedEpoch: 0}})
 	want(Granted)
 	r.do(Command{Notified: &GatewayUpdate{Name: "g2", Incarnation: 3, NotifiedEpoch: 1}})
--- a/replication/announce.go
+++ b/replication/announce.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// announcePeers is how many peers are told at once of new safety slots. They tell others.
+	// announcePeers is how many peers are notified at once of new safety slots. They notify others.
 	announcePeers = 3
 	// announceDelay is for how long new safety slots are gathered for one announcement.
 	announceDelay = 10 * time.Millisecond
@@ -16,7 +16,7 @@
 	}
 }
 
-// announce tells a few peers how far this node has the safety streams of incarnations that were active lately.
+// announce notifies a few peers how far this node has the safety streams of incarnations that were active lately.
 func (n *Node) announce() {
 	m := Message{Kind: Announce}
 	for _, v := range n.VersionVector() {
--- a/replication/explore_test.go
+++ b/replication/explore_test.go
@@ -11,7 +11,7 @@
 )
 
 // The explorer goes through every order in which three members can make three writes of different kinds, among them a tombstone, and
-// exchange what they have (whole, or broken off after the first slot), with one loss of memory, one member isolated and connected again, and
+// exchange what they have (completely, or broken off after the first slot), with one loss of memory, one member isolated and connected again, and
 // one stretch of time in which all of it, the tombstone last, runs out.
 
 type explored struct {
@@ -162,7 +162,7 @@
 
 // settle has all exchange what they have, and compares the replicas.
 func (e *explored) settle() string {
-	had := false // somebody holds the purge, or has said that it has been told of it
+	had := false // somebody has the purge
 	for _, c := range e.replicas {
 		had = had || c.Purges(e.now)["o"] > 0
 	}
--- a/replication/faults.go
+++ b/replication/faults.go
@@ -21,7 +21,7 @@
 	faultyLateShare = 0.3
 )
 
-// Faulty reports whether a server is bad enough for other gateways to be told.
+// Faulty reports whether a server is bad enough for the writer to report it to other gateways.
 func (v HealthValue) Faulty() bool {
 	return v.ErrorRate >= faultyErrorRate || v.LateShare >= faultyLateShare || v.EjectedMs > 0
 }
--- a/replication/node.go
+++ b/replication/node.go
@@ -102,7 +102,7 @@
 // aliveIntervals is for how many pull intervals a peer counts as alive after its latest message.
 const aliveIntervals = 10
 
-// LivePeers is how many other members were heard lately.
+// LivePeers is how many other members have sent something lately.
 func (n *Node) LivePeers(now time.Duration) (count int) {
 	for _, at := range n.lastReceived {
 		if now-at < aliveIntervals*n.pullInterval() {
--- a/replication/simulation_test.go
+++ b/replication/simulation_test.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// purge has a node hear of a purge from its journal.
+// purge has a node receive a purge from its watch.
 func (w *simulation) purge(name, key string) {
 	m := w.nodes[name]
 	if m.node == nil || m.suspended {
@@ -348,7 +348,7 @@
 	}
 }
 
-// One that returns catches up with what all know; its neighbour dies after half of it, and another one goes on.
+// A node that restarts catches up with what all know; the peer that it pulls from dies half way, and another one continues.
 func TestCatchingUpGoesOnWithAnother(t *testing.T) {
 	w := newSimulation(5, 3)
 	w.clock.Pass(2 * time.Second)
--- a/replication/versions.go
+++ b/replication/versions.go
@@ -91,7 +91,7 @@
 	return d.slots, d.versions(), false
 }
 
-// delta is one that is being made.
+// delta collects what Delta returns.
 type delta struct {
 	maxBytes, bulkBytes int
 	slotBytes           func(*Slot) int
