--- a/internal/net/resp/request.go
+++ b/internal/net/resp/request.go
@@ -8,21 +8,21 @@
 	"larchusher/gateway"
 )
 
-// write sends one attempt, if it may still go.
-func (c *conn) write(a *gateway.Attempt) {
+// writeAttempt writes one attempt, if it may still be sent.
+func (c *conn) writeAttempt(a *gateway.Attempt) {
 	if !c.pool.Gateway.ConfirmAttempt(a) {
 		return
 	}
 	now := c.pool.loop.Now()
-	if len(c.open) == 0 {
-		c.heard = now
+	if len(c.inFlight) == 0 {
+		c.lastByte = now
 	}
-	c.used = now
-	c.open[a.Request.ID] = a
+	c.lastUsed = now
+	c.inFlight[a.Request.ID] = a
 	c.pool.Counters.Written++
 	r := a.Request
 	head := append(make([]byte, 0, 256), "*4\r\n"...)
-	for _, s := range [...]string{"ASK", r.ID, fields(a, now)} {
+	for _, s := range [...]string{"ASK", r.ID, encodeFields(a, now)} {
 		head = append(append(appendLength(head, len(s)), s...), "\r\n"...)
 	}
 	if err := c.tc.Write(appendLength(head, len(r.Body)), r.Body, []byte("\r\n")); err != nil {
@@ -30,8 +30,8 @@
 	}
 }
 
-// fields words the fields of an attempt.
-func fields(a *gateway.Attempt, now time.Time) string {
+// encodeFields words the fields of an attempt: here alone the names of the wire stand.
+func encodeFields(a *gateway.Attempt, now time.Time) string {
 	r := a.Request
 	b := make([]byte, 0, 192)
 	add := func(name, value string) {
@@ -56,6 +56,17 @@
 	if a.MaxAge > 0 {
 		add("accept", strconv.FormatInt(max(1, a.MaxAge.Milliseconds()), 10))
 	}
+	if hints := encodeHints(a); hints != "" {
+		add("hints", hints)
+	}
+	if r.IfNoneMatch != "" {
+		add("got", r.IfNoneMatch)
+	}
+	return string(b)
+}
+
+// encodeHints words the options of an attempt.
+func encodeHints(a *gateway.Attempt) string {
 	var hints []string
 	for _, h := range [...]struct {
 		set  bool
@@ -65,11 +76,5 @@
 			hints = append(hints, h.word)
 		}
 	}
-	if len(hints) > 0 {
-		add("hints", strings.Join(hints, "+"))
-	}
-	if r.IfNoneMatch != "" {
-		add("got", r.IfNoneMatch)
-	}
-	return string(b)
+	return strings.Join(hints, "+")
 }
