--- a/consensus/voter.go
+++ b/consensus/voter.go
@@ -1,12 +1,12 @@
 // Package consensus keeps one replicated value that survives the failure of a minority of its voters. Any voter may change the
 // value; there is no leader.
 //
-// It is the register of CASPaxos (Rystsov, "CASPaxos: Replicated State Machines without logs", 2018, section 2.2). Each voter
+// It is the register of CASPaxos (Rystsov, "CASPaxos: Replicated State Machines without logs", 2018). Each voter
 // is a proposer and an acceptor. A proposer has a majority of acceptors promise to accept no older ballot (Prepare, Promise), takes
 // the newest value that any of them has accepted, applies its commands to it, and has a majority accept the outcome (Accept,
 // Accepted). It is chosen then, and all others learn it (Learn).
 //
-// Two round trips become one as in the paper's section 2.2.1: with the Accept, acceptors promise the proposer's next ballot as well,
+// Two round trips become one by the paper's one-round-trip optimization: with the Accept, acceptors promise the proposer's next ballot as well,
 // so that its next value needs no Prepare. A read needs no write while those promises hold: a majority confirms them (Confirm,
 // Confirmed), and so the proposer's value is the latest.
 //
