--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -1,4 +1,4 @@
-// Package httpapi says how requests and answers look in HTTP, for the signed front and the middleware alike.
+// Package httpapi says how requests and answers look in HTTP, for the signed front and the middleware alike. It does no I/O.
 //
 //	GET  /CLASS/OBJECT/PART?shard=GROUP    a part of an object
 //	POST /CLASS/OBJECT/PART?shard=GROUP    in keyed classes, with an Idempotency-Key
@@ -19,7 +19,15 @@
 // MaxBodyBytes is the longest body of a request.
 const MaxBodyBytes = 48000
 
-// Problem is a final answer that no store had a part in.
+// Limits of what a request may name.
+const (
+	maxPart       = 1 << 20 // of an object
+	maxGroup      = 255
+	objectDigits  = 16
+	maxFieldBytes = 128 // of a key or a tag
+)
+
+// Problem is a final answer that no endpoint had a part in.
 type Problem struct {
 	Status int
 	Reason string
@@ -32,7 +40,7 @@
 	return &Problem{Status: status, Reason: reason, Header: header}
 }
 
-// API turns HTTP into the gateway's terms.
+// API converts HTTP requests and answers to the gateway's and back. It is safe for concurrent use.
 type API struct {
 	classes  map[string]routing.Class
 	verifier *signedurl.Verifier
@@ -48,119 +56,142 @@
 	return a
 }
 
-// HasClass says whether a target names a class of the gateway.
+// HasClass reports whether a target names a class of the gateway.
 func (a *API) HasClass(target string) bool {
 	return a.Class(target) != ""
 }
 
-// Class is the class that a target names; empty: none of the gateway's.
+// Class is the name of the class that a target names; empty: none of the gateway's.
 func (a *API) Class(target string) string {
 	class, _, _ := strings.Cut(strings.TrimPrefix(target, "/"), "/")
 	return a.classes[class].Name
 }
 
-// Overloaded is the answer to a request whose token is good and which is shed for load.
-func Overloaded(later time.Duration) *Problem {
-	return newProblem(http.StatusServiceUnavailable, "refused: trying again is harmless", retryAfter(later))
+// Overloaded is the answer to a request with a good token that is shed for load.
+func Overloaded(retryAfterTime time.Duration) *Problem {
+	return newProblem(http.StatusServiceUnavailable, "refused: trying again is harmless", retryAfter(retryAfterTime))
 }
 
-// retryAfter words advice on when to come back: whole seconds (RFC 9110, 10.2.3), and one at least.
+// retryAfter words a Retry-After: whole seconds (RFC 9110, 10.2.3), rounded up, and one at least.
 func retryAfter(d time.Duration) [2]string {
 	return [2]string{"Retry-After", strconv.FormatInt(max(1, int64((d+time.Second-1)/time.Second)), 10)}
 }
 
-// IsRetry says whether a request is marked as a client's repeat, as package client marks them.
+// IsRetry reports whether a request is marked as a client's retry, as package client marks them.
 func IsRetry(header func(name string) []string) bool {
 	v := header("Larchusher-Retry")
 	return len(v) == 1 && v[0] == "1"
 }
 
-// Request is an HTTP request that has come whole. Header returns the values of a field.
+// Request is a complete HTTP request.
 type Request struct {
 	Method     string
-	Target     string // as sent
-	Header     func(name string) []string
+	Target     string                     // as sent
+	Header     func(name string) []string // the values of a field
 	Body       []byte
 	ReceivedAt time.Time // when its last byte came
 }
 
-// AdmittedRequest is a request whose token was checked, which happens once.
+// AdmittedRequest is a request whose token has been checked.
 type AdmittedRequest struct {
 	Request  *gateway.Request // all but Ref and Answer
 	Grant    signedurl.Grant
 	HeadOnly bool
 }
 
-// Authorize checks the token of a call and then the call itself. Nothing has reached a store by then.
+// Authorize checks the token of a request and then the request itself. Nothing has reached an endpoint by then.
 func (a *API) Authorize(c Request) (*AdmittedRequest, *Problem) {
 	grant, err := a.verifier.Verify(c.Target, strings.Join(c.Header("Cookie"), "; "), c.ReceivedAt)
 	if err != nil {
-		var refused *signedurl.Error
-		if errors.As(err, &refused) {
-			return nil, newProblem(http.StatusForbidden, string(refused.Reason))
+		var rejected *signedurl.Error
+		if errors.As(err, &rejected) {
+			return nil, newProblem(http.StatusForbidden, string(rejected.Reason))
 		}
 		return nil, newProblem(http.StatusForbidden, "refused")
 	}
+	r, class, p := a.parseTarget(c)
+	if p != nil {
+		return nil, p
+	}
+	r.Retry = IsRetry(c.Header)
+	if p := checkMethod(c, class); p != nil {
+		return nil, p
+	}
+	if len(c.Body) > MaxBodyBytes {
+		return nil, newProblem(http.StatusRequestEntityTooLarge, "the body is too long")
+	}
+	if class.Effect != routing.Idempotent {
+		keys := c.Header("Idempotency-Key")
+		if len(keys) != 1 || !isPlainField(unquoted(keys[0])) {
+			return nil, newProblem(http.StatusBadRequest, "one Idempotency-Key of letters, digits, - and _ is needed")
+		}
+		r.IdempotencyKey = unquoted(keys[0])
+	} else {
+		r.IfNoneMatch = singleTag(c.Header("If-None-Match"))
+	}
+	return &AdmittedRequest{Request: r, Grant: grant, HeadOnly: c.Method == http.MethodHead}, nil
+}
+
+// parseTarget reads the path and the query: /CLASS/OBJECT/PART?shard=GROUP.
+func (a *API) parseTarget(c Request) (*gateway.Request, routing.Class, *Problem) {
 	path, query, _ := strings.Cut(c.Target, "?")
 	parts := strings.Split(path[1:], "/")
 	if len(parts) != 3 {
-		return nil, newProblem(http.StatusNotFound, "no such path: /CLASS/OBJECT/PART")
+		return nil, routing.Class{}, newProblem(http.StatusNotFound, "no such path: /CLASS/OBJECT/PART")
 	}
 	class, ok := a.classes[parts[0]]
 	if !ok {
-		return nil, newProblem(http.StatusNotFound, "no such class")
+		return nil, class, newProblem(http.StatusNotFound, "no such class")
 	}
 	r := &gateway.Request{Class: class.Name, Object: parts[1], Body: c.Body, Deadline: c.ReceivedAt.Add(class.Deadline)}
 	if !isObjectName(r.Object) {
-		return nil, newProblem(http.StatusNotFound, "an object is 16 hex digits")
+		return nil, class, newProblem(http.StatusNotFound, "an object is 16 hex digits")
 	}
-	if r.Part, ok = parseNumber(parts[2], 1<<20); !ok {
-		return nil, newProblem(http.StatusNotFound, "no such part")
+	if r.Part, ok = parseNumber(parts[2], maxPart); !ok {
+		return nil, class, newProblem(http.StatusNotFound, "no such part")
 	}
 	for q := range strings.SplitSeq(query, "&") {
-		if v, is := strings.CutPrefix(q, "shard="); is {
-			if r.Group, ok = parseNumber(v, 255); !ok {
-				return nil, newProblem(http.StatusBadRequest, "shard is from 0 to 255")
-			}
+		group, is := strings.CutPrefix(q, "shard=")
+		if !is {
+			continue
+		}
+		if r.Group, ok = parseNumber(group, maxGroup); !ok {
+			return nil, class, newProblem(http.StatusBadRequest, "shard is from 0 to 255")
 		}
 	}
-	r.Retry = IsRetry(c.Header)
-	keyed := class.Effect != routing.Idempotent
+	return r, class, nil
+}
+
+// checkMethod checks that the method goes with the class: only idempotent requests may be sent with GET.
+func checkMethod(c Request, class routing.Class) *Problem {
+	reads := c.Method == http.MethodGet || c.Method == http.MethodHead
 	switch {
-	case keyed && c.Method != http.MethodPost:
-		return nil, newProblem(http.StatusMethodNotAllowed, "POST only", [2]string{"Allow", "POST"})
-	case !keyed && c.Method != http.MethodGet && c.Method != http.MethodHead:
-		return nil, newProblem(http.StatusMethodNotAllowed, "GET and HEAD only", [2]string{"Allow", "GET, HEAD"})
-	case len(c.Body) > MaxBodyBytes:
-		return nil, newProblem(http.StatusRequestEntityTooLarge, "the body is too long")
-	case keyed:
-		keys := c.Header("Idempotency-Key")
-		if len(keys) != 1 || !isPlainField(unquoted(keys[0])) {
-			return nil, newProblem(http.StatusBadRequest, "one Idempotency-Key of letters, digits, - and _ is needed")
-		}
-		r.IdempotencyKey = unquoted(keys[0])
-	default:
-		r.IfNoneMatch = singleTag(c.Header("If-None-Match"))
+	case class.Effect != routing.Idempotent && c.Method != http.MethodPost:
+		return newProblem(http.StatusMethodNotAllowed, "POST only", [2]string{"Allow", "POST"})
+	case class.Effect == routing.Idempotent && !reads:
+		return newProblem(http.StatusMethodNotAllowed, "GET and HEAD only", [2]string{"Allow", "GET, HEAD"})
 	}
-	return &AdmittedRequest{Request: r, Grant: grant, HeadOnly: c.Method == http.MethodHead}, nil
+	return nil
 }
 
-// isObjectName says whether s is 16 lower-case hex digits.
+// isObjectName reports whether s names an object: lower-case hex digits.
 func isObjectName(s string) bool {
 	for i := range len(s) {
-		if c := s[i]; !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f') {
+		if !isDigit(s[i]) && (s[i] < 'a' || s[i] > 'f') {
 			return false
 		}
 	}
-	return len(s) == 16
+	return len(s) == objectDigits
 }
 
-// parseNumber reads a number without sign or leading zeros, which would give one part two names.
-func parseNumber(s string, most int) (int, bool) {
-	n, err := strconv.ParseUint(s, 10, 31)
-	return int(n), err == nil && int(n) <= most && strconv.FormatUint(n, 10) == s
+// parseNumber reads a number up to a limit, without sign or leading zeros, which would give one part two names.
+func parseNumber(s string, limit int) (int, bool) {
+	const bits = 31
+	n, err := strconv.ParseUint(s, 10, bits)
+	return int(n), err == nil && int(n) <= limit && strconv.FormatUint(n, 10) == s
 }
 
+// unquoted is s without the quotes around it, if there are any.
 func unquoted(s string) string {
 	if len(s) >= 2 && s[0] == '"' && s[len(s)-1] == '"' {
 		return s[1 : len(s)-1]
@@ -168,26 +199,34 @@
 	return s
 }
 
-// isPlainField says whether s can be passed on to a store.
+// isPlainField reports whether s can be passed on to an endpoint.
 func isPlainField(s string) bool {
 	for i := range len(s) {
-		if c := s[i]; !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_') {
+		if !isPlain(s[i]) {
 			return false
 		}
 	}
-	return s != "" && len(s) <= 128
+	return s != "" && len(s) <= maxFieldBytes
 }
 
-// singleTag returns the tag in If-None-Match, if there is just one and it can be passed on. Of several, none is
-// passed on: the answer is then whole, which is always right.
+func isPlain(c byte) bool {
+	letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
+	return letter || isDigit(c) || c == '-' || c == '_'
+}
+
+func isDigit(c byte) bool { return c >= '0' && c <= '9' }
+
+// singleTag returns the tag in If-None-Match, if there is just one and it can be passed on. Of several none is passed on:
+// the answer is then complete, which is always right.
 func singleTag(values []string) string {
 	if len(values) != 1 {
 		return ""
 	}
-	if tag := unquoted(strings.TrimPrefix(values[0], "W/")); tag != values[0] && isPlainField(tag) {
-		return tag
+	tag := unquoted(strings.TrimPrefix(values[0], "W/"))
+	if tag == values[0] || !isPlainField(tag) { // a tag has quotes
+		return ""
 	}
-	return ""
+	return tag
 }
 
 // Response is an HTTP answer.
@@ -197,7 +236,7 @@
 	Body   []byte
 }
 
-// Respond words a final answer.
+// Respond words a final answer. now is the time from which a renewed token counts.
 func (a *API) Respond(ad *AdmittedRequest, ans gateway.Answer, now time.Time) Response {
 	var r Response
 	add := func(name, value string) { r.Header = append(r.Header, [2]string{name, value}) }
@@ -235,7 +274,7 @@
 	return r
 }
 
-// renewalCookie is the cookie with the fresh token that a grant asks for.
+// renewalCookie is the cookie with the fresh token that a grant asks for; empty: none, or it cannot be issued.
 func (a *API) renewalCookie(ad *AdmittedRequest, now time.Time) string {
 	if a.issuer == nil || !ad.Grant.Renewal.Cookie {
 		return ""
@@ -248,7 +287,7 @@
 		strconv.FormatInt(int64(ad.Grant.Renewal.Span/time.Second), 10) + "; Secure; HttpOnly"
 }
 
-// Response words a problem.
+// Response words the problem.
 func (p *Problem) Response() Response {
 	return Response{Status: p.Status, Body: []byte(p.Reason + "\n"), Header: append(p.Header,
 		[2]string{"Content-Type", "text/plain; charset=utf-8"}, [2]string{"Cache-Control", "no-store"})}
