--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -65,8 +65,8 @@
 type ClusterMember struct{ Name, Address string }
 
 // Address is where a member listens; empty: there is none of that name.
-func (f *Cluster) Address(name string) string {
-	for _, m := range f.Members {
+func (c *Cluster) Address(name string) string {
+	for _, m := range c.Members {
 		if m.Name == name {
 			return m.Address
 		}
--- a/internal/net/admin/admin.go
+++ b/internal/net/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin answers operators at an address of their own: a connection carries one line with the name of a call and
-// gets one reply. It knows no figures itself; what it tells is handed in.
+// Package admin answers operators at an address of their own: a connection carries one line with the name of a call and gets
+// one reply. What it replies is handed in by Config. Servers live on the gateway's loop.
 package admin
 
 import (
@@ -14,7 +14,7 @@
 )
 
 const (
-	maxCallBytes  = 256                    // bytes of a call
+	maxCallBytes  = 256
 	sweepInterval = 250 * time.Millisecond // between two looks for callers that complete no call
 	metricPrefix  = "balancer"             // of the figures
 )
@@ -30,12 +30,12 @@
 	errNoLine   = errors.New("a call that does not end")
 )
 
-// Config says what a Server tells. Its functions run on the loop.
+// Config says what a Server replies. Its functions run on the loop.
 type Config struct {
 	Loop     *gateway.Loop
-	Ready    func() error           // nil: this process takes clients; else the reason why it does not
+	Ready    func() error           // nil: this process accepts clients; else why it does not
 	Stats    func() []metrics.Value // the present figures
-	MaxConns int                    // callers at once; one beyond has the one that was silent longest closed
+	MaxConns int                    // callers at once; for one more, the one that was silent longest is closed
 }
 
 // Server answers calls. Its methods, but for Listen, run on the loop.
@@ -80,8 +80,8 @@
 // caller is one connection.
 type caller struct {
 	server   *Server
-	line     []byte // poller: what has come of the call
-	answered bool   // poller: it has come whole
+	line     []byte // the poller's: what has come of the call
+	answered bool   // the poller's: it is complete
 
 	slot *transport.TrackedConn // loop
 	gone bool                   // loop
@@ -96,21 +96,23 @@
 	})
 }
 
-// OnBytes answers once the line has come whole. What follows it is passed over.
+// OnBytes answers once the line is complete. What follows it is ignored.
 func (c *caller) OnBytes(tc *transport.Conn, b []byte, _ time.Time) error {
 	if c.answered {
 		return nil
 	}
-	line, _, whole := bytes.Cut(append(c.line, b...), []byte("\n"))
-	if c.line = line; len(line) > maxCallBytes {
+	line, _, complete := bytes.Cut(append(c.line, b...), []byte("\n"))
+	c.line = line
+	if len(line) > maxCallBytes {
 		return errNoLine
 	}
-	if c.answered = whole; !whole {
+	c.answered = complete
+	if !complete {
 		return nil
 	}
 	call := string(bytes.TrimSpace(line))
 	c.server.cfg.Loop.Post(func() {
-		_ = tc.Write(c.server.reply(call))
+		_ = tc.Write(c.server.reply(call)) // one that fails has closed the connection
 		tc.CloseGracefully(errAnswered, transport.LingerTime)
 	})
 	return nil
--- a/internal/net/gossip/gossip.go
+++ b/internal/net/gossip/gossip.go
@@ -1,4 +1,5 @@
-// Package gossip carries datagrams between the gateways of a tier.
+// Package gossip carries datagrams between gateways. A Link sends from the gateway's loop, and receives on a goroutine of its
+// own.
 package gossip
 
 import (
@@ -15,11 +16,11 @@
 	"larchusher/routing"
 )
 
-// maxDatagramBytes is the length of a datagram; a longer one breaks the platform's rule.
+// maxDatagramBytes is the longest datagram that the platform allows.
 const maxDatagramBytes = 256
 
-// Link is the one socket for all peers. nbio gives each remote end of a UDP socket a connection of its own
-// and none to one that has not spoken first, so this is the standard library's, with one reader.
+// Link is the one UDP socket for all gateways. It is the standard library's: nbio gives each remote end a connection of its
+// own, and none to one that has not sent first.
 type Link struct {
 	conn        *net.UDPConn
 	broadcast   netip.AddrPort
@@ -27,13 +28,14 @@
 	indexByAddr map[netip.AddrPort]int
 	log         logrus.FieldLogger
 
-	Sent, Received, Dropped uint64 // the loop's
+	Sent, Received, Dropped uint64 // datagrams; the loop's
 }
 
-// Listen listens on addr. Peers are known by their place in list; all reaches every one of them.
-func Listen(addr string, list []string, all string, log logrus.FieldLogger) (*Link, error) {
+// Listen listens on addr. Gateways are known by their index in peers; broadcast reaches all of them, empty: there is no such
+// address. Errors name the configuration's key.
+func Listen(addr string, peers []string, broadcast string, log logrus.FieldLogger) (*Link, error) {
 	l := &Link{indexByAddr: map[netip.AddrPort]int{}, log: log}
-	for i, s := range list {
+	for i, s := range peers {
 		a, err := netip.ParseAddrPort(s)
 		if err != nil {
 			return nil, fmt.Errorf("peers[%d]: %w", i, err)
@@ -41,8 +43,8 @@
 		l.peers = append(l.peers, a)
 		l.indexByAddr[a] = i
 	}
-	if all != "" {
-		a, err := netip.ParseAddrPort(all)
+	if broadcast != "" {
+		a, err := netip.ParseAddrPort(broadcast)
 		if err != nil {
 			return nil, fmt.Errorf("peers_all: %w", err)
 		}
@@ -52,7 +54,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	// The address is shared with a process that takes over from this one; each has a part of the messages meanwhile.
+	// The address is shared with a successor of this process; each receives a part of the messages meanwhile.
 	cfg := net.ListenConfig{Control: transport.SharePort}
 	conn, err := cfg.ListenPacket(context.Background(), "udp", a.String())
 	if err != nil {
@@ -62,31 +64,31 @@
 	return l, nil
 }
 
-// ReadLoop hands each message to heard, on the loop. It returns when the link is closed.
-func (l *Link) ReadLoop(loop *gateway.Loop, heard func(from int, data string)) {
+// ReadLoop has each message received on the loop, and returns once the link is closed. Messages of other senders are dropped.
+func (l *Link) ReadLoop(loop *gateway.Loop, receive func(from int, data string)) {
 	buf := make([]byte, maxDatagramBytes+1)
 	for {
 		n, addr, err := l.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // a peer's port was closed, say
+		if err != nil { // of one datagram: a peer's port was closed, for instance
 			continue
 		}
 		from, known := l.indexByAddr[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
 		data := string(buf[:n])
 		loop.Post(func() {
-			if !known || len(data) > maxDatagramBytes { // only peers are heard
+			if !known || len(data) > maxDatagramBytes {
 				l.Dropped++
 				return
 			}
 			l.Received++
-			heard(from, data)
+			receive(from, data)
 		})
 	}
 }
 
-// SendGossip sends a message to one peer, or to all of them. It may get lost.
+// SendGossip sends a message to the gateway at an index, or to all of them (routing.AllDirectors). It may get lost.
 func (l *Link) SendGossip(to int, data string) {
 	addr := l.broadcast
 	if to != routing.AllDirectors {
@@ -106,5 +108,5 @@
 	l.Sent++
 }
 
-// Close ends the link.
-func (l *Link) Close() { _ = l.conn.Close() }
+// Close closes the link. ReadLoop returns.
+func (l *Link) Close() { _ = l.conn.Close() } // it fails if it is closed already
--- a/internal/net/transport/transport_test.go
+++ b/internal/net/transport/transport_test.go
@@ -48,7 +48,9 @@
 		}
 		c := <-p.opened
 		_ = client.Close()
-		_ = <-p.closed // with whatever error
+		if err, open := <-p.closed; !open {
+			t.Fatal(err)
+		}
 		if err := c.Write(make([]byte, 100<<10)); err == nil {
 			t.Error("a closed connection can be written")
 		}
@@ -218,7 +220,9 @@
 func TestAnEndDoesNotWaitForEver(t *testing.T) {
 	e, c, other, k := pair(t, 0)
 	c.CloseGracefully(io.EOF, shortLinger)
-	_ = <-k.closed // with whatever error
+	if err, open := <-k.closed; !open {
+		t.Fatal(err)
+	}
 	within(t, "it is closed", func() bool { return e.Lingering() == 0 && e.Closed.Load() == 1 })
 	_ = other.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if _, err := other.Read(make([]byte, 1)); err != io.EOF { //nolint:errorlint // io.Reader returns io.EOF itself
@@ -252,7 +256,9 @@
 	}
 	within(t, "the kernel says so", c.PeerClosed)
 	free()
-	_ = <-k.closed // with whatever error
+	if err, open := <-k.closed; !open {
+		t.Fatal(err)
+	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.got != sent {
