--- /dev/null
+++ b/client/driver.go
@@ -0,0 +1,159 @@
+package client
+
+import (
+	"encoding/binary"
+	"encoding/hex"
+	"time"
+
+	"go.opentelemetry.io/otel/attribute"
+	"go.opentelemetry.io/otel/codes"
+	"go.opentelemetry.io/otel/trace"
+
+	"larchusher/client/plan"
+)
+
+// now is the time on the planner's clock.
+func (c *Client) now() time.Duration { return time.Since(c.epoch) }
+
+func (c *Client) handleEvent(ev plan.Event) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.apply(ev)
+}
+
+// apply gives an event to the planner and performs what it wants. It is called under the lock.
+func (c *Client) apply(ev plan.Event) {
+	c.actions = c.planner.Handle(c.now(), ev, c.actions[:0])
+	for _, a := range c.actions {
+		c.perform(a)
+	}
+	if _, ok := ev.(plan.Timer); ok {
+		c.wakeAt = timerFired
+	}
+	c.setTimer()
+}
+
+// perform does one thing that the planner wants. It is called under the lock.
+func (c *Client) perform(a plan.Action) {
+	switch a := a.(type) {
+	case plan.Connect:
+		c.running.Add(1)
+		c.conns[a.Conn] = c.cfg.Transport.Connect(a.Gateway, c.cfg.connectTimeout(), &connEvents{client: c, id: a.Conn})
+	case plan.Send:
+		if k, cn := c.calls[a.Call], c.conns[a.Conn]; k != nil && cn != nil {
+			c.send(k, cn, a)
+		}
+	case plan.Abandon:
+		if cn := c.conns[a.Conn]; cn != nil {
+			cn.Abandon(a.Attempt)
+		}
+	case plan.HealthCheck:
+		if cn := c.conns[a.Conn]; cn != nil {
+			cn.Probe()
+		}
+	case plan.Hangup:
+		c.closeConn(a.Conn)
+	case plan.End:
+		if k := c.calls[a.Call]; k != nil {
+			c.end(k, a)
+		}
+	}
+}
+
+// send sends an attempt of a call on a connection.
+func (c *Client) send(k *call, cn Conn, a plan.Send) {
+	t := Try{ID: a.Attempt, Request: k.request, Txn: c.drawHex(txnBytes), Limit: a.Limit, Second: a.Retry}
+	if a.SendKey {
+		t.Key = k.idempotencyKey
+	}
+	cn.Send(t)
+	k.span.AddEvent("try", trace.WithAttributes(attribute.String("larchusher.txn", t.Txn),
+		attribute.Bool("larchusher.second", t.Second), attribute.Int64("larchusher.limit_ms", t.Limit.Milliseconds())))
+}
+
+// end gives a call its result, and reports it.
+func (c *Client) end(k *call, a plan.End) {
+	delete(c.calls, a.Call)
+	k.span.SetAttributes(attribute.String("larchusher.ending", a.Ending.String()), attribute.Int("larchusher.tries", a.Attempts))
+	if a.Ending != plan.Served {
+		k.span.SetStatus(codes.Error, a.Ending.String())
+	}
+	k.done <- a
+	c.instruments.recordCall(k.request.Class, a.Ending.String(), a.Attempts, time.Since(k.startedAt))
+	if c.cfg.Hook != nil {
+		c.cfg.Hook(Ended{Request: k.request, Ending: a.Ending, Tries: a.Attempts, Took: time.Since(k.startedAt)})
+	}
+}
+
+func (c *Client) closeConn(id uint64) {
+	if cn := c.conns[id]; cn != nil {
+		delete(c.conns, id)
+		cn.Close()
+	}
+}
+
+// timerFired is what wakeAt says of a timer that has run out: no time is equal to it, so that it is set again.
+const timerFired = time.Duration(-1)
+
+// setTimer has the timer run out when the planner wants to be woken, or stops it.
+func (c *Client) setTimer() {
+	at, ok := c.planner.Wake()
+	switch {
+	case ok && !c.closed:
+		if at != c.wakeAt {
+			c.wakeAt = at
+			c.timer.Reset(max(0, at-c.now()))
+		}
+	case c.wakeAt != 0:
+		c.wakeAt = 0
+		c.timer.Stop()
+	}
+}
+
+// Bytes that are drawn for an id; it is sent as twice as many hex digits.
+const (
+	txnBytes            = 8
+	idempotencyKeyBytes = 16
+)
+
+// drawHex draws n bytes, a multiple of 8 up to 16, as hex digits. It is called under the lock.
+func (c *Client) drawHex(n int) string {
+	var b [16]byte
+	for i := 0; i < n; i += 8 {
+		binary.LittleEndian.PutUint64(b[i:], c.rng.Uint64())
+	}
+	return hex.EncodeToString(b[:n])
+}
+
+// connEvents hands a connection's reports to the planner.
+type connEvents struct {
+	client *Client
+	id     uint64
+}
+
+func (e *connEvents) Up() { e.client.handleEvent(plan.Up{Conn: e.id}) }
+
+func (e *connEvents) Down(clean bool) {
+	c := e.client
+	defer c.running.Done()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.conns[e.id] != nil {
+		delete(c.conns, e.id)
+		c.apply(plan.Down{Conn: e.id, Clean: clean})
+	}
+}
+
+func (e *connEvents) Heard(alive bool) { e.client.handleEvent(plan.Heard{Conn: e.id, Healthy: alive}) }
+
+func (e *connEvents) Answer(try uint64, a Answer) {
+	c := e.client
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if id, ok := c.planner.CallOf(e.id, try); ok {
+		if k := c.calls[id]; k != nil {
+			k.answer = a
+		}
+	}
+	c.apply(plan.Answered{Conn: e.id, Attempt: try, OK: a.OK, Rejected: a.Backoff, RetryAfter: a.Later})
+}
--- a/client/metrics.go
+++ b/client/metrics.go
@@ -18,6 +18,9 @@
 	MetricAlive     = "larchusher.client.gateways"      // gauge: gateways in use
 )
 
+// endingCancelled is the ending of a call that its caller canceled. The planner has no ending for it.
+const endingCancelled = "cancelled"
+
 // instruments are a client's instruments. A nil one measures nothing.
 type instruments struct {
 	duration, attempts metric.Float64Histogram
