--- a/client/http.go
+++ b/client/http.go
@@ -14,36 +14,45 @@
 	"time"
 )
 
-// HTTP is the signed front's protocol: HTTP/1.1 with signed paths. A goroutine carries each try.
+// HTTP is the signed front's protocol: HTTP/1.1 with signed paths. A goroutine carries each attempt.
 type HTTP struct {
-	// Sign turns a path and query, such as "/assets/7f3a9c21e0b4d655/3?shard=17", into one with a token. It is asked
-	// anew for each try, so that a token may run out between two; nil: paths go as they are.
+	// Sign turns a path and query, such as "/assets/7f3a9c21e0b4d655/3?shard=17", into one with a token. It is called
+	// for each attempt, so that a token may expire between two; nil: paths go as they are.
 	Sign func(ctx context.Context, target string) (string, error)
 	// Dial connects; nil: as net.Dialer does.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
 	mu           sync.Mutex
-	renewedToken string // the latest token that an answer renewed
+	renewedToken string // the latest token that an answer renewed; empty: none
 	renewedUntil time.Time
 }
 
 // ErrToken is why a call failed whose token the gateway did not take.
 var ErrToken = errors.New("the token was refused")
 
-const renewalCookie = "URISigningPackage"
+// Limits of a connection.
+const (
+	httpMaxConns       = 32              // connections to a gateway, each with one request at a time
+	httpIdleTimeout    = 3 * time.Second // before the gateway closes an idle connection
+	healthCheckTimeout = time.Second
+	maxAnswerBytes     = 256 << 10
+	maxErrorTextBytes  = 200 // of an answer's body in an error
+	maxRetryAfter      = time.Hour
+)
 
-// httpConn is a gateway as a planner sees it: up to so many requests at once, on as many connections as net/http takes.
+// httpConn is a gateway as the planner sees it: one connection with many attempts at once, on as many connections as net/http
+// opens.
 type httpConn struct {
 	http    *HTTP
 	gateway string
 	events  Events
 	client  *http.Client
-	ctx     context.Context
+	ctx     context.Context // ends with the connection
 	cancel  context.CancelFunc
 
 	mu      sync.Mutex
-	cancels map[uint64]context.CancelFunc
-	running sync.WaitGroup
+	cancels map[uint64]context.CancelFunc // by attempt: those in flight
+	running sync.WaitGroup                // attempts and health checks
 }
 
 // Connect begins to connect.
@@ -54,8 +63,9 @@
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
 	}
-	first := make(chan net.Conn, 1) // what proves that the gateway is there carries the first request
-	transport := &http.Transport{MaxConnsPerHost: 32, MaxIdleConnsPerHost: 32, IdleConnTimeout: 3 * time.Second, DisableCompression: true,
+	first := make(chan net.Conn, 1) // the connection that proves that the gateway is there carries the first request
+	transport := &http.Transport{
+		MaxConnsPerHost: httpMaxConns, MaxIdleConnsPerHost: httpMaxConns, IdleConnTimeout: httpIdleTimeout, DisableCompression: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			select {
 			case nc := <-first:
@@ -63,7 +73,8 @@
 			default:
 				return dial(ctx, network, addr)
 			}
-		}}
+		},
+	}
 	c.client = &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	go func() {
 		dctx, done := context.WithTimeout(ctx, timeout)
@@ -87,7 +98,7 @@
 	return c
 }
 
-// Send starts a try.
+// Send starts an attempt.
 func (c *httpConn) Send(t Try) {
 	ctx, cancel := context.WithTimeout(c.ctx, t.Limit)
 	c.mu.Lock()
@@ -102,7 +113,7 @@
 		c.mu.Unlock()
 		switch {
 		case !wanted || c.ctx.Err() != nil:
-		case err != nil && ctx.Err() == nil: // the connection broke, and with it all that is known of the gateway
+		case err != nil && ctx.Err() == nil: // the connection broke: its attempts may have run, and nobody can say
 			c.cancel()
 		case err != nil: // no time is left; the planner ends the call
 		default:
@@ -111,14 +122,37 @@
 	})
 }
 
-// roundTrip sends one request and reads its answer.
-func (c *httpConn) roundTrip(ctx context.Context, t Try) (a Answer, err error) {
+// roundTrip sends one request and reads its answer. An error says that none came; what fails before anything is sent is
+// an answer with an Err.
+func (c *httpConn) roundTrip(ctx context.Context, t Try) (Answer, error) {
+	q, err := c.newRequest(ctx, t)
+	if err != nil {
+		return Answer{Err: err}, nil
+	}
+	resp, err := c.client.Do(q)
+	if err != nil {
+		return Answer{}, err
+	}
+	defer func() { _ = resp.Body.Close() }() // what could be read of it was
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
+	if err != nil {
+		return Answer{}, err
+	}
+	if len(body) > maxAnswerBytes {
+		return Answer{}, errors.New("an answer that does not end")
+	}
+	return c.answer(resp, body), nil
+}
+
+// newRequest makes the request of an attempt, with a renewed token if there is one, else with a signed path.
+func (c *httpConn) newRequest(ctx context.Context, t Try) (*http.Request, error) {
 	r := t.Request
 	target := "/" + r.Class + "/" + r.Object + "/" + strconv.Itoa(r.Part) + "?shard=" + strconv.Itoa(r.Group)
-	cookie := c.http.currentToken(time.Now())
-	if cookie == "" && c.http.Sign != nil {
+	token := c.http.currentToken(time.Now())
+	if token == "" && c.http.Sign != nil {
+		var err error
 		if target, err = c.http.Sign(ctx, target); err != nil {
-			return Answer{Err: fmt.Errorf("signing: %w", err)}, nil
+			return nil, fmt.Errorf("signing: %w", err)
 		}
 	}
 	method := http.MethodGet
@@ -127,7 +161,7 @@
 	}
 	q, err := http.NewRequestWithContext(ctx, method, "http://"+c.gateway+target, bytes.NewReader(r.Body))
 	if err != nil {
-		return Answer{Err: err}, nil
+		return nil, err
 	}
 	q.GetBody = nil // the planner decides what is sent again, not net/http
 	if t.Key != "" {
@@ -138,22 +172,15 @@
 	if t.Second {
 		q.Header.Set("Larchusher-Retry", "1")
 	}
-	if cookie != "" {
-		q.AddCookie(&http.Cookie{Name: renewalCookie, Value: cookie})
-	}
-	resp, err := c.client.Do(q)
-	if err != nil {
-		return a, err
-	}
-	defer func() { _ = resp.Body.Close() }() // what could be read of it was
-	body, err := io.ReadAll(io.LimitReader(resp.Body, 256<<10+1))
-	if err != nil {
-		return a, err
+	if token != "" {
+		q.AddCookie(&http.Cookie{Name: renewalCookie, Value: token})
 	}
-	if len(body) > 256<<10 {
-		return a, errors.New("an answer that does not end")
-	}
-	a.Tag = strings.Trim(resp.Header.Get("ETag"), `"`)
+	return q, nil
+}
+
+// answer maps a response to an answer by its status.
+func (c *httpConn) answer(resp *http.Response, body []byte) Answer {
+	a := Answer{Tag: strings.Trim(resp.Header.Get("ETag"), `"`)}
 	switch resp.StatusCode {
 	case http.StatusOK:
 		a.OK, a.Body = true, body
@@ -162,42 +189,28 @@
 		a.OK, a.Unchanged = true, true
 		c.http.storeRenewedToken(resp.Cookies())
 	case http.StatusServiceUnavailable:
-		s, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
-		a.Backoff, a.Later = true, time.Duration(max(0, min(s, 3600)))*time.Second
+		a.Backoff, a.Later = true, retryAfter(resp)
 	case http.StatusForbidden:
-		c.http.storeRenewedToken(nil)
-		a.Err = fmt.Errorf("%w: %s", ErrToken, strings.TrimSpace(string(body[:min(len(body), 200)])))
+		c.http.dropRenewedToken()
+		a.Err = fmt.Errorf("%w: %s", ErrToken, errorText(body))
 	default:
-		a.Err = fmt.Errorf("%s: %s", resp.Status, strings.TrimSpace(string(body[:min(len(body), 200)])))
+		a.Err = fmt.Errorf("%s: %s", resp.Status, errorText(body))
 	}
-	return a, nil
+	return a
 }
 
-// currentToken is the renewed one, while it is good.
-func (h *HTTP) currentToken(now time.Time) string {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if now.Before(h.renewedUntil) {
-		return h.renewedToken
-	}
-	return ""
+// retryAfter is a response's Retry-After in whole seconds; 0 if it has none or one that can't be read.
+func retryAfter(resp *http.Response) time.Duration {
+	s, _ := strconv.Atoi(resp.Header.Get("Retry-After")) // 0 if it is no number, the nearest int if it is out of range
+	return time.Duration(max(0, min(s, int(maxRetryAfter/time.Second)))) * time.Second
 }
 
-// storeRenewedToken keeps a token that came with an answer, for nine tenths of its time; none: the one that is kept is of no use.
-func (h *HTTP) storeRenewedToken(cookies []*http.Cookie) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if cookies == nil {
-		h.renewedToken, h.renewedUntil = "", time.Time{}
-	}
-	for _, k := range cookies {
-		if k.Name == renewalCookie && k.MaxAge > 0 {
-			h.renewedToken, h.renewedUntil = k.Value, time.Now().Add(time.Duration(k.MaxAge)*time.Second*9/10)
-		}
-	}
+// errorText is the beginning of a body, for an error.
+func errorText(body []byte) string {
+	return strings.TrimSpace(string(body[:min(len(body), maxErrorTextBytes)]))
 }
 
-// Abandon cancels a try.
+// Abandon cancels an attempt.
 func (c *httpConn) Abandon(try uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -210,7 +223,7 @@
 // Probe asks for a path that nobody serves: any answer will do.
 func (c *httpConn) Probe() {
 	c.running.Go(func() {
-		ctx, cancel := context.WithTimeout(c.ctx, time.Second)
+		ctx, cancel := context.WithTimeout(c.ctx, healthCheckTimeout)
 		defer cancel()
 		q, err := http.NewRequestWithContext(ctx, http.MethodHead, "http://"+c.gateway+"/", nil)
 		if err != nil {
@@ -225,54 +238,3 @@
 
 // Close ends the connection.
 func (c *httpConn) Close() { c.cancel() }
-
-// RoundTripper sends requests for /CLASS/OBJECT/PART?shard=GROUP through a client, with all its decisions, for programs
-// that have an http.Client. Tokens are the transport's matter: what a URL carries of them is passed over.
-type RoundTripper struct{ Client *Client }
-
-// RoundTrip answers a request. Its errors are those of Do; a refusal is a 503 with Retry-After.
-func (t *RoundTripper) RoundTrip(q *http.Request) (*http.Response, error) {
-	if q.Body != nil {
-		defer func() { _ = q.Body.Close() }() // net/http asks for it; it is the caller's, and was read
-	}
-	words := strings.Split(strings.TrimPrefix(q.URL.Path, "/"), "/")
-	if len(words) != 3 {
-		return nil, fmt.Errorf("%w: path %q is not /CLASS/OBJECT/PART", ErrRequest, q.URL.Path)
-	}
-	part, err := strconv.Atoi(words[2])
-	if err != nil {
-		return nil, fmt.Errorf("%w: part %q", ErrRequest, words[2])
-	}
-	group := 0
-	if s := q.URL.Query().Get("shard"); s != "" {
-		if group, err = strconv.Atoi(s); err != nil {
-			return nil, fmt.Errorf("%w: shard %q", ErrRequest, s)
-		}
-	}
-	r := Request{Class: words[0], Object: words[1], Part: part, Group: group, Key: strings.Trim(q.Header.Get("Idempotency-Key"), `"`),
-		Have: strings.Trim(q.Header.Get("If-None-Match"), `"`)}
-	if q.Body != nil {
-		if r.Body, err = io.ReadAll(io.LimitReader(q.Body, 48001)); err != nil {
-			return nil, err
-		}
-	}
-	got, err := t.Client.Do(q.Context(), r)
-	resp := &http.Response{StatusCode: http.StatusOK, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{}, Request: q}
-	var refused *RefusedError
-	switch {
-	case errors.As(err, &refused):
-		resp.StatusCode = http.StatusServiceUnavailable
-		resp.Header.Set("Retry-After", strconv.Itoa(int((refused.Later+time.Second-1)/time.Second)))
-	case err != nil:
-		return nil, err
-	case got.Unchanged:
-		resp.StatusCode = http.StatusNotModified
-	}
-	if got.Tag != "" {
-		resp.Header.Set("ETag", `"`+got.Tag+`"`)
-	}
-	resp.Status = strconv.Itoa(resp.StatusCode) + " " + http.StatusText(resp.StatusCode)
-	resp.ContentLength = int64(len(got.Body))
-	resp.Body = io.NopCloser(bytes.NewReader(got.Body))
-	return resp, nil
-}
