--- a/cmd/larchusher/state.go
+++ b/cmd/larchusher/state.go
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// printAll prints all files, and says whether the newest is whole.
+// printAll prints all files, and reports whether the newest is complete.
 func (f *stateFolder) printAll() (folder string, n int, whole bool, err error) {
 	store, folder, err := f.open()
 	if err != nil {
@@ -141,7 +141,7 @@
 
 type stateShow struct{ stateFolder }
 
-// Run shows what is kept.
+// Run shows what is saved.
 func (s *stateShow) Run() error {
 	folder, n, _, err := s.printAll()
 	if err == nil && n == 0 && !s.JSON {
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -10,8 +10,8 @@
 	"larchusher/routing"
 )
 
-// keySet is which keys a configuration has: a reload is not to lose one. A file that is cut short, or was written half, may
-// still be valid JSON, and what it lacks would silently become a default.
+// keySet is which keys a configuration has. A reload must not lose one: a file that was cut short may still be valid JSON,
+// and what it lacks would silently become a default.
 type keySet struct {
 	keys    []string // of objects within objects, as paths with dots between names
 	classes []string // that each element of settings.classes has
@@ -55,8 +55,8 @@
 	}
 }
 
-// missingKey names the first key that a newer configuration lacks; empty: none. What is known of stores is told anew by the
-// journal, so it may be missing.
+// missingKey names the first key that a newer configuration lacks; empty: none. The endpoint list may be missing: its feed
+// sends it again.
 func (l keySet) missingKey(newer keySet) string {
 	for _, key := range l.keys {
 		if _, found := slices.BinarySearch(newer.keys, key); !found && key != "known" && !strings.HasPrefix(key, "known.") {
@@ -76,8 +76,8 @@
 	return ""
 }
 
-// CheckReload says why a newer configuration may not take the place of c while the program runs; nil: it may. It is
-// stricter than a start: what was there must still be, and the figures that bound each request must be positive.
+// CheckReload is why a newer configuration must not replace c while the program runs; nil: it may. It is stricter than a
+// start: every key that c has must be there, and the limits of each request must be positive.
 func (c *Gateway) CheckReload(newer *Gateway) error {
 	if key := c.keys.missingKey(newer.keys); key != "" {
 		return missingKeyError(key)
@@ -106,9 +106,9 @@
 	return fmt.Errorf("%s: missing, and the configuration in use has it", key)
 }
 
-// ChangedRestartKeys names the keys in which a newer configuration differs that are taken in at the start only. Of the rest, the
-// journal's address, the classes and the limit on attempts may change at any time, and what is known is told anew by the
-// journal.
+// ChangedRestartKeys names the keys in which a newer configuration differs that are taken in at the start only. The address
+// of the endpoint list's feed, the classes and the limit on attempts are taken in by a reload, and the endpoint list itself
+// comes with the feed.
 func (c *Gateway) ChangedRestartKeys(newer *Gateway) (keys []string) {
 	for _, k := range [...]struct {
 		key      string
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -11,7 +11,7 @@
 	"larchusher/warmstart"
 )
 
-// State says where what is learned is kept.
+// State says where learned state is saved.
 type State struct {
 	Folder           string
 	SnapshotInterval time.Duration
@@ -21,7 +21,7 @@
 
 const defaultMaxListings = 4096
 
-// readState reads where knowledge is kept; nil: nowhere.
+// readState reads where learned state is saved; nil: nowhere.
 func readState(pb *operatorpb.State, env func(string) string) (*State, error) {
 	if pb == nil {
 		return nil, nil
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics words the program's counters for Prometheus, and for the log. What is counted stands where it is
-// counted; a source tells all of it at once.
+// Package metrics words the program's counters for Prometheus, StatsD and the log. Each package keeps its own counters; a
+// Source collects the present values of all.
 package metrics
 
 import (
@@ -36,12 +36,12 @@
 // Label is one label of a value.
 type Label struct{ Name, Value string }
 
-// Source tells all values there are now.
+// Source returns all present values.
 type Source func() []Value
 
 const prefix = "larchusher_"
 
-// Describe sends nothing: which values there are depends on what happened.
+// Describe sends nothing: which values there are depends on what has happened.
 func (s Source) Describe(chan<- *prometheus.Desc) {}
 
 // Collect hands the values to Prometheus's library.
--- a/internal/net/transport/echo.go
+++ b/internal/net/transport/barrier.go
@@ -13,13 +13,12 @@
 	"larchusher/internal/logfields"
 )
 
-// firstBarrierTimeout is how long the first echo may take, at the start; it guards against waiting for ever for a poller that
-// doesn't run.
+// firstBarrierTimeout is how long the first barrier may take, at the start, before the poller counts as not running.
 const firstBarrierTimeout = 10 * time.Second
 
-// barrier is an eventfd by which the program speaks to its own poller: once it was written to, the poller reads it after
-// all connections that were ready before. It is no socket: where only TCP and UDP are served, a pair of Unix sockets
-// has no name, and the start failed for that.
+// barrier is an eventfd that the poller reads: once it was written to, the poller comes to it after all connections that
+// were ready before. It is no pair of Unix sockets: where the system serves TCP and UDP alone, those have no name, and the
+// start would fail.
 type barrier struct {
 	mu        sync.Mutex
 	nc        *nbio.Conn // the poller's descriptor of it
@@ -41,7 +40,7 @@
 	return err
 }
 
-// close gives the descriptors back, once the engine has stopped. nbio closes only those that it knows as sockets.
+// close closes the descriptors, once the engine has stopped. nbio closes only those that it knows as sockets.
 func (e *barrier) close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -49,7 +48,8 @@
 	_ = unix.Close(e.fd)
 }
 
-// Barrier calls f on the poller, once it has read what had come on all connections by now. f must not block.
+// Barrier calls f on the poller, once it has read what had come on all connections by now. f must not block. It may be
+// called from any goroutine.
 func (e *Engine) Barrier(f func()) {
 	e.barrier.mu.Lock()
 	defer e.barrier.mu.Unlock()
@@ -62,11 +62,11 @@
 	}
 }
 
-// passed calls what was wanted.
+// passed calls the callbacks, on the poller.
 func (e *barrier) passed() {
 	e.mu.Lock()
 	var count [8]byte
-	_, _ = unix.Read(e.fd, count[:]) // before what is wanted is taken: what comes later writes anew
+	_, _ = unix.Read(e.fd, count[:]) // before the callbacks are taken: one that comes later writes again
 	want := e.callbacks
 	e.callbacks = nil
 	e.mu.Unlock()
@@ -75,7 +75,7 @@
 	}
 }
 
-// descriptor shows one to nbio as a connection, of which it takes a descriptor of its own. Nothing else is called.
+// descriptor shows a descriptor to nbio as a connection, which takes a duplicate of it. Nothing else of it is called.
 type descriptor struct {
 	net.Conn
 	fd int
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// limitKernelUnsent bounds what the kernel takes of a connection's answers before they can be sent (TCP_NOTSENT_LOWAT, tcp(7)).
-// Guards against clients that do not read: the kernel's buffers count as the program's memory, and would hide them.
+// limitKernelUnsent limits what the kernel takes of a connection's answers before they can be sent (TCP_NOTSENT_LOWAT,
+// tcp(7)). Its buffers count as the program's memory, and would hide that a client does not read.
 func limitKernelUnsent(conn net.Conn) {
 	t, ok := conn.(*net.TCPConn)
 	if !ok {
--- a/internal/net/transport/conn.go
+++ b/internal/net/transport/conn.go
@@ -47,7 +47,7 @@
 	discardedBytes int // the poller's: bytes that came after the end
 }
 
-// notifyClosed tells the handler, once, that the connection is over.
+// notifyClosed calls the handler's OnClosed, once.
 func (c *Conn) notifyClosed(err error) { c.notifyOnce.Do(func() { c.handler.OnClosed(c, err) }) }
 
 // PeerClosed reports whether the other end has closed the connection, as the kernel has it at this moment: what came
--- a/internal/net/transport/listener.go
+++ b/internal/net/transport/listener.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	slotTimeout         = 100 * time.Millisecond // a connection beyond the most waits so long for a slot
+	slotTimeout         = 100 * time.Millisecond // for which a connection beyond the limit waits for a slot
 	acceptRetryInterval = 5 * time.Millisecond   // after an accept that failed for want of descriptors
 )
 
@@ -34,24 +34,24 @@
 	closing   chan struct{} // closed by Yield
 }
 
-// Listen accepts connections on addr, and asks handler for the callbacks of each. At most `most` are held
-// open at once. One beyond that has `full` called, which may close others, and waits a moment for a slot; it is
-// closed if none comes free.
+// Listen accepts connections on addr, with a handler of newHandler for each. At most maxConns are open at once. For one
+// beyond that onFull is called, which may close others, and it waits a moment for a slot; it is closed if none comes free.
+// Both functions run on the listener's goroutine.
 //
-// The address is shared with other processes of the same user that listen on it by this function: the kernel gives each new
-// connection to one of them.
-func (e *Engine) Listen(addr string, most int, full func(), handler func() Handler) (*Listener, error) {
+// Other processes of the same user may listen on the address by this function, too: the kernel gives each new connection to
+// one of them.
+func (e *Engine) Listen(addr string, maxConns int, onFull func(), newHandler func() Handler) (*Listener, error) {
 	tcp, err := e.open(addr)
 	if err != nil {
 		return nil, fmt.Errorf("listening on %s: %w", addr, err)
 	}
-	l := &Listener{engine: e, tcp: tcp, slots: newSlots(most), onFull: full, newHandler: handler, closing: make(chan struct{})}
+	l := &Listener{engine: e, tcp: tcp, slots: newSlots(maxConns), onFull: onFull, newHandler: newHandler, closing: make(chan struct{})}
 	go l.run() // one for the listener: nbio's own ends with the engine only
 	return l, nil
 }
 
-// Inherit has Listen use listening sockets of a former process, by their addresses. What is not asked for is closed by the
-// function that it returns.
+// Inherit has Listen use the listening sockets of a former process, by their addresses. closeRest closes those that were not
+// used.
 func (e *Engine) Inherit(sockets map[string]*os.File) (closeRest func()) {
 	e.inherited = sockets
 	return func() {
@@ -62,7 +62,7 @@
 	}
 }
 
-// open gives the socket for an address: that of a former process, or one of its own.
+// open returns the socket for an address: that of a former process, or a new one.
 func (e *Engine) open(addr string) (*net.TCPListener, error) {
 	if file := e.inherited[addr]; file != nil {
 		delete(e.inherited, addr)
@@ -130,14 +130,14 @@
 	l.serve(conn, nil)
 }
 
-// ReceivedChunk is something that has come on a connection at a time.
+// ReceivedChunk is what has come on a connection at a time.
 type ReceivedChunk struct {
 	Data []byte
 	At   time.Time
 }
 
-// Adopt serves a connection of a former process as if it had been accepted here. The pieces have come on it before. It takes a
-// slot even if there is none.
+// Adopt serves a connection of a former process, on which chunks have come before, as if it had been accepted here. It takes
+// a slot even if there is none.
 func (l *Listener) Adopt(conn net.Conn, pieces []ReceivedChunk) {
 	if !l.slots.take(0) {
 		l.slots.takeBeyondLimit()
@@ -228,9 +228,9 @@
 	}
 }
 
-// SetMaxConns sets how many connections are held open at once. If more are open they stay, and none is accepted until enough
-// have ended.
-func (l *Listener) SetMaxConns(most int) { l.slots.setLimit(most) }
+// SetMaxConns sets how many connections are open at once. If more are open they stay, and none is accepted until enough have
+// ended.
+func (l *Listener) SetMaxConns(maxConns int) { l.slots.setLimit(maxConns) }
 
 // slots bounds how many connections are open. It is safe for concurrent use.
 type slots struct {
--- a/internal/net/transport/tracker.go
+++ b/internal/net/transport/tracker.go
@@ -7,10 +7,25 @@
 
 // How long a connection may hold its slot.
 const (
-	FirstByteTimeout = 2 * time.Second         // without a word since it was opened
-	MessageTimeout   = 2500 * time.Millisecond // with a message that has begun to come and has not come whole
-	idleTimeout      = 10 * time.Second        // with nothing in work; usual clients close after 4 s
-	newcomerGrace    = 200 * time.Millisecond
+	// FirstByteTimeout is for one on which nothing has come.
+	FirstByteTimeout = 2 * time.Second
+	// MessageTimeout is for one on which a message has begun to come, until it is complete.
+	MessageTimeout = 2500 * time.Millisecond
+	// idleTimeout is for one on which nothing is open. Usual clients close theirs after 4 s.
+	idleTimeout = 10 * time.Second
+	// newcomerGrace is for one that has just been accepted, where its slot is needed.
+	newcomerGrace = 200 * time.Millisecond
+)
+
+// reservedShare is the part of the slots, divided by this, that is kept free for connections to come.
+const reservedShare = 8
+
+// Why connections end.
+var (
+	errIncomplete = errors.New("a message that does not end")
+	errNeverSpoke = errors.New("it never spoke")
+	errIdle       = errors.New("idle")
+	errSlotNeeded = errors.New("its slot is needed")
 )
 
 // ConnTracker knows the connections of one front and ends those that hold their slots for nothing: that never speak, stop in
@@ -29,21 +44,22 @@
 	PartialSince time.Time   // since when a message is coming; zero: none is
 }
 
-// NewConnTracker returns a tracker with slots for so many connections.
-func NewConnTracker(most int) *ConnTracker {
-	return &ConnTracker{all: map[*TrackedConn]bool{}, maxConns: most}
+// NewConnTracker returns a tracker with slots for at most maxConns connections.
+func NewConnTracker(maxConns int) *ConnTracker {
+	return &ConnTracker{all: map[*TrackedConn]bool{}, maxConns: maxConns}
 }
 
-// Add tracks a connection. The last eighth of the slots is kept free for those to come: idle connections are ended for it.
+// Add tracks a connection. Idle ones are closed for it so that slots stay free for those to come. busy reports whether an
+// answer is owed on it.
 func (t *ConnTracker) Add(c *Conn, now time.Time, busy func() bool) *TrackedConn {
 	n := &TrackedConn{Conn: c, Busy: busy, LastActive: now}
 	t.all[n] = true
-	t.EvictIdle(now, len(t.all)-(t.maxConns-t.maxConns/8))
+	t.EvictIdle(now, len(t.all)-(t.maxConns-t.maxConns/reservedShare))
 	return n
 }
 
 // SetMaxConns sets how many slots there are.
-func (t *ConnTracker) SetMaxConns(most int) { t.maxConns = most }
+func (t *ConnTracker) SetMaxConns(maxConns int) { t.maxConns = maxConns }
 
 // Remove ends the tracking of a connection. One that is not tracked, or nil, is left alone.
 func (t *ConnTracker) Remove(n *TrackedConn) { delete(t.all, n) }
@@ -75,13 +91,13 @@
 			if partial != nil {
 				partial(n)
 			} else {
-				n.Conn.CloseGracefully(errors.New("a message that does not end"), LingerTime)
+				n.Conn.CloseGracefully(errIncomplete, LingerTime)
 			}
 		case !n.idle():
 		case n.Messages == 0 && quiet > FirstByteTimeout:
-			n.Conn.CloseGracefully(errors.New("it never spoke"), LingerTime)
+			n.Conn.CloseGracefully(errNeverSpoke, LingerTime)
 		case quiet > idleTimeout:
-			n.Conn.CloseGracefully(errors.New("idle"), LingerTime)
+			n.Conn.CloseGracefully(errIdle, LingerTime)
 		}
 	}
 }
@@ -96,7 +112,7 @@
 			return
 		}
 		t.Remove(longest) // it is on its way out
-		longest.Conn.CloseGracefully(errors.New("its slot is needed"), shortLinger)
+		longest.Conn.CloseGracefully(errSlotNeeded, shortLinger)
 	}
 }
 
--- a/internal/net/transport/transport.go
+++ b/internal/net/transport/transport.go
@@ -39,10 +39,10 @@
 	OnClosed(c *Conn, err error)
 }
 
-// OpenHandler is a handler that is told of its connection before the first byte comes. It may not write yet.
+// OpenHandler is a handler whose OnOpened is called before the first byte comes. It must not write yet.
 type OpenHandler interface{ OnOpened(c *Conn) }
 
-// WriteReadyHandler is a handler that speaks first: it is told once the connection can be written.
+// WriteReadyHandler is a handler that writes first: OnReady is called once the connection can be written.
 type WriteReadyHandler interface{ OnReady(c *Conn) }
 
 // Engine owns the connections of a program.
