--- a/lab/testbed/testbed.go
+++ b/lab/testbed/testbed.go
@@ -3,25 +3,17 @@
 package testbed
 
 import (
-	"bufio"
-	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"net"
 	"os"
-	"os/exec"
 	"path/filepath"
-	"runtime"
 	"sort"
 	"strconv"
 	"strings"
 	"sync"
-	"syscall"
-	"time"
-
-	"golang.org/x/sys/unix"
 
 	"larchusher/lab/fakeserver"
 	"larchusher/lab/loopback"
@@ -61,11 +53,9 @@
 	Addr    string // of the platform's front
 	Stores  map[string]*fakeserver.Store
 	Journal *fakeserver.Journal
-	Cmd     *exec.Cmd
-	Log     *Log
+	*Process
 
-	dir    string
-	exited chan struct{}
+	dir string
 }
 
 // Host words a store for the journal.
@@ -94,7 +84,7 @@
 
 // Start starts a world and waits until the program serves.
 func Start(ctx context.Context, cfg Config) (w *World, err error) {
-	w = &World{Stores: map[string]*fakeserver.Store{}, Log: &Log{}, exited: make(chan struct{})}
+	w = &World{Stores: map[string]*fakeserver.Store{}, Process: NewProcess(cfg.Program, cfg.Args, nil)}
 	defer func() {
 		if err != nil {
 			w.Stop()
@@ -149,19 +139,16 @@
 	if err = os.WriteFile(path, data, 0o600); err != nil {
 		return err
 	}
-	w.Cmd = exec.CommandContext(context.Background(), cfg.Program, cfg.Args...)
-	w.Cmd.Env = append(append(os.Environ(), "BALANCER_CONFIG="+path, "BALANCER_NAME=n0", "BALANCER_LISTEN="+w.Addr), cfg.Env...)
-	w.Cmd.Stderr = w.Log
-	if err = startPinned(w.Cmd, cfg.Pin); err != nil {
-		return fmt.Errorf("starting %s: %w", cfg.Program, err)
+	w.Cmd.Env = append(append(w.Cmd.Env, "BALANCER_CONFIG="+path, "BALANCER_NAME=n0", "BALANCER_LISTEN="+w.Addr), cfg.Env...)
+	if err = w.Start(cfg.Pin); err != nil {
+		return err
 	}
-	go func() { _ = w.Cmd.Wait(); close(w.exited) }()
 	if _, err = w.Logged(ctx, "msg=serving"); err != nil {
 		return err
 	}
 	select {
 	case <-w.Journal.Connected:
-	case <-w.exited:
+	case <-w.ended:
 		err = errors.New("the program ended")
 	case <-ctx.Done():
 		err = ctx.Err()
@@ -169,71 +156,6 @@
 	return err
 }
 
-// Kill ends the program as a crash does. What its connections carried is lost.
-func (w *World) Kill() error {
-	if err := w.Cmd.Process.Kill(); err != nil {
-		return err
-	}
-	<-w.exited
-	return nil
-}
-
-// Ended waits until the program has ended by itself.
-func (w *World) Ended(ctx context.Context) error {
-	select {
-	case <-w.exited:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-}
-
-// Again starts the program anew after Kill or Ended, at the same address and with the same files. It does not wait until it serves.
-func (w *World) Again() error {
-	old := w.Cmd
-	w.Log.Reset()
-	w.Cmd = exec.CommandContext(context.Background(), old.Path, old.Args[1:]...)
-	w.Cmd.Env, w.Cmd.Stderr = old.Env, old.Stderr
-	w.exited = make(chan struct{})
-	exited := w.exited
-	if err := w.Cmd.Start(); err != nil {
-		close(exited)
-		return fmt.Errorf("starting %s again: %w", old.Path, err)
-	}
-	go func(cmd *exec.Cmd) { _ = cmd.Wait(); close(exited) }(w.Cmd)
-	return nil
-}
-
-// startPinned starts a command on one core, and keeps this process off it.
-func startPinned(cmd *exec.Cmd, core int) error {
-	if core < 0 {
-		return cmd.Start()
-	}
-	runtime.LockOSThread() // the child inherits this thread's affinity
-	defer runtime.UnlockOSThread()
-	var own, others unix.CPUSet
-	if err := unix.SchedGetaffinity(0, &others); err != nil {
-		return err
-	}
-	own.Set(core)
-	others.Clear(core)
-	if others.Count() == 0 {
-		return cmd.Start()
-	}
-	if err := unix.SchedSetaffinity(0, &own); err != nil {
-		return fmt.Errorf("core %d: %w", core, err)
-	}
-	err := cmd.Start()
-	tasks, _ := os.ReadDir("/proc/self/task")
-	for _, t := range tasks {
-		if id, e := strconv.Atoi(t.Name()); e == nil {
-			_ = unix.SchedSetaffinity(id, &others)
-		}
-	}
-	_ = unix.SchedSetaffinity(0, &others)
-	return err
-}
-
 // Free returns an address that nobody listens at, at a loopback address of this process's own.
 func Free() (string, error) { return FreeAt("") }
 
@@ -265,97 +187,9 @@
 
 const freeTries = 1000
 
-// Logged waits until the program's log has a line with the text, and returns it.
-func (w *World) Logged(ctx context.Context, text string) (string, error) {
-	for {
-		more := w.Log.grown() // before the look, or what comes in between is missed
-		if line := w.Log.Line(text); line != "" {
-			return line, nil
-		}
-		select {
-		case <-ctx.Done():
-			return "", fmt.Errorf("the log never said %q: %w\n%s", text, ctx.Err(), w.Log.String())
-		case <-w.exited:
-			return "", fmt.Errorf("the program ended\n%s", w.Log.String())
-		case <-more:
-		}
-	}
-}
-
-// Counters asks the program for its counters.
-func (w *World) Counters(ctx context.Context) (map[string]float64, error) {
-	w.Log.Reset()
-	if err := w.Signal(syscall.SIGUSR1); err != nil {
-		return nil, err
-	}
-	line, err := w.Logged(ctx, "msg=counters")
-	if err != nil {
-		return nil, err
-	}
-	all := map[string]float64{}
-	for f := range strings.FieldsSeq(line) {
-		if k, v, ok := strings.Cut(f, "="); ok {
-			if x, err := strconv.ParseFloat(strings.Trim(v, `"`), 64); err == nil {
-				all[k] = x
-			}
-		}
-	}
-	return all, nil
-}
-
-// Signal sends the program a signal.
-func (w *World) Signal(s os.Signal) error { return w.Cmd.Process.Signal(s) }
-
-// Stall stops the program for a while, as a host that stands still does.
-func (w *World) Stall(d time.Duration) error {
-	if err := w.Signal(syscall.SIGSTOP); err != nil {
-		return err
-	}
-	time.Sleep(d)
-	return w.Signal(syscall.SIGCONT)
-}
-
-// Usage is what a process has used.
-type Usage struct {
-	CPU    time.Duration
-	PeakKB int // most memory held so far
-	NowKB  int
-}
-
-// Use reads what the program has used so far.
-func (w *World) Use() (u Usage, err error) {
-	dir := fmt.Sprintf("/proc/%d/", w.Cmd.Process.Pid)
-	status, err := os.ReadFile(dir + "status")
-	if err != nil {
-		return u, err
-	}
-	for line := range strings.Lines(string(status)) {
-		for name, to := range map[string]*int{"VmHWM:": &u.PeakKB, "VmRSS:": &u.NowKB} {
-			if v, ok := strings.CutPrefix(line, name); ok {
-				_, _ = fmt.Sscan(v, to)
-			}
-		}
-	}
-	stat, err := os.ReadFile(dir + "stat")
-	if err != nil {
-		return u, err
-	}
-	_, rest, _ := strings.Cut(string(stat), ") ")
-	if f := strings.Fields(rest); len(f) > 13 {
-		user, _ := strconv.Atoi(f[11])
-		sys, _ := strconv.Atoi(f[12])
-		u.CPU = time.Duration(user+sys) * 10 * time.Millisecond // ticks of USER_HZ, which is 100
-	}
-	return u, nil
-}
-
 // Stop ends the world. It may be called twice.
 func (w *World) Stop() {
-	if w.Cmd != nil && w.Cmd.Process != nil {
-		_ = w.Cmd.Process.Signal(syscall.SIGCONT)
-		_ = w.Cmd.Process.Kill()
-		<-w.exited
-	}
+	w.Process.Stop()
 	for _, s := range w.Stores {
 		if s != nil {
 			s.Close()
@@ -368,56 +202,3 @@
 		_ = os.RemoveAll(w.dir)
 	}
 }
-
-// Log is written by a process and read by others.
-type Log struct {
-	mu   sync.Mutex
-	b    bytes.Buffer
-	more chan struct{}
-}
-
-// Write adds to the log.
-func (l *Log) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.more != nil {
-		close(l.more)
-		l.more = nil
-	}
-	return l.b.Write(p)
-}
-
-// grown is closed with the next write.
-func (l *Log) grown() <-chan struct{} {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.more == nil {
-		l.more = make(chan struct{})
-	}
-	return l.more
-}
-
-// Line returns the first line with the text, or none.
-func (l *Log) Line(text string) string {
-	s := bufio.NewScanner(strings.NewReader(l.String()))
-	s.Buffer(nil, 1<<20)
-	for s.Scan() {
-		if strings.Contains(s.Text(), text) {
-			return s.Text()
-		}
-	}
-	return ""
-}
-
-func (l *Log) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.String()
-}
-
-// Reset empties the log.
-func (l *Log) Reset() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.b.Reset()
-}
--- a/test/rig_test.go
+++ b/test/rig_test.go
@@ -49,6 +49,9 @@
 	os.Exit(code)
 }
 
+// anyCore has a program run on any core.
+const anyCore = -1
+
 // rig is the program with everything that it talks to.
 type rig struct {
 	t       *testing.T
@@ -63,7 +66,7 @@
 	env     []string
 	cmd     *exec.Cmd
 	log     *testbed.Log
-	exited  chan error
+	exited  <-chan error
 }
 
 // newRig makes caches c1 and c2, a parent p and the origin o, and does not start the program yet.
@@ -128,19 +131,14 @@
 // run starts the program on the configuration that is written.
 func (r *rig) run() {
 	r.t.Helper()
-	r.log = &testbed.Log{}
-	r.cmd = exec.CommandContext(context.Background(), program, r.args...)
-	r.cmd.Env = append(append(os.Environ(), "BALANCER_CONFIG="+r.path, "BALANCER_NAME=n0"), r.env...)
-	r.cmd.Stderr = r.log
-	if err := r.cmd.Start(); err != nil {
+	p := testbed.NewProcess(program, r.args, append([]string{"BALANCER_CONFIG=" + r.path, "BALANCER_NAME=n0"}, r.env...))
+	r.cmd, r.log, r.exited = p.Cmd, p.Log, p.Exited()
+	if err := p.Start(anyCore); err != nil {
 		r.t.Fatal(err)
 	}
-	cmd, log, exited := r.cmd, r.log, make(chan error, 1)
-	r.exited = exited
-	go func() { exited <- cmd.Wait(); close(exited) }()
+	log := p.Log
 	r.t.Cleanup(func() {
-		_ = cmd.Process.Kill()
-		r.t.Log("the program ended:", <-exited)
+		p.Stop()
 		if text := log.String(); strings.Contains(text, "panic") && !strings.Contains(text, "panics=0") || r.t.Failed() {
 			r.t.Errorf("its log:\n%s", text)
 		}
