--- a/client/client.go
+++ b/client/client.go
@@ -1,17 +1,18 @@
-// Package client speaks to larchusher's gateways: it keeps deadlines over all attempts of a request, marks retries, honours
-// rejections and their Retry-After, keeps retries within a budget, leaves gateways that died and spreads its reconnects. What it decides stands in package plan.
+// Package client speaks to larchusher's gateways: it keeps deadlines over all tries of a request, marks retries, honours
+// refusals and when they say to come back, keeps retries within a budget, leaves gateways that died and spreads its
+// reconnects. What it decides stands in package plan.
 //
 //	c, err := client.New(client.Config{
 //		Gateways: []string{"10.0.0.4:9090", "10.0.0.5:9090"},
-//		Classes:  []client.Class{{Name: "images", PriorityWeight: 1}},
+//		Classes:  []client.Class{{Name: "images", Worth: 1}},
 //	})
 //	defer c.Close()
 //	ctx, cancel := context.WithTimeout(ctx, 2500*time.Millisecond)
 //	defer cancel()
 //	r, err := c.Do(ctx, client.Request{Class: "images", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17})
-//	var rejected *client.RejectedError
+//	var refused *client.RefusedError
 //	switch {
-//	case errors.As(err, &rejected): // nothing ran; come back after rejected.RetryAfter
+//	case errors.As(err, &refused): // nothing ran; come back after refused.Later
 //	case errors.Is(err, client.ErrUnknown): // it may have run
 //	}
 package client
@@ -40,9 +41,9 @@
 
 // Effects of a class; see [plan.Effect].
 const (
-	Idempotent        = plan.Idempotent
-	IdempotentWithKey = plan.IdempotentWithKey
-	NonIdempotent     = plan.NonIdempotent
+	Safe   = plan.Safe
+	Keyed  = plan.Keyed
+	Unsafe = plan.Unsafe
 )
 
 // Config is what a client is made of. Gateways and Classes are needed; all else has a default (see [plan.Config]).
@@ -58,7 +59,7 @@
 	Transport Transport
 	// Hook is told of each call that ended; nil: nobody is. It must not block.
 	Hook func(Ended)
-	// Tracer makes a span for each call, with an event for each attempt and the reason why it ended; nil: none.
+	// Tracer makes a span for each call, with an event for each try and the reason why it ended; nil: none.
 	Tracer trace.Tracer
 	// Meter measures calls and decisions (see MetricDuration and the others); nil: none.
 	Meter metric.Meter
@@ -66,34 +67,34 @@
 
 // Ended is what a hook is told.
 type Ended struct {
-	Request  *Request
-	Ending   plan.Ending
-	Attempts int
-	Took     time.Duration
+	Request *Request
+	Ending  plan.Ending
+	Tries   int
+	Took    time.Duration
 }
 
 const defaultDeadline = 5 * time.Second
 
-// Errors of a call, to be told apart by errors.Is. A rejection is a [RejectedError], too.
+// Errors of a call, to be told apart by errors.Is. A refusal is a [RefusedError], too.
 var (
-	ErrRejected = errors.New("client: refused: nothing ran")
-	ErrFailed   = errors.New("client: failed: the gateway gave it up, and it may have run")
-	ErrUnknown  = errors.New("client: its end is unknown: it may have run")
-	ErrExpired  = errors.New("client: no answer in time")
-	ErrUnsent   = errors.New("client: no gateway could be reached: nothing ran")
-	ErrClosed   = errors.New("client: closed")
-	ErrRequest  = errors.New("client: a request that can't be sent")
+	ErrRefused = errors.New("client: refused: nothing ran")
+	ErrFailed  = errors.New("client: failed: the gateway gave it up, and it may have run")
+	ErrUnknown = errors.New("client: its end is unknown: it may have run")
+	ErrExpired = errors.New("client: no answer in time")
+	ErrUnsent  = errors.New("client: no gateway could be reached: nothing ran")
+	ErrClosed  = errors.New("client: closed")
+	ErrRequest = errors.New("client: a request that can't be sent")
 )
 
-// RejectedError says that nothing ran, and when to come back.
-type RejectedError struct{ RetryAfter time.Duration }
+// RefusedError says that nothing ran, and when to come back.
+type RefusedError struct{ Later time.Duration }
 
-func (e *RejectedError) Error() string {
-	return fmt.Sprintf("%v, come back after %v", ErrRejected, e.RetryAfter.Round(time.Millisecond))
+func (e *RefusedError) Error() string {
+	return fmt.Sprintf("%v, come back after %v", ErrRefused, e.Later.Round(time.Millisecond))
 }
 
-// Is makes it an ErrRejected.
-func (e *RejectedError) Is(target error) bool { return target == ErrRejected }
+// Is makes it an ErrRefused.
+func (e *RefusedError) Is(target error) bool { return target == ErrRefused }
 
 // noSpan takes all and keeps nothing.
 var noSpan = trace.SpanFromContext(context.Background())
@@ -113,36 +114,36 @@
 type Response struct {
 	Body      []byte // the caller's to keep
 	Unchanged bool   // the copy that the caller holds is the one
-	ETag      string // of the copy, where the transport tells
-	Attempts  int
+	Tag       string // of the copy, where the transport tells
+	Tries     int
 }
 
-// Attempt is one sending of a request.
-type Attempt struct {
+// Try is one sending of a request.
+type Try struct {
 	ID      uint64
 	Request *Request
-	Txn     string // 16 hex digits, new with every attempt
-	Key     string // the same with all attempts of a request; empty: the class has none
+	Txn     string // 16 hex digits, new with every try
+	Key     string // the same with all tries of a request; empty: the class has none
 	Limit   time.Duration
-	Retry   bool // it is not the first
+	Second  bool // it is not the first
 }
 
-// Answer is what comes back for an attempt.
+// Answer is what comes back for a try.
 type Answer struct {
-	OK         bool
-	Rejected   bool // refused
-	RetryAfter time.Duration
-	Unchanged  bool
-	Body       []byte
-	ETag       string
-	Err        error // why it failed, where that is known
+	OK        bool
+	Backoff   bool // refused
+	Later     time.Duration
+	Unchanged bool
+	Body      []byte
+	Tag       string
+	Err       error // why it failed, where that is known
 }
 
 // Events is what a connection reports, from any goroutine but not from within a call of its methods.
 type Events interface {
 	Up()
 	Down(clean bool) // once, as the last of all: also after Close, and when nothing of the connection runs any more
-	HealthCheckResult(alive bool)
+	Heard(alive bool)
 	Answer(try uint64, a Answer)
 }
 
@@ -154,9 +155,9 @@
 
 // Conn is one connection.
 type Conn interface {
-	Send(Attempt)
+	Send(Try)
 	Abandon(try uint64) // no answer is wanted any more
-	StartHealthCheck()  // Heard follows, if the gateway is there
+	Probe()             // Heard follows, if the gateway is there
 	Close()             // Down follows
 }
 
@@ -257,7 +258,7 @@
 	c.mu.Lock()
 	if _, open := c.calls[id]; open {
 		delete(c.calls, id)
-		c.step(plan.Canceled{ID: id})
+		c.step(plan.Cancelled{ID: id})
 		as := plan.Expired.String()
 		if errors.Is(ctx.Err(), context.Canceled) {
 			as = "cancelled"
@@ -308,9 +309,9 @@
 func (k *call) result(e plan.End) (Response, error) {
 	switch e.Ending {
 	case plan.Served:
-		return Response{Body: k.answer.Body, Unchanged: k.answer.Unchanged, ETag: k.answer.ETag, Attempts: e.Attempts}, nil
-	case plan.Rejected:
-		return Response{}, &RejectedError{RetryAfter: e.RetryAfter}
+		return Response{Body: k.answer.Body, Unchanged: k.answer.Unchanged, Tag: k.answer.Tag, Tries: e.Tries}, nil
+	case plan.Refused:
+		return Response{}, &RefusedError{Later: e.Later}
 	case plan.Failed:
 		if k.answer.Err != nil {
 			return Response{}, fmt.Errorf("%w: %w", ErrFailed, k.answer.Err)
@@ -392,13 +393,13 @@
 		}
 	case plan.Abandon:
 		if cn := c.conns[a.Conn]; cn != nil {
-			cn.Abandon(a.Attempt)
+			cn.Abandon(a.Try)
 		}
-	case plan.StartHealthCheck:
+	case plan.Probe:
 		if cn := c.conns[a.Conn]; cn != nil {
-			cn.StartHealthCheck()
+			cn.Probe()
 		}
-	case plan.CloseConn:
+	case plan.Hangup:
 		c.hangup(a.Conn)
 	case plan.End:
 		if k := c.calls[a.Call]; k != nil {
@@ -409,26 +410,26 @@
 
 // send sends an attempt of a call on a connection.
 func (c *Client) send(k *call, cn Conn, a plan.Send) {
-	t := Attempt{ID: a.Attempt, Request: k.request, Txn: c.hex(8), Limit: a.Limit, Retry: a.Retry}
+	t := Try{ID: a.Try, Request: k.request, Txn: c.hex(8), Limit: a.Limit, Second: a.Second}
 	if a.Key {
 		t.Key = k.key
 	}
 	cn.Send(t)
 	k.span.AddEvent("try", trace.WithAttributes(attribute.String("larchusher.txn", t.Txn),
-		attribute.Bool("larchusher.second", t.Retry), attribute.Int64("larchusher.limit_ms", t.Limit.Milliseconds())))
+		attribute.Bool("larchusher.second", t.Second), attribute.Int64("larchusher.limit_ms", t.Limit.Milliseconds())))
 }
 
 // end gives a call its result, and reports it.
 func (c *Client) end(k *call, a plan.End) {
 	delete(c.calls, a.Call)
-	k.span.SetAttributes(attribute.String("larchusher.ending", a.Ending.String()), attribute.Int("larchusher.tries", a.Attempts))
+	k.span.SetAttributes(attribute.String("larchusher.ending", a.Ending.String()), attribute.Int("larchusher.tries", a.Tries))
 	if a.Ending != plan.Served {
 		k.span.SetStatus(codes.Error, a.Ending.String())
 	}
 	k.done <- a
-	c.meters.ended(k.request.Class, a.Ending.String(), a.Attempts, time.Since(k.began))
+	c.meters.ended(k.request.Class, a.Ending.String(), a.Tries, time.Since(k.began))
 	if c.cfg.Hook != nil {
-		c.cfg.Hook(Ended{Request: k.request, Ending: a.Ending, Attempts: a.Attempts, Took: time.Since(k.began)})
+		c.cfg.Hook(Ended{Request: k.request, Ending: a.Ending, Tries: a.Tries, Took: time.Since(k.began)})
 	}
 }
 
@@ -448,10 +449,10 @@
 }
 
 func (c *Client) timeout() time.Duration {
-	if c.cfg.Plan.ConnectTimeout > 0 {
-		return c.cfg.Plan.ConnectTimeout
+	if c.cfg.Plan.Connect > 0 {
+		return c.cfg.Plan.Connect
 	}
-	return plan.DefaultConnectTimeout
+	return plan.DefaultConnect
 }
 
 func (c *Client) hangup(id uint64) {
@@ -480,9 +481,7 @@
 	}
 }
 
-func (e *events) HealthCheckResult(alive bool) {
-	e.client.handle(plan.HealthCheckResult{Conn: e.id, Alive: alive})
-}
+func (e *events) Heard(alive bool) { e.client.handle(plan.Heard{Conn: e.id, Alive: alive}) }
 
 func (e *events) Answer(try uint64, a Answer) {
 	c := e.client
@@ -493,5 +492,5 @@
 			k.answer = a
 		}
 	}
-	c.step(plan.Answered{Conn: e.id, Attempt: try, OK: a.OK, Rejected: a.Rejected, RetryAfter: a.RetryAfter})
+	c.step(plan.Answered{Conn: e.id, Try: try, OK: a.OK, Backoff: a.Backoff, Later: a.Later})
 }
--- a/client/http.go
+++ b/client/http.go
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// HTTP is the signed front's protocol: HTTP/1.1 with signed paths. A goroutine carries each attempt.
+// HTTP is the signed front's protocol: HTTP/1.1 with signed paths. A goroutine carries each try.
 type HTTP struct {
 	// Sign turns a path and query, such as "/assets/7f3a9c21e0b4d655/3?shard=17", into one with a token. It is asked
-	// anew for each attempt, so that a token may run out between two; nil: paths go as they are.
+	// anew for each try, so that a token may run out between two; nil: paths go as they are.
 	Sign func(ctx context.Context, target string) (string, error)
 	// Dial connects; nil: as net.Dialer does.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -87,8 +87,8 @@
 	return c
 }
 
-// Send starts an attempt.
-func (c *httpConn) Send(t Attempt) {
+// Send starts a try.
+func (c *httpConn) Send(t Try) {
 	ctx, cancel := context.WithTimeout(c.ctx, t.Limit)
 	c.mu.Lock()
 	c.tries[t.ID] = cancel
@@ -112,7 +112,7 @@
 }
 
 // try sends one request and reads its answer.
-func (c *httpConn) try(ctx context.Context, t Attempt) (a Answer, err error) {
+func (c *httpConn) try(ctx context.Context, t Try) (a Answer, err error) {
 	r := t.Request
 	target := "/" + r.Class + "/" + r.Object + "/" + strconv.Itoa(r.Part) + "?shard=" + strconv.Itoa(r.Group)
 	cookie := c.http.token(time.Now())
@@ -135,7 +135,7 @@
 	} else if r.Have != "" {
 		q.Header.Set("If-None-Match", `"`+r.Have+`"`)
 	}
-	if t.Retry {
+	if t.Second {
 		q.Header.Set("Larchusher-Retry", "1")
 	}
 	if cookie != "" {
@@ -153,7 +153,7 @@
 	if len(body) > 256<<10 {
 		return a, errors.New("an answer that does not end")
 	}
-	a.ETag = strings.Trim(resp.Header.Get("ETag"), `"`)
+	a.Tag = strings.Trim(resp.Header.Get("ETag"), `"`)
 	switch resp.StatusCode {
 	case http.StatusOK:
 		a.OK, a.Body = true, body
@@ -163,7 +163,7 @@
 		c.http.renewed(resp.Cookies())
 	case http.StatusServiceUnavailable:
 		s, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
-		a.Rejected, a.RetryAfter = true, time.Duration(max(0, min(s, 3600)))*time.Second
+		a.Backoff, a.Later = true, time.Duration(max(0, min(s, 3600)))*time.Second
 	case http.StatusForbidden:
 		c.http.renewed(nil)
 		a.Err = fmt.Errorf("%w: %s", ErrToken, strings.TrimSpace(string(body[:min(len(body), 200)])))
@@ -197,7 +197,7 @@
 	}
 }
 
-// Abandon cancels an attempt.
+// Abandon cancels a try.
 func (c *httpConn) Abandon(try uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -207,8 +207,8 @@
 	}
 }
 
-// StartHealthCheck asks for a path that nobody serves: any answer will do.
-func (c *httpConn) StartHealthCheck() {
+// Probe asks for a path that nobody serves: any answer will do.
+func (c *httpConn) Probe() {
 	c.all.Go(func() {
 		ctx, cancel := context.WithTimeout(c.ctx, time.Second)
 		defer cancel()
@@ -218,7 +218,7 @@
 		}
 		if resp, err := c.client.Do(q); err == nil {
 			_ = resp.Body.Close() // an answer to HEAD has none
-			c.ev.HealthCheckResult(true)
+			c.ev.Heard(true)
 		}
 	})
 }
@@ -230,7 +230,7 @@
 // that have an http.Client. Tokens are the transport's matter: what a URL carries of them is passed over.
 type RoundTripper struct{ Client *Client }
 
-// RoundTrip answers a request. Its errors are those of Do; a rejection is a 503 with Retry-After.
+// RoundTrip answers a request. Its errors are those of Do; a refusal is a 503 with Retry-After.
 func (t *RoundTripper) RoundTrip(q *http.Request) (*http.Response, error) {
 	if q.Body != nil {
 		defer func() { _ = q.Body.Close() }() // net/http asks for it; it is the caller's, and was read
@@ -258,18 +258,18 @@
 	}
 	got, err := t.Client.Do(q.Context(), r)
 	resp := &http.Response{StatusCode: http.StatusOK, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{}, Request: q}
-	var refused *RejectedError
+	var refused *RefusedError
 	switch {
 	case errors.As(err, &refused):
 		resp.StatusCode = http.StatusServiceUnavailable
-		resp.Header.Set("Retry-After", strconv.Itoa(int((refused.RetryAfter+time.Second-1)/time.Second)))
+		resp.Header.Set("Retry-After", strconv.Itoa(int((refused.Later+time.Second-1)/time.Second)))
 	case err != nil:
 		return nil, err
 	case got.Unchanged:
 		resp.StatusCode = http.StatusNotModified
 	}
-	if got.ETag != "" {
-		resp.Header.Set("ETag", `"`+got.ETag+`"`)
+	if got.Tag != "" {
+		resp.Header.Set("ETag", `"`+got.Tag+`"`)
 	}
 	resp.Status = strconv.Itoa(resp.StatusCode) + " " + http.StatusText(resp.StatusCode)
 	resp.ContentLength = int64(len(got.Body))
--- a/client/plan/plan.go
+++ b/client/plan/plan.go
@@ -18,39 +18,39 @@
 
 // The effects of a class.
 const (
-	Idempotent        Effect = iota // may be repeated freely
-	IdempotentWithKey               // a repeat with the same key is dropped for a while
-	NonIdempotent                   // must not run twice
+	Safe   Effect = iota // may be repeated freely
+	Keyed                // a repeat with the same key is dropped for a while
+	Unsafe               // must not run twice
 )
 
 // Class is what the planner needs to know of a class.
 type Class struct {
-	Name           string
-	Effect         Effect
-	DedupWindow    time.Duration // with an idempotency key: for how long after an attempt has been sent a retry is dropped
-	PriorityWeight float64       // of what waits, the largest goes first
-	Deadline       time.Duration // no call waits longer; 0: as long as its own deadline says
+	Name     string
+	Effect   Effect
+	Window   time.Duration // keyed: for how long after a try has been sent a repeat is dropped
+	Worth    float64       // of what waits, the most worth goes first
+	Deadline time.Duration // no call waits longer; 0: as long as its own deadline says
 }
 
 // Defaults for what a Config leaves out.
 const (
-	DefaultRetries               = 2
-	DefaultRetriesPerSuccess     = 0.1
-	DefaultMaxSavedRetries       = 10
-	DefaultMaxOpenPerConn        = 32
-	DefaultMaxConns              = 4
-	DefaultNetworkTime           = 10 * time.Millisecond
-	DefaultIdleTimeout           = 3 * time.Second // the gateway's front closes after 10, and its clients after 4
-	DefaultReconnectSpread       = 2 * time.Second
-	DefaultReconnectRate         = 500
-	DefaultConnectTimeout        = time.Second
-	DefaultSilenceTimeout        = time.Second
-	DefaultMinHealthCheckBackoff = time.Second
-	DefaultMaxHealthCheckBackoff = 30 * time.Second
-	DefaultSlowStart             = 10 * time.Second
-	DefaultRedirectShare         = 0.25
-	crossed                      = 50 * time.Millisecond
-	startBudget                  = 2
+	DefaultRetries      = 2
+	DefaultBudget       = 0.1
+	DefaultBudgetMost   = 10
+	DefaultOpen         = 32
+	DefaultConns        = 4
+	DefaultWay          = 10 * time.Millisecond
+	DefaultIdle         = 3 * time.Second // the gateway's front closes after 10, and its clients after 4
+	DefaultSpread       = 2 * time.Second
+	DefaultSpreadRate   = 500
+	DefaultConnect      = time.Second
+	DefaultSilence      = time.Second
+	DefaultProbeFirst   = time.Second
+	DefaultProbeLongest = 30 * time.Second
+	DefaultRamp         = 10 * time.Second
+	DefaultRedirect     = 0.25
+	crossed             = 50 * time.Millisecond
+	startBudget         = 2
 )
 
 // Config is what a planner goes by. The zero value of a field is its default.
@@ -58,24 +58,24 @@
 	Gateways []string
 	Classes  []Class
 
-	Retries           int     // attempts of a call beyond its first; negative: none
-	RetriesPerSuccess float64 // retries earned by a success, over all calls
-	MaxSavedRetries   float64 // that may be saved up; two of them are there at the start: many clients that just began must not add up
+	Retries    int     // tries of a call beyond its first; negative: none
+	Budget     float64 // retries earned by a success, over all calls
+	BudgetMost float64 // that may be saved up; two of them are there at the start: many clients that just began must not add up
 
-	MaxOpenPerConn int           // requests open on a connection
-	MaxConns       int           // connections to a gateway
-	NetworkTime    time.Duration // what a request and its answer take on the way; nothing is sent that has less left
-	IdleTimeout    time.Duration // a connection without work is closed after so long
-	ConnectTimeout time.Duration // a connection that is not up by then has failed
-	SilenceTimeout time.Duration // with work out and no byte for so long a connection is asked for a sign of life; as long again, and it has died
+	Open    int           // requests open on a connection
+	Conns   int           // connections to a gateway
+	Way     time.Duration // what a request and its answer take on the way; nothing is sent that has less left
+	Idle    time.Duration // a connection without work is closed after so long
+	Connect time.Duration // a connection that is not up by then has failed
+	Silence time.Duration // with work out and no byte for so long a connection is asked for a sign of life; as long again, and it has died
 
-	ReconnectSpread time.Duration // reconnects after a death are spread over this at least,
-	Clients         int           // and over more where a gateway has so many clients
-	ReconnectRate   float64       // that more than so many would come a second
-	RedirectShare   float64       // what a dead gateway leaves goes to living ones at this share of the usual rate,
+	Spread     time.Duration // reconnects after a death are spread over this at least,
+	Clients    int           // and over more where a gateway has so many clients
+	SpreadRate float64       // that more than so many would come a second
+	Redirect   float64       // what a dead gateway leaves goes to living ones at this share of the usual rate,
 
-	MinHealthCheckBackoff, MaxHealthCheckBackoff time.Duration // waits between health checks of a dead gateway, doubling
-	SlowStart                                    time.Duration // a new or returned gateway takes its full share after so long
+	ProbeFirst, ProbeLongest time.Duration // waits between tries of a dead gateway, doubling
+	Ramp                     time.Duration // a new or returned gateway takes its full share after so long
 }
 
 // Check fills in defaults, or names the first field that can't be worked with.
@@ -98,9 +98,9 @@
 		switch {
 		case k.Name == "" || names[k.Name]:
 			return fmt.Errorf("client: Classes[%d].Name: %q is empty or stands twice", i, k.Name)
-		case k.Effect < Idempotent || k.Effect > NonIdempotent:
+		case k.Effect < Safe || k.Effect > Unsafe:
 			return fmt.Errorf("client: Classes[%d].Effect: %d", i, k.Effect)
-		case k.DedupWindow < 0 || k.Deadline < 0:
+		case k.Window < 0 || k.Deadline < 0:
 			return fmt.Errorf("client: Classes[%d]: a span is negative", i)
 		}
 		names[k.Name] = true
@@ -108,22 +108,22 @@
 	for _, f := range []struct {
 		name string
 		bad  bool
-	}{{"RetriesPerSuccess", !(c.RetriesPerSuccess >= 0)}, {"MaxSavedRetries", !(c.MaxSavedRetries >= 0)}, {"MaxOpenPerConn", c.MaxOpenPerConn < 0}, {"MaxConns", c.MaxConns < 0},
-		{"NetworkTime", c.NetworkTime < 0}, {"IdleTimeout", c.IdleTimeout < 0}, {"ConnectTimeout", c.ConnectTimeout < 0}, {"SilenceTimeout", c.SilenceTimeout < 0},
-		{"ReconnectSpread", c.ReconnectSpread < 0}, {"Clients", c.Clients < 0}, {"ReconnectRate", !(c.ReconnectRate >= 0)},
-		{"RedirectShare", !(c.RedirectShare >= 0)}, {"MinHealthCheckBackoff", c.MinHealthCheckBackoff < 0}, {"MaxHealthCheckBackoff", c.MaxHealthCheckBackoff < 0},
-		{"SlowStart", c.SlowStart < 0}} {
+	}{{"Budget", !(c.Budget >= 0)}, {"BudgetMost", !(c.BudgetMost >= 0)}, {"Open", c.Open < 0}, {"Conns", c.Conns < 0},
+		{"Way", c.Way < 0}, {"Idle", c.Idle < 0}, {"Connect", c.Connect < 0}, {"Silence", c.Silence < 0},
+		{"Spread", c.Spread < 0}, {"Clients", c.Clients < 0}, {"SpreadRate", !(c.SpreadRate >= 0)},
+		{"Redirect", !(c.Redirect >= 0)}, {"ProbeFirst", c.ProbeFirst < 0}, {"ProbeLongest", c.ProbeLongest < 0},
+		{"Ramp", c.Ramp < 0}} {
 		if f.bad {
 			return fmt.Errorf("client: %s is negative", f.name)
 		}
 	}
 	c.Retries = cmp.Or(c.Retries, DefaultRetries)
-	c.RetriesPerSuccess, c.MaxSavedRetries = cmp.Or(c.RetriesPerSuccess, DefaultRetriesPerSuccess), cmp.Or(c.MaxSavedRetries, DefaultMaxSavedRetries)
-	c.MaxOpenPerConn, c.MaxConns, c.NetworkTime = cmp.Or(c.MaxOpenPerConn, DefaultMaxOpenPerConn), cmp.Or(c.MaxConns, DefaultMaxConns), cmp.Or(c.NetworkTime, DefaultNetworkTime)
-	c.IdleTimeout, c.ConnectTimeout, c.SilenceTimeout = cmp.Or(c.IdleTimeout, DefaultIdleTimeout), cmp.Or(c.ConnectTimeout, DefaultConnectTimeout), cmp.Or(c.SilenceTimeout, DefaultSilenceTimeout)
-	c.ReconnectSpread, c.ReconnectRate = cmp.Or(c.ReconnectSpread, DefaultReconnectSpread), cmp.Or(c.ReconnectRate, DefaultReconnectRate)
-	c.RedirectShare, c.SlowStart = cmp.Or(c.RedirectShare, DefaultRedirectShare), cmp.Or(c.SlowStart, DefaultSlowStart)
-	c.MinHealthCheckBackoff, c.MaxHealthCheckBackoff = cmp.Or(c.MinHealthCheckBackoff, DefaultMinHealthCheckBackoff), cmp.Or(c.MaxHealthCheckBackoff, DefaultMaxHealthCheckBackoff)
+	c.Budget, c.BudgetMost = cmp.Or(c.Budget, DefaultBudget), cmp.Or(c.BudgetMost, DefaultBudgetMost)
+	c.Open, c.Conns, c.Way = cmp.Or(c.Open, DefaultOpen), cmp.Or(c.Conns, DefaultConns), cmp.Or(c.Way, DefaultWay)
+	c.Idle, c.Connect, c.Silence = cmp.Or(c.Idle, DefaultIdle), cmp.Or(c.Connect, DefaultConnect), cmp.Or(c.Silence, DefaultSilence)
+	c.Spread, c.SpreadRate = cmp.Or(c.Spread, DefaultSpread), cmp.Or(c.SpreadRate, DefaultSpreadRate)
+	c.Redirect, c.Ramp = cmp.Or(c.Redirect, DefaultRedirect), cmp.Or(c.Ramp, DefaultRamp)
+	c.ProbeFirst, c.ProbeLongest = cmp.Or(c.ProbeFirst, DefaultProbeFirst), cmp.Or(c.ProbeLongest, DefaultProbeLongest)
 	return nil
 }
 
@@ -132,13 +132,13 @@
 
 // The endings of a call.
 const (
-	Served   Ending = iota // with an answer
-	Rejected               // nothing ran; come back later
-	Failed                 // the gateway said so, and it may have run
-	Unknown                // it may have run, and nobody can say
-	Expired                // there was no time left
-	Unsent                 // no gateway could be reached; nothing ran
-	Closed                 // the client was closed
+	Served  Ending = iota // with an answer
+	Refused               // nothing ran; come back later
+	Failed                // the gateway said so, and it may have run
+	Unknown               // it may have run, and nobody can say
+	Expired               // there was no time left
+	Unsent                // no gateway could be reached; nothing ran
+	Closed                // the client was closed
 )
 
 // String names an ending, as counters do.
@@ -156,8 +156,8 @@
 	Deadline time.Duration
 }
 
-// Canceled says that nobody waits for a call any more.
-type Canceled struct{ ID uint64 }
+// Cancelled says that nobody waits for a call any more.
+type Cancelled struct{ ID uint64 }
 
 // Up says that a connection came up.
 type Up struct{ Conn uint64 }
@@ -168,17 +168,17 @@
 	Clean bool
 }
 
-// HealthCheckResult says that something came on a connection that is no answer to an attempt, such as the answer to a probe.
-type HealthCheckResult struct {
+// Heard says that something came on a connection that is no answer to a try, such as the answer to a probe.
+type Heard struct {
 	Conn  uint64
 	Alive bool // it answers a probe with yes
 }
 
-// Answered is the answer to an attempt. Backoff: refused, with Later; neither that nor OK: failed.
+// Answered is the answer to a try. Backoff: refused, with Later; neither that nor OK: failed.
 type Answered struct {
-	Conn, Attempt uint64
-	OK, Rejected  bool
-	RetryAfter    time.Duration
+	Conn, Try   uint64
+	OK, Backoff bool
+	Later       time.Duration
 }
 
 // Timer says that the time told by [Planner.Wake] has come. It does no harm at other times.
@@ -187,14 +187,14 @@
 // Close ends all calls and connections.
 type Close struct{}
 
-func (Call) event()              {}
-func (Canceled) event()          {}
-func (Up) event()                {}
-func (Down) event()              {}
-func (HealthCheckResult) event() {}
-func (Answered) event()          {}
-func (Timer) event()             {}
-func (Close) event()             {}
+func (Call) event()      {}
+func (Cancelled) event() {}
+func (Up) event()        {}
+func (Down) event()      {}
+func (Heard) event()     {}
+func (Answered) event()  {}
+func (Timer) event()     {}
+func (Close) event()     {}
 
 // Action is anything that a planner wants done.
 type Action interface{ action() }
@@ -205,38 +205,38 @@
 	Gateway string
 }
 
-// Send sends an attempt of a call. Attempt is new with each and rises on a connection; Second marks all but the first.
+// Send sends a try of a call. Try is new with each and rises on a connection; Second marks all but the first.
 type Send struct {
-	Conn, Attempt, Call uint64
-	Limit               time.Duration
-	Retry               bool
-	Key                 bool // the class has keys: the call's own is sent with every attempt
+	Conn, Try, Call uint64
+	Limit           time.Duration
+	Second          bool
+	Key             bool // the class has keys: the call's own is sent with every try
 }
 
-// Abandon says that no answer to an attempt is wanted any more.
-type Abandon struct{ Conn, Attempt uint64 }
+// Abandon says that no answer to a try is wanted any more.
+type Abandon struct{ Conn, Try uint64 }
 
-// StartHealthCheck asks a connection for a sign of life.
-type StartHealthCheck struct{ Conn uint64 }
+// Probe asks a connection for a sign of life.
+type Probe struct{ Conn uint64 }
 
-// CloseConn closes a connection; no Down follows.
-type CloseConn struct{ Conn uint64 }
+// Hangup closes a connection; no Down follows.
+type Hangup struct{ Conn uint64 }
 
-// End ends a call. Attempt is the one that was answered, if one was.
+// End ends a call. Try is the one that was answered, if one was.
 type End struct {
-	Call       uint64
-	Ending     Ending
-	Attempt    uint64
-	RetryAfter time.Duration // of Refused: when to come back
-	Attempts   int
+	Call   uint64
+	Ending Ending
+	Try    uint64
+	Later  time.Duration // of Refused: when to come back
+	Tries  int
 }
 
-func (Connect) action()          {}
-func (Send) action()             {}
-func (Abandon) action()          {}
-func (StartHealthCheck) action() {}
-func (CloseConn) action()        {}
-func (End) action()              {}
+func (Connect) action() {}
+func (Send) action()    {}
+func (Abandon) action() {}
+func (Probe) action()   {}
+func (Hangup) action()  {}
+func (End) action()     {}
 
 // Counters count decisions.
 type Counters struct {
@@ -264,12 +264,12 @@
 		return nil, err
 	}
 	p := &Planner{cfg: cfg, rng: rng, classes: map[string]*Class{}, calls: map[uint64]*call{}, conns: map[uint64]*conn{},
-		budget: min(startBudget, cfg.MaxSavedRetries)}
+		budget: min(startBudget, cfg.BudgetMost)}
 	for i := range cfg.Classes {
 		p.classes[cfg.Classes[i].Name] = &cfg.Classes[i]
 	}
 	for _, name := range cfg.Gateways {
-		p.gateways = append(p.gateways, &gateway{name: name, good: 1, hold: map[string]time.Duration{}, since: -cfg.SlowStart})
+		p.gateways = append(p.gateways, &gateway{name: name, good: 1, hold: map[string]time.Duration{}, since: -cfg.Ramp})
 	}
 	return p, nil
 }
--- a/client/plan/planner.go
+++ b/client/plan/planner.go
@@ -17,7 +17,7 @@
 	rateWindow  = 2 * time.Second
 	redirected  = 10   // redirects a second that there are always
 	slackShare  = 0.7  // of the time that a call has left, what it may wait for a reconnect
-	laterJitter = 0.25 // of a rejection's advice is added to it at most
+	laterJitter = 0.25 // of a refusal's advice is added to it at most
 	never       = time.Duration(math.MaxInt64)
 )
 
@@ -60,19 +60,19 @@
 }
 
 type conn struct {
-	id            uint64
-	gateway       *gateway
-	up            bool
-	probing       bool // it finds out whether a dead gateway is back
-	silent        bool // it has been silent: nothing new goes there, but what comes is still heard
-	since         time.Duration
-	heard         time.Duration
-	healthCheckAt time.Duration // when it was asked for a sign of life; 0: it was not
-	used          time.Duration
-	attempts      map[uint64]*attempt
-}
-
-type attempt struct {
+	id      uint64
+	gateway *gateway
+	up      bool
+	probing bool // it finds out whether a dead gateway is back
+	limbo   bool // it has been silent: nothing new goes there, but what comes is still heard
+	since   time.Duration
+	heard   time.Duration
+	asked   time.Duration // when it was asked for a sign of life; 0: it was not
+	used    time.Duration
+	tries   map[uint64]*try
+}
+
+type try struct {
 	id   uint64
 	call *call
 	conn *conn
@@ -81,18 +81,18 @@
 
 type call struct {
 	Call
-	index        int // place among the deadlines; -1: none
-	class        *Class
-	order        uint64
-	attempts     int
-	first        time.Duration // when an attempt was sent that may have run; negative: none was
-	inFlight     []*attempt
-	from         time.Duration // it waits until then at least
-	want         *gateway      // whose connection it waits for
-	redirected   bool          // its gateway died under it
-	crossedClose bool
-	refused      time.Duration // what a rejection said last
-	failed       bool
+	index   int // place among the deadlines; -1: none
+	class   *Class
+	order   uint64
+	tries   int
+	first   time.Duration // when a try was sent that may have run; negative: none was
+	out     []*try
+	from    time.Duration // it waits until then at least
+	want    *gateway      // whose connection it waits for
+	moved   bool          // its gateway died under it
+	crossed bool
+	refused time.Duration // what a refusal said last
+	failed  bool
 }
 
 // Handle takes one event and appends the actions to out. Time must not run backwards.
@@ -101,7 +101,7 @@
 	switch ev := ev.(type) {
 	case Call:
 		p.call(ev)
-	case Canceled:
+	case Cancelled:
 		if c := p.calls[ev.ID]; c != nil {
 			p.drop(c)
 		}
@@ -109,16 +109,16 @@
 		if c := p.conns[ev.Conn]; c != nil {
 			c.up, c.heard, c.used = true, p.now, p.now
 			if c.gateway.dead { // it listens, which is not yet to say that it serves
-				c.probing, c.healthCheckAt = true, max(1, p.now)
+				c.probing, c.asked = true, max(1, p.now)
 				p.Counters.Probes++
-				p.do(StartHealthCheck{c.id})
+				p.do(Probe{c.id})
 			}
 		}
 	case Down:
 		p.down(ev)
-	case HealthCheckResult:
+	case Heard:
 		if c := p.conns[ev.Conn]; c != nil {
-			c.heard, c.healthCheckAt = p.now, 0
+			c.heard, c.asked = p.now, 0
 			if c.probing {
 				p.probed(c, ev.Alive)
 			}
@@ -159,11 +159,11 @@
 	c.order = p.order
 	p.calls[q.ID] = c
 	heap.Push(&p.due, c)
-	p.enqueue(c)
+	p.wait(c)
 }
 
-// enqueue has a call wait to be sent, if it does not yet.
-func (p *Planner) enqueue(c *call) {
+// wait has a call wait to be sent, if it does not yet.
+func (p *Planner) wait(c *call) {
 	if !slices.Contains(p.waiting, c) {
 		p.waiting, p.sorted = append(p.waiting, c), false
 	}
@@ -173,10 +173,10 @@
 func (p *Planner) end(c *call, as Ending, by uint64) {
 	p.Counters.Ended[as]++
 	p.drop(c)
-	p.do(End{Call: c.ID, Ending: as, Attempt: by, RetryAfter: max(0, c.refused-p.now), Attempts: c.attempts})
+	p.do(End{Call: c.ID, Ending: as, Try: by, Later: max(0, c.refused-p.now), Tries: c.tries})
 }
 
-// drop forgets a call; nothing more is wanted of its attempts.
+// drop forgets a call; nothing more is wanted of its tries.
 func (p *Planner) drop(c *call) {
 	delete(p.calls, c.ID)
 	if c.index >= 0 {
@@ -185,16 +185,16 @@
 	if i := slices.Index(p.waiting, c); i >= 0 {
 		p.waiting = slices.Delete(p.waiting, i, i+1)
 	}
-	for _, t := range c.inFlight {
+	for _, t := range c.out {
 		p.forget(t)
-		p.do(Abandon{Conn: t.conn.id, Attempt: t.id})
+		p.do(Abandon{Conn: t.conn.id, Try: t.id})
 	}
-	c.inFlight = nil
+	c.out = nil
 }
 
-// forget takes an attempt off its connection.
-func (p *Planner) forget(t *attempt) {
-	delete(t.conn.attempts, t.id)
+// forget takes a try off its connection.
+func (p *Planner) forget(t *try) {
+	delete(t.conn.tries, t.id)
 	t.conn.gateway.open--
 	t.conn.used = p.now
 }
@@ -205,35 +205,35 @@
 		return
 	}
 	if cn.heard = p.now; !cn.probing { // one that was asked whether it serves is to say so
-		cn.healthCheckAt = 0
+		cn.asked = 0
 	}
-	t := cn.attempts[a.Attempt]
+	t := cn.tries[a.Try]
 	g := cn.gateway
 	if t == nil { // given up, answered before, or never asked
 		p.Counters.Late++
-		if a.Rejected && a.RetryAfter > 0 { // it counts all the same, for all classes: whose it was is forgotten
+		if a.Backoff && a.Later > 0 { // it counts all the same, for all classes: whose it was is forgotten
 			p.Counters.Held++
 		}
 		return
 	}
 	c := t.call
 	p.forget(t)
-	c.inFlight = slices.DeleteFunc(c.inFlight, func(o *attempt) bool { return o == t })
+	c.out = slices.DeleteFunc(c.out, func(o *try) bool { return o == t })
 	switch {
 	case a.OK:
-		p.budget = min(p.cfg.MaxSavedRetries, p.budget+p.cfg.RetriesPerSuccess)
+		p.budget = min(p.cfg.BudgetMost, p.budget+p.cfg.Budget)
 		g.good += goodWeight * (1 - g.good)
 		p.end(c, Served, t.id)
-	case a.Rejected:
+	case a.Backoff:
 		g.good += goodWeight * (0.5 - g.good)
-		if a.RetryAfter > 0 { // all requests of the class heed it; a little later than told, and not all clients at once
+		if a.Later > 0 { // all requests of the class heed it; a little later than told, and not all clients at once
 			p.Counters.Held++
-			until := p.now + a.RetryAfter + time.Duration(p.rng.Float64()*laterJitter*float64(a.RetryAfter))
+			until := p.now + a.Later + time.Duration(p.rng.Float64()*laterJitter*float64(a.Later))
 			g.hold[c.Class] = max(g.hold[c.Class], until)
 			c.refused = max(c.refused, until)
 		}
 		if !p.superseded(c) {
-			p.again(c, Rejected, t)
+			p.again(c, Refused, t)
 		}
 	default:
 		g.good += goodWeight * (0 - g.good)
@@ -243,25 +243,23 @@
 			p.again(c, Failed, t)
 		}
 	}
-	if cn.silent && len(cn.attempts) == 0 {
+	if cn.limbo && len(cn.tries) == 0 {
 		p.hangUp(cn)
 	}
 }
 
 // superseded says that a newer try of a call is out, or about to be: the end of an older one changes nothing.
-func (p *Planner) superseded(c *call) bool {
-	return len(c.inFlight) > 0 || slices.Contains(p.waiting, c)
-}
+func (p *Planner) superseded(c *call) bool { return len(c.out) > 0 || slices.Contains(p.waiting, c) }
 
-// ran notes that an attempt may have run.
-func (c *call) ran(t *attempt) {
+// ran notes that a try may have run.
+func (c *call) ran(t *try) {
 	if c.first < 0 || t.sent < c.first {
 		c.first = t.sent
 	}
 }
 
 // again puts a call back to wait for another try, or ends it.
-func (p *Planner) again(c *call, as Ending, t *attempt) {
+func (p *Planner) again(c *call, as Ending, t *try) {
 	if as == Unknown {
 		c.ran(t)
 	}
@@ -273,17 +271,17 @@
 // retry has a call wait for another try, if it may have one.
 func (p *Planner) retry(c *call) bool {
 	switch {
-	case c.attempts > max(0, p.cfg.Retries):
+	case c.tries > max(0, p.cfg.Retries):
 		p.Counters.NoTries++
 	case !p.repeatable(c):
 		p.Counters.NoRepeat++
-	case p.now+p.cfg.NetworkTime >= c.Deadline:
+	case p.now+p.cfg.Way >= c.Deadline:
 		p.Counters.NoTime++
 	case p.budget < 1:
 		p.Counters.NoBudget++
 	default:
 		p.budget--
-		p.enqueue(c)
+		p.wait(c)
 		return true
 	}
 	return false
@@ -291,11 +289,11 @@
 
 // repeatable says whether another try may go out now: one that may have run binds keyed and unsafe classes.
 func (p *Planner) repeatable(c *call) bool {
-	if c.class.Effect == Idempotent || c.first < 0 {
+	if c.class.Effect == Safe || c.first < 0 {
 		return true
 	}
 	// The repeat has to arrive within the window, too.
-	return c.class.Effect == IdempotentWithKey && p.now+p.cfg.NetworkTime < c.first+c.class.DedupWindow
+	return c.class.Effect == Keyed && p.now+p.cfg.Way < c.first+c.class.Window
 }
 
 // down settles what was out on a connection that did not come up or has ended.
@@ -309,7 +307,7 @@
 	switch {
 	case cn.probing || !cn.up:
 		p.fail(cn.gateway)
-	case cn.silent, ev.Clean && (out == 0 || crossing): // it is dead already, or closed one that was idle
+	case cn.limbo, ev.Clean && (out == 0 || crossing): // it is dead already, or closed one that was idle
 	default:
 		p.died(cn.gateway)
 	}
@@ -321,27 +319,27 @@
 	g.conns = slices.DeleteFunc(g.conns, func(o *conn) bool { return o == cn })
 }
 
-// settle ends the attempts of a connection that is gone, in the order in which they were sent: so many, or one that
+// settle ends the tries of a connection that is gone, in the order in which they were sent: so many, or one that
 // crossed an orderly close.
 func (p *Planner) settle(cn *conn, clean bool) (n int, crossing bool) {
-	var all []*attempt
-	for _, t := range cn.attempts {
+	var all []*try
+	for _, t := range cn.tries {
 		all = append(all, t)
 	}
-	slices.SortFunc(all, func(a, b *attempt) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(all, func(a, b *try) int { return cmp.Compare(a.id, b.id) })
 	for _, t := range all {
 		n++
 		c := t.call
 		p.forget(t)
-		c.inFlight = slices.DeleteFunc(c.inFlight, func(o *attempt) bool { return o == t })
+		c.out = slices.DeleteFunc(c.out, func(o *try) bool { return o == t })
 		// A gateway closes only what has no request open: one that crossed that has not run, and goes out once more.
-		if clean && len(all) == 1 && p.now-t.sent <= crossed && !c.crossedClose {
-			c.crossedClose, crossing = true, true
+		if clean && len(all) == 1 && p.now-t.sent <= crossed && !c.crossed {
+			c.crossed, crossing = true, true
 			p.Counters.Crossed++
-			p.enqueue(c)
+			p.wait(c)
 			continue
 		}
-		c.redirected = true
+		c.moved = true
 		if c.ran(t); !p.superseded(c) {
 			p.again(c, Unknown, t)
 		}
@@ -353,7 +351,7 @@
 func (p *Planner) died(g *gateway) {
 	p.Counters.Deaths++
 	if !g.dead {
-		g.dead, g.wait = true, p.cfg.MinHealthCheckBackoff
+		g.dead, g.wait = true, p.cfg.ProbeFirst
 		g.good = 1
 		clear(g.hold)
 	}
@@ -369,7 +367,7 @@
 
 // spread is the span over which clients of a dead gateway connect anew.
 func (p *Planner) spread() time.Duration {
-	return max(p.cfg.ReconnectSpread, time.Duration(float64(p.cfg.Clients)/p.cfg.ReconnectRate*float64(time.Second)))
+	return max(p.cfg.Spread, time.Duration(float64(p.cfg.Clients)/p.cfg.SpreadRate*float64(time.Second)))
 }
 
 // fail notes that a gateway could not be reached, or does not serve yet.
@@ -378,7 +376,7 @@
 		p.died(g)
 		return
 	}
-	g.wait = min(p.cfg.MaxHealthCheckBackoff, 2*g.wait)
+	g.wait = min(p.cfg.ProbeLongest, 2*g.wait)
 	if p.Alive() == 0 { // someone has to find out which is back first
 		g.wait = min(g.wait, p.spread())
 	}
@@ -415,7 +413,7 @@
 	for _, g := range p.gateways {
 		for _, cn := range g.conns {
 			delete(p.conns, cn.id)
-			p.do(CloseConn{cn.id})
+			p.do(Hangup{cn.id})
 		}
 		g.conns = nil
 	}
@@ -443,15 +441,15 @@
 func (p *Planner) connTimes(g *gateway, cn *conn) {
 	switch {
 	case !cn.up:
-		if p.now >= cn.since+p.cfg.ConnectTimeout {
+		if p.now >= cn.since+p.cfg.Connect {
 			p.hangUp(cn)
 			p.fail(g)
 		}
-	case cn.silent:
-		if len(cn.attempts) == 0 {
+	case cn.limbo:
+		if len(cn.tries) == 0 {
 			p.hangUp(cn)
 		}
-	case cn.healthCheckAt > 0 && p.now >= cn.healthCheckAt+p.cfg.SilenceTimeout:
+	case cn.asked > 0 && p.now >= cn.asked+p.cfg.Silence:
 		p.Counters.Hung++
 		if cn.probing {
 			p.hangUp(cn)
@@ -459,11 +457,11 @@
 		} else {
 			p.hang(cn)
 		}
-	case cn.healthCheckAt == 0 && len(cn.attempts) > 0 && p.now >= max(cn.heard, cn.used)+p.cfg.SilenceTimeout:
-		cn.healthCheckAt = max(1, p.now)
+	case cn.asked == 0 && len(cn.tries) > 0 && p.now >= max(cn.heard, cn.used)+p.cfg.Silence:
+		cn.asked = max(1, p.now)
 		p.Counters.Probes++
-		p.do(StartHealthCheck{cn.id})
-	case len(cn.attempts) == 0 && !cn.probing && p.now >= cn.used+p.cfg.IdleTimeout:
+		p.do(Probe{cn.id})
+	case len(cn.tries) == 0 && !cn.probing && p.now >= cn.used+p.cfg.Idle:
 		p.hangUp(cn)
 	}
 }
@@ -471,23 +469,23 @@
 // hangUp closes a connection and forgets it.
 func (p *Planner) hangUp(cn *conn) {
 	p.lose(cn)
-	p.do(CloseConn{cn.id})
+	p.do(Hangup{cn.id})
 }
 
-// hang leaves a connection that is silent. Its attempts stay out, since their answers may yet come; what may be sent again
+// hang leaves a connection that is silent. Its tries stay out, since their answers may yet come; what may be sent again
 // is, elsewhere.
 func (p *Planner) hang(cn *conn) {
-	cn.silent = true
-	var all []*attempt
-	for _, t := range cn.attempts {
+	cn.limbo = true
+	var all []*try
+	for _, t := range cn.tries {
 		all = append(all, t)
 	}
-	slices.SortFunc(all, func(a, b *attempt) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(all, func(a, b *try) int { return cmp.Compare(a.id, b.id) })
 	p.died(cn.gateway)
 	for _, t := range all {
 		c := t.call
-		if c.ran(t); len(c.inFlight) == 1 && !slices.Contains(p.waiting, c) {
-			c.redirected = p.retry(c)
+		if c.ran(t); len(c.out) == 1 && !slices.Contains(p.waiting, c) {
+			c.moved = p.retry(c)
 		}
 	}
 }
@@ -498,9 +496,9 @@
 // expire ends a call whose time is over.
 func (p *Planner) expire(c *call) {
 	switch {
-	case len(c.inFlight) == 0 && c.refused > 0 && c.first < 0:
-		p.end(c, Rejected, 0)
-	case c.attempts == 0:
+	case len(c.out) == 0 && c.refused > 0 && c.first < 0:
+		p.end(c, Refused, 0)
+	case c.tries == 0:
 		p.end(c, Unsent, 0)
 	default:
 		p.end(c, Expired, 0)
@@ -514,7 +512,7 @@
 	}
 	if !p.sorted {
 		slices.SortStableFunc(p.waiting, func(a, b *call) int {
-			return cmp.Or(cmp.Compare(b.class.PriorityWeight, a.class.PriorityWeight), cmp.Compare(a.order, b.order))
+			return cmp.Or(cmp.Compare(b.class.Worth, a.class.Worth), cmp.Compare(a.order, b.order))
 		})
 		p.sorted = true
 	}
@@ -523,15 +521,15 @@
 		if p.calls[c.ID] != c {
 			continue
 		}
-		if p.now+p.cfg.NetworkTime >= c.Deadline { // it can't be in time any more
+		if p.now+p.cfg.Way >= c.Deadline { // it can't be in time any more
 			p.expire(c)
 			continue
 		}
-		if c.attempts > 0 && !p.repeatable(c) { // while it waited, its window closed
+		if c.tries > 0 && !p.repeatable(c) { // while it waited, its window closed
 			p.stopRetrying(c)
 			continue
 		}
-		if c.redirected && !p.mayRedirect(c) {
+		if c.moved && !p.mayRedirect(c) {
 			continue
 		}
 		var g *gateway
@@ -554,7 +552,7 @@
 func (p *Planner) stopRetrying(c *call) {
 	p.Counters.NoRepeat++
 	switch {
-	case len(c.inFlight) > 0:
+	case len(c.out) > 0:
 		p.waiting = slices.DeleteFunc(p.waiting, func(o *call) bool { return o == c })
 	case c.failed:
 		p.end(c, Failed, 0)
@@ -578,8 +576,8 @@
 		return
 	}
 	c.refused = max(c.refused, until)
-	if until >= c.Deadline-p.cfg.NetworkTime {
-		p.end(c, Rejected, 0)
+	if until >= c.Deadline-p.cfg.Way {
+		p.end(c, Refused, 0)
 	}
 }
 
@@ -590,21 +588,21 @@
 		return
 	}
 	c.want = g
-	if len(g.conns) < p.cfg.MaxConns && p.now >= p.mayConnect(g, c) && !p.coming(g) {
+	if len(g.conns) < p.cfg.Conns && p.now >= p.mayConnect(g, c) && !p.coming(g) {
 		p.connect(g)
 	}
 }
 
 // mayRedirect says whether a call whose gateway died may go to another one now: at a part of the usual rate.
 func (p *Planner) mayRedirect(c *call) bool {
-	rate := max(redirected, p.cfg.RedirectShare*p.recentRate())
+	rate := max(redirected, p.cfg.Redirect*p.lately())
 	p.redirect = min(max(1, rate/10), p.redirect+rate*(p.now-p.redirAt).Seconds())
 	p.redirAt = p.now
-	return p.redirect >= 1 || c.Deadline-p.now < 4*p.cfg.NetworkTime
+	return p.redirect >= 1 || c.Deadline-p.now < 4*p.cfg.Way
 }
 
-// recentRate is how many attempts a second were sent.
-func (p *Planner) recentRate() float64 {
+// lately is how many tries a second were sent.
+func (p *Planner) lately() float64 {
 	p.rate *= math.Exp(-float64(p.now-p.rateAt) / float64(rateWindow))
 	p.rateAt = p.now
 	return p.rate
@@ -640,14 +638,14 @@
 
 // load is what is open at a gateway, for its weight: its good share, and its ramp.
 func (p *Planner) load(g *gateway) float64 {
-	ramp := min(1, rampLeast+(1-rampLeast)*float64(p.now-g.since)/float64(max(1, p.cfg.SlowStart)))
+	ramp := min(1, rampLeast+(1-rampLeast)*float64(p.now-g.since)/float64(max(1, p.cfg.Ramp)))
 	return (float64(g.open) + 1) / (max(goodLeast, g.good) * max(rampLeast, ramp))
 }
 
 // slot is the connection with the least open that has room.
 func (p *Planner) slot(g *gateway) (best *conn) {
 	for _, cn := range g.conns {
-		if cn.up && !cn.probing && !cn.silent && cn.healthCheckAt == 0 && len(cn.attempts) < p.cfg.MaxOpenPerConn && (best == nil || len(cn.attempts) < len(best.attempts)) {
+		if cn.up && !cn.probing && !cn.limbo && cn.asked == 0 && len(cn.tries) < p.cfg.Open && (best == nil || len(cn.tries) < len(best.tries)) {
 			best = cn
 		}
 	}
@@ -662,7 +660,7 @@
 // mayConnect is when a gateway may be connected to for a call: after a death at a time that was drawn, or sooner if the
 // call could not wait so long.
 func (p *Planner) mayConnect(g *gateway, c *call) time.Duration {
-	if slices.ContainsFunc(g.conns, func(c *conn) bool { return !c.silent }) {
+	if slices.ContainsFunc(g.conns, func(c *conn) bool { return !c.limbo }) {
 		return p.now
 	}
 	if c.from == 0 && g.next > p.now {
@@ -679,7 +677,7 @@
 
 func (p *Planner) connect(g *gateway) {
 	p.serial++
-	cn := &conn{id: p.serial, gateway: g, since: p.now, attempts: map[uint64]*attempt{}, probing: g.dead}
+	cn := &conn{id: p.serial, gateway: g, since: p.now, tries: map[uint64]*try{}, probing: g.dead}
 	g.conns = append(g.conns, cn)
 	p.conns[cn.id] = cn
 	p.Counters.Connects++
@@ -688,29 +686,29 @@
 
 func (p *Planner) send(c *call, cn *conn) {
 	p.serial++
-	t := &attempt{id: p.serial, call: c, conn: cn, sent: p.now}
-	cn.attempts[t.id] = t
+	t := &try{id: p.serial, call: c, conn: cn, sent: p.now}
+	cn.tries[t.id] = t
 	cn.gateway.open++
-	if len(cn.attempts) == 1 {
+	if len(cn.tries) == 1 {
 		cn.heard = p.now // silence counts from when work is out
 	}
 	cn.used = p.now
-	c.inFlight = append(c.inFlight, t)
-	c.attempts++
+	c.out = append(c.out, t)
+	c.tries++
 	p.Counters.Tries++
-	if c.attempts > 1 {
+	if c.tries > 1 {
 		p.Counters.Retries++
 	}
-	if c.redirected {
-		c.redirected = false
+	if c.moved {
+		c.moved = false
 		p.redirect--
 		p.Counters.Redirected++
 	}
 	c.from, c.want = 0, nil
-	p.rate = p.recentRate() + 1/rateWindow.Seconds()
+	p.rate = p.lately() + 1/rateWindow.Seconds()
 	p.waiting = slices.DeleteFunc(p.waiting, func(o *call) bool { return o == c })
-	p.do(Send{Conn: cn.id, Attempt: t.id, Call: c.ID, Limit: c.Deadline - p.now - p.cfg.NetworkTime, Retry: c.attempts > 1,
-		Key: c.class.Effect == IdempotentWithKey})
+	p.do(Send{Conn: cn.id, Try: t.id, Call: c.ID, Limit: c.Deadline - p.now - p.cfg.Way, Second: c.tries > 1,
+		Key: c.class.Effect == Keyed})
 }
 
 // Wake is when a Timer event is wanted; false: not before something else happens.
@@ -721,8 +719,8 @@
 		soon(p.due[0].Deadline)
 	}
 	for _, c := range p.waiting {
-		soon(c.Deadline - p.cfg.NetworkTime)
-		if c.redirected {
+		soon(c.Deadline - p.cfg.Way)
+		if c.moved {
 			soon(p.now + time.Second/redirected/4)
 		}
 		if c.from > p.now {
@@ -744,14 +742,14 @@
 		for _, cn := range g.conns {
 			switch {
 			case !cn.up:
-				soon(cn.since + p.cfg.ConnectTimeout)
-			case cn.silent:
-			case cn.healthCheckAt > 0:
-				soon(cn.healthCheckAt + p.cfg.SilenceTimeout)
-			case len(cn.attempts) > 0:
-				soon(max(cn.heard, cn.used) + p.cfg.SilenceTimeout)
+				soon(cn.since + p.cfg.Connect)
+			case cn.limbo:
+			case cn.asked > 0:
+				soon(cn.asked + p.cfg.Silence)
+			case len(cn.tries) > 0:
+				soon(max(cn.heard, cn.used) + p.cfg.Silence)
 			default:
-				soon(cn.used + p.cfg.IdleTimeout)
+				soon(cn.used + p.cfg.Idle)
 			}
 		}
 	}
@@ -785,10 +783,10 @@
 	return c
 }
 
-// CallOf is the call that an attempt belongs to, if it is out.
+// CallOf is the call that a try belongs to, if it is out.
 func (p *Planner) CallOf(conn, id uint64) (uint64, bool) {
 	if cn := p.conns[conn]; cn != nil {
-		if t := cn.attempts[id]; t != nil {
+		if t := cn.tries[id]; t != nil {
 			return t.call.ID, true
 		}
 	}
--- a/client/plan/planner_test.go
+++ b/client/plan/planner_test.go
@@ -15,8 +15,8 @@
 const ms = time.Millisecond
 
 func config() Config {
-	return Config{Gateways: []string{"a", "b", "c"}, Classes: []Class{{Name: "safe", PriorityWeight: 2}, {Name: "keyed", Effect: IdempotentWithKey,
-		DedupWindow: 3 * time.Second, PriorityWeight: 3}, {Name: "unsafe", Effect: NonIdempotent, PriorityWeight: 1}}}
+	return Config{Gateways: []string{"a", "b", "c"}, Classes: []Class{{Name: "safe", Worth: 2}, {Name: "keyed", Effect: Keyed,
+		Window: 3 * time.Second, Worth: 3}, {Name: "unsafe", Effect: Unsafe, Worth: 1}}}
 }
 
 // world plays gateways and network against a planner, and checks what it does.
@@ -77,7 +77,7 @@
 		case Connect:
 			w.conns[a.Conn] = &wconn{gateway: a.Gateway, tries: map[uint64]Send{}}
 			w.connects = append(w.connects, w.now)
-		case CloseConn:
+		case Hangup:
 			if w.conns[a.Conn] == nil {
 				w.t.Fatalf("a connection is hung up twice")
 			}
@@ -86,7 +86,7 @@
 			w.sent(a)
 		case Abandon:
 			if c := w.conns[a.Conn]; c != nil {
-				delete(c.tries, a.Attempt)
+				delete(c.tries, a.Try)
 			}
 		case End:
 			c := w.calls[a.Call]
@@ -97,7 +97,7 @@
 			if w.now > c.Deadline {
 				w.t.Fatalf("call %d ends %v late", a.Call, w.now-c.Deadline)
 			}
-			if a.Ending == Unsent && c.tries > 0 || a.Ending == Rejected && c.ran && c.Class == "unsafe" {
+			if a.Ending == Unsent && c.tries > 0 || a.Ending == Refused && c.ran && c.Class == "unsafe" {
 				w.t.Fatalf("call %d ends as %v after %d tries, ran %v", a.Call, a.Ending, c.tries, c.ran)
 			}
 		}
@@ -112,25 +112,25 @@
 		w.t.Fatalf("sent for a call that has ended")
 	case cn == nil || !cn.up:
 		w.t.Fatalf("sent on a connection that is not up")
-	case len(cn.tries) >= DefaultMaxOpenPerConn:
+	case len(cn.tries) >= DefaultOpen:
 		w.t.Fatalf("%d requests are open", len(cn.tries))
-	case a.Attempt <= w.last[a.Conn]:
+	case a.Try <= w.last[a.Conn]:
 		w.t.Fatalf("ids do not rise")
-	case a.Retry != (c.tries > 0):
-		w.t.Fatalf("try %d is marked %v", c.tries+1, a.Retry)
+	case a.Second != (c.tries > 0):
+		w.t.Fatalf("try %d is marked %v", c.tries+1, a.Second)
 	case a.Limit <= 0 || w.now+a.Limit > c.Deadline:
 		w.t.Fatalf("limit %v with %v left", a.Limit, c.Deadline-w.now)
-	case c.ran && k.Effect == NonIdempotent:
+	case c.ran && k.Effect == Unsafe:
 		w.t.Fatalf("an unsafe call is sent again")
-	case c.ran && k.Effect == IdempotentWithKey && w.now >= c.first+k.DedupWindow:
+	case c.ran && k.Effect == Keyed && w.now >= c.first+k.Window:
 		w.t.Fatalf("a keyed call is sent again after %v", w.now-c.first)
 	case w.now < w.held[cn.gateway+" "+c.Class]:
 		w.t.Fatalf("sent %v before the gateway is to be asked again", w.held[cn.gateway+" "+c.Class]-w.now)
-	case a.Key != (k.Effect == IdempotentWithKey):
+	case a.Key != (k.Effect == Keyed):
 		w.t.Fatalf("key %v for a call of effect %v", a.Key, k.Effect)
 	}
-	w.last[a.Conn] = a.Attempt
-	cn.tries[a.Attempt] = a
+	w.last[a.Conn] = a.Try
+	cn.tries[a.Try] = a
 	c.tries++
 	w.sends = append(w.sends, a)
 }
@@ -148,7 +148,7 @@
 			}
 		}
 	}
-	w.do(Answered{Conn: conn, Attempt: try, OK: ok, Rejected: backoff, RetryAfter: later})
+	w.do(Answered{Conn: conn, Try: try, OK: ok, Backoff: backoff, Later: later})
 }
 
 func (w *world) ran(s Send) {
@@ -242,15 +242,15 @@
 	case step == 9:
 		w.lose(conn, rapid.Bool().Draw(t, "clean"))
 	case step == 8:
-		w.do(HealthCheckResult{Conn: conn, Alive: rapid.Bool().Draw(t, "alive")})
+		w.do(Heard{Conn: conn, Alive: rapid.Bool().Draw(t, "alive")})
 	case len(tries) > 0:
 		try := rapid.SampledFrom(tries).Draw(t, "try")
 		kind := rapid.IntRange(0, 3).Draw(t, "answer")
 		w.answer(conn, try, kind <= 1, kind == 2, time.Duration(rapid.IntRange(0, 2000).Draw(t, "later"))*ms)
 	default:
-		w.do(Answered{Conn: conn, Attempt: 999999, OK: true}) // never asked
+		w.do(Answered{Conn: conn, Try: 999999, OK: true}) // never asked
 		if latest > 0 {
-			w.do(Canceled{ID: latest})
+			w.do(Cancelled{ID: latest})
 			w.calls[latest].ended = true
 		}
 	}
@@ -289,14 +289,14 @@
 		n++
 		w.do(Call{ID: n, Class: "safe", Deadline: w.now + 2*time.Second})
 		for _, s := range w.open() {
-			w.answer(s.Conn, s.Attempt, false, true, 500*ms)
+			w.answer(s.Conn, s.Try, false, true, 500*ms)
 		}
 	})
 	if tries := w.p.Counters.Tries; float64(tries) > 1.1*float64(n) {
 		t.Errorf("%d tries for %d calls", tries, n)
 	}
 	for id, c := range w.calls {
-		if c.ended && c.ending != Rejected {
+		if c.ended && c.ending != Refused {
 			t.Fatalf("call %d: %v", id, c.ending)
 		}
 	}
@@ -308,14 +308,14 @@
 	w.do(Call{ID: 1, Class: "safe", Deadline: 10 * time.Second})
 	w.run(4*time.Second, nil) // the first gateway is silent, and is left
 	open := w.open()
-	if len(open) != 2 || !open[1].Retry {
+	if len(open) != 2 || !open[1].Second {
 		t.Fatalf("%d tries are out: %+v", len(open), open)
 	}
-	w.answer(open[0].Conn, open[0].Attempt, false, true, time.Second)
+	w.answer(open[0].Conn, open[0].Try, false, true, time.Second)
 	if w.calls[1].ended || len(w.open()) != 1 || w.p.Counters.Held != 1 {
 		t.Fatalf("ended %v, %d out, %d held", w.calls[1].ended, len(w.open()), w.p.Counters.Held)
 	}
-	w.answer(open[1].Conn, open[1].Attempt, true, false, 0)
+	w.answer(open[1].Conn, open[1].Try, true, false, 0)
 	if c := w.calls[1]; !c.ended || c.ending != Served {
 		t.Errorf("%v", c.ending)
 	}
@@ -330,7 +330,7 @@
 		w.lose(w.open()[0].Conn, false)
 		w.run(5*time.Second, func() {
 			for _, s := range w.open() {
-				w.answer(s.Conn, s.Attempt, true, false, 0)
+				w.answer(s.Conn, s.Try, true, false, 0)
 			}
 		})
 		if c := w.calls[1]; !c.ended || c.ending != want {
@@ -362,7 +362,7 @@
 		w.lose(w.open()[0].Conn, false)
 		w.run(5*time.Second, func() {
 			for _, s := range w.open() {
-				w.answer(s.Conn, s.Attempt, true, false, 0)
+				w.answer(s.Conn, s.Try, true, false, 0)
 			}
 		})
 		for _, c := range w.connects[before:] {
@@ -432,7 +432,7 @@
 		w.connect(func(cn *wconn) bool { return down[cn.gateway] }, nil)
 		if w.now > time.Second { // nobody answers before
 			for _, s := range w.open() {
-				w.answer(s.Conn, s.Attempt, true, false, 0)
+				w.answer(s.Conn, s.Try, true, false, 0)
 			}
 		}
 	}
@@ -454,7 +454,7 @@
 				w.do(Up{Conn: id})
 			} else if w.p.Counters.Probes > before {
 				probes++
-				w.do(HealthCheckResult{Conn: id, Alive: true})
+				w.do(Heard{Conn: id, Alive: true})
 			}
 		}
 	}
@@ -480,14 +480,14 @@
 			if cn := w.conns[id]; !cn.up {
 				cn.up = true
 				w.do(Up{Conn: id})
-				w.do(HealthCheckResult{Conn: id, Alive: ready})
+				w.do(Heard{Conn: id, Alive: ready})
 			}
 		}
 		if !ready && len(w.open()) > 0 {
 			t.Fatal("sent to one that does not serve yet")
 		}
 		for _, s := range w.open() {
-			w.answer(s.Conn, s.Attempt, true, false, 0)
+			w.answer(s.Conn, s.Try, true, false, 0)
 		}
 	}
 	if c := w.calls[1]; !c.ended || c.ending != Served {
@@ -508,11 +508,11 @@
 			for end := w.now + 100*ms; w.now < end; w.now += 10 * ms {
 				w.do(Timer{})
 				w.connect(func(cn *wconn) bool { return !cn.up && w.now < 10*time.Second }, func(c uint64) {
-					w.do(HealthCheckResult{Conn: c, Alive: true})
+					w.do(Heard{Conn: c, Alive: true})
 				})
 				for _, s := range w.open() {
 					tries[w.now/(100*ms)]++
-					w.answer(s.Conn, s.Attempt, true, false, 0)
+					w.answer(s.Conn, s.Try, true, false, 0)
 				}
 			}
 		}
@@ -533,14 +533,14 @@
 
 func TestConfigNamesWhatIsWrong(t *testing.T) {
 	for want, change := range map[string]func(*Config){
-		"Gateways is empty":             func(c *Config) { c.Gateways = nil },
-		`Gateways[1]: "a"`:              func(c *Config) { c.Gateways = []string{"a", "a"} },
-		"Classes is empty":              func(c *Config) { c.Classes = nil },
-		"Classes[0].Name":               func(c *Config) { c.Classes[0].Name = "" },
-		"Classes[2].Effect":             func(c *Config) { c.Classes[2].Effect = 7 },
-		"Classes[1]: a span":            func(c *Config) { c.Classes[1].DedupWindow = -1 },
-		"ReconnectSpread is negative":   func(c *Config) { c.ReconnectSpread = -1 },
-		"RetriesPerSuccess is negative": func(c *Config) { c.RetriesPerSuccess = -0.1 },
+		"Gateways is empty":  func(c *Config) { c.Gateways = nil },
+		`Gateways[1]: "a"`:   func(c *Config) { c.Gateways = []string{"a", "a"} },
+		"Classes is empty":   func(c *Config) { c.Classes = nil },
+		"Classes[0].Name":    func(c *Config) { c.Classes[0].Name = "" },
+		"Classes[2].Effect":  func(c *Config) { c.Classes[2].Effect = 7 },
+		"Classes[1]: a span": func(c *Config) { c.Classes[1].Window = -1 },
+		"Spread is negative": func(c *Config) { c.Spread = -1 },
+		"Budget is negative": func(c *Config) { c.Budget = -0.1 },
 	} {
 		c := config()
 		change(&c)
@@ -574,13 +574,13 @@
 // stuck tells what asks to be woken at a time that has passed.
 func (p *Planner) stuck(at time.Duration) (all []string) {
 	for _, c := range p.waiting {
-		all = append(all, fmt.Sprintf("call %d: deadline %v from %v moved %v tries %d out %d", c.ID, c.Deadline, c.from, c.redirected, c.attempts, len(c.inFlight)))
+		all = append(all, fmt.Sprintf("call %d: deadline %v from %v moved %v tries %d out %d", c.ID, c.Deadline, c.from, c.moved, c.tries, len(c.out)))
 	}
 	for _, g := range p.gateways {
 		all = append(all, fmt.Sprintf("%s: dead %v probe %v next %v hold %v", g.name, g.dead, g.probe, g.next, g.hold))
 		for _, cn := range g.conns {
 			all = append(all, fmt.Sprintf("conn %d: up %v since %v asked %v used %v heard %v tries %d probing %v limbo %v", cn.id, cn.up, cn.since,
-				cn.healthCheckAt, cn.used, cn.heard, len(cn.attempts), cn.probing, cn.silent))
+				cn.asked, cn.used, cn.heard, len(cn.tries), cn.probing, cn.limbo))
 		}
 	}
 	return append(all, fmt.Sprint(at))
--- a/client/tcp.go
+++ b/client/tcp.go
@@ -93,12 +93,12 @@
 		c.mu.Unlock()
 		switch {
 		case probe:
-			c.ev.HealthCheckResult(a.Alive)
+			c.ev.Heard(a.Alive)
 		case ok:
-			c.ev.Answer(try, Answer{OK: a.Error == "", Rejected: a.Error == rpc.Backoff, RetryAfter: a.Later, Body: a.Body,
+			c.ev.Answer(try, Answer{OK: a.Error == "", Backoff: a.Error == rpc.Backoff, Later: a.Later, Body: a.Body,
 				Unchanged: a.Still && len(a.Body) == 0})
 		case known: // it was given up, or answered before
-			c.ev.HealthCheckResult(false)
+			c.ev.Heard(false)
 		default:
 			return errors.New("an answer to what was never asked")
 		}
@@ -126,8 +126,8 @@
 	}
 }
 
-// Send sends an attempt under the next message id.
-func (c *rpcConn) Send(t Attempt) {
+// Send sends a try under the next message id.
+func (c *rpcConn) Send(t Try) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -136,7 +136,7 @@
 	c.next++
 	c.tries[c.next], c.ids[t.ID] = t.ID, c.next
 	r := t.Request
-	_ = c.enc.Request(&rpc.Request{ID: c.next, Class: r.Class, Txn: t.Txn, Limit: t.Limit, Second: t.Retry, Key: t.Key,
+	_ = c.enc.Request(&rpc.Request{ID: c.next, Class: r.Class, Txn: t.Txn, Limit: t.Limit, Second: t.Second, Key: t.Key,
 		Object: r.Object, Part: r.Part, Group: r.Group, Have: r.Have, Body: r.Body}) // a buffer takes it all
 	c.wake.Signal()
 }
@@ -155,8 +155,8 @@
 	c.wake.Signal()
 }
 
-// StartHealthCheck asks whether the gateway serves.
-func (c *rpcConn) StartHealthCheck() {
+// Probe asks whether the gateway serves.
+func (c *rpcConn) Probe() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
--- a/cmd/larchusher-lab/get.go
+++ b/cmd/larchusher-lab/get.go
@@ -25,9 +25,9 @@
 	cfg := client.Config{Gateways: g.Gateway}
 	known := false
 	for _, c := range loadgen.Site() {
-		k := client.Class{Name: c.Name, PriorityWeight: c.Worth}
+		k := client.Class{Name: c.Name, Worth: c.Worth}
 		if c.Keyed {
-			k.Effect, k.DedupWindow = client.IdempotentWithKey, 3*time.Second
+			k.Effect, k.Window = client.Keyed, 3*time.Second
 		}
 		known = known || c.Name == g.Class
 		cfg.Classes = append(cfg.Classes, k)
@@ -91,7 +91,7 @@
 			fmt.Printf("%d: %v, after %v\n", n+1, err, took)
 			continue
 		}
-		fmt.Printf("%d: served, %d bytes, %d tries, %v\n", n+1, len(r.Body), r.Attempts, took)
+		fmt.Printf("%d: served, %d bytes, %d tries, %v\n", n+1, len(r.Body), r.Tries, took)
 	}
 	if bad == p.Count {
 		return errors.New("ping: nothing was served")
--- a/lab/clientsim/clientsim.go
+++ b/lab/clientsim/clientsim.go
@@ -238,8 +238,8 @@
 }
 
 func newPlanned(s *play, known []int, seed uint64) (*planned, error) {
-	cfg := plan.Config{Classes: []plan.Class{{Name: "safe", PriorityWeight: 1}}, MaxConns: 1,
-		Clients: s.cfg.Clients * s.cfg.Known / s.cfg.Gateways, ReconnectRate: 5000}
+	cfg := plan.Config{Classes: []plan.Class{{Name: "safe", Worth: 1}}, Conns: 1,
+		Clients: s.cfg.Clients * s.cfg.Known / s.cfg.Gateways, SpreadRate: 5000}
 	for _, g := range known {
 		cfg.Gateways = append(cfg.Gateways, fmt.Sprint(g))
 	}
@@ -281,18 +281,18 @@
 	case plan.Send:
 		if l := c.links[a.Conn]; l != nil {
 			c.s.ask(l, func(ok bool, later time.Duration) {
-				c.step(plan.Answered{Conn: a.Conn, Attempt: a.Attempt, OK: ok, Rejected: !ok, RetryAfter: later})
+				c.step(plan.Answered{Conn: a.Conn, Try: a.Try, OK: ok, Backoff: !ok, Later: later})
 			})
 		}
-	case plan.StartHealthCheck:
+	case plan.Probe:
 		if l := c.links[a.Conn]; l != nil {
 			c.s.clock.At(c.s.clock.Now+2*way, func() {
 				if l.gateway.up && l.epoch == l.gateway.epoch {
-					c.step(plan.HealthCheckResult{Conn: a.Conn, Alive: true})
+					c.step(plan.Heard{Conn: a.Conn, Alive: true})
 				}
 			})
 		}
-	case plan.CloseConn:
+	case plan.Hangup:
 		if l := c.links[a.Conn]; l != nil {
 			delete(l.gateway.conns, l)
 			delete(c.links, a.Conn)
--- a/lab/failover/failover.go
+++ b/lab/failover/failover.go
@@ -265,7 +265,7 @@
 
 // word is how a call ended.
 func word(err error) string {
-	for _, e := range []error{client.ErrRejected, client.ErrFailed, client.ErrUnknown, client.ErrExpired, client.ErrUnsent, client.ErrClosed} {
+	for _, e := range []error{client.ErrRefused, client.ErrFailed, client.ErrUnknown, client.ErrExpired, client.ErrUnsent, client.ErrClosed} {
 		if errors.Is(err, e) {
 			return strings.SplitN(strings.TrimPrefix(e.Error(), "client: "), ":", 2)[0]
 		}
@@ -384,11 +384,11 @@
 		return newNaive(cfg.Kind, addrs, n), nil
 	}
 	c := client.Config{Gateways: addrs, Seed: cfg.Seed<<32 + uint64(n) + 1,
-		Plan: plan.Config{MaxConns: 1, Clients: cfg.Clients / cfg.Gateways}}
+		Plan: plan.Config{Conns: 1, Clients: cfg.Clients / cfg.Gateways}}
 	for _, k := range load.Site() {
-		class := client.Class{Name: k.Name, PriorityWeight: k.Worth}
+		class := client.Class{Name: k.Name, Worth: k.Worth}
 		if k.Keyed {
-			class.Effect, class.DedupWindow = client.IdempotentWithKey, 3*time.Second
+			class.Effect, class.Window = client.Keyed, 3*time.Second
 		}
 		c.Classes = append(c.Classes, class)
 	}
--- a/lab/failover/naive.go
+++ b/lab/failover/naive.go
@@ -100,8 +100,8 @@
 	n.serial++
 	r.tries++
 	n.open[n.serial] = r
-	t := client.Attempt{ID: n.serial, Request: &r.Request, Txn: r.Object[:8] + fmt.Sprintf("%08x", n.serial), Limit: time.Until(r.until),
-		Retry: r.tries > 1}
+	t := client.Try{ID: n.serial, Request: &r.Request, Txn: r.Object[:8] + fmt.Sprintf("%08x", n.serial), Limit: time.Until(r.until),
+		Second: r.tries > 1}
 	if r.Class == "orders" {
 		t.Key = r.key
 	}
@@ -176,7 +176,7 @@
 	n.later(d, n.connect) // it keeps a connection open
 }
 
-func (e *naiveEvents) HealthCheckResult(bool) {}
+func (e *naiveEvents) Heard(bool) {}
 
 func (e *naiveEvents) Answer(try uint64, a client.Answer) {
 	n := e.n
--- a/test/client_http_test.go
+++ b/test/client_http_test.go
@@ -41,8 +41,8 @@
 	c, _ := httpClient(t, addr, time.Minute)
 	ctx := context.Background()
 	got, err := c.Do(ctx, lib.Request{Class: "images", Object: object, Part: 3, Group: 17})
-	if err != nil || string(got.Body) != content(object, "3") || got.ETag != "tag-"+object || got.Attempts != 1 {
-		t.Fatalf("%d bytes, tag %q, %d tries, %v", len(got.Body), got.ETag, got.Attempts, err)
+	if err != nil || string(got.Body) != content(object, "3") || got.Tag != "tag-"+object || got.Tries != 1 {
+		t.Fatalf("%d bytes, tag %q, %d tries, %v", len(got.Body), got.Tag, got.Tries, err)
 	}
 	r.on(func(a *ask) { a.Reply("KEEP", "why=warm,digest="+a.Fields["got"], "") })
 	if got, err = c.Do(ctx, lib.Request{Class: "images", Object: object, Part: 3, Have: "tag-" + object}); err != nil || !got.Unchanged {
@@ -66,8 +66,8 @@
 	for _, s := range r.stores {
 		s.Close()
 	}
-	var refused *lib.RejectedError
-	if _, err = c.Do(ctx, lib.Request{Class: "films", Object: object}); !errors.As(err, &refused) || refused.RetryAfter <= 0 || !errors.Is(err, lib.ErrRejected) {
+	var refused *lib.RefusedError
+	if _, err = c.Do(ctx, lib.Request{Class: "films", Object: object}); !errors.As(err, &refused) || refused.Later <= 0 || !errors.Is(err, lib.ErrRefused) {
 		t.Errorf("refused: %v", err)
 	}
 	stale, _ := httpClient(t, addr, -time.Minute)
--- a/test/client_test.go
+++ b/test/client_test.go
@@ -24,8 +24,8 @@
 	"larchusher/lab/testbed"
 )
 
-var clientClasses = []lib.Class{{Name: "films", PriorityWeight: 2}, {Name: "images", PriorityWeight: 1},
-	{Name: "orders", Effect: lib.IdempotentWithKey, DedupWindow: 3 * time.Second, PriorityWeight: 3}}
+var clientClasses = []lib.Class{{Name: "films", Worth: 2}, {Name: "images", Worth: 1},
+	{Name: "orders", Effect: lib.Keyed, Window: 3 * time.Second, Worth: 3}}
 
 // pair starts two gateways, each with a relay before it.
 func pair(t *testing.T) (context.Context, [2]*testbed.World, [2]*faultproxy.Relay) {
@@ -58,7 +58,7 @@
 	var all sync.WaitGroup
 	for i := range n {
 		c, err := lib.New(lib.Config{Gateways: []string{rs[0].Addr, rs[1].Addr}, Classes: clientClasses, Seed: uint64(i + 1),
-			Plan: plan.Config{MaxConns: 1}})
+			Plan: plan.Config{Conns: 1}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -143,7 +143,7 @@
 		e.served.Add(1)
 	case err == nil:
 		t.Errorf("served with %.40q", r.Body)
-	case errors.Is(err, lib.ErrRejected), errors.Is(err, lib.ErrFailed), errors.Is(err, lib.ErrUnknown),
+	case errors.Is(err, lib.ErrRefused), errors.Is(err, lib.ErrFailed), errors.Is(err, lib.ErrUnknown),
 		errors.Is(err, lib.ErrExpired), errors.Is(err, lib.ErrUnsent):
 		e.others.Add(1)
 	default:
@@ -166,7 +166,7 @@
 	rs[0].Trouble(0.01, 0)
 	rs[1].Trouble(0.005, 700)
 	c, err := lib.New(lib.Config{Gateways: []string{rs[0].Addr, rs[1].Addr}, Classes: clientClasses, Seed: 7,
-		Plan: plan.Config{MinHealthCheckBackoff: 50 * time.Millisecond, ReconnectSpread: 200 * time.Millisecond, SilenceTimeout: 200 * time.Millisecond}})
+		Plan: plan.Config{ProbeFirst: 50 * time.Millisecond, Spread: 200 * time.Millisecond, Silence: 200 * time.Millisecond}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -242,7 +242,7 @@
 	for _, s := range w.Stores {
 		s.On(func(*ask) {})
 	}
-	c, err := lib.New(lib.Config{Gateways: []string{w.Addr}, Classes: clientClasses, Plan: plan.Config{MaxConns: 16}})
+	c, err := lib.New(lib.Config{Gateways: []string{w.Addr}, Classes: clientClasses, Plan: plan.Config{Conns: 16}})
 	if err != nil {
 		t.Fatal(err)
 	}
