--- a/internal/net/resp/answer.go
+++ b/internal/net/resp/answer.go
@@ -3,149 +3,120 @@
 import (
 	"errors"
 	"fmt"
-	"maps"
 	"math"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
 
-	pool "github.com/libp2p/go-buffer-pool"
-
 	"larchusher/gateway"
 	"larchusher/internal/logfields"
 	"larchusher/internal/net/transport"
 	"larchusher/routing"
 )
 
-// room says whether an answer may be held, and counts it. Guards the memory: what was asked of stores for slow clients
-// may come all at once, and longer than expected.
-func (c *conn) room(n int) bool {
-	p := c.pool
-	if held := p.held.Add(int64(n)); p.cfg.MaxAnswerBytes > 0 && held > p.cfg.MaxAnswerBytes {
-		p.held.Add(int64(-n))
-		return false
-	}
-	c.coming.Add(int64(n))
-	return true
-}
-
-// drop gives back what is held for an answer that will not come whole. It may run beside OnBytes: each calls it once
-// the connection has ended, and what the other has taken meanwhile evens out.
-func (c *conn) drop() { c.pool.held.Add(-c.coming.Swap(0)) }
-
-// free gives an answer's memory back.
-func (p *Pool) free(body []byte) {
-	if len(body) > shortMost {
-		p.held.Add(int64(-len(body)))
-	}
-	pool.Put(body)
-}
+// errNoCopy is of an answer that the client's copy is current, where the client has none.
+var errNoCopy = errors.New(notModified + " without a copy")
 
 // OnBytes cuts what came into answers.
 func (c *conn) OnBytes(tc *transport.Conn, b []byte, at time.Time) error {
-	var batch [][][]byte
+	var answers [][][]byte
 	err := c.parser.feed(b, func(args [][]byte) error {
-		if len(args) != 4 && len(args) != 2 {
+		if len(args) != answerStrings && len(args) != pingAnswerStrings {
 			return fmt.Errorf("an answer of %d strings", len(args))
 		}
-		for _, s := range args {
-			if len(s) > shortMost {
-				c.coming.Add(int64(-len(s)))
+		for _, s := range args { // they are complete: the answer itself holds the memory from now on
+			if len(s) > maxUnreservedBytes {
+				c.reservedBytes.Add(int64(-len(s)))
 			}
 		}
-		batch = append(batch, args)
+		answers = append(answers, args)
 		return nil
 	})
 	if c.closed.Load() {
-		c.drop()
+		c.releaseReserved()
 	}
-	within := c.parser.within()
-	c.pool.loop.Post(func() {
-		if within && (!c.within || len(batch) > 0) {
-			c.begun = at
-		}
-		c.heard, c.within = at, within
-		for i, args := range batch {
-			bad := c.answer(args, at)
-			for _, s := range args { // the body is nil if it has become the answer's
-				c.pool.free(s)
-			}
-			if bad != nil {
-				for _, rest := range batch[i+1:] {
-					for _, s := range rest {
-						c.pool.free(s)
-					}
-				}
-				c.pool.log.WithError(bad).WithField(logfields.Endpoint, c.store.id).Warn(logfields.EndpointAnswerFaulty)
-				tc.Close(bad)
-				c.end(bad)
-				return
-			}
-		}
-	})
+	partial := c.parser.partial()
+	c.pool.loop.Post(func() { c.handleAnswers(tc, answers, partial, at) })
 	return err
 }
 
-var statuses = map[string]routing.Status{"DONE": routing.OK, "KEEP": routing.OK, "LACK": routing.Miss,
-	"WAIT": routing.Rejected, "BROKE": routing.ServerError, "PAST": routing.NotSent}
-
-// What stores may say of how they served a request, or why not; a word that is not here says nothing.
-var notes = map[string]routing.Reason{"warm": routing.ReasonHit, "fill": routing.ReasonFilled,
-	"deep_fill": routing.ReasonFilledByOrigin, "piggy": routing.ReasonCoalesced, "aged": routing.ReasonStale,
-	"bounced": routing.ReasonSourceRejected, "dropped": routing.ReasonSourceLost, "lacking": routing.ReasonSourceMiss,
-	"jammed": routing.ReasonNoFillSlot, "backfire": routing.ReasonOriginFailed}
+// handleAnswers handles what one read has brought, on the loop. partial: a part of a further answer has come.
+func (c *conn) handleAnswers(tc *transport.Conn, answers [][][]byte, partial bool, at time.Time) {
+	if partial && (!c.partial || len(answers) > 0) {
+		c.partialSince = at
+	}
+	c.lastByte, c.partial = at, partial
+	for i, args := range answers {
+		err := c.handleAnswer(args, at)
+		c.pool.releaseStrings(args) // the body is nil if it has become the answer's
+		if err == nil {
+			continue
+		}
+		for _, rest := range answers[i+1:] {
+			c.pool.releaseStrings(rest)
+		}
+		c.pool.log.WithError(err).WithField(logfields.Endpoint, c.endpoint.id).Warn(logfields.EndpointAnswerFaulty)
+		tc.Close(err)
+		c.end(err)
+		return
+	}
+}
 
-// answer takes one answer in, that came at a time. It takes the body out of args if that is to live on.
-func (c *conn) answer(args [][]byte, at time.Time) error {
-	if c.dead {
+// handleAnswer handles one answer, whose last byte came at a time. It takes the body out of args if that is used further.
+func (c *conn) handleAnswer(args [][]byte, at time.Time) error {
+	if c.ended {
 		return nil
 	}
 	id, word := string(args[0]), string(args[1])
-	if word == "FIT" || word == "UNFIT" { // whatever it says of the store, the connection works
-		if id == c.test {
-			c.test = ""
+	if isPingAnswer(word) {
+		if id == c.pingID {
+			c.pingID = ""
 		}
 		return nil
 	}
 	status, ok := statuses[word]
-	if !ok || len(args) != 4 {
+	if !ok || len(args) != answerStrings {
 		return fmt.Errorf("the answer %.20q", word)
 	}
-	a := c.open[id]
-	if a == nil { // it was given up, and its answer crossed that
+	a := c.inFlight[id]
+	if a == nil { // it was canceled, and its answer crossed that
 		c.pool.Counters.LateAnswers++
 		return nil
 	}
 	body := args[3]
-	if body == nil {
+	if body == nil { // there was no memory for it
 		c.pool.Counters.AnswersDropped++
-		delete(c.open, id)
-		c.used = c.pool.loop.Now()
-		c.quit[id] = c.used
+		c.finish(id)
+		c.canceled[id] = c.lastUsed
 		c.pool.Gateway.AttemptEnded(a, gateway.Result{Status: status, ReceivedAt: at, BodyDropped: status == routing.OK})
 		return nil
 	}
-	res := gateway.Result{Status: status, Body: body, NotModified: word == "KEEP", ReceivedAt: at}
-	if err := c.fields(string(args[2]), &res); err != nil {
+	res := gateway.Result{Status: status, Body: body, NotModified: word == notModified, ReceivedAt: at}
+	if err := c.parseFields(string(args[2]), &res); err != nil {
 		return err
 	}
 	if res.NotModified && a.Request.IfNoneMatch == "" {
-		return errors.New("KEEP without a copy")
+		return errNoCopy
 	}
-	delete(c.open, id)
-	c.used = c.pool.loop.Now()
-	if status != routing.OK { // a second copy of this answer must not be taken for that of another try
-		c.quit[id] = c.used
+	c.finish(id)
+	if status != routing.OK { // a second answer with the id must not be taken for that of a further attempt
+		c.canceled[id] = c.lastUsed
 	}
 	args[3] = nil
-	res.ReleaseBody = func() { c.pool.free(body) }
+	res.ReleaseBody = func() { c.pool.releaseBody(body) }
 	c.pool.Gateway.AttemptEnded(a, res)
 	return nil
 }
 
-// fields reads the fields of an answer.
-func (c *conn) fields(list string, res *gateway.Result) error {
+// finish takes an attempt off those in flight.
+func (c *conn) finish(id string) {
+	delete(c.inFlight, id)
+	c.lastUsed = c.pool.loop.Now()
+}
+
+// parseFields reads the fields of an answer. What this protocol does not know is ignored.
+func (c *conn) parseFields(list string, res *gateway.Result) error {
 	if list == "-" || list == "" {
 		return nil
 	}
@@ -156,32 +127,22 @@
 		}
 		switch name {
 		case "why":
-			res.Reason = notes[value]
+			res.Reason = reasons[value]
 		case "first":
-			if ms, err := strconv.ParseFloat(value, 64); err == nil && ms > 0 && ms < waitMost {
+			if ms, err := strconv.ParseFloat(value, 64); err == nil && ms > 0 && ms < maxFillWaitMs {
 				res.FillWait = time.Duration(ms * float64(time.Millisecond))
 			}
 		case "digest":
 			res.ETag = value
 		case "rep":
-			res.LoadReport = c.load(value)
+			res.LoadReport = c.parseLoadReport(value)
 		}
 	}
 	return nil
 }
 
-// reportNames are the simulator's words for values of load reports by those of its wire, and back: the settings may use
-// either, whatever stores do.
-var reportNames = func() map[string]string {
-	all := map[string]string{"inflight": "busy_reqs", "util": "cpu_share", "queue": "pending", "latency_ms": "svc_ms", "qps": "served_ps", "eps": "failed_ps"}
-	for a, b := range maps.Clone(all) {
-		all[b] = a
-	}
-	return all
-}()
-
-// load reads a load report into the order of the settings.
-func (c *conn) load(report string) []float64 {
+// parseLoadReport reads a load report into the order of Config.LoadReportFields; NaN: not reported.
+func (c *conn) parseLoadReport(report string) []float64 {
 	load := make([]float64, len(c.pool.cfg.LoadReportFields))
 	for i := range load {
 		load[i] = math.NaN()
@@ -190,7 +151,7 @@
 		name, value, _ := strings.Cut(part, ":")
 		x, err := strconv.ParseFloat(value, 64)
 		i := slices.Index(c.pool.cfg.LoadReportFields, name)
-		if other, ok := reportNames[name]; ok && i < 0 {
+		if other, ok := loadFieldAliases[name]; ok && i < 0 {
 			i = slices.Index(c.pool.cfg.LoadReportFields, other)
 		}
 		if i >= 0 && err == nil {
--- a/internal/net/transport/transport_test.go
+++ b/internal/net/transport/transport_test.go
@@ -42,17 +42,19 @@
 	}
 	defer l.Close()
 	for range 3 {
-		client, err := net.Dial("tcp", l.Addr().String())
+		client, err := dial(t, l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		c := <-p.opened
 		_ = client.Close()
-		<-p.closed
+		if err, open := <-p.closed; !open {
+			t.Fatal(err)
+		}
 		if err := c.Write(make([]byte, 100<<10)); err == nil {
 			t.Error("a closed connection can be written")
 		}
-		if n := e.waiting.Load(); n != 0 || c.UnsentBytes() != 0 {
+		if n := e.unwritten.Load(); n != 0 || c.UnsentBytes() != 0 {
 			t.Errorf("%d bytes wait on all connections, %d on a closed one", n, c.UnsentBytes())
 		}
 	}
@@ -146,14 +148,14 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		other.Close()
+		_ = other.Close() // a test may have closed it
 		l.Close()
 		e.Stop()
 	})
 	c := <-k.opened
 	within(t, "it is read", func() bool { // OnOpened comes before that
-		e.handing.Lock()
-		defer e.handing.Unlock()
+		e.connMu.Lock()
+		defer e.connMu.Unlock()
 		return c.nc.Session() != nil
 	})
 	return e, c, other.(*net.TCPConn), k
@@ -191,7 +193,7 @@
 		t.Fatal(err)
 	}
 	c.CloseGracefully(io.ErrShortBuffer, LingerTime)
-	if err := <-k.closed; err != io.ErrShortBuffer {
+	if err := <-k.closed; err != io.ErrShortBuffer { //nolint:errorlint // the handler is handed the very error
 		t.Errorf("the handler was told %v", err)
 	}
 	free()
@@ -203,7 +205,9 @@
 	if c.Write([]byte("x")) == nil {
 		t.Error("an ended connection can be written")
 	}
-	other.Close()
+	if err := other.Close(); err != nil {
+		t.Fatal(err)
+	}
 	within(t, "it is closed", func() bool { return e.Lingering() == 0 })
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -215,14 +219,16 @@
 // One whose other end stays open gives its descriptor back all the same.
 func TestAnEndDoesNotWaitForEver(t *testing.T) {
 	e, c, other, k := pair(t, 0)
-	c.CloseGracefully(io.EOF, lingerLeast)
-	<-k.closed
+	c.CloseGracefully(io.EOF, shortLinger)
+	if err, open := <-k.closed; !open {
+		t.Fatal(err)
+	}
 	within(t, "it is closed", func() bool { return e.Lingering() == 0 && e.Closed.Load() == 1 })
 	_ = other.SetReadDeadline(time.Now().Add(20 * time.Second))
-	if _, err := other.Read(make([]byte, 1)); err != io.EOF {
+	if _, err := other.Read(make([]byte, 1)); err != io.EOF { //nolint:errorlint // io.Reader returns io.EOF itself
 		t.Errorf("the other end sees %v", err)
 	}
-	c.CloseGracefully(io.EOF, lingerLeast) // a second one changes nothing
+	c.CloseGracefully(io.EOF, shortLinger) // a second one changes nothing
 	if e.Lingering() != 0 {
 		t.Error("a closed connection lingers")
 	}
@@ -238,20 +244,29 @@
 	if err := c.nc.SetReadBuffer(1 << 20); err != nil { // the kernel must take it all, and the end, too
 		t.Fatal(err)
 	}
-	const sent = readsMost*readSize + 8<<10
+	const sent = maxReadsInRow*readBufferSize + 8<<10
 	if _, err := other.Write(make([]byte, sent)); err != nil {
 		t.Fatal(err)
 	}
 	if c.PeerClosed() {
 		t.Error("it is said to have left before it has")
 	}
-	other.Close()
+	if err := other.Close(); err != nil {
+		t.Fatal(err)
+	}
 	within(t, "the kernel says so", c.PeerClosed)
 	free()
-	<-k.closed
+	if err, open := <-k.closed; !open {
+		t.Fatal(err)
+	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.got != sent {
 		t.Errorf("%d of %d bytes were read", k.got, sent)
 	}
 }
+
+// dial connects to an address.
+func dial(t *testing.T, addr string) (net.Conn, error) {
+	return new(net.Dialer).DialContext(t.Context(), "tcp", addr)
+}
--- a/warmstart/publish.go
+++ b/warmstart/publish.go
@@ -128,7 +128,7 @@
 	})
 	for _, l := range byRequests[:min(s.maxListings, len(byRequests))] {
 		key := s.listingKey(l.Key)
-		if server, at, ok := s.node.Locate(now, key); ok && server == l.Endpoint && now-at < listingRepeatAfter {
+		if server, at, ok := s.node.Locate(key); ok && server == l.Endpoint && now-at < listingRepeatAfter {
 			continue
 		}
 		value := replication.Encode(listingValue(l))
