--- a/client/object.go
+++ b/client/object.go
@@ -14,10 +14,13 @@
 	Class, Object string
 	Group         int
 	Parts         int           // how many there are
-	Ahead         int           // parts fetched ahead of the reader, 0: 2; memory is bounded by them
+	Ahead         int           // parts fetched ahead of the reader, which bounds memory; 0: 2
 	PartDeadline  time.Duration // of each part; 0: the client's
 }
 
+// defaultAhead is how many parts are fetched ahead where an Object does not say.
+const defaultAhead = 2
+
 // Open returns a reader over the parts of an object. It may seek to what it has passed, and to the end of what it has
 // seen; a part that could not be had is asked for again by the next Read. Close ends what is fetched ahead. The context
 // holds for all of it. One goroutine may use it at a time.
@@ -29,35 +32,36 @@
 		return nil, err
 	}
 	if o.Ahead <= 0 {
-		o.Ahead = 2
+		o.Ahead = defaultAhead
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	return &objectReader{client: c, object: o, ctx: ctx, cancel: cancel, parts: map[int]*part{}}, nil
 }
 
-// part is one that is on its way, or has come.
+// part is a part that is being fetched, or has been.
 type part struct {
-	done chan struct{}
+	done chan struct{} // closed when body and err are set
 	body []byte
 	err  error
 }
 
+// objectReader is what Open returns.
 type objectReader struct {
 	client     *Client
 	object     Object
 	ctx        context.Context
 	cancel     context.CancelFunc
 	parts      map[int]*part
-	partStarts []int64 // where parts begin, as far as is known: that of part n is at n
-	partIndex  int     // the part that is read,
-	partOffset int     // and where in it
+	partStarts []int64 // by part: the offset at which it begins, as far as is known
+	partIndex  int     // the part that is read next,
+	partOffset int     // and the offset in it
 	fetches    sync.WaitGroup
 	closed     bool
 }
 
 var errObjectClosed = errors.New("client: the object is closed")
 
-// fetch has a part come, unless it does.
+// fetch begins to fetch a part, if that has not begun.
 func (r *objectReader) fetch(n int) *part {
 	if p := r.parts[n]; p != nil {
 		return p
@@ -77,7 +81,7 @@
 	return p
 }
 
-// Read reads on. An error of a part leaves the place as it is: the next Read asks for that part again.
+// Read reads on. An error of a part leaves the position as it is: the next Read fetches that part again.
 func (r *objectReader) Read(b []byte) (int, error) {
 	for {
 		if r.closed {
@@ -89,19 +93,10 @@
 		if len(b) == 0 {
 			return 0, nil
 		}
-		p := r.fetch(r.partIndex)
-		for n := r.partIndex + 1; n <= min(r.partIndex+r.object.Ahead, r.object.Parts-1); n++ {
-			r.fetch(n)
-		}
-		<-p.done // by the context's or the client's deadline at the latest
-		if p.err != nil {
-			delete(r.parts, r.partIndex)
-			return 0, fmt.Errorf("part %d: %w", r.partIndex, p.err)
+		p, err := r.currentPart()
+		if err != nil {
+			return 0, err
 		}
-		for len(r.partStarts) < r.partIndex+2 {
-			r.partStarts = append(r.partStarts, r.knownEnd())
-		}
-		r.partStarts[r.partIndex+1] = r.partStarts[r.partIndex] + int64(len(p.body))
 		if r.partOffset < len(p.body) {
 			n := copy(b, p.body[r.partOffset:])
 			r.partOffset += n
@@ -112,7 +107,25 @@
 	}
 }
 
-// knownEnd is where what is known ends.
+// currentPart waits for the part that is read next, has those ahead of it fetched, and notes where it ends.
+func (r *objectReader) currentPart() (*part, error) {
+	p := r.fetch(r.partIndex)
+	for n := r.partIndex + 1; n <= min(r.partIndex+r.object.Ahead, r.object.Parts-1); n++ {
+		r.fetch(n)
+	}
+	<-p.done // by the context's or the client's deadline at the latest
+	if p.err != nil {
+		delete(r.parts, r.partIndex)
+		return nil, fmt.Errorf("part %d: %w", r.partIndex, p.err)
+	}
+	for len(r.partStarts) < r.partIndex+2 {
+		r.partStarts = append(r.partStarts, r.knownEnd())
+	}
+	r.partStarts[r.partIndex+1] = r.partStarts[r.partIndex] + int64(len(p.body))
+	return p, nil
+}
+
+// knownEnd is the offset up to which the lengths of parts are known.
 func (r *objectReader) knownEnd() int64 {
 	if len(r.partStarts) == 0 {
 		return 0
@@ -120,38 +133,24 @@
 	return r.partStarts[len(r.partStarts)-1]
 }
 
-// Seek goes to a place that is known: parts tell their length as they are read.
+// Seek goes to an offset that is known: the length of a part is known once it has been read. The end can't be sought.
 func (r *objectReader) Seek(offset int64, whence int) (int64, error) {
 	if r.closed {
 		return 0, errObjectClosed
 	}
-	at := int64(r.partOffset)
-	if r.partIndex < len(r.partStarts) {
-		at += r.partStarts[r.partIndex]
-	}
+	position := r.position()
 	switch whence {
 	case io.SeekCurrent:
-		offset += at
+		offset += position
 	case io.SeekEnd:
-		return at, errors.New("client: the end is not known before it is read")
+		return position, errors.New("client: the end is not known before it is read")
 	}
 	if offset < 0 || offset > r.knownEnd() {
-		return at, fmt.Errorf("client: place %d is not known yet; %d is", offset, r.knownEnd())
-	}
-	n := 0
-	for n+1 < len(r.partStarts) && r.partStarts[n+1] <= offset {
-		n++
+		return position, fmt.Errorf("client: place %d is not known yet; %d is", offset, r.knownEnd())
 	}
+	n := r.partAt(offset)
 	if n != r.partIndex {
-		for k, p := range r.parts { // what was fetched for another place is dropped as it comes
-			if k < n || k > n+r.object.Ahead {
-				select {
-				case <-p.done:
-					delete(r.parts, k)
-				default:
-				}
-			}
-		}
+		r.dropFetchedOutside(n)
 	}
 	r.partIndex, r.partOffset = n, 0
 	if len(r.partStarts) > 0 {
@@ -160,7 +159,39 @@
 	return offset, nil
 }
 
-// Close gives up what is fetched, and waits for it.
+// position is the offset of the next byte to be read.
+func (r *objectReader) position() int64 {
+	position := int64(r.partOffset)
+	if r.partIndex < len(r.partStarts) {
+		position += r.partStarts[r.partIndex]
+	}
+	return position
+}
+
+// partAt is the part that holds a known offset.
+func (r *objectReader) partAt(offset int64) int {
+	n := 0
+	for n+1 < len(r.partStarts) && r.partStarts[n+1] <= offset {
+		n++
+	}
+	return n
+}
+
+// dropFetchedOutside drops parts that have been fetched and are not wanted by a reader at part n.
+func (r *objectReader) dropFetchedOutside(n int) {
+	for k, p := range r.parts {
+		if k >= n && k <= n+r.object.Ahead {
+			continue
+		}
+		select {
+		case <-p.done:
+			delete(r.parts, k)
+		default: // still on its way: it would be fetched twice if the reader came back
+		}
+	}
+}
+
+// Close cancels what is being fetched, and waits for it.
 func (r *objectReader) Close() error {
 	if r.closed {
 		return errObjectClosed
--- a/client/tcp.go
+++ b/client/tcp.go
@@ -19,19 +19,21 @@
 }
 
 // rpcConn is one connection, with one goroutine that reads and one that writes.
+//
+// Messages are encoded into a buffer that the writer takes whole, so that no method blocks.
 type rpcConn struct {
 	events Events
 	cancel context.CancelFunc
 
-	mu               sync.Mutex
-	wake             *sync.Cond
-	nc               net.Conn
+	mu               sync.Mutex // guards what follows
+	wake             *sync.Cond // for the writer: there is something to write, or the connection is closed
+	nc               net.Conn   // nil before it is up
 	outgoing         bytes.Buffer
-	enc              *rpc.Encoder
+	enc              *rpc.Encoder // writes to outgoing
 	lastMessageID    uint32
-	attemptByMessage map[uint32]uint64 // by message id
-	messageByAttempt map[uint64]uint32 // by try
-	healthChecks     map[uint32]bool
+	attemptByMessage map[uint32]uint64 // those in flight
+	messageByAttempt map[uint64]uint32
+	healthChecks     map[uint32]bool // by message: those without an answer
 	closed           bool
 }
 
@@ -48,6 +50,7 @@
 	return c
 }
 
+// run connects, reports what comes, and reports the end as the last of all.
 func (c *rpcConn) run(ctx context.Context, addr string, dial func(context.Context, string, string) (net.Conn, error)) {
 	defer c.cancel()
 	clean := false
@@ -73,7 +76,10 @@
 	clean = errors.Is(err, io.EOF)
 }
 
-// read hands answers on until the connection ends.
+// errUnknownMessage is why a connection ends whose gateway answers a message that was never sent.
+var errUnknownMessage = errors.New("an answer to what was never asked")
+
+// read hands answers on until the connection ends, and returns why it did.
 func (c *rpcConn) read() error {
 	r := rpc.NewReader(c.nc)
 	for {
@@ -81,30 +87,43 @@
 		if err != nil {
 			return err
 		}
-		c.mu.Lock()
-		try, ok := c.attemptByMessage[a.ID]
-		probe := c.healthChecks[a.ID]
-		delete(c.healthChecks, a.ID)
-		if ok {
-			delete(c.attemptByMessage, a.ID)
-			delete(c.messageByAttempt, try)
-		}
-		known := a.ID <= c.lastMessageID
-		c.mu.Unlock()
+		m := c.takeMessage(a.ID)
 		switch {
-		case probe:
+		case m.healthCheck:
 			c.events.Heard(a.Healthy)
-		case ok:
-			c.events.Answer(try, Answer{OK: a.Error == "", Backoff: a.Error == rpc.Backoff, Later: a.RetryAfter, Body: a.Body,
+		case m.inFlight:
+			c.events.Answer(m.attempt, Answer{OK: a.Error == "", Backoff: a.Error == rpc.Backoff, Later: a.RetryAfter, Body: a.Body,
 				Unchanged: a.Still && len(a.Body) == 0})
-		case known: // it was given up, or answered before
+		case m.sent: // it was abandoned, or answered before
 			c.events.Heard(false)
 		default:
-			return errors.New("an answer to what was never asked")
+			return errUnknownMessage
 		}
 	}
 }
 
+// message is what an answer's message id stands for.
+type message struct {
+	attempt     uint64
+	inFlight    bool // the attempt wants an answer
+	healthCheck bool
+	sent        bool
+}
+
+// takeMessage looks a message id up, and forgets what it stands for: one answer is all that it gets.
+func (c *rpcConn) takeMessage(id uint32) message {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	m := message{healthCheck: c.healthChecks[id], sent: id <= c.lastMessageID}
+	delete(c.healthChecks, id)
+	if m.attempt, m.inFlight = c.attemptByMessage[id]; m.inFlight {
+		delete(c.attemptByMessage, id)
+		delete(c.messageByAttempt, m.attempt)
+	}
+	return m
+}
+
+// write writes what is outgoing until the connection is closed.
 func (c *rpcConn) write() {
 	var b []byte
 	for {
@@ -126,7 +145,7 @@
 	}
 }
 
-// Send sends a try under the next message id.
+// Send sends an attempt under the next message id.
 func (c *rpcConn) Send(t Try) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,7 +170,7 @@
 	}
 	delete(c.messageByAttempt, try)
 	delete(c.attemptByMessage, id)
-	_ = c.enc.Cancel(id)
+	_ = c.enc.Cancel(id) // a buffer takes it all
 	c.wake.Signal()
 }
 
@@ -164,7 +183,7 @@
 	}
 	c.lastMessageID++
 	c.healthChecks[c.lastMessageID] = true
-	_ = c.enc.HealthCheck(c.lastMessageID)
+	_ = c.enc.HealthCheck(c.lastMessageID) // a buffer takes it all
 	c.wake.Signal()
 }
 
