--- a/lab/localitysim/zones.go
+++ b/lab/localitysim/zones.go
@@ -60,13 +60,7 @@
 func (s *scene) send(e event, where int) {
 	g := s.gateways[e.gw]
 	z := s.zones[where]
-	if s.now >= s.sc.Warm {
-		sec := s.second()
-		sec.At[where]++
-		if where != g.home {
-			sec.Spilled[g.home]++
-		}
-	}
+	s.countAttempt(g.home, where)
 	g.t.AttemptStarted(s.now, g.place[where])
 	e.zone = int32(where)
 	way := near
@@ -94,9 +88,7 @@
 	if z.faults[Slow] > 0 {
 		able /= 5
 	}
-	if z.free < s.now {
-		z.free = s.now
-	}
+	z.free = max(z.free, s.now)
 	if z.free-s.now > queueMost {
 		e.kind = refused
 		s.at(s.now+2*way, e)
@@ -125,6 +117,18 @@
 	back(took, r, hit)
 }
 
+// countAttempt counts an attempt from a zone at another.
+func (s *scene) countAttempt(home, where int) {
+	if s.now < s.sc.Warm {
+		return
+	}
+	sec := s.second()
+	sec.At[where]++
+	if where != home {
+		sec.Spilled[home]++
+	}
+}
+
 // faultsBetween says whether an attempt from a zone at another gets no answer, or fails at once.
 func (s *scene) faultsBetween(home, where int) (silent, failed bool) {
 	z, h := s.zones[where], s.zones[home]
