--- a/client/rpc/rpc.go
+++ b/client/rpc/rpc.go
@@ -1,4 +1,7 @@
-// Package rpc words the platform's protocol, MessagePack-RPC over TCP, from a client's side.
+// Package rpc encodes and decodes the platform's protocol, MessagePack-RPC over TCP, from a client's side. It maps the
+// names of the fields on the wire (limit, item, n, shard, second, unique, mine, later, still) for the client library.
+//
+// An [Encoder] and a [Reader] block as their stream does, and are not safe for concurrent use.
 package rpc
 
 import (
@@ -12,27 +15,35 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
+// Limits of an answer; what is longer is an error before memory is taken for it.
 const (
 	maxBodyBytes = 256 << 10 // an object has 240,000 bytes at most
-	maxTextBytes = 4 << 10
+	maxTextBytes = 4 << 10   // of an error word, and of a field's name and value
 	maxFields    = 16
 )
 
-// Backoff is the error that means refused.
+// Kinds of messages, by MessagePack-RPC.
+const (
+	kindRequest      = 0
+	kindResponse     = 1
+	kindNotification = 2
+)
+
+// Backoff is the error word of a rejection.
 const Backoff = "Backoff"
 
-// Request is one request.
+// Request is one attempt of a request.
 type Request struct {
-	ID     uint32
+	ID     uint32 // of the message; new with each on a connection
 	Class  string
-	Txn    string // 16 hex digits, new with every try
-	Limit  time.Duration
-	Retry  bool // a client's retry
-	Key    string
-	Object string // 16 hex digits
+	Txn    string        // 16 hex digits, new with every attempt
+	Limit  time.Duration // for an answer; sent in whole milliseconds, one at least
+	Retry  bool          // it is not the request's first attempt
+	Key    string        // idempotency key; empty: none
+	Object string        // 16 hex digits
 	Part   int
 	Group  int
-	Have   string // tag of a copy that the client holds
+	Have   string // tag of a copy that the client holds; empty: none
 	Body   []byte
 }
 
@@ -48,54 +59,64 @@
 
 // Request writes a request.
 func (e *Encoder) Request(r *Request) error {
-	fields := make([][2]string, 0, 8)
-	add := func(name, value string) { fields = append(fields, [2]string{name, value}) }
-	add("txn", r.Txn)
-	add("limit", strconv.FormatInt(max(1, r.Limit.Milliseconds()), 10))
-	add("item", r.Object)
-	add("n", strconv.Itoa(r.Part))
-	add("shard", strconv.Itoa(r.Group))
-	if r.Retry {
-		add("second", "1")
-	}
-	if r.Key != "" {
-		add("unique", r.Key)
-	}
-	if r.Have != "" {
-		add("mine", r.Have)
-	}
+	fields := r.fields()
 	body := r.Body
 	if body == nil {
-		body = []byte{} // nil would be worded as such
+		body = []byte{} // an empty body, where nil would be encoded as none
 	}
-	err := errors.Join(e.enc.EncodeArrayLen(4), e.enc.EncodeInt(0), e.enc.EncodeUint(uint64(r.ID)), e.enc.EncodeString(r.Class),
-		e.enc.EncodeArrayLen(2), e.enc.EncodeMapLen(len(fields)))
+	err := errors.Join(e.header(r.ID, r.Class), e.enc.EncodeArrayLen(2), e.enc.EncodeMapLen(len(fields)))
 	for _, f := range fields {
-		err = errors.Join(err, e.enc.EncodeString(f[0]), e.enc.EncodeString(f[1]))
+		err = errors.Join(err, e.enc.EncodeString(f.name), e.enc.EncodeString(f.value))
 	}
 	return errors.Join(err, e.enc.EncodeBytes(body))
 }
 
+type field struct{ name, value string }
+
+// fields are a request's fields as they are sent, in their order.
+func (r *Request) fields() []field {
+	fields := append(make([]field, 0, 8),
+		field{"txn", r.Txn},
+		field{"limit", strconv.FormatInt(max(1, r.Limit.Milliseconds()), 10)},
+		field{"item", r.Object},
+		field{"n", strconv.Itoa(r.Part)},
+		field{"shard", strconv.Itoa(r.Group)})
+	if r.Retry {
+		fields = append(fields, field{"second", "1"})
+	}
+	if r.Key != "" {
+		fields = append(fields, field{"unique", r.Key})
+	}
+	if r.Have != "" {
+		fields = append(fields, field{"mine", r.Have})
+	}
+	return fields
+}
+
+// header writes what comes before a request's parameters.
+func (e *Encoder) header(id uint32, method string) error {
+	return errors.Join(e.enc.EncodeArrayLen(4), e.enc.EncodeInt(kindRequest), e.enc.EncodeUint(uint64(id)), e.enc.EncodeString(method))
+}
+
 // Cancel writes that no answer to a request is wanted any more.
 func (e *Encoder) Cancel(id uint32) error {
-	return errors.Join(e.enc.EncodeArrayLen(3), e.enc.EncodeInt(2), e.enc.EncodeString("cancelRequest"), e.enc.EncodeArrayLen(1),
-		e.enc.EncodeUint(uint64(id)))
+	return errors.Join(e.enc.EncodeArrayLen(3), e.enc.EncodeInt(kindNotification), e.enc.EncodeString("cancelRequest"),
+		e.enc.EncodeArrayLen(1), e.enc.EncodeUint(uint64(id)))
 }
 
 // HealthCheck writes the question whether the gateway serves.
 func (e *Encoder) HealthCheck(id uint32) error {
-	return errors.Join(e.enc.EncodeArrayLen(4), e.enc.EncodeInt(0), e.enc.EncodeUint(uint64(id)), e.enc.EncodeString("alive"),
-		e.enc.EncodeArrayLen(1), e.enc.EncodeMapLen(0))
+	return errors.Join(e.header(id, "alive"), e.enc.EncodeArrayLen(1), e.enc.EncodeMapLen(0))
 }
 
 // Response is one answer.
 type Response struct {
-	ID         uint32
+	ID         uint32 // of the message that it answers
 	Error      string // word of the error; empty: served
 	Body       []byte
-	Still      bool          // with an empty body: the client's copy is the one
-	RetryAfter time.Duration // of a refusal: when to come back
-	Healthy    bool          // the answer to Alive is yes
+	Still      bool          // with an empty body: the client's copy is current
+	RetryAfter time.Duration // of a rejection: when to come back; 0: it was not told
+	Healthy    bool          // the answer to a health check is yes
 }
 
 // Reader reads answers. What it can't read, and what is longer than any answer may be, is an error; the stream is of no
@@ -144,7 +165,7 @@
 	}
 	kind, err1 := r.dec.DecodeInt()
 	id, err2 := r.dec.DecodeUint32()
-	if err = errors.Join(err1, err2); err != nil || n != 4 || kind != 1 {
+	if err = errors.Join(err1, err2); err != nil || n != 4 || kind != kindResponse {
 		return 0, fmt.Errorf("a message of type %d with %d items: %w", kind, n, errors.Join(err, errors.New("not an answer")))
 	}
 	return id, nil
@@ -184,7 +205,7 @@
 	return r.readFields(a)
 }
 
-// readContent reads a body, or whether the gateway serves.
+// readContent reads a body, or the answer to a health check.
 func (r *Reader) readContent(a *Response) error {
 	code, err := r.dec.PeekCode()
 	if err != nil {
@@ -205,7 +226,7 @@
 	return err
 }
 
-// readBytes reads a string of bytes, into a buffer if it holds so many.
+// readBytes reads a string of up to most bytes, into a buffer if it holds so many.
 func (r *Reader) readBytes(into []byte, most int) ([]byte, error) {
 	n, err := r.dec.DecodeBytesLen()
 	if err != nil {
@@ -221,29 +242,44 @@
 	return into, r.dec.ReadFull(into)
 }
 
+// readFields reads a map of strings; fields that are not known are ignored.
 func (r *Reader) readFields(a *Response) error {
 	n, err := r.dec.DecodeMapLen()
-	if err == nil && n > maxFields {
-		err = fmt.Errorf("%d fields", n)
+	if err != nil {
+		return err
 	}
-	for ; err == nil && n > 0; n-- {
-		var k, v []byte
-		if k, err = r.readBytes(nil, maxTextBytes); err != nil {
-			break
+	if n > maxFields {
+		return fmt.Errorf("%d fields", n)
+	}
+	for range n {
+		name, err := r.readBytes(nil, maxTextBytes)
+		if err != nil {
+			return err
 		}
-		if v, err = r.readBytes(nil, maxTextBytes); err != nil {
-			break
+		value, err := r.readBytes(nil, maxTextBytes)
+		if err != nil {
+			return err
 		}
-		switch string(k) {
-		case "later":
-			var ms int64
-			if ms, err = strconv.ParseInt(string(v), 10, 32); err == nil && ms < 0 {
-				err = errors.New("later is negative")
-			}
-			a.RetryAfter = time.Duration(ms) * time.Millisecond
-		case "still":
-			a.Still = string(v) == "1"
+		if err := a.setField(string(name), string(value)); err != nil {
+			return err
 		}
 	}
-	return err
+	return nil
+}
+
+func (a *Response) setField(name, value string) error {
+	switch name {
+	case "later":
+		ms, err := strconv.ParseInt(value, 10, 32)
+		if err != nil {
+			return err
+		}
+		if ms < 0 {
+			return errors.New("later is negative")
+		}
+		a.RetryAfter = time.Duration(ms) * time.Millisecond
+	case "still":
+		a.Still = value == "1"
+	}
+	return nil
 }
