--- a/test/rig_test.go
+++ b/test/rig_test.go
@@ -4,6 +4,7 @@
 
 import (
 	"bufio"
+	"cmp"
 	"context"
 	"encoding/binary"
 	"encoding/json"
@@ -64,6 +65,7 @@
 	clients int
 	args    []string
 	env     []string
+	program string // empty: the one that was built
 	cmd     *exec.Cmd
 	log     *testbed.Log
 	exited  <-chan error
@@ -131,7 +133,7 @@
 // run starts the program on the configuration that is written.
 func (r *rig) run() {
 	r.t.Helper()
-	p := testbed.NewProcess(program, r.args, append([]string{"BALANCER_CONFIG=" + r.path, "BALANCER_NAME=n0"}, r.env...))
+	p := testbed.NewProcess(cmp.Or(r.program, program), r.args, append([]string{"BALANCER_CONFIG=" + r.path, "BALANCER_NAME=n0"}, r.env...))
 	r.cmd, r.log, r.exited = p.Cmd, p.Log, p.Exited()
 	if err := p.Start(anyCore); err != nil {
 		r.t.Fatal(err)
--- a/test/upgrade_test.go
+++ b/test/upgrade_test.go
@@ -17,11 +17,15 @@
 )
 
 // beside starts another process of the same gateway with the same files, and waits until it says that it takes clients.
-func (r *rig) beside() (second *rig, console string) {
+func (r *rig) beside() (second *rig, console string) { return r.besideOf("") }
+
+// besideOf is beside with another version of the program; empty: the one that was built.
+func (r *rig) besideOf(version string) (second *rig, console string) {
 	r.t.Helper()
 	console = free(r.t)
 	other := *r
 	second = &other
+	second.program = version
 	second.env = append(append([]string{}, r.env...), "BALANCER_CONSOLE="+console)
 	second.run()
 	eventually(r.t, "the new process takes clients", func() bool {
@@ -103,7 +107,8 @@
 const upgrades = 5
 
 // Clients that never stop asking, on connections that they keep and on new ones, lose nothing over some upgrades. A request
-// that crosses the end of its connection is sent anew, as the protocol has it.
+// that crosses the end of its connection is sent anew, as the protocol has it. Where the environment names another version of
+// the program as FORMER_PROGRAM, every other process is of that version: upgrades go to it and back.
 func TestNoRequestIsLostOverUpgrades(t *testing.T) {
 	r := newRig(t).shared().start()
 	stop, failed := make(chan struct{}), make(chan string, 100)
@@ -121,8 +126,12 @@
 	if n, err := strconv.Atoi(os.Getenv("UPGRADES")); err == nil {
 		rounds = n
 	}
-	for range rounds {
-		second, _ := r.beside()
+	for round := range rounds {
+		version := ""
+		if round%2 == 0 {
+			version = os.Getenv("FORMER_PROGRAM")
+		}
+		second, _ := r.besideOf(version)
 		r.signal(syscall.SIGTERM)
 		if err := r.ended(); err != nil {
 			t.Errorf("a former process: %v", err)
