--- a/cmd/larchusher-lab/load.go
+++ b/cmd/larchusher-lab/load.go
@@ -74,7 +74,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), l.For+time.Minute)
 	defer cancel()
 	addr := l.Addr
-	var w *testbed.World
+	var w *testbed.Gateway
 	if addr == "" {
 		var err error
 		w, err = testbed.Start(ctx, testbed.Config{Program: l.Program, Args: l.Arg, Caches: l.Caches, Cores: l.Cores,
@@ -98,10 +98,10 @@
 	}
 	var before testbed.Usage
 	if w != nil {
-		if err := l.trouble(ctx, w); err != nil {
+		if err := l.injectPauses(ctx, w); err != nil {
 			return err
 		}
-		if before, err = w.Use(); err != nil {
+		if before, err = w.Usage(); err != nil {
 			return err
 		}
 	}
@@ -111,7 +111,7 @@
 	}
 	f := figures{Rate: rate, Sum: res.Sum(l.Warm, 0)}
 	if w != nil {
-		if err := l.use(ctx, w, before, res.Took, &f); err != nil {
+		if err := l.addUsage(ctx, w, before, res.Took, &f); err != nil {
 			return err
 		}
 	}
@@ -133,7 +133,7 @@
 }
 
 // slow starts clients that read slowly, and has the stores answer them with much.
-func (l *load) slow(addr string, w *testbed.World) (stop func() (closed int), err error) {
+func (l *load) slow(addr string, w *testbed.Gateway) (stop func() (closed int), err error) {
 	stop, err = loadgen.Slow(loadgen.SlowSpec{Addr: addr, Conns: l.Slow, Pace: l.SlowPace, Ask: l.SlowAsk})
 	if err != nil || w == nil {
 		return stop, err
@@ -144,9 +144,9 @@
 	return stop, nil
 }
 
-// use takes in what the gateway used, and its counters.
-func (l *load) use(ctx context.Context, w *testbed.World, before testbed.Usage, took time.Duration, f *figures) error {
-	u, err := w.Use()
+// addUsage takes in what the gateway used, and its counters.
+func (l *load) addUsage(ctx context.Context, w *testbed.Gateway, before testbed.Usage, took time.Duration, f *figures) error {
+	u, err := w.Usage()
 	if err != nil {
 		return fmt.Errorf("the gateway is gone: %w\n%s", err, w.Log.String())
 	}
@@ -200,8 +200,8 @@
 	return nil
 }
 
-// trouble stalls the gateway as asked, beside the load.
-func (l *load) trouble(ctx context.Context, w *testbed.World) error {
+// injectPauses stalls the gateway as asked, beside the load.
+func (l *load) injectPauses(ctx context.Context, w *testbed.Gateway) error {
 	if l.Duty != "" {
 		on, of, ok := strings.Cut(l.Duty, "/")
 		run, err1 := time.ParseDuration(on)
@@ -210,7 +210,7 @@
 			return fmt.Errorf("duty %q: not RUN/OF", l.Duty)
 		}
 		go func() {
-			for ctx.Err() == nil && w.Stall(whole-run) == nil {
+			for ctx.Err() == nil && w.Pause(whole-run) == nil {
 				time.Sleep(run)
 			}
 		}()
@@ -219,7 +219,7 @@
 		go func() {
 			for range l.Stalls {
 				time.Sleep(l.For / time.Duration(l.Stalls+1))
-				if w.Stall(l.StallFor) != nil {
+				if w.Pause(l.StallFor) != nil {
 					return
 				}
 			}
--- a/cmd/larchusher-lab/up.go
+++ b/cmd/larchusher-lab/up.go
@@ -63,7 +63,7 @@
 type demo struct {
 	front  string // the signed front's address
 	secret []byte // of its key
-	world  *testbed.World
+	world  *testbed.Gateway
 	issuer *signedurl.Issuer
 }
 
@@ -169,7 +169,7 @@
 }
 
 // latest is what a store was asked last, and forgets it.
-func latest(stores map[string]*fakeserver.Store) (last *fakeserver.Ask) {
+func latest(stores map[string]*fakeserver.Store) (last *fakeserver.Request) {
 	for _, s := range stores {
 		s.Lock()
 		for _, a := range s.Seen {
--- a/lab/failover/failover.go
+++ b/lab/failover/failover.go
@@ -154,54 +154,54 @@
 	if err != nil {
 		return "", err
 	}
-	p.worlds = append(p.worlds, w)
+	p.gateways = append(p.gateways, w)
 	for _, s := range w.Stores {
 		switch {
 		case p.cfg.Refuse:
-			s.On(func(a *fakeserver.Ask) { a.Reply("WAIT", "-", "") })
+			s.On(func(a *fakeserver.Request) { a.Reply("WAIT", "-", "") })
 		case p.cfg.Store > 0:
-			s.On(func(a *fakeserver.Ask) { time.AfterFunc(p.cfg.Store, func() { fakeserver.Done(a) }) })
+			s.On(func(a *fakeserver.Request) { time.AfterFunc(p.cfg.Store, func() { fakeserver.Done(a) }) })
 		}
 	}
 	r, err := faultproxy.New(w.Addr, uint64(i))
 	if err != nil {
 		return "", err
 	}
-	p.relays = append(p.relays, r)
+	p.proxies = append(p.proxies, r)
 	return r.Addr, nil
 }
 
 // die kills a gateway in its time, and starts it again if it comes back.
 func (p *player) die(ctx context.Context, d Death) error {
-	w, r := p.worlds[d.Gateway], p.relays[d.Gateway]
+	w, r := p.gateways[d.Gateway], p.proxies[d.Gateway]
 	if !p.until(ctx, d.At) {
 		return nil
 	}
 	err := w.Kill()
 	r.Down() // the platform resets what a dead process had open
 	if err == nil && d.Back > 0 && p.until(ctx, d.Back) {
-		err = errors.Join(w.Again(), r.Up())
+		err = errors.Join(w.Restart(), r.Up())
 	}
 	return err
 }
 
 // close ends the relays and the gateways.
 func (p *player) close() {
-	for _, r := range p.relays {
+	for _, r := range p.proxies {
 		r.Close()
 	}
-	for _, w := range p.worlds {
+	for _, w := range p.gateways {
 		w.Stop()
 	}
 }
 
 type player struct {
-	cfg    Config
-	mix    []load.Class
-	worlds []*testbed.World
-	relays []*faultproxy.Relay // by gateway
-	began  time.Time
-	first  time.Duration // when the first gateway dies; the largest: none does
+	cfg      Config
+	mix      []load.Class
+	gateways []*testbed.Gateway
+	proxies  []*faultproxy.Proxy // by gateway
+	began    time.Time
+	first    time.Duration // when the first gateway dies; the largest: none does
 
 	mu   sync.Mutex
 	late []time.Duration
@@ -286,11 +286,11 @@
 func (p *player) sum() {
 	r := p.res
 	asked := p.count()
-	for k, one := range p.relays {
+	for k, one := range p.proxies {
 		r.Early += early(k, one, asked)
 	}
 	if p.cfg.Kind == clientsim.Planned {
-		r.Broken = faultproxy.Rules{Tries: 1 + plan.DefaultRetries + 1, Keyed: map[string]time.Duration{"orders": 3 * time.Second}}.Check(p.relays...)
+		r.Broken = faultproxy.Rules{Tries: 1 + plan.DefaultRetries + 1, Keyed: map[string]time.Duration{"orders": 3 * time.Second}}.Check(p.proxies...)
 	}
 	slices.Sort(p.late)
 	if len(p.late) > 0 {
@@ -312,7 +312,7 @@
 		}
 	}
 	asked := map[attemptKey]faultproxy.Seen{}
-	for k, one := range p.relays {
+	for k, one := range p.proxies {
 		for _, at := range one.Opened() {
 			add(r.Connects, at)
 		}
@@ -329,20 +329,20 @@
 }
 
 // early is how many attempts were sent on a connection before the time that a rejection of their class had told on it.
-func early(relay int, one *faultproxy.Relay, asked map[attemptKey]faultproxy.Seen) (n int) {
+func early(relay int, one *faultproxy.Proxy, asked map[attemptKey]faultproxy.Seen) (n int) {
 	type hold struct {
 		conn  int
 		class string
 	}
-	until := map[hold][]faultproxy.Refusal{}
-	for _, f := range one.Refusals() {
+	until := map[hold][]faultproxy.Rejection{}
+	for _, f := range one.Rejections() {
 		if s, ok := asked[attemptKey{relay, f.Conn, f.ID}]; ok {
 			h := hold{f.Conn, s.Class}
 			until[h] = append(until[h], f)
 		}
 	}
 	for _, s := range one.Seen() {
-		if slices.ContainsFunc(until[hold{s.Conn, s.Class}], func(f faultproxy.Refusal) bool {
+		if slices.ContainsFunc(until[hold{s.Conn, s.Class}], func(f faultproxy.Rejection) bool {
 			// What was sent while the rejection was on its way knew nothing of it.
 			since := s.At.Sub(f.At)
 			return since > 100*time.Millisecond && since < f.Later
--- a/lab/fakeserver/box.go
+++ b/lab/fakeserver/box.go
@@ -63,7 +63,7 @@
 	return b.seen[second][group]
 }
 
-func (b *Box) answer(a *Ask) {
+func (b *Box) answer(a *Request) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/lab/fakeserver/store.go
+++ b/lab/fakeserver/store.go
@@ -20,8 +20,8 @@
 // Loopback is an address at which the system picks the port.
 const Loopback = "127.0.0.1:0"
 
-// Ask is one ASK, with what it takes to answer it.
-type Ask struct {
+// Request is one ASK, with what it takes to answer it.
+type Request struct {
 	ID, Body string
 	Fields   map[string]string
 	Store    *Store
@@ -33,7 +33,7 @@
 }
 
 // Reply sends an answer. It may be called from any goroutine, at any time.
-func (a *Ask) Reply(word, fields, body string) { a.link.write(a.ID, word, fields, body) }
+func (a *Request) Reply(word, fields, body string) { a.link.write(a.ID, word, fields, body) }
 
 // Array words a RESP array of bulk strings.
 func Array(args ...string) string {
@@ -73,13 +73,13 @@
 }
 
 // Done answers with [Content], as a store does that holds the part.
-func Done(a *Ask) { a.Serve("warm", Content(a.Fields["name"], a.Fields["piece"])) }
+func Done(a *Request) { a.Serve("warm", Content(a.Fields["name"], a.Fields["piece"])) }
 
 // Serve answers with a body and the note on where it came from.
-func (a *Ask) Serve(note, body string) { a.ServeWith(note, "inflight:1;x1:0.5;x0:0.9", body) }
+func (a *Request) Serve(note, body string) { a.ServeWith(note, "inflight:1;x1:0.5;x0:0.9", body) }
 
 // ServeWith is Serve with a load report.
-func (a *Ask) ServeWith(note, report, body string) {
+func (a *Request) ServeWith(note, report, body string) {
 	if !a.Store.Forget {
 		a.Store.Lock()
 		a.Note = note
@@ -94,9 +94,9 @@
 	Listener         net.Listener
 
 	sync.Mutex
-	Answer func(*Ask)
-	Seen   []*Ask // what it was asked, unless Forget is set
-	Forget bool   // for long runs: Asked counts, and nothing else is kept
+	Answer func(*Request)
+	Seen   []*Request // what it was asked, unless Forget is set
+	Forget bool       // for long runs: Asked counts, and nothing else is kept
 	Asked  int
 	Quits  []string
 	Noops  int
@@ -144,7 +144,7 @@
 }
 
 // On sets how the store answers.
-func (s *Store) On(answer func(*Ask)) {
+func (s *Store) On(answer func(*Request)) {
 	s.Lock()
 	defer s.Unlock()
 	s.Answer = answer
@@ -154,7 +154,7 @@
 // and a parent that may ask it, hold everything.
 func (s *Store) Cache(stores map[string]*Store, size func(object string) int) {
 	s.held = map[string]bool{}
-	s.On(func(a *Ask) {
+	s.On(func(a *Request) {
 		key := a.Fields["name"] + "/" + a.Fields["piece"]
 		body := Sized(a.Fields["name"], a.Fields["piece"], size(a.Fields["name"]))
 		s.Lock()
@@ -230,7 +230,7 @@
 		answer := s.Answer
 		switch {
 		case args[0] == "ASK" && len(args) == 4:
-			a := &Ask{ID: args[1], Body: args[3], Fields: map[string]string{}, Store: s, Conn: c, At: time.Now(), link: l}
+			a := &Request{ID: args[1], Body: args[3], Fields: map[string]string{}, Store: s, Conn: c, At: time.Now(), link: l}
 			for f := range strings.SplitSeq(args[2], ",") {
 				k, v, _ := strings.Cut(f, "=")
 				a.Fields[k] = v
--- a/lab/faultinjection/events.go
+++ b/lab/faultinjection/events.go
@@ -76,11 +76,11 @@
 
 // startAgain starts a gateway that was killed.
 func (p *play) startAgain(ctx context.Context, g *process) error {
-	if err := g.world.Again(); err != nil {
+	if err := g.world.Restart(); err != nil {
 		return err
 	}
 	p.wg.Go(func() {
-		if _, err := g.world.Logged(ctx, "msg=serving"); err != nil {
+		if _, err := g.world.WaitForLog(ctx, "msg=serving"); err != nil {
 			p.faults.add("%s does not start again: %v", g.name, err)
 		}
 		p.forgotten(g, time.Now().Add(500*time.Millisecond))
@@ -98,16 +98,16 @@
 		return err
 	}
 	p.wg.Go(func() {
-		if err := g.world.Ended(ctx); err != nil {
+		if err := g.world.WaitExit(ctx); err != nil {
 			p.faults.add("%s does not end by SIGTERM: %v", g.name, err)
 			return
 		}
 		g.clients.rest(false)
-		if err := g.world.Again(); err != nil {
+		if err := g.world.Restart(); err != nil {
 			p.faults.add("%s: %v", g.name, err)
 			return
 		}
-		if _, err := g.world.Logged(ctx, "msg=serving"); err != nil {
+		if _, err := g.world.WaitForLog(ctx, "msg=serving"); err != nil {
 			p.faults.add("%s does not start again: %v", g.name, err)
 		}
 		g.set(true)
--- a/lab/faultinjection/machines.go
+++ b/lab/faultinjection/machines.go
@@ -28,7 +28,7 @@
 }
 
 // answer serves what a machine is asked, and records what should not have come.
-func (p *play) answer(m *machine, a *fakeserver.Ask) {
+func (p *play) answer(m *machine, a *fakeserver.Request) {
 	m.mu.Lock()
 	out, cold := m.out, time.Since(m.cold) < ramp
 	m.busy++
@@ -80,7 +80,7 @@
 		return err
 	}
 	s.Forget = true
-	s.On(func(a *fakeserver.Ask) { p.answer(m, a) })
+	s.On(func(a *fakeserver.Request) { p.answer(m, a) })
 	m.mu.Lock()
 	m.store, m.out, m.cold, m.since = s, false, time.Now(), time.Now().UnixMilli()
 	m.mu.Unlock()
--- a/lab/faultinjection/processes.go
+++ b/lab/faultinjection/processes.go
@@ -25,7 +25,7 @@
 	link    string
 	folder  string
 	clock   string
-	world   *testbed.World
+	world   *testbed.Gateway
 	clients *clients
 	news    chan piece
 	mu      sync.Mutex
@@ -142,7 +142,7 @@
 	}
 	s.Forget = true
 	m := &machine{name: name, kind: kind, zone: zone, addr: s.Addr, store: s, faults: p.faults}
-	s.On(func(a *fakeserver.Ask) { p.answer(m, a) })
+	s.On(func(a *fakeserver.Request) { p.answer(m, a) })
 	p.machines[name] = m
 	p.names = append(p.names, name)
 	return nil
--- a/lab/faultinjection/rest.go
+++ b/lab/faultinjection/rest.go
@@ -278,10 +278,10 @@
 	if !dies {
 		return took, nil
 	}
-	if err := voter.world.Again(); err != nil {
+	if err := voter.world.Restart(); err != nil {
 		return 0, err
 	}
-	if _, err := voter.world.Logged(ctx, "msg=serving"); err != nil {
+	if _, err := voter.world.WaitForLog(ctx, "msg=serving"); err != nil {
 		return 0, err
 	}
 	voter.set(true)
--- a/lab/faultinjection/shared.go
+++ b/lab/faultinjection/shared.go
@@ -102,7 +102,7 @@
 }
 
 // heed holds an ask against what its gateway, and any other, had been told. The objects say whose clients asked.
-func (p *play) heed(m *machine, a *fakeserver.Ask) {
+func (p *play) heed(m *machine, a *fakeserver.Request) {
 	if m.kind == "origin" {
 		return
 	}
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -28,8 +28,8 @@
 	Second        bool
 }
 
-// Relay is a running one.
-type Relay struct {
+// Proxy is a running one.
+type Proxy struct {
 	Addr string
 
 	l      net.Listener
@@ -37,7 +37,7 @@
 	target string
 	serial int
 	seen   []Seen
-	later  []Refusal
+	later  []Rejection
 	opened []time.Time
 	conns  map[net.Conn]bool
 	rng    *rand.Rand
@@ -46,8 +46,8 @@
 	deaf   bool    // it accepts, and passes nothing on
 }
 
-// Refusal is one answer that turned a request away.
-type Refusal struct {
+// Rejection is one answer that turned a request away.
+type Rejection struct {
 	At    time.Time
 	Conn  int
 	ID    uint64
@@ -55,17 +55,17 @@
 }
 
 // New starts a relay to a gateway.
-func New(target string, seed uint64) (*Relay, error) {
+func New(target string, seed uint64) (*Proxy, error) {
 	l, err := loopback.Listen("127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
 	}
-	r := &Relay{Addr: l.Addr().String(), l: l, target: target, conns: map[net.Conn]bool{}, rng: rand.New(rand.NewPCG(seed, 3))}
+	r := &Proxy{Addr: l.Addr().String(), l: l, target: target, conns: map[net.Conn]bool{}, rng: rand.New(rand.NewPCG(seed, 3))}
 	go r.accept(l)
 	return r, nil
 }
 
-func (r *Relay) accept(l net.Listener) {
+func (r *Proxy) accept(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -83,13 +83,13 @@
 
 // Down has the relay act as a gateway that died: connections are reset, and new ones refused. Up has it listen again, at
 // the same address.
-func (r *Relay) Down() {
+func (r *Proxy) Down() {
 	loopback.Close(r.l)
 	r.Cut()
 }
 
 // Up ends Down.
-func (r *Relay) Up() error {
+func (r *Proxy) Up() error {
 	l, err := loopback.Listen(r.Addr)
 	if err != nil {
 		return fmt.Errorf("relay: %w", err)
@@ -99,35 +99,35 @@
 	return nil
 }
 
-// Refusals are all answers so far that turned a request away.
-func (r *Relay) Refusals() []Refusal {
+// Rejections are all answers so far that turned a request away.
+func (r *Proxy) Rejections() []Rejection {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.later)
 }
 
-// Trouble has connections cut by chance, at pieces of answers, and answers passed on in pieces of so many bytes at most.
-func (r *Relay) Trouble(cut float64, slice int) {
+// InjectFaults has connections cut by chance, at pieces of answers, and answers passed on in pieces of so many bytes at most.
+func (r *Proxy) InjectFaults(cut float64, slice int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cut, r.slice = cut, slice
 }
 
-// Deaf has the relay accept and pass nothing on.
-func (r *Relay) Deaf(deaf bool) {
+// SetUnresponsive has the relay accept and pass nothing on.
+func (r *Proxy) SetUnresponsive(deaf bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.deaf = deaf
 }
 
 // Close ends the relay as a dying gateway would.
-func (r *Relay) Close() {
+func (r *Proxy) Close() {
 	loopback.Close(r.l)
 	r.Cut()
 }
 
 // Cut resets all connections.
-func (r *Relay) Cut() {
+func (r *Proxy) Cut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
@@ -139,20 +139,20 @@
 }
 
 // Seen are all requests that passed so far, and Opened when connections came.
-func (r *Relay) Seen() []Seen {
+func (r *Proxy) Seen() []Seen {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.seen)
 }
 
 // Opened says when connections came.
-func (r *Relay) Opened() []time.Time {
+func (r *Proxy) Opened() []time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.opened)
 }
 
-func (r *Relay) carry(n int, c net.Conn) {
+func (r *Proxy) carry(n int, c net.Conn) {
 	defer func() {
 		loopback.Close(c)
 		r.mu.Lock()
@@ -195,7 +195,7 @@
 }
 
 // carryAnswers carries what a gateway answers to a client, in slices and up to a cut as the faults of the moment have it, and records it.
-func (r *Relay) carryAnswers(c, from net.Conn, record io.Writer) {
+func (r *Proxy) carryAnswers(c, from net.Conn, record io.Writer) {
 	b := make([]byte, 64<<10)
 	for {
 		m, err := from.Read(b)
@@ -235,7 +235,7 @@
 }
 
 // answers reads refusals off what comes back.
-func (r *Relay) answers(n int, from *io.PipeReader) {
+func (r *Proxy) answers(n int, from *io.PipeReader) {
 	defer func() { _, _ = io.Copy(io.Discard, from) }()
 	d := rpc.NewReader(from)
 	d.Reuse = true
@@ -246,14 +246,14 @@
 		}
 		if a.Error == rpc.Backoff {
 			r.mu.Lock()
-			r.later = append(r.later, Refusal{At: time.Now(), Conn: n, ID: uint64(a.ID), Later: a.RetryAfter})
+			r.later = append(r.later, Rejection{At: time.Now(), Conn: n, ID: uint64(a.ID), Later: a.RetryAfter})
 			r.mu.Unlock()
 		}
 	}
 }
 
 // record reads requests off what passes.
-func (r *Relay) record(n int, from *io.PipeReader, came *atomic.Int64) {
+func (r *Proxy) record(n int, from *io.PipeReader, came *atomic.Int64) {
 	defer func() { _, _ = io.Copy(io.Discard, from) }() // what can't be read must not hold up what passes
 	d := msgpack.NewDecoder(from)
 	for {
@@ -298,7 +298,7 @@
 }
 
 // Check names what was not kept, over several relays.
-func (k Rules) Check(relays ...*Relay) (broken []string) {
+func (k Rules) Check(relays ...*Proxy) (broken []string) {
 	var all []Seen
 	for _, r := range relays {
 		all = append(all, r.Seen()...)
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -107,7 +107,7 @@
 	boxes    [][]*fakeserver.Box // by zone, those of now
 	all      []*fakeserver.Box
 	zoneOf   map[*fakeserver.Box]int
-	gateways []*testbed.World
+	gateways []*testbed.Gateway
 	pos      int
 	serial   int
 	mu       sync.Mutex
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -22,12 +22,12 @@
 
 // The outcomes of a request.
 const (
-	Served  Outcome = iota
-	Refused         // Backoff, on its last try
-	Failed          // another error
-	Silent          // no answer before the client gave up
-	Cut             // the connection ended
-	Unsent          // no connection had room: the client waited for longer than its limit
+	Served   Outcome = iota
+	Rejected         // Backoff, on its last try
+	Failed           // another error
+	Silent           // no answer before the client gave up
+	Cut              // the connection ended
+	Unsent           // no connection had room: the client waited for longer than its limit
 )
 
 var outcomes = [...]string{"served", "refused", "failed", "silent", "cut", "unsent"}
@@ -421,7 +421,7 @@
 			if c.s.retry(j, a.RetryAfter, now) {
 				continue
 			}
-			o = Refused
+			o = Rejected
 		case a.Error != "":
 			o = Failed
 		case !bytes.HasPrefix(a.Body, j.want):
--- a/lab/load/slow.go
+++ b/lab/load/slow.go
@@ -25,10 +25,10 @@
 const slowName = "510b0bb1"
 
 // SlowContent has stores answer slow readers with parts of so many bytes, and others as usual.
-func SlowContent(size int) func(*fakeserver.Ask) {
+func SlowContent(size int) func(*fakeserver.Request) {
 	var mu sync.Mutex
 	bodies := map[string]string{}
-	return func(a *fakeserver.Ask) {
+	return func(a *fakeserver.Request) {
 		if !strings.HasPrefix(a.Fields["name"], slowName) {
 			fakeserver.Done(a)
 			return
--- a/lab/load/summary.go
+++ b/lab/load/summary.go
@@ -80,7 +80,7 @@
 			} else {
 				c.Late++
 			}
-		case Refused:
+		case Rejected:
 			_ = refused[row.class].RecordValue(row.TookUs)
 			_ = later.RecordValue(int64(row.LaterMs))
 		case Silent:
--- a/lab/testbed/process.go
+++ b/lab/testbed/process.go
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// Ended waits until the program has ended by itself.
-func (p *Process) Ended(ctx context.Context) error {
+// WaitExit waits until the program has ended by itself.
+func (p *Process) WaitExit(ctx context.Context) error {
 	select {
 	case <-p.ended:
 		return nil
@@ -75,8 +75,8 @@
 	}
 }
 
-// Again starts the program anew after Kill or Ended, with the same arguments and environment. It does not wait until it serves.
-func (p *Process) Again() error {
+// Restart starts the program anew after Kill or Ended, with the same arguments and environment. It does not wait until it serves.
+func (p *Process) Restart() error {
 	old := p.Cmd
 	p.Log.Reset()
 	p.Cmd = exec.CommandContext(context.Background(), old.Path, old.Args[1:]...)
@@ -120,8 +120,8 @@
 	return err
 }
 
-// Logged waits until the program's log has a line with the text, and returns it.
-func (p *Process) Logged(ctx context.Context, text string) (string, error) {
+// WaitForLog waits until the program's log has a line with the text, and returns it.
+func (p *Process) WaitForLog(ctx context.Context, text string) (string, error) {
 	for {
 		more := p.Log.grown() // before the look, or what comes in between is missed
 		if line := p.Log.Line(text); line != "" {
@@ -143,7 +143,7 @@
 	if err := p.Signal(syscall.SIGUSR1); err != nil {
 		return nil, err
 	}
-	line, err := p.Logged(ctx, "msg=counters")
+	line, err := p.WaitForLog(ctx, "msg=counters")
 	if err != nil {
 		return nil, err
 	}
@@ -161,8 +161,8 @@
 // Signal sends the program a signal.
 func (p *Process) Signal(s os.Signal) error { return p.Cmd.Process.Signal(s) }
 
-// Stall stops the program for a while, as a host that stands still does.
-func (p *Process) Stall(d time.Duration) error {
+// Pause stops the program for a while, as a host that stands still does.
+func (p *Process) Pause(d time.Duration) error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
@@ -177,8 +177,8 @@
 	NowKB  int
 }
 
-// Use reads what the program has used so far.
-func (p *Process) Use() (u Usage, err error) {
+// Usage reads what the program has used so far.
+func (p *Process) Usage() (u Usage, err error) {
 	dir := fmt.Sprintf("/proc/%d/", p.Cmd.Process.Pid)
 	status, err := os.ReadFile(dir + "status")
 	if err != nil {
--- a/lab/testbed/testbed.go
+++ b/lab/testbed/testbed.go
@@ -48,8 +48,8 @@
 	Replay   bool     // the journal service tells again what it told, to a program that starts anew
 }
 
-// World is a running one.
-type World struct {
+// Gateway is a running one.
+type Gateway struct {
 	Addr    string // of the platform's front
 	Stores  map[string]*fakeserver.Store
 	Journal *fakeserver.Journal
@@ -83,8 +83,8 @@
 }
 
 // Start starts a world and waits until the program serves.
-func Start(ctx context.Context, cfg Config) (w *World, err error) {
-	w = &World{Stores: map[string]*fakeserver.Store{}, Process: NewProcess(cfg.Program, cfg.Args, nil)}
+func Start(ctx context.Context, cfg Config) (w *Gateway, err error) {
+	w = &Gateway{Stores: map[string]*fakeserver.Store{}, Process: NewProcess(cfg.Program, cfg.Args, nil)}
 	defer func() {
 		if err != nil {
 			w.Stop()
@@ -104,7 +104,7 @@
 }
 
 // launch starts the journal service and the program, and waits until that serves.
-func (w *World) launch(ctx context.Context, cfg Config, settings, known json.RawMessage) (err error) {
+func (w *Gateway) launch(ctx context.Context, cfg Config, settings, known json.RawMessage) (err error) {
 	if w.Journal, err = fakeserver.NewJournal(fakeserver.Loopback); err != nil {
 		return err
 	}
@@ -143,7 +143,7 @@
 	if err = w.Start(cfg.Pin); err != nil {
 		return err
 	}
-	if _, err = w.Logged(ctx, "msg=serving"); err != nil {
+	if _, err = w.WaitForLog(ctx, "msg=serving"); err != nil {
 		return err
 	}
 	select {
@@ -188,7 +188,7 @@
 const freeTries = 1000
 
 // Stop ends the world. It may be called twice.
-func (w *World) Stop() {
+func (w *Gateway) Stop() {
 	w.Process.Stop()
 	for _, s := range w.Stores {
 		if s != nil {
--- a/test/client_test.go
+++ b/test/client_test.go
@@ -28,10 +28,10 @@
 	{Name: "orders", Effect: lib.Keyed, Window: 3 * time.Second, Worth: 3}}
 
 // pair starts two gateways, each with a relay before it.
-func pair(t *testing.T) (context.Context, [2]*testbed.World, [2]*faultproxy.Relay) {
+func pair(t *testing.T) (context.Context, [2]*testbed.Gateway, [2]*faultproxy.Proxy) {
 	t.Helper()
-	var ws [2]*testbed.World
-	var rs [2]*faultproxy.Relay
+	var ws [2]*testbed.Gateway
+	var rs [2]*faultproxy.Proxy
 	var ctx context.Context
 	for i := range ws {
 		ctx, ws[i] = startWorld(t, testbed.Config{Caches: 2, Pin: -1, Sockets: 4096})
@@ -163,15 +163,15 @@
 	if n, err := strconv.Atoi(os.Getenv("LARCHUSHER_LONG")); err == nil {
 		long = n
 	}
-	rs[0].Trouble(0.01, 0)
-	rs[1].Trouble(0.005, 700)
+	rs[0].InjectFaults(0.01, 0)
+	rs[1].InjectFaults(0.005, 700)
 	c, err := lib.New(lib.Config{Gateways: []string{rs[0].Addr, rs[1].Addr}, Classes: clientClasses, Seed: 7,
 		Plan: plan.Config{ProbeFirst: 50 * time.Millisecond, Spread: 200 * time.Millisecond, Silence: 200 * time.Millisecond}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	time.AfterFunc(500*time.Millisecond, func() { rs[1].Deaf(true); rs[1].Cut() })
-	time.AfterFunc(1200*time.Millisecond, func() { rs[1].Deaf(false); rs[1].Cut() })
+	time.AfterFunc(500*time.Millisecond, func() { rs[1].SetUnresponsive(true); rs[1].Cut() })
+	time.AfterFunc(1200*time.Millisecond, func() { rs[1].SetUnresponsive(false); rs[1].Cut() })
 	var ends callEnds
 	ends.latest.Store(math.MinInt64)
 	var all sync.WaitGroup
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -24,7 +24,7 @@
 )
 
 // startWorld starts a world round the program, kept on one core.
-func startWorld(t *testing.T, cfg testbed.Config) (context.Context, *testbed.World) {
+func startWorld(t *testing.T, cfg testbed.Config) (context.Context, *testbed.Gateway) {
 	t.Helper()
 	if runtime.NumCPU() < 4 {
 		t.Skip("the load takes cores that the gateway is to have")
@@ -81,7 +81,7 @@
 	if turns < 0.6 || replays < assets {
 		t.Errorf("served: turns %.2f, replays %.2f, assets %.2f", turns, replays, assets)
 	}
-	u, err := w.Use()
+	u, err := w.Usage()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,7 +120,7 @@
 			t.Errorf("beside slow readers %.1f %% of %s are served", c.Share(n), c.Class)
 		}
 	}
-	u, err := w.Use()
+	u, err := w.Usage()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,13 +140,13 @@
 // the balancer is told nothing.
 func TestAStallIsNoOverload(t *testing.T) {
 	ctx, w := startWorld(t, testbed.Config{Caches: 2, Pin: -1})
-	slow := func(a *fakeserver.Ask) { time.AfterFunc(100*time.Millisecond, func() { fakeserver.Done(a) }) }
+	slow := func(a *fakeserver.Request) { time.AfterFunc(100*time.Millisecond, func() { fakeserver.Done(a) }) }
 	for _, s := range w.Stores {
 		s.On(slow)
 	}
 	asked, refused := 0, 0
 	for range 3 {
-		time.AfterFunc(300*time.Millisecond, func() { _ = w.Stall(300 * time.Millisecond) })
+		time.AfterFunc(300*time.Millisecond, func() { _ = w.Pause(300 * time.Millisecond) })
 		res, err := load.Run(ctx, load.Spec{Addr: w.Addr, Conns: 20, Rate: load.Constant(500), For: 800 * time.Millisecond, Seed: 1})
 		if err != nil {
 			t.Fatal(err)
@@ -181,7 +181,7 @@
 func TestSlowStoresAreNoOverload(t *testing.T) {
 	ctx, w := startWorld(t, testbed.Config{Caches: 2, Pin: -1})
 	for _, s := range w.Stores {
-		s.On(func(a *fakeserver.Ask) { time.AfterFunc(300*time.Millisecond, func() { fakeserver.Done(a) }) })
+		s.On(func(a *fakeserver.Request) { time.AfterFunc(300*time.Millisecond, func() { fakeserver.Done(a) }) })
 	}
 	res, err := load.Run(ctx, load.Spec{Addr: w.Addr, Conns: 50, Rate: load.Constant(600), For: 2 * time.Second, Seed: 1})
 	if err != nil {
--- a/test/rig_test.go
+++ b/test/rig_test.go
@@ -210,7 +210,7 @@
 // The stand-ins are those of the workshop.
 type (
 	store   = fakeserver.Store
-	ask     = fakeserver.Ask
+	ask     = fakeserver.Request
 	journal = fakeserver.Journal
 )
 
--- a/test/state_test.go
+++ b/test/state_test.go
@@ -16,7 +16,7 @@
 )
 
 // keeping starts a world whose gateway keeps what it learns in a folder.
-func keeping(t *testing.T, folder, more string) (context.Context, *testbed.World) {
+func keeping(t *testing.T, folder, more string) (context.Context, *testbed.Gateway) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.textproto")
 	if err := os.WriteFile(path, []byte(fmt.Sprintf("state { folder: %q every: \"100ms\" %s }", folder, more)), 0o600); err != nil {
@@ -25,7 +25,7 @@
 	return startWorld(t, testbed.Config{Caches: 3, Pin: -1, Args: []string{"serve", "--operator", path}})
 }
 
-func drive(ctx context.Context, t *testing.T, w *testbed.World, seed uint64) {
+func drive(ctx context.Context, t *testing.T, w *testbed.Gateway, seed uint64) {
 	t.Helper()
 	res, err := load.Run(ctx, load.Spec{Addr: w.Addr, Conns: 5, Rate: load.Constant(500), For: time.Second, Seed: seed})
 	if err != nil {
@@ -47,13 +47,13 @@
 	if err := w.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.Again(); err != nil {
+	if err := w.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	if line, err := w.Logged(ctx, "msg=\"learned state imported\""); err != nil || strings.Contains(line, " 0 listings") || strings.Contains(line, "void") {
+	if line, err := w.WaitForLog(ctx, "msg=\"learned state imported\""); err != nil || strings.Contains(line, " 0 listings") || strings.Contains(line, "void") {
 		t.Errorf("%s, %v", line, err)
 	}
-	if _, err := w.Logged(ctx, "msg=serving"); err != nil {
+	if _, err := w.WaitForLog(ctx, "msg=serving"); err != nil {
 		t.Fatal(err)
 	}
 	all, err := w.Counters(ctx)
@@ -68,7 +68,7 @@
 	if err := w.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := w.Logged(ctx, "msg=counters"); err != nil { // the last of all
+	if _, err := w.WaitForLog(ctx, "msg=counters"); err != nil { // the last of all
 		t.Fatal(err)
 	}
 	out := run(t, 0, "state", "verify", "--folder", folder)
@@ -81,11 +81,11 @@
 func TestFoldersThatCannotBeUsed(t *testing.T) {
 	folder := t.TempDir()
 	ctx, w := keeping(t, folder, "")
-	if _, err := w.Logged(ctx, "msg=serving"); err != nil {
+	if _, err := w.WaitForLog(ctx, "msg=serving"); err != nil {
 		t.Fatal(err)
 	}
 	_, second := keeping(t, folder, "")
-	if _, err := second.Logged(ctx, "msg=\"learned state not saved\""); err != nil {
+	if _, err := second.WaitForLog(ctx, "msg=\"learned state not saved\""); err != nil {
 		t.Error(err)
 	}
 	drive(ctx, t, second, 1)
@@ -102,13 +102,13 @@
 		}
 	}
 	run(t, 1, "state", "verify", "--folder", folder)
-	if err := w.Again(); err != nil {
+	if err := w.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := w.Logged(ctx, "msg=\"snapshot unusable\""); err != nil {
+	if _, err := w.WaitForLog(ctx, "msg=\"snapshot unusable\""); err != nil {
 		t.Error(err)
 	}
-	if _, err := w.Logged(ctx, "msg=serving"); err != nil {
+	if _, err := w.WaitForLog(ctx, "msg=serving"); err != nil {
 		t.Fatal(err)
 	}
 	drive(ctx, t, w, 2)
--- a/test/tiers_test.go
+++ b/test/tiers_test.go
@@ -62,7 +62,7 @@
 		if err := w.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		if line, err := w.Logged(ctx, "reload"); err != nil || !strings.Contains(w.Log.String(), step.log) {
+		if line, err := w.WaitForLog(ctx, "reload"); err != nil || !strings.Contains(w.Log.String(), step.log) {
 			t.Errorf("%q gives %s", step.text, line)
 		}
 	}
