--- a/cmd/larchusher-lab/load.go
+++ b/cmd/larchusher-lab/load.go
@@ -16,10 +16,10 @@
 
 // load is the sub-command of that name.
 type load struct {
-	Addr     string        `help:"A gateway that runs already, at a loopback address; without it one is started with stand-ins."`
+	Addr     string        `help:"A gateway that runs already, at a loopback address; without it one is started with fake servers."`
 	Program  string        `help:"The gateway's program." default:"" placeholder:"PATH"`
 	Arg      []string      `help:"An argument of the gateway's program."`
-	Caches   int           `help:"Stand-in caches." default:"4"`
+	Caches   int           `help:"Fake caches." default:"4"`
 	Cores    float64       `help:"What the gateway is told of its share of a core." default:"1"`
 	MemoryMB int           `name:"memory-mb" help:"Its limit of memory." default:"192"`
 	Sockets  int           `help:"Its limit of descriptors." default:"1024"`
--- a/cmd/larchusher-lab/main.go
+++ b/cmd/larchusher-lab/main.go
@@ -1,4 +1,4 @@
-// Command larchusher-lab is the workshop of larchusher: stand-ins, load and plots. It is a program of its own, so that
+// Command larchusher-lab runs the experiments of larchusher: fake servers, load, fault injection, simulations. It is a program of its own, so that
 // what it needs takes none of the gateway's memory; "larchusher lab" runs it.
 package main
 
@@ -9,7 +9,7 @@
 )
 
 type cli struct {
-	Up    up       `cmd:"" help:"Start a gateway with stand-ins, ask for some objects, and show what came from where."`
+	Up    up       `cmd:"" help:"Start a gateway with fake servers, ask for some objects, and show what came from where."`
 	Load  load     `cmd:"" help:"Drive an open-loop load against a gateway, and print what came of it."`
 	Model modelCmd `cmd:"" help:"Compare ways of overload control in simulated time."`
 
--- a/cmd/larchusher-lab/up.go
+++ b/cmd/larchusher-lab/up.go
@@ -22,13 +22,13 @@
 // up is the sub-command of that name.
 type up struct {
 	Program string `help:"The gateway's program." placeholder:"PATH"`
-	Caches  int    `help:"Stand-in caches." default:"2"`
+	Caches  int    `help:"Fake caches." default:"2"`
 	Stay    bool   `help:"Go on until SIGINT, so that you can ask yourself."`
 }
 
 const upBase = "https://assets.ridge.example"
 
-// Run starts a gateway with stand-ins, asks for some objects by both fronts, and shows what came from where.
+// Run starts a gateway with fake servers, asks for some objects by both fronts, and shows what came from where.
 func (u *up) Run() error {
 	program, err := programPath(u.Program)
 	if err != nil {
@@ -45,7 +45,7 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder, which the system clears otherwise
-	d := &demo{front: front, secret: []byte("a secret of the workshop, not of anyone else")}
+	d := &demo{front: front, secret: []byte("a secret of the lab, not of anyone else")}
 	if err := d.start(ctx, program, dir, u.Caches); err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// demo is a gateway with stand-ins, and what signs for its signed front.
+// demo is a gateway with fake servers, and what signs for its signed front.
 type demo struct {
 	front  string // the signed front's address
 	secret []byte // of its key
--- a/lab/fakeserver/box.go
+++ b/lab/fakeserver/box.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Power is what a stand-in with a capacity can do, by the figures that a deployment's settings state.
+// Power is what a fake server with a capacity can do, by the figures that a deployment's settings state.
 type Power struct {
 	Rate     float64       // requests a second, warm
 	Cold     bool          // it starts cold and empty, as one that is redeployed
--- a/lab/fakeserver/journal.go
+++ b/lab/fakeserver/journal.go
@@ -11,7 +11,7 @@
 	"larchusher/lab/loopback"
 )
 
-// Journal is a stand-in for the journal service.
+// Journal is a fake journal service.
 type Journal struct {
 	Addr      string
 	Connected chan string // Last-Event-ID of each connection
@@ -24,7 +24,7 @@
 	more   chan struct{} // closed, and made anew, with each that is kept
 }
 
-// NewJournal starts a stand-in at an address, such as [Loopback].
+// NewJournal starts one at an address, such as [Loopback].
 func NewJournal(addr string) (*Journal, error) {
 	l, err := loopback.Listen(addr)
 	if err != nil {
--- a/lab/fakeserver/store.go
+++ b/lab/fakeserver/store.go
@@ -1,4 +1,4 @@
-// Package fakeserver has stand-ins for what a gateway talks to: stores that speak the platform's RESP, the journal
+// Package fakeserver has fake servers for what a gateway talks to: stores that speak the platform's RESP, the journal
 // service and its events. They listen on loopback, record what they are asked, and misbehave as they are told.
 package fakeserver
 
@@ -45,7 +45,7 @@
 	return b.String()
 }
 
-// Content is what every stand-in holds for a part: about 7.6 kB that name the object and the part.
+// Content is what every fake server holds for a part: about 7.6 kB that name the object and the part.
 func Content(object, part string) string {
 	word := object + "/" + part + ";"
 	if body, ok := contents.Load(word); ok {
@@ -88,7 +88,7 @@
 	a.Reply("DONE", "why="+note+",digest=tag-"+a.Fields["name"]+",dated=1,rep="+report, body)
 }
 
-// Store is a stand-in for a store. Its fields are guarded by its lock.
+// Store is a fake store. Its fields are guarded by its lock.
 type Store struct {
 	Name, Kind, Addr string
 	Listener         net.Listener
@@ -107,7 +107,7 @@
 	held  map[string]bool // copies, of a store that [Store.Cache] made a cache
 }
 
-// NewStore starts a stand-in at an address, such as [Loopback].
+// NewStore starts one at an address, such as [Loopback].
 func NewStore(name, kind, addr string) (*Store, error) {
 	l, err := loopback.Listen(addr)
 	if err != nil {
@@ -130,7 +130,7 @@
 	return s, nil
 }
 
-// Close ends the stand-in as a dying process would: its connections are reset.
+// Close ends the server as a dying process would: its connections are reset.
 func (s *Store) Close() {
 	loopback.Close(s.Listener)
 	s.Lock()
--- a/lab/faultinjection/machines.go
+++ b/lab/faultinjection/machines.go
@@ -9,7 +9,7 @@
 	"larchusher/lab/fakeserver"
 )
 
-// machine is a stand-in with what it recorded.
+// machine is a fake machine with what it recorded.
 type machine struct {
 	name, kind, zone string
 	addr             string
--- a/lab/faultinjection/plot.go
+++ b/lab/faultinjection/plot.go
@@ -1,4 +1,4 @@
-// Package faultinjection plays plots of faults over several real gateways: processes of the daemon before stand-in machines, their link
+// Package faultinjection plays plots of faults over several real gateways: processes of the daemon before fake machines, their link
 // led through a relay for each direction between two of them. Machines are asked out for work meanwhile, and what the machines
 // themselves recorded says whether the gateways kept to their order.
 package faultinjection
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -1,4 +1,4 @@
-// Package faultproxy stands between clients and a gateway, records every request that passes, and makes trouble as it is told.
+// Package faultproxy stands between clients and a gateway, records every request that passes, and injects faults as it is told.
 package faultproxy
 
 import (
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet runs several zones on loopback: real gateways, one or more a zone, before stand-in boxes with capacities,
+// Package fleet runs several zones on loopback: real gateways, one or more a zone, before fake caches with capacities,
 // copies and cold starts, upper caches at hubs, and an origin. Zones are killed and come back, and what the boxes saw says
 // what the gateways did.
 package fleet
--- a/lab/testbed/testbed.go
+++ b/lab/testbed/testbed.go
@@ -1,4 +1,4 @@
-// Package testbed starts the real program with stand-ins for all that it talks to: two caches or more, a parent, the
+// Package testbed starts the real program with fake servers for all that it talks to: two caches or more, a parent, the
 // origin and the journal service, all on loopback.
 package testbed
 
--- a/test/client_test.go
+++ b/test/client_test.go
@@ -277,7 +277,7 @@
 	noneLeft(t)
 }
 
-// noneLeft waits until no goroutine of a client is left. Those of stand-ins are none of its business.
+// noneLeft waits until no goroutine of a client is left. Those of fake servers are none of its business.
 func noneLeft(t *testing.T) {
 	t.Helper()
 	eventually(t, "no goroutine of a client is left", func() bool {
--- a/test/cold_test.go
+++ b/test/cold_test.go
@@ -193,7 +193,7 @@
 	stores, warm := replaced(t)
 	settings := func(i int) json.RawMessage {
 		return settingsOf(t, map[string]any{"balancers": processes, "position": i, "familyInfo": map[string]any{"countByZone": []int{0, processes},
-			"streamKbPerS": 190}}) // at which a body of the stand-ins takes as long as a first guess has it
+			"streamKbPerS": 190}}) // at which a body of the fake servers takes as long as a first guess has it
 	}
 	stop := make(chan bool)
 	var all []*rig
--- a/test/rig_test.go
+++ b/test/rig_test.go
@@ -207,7 +207,7 @@
 	return addr
 }
 
-// The stand-ins are those of the workshop.
+// The fake servers are those of the lab.
 type (
 	store   = fakeserver.Store
 	ask     = fakeserver.Request
@@ -267,7 +267,7 @@
 	return n
 }
 
-// client is a stand-in for a client.
+// client is a client of the tests.
 type client struct {
 	t    *testing.T
 	conn net.Conn
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -11,7 +11,7 @@
 	"larchusher/lab/testbed"
 )
 
-// settings are the stand-in deployment's, as JSON objects that a test may change.
+// settings are the test deployment's, as JSON objects that a test may change.
 func settings(t *testing.T) map[string]any {
 	t.Helper()
 	var s map[string]any
