--- a/cmd/larchusher/reload.go
+++ b/cmd/larchusher/reload.go
@@ -37,8 +37,10 @@
 }
 
 // applyReload takes over what may change while the program runs: the journal's address, the classes, the limit on attempts, the
-// signed front's keys and the bounds of localities. Requests and connections stay as they are. All is checked before
-// anything is used: if one file is at fault, all stays as it was.
+// signed front's keys and the bounds of localities. Requests and connections stay as they are. Both files are checked before
+// anything is used: if one is at fault, all stays as it was. What the gateway finds wrong with localities only when they are
+// applied comes after the classes hold: ReconfigureLocalities' error is logged and the rest of the reload goes on, and
+// ReconfigureClasses may return an error of the locality policy, by which the reload is logged as rejected.
 func (p *program) applyReload(cfg *config.Gateway, op *config.Operator) error {
 	if err := p.cfg.CheckReload(cfg); err != nil {
 		return err
--- a/gateway/answers.go
+++ b/gateway/answers.go
@@ -9,7 +9,7 @@
 const (
 	Served      Outcome = iota // Body holds the object's bytes
 	NotModified                // the copy that the client holds is current
-	Rejected                   // it has not run: retrying is harmless, after RetryAfter
+	Rejected                   // not served; repeating it does no harm, after RetryAfter
 	Failed                     // it may have run
 	Expired                    // no answer in time; as Rejected where Retryable is set, else as Failed
 )
--- a/gateway/reconfigure.go
+++ b/gateway/reconfigure.go
@@ -74,7 +74,10 @@
 
 // ReconfigureClasses has other classes and another limit on attempts (0: none) hold for requests that come from now on.
 // Open requests keep the rules by which they came. A class that is not among the new ones is served on for a short while.
-// On an error all stays as it was.
+//
+// An error of the check of the classes changes nothing. One of the overload controller leaves the classes that are served as
+// they are; those that had been dropped before are then served on. The locality policy is told last: its error is returned
+// though the new classes hold by then.
 func (g *Gateway) ReconfigureClasses(classes []routing.Class, maxAttempts int) error {
 	if err := routing.CheckClasses(classes); err != nil {
 		return fmt.Errorf("gateway: %w", err)
