--- a/cluster/drain.go
+++ b/cluster/drain.go
@@ -7,9 +7,9 @@
 	"larchusher/maintenance"
 )
 
-// MaySend reports whether a machine may be sent to, or be named as a source, at this moment. The caller asks right before it
+// EndpointPermitted reports whether a machine may be sent to, or be named as a source, at this moment. The caller asks right before it
 // writes: a process that was suspended goes on where it stood, with a view whose lease may have run out meanwhile.
-func (n *Node) MaySend(now time.Duration, machine string) bool {
+func (n *Node) EndpointPermitted(now time.Duration, machine string) bool {
 	if n.view == nil {
 		return false
 	}
--- a/cluster/explore_test.go
+++ b/cluster/explore_test.go
@@ -92,7 +92,7 @@
 		}
 		g.suspended = false
 		for _, box := range slices.Sorted(maps.Keys(w.machines)) {
-			if g.node.MaySend(w.localTime(g), box) {
+			if g.node.EndpointPermitted(w.localTime(g), box) {
 				w.checkSent(g, box)
 			}
 		}
--- a/cluster/lease.go
+++ b/cluster/lease.go
@@ -86,9 +86,9 @@
 // preferFirstVoter has the first voter tried again after some answers of another one. It is the coordinator while it runs, and
 // needs all reports.
 func (n *Node) preferFirstVoter() {
-	n.repliesFromOther++
-	if n.repliesFromOther >= repliesUntilFirstVoter {
-		n.targetVoter, n.repliesFromOther, n.unanswered = 0, 0, maxUnanswered-1
+	n.repliesSinceFirstVoter++
+	if n.repliesSinceFirstVoter >= repliesUntilFirstVoter {
+		n.targetVoter, n.repliesSinceFirstVoter, n.unanswered = 0, 0, maxUnanswered-1
 	}
 }
 
--- a/cluster/network_faults_test.go
+++ b/cluster/network_faults_test.go
@@ -52,7 +52,7 @@
 		}
 		m.suspended = false
 		for name := range w.machines {
-			if m.node.MaySend(w.localTime(m), name) {
+			if m.node.EndpointPermitted(w.localTime(m), name) {
 				w.checkSent(m, name)
 			}
 		}
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -34,17 +34,17 @@
 	lastID  uint64   // of lease requests, relayed requests, and requests to the voter here
 
 	// The view and its lease (lease.go).
-	view             *maintenance.State // a summary; nil: none is known
-	viewDigest       uint64
-	viewRevision     uint64
-	storingRevision  uint64        // of the view that was to be stored last
-	durableEpoch     uint64        // epoch of the latest view that is stored
-	leaseUntil       time.Duration // by the clock of Handle
-	nextLeaseRequest time.Duration
-	leaseRequests    map[uint64]time.Duration // without an answer yet, by ID: when they were sent
-	targetVoter      int                      // index of the voter that is asked
-	repliesFromOther int                      // since the first voter was tried
-	unanswered       int                      // requests in a row
+	view                   *maintenance.State // a summary; nil: none is known
+	viewDigest             uint64
+	viewRevision           uint64
+	storingRevision        uint64        // of the view that was to be stored last
+	durableEpoch           uint64        // epoch of the latest view that is stored
+	leaseUntil             time.Duration // by the clock of Handle
+	nextLeaseRequest       time.Duration
+	leaseRequests          map[uint64]time.Duration // without an answer yet, by ID: when they were sent
+	targetVoter            int                      // index of the voter that is asked
+	repliesSinceFirstVoter int                      // since the first voter was tried
+	unanswered             int                      // requests in a row
 
 	// What may not be sent to (drain.go).
 	draining          DrainMachines // the latest
--- a/cluster/node_test.go
+++ b/cluster/node_test.go
@@ -50,7 +50,7 @@
 // Nothing is sent before anything is known; with a lease only to what does not drain; without one not to what was granted either.
 func TestMaySendFollowsTheLease(t *testing.T) {
 	n := nonVoter(t, false, nil)
-	if n.MaySend(second, "m3") || n.Ready() {
+	if n.EndpointPermitted(second, "m3") || n.Ready() {
 		t.Error("it sends before it knows of anything")
 	}
 	q := leaseRequest(t, n, second)
@@ -62,7 +62,7 @@
 		at         time.Duration
 		m1, m2, m3 bool
 	}{{1200 * time.Millisecond, true, false, true}, {2999 * time.Millisecond, true, false, true}, {3 * second, false, false, true}, {99 * second, false, false, true}} {
-		if a, b, d := n.MaySend(c.at, "m1"), n.MaySend(c.at, "m2"), n.MaySend(c.at, "m3"); a != c.m1 || b != c.m2 || d != c.m3 {
+		if a, b, d := n.EndpointPermitted(c.at, "m1"), n.EndpointPermitted(c.at, "m2"), n.EndpointPermitted(c.at, "m3"); a != c.m1 || b != c.m2 || d != c.m3 {
 			t.Errorf("%v: %v %v %v, want %+v", c.at, a, b, d, c)
 		}
 	}
@@ -87,7 +87,7 @@
 	n.Handle(1700*time.Millisecond, viewReply(late, 9, news), nil)
 	before := n.leaseUntil
 	n.Handle(1800*time.Millisecond, viewReply(old, 4, encodedState(1, nil)), nil)
-	if n.MaySend(1900*time.Millisecond, "m1") {
+	if n.EndpointPermitted(1900*time.Millisecond, "m1") {
 		t.Error("an old view took the place of a newer one")
 	}
 	n.Handle(1900*time.Millisecond, viewReply(late, 9, news), nil)
@@ -108,7 +108,7 @@
 		t.Errorf("it reports to know of epoch %d", q.NotifiedEpoch)
 	}
 	again := nonVoter(t, true, encodedState(3, map[string]maintenance.Stage{"m1": maintenance.Granted}))
-	if again.MaySend(second, "m1") || !again.MaySend(second, "m2") {
+	if again.EndpointPermitted(second, "m1") || !again.EndpointPermitted(second, "m2") {
 		t.Error("after a start it does not go by what was stored")
 	}
 	if q := leaseRequest(t, again, second); q.NoView || q.NotifiedEpoch != 3 {
--- a/cluster/simulation_test.go
+++ b/cluster/simulation_test.go
@@ -145,7 +145,7 @@
 // trySending has the node send to some machine, if it may, and checks that against what was agreed on.
 func (w *simulation) trySending(m *host) {
 	name := slices.Sorted(maps.Keys(w.machines))[w.rng.IntN(len(w.machines))]
-	if m.node.MaySend(w.localTime(m), name) && !m.shuttingDown {
+	if m.node.EndpointPermitted(w.localTime(m), name) && !m.shuttingDown {
 		w.checkSent(m, name)
 		m.inFlight[name] = w.clock.Now + time.Duration(w.rng.IntN(300))*time.Millisecond
 	}
--- a/cmd/larchusher/start.go
+++ b/cmd/larchusher/start.go
@@ -136,7 +136,7 @@
 	}
 	c.Overload.MemoryLimit = cmp.Or(c.Overload.MemoryLimit, int64(p.memoryPart(unreadAnswersDivisor)))
 	if p.operator.Cluster != nil { // nothing is forwarded before it is known what maintenance has taken out
-		c.MayForward = func(endpoint string) bool { return p.cluster != nil && p.cluster.MaySend(endpoint) }
+		c.EndpointPermitted = func(endpoint string) bool { return p.cluster != nil && p.cluster.EndpointPermitted(endpoint) }
 	}
 	return c, nil
 }
--- a/consensus/explore_test.go
+++ b/consensus/explore_test.go
@@ -80,7 +80,7 @@
 			k := *v
 			pcg := *v.pcg
 			k.pcg, k.rng = &pcg, rand.New(&pcg)
-			k.replies, k.unadmitted, k.commandReplies, k.quorum = maps.Clone(v.replies), maps.Clone(v.unadmitted), maps.Clone(v.commandReplies), maps.Clone(v.quorum)
+			k.replies, k.unadmitted, k.commandReplies, k.eligible = maps.Clone(v.replies), maps.Clone(v.unadmitted), maps.Clone(v.commandReplies), maps.Clone(v.eligible)
 			k.heldReplies, k.proposals, k.reads, k.queuedProposals, k.queuedReads = slices.Clone(v.heldReplies), slices.Clone(v.proposals), slices.Clone(v.reads), slices.Clone(v.queuedProposals), slices.Clone(v.queuedReads)
 			k.acceptor.State, k.chosen, k.proposed = v.acceptor.State.clone(), v.chosen.clone(), v.proposed.clone()
 			c.voters[n] = &k
@@ -263,7 +263,7 @@
 		k.state(v.chosen)
 		k.state(v.proposed)
 		k.ballot(v.chosenAt, v.ballot, v.nextBallot)
-		k.incarnations(v.quorum)
+		k.incarnations(v.eligible)
 		k.incarnations(v.unadmitted)
 		holds := uint64(0)
 		if v.nextPromised {
--- a/consensus/proposer.go
+++ b/consensus/proposer.go
@@ -84,7 +84,7 @@
 
 // sendConfirm asks all whether their promises to the next ballot hold: then the chosen value is still the latest.
 func (v *Voter) sendConfirm() {
-	v.phase, v.quorum, v.ballot = confirming, v.chosen.Incarnations, v.nextBallot
+	v.phase, v.eligible, v.ballot = confirming, v.chosen.Incarnations, v.nextBallot
 	m := Message{Kind: Confirm, Ballot: v.ballot}
 	v.broadcast(m)
 	v.receive(v.cfg.Self, m)
@@ -104,7 +104,7 @@
 		next.Revision++
 	}
 	v.proposed = next
-	v.quorum = base.Incarnations // an incarnation that this value admits has no vote on it
+	v.eligible = base.Incarnations // an incarnation that this value admits has no vote on it
 	if v.nextPromised {
 		v.ballot = v.nextBallot
 	}
@@ -151,7 +151,7 @@
 func (v *Voter) hasMajority(kind MessageKind) bool {
 	n := 0
 	for from, m := range v.replies {
-		if m.Kind == kind && m.Incarnation != 0 && v.quorum[from] == m.Incarnation {
+		if m.Kind == kind && m.Incarnation != 0 && v.eligible[from] == m.Incarnation {
 			n++
 		}
 	}
@@ -169,7 +169,7 @@
 		return
 	}
 	// The incarnations that may vote are those of the newest value: no majority of older ones can miss it.
-	v.quorum = newest.State.Incarnations
+	v.eligible = newest.State.Incarnations
 	if !v.hasMajority(Promise) {
 		return
 	}
@@ -179,7 +179,7 @@
 		return
 	}
 	for from, m := range v.replies {
-		if newest.State.Revision > 0 && v.quorum[from] != m.Incarnation {
+		if newest.State.Revision > 0 && v.eligible[from] != m.Incarnation {
 			v.unadmitted[from] = m.Incarnation
 		}
 	}
@@ -206,7 +206,7 @@
 	s := v.proposed
 	nextPromises := 0
 	for from, m := range v.replies {
-		if m.Kind == Accepted && m.NextBallot == v.nextBallot && v.quorum[from] == m.Incarnation {
+		if m.Kind == Accepted && m.NextBallot == v.nextBallot && v.eligible[from] == m.Incarnation {
 			nextPromises++
 		}
 	}
--- a/gateway/admission.go
+++ b/gateway/admission.go
@@ -27,13 +27,13 @@
 // admissionState is the part of a gateway that stands before the directors: it admits requests, queues them and sheds
 // load. It measures for package overload, which decides, and carries out those decisions.
 type admissionState struct {
-	admissions         admissions
-	queue              *overload.Queue
-	rejectionQueue     *overload.Queue // of work to reject requests; it runs when nothing else waits, or has waited for long
-	runningQueuedWork  bool            // a QueuedWork of the queue runs
-	overloadController *overload.Controller
-	memory             *overload.Memory
-	balancerHealth     overload.Health
+	generations       admissionGenerations
+	queue             *overload.Queue
+	rejectionQueue    *overload.Queue // of work to reject requests; it runs when nothing else waits, or has waited for long
+	runningQueuedWork bool            // a QueuedWork of the queue runs
+	shedController    *overload.Controller
+	memory            *overload.Memory
+	balancerHealth    overload.Health
 
 	loopMonitor
 
@@ -43,13 +43,13 @@
 // initAdmission makes the admission state, and schedules the first tick.
 func (g *Gateway) initAdmission() error {
 	c := g.overloadConfig()
-	order := overload.NewOrder(c.Classes, c.RepeatsFirst)
+	order := overload.NewOrder(c.Classes, c.RetriesFirst)
 	controller, err := overload.NewController(c, order)
 	if err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
-	g.cfg.Overload, g.overloadController = c, controller
-	g.admissions.replace(newAdmissionRules(order))
+	g.cfg.Overload, g.shedController = c, controller
+	g.generations.replace(newAdmissionGeneration(order))
 	g.queue = overload.NewQueue(order.Bands(), c.Fronts, c.MaxWait)
 	g.rejectionQueue = overload.NewQueue(1, c.Fronts, c.MaxWait/rejectionWaitDivisor)
 	g.pauseMonitor = overload.NewSchedulingMonitor(c.Tick, c.MinPause)
@@ -86,7 +86,7 @@
 // is not, retryAfter is when its client should come back; 0: no advice. It may be called from any goroutine. A request
 // that is submitted afterwards carries Admitted.
 func (g *Gateway) Admit(f Front, class []byte, retry bool, id []byte) (retryAfter time.Duration, ok bool) {
-	a := g.admissions.current.Load()
+	a := g.generations.current.Load()
 	retryAfter, ok = a.controller.Admit(int(f), a.order.BandOf(class, retry), xxhash.Sum64(id))
 	if !g.cfg.Settings.SendRetryAfter {
 		retryAfter = 0
@@ -95,7 +95,7 @@
 }
 
 // ShedShare is the share of the offered requests that is shed, from 0 to 1, over the last tenths of a second.
-func (g *Gateway) ShedShare() float64 { return g.overloadController.ShedLevel() }
+func (g *Gateway) ShedShare() float64 { return g.shedController.ShedLevel() }
 
 // BalancerWeight is the weight that load balancers should give the gateway, in percent.
 func (g *Gateway) BalancerWeight() int { return g.balancerHealth.Weight() }
@@ -106,7 +106,7 @@
 	if !g.cfg.Settings.SendRetryAfter {
 		return 0
 	}
-	return overload.Jitter(g.overloadController.RetryAfter(), xxhash.Sum64String(id))
+	return overload.Jitter(g.shedController.RetryAfter(), xxhash.Sum64String(id))
 }
 
 // shedRequest rejects a request that no endpoint has seen.
@@ -114,15 +114,15 @@
 	if !g.cfg.Settings.SendRetryAfter {
 		retryAfter = 0
 	}
-	g.answerRequest(r, Answer{Outcome: Rejected, RetryAfter: retryAfter, Retryable: true})
+	g.answerRequest(r, Answer{Outcome: OutcomeRejected, RetryAfter: retryAfter, Retryable: true})
 }
 
 // classOrder ranks the classes that are served at present.
-func (g *Gateway) classOrder() *overload.Order { return g.admissions.current.Load().order }
+func (g *Gateway) classOrder() *overload.Order { return g.generations.current.Load().order }
 
 // admissionController is the present admission controller.
 func (g *Gateway) admissionController() *overload.AdmissionController {
-	return g.admissions.current.Load().controller
+	return g.generations.current.Load().controller
 }
 
 // recordDuration adds a duration to a histogram in microseconds. One that is out of the histogram's range is left out.
--- a/gateway/admission_test.go
+++ b/gateway/admission_test.go
@@ -57,7 +57,7 @@
 	old := h.request("old", "page")
 	old.ArrivedAt = time.Now().Add(-time.Second)
 	h.on(func() { h.g.Submit(old) })
-	if a := <-h.answers; a.Outcome != gateway.Rejected || !a.Retryable || a.RetryAfter <= 0 || a.RetryAfter > 2*time.Second {
+	if a := <-h.answers; a.Outcome != gateway.OutcomeRejected || !a.Retryable || a.RetryAfter <= 0 || a.RetryAfter > 2*time.Second {
 		t.Errorf("%+v", a)
 	}
 	h.on(func() {
@@ -85,7 +85,7 @@
 			h.g.AttemptEnded(first, gateway.Result{Status: routing.OK, Body: []byte("x")})
 		})
 	})
-	if a := <-h.answers; a.Outcome != gateway.Served {
+	if a := <-h.answers; a.Outcome != gateway.OutcomeServed {
 		t.Errorf("%+v", a)
 	}
 	if a, b := <-h.sent, <-h.sent; a.Request != order || b.Request != page {
@@ -129,19 +129,19 @@
 	h.on(func() {
 		quick = h.g.AddClient(func() int64 { return 0 }, func(error) { t.Error("a client that reads is closed") })
 	})
-	if a := ask("long", quick, 130<<10); a.Outcome != gateway.Rejected || !a.Retryable {
+	if a := ask("long", quick, 130<<10); a.Outcome != gateway.OutcomeRejected || !a.Retryable {
 		t.Errorf("an answer longer than the memory: %v", a.Outcome)
 	}
-	if a := ask("short", quick, 50<<10); a.Outcome != gateway.Served {
+	if a := ask("short", quick, 50<<10); a.Outcome != gateway.OutcomeServed {
 		t.Errorf("an answer for which there is room: %v", a.Outcome)
 	}
-	if a := ask("first", slow, 90<<10); a.Outcome != gateway.Served { // and it stays unread
+	if a := ask("first", slow, 90<<10); a.Outcome != gateway.OutcomeServed { // and it stays unread
 		t.Errorf("%v", a.Outcome)
 	}
-	if a := ask("second", slow, 0); a.Outcome != gateway.Rejected {
+	if a := ask("second", slow, 0); a.Outcome != gateway.OutcomeRejected {
 		t.Errorf("to one that leaves much unread: %v", a.Outcome)
 	}
-	if a := ask("beside", quick, 20<<10); a.Outcome != gateway.Served {
+	if a := ask("beside", quick, 20<<10); a.Outcome != gateway.OutcomeServed {
 		t.Errorf("beside one that leaves much unread: %v", a.Outcome)
 	}
 	h.on(func() { h.g.RemoveClient(slow); h.g.RemoveClient(slow) })
--- a/gateway/answers.go
+++ b/gateway/answers.go
@@ -7,11 +7,11 @@
 
 // The outcomes of a request.
 const (
-	Served      Outcome = iota // Body holds the object's bytes
-	NotModified                // the copy that the client holds is current
-	Rejected                   // not served; repeating it does no harm, after RetryAfter
-	Failed                     // it may have run
-	Expired                    // no answer in time; as Rejected where Retryable is set, else as Failed
+	OutcomeServed    Outcome = iota // Body holds the object's bytes
+	OutcomeUnchanged                // the copy that the client holds is current
+	OutcomeRejected                 // not served; repeating it does no harm, after RetryAfter
+	OutcomeFailed                   // it may have run
+	OutcomeExpired                  // no answer in time; as Rejected where Retryable is set, else as Failed
 )
 
 // String names an outcome, as the counters do.
@@ -39,7 +39,7 @@
 	g.closeRequest(r)
 	g.Counters.Answered[a.Outcome]++
 	g.CountAnswer(r.Class, a)
-	if a.Outcome == Failed || a.Outcome == Expired {
+	if a.Outcome == OutcomeFailed || a.Outcome == OutcomeExpired {
 		g.logFailure(r, a)
 	}
 	r.Answer(a)
@@ -54,7 +54,7 @@
 		return
 	}
 	if !g.cfg.Loop.Now().Before(r.Deadline.Add(-g.cfg.Settings.ClockStep - time.Millisecond)) {
-		a.Outcome, a.cause = Expired, causeDeadline
+		a.Outcome, a.cause = OutcomeExpired, causeDeadline
 	}
 	g.answerRequest(r, a)
 }
--- a/gateway/attempts.go
+++ b/gateway/attempts.go
@@ -47,7 +47,7 @@
 	ReleaseBody func()    // gives Body's memory back, once nobody uses it any more; nil: nothing to do
 }
 
-// Backend carries attempts to endpoints. It calls [Gateway.ConfirmAttempt] right before the first byte of an attempt
+// Backend carries attempts to endpoints. It calls [Gateway.PrepareWrite] right before the first byte of an attempt
 // leaves, and [Gateway.AttemptEnded] once for each attempt that was not canceled. Its methods run on the loop and must not
 // block.
 type Backend interface {
@@ -120,10 +120,10 @@
 	return nil
 }
 
-// ConfirmAttempt is asked right before an attempt is written: connecting or queueing took time, in which its endpoint or
+// PrepareWrite is asked right before an attempt is written: connecting or queueing took time, in which its endpoint or
 // fill source may have begun to drain, the object may have been purged, the client may have left, or the deadline may
 // have passed. It brings the attempt up to date, or reports false once it has ended it as not sent.
-func (g *Gateway) ConfirmAttempt(a *Attempt) bool {
+func (g *Gateway) PrepareWrite(a *Attempt) bool {
 	if a.ended {
 		return false
 	}
@@ -134,7 +134,7 @@
 		return false
 	}
 	age, ok := g.directors[a.locality].RecheckAttempt(g.now(), a.Request.directorID, a.number)
-	if !g.mayForward(a) {
+	if !g.endpointsPermitted(a) {
 		ok = false
 		g.Counters.NotPermitted++
 	}
@@ -147,9 +147,9 @@
 	return true
 }
 
-// mayForward reports whether Config.MayForward allows an attempt's endpoint and fill source.
-func (g *Gateway) mayForward(a *Attempt) bool {
-	may := g.cfg.MayForward
+// endpointsPermitted reports whether Config.EndpointPermitted allows an attempt's endpoint and fill source.
+func (g *Gateway) endpointsPermitted(a *Attempt) bool {
+	may := g.cfg.EndpointPermitted
 	if may == nil {
 		return true
 	}
@@ -191,18 +191,18 @@
 	case res.BodyDropped:
 		g.Load.NoMemory++
 		if r.idempotent() {
-			return Answer{Outcome: Rejected, RetryAfter: g.RetryAfter(r.ID), Retryable: true}
+			return Answer{Outcome: OutcomeRejected, RetryAfter: g.RetryAfter(r.ID), Retryable: true}
 		}
-		return Answer{Outcome: Failed, cause: causeNoMemory}
+		return Answer{Outcome: OutcomeFailed, cause: causeNoMemory}
 	case g.tooLargeForClient(r, res):
 		g.Load.NoMemory++
-		answer := Answer{Outcome: Rejected, RetryAfter: g.RetryAfter(r.ID), Retryable: true}
+		answer := Answer{Outcome: OutcomeRejected, RetryAfter: g.RetryAfter(r.ID), Retryable: true}
 		g.releaseReservation(r, len(res.Body))
 		return answer
 	case res.NotModified:
-		return Answer{Outcome: NotModified, Body: res.Body, ETag: res.ETag}
+		return Answer{Outcome: OutcomeUnchanged, Body: res.Body, ETag: res.ETag}
 	}
-	return Answer{Outcome: Served, Body: res.Body, ETag: res.ETag}
+	return Answer{Outcome: OutcomeServed, Body: res.Body, ETag: res.ETag}
 }
 
 // tooLargeForClient reports whether a body is larger than expected, and there is no memory for it before the client has
--- a/gateway/clients.go
+++ b/gateway/clients.go
@@ -38,7 +38,7 @@
 // accountAnswer counts the memory that a request's answer takes until its client has read it.
 func (g *Gateway) accountAnswer(r *Request, a Answer) {
 	size := -1
-	if a.Outcome == Served {
+	if a.Outcome == OutcomeServed {
 		size = len(a.Body)
 	}
 	g.releaseReservation(r, size)
--- a/gateway/counters.go
+++ b/gateway/counters.go
@@ -4,19 +4,19 @@
 
 // Counters count what a gateway takes in and gives out since its start.
 type Counters struct {
-	Submitted       uint64                   // requests
-	Answered        [Expired + 1]uint64      // final answers, by outcome
-	ClientsGone     uint64                   // requests whose client left before the answer
-	Attempts        uint64                   // started
-	Ended           [routing.Miss + 1]uint64 // attempts, by how they ended
-	NotSent         uint64                   // attempts stopped right before they were written,
-	NotPermitted    uint64                   // of them, those that Config.MayForward did not allow
-	DuplicateIDs    uint64                   // requests with the client's id of one that was open
-	GoneBeforeWrite uint64                   // requests whose client was found to have left right before an attempt was written
-	GossipSent      uint64                   // messages to other gateways
-	GossipReceived  uint64                   // messages from other gateways
-	Purges          uint64                   // purge events
-	DirectorPanics  uint64                   // events in which a director panicked
+	Submitted       uint64                     // requests
+	Answered        [OutcomeExpired + 1]uint64 // final answers, by outcome
+	ClientsGone     uint64                     // requests whose client left before the answer
+	Attempts        uint64                     // started
+	Ended           [routing.Miss + 1]uint64   // attempts, by how they ended
+	NotSent         uint64                     // attempts stopped right before they were written,
+	NotPermitted    uint64                     // of them, those that Config.EndpointPermitted did not allow
+	DuplicateIDs    uint64                     // requests with the client's id of one that was open
+	GoneBeforeWrite uint64                     // requests whose client was found to have left right before an attempt was written
+	GossipSent      uint64                     // messages to other gateways
+	GossipReceived  uint64                     // messages from other gateways
+	Purges          uint64                     // purge events
+	DirectorPanics  uint64                     // events in which a director panicked
 }
 
 // statusNames are the names under which operators scrape how attempts ended, by routing.Status.
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -84,7 +84,7 @@
 				logfields.Stack: string(debug.Stack())}).Error(logfields.DirectorPanicked)
 			actions = nil
 			if e.request != nil {
-				g.answerRequest(e.request, Answer{Outcome: Failed, cause: causeDirectorPanic})
+				g.answerRequest(e.request, Answer{Outcome: OutcomeFailed, cause: causeDirectorPanic})
 			}
 		}
 	}()
@@ -99,12 +99,12 @@
 		g.startAttempt(a, locality)
 	case routing.Reject:
 		if !g.rerouteRejected(a.ID, locality) {
-			g.answerByID(a.ID, Answer{Outcome: Rejected, RetryAfter: a.RetryAfter, Retryable: true})
+			g.answerByID(a.ID, Answer{Outcome: OutcomeRejected, RetryAfter: a.RetryAfter, Retryable: true})
 		}
 	case routing.Fail:
 		// The request may have moved to another locality, whose director answers for it now.
 		if r := g.requests[a.ID]; r != nil && r.locality == locality {
-			g.answerByID(a.ID, Answer{Outcome: Failed, cause: causeGivenUp})
+			g.answerByID(a.ID, Answer{Outcome: OutcomeFailed, cause: causeGivenUp})
 		}
 	case routing.CancelAttempt:
 		if at := g.findAttempt(a.ID, a.Attempt, locality); at != nil {
--- a/gateway/failures_test.go
+++ b/gateway/failures_test.go
@@ -30,7 +30,7 @@
 	fail := func(r *gateway.Request) {
 		t.Helper()
 		h.on(func() { h.g.Submit(r) })
-		if a := <-h.answers; a.Outcome == gateway.Served {
+		if a := <-h.answers; a.Outcome == gateway.OutcomeServed {
 			t.Fatalf("%s: %+v", r.ID, a)
 		}
 	}
@@ -57,7 +57,7 @@
 	h.on(func() { h.g.Submit(h.request("third", "payment")) })
 	attempt := <-h.sent
 	h.on(func() { h.g.AttemptEnded(attempt, gateway.Result{Status: routing.Reset}) })
-	if a := <-h.answers; a.Outcome != gateway.Failed {
+	if a := <-h.answers; a.Outcome != gateway.OutcomeFailed {
 		t.Fatalf("%+v", a)
 	}
 	check(map[string]any{logfields.RequestID: "third", logfields.Outcome: "failed", logfields.Reason: "no further attempt allowed",
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -20,9 +20,9 @@
 	Gossip   GossipSender // nil: nothing is sent to other gateways
 	Log      logrus.FieldLogger
 
-	// MayForward reports whether an endpoint may be sent to, or named as a fill source, at this moment. It goes beside the
-	// endpoint list, and the stricter of the two holds. nil: any may.
-	MayForward func(endpoint string) bool
+	// EndpointPermitted reports whether an endpoint may be sent to, or named as a fill source, at this moment. It goes beside
+	// the endpoint list, and the stricter of the two holds. nil: any may.
+	EndpointPermitted func(endpoint string) bool
 
 	// Localities that requests may go to, the own one first. Bands, Seed and, unless it is set, MaxRetryAfter are filled in
 	// from the rest of the configuration. nil: the own locality only.
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -50,23 +50,23 @@
 	a := submit()
 	on(func() {
 		g.Purge(routing.Purge{Object: "x", Age: time.Second})
-		if !g.ConfirmAttempt(a) || a.MaxAge < 900*time.Millisecond || a.MaxAge > 5*time.Second {
+		if !g.PrepareWrite(a) || a.MaxAge < 900*time.Millisecond || a.MaxAge > 5*time.Second {
 			t.Errorf("after a purge: age limit %v", a.MaxAge)
 		}
 		g.AttemptEnded(a, gateway.Result{Status: routing.OK, Body: []byte("x")})
 		g.AttemptEnded(a, gateway.Result{Status: routing.OK, Body: []byte("y")}) // a second end changes nothing
 	})
-	if got := <-answers; got.Outcome != gateway.Served || string(got.Body) != "x" {
+	if got := <-answers; got.Outcome != gateway.OutcomeServed || string(got.Body) != "x" {
 		t.Errorf("%+v", got)
 	}
 	a = submit()
 	on(func() {
 		members(routing.Draining)
-		if g.ConfirmAttempt(a) {
+		if g.PrepareWrite(a) {
 			t.Error("a draining store may be written to")
 		}
 	})
-	if got := <-answers; got.Outcome == gateway.Served || len(answers) > 0 {
+	if got := <-answers; got.Outcome == gateway.OutcomeServed || len(answers) > 0 {
 		t.Errorf("%+v", got)
 	}
 	on(func() {
--- a/gateway/load_stats.go
+++ b/gateway/load_stats.go
@@ -81,7 +81,7 @@
 		PollerLag:         distribution(g.Load.PollerLag),
 	}
 	for front := range frontCount {
-		shed := g.admissions.shedByBand(front)
+		shed := g.generations.shedByBand(front)
 		for _, band := range slices.Sorted(maps.Keys(shed)) {
 			s.Shed = append(s.Shed, ShedCount{Front: front, Band: band, Count: shed[band]})
 		}
--- a/gateway/localities.go
+++ b/gateway/localities.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// pickLocality chooses the locality of a request whose turn it is, or sheds the request and reports false.
-func (g *Gateway) pickLocality(r *Request) bool {
+// pickLocalityOrShed chooses the locality of a request whose turn it is, or sheds the request and reports false.
+func (g *Gateway) pickLocalityOrShed(r *Request) bool {
 	if !g.needsLocality(r) {
 		return true
 	}
--- a/gateway/localities_test.go
+++ b/gateway/localities_test.go
@@ -66,7 +66,7 @@
 	h := newPlaces(t)
 	for i := range 50 {
 		h.on(func() { h.g.Submit(h.request(fmt.Sprint(i), "page")) })
-		if a, asked := h.ends(map[string]gateway.Result{"c": good}); a.Outcome != gateway.Served || len(asked) != 1 || asked[0] != "c" {
+		if a, asked := h.ends(map[string]gateway.Result{"c": good}); a.Outcome != gateway.OutcomeServed || len(asked) != 1 || asked[0] != "c" {
 			t.Fatalf("%v, asked: %v", a.Outcome, asked)
 		}
 	}
@@ -82,9 +82,9 @@
 		h.on(func() { h.g.Submit(h.request(fmt.Sprint(i), "page")) })
 		a, asked := h.ends(refuses)
 		switch last := asked[max(0, len(asked)-1):]; {
-		case a.Outcome == gateway.Served && len(last) == 1 && last[0] == "d":
+		case a.Outcome == gateway.OutcomeServed && len(last) == 1 && last[0] == "d":
 			moved++
-		case a.Outcome != gateway.Rejected:
+		case a.Outcome != gateway.OutcomeRejected:
 			t.Errorf("%v, asked: %v", a.Outcome, asked)
 		}
 		if len(asked) > 8 {
@@ -115,7 +115,7 @@
 	for i := range 10 {
 		h.on(func() { h.g.Submit(h.request(fmt.Sprint(i), "order")) })
 		a, asked := h.ends(map[string]gateway.Result{"c": good, "d": good, "o": {Status: routing.Reset}})
-		if a.Outcome != gateway.Failed && a.Outcome != gateway.Rejected {
+		if a.Outcome != gateway.OutcomeFailed && a.Outcome != gateway.OutcomeRejected {
 			t.Errorf("%v", a.Outcome)
 		}
 		for _, s := range asked {
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -13,9 +13,9 @@
 // add counts one final answer.
 func (o *ClassOutcomes) add(a Answer) {
 	switch {
-	case a.Outcome == Served || a.Outcome == NotModified:
+	case a.Outcome == OutcomeServed || a.Outcome == OutcomeUnchanged:
 		o.Served++
-	case a.Outcome == Rejected || a.Retryable:
+	case a.Outcome == OutcomeRejected || a.Retryable:
 		o.Rejected++
 	default:
 		o.Failed++
@@ -47,7 +47,7 @@
 		all[class] = *o
 	}
 	for front := range frontCount {
-		for band, n := range g.admissions.shedByBand(front) {
+		for band, n := range g.generations.shedByBand(front) {
 			class := overload.ClassOf(band)
 			if o, known := all[class]; known {
 				o.Rejected += n
--- a/gateway/pauses.go
+++ b/gateway/pauses.go
@@ -93,14 +93,14 @@
 	g.detectPause()
 	now := loop.Now()
 	g.completeSample(now)
-	g.admissionController().SetPolicy(g.overloadController.Tick(g.sample, g.admissionController()))
+	g.admissionController().SetPolicy(g.shedController.Tick(g.sample, g.admissionController()))
 	g.sample = overload.Sample{}
 	g.pollerLag = 0
 	g.tickLocalities()
 	g.measurePollerLag(now)
 	g.ticks++
 	if g.ticks%slowClientSweepTicks == 0 {
-		g.balancerHealth.Update(g.now(), g.overloadController.ShedLevel())
+		g.balancerHealth.Update(g.now(), g.shedController.ShedLevel())
 		g.closeSlowClients()
 	}
 	loop.After(g.cfg.Overload.Tick, g.tick)
--- a/gateway/reconfigure.go
+++ b/gateway/reconfigure.go
@@ -16,26 +16,26 @@
 // rules: clients learn of new settings some time after the gateway does.
 const retiredClassLifetime = 3 * time.Second
 
-// admissionRules are how classes are ranked and what admits their requests. They never change: new classes bring others.
+// admissionGeneration are how classes are ranked and what admits their requests. They never change: new classes bring others.
 // They are read on whatever goroutine reads requests.
-type admissionRules struct {
+type admissionGeneration struct {
 	order      *overload.Order
 	controller *overload.AdmissionController
 }
 
-func newAdmissionRules(order *overload.Order) *admissionRules {
-	return &admissionRules{order: order, controller: overload.NewAdmissionController(order.Bands(), int(frontCount))}
+func newAdmissionGeneration(order *overload.Order) *admissionGeneration {
+	return &admissionGeneration{order: order, controller: overload.NewAdmissionController(order.Bands(), int(frontCount))}
 }
 
-// admissions are the present rules and what earlier ones counted.
-type admissions struct {
-	current  atomic.Pointer[admissionRules]
-	previous *admissionRules               // the rules before: a goroutine may still be using them
+// admissionGenerations are the present rules and what earlier ones counted.
+type admissionGenerations struct {
+	current  atomic.Pointer[admissionGeneration]
+	previous *admissionGeneration          // the rules before: a goroutine may still be using them
 	shed     [frontCount]map[string]uint64 // by name of the band, under the rules before those
 }
 
 // replace has other rules hold from now on.
-func (a *admissions) replace(next *admissionRules) {
+func (a *admissionGenerations) replace(next *admissionGeneration) {
 	if a.previous != nil {
 		for front := range frontCount {
 			if a.shed[front] == nil {
@@ -48,7 +48,7 @@
 }
 
 // addShed adds what one front shed to a sum by the names of bands.
-func (a *admissionRules) addShed(front Front, sum map[string]uint64) {
+func (a *admissionGeneration) addShed(front Front, sum map[string]uint64) {
 	for band := range a.order.Bands() {
 		if n := a.controller.Shed(int(front), band); n > 0 {
 			sum[a.order.Name(band)] += n
@@ -57,7 +57,7 @@
 }
 
 // shedByBand returns what a front has shed since the start, by the names of bands.
-func (a *admissions) shedByBand(front Front) map[string]uint64 {
+func (a *admissionGenerations) shedByBand(front Front) map[string]uint64 {
 	sum := map[string]uint64{}
 	for name, n := range a.shed[front] {
 		sum[name] += n
@@ -106,16 +106,16 @@
 func (g *Gateway) applyClasses(classes []routing.Class, maxAttempts int) error {
 	cfg := g.cfg.Overload
 	cfg.Classes = overloadClasses(classes)
-	order := overload.NewOrder(cfg.Classes, cfg.RepeatsFirst)
+	order := overload.NewOrder(cfg.Classes, cfg.RetriesFirst)
 	controller, err := overload.NewController(cfg, order)
 	if err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
 	// A new slice: requests that are open point into the old one.
 	g.cfg.Settings.Classes, g.cfg.Settings.MaxAttempts = slices.Clone(classes), maxAttempts
-	g.cfg.Overload, g.overloadController = cfg, controller
+	g.cfg.Overload, g.shedController = cfg, controller
 	g.initClassOutcomes()
-	g.admissions.replace(newAdmissionRules(order))
+	g.generations.replace(newAdmissionGeneration(order))
 	g.queue = g.queue.Rebanded(order.Bands(), g.bandOf)
 	g.handleInAll(routing.Reconfigured{Classes: g.cfg.Settings.Classes, MaxAttempts: maxAttempts})
 	if g.localityPolicy == nil {
--- a/gateway/requests.go
+++ b/gateway/requests.go
@@ -77,16 +77,16 @@
 func (g *Gateway) Submit(r *Request) {
 	g.register(r)
 	if g.overCapacity() {
-		g.answerRequest(r, Answer{Outcome: Rejected, RetryAfter: g.cfg.Settings.MaxRetryAfter, Retryable: true})
+		g.answerRequest(r, Answer{Outcome: OutcomeRejected, RetryAfter: g.cfg.Settings.MaxRetryAfter, Retryable: true})
 		return
 	}
 	if !g.claimID(r) {
 		g.Counters.DuplicateIDs++
-		g.answerRequest(r, Answer{Outcome: Failed, cause: causeDuplicateID})
+		g.answerRequest(r, Answer{Outcome: OutcomeFailed, cause: causeDuplicateID})
 		return
 	}
 	if r.IdempotencyKey == "" && r.needsIdempotencyKey() { // a retry could not be told from another request
-		g.answerRequest(r, Answer{Outcome: Failed, cause: causeNoIdempotencyKey})
+		g.answerRequest(r, Answer{Outcome: OutcomeFailed, cause: causeNoIdempotencyKey})
 		return
 	}
 	g.limitDeadline(r)
@@ -140,7 +140,7 @@
 
 // startRequest hands a request, whose turn it is, to the director of the locality that is chosen for it.
 func (g *Gateway) startRequest(r *Request) {
-	if g.pickLocality(r) {
+	if g.pickLocalityOrShed(r) {
 		g.submitToDirector(r)
 	}
 }
@@ -172,7 +172,7 @@
 		return
 	}
 	g.Counters.ClientsGone++
-	g.CountAnswer(r.Class, Answer{Outcome: Failed})
+	g.CountAnswer(r.Class, Answer{Outcome: OutcomeFailed})
 	g.closeRequest(r)
 	g.releaseReservation(r, -1)
 	g.handleEvent(event{locality: r.locality, Event: routing.ClientGone{ID: r.directorID}})
@@ -184,7 +184,7 @@
 	if r.answered {
 		return
 	}
-	g.answerRequest(r, Answer{Outcome: Expired, Retryable: r.idempotent(), RetryAfter: g.cfg.Settings.MaxRetryAfter / 2, cause: causeDeadline})
+	g.answerRequest(r, Answer{Outcome: OutcomeExpired, Retryable: r.idempotent(), RetryAfter: g.cfg.Settings.MaxRetryAfter / 2, cause: causeDeadline})
 	g.handleEvent(event{locality: r.locality, Event: routing.ClientGone{ID: r.directorID}})
 	g.cancelAttempts(r)
 }
--- a/internal/clusternode/node.go
+++ b/internal/clusternode/node.go
@@ -63,8 +63,8 @@
 	warnedAt time.Time   // of a failed write
 }
 
-// Start starts a gateway's part in its cluster. The gateway must ask MaySend right before it writes to a machine. An error names what
-// can't be opened, or the setting that is not valid.
+// Start starts a gateway's part in its cluster. The gateway must ask EndpointPermitted right before it writes to a machine. An
+// error names what can't be opened, or the setting that is not valid.
 func Start(cfg *config.Cluster, set routing.Settings, gw *gateway.Gateway, loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger) (*Node, error) {
 	n := &Node{
 		cfg:             cfg,
@@ -79,7 +79,7 @@
 		n.closeFiles()
 		return nil, err
 	}
-	// The first tick asks for a lease. Until then MaySend allows only what a stored view does.
+	// The first tick asks for a lease. Until then EndpointPermitted allows only what a stored view does.
 	loop.After(0, n.tick)
 	return n, nil
 }
@@ -161,9 +161,11 @@
 	return ms + offset
 }
 
-// MaySend reports whether an endpoint may be sent to at this moment. It reads the clock by itself: the loop's is as old as its
+// EndpointPermitted reports whether an endpoint may be sent to at this moment. It reads the clock by itself: the loop's is as old as its
 // round, and a process that was suspended goes on in the middle of one.
-func (n *Node) MaySend(endpoint string) bool { return n.cluster.MaySend(n.now(), endpoint) }
+func (n *Node) EndpointPermitted(endpoint string) bool {
+	return n.cluster.EndpointPermitted(n.now(), endpoint)
+}
 
 // Ready reports whether the gateway may serve: it knows what was agreed on, now or before its start.
 func (n *Node) Ready() bool { return n.cluster.Ready() }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -80,7 +80,7 @@
 	if err != nil || o.Signed != nil || o.AgentListen+o.HTTPListen+o.MetricsListen != "" {
 		t.Errorf("an empty file: %+v, %v", o, err)
 	}
-	if c := o.Overload; c.MaxWait != 150*time.Millisecond || c.Tick != 20*time.Millisecond || c.ProbeShare != 0.03 || c.RepeatsFirst {
+	if c := o.Overload; c.MaxWait != 150*time.Millisecond || c.Tick != 20*time.Millisecond || c.ProbeShare != 0.03 || c.RetriesFirst {
 		t.Errorf("defaults: %+v", c)
 	}
 	data, err := os.ReadFile("../../deploy/operator.textproto")
--- a/internal/config/overload.go
+++ b/internal/config/overload.go
@@ -35,6 +35,6 @@
 		return c, newKeyError("overload.answers_mb", errors.New("negative"))
 	}
 	c.ProbeShare = cmp.Or(pb.GetProbe(), overload.DefaultProbeShare)
-	c.RepeatsFirst, c.MemoryLimit = pb.GetRepeatsFirst(), int64(pb.GetAnswersMb())<<20
+	c.RetriesFirst, c.MemoryLimit = pb.GetRepeatsFirst(), int64(pb.GetAnswersMb())<<20
 	return c, nil
 }
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -241,9 +241,9 @@
 	var r Response
 	add := func(name, value string) { r.Header = append(r.Header, [2]string{name, value}) }
 	switch ans.Outcome {
-	case gateway.Served, gateway.NotModified:
+	case gateway.OutcomeServed, gateway.OutcomeUnchanged:
 		r.Status = http.StatusOK
-		if ans.Outcome == gateway.NotModified {
+		if ans.Outcome == gateway.OutcomeUnchanged {
 			r.Status = http.StatusNotModified
 		} else {
 			add("Content-Type", "application/octet-stream")
@@ -256,11 +256,11 @@
 		if cookie := a.renewalCookie(ad, now); cookie != "" {
 			add("Set-Cookie", cookie)
 		}
-	case gateway.Rejected:
+	case gateway.OutcomeRejected:
 		r.Status = http.StatusServiceUnavailable
 		r.Header = append(r.Header, retryAfter(ans.RetryAfter))
 		r.Body = []byte("refused: trying again is harmless\n")
-	case gateway.Expired:
+	case gateway.OutcomeExpired:
 		r.Status = http.StatusGatewayTimeout
 		r.Body = []byte("no answer in time\n")
 	default:
--- a/internal/net/msgpackrpc/conn.go
+++ b/internal/net/msgpackrpc/conn.go
@@ -99,7 +99,7 @@
 		c.write(appendAlive(nil, m.id))
 	case unreadableMessage:
 		if !c.rejectReusedID(m.id) {
-			c.front.gateway.CountAnswer(m.class, gateway.Answer{Outcome: gateway.Failed})
+			c.front.gateway.CountAnswer(m.class, gateway.Answer{Outcome: gateway.OutcomeFailed})
 			c.write(appendError(nil, m.id, errorFailed, "", ""))
 		}
 	case requestMessage:
@@ -125,7 +125,7 @@
 	r := m.request
 	if len(c.open) >= maxOpenPerConn {
 		c.front.TooManyOpen++
-		c.front.gateway.CountAnswer(r.Class, gateway.Answer{Outcome: gateway.Rejected})
+		c.front.gateway.CountAnswer(r.Class, gateway.Answer{Outcome: gateway.OutcomeRejected})
 		c.write(appendRejection(nil, m.id, tooManyOpenRetryAfter))
 		return
 	}
@@ -141,9 +141,9 @@
 	delete(c.open, id)
 	switch {
 	case c.gone:
-	case a.Outcome == gateway.Served:
+	case a.Outcome == gateway.OutcomeServed:
 		c.write(appendServedHead(make([]byte, 0, 16), id, len(a.Body)), a.Body, noFields)
-	case a.Outcome == gateway.NotModified:
+	case a.Outcome == gateway.OutcomeUnchanged:
 		c.write(appendNotModified(nil, id))
 	case a.Retryable:
 		c.write(appendRejection(nil, id, a.RetryAfter))
--- a/internal/net/resp/pool.go
+++ b/internal/net/resp/pool.go
@@ -69,7 +69,7 @@
 
 // Gateway is what the pool needs of its gateway.
 type Gateway interface {
-	ConfirmAttempt(*gateway.Attempt) bool
+	PrepareWrite(*gateway.Attempt) bool
 	AttemptEnded(*gateway.Attempt, gateway.Result)
 }
 
--- a/internal/net/resp/request.go
+++ b/internal/net/resp/request.go
@@ -10,7 +10,7 @@
 
 // writeAttempt writes one attempt, if it may still be sent.
 func (c *conn) writeAttempt(a *gateway.Attempt) {
-	if !c.pool.Gateway.ConfirmAttempt(a) {
+	if !c.pool.Gateway.PrepareWrite(a) {
 		return
 	}
 	now := c.pool.loop.Now()
--- a/internal/net/resp/wire_test.go
+++ b/internal/net/resp/wire_test.go
@@ -11,7 +11,7 @@
 // answers takes in how attempts ended.
 type answers struct{ got []gateway.Result }
 
-func (*answers) ConfirmAttempt(*gateway.Attempt) bool                { return true }
+func (*answers) PrepareWrite(*gateway.Attempt) bool                  { return true }
 func (a *answers) AttemptEnded(_ *gateway.Attempt, r gateway.Result) { a.got = append(a.got, r) }
 
 // Each status word of an answer stands for one status, and any other breaks the connection.
--- a/middleware/example_test.go
+++ b/middleware/example_test.go
@@ -25,7 +25,7 @@
 
 func (m *memory) Send(a *gateway.Attempt) {
 	m.loop.Post(func() {
-		if m.gw.ConfirmAttempt(a) { // it may still go
+		if m.gw.PrepareWrite(a) { // it may still go
 			m.gw.AttemptEnded(a, gateway.Result{Status: routing.OK, Reason: routing.ReasonHit, ETag: "v1",
 				Body: fmt.Appendf(nil, "%s part %d from %s", a.Request.Object, a.Request.Part, a.Endpoint)})
 		}
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -75,13 +75,13 @@
 	ad.Request.Answer = func(a gateway.Answer) { answer <- a }
 	ad.Request.ClientConnected = func() bool { return r.Context().Err() == nil }
 	if !m.Loop.Post(func() { m.Gateway.Submit(ad.Request) }) {
-		answer <- gateway.Answer{Outcome: gateway.Rejected, RetryAfter: time.Second, Retryable: true}
+		answer <- gateway.Answer{Outcome: gateway.OutcomeRejected, RetryAfter: time.Second, Retryable: true}
 	}
 	select {
 	case a := <-answer:
 		writeResponse(w, m.api.Respond(ad, a, time.Now()))
 	case <-m.Loop.Done(): // the gateway ended under it
-		writeResponse(w, m.api.Respond(ad, gateway.Answer{Outcome: gateway.Failed}, time.Now()))
+		writeResponse(w, m.api.Respond(ad, gateway.Answer{Outcome: gateway.OutcomeFailed}, time.Now()))
 	case <-r.Context().Done():
 		m.Loop.Post(func() { m.Gateway.Abandon(ad.Request) })
 	}
--- a/overload/allowance.go
+++ b/overload/allowance.go
@@ -10,8 +10,8 @@
 	backlogTicks = 5
 	// quietShedShare is the share of the offered cost up to which a tick counts as one in which nothing was shed.
 	quietShedShare = 0.001
-	// ticksToOpen is the number of such ticks in a row after which everything is admitted again.
-	ticksToOpen = 25
+	// quietTicksToStop is the number of such ticks in a row after which everything is admitted again.
+	quietTicksToStop = 25
 )
 
 // shares is how an allowance is spent, band by band.
@@ -31,7 +31,7 @@
 // has waited for half of the bound: a short disturbance passes, and the bands behind it make room. The band in which the
 // allowance ends is admitted by lot.
 func (c *Controller) spendAllowance(s Sample) *AdmissionPolicy {
-	if !c.closed {
+	if !c.shedding {
 		return nil
 	}
 	rate := max(minServedRate, c.servedRate)
@@ -54,7 +54,7 @@
 	}
 	shed := sh.shedShare()
 	if c.countQuiet(shed) {
-		c.open()
+		c.stopShedding()
 		return nil
 	}
 	c.policy = AdmissionPolicy{Admit: sh.admit, RetryAfter: c.retryAfterFor(shed), ShedShare: shed}
@@ -106,7 +106,7 @@
 		return false
 	}
 	c.quietTicks++
-	return c.quietTicks >= ticksToOpen
+	return c.quietTicks >= quietTicksToStop
 }
 
 // fairShare returns the most that one front may have of what is left in a band, so that fronts which want less get all that
@@ -153,7 +153,7 @@
 
 // RetryAfter returns the Retry-After, before [Jitter], for a request that was admitted and is rejected later.
 func (c *Controller) RetryAfter() time.Duration {
-	if c.closed && c.policy.RetryAfter > 0 {
+	if c.shedding && c.policy.RetryAfter > 0 {
 		return c.policy.RetryAfter
 	}
 	return time.Duration(minRetryAfterShare * float64(c.cfg.MaxRetryAfter))
--- a/overload/bands.go
+++ b/overload/bands.go
@@ -12,16 +12,16 @@
 	ranks        map[string]int // by class name: 0 for the class served first
 	names        []string       // by rank
 	costs        []float64      // by rank
-	repeatsFirst bool
+	retriesFirst bool
 }
 
 // NewOrder ranks classes. Those of equal weight for their cost keep the order in which they are given.
-func NewOrder(classes []Class, repeatsFirst bool) *Order {
+func NewOrder(classes []Class, retriesFirst bool) *Order {
 	ranked := slices.Clone(classes)
 	slices.SortStableFunc(ranked, func(a, b Class) int {
 		return cmp.Compare(b.PriorityWeight/cmp.Or(b.Cost, 1), a.PriorityWeight/cmp.Or(a.Cost, 1))
 	})
-	o := &Order{ranks: map[string]int{}, repeatsFirst: repeatsFirst}
+	o := &Order{ranks: map[string]int{}, retriesFirst: retriesFirst}
 	for i, c := range ranked {
 		o.ranks[c.Name] = i
 		o.names = append(o.names, c.Name)
@@ -34,22 +34,22 @@
 func (o *Order) Bands() int { return 2*len(o.names) + 1 }
 
 // Band returns the band of a request.
-func (o *Order) Band(class string, repeat bool) int {
+func (o *Order) Band(class string, retry bool) int {
 	rank, ok := o.ranks[class]
-	return o.band(rank, ok, repeat)
+	return o.band(rank, ok, retry)
 }
 
 // BandOf is [Order.Band] for a class name in a buffer. It allocates nothing.
-func (o *Order) BandOf(class []byte, repeat bool) int {
+func (o *Order) BandOf(class []byte, retry bool) int {
 	rank, ok := o.ranks[string(class)]
-	return o.band(rank, ok, repeat)
+	return o.band(rank, ok, retry)
 }
 
-func (o *Order) band(rank int, known, repeat bool) int {
+func (o *Order) band(rank int, known, retry bool) int {
 	if !known {
 		return 2 * len(o.names)
 	}
-	if repeat != o.repeatsFirst {
+	if retry != o.retriesFirst {
 		return 2*rank + 1
 	}
 	return 2 * rank
@@ -68,14 +68,14 @@
 	if band/2 >= len(o.names) {
 		return "unknown"
 	}
-	if (band%2 == 1) != o.repeatsFirst {
-		return o.names[band/2] + repeatSuffix
+	if (band%2 == 1) != o.retriesFirst {
+		return o.names[band/2] + retrySuffix
 	}
 	return o.names[band/2]
 }
 
-// repeatSuffix ends the names of bands for clients' retries.
-const repeatSuffix = "+repeat"
+// retrySuffix ends the names of bands for clients' retries.
+const retrySuffix = "+repeat"
 
 // ClassOf returns the class in a band's name.
-func ClassOf(band string) string { return strings.TrimSuffix(band, repeatSuffix) }
+func ClassOf(band string) string { return strings.TrimSuffix(band, retrySuffix) }
--- a/overload/config.go
+++ b/overload/config.go
@@ -35,7 +35,7 @@
 	ProbeShare float64       // share admitted beyond what was served, to find out about more capacity; 0 to 1
 
 	MaxRetryAfter time.Duration // longest Retry-After that shed requests are told
-	RepeatsFirst  bool          // a client's retry is served before first attempts of its class, not after
+	RetriesFirst  bool          // a client's retry is served before first attempts of its class, not after
 	MinPause      time.Duration // a shorter gap in which the program did not run is no pause
 	MemoryLimit   int64         // bytes that responses may take, on their way to clients; 0: unlimited
 }
--- a/overload/controller.go
+++ b/overload/controller.go
@@ -33,7 +33,7 @@
 
 	servedRate    float64 // cost served in a tick while others waited, smoothed
 	allowance     float64 // cost admitted in a tick
-	closed        bool    // the allowance binds
+	shedding      bool    // the allowance binds
 	longWaitTicks int     // ticks in a row with long waits, while everything was admitted
 	quietTicks    int     // ticks in a row in which next to nothing was shed, while the allowance bound
 	policy        AdmissionPolicy
@@ -78,23 +78,23 @@
 // Weights of the newest tick in the offered cost. While the allowance binds, one tick decides less: requests are read in
 // bursts.
 const (
-	openOfferWeight   = 0.5
-	closedOfferWeight = 0.15
+	admittingOfferWeight = 0.5
+	sheddingOfferWeight  = 0.15
 )
 
 // measureOffered updates the offered cost from the admission controller's counts, and returns the cost that it admitted
 // in this tick.
 func (c *Controller) measureOffered(ac *AdmissionController, scale float64) (admitted float64) {
-	weight := openOfferWeight
-	if c.closed {
-		weight = closedOfferWeight
+	weight := admittingOfferWeight
+	if c.shedding {
+		weight = sheddingOfferWeight
 	}
 	for f := range c.offered {
 		for b := range c.offered[f] {
 			n := ac.Offered(f, b)
 			cost := float64(n-c.lastCounts[f][b]) * c.order.Cost(b) * scale
 			c.lastCounts[f][b] = n
-			if c.closed && len(c.policy.Admit) > 0 {
+			if c.shedding && len(c.policy.Admit) > 0 {
 				admitted += cost * float64(c.policy.Admit[f][b]) / fullShare
 			} else {
 				admitted += cost
@@ -107,12 +107,12 @@
 
 // How the allowance follows what was served.
 const (
-	// ticksToClose is the number of ticks with long waits after which the allowance binds. A clear overload, in which
+	// longWaitTicksToStart is the number of ticks with long waits after which the allowance binds. A clear overload, in which
 	// clearOverloadRatio times what is served is admitted and someone has waited for a third of the bound, counts
 	// clearOverloadTicks.
-	ticksToClose       = 8
-	clearOverloadRatio = 1.3
-	clearOverloadTicks = 3
+	longWaitTicksToStart = 8
+	clearOverloadRatio   = 1.3
+	clearOverloadTicks   = 3
 
 	// servedRateWeight is the weight of the newest tick in the served rate: one slow tick must not look like less capacity.
 	servedRateWeight = 0.05
@@ -130,14 +130,14 @@
 	switch {
 	case s.Paused: // what has queued up meanwhile is no sign of load
 	case s.LoopLag > c.cfg.MaxWait/2:
-		c.closed = true
+		c.shedding = true
 		c.allowance = lagCut * min(admitted, c.allowance)
-	case longWaits && !c.closed:
+	case longWaits && !c.shedding:
 		c.countLongWaits(s, admitted)
 	case longWaits:
 		c.servedRate += servedRateWeight * (s.StartedCost - c.servedRate)
 		c.allowance = c.servedAndProbe()
-	case c.closed: // there is capacity left
+	case c.shedding: // there is capacity left
 		c.servedRate = max(c.servedRate, s.StartedCost)
 		c.allowance = max(c.allowance, c.servedRate, minServedRate) * allowanceGrowth
 	default:
@@ -155,8 +155,8 @@
 	} else {
 		c.longWaitTicks++
 	}
-	if c.longWaitTicks >= ticksToClose {
-		c.closed = true
+	if c.longWaitTicks >= longWaitTicksToStart {
+		c.shedding = true
 		c.allowance = c.servedAndProbe()
 	}
 }
@@ -166,9 +166,9 @@
 	return max(minServedRate, c.servedRate) * (1 + c.cfg.ProbeShare)
 }
 
-// open admits everything again.
-func (c *Controller) open() {
-	c.closed, c.allowance = false, math.Inf(1)
+// stopShedding admits everything again.
+func (c *Controller) stopShedding() {
+	c.shedding, c.allowance = false, math.Inf(1)
 	c.quietTicks, c.longWaitTicks, c.servedRate = 0, 0, 0
 }
 
--- a/test/crossing_test.go
+++ b/test/crossing_test.go
@@ -499,7 +499,7 @@
 	})
 	eventually(t, "it is sent on", func() bool { return len(in.asks(object)) == 1 })
 	free()
-	if a := next(t, answers); a.Outcome != gateway.Served {
+	if a := next(t, answers); a.Outcome != gateway.OutcomeServed {
 		t.Errorf("%+v", a)
 	}
 	if n := in.count(func() uint64 { return in.pool.Counters.ConnsLost }); n != 0 || len(in.asks(object)) != 1 {
