--- a/gateway/attempts.go
+++ b/gateway/attempts.go
@@ -120,9 +120,12 @@
 	return nil
 }
 
-// PrepareWrite is asked right before an attempt is written: connecting or queueing took time, in which its endpoint or
-// fill source may have begun to drain, the object may have been purged, the client may have left, or the deadline may
-// have passed. It brings the attempt up to date, or reports false once it has ended it as not sent.
+// PrepareWrite is called right before the first byte of an attempt is written. Connecting or queueing took time, in which
+// its endpoint or fill source may have begun to drain, the object may have been purged, the client may have left, or the
+// deadline may have passed.
+//
+// If the attempt may be written it sets MaxAge anew and returns true. Otherwise the attempt is over when it returns false: it
+// has ended as not sent, or was canceled with the request that its client has left, and both are counted.
 func (g *Gateway) PrepareWrite(a *Attempt) bool {
 	if a.ended {
 		return false
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -98,7 +98,7 @@
 	case routing.ForwardAttempt:
 		g.startAttempt(a, locality)
 	case routing.Reject:
-		if !g.rerouteRejected(a.ID, locality) {
+		if g.rerouteRejected(a.ID, locality) == rejectionFinal {
 			g.answerByID(a.ID, Answer{Outcome: OutcomeRejected, RetryAfter: a.RetryAfter, Retryable: true})
 		}
 	case routing.Fail:
--- a/gateway/localities.go
+++ b/gateway/localities.go
@@ -8,6 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"larchusher/locality"
+	"larchusher/overload"
 	"larchusher/routing"
 )
 
@@ -56,7 +57,8 @@
 		}
 		g.directors, g.names = append(g.directors, d), append(g.names, l.Name)
 	}
-	policy, err := locality.New(g.localityConfig(cfg))
+	order := overload.NewOrder(overloadClasses(set.Classes), g.cfg.Overload.RetriesFirst) // as admission ranks them
+	policy, err := locality.New(g.localityConfig(cfg, order.Bands()))
 	if err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
@@ -67,9 +69,9 @@
 	return nil
 }
 
-// localityConfig completes a configuration from the settings.
-func (g *Gateway) localityConfig(cfg locality.Config) locality.Config {
-	cfg.Bands = 2*len(g.cfg.Settings.Classes) + 1 // as overload.Order has them
+// localityConfig completes a configuration from the settings and the number of priority bands.
+func (g *Gateway) localityConfig(cfg locality.Config, bands int) locality.Config {
+	cfg.Bands = bands
 	cfg.Seed = g.cfg.Seed
 	if cfg.MaxRetryAfter == 0 {
 		cfg.MaxRetryAfter = g.cfg.Settings.MaxRetryAfter
@@ -95,7 +97,7 @@
 	if g.localityPolicy == nil || !slices.Equal(names, g.names) {
 		return fmt.Errorf("gateway: tiers: the localities are %q, and were %q at the start", names, g.names)
 	}
-	if err := g.localityPolicy.Reconfigure(g.localityConfig(cfg)); err != nil {
+	if err := g.localityPolicy.Reconfigure(g.localityConfig(cfg, g.classOrder().Bands())); err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
 	g.cfg.Localities, g.localityTickInterval = &cfg, localityTickOf(cfg)
@@ -141,26 +143,34 @@
 	return c == nil || c.Uncacheable && g.cfg.Settings.AllowBypass
 }
 
-// rerouteRejected gives a request that the director of a locality has rejected to another locality, and reports whether
-// nothing is left to do about the rejection.
-func (g *Gateway) rerouteRejected(id string, from int) bool {
+// rejectionEffect is what a director's rejection comes to, with several localities.
+type rejectionEffect int
+
+const (
+	rejectionFinal      rejectionEffect = iota // it is the request's answer
+	rejectionRerouted                          // another locality has been given the request
+	rejectionSuperseded                        // another locality had the request already
+)
+
+// rerouteRejected gives a request that the director of a locality has rejected to another locality, if one may have it.
+func (g *Gateway) rerouteRejected(id string, from int) rejectionEffect {
 	r := g.requests[id]
 	if g.localityPolicy == nil || r == nil {
-		return false
+		return rejectionFinal
 	}
 	if r.locality != from {
-		return true // another locality has it by now
+		return rejectionSuperseded
 	}
 	if g.bypassesLocalities(r) {
-		return false
+		return rejectionFinal
 	}
 	to, ok := g.localityPolicy.HandleRejection(g.unpausedTime(), g.rejectionOf(r))
 	if !ok {
-		return false
+		return rejectionFinal
 	}
 	r.locality, r.rerouted, r.firstInLocality = to, true, len(r.attempts)
 	g.submitToDirector(r)
-	return true
+	return rejectionRerouted
 }
 
 // rejectionOf is what the locality policy is told of a request that its locality has rejected.
@@ -209,7 +219,7 @@
 }
 
 // missedObjective reports whether a successful attempt took longer than the latency objective of its class, which grows
-// with the size of the body.
+// with the size of the body. Package routing caps the objective at the request's deadline; here it has no cap.
 func (g *Gateway) missedObjective(a *Attempt, res Result) bool {
 	c := a.Request.class
 	if c == nil || res.Status != routing.OK {
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -14,10 +14,11 @@
 // QueuedWork is the place in the queue of work that a front has to do before it can submit a request, such as checking a
 // token. Its zero value is not queued.
 type QueuedWork struct {
-	item  overload.Item
-	class string
-	band  int
-	run   func(late bool)
+	item   overload.Item
+	class  string
+	band   int
+	run    func(late bool) // in the queue
+	reject func()          // in the rejection queue
 }
 
 // Enqueue has f run as soon as a request of that class, arrived at that time, would have its turn: the work that a front
@@ -32,7 +33,7 @@
 // EnqueueRejection has f run for a request that is to be shed, where that takes work: at once if nothing else waits, and
 // soon in any case. Clients that come back at once would otherwise take all of the loop's time with rejections.
 func (g *Gateway) EnqueueRejection(w *QueuedWork, front Front, f func()) {
-	w.run = func(bool) { f() }
+	w.reject = f
 	w.item.Value = w
 	g.rejectionQueue.Push(&w.item, 0, int(front), g.now())
 }
@@ -68,11 +69,11 @@
 func (g *Gateway) runNextQueued() (more bool) {
 	now := g.now()
 	for i := g.rejectionQueue.PopExpired(now); i != nil; i = g.rejectionQueue.PopExpired(now) {
-		i.Value.(*QueuedWork).run(true)
+		i.Value.(*QueuedWork).reject()
 	}
 	if g.queue.Len() == 0 {
 		if i := g.rejectionQueue.Pop(); i != nil {
-			i.Value.(*QueuedWork).run(true)
+			i.Value.(*QueuedWork).reject()
 		}
 		return g.rejectionQueue.Len() > 0
 	}
--- a/gateway/reconfigure.go
+++ b/gateway/reconfigure.go
@@ -121,7 +121,7 @@
 	if g.localityPolicy == nil {
 		return nil
 	}
-	return g.localityPolicy.Reconfigure(g.localityConfig(*g.cfg.Localities))
+	return g.localityPolicy.Reconfigure(g.localityConfig(*g.cfg.Localities, order.Bands()))
 }
 
 // bandOf ranks what waits for its turn anew.
--- a/locality/bypass.go
+++ b/locality/bypass.go
@@ -2,13 +2,15 @@
 
 import "time"
 
-// bypass is the part of what fits nowhere that the own director is given all the same, to send it past its caches.
+// bypass is the part of the requests without capacity in any locality that the own director is given all the same, to send
+// them past its caches.
 type bypass struct {
-	share     float64     // of what fits nowhere, 0 to 1
+	share     float64     // of the requests without capacity in any locality, 0 to 1
 	good, bad decayingSum // results
 }
 
-// bypassProbeShare is the share of what fits nowhere that is sent past the caches to find out how that goes.
+// bypassProbeShare is the share of the requests without capacity in any locality that is sent past the caches to find out how
+// that goes.
 const bypassProbeShare = 0.1
 
 // BypassFinished records how an attempt ended that the own director sent past the caches of its locality, straight to what
@@ -19,8 +21,8 @@
 	s.bypass.bad.add(now, w.bad, resultMemory)
 }
 
-// setBypassShare sends as much of what fits nowhere past the caches as has been seen to go well, so that nothing is rejected
-// that the upper caches and the origin could still serve. What they can do is the director's to judge, which rejects
+// setBypassShare sends as many of the requests without capacity in any locality past the caches as has been seen to go well,
+// so that nothing is rejected that the upper caches and the origin could still serve. What they can do is the director's to judge, which rejects
 // what they can't.
 func (s *Selector) setBypassShare(now, span time.Duration) {
 	good, bad := s.bypass.good.now(now, resultMemory), s.bypass.bad.now(now, resultMemory)
--- a/locality/health.go
+++ b/locality/health.go
@@ -151,7 +151,7 @@
 type situation struct {
 	span      time.Duration  // since the last tick
 	wanted    bool           // there is load for the locality
-	rejecting bool           // requests fit nowhere
+	rejecting bool           // no locality has capacity for some of the requests
 	draw      func() float64 // draws from [0, 1)
 }
 
--- a/locality/pick.go
+++ b/locality/pick.go
@@ -69,7 +69,7 @@
 	return noPick
 }
 
-// admits reports whether a request of a band is among those that fit somewhere.
+// admits reports whether a request of a band is among those that the localities have capacity for.
 func (s *Selector) admits(band int, id uint64) bool {
 	return s.servedShare >= 1 || band >= len(s.admitShares) || fraction(id) < s.admitShares[band]
 }
@@ -131,7 +131,7 @@
 	return locality
 }
 
-// rejectOrBypass has the own director send a request that fits nowhere past its caches, or rejects it.
+// rejectOrBypass has the own director send a request that no locality has capacity for past its caches, or rejects it.
 func (s *Selector) rejectOrBypass(id uint64) (locality int, retryAfter time.Duration, ok bool) {
 	if s.bypass.share > 0 && fraction(id*bypassHashMultiplier) < s.bypass.share {
 		s.Counters.Bypassed++
--- a/locality/selector.go
+++ b/locality/selector.go
@@ -16,12 +16,12 @@
 	// Shares of the own load, set by each tick.
 	ownShare    float64   // that stays
 	spillShares []float64 // that spill over, by locality
-	servedShare float64   // the sum of these; the rest fits nowhere
+	servedShare float64   // the sum of these; no locality has capacity for the rest
 	panicking   bool      // nearly everything looks unhealthy
 
 	levelBudgets []budget // by level
 
-	// What fits nowhere: admitted by band, or sent past the own caches.
+	// When no locality has capacity for all of the load, requests are admitted by band, and some are sent past the own caches.
 	offered         []float64 // requests by band, in the current tick
 	offeredSmoothed []float64 // requests a tick by band
 	admitShares     []float64 // by band
@@ -35,9 +35,9 @@
 	Picked       uint64 // requests that were given a locality,
 	Spilled      uint64 // of these, another than the own one
 	Rerouted     uint64 // requests that were given another one after the first had rejected them
-	Bypassed     uint64 // requests that fit nowhere, and were left to the own director to send past its caches
-	Rejected     uint64 // requests that fit nowhere,
-	BoundReached uint64 // of these and of the bypassed, for want of budget at that moment
+	Bypassed     uint64 // requests that no locality had capacity for, and that the own director sends past its caches
+	Rejected     uint64 // requests that no locality had capacity for, and that were rejected
+	BoundReached uint64 // bypassed and rejected requests that would have had a locality, but for its exhausted budget
 	StateChanges uint64 // of localities
 	PanicTicks   uint64 // ticks in which nearly everything looked unhealthy
 }
@@ -205,8 +205,8 @@
 	return share
 }
 
-// BypassShare returns the share of what fits nowhere that is sent past the own caches.
+// BypassShare returns, of the requests that no locality has capacity for, the share that is sent past the own caches.
 func (s *Selector) BypassShare() float64 { return s.bypass.share }
 
-// RejectedShare returns the share of the own load that fits nowhere.
+// RejectedShare returns the share of the own load that no locality has capacity for.
 func (s *Selector) RejectedShare() float64 { return 1 - s.servedShare }
--- a/locality/spillover.go
+++ b/locality/spillover.go
@@ -71,7 +71,8 @@
 	return s.cfg.SpareCapacityShare * spare * l.Weight / demand
 }
 
-// setShares spends the own load on the localities: on the own one first, then level by level. What is left over fits nowhere.
+// setShares spends the own load on the localities: on the own one first, then level by level. For
+// what is left over no locality has capacity.
 func (s *Selector) setShares(now time.Duration) {
 	clear(s.spillShares)
 	s.ownShare = s.usableShare(s.localities[0])
--- a/overload/controller.go
+++ b/overload/controller.go
@@ -130,8 +130,7 @@
 	switch {
 	case s.Paused: // what has queued up meanwhile is no sign of load
 	case s.LoopLag > c.cfg.MaxWait/2:
-		c.shedding = true
-		c.allowance = lagCut * min(admitted, c.allowance)
+		c.startShedding(lagCut * min(admitted, c.allowance))
 	case longWaits && !c.shedding:
 		c.countLongWaits(s, admitted)
 	case longWaits:
@@ -156,8 +155,7 @@
 		c.longWaitTicks++
 	}
 	if c.longWaitTicks >= longWaitTicksToStart {
-		c.shedding = true
-		c.allowance = c.servedAndProbe()
+		c.startShedding(c.servedAndProbe())
 	}
 }
 
@@ -166,6 +164,9 @@
 	return max(minServedRate, c.servedRate) * (1 + c.cfg.ProbeShare)
 }
 
+// startShedding has an allowance bind from now on.
+func (c *Controller) startShedding(allowance float64) { c.shedding, c.allowance = true, allowance }
+
 // stopShedding admits everything again.
 func (c *Controller) stopShedding() {
 	c.shedding, c.allowance = false, math.Inf(1)
