--- a/cluster/lease.go
+++ b/cluster/lease.go
@@ -11,7 +11,7 @@
 	leaseRequestsPerLease = 5
 	// maxUnanswered is how many requests in a row a voter may leave without an answer before the next voter is asked.
 	maxUnanswered = 2
-	// repliesUntilFirstVoter is how many answers of another voter it takes to try the first one again.
+	// repliesUntilFirstVoter is how many answers, of whichever voters, it takes to try the first one again.
 	repliesUntilFirstVoter = 8
 )
 
@@ -83,8 +83,8 @@
 	}
 }
 
-// preferFirstVoter has the first voter tried again after some answers of another one. It is the coordinator while it runs, and
-// needs all reports.
+// preferFirstVoter has the first voter tried again after every repliesUntilFirstVoter answers, its own counted, too: it makes no
+// difference while it is the one that is asked. It is the coordinator while it runs, and needs all reports.
 func (n *Node) preferFirstVoter() {
 	n.repliesSinceFirstVoter++
 	if n.repliesSinceFirstVoter >= repliesUntilFirstVoter {
--- a/cmd/larchusher/gateway_metrics.go
+++ b/cmd/larchusher/gateway_metrics.go
@@ -16,22 +16,22 @@
 
 func loadMetrics(s gateway.LoadStats) []metrics.Value {
 	all := []metrics.Value{
-		counter("load_overdue", "Requests refused since they had waited for their turn for too long.", float64(s.QueueTimeouts)),
-		counter("load_no_memory", "Requests refused for want of memory for their answers.", float64(s.NoMemory)),
+		counter("load_overdue", "Requests rejected since they had waited in the queue for too long.", float64(s.QueueTimeouts)),
+		counter("load_no_memory", "Requests rejected, or failed, since there was no memory for their answers.", float64(s.NoMemory)),
 		counter("load_slow_ended", "Clients closed since they left answers unread.", float64(s.SlowClientsClosed)),
 		gauge("load_memory_peak", "Most bytes that answers on their way have taken.", float64(s.PeakAnswerBytes)),
 		gauge("load_memory", "Bytes that answers on their way take.", float64(s.AnswerBytes)),
-		counter("load_stalls", "Times that the host stood still.", float64(s.Pauses)),
-		counter("load_stalled_ms", "Milliseconds that it did.", float64(s.PausedTime.Milliseconds())),
-		gauge("load_level", "Share of the offer that is shed.", s.ShedShare),
+		counter("load_stalls", "Pauses: times in which the host did not run this process.", float64(s.Pauses)),
+		counter("load_stalled_ms", "Milliseconds of pauses of this process.", float64(s.PausedTime.Milliseconds())),
+		gauge("load_level", "Share of the offered cost that is shed.", s.ShedShare),
 		gauge("load_weight", "Weight told to balancers, in percent.", float64(s.BalancerWeight)),
-		gauge("load_waiting", "Requests that wait for their turn.", float64(s.Queued)),
-		summary("load_turn_seconds", "Waits of requests for their turn.", s.QueueWait),
+		gauge("load_waiting", "Requests in the queue.", float64(s.Queued)),
+		summary("load_turn_seconds", "Waits of requests in the queue.", s.QueueWait),
 		summary("load_loop_seconds", "Delay of the loop, from when something is posted until it runs.", s.LoopDelay),
-		summary("load_poll_seconds", "Lateness in reading what has come.", s.PollerLag),
+		summary("load_poll_seconds", "Delay of reading from connections.", s.PollerLag),
 	}
 	for _, shed := range s.Shed {
-		all = append(all, counter("load_shed", "Requests shed at the door, by front and band.", float64(shed.Count),
+		all = append(all, counter("load_shed", "Requests shed by admission control, by front and band.", float64(shed.Count),
 			metrics.Label{Name: "front", Value: shed.Front.String()}, metrics.Label{Name: "band", Value: shed.Band}))
 	}
 	return all
@@ -41,24 +41,24 @@
 	c := s.Counters
 	all := []metrics.Value{
 		counter("tier_spilled", "Requests given to another locality than the own one.", float64(c.Spilled)),
-		counter("tier_moved", "Requests given to another locality after one had refused them.", float64(c.Rerouted)),
-		counter("tier_passed", "Requests that fit in no locality, and were sent past the caches.", float64(c.Bypassed)),
-		gauge("tier_passing", "Share of what fits nowhere that is.", s.BypassShare),
-		counter("tier_refused", "Requests that fit in no locality.", float64(c.Rejected)),
-		counter("tier_bounded", "Of those, refused since a bound was reached in the very moment.", float64(c.BoundReached)),
+		counter("tier_moved", "Requests given to another locality after one had rejected them.", float64(c.Rerouted)),
+		counter("tier_passed", "Requests that no locality had capacity for, and that were sent past the caches.", float64(c.Bypassed)),
+		gauge("tier_passing", "Share of the requests without capacity in any locality that is sent past the caches.", s.BypassShare),
+		counter("tier_refused", "Requests rejected since no locality had capacity for them.", float64(c.Rejected)),
+		counter("tier_bounded", "Requests rejected or sent past the caches since the budget of a locality was exhausted.", float64(c.BoundReached)),
 		counter("tier_changes", "Changes of a locality's state.", float64(c.StateChanges)),
-		counter("tier_panics", "Ticks in which nearly all looked ill, and load stayed.", float64(c.PanicTicks)),
+		counter("tier_panics", "Ticks in panic mode: too few localities were healthy, and no load was moved.", float64(c.PanicTicks)),
 	}
 	for _, v := range s.Localities {
 		where := metrics.Label{Name: "locality", Value: v.Name}
 		all = append(all,
 			counter("tier_picked", "Requests by locality.", float64(v.Picked), where),
 			gauge("tier_share", "Share of the load that goes to a locality.", v.Share, where),
-			gauge("tier_health", "Share of good ends there, lately.", v.Health, where),
-			gauge("tier_ramp", "Share that a locality which returned may have of its own.", v.Ramp, where),
-			gauge("tier_load", "How full its link is, by its reports; negative: not known.", v.Utilization, where),
-			gauge("tier_state", "0 steady, 1 away, 2 on trial, 3 returning.", float64(v.State), where),
-			gauge("tier_wait_seconds", "The latest wait before it was tried.", v.Backoff.Seconds(), where),
+			gauge("tier_health", "Share of recent attempts there that ended well.", v.Health, where),
+			gauge("tier_ramp", "Share of its load that a recovering locality may have.", v.Ramp, where),
+			gauge("tier_load", "Utilization of its links, by its load reports; negative: not known.", v.Utilization, where),
+			gauge("tier_state", "0 healthy (steady), 1 ejected (away), 2 on probation (trial), 3 recovering (returning).", float64(v.State), where),
+			gauge("tier_wait_seconds", "Latest backoff before its probation.", v.Backoff.Seconds(), where),
 		)
 	}
 	return all
--- a/consensus/voter.go
+++ b/consensus/voter.go
@@ -55,7 +55,7 @@
 	roundDeadline  time.Duration
 	lastReadRound  time.Duration      // when the latest round for reads alone began
 	replies        map[string]Message // to this phase, by voter
-	eligible       map[string]uint64  // by voter: the incarnation whose reply counts
+	eligible       map[string]uint64  // by voter: the incarnation that may vote in this round
 	proposed       State              // in the phase accepting
 	proposals      []Propose          // that this round serves
 	reads          []Read             // that this round serves
--- a/internal/clusternode/node.go
+++ b/internal/clusternode/node.go
@@ -112,6 +112,8 @@
 	for _, c := range set.Classes {
 		longestDeadline = max(longestDeadline, c.Deadline)
 	}
+	// The deadlines are those of the start: a reload does not reach the limits, and a longer deadline that it brings in counts
+	// from the next start only.
 	limits.DrainGrace = max(set.DrainGrace, longestDeadline+drainSlack)
 	limits.SlowStart = max(set.SlowStartFor, set.ParentSlowStartFor)
 	c := cluster.Config{Self: n.cfg.Name, Incarnation: newIncarnation(), Members: n.memberNames(), Voters: n.cfg.Voters, Limits: limits,
