--- a/locality/selector.go
+++ b/locality/selector.go
@@ -194,17 +194,6 @@
 	return s.spillShares[locality]
 }
 
-// Panicking reports whether nearly everything looks unhealthy, so that the fault is taken to be elsewhere.
-func (s *Selector) Panicking() bool { return s.panicking }
-
-// SpilloverShare returns the share of the own load that goes to other localities.
-func (s *Selector) SpilloverShare() (share float64) {
-	for _, spill := range s.spillShares {
-		share += spill
-	}
-	return share
-}
-
 // BypassShare returns, of the requests that no locality has capacity for, the share that is sent past the own caches.
 func (s *Selector) BypassShare() float64 { return s.bypass.share }
 
--- a/overload/memory.go
+++ b/overload/memory.go
@@ -171,12 +171,6 @@
 	c.added += added
 }
 
-// Usage returns the number of bytes that a client uses.
-func (c *Client) Usage() int64 { return c.reserved + c.buffered }
-
-// Slow reports whether a client reads its responses more slowly than it requests them.
-func (c *Client) Slow() bool { return c.slow }
-
 // Used returns the number of bytes buffered, of all clients.
 func (m *Memory) Used() int64 { return m.buffered }
 
