--- a/routing/inference_test.go
+++ b/routing/inference_test.go
@@ -26,21 +26,7 @@
 		rng := rand.New(rand.NewPCG(1, 2))
 		source, wrongSource, late, wrongStore := 0, 0, 0, 0
 		for range 5000 {
-			expected := rng.Float64() < 0.8 || c.busy > 0.9
-			held := rng.Float64() < 0.05
-			if expected {
-				held = rng.Float64() < 0.9 // some went unseen
-			}
-			own := time.Duration(float64(300*time.Millisecond) * (0.8 + 0.4*rng.Float64()))
-			if c.busy > 0.9 {
-				own = time.Duration(float64(own) * (1 + 4*rng.Float64()))
-			}
-			took := own
-			if !held {
-				took += c.wait
-			}
-			a := evidence{hitExpected: expected, served: held || !c.refused, rejected: !held && c.refused, late: took > aim || !held && c.refused,
-				utilization: c.busy * (0.9 + 0.2*rng.Float64()), utilizationKnown: true}
+			held, own, a := drawAnswer(rng, aim, c.busy, c.wait, c.refused)
 			filled := !a.isHit() && a.judgesSource()
 			if filled && a.late {
 				if source++; own > aim || held {
@@ -61,3 +47,22 @@
 		}
 	}
 }
+
+// drawAnswer draws whether a store held what it was asked for, how long it took by itself, and what is known of the answer.
+func drawAnswer(rng *rand.Rand, aim time.Duration, busy float64, wait time.Duration, refused bool) (held bool, own time.Duration, a evidence) {
+	expected := rng.Float64() < 0.8 || busy > 0.9
+	held = rng.Float64() < 0.05
+	if expected {
+		held = rng.Float64() < 0.9 // some went unseen
+	}
+	own = time.Duration(float64(300*time.Millisecond) * (0.8 + 0.4*rng.Float64()))
+	if busy > 0.9 {
+		own = time.Duration(float64(own) * (1 + 4*rng.Float64()))
+	}
+	took := own
+	if !held {
+		took += wait
+	}
+	return held, own, evidence{hitExpected: expected, served: held || !refused, rejected: !held && refused,
+		late: took > aim || !held && refused, utilization: busy * (0.9 + 0.2*rng.Float64()), utilizationKnown: true}
+}
--- a/routing/placement_test.go
+++ b/routing/placement_test.go
@@ -62,19 +62,7 @@
 			l = append(l, m)
 		}
 		r.do(EndpointUpdate{Kind: FullList, Endpoints: l})
-		var mine []string
-		full := ""
-		for n := 0; len(mine) < 10; n++ { // all of these open at one cache
-			if id, a := r.ask("film", fmt.Sprint("o", n)); a != nil {
-				if full == "" {
-					full = a.Endpoint
-				}
-				if a.Endpoint == full {
-					mine = append(mine, fmt.Sprint("o", n))
-				}
-				r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Final: true, Latency: 100 * ms})
-			}
-		}
+		full, mine := r.objectsAtOneCache(10)
 		asked, there := 0, 0
 		for n := range 300 {
 			r.after(20 * ms)
@@ -83,12 +71,7 @@
 			if a.Endpoint == full {
 				load = c.full
 			}
-			// What the others have to say comes with other objects' answers.
-			for _, s := range r.d.inUse[roleCache] {
-				if share, ok := r.d.loadFields.Utilization([]float64{c.others}, s.transferSlots(true)); ok && s.id != full {
-					s.load.Observe(r.now, share)
-				}
-			}
+			r.reportOthers(full, c.others)
 			r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Final: true, Latency: 100 * ms, LoadReport: []float64{load}})
 			if n >= 200 {
 				if asked++; a.Endpoint == full {
@@ -102,6 +85,34 @@
 	}
 }
 
+// objectsAtOneCache asks for films until so many have opened at the cache at which the first one did.
+func (r *rig) objectsAtOneCache(most int) (at string, objects []string) {
+	for n := 0; len(objects) < most; n++ {
+		object := fmt.Sprint("o", n)
+		id, a := r.ask("film", object)
+		if a == nil {
+			continue
+		}
+		if at == "" {
+			at = a.Endpoint
+		}
+		if a.Endpoint == at {
+			objects = append(objects, object)
+		}
+		r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Final: true, Latency: 100 * ms})
+	}
+	return at, objects
+}
+
+// reportOthers lets all caches but one report a load, as it would come with other objects' answers.
+func (r *rig) reportOthers(except string, load float64) {
+	for _, s := range r.d.inUse[roleCache] {
+		if share, ok := r.d.loadFields.Utilization([]float64{load}, s.transferSlots(true)); ok && s.id != except {
+			s.load.Observe(r.now, share)
+		}
+	}
+}
+
 // Whatever is told and allowed, what an idle cache holds is not refused.
 func TestNothingHeldByAnIdleCacheIsRefused(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -38,17 +38,8 @@
 	}{{"lost", true, false, 1}, {"slow", false, false, 0}, {"limited", true, true, 0}} {
 		r := newRig(t, nil)
 		at := r.serve("page", "x", ReasonFilled).Endpoint
-		overtaken := func() (id string, a *ForwardAttempt) { // an answer that later ones overtake
-			for {
-				if id, a = r.ask("page", "x"); a.Endpoint == at {
-					r.after(ms).serve("page", "x", ReasonHit)
-					return id, a
-				}
-				r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: ms}) // a detour
-			}
-		}
 		if c.lost {
-			id, a := overtaken()
+			id, a := r.overtaken(at)
 			r.after(3 * time.Second)
 			r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: TimedOut, Final: true, Latency: 3050 * ms})
 			r.serve("page", "x", ReasonHit)
@@ -56,14 +47,10 @@
 		if c.limited {
 			r.d.endpoints[at].concurrencyLimit.Max = 50
 		}
-		id, _ := overtaken()
+		id, _ := r.overtaken(at)
 		copies := 0
 		for range 5 {
-			for _, a := range r.after(100 * ms).do(TimerFired{Token: r.d.requests[id].token}) {
-				if _, ok := a.(ForwardAttempt); ok {
-					copies++
-				}
-			}
+			copies += countAttempts(r.after(100 * ms).do(TimerFired{Token: r.d.requests[id].token}))
 		}
 		if copies != c.copies {
 			t.Errorf("%s: %d second copies, not %d", c.name, copies, c.copies)
@@ -75,6 +62,27 @@
 	}
 }
 
+// overtaken asks for a page at an endpoint until an answer to a later request has overtaken it.
+func (r *rig) overtaken(at string) (id string, a *ForwardAttempt) {
+	for {
+		if id, a = r.ask("page", "x"); a.Endpoint == at {
+			r.after(ms).serve("page", "x", ReasonHit)
+			return id, a
+		}
+		r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: ms}) // a detour
+	}
+}
+
+func countAttempts(out []Action) int {
+	n := 0
+	for _, a := range out {
+		if _, ok := a.(ForwardAttempt); ok {
+			n++
+		}
+	}
+	return n
+}
+
 // A repeat that is decided in time and waits for its connection is not written once stores may have forgotten the first
 // attempt, which may have run. It was: behind a dial of 0.4 s.
 func TestARepeatIsNotWrittenBehindItsWindow(t *testing.T) {
@@ -105,37 +113,42 @@
 		for _, effect := range []Effect{Idempotent, IdempotentWithKey, NonIdempotent} {
 			for _, scope := range []DedupScope{ScopeAll, ScopeZone, ScopeCell} {
 				for _, late := range []bool{false, true} { // the window has passed
-					r := newRig(t, func(s *Settings) {
-						s.Classes = []Class{{Name: "k", LatencyObjective: 300 * ms, Deadline: 3 * time.Second, Effect: effect, DedupScope: scope,
-							DedupWindow: 400 * ms, Uncacheable: !kept}}
-					})
-					id, a := r.ask("k", "x")
-					if a == nil {
-						t.Fatal("no attempt")
-					}
-					from := r.d.endpoints[a.Endpoint]
-					gap := 100 * ms
-					if late {
-						gap = 500 * ms
-					}
-					out := r.after(gap).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Reset, Latency: gap})
-					again, refused, failed := first[ForwardAttempt](out), first[Reject](out), first[Fail](out)
-					what := fmt.Sprintf("kept %v, effect %v, scope %v, late %v: %v", kept, effect, scope, late, out)
-					if again != nil {
-						to := r.d.endpoints[again.Endpoint]
-						if effect == NonIdempotent || effect == IdempotentWithKey && (late || scope == ScopeZone && to.zone != from.zone ||
-							scope == ScopeCell && to.cell != from.cell) {
-							t.Error(what)
-						}
-					}
-					if refused != nil && (effect == NonIdempotent || effect == IdempotentWithKey && scope != ScopeAll) {
-						t.Error(what)
-					}
-					if again == nil && refused == nil && failed == nil || effect == NonIdempotent && failed == nil {
-						t.Error(what)
-					}
+					checkEffect(t, kept, effect, scope, late)
 				}
 			}
 		}
 	}
 }
+
+func checkEffect(t *testing.T, kept bool, effect Effect, scope DedupScope, late bool) {
+	t.Helper()
+	r := newRig(t, func(s *Settings) {
+		s.Classes = []Class{{Name: "k", LatencyObjective: 300 * ms, Deadline: 3 * time.Second, Effect: effect, DedupScope: scope,
+			DedupWindow: 400 * ms, Uncacheable: !kept}}
+	})
+	id, a := r.ask("k", "x")
+	if a == nil {
+		t.Fatal("no attempt")
+	}
+	from := r.d.endpoints[a.Endpoint]
+	gap := 100 * ms
+	if late {
+		gap = 500 * ms
+	}
+	out := r.after(gap).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Reset, Latency: gap})
+	again, refused, failed := first[ForwardAttempt](out), first[Reject](out), first[Fail](out)
+	what := fmt.Sprintf("kept %v, effect %v, scope %v, late %v: %v", kept, effect, scope, late, out)
+	if again != nil {
+		to := r.d.endpoints[again.Endpoint]
+		if effect == NonIdempotent || effect == IdempotentWithKey && (late || scope == ScopeZone && to.zone != from.zone ||
+			scope == ScopeCell && to.cell != from.cell) {
+			t.Error(what)
+		}
+	}
+	if refused != nil && (effect == NonIdempotent || effect == IdempotentWithKey && scope != ScopeAll) {
+		t.Error(what)
+	}
+	if again == nil && refused == nil && failed == nil || effect == NonIdempotent && failed == nil {
+		t.Error(what)
+	}
+}
--- a/routing/slow_start_test.go
+++ b/routing/slow_start_test.go
@@ -108,8 +108,8 @@
 		r.after(50*ms).serve("film", fmt.Sprint("small", n%7), ReasonNone)
 	}
 	r.d.updateCarriedRate(roleCache)
-	if did, real := 4*r.d.carriedRate[roleCache], 20*0.03; did > 1.5*real {
-		t.Errorf("four caches are taken to do %.2f s of work a second, and did %.2f", did, real)
+	if seen, did := 4*r.d.carriedRate[roleCache], 20*0.03; seen > 1.5*did {
+		t.Errorf("four caches are taken to do %.2f s of work a second, and did %.2f", seen, did)
 	}
 }
 
@@ -121,29 +121,12 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 1))
 			f := newFleet(t, 40, nil)
-			const sendTime = 0.1 // seconds of work of each request: 400 KB at 4000 KB/s
-			warm := 0.0          // work that the warm parent did
-			chance := 0.05       // that a director asks for something
-			step := func(count map[string]float64) {
-				f.now += 10 * ms
-				for _, r := range f.rigs {
-					r.now = f.now
-					if rng.Float64() > chance {
-						continue
-					}
-					id, a := r.ask("film", fmt.Sprint("o", rng.IntN(1<<30)))
-					if a == nil {
-						continue
-					}
-					count[a.FillSource] += sendTime
-					r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 150 * ms})
-				}
-			}
+			chance := 0.05 // that a director asks for something
 			before := map[string]float64{}
 			for range 600 {
-				step(before)
+				f.askByChance(rng, chance, before)
 			}
-			warm = (before["p1"] + before["p2"]) / 2 / 6 // a second
+			warm := (before["p1"] + before["p2"]) / 2 / 6 // work a second that a warm parent did
 			l := members()[5:6]
 			l[0].Incarnation = f.now
 			for i := range 10 {
@@ -158,7 +141,7 @@
 			cold := map[string]float64{}
 			chance /= 2 // so that the other parent alone is not seen to do more than it did before
 			for range 300 {
-				step(cold)
+				f.askByChance(rng, chance, cold)
 			}
 			s := settings()
 			share := s.ParentSlowStartFrom + (1-s.ParentSlowStartFrom)*1.5/s.ParentSlowStartFor.Seconds()
@@ -169,6 +152,25 @@
 	}
 }
 
+// askByChance moves the clock by 10 ms, lets each director ask for a new object with a chance, and adds the work that this
+// brings to the sources of the fills.
+func (f *fleet) askByChance(rng *rand.Rand, chance float64, work map[string]float64) {
+	const sendTime = 0.1 // seconds of work of each request: 400 KB at 4000 KB/s
+	f.now += 10 * ms
+	for _, r := range f.rigs {
+		r.now = f.now
+		if rng.Float64() > chance {
+			continue
+		}
+		id, a := r.ask("film", fmt.Sprint("o", rng.IntN(1<<30)))
+		if a == nil {
+			continue
+		}
+		work[a.FillSource] += sendTime
+		r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 150 * ms})
+	}
+}
+
 // Where many share a location, one that knows of no warm server has its part of the floor, and no more.
 func TestFloorsOfNewDirectorsDoNotAddUp(t *testing.T) {
 	f := newFleet(t, 60, nil)
@@ -267,65 +269,22 @@
 	for seed := range uint64(12) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		n := 2 + rng.IntN(60)
-		f := newFleet(t, n, func(s *Settings) {
+		u := unevenFleet{rng: rng}
+		u.fleet = newFleet(t, n, func(s *Settings) {
 			s.Gossip = true // and none arrives
 			s.OverloadWindow, s.OverloadMultiple, s.SlowStartFrom, s.SlowStartFor = time.Second, 2, 0.19, 15*time.Second
 		})
-		rate, sum := make([]float64, n), 0.0
-		for i := range rate {
-			rate[i] = math.Exp(rng.NormFloat64())
-			sum += rate[i]
-		}
-		const perSecond, sendTime = 200.0, 0.1
-		step := func(count map[string]float64) {
-			f.now += 10 * ms
-			for i, r := range f.rigs {
-				r.now = f.now
-				if r.d == nil || rng.Float64() > perSecond*rate[i]/sum*0.01 {
-					continue
-				}
-				if id, a := r.ask("film", fmt.Sprint("o", rng.IntN(1<<30))); a != nil {
-					count[a.Endpoint] += sendTime
-					r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 150 * ms})
-				}
-			}
+		u.rate = make([]float64, n)
+		for i := range u.rate {
+			u.rate[i] = math.Exp(rng.NormFloat64())
+			u.sum += u.rate[i]
 		}
 		before := map[string]float64{}
 		for range 600 {
-			step(before)
+			u.step(before)
 		}
 		warm := (before["c1"] + before["c2"] + before["c3"] + before["c4"]) / 4 / 6 // work a second: the least that it can do
-		l := members()[:1]
-		l[0].Incarnation = f.now
-		heard := make([]time.Duration, n)
-		for i := range heard {
-			heard[i] = f.now + time.Duration(rng.IntN(100))*ms
-		}
-		dead := map[int]bool{}
-		for i := range n / 2 {
-			dead[i] = rng.IntN(2) == 0
-		}
-		var sent []float64
-		for range 500 {
-			for i, r := range f.rigs {
-				if heard[i] > 0 && heard[i] <= f.now {
-					heard[i] = 0
-					r.now = f.now
-					r.do(EndpointUpdate{Kind: DeltaList, Endpoints: l})
-				}
-			}
-			if len(sent) == 100 { // some die, and return knowing the list alone
-				for i := range dead {
-					if dead[i] {
-						f.rigs[i] = f.start(i, n, func(s *Settings) { *s = f.rigs[i].d.set })
-						f.rigs[i].do(EndpointUpdate{Kind: FullList, Endpoints: append(members()[1:], l...)})
-					}
-				}
-			}
-			count := map[string]float64{}
-			step(count)
-			sent = append(sent, count["c1"])
-		}
+		sent := u.startCache()
 		for from := 0; from+100 <= len(sent); from++ {
 			got, can := 0.0, 0.0
 			for k := from; k < from+100; k++ {
@@ -333,9 +292,77 @@
 				can += warm * (0.19 + 0.81*float64(k)/1500) * 0.01
 			}
 			// Chance has its part: traffic comes one at a time, and what is warm was measured over six seconds.
-			if most := 2*can + 6*sendTime; got > most {
+			if most := 2*can + 6*unevenSendTime; got > most {
 				t.Fatalf("seed %d, %d directors: %.1f s of work within a second, %.1f are allowed", seed, n, got, most)
 			}
 		}
 	}
 }
+
+const unevenSendTime = 0.1 // seconds of work of each request
+
+// unevenFleet is a location of directors with uneven traffic.
+type unevenFleet struct {
+	*fleet
+	rng  *rand.Rand
+	rate []float64 // of each director's requests,
+	sum  float64   // and of all
+}
+
+// step moves the clock by 10 ms, lets some directors ask, and adds the work that this brings to the caches.
+func (u *unevenFleet) step(work map[string]float64) {
+	const perSecond = 200.0
+	u.now += 10 * ms
+	for i, r := range u.rigs {
+		r.now = u.now
+		if r.d == nil || u.rng.Float64() > perSecond*u.rate[i]/u.sum*0.01 {
+			continue
+		}
+		if id, a := r.ask("film", fmt.Sprint("o", u.rng.IntN(1<<30))); a != nil {
+			work[a.Endpoint] += unevenSendTime
+			r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 150 * ms})
+		}
+	}
+}
+
+// startCache restarts c1, of which each director hears a little later, and gives the work that c1 is sent in each step from
+// then on. After a second some directors die, and return knowing the list alone.
+func (u *unevenFleet) startCache() (sent []float64) {
+	n, rng := len(u.rigs), u.rng
+	l := members()[:1]
+	l[0].Incarnation = u.now
+	heard := make([]time.Duration, n)
+	for i := range heard {
+		heard[i] = u.now + time.Duration(rng.IntN(100))*ms
+	}
+	dead := map[int]bool{}
+	for i := range n / 2 {
+		dead[i] = rng.IntN(2) == 0
+	}
+	for range 500 {
+		for i, r := range u.rigs {
+			if heard[i] > 0 && heard[i] <= u.now {
+				heard[i] = 0
+				r.now = u.now
+				r.do(EndpointUpdate{Kind: DeltaList, Endpoints: l})
+			}
+		}
+		if len(sent) == 100 {
+			u.restart(dead, l)
+		}
+		count := map[string]float64{}
+		u.step(count)
+		sent = append(sent, count["c1"])
+	}
+	return sent
+}
+
+// restart starts those that died anew.
+func (u *unevenFleet) restart(dead map[int]bool, l []Endpoint) {
+	for i := range dead {
+		if dead[i] {
+			u.rigs[i] = u.start(i, len(u.rigs), func(s *Settings) { *s = u.rigs[i].d.set })
+			u.rigs[i].do(EndpointUpdate{Kind: FullList, Endpoints: append(members()[1:], l...)})
+		}
+	}
+}
