--- a/client/tcp.go
+++ b/client/tcp.go
@@ -19,27 +19,29 @@
 }
 
 // rpcConn is one connection, with one goroutine that reads and one that writes.
+//
+// Messages are encoded into a buffer that the writer takes whole, so that no method blocks.
 type rpcConn struct {
-	ev     Events
+	events Events
 	cancel context.CancelFunc
 
-	mu     sync.Mutex
-	wake   *sync.Cond
-	nc     net.Conn
-	out    bytes.Buffer
-	enc    *rpc.Encoder
-	next   uint32
-	tries  map[uint32]uint64 // by message id
-	ids    map[uint64]uint32 // by try
-	probes map[uint32]bool
-	closed bool
+	mu               sync.Mutex // guards what follows
+	wake             *sync.Cond // for the writer: there is something to write, or the connection is closed
+	nc               net.Conn   // nil before it is up
+	outgoing         bytes.Buffer
+	enc              *rpc.Encoder // writes to outgoing
+	lastMessageID    uint32
+	attemptByMessage map[uint32]uint64 // those in flight
+	messageByAttempt map[uint64]uint32
+	healthChecks     map[uint32]bool // by message: those without an answer
+	closed           bool
 }
 
 // Connect begins to connect.
 func (t *RPC) Connect(gateway string, timeout time.Duration, ev Events) Conn {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
-	c := &rpcConn{ev: ev, cancel: cancel, tries: map[uint32]uint64{}, ids: map[uint64]uint32{}, probes: map[uint32]bool{}}
-	c.wake, c.enc = sync.NewCond(&c.mu), rpc.NewEncoder(&c.out)
+	c := &rpcConn{events: ev, cancel: cancel, attemptByMessage: map[uint32]uint64{}, messageByAttempt: map[uint64]uint32{}, healthChecks: map[uint32]bool{}}
+	c.wake, c.enc = sync.NewCond(&c.mu), rpc.NewEncoder(&c.outgoing)
 	dial := t.Dial
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
@@ -48,10 +50,11 @@
 	return c
 }
 
+// run connects, reports what comes, and reports the end as the last of all.
 func (c *rpcConn) run(ctx context.Context, addr string, dial func(context.Context, string, string) (net.Conn, error)) {
 	defer c.cancel()
 	clean := false
-	defer func() { c.ev.Down(clean) }()
+	defer func() { c.events.Down(clean) }()
 	nc, err := dial(ctx, "tcp", addr)
 	if err != nil {
 		return
@@ -59,12 +62,12 @@
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
-		nc.Close()
+		_ = nc.Close() // nothing was sent on it
 		return
 	}
 	c.nc = nc
 	c.mu.Unlock()
-	c.ev.Up()
+	c.events.Up()
 	var writer sync.WaitGroup
 	writer.Go(c.write)
 	err = c.read()
@@ -73,7 +76,10 @@
 	clean = errors.Is(err, io.EOF)
 }
 
-// read hands answers on until the connection ends.
+// errUnknownMessage is why a connection ends whose gateway answers a message that was never sent.
+var errUnknownMessage = errors.New("an answer to what was never asked")
+
+// read hands answers on until the connection ends, and returns why it did.
 func (c *rpcConn) read() error {
 	r := rpc.NewReader(c.nc)
 	for {
@@ -81,62 +87,75 @@
 		if err != nil {
 			return err
 		}
-		c.mu.Lock()
-		try, ok := c.tries[a.ID]
-		probe := c.probes[a.ID]
-		delete(c.probes, a.ID)
-		if ok {
-			delete(c.tries, a.ID)
-			delete(c.ids, try)
-		}
-		known := a.ID <= c.next
-		c.mu.Unlock()
+		m := c.takeMessage(a.ID)
 		switch {
-		case probe:
-			c.ev.Heard(a.Alive)
-		case ok:
-			c.ev.Answer(try, Answer{OK: a.Error == "", Backoff: a.Error == rpc.Backoff, Later: a.Later, Body: a.Body,
+		case m.healthCheck:
+			c.events.Heard(a.Healthy)
+		case m.inFlight:
+			c.events.Answer(m.attempt, Answer{OK: a.Error == "", Backoff: a.Error == rpc.Backoff, Later: a.RetryAfter, Body: a.Body,
 				Unchanged: a.Still && len(a.Body) == 0})
-		case known: // it was given up, or answered before
-			c.ev.Heard(false)
+		case m.sent: // it was abandoned, or answered before
+			c.events.Heard(false)
 		default:
-			return errors.New("an answer to what was never asked")
+			return errUnknownMessage
 		}
 	}
 }
 
+// message is what an answer's message id stands for.
+type message struct {
+	attempt     uint64
+	inFlight    bool // the attempt wants an answer
+	healthCheck bool
+	sent        bool
+}
+
+// takeMessage looks a message id up, and forgets what it stands for: one answer is all that it gets.
+func (c *rpcConn) takeMessage(id uint32) message {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	m := message{healthCheck: c.healthChecks[id], sent: id <= c.lastMessageID}
+	delete(c.healthChecks, id)
+	if m.attempt, m.inFlight = c.attemptByMessage[id]; m.inFlight {
+		delete(c.attemptByMessage, id)
+		delete(c.messageByAttempt, m.attempt)
+	}
+	return m
+}
+
+// write writes what is outgoing until the connection is closed.
 func (c *rpcConn) write() {
 	var b []byte
 	for {
 		c.mu.Lock()
-		for c.out.Len() == 0 && !c.closed {
+		for c.outgoing.Len() == 0 && !c.closed {
 			c.wake.Wait()
 		}
 		if c.closed {
 			c.mu.Unlock()
 			return
 		}
-		b = append(b[:0], c.out.Bytes()...)
-		c.out.Reset()
+		b = append(b[:0], c.outgoing.Bytes()...)
+		c.outgoing.Reset()
 		c.mu.Unlock()
 		if _, err := c.nc.Write(b); err != nil {
-			c.nc.Close() // the reader reports it
+			_ = c.nc.Close() // the reader reports the end
 			return
 		}
 	}
 }
 
-// Send sends a try under the next message id.
+// Send sends an attempt under the next message id.
 func (c *rpcConn) Send(t Try) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return
 	}
-	c.next++
-	c.tries[c.next], c.ids[t.ID] = t.ID, c.next
+	c.lastMessageID++
+	c.attemptByMessage[c.lastMessageID], c.messageByAttempt[t.ID] = t.ID, c.lastMessageID
 	r := t.Request
-	_ = c.enc.Request(&rpc.Request{ID: c.next, Class: r.Class, Txn: t.Txn, Limit: t.Limit, Second: t.Second, Key: t.Key,
+	_ = c.enc.Request(&rpc.Request{ID: c.lastMessageID, Class: r.Class, Txn: t.Txn, Limit: t.Limit, Retry: t.Second, Key: t.Key,
 		Object: r.Object, Part: r.Part, Group: r.Group, Have: r.Have, Body: r.Body}) // a buffer takes it all
 	c.wake.Signal()
 }
@@ -145,13 +164,13 @@
 func (c *rpcConn) Abandon(try uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	id, ok := c.ids[try]
+	id, ok := c.messageByAttempt[try]
 	if !ok || c.closed {
 		return
 	}
-	delete(c.ids, try)
-	delete(c.tries, id)
-	_ = c.enc.Cancel(id)
+	delete(c.messageByAttempt, try)
+	delete(c.attemptByMessage, id)
+	_ = c.enc.Cancel(id) // a buffer takes it all
 	c.wake.Signal()
 }
 
@@ -162,9 +181,9 @@
 	if c.closed {
 		return
 	}
-	c.next++
-	c.probes[c.next] = true
-	_ = c.enc.Alive(c.next)
+	c.lastMessageID++
+	c.healthChecks[c.lastMessageID] = true
+	_ = c.enc.HealthCheck(c.lastMessageID) // a buffer takes it all
 	c.wake.Signal()
 }
 
@@ -179,6 +198,6 @@
 	c.cancel()
 	c.wake.Broadcast()
 	if c.nc != nil {
-		c.nc.Close()
+		_ = c.nc.Close() // the reader reports the end
 	}
 }
--- a/internal/net/admin/admin.go
+++ b/internal/net/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin answers operators at an address of their own: a connection carries one line with the name of a call and
-// gets one reply. It knows no figures itself; what it tells is handed in.
+// Package admin answers operators at an address of their own: a connection carries one line with the name of a call and gets
+// one reply. What it replies is handed in by Config. Servers live on the gateway's loop.
 package admin
 
 import (
@@ -14,9 +14,9 @@
 )
 
 const (
-	lineMost = 256                    // bytes of a call
-	sweep    = 250 * time.Millisecond // between two looks for callers that complete no call
-	prefix   = "balancer"             // of the figures
+	maxCallBytes  = 256
+	sweepInterval = 250 * time.Millisecond // between two looks for callers that complete no call
+	metricPrefix  = "balancer"             // of the figures
 )
 
 // Names of the calls.
@@ -30,12 +30,12 @@
 	errNoLine   = errors.New("a call that does not end")
 )
 
-// Config says what a Server tells. Its functions run on the loop.
+// Config says what a Server replies. Its functions run on the loop.
 type Config struct {
 	Loop     *gateway.Loop
-	Ready    func() error           // nil: this process takes clients; else the reason why it does not
+	Ready    func() error           // nil: this process accepts clients; else why it does not
 	Stats    func() []metrics.Value // the present figures
-	MaxConns int                    // callers at once; one beyond has the one that was silent longest closed
+	MaxConns int                    // callers at once; for one more, the one that was silent longest is closed
 }
 
 // Server answers calls. Its methods, but for Listen, run on the loop.
@@ -47,7 +47,7 @@
 // New returns a server that does not listen yet.
 func New(cfg Config) *Server {
 	s := &Server{cfg: cfg, callers: transport.NewConnTracker(cfg.MaxConns)}
-	cfg.Loop.After(sweep, s.sweep)
+	cfg.Loop.After(sweepInterval, s.sweep)
 	return s
 }
 
@@ -60,7 +60,7 @@
 // sweep closes callers that complete no call.
 func (s *Server) sweep() {
 	s.callers.Sweep(s.cfg.Loop.Now(), nil)
-	s.cfg.Loop.After(sweep, s.sweep)
+	s.cfg.Loop.After(sweepInterval, s.sweep)
 }
 
 // reply words the reply to a call.
@@ -72,16 +72,16 @@
 		}
 		return []byte("ok\n")
 	case callStats:
-		return append(metrics.StatsD(prefix, s.cfg.Stats()), "eof\n"...)
+		return append(metrics.StatsD(metricPrefix, s.cfg.Stats()), "eof\n"...)
 	}
 	return fmt.Appendf(nil, "fail unknown call %.40q: %s or %s\n", call, callReady, callStats)
 }
 
 // caller is one connection.
 type caller struct {
-	server *Server
-	line   []byte // poller: what has come of the call
-	called bool   // poller: it has come whole
+	server   *Server
+	line     []byte // the poller's: what has come of the call
+	answered bool   // the poller's: it is complete
 
 	slot *transport.TrackedConn // loop
 	gone bool                   // loop
@@ -96,21 +96,23 @@
 	})
 }
 
-// OnBytes answers once the line has come whole. What follows it is passed over.
+// OnBytes answers once the line is complete. What follows it is ignored.
 func (c *caller) OnBytes(tc *transport.Conn, b []byte, _ time.Time) error {
-	if c.called {
+	if c.answered {
 		return nil
 	}
-	line, _, whole := bytes.Cut(append(c.line, b...), []byte("\n"))
-	if c.line = line; len(line) > lineMost {
+	line, _, complete := bytes.Cut(append(c.line, b...), []byte("\n"))
+	c.line = line
+	if len(line) > maxCallBytes {
 		return errNoLine
 	}
-	if c.called = whole; !whole {
+	c.answered = complete
+	if !complete {
 		return nil
 	}
 	call := string(bytes.TrimSpace(line))
 	c.server.cfg.Loop.Post(func() {
-		_ = tc.Write(c.server.reply(call))
+		_ = tc.Write(c.server.reply(call)) // one that fails has closed the connection
 		tc.CloseGracefully(errAnswered, transport.LingerTime)
 	})
 	return nil
--- a/internal/net/clustertransport/link_test.go
+++ b/internal/net/clustertransport/transport_test.go
@@ -29,32 +29,66 @@
 
 func drawMessage(t *rapid.T) cluster.Message {
 	text := rapid.StringMatching("[a-z0-9]{0,12}")
-	ballot := func(name string) consensus.Ballot {
-		return consensus.Ballot{Number: rapid.Uint64().Draw(t, name), Voter: text.Draw(t, name)}
+	m := cluster.Message{
+		Kind:          cluster.MessageKind(rapid.IntRange(1, 9).Draw(t, "kind")),
+		ID:            rapid.Uint64().Draw(t, "id"),
+		Incarnation:   rapid.Uint64().Draw(t, "incarnation"),
+		NoView:        rapid.Bool().Draw(t, "no view"),
+		ViewDigest:    rapid.Uint64().Draw(t, "digest"),
+		Revision:      rapid.Uint64().Draw(t, "revision"),
+		NotifiedEpoch: rapid.Uint64().Draw(t, "notified"),
+		StoppedEpoch:  rapid.Uint64().Draw(t, "stopped"),
+		Query:         text.Draw(t, "query"),
+		Rejected:      text.Draw(t, "rejected"),
 	}
-	m := cluster.Message{Kind: cluster.MessageKind(rapid.IntRange(1, 9).Draw(t, "kind")), ID: rapid.Uint64().Draw(t, "id"), Incarnation: rapid.Uint64().Draw(t, "life"), NoView: rapid.Bool().Draw(t, "blank"),
-		ViewDigest: rapid.Uint64().Draw(t, "have"), Revision: rapid.Uint64().Draw(t, "revision"), NotifiedEpoch: rapid.Uint64().Draw(t, "heard"), Query: text.Draw(t, "query"), Rejected: text.Draw(t, "refused")}
 	if rapid.Bool().Draw(t, "value") {
 		m.Value = []byte(text.Draw(t, "bytes"))
 	}
 	if m.Kind == cluster.ConsensusMessage {
-		m.Consensus = consensus.Message{Kind: consensus.MessageKind(rapid.IntRange(1, 9).Draw(t, "vote")), Incarnation: 7, Ballot: ballot("ballot"), NextBallot: ballot("next"), AcceptedBallot: ballot("accepted"),
-			State: consensus.State{Revision: 3, Incarnations: map[string]uint64{"a": rapid.Uint64().Draw(t, "a")}, Value: []byte("x")}}
+		m.Consensus = drawConsensus(t)
 	}
 	if rapid.Bool().Draw(t, "report") {
-		m.Report = &cluster.Report{Pressure: text.Draw(t, "strain"), Machines: map[string]maintenance.Machine{"b1": {Kind: "box", Zone: "z", Up: true, BootMs: 17, Weight: 2.5, Utilization: -1}}}
+		m.Report = &cluster.Report{Pressure: text.Draw(t, "pressure"), Machines: map[string]maintenance.Machine{
+			"b1": {Kind: "box", Zone: "z", Up: true, BootMs: 17, Weight: 2.5, Utilization: -1},
+		}}
 	}
-	if rapid.Bool().Draw(t, "copy") {
-		life := replication.Incarnation{Name: "w" + text.Draw(t, "writer"), Number: rapid.Uint64().Draw(t, "number")}
-		m.Replication = &replication.Message{Kind: replication.PullReply, ID: m.ID, MaxBytes: 17, More: m.NoView, Versions: []replication.StreamVersions{{Incarnation: life, UpTo: [2]uint64{m.Incarnation, 3}}},
-			Checksum: &replication.RangeChecksum{Incarnation: life, Stream: replication.Bulk, From: 3, To: m.Incarnation, Sum: m.ViewDigest},
-			Slots: []replication.TransferredSlot{{Slot: replication.Slot{Writer: life, Seq: 9, Kind: replication.Kind(rapid.Uint32().Draw(t, "slot")), Key: text.Draw(t, "key"), Value: []byte("v"), Timestamp: m.Incarnation},
-				MaxAge: 70 * time.Microsecond, MinAge: 30 * time.Microsecond}}}
+	if rapid.Bool().Draw(t, "replication") {
+		m.Replication = drawReplication(t, m)
 	}
 	return m
 }
 
-// What a former version proposed without a Prepare had no majority's promise: it is not a message that a voter heeds.
+func drawConsensus(t *rapid.T) consensus.Message {
+	ballot := func(name string) consensus.Ballot {
+		return consensus.Ballot{Number: rapid.Uint64().Draw(t, name), Voter: rapid.StringMatching("[a-z0-9]{0,12}").Draw(t, name)}
+	}
+	return consensus.Message{
+		Kind:           consensus.MessageKind(rapid.IntRange(1, 9).Draw(t, "consensus kind")),
+		Incarnation:    7,
+		Ballot:         ballot("ballot"),
+		NextBallot:     ballot("next"),
+		AcceptedBallot: ballot("accepted"),
+		State:          consensus.State{Revision: 3, Incarnations: map[string]uint64{"a": rapid.Uint64().Draw(t, "a")}, Value: []byte("x")},
+	}
+}
+
+func drawReplication(t *rapid.T, m cluster.Message) *replication.Message {
+	text := rapid.StringMatching("[a-z0-9]{0,12}")
+	writer := replication.Incarnation{Name: "w" + text.Draw(t, "writer"), Number: rapid.Uint64().Draw(t, "number")}
+	slot := replication.Slot{Writer: writer, Seq: 9, Kind: replication.Kind(rapid.Uint32().Draw(t, "slot")), Key: text.Draw(t, "key"),
+		Value: []byte("v"), Timestamp: m.Incarnation}
+	return &replication.Message{
+		Kind:     replication.PullReply,
+		ID:       m.ID,
+		MaxBytes: 17,
+		More:     m.NoView,
+		Versions: []replication.StreamVersions{{Incarnation: writer, UpTo: [2]uint64{m.Incarnation, 3}}},
+		Checksum: &replication.RangeChecksum{Incarnation: writer, Stream: replication.Bulk, From: 3, To: m.Incarnation, Sum: m.ViewDigest},
+		Slots:    []replication.TransferredSlot{{Slot: slot, MaxAge: 70 * time.Microsecond, MinAge: 30 * time.Microsecond}},
+	}
+}
+
+// What a former version proposed without a Prepare had no majority's promise: it is read as a message that voters ignore.
 func TestAFormerVersionHasToPrepare(t *testing.T) {
 	pb := encodeMessage(cluster.Message{Kind: cluster.ConsensusMessage, Consensus: consensus.Message{Kind: consensus.Accept, Ballot: consensus.Ballot{Number: 5, Voter: "a"}}})
 	if decodeMessage(pb).Consensus.Kind != consensus.Accept {
@@ -84,11 +118,13 @@
 			sent, stream = append(sent, m), append(stream, f...)
 			ends = append(ends, len(stream))
 		}
-		whole := len(sent)
+		intact := len(sent)
 		if rapid.Bool().Draw(t, "change") {
 			at := rapid.IntRange(0, len(stream)-1).Draw(t, "at")
 			stream[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
-			for whole = 0; whole < len(ends) && ends[whole] <= at; whole++ {
+			intact = 0
+			for intact < len(ends) && ends[intact] <= at {
+				intact++
 			}
 		}
 		r := &frameReader{key: key, challenge: challenge, self: "b"}
@@ -96,11 +132,11 @@
 		var err error
 		for len(stream) > 0 && err == nil {
 			n := rapid.IntRange(1, len(stream)).Draw(t, "piece")
-			err = r.feed(stream[:n], func(from string, m cluster.Message) { got = append(got, m) })
+			err = r.feed(stream[:n], func(_ string, m cluster.Message) { got = append(got, m) })
 			stream = stream[n:]
 		}
-		if !reflect.DeepEqual(got, sent[:whole]) && len(got)+whole > 0 {
-			t.Fatalf("%+v are read, %+v were written", got, sent[:whole])
+		if !reflect.DeepEqual(got, sent[:intact]) && len(got)+intact > 0 {
+			t.Fatalf("%+v are read, %+v were written", got, sent[:intact])
 		}
 	})
 }
@@ -114,8 +150,8 @@
 	return f
 }
 
-// What nobody with the key would say now is refused: with another key, to another connection, for another, without a version, too
-// long; and what comes again on the same connection is passed over.
+// What nobody with the key would send now is rejected: with another key, to another connection, for another, without a version, too
+// long; and what comes again on the same connection is ignored.
 func TestForgedAndReplayedFrames(t *testing.T) {
 	one, two := bytes.Repeat([]byte{1}, challengeSize), bytes.Repeat([]byte{2}, challengeSize)
 	good := func() *frameWriter { return &frameWriter{key: key, challenge: one, from: "a", to: "b"} }
@@ -151,7 +187,7 @@
 		}
 	}
 	if n != 1 || r.replayed != 2 {
-		t.Errorf("%d of a frame, one overtaken and one that comes again are read, %d passed over", n, r.replayed)
+		t.Errorf("%d of a frame, one overtaken and one that comes again are read, %d ignored", n, r.replayed)
 	}
 	r = &frameReader{key: key, challenge: one, self: "b"}
 	other := &frameWriter{key: key, challenge: one, from: "c", to: "b", sequence: 5}
@@ -163,7 +199,7 @@
 	}
 }
 
-func TestVotesAreReadAsWritten(t *testing.T) {
+func TestAcceptorStatesAreReadAsWritten(t *testing.T) {
 	v := consensus.AcceptorState{Incarnation: 9, Promised: consensus.Ballot{Number: 4, Voter: "a"}, Accepted: consensus.Ballot{Number: 3, Voter: "b"}, Initialized: true,
 		State: consensus.State{Revision: 2, Incarnations: map[string]uint64{"a": 1}, Value: []byte("{}")}}
 	b, err := EncodeAcceptorState(v)
@@ -180,90 +216,134 @@
 	}
 }
 
-// Two ends of a link speak, over a real connection each way; a member that goes and returns is found again; a tool is answered on its
-// own connection; strangers are turned away.
-func TestLink(t *testing.T) {
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	type end struct {
-		loop  *gateway.Loop
-		link  *Transport
-		heard chan cluster.Message
-	}
-	var members []Member
-	for _, n := range []string{"a", "b"} {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
+// Two members exchange messages over a connection each way; a member that ends and starts again is found; a tool is answered on
+// its own connection; who has not the key is rejected.
+func TestTransport(t *testing.T) {
+	members := freeMembers(t, "a", "b")
+	a, b := startMember(t, members, 0), startMember(t, members, 1)
+	sendUntilReceived(t, a, b, "b", 1)
+	sendUntilReceived(t, b, a, "a", 2)
+	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	defer cancel()
+	tool := dialTool(ctx, t, members[0], key)
+	for range 2 {
+		if m, err := tool.Request(ctx, cluster.Message{Query: "state"}); err != nil || string(m.Value) != "yes" {
+			t.Fatalf("a tool's request: %+v, %v", m, err)
 		}
-		members = append(members, Member{n, l.Addr().String()})
-		l.Close()
 	}
-	start := func(i int) *end {
-		e := &end{loop: gateway.NewLoop(), heard: make(chan cluster.Message, 100)}
-		engine, err := transport.New(log, 1<<20)
+	thief := dialTool(ctx, t, members[0], []byte("another key altogether, 32 bytes"))
+	if _, err := thief.Request(ctx, cluster.Message{Query: "state"}); err == nil || strings.Contains(err.Error(), "deadline") {
+		t.Errorf("without the key: %v", err)
+	}
+	closed := make(chan struct{})
+	b.loop.Post(func() { b.transport.Close(); close(closed) })
+	<-closed
+	b = startMember(t, members, 1)
+	sendUntilReceived(t, a, b, "b", 3)
+}
+
+// freeMembers are members with addresses that nobody listens on.
+func freeMembers(t *testing.T, names ...string) (members []Member) {
+	t.Helper()
+	for _, name := range names {
+		var lc net.ListenConfig
+		l, err := lc.Listen(t.Context(), "tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		var link atomic.Pointer[Transport]
-		l, err := Open(members[i].Name, members[i].Addr, members, key, e.loop, engine, log, func(from string, m cluster.Message) {
-			if m.Kind == cluster.OperatorRequest {
-				link.Load().Send(from, cluster.Message{Kind: cluster.OperatorReply, ID: m.ID, Value: []byte("yes")})
-				return
-			}
-			e.heard <- m
-		})
-		if err != nil {
+		members = append(members, Member{name, l.Addr().String()})
+		if err := l.Close(); err != nil {
 			t.Fatal(err)
 		}
-		link.Store(l)
-		e.link = l
-		go e.loop.Run()
-		t.Cleanup(func() { e.loop.Post(l.Close); e.loop.Post(e.loop.Close); engine.Stop() })
-		return e
 	}
-	say := func(from, to *end, name string, id uint64) { // until it arrives: messages may get lost while a connection comes up
-		t.Helper()
-		late := time.After(10 * time.Second)
-		for {
-			from.loop.Post(func() { from.link.Send(name, cluster.Message{Kind: cluster.RenewLease, ID: id}) })
-			select {
-			case m := <-to.heard:
-				if m.ID == id {
-					return
-				}
-			case <-time.After(50 * time.Millisecond):
-			case <-late:
-				t.Fatalf("nothing arrives at %s", name)
-			}
-		}
+	return members
+}
+
+// runningMember answers operators' requests with yes, and hands on all other messages.
+type runningMember struct {
+	loop      *gateway.Loop
+	transport *Transport
+	received  chan cluster.Message
+}
+
+func startMember(t *testing.T, members []Member, i int) *runningMember {
+	t.Helper()
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	m := &runningMember{loop: gateway.NewLoop(), received: make(chan cluster.Message, 100)}
+	engine, err := transport.New(log, 1<<20)
+	if err != nil {
+		t.Fatal(err)
 	}
-	a, b := start(0), start(1)
-	say(a, b, "b", 1)
-	say(b, a, "a", 2)
-	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-	defer cancel()
-	tool, err := DialTool(ctx, "a", members[0].Addr, key)
+	var opened atomic.Pointer[Transport]
+	m.transport, err = Open(members[i].Name, members[i].Addr, members, key, m.loop, engine, log, func(from string, msg cluster.Message) {
+		if msg.Kind == cluster.OperatorRequest {
+			opened.Load().Send(from, cluster.Message{Kind: cluster.OperatorReply, ID: msg.ID, Value: []byte("yes")})
+			return
+		}
+		m.received <- msg
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer tool.Close()
-	for range 2 {
-		if m, err := tool.Request(ctx, cluster.Message{Query: "state"}); err != nil || string(m.Value) != "yes" {
-			t.Fatalf("a tool's question: %+v, %v", m, err)
+	opened.Store(m.transport)
+	go m.loop.Run()
+	t.Cleanup(func() { m.loop.Post(m.transport.Close); m.loop.Post(m.loop.Close); engine.Stop() })
+	return m
+}
+
+// sendUntilReceived repeats a message until it arrives: it may get lost while a connection comes up.
+func sendUntilReceived(t *testing.T, from, to *runningMember, name string, id uint64) {
+	t.Helper()
+	late := time.After(10 * time.Second)
+	for {
+		from.loop.Post(func() { from.transport.Send(name, cluster.Message{Kind: cluster.RenewLease, ID: id}) })
+		select {
+		case m := <-to.received:
+			if m.ID == id {
+				return
+			}
+		case <-time.After(50 * time.Millisecond):
+		case <-late:
+			t.Fatalf("nothing arrives at %s", name)
 		}
 	}
-	thief, err := DialTool(ctx, "a", members[0].Addr, []byte("another key altogether, 32 bytes"))
+}
+
+func dialTool(ctx context.Context, t *testing.T, m Member, key []byte) *Tool {
+	t.Helper()
+	tool, err := DialTool(ctx, m.Name, m.Addr, key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer thief.Close()
-	if _, err := thief.Request(ctx, cluster.Message{Query: "state"}); err == nil || strings.Contains(err.Error(), "deadline") {
-		t.Errorf("without the key: %v", err)
+	t.Cleanup(func() { _ = tool.Close() }) // the gateway may have closed it
+	return tool
+}
+
+// A tool that reaches another program says so, whether that greets with something else or closes.
+func TestDialToolNamesAWrongGreeting(t *testing.T) {
+	for name, greeting := range map[string]string{"another protocol": "HTTP/1.1 400 Bad Request\r\n\r\n", "closed": ""} {
+		var lc net.ListenConfig
+		l, err := lc.Listen(t.Context(), "tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		go func() {
+			conn, err := l.Accept()
+			if err != nil {
+				return
+			}
+			_, _ = conn.Write([]byte(greeting))
+			_ = conn.Close()
+		}()
+		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
+		_, err = DialTool(ctx, "a", l.Addr().String(), key)
+		cancel()
+		if !errors.Is(err, errNoGreeting) || strings.Contains(err.Error(), "nil") {
+			t.Errorf("%s: %v", name, err)
+		}
+		if err := l.Close(); err != nil {
+			t.Error(err)
+		}
 	}
-	gone := make(chan struct{})
-	b.loop.Post(func() { b.link.Close(); close(gone) })
-	<-gone
-	b = start(1)
-	say(a, b, "b", 3)
 }
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"larchusher/client/rpc"
+	"larchusher/lab/loopback"
 )
 
 // Outcome is how a request ended for its client.
@@ -82,7 +83,6 @@
 	second atomic.Uint64
 	spoilt atomic.Uint64
 	serial atomic.Uint64
-	parts  [][]string // object/part; by object, by part
 }
 
 const shards = 6
@@ -115,7 +115,7 @@
 	res := &Result{Spec: spec, Took: time.Since(r.start)}
 	for _, s := range all {
 		for _, c := range s.conns {
-			c.nc.Close()
+			loopback.Close(c.nc)
 			<-c.readDone
 			<-c.writeDone
 			res.Rows = append(res.Rows, c.rows...)
@@ -190,12 +190,8 @@
 			}
 			s.advance(&next)
 		}
-		s.mu.Lock()
-		for len(s.again) > 0 && !s.again[0].at.After(now) {
-			waiting = append(waiting, heap.Pop(&s.again).(*job))
-		}
-		left := len(s.again)
-		s.mu.Unlock()
+		again, left := s.repeats(now)
+		waiting = append(waiting, again...)
 		for _, c := range s.conns {
 			c.kick()
 		}
@@ -217,6 +213,16 @@
 	}
 }
 
+// repeats takes the repeats that are due, and says how many are not yet.
+func (s *shard) repeats(now time.Time) (due []*job, left int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for len(s.again) > 0 && !s.again[0].at.After(now) {
+		due = append(due, heap.Pop(&s.again).(*job))
+	}
+	return due, len(s.again)
+}
+
 // flush sends what waited for room, and drops what waited for too long.
 func (s *shard) flush(waiting []*job, now time.Time) []*job {
 	kept := waiting[:0]
@@ -319,7 +325,7 @@
 }
 
 func (s *shard) dial() (*conn, error) {
-	nc, err := net.Dial("tcp", s.r.spec.Addr)
+	nc, err := loopback.Dial(s.r.spec.Addr)
 	if err != nil {
 		return nil, fmt.Errorf("load: %w", err)
 	}
@@ -347,7 +353,7 @@
 	j.at = now
 	c.open[c.id] = j
 	r := &rpc.Request{ID: c.id, Class: class.Name, Txn: fmt.Sprintf("%016x", c.s.r.serial.Add(1)*0x9e3779b97f4a7c15),
-		Limit: class.Limit - now.Sub(j.due), Second: j.marked || j.tries > 1, Key: j.key, Object: j.object, Part: j.part, Group: 17}
+		Limit: class.Limit - now.Sub(j.due), Retry: j.marked || j.tries > 1, Key: j.key, Object: j.object, Part: j.part, Group: 17}
 	if j.key != "" {
 		r.Body = []byte("an order of turn, some hundred bytes of it, as a client would send: move 7,4 to 7,5; attack 8,5; end")
 	}
@@ -412,7 +418,7 @@
 		o := Served
 		switch {
 		case a.Error == rpc.Backoff:
-			if c.s.retry(j, a.Later, now) {
+			if c.s.retry(j, a.RetryAfter, now) {
 				continue
 			}
 			o = Refused
@@ -421,7 +427,7 @@
 		case !bytes.HasPrefix(a.Body, j.want):
 			c.s.r.spoilt.Add(1)
 		}
-		c.rows = append(c.rows, c.s.r.row(j, o, now, len(a.Body), int(a.Later.Milliseconds())))
+		c.rows = append(c.rows, c.s.r.row(j, o, now, len(a.Body), int(a.RetryAfter.Milliseconds())))
 	}
 }
 
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -19,6 +18,7 @@
 
 	"larchusher/lab/fakeserver"
 	"larchusher/lab/load"
+	"larchusher/lab/loopback"
 	"larchusher/lab/testbed"
 	"larchusher/signedurl"
 )
@@ -55,13 +55,11 @@
 	return s
 }
 
-func share(s load.Summary, class, outcome string) float64 {
+// servedShare is which part of a class's requests was served.
+func servedShare(s load.Summary, class string) float64 {
 	for _, c := range s.Classes {
 		if c.Class == class {
-			if outcome == "aim" {
-				return c.Share(c.InAim) / 100
-			}
-			return c.Share(c.Outcomes[outcome]) / 100
+			return c.Share(c.Outcomes["served"]) / 100
 		}
 	}
 	return 0
@@ -79,7 +77,7 @@
 	s := sane(t, res)
 	// What is asserted is what the gateway decided; how many of the answers the load read in aim is the machine's affair, and
 	// stands in docs/measurements/overload.md.
-	turns, replays, assets := share(s, "orders", "served"), share(s, "films", "served"), share(s, "images", "served")
+	turns, replays, assets := servedShare(s, "orders"), servedShare(s, "films"), servedShare(s, "images")
 	if turns < 0.6 || replays < assets {
 		t.Errorf("served: turns %.2f, replays %.2f, assets %.2f", turns, replays, assets)
 	}
@@ -95,8 +93,8 @@
 	if res, err = load.Run(ctx, load.Spec{Addr: w.Addr, Rate: load.Constant(1000), For: time.Second, Seed: 2}); err != nil {
 		t.Fatal(err)
 	}
-	if s := sane(t, res); share(s, "images", "served") < 0.97 {
-		t.Errorf("after the load %.2f of the assets are served", share(s, "images", "served"))
+	if s := sane(t, res); servedShare(s, "images") < 0.97 {
+		t.Errorf("after the load %.2f of the assets are served", servedShare(s, "images"))
 	}
 }
 
@@ -220,6 +218,35 @@
 	r.signal(syscall.SIGTERM)
 }
 
+// flood asks for a target on one connection, eight requests at a time, until ctx ends. Those with a bad token must be told 403.
+func flood(ctx context.Context, t *testing.T, addr, target string, bad bool, served *atomic.Int64) {
+	c, err := loopback.Dial(addr)
+	if err != nil {
+		t.Error(err)
+		return
+	}
+	go func() { <-ctx.Done(); loopback.Close(c) }()
+	r := bufio.NewReader(c)
+	for ctx.Err() == nil {
+		if _, err := io.WriteString(c, strings.Repeat(request("GET", target), 8)); err != nil {
+			return
+		}
+		for range 8 {
+			resp, err := http.ReadResponse(r, nil)
+			if err != nil {
+				return
+			}
+			_, _ = io.Copy(io.Discard, resp.Body) // a cut one ends the next read
+			_ = resp.Body.Close()                 // read to its end
+			if resp.StatusCode == 200 {
+				served.Add(1)
+			} else if bad && resp.StatusCode != 403 {
+				t.Errorf("a bad token is told %d", resp.StatusCode)
+			}
+		}
+	}
+}
+
 // A flood of one class on the signed front, with tokens good and bad, does not starve the platform's clients, and the other way round.
 func TestFrontsDoNotStarveEachOther(t *testing.T) {
 	addr, err := testbed.Free()
@@ -236,39 +263,14 @@
 	good := signer(t, signedurl.Config{Base: base, Keys: signedKeys.Keys[2:3]}, signedKeys.Keys[2].ID)(signedurl.Order{
 		Target: "/images/" + object + "/3", Expiry: time.Now().Add(time.Hour)})
 	flooding, stop := context.WithCancel(ctx)
-	var served, other atomic.Int64
+	var served atomic.Int64
 	var all sync.WaitGroup
 	for i := range 100 {
 		target := strings.TrimPrefix(good, base)
 		if i%2 == 1 {
 			target += "0" // no longer what was signed
 		}
-		all.Go(func() {
-			c, err := net.Dial("tcp", addr)
-			if err != nil {
-				t.Error(err)
-				return
-			}
-			go func() { <-flooding.Done(); c.Close() }()
-			r := bufio.NewReader(c)
-			for flooding.Err() == nil {
-				if _, err := io.WriteString(c, strings.Repeat(request("GET", target), 8)); err != nil {
-					return
-				}
-				for range 8 {
-					resp, err := http.ReadResponse(r, nil)
-					if err != nil {
-						return
-					}
-					_, _ = io.Copy(io.Discard, resp.Body)
-					if resp.StatusCode == 200 {
-						served.Add(1)
-					} else if other.Add(1); i%2 == 1 && resp.StatusCode != 403 {
-						t.Errorf("a bad token is told %d", resp.StatusCode)
-					}
-				}
-			}
-		})
+		all.Go(func() { flood(flooding, t, addr, target, i%2 == 1, &served) })
 	}
 	res, err := load.Run(ctx, load.Spec{Addr: w.Addr, Conns: 50, Rate: load.Constant(1000), For: 3 * time.Second, Seed: 1})
 	if err != nil {
