--- a/routing/result.go
+++ b/routing/result.go
@@ -78,10 +78,10 @@
 	case OK:
 		d.earnRetry()
 		d.confirmSuspects(r)
-		d.creditServer(r, a, a.target, true)
+		d.creditEndpoint(r, a, a.target, true)
 		d.updateCarriedRate(a.target.role)
 		if !hit && a.fillSource != a.target {
-			d.creditServer(r, a, a.fillSource, o.Reason != ReasonCoalesced)
+			d.creditEndpoint(r, a, a.fillSource, o.Reason != ReasonCoalesced)
 			a.fillSource.recordFillLatency(d.now, o.Latency, r.transferTime)
 		}
 	case ServerError, Reset, ConnectFailed, Rejected:
@@ -96,8 +96,8 @@
 	}
 }
 
-// creditServer takes in that an endpoint served an attempt, by work of its own or not.
-func (d *Director) creditServer(r *request, a *attempt, ep *endpoint, worked bool) {
+// creditEndpoint takes in that an endpoint served an attempt, by work of its own or not.
+func (d *Director) creditEndpoint(r *request, a *attempt, ep *endpoint, worked bool) {
 	if worked {
 		ep.recordWork(d.now, d.completedWork(r))
 	}
