--- a/signedurl/edgeauth.go
+++ b/signedurl/edgeauth.go
@@ -10,9 +10,10 @@
 	"time"
 )
 
-// The signed fields of an edge-auth token.
+// edgeAuthFields are the fields that an edge-auth token may have, all of them signed.
 var edgeAuthFields = map[string]bool{"st": true, "exp": true, "acl": true, "id": true, "data": true}
 
+// verifyEdgeAuth verifies an edge-auth token for a path.
 func (v *Verifier) verifyEdgeAuth(path, token string, now time.Time) (Grant, error) {
 	// The code comes last: a field behind it would not be signed.
 	body, code, ok := strings.Cut(token, "~hmac=")
@@ -48,7 +49,7 @@
 	for f := range strings.SplitSeq(body, "~") {
 		name, value, ok := strings.Cut(f, "=")
 		_, twice := fields[name]
-		if name == "ip" || name == "url" { // a bond that is not checked must not be passed over
+		if name == "ip" || name == "url" { // a restriction that is not checked must not be ignored
 			return nil, reject(UnsupportedClaim, "the field %s", name)
 		}
 		if !ok || twice || !edgeAuthFields[name] {
@@ -102,13 +103,14 @@
 	return expiry, nil
 }
 
+// edgeAuthMAC is the HMAC-SHA-256 of a token's signed part.
 func edgeAuthMAC(secret []byte, body string) []byte {
 	h := hmac.New(sha256.New, secret)
 	h.Write([]byte(body))
 	return h.Sum(nil)
 }
 
-// matchesAccessList says whether a path matches an entry of an access list: * stands for any characters, ? for one.
+// matchesAccessList reports whether a path matches an entry of an access list: * stands for any characters, ? for one.
 // It takes time in proportion to the two lengths multiplied at most.
 func matchesAccessList(pattern, path string) bool {
 	p, s, star, mark := 0, 0, -1, 0
@@ -129,6 +131,7 @@
 	return strings.Trim(pattern[p:], "*") == ""
 }
 
+// signEdgeAuth issues an edge-auth token.
 func (i *Issuer) signEdgeAuth(o Order) (string, error) {
 	path, _, _ := strings.Cut(o.Target, "?")
 	acl := o.Pattern
--- a/signedurl/jwt.go
+++ b/signedurl/jwt.go
@@ -20,64 +20,91 @@
 	"PS256": jwt.SigningMethodPS256, "EdDSA": jwt.SigningMethodEdDSA,
 }
 
-// Values of cdnistt, how a fresh token travels.
+// transportCookie is the value of cdnistt that has a fresh token travel in a cookie.
 const transportCookie = 1
 
 // understoodClaims are the claims that cdnicrit may name.
 var understoodClaims = map[string]bool{"cdniv": true, "cdniuc": true, "cdniets": true, "cdnistt": true,
 	"cdnicrit": true}
 
-var errUnknownKey, errWrongAlgorithm = errors.New("no such key"), errors.New("not the algorithm of this key")
+var (
+	errUnknownKey     = errors.New("no such key")
+	errWrongAlgorithm = errors.New("not the algorithm of this key")
+)
 
+// verifyJWT verifies a URI-signing token for a whole URI.
 func (v *Verifier) verifyJWT(uri, token string, now time.Time) (Grant, error) {
 	var keyID string
 	claims := jwt.MapClaims{}
 	parser := jwt.NewParser(jwt.WithLeeway(v.cfg.Leeway), jwt.WithTimeFunc(func() time.Time { return now }),
 		jwt.WithExpirationRequired(), jwt.WithStrictDecoding())
 	_, err := parser.ParseWithClaims(token, claims, func(t *jwt.Token) (any, error) {
-		keyID, _ = t.Header["kid"].(string)
-		for _, k := range v.cfg.Keys {
-			if k.Form == URISigning && k.ID == keyID {
-				// Guards against a token that names its own algorithm: none, or HMAC under a public key.
-				if t.Method.Alg() != k.Algorithm {
-					return nil, errWrongAlgorithm
-				}
-				if k.Secret != nil {
-					return k.Secret, nil
-				}
-				return k.Public, nil
-			}
-		}
-		return nil, errUnknownKey
+		keyID, _ = t.Header["kid"].(string) // empty if it has none: no key has that id
+		return v.jwtKey(keyID, t.Method.Alg())
 	})
-	for _, r := range []struct {
-		err    error
-		reason Reason
-	}{{errUnknownKey, UnknownKey}, {errWrongAlgorithm, BadAlgorithm}, {jwt.ErrTokenSignatureInvalid, BadSignature},
-		{jwt.ErrTokenUnverifiable, BadAlgorithm}, {jwt.ErrTokenMalformed, MalformedToken},
-		{jwt.ErrTokenExpired, Expired}, {jwt.ErrTokenNotValidYet, NotYetValid},
-		{jwt.ErrTokenUsedBeforeIssued, NotYetValid}} {
-		if errors.Is(err, r.err) {
-			return Grant{}, &Error{Reason: r.reason, Detail: err}
-		}
-	}
 	if err != nil {
-		return Grant{}, &Error{Reason: MalformedToken, Detail: err}
+		return Grant{}, &Error{Reason: jwtReason(err), Detail: err}
 	}
 	if err := checkClaims(claims, uri); err != nil {
 		return Grant{}, err
 	}
+	return newJWTGrant(keyID, claims), nil
+}
+
+// jwtKey returns the key to verify a token with. A key is pinned to one algorithm, which guards against a token that names
+// its own: none, or HMAC under a public key.
+func (v *Verifier) jwtKey(id, algorithm string) (any, error) {
+	for _, k := range v.cfg.Keys {
+		if k.Form != URISigning || k.ID != id {
+			continue
+		}
+		if algorithm != k.Algorithm {
+			return nil, errWrongAlgorithm
+		}
+		if k.Secret != nil {
+			return k.Secret, nil
+		}
+		return k.Public, nil
+	}
+	return nil, errUnknownKey
+}
+
+// jwtReasons maps errors of the JWT parser to reasons. One error may be several of them: the first counts.
+var jwtReasons = []struct {
+	err    error
+	reason Reason
+}{
+	{errUnknownKey, UnknownKey},
+	{errWrongAlgorithm, BadAlgorithm},
+	{jwt.ErrTokenSignatureInvalid, BadSignature},
+	{jwt.ErrTokenUnverifiable, BadAlgorithm},
+	{jwt.ErrTokenMalformed, MalformedToken},
+	{jwt.ErrTokenExpired, Expired},
+	{jwt.ErrTokenNotValidYet, NotYetValid},
+	{jwt.ErrTokenUsedBeforeIssued, NotYetValid},
+}
+
+func jwtReason(err error) Reason {
+	for _, r := range jwtReasons {
+		if errors.Is(err, r.err) {
+			return r.reason
+		}
+	}
+	return MalformedToken
+}
+
+// newJWTGrant is what verified claims allow.
+func newJWTGrant(keyID string, claims jwt.MapClaims) Grant {
 	g := Grant{Form: URISigning, KeyID: keyID}
 	g.Subject, _ = claims["sub"].(string)
 	if at, err := claims.GetExpirationTime(); err == nil && at != nil {
 		g.Expiry = at.Time
 	}
 	if span, ok := claims["cdniets"].(float64); ok && span > 0 {
-		stt, _ := claims["cdnistt"].(float64)
-		g.Renewal = Renewal{Span: time.Duration(span * float64(time.Second)), Cookie: stt == transportCookie,
-			claims: claims}
+		transport, _ := claims["cdnistt"].(float64)
+		g.Renewal = Renewal{Span: time.Duration(span * float64(time.Second)), Cookie: transport == transportCookie, claims: claims}
 	}
-	return g, nil
+	return g
 }
 
 // checkClaims checks what RFC 9246 adds to a JWT.
@@ -94,7 +121,7 @@
 	} else if _, there := claims["cdnicrit"]; there {
 		return reject(MalformedToken, "cdnicrit is no string")
 	}
-	if _, ok := claims["cdniip"]; ok { // a bond to an address must not be passed over
+	if _, ok := claims["cdniip"]; ok { // a restriction to an address must not be ignored
 		return reject(UnsupportedClaim, "cdniip")
 	}
 	if _, ok := claims["cdnistd"]; ok {
@@ -104,6 +131,11 @@
 	if !ok {
 		return reject(MalformedToken, "cdniuc is missing")
 	}
+	return checkContainer(container, uri)
+}
+
+// checkContainer checks that a URI is in the container of a token (cdniuc): its hash, or an expression for whole URIs.
+func checkContainer(container, uri string) error {
 	kind, value, _ := strings.Cut(container, ":")
 	switch kind {
 	case "hash":
@@ -130,6 +162,7 @@
 	return "sha-256;" + base64.RawURLEncoding.EncodeToString(sum[:])
 }
 
+// signJWT issues a URI-signing token.
 func (i *Issuer) signJWT(o Order) (string, error) {
 	claims := jwt.MapClaims{"cdniv": 1, "exp": o.Expiry.Unix(), "cdniuc": "hash:" + uriHash(i.cfg.Base+o.Target)}
 	if o.Pattern != "" {
@@ -150,6 +183,7 @@
 	return i.signClaims(claims)
 }
 
+// signClaims signs claims with the issuer's key.
 func (i *Issuer) signClaims(claims jwt.MapClaims) (string, error) {
 	t := jwt.NewWithClaims(signingMethods[i.key.Algorithm], claims)
 	t.Header["kid"] = i.key.ID
