--- a/test/rig_test.go
+++ b/test/rig_test.go
@@ -209,10 +209,10 @@
 	return addr
 }
 
-// The stand-ins are those of the workshop.
+// The fake servers are those of the lab.
 type (
 	store   = fakeserver.Store
-	ask     = fakeserver.Ask
+	ask     = fakeserver.Request
 	journal = fakeserver.Journal
 )
 
@@ -269,7 +269,7 @@
 	return n
 }
 
-// client is a stand-in for a client.
+// client is a client of the tests.
 type client struct {
 	t    *testing.T
 	conn net.Conn
