--- a/client/http.go
+++ b/client/http.go
@@ -178,7 +178,7 @@
 	return q, nil
 }
 
-// answer maps a response to an answer by its status.
+// answer converts a response to an answer by its status.
 func (c *httpConn) answer(resp *http.Response, body []byte) Answer {
 	a := Answer{Tag: strings.Trim(resp.Header.Get("ETag"), `"`)}
 	switch resp.StatusCode {
--- a/client/rpc/rpc.go
+++ b/client/rpc/rpc.go
@@ -1,4 +1,4 @@
-// Package rpc encodes and decodes the platform's protocol, MessagePack-RPC over TCP, from a client's side. It maps the
+// Package rpc encodes and decodes the platform's protocol, MessagePack-RPC over TCP, from a client's side. It converts the
 // names of the fields on the wire (limit, item, n, shard, second, unique, mine, later, still) for the client library.
 //
 // An [Encoder] and a [Reader] block as their stream does, and are not safe for concurrent use.
--- a/routing/benchmark_test.go
+++ b/routing/benchmark_test.go
@@ -29,7 +29,7 @@
 	now := time.Hour
 	out := d.Handle(now, EndpointUpdate{Kind: StaleList, Endpoints: list}, nil)
 	for i := 1; i < 300; i++ {
-		out = d.Handle(now, GossipReceived{From: i, Data: greeting(1 + i%2)}, out[:0])
+		out = d.Handle(now, GossipReceived{From: i, Data: announcement(1 + i%2)}, out[:0])
 	}
 	b.ReportAllocs()
 	n := 0
--- a/routing/deadline.go
+++ b/routing/deadline.go
@@ -21,9 +21,12 @@
 		return
 	}
 	latest := r.attempts[len(r.attempts)-1]
-	if silent := latest.silentEndpoint(); silent != nil && d.recordOverdue(latest, silent) && d.canLeaveSilent(r) {
-		d.leaveSilent(r, silent)
-		return
+	if silent := latest.silentEndpoint(); silent != nil {
+		ejected := d.recordOverdue(latest, silent)
+		if ejected && d.canLeaveSilent(r) {
+			d.leaveSilent(r, silent)
+			return
+		}
 	}
 	if d.shouldHedge(r, latest) {
 		d.hedgeBudget--
@@ -49,7 +52,7 @@
 	return suspect
 }
 
-// canLeaveSilent reports whether a request may be sent elsewhere though its attempt may still run.
+// canLeaveSilent reports whether a request may be retried while its attempt at a silent endpoint may still run.
 func (d *Director) canLeaveSilent(r *request) bool {
 	return d.retryBudget >= 1 && r.class.Effect == Idempotent
 }
--- a/routing/director.go
+++ b/routing/director.go
@@ -28,7 +28,7 @@
 	positionSeed uint64   // drawn for this director alone; see senderPosition
 
 	endpoints      map[string]*endpoint
-	inUse          byRole[[]*endpoint] // those that are up, in order of id; caches of this location only
+	upEndpoints    byRole[[]*endpoint] // those that are up, in order of id; caches of this location only
 	localDirectors map[int]bool        // other directors known to serve this location
 
 	table        map[uint64]*mappingEntry
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -10,7 +10,8 @@
 // Times are durations on the caller's clock, which must not run backwards. Sizes are in kB. Work, the unit of slow-start
 // budgets and of request costs, is in seconds of transfer at full pace.
 //
-// Each file holds one decision, with its constants at the top:
+// Each file holds one decision, with its constants at the top (recentWindow in slow_start.go is also the window of fills and
+// listings):
 //
 //	director.go      dispatches events
 //	endpoints.go     which endpoints are in use
@@ -24,9 +25,11 @@
 //	limits.go        whether one more may be in flight
 //	slow_start.go    what endpoints that are warming up may be sent
 //	transfer_time.go how long an answer's transfer takes
-//	retry.go         what may be sent twice
+//	retry.go         when a repeat is allowed, and the budgets of retries and hedges; result.go and deadline.go start them
 //	deadline.go      when a silent endpoint is left, and when a request is rejected or failed
 //	outlier.go       which endpoint is ejected, and when it returns
 //	gossip.go        what other directors are told, and believed
 //	snapshot.go      what outlives the process
+//	observe.go       what is known of endpoints, for planned maintenance
+//	settings.go, events.go, actions.go, gossip_format.go, hash.go: types, encodings and hashing; they decide nothing
 package routing
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -43,7 +43,7 @@
 	errorRate             float64       // share of recent attempts that failed
 	unattributedErrorRate float64       // share of them that ended in an error of no told cause
 	ejectedUntil          time.Duration
-	backoff               time.Duration // length of the latest ejection; 0: it was not ejected since it was well
+	ejectionDuration      time.Duration // length of the latest ejection; 0: it was not ejected since it was well
 	probationInFlight     bool          // back from ejection, with one attempt in flight to try it
 
 	// Limits.
@@ -104,7 +104,7 @@
 		return
 	}
 	if u.Kind == StaleList && d.set.Gossip {
-		d.emit(SendGossip{To: AllDirectors, Data: greeting(d.zone)})
+		d.emit(SendGossip{To: AllDirectors, Data: announcement(d.zone)})
 	}
 	if u.Kind == StaleList && d.set.PollDiscovery {
 		d.emit(PollEndpoints{})
@@ -142,13 +142,13 @@
 
 // collectInUse finds the endpoints that may be chosen: those that are up, of caches only this location's.
 func (d *Director) collectInUse() {
-	d.inUse = byRole[[]*endpoint]{}
+	d.upEndpoints = byRole[[]*endpoint]{}
 	for _, ep := range d.endpoints {
 		if ep.up && (ep.role != roleCache || ep.zone == d.zone) {
-			d.inUse[ep.role] = append(d.inUse[ep.role], ep)
+			d.upEndpoints[ep.role] = append(d.upEndpoints[ep.role], ep)
 		}
 	}
-	for _, endpoints := range d.inUse {
+	for _, endpoints := range d.upEndpoints {
 		slices.SortFunc(endpoints, func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) })
 	}
 }
--- a/routing/events.go
+++ b/routing/events.go
@@ -151,7 +151,7 @@
 	Age    time.Duration // time since it was purged
 }
 
-// ClientGone says that a client left; no answer is owed to its request any more.
+// ClientGone says that no answer is owed to a request any more: its client left, or the caller has answered it at its deadline.
 type ClientGone struct{ ID string }
 
 // TimerFired is a SetTimer that fell due.
--- a/routing/fill_source.go
+++ b/routing/fill_source.go
@@ -31,14 +31,14 @@
 }
 
 // pickFillSource chooses who fills a miss: of the object's first two usable parents the one with the lower fill latency, else
-// the origin. A parent in use only by the floor (see keptByFloor) fills if fetches from the origin are at their limit, or if
+// the origin. An unhealthy parent, sent to in panic mode, fills if fetches from the origin are at their limit, or if
 // there is no origin. It is nil if there is no source.
 func (d *Director) pickFillSource(r *request) *endpoint {
 	parents := d.firstUsableParents(r)
 	if len(parents) == 2 && parents[1].recentFillLatency(d.now)*fillLatencyAdvantage < parents[0].recentFillLatency(d.now) {
 		return parents[1]
 	}
-	if origins := d.inUse[roleOrigin]; len(origins) > 0 && !d.parentsGoFirst(r, parents) {
+	if origins := d.upEndpoints[roleOrigin]; len(origins) > 0 && !d.parentsGoFirst(r, parents) {
 		return origins[0]
 	}
 	if len(parents) == 0 {
@@ -50,7 +50,7 @@
 // firstUsableParents are the first two parents in the object's preference order that can serve.
 func (d *Director) firstUsableParents(r *request) []*endpoint {
 	var parents []*endpoint
-	for _, ep := range d.preferenceOrder(r.key, d.inUse[roleParent]) {
+	for _, ep := range d.preferenceOrder(r.key, d.upEndpoints[roleParent]) {
 		if d.canServe(ep, r) && len(parents) < 2 {
 			parents = append(parents, ep)
 		}
--- a/routing/fill_source_test.go
+++ b/routing/fill_source_test.go
@@ -10,7 +10,7 @@
 func TestFirstParentUnlessTheSecondIsMuchQuicker(t *testing.T) {
 	r := newRig(t, nil)
 	key := mix(hash("f"))
-	pair := r.d.preferenceOrder(key, r.d.inUse[roleParent])
+	pair := r.d.preferenceOrder(key, r.d.upEndpoints[roleParent])
 	for _, c := range []struct {
 		first, second time.Duration
 		want          *endpoint
@@ -39,7 +39,7 @@
 			r.after(830 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Rejected, Latency: 830 * ms})
 		}
 	}
-	if s := r.d.endpoints[dead]; s.backoff < 4*time.Second {
-		t.Errorf("a source that failed all fills was last ejected for %v", s.backoff)
+	if s := r.d.endpoints[dead]; s.ejectionDuration < 4*time.Second {
+		t.Errorf("a source that failed all fills was last ejected for %v", s.ejectionDuration)
 	}
 }
--- a/routing/gossip.go
+++ b/routing/gossip.go
@@ -28,7 +28,7 @@
 // director are dropped, and so are moves to a cache that is not of this location.
 func (d *Director) receiveGossip(g GossipReceived) {
 	zone, cache, moves, err := decodeGossip(g.Data)
-	if err != nil || zone != d.zone || !d.listensTo(g.From) {
+	if err != nil || zone != d.zone || !d.acceptsGossipFrom(g.From) {
 		return
 	}
 	if cache == "" {
@@ -41,12 +41,12 @@
 	}
 	d.localDirectors[g.From] = true
 	for _, m := range moves {
-		d.believeMove(m, ep)
+		d.applyMove(m, ep)
 	}
 }
 
-// listensTo reports whether messages of a director, by its number, are taken in.
-func (d *Director) listensTo(from int) bool {
+// acceptsGossipFrom reports whether messages of a director, by its number, are taken in.
+func (d *Director) acceptsGossipFrom(from int) bool {
 	return d.set.Gossip && from != d.set.Index && from >= 0 && from < d.set.Directors
 }
 
@@ -56,12 +56,12 @@
 		return
 	}
 	d.localDirectors[from] = true
-	d.emit(SendGossip{To: from, Data: greeting(d.zone)})
+	d.emit(SendGossip{To: from, Data: announcement(d.zone)})
 }
 
-// believeMove lists an object where another director has seen it, unless our own listing moved later. An object that was not
+// applyMove lists an object where another director has seen it, unless our own listing moved later. An object that was not
 // known counts no request.
-func (d *Director) believeMove(m movedListing, ep *endpoint) {
+func (d *Director) applyMove(m movedListing, ep *endpoint) {
 	e := d.table[m.key]
 	if e == nil {
 		e = d.recordRequest(m.key)
--- a/routing/gossip_format.go
+++ b/routing/gossip_format.go
@@ -26,12 +26,12 @@
 	age time.Duration
 }
 
-// greeting is the head of each message; by itself it tells who serves which location.
-func greeting(zone int) string { return gossipTag + "|" + strconv.Itoa(zone) }
+// announcement is the head of each message; by itself it tells who serves which location.
+func announcement(zone int) string { return gossipTag + "|" + strconv.Itoa(zone) }
 
 // encodeMovedListings words moves to one cache in as few messages as hold them.
 func encodeMovedListings(zone int, cache string, moves []movedListing) (msgs []string) {
-	head := greeting(zone) + "|" + cache + "|"
+	head := announcement(zone) + "|" + cache + "|"
 	msg := head
 	for _, m := range moves {
 		if len(msg)+maxGossipItemBytes > maxGossipBytes && msg != head {
--- a/routing/gossip_format_test.go
+++ b/routing/gossip_format_test.go
@@ -37,7 +37,7 @@
 			t.Errorf("%q was taken as %v", data, tips)
 		}
 	}
-	if zone, cache, _, err := decodeGossip(greeting(4)); err != nil || zone != 4 || cache != "" {
+	if zone, cache, _, err := decodeGossip(announcement(4)); err != nil || zone != 4 || cache != "" {
 		t.Errorf("greeting: zone %d, cache %q, %v", zone, cache, err)
 	}
 }
--- a/routing/limits.go
+++ b/routing/limits.go
@@ -22,7 +22,7 @@
 
 // usable reports whether an endpoint may be sent a request now, by its phase, its slow start and its health.
 func (d *Director) usable(ep *endpoint, r *request) bool {
-	return ep.up && d.slowStartAllows(ep, r) && (d.healthy(ep) || d.keptByFloor(ep))
+	return ep.up && d.slowStartAllows(ep, r) && (d.healthy(ep) || d.inPanicMode(ep.role))
 }
 
 // hasCapacity reports whether one more attempt may be in flight under a limit. A client's retry has spent part of its time,
@@ -48,7 +48,7 @@
 	for _, ep := range d.endpoints {
 		ep.concurrencyLimit.Min = max(minDirectorLimit, minSharedLimit/d.senders(ep.role))
 	}
-	parents := float64(len(d.inUse[roleParent]))
+	parents := float64(len(d.upEndpoints[roleParent]))
 	d.originFetches.Min = max(minDirectorLimit, minSharedLimit*parents/d.senders(roleOrigin))
 }
 
@@ -61,7 +61,10 @@
 		d.earnHedges(r)
 		return // it says nothing of load
 	}
-	a.rejectedByCache = o.Status == Rejected && a.rejectedByTarget(o)
+	if o.Status == Rejected {
+		a.recordHitRejection(o)
+		a.rejectedByCache = a.rejectedByTarget(o)
+	}
 	late := o.Status == Rejected || a.isLate(r, o) && !o.Status.broken()
 	if late && r.lateByEarlierAttempts(o) {
 		return
@@ -70,6 +73,7 @@
 		return
 	}
 	if !hit && d.failedOverFill(a, o, late) {
+		d.recordLateFill(a, o)
 		a.sharedFault = d.isSharedFault(a, o)
 	}
 	if late && a.target.role == roleOrigin {
@@ -105,14 +109,23 @@
 // rejectedByTarget reports whether a rejection is the cache's own, and not its source's. Where that isn't told: it came sooner
 // than a source can be asked. For a fill that may only mean that no slot for fills is free, so it counts only if the cache
 // has rejected a hit since it last answered well. Otherwise the rejections of a cache that drains before the list says so would
-// close the sources, and through them the whole branch.
+// cut the sources' limits, and so have the requests of all other caches behind them rejected.
 func (a *attempt) rejectedByTarget(o AttemptResult) bool {
-	prompt := o.Reason == ReasonNone && o.Latency < a.fillSource.minFillLatency/promptRejectionRatio
-	own := a.fillSource == a.target || prompt
-	if own && !a.fillExpected {
+	return a.rejectedWithoutSource(o) && a.target.lastHitRejectedAt > a.target.lastSuccessSentAt
+}
+
+// recordHitRejection notes that a cache rejected what should have been a hit.
+func (a *attempt) recordHitRejection(o AttemptResult) {
+	if a.rejectedWithoutSource(o) && !a.fillExpected {
 		a.target.lastHitRejectedAt = a.sentAt
 	}
-	return own && a.target.lastHitRejectedAt > a.target.lastSuccessSentAt
+}
+
+// rejectedWithoutSource reports whether a rejection came from the target alone: it has no source, or the rejection came sooner
+// than a source can be asked.
+func (a *attempt) rejectedWithoutSource(o AttemptResult) bool {
+	prompt := o.Reason == ReasonNone && o.Latency < a.fillSource.minFillLatency/promptRejectionRatio
+	return a.fillSource == a.target || prompt
 }
 
 // failedOverFill reports whether an attempt that was no hit was late or failed by its fill, as far as is known.
@@ -127,17 +140,29 @@
 // another parent's fill was late at about that time, or a write at the origin. A parent that alone is slow, silent or gone is
 // judged alone.
 func (d *Director) isSharedFault(a *attempt, o AttemptResult) bool {
-	if a.fillSource.role != roleParent || a.onlyIfCached || o.Reason == ReasonSourceLost && o.Status == Rejected {
+	if !a.parentFilled(o) {
 		return a.fillSource.role == roleOrigin
 	}
-	a.fillSource.lastLateFill = d.now
-	if o.Reason == ReasonOriginFailed || len(d.inUse[roleParent]) < 2 {
+	if o.Reason == ReasonOriginFailed || len(d.upEndpoints[roleParent]) < 2 {
 		return true
 	}
 	alsoLate := func(ep *endpoint) bool {
 		return ep != a.fillSource && ep.lastLateFill > 0 && d.now-ep.lastLateFill < sharedFaultWindow
 	}
-	return slices.ContainsFunc(d.inUse[roleParent], alsoLate) || slices.ContainsFunc(d.inUse[roleOrigin], alsoLate)
+	return slices.ContainsFunc(d.upEndpoints[roleParent], alsoLate) || slices.ContainsFunc(d.upEndpoints[roleOrigin], alsoLate)
+}
+
+// recordLateFill notes at a parent that its fill was late or failed.
+func (d *Director) recordLateFill(a *attempt, o AttemptResult) {
+	if a.parentFilled(o) {
+		a.fillSource.lastLateFill = d.now
+	}
+}
+
+// parentFilled reports whether a parent, which the target could reach, was to fetch from the origin for an attempt.
+func (a *attempt) parentFilled(o AttemptResult) bool {
+	unreachable := o.Reason == ReasonSourceLost && o.Status == Rejected
+	return a.fillSource.role == roleParent && !a.onlyIfCached && !unreachable
 }
 
 // limitsToUpdate are the limits that a result speaks of: the cache's if it answered by itself, else those of the fill.
@@ -181,7 +206,8 @@
 	return o.Reason == ReasonFilled && d.set.AnswerDetail == DetailAll
 }
 
-// hitUnknown reports whether a result doesn't tell if a cache had the object, since none does in this deployment.
+// hitUnknown reports whether it is unknown if a result was a hit: results carry no detail in this deployment, whichever cache
+// they come from.
 func (d *Director) hitUnknown(a *attempt, o AttemptResult) bool {
 	return d.set.AnswerDetail == DetailNone && o.Reason == ReasonNone && a.target.role == roleCache
 }
--- a/routing/limits_test.go
+++ b/routing/limits_test.go
@@ -93,10 +93,10 @@
 		r.after(40 * ms).do(AttemptResult{ID: id, Attempt: n, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true,
 			Latency: 40 * ms})
 	}
-	for _, l := range r.d.inUse[roleParent:] {
+	for _, l := range r.d.upEndpoints[roleParent:] {
 		for _, s := range l {
-			if s.backoff > 0 || s.concurrencyLimit.Max < 1000 {
-				t.Errorf("%s: limit %.1f, ejected for %v", s.id, s.concurrencyLimit.Max, s.backoff)
+			if s.ejectionDuration > 0 || s.concurrencyLimit.Max < 1000 {
+				t.Errorf("%s: limit %.1f, ejected for %v", s.id, s.concurrencyLimit.Max, s.ejectionDuration)
 			}
 		}
 	}
@@ -141,7 +141,7 @@
 		r.kb = 400
 		r.serve("film", fmt.Sprint("o", n%5), ReasonNone)
 	}
-	for _, s := range r.d.inUse[roleCache] {
+	for _, s := range r.d.upEndpoints[roleCache] {
 		s.concurrencyLimit.Max, s.concurrencyLimit.InFlight = 10, 6
 	}
 	r.kb = 4000
@@ -187,7 +187,7 @@
 	for n := range 300 {
 		r.ask("film", fmt.Sprint("o", n))
 	}
-	for _, s := range r.d.inUse[roleCache] {
+	for _, s := range r.d.upEndpoints[roleCache] {
 		if took := float64(s.concurrencyLimit.InFlight) / 7; took > 2.3 {
 			t.Errorf("%s has %d out: they take %.1f s, the aim is 2.2", s.id, s.concurrencyLimit.InFlight, took)
 		}
@@ -207,8 +207,8 @@
 			r.after(830 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Rejected, Latency: 830 * ms})
 		}
 	}
-	if s := r.d.endpoints[cacheID]; !s.concurrencyLimit.IsUnlimited() || s.backoff > 0 {
-		t.Errorf("the cache is limited to %v, ejected for %v", s.concurrencyLimit.Max, s.backoff)
+	if s := r.d.endpoints[cacheID]; !s.concurrencyLimit.IsUnlimited() || s.ejectionDuration > 0 {
+		t.Errorf("the cache is limited to %v, ejected for %v", s.concurrencyLimit.Max, s.ejectionDuration)
 	}
 	if p, q := r.d.endpoints["p1"], r.d.endpoints["p2"]; p.concurrencyLimit.IsUnlimited() && q.concurrencyLimit.IsUnlimited() {
 		t.Error("no source is held to account")
@@ -232,7 +232,7 @@
 		t.Fatalf("the limit on fetches is %v after forty late ones", r.d.originFetches.Max)
 	}
 	r.d.originFetches.InFlight = int(math.Ceil(r.d.originFetches.Max)) + 1
-	for _, p := range r.d.inUse[roleParent] {
+	for _, p := range r.d.upEndpoints[roleParent] {
 		p.concurrencyLimit.Max = math.Inf(1)
 	}
 	for _, object := range []string{"listed", "new"} {
@@ -302,7 +302,7 @@
 // are in time.
 func TestLimitsBelowOneAreAChance(t *testing.T) {
 	r := newRig(t, nil)
-	for _, s := range r.d.inUse[roleCache] {
+	for _, s := range r.d.upEndpoints[roleCache] {
 		s.concurrencyLimit.Max = 0.5
 	}
 	sent := 0
@@ -312,11 +312,11 @@
 			continue
 		}
 		sent++
-		for _, s := range r.d.inUse[roleCache] { // keep the limit where it is
+		for _, s := range r.d.upEndpoints[roleCache] { // keep the limit where it is
 			s.concurrencyLimit.Max = 0.5
 		}
 		r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 10 * ms})
-		for _, s := range r.d.inUse[roleCache] {
+		for _, s := range r.d.upEndpoints[roleCache] {
 			s.concurrencyLimit.Max = 0.5
 		}
 	}
--- a/routing/mapping_table.go
+++ b/routing/mapping_table.go
@@ -116,7 +116,7 @@
 
 // tableCapacity is how many entries are remembered.
 func (d *Director) tableCapacity() int {
-	return tableListMultiple * listingsPerCache * max(1, len(d.inUse[roleCache]))
+	return tableListMultiple * listingsPerCache * max(1, len(d.upEndpoints[roleCache]))
 }
 
 // recordCopy notes that a cache has served an entry's object from a copy, or has a copy now, and lists the object there.
--- a/routing/observe.go
+++ b/routing/observe.go
@@ -42,7 +42,7 @@
 		Kind:        observedKinds[ep.role],
 		Up:          ep.up,
 		Warm:        d.isWarm(ep),
-		Usable:      ep.up && (d.healthy(ep) || d.keptByFloor(ep)),
+		Usable:      ep.up && (d.healthy(ep) || d.inPanicMode(ep.role)),
 		Incarnation: ep.incarnation,
 		Weight:      ep.weight,
 		Utilization: d.observedUtilization(ep),
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -3,25 +3,26 @@
 import "time"
 
 const (
-	ejectionErrorRate      = 0.4 // share of recent attempts failing that ejects an endpoint
+	ejectionErrorRate      = 0.4 // share of recent attempts that failed, or failed unattributed, from which on an endpoint is ejected
 	errorRateWeight        = 0.2 // weight of the newest attempt in it: three failures in a row eject
 	outlierErrorMultiple   = 1.6 // multiple of its role's rate of unattributed errors that ejects an endpoint
 	ejectionOverdueAnswers = 3   // overdue answers, with none in between, that eject an endpoint
-	minInUseShare          = 0.5 // share of the caches here, or of the parents, that stays in use whatever their health
+	panicThreshold         = 0.5 // when fewer than this share of a role are healthy, health is ignored (panic mode)
 
 	firstEjection = time.Second
 	maxEjection   = 8 * time.Second // each further ejection lasts twice as long, up to this
 )
 
-// recordSuccess takes in an answer of any use. An endpoint whose error rate has fallen is well again: its next ejection is a
-// first one.
+// recordSuccess takes in an answer of any use. One that brings the error rate below ejectionErrorRate makes the endpoint healthy at
+// once, also before its ejection would have ended, and its next ejection a first one. It can't be ejected anew before the time
+// at which the former ejection would have ended.
 func (d *Director) recordSuccess(ep *endpoint) {
 	ep.lastOK, ep.overdueAnswers = d.now, 0
 	d.unattributedErrorRate[ep.role] -= errorRateWeight * d.unattributedErrorRate[ep.role]
 	ep.unattributedErrorRate -= errorRateWeight * ep.unattributedErrorRate
 	ep.errorRate -= errorRateWeight * ep.errorRate
 	if ep.errorRate < ejectionErrorRate {
-		ep.backoff = 0
+		ep.ejectionDuration = 0
 	}
 }
 
@@ -39,22 +40,23 @@
 	d.eject(ep)
 }
 
-// eject takes an endpoint out of use for a while. It returns by one attempt at a time (see healthy), until it answers well.
+// eject makes an endpoint unhealthy for firstEjection, doubled with each ejection up to maxEjection. After that it is tried with one
+// attempt at a time (see healthy) until it answers well (see recordSuccess). An ejection that still lasts is not prolonged.
 func (d *Director) eject(ep *endpoint) {
 	if ep.ejectedUntil > d.now {
 		return
 	}
-	ep.backoff = min(maxEjection, max(firstEjection, 2*ep.backoff))
-	ep.ejectedUntil = d.now + ep.backoff
+	ep.ejectionDuration = min(maxEjection, max(firstEjection, 2*ep.ejectionDuration))
+	ep.ejectedUntil = d.now + ep.ejectionDuration
 }
 
-// confirmSuspects counts a request's errors against their endpoints, once another endpoint's answer has shown that the
+// attributePendingErrors counts a request's errors against their endpoints, once another endpoint's answer has shown that the
 // request is well formed.
-func (d *Director) confirmSuspects(r *request) {
-	for _, ep := range r.suspects {
+func (d *Director) attributePendingErrors(r *request) {
+	for _, ep := range r.pendingErrors {
 		d.recordFailure(ep)
 	}
-	r.suspects = nil
+	r.pendingErrors = nil
 }
 
 // recordUnattributedError takes in an error that may be its request's fault. Malformed requests fail wherever they are sent, so
@@ -71,8 +73,9 @@
 	}
 }
 
-// recordOverdue counts, once an attempt, that an answer was due and nothing at all came from an endpoint since the sending, and
-// reports whether that ejected the endpoint. Merely slow ones answer something in between.
+// recordOverdue takes in that an answer was due and nothing at all came from an endpoint since the sending, and reports whether
+// the endpoint has so many overdue answers that it is ejected, now or already. An attempt counts once in the overdue answers;
+// its error rate rises at each look. Merely slow endpoints answer something in between.
 func (d *Director) recordOverdue(a *attempt, ep *endpoint) bool {
 	if !a.overdue {
 		a.overdue = true
@@ -88,17 +91,20 @@
 // healthy reports whether an endpoint is not ejected. One that is back from ejection is healthy while no attempt is in flight that
 // tries it.
 func (d *Director) healthy(ep *endpoint) bool {
-	return ep.backoff == 0 || ep.ejectedUntil <= d.now && !ep.probationInFlight
+	return ep.ejectionDuration == 0 || ep.ejectedUntil <= d.now && !ep.probationInFlight
 }
 
-// keptByFloor reports whether an ejected endpoint stays in use, as so many of its role are ejected that the fault is likely
-// elsewhere. The origin always stays.
-func (d *Director) keptByFloor(ep *endpoint) bool {
+// inPanicMode reports whether so few endpoints of a role are healthy that the fault is likely elsewhere: health is ignored then,
+// and ejected ones are sent to as well. The origin is always sent to.
+func (d *Director) inPanicMode(of role) bool {
+	if of == roleOrigin {
+		return true
+	}
 	healthy := 0
-	for _, other := range d.inUse[ep.role] {
-		if d.healthy(other) {
+	for _, ep := range d.upEndpoints[of] {
+		if d.healthy(ep) {
 			healthy++
 		}
 	}
-	return ep.role == roleOrigin || float64(healthy) < minInUseShare*float64(len(d.inUse[ep.role]))
+	return float64(healthy) < panicThreshold*float64(len(d.upEndpoints[of]))
 }
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -69,7 +69,7 @@
 			r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 50 * ms})
 		}
 		r.after(60 * ms)
-		for _, s := range r.d.inUse[roleCache] { // the caches answer others
+		for _, s := range r.d.upEndpoints[roleCache] { // the caches answer others
 			s.lastOK = r.now
 		}
 		for _, p := range open {
@@ -108,7 +108,7 @@
 func TestEjectionsKeepAFloor(t *testing.T) {
 	r := newRig(t, nil)
 	r.d.now = r.now
-	for _, s := range r.d.inUse[roleCache] {
+	for _, s := range r.d.upEndpoints[roleCache] {
 		r.d.recordOutlier(s)
 	}
 	if _, a := r.ask("film", "f"); a == nil || r.d.endpoints[a.Endpoint].role != roleCache {
@@ -196,7 +196,7 @@
 		t.Errorf("the failing parent was asked %d times in four seconds", errors)
 	}
 	for _, s := range r.d.endpoints {
-		if s.role != roleParent && s.backoff > 0 {
+		if s.role != roleParent && s.ejectionDuration > 0 {
 			t.Errorf("%s was taken out of use for the parent's errors", s.id)
 		}
 	}
@@ -252,7 +252,7 @@
 			if got := w.share("film"); got < 0.8 {
 				t.Errorf("tells %v, dead %v: %.2f of all films", tells, dead, got)
 			}
-			for _, s := range w.d.inUse[roleCache] {
+			for _, s := range w.d.upEndpoints[roleCache] {
 				if s.concurrencyLimit.Max < 3 {
 					t.Errorf("tells %v, dead %v: %s is limited to %.1f", tells, dead, s.id, s.concurrencyLimit.Max)
 				}
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -53,14 +53,14 @@
 
 // otherCaches are the caches that can serve, but for one, in order of id.
 func (d *Director) otherCaches(r *request, except *endpoint) []*endpoint {
-	return slices.DeleteFunc(slices.Clone(d.inUse[roleCache]), func(ep *endpoint) bool {
+	return slices.DeleteFunc(slices.Clone(d.upEndpoints[roleCache]), func(ep *endpoint) bool {
 		return ep == except || !d.canServe(ep, r)
 	})
 }
 
 // preferredCaches are the caches that can serve, in the preference order.
 func (d *Director) preferredCaches(r *request) []*endpoint {
-	return slices.DeleteFunc(d.preferenceOrder(r.key, d.inUse[roleCache]), func(ep *endpoint) bool {
+	return slices.DeleteFunc(d.preferenceOrder(r.key, d.upEndpoints[roleCache]), func(ep *endpoint) bool {
 		return !d.canServe(ep, r)
 	})
 }
@@ -115,21 +115,21 @@
 	return best
 }
 
-// rankOfCopy is the rank at which an attempt has its copy cached. An object that was hit where it is listed is ranked by its
+// listAndRank takes the object into the cache's list (see placeInList) and is the rank at which the attempt has its copy cached. An object that was hit where it is listed is ranked by its
 // requests; what is not known to be cached, by the list of the cache.
-func (d *Director) rankOfCopy(r *request, ep *endpoint, exploring bool) CacheRank {
+func (d *Director) listAndRank(r *request, ep *endpoint, exploring bool) CacheRank {
 	e := r.entry
-	rank := d.list(e, ep, exploring)
+	rank := d.placeInList(e, ep, exploring)
 	if e.cache == ep && e.lastHit > 0 && e.movedAt <= e.lastHit {
 		return d.rankAfterHit(r)
 	}
 	return rank
 }
 
-// list puts an entry on a cache's list, if it earns a place there, and returns the rank at which a fill is cached: the middle
+// placeInList puts an entry on a cache's list, if it earns a place there, and returns the rank at which a fill is cached: the middle
 // one until the list is full; then the top one if the entry displaces the one with the longest gap, else the lowest. A fill at
 // a cache that is explored is cached only if it displaces one.
-func (d *Director) list(e *mappingEntry, ep *endpoint, exploring bool) CacheRank {
+func (d *Director) placeInList(e *mappingEntry, ep *endpoint, exploring bool) CacheRank {
 	if e.isListed() && e.listedAt == ep {
 		return RankMiddle
 	}
--- a/routing/placement_test.go
+++ b/routing/placement_test.go
@@ -31,7 +31,7 @@
 			t.Fatalf("hot object: %+v, overcommitted is %s", a, home)
 		}
 	}
-	for _, s := range r.d.inUse[roleCache] {
+	for _, s := range r.d.upEndpoints[roleCache] {
 		s.concurrencyLimit.Max = 0
 	}
 	if _, a := r.ask("film", "hot"); a != nil {
@@ -106,7 +106,7 @@
 
 // reportOthers lets all caches but one report a load, as it would come with other objects' answers.
 func (r *rig) reportOthers(except string, load float64) {
-	for _, s := range r.d.inUse[roleCache] {
+	for _, s := range r.d.upEndpoints[roleCache] {
 		if share, ok := r.d.loadFields.Utilization([]float64{load}, s.transferSlots(true)); ok && s.id != except {
 			s.load.Observe(r.now, share)
 		}
--- a/routing/request.go
+++ b/routing/request.go
@@ -31,7 +31,7 @@
 	startedAt       time.Duration
 	attempts        []*attempt
 	failedEndpoints []*endpoint // not to be tried again
-	suspects        []*endpoint // at fault, unless the request is malformed; see confirmSuspects
+	pendingErrors   []*endpoint // at fault, unless the request is malformed; see confirmSuspects
 	streaming       bool        // the client has the first byte
 	finished        bool        // the final answer is given, or the client is gone
 	retryPending    bool        // to be forwarded again once the attempts in flight have ended
@@ -141,14 +141,14 @@
 		inFlight:      true,
 		fillExpected:  d.expectsFill(r, to),
 	}
-	if !d.mayForward(r, a) {
+	if !d.admitAttempt(r, a) {
 		if !r.hasInFlight() {
 			d.rejectOrFail(r)
 		}
 		return
 	}
 	if r.entry != nil && a.target.role == roleCache {
-		a.cacheRank = d.rankOfCopy(r, a.target, to.exploring)
+		a.cacheRank = d.listAndRank(r, a.target, to.exploring)
 	}
 	d.recordAttempt(r, a)
 	d.emit(ForwardAttempt{
@@ -179,7 +179,7 @@
 // routeToOrigin is the route of a request whose answer is never cached: it runs at the origin, and goes there straight where
 // that is allowed.
 func (d *Director) routeToOrigin(r *request) (to route) {
-	if origins := d.inUse[roleOrigin]; len(origins) > 0 {
+	if origins := d.upEndpoints[roleOrigin]; len(origins) > 0 {
 		to.target, to.fillSource = origins[0], origins[0]
 	}
 	if !d.set.AllowBypass {
@@ -194,7 +194,7 @@
 	if !d.set.AllowBypass || target == nil {
 		return route{}
 	}
-	if origins := d.inUse[roleOrigin]; target.role == roleParent && len(origins) > 0 {
+	if origins := d.upEndpoints[roleOrigin]; target.role == roleParent && len(origins) > 0 {
 		return route{target: target, fillSource: origins[0]}
 	}
 	return route{target: target, fillSource: target}
@@ -208,9 +208,10 @@
 	return r.entry == nil || !r.entry.hitExpectedAt(to.target) || d.copyGone(r)
 }
 
-// mayForward reports whether an attempt may be sent by its route, the deadline, the rules on repeats and the limits. A retry is
-// not held to its target's limit, since its request was admitted by that of the first target.
-func (d *Director) mayForward(r *request, a *attempt) bool {
+// admitAttempt reports whether an attempt may be sent by its route, the deadline, the rules on repeats and the limits, and
+// restricts its fill to what the source's limits allow (see restrictFill). The target's limit is checked for a request's first
+// attempt only, the source's for retries too; requests whose answer is never cached are held to neither.
+func (d *Director) admitAttempt(r *request, a *attempt) bool {
 	if a.target == nil || a.fillSource == nil {
 		return false
 	}
@@ -238,7 +239,7 @@
 		d.spendSlowStart(a.fillSource, a.slowStartCost)
 	}
 	d.countInFlight(a, 1)
-	a.probation = a.target.backoff > 0
+	a.probation = a.target.ejectionDuration > 0
 	a.target.probationInFlight = a.target.probationInFlight || a.probation
 }
 
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -60,11 +60,11 @@
 		}
 	}
 	for _, s := range r.d.endpoints {
-		if s.backoff > 0 || s.errorRate > 0 {
-			t.Errorf("%s: failing %.2f, ejected for %v", s.id, s.errorRate, s.backoff)
+		if s.ejectionDuration > 0 || s.errorRate > 0 {
+			t.Errorf("%s: failing %.2f, ejected for %v", s.id, s.errorRate, s.ejectionDuration)
 		}
 	}
-	for i := 0; r.d.endpoints["c1"].backoff == 0; i++ { // one that fails where others do well is left alone
+	for i := 0; r.d.endpoints["c1"].ejectionDuration == 0; i++ { // one that fails where others do well is left alone
 		if i == 200 {
 			t.Fatal("a cache that always fails is still asked")
 		}
--- a/routing/result.go
+++ b/routing/result.go
@@ -77,17 +77,17 @@
 	switch o.Status {
 	case OK:
 		d.earnRetry()
-		d.confirmSuspects(r)
-		d.creditEndpoint(r, a, a.target, true)
+		d.attributePendingErrors(r)
+		d.recordServed(r, a, a.target, true)
 		d.updateCarriedRate(a.target.role)
 		if !hit && a.fillSource != a.target {
-			d.creditEndpoint(r, a, a.fillSource, o.Reason != ReasonCoalesced)
+			d.recordServed(r, a, a.fillSource, o.Reason != ReasonCoalesced)
 			a.fillSource.recordFillLatency(d.now, o.Latency, r.transferTime)
 		}
 	case ServerError, Reset, ConnectFailed, Rejected:
-		d.blame(r, a, o)
+		d.recordFault(r, a, o)
 	case Miss:
-		d.confirmSuspects(r)
+		d.attributePendingErrors(r)
 		if a.onlyIfCached {
 			d.recordSuccess(a.fillSource)
 		}
@@ -96,8 +96,8 @@
 	}
 }
 
-// creditEndpoint takes in that an endpoint served an attempt, by work of its own or not.
-func (d *Director) creditEndpoint(r *request, a *attempt, ep *endpoint, worked bool) {
+// recordServed takes in that an endpoint served an attempt, by work of its own or not.
+func (d *Director) recordServed(r *request, a *attempt, ep *endpoint, worked bool) {
 	if worked {
 		ep.recordWork(d.now, d.completedWork(r))
 	}
@@ -105,8 +105,8 @@
 	ep.lastSuccessSentAt = max(ep.lastSuccessSentAt, a.sentAt)
 }
 
-// blame takes a failed attempt into the health of the endpoint at fault. That endpoint is not tried again by this request.
-func (d *Director) blame(r *request, a *attempt, o AttemptResult) {
+// recordFault takes a failed attempt into the health of the endpoint at fault. That endpoint is not tried again by this request.
+func (d *Director) recordFault(r *request, a *attempt, o AttemptResult) {
 	ep := a.target
 	if a.fillSource != a.target && !a.rejectedByCache && a.sourceAtFault(o) {
 		ep = a.fillSource
@@ -118,7 +118,7 @@
 	case ep.role == roleParent && a.sharedFault:
 		// The origin's fault.
 	case o.Status == ServerError && o.Reason == ReasonNone:
-		r.suspects = append(r.suspects, ep) // unless the request is malformed: the next endpoint's answer tells
+		r.pendingErrors = append(r.pendingErrors, ep) // unless the request is malformed: the next endpoint's answer tells
 		d.recordUnattributedError(ep)
 	default:
 		d.recordFailure(ep)
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -91,7 +91,8 @@
 	return a.inFlight && a.overtaken() && d.limitsNeverCut(a)
 }
 
-// limitsNeverCut reports whether no limit that an attempt counts in was ever cut.
+// limitsNeverCut reports whether all limits that an attempt counts in are still unlimited. One that was cut once stays finite,
+// however far it has grown again.
 func (d *Director) limitsNeverCut(a *attempt) bool {
 	return math.IsInf(min(a.target.concurrencyLimit.Max, a.fillSource.concurrencyLimit.Max, d.originFetches.Max), 1)
 }
--- a/routing/slow_start.go
+++ b/routing/slow_start.go
@@ -49,7 +49,7 @@
 		Senders:      d.knownSenders(ep.role),
 		Position:     d.senderPosition(ep),
 		WarmRate:     d.carriedRate[ep.role] * ep.weight,
-		ObservedRate: ep.recentWorkRate(d.now),
+		ObservedRate: ep.decayedWorkRate(d.now),
 		ObservedOver: recentWindow,
 	}
 	return d.slowStartRamp(ep.role).Allows(&ep.slowStartBudget, d.now, ep.incarnation, d.slowStartCost(r), sender)
@@ -95,9 +95,9 @@
 // included. Where none is warm, the latest value holds.
 func (d *Director) updateCarriedRate(of role) {
 	rate, weight := 0.0, 0.0
-	for _, ep := range d.inUse[of] {
+	for _, ep := range d.upEndpoints[of] {
 		if d.isWarm(ep) {
-			rate += ep.recentWorkRate(d.now)
+			rate += ep.decayedWorkRate(d.now)
 			weight += ep.weight
 		}
 	}
@@ -106,9 +106,9 @@
 	}
 }
 
-// recentWorkRate is the work a second that the endpoint did for us, averaged over recentWindow. Only what it answered counts:
+// decayedWorkRate is the work a second that the endpoint did for us, averaged over recentWindow. Only what it answered counts:
 // what was sent may be more than it can do.
-func (ep *endpoint) recentWorkRate(now time.Duration) float64 {
+func (ep *endpoint) decayedWorkRate(now time.Duration) float64 {
 	ep.workRate *= math.Exp(-float64(now-ep.workRateAt) / float64(recentWindow))
 	ep.workRateAt = now
 	return ep.workRate
@@ -116,5 +116,5 @@
 
 // recordWork counts work, in seconds of transfer, that the endpoint did.
 func (ep *endpoint) recordWork(now time.Duration, work float64) {
-	ep.workRate = ep.recentWorkRate(now) + work/recentWindow.Seconds()
+	ep.workRate = ep.decayedWorkRate(now) + work/recentWindow.Seconds()
 }
--- a/routing/slow_start_test.go
+++ b/routing/slow_start_test.go
@@ -87,8 +87,8 @@
 	}
 	r.d.updateCarriedRate(roleCache)
 	sum := 0.0
-	for _, s := range r.d.inUse[roleCache] {
-		sum += s.recentWorkRate(r.now)
+	for _, s := range r.d.upEndpoints[roleCache] {
+		sum += s.decayedWorkRate(r.now)
 	}
 	if got := r.d.carriedRate[roleCache]; sum == 0 || got > 1.01*sum/4 {
 		t.Errorf("carried %v each, %v in all by four", got, sum)
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -117,7 +117,7 @@
 			LastAnswer:    max(ep.concurrencyLimit.LastAnswer, ep.lastOK),
 			ErrorRate:     ep.errorRate,
 			EjectedUntil:  ep.ejectedUntil,
-			Backoff:       ep.backoff,
+			Backoff:       ep.ejectionDuration,
 			FillLatency:   ep.fillLatency,
 			FillLatencyAt: ep.fillLatencyAt,
 			LateShare:     ep.concurrencyLimit.LateShare,
@@ -182,7 +182,7 @@
 	if until := min(h.EjectedUntil, d.now+maxEjection); until > d.now {
 		ep.ejectedUntil = max(ep.ejectedUntil, until)
 	}
-	ep.backoff = max(ep.backoff, min(maxEjection, time.Duration(c.Failure*float64(h.Backoff))))
+	ep.ejectionDuration = max(ep.ejectionDuration, min(maxEjection, time.Duration(c.Failure*float64(h.Backoff))))
 	if ep.fillLatency == 0 {
 		ep.fillLatency, ep.fillLatencyAt = time.Duration(c.FillLatency*float64(h.FillLatency)), h.FillLatencyAt
 	}
--- a/routing/transfer_time_test.go
+++ b/routing/transfer_time_test.go
@@ -46,7 +46,7 @@
 			for i := range 10 { // 0.75 s of sending: the aim is 0.6 s and 1.6 times that
 				one(fmt.Sprint("large", i), long, 3000)
 			}
-			cut := slices.ContainsFunc(r.d.inUse[roleCache], func(s *endpoint) bool { return !math.IsInf(s.concurrencyLimit.Max, 1) })
+			cut := slices.ContainsFunc(r.d.upEndpoints[roleCache], func(s *endpoint) bool { return !math.IsInf(s.concurrencyLimit.Max, 1) })
 			if cut != (name == "late") {
 				t.Errorf("limits cut: %v", cut)
 			}
