--- a/client/plan/planner_test.go
+++ b/client/plan/planner_test.go
@@ -19,45 +19,45 @@
 		Window: 3 * time.Second, Worth: 3}, {Name: "unsafe", Effect: NonIdempotent, Worth: 1}}}
 }
 
-// world plays gateways and network against a planner, and checks what it does.
-type world struct {
-	t        interface{ Fatalf(string, ...any) }
-	p        *Planner
-	now      time.Duration
-	conns    map[uint64]*wconn
-	calls    map[uint64]*wcall
-	last     map[uint64]uint64 // by connection: its latest try
-	acts     []Action
-	held     map[string]time.Duration // by gateway and class: not before then
-	sends    []Send
-	connects []time.Duration
+// network plays gateways and network against a planner, and checks what it does.
+type network struct {
+	t             interface{ Fatalf(string, ...any) }
+	p             *Planner
+	now           time.Duration
+	conns         map[uint64]*networkConn
+	calls         map[uint64]*networkCall
+	lastAttempt   map[uint64]uint64 // by connection: its latest try
+	actions       []Action
+	rejectedUntil map[string]time.Duration // by gateway and class: not before then
+	sends         []Send
+	connects      []time.Duration
 }
 
-type wconn struct {
-	gateway string
-	up      bool
-	tries   map[uint64]Send
+type networkConn struct {
+	gateway  string
+	up       bool
+	attempts map[uint64]Send
 }
 
-type wcall struct {
+type networkCall struct {
 	Call
-	ended  bool
-	ending Ending
-	tries  int
-	first  time.Duration // earliest sending that may have run
-	ran    bool
-	at     time.Duration
+	ended           bool
+	ending          Ending
+	attempts        int
+	mayHaveRunSince time.Duration // earliest sending that may have run
+	mayHaveRun      bool
+	endedAt         time.Duration
 }
 
-func newWorld(t interface{ Fatalf(string, ...any) }, cfg Config, seed uint64) *world {
+func newNetwork(t interface{ Fatalf(string, ...any) }, cfg Config, seed uint64) *network {
 	p, err := New(cfg, rand.New(rand.NewPCG(seed, 1)))
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
-	return &world{t: t, p: p, conns: map[uint64]*wconn{}, calls: map[uint64]*wcall{}, last: map[uint64]uint64{}, held: map[string]time.Duration{}}
+	return &network{t: t, p: p, conns: map[uint64]*networkConn{}, calls: map[uint64]*networkCall{}, lastAttempt: map[uint64]uint64{}, rejectedUntil: map[string]time.Duration{}}
 }
 
-func (w *world) class(c uint64) *Class {
+func (w *network) class(c uint64) *Class {
 	for i := range w.p.cfg.Classes {
 		if k := &w.p.cfg.Classes[i]; k.Name == w.calls[c].Class {
 			return k
@@ -66,16 +66,16 @@
 	return &Class{}
 }
 
-// do hands an event in and checks what comes out.
-func (w *world) do(ev Event) {
+// handle hands an event in and checks what comes out.
+func (w *network) handle(ev Event) {
 	if c, ok := ev.(Call); ok {
-		w.calls[c.ID] = &wcall{Call: c}
+		w.calls[c.ID] = &networkCall{Call: c}
 	}
-	w.acts = w.p.Handle(w.now, ev, w.acts[:0])
-	for _, a := range w.acts {
+	w.actions = w.p.Handle(w.now, ev, w.actions[:0])
+	for _, a := range w.actions {
 		switch a := a.(type) {
 		case Connect:
-			w.conns[a.Conn] = &wconn{gateway: a.Gateway, tries: map[uint64]Send{}}
+			w.conns[a.Conn] = &networkConn{gateway: a.Gateway, attempts: map[uint64]Send{}}
 			w.connects = append(w.connects, w.now)
 		case Hangup:
 			if w.conns[a.Conn] == nil {
@@ -86,25 +86,25 @@
 			w.sent(a)
 		case Abandon:
 			if c := w.conns[a.Conn]; c != nil {
-				delete(c.tries, a.Attempt)
+				delete(c.attempts, a.Attempt)
 			}
 		case End:
 			c := w.calls[a.Call]
 			if c.ended {
 				w.t.Fatalf("call %d ends twice", a.Call)
 			}
-			c.ended, c.ending, c.at = true, a.Ending, w.now
+			c.ended, c.ending, c.endedAt = true, a.Ending, w.now
 			if w.now > c.Deadline {
 				w.t.Fatalf("call %d ends %v late", a.Call, w.now-c.Deadline)
 			}
-			if a.Ending == Unsent && c.tries > 0 || a.Ending == Refused && c.ran && c.Class == "unsafe" {
-				w.t.Fatalf("call %d ends as %v after %d tries, ran %v", a.Call, a.Ending, c.tries, c.ran)
+			if a.Ending == Unsent && c.attempts > 0 || a.Ending == Refused && c.mayHaveRun && c.Class == "unsafe" {
+				w.t.Fatalf("call %d ends as %v after %d tries, ran %v", a.Call, a.Ending, c.attempts, c.mayHaveRun)
 			}
 		}
 	}
 }
 
-func (w *world) sent(a Send) {
+func (w *network) sent(a Send) {
 	c, k := w.calls[a.Call], w.class(a.Call)
 	cn := w.conns[a.Conn]
 	switch {
@@ -112,70 +112,70 @@
 		w.t.Fatalf("sent for a call that has ended")
 	case cn == nil || !cn.up:
 		w.t.Fatalf("sent on a connection that is not up")
-	case len(cn.tries) >= DefaultOpen:
-		w.t.Fatalf("%d requests are open", len(cn.tries))
-	case a.Attempt <= w.last[a.Conn]:
+	case len(cn.attempts) >= DefaultOpen:
+		w.t.Fatalf("%d requests are open", len(cn.attempts))
+	case a.Attempt <= w.lastAttempt[a.Conn]:
 		w.t.Fatalf("ids do not rise")
-	case a.Retry != (c.tries > 0):
-		w.t.Fatalf("try %d is marked %v", c.tries+1, a.Retry)
+	case a.Retry != (c.attempts > 0):
+		w.t.Fatalf("try %d is marked %v", c.attempts+1, a.Retry)
 	case a.Limit <= 0 || w.now+a.Limit > c.Deadline:
 		w.t.Fatalf("limit %v with %v left", a.Limit, c.Deadline-w.now)
-	case c.ran && k.Effect == NonIdempotent:
+	case c.mayHaveRun && k.Effect == NonIdempotent:
 		w.t.Fatalf("an unsafe call is sent again")
-	case c.ran && k.Effect == IdempotentWithKey && w.now >= c.first+k.Window:
-		w.t.Fatalf("a keyed call is sent again after %v", w.now-c.first)
-	case w.now < w.held[cn.gateway+" "+c.Class]:
-		w.t.Fatalf("sent %v before the gateway is to be asked again", w.held[cn.gateway+" "+c.Class]-w.now)
+	case c.mayHaveRun && k.Effect == IdempotentWithKey && w.now >= c.mayHaveRunSince+k.Window:
+		w.t.Fatalf("a keyed call is sent again after %v", w.now-c.mayHaveRunSince)
+	case w.now < w.rejectedUntil[cn.gateway+" "+c.Class]:
+		w.t.Fatalf("sent %v before the gateway is to be asked again", w.rejectedUntil[cn.gateway+" "+c.Class]-w.now)
 	case a.SendKey != (k.Effect == IdempotentWithKey):
 		w.t.Fatalf("key %v for a call of effect %v", a.SendKey, k.Effect)
 	}
-	w.last[a.Conn] = a.Attempt
-	cn.tries[a.Attempt] = a
-	c.tries++
+	w.lastAttempt[a.Conn] = a.Attempt
+	cn.attempts[a.Attempt] = a
+	c.attempts++
 	w.sends = append(w.sends, a)
 }
 
 // answer answers a try; back is a refusal's advice.
-func (w *world) answer(conn, try uint64, ok, backoff bool, later time.Duration) {
+func (w *network) answer(conn, try uint64, ok, backoff bool, later time.Duration) {
 	if cn := w.conns[conn]; cn != nil {
-		if s, is := cn.tries[try]; is {
-			delete(cn.tries, try)
+		if s, is := cn.attempts[try]; is {
+			delete(cn.attempts, try)
 			if !ok && !backoff {
-				w.ran(s)
+				w.recordMayHaveRun(s)
 			}
 			if backoff {
-				w.held[cn.gateway+" "+w.calls[s.Call].Class] = w.now + later
+				w.rejectedUntil[cn.gateway+" "+w.calls[s.Call].Class] = w.now + later
 			}
 		}
 	}
-	w.do(Answered{Conn: conn, Attempt: try, OK: ok, Rejected: backoff, RetryAfter: later})
+	w.handle(Answered{Conn: conn, Attempt: try, OK: ok, Rejected: backoff, RetryAfter: later})
 }
 
-func (w *world) ran(s Send) {
+func (w *network) recordMayHaveRun(s Send) {
 	c := w.calls[s.Call]
-	if !c.ran {
-		c.ran, c.first = true, w.now // no earlier than it was sent: a weaker check than the planner's own
+	if !c.mayHaveRun {
+		c.mayHaveRun, c.mayHaveRunSince = true, w.now // no earlier than it was sent: a weaker check than the planner's own
 	}
 }
 
-// lose ends a connection.
-func (w *world) lose(id uint64, clean bool) {
+// end ends a connection.
+func (w *network) end(id uint64, clean bool) {
 	cn := w.conns[id]
 	delete(w.conns, id)
-	if !clean || len(cn.tries) > 1 {
-		for _, s := range cn.tries {
-			w.ran(s)
+	if !clean || len(cn.attempts) > 1 {
+		for _, s := range cn.attempts {
+			w.recordMayHaveRun(s)
 		}
 	}
-	for k := range w.held { // what a dead process has said holds no longer
+	for k := range w.rejectedUntil { // what a dead process has said holds no longer
 		if strings.HasPrefix(k, cn.gateway+" ") {
-			delete(w.held, k)
+			delete(w.rejectedUntil, k)
 		}
 	}
-	w.do(Down{Conn: id, Clean: clean})
+	w.handle(Down{Conn: id, Clean: clean})
 }
 
-func (w *world) ids() []uint64 {
+func (w *network) connIDs() []uint64 {
 	return slices.Sorted(maps.Keys(w.conns))
 }
 
@@ -183,22 +183,22 @@
 // marks, the limits or a refusal do not allow (the checks of world).
 func TestAnythingMayHappen(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, config(), rapid.Uint64().Draw(t, "seed"))
+		w := newNetwork(t, config(), rapid.Uint64().Draw(t, "seed"))
 		id := uint64(0)
 		for range rapid.IntRange(10, 150).Draw(t, "steps") {
 			w.now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * ms
-			w.timers(t)
-			ids := w.ids()
+			w.runDueTimers(t)
+			ids := w.connIDs()
 			step := rapid.IntRange(0, 9).Draw(t, "step")
 			if step <= 3 || len(ids) == 0 {
 				id++
-				w.do(Call{ID: id, Class: rapid.SampledFrom([]string{"safe", "keyed", "unsafe", "none"}).Draw(t, "class"),
+				w.handle(Call{ID: id, Class: rapid.SampledFrom([]string{"safe", "keyed", "unsafe", "none"}).Draw(t, "class"),
 					Deadline: w.now + time.Duration(rapid.IntRange(0, 5000).Draw(t, "limit"))*ms})
 				continue
 			}
-			w.drawn(t, step, rapid.SampledFrom(ids).Draw(t, "conn"), id)
+			w.randomConnEvent(t, step, rapid.SampledFrom(ids).Draw(t, "conn"), id)
 		}
-		w.do(Close{})
+		w.handle(Close{})
 		for id, c := range w.calls {
 			if !c.ended {
 				t.Fatalf("call %d never ends", id)
@@ -210,60 +210,60 @@
 	})
 }
 
-// timers has the timers that ran out by now run in their time.
-func (w *world) timers(t *rapid.T) {
+// runDueTimers has the timers that ran out by now run in their time.
+func (w *network) runDueTimers(t *rapid.T) {
 	for at, ok := w.p.Wake(); ok && at <= w.now; at, ok = w.p.Wake() {
 		now := w.now
 		w.now = at
-		w.do(Timer{})
+		w.handle(Timer{})
 		w.now = now
 		if next, again := w.p.Wake(); again && next <= at {
-			t.Fatalf("it wants to be woken at %v, where it was: %+v", next, w.p.stuck(at))
+			t.Fatalf("it wants to be woken at %v, where it was: %+v", next, w.p.pendingTimers(at))
 		}
 	}
-	w.do(Timer{})
+	w.handle(Timer{})
 }
 
-// drawn has something happen on a connection: it comes up or is lost, it says whether its gateway is alive, or an attempt is answered. By
+// randomConnEvent has something happen on a connection: it comes up or is lost, it says whether its gateway is alive, or an attempt is answered. By
 // another step the latest call is canceled.
-func (w *world) drawn(t *rapid.T, step int, conn, latest uint64) {
+func (w *network) randomConnEvent(t *rapid.T, step int, conn, latest uint64) {
 	cn := w.conns[conn]
 	if !cn.up {
 		if rapid.IntRange(0, 3).Draw(t, "up") > 0 {
 			cn.up = true
-			w.do(Up{Conn: conn})
+			w.handle(Up{Conn: conn})
 		} else {
-			w.lose(conn, false)
+			w.end(conn, false)
 		}
 		return
 	}
-	tries := slices.Sorted(maps.Keys(cn.tries))
+	tries := slices.Sorted(maps.Keys(cn.attempts))
 	switch {
 	case step == 9:
-		w.lose(conn, rapid.Bool().Draw(t, "clean"))
+		w.end(conn, rapid.Bool().Draw(t, "clean"))
 	case step == 8:
-		w.do(Heard{Conn: conn, Healthy: rapid.Bool().Draw(t, "alive")})
+		w.handle(Heard{Conn: conn, Healthy: rapid.Bool().Draw(t, "alive")})
 	case len(tries) > 0:
 		try := rapid.SampledFrom(tries).Draw(t, "try")
 		kind := rapid.IntRange(0, 3).Draw(t, "answer")
 		w.answer(conn, try, kind <= 1, kind == 2, time.Duration(rapid.IntRange(0, 2000).Draw(t, "later"))*ms)
 	default:
-		w.do(Answered{Conn: conn, Attempt: 999999, OK: true}) // never asked
+		w.handle(Answered{Conn: conn, Attempt: 999999, OK: true}) // never asked
 		if latest > 0 {
-			w.do(Cancelled{ID: latest})
+			w.handle(Cancelled{ID: latest})
 			w.calls[latest].ended = true
 		}
 	}
 }
 
 // run plays on for a while: every millisecond, timers and what react does.
-func (w *world) run(d time.Duration, react func()) {
+func (w *network) run(d time.Duration, react func()) {
 	for end := w.now + d; w.now < end; w.now += ms {
-		w.do(Timer{})
-		for _, id := range w.ids() {
+		w.handle(Timer{})
+		for _, id := range w.connIDs() {
 			if cn := w.conns[id]; !cn.up {
 				cn.up = true
-				w.do(Up{Conn: id})
+				w.handle(Up{Conn: id})
 			}
 		}
 		if react != nil {
@@ -272,10 +272,10 @@
 	}
 }
 
-func (w *world) open() (all []Send) {
-	for _, id := range w.ids() {
-		for _, s := range slices.Sorted(maps.Keys(w.conns[id].tries)) {
-			all = append(all, w.conns[id].tries[s])
+func (w *network) inFlight() (all []Send) {
+	for _, id := range w.connIDs() {
+		for _, s := range slices.Sorted(maps.Keys(w.conns[id].attempts)) {
+			all = append(all, w.conns[id].attempts[s])
 		}
 	}
 	return all
@@ -283,12 +283,12 @@
 
 // With every gateway refusing, hardly more is sent than was asked for.
 func TestRefusalsAreNotAnsweredByRetries(t *testing.T) {
-	w := newWorld(t, config(), 1)
+	w := newNetwork(t, config(), 1)
 	n := uint64(0)
 	w.run(30*time.Second, func() {
 		n++
-		w.do(Call{ID: n, Class: "safe", Deadline: w.now + 2*time.Second})
-		for _, s := range w.open() {
+		w.handle(Call{ID: n, Class: "safe", Deadline: w.now + 2*time.Second})
+		for _, s := range w.inFlight() {
 			w.answer(s.Conn, s.Attempt, false, true, 500*ms)
 		}
 	})
@@ -304,16 +304,16 @@
 
 // A refusal that comes after the call has been sent again counts, and leaves the newer try alone.
 func TestALateRefusalLeavesTheNewerTry(t *testing.T) {
-	w := newWorld(t, config(), 2)
-	w.do(Call{ID: 1, Class: "safe", Deadline: 10 * time.Second})
+	w := newNetwork(t, config(), 2)
+	w.handle(Call{ID: 1, Class: "safe", Deadline: 10 * time.Second})
 	w.run(4*time.Second, nil) // the first gateway is silent, and is left
-	open := w.open()
+	open := w.inFlight()
 	if len(open) != 2 || !open[1].Retry {
 		t.Fatalf("%d tries are out: %+v", len(open), open)
 	}
 	w.answer(open[0].Conn, open[0].Attempt, false, true, time.Second)
-	if w.calls[1].ended || len(w.open()) != 1 || w.p.Counters.RejectionsHeeded != 1 {
-		t.Fatalf("ended %v, %d out, %d held", w.calls[1].ended, len(w.open()), w.p.Counters.RejectionsHeeded)
+	if w.calls[1].ended || len(w.inFlight()) != 1 || w.p.Counters.RejectionsHeeded != 1 {
+		t.Fatalf("ended %v, %d out, %d held", w.calls[1].ended, len(w.inFlight()), w.p.Counters.RejectionsHeeded)
 	}
 	w.answer(open[1].Conn, open[1].Attempt, true, false, 0)
 	if c := w.calls[1]; !c.ended || c.ending != Served {
@@ -324,12 +324,12 @@
 // What a class does not allow is not sent again, and the call says what is known.
 func TestEffects(t *testing.T) {
 	for class, want := range map[string]Ending{"safe": Served, "keyed": Served, "unsafe": Unknown} {
-		w := newWorld(t, config(), 3)
-		w.do(Call{ID: 1, Class: class, Deadline: 10 * time.Second})
+		w := newNetwork(t, config(), 3)
+		w.handle(Call{ID: 1, Class: class, Deadline: 10 * time.Second})
 		w.run(10*ms, nil)
-		w.lose(w.open()[0].Conn, false)
+		w.end(w.inFlight()[0].Conn, false)
 		w.run(5*time.Second, func() {
-			for _, s := range w.open() {
+			for _, s := range w.inFlight() {
 				w.answer(s.Conn, s.Attempt, true, false, 0)
 			}
 		})
@@ -337,13 +337,13 @@
 			t.Errorf("%s: ended %v as %v", class, c.ended, c.ending)
 		}
 	}
-	w := newWorld(t, config(), 3) // an orderly close within 50 ms proves that nothing ran
-	w.do(Call{ID: 1, Class: "unsafe", Deadline: 10 * time.Second})
+	w := newNetwork(t, config(), 3) // an orderly close within 50 ms proves that nothing ran
+	w.handle(Call{ID: 1, Class: "unsafe", Deadline: 10 * time.Second})
 	w.run(10*ms, nil)
-	w.lose(w.open()[0].Conn, true)
+	w.end(w.inFlight()[0].Conn, true)
 	w.run(100*ms, nil)
-	if len(w.open()) != 1 || w.p.Counters.Crossed != 1 {
-		t.Errorf("%d tries are out after a close that it crossed", len(w.open()))
+	if len(w.inFlight()) != 1 || w.p.Counters.Crossed != 1 {
+		t.Errorf("%d tries are out after a close that it crossed", len(w.inFlight()))
 	}
 }
 
@@ -354,14 +354,14 @@
 	for n := range uint64(1000) {
 		cfg := config()
 		cfg.Gateways = []string{"a", "b"}
-		w := newWorld(t, cfg, n)
-		w.do(Call{ID: 1, Class: "safe", Deadline: 5 * time.Second})
+		w := newNetwork(t, cfg, n)
+		w.handle(Call{ID: 1, Class: "safe", Deadline: 5 * time.Second})
 		w.run(3*ms, nil)
 		at := w.now
 		before := len(w.connects)
-		w.lose(w.open()[0].Conn, false)
+		w.end(w.inFlight()[0].Conn, false)
 		w.run(5*time.Second, func() {
-			for _, s := range w.open() {
+			for _, s := range w.inFlight() {
 				w.answer(s.Conn, s.Attempt, true, false, 0)
 			}
 		})
@@ -390,8 +390,8 @@
 	tenths := map[time.Duration]int{}
 	all, kept := 0, 0
 	for n := range uint64(600) {
-		w := newWorld(t, config(), n)
-		for _, at := range w.twoDeaths() {
+		w := newNetwork(t, config(), n)
+		for _, at := range w.ejectTwo() {
 			tenths[at/(100*ms)]++
 			all++
 		}
@@ -409,14 +409,14 @@
 	}
 }
 
-// twoDeaths has gateway a die under a call, and b half a second later, and returns when connections were begun from then on.
-func (w *world) twoDeaths() []time.Duration {
-	w.do(Call{ID: 1, Class: "safe", Deadline: 5 * time.Second})
+// ejectTwo has gateway a die under a call, and b half a second later, and returns when connections were begun from then on.
+func (w *network) ejectTwo() []time.Duration {
+	w.handle(Call{ID: 1, Class: "safe", Deadline: 5 * time.Second})
 	w.run(3*ms, nil)
 	kill := func(name string) {
-		for _, id := range w.ids() {
+		for _, id := range w.connIDs() {
 			if w.conns[id].gateway == name {
-				w.lose(id, false)
+				w.end(id, false)
 			}
 		}
 	}
@@ -428,10 +428,10 @@
 			down["b"] = true
 			kill("b")
 		}
-		w.do(Timer{})
-		w.connect(func(cn *wconn) bool { return down[cn.gateway] }, nil)
+		w.handle(Timer{})
+		w.connect(func(cn *networkConn) bool { return down[cn.gateway] }, nil)
 		if w.now > time.Second { // nobody answers before
-			for _, s := range w.open() {
+			for _, s := range w.inFlight() {
 				w.answer(s.Conn, s.Attempt, true, false, 0)
 			}
 		}
@@ -441,20 +441,20 @@
 
 // A gateway that answers whether it is there, and nothing else: calls end by their deadlines, and it is not left for it.
 func TestAGatewayThatOnlySaysItIsAlive(t *testing.T) {
-	w := newWorld(t, config(), 5)
-	w.do(Call{ID: 1, Class: "unsafe", Deadline: 5 * time.Second})
+	w := newNetwork(t, config(), 5)
+	w.handle(Call{ID: 1, Class: "unsafe", Deadline: 5 * time.Second})
 	probes := 0
 	for w.now < 6*time.Second {
 		w.now += ms
 		before := w.p.Counters.HealthChecks
-		w.do(Timer{})
-		for _, id := range w.ids() {
+		w.handle(Timer{})
+		for _, id := range w.connIDs() {
 			if cn := w.conns[id]; !cn.up {
 				cn.up = true
-				w.do(Up{Conn: id})
+				w.handle(Up{Conn: id})
 			} else if w.p.Counters.HealthChecks > before {
 				probes++
-				w.do(Heard{Conn: id, Healthy: true})
+				w.handle(Heard{Conn: id, Healthy: true})
 			}
 		}
 	}
@@ -467,26 +467,26 @@
 func TestAGatewayThatIsBackAndNotReady(t *testing.T) {
 	cfg := config()
 	cfg.Gateways = []string{"a"}
-	w := newWorld(t, cfg, 6)
-	w.do(Call{ID: 1, Class: "safe", Deadline: 9 * time.Second})
+	w := newNetwork(t, cfg, 6)
+	w.handle(Call{ID: 1, Class: "safe", Deadline: 9 * time.Second})
 	w.run(10*ms, nil)
-	w.lose(w.open()[0].Conn, false)
+	w.end(w.inFlight()[0].Conn, false)
 	ready := false
 	for w.now < 8*time.Second {
 		w.now += 10 * ms
 		ready = ready || w.now > 3*time.Second
-		w.do(Timer{})
-		for _, id := range w.ids() {
+		w.handle(Timer{})
+		for _, id := range w.connIDs() {
 			if cn := w.conns[id]; !cn.up {
 				cn.up = true
-				w.do(Up{Conn: id})
-				w.do(Heard{Conn: id, Healthy: ready})
+				w.handle(Up{Conn: id})
+				w.handle(Heard{Conn: id, Healthy: ready})
 			}
 		}
-		if !ready && len(w.open()) > 0 {
+		if !ready && len(w.inFlight()) > 0 {
 			t.Fatal("sent to one that does not serve yet")
 		}
-		for _, s := range w.open() {
+		for _, s := range w.inFlight() {
 			w.answer(s.Conn, s.Attempt, true, false, 0)
 		}
 	}
@@ -499,18 +499,18 @@
 func TestAllGatewaysAway(t *testing.T) {
 	tries := map[time.Duration]int{}
 	for n := range uint64(300) {
-		w := newWorld(t, config(), n)
+		w := newNetwork(t, config(), n)
 		id := uint64(0)
 		for w.now < 14*time.Second {
 			if id++; true {
-				w.do(Call{ID: id, Class: "safe", Deadline: w.now + 2*time.Second})
+				w.handle(Call{ID: id, Class: "safe", Deadline: w.now + 2*time.Second})
 			}
 			for end := w.now + 100*ms; w.now < end; w.now += 10 * ms {
-				w.do(Timer{})
-				w.connect(func(cn *wconn) bool { return !cn.up && w.now < 10*time.Second }, func(c uint64) {
-					w.do(Heard{Conn: c, Healthy: true})
+				w.handle(Timer{})
+				w.connect(func(cn *networkConn) bool { return !cn.up && w.now < 10*time.Second }, func(c uint64) {
+					w.handle(Heard{Conn: c, Healthy: true})
 				})
-				for _, s := range w.open() {
+				for _, s := range w.inFlight() {
 					tries[w.now/(100*ms)]++
 					w.answer(s.Conn, s.Attempt, true, false, 0)
 				}
@@ -556,14 +556,14 @@
 }
 
 // connect ends the connections that are lost, and has the others come up; came is called with each one that does.
-func (w *world) connect(lost func(*wconn) bool, came func(id uint64)) {
-	for _, id := range w.ids() {
+func (w *network) connect(lost func(*networkConn) bool, came func(id uint64)) {
+	for _, id := range w.connIDs() {
 		switch cn := w.conns[id]; {
 		case lost(cn):
-			w.lose(id, false)
+			w.end(id, false)
 		case !cn.up:
 			cn.up = true
-			w.do(Up{Conn: id})
+			w.handle(Up{Conn: id})
 			if came != nil {
 				came(id)
 			}
@@ -571,8 +571,8 @@
 	}
 }
 
-// stuck tells what asks to be woken at a time that has passed.
-func (p *Planner) stuck(at time.Duration) (all []string) {
+// pendingTimers tells what asks to be woken at a time that has passed.
+func (p *Planner) pendingTimers(at time.Duration) (all []string) {
 	for _, c := range p.waiting {
 		all = append(all, fmt.Sprintf("call %d: deadline %v from %v moved %v tries %d out %d", c.ID, c.Deadline, c.connectNotBefore, c.redirecting, c.attemptCount, len(c.inFlight)))
 	}
