--- a/client/plan/planner_test.go
+++ b/client/plan/planner_test.go
@@ -26,7 +26,7 @@
 	now           time.Duration
 	conns         map[uint64]*networkConn
 	calls         map[uint64]*networkCall
-	lastAttempt   map[uint64]uint64 // by connection: its latest try
+	lastAttempt   map[uint64]uint64 // by connection
 	actions       []Action
 	rejectedUntil map[string]time.Duration // by gateway and class: not before then
 	sends         []Send
@@ -44,7 +44,7 @@
 	ended           bool
 	ending          Ending
 	attempts        int
-	mayHaveRunSince time.Duration // earliest sending that may have run
+	mayHaveRunSince time.Duration // when the earliest attempt that may have run was sent
 	mayHaveRun      bool
 	endedAt         time.Duration
 }
@@ -135,7 +135,7 @@
 	w.sends = append(w.sends, a)
 }
 
-// answer answers a try; back is a refusal's advice.
+// answer answers an attempt; later is the Retry-After of a rejection.
 func (w *network) answer(conn, try uint64, ok, backoff bool, later time.Duration) {
 	if cn := w.conns[conn]; cn != nil {
 		if s, is := cn.attempts[try]; is {
@@ -167,7 +167,7 @@
 			w.recordMayHaveRun(s)
 		}
 	}
-	for k := range w.rejectedUntil { // what a dead process has said holds no longer
+	for k := range w.rejectedUntil { // the Retry-After of a process that is gone holds no longer
 		if strings.HasPrefix(k, cn.gateway+" ") {
 			delete(w.rejectedUntil, k)
 		}
@@ -180,7 +180,7 @@
 }
 
 // Whatever gateways and connections do, each call ends once and by its deadline, and nothing is sent that its class, the
-// marks, the limits or a refusal do not allow (the checks of world).
+// marks, the limits or a refusal do not allow (the checks of network).
 func TestAnythingMayHappen(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newNetwork(t, config(), rapid.Uint64().Draw(t, "seed"))
@@ -281,7 +281,7 @@
 	return all
 }
 
-// With every gateway refusing, hardly more is sent than was asked for.
+// With every gateway rejecting, hardly more is sent than was asked for.
 func TestRefusalsAreNotAnsweredByRetries(t *testing.T) {
 	w := newNetwork(t, config(), 1)
 	n := uint64(0)
@@ -302,7 +302,7 @@
 	}
 }
 
-// A refusal that comes after the call has been sent again counts, and leaves the newer try alone.
+// A rejection that comes after the call has been sent again counts, and leaves the newer attempt alone.
 func TestALateRefusalLeavesTheNewerTry(t *testing.T) {
 	w := newNetwork(t, config(), 2)
 	w.handle(Call{ID: 1, Class: "safe", Deadline: 10 * time.Second})
@@ -385,7 +385,7 @@
 	}
 }
 
-// A gateway dies, and the next half a second later: what is left serves all, and its share of reconnects is spread.
+// A gateway dies, and the next half a second later: what is left serves all, and the reconnects are spread.
 func TestASecondDeath(t *testing.T) {
 	tenths := map[time.Duration]int{}
 	all, kept := 0, 0
