--- a/client/rpc/rpc.go
+++ b/client/rpc/rpc.go
@@ -59,7 +59,7 @@
 
 // Request writes a request.
 func (e *Encoder) Request(r *Request) error {
-	fields := r.fields()
+	fields := r.appendFields(make([]field, 0, maxRequestFields)) // on the stack
 	body := r.Body
 	if body == nil {
 		body = []byte{} // an empty body, where nil would be encoded as none
@@ -73,9 +73,12 @@
 
 type field struct{ name, value string }
 
-// fields are a request's fields as they are sent, in their order.
-func (r *Request) fields() []field {
-	fields := append(make([]field, 0, 8),
+// maxRequestFields is the number of fields that a request can have.
+const maxRequestFields = 8
+
+// appendFields appends a request's fields as they are sent, in their order.
+func (r *Request) appendFields(fields []field) []field {
+	fields = append(fields,
 		field{"txn", r.Txn},
 		field{"limit", strconv.FormatInt(max(1, r.Limit.Milliseconds()), 10)},
 		field{"item", r.Object},
