--- a/signedurl/jwt.go
+++ b/signedurl/jwt.go
@@ -69,7 +69,7 @@
 	return nil, errUnknownKey
 }
 
-// jwtReasons maps errors of the JWT parser to reasons. One error may be several of them: the first counts.
+// jwtReasons gives the reason for each error of the JWT parser. One error may be several of them: the first counts.
 var jwtReasons = []struct {
 	err    error
 	reason Reason
