--- a/concurrency/concurrency.go
+++ b/concurrency/concurrency.go
@@ -116,7 +116,7 @@
 	return math.Sqrt(m.mean / cost)
 }
 
-// MaxWithinObjective returns how many transfers may share the slots of a store so that one which takes transfer alone still
+// MaxWithinObjective returns how many transfers may share the slots of an endpoint so that one which takes transfer alone still
 // ends within its latency objective, which is stretch times transfer, and fixed besides. With n transfers on s slots each
 // takes n/s times as long. +Inf where slots or transfer are unknown (0 or less).
 func MaxWithinObjective(slots, stretch float64, fixed, transfer time.Duration) float64 {
--- a/loadreport/loadreport.go
+++ b/loadreport/loadreport.go
@@ -1,7 +1,7 @@
-// Package loadreport smooths the utilization that stores report, and decides from it whether requests are to move from one
-// store to another that could serve them as well.
+// Package loadreport smooths the utilization that endpoints report, and decides from it whether requests are to move from one
+// endpoint to another that could serve them as well.
 //
-// Objects are placed by hash or by table, and popularity is uneven: of three stores one may be full while the others idle.
+// Objects are placed by hash or by table, and popularity is uneven: of three endpoints one may be full while the others idle.
 // Its answers are late then, and look like those of a slow source.
 //
 // The package does no I/O, reads no clock and draws no random numbers. Its types are not safe for concurrent use.
@@ -15,7 +15,7 @@
 // notReported is the index of a field that reports don't have.
 const notReported = -1
 
-// Fields are the indices of a load report's fields that tell how busy a store is; -1: not reported.
+// Fields are the indices of a load report's fields that tell how busy an endpoint is; -1: not reported.
 type Fields struct {
 	UtilizationIndex int // share of its capacity in use
 	InFlightIndex    int // number of requests in flight
@@ -35,10 +35,10 @@
 	return f
 }
 
-// Present reports whether reports tell how busy a store is, one way or the other.
+// Present reports whether reports tell how busy an endpoint is, one way or the other.
 func (f Fields) Present() bool { return f.UtilizationIndex >= 0 || f.InFlightIndex >= 0 }
 
-// Utilization reads the share of a store's capacity in use from a report. slots is how many requests the store can work on
+// Utilization reads the share of an endpoint's capacity in use from a report. slots is how many requests the endpoint can work on
 // at once; 0: unknown. ok is false if the report doesn't tell, or its value is not a finite number of 0 or more.
 func (f Fields) Utilization(report []float64, slots float64) (share float64, ok bool) {
 	share = math.NaN()
@@ -57,7 +57,7 @@
 	maxAge = 3 * time.Second
 )
 
-// Load is the smoothed utilization of a store. The zero value knows nothing.
+// Load is the smoothed utilization of an endpoint. The zero value knows nothing.
 type Load struct {
 	mean       float64
 	lastReport time.Duration
@@ -75,13 +75,13 @@
 	l.lastReport = now
 }
 
-// Utilization returns the smoothed share of the store's capacity in use. ok is false if no recent report is known.
+// Utilization returns the smoothed share of the endpoint's capacity in use. ok is false if no recent report is known.
 func (l *Load) Utilization(now time.Duration) (share float64, ok bool) {
 	return l.mean, l.known && now-l.lastReport <= maxAge
 }
 
 const (
-	// minUtilizationToMove is the utilization below which no requests are moved away from a store.
+	// minUtilizationToMove is the utilization below which no requests are moved away from an endpoint.
 	minUtilizationToMove = 0.65
 	// minDifferenceToMove is the difference in utilization that is not worth moving requests for.
 	minDifferenceToMove = 0.2
@@ -91,7 +91,7 @@
 	freeMoveRate = 4 * moveRate
 )
 
-// Imbalance returns by how much the utilization of one store exceeds that of another, beyond what is not worth moving
+// Imbalance returns by how much the utilization of one endpoint exceeds that of another, beyond what is not worth moving
 // requests for; 0 if it does not, or if either is unknown.
 func Imbalance(now time.Duration, from, to *Load) float64 {
 	a, fromKnown := from.Utilization(now)
@@ -102,8 +102,8 @@
 	return max(0, a-b-minDifferenceToMove)
 }
 
-// MoveProbability returns the share of requests, 0 to 1, that move from a store to one that is less busy by an imbalance.
-// What the first store is likely to have cached costs a fill at the second, and stays there: so few move at a time that
+// MoveProbability returns the share of requests, 0 to 1, that move from an endpoint to one that is less busy by an imbalance.
+// What the first endpoint is likely to have cached costs a fill at the second, and stays there: so few move at a time that
 // load reports keep up.
 func MoveProbability(imbalance float64, cached bool) float64 {
 	if cached {
--- a/routing/deadline.go
+++ b/routing/deadline.go
@@ -36,7 +36,7 @@
 	d.setRequestTimer(r, d.now+max(d.set.ClockStep, r.class.LatencyObjective/2))
 }
 
-// silentEndpoint is the endpoint from which nothing came since the attempt was sent; nil if there is none, or if it can't be told
+// silentEndpoint is the endpoint from which nothing came since the attempt was sent; nil if there is none, or if it isn't known
 // which. The origin is judged by its answers alone.
 func (a *attempt) silentEndpoint() *endpoint {
 	suspect := a.target
--- a/routing/director.go
+++ b/routing/director.go
@@ -33,7 +33,7 @@
 
 	table        map[uint64]*mappingEntry
 	byRecency    *list.List      // the table's entries, the latest used first
-	pendingMoves []*mappingEntry // moved listings that the other directors are still to be told of
+	pendingMoves []*mappingEntry // moved listings that gossip has not yet sent to the other directors
 	purged       *purge.Registry
 
 	classes   map[string]*class
@@ -43,7 +43,7 @@
 
 	retryBudget           float64         // retries that success has earned
 	hedgeBudget           float64         // hedged requests that lost answers have earned
-	unattributedErrorRate byRole[float64] // share of recent attempts that ended in an error of no told cause
+	unattributedErrorRate byRole[float64] // share of recent attempts that ended in an error whose cause is unknown
 	originFetches         concurrency.Limit
 	meanCost              concurrency.MeanCost
 	loadFields            loadreport.Fields
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -28,7 +28,7 @@
 //	retry.go         when a repeat is allowed, and the budgets of retries and hedges; result.go and deadline.go start them
 //	deadline.go      when a silent endpoint is left, and when a request is rejected or failed
 //	outlier.go       which endpoint is ejected, and when it returns
-//	gossip.go        what other directors are told, and believed
+//	gossip.go        what is sent to other directors, and what is taken over from them
 //	snapshot.go      what outlives the process
 //	observe.go       what is known of endpoints, for planned maintenance
 //	settings.go, events.go, actions.go, gossip_format.go, hash.go: types, encodings and hashing; they decide nothing
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -41,7 +41,7 @@
 	lastOK                time.Duration // latest answer of any use
 	overdueAnswers        int           // answers that were due since then
 	errorRate             float64       // share of recent attempts that failed
-	unattributedErrorRate float64       // share of them that ended in an error of no told cause
+	unattributedErrorRate float64       // share of them that ended in an error whose cause is unknown
 	ejectedUntil          time.Duration
 	ejectionDuration      time.Duration // length of the latest ejection; 0: it was not ejected since it was well
 	probationInFlight     bool          // back from ejection, with one attempt in flight to try it
--- a/routing/events.go
+++ b/routing/events.go
@@ -99,7 +99,7 @@
 
 // Reasons of a result. From ReasonSourceRejected on they tell of a fill that failed.
 const (
-	ReasonNone           Reason = iota // not told
+	ReasonNone           Reason = iota // unknown
 	ReasonHit                          // from a fresh copy
 	ReasonFilled                       // by the fill source, from a copy that it had
 	ReasonFilledByOrigin               // by the origin, through the fill source or straight
--- a/routing/limits.go
+++ b/routing/limits.go
@@ -14,7 +14,7 @@
 	minDirectorLimit = 0.1 // nor below this for each
 )
 
-// Whose fault a late or rejected attempt is, where that isn't told.
+// Whose fault a late or rejected attempt is, where results don't say.
 const (
 	promptRejectionRatio = 4               // a rejection that came this many times sooner than any fill did not ask a source
 	sharedFaultWindow    = 2 * time.Second // late fills by two sources within this are the fault of the origin behind both
@@ -106,7 +106,7 @@
 	return (o.Status == OK || o.Status == ServerError) && o.Latency <= r.objectiveAt()-r.startedAt
 }
 
-// rejectedByTarget reports whether a rejection is the cache's own, and not its source's. Where that isn't told: it came sooner
+// rejectedByTarget reports whether a rejection is the cache's own, and not its source's. Where the result doesn't say: it came sooner
 // than a source can be asked. For a fill that may only mean that no slot for fills is free, so it counts only if the cache
 // has rejected a hit since it last answered well. Otherwise the rejections of a cache that drains before the list says so would
 // cut the sources' limits, and so have the requests of all other caches behind them rejected.
@@ -136,7 +136,7 @@
 	return a.fillExpected || o.Reason != ReasonNone
 }
 
-// isSharedFault reports whether a late or failed fill is the origin's fault rather than its parent's: where that isn't told, if
+// isSharedFault reports whether a late or failed fill is the origin's fault rather than its parent's: where the result doesn't say, if
 // another parent's fill was late at about that time, or a write at the origin. A parent that alone is slow, silent or gone is
 // judged alone.
 func (d *Director) isSharedFault(a *attempt, o AttemptResult) bool {
--- a/routing/mapping_table.go
+++ b/routing/mapping_table.go
@@ -22,7 +22,7 @@
 	cacheIncarnation time.Duration // of that cache when it was listed
 	movedAt          time.Duration // when the listing last moved
 	lastHit          time.Duration // 0: none
-	copySeenAt       time.Duration // sending of the latest request that the cache served, or the filling of which gossip told
+	copySeenAt       time.Duration // sending of the latest request that the cache served, or the fill that gossip reported
 	lastRequest      time.Duration
 	meanGap          time.Duration // smoothed gap between requests
 	recentRequests   float64       // with requestCountDecay
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -66,7 +66,7 @@
 	Uncacheable      bool          `json:"NeverKept"`  // runs at the origin and is never cached
 }
 
-// Settings are what a director is told at its start. Where a field says "not known", the deployment doesn't tell. Its tags are the
+// Settings are a director's settings at its start. Where a field says "not known", the deployment doesn't tell. Its tags are the
 // names in stored files.
 type Settings struct {
 	Index         int       `json:"Me"`         // number of this director, from 0
--- a/slowstart/slowstart.go
+++ b/slowstart/slowstart.go
@@ -1,8 +1,8 @@
-// Package slowstart bounds what is sent to a store that has just started. A store that is sent more than a multiple of its
+// Package slowstart bounds what is sent to an endpoint that has just started. An endpoint that is sent more than a multiple of its
 // current capacity for a whole window falls over.
 //
-// Many senders share such a store without talking to each other. Each keeps to its own part of the store's budget, and the
-// parts add up to what the store bears. A part is often smaller than one sending, and a sender can only make whole ones:
+// Many senders share such an endpoint without talking to each other. Each keeps to its own part of the endpoint's budget, and the
+// parts add up to what the endpoint bears. A part is often smaller than one sending, and a sender can only make whole ones:
 // it makes one with the probability of its part (randomized rounding), so that all senders together make as many as their
 // parts add up to, whatever each of them wants and when.
 //
@@ -17,7 +17,7 @@
 )
 
 const (
-	// safetyMargin is the share of a store's budget that is spent: what senders send differs in size.
+	// safetyMargin is the share of an endpoint's budget that is spent: what senders send differs in size.
 	safetyMargin = 0.9
 	// assumedSenders is the number of senders where the settings don't give it.
 	assumedSenders = 100
@@ -25,15 +25,15 @@
 	goldenRatioFraction = 0.6180339887498949
 )
 
-// Ramp is how a kind of store warms up.
+// Ramp is how a kind of endpoint warms up.
 type Ramp struct {
-	InitialShare     float64       // share of its capacity that a store has at its start, 0 to 1
+	InitialShare     float64       // share of its capacity that an endpoint has at its start, 0 to 1
 	Duration         time.Duration // time from the start to full capacity, which rises linearly; 0: it is never cold
-	OverloadMultiple float64       // multiple of its current capacity at which a store falls over ...
+	OverloadMultiple float64       // multiple of its current capacity at which an endpoint falls over ...
 	OverloadWindow   time.Duration // ... when it is sent that for this long; 0: it never falls over
 }
 
-// CapacityShare returns the share of its full capacity, 0 to 1, that a store has at least now. A start at or before 0 was
+// CapacityShare returns the share of its full capacity, 0 to 1, that an endpoint has at least now. A start at or before 0 was
 // long ago.
 func (r Ramp) CapacityShare(now, start time.Duration) float64 {
 	if start <= 0 || r.Duration <= 0 || now-start >= r.Duration {
@@ -42,23 +42,23 @@
 	return r.InitialShare + (1-r.InitialShare)*max(0, float64(now-start)/float64(r.Duration))
 }
 
-// Sender describes the sender that asks, and what it knows of stores like the one it would send to.
+// Sender describes the sender that asks, and what it knows of endpoints like the one it would send to.
 type Sender struct {
-	Senders      float64       // number of senders to the store; 0: unknown
+	Senders      float64       // number of senders to the endpoint; 0: unknown
 	Position     float64       // in the order of senders, 0 to 1: see [SenderPosition]
-	WarmRate     float64       // cost per second that warm stores of the same size carry for this sender; 0: unknown
-	ObservedRate float64       // cost per second that this store was lately seen to carry for it
+	WarmRate     float64       // cost per second that warm endpoints of the same size carry for this sender; 0: unknown
+	ObservedRate float64       // cost per second that this endpoint was lately seen to carry for it
 	ObservedOver time.Duration // time over which ObservedRate was averaged
 }
 
-// SenderPosition spreads senders evenly over [0, 1) by their numbers, in another order at each store. Where senders have no
+// SenderPosition spreads senders evenly over [0, 1) by their numbers, in another order at each endpoint. Where senders have no
 // numbers, a random draw for each serves as well on average.
-func SenderPosition(number int, store uint64) float64 {
-	_, fraction := math.Modf(float64(number)*goldenRatioFraction + float64(store>>11)/(1<<53))
+func SenderPosition(number int, endpoint uint64) float64 {
+	_, fraction := math.Modf(float64(number)*goldenRatioFraction + float64(endpoint>>11)/(1<<53))
 	return fraction
 }
 
-// Budget is what one sender has sent to a cold store within the overload window. The zero value is for a store that
+// Budget is what one sender has sent to a cold endpoint within the overload window. The zero value is for an endpoint that
 // nothing was sent to.
 type Budget struct {
 	sent  []sendRecord // in order of time
@@ -71,9 +71,9 @@
 	cost float64
 }
 
-// Spend records that something of a cost is sent now to a store that started at start.
+// Spend records that something of a cost is sent now to an endpoint that started at start.
 func (r Ramp) Spend(b *Budget, now, start time.Duration, cost float64) {
-	if r.CapacityShare(now, start) >= 1 { // a warm store is sent much, and its budget doesn't bind: keep no records
+	if r.CapacityShare(now, start) >= 1 { // a warm endpoint is sent much, and its budget doesn't bind: keep no records
 		*b = Budget{}
 		return
 	}
@@ -82,7 +82,7 @@
 	b.total += cost
 }
 
-// Refund removes the latest record of a cost, of something that did not reach the store.
+// Refund removes the latest record of a cost, of something that did not reach the endpoint.
 func (b *Budget) Refund(cost float64) {
 	for i := len(b.sent) - 1; i >= 0; i-- {
 		if b.sent[i].cost == cost {
@@ -104,10 +104,10 @@
 	}
 }
 
-// Allows reports whether something of a cost may be sent now to a store that started at start.
+// Allows reports whether something of a cost may be sent now to an endpoint that started at start.
 //
-// Within one overload window the sender may spend its part of what the store bears: the overload multiple of the rate that
-// the store carries for it now, less a safety margin. A sender that knows no rate has its part of a floor of one sending.
+// Within one overload window the sender may spend its part of what the endpoint bears: the overload multiple of the rate that
+// the endpoint carries for it now, less a safety margin. A sender that knows no rate has its part of a floor of one sending.
 func (r Ramp) Allows(b *Budget, now, start time.Duration, cost float64, s Sender) bool {
 	if r.OverloadWindow <= 0 {
 		return true
@@ -124,8 +124,8 @@
 	return b.total+(1-r.currentPosition(now, senders, s))*cost <= budget
 }
 
-// carriedRate estimates the cost per second that the store carries for a sender now. A store's full capacity is known by
-// what warm stores carry for this sender, and its share of that by its age. What the store itself was seen to carry counts
+// carriedRate estimates the cost per second that the endpoint carries for a sender now. An endpoint's full capacity is known by
+// what warm endpoints carry for this sender, and its share of that by its age. What the endpoint itself was seen to carry counts
 // where it is more.
 func (r Ramp) carriedRate(now, start time.Duration, cost float64, s Sender) float64 {
 	if s.WarmRate <= 0 {
--- a/warmstart/collect.go
+++ b/warmstart/collect.go
@@ -11,7 +11,7 @@
 
 // Collect returns what other gateways have published, as learned state for the director. now is on the replication's clock,
 // directorTime is the director's clock now; ages are kept. The endpoint list says by which incarnation the director knows a
-// store.
+// endpoint.
 func (s *Sharer) Collect(now, directorTime time.Duration, list map[string]routing.Endpoint) routing.LearnedState {
 	m := routing.LearnedState{At: directorTime, Zone: s.zone}
 	for _, l := range s.node.Listings(now, 0) {
@@ -53,7 +53,7 @@
 	return m
 }
 
-// listedIncarnation is a store's incarnation as the endpoint list has it, if that is the published one; else as published.
+// listedIncarnation is an endpoint's incarnation as the endpoint list has it, if that is the published one; else as published.
 func listedIncarnation(list map[string]routing.Endpoint, id string, ms int64) time.Duration {
 	if e, ok := list[id]; ok && incarnationMs(e.Incarnation) == ms {
 		return e.Incarnation
@@ -64,12 +64,12 @@
 const (
 	// peerDrainMaxAge is the age up to which a drain counts that other gateways know of and the own endpoint list does not.
 	peerDrainMaxAge = 10 * time.Second
-	// maxHeldDivisor bounds how many stores of a kind and zone are held on others' word: the number of them divided by this,
-	// and at least one. A gateway with a wrong endpoint list can hold few stores only.
+	// maxHeldDivisor bounds how many endpoints of a kind and zone are held on others' word: the number of them divided by this,
+	// and at least one. A gateway with a wrong endpoint list can hold few endpoints only.
 	maxHeldDivisor = 4
 )
 
-// HeldEndpoints returns the stores that are to be taken for draining, by id: those that the own endpoint list still has up in
+// HeldEndpoints returns the endpoints that are to be taken for draining, by id: those that the own endpoint list still has up in
 // the incarnation that another gateway's endpoint list has draining or gone.
 func (s *Sharer) HeldEndpoints(now time.Duration, list map[string]routing.Endpoint) map[string]bool {
 	listed := map[string]int{} // by group
@@ -94,5 +94,5 @@
 	return held
 }
 
-// holdGroup names the stores among which the number of held ones is bounded.
+// holdGroup names the endpoints among which the number of held ones is bounded.
 func holdGroup(e routing.Endpoint) string { return e.Kind + " " + e.Zone }
--- a/warmstart/confidence.go
+++ b/warmstart/confidence.go
@@ -7,13 +7,13 @@
 	"larchusher/routing"
 )
 
-// Half-lives of learned state. What speaks for sending more ages faster than what speaks for sending less: a store that is
+// Half-lives of learned state. What speaks for sending more ages faster than what speaks for sending less: an endpoint that is
 // wrongly taken for faulty is soon tried again, while one wrongly taken for healthy is sent requests that it can't serve.
 const (
-	ListingHalfLife     = time.Minute      // an object is cached at a store: for sending more there
+	ListingHalfLife     = time.Minute      // an object is cached at an endpoint: for sending more there
 	FillLatencyHalfLife = 30 * time.Second // a parent fills faster: for sending more there
-	FailureHalfLife     = 2 * time.Minute  // a store fails or answers late: for sending less
-	LimitHalfLife       = 2 * time.Minute  // the concurrency limit of a store: for sending less
+	FailureHalfLife     = 2 * time.Minute  // an endpoint fails or answers late: for sending less
+	LimitHalfLife       = 2 * time.Minute  // the concurrency limit of an endpoint: for sending less
 )
 
 const (
--- a/warmstart/publish.go
+++ b/warmstart/publish.go
@@ -12,7 +12,7 @@
 )
 
 // Publish publishes what is news in a director's learned state and in the endpoint list: first what safety depends on (purges and
-// drains), then faults of stores, then listings, those of the most requests first, until the replication's budget is spent.
+// drains), then faults of endpoints, then listings, those of the most requests first, until the replication's budget is spent.
 // now is on the replication's clock, m.At on the director's.
 func (s *Sharer) Publish(now time.Duration, m routing.LearnedState, list map[string]routing.Endpoint) {
 	s.publishPurges(now, m)
@@ -52,7 +52,7 @@
 	maps.DeleteFunc(s.peerPurges, func(name string, _ time.Duration) bool { return !unsettled[name] })
 }
 
-// publishDrains publishes which stores have left the endpoint list or drain, and which of these are up again.
+// publishDrains publishes which endpoints have left the endpoint list or drain, and which of these are up again.
 func (s *Sharer) publishDrains(now time.Duration, list map[string]routing.Endpoint) {
 	for id, e := range list {
 		if e.Phase != routing.Up {
@@ -74,7 +74,7 @@
 	}
 }
 
-// publishHealth publishes which stores are faulty, and once that one of these has recovered.
+// publishHealth publishes which endpoints are faulty, and once that one of these has recovered.
 func (s *Sharer) publishHealth(now time.Duration, m routing.LearnedState) {
 	for _, h := range m.Endpoints {
 		value := healthValue(h, m.At)
@@ -101,7 +101,7 @@
 	shareSteps = 10
 )
 
-// healthValue is the health of a store as it is published, coarsely: what hardly changes is not published again.
+// healthValue is the health of an endpoint as it is published, coarsely: what hardly changes is not published again.
 func healthValue(h routing.EndpointHealth, at time.Duration) replication.HealthValue {
 	v := replication.HealthValue{BootMs: incarnationMs(h.Incarnation), ErrorRate: coarseShare(h.ErrorRate), LateShare: coarseShare(h.LateShare)}
 	if h.EjectedUntil > at {
--- a/warmstart/sharer.go
+++ b/warmstart/sharer.go
@@ -16,13 +16,13 @@
 // Two clocks meet here, the director's and the replication's. Only ages go from one to the other.
 type Sharer struct {
 	Published int // slots published so far
-	Held      int // stores held at the latest [Sharer.HeldEndpoints]
+	Held      int // endpoints held at the latest [Sharer.HeldEndpoints]
 
 	node         *replication.Node
 	zone         string
 	maxListings  int
-	listedUp     map[string]routing.Endpoint // by id: stores that the endpoint list had up at the latest Publish
-	complainedOf map[string]bool             // by id: stores of which faults were published
+	listedUp     map[string]routing.Endpoint // by id: endpoints that the endpoint list had up at the latest Publish
+	complainedOf map[string]bool             // by id: endpoints of which faults were published
 	peerPurges   map[string]time.Duration    // by name: purges of other gateways, on the director's clock
 }
 
