--- a/internal/net/clustertransport/transport_test.go
+++ b/internal/net/clustertransport/transport_test.go
@@ -242,6 +242,35 @@
 	sendUntilReceived(t, a, b, "b", 3)
 }
 
+// Nothing of a connection is taken in whose first frame was rejected, also where more frames came with it.
+func TestNothingIsReceivedBehindARejectedFrame(t *testing.T) {
+	members := freeMembers(t, "a")
+	a := startMember(t, members, 0)
+	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
+	defer cancel()
+	stranger := dialTool(ctx, t, members[0], key)
+	stranger.writer.from, stranger.writer.ownChallenge = "stranger", nil // neither a member nor a tool
+	var both []byte
+	for id := range uint64(2) {
+		f, err := stranger.writer.frame(cluster.Message{Kind: cluster.RenewLease, ID: id + 1})
+		if err != nil {
+			t.Fatal(err)
+		}
+		both = append(both, f...)
+	}
+	if _, err := stranger.conn.Write(both); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := stranger.conn.Read(make([]byte, 1)); err == nil {
+		t.Error("a stranger is answered")
+	}
+	select {
+	case m := <-a.received:
+		t.Errorf("message %d was received", m.ID)
+	case <-time.After(200 * time.Millisecond):
+	}
+}
+
 // freeMembers are members with addresses that nobody listens on.
 func freeMembers(t *testing.T, names ...string) (members []Member) {
 	t.Helper()
--- a/replication/replica_test.go
+++ b/replication/replica_test.go
@@ -255,6 +255,25 @@
 	}
 }
 
+// The same slots give the same report, however often it is asked for: also of two reporters that agree in the error rate alone.
+func TestFaultReportsAreTheSameEachTime(t *testing.T) {
+	now := 100 * sec
+	c := NewReplica(incarnation("c", 2), 0)
+	for who, late := range map[string]float64{"a": 0, "b": 0.5} {
+		value := Encode(HealthValue{ErrorRate: 1, LateShare: late})
+		c.Merge(now, now, Slot{Writer: incarnation(who, 1), Seq: 1, Kind: Health, Key: "b1", Value: value, SeenAfter: now, SeenBefore: now})
+	}
+	shares := map[float64]int{}
+	for range 300 {
+		for _, r := range c.FaultReports(now, 3) {
+			shares[r.Value.LateShare]++
+		}
+	}
+	if len(shares) != 1 {
+		t.Errorf("late shares, and how often each was reported: %v", shares)
+	}
+}
+
 // What is clearly newer wins whatever its clock says; what is about as old, by the logical clock, at all copies alike.
 func TestTheNewestListingIsRead(t *testing.T) {
 	now := 100 * sec
