--- a/routing/events.go
+++ b/routing/events.go
@@ -99,7 +99,7 @@
 
 // Reasons of a result. From ReasonSourceRejected on they tell of a fill that failed.
 const (
-	ReasonNone           Reason = iota // not told
+	ReasonNone           Reason = iota // unknown
 	ReasonHit                          // from a fresh copy
 	ReasonFilled                       // by the fill source, from a copy that it had
 	ReasonFilledByOrigin               // by the origin, through the fill source or straight
@@ -151,7 +151,7 @@
 	Age    time.Duration // time since it was purged
 }
 
-// ClientGone says that a client left; no answer is owed to its request any more.
+// ClientGone says that no answer is owed to a request any more: its client left, or the caller has answered it at its deadline.
 type ClientGone struct{ ID string }
 
 // TimerFired is a SetTimer that fell due.
