--- a/cluster/lease.go
+++ b/cluster/lease.go
@@ -83,8 +83,9 @@
 	}
 }
 
-// preferFirstVoter has the first voter tried again after every repliesUntilFirstVoter answers, its own counted, too: it makes no
-// difference while it is the one that is asked. It is the coordinator while it runs, and needs all reports.
+// preferFirstVoter has the first voter tried again after every repliesUntilFirstVoter answers, whoever gave them. It is the
+// coordinator while it runs, and needs all reports. Tried again, it may leave one request less without an answer than another
+// voter, so that little time is lost where it is down; that holds after its own answers, too, until the next one.
 func (n *Node) preferFirstVoter() {
 	n.repliesSinceFirstVoter++
 	if n.repliesSinceFirstVoter >= repliesUntilFirstVoter {
--- a/gateway/reconfigure.go
+++ b/gateway/reconfigure.go
@@ -16,8 +16,8 @@
 // rules: clients learn of new settings some time after the gateway does.
 const retiredClassLifetime = 3 * time.Second
 
-// admissionGeneration are how classes are ranked and what admits their requests. They never change: new classes bring others.
-// They are read on whatever goroutine reads requests.
+// admissionGeneration is what requests are admitted by between two changes of the classes: how classes are ranked, and the
+// controller that admits their requests. Its fields never change; they are read on whatever goroutine reads requests.
 type admissionGeneration struct {
 	order      *overload.Order
 	controller *overload.AdmissionController
@@ -27,14 +27,14 @@
 	return &admissionGeneration{order: order, controller: overload.NewAdmissionController(order.Bands(), int(frontCount))}
 }
 
-// admissionGenerations are the present rules and what earlier ones counted.
+// admissionGenerations are the present generation and what earlier ones counted.
 type admissionGenerations struct {
 	current  atomic.Pointer[admissionGeneration]
-	previous *admissionGeneration          // the rules before: a goroutine may still be using them
-	shed     [frontCount]map[string]uint64 // by name of the band, under the rules before those
+	previous *admissionGeneration          // the one before: a goroutine may still be using it
+	shed     [frontCount]map[string]uint64 // by name of the band, by the generations before that
 }
 
-// replace has other rules hold from now on.
+// replace has another generation admit requests from now on.
 func (a *admissionGenerations) replace(next *admissionGeneration) {
 	if a.previous != nil {
 		for front := range frontCount {
--- a/overload/bands_test.go
+++ b/overload/bands_test.go
@@ -20,8 +20,8 @@
 			want = []string{"turn+repeat", "turn", "replay+repeat", "replay", "assets+repeat", "assets", "unknown"}
 		}
 		for b, name := range want {
-			class, repeat := strings.CutSuffix(name, "+repeat")
-			if got := o.Band(class, repeat); got != b && b < 6 || o.Name(b) != name {
+			class, retry := strings.CutSuffix(name, "+repeat")
+			if got := o.Band(class, retry); got != b && b < 6 || o.Name(b) != name {
 				t.Errorf("repeats first %v: %s is in band %d, and band %d is %s", first, name, got, b, o.Name(b))
 			}
 		}
--- a/overload/controller_test.go
+++ b/overload/controller_test.go
@@ -35,17 +35,17 @@
 
 // load is what one class offers by one front.
 type load struct {
-	class  string
-	repeat bool
-	front  int
-	n      float64 // a tick
+	class string
+	retry bool
+	front int
+	n     float64 // a tick
 }
 
 // tick offers the loads of a tick, and serves what the capacity allows.
 func (m *machine) tick(loads ...load) {
 	s := Sample{}
 	for _, l := range loads {
-		band := m.order.Band(l.class, l.repeat)
+		band := m.order.Band(l.class, l.retry)
 		for range int(l.n) {
 			m.draw = m.draw*6364136223846793005 + 1442695040888963407
 			m.offered[band]++
