--- a/locality/selector_test.go
+++ b/locality/selector_test.go
@@ -151,7 +151,7 @@
 	})
 }
 
-// A locality that is silent is ejected without any answer, one that is slow or rejects by its answers; and what fits nowhere
+// A locality that is silent is ejected without any answer, one that is slow or rejects by its answers; and what no locality has capacity for
 // is rejected by priority.
 func TestAFaultyLocalityIsEjected(t *testing.T) {
 	for name, how := range map[string]Result{"errors": ResultFailure, "rejections": ResultRejected, "late": ResultLate} {
