--- a/gateway/reconfigure.go
+++ b/gateway/reconfigure.go
@@ -16,26 +16,26 @@
 // rules: clients learn of new settings some time after the gateway does.
 const retiredClassLifetime = 3 * time.Second
 
-// admissionRules are how classes are ranked and what admits their requests. They never change: new classes bring others.
+// admissionGeneration are how classes are ranked and what admits their requests. They never change: new classes bring others.
 // They are read on whatever goroutine reads requests.
-type admissionRules struct {
+type admissionGeneration struct {
 	order      *overload.Order
 	controller *overload.AdmissionController
 }
 
-func newAdmissionRules(order *overload.Order) *admissionRules {
-	return &admissionRules{order: order, controller: overload.NewAdmissionController(order.Bands(), int(frontCount))}
+func newAdmissionGeneration(order *overload.Order) *admissionGeneration {
+	return &admissionGeneration{order: order, controller: overload.NewAdmissionController(order.Bands(), int(frontCount))}
 }
 
-// admissions are the present rules and what earlier ones counted.
-type admissions struct {
-	current  atomic.Pointer[admissionRules]
-	previous *admissionRules               // the rules before: a goroutine may still be using them
+// admissionGenerations are the present rules and what earlier ones counted.
+type admissionGenerations struct {
+	current  atomic.Pointer[admissionGeneration]
+	previous *admissionGeneration          // the rules before: a goroutine may still be using them
 	shed     [frontCount]map[string]uint64 // by name of the band, under the rules before those
 }
 
 // replace has other rules hold from now on.
-func (a *admissions) replace(next *admissionRules) {
+func (a *admissionGenerations) replace(next *admissionGeneration) {
 	if a.previous != nil {
 		for front := range frontCount {
 			if a.shed[front] == nil {
@@ -48,7 +48,7 @@
 }
 
 // addShed adds what one front shed to a sum by the names of bands.
-func (a *admissionRules) addShed(front Front, sum map[string]uint64) {
+func (a *admissionGeneration) addShed(front Front, sum map[string]uint64) {
 	for band := range a.order.Bands() {
 		if n := a.controller.Shed(int(front), band); n > 0 {
 			sum[a.order.Name(band)] += n
@@ -57,7 +57,7 @@
 }
 
 // shedByBand returns what a front has shed since the start, by the names of bands.
-func (a *admissions) shedByBand(front Front) map[string]uint64 {
+func (a *admissionGenerations) shedByBand(front Front) map[string]uint64 {
 	sum := map[string]uint64{}
 	for name, n := range a.shed[front] {
 		sum[name] += n
@@ -74,7 +74,10 @@
 
 // ReconfigureClasses has other classes and another limit on attempts (0: none) hold for requests that come from now on.
 // Open requests keep the rules by which they came. A class that is not among the new ones is served on for a short while.
-// On an error all stays as it was.
+//
+// An error of the check of the classes changes nothing. One of the overload controller leaves the classes that are served as
+// they are; those that had been dropped before are then served on. The locality policy is told last: its error is returned
+// though the new classes hold by then.
 func (g *Gateway) ReconfigureClasses(classes []routing.Class, maxAttempts int) error {
 	if err := routing.CheckClasses(classes); err != nil {
 		return fmt.Errorf("gateway: %w", err)
@@ -103,22 +106,22 @@
 func (g *Gateway) applyClasses(classes []routing.Class, maxAttempts int) error {
 	cfg := g.cfg.Overload
 	cfg.Classes = overloadClasses(classes)
-	order := overload.NewOrder(cfg.Classes, cfg.RepeatsFirst)
+	order := overload.NewOrder(cfg.Classes, cfg.RetriesFirst)
 	controller, err := overload.NewController(cfg, order)
 	if err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
 	// A new slice: requests that are open point into the old one.
 	g.cfg.Settings.Classes, g.cfg.Settings.MaxAttempts = slices.Clone(classes), maxAttempts
-	g.cfg.Overload, g.overloadController = cfg, controller
+	g.cfg.Overload, g.shedController = cfg, controller
 	g.initClassOutcomes()
-	g.admissions.replace(newAdmissionRules(order))
+	g.generations.replace(newAdmissionGeneration(order))
 	g.queue = g.queue.Rebanded(order.Bands(), g.bandOf)
 	g.handleInAll(routing.Reconfigured{Classes: g.cfg.Settings.Classes, MaxAttempts: maxAttempts})
 	if g.localityPolicy == nil {
 		return nil
 	}
-	return g.localityPolicy.Reconfigure(g.localityConfig(*g.cfg.Localities))
+	return g.localityPolicy.Reconfigure(g.localityConfig(*g.cfg.Localities, order.Bands()))
 }
 
 // bandOf ranks what waits for its turn anew.
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -100,7 +100,7 @@
 	q.Answer = func(a gateway.Answer) { answer <- a }
 	q.ClientConnected = func() bool { return r.Context().Err() == nil }
 	if !m.Loop.Post(func() { m.Gateway.Submit(q) }) {
-		answer <- gateway.Answer{Outcome: gateway.Rejected, RetryAfter: retryAfterShutdown, Retryable: true}
+		answer <- gateway.Answer{Outcome: gateway.OutcomeRejected, RetryAfter: retryAfterShutdown, Retryable: true}
 	}
 	return answer
 }
