--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -75,7 +75,7 @@
 	case a := <-answer:
 		writeResponse(w, m.api.Respond(admitted, a, time.Now()))
 	case <-m.Loop.Done(): // the gateway ended under it
-		writeResponse(w, m.api.Respond(admitted, gateway.Answer{Outcome: gateway.Failed}, time.Now()))
+		writeResponse(w, m.api.Respond(admitted, gateway.Answer{Outcome: gateway.OutcomeFailed}, time.Now()))
 	case <-r.Context().Done():
 		m.Loop.Post(func() { m.Gateway.Abandon(admitted.Request) })
 	}
