--- a/replication/faults.go
+++ b/replication/faults.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 	"time"
 )
@@ -97,7 +98,8 @@
 func (e *healthEvidence) report(self string, alive int, now time.Duration) (FaultReport, bool) {
 	var values []HealthValue
 	others, oldest := 0, now
-	for name, v := range e.values {
+	for _, name := range slices.Sorted(maps.Keys(e.values)) { // in one order, so that equal reports give one median
+		v := e.values[name]
 		if !e.reports(v) {
 			continue
 		}
@@ -123,9 +125,9 @@
 // median is the value with the median error rate, for the median time of ejection.
 func (e *healthEvidence) median(values []HealthValue) HealthValue {
 	middle := (len(values) - 1) / 2
-	slices.SortFunc(values, func(a, b HealthValue) int { return cmp.Compare(a.ErrorRate, b.ErrorRate) })
+	slices.SortStableFunc(values, func(a, b HealthValue) int { return cmp.Compare(a.ErrorRate, b.ErrorRate) })
 	v := values[middle]
-	slices.SortFunc(values, func(a, b HealthValue) int { return cmp.Compare(a.EjectedMs, b.EjectedMs) })
+	slices.SortStableFunc(values, func(a, b HealthValue) int { return cmp.Compare(a.EjectedMs, b.EjectedMs) })
 	v.EjectedMs, v.BootMs = values[middle].EjectedMs, e.bootMs
 	return v
 }
