--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -93,7 +93,7 @@
 
 // ObservedEndpoints is what the own locality's director knows of the endpoints on its list, and why none should be taken
 // out for maintenance now; empty: nothing speaks against it.
-func (g *Gateway) ObservedEndpoints() (endpoints []routing.Observed, pressure string) {
+func (g *Gateway) ObservedEndpoints() (endpoints []routing.EndpointObservation, pressure string) {
 	endpoints, pressure = g.directors[0].Observe(g.now())
 	if pressure == "" && g.ShedShare() > maxShedShareForMaintenance {
 		pressure = "a gateway sheds load"
--- a/gateway/learned.go
+++ b/gateway/learned.go
@@ -38,7 +38,7 @@
 }
 
 // ApplyPeerPurge takes in a purge that another gateway knows of, of that age. The key names an object, or a group as
-// [larchusher/purge.Group] words it; a key that does neither is ignored.
+// [larchusher/purge.GroupName] words it; a key that does neither is ignored.
 func (g *Gateway) ApplyPeerPurge(key string, age time.Duration) {
 	p := routing.Purge{Object: key, Age: age}
 	if group, ok := strings.CutPrefix(key, " "); ok {
--- a/internal/clusternode/node.go
+++ b/internal/clusternode/node.go
@@ -109,7 +109,7 @@
 func (n *Node) clusterConfig(set routing.Settings) cluster.Config {
 	limits := n.cfg.Limits
 	limits.DrainGrace = max(set.DrainGrace, drainGraceFor(set.Classes))
-	limits.SlowStart = max(set.SlowStartFor, set.ParentSlowStartFor)
+	limits.SlowStart = max(set.SlowStartDuration, set.ParentSlowStartDuration)
 	c := cluster.Config{Self: n.cfg.Name, Incarnation: newIncarnation(), Members: n.memberNames(), Voters: n.cfg.Voters, Limits: limits,
 		WallClockMs: n.wallClockMs, ReadInterval: readInterval, Seed: newIncarnation()}
 	c.Acceptor = consensus.AcceptorState{Incarnation: c.Incarnation}
--- a/internal/config/sites_test.go
+++ b/internal/config/sites_test.go
@@ -61,8 +61,8 @@
 				t.Errorf("%s: class %d: %+v of %+v", file, i, got, k)
 			}
 		}
-		if len(s.Classes) != len(told.Classes) || s.Directors != told.Balancers || s.SlowStartFrom != told.Invariants.ColdFrom ||
-			ms(s.OverloadWindow) != told.Invariants.OverloadForMs || ms(s.SlowStartFor) != told.Invariants.RampTimeMs ||
+		if len(s.Classes) != len(told.Classes) || s.Directors != told.Balancers || s.SlowStartInitialShare != told.Invariants.ColdFrom ||
+			ms(s.OverloadWindow) != told.Invariants.OverloadForMs || ms(s.SlowStartDuration) != told.Invariants.RampTimeMs ||
 			ms(s.DrainGrace) != told.Invariants.StopSendingWithinMs || s.OverloadMultiple != told.Invariants.TipMultiple ||
 			ms(s.PurgeGrace) != told.FamilyInfo.NoticeTimeMs || ms(s.MaxRetryAfter) != told.Limits.MaxRetryAfterMs ||
 			float64(s.MaxAttempts) != told.Limits.SendCap || float64(c.Sockets.StreamsPerConn) != told.Limits.StreamsPerConn ||
--- a/lab/localitysim/directed_build.go
+++ b/lab/localitysim/directed_build.go
@@ -18,8 +18,8 @@
 	s := routing.Settings{Directors: 0, Zone: d.sc.Zones[home].Name, Kinds: []string{"box", "parent", "origin"}, ParentKind: 1, OriginKind: 2,
 		AllowCoalescing: true, AllowBypass: true, Siblings: routing.SiblingsInLocation, AnswerDetail: routing.DetailHit, LoadReportFields: []string{"busy_reqs", "x1", "x0"},
 		CanCancel: true, HedgedRequests: true, SendRetryAfter: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: 8, ClockStep: time.Millisecond,
-		DrainGrace: 2 * time.Second, SlowStartFrom: coldFrom, SlowStartFor: coldFor, OverloadMultiple: tip, OverloadWindow: tipFor,
-		ParentSlowStartFrom: 0.083, ParentSlowStartFor: 22 * time.Second, ParentOverloadMultiple: 2, PurgeGrace: time.Second, PurgeSettleTime: 6 * time.Second}
+		DrainGrace: 2 * time.Second, SlowStartInitialShare: coldFrom, SlowStartDuration: coldFor, OverloadMultiple: tip, OverloadWindow: tipFor,
+		ParentSlowStartInitialShare: 0.083, ParentSlowStartDuration: 22 * time.Second, ParentOverloadMultiple: 2, PurgeGrace: time.Second, PurgeSettleTime: 6 * time.Second}
 	for h := range hubs {
 		s.Zones, s.ZoneHub, s.ZoneDirectors = append(s.Zones, "hub"+strconv.Itoa(h)), append(s.ZoneHub, h), append(s.ZoneDirectors, 0)
 	}
--- a/purge/purge.go
+++ b/purge/purge.go
@@ -25,14 +25,14 @@
 	return &Registry{settleTime: settleTime, latest: map[string]time.Duration{}}
 }
 
-// Group returns the name by which all objects of a group are purged. It can't be an object's, as those have no spaces.
-func Group(number int) string { return " " + strconv.Itoa(number) }
+// GroupName returns the name by which all objects of a group are purged. It can't be an object's, as those have no spaces.
+func GroupName(number int) string { return " " + strconv.Itoa(number) }
 
 // Record takes in a purge that was made at a time, of an object or, if object is empty, of a group. It reports whether
 // the purge is news: a settled one, and one that is no newer than one known, are not.
 func (r *Registry) Record(now time.Duration, object string, group int, at time.Duration) bool {
 	if object == "" {
-		object = Group(group)
+		object = GroupName(group)
 	}
 	return r.Merge(now, object, at)
 }
@@ -56,7 +56,7 @@
 // Latest returns when an object was last purged, by itself or with its group. ok is false if no older copy can be left.
 func (r *Registry) Latest(now time.Duration, object string, group int) (at time.Duration, ok bool) {
 	at, ok = r.latest[object]
-	if ofGroup, known := r.latest[Group(group)]; known && (!ok || ofGroup > at) {
+	if ofGroup, known := r.latest[GroupName(group)]; known && (!ok || ofGroup > at) {
 		at, ok = ofGroup, true
 	}
 	return at, ok && !r.settled(now, at)
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -10,7 +10,7 @@
 	"larchusher/slowstart"
 )
 
-// discoveryRetryDivisor divides Settings.PollWithin into the wait before discovery is polled again, when a poll was lost.
+// discoveryRetryDivisor divides Settings.MaxPollInterval into the wait before discovery is polled again, when a poll was lost.
 const discoveryRetryDivisor = 10
 
 // role is what an endpoint does for a location. Roles are walked in this order.
@@ -99,7 +99,7 @@
 func (d *Director) updateEndpoints(u EndpointUpdate) {
 	if u.Kind == WatchLost {
 		if d.set.PollDiscovery {
-			d.emit(SetTimer{At: d.now + d.set.PollWithin/discoveryRetryDivisor, Token: pollToken})
+			d.emit(SetTimer{At: d.now + d.set.MaxPollInterval/discoveryRetryDivisor, Token: pollToken})
 		}
 		return
 	}
--- a/routing/observe.go
+++ b/routing/observe.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Observed is what is known of an endpoint, for those who plan maintenance. Nothing is decided by it here.
-type Observed struct {
+// EndpointObservation is what is known of an endpoint, for those who plan maintenance. Nothing is decided by it here.
+type EndpointObservation struct {
 	ID, Kind, Zone string // Kind is box, parent or origin
 	Up, Warm       bool
 	Usable         bool // neither its phase nor its failures keep it out of use
@@ -22,22 +22,22 @@
 	slowOriginLateShare = 0.3 // share of late fetches at which the origin is slow
 )
 
-// observedKinds are the names that Observed gives to roles.
+// observedKinds are the names that EndpointObservation gives to roles.
 var observedKinds = byRole[string]{roleCache: "box", roleParent: "parent", roleOrigin: "origin"}
 
 // Observe gives all endpoints on the list in order of id, and why this is no time to have fewer of them; empty: nothing speaks
 // against it.
-func (d *Director) Observe(now time.Duration) (all []Observed, pressure string) {
+func (d *Director) Observe(now time.Duration) (all []EndpointObservation, pressure string) {
 	d.now = max(d.now, now)
 	for _, ep := range d.endpoints {
 		all = append(all, d.observeEndpoint(ep))
 	}
-	slices.SortFunc(all, func(a, b Observed) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(all, func(a, b EndpointObservation) int { return cmp.Compare(a.ID, b.ID) })
 	return all, d.pressure()
 }
 
-func (d *Director) observeEndpoint(ep *endpoint) Observed {
-	o := Observed{
+func (d *Director) observeEndpoint(ep *endpoint) EndpointObservation {
+	o := EndpointObservation{
 		ID:          ep.id,
 		Kind:        observedKinds[ep.role],
 		Up:          ep.up,
@@ -81,7 +81,7 @@
 func (d *Director) unsettledGroupPurges() int {
 	groups := 0
 	for name, at := range d.purged.All() {
-		isGroup := name[0] == ' ' // see purge.Group
+		isGroup := name[0] == ' ' // see purge.GroupName
 		if isGroup && d.now-at <= d.set.PurgeSettleTime {
 			groups++
 		}
--- a/routing/rig_test.go
+++ b/routing/rig_test.go
@@ -28,9 +28,9 @@
 		},
 		FlowKBps: 4000, AllowBypass: true, AllowCoalescing: true, Siblings: SiblingsInLocation, AnswerDetail: DetailAll, Gossip: true,
 		CanCancel: true, HedgedRequests: true, SendRetryAfter: true, MaxRetryAfter: 500 * ms, MaxAttempts: 6, ClockStep: 2 * ms,
-		DrainGrace: 250 * ms, SlowStartFrom: 0.2, SlowStartFor: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: 3 * time.Second,
-		ParentSlowStartFrom: 0.06, ParentSlowStartFor: 20 * time.Second, ParentOverloadMultiple: 2,
-		PurgeGrace: 300 * ms, PurgeSettleTime: 6 * time.Second, PollWithin: 10 * time.Second,
+		DrainGrace: 250 * ms, SlowStartInitialShare: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: 3 * time.Second,
+		ParentSlowStartInitialShare: 0.06, ParentSlowStartDuration: 20 * time.Second, ParentOverloadMultiple: 2,
+		PurgeGrace: 300 * ms, PurgeSettleTime: 6 * time.Second, MaxPollInterval: 10 * time.Second,
 	}
 }
 
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -100,21 +100,21 @@
 	MaxAttempts      int           `json:"MaxAttempts"`   // for a request; 0: no limit
 	ClockStep        time.Duration `json:"Step"`          // least time between two events' clocks
 
-	DrainGrace       time.Duration `json:"DrainGrace"`   // nothing is sent to an endpoint that has been draining for this long
-	SlowStartFrom    float64       `json:"ColdFrom"`     // a cache starts with at least this share of its capacity
-	SlowStartFor     time.Duration `json:"ColdFor"`      // and is warm after this at the latest
-	OverloadMultiple float64       `json:"FallMultiple"` // sent this multiple of what it can do ...
-	OverloadWindow   time.Duration `json:"FallFor"`      // ... for this long, an endpoint that is warming up fails
-
-	ParentSlowStartFrom    float64       `json:"ParentColdFrom"` // as SlowStartFrom and so on, for parents
-	ParentSlowStartFor     time.Duration `json:"ParentColdFor"`
-	ParentOverloadMultiple float64       `json:"ParentFallMultiple"`
-	OriginOverloadMultiple float64       `json:"OriginFallMultiple"` // 0: the origin never fails by overload
-	OriginOverloadWindow   time.Duration `json:"OriginFallFor"`
+	DrainGrace            time.Duration `json:"DrainGrace"`   // nothing is sent to an endpoint that has been draining for this long
+	SlowStartInitialShare float64       `json:"ColdFrom"`     // a cache starts with at least this share of its capacity
+	SlowStartDuration     time.Duration `json:"ColdFor"`      // and is warm after this at the latest
+	OverloadMultiple      float64       `json:"FallMultiple"` // sent this multiple of what it can do ...
+	OverloadWindow        time.Duration `json:"FallFor"`      // ... for this long, an endpoint that is warming up fails
+
+	ParentSlowStartInitialShare float64       `json:"ParentColdFrom"` // as SlowStartInitialShare and so on, for parents
+	ParentSlowStartDuration     time.Duration `json:"ParentColdFor"`
+	ParentOverloadMultiple      float64       `json:"ParentFallMultiple"`
+	OriginOverloadMultiple      float64       `json:"OriginFallMultiple"` // 0: the origin never fails by overload
+	OriginOverloadWindow        time.Duration `json:"OriginFallFor"`
 
 	PurgeGrace      time.Duration `json:"PurgeGrace"`   // time to heed a purge
 	PurgeSettleTime time.Duration `json:"PurgeSettles"` // no copy older than a purge is left after this
-	PollWithin      time.Duration `json:"AskWithin"`    // without a watch, discovery is to be polled at least this often
+	MaxPollInterval time.Duration `json:"AskWithin"`    // without a watch, discovery is to be polled at least this often
 }
 
 // TransferTime is how long an answer of a size, in kB, takes at the full pace of one transfer; 0 where the pace is not known.
--- a/routing/slow_start.go
+++ b/routing/slow_start.go
@@ -15,15 +15,15 @@
 	switch of {
 	case roleCache:
 		return slowstart.Ramp{
-			InitialShare:     d.set.SlowStartFrom,
-			Duration:         d.set.SlowStartFor,
+			InitialShare:     d.set.SlowStartInitialShare,
+			Duration:         d.set.SlowStartDuration,
 			OverloadMultiple: d.set.OverloadMultiple,
 			OverloadWindow:   d.set.OverloadWindow,
 		}
 	case roleParent:
 		return slowstart.Ramp{
-			InitialShare:     d.set.ParentSlowStartFrom,
-			Duration:         d.set.ParentSlowStartFor,
+			InitialShare:     d.set.ParentSlowStartInitialShare,
+			Duration:         d.set.ParentSlowStartDuration,
 			OverloadMultiple: d.set.ParentOverloadMultiple,
 			OverloadWindow:   d.set.OverloadWindow,
 		}
--- a/routing/slow_start_test.go
+++ b/routing/slow_start_test.go
@@ -144,7 +144,7 @@
 				f.askByChance(rng, chance, cold)
 			}
 			s := settings()
-			share := s.ParentSlowStartFrom + (1-s.ParentSlowStartFrom)*1.5/s.ParentSlowStartFor.Seconds()
+			share := s.ParentSlowStartInitialShare + (1-s.ParentSlowStartInitialShare)*1.5/s.ParentSlowStartDuration.Seconds()
 			if most := warm * s.ParentOverloadMultiple * share * 3; cold["p1"] == 0 || cold["p1"] > most {
 				t.Errorf("seed %d: a cold parent got %.2f s of work, at most %.2f", seed, cold["p1"], most)
 			}
@@ -200,7 +200,7 @@
 // refund-counters-later rough-1: after a mass restart every cache of a location is cold, and a budget from the work
 // carried before starved it although it answered.
 func TestAColdLocationThatAnswersGetsMore(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.SlowStartFrom, s.SlowStartFor = 0.05, time.Minute })
+	r := newRig(t, func(s *Settings) { s.SlowStartInitialShare, s.SlowStartDuration = 0.05, time.Minute })
 	count := func(seconds int) (n int) { // at twenty requests a second
 		for range 20 * seconds {
 			r.after(50 * ms)
@@ -272,7 +272,7 @@
 		u := unevenFleet{rng: rng}
 		u.fleet = newFleet(t, n, func(s *Settings) {
 			s.Gossip = true // and none arrives
-			s.OverloadWindow, s.OverloadMultiple, s.SlowStartFrom, s.SlowStartFor = time.Second, 2, 0.19, 15*time.Second
+			s.OverloadWindow, s.OverloadMultiple, s.SlowStartInitialShare, s.SlowStartDuration = time.Second, 2, 0.19, 15*time.Second
 		})
 		u.rate = make([]float64, n)
 		for i := range u.rate {
