--- a/cluster/audit_test.go
+++ b/cluster/audit_test.go
@@ -14,7 +14,7 @@
 	const transitions, kept = 40, 12
 	for _, at := range [][]int{nil, {3, 7}, {11, 13, 22}} { // that come together with the one behind them
 		n := nonVoter(t, false, nil)
-		r := &maintenance.Request{ID: 7, Machine: "m1", Kind: maintenance.KindBox}
+		r := &maintenance.Request{ID: 7, Machine: "m1", Kind: maintenance.KindCache}
 		var want, got []string
 		for i := range transitions {
 			tr := maintenance.Transition{To: []maintenance.Stage{maintenance.Requested, maintenance.Granted, maintenance.Draining}[i%3], Actor: fmt.Sprint("g", i%2), AtMs: int64(i / 4)}
--- a/cluster/coordinator.go
+++ b/cluster/coordinator.go
@@ -89,7 +89,7 @@
 		return
 	}
 	o := n.observations()
-	o.Elapsed = n.measureStages(s)
+	o.StageTimeouts = n.measureStages(s)
 	if !slices.ContainsFunc(s.Requests, func(r *maintenance.Request) bool { return !r.Stage.Ended() }) {
 		return
 	}
@@ -105,7 +105,7 @@
 }
 
 // measureStages reports which time limits of the requests have passed, by this node's own steady clock.
-func (n *Node) measureStages(s *maintenance.State) (all []maintenance.ElapsedLimits) {
+func (n *Node) measureStages(s *maintenance.State) (all []maintenance.StageTimeouts) {
 	since := map[stageKey]time.Duration{}
 	for _, r := range s.Requests {
 		if r.Stage.Ended() || r.Stage == maintenance.Requested {
@@ -118,7 +118,7 @@
 		}
 		since[k] = at
 		elapsed := n.now - at
-		all = append(all, maintenance.ElapsedLimits{ID: r.ID, Stage: r.Stage, Epoch: r.GrantEpoch,
+		all = append(all, maintenance.StageTimeouts{ID: r.ID, Stage: r.Stage, Epoch: r.GrantEpoch,
 			LeasesExpired: elapsed >= n.cfg.Limits.LeaseExpiry(),
 			Overdue:       elapsed >= time.Duration(r.DurationMs)*time.Millisecond,
 			SlowStartOver: elapsed >= n.cfg.Limits.SlowStart})
--- a/cluster/node_test.go
+++ b/cluster/node_test.go
@@ -25,7 +25,7 @@
 	s := &maintenance.State{Epoch: epoch, Gateways: map[string]maintenance.Gateway{}}
 	for _, m := range []string{"m1", "m2"} {
 		if st, ok := stages[m]; ok {
-			s.Requests = append(s.Requests, &maintenance.Request{ID: uint64(len(m)), Machine: m, Kind: maintenance.KindBox, Stage: st, GrantEpoch: 1, DrainEpoch: 2})
+			s.Requests = append(s.Requests, &maintenance.Request{ID: uint64(len(m)), Machine: m, Kind: maintenance.KindCache, Stage: st, GrantEpoch: 1, DrainEpoch: 2})
 		}
 	}
 	return s.Encode()
--- a/cluster/operator.go
+++ b/cluster/operator.go
@@ -38,7 +38,7 @@
 }
 
 // describeMachine fills in kind and zone of a machine as the gateways observe it; an empty kind: no gateway knows the machine.
-func (n *Node) describeMachine(o *maintenance.RequestOrder) {
+func (n *Node) describeMachine(o *maintenance.RequestSpec) {
 	m, ok := n.observations().Machines[o.Machine]
 	if !ok {
 		o.Kind = ""
--- a/cluster/simulation_test.go
+++ b/cluster/simulation_test.go
@@ -81,7 +81,7 @@
 	}
 	for z := range 2 {
 		for i := range 6 {
-			w.machines[fmt.Sprintf("b%d%d", z, i)] = &machine{Machine: maintenance.Machine{Kind: maintenance.KindBox, Zone: fmt.Sprintf("z%d", z), Up: true, Warm: true, Weight: 7, Utilization: 0.5}}
+			w.machines[fmt.Sprintf("b%d%d", z, i)] = &machine{Machine: maintenance.Machine{Kind: maintenance.KindCache, Zone: fmt.Sprintf("z%d", z), Up: true, Warm: true, Weight: 7, Utilization: 0.5}}
 		}
 	}
 	for i := range 2 {
@@ -365,7 +365,7 @@
 }
 
 func (w *simulation) request(machine string, after ...string) {
-	w.sendCommand(maintenance.Command{Request: &maintenance.RequestOrder{Key: "k-" + machine, Machine: machine, DurationMs: 5000, After: after}}, 30)
+	w.sendCommand(maintenance.Command{Request: &maintenance.RequestSpec{Key: "k-" + machine, Machine: machine, DurationMs: 5000, After: after}}, 30)
 }
 
 // lostRequest names a request that was taken and is missing from a state; empty: none is.
--- a/cmd/larchusher/snapshots.go
+++ b/cmd/larchusher/snapshots.go
@@ -38,10 +38,10 @@
 // exportSnapshot is what the directors have learned, with at most maxListings of the mapping table of each.
 func (p *program) exportSnapshot(maxListings int) *warmstart.Snapshot {
 	return &warmstart.Snapshot{
-		Made:      p.gateway.DirectorTime(p.loop.Now()),
-		Gateway:   p.cfg.Name,
-		Settings:  p.cfg.Fingerprint(),
-		Position:  p.discovery.Position(),
-		Directors: p.gateway.ExportLearned(maxListings),
+		CreatedAt:           p.gateway.DirectorTime(p.loop.Now()),
+		Gateway:             p.cfg.Name,
+		SettingsFingerprint: p.cfg.Fingerprint(),
+		JournalPosition:     p.discovery.Position(),
+		Directors:           p.gateway.ExportLearned(maxListings),
 	}
 }
--- a/cmd/larchusher/state.go
+++ b/cmd/larchusher/state.go
@@ -84,8 +84,8 @@
 	if f.Snap == nil {
 		return s
 	}
-	s.Made = time.Unix(0, int64(f.Snap.Made))
-	s.AgeS, s.Gateway, s.Settings, s.Position = now.Sub(s.Made).Seconds(), f.Snap.Gateway, f.Snap.Settings, f.Snap.Position
+	s.Made = time.Unix(0, int64(f.Snap.CreatedAt))
+	s.AgeS, s.Gateway, s.Settings, s.Position = now.Sub(s.Made).Seconds(), f.Snap.Gateway, f.Snap.SettingsFingerprint, f.Snap.JournalPosition
 	unix := time.Duration(now.UnixNano())
 	for _, d := range f.Snap.Directors {
 		p := place{Zone: d.Zone, Listings: len(d.Listings), Servers: len(d.Endpoints), Purges: len(d.Purges)}
--- a/cmd/larchusher/work.go
+++ b/cmd/larchusher/work.go
@@ -44,7 +44,7 @@
 		_, _ = rand.Read(b) // it never fails
 		a.Key = hex.EncodeToString(b)
 	}
-	q := &maintenance.RequestOrder{Key: a.Key, Machine: a.Machine, DurationMs: a.For.Milliseconds(), Priority: a.Priority, After: a.After}
+	q := &maintenance.RequestSpec{Key: a.Key, Machine: a.Machine, DurationMs: a.For.Milliseconds(), Priority: a.Priority, After: a.After}
 	if a.By > 0 {
 		q.DeadlineMs = time.Now().Add(a.By).UnixMilli()
 	}
--- a/internal/clusternode/replicator.go
+++ b/internal/clusternode/replicator.go
@@ -108,7 +108,7 @@
 
 // updateDrains drains endpoints that a peer was notified drain, beside those that are out for maintenance.
 func (r *replicator) updateDrains() {
-	draining := r.sharer.HeldEndpoints(r.owner.now(), r.owner.gateway.ListedEndpoints())
+	draining := r.sharer.PeerDrainedEndpoints(r.owner.now(), r.owner.gateway.ListedEndpoints())
 	if maps.Equal(draining, r.draining) {
 		return
 	}
--- a/internal/snapshot/decode_test.go
+++ b/internal/snapshot/decode_test.go
@@ -17,9 +17,9 @@
 
 // example is a snapshot of n listings, whose values follow from the number.
 func example(n int) *warmstart.Snapshot {
-	s := &warmstart.Snapshot{Made: time.Duration(n+1) * time.Hour, Gateway: "n1", Settings: "abc", Position: int64(n)}
+	s := &warmstart.Snapshot{CreatedAt: time.Duration(n+1) * time.Hour, Gateway: "n1", SettingsFingerprint: "abc", JournalPosition: int64(n)}
 	m := routing.LearnedState{
-		At:     s.Made,
+		At:     s.CreatedAt,
 		Zone:   "edge-1",
 		Purges: []routing.PurgeRecord{{Name: "7f3a9c21e0b4d655", At: time.Hour}, {Name: " 17", At: time.Minute}},
 		Endpoints: []routing.EndpointHealth{{
@@ -76,7 +76,7 @@
 	if s == nil {
 		return
 	}
-	if s.Gateway != want.Gateway || s.Made != want.Made || s.Settings != want.Settings {
+	if s.Gateway != want.Gateway || s.CreatedAt != want.CreatedAt || s.SettingsFingerprint != want.SettingsFingerprint {
 		t.Fatalf("%s: the head is %+v", what, s)
 	}
 	known := map[routing.Listing]bool{}
--- a/internal/snapshot/killed_test.go
+++ b/internal/snapshot/killed_test.go
@@ -76,10 +76,10 @@
 				t.Errorf("kill %d: %s: %+v, %v", k, f.Name, f.Damage, f.Err)
 			}
 		}
-		if p := best.Snap.Position; p < max(last, written) || !reflect.DeepEqual(best.Snap, numbered(p)) {
+		if p := best.Snap.JournalPosition; p < max(last, written) || !reflect.DeepEqual(best.Snap, numbered(p)) {
 			t.Fatalf("kill %d: %d is read, %d was written and %d before", k, p, written, last)
 		}
-		last = best.Snap.Position
+		last = best.Snap.JournalPosition
 	}
 	names, err := Folder(folder).List()
 	if err != nil || len(names) > keptGenerations+3 {
@@ -89,7 +89,7 @@
 
 func numbered(n int64) *warmstart.Snapshot {
 	s := example(200)
-	s.Position = n
+	s.JournalPosition = n
 	return s
 }
 
@@ -104,7 +104,7 @@
 	store := NewStore(Folder(folder), testKey)
 	n := int64(0)
 	if best, _, err := store.Load(); err == nil && best != nil {
-		n = best.Snap.Position + 1
+		n = best.Snap.JournalPosition + 1
 	}
 	for ; ; n++ {
 		if _, err := store.Save(numbered(n)); err != nil {
--- a/internal/snapshot/metrics.go
+++ b/internal/snapshot/metrics.go
@@ -26,7 +26,7 @@
 	}
 	r := s.Imported
 	void := 0.0
-	if r.Void != nil {
+	if r.ValidationErr != nil {
 		void = 1
 	}
 	add(metrics.Gauge, "state_void", "The snapshot found at the start was void.", void)
--- a/internal/snapshot/records.go
+++ b/internal/snapshot/records.go
@@ -12,16 +12,16 @@
 
 func headRecord(s *warmstart.Snapshot) *snapshotpb.Record {
 	return &snapshotpb.Record{Is: &snapshotpb.Record_Head{Head: &snapshotpb.Head{
-		Made:     int64(s.Made),
+		Made:     int64(s.CreatedAt),
 		Gateway:  s.Gateway,
-		Settings: s.Settings,
-		Position: s.Position,
+		Settings: s.SettingsFingerprint,
+		Position: s.JournalPosition,
 	}}}
 }
 
 func setHead(s *warmstart.Snapshot, h *snapshotpb.Head) {
-	s.Made, s.Gateway = time.Duration(h.GetMade()), h.GetGateway()
-	s.Settings, s.Position = h.GetSettings(), h.GetPosition()
+	s.CreatedAt, s.Gateway = time.Duration(h.GetMade()), h.GetGateway()
+	s.SettingsFingerprint, s.JournalPosition = h.GetSettings(), h.GetPosition()
 }
 
 func directorRecord(d routing.LearnedState) *snapshotpb.Record {
--- a/internal/snapshot/saver.go
+++ b/internal/snapshot/saver.go
@@ -104,7 +104,7 @@
 		defer close(s.writerDone)
 		for snap := range s.work {
 			size, err := s.store.Save(snap)
-			post(func() { s.saveFinished(snap.Made, size, err) })
+			post(func() { s.saveFinished(snap.CreatedAt, size, err) })
 		}
 	}()
 }
--- a/internal/snapshot/saver_test.go
+++ b/internal/snapshot/saver_test.go
@@ -30,7 +30,7 @@
 	}
 	posted := make(chan func(), 10)
 	n := 0
-	s.Start(time.Second, func(f func()) bool { posted <- f; return true }, func() *warmstart.Snapshot { n++; snap := example(3); snap.Made = time.Duration(n); return snap })
+	s.Start(time.Second, func(f func()) bool { posted <- f; return true }, func() *warmstart.Snapshot { n++; snap := example(3); snap.CreatedAt = time.Duration(n); return snap })
 	now := time.Hour
 	tick := func() {
 		s.Tick(now)
@@ -63,7 +63,7 @@
 	s.SaveNow(now)
 	(<-posted)()
 	s.Close(time.Second)
-	if _, found, err = Open(folder, nil, log); err != nil || found == nil || found.Made != time.Duration(n) {
+	if _, found, err = Open(folder, nil, log); err != nil || found == nil || found.CreatedAt != time.Duration(n) {
 		t.Errorf("%v, %v", found, err)
 	}
 }
--- a/lab/faultinjection/rest.go
+++ b/lab/faultinjection/rest.go
@@ -151,7 +151,7 @@
 	out, counted := Resting{Gateways: n}, &traffic{sent: map[string]gatewayTraffic{}}
 	report := cluster.Report{Machines: map[string]maintenance.Machine{}}
 	for i := range 20 {
-		report.Machines[fmt.Sprintf("box-%02d", i)] = maintenance.Machine{Kind: maintenance.KindBox, Zone: "z", Up: true, Warm: true, Weight: 10, Utilization: 0.3}
+		report.Machines[fmt.Sprintf("box-%02d", i)] = maintenance.Machine{Kind: maintenance.KindCache, Zone: "z", Up: true, Warm: true, Weight: 10, Utilization: 0.3}
 	}
 	f, err := simulate(n, seed, maintenance.Limits{}, func(string) cluster.Report { return report })
 	if err != nil {
@@ -175,7 +175,7 @@
 	}
 	out.Writes = counted.writes / seconds
 	asked := f.clock.Now
-	if err := f.order(f.names[n-1], maintenance.Command{Request: &maintenance.RequestOrder{Key: "k", Machine: "box-01", DurationMs: 1000}}); err != nil {
+	if err := f.order(f.names[n-1], maintenance.Command{Request: &maintenance.RequestSpec{Key: "k", Machine: "box-01", DurationMs: 1000}}); err != nil {
 		return out, err
 	}
 	out.Granted, out.Drained = f.timeOrder(asked)
@@ -246,7 +246,7 @@
 // timeGrant is how long the n-th request takes from asking to granted; dies has the first voter killed for as long.
 func (p *play) timeGrant(ctx context.Context, at *process, n int, dies bool) (time.Duration, error) {
 	request := fmt.Sprint("m", n)
-	value, err := json.Marshal(maintenance.Command{Actor: "measure", Request: &maintenance.RequestOrder{Key: request, Machine: box(0, n%6), DurationMs: 1000}})
+	value, err := json.Marshal(maintenance.Command{Actor: "measure", Request: &maintenance.RequestSpec{Key: request, Machine: box(0, n%6), DurationMs: 1000}})
 	if err != nil {
 		return 0, err
 	}
--- a/lab/faultinjection/timetable.go
+++ b/lab/faultinjection/timetable.go
@@ -69,7 +69,7 @@
 	}
 	for z := range planZones {
 		for i := range planBoxes {
-			add(fmt.Sprintf("box-%d-%02d", z, i), maintenance.KindBox, fmt.Sprintf("z%d", z))
+			add(fmt.Sprintf("box-%d-%02d", z, i), maintenance.KindCache, fmt.Sprintf("z%d", z))
 		}
 	}
 	for i := range planParents {
@@ -282,7 +282,7 @@
 	}
 	began = f.clock.Now
 	for i, m := range p.machines {
-		if err := f.order(f.names[i%len(f.names)], maintenance.Command{Request: &maintenance.RequestOrder{Key: m.name, Machine: m.name, DurationMs: planSaid.Milliseconds()}}); err != nil {
+		if err := f.order(f.names[i%len(f.names)], maintenance.Command{Request: &maintenance.RequestSpec{Key: m.name, Machine: m.name, DurationMs: planSaid.Milliseconds()}}); err != nil {
 			return Planned{}, err
 		}
 	}
--- a/lab/faultinjection/watch.go
+++ b/lab/faultinjection/watch.go
@@ -30,7 +30,7 @@
 		return
 	}
 	p.wg.Go(func() {
-		value, _ := json.Marshal(maintenance.Command{Actor: "plot", Request: &maintenance.RequestOrder{Key: "plot-" + name, Machine: name, DurationMs: 3000}})
+		value, _ := json.Marshal(maintenance.Command{Actor: "plot", Request: &maintenance.RequestSpec{Key: "plot-" + name, Machine: name, DurationMs: 3000}})
 		for try := 0; ctx.Err() == nil && try < 200; try++ {
 			g := first
 			if try > 0 {
--- a/maintenance/advance.go
+++ b/maintenance/advance.go
@@ -99,7 +99,7 @@
 }
 
 // advanceDraining puts a machine out of service once nothing can be sent to it any more.
-func (s *State) advanceDraining(r *Request, c *Command, elapsed ElapsedLimits) {
+func (s *State) advanceDraining(r *Request, c *Command, elapsed StageTimeouts) {
 	if r.Kind == KindGateway {
 		if g := s.Gateways[r.Machine]; g.Incarnation == r.Incarnation && g.StoppedEpoch < r.DrainEpoch {
 			return
--- a/maintenance/budget.go
+++ b/maintenance/budget.go
@@ -64,7 +64,7 @@
 	zones := map[string]*boxes{}
 	for _, name := range c.names {
 		m := c.o.Machines[name]
-		if m.Kind != KindBox || name == c.name {
+		if m.Kind != KindCache || name == c.name {
 			continue
 		}
 		z := zones[m.Zone]
--- a/maintenance/command.go
+++ b/maintenance/command.go
@@ -10,7 +10,7 @@
 type Command struct {
 	Actor    string         `json:"by"`
 	AtMs     int64          `json:"at"`                 // Unix time
-	Request  *RequestOrder  `json:"ask,omitempty"`      // an operator asks for maintenance
+	Request  *RequestSpec   `json:"ask,omitempty"`      // an operator asks for maintenance
 	Withdraw *Target        `json:"withdraw,omitempty"` // an operator withdraws a request that is not out of service
 	Finish   *Target        `json:"finish,omitempty"`   // an operator says that the work on a machine is done
 	Join     *GatewayUpdate `json:"join,omitempty"`     // a gateway has started
@@ -19,8 +19,8 @@
 	Advance  *Observations  `json:"step,omitempty"`     // the coordinator takes all requests forward
 }
 
-// RequestOrder asks for maintenance of a machine.
-type RequestOrder struct {
+// RequestSpec asks for maintenance of a machine.
+type RequestSpec struct {
 	Key        string   `json:"key"` // idempotency key
 	Machine    string   `json:"machine"`
 	DurationMs int64    `json:"for"`           // how long the machine is likely to be out
--- a/maintenance/maintenance_test.go
+++ b/maintenance/maintenance_test.go
@@ -24,7 +24,7 @@
 	o := &Observations{Machines: map[string]Machine{}}
 	for z := range 2 {
 		for i := range 6 {
-			o.Machines[fmt.Sprintf("b%d%d", z, i)] = Machine{Kind: KindBox, Zone: fmt.Sprintf("z%d", z), Up: true, Warm: true, Weight: 7, Utilization: 0.5}
+			o.Machines[fmt.Sprintf("b%d%d", z, i)] = Machine{Kind: KindCache, Zone: fmt.Sprintf("z%d", z), Up: true, Warm: true, Weight: 7, Utilization: 0.5}
 		}
 		for i := range 2 {
 			o.Machines[fmt.Sprintf("g%d%d", z, i)] = Machine{Kind: KindGateway, Zone: fmt.Sprintf("z%d", z), Up: true, Warm: true, Weight: 1, Utilization: 0.1}
@@ -63,9 +63,9 @@
 	return s
 }
 
-func (r *rig) ask(machine string, change func(*RequestOrder)) Reply {
+func (r *rig) ask(machine string, change func(*RequestSpec)) Reply {
 	m := observed().Machines[machine]
-	a := &RequestOrder{Key: "k" + machine, Machine: machine, DurationMs: 60_000, Kind: m.Kind, Zone: m.Zone}
+	a := &RequestSpec{Key: "k" + machine, Machine: machine, DurationMs: 60_000, Kind: m.Kind, Zone: m.Zone}
 	if change != nil {
 		change(a)
 	}
@@ -161,7 +161,7 @@
 func TestStagesWaitForEveryGateway(t *testing.T) {
 	r := &rig{t: t, b: limits(t)}
 	o := observed()
-	step := func(spans ...ElapsedLimits) { o.Elapsed = spans; r.do(Command{Actor: "x", Advance: o}) }
+	step := func(spans ...StageTimeouts) { o.StageTimeouts = spans; r.do(Command{Actor: "x", Advance: o}) }
 	want := func(s Stage) {
 		t.Helper()
 		step()
@@ -191,16 +191,16 @@
 	want(Draining)
 	r.do(Command{Notified: &GatewayUpdate{Name: "g1", Incarnation: 1, NotifiedEpoch: 2, StoppedEpoch: 2}})
 	want(Draining)
-	step(ElapsedLimits{ID: 1, Stage: Draining, Epoch: 99, LeasesExpired: true}) // of another grant
+	step(StageTimeouts{ID: 1, Stage: Draining, Epoch: 99, LeasesExpired: true}) // of another grant
 	want(Draining)
-	step(ElapsedLimits{ID: 1, Stage: Draining, Epoch: 1, LeasesExpired: true}) // all leases have run out
+	step(StageTimeouts{ID: 1, Stage: Draining, Epoch: 1, LeasesExpired: true}) // all leases have run out
 	if r.stage() != OutOfService {
 		t.Fatal("it is not out though all leases have run out")
 	}
 	if got := r.do(Command{Withdraw: &Target{Name: "b00"}}); got.Rejected == "" {
 		t.Error("what is out was withdrawn")
 	}
-	step(ElapsedLimits{ID: 1, Stage: OutOfService, Epoch: 1, Overdue: true})
+	step(StageTimeouts{ID: 1, Stage: OutOfService, Epoch: 1, Overdue: true})
 	if q := r.state().Requests[0]; !q.Overdue || q.Stage != OutOfService {
 		t.Errorf("overdue: %+v", q)
 	}
@@ -212,7 +212,7 @@
 	o.Machines["b00"] = m
 	want(WarmingUp)
 	want(WarmingUp)
-	step(ElapsedLimits{ID: 1, Stage: WarmingUp, Epoch: 1, SlowStartOver: true})
+	step(StageTimeouts{ID: 1, Stage: WarmingUp, Epoch: 1, SlowStartOver: true})
 	want(Completed)
 	if got := r.state().Requests[0].History; len(got) != 8 || got[0].To != Requested {
 		t.Errorf("history %+v", got)
@@ -255,7 +255,7 @@
 	granted := 0
 	for range 40 {
 		for _, n := range []string{"b01", "b02", "b03"} {
-			r.ask(n, func(a *RequestOrder) { a.Key = fmt.Sprint(n, granted) })
+			r.ask(n, func(a *RequestSpec) { a.Key = fmt.Sprint(n, granted) })
 		}
 		r.do(Command{Advance: o})
 		for _, q := range r.state().Requests {
@@ -279,23 +279,23 @@
 func TestRejectionsNameTheField(t *testing.T) {
 	for _, c := range []struct {
 		want   string
-		change func(*RequestOrder)
+		change func(*RequestSpec)
 	}{
-		{"no such machine", func(a *RequestOrder) { a.Kind = "" }}, {"key", func(a *RequestOrder) { a.Key = "" }}, {"for", func(a *RequestOrder) { a.DurationMs = 0 }},
-		{"for", func(a *RequestOrder) { a.DurationMs = 1 << 50 }}, {"priority", func(a *RequestOrder) { a.Priority = 1000 }},
-		{"after itself", func(a *RequestOrder) { a.After = []string{"b00"} }}, {"by way of others", func(a *RequestOrder) { a.After = []string{"b01"} }},
-		{"after: 17", func(a *RequestOrder) { a.After = make([]string, 17) }},
-		{"a name over", func(a *RequestOrder) { a.Machine = strings.Repeat("m", 65) }},
+		{"no such machine", func(a *RequestSpec) { a.Kind = "" }}, {"key", func(a *RequestSpec) { a.Key = "" }}, {"for", func(a *RequestSpec) { a.DurationMs = 0 }},
+		{"for", func(a *RequestSpec) { a.DurationMs = 1 << 50 }}, {"priority", func(a *RequestSpec) { a.Priority = 1000 }},
+		{"after itself", func(a *RequestSpec) { a.After = []string{"b00"} }}, {"by way of others", func(a *RequestSpec) { a.After = []string{"b01"} }},
+		{"after: 17", func(a *RequestSpec) { a.After = make([]string, 17) }},
+		{"a name over", func(a *RequestSpec) { a.Machine = strings.Repeat("m", 65) }},
 	} {
 		r := &rig{t: t, b: limits(t)}
-		r.ask("b01", func(a *RequestOrder) { a.After = []string{"b00"} })
+		r.ask("b01", func(a *RequestSpec) { a.After = []string{"b00"} })
 		if got := r.ask("b00", c.change); !strings.Contains(got.Rejected, c.want) || len(r.state().Requests) != 1 {
 			t.Errorf("%q, want %q", got.Rejected, c.want)
 		}
 	}
 	r := &rig{t: t, b: limits(t)}
 	r.ask("b00", nil)
-	if got := r.ask("b00", func(a *RequestOrder) { a.Key = "other" }); !strings.Contains(got.Rejected, "open request") || got.ID != 1 {
+	if got := r.ask("b00", func(a *RequestSpec) { a.Key = "other" }); !strings.Contains(got.Rejected, "open request") || got.ID != 1 {
 		t.Errorf("a second request for a machine: %+v", got)
 	}
 	for _, c := range []Command{{}, {Withdraw: &Target{Name: "b09"}}, {Finish: &Target{Name: "b00"}}, {Forget: &Target{Name: "g9"}}, {Join: &GatewayUpdate{}}} {
@@ -311,7 +311,7 @@
 func TestPlanNamesWavesAndLimits(t *testing.T) {
 	r := &rig{t: t, b: limits(t)}
 	for _, m := range []string{"p0", "p1", "b00", "b01", "b02"} {
-		r.ask(m, func(a *RequestOrder) {
+		r.ask(m, func(a *RequestSpec) {
 			if m == "b00" {
 				a.After = []string{"p1"}
 			}
@@ -377,7 +377,7 @@
 	switch rapid.IntRange(0, 9).Draw(t, "kind") {
 	case 0, 1:
 		m := o.Machines[name]
-		c.Request = &RequestOrder{Key: fmt.Sprint(i), Machine: name, DurationMs: 1000, Kind: m.Kind, Zone: m.Zone}
+		c.Request = &RequestSpec{Key: fmt.Sprint(i), Machine: name, DurationMs: 1000, Kind: m.Kind, Zone: m.Zone}
 	case 2:
 		c.Withdraw = &Target{Name: name}
 	case 3:
@@ -389,7 +389,7 @@
 	default:
 		c.Advance = o
 		for _, r := range s.Requests {
-			o.Elapsed = append(o.Elapsed, ElapsedLimits{ID: r.ID, Stage: r.Stage, Epoch: r.GrantEpoch,
+			o.StageTimeouts = append(o.StageTimeouts, StageTimeouts{ID: r.ID, Stage: r.Stage, Epoch: r.GrantEpoch,
 				LeasesExpired: rapid.Bool().Draw(t, "leases expired"), SlowStartOver: rapid.Bool().Draw(t, "slow start over")})
 		}
 	}
--- a/maintenance/observations.go
+++ b/maintenance/observations.go
@@ -2,7 +2,7 @@
 
 // The kinds of machine.
 const (
-	KindBox     = "box"     // a cache that clients are sent to
+	KindCache   = "box"     // a cache that clients are sent to
 	KindParent  = "parent"  // an upper cache, which fills boxes
 	KindGateway = "gateway" // runs this program
 )
@@ -18,8 +18,8 @@
 	Utilization float64 `json:"busy"`   // share of its capacity that is in use; negative: unknown
 }
 
-// ElapsedLimits says which time limits of a request at a stage have passed, by the clock of the coordinator.
-type ElapsedLimits struct {
+// StageTimeouts says which time limits of a request at a stage have passed, by the clock of the coordinator.
+type StageTimeouts struct {
 	ID            uint64 `json:"id"`
 	Stage         Stage  `json:"stage"`
 	Epoch         uint64 `json:"epoch"`            // of its grant
@@ -30,14 +30,14 @@
 
 // Observations are what the coordinator has gathered; where gateways differ, the most cautious report.
 type Observations struct {
-	Machines map[string]Machine `json:"machines"`
-	Pressure string             `json:"strain,omitempty"` // why no machine should be taken out: overload, a slow origin, purges
-	Elapsed  []ElapsedLimits    `json:"spans,omitempty"`
+	Machines      map[string]Machine `json:"machines"`
+	Pressure      string             `json:"strain,omitempty"` // why no machine should be taken out: overload, a slow origin, purges
+	StageTimeouts []StageTimeouts    `json:"spans,omitempty"`
 }
 
 // elapsed are the time limits of a request at its present stage; zero: none is known to have passed.
-func (o *Observations) elapsed(r *Request) (found ElapsedLimits) {
-	for _, e := range o.Elapsed {
+func (o *Observations) elapsed(r *Request) (found StageTimeouts) {
+	for _, e := range o.StageTimeouts {
 		if e.ID == r.ID && e.Stage == r.Stage && e.Epoch == r.GrantEpoch {
 			found = e
 		}
--- a/maintenance/request.go
+++ b/maintenance/request.go
@@ -11,7 +11,7 @@
 	maxOpenRequests  = 128
 	maxEndedRequests = 64 // kept for readers; beyond, the oldest is dropped
 	maxNameLength    = 64 // bytes of a machine, zone, kind, key or gateway
-	maxPredecessors  = 16 // names in RequestOrder.After
+	maxPredecessors  = 16 // names in RequestSpec.After
 	maxGateways      = 1024
 	maxDuration      = 30 * 24 * time.Hour
 	maxPriority      = 100 // and its negative the least
@@ -55,7 +55,7 @@
 }
 
 // check names what is not valid in an order by itself.
-func (o *RequestOrder) check() error {
+func (o *RequestSpec) check() error {
 	switch {
 	case o.Key == "" || len(o.Key) > maxNameLength:
 		return fmt.Errorf("key: %d characters, 1 to %d are allowed", len(o.Key), maxNameLength)
--- a/replication/config.go
+++ b/replication/config.go
@@ -59,12 +59,12 @@
 
 // NodeCounters count what a node did.
 type NodeCounters struct {
-	Pulls         uint64 // sent
-	PullReplies   uint64 // sent
-	PullTimeouts  uint64 // pulls without an answer in time
-	Announcements uint64 // sent, each to a few peers
-	Stale         uint64 // replies to no pull that is under way
-	Throttled     uint64 // pulls, or bulk, not served or written for want of budget
-	Checked       uint64 // checksums compared
-	Divergences   uint64 // found
+	Pulls             uint64 // sent
+	PullReplies       uint64 // sent
+	PullTimeouts      uint64 // pulls without an answer in time
+	Announcements     uint64 // sent, each to a few peers
+	StaleReplies      uint64 // replies to no pull that is under way
+	Throttled         uint64 // pulls, or bulk, not served or written for want of budget
+	ChecksumsCompared uint64 // checksums compared
+	Divergences       uint64 // found
 }
--- a/replication/divergence.go
+++ b/replication/divergence.go
@@ -51,7 +51,7 @@
 	if m.Checksum == nil || len(m.Slots) > 0 {
 		return
 	}
-	n.Stats.Checked++
+	n.Stats.ChecksumsCompared++
 	if n.Matches(n.now, *m.Checksum) {
 		n.mismatches[from] = max(0, n.mismatches[from]-1)
 		return
--- a/replication/faults.go
+++ b/replication/faults.go
@@ -37,10 +37,10 @@
 
 // FaultReport is what several gateways report of a server.
 type FaultReport struct {
-	Server    string
-	Oldest    time.Duration // of the evidence that it rests on
-	Reporters int           // gateways
-	Value     HealthValue
+	Server         string
+	OldestEvidence time.Duration // of the evidence that it rests on
+	Reporters      int           // gateways
+	Value          HealthValue
 }
 
 // A server counts as faulty if at least minReporters gateways other than the reader report it, and one in reporterShare of those that
@@ -119,7 +119,7 @@
 		}
 		values, oldest = []HealthValue{own}, e.slots[self].SeenAfter
 	}
-	return FaultReport{Oldest: oldest, Reporters: len(values), Value: e.median(values)}, true
+	return FaultReport{OldestEvidence: oldest, Reporters: len(values), Value: e.median(values)}, true
 }
 
 // median is the value with the median error rate, for the median time of ejection.
--- a/replication/pull.go
+++ b/replication/pull.go
@@ -103,7 +103,7 @@
 // receivePullReply takes in what a peer has sent, and decides whom to pull from next.
 func (n *Node) receivePullReply(from string, m Message) {
 	if n.pull == nil || n.pull.id != m.ID || n.pull.to != from {
-		n.Stats.Stale++
+		n.Stats.StaleReplies++
 		return
 	}
 	pulledAt := n.pull.at
--- a/replication/replica_test.go
+++ b/replication/replica_test.go
@@ -334,8 +334,8 @@
 	n.Handle(sec, MessageReceived{ask.To, Message{Kind: PullReply, ID: ask.Message.ID + 1, Slots: w}}, nil)
 	n.Handle(sec, MessageReceived{other, Message{Kind: PullReply, ID: ask.Message.ID, Slots: w}}, nil)
 	n.Handle(sec, MessageReceived{"stranger", Message{Kind: PullReply, ID: ask.Message.ID, Slots: w}}, nil)
-	if n.Len() != 0 || n.Stats.Stale != 2 {
-		t.Errorf("%d slots were taken, %d answers passed over", n.Len(), n.Stats.Stale)
+	if n.Len() != 0 || n.Stats.StaleReplies != 2 {
+		t.Errorf("%d slots were taken, %d answers passed over", n.Len(), n.Stats.StaleReplies)
 	}
 	n.Handle(sec, MessageReceived{ask.To, Message{Kind: PullReply, ID: ask.Message.ID, Slots: w}}, nil)
 	if n.Len() != 1 {
--- a/warmstart/collect.go
+++ b/warmstart/collect.go
@@ -35,7 +35,7 @@
 		h := routing.EndpointHealth{
 			Endpoint:         r.Server,
 			Incarnation:      listedIncarnation(list, r.Server, r.Value.BootMs),
-			LastAnswer:       translate(r.Oldest, now, directorTime),
+			LastAnswer:       translate(r.OldestEvidence, now, directorTime),
 			ErrorRate:        r.Value.ErrorRate,
 			LateShare:        r.Value.LateShare,
 			ConcurrencyLimit: r.Value.ConcurrencyLimit,
@@ -69,9 +69,9 @@
 	maxHeldDivisor = 4
 )
 
-// HeldEndpoints returns the endpoints that are to be taken for draining, by id: those that the own endpoint list still has up in
+// PeerDrainedEndpoints returns the endpoints that are to be taken for draining, by id: those that the own endpoint list still has up in
 // the incarnation that another gateway's endpoint list has draining or gone.
-func (s *Sharer) HeldEndpoints(now time.Duration, list map[string]routing.Endpoint) map[string]bool {
+func (s *Sharer) PeerDrainedEndpoints(now time.Duration, list map[string]routing.Endpoint) map[string]bool {
 	listed := map[string]int{} // by group
 	for _, e := range list {
 		listed[holdGroup(e)]++
@@ -90,7 +90,7 @@
 		heldInGroup[group]++
 		held[id] = true
 	}
-	s.Held = len(held)
+	s.PeerDrained = len(held)
 	return held
 }
 
--- a/warmstart/sharer.go
+++ b/warmstart/sharer.go
@@ -15,8 +15,8 @@
 //
 // Two clocks meet here, the director's and the replication's. Only ages go from one to the other.
 type Sharer struct {
-	Published int // slots published so far
-	Held      int // endpoints held at the latest [Sharer.HeldEndpoints]
+	Published   int // slots published so far
+	PeerDrained int // endpoints held at the latest [Sharer.PeerDrainedEndpoints]
 
 	node         *replication.Node
 	zone         string
--- a/warmstart/sharer_test.go
+++ b/warmstart/sharer_test.go
@@ -172,28 +172,28 @@
 }
 
 // A drain that the own list does not have yet holds the store: in the incarnation that is meant, for a while, and few stores only.
-func TestHeldEndpoints(t *testing.T) {
+func TestPeerDrainedEndpoints(t *testing.T) {
 	p := newPair(t, "a", "b")
 	p.s["a"].Publish(p.now, routing.LearnedState{At: director}, list(routing.Up, time.Hour))
 	p.s["a"].Publish(p.now, routing.LearnedState{At: director}, list(routing.Draining, time.Hour))
 	p.sync()
-	if held := p.s["b"].HeldEndpoints(p.now, list(routing.Up, time.Hour)); len(held) != 1 || !held["b0"] {
+	if held := p.s["b"].PeerDrainedEndpoints(p.now, list(routing.Up, time.Hour)); len(held) != 1 || !held["b0"] {
 		t.Fatalf("%v", held)
 	}
-	if held := p.s["b"].HeldEndpoints(p.now, list(routing.Up, 2*time.Hour)); len(held) != 0 {
+	if held := p.s["b"].PeerDrainedEndpoints(p.now, list(routing.Up, 2*time.Hour)); len(held) != 0 {
 		t.Errorf("another incarnation is held: %v", held)
 	}
-	if held := p.s["b"].HeldEndpoints(p.now+peerDrainMaxAge+time.Second, list(routing.Up, time.Hour)); len(held) != 0 {
+	if held := p.s["b"].PeerDrainedEndpoints(p.now+peerDrainMaxAge+time.Second, list(routing.Up, time.Hour)); len(held) != 0 {
 		t.Errorf("it is held for ever: %v", held)
 	}
-	if held := p.s["a"].HeldEndpoints(p.now, list(routing.Up, time.Hour)); len(held) != 0 {
+	if held := p.s["a"].PeerDrainedEndpoints(p.now, list(routing.Up, time.Hour)); len(held) != 0 {
 		t.Errorf("the own word is held against the own list: %v", held)
 	}
 	gone := list(routing.Up, time.Hour)
 	clear(gone)
 	p.s["a"].Publish(p.now, routing.LearnedState{At: director}, gone) // all of them, or it lies
 	p.sync()
-	if held := p.s["b"].HeldEndpoints(p.now, list(routing.Up, time.Hour)); len(held) != 2 {
+	if held := p.s["b"].PeerDrainedEndpoints(p.now, list(routing.Up, time.Hour)); len(held) != 2 {
 		t.Errorf("%d of 8 are held", len(held))
 	}
 }
--- a/warmstart/snapshot.go
+++ b/warmstart/snapshot.go
@@ -11,11 +11,11 @@
 
 // Snapshot is all that a gateway has learned at a time. Its JSON form goes to the next process at an upgrade.
 type Snapshot struct {
-	Made      time.Duration          `json:"Made"`     // Unix time
-	Gateway   string                 `json:"Gateway"`  // name
-	Settings  string                 `json:"Settings"` // fingerprint of the settings under which it was learned
-	Position  int64                  `json:"Position"` // latest event of the journal that was taken in
-	Directors []routing.LearnedState `json:"Directors"`
+	CreatedAt           time.Duration          `json:"Made"`     // Unix time
+	Gateway             string                 `json:"Gateway"`  // name
+	SettingsFingerprint string                 `json:"Settings"` // fingerprint of the settings under which it was learned
+	JournalPosition     int64                  `json:"Position"` // latest event of the journal that was taken in
+	Directors           []routing.LearnedState `json:"Directors"`
 }
 
 // maxSnapshotAge is the age up to which a snapshot is valid.
@@ -31,11 +31,11 @@
 
 // Validate reports why a snapshot is not valid for a gateway under a fingerprint of settings; nil: it is. now is Unix time.
 func (s *Snapshot) Validate(now time.Duration, gateway, settings string) error {
-	age := now - s.Made
+	age := now - s.CreatedAt
 	switch {
 	case s.Gateway != gateway:
 		return fmt.Errorf("%w: %q, and this is %q", ErrOtherGateway, s.Gateway, gateway)
-	case s.Settings != settings:
+	case s.SettingsFingerprint != settings:
 		return ErrOtherSettings
 	case age < -maxClockSkew:
 		return fmt.Errorf("%w, by %v", ErrFromFuture, -age)
@@ -48,14 +48,14 @@
 // ImportReport is what became of a snapshot.
 type ImportReport struct {
 	Age                  time.Duration
-	Void                 error // why nothing of it was used; nil: it was valid
+	ValidationErr        error // why nothing of it was used; nil: it was valid
 	routing.ImportCounts       // of what was used and what was not
 }
 
 // Import has directors take in what a snapshot holds for them, by the names of their zones. now is Unix time.
 func (s *Snapshot) Import(now time.Duration, gateway, settings string, directors map[string]*routing.Director) ImportReport {
-	r := ImportReport{Age: now - s.Made, Void: s.Validate(now, gateway, settings)}
-	if r.Void != nil {
+	r := ImportReport{Age: now - s.CreatedAt, ValidationErr: s.Validate(now, gateway, settings)}
+	if r.ValidationErr != nil {
 		return r
 	}
 	for _, m := range s.Directors {
@@ -82,8 +82,8 @@
 
 // String returns the report in one line.
 func (r ImportReport) String() string {
-	if r.Void != nil {
-		return "void: " + r.Void.Error()
+	if r.ValidationErr != nil {
+		return "void: " + r.ValidationErr.Error()
 	}
 	parts := []string{fmt.Sprintf("%v old: %d listings, %d servers, %d purges used", r.Age.Round(time.Millisecond), r.Listings, r.Endpoints, r.Purges)}
 	for _, dropped := range []struct {
