--- a/cluster/events.go
+++ b/cluster/events.go
@@ -14,11 +14,11 @@
 // Tick reports that time has passed. It comes at least every 100 ms.
 type Tick struct{}
 
-// Observed is the gateway's own latest report.
-type Observed struct{ Report Report }
+// ReportUpdated is the gateway's own latest report.
+type ReportUpdated struct{ Report Report }
 
-// Drained answers DrainMachines: nothing that this gateway sent is under way at, or through, the machines of that generation.
-type Drained struct{ Generation uint64 }
+// DrainCompleted answers DrainMachines: nothing that this gateway sent is under way at, or through, the machines of that generation.
+type DrainCompleted struct{ Generation uint64 }
 
 // AcceptorStateStored answers StoreAcceptorState: the write of that number is durable.
 type AcceptorStateStored struct{ Number uint64 }
@@ -31,8 +31,8 @@
 
 func (MessageReceived) event()     {}
 func (Tick) event()                {}
-func (Observed) event()            {}
-func (Drained) event()             {}
+func (ReportUpdated) event()       {}
+func (DrainCompleted) event()      {}
 func (AcceptorStateStored) event() {}
 func (ViewStored) event()          {}
 func (ShutdownCompleted) event()   {}
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -115,10 +115,10 @@
 	switch e := e.(type) {
 	case MessageReceived:
 		n.receive(e.From, e.Message)
-	case Observed:
+	case ReportUpdated:
 		n.ownReport = e.Report
 		n.reports[n.cfg.Self] = receivedReport{e.Report, now}
-	case Drained:
+	case DrainCompleted:
 		n.drained(e.Generation)
 	case AcceptorStateStored:
 		if n.voter != nil {
--- a/cluster/simulation_test.go
+++ b/cluster/simulation_test.go
@@ -117,7 +117,7 @@
 			return
 		}
 		if !m.suspended {
-			w.handle(m, Observed{w.report(m)})
+			w.handle(m, ReportUpdated{w.report(m)})
 			w.handle(m, Tick{})
 			if m.run == epoch {
 				w.trySending(m)
@@ -165,7 +165,7 @@
 		}
 	}
 	if m.draining != nil {
-		w.handle(m, Drained{m.node.draining.Generation})
+		w.handle(m, DrainCompleted{m.node.draining.Generation})
 	}
 }
 
--- a/cmd/larchusher/state.go
+++ b/cmd/larchusher/state.go
@@ -76,18 +76,18 @@
 	Ill      int    `json:"Ill"`      // servers that fail, or are out of use
 }
 
-func describeFile(f snapshot.Found, now time.Time) fileState {
-	s := fileState{File: f.Name, Bytes: f.Size, Whole: f.Damage.Whole, Bad: f.Damage.BadRecords, Cut: f.Damage.Truncated}
+func describeFile(f snapshot.LoadedFile, now time.Time) fileState {
+	s := fileState{File: f.Name, Bytes: f.Size, Whole: f.Damage.Complete, Bad: f.Damage.BadRecords, Cut: f.Damage.Truncated}
 	if f.Err != nil {
 		s.Error = f.Err.Error()
 	}
-	if f.Snap == nil {
+	if f.Snapshot == nil {
 		return s
 	}
-	s.Made = time.Unix(0, int64(f.Snap.Made))
-	s.AgeS, s.Gateway, s.Settings, s.Position = now.Sub(s.Made).Seconds(), f.Snap.Gateway, f.Snap.Settings, f.Snap.Position
+	s.Made = time.Unix(0, int64(f.Snapshot.Made))
+	s.AgeS, s.Gateway, s.Settings, s.Position = now.Sub(s.Made).Seconds(), f.Snapshot.Gateway, f.Snapshot.Settings, f.Snapshot.Position
 	unix := time.Duration(now.UnixNano())
-	for _, d := range f.Snap.Directors {
+	for _, d := range f.Snapshot.Directors {
 		p := place{Zone: d.Zone, Listings: len(d.Listings), Servers: len(d.Endpoints), Purges: len(d.Purges)}
 		worth := 0.0
 		for _, l := range d.Listings {
@@ -136,7 +136,7 @@
 			err = f.print(describeFile(found, time.Now()))
 		}
 	}
-	return folder, len(all), len(all) > 0 && all[0].Err == nil && all[0].Damage.Whole, err
+	return folder, len(all), len(all) > 0 && all[0].Err == nil && all[0].Damage.Complete, err
 }
 
 type stateShow struct{ stateFolder }
--- a/internal/clusternode/node.go
+++ b/internal/clusternode/node.go
@@ -187,7 +187,7 @@
 	now := n.loop.Now()
 	if now.Sub(n.reportedAt) >= reportInterval {
 		n.reportedAt = now
-		n.handle(cluster.Observed{Report: n.report()})
+		n.handle(cluster.ReportUpdated{Report: n.report()})
 	}
 	n.handle(cluster.Tick{})
 	if n.replication != nil {
@@ -273,6 +273,6 @@
 // reportDrained reports once nothing is under way at the machines that are to be drained.
 func (n *Node) reportDrained() {
 	if n.draining.Generation > 0 && n.gateway.NoAttemptsAt(n.draining.Machines) {
-		n.handle(cluster.Drained{Generation: n.draining.Generation})
+		n.handle(cluster.DrainCompleted{Generation: n.draining.Generation})
 	}
 }
--- a/internal/snapshot/decode.go
+++ b/internal/snapshot/decode.go
@@ -18,7 +18,7 @@
 	BadRecords     int  // records with a wrong checksum, or that can't be read: each costs itself
 	UnknownRecords int  // records of an unknown kind
 	Truncated      bool // the file ends within a record, or a length can't be
-	Whole          bool // the tail is there and agrees: the file is complete, as it was written
+	Complete       bool // the tail is there and agrees: the file is complete, as it was written
 }
 
 // decoder reads a file record by record.
@@ -42,7 +42,7 @@
 	for more := true; more && len(d.rest) > 0; {
 		more = d.decodeRecord()
 	}
-	authentic := d.signed && d.damage.Whole
+	authentic := d.signed && d.damage.Complete
 	if len(key) > 0 && !authentic {
 		return nil, d.damage, ErrMAC
 	}
@@ -115,7 +115,7 @@
 func (d *decoder) checkTail(tail *snapshotpb.Tail, before []byte) {
 	isLast := len(d.rest) == 0
 	agrees := tail.GetRecords() == d.records && tail.GetSum() == xxhash.Sum64(before)
-	d.damage.Whole = isLast && d.damage.BadRecords == 0 && agrees
+	d.damage.Complete = isLast && d.damage.BadRecords == 0 && agrees
 	d.signed = len(d.key) > 0 && hmac.Equal(tail.GetMac(), computeMAC(before, d.key))
 	if !isLast {
 		d.damage.Truncated = true
--- a/internal/snapshot/decode_test.go
+++ b/internal/snapshot/decode_test.go
@@ -61,7 +61,7 @@
 			t.Fatal(err)
 		}
 		got, d, err := Decode(data, key)
-		if err != nil || !d.Whole || !reflect.DeepEqual(got, want) {
+		if err != nil || !d.Complete || !reflect.DeepEqual(got, want) {
 			t.Errorf("%+v, %v", d, err)
 		}
 	}
@@ -125,7 +125,7 @@
 			spoilt := bytes.Clone(data)
 			spoilt[i] ^= 1 << bit
 			s, d, err := Decode(spoilt, nil)
-			if err == nil && d.Whole {
+			if err == nil && d.Complete {
 				t.Fatalf("byte %d, bit %d: it is called whole", i, bit)
 			}
 			checkSound(t, fmt.Sprintf("byte %d, bit %d", i, bit), s, want)
@@ -142,7 +142,7 @@
 	data := encoded(t, want)
 	for n := range data {
 		s, d, err := Decode(data[:n], nil)
-		if err == nil && d.Whole {
+		if err == nil && d.Complete {
 			t.Fatalf("%d of %d bytes are called whole", n, len(data))
 		}
 		checkSound(t, fmt.Sprintf("cut at %d", n), s, want)
@@ -173,7 +173,7 @@
 		"head last":      append(all[1:len(all):len(all)], 0),
 	} {
 		s, d, err := Decode(build(order...), nil)
-		if err == nil && d.Whole {
+		if err == nil && d.Complete {
 			t.Errorf("%s: it is called whole", name)
 		}
 		checkSound(t, name, s, want)
--- a/internal/snapshot/killed_test.go
+++ b/internal/snapshot/killed_test.go
@@ -72,14 +72,14 @@
 			t.Fatalf("kill %d: %v, %v", k, best, err)
 		}
 		for _, f := range all {
-			if f.Err != nil || !f.Damage.Whole {
+			if f.Err != nil || !f.Damage.Complete {
 				t.Errorf("kill %d: %s: %+v, %v", k, f.Name, f.Damage, f.Err)
 			}
 		}
-		if p := best.Snap.Position; p < max(last, written) || !reflect.DeepEqual(best.Snap, numbered(p)) {
+		if p := best.Snapshot.Position; p < max(last, written) || !reflect.DeepEqual(best.Snapshot, numbered(p)) {
 			t.Fatalf("kill %d: %d is read, %d was written and %d before", k, p, written, last)
 		}
-		last = best.Snap.Position
+		last = best.Snapshot.Position
 	}
 	names, err := Folder(folder).List()
 	if err != nil || len(names) > keptGenerations+3 {
@@ -104,7 +104,7 @@
 	store := NewStore(Folder(folder), testKey)
 	n := int64(0)
 	if best, _, err := store.Load(); err == nil && best != nil {
-		n = best.Snap.Position + 1
+		n = best.Snapshot.Position + 1
 	}
 	for ; ; n++ {
 		if _, err := store.Save(numbered(n)); err != nil {
--- a/internal/snapshot/metrics.go
+++ b/internal/snapshot/metrics.go
@@ -21,7 +21,7 @@
 	}
 	add(metrics.Counter, "state_broken_files", "Files that could not be read at the start.", float64(s.UnreadableFiles))
 	add(metrics.Counter, "state_bad_records", "Records that could not.", float64(s.BadRecords))
-	if !s.Found {
+	if !s.SnapshotFound {
 		return all
 	}
 	r := s.Imported
--- a/internal/snapshot/saver.go
+++ b/internal/snapshot/saver.go
@@ -28,7 +28,7 @@
 	LongestExport time.Duration // longest time that the event loop took to copy out a snapshot
 
 	Imported        warmstart.ImportReport // what became of the snapshot that was found at the start
-	Found           bool                   // there was one
+	SnapshotFound   bool                   // there was one
 	UnreadableFiles int                    // of which nothing could be used then
 	BadRecords      int                    // of the one that was found
 }
@@ -38,8 +38,8 @@
 
 // loaded is what a store has loaded.
 type loaded struct {
-	best *Found
-	all  []Found
+	best *LoadedFile
+	all  []LoadedFile
 	err  error
 }
 
@@ -85,15 +85,15 @@
 	if l.best == nil {
 		return nil
 	}
-	s.Found, s.BadRecords, s.Size = true, l.best.Damage.BadRecords, l.best.Size
-	if !l.best.Damage.Whole {
+	s.SnapshotFound, s.BadRecords, s.Size = true, l.best.Damage.BadRecords, l.best.Size
+	if !l.best.Damage.Complete {
 		s.log.WithFields(logrus.Fields{
 			logfields.File:       l.best.Name,
 			logfields.BadRecords: l.best.Damage.BadRecords,
 			logfields.Truncated:  l.best.Damage.Truncated,
 		}).Warn(logfields.SnapshotDamaged)
 	}
-	return l.best.Snap
+	return l.best.Snapshot
 }
 
 // Start starts the writing, at an interval; 0: warmstart.DefaultSaveInterval. export copies out what has been learned, on the
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -136,17 +136,17 @@
 	return errors.Is(err, ErrNewerVersion)
 }
 
-// Found is a file that was read.
-type Found struct {
-	Name   string
-	Size   int // bytes
-	Damage Damage
-	Err    error // why nothing of it is used; nil: it is
-	Snap   *warmstart.Snapshot
+// LoadedFile is a file that was read.
+type LoadedFile struct {
+	Name     string
+	Size     int // bytes
+	Damage   Damage
+	Err      error // why nothing of it is used; nil: it is
+	Snapshot *warmstart.Snapshot
 }
 
 // Inspect reads all generations, the newest first.
-func (s *Store) Inspect() (all []Found, err error) {
+func (s *Store) Inspect() (all []LoadedFile, err error) {
 	generations, _, err := s.list()
 	if err != nil {
 		return nil, err
@@ -157,18 +157,18 @@
 	return all, nil
 }
 
-func (s *Store) inspectFile(name string) Found {
+func (s *Store) inspectFile(name string) LoadedFile {
 	data, err := s.fs.Read(name, maxFileBytes)
-	f := Found{Name: name, Size: len(data), Err: err}
+	f := LoadedFile{Name: name, Size: len(data), Err: err}
 	if err == nil {
-		f.Snap, f.Damage, f.Err = Decode(data, s.key)
+		f.Snapshot, f.Damage, f.Err = Decode(data, s.key)
 	}
 	return f
 }
 
 // Load reads all generations, and returns as best the newest one that is complete, or else the newest of which anything can be
 // used; nil if there is none.
-func (s *Store) Load() (best *Found, all []Found, err error) {
+func (s *Store) Load() (best *LoadedFile, all []LoadedFile, err error) {
 	if all, err = s.Inspect(); err != nil {
 		return nil, nil, err
 	}
@@ -177,7 +177,7 @@
 		if f.Err != nil {
 			continue
 		}
-		if f.Damage.Whole {
+		if f.Damage.Complete {
 			return f, all, nil
 		}
 		if best == nil {
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -28,10 +28,10 @@
 	}
 	got := -1
 	if best != nil {
-		if !best.Damage.Whole || !reflect.DeepEqual(best.Snap, example(int(best.Snap.Position))) {
+		if !best.Damage.Complete || !reflect.DeepEqual(best.Snapshot, example(int(best.Snapshot.Position))) {
 			t.Fatalf("step %d, power %v: %+v is read", fail, power, best.Damage)
 		}
-		got = int(best.Snap.Position)
+		got = int(best.Snapshot.Position)
 	}
 	if got < good {
 		t.Fatalf("step %d, power %v, seed %d: write %d went well, and %d is read (%d files)", fail, power, seed, good, got, len(all))
@@ -65,7 +65,7 @@
 	for name, b := range d.files {
 		d.files[name] = b[:len(b)-30]
 	}
-	if best, all, err := store.Load(); err != nil || best == nil || best.Damage.Whole || best.Snap.Position != 7 || len(all) != 2 {
+	if best, all, err := store.Load(); err != nil || best == nil || best.Damage.Complete || best.Snapshot.Position != 7 || len(all) != 2 {
 		t.Errorf("%+v, %v", best, err)
 	}
 	newer := bytes.Clone(d.files[fileName(3)])
@@ -79,7 +79,7 @@
 	if removed, err := store.Prune(); err != nil || len(removed) != 1 || !bytes.Equal(d.files[fileName(1)], newer) {
 		t.Errorf("removed %v, %v", removed, err)
 	}
-	if best, _, err := store.Load(); err != nil || best.Snap.Position != 3 {
+	if best, _, err := store.Load(); err != nil || best.Snapshot.Position != 3 {
 		t.Errorf("%+v, %v", best, err)
 	}
 }
--- a/internal/snapshot/stored_test.go
+++ b/internal/snapshot/stored_test.go
@@ -13,8 +13,8 @@
 			t.Errorf("%s: %v, %v", folder, found, err)
 			continue
 		}
-		if !found.Damage.Whole || !reflect.DeepEqual(found.Snap, example(40)) {
-			t.Errorf("%s: %+v, %+v", folder, found.Damage, found.Snap)
+		if !found.Damage.Complete || !reflect.DeepEqual(found.Snapshot, example(40)) {
+			t.Errorf("%s: %+v, %+v", folder, found.Damage, found.Snapshot)
 		}
 	}
 }
--- a/lab/faultinjection/rest.go
+++ b/lab/faultinjection/rest.go
@@ -59,7 +59,7 @@
 		var tick func()
 		tick = func() {
 			if ticks%10 == 0 {
-				f.do(name, cluster.Observed{Report: report(name)})
+				f.do(name, cluster.ReportUpdated{Report: report(name)})
 			}
 			ticks++
 			f.do(name, cluster.Tick{})
@@ -91,7 +91,7 @@
 		case cluster.StoreView:
 			f.clock.At(f.clock.Now+2*time.Millisecond, func() { f.do(name, cluster.ViewStored{Revision: a.Revision}) })
 		case cluster.DrainMachines:
-			f.clock.At(f.clock.Now+50*time.Millisecond, func() { f.do(name, cluster.Drained{Generation: a.Generation}) })
+			f.clock.At(f.clock.Now+50*time.Millisecond, func() { f.do(name, cluster.DrainCompleted{Generation: a.Generation}) })
 		}
 	}
 }
