--- a/client/driver.go
+++ b/client/driver.go
@@ -51,7 +51,7 @@
 		if cn := c.conns[a.Conn]; cn != nil {
 			cn.Probe()
 		}
-	case plan.Hangup:
+	case plan.Disconnect:
 		c.closeConn(a.Conn)
 	case plan.End:
 		if k := c.calls[a.Call]; k != nil {
@@ -97,7 +97,7 @@
 
 // setTimer has the timer run out when the planner wants to be woken, or stops it.
 func (c *Client) setTimer() {
-	at, ok := c.planner.Wake()
+	at, ok := c.planner.NextTimer()
 	switch {
 	case ok && !c.closed:
 		if at != c.wakeAt {
@@ -144,7 +144,9 @@
 	}
 }
 
-func (e *connEvents) Heard(alive bool) { e.client.handleEvent(plan.Heard{Conn: e.id, Healthy: alive}) }
+func (e *connEvents) Heard(alive bool) {
+	e.client.handleEvent(plan.Received{Conn: e.id, Healthy: alive})
+}
 
 func (e *connEvents) Answer(try uint64, a Answer) {
 	c := e.client
--- a/client/metrics.go
+++ b/client/metrics.go
@@ -68,7 +68,7 @@
 // observe reports the planner's counters, but for endings: the histogram of calls has them.
 func (c *Client) observe(o metric.Observer, decisions metric.Int64Observable, alive metric.Int64Observable) {
 	c.mu.Lock()
-	counters, gateways := c.planner.Counters.All(), c.planner.Alive()
+	counters, gateways := c.planner.Counters.All(), c.planner.AvailableGateways()
 	c.mu.Unlock()
 	for name, n := range counters {
 		if !strings.HasPrefix(name, "ended_") {
--- a/client/plan/conn.go
+++ b/client/plan/conn.go
@@ -58,7 +58,7 @@
 // closeConn closes a connection and forgets it.
 func (p *Planner) closeConn(cn *conn) {
 	p.removeConn(cn)
-	p.emit(Hangup{cn.id})
+	p.emit(Disconnect{cn.id})
 }
 
 func (p *Planner) removeConn(cn *conn) {
--- a/client/plan/gateway.go
+++ b/client/plan/gateway.go
@@ -45,8 +45,8 @@
 	return false
 }
 
-// Alive is the number of gateways that are not ejected.
-func (p *Planner) Alive() int {
+// AvailableGateways is the number of gateways that are not ejected.
+func (p *Planner) AvailableGateways() int {
 	n := 0
 	for _, g := range p.gateways {
 		if !g.ejected {
--- a/client/plan/health.go
+++ b/client/plan/health.go
@@ -26,7 +26,7 @@
 		return
 	}
 	g.backoff = min(p.cfg.ProbeLongest, 2*g.backoff)
-	if p.Alive() == 0 {
+	if p.AvailableGateways() == 0 {
 		g.backoff = min(g.backoff, p.reconnectSpread())
 	}
 	p.scheduleHealthCheck(g)
--- a/client/plan/idle_close_test.go
+++ b/client/plan/idle_close_test.go
@@ -37,7 +37,7 @@
 	for _, a := range s.planner.Handle(s.clock.Now, ev, nil) {
 		s.carryOut(a)
 	}
-	if at, ok := s.planner.Wake(); ok && (s.wakeAt <= s.clock.Now || at < s.wakeAt) {
+	if at, ok := s.planner.NextTimer(); ok && (s.wakeAt <= s.clock.Now || at < s.wakeAt) {
 		at = max(at, s.clock.Now+time.Microsecond)
 		s.wakeAt = at
 		s.clock.At(at, func() { s.handle(Timer{}) })
@@ -55,8 +55,8 @@
 	case Send:
 		s.clock.At(s.clock.Now+s.delay(), func() { s.receive(a) })
 	case HealthCheck:
-		s.clock.At(s.clock.Now+s.delay(), func() { s.handle(Heard{Conn: a.Conn, Healthy: true}) })
-	case Hangup:
+		s.clock.At(s.clock.Now+s.delay(), func() { s.handle(Received{Conn: a.Conn, Healthy: true}) })
+	case Disconnect:
 		delete(s.conns, a.Conn)
 	case End:
 		s.ended[a.Ending]++
--- a/client/plan/plan.go
+++ b/client/plan/plan.go
@@ -3,7 +3,7 @@
 // is given, so that the same events give the same actions. Package client drives it on real connections, under a lock.
 //
 // A driver hands each [Event] to [Planner.Handle], carries out the actions in their order, and hands in a [Timer]
-// event at the time that [Planner.Wake] returns. Times are spans on one clock that runs forward from any beginning.
+// event at the time that [Planner.NextTimer] returns. Times are spans on one clock that runs forward from any beginning.
 //
 // A call has one or more attempts and one [Ending]. The rules stand in these files:
 //
@@ -78,8 +78,8 @@
 	Clean bool // the gateway closed it in order, and nothing of the attempts in flight can have reached it
 }
 
-// Heard says that something came on a connection that is no answer to an attempt, such as the answer to a health check.
-type Heard struct {
+// Received says that something came on a connection that is no answer to an attempt, such as the answer to a health check.
+type Received struct {
 	Conn    uint64
 	Healthy bool // it answers a health check with yes
 }
@@ -91,7 +91,7 @@
 	RetryAfter    time.Duration // of a rejection; 0: none was given
 }
 
-// Timer says that the time given by [Planner.Wake] has come. It does no harm at other times.
+// Timer says that the time given by [Planner.NextTimer] has come. It does no harm at other times.
 type Timer struct{}
 
 // Close ends all calls and connections.
@@ -101,7 +101,7 @@
 func (Cancelled) event() {}
 func (Up) event()        {}
 func (Down) event()      {}
-func (Heard) event()     {}
+func (Received) event()  {}
 func (Answered) event()  {}
 func (Timer) event()     {}
 func (Close) event()     {}
@@ -126,11 +126,11 @@
 // Abandon says that no answer to an attempt is wanted any more.
 type Abandon struct{ Conn, Attempt uint64 }
 
-// HealthCheck asks a connection whether its gateway serves; Heard follows if it answers.
+// HealthCheck asks a connection whether its gateway serves; Received follows if it answers.
 type HealthCheck struct{ Conn uint64 }
 
-// Hangup closes a connection; no Down follows.
-type Hangup struct{ Conn uint64 }
+// Disconnect closes a connection; no Down follows.
+type Disconnect struct{ Conn uint64 }
 
 // End ends a call.
 type End struct {
@@ -145,5 +145,5 @@
 func (Send) action()        {}
 func (Abandon) action()     {}
 func (HealthCheck) action() {}
-func (Hangup) action()      {}
+func (Disconnect) action()  {}
 func (End) action()         {}
--- a/client/plan/planner.go
+++ b/client/plan/planner.go
@@ -83,7 +83,7 @@
 		if cn := p.conns[ev.Conn]; cn != nil {
 			p.handleDown(cn, ev.Clean)
 		}
-	case Heard:
+	case Received:
 		if cn := p.conns[ev.Conn]; cn != nil {
 			p.handleHeard(cn, ev.Healthy)
 		}
@@ -112,7 +112,7 @@
 	for _, g := range p.gateways {
 		for _, cn := range g.conns {
 			delete(p.conns, cn.id)
-			p.emit(Hangup{cn.id})
+			p.emit(Disconnect{cn.id})
 		}
 		g.conns = nil
 	}
--- a/client/plan/planner_test.go
+++ b/client/plan/planner_test.go
@@ -77,7 +77,7 @@
 		case Connect:
 			w.conns[a.Conn] = &networkConn{gateway: a.Gateway, attempts: map[uint64]Send{}}
 			w.connects = append(w.connects, w.now)
-		case Hangup:
+		case Disconnect:
 			if w.conns[a.Conn] == nil {
 				w.t.Fatalf("a connection is hung up twice")
 			}
@@ -212,12 +212,12 @@
 
 // runDueTimers has the timers that ran out by now run in their time.
 func (w *network) runDueTimers(t *rapid.T) {
-	for at, ok := w.p.Wake(); ok && at <= w.now; at, ok = w.p.Wake() {
+	for at, ok := w.p.NextTimer(); ok && at <= w.now; at, ok = w.p.NextTimer() {
 		now := w.now
 		w.now = at
 		w.handle(Timer{})
 		w.now = now
-		if next, again := w.p.Wake(); again && next <= at {
+		if next, again := w.p.NextTimer(); again && next <= at {
 			t.Fatalf("it wants to be woken at %v, where it was: %+v", next, w.p.pendingTimers(at))
 		}
 	}
@@ -242,7 +242,7 @@
 	case step == 9:
 		w.end(conn, rapid.Bool().Draw(t, "clean"))
 	case step == 8:
-		w.handle(Heard{Conn: conn, Healthy: rapid.Bool().Draw(t, "alive")})
+		w.handle(Received{Conn: conn, Healthy: rapid.Bool().Draw(t, "alive")})
 	case len(tries) > 0:
 		try := rapid.SampledFrom(tries).Draw(t, "try")
 		kind := rapid.IntRange(0, 3).Draw(t, "answer")
@@ -454,7 +454,7 @@
 				w.handle(Up{Conn: id})
 			} else if w.p.Counters.HealthChecks > before {
 				probes++
-				w.handle(Heard{Conn: id, Healthy: true})
+				w.handle(Received{Conn: id, Healthy: true})
 			}
 		}
 	}
@@ -480,7 +480,7 @@
 			if cn := w.conns[id]; !cn.up {
 				cn.up = true
 				w.handle(Up{Conn: id})
-				w.handle(Heard{Conn: id, Healthy: ready})
+				w.handle(Received{Conn: id, Healthy: ready})
 			}
 		}
 		if !ready && len(w.inFlight()) > 0 {
@@ -508,7 +508,7 @@
 			for end := w.now + 100*ms; w.now < end; w.now += 10 * ms {
 				w.handle(Timer{})
 				w.connect(func(cn *networkConn) bool { return !cn.up && w.now < 10*time.Second }, func(c uint64) {
-					w.handle(Heard{Conn: c, Healthy: true})
+					w.handle(Received{Conn: c, Healthy: true})
 				})
 				for _, s := range w.inFlight() {
 					tries[w.now/(100*ms)]++
--- a/client/plan/timer.go
+++ b/client/plan/timer.go
@@ -76,8 +76,8 @@
 // redirectPollInterval is how often waiting redirects are looked at: four times while the least rate allows one.
 const redirectPollInterval = time.Second / minRedirectsPerSecond / 4
 
-// Wake is when a Timer event is wanted; false: not before something else happens.
-func (p *Planner) Wake() (at time.Duration, ok bool) {
+// NextTimer is when a Timer event is wanted; false: not before something else happens.
+func (p *Planner) NextTimer() (at time.Duration, ok bool) {
 	at = min(p.nextCallTimer(), p.nextGatewayTimer())
 	for _, g := range p.gateways {
 		for _, cn := range g.conns {
--- a/lab/clientsim/clientsim.go
+++ b/lab/clientsim/clientsim.go
@@ -256,7 +256,7 @@
 	for _, a := range c.p.Handle(c.s.clock.Now, ev, nil) {
 		c.carryOut(a)
 	}
-	if at, ok := c.p.Wake(); ok && (c.wake < c.s.clock.Now || at < c.wake) {
+	if at, ok := c.p.NextTimer(); ok && (c.wake < c.s.clock.Now || at < c.wake) {
 		c.wake = max(at, c.s.clock.Now+time.Millisecond)
 		w := c.wake
 		c.s.clock.At(w, func() {
@@ -288,11 +288,11 @@
 		if l := c.links[a.Conn]; l != nil {
 			c.s.clock.At(c.s.clock.Now+2*way, func() {
 				if l.gateway.up && l.epoch == l.gateway.epoch {
-					c.step(plan.Heard{Conn: a.Conn, Healthy: true})
+					c.step(plan.Received{Conn: a.Conn, Healthy: true})
 				}
 			})
 		}
-	case plan.Hangup:
+	case plan.Disconnect:
 		if l := c.links[a.Conn]; l != nil {
 			delete(l.gateway.conns, l)
 			delete(c.links, a.Conn)
