--- a/concurrency/concurrency.go
+++ b/concurrency/concurrency.go
@@ -25,7 +25,7 @@
 	// maxGrowthPerSecond is the share by which a limit grows at most in a second of answers in time.
 	maxGrowthPerSecond = 0.8
 	// maxLull is the longest time without answers that counts towards weight and growth.
-	maxLull = 15 * time.Second
+	maxAnswerGap = 15 * time.Second
 )
 
 // Limit counts the attempts in flight to an endpoint, and learns how many there may be. Max and Min must be set, by
@@ -46,15 +46,15 @@
 // Observe takes in an answer to an attempt that was sent at sent. late says that it came too late; grows that it did what
 // was asked, so that it may raise the limit. A late answer to what was sent before the latest cut is ignored: the cut
 // could not help it any more.
-func (l *Limit) Observe(now, sent time.Duration, late, grows bool) {
-	since := min(maxLull, now-l.LastAnswer)
-	weight := max(lateShareWeight, min(maxLateShareWeight, lateShareWeight*since.Seconds()/sparseAnswerGapSeconds))
+func (l *Limit) Observe(now, sent time.Duration, late, mayRaise bool) {
+	gap := min(maxAnswerGap, now-l.LastAnswer)
+	weight := max(lateShareWeight, min(maxLateShareWeight, lateShareWeight*gap.Seconds()/sparseAnswerGapSeconds))
 	l.LastAnswer = now
 	switch {
 	case !late:
 		l.LateShare -= weight * l.LateShare
-		if grows && l.mayGrow() {
-			l.Max += min(1/l.Max, maxGrowthPerSecond*l.Max*since.Seconds())
+		if mayRaise && l.mayGrow() {
+			l.Max += min(1/l.Max, maxGrowthPerSecond*l.Max*gap.Seconds())
 		}
 	case sent >= l.LastCut:
 		l.LateShare += weight * (1 - l.LateShare)
--- a/concurrency/concurrency_test.go
+++ b/concurrency/concurrency_test.go
@@ -12,7 +12,7 @@
 
 // Whatever answers come, a limit is never cut below its floor, never grows past what a second allows, and is cut once for
 // what was out at the time.
-func TestLimitsKeepTheirBounds(t *testing.T) {
+func TestLimitStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Unlimited()
 		l.Min = rapid.Float64Range(0.1, 3).Draw(t, "least")
@@ -22,15 +22,15 @@
 			now += gap
 			l.InFlight = rapid.IntRange(0, 40).Draw(t, "out")
 			sent := now - time.Duration(rapid.IntRange(0, 5000).Draw(t, "took"))*ms
-			before, cut := l.Max, l.LastCut
+			before, lastCut := l.Max, l.LastCut
 			late := rapid.Bool().Draw(t, "late")
 			l.Observe(now, sent, late, true)
 			switch {
 			case l.Max < l.Min:
 				t.Fatalf("%v is below %v", l.Max, l.Min)
-			case l.Max < before && (!late || sent < cut):
+			case l.Max < before && (!late || sent < lastCut):
 				t.Fatalf("cut from %v to %v by an answer in time, or by what was out at the cut before", before, l.Max)
-			case l.Max > before && l.Max > before*(1+maxGrowthPerSecond*maxLull.Seconds())+1e-9:
+			case l.Max > before && l.Max > before*(1+maxGrowthPerSecond*maxAnswerGap.Seconds())+1e-9:
 				t.Fatalf("grown from %v to %v", before, l.Max)
 			}
 		}
@@ -39,7 +39,7 @@
 
 // A limit that was cut to its floor by a fault is back at ten within six seconds of answers in time, twenty a
 // second.
-func TestLimitsRecoverSoon(t *testing.T) {
+func TestLimitRecoversWithinSixSeconds(t *testing.T) {
 	l := Unlimited()
 	l.Min = 0.5
 	now := time.Duration(0)
@@ -50,26 +50,26 @@
 	if l.Max > 1 {
 		t.Fatalf("after four seconds of late answers the limit is %v", l.Max)
 	}
-	well := now
+	faultEnd := now
 	for ; l.Max < 10; now += 50 * ms {
 		l.InFlight = int(l.Max)
 		l.Observe(now, now-20*ms, false, true)
 	}
-	if d := now - well; d > 6*time.Second {
-		t.Errorf("it took %v", d)
+	if recovery := now - faultEnd; recovery > 6*time.Second {
+		t.Errorf("it took %v", recovery)
 	}
 }
 
 // What costs much for its priority weight stops first, and is not shut out.
-func TestCostlyRequestsStopFirst(t *testing.T) {
-	var p MeanCost
+func TestCostlyRequestsGetSmallerQuotas(t *testing.T) {
+	var mean MeanCost
 	for range 200 {
-		p.Observe(CostPerWeight(100*ms, 1))
+		mean.Observe(CostPerWeight(100*ms, 1))
 	}
 	for _, c := range []struct {
 		cost, want float64
 	}{{CostPerWeight(100*ms, 1), 1}, {CostPerWeight(10*ms, 1), 1}, {CostPerWeight(400*ms, 1), 0.5}, {CostPerWeight(800*ms, 2), 0.5}, {0, 1}} {
-		if got := p.Quota(c.cost); math.Abs(got-c.want) > 0.01 {
+		if got := mean.Quota(c.cost); math.Abs(got-c.want) > 0.01 {
 			t.Errorf("cost %v: quota %v, want %v", c.cost, got, c.want)
 		}
 	}
@@ -88,11 +88,11 @@
 
 // With as many on the slots as MaxWithinObjective says, one transfer ends right at its objective.
 func TestMaxWithinObjectiveMeetsTheObjective(t *testing.T) {
-	for _, work := range []time.Duration{20 * ms, 100 * ms, 480 * ms, 2 * time.Second} {
-		n := MaxWithinObjective(7.5, 1.6, 400*ms, work)
-		objective := 400*ms + time.Duration(1.6*float64(work))
-		if took := time.Duration(n / 7.5 * float64(work)); took > objective+ms || took < objective-ms {
-			t.Errorf("work %v: %v on 7.5 slots take %v, the objective is %v", work, n, took, objective)
+	for _, transfer := range []time.Duration{20 * ms, 100 * ms, 480 * ms, 2 * time.Second} {
+		n := MaxWithinObjective(7.5, 1.6, 400*ms, transfer)
+		objective := 400*ms + time.Duration(1.6*float64(transfer))
+		if took := time.Duration(n / 7.5 * float64(transfer)); took > objective+ms || took < objective-ms {
+			t.Errorf("work %v: %v on 7.5 slots take %v, the objective is %v", transfer, n, took, objective)
 		}
 	}
 	if !math.IsInf(MaxWithinObjective(0, 1, ms, ms), 1) || !math.IsInf(MaxWithinObjective(1, 1, ms, 0), 1) || MaxWithinObjective(0.1, 0, ms, time.Second) < 1 {
--- a/loadreport/loadreport_test.go
+++ b/loadreport/loadreport_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestFieldsAreFoundByName(t *testing.T) {
+func TestFindFields(t *testing.T) {
 	for _, c := range []struct {
 		names  []string
 		report []float64
@@ -33,7 +33,7 @@
 }
 
 // A report that comes with ten answers at once counts once.
-func TestReportsCountByTheTimeBetweenThem(t *testing.T) {
+func TestReportsWeighByTime(t *testing.T) {
 	var l Load
 	l.Observe(0, 0.2)
 	for range 10 {
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestOnlyBusyStoresAreRelieved(t *testing.T) {
+func TestImbalance(t *testing.T) {
 	load := func(share float64) *Load { l := &Load{}; l.Observe(time.Second, share); return l }
 	for _, c := range []struct {
 		from, to *Load
@@ -69,7 +69,7 @@
 }
 
 // However reports come, no two stores would move requests to each other, and probabilities are from 0 to 1.
-func TestNoTwoStoresRelieveEachOther(t *testing.T) {
+func TestImbalanceIsOneWay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a, b Load
 		now := time.Duration(0)
@@ -81,12 +81,12 @@
 			}
 			l.Observe(now, rapid.Float64Range(0, 3).Draw(t, "share"))
 		}
-		there, back := Imbalance(now, &a, &b), Imbalance(now, &b, &a)
-		if there > 0 && back > 0 {
-			t.Fatalf("imbalances %v and %v", there, back)
+		forward, backward := Imbalance(now, &a, &b), Imbalance(now, &b, &a)
+		if forward > 0 && backward > 0 {
+			t.Fatalf("imbalances %v and %v", forward, backward)
 		}
 		for _, cached := range []bool{false, true} {
-			if c := MoveProbability(there, cached); c < 0 || c > 1 {
+			if c := MoveProbability(forward, cached); c < 0 || c > 1 {
 				t.Fatalf("probability %v", c)
 			}
 		}
--- a/routing/benchmark_test.go
+++ b/routing/benchmark_test.go
@@ -9,7 +9,7 @@
 // BenchmarkFullSize is a gateway among 300, with 200 stores in its list: what it holds, and what a request costs it, at few
 // requests a second each.
 func BenchmarkFullSize(b *testing.B) {
-	s := settings()
+	s := defaultSettings()
 	s.Directors, s.ZoneDirectors, s.Zones = 300, []int{0, 30, 270}, []string{"hub", "here", "there"}
 	var list []Endpoint
 	for i := range 200 {
@@ -29,7 +29,7 @@
 	now := time.Hour
 	out := d.Handle(now, EndpointUpdate{Kind: StaleList, Endpoints: list}, nil)
 	for i := 1; i < 300; i++ {
-		out = d.Handle(now, GossipReceived{From: i, Data: announcement(1 + i%2)}, out[:0])
+		out = d.Handle(now, GossipReceived{From: i, Data: encodeGreeting(1 + i%2)}, out[:0])
 	}
 	b.ReportAllocs()
 	n := 0
@@ -38,7 +38,7 @@
 		now += 200 * ms
 		id := fmt.Sprint(n)
 		out = d.Handle(now, Request{ID: id, Class: "film", Object: fmt.Sprint("o", n%5000), SizeKB: 400, Deadline: now + 6*time.Second}, out[:0])
-		if a := first[ForwardAttempt](out); a != nil {
+		if a := firstAction[ForwardAttempt](out); a != nil {
 			out = d.Handle(now+50*ms, AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 50 * ms}, out[:0])
 		}
 	}
--- a/routing/deadline.go
+++ b/routing/deadline.go
@@ -9,7 +9,7 @@
 }
 
 // atDeadline reports whether no answer can reach the request's client in time any more.
-func (d *Director) atDeadline(r *request) bool { return d.now >= r.Deadline-d.set.ClockStep }
+func (d *Director) atDeadline(r *request) bool { return d.now >= r.Deadline-d.settings.ClockStep }
 
 // checkProgress looks at a request whose answer is due: at its deadline it ends, a silent endpoint is left for another one, and
 // an answer that seems lost is hedged.
@@ -21,10 +21,10 @@
 		return
 	}
 	latest := r.attempts[len(r.attempts)-1]
-	if silent := latest.silentEndpoint(); silent != nil {
-		ejected := d.recordOverdue(latest, silent)
-		if ejected && d.canLeaveSilent(r) {
-			d.leaveSilent(r, silent)
+	if unresponsive := latest.unresponsiveEndpoint(); unresponsive != nil {
+		ejected := d.recordOverdue(latest, unresponsive)
+		if ejected && d.mayRetryElsewhere(r) {
+			d.retryElsewhere(r, unresponsive)
 			return
 		}
 	}
@@ -33,12 +33,12 @@
 		d.forward(r)
 		return
 	}
-	d.setRequestTimer(r, d.now+max(d.set.ClockStep, r.class.LatencyObjective/2))
+	d.setRequestTimer(r, d.now+max(d.settings.ClockStep, r.class.LatencyObjective/2))
 }
 
 // silentEndpoint is the endpoint from which nothing came since the attempt was sent; nil if there is none, or if it isn't known
 // which. The origin is judged by its answers alone.
-func (a *attempt) silentEndpoint() *endpoint {
+func (a *attempt) unresponsiveEndpoint() *endpoint {
 	suspect := a.target
 	if a.fillExpected {
 		if a.fillSource.role != roleParent || a.target.lastOK < a.sentAt { // cache and parent may both be the silent one
@@ -53,15 +53,15 @@
 }
 
 // canLeaveSilent reports whether a request may be retried while its attempt at a silent endpoint may still run.
-func (d *Director) canLeaveSilent(r *request) bool {
+func (d *Director) mayRetryElsewhere(r *request) bool {
 	return d.retryBudget >= 1 && r.class.Effect == Idempotent
 }
 
 // leaveSilent cancels the latest attempt, at a silent endpoint, and retries elsewhere.
-func (d *Director) leaveSilent(r *request, silent *endpoint) {
+func (d *Director) retryElsewhere(r *request, unresponsive *endpoint) {
 	d.retryBudget--
-	r.failedEndpoints = append(r.failedEndpoints, silent)
-	if d.set.CanCancel {
+	r.failedEndpoints = append(r.failedEndpoints, unresponsive)
+	if d.settings.CanCancel {
 		d.emit(CancelAttempt{ID: r.ID, Attempt: len(r.attempts) - 1})
 	}
 	d.forward(r)
@@ -93,9 +93,9 @@
 // retryAfter is when a rejected client may come back: between half of Settings.MaxRetryAfter and all of it, so that clients
 // don't come back all at once; 0 where no Retry-After is sent.
 func (d *Director) retryAfter() time.Duration {
-	if !d.set.SendRetryAfter {
+	if !d.settings.SendRetryAfter {
 		return 0
 	}
-	half := d.set.MaxRetryAfter / 2
+	half := d.settings.MaxRetryAfter / 2
 	return half + time.Duration(d.rng.Int64N(int64(half+1)))
 }
--- a/routing/director.go
+++ b/routing/director.go
@@ -20,7 +20,7 @@
 
 // Director decides for one location's traffic. Use New. It is not safe for concurrent use.
 type Director struct {
-	set          Settings
+	settings     Settings
 	rng          *rand.Rand
 	now          time.Duration
 	actions      []Action // of the event in hand
@@ -47,7 +47,7 @@
 	originFetches         concurrency.Limit
 	meanCost              concurrency.MeanCost
 	loadFields            loadreport.Fields
-	carriedRate           byRole[float64] // work a second, for each unit of weight, that warm endpoints did for us
+	warmRate              byRole[float64] // work a second, for each unit of weight, that warm endpoints did for us
 	slowStartPausedUntil  time.Duration   // nothing is sent to endpoints that are warming up until then
 }
 
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	d := &Director{
-		set:            s,
+		settings:       s,
 		rng:            rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		zone:           slices.Index(s.Zones, s.Zone),
 		positionSeed:   mix(seed),
--- a/routing/director_group_test.go
+++ b/routing/director_group_test.go
@@ -6,25 +6,25 @@
 )
 
 // fleet drives many directors over one clock, by hand.
-type fleet struct {
-	t    *testing.T
-	now  time.Duration
-	rigs []*rig
+type directorGroup struct {
+	t         *testing.T
+	now       time.Duration
+	directors []*harness
 }
 
 // newFleet returns n directors that share the location of settings, each with a seed of its own.
-func newFleet(t *testing.T, n int, change func(*Settings)) *fleet {
+func newDirectorGroup(t *testing.T, n int, change func(*Settings)) *directorGroup {
 	t.Helper()
-	f := &fleet{t: t, now: time.Hour}
+	f := &directorGroup{t: t, now: time.Hour}
 	for i := range n {
-		f.rigs = append(f.rigs, f.start(i, n, change))
+		f.directors = append(f.directors, f.startDirector(i, n, change))
 	}
 	return f
 }
 
 // start returns director i of n, just started.
-func (f *fleet) start(i, n int, change func(*Settings)) *rig {
-	s := settings()
+func (f *directorGroup) startDirector(i, n int, change func(*Settings)) *harness {
+	s := defaultSettings()
 	s.Index, s.Directors, s.ZoneDirectors = i, n, []int{0, n, 0}
 	s.Gossip = false
 	if change != nil {
@@ -34,7 +34,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	r := &rig{t: f.t, d: d, now: f.now}
-	r.do(EndpointUpdate{Kind: FullList, Endpoints: members()})
+	r := &harness{t: f.t, d: d, now: f.now}
+	r.handle(EndpointUpdate{Kind: FullList, Endpoints: testEndpoints()})
 	return r
 }
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -67,10 +67,10 @@
 }
 
 // update takes in what an endpoint list says of the endpoint.
-func (ep *endpoint) update(set *Settings, listed Endpoint) {
+func (ep *endpoint) update(settings *Settings, listed Endpoint) {
 	ep.id, ep.hash = listed.ID, hash(listed.ID)
-	ep.role = set.roleOf(listed.Kind)
-	ep.zone, ep.cell = slices.Index(set.Zones, listed.Zone), listed.Cell
+	ep.role = settings.roleOf(listed.Kind)
+	ep.zone, ep.cell = slices.Index(settings.Zones, listed.Zone), listed.Cell
 	ep.up = listed.Phase == Up
 	ep.weight = cmp.Or(max(0, listed.Weight), 1)
 }
@@ -98,15 +98,15 @@
 // updateEndpoints takes in a watch event. A lost watch leaves the list as it was.
 func (d *Director) updateEndpoints(u EndpointUpdate) {
 	if u.Kind == WatchLost {
-		if d.set.PollDiscovery {
-			d.emit(SetTimer{At: d.now + d.set.MaxPollInterval/discoveryRetryDivisor, Token: pollToken})
+		if d.settings.PollDiscovery {
+			d.emit(SetTimer{At: d.now + d.settings.MaxPollInterval/discoveryRetryDivisor, Token: pollToken})
 		}
 		return
 	}
-	if u.Kind == StaleList && d.set.Gossip {
-		d.emit(SendGossip{To: AllDirectors, Data: announcement(d.zone)})
+	if u.Kind == StaleList && d.settings.Gossip {
+		d.emit(SendGossip{To: AllDirectors, Data: encodeGreeting(d.zone)})
 	}
-	if u.Kind == StaleList && d.set.PollDiscovery {
+	if u.Kind == StaleList && d.settings.PollDiscovery {
 		d.emit(PollEndpoints{})
 	}
 	if u.Kind != DeltaList { // what a full list doesn't name is not up
@@ -117,7 +117,7 @@
 	for _, listed := range u.Endpoints {
 		d.updateEndpoint(listed)
 	}
-	d.collectInUse()
+	d.collectUpEndpoints()
 	d.updateMinLimits()
 }
 
@@ -134,14 +134,14 @@
 		*ep = endpoint{incarnation: listed.Incarnation, concurrencyLimit: concurrency.Unlimited()}
 		ep.concurrencyLimit.InFlight = inFlight
 	}
-	ep.update(&d.set, listed)
+	ep.update(&d.settings, listed)
 	if listed.Phase == Removed {
 		delete(d.endpoints, listed.ID)
 	}
 }
 
 // collectInUse finds the endpoints that may be chosen: those that are up, of caches only this location's.
-func (d *Director) collectInUse() {
+func (d *Director) collectUpEndpoints() {
 	d.upEndpoints = byRole[[]*endpoint]{}
 	for _, ep := range d.endpoints {
 		if ep.up && (ep.role != roleCache || ep.zone == d.zone) {
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-func TestDrainedServersGetNothingNew(t *testing.T) {
-	r := newRig(t, nil)
-	l := members()
-	for i := range l {
-		if l[i].ID == "c1" || l[i].ID == "p1" {
-			l[i].Phase = Draining
+func TestDrainingEndpointsGetNoNewAttempts(t *testing.T) {
+	r := newHarness(t, nil)
+	endpoints := testEndpoints()
+	for i := range endpoints {
+		if endpoints[i].ID == "c1" || endpoints[i].ID == "p1" {
+			endpoints[i].Phase = Draining
 		}
 	}
-	r.do(EndpointUpdate{Kind: DeltaList, Endpoints: l})
+	r.handle(EndpointUpdate{Kind: DeltaList, Endpoints: endpoints})
 	for i := range 50 {
 		if a := r.serve("film", fmt.Sprint(i), ReasonFilled); a.Endpoint == "c1" || a.FillSource == "p1" {
 			t.Fatalf("%+v names a draining server", a)
@@ -23,22 +23,22 @@
 }
 
 // Ids come and go all day: what is gone is forgotten, and its outcomes still due do no harm.
-func TestStoresThatAreGoneAreForgotten(t *testing.T) {
-	r := newRig(t, nil)
+func TestRemovedEndpointsAreDropped(t *testing.T) {
+	r := newHarness(t, nil)
 	r.serve("page", "x", ReasonFilled)
-	id, a := r.ask("page", "x")
+	id, a := r.send("page", "x")
 	for i := range 500 {
 		m := Endpoint{ID: fmt.Sprint("s", i), Zone: "here", Kind: "box"}
-		r.do(EndpointUpdate{Kind: DeltaList, Endpoints: []Endpoint{m}})
+		r.handle(EndpointUpdate{Kind: DeltaList, Endpoints: []Endpoint{m}})
 		m.Phase = Removed
-		r.do(EndpointUpdate{Kind: DeltaList, Endpoints: []Endpoint{m}})
+		r.handle(EndpointUpdate{Kind: DeltaList, Endpoints: []Endpoint{m}})
 	}
-	gone := members()
-	for i := range gone {
-		gone[i].Phase = Removed
+	removed := testEndpoints()
+	for i := range removed {
+		removed[i].Phase = Removed
 	}
-	r.do(EndpointUpdate{Kind: DeltaList, Endpoints: gone})
-	r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Reset, Latency: ms})
+	r.handle(EndpointUpdate{Kind: DeltaList, Endpoints: removed})
+	r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Reset, Latency: ms})
 	if n := len(r.d.endpoints); n != 0 {
 		t.Errorf("%d servers are kept", n)
 	}
@@ -47,33 +47,33 @@
 // Where all caches of a location died, their successors start cold, and what they may be sent rests on what the old
 // ones carried while they did. That was first looked at when a cold one came, with none left to tell: the location
 // stayed shut.
-func TestSuccessorsOfAllCachesAreLetServe(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.AllowBypass = false })
+func TestReplacementsOfAllCachesReceiveRequests(t *testing.T) {
+	r := newHarness(t, func(s *Settings) { s.AllowBypass = false })
 	for i := range 400 {
 		r.serve("page", fmt.Sprint(i%40), ReasonHit)
 	}
-	gone, fresh := members()[:4], []Endpoint{}
+	removed, replacements := testEndpoints()[:4], []Endpoint{}
 	for range 20 { // they die
-		id, a := r.after(10*ms).ask("page", "x")
+		id, a := r.advance(10*ms).send("page", "x")
 		if a != nil {
-			r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: ConnectFailed, Final: true, Latency: ms})
+			r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: ConnectFailed, Final: true, Latency: ms})
 		}
 	}
-	r.after(8 * time.Second)
-	for i := range gone {
-		gone[i].Phase = Removed
-		fresh = append(fresh, Endpoint{ID: fmt.Sprint("n", i), Zone: "here", Kind: "box", Incarnation: r.now})
+	r.advance(8 * time.Second)
+	for i := range removed {
+		removed[i].Phase = Removed
+		replacements = append(replacements, Endpoint{ID: fmt.Sprint("n", i), Zone: "here", Kind: "box", Incarnation: r.now})
 	}
-	r.do(EndpointUpdate{Kind: DeltaList, Endpoints: append(gone, fresh...)})
-	sent := 0
+	r.handle(EndpointUpdate{Kind: DeltaList, Endpoints: append(removed, replacements...)})
+	forwarded := 0
 	for i := range 40 { // two seconds at the old pace
-		id, a := r.after(50*ms).ask("page", fmt.Sprint(i))
+		id, a := r.advance(50*ms).send("page", fmt.Sprint(i))
 		if a != nil {
-			sent++
-			r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 40 * ms})
+			forwarded++
+			r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 40 * ms})
 		}
 	}
-	if sent < 15 {
-		t.Errorf("%d of 40 requests were sent on", sent)
+	if forwarded < 15 {
+		t.Errorf("%d of 40 requests were sent on", forwarded)
 	}
 }
--- a/routing/fill_source.go
+++ b/routing/fill_source.go
@@ -27,7 +27,7 @@
 // siblingCanFill reports whether the listed cache may fill a miss at another one.
 func (d *Director) siblingCanFill(r *request) bool {
 	e := r.entry
-	return d.set.Siblings != NoSiblings && e.lastHit > 0 && d.now-e.lastHit < recentWindow && d.usable(e.cache, r)
+	return d.settings.Siblings != NoSiblings && e.lastHit > 0 && d.now-e.lastHit < recentWindow && d.usable(e.cache, r)
 }
 
 // pickFillSource chooses who fills a miss: of the object's first two usable parents the one with the lower fill latency, else
@@ -38,7 +38,7 @@
 	if len(parents) == 2 && parents[1].recentFillLatency(d.now)*fillLatencyAdvantage < parents[0].recentFillLatency(d.now) {
 		return parents[1]
 	}
-	if origins := d.upEndpoints[roleOrigin]; len(origins) > 0 && !d.parentsGoFirst(r, parents) {
+	if origins := d.upEndpoints[roleOrigin]; len(origins) > 0 && !d.preferParents(r, parents) {
 		return origins[0]
 	}
 	if len(parents) == 0 {
@@ -59,7 +59,7 @@
 }
 
 // parentsGoFirst reports whether one of these parents is to fill rather than the origin.
-func (d *Director) parentsGoFirst(r *request, parents []*endpoint) bool {
+func (d *Director) preferParents(r *request, parents []*endpoint) bool {
 	if slices.ContainsFunc(parents, d.healthy) {
 		return true
 	}
@@ -74,8 +74,8 @@
 
 // recordFillLatency takes in how long an attempt with a fill from the endpoint took, and which part of it was the transfer.
 func (ep *endpoint) recordFillLatency(now, latency, transferTime time.Duration) {
-	beyond := max(0, latency-transferTime)
-	ep.fillLatency += time.Duration(averageWeight * float64(beyond-ep.fillLatency))
+	overhead := max(0, latency-transferTime)
+	ep.fillLatency += time.Duration(newestSampleWeight * float64(overhead-ep.fillLatency))
 	ep.fillLatencyAt = now
 	if ep.minFillLatency == 0 || latency < ep.minFillLatency {
 		ep.minFillLatency = latency
--- a/routing/freshness_test.go
+++ b/routing/freshness_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-func TestPurgeBoundsTheAge(t *testing.T) {
+func TestPurgeSetsMaxAge(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		p           Purge
-		wait        time.Duration
-		atLeast, at time.Duration
+		name           string
+		purge          Purge
+		wait           time.Duration
+		minAge, maxAge time.Duration
 	}{
 		{"object", Purge{Object: "f", Age: 100 * ms}, 400 * ms, 490 * ms, 500 * ms},
 		{"group", Purge{Group: 3, Age: 100 * ms}, 400 * ms, 490 * ms, 500 * ms},
@@ -18,43 +18,43 @@
 		{"other group", Purge{Group: 4}, 400 * ms, 0, 0},
 		{"settled", Purge{Group: 3}, 7 * time.Second, 0, 0},
 	} {
-		r := newRig(t, nil)
-		r.do(c.p)
-		a := first[ForwardAttempt](r.after(c.wait).do(Request{ID: "a", Class: "film", Object: "f", Group: 3,
+		r := newHarness(t, nil)
+		r.handle(c.purge)
+		a := firstAction[ForwardAttempt](r.advance(c.wait).handle(Request{ID: "a", Class: "film", Object: "f", Group: 3,
 			Deadline: r.now + time.Second}))
-		if a.MaxAge < c.atLeast || a.MaxAge > c.at {
+		if a.MaxAge < c.minAge || a.MaxAge > c.maxAge {
 			t.Errorf("%s: age limit %v", c.name, a.MaxAge)
 		}
 	}
 }
 
 // A purge is heeded though its object is listed, and forgotten when it has settled.
-func TestPurgesOutliveTheirNotice(t *testing.T) {
-	r := newRig(t, nil)
-	r.do(Purge{Group: 0, Age: time.Second})
-	if _, a := r.ask("film", "a"); a == nil || a.MaxAge <= 0 || a.MaxAge >= time.Second {
+func TestPurgeLimitsMaxAgeUntilSettled(t *testing.T) {
+	r := newHarness(t, nil)
+	r.handle(Purge{Group: 0, Age: time.Second})
+	if _, a := r.send("film", "a"); a == nil || a.MaxAge <= 0 || a.MaxAge >= time.Second {
 		t.Errorf("a second after a purge: %+v", a)
 	}
-	if _, a := r.after(6*time.Second).ask("film", "a"); a == nil || a.MaxAge != 0 {
+	if _, a := r.advance(6*time.Second).send("film", "a"); a == nil || a.MaxAge != 0 {
 		t.Errorf("after it has settled: %+v", a)
 	}
 }
 
 // A clock may start anywhere: a purge at or before its zero counts as any other.
-func TestPurgeBeforeTheClocksZero(t *testing.T) {
-	r := newRig(t, nil)
+func TestPurgeBeforeClockZero(t *testing.T) {
+	r := newHarness(t, nil)
 	r.now = 100 * ms
-	r.do(Purge{Object: "o", Age: 150 * ms})
-	if _, a := r.ask("film", "o"); a == nil || a.MaxAge == 0 || a.MaxAge > 150*ms {
+	r.handle(Purge{Object: "o", Age: 150 * ms})
+	if _, a := r.send("film", "o"); a == nil || a.MaxAge == 0 || a.MaxAge > 150*ms {
 		t.Errorf("attempt %+v, want an age under 150 ms", a)
 	}
 }
 
-func TestCopiesThatCannotBeThere(t *testing.T) {
+func TestCopyOutdated(t *testing.T) {
 	for _, c := range []struct {
-		name                    string
-		had, purged, fresh, now time.Duration
-		any, want               bool
+		name                                string
+		copySeenAt, purgedAt, freshFor, now time.Duration
+		wasPurged, want                     bool
 	}{
 		{"nothing speaks against it", 10, 0, 0, 100, false, false},
 		{"purged before it was had", 10, 5, 0, 100, true, false},
@@ -63,29 +63,29 @@
 		{"within its time", 95, 0, 8, 100, false, false},
 		{"its time is up", 91, 0, 8, 100, false, true},
 	} {
-		if got := copyOutdated(c.now, c.had, c.purged, c.any, c.fresh); got != c.want {
+		if got := copyOutdated(c.now, c.copySeenAt, c.purgedAt, c.wasPurged, c.freshFor); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
 }
 
 // When many copies go at once, the fills that follow are counted before they are sent: no more are out than may be.
-func TestPurgedCopiesCountAsFills(t *testing.T) {
-	w := newSmall(t, DetailNone, nil)
-	most := 0
+func TestFillsAfterPurgeAreCountedBeforeSending(t *testing.T) {
+	w := newSimulatedLocation(t, DetailNone, nil)
+	maxWaiting := 0
 	w.at(10*time.Second, func() {
-		for _, h := range w.held {
+		for _, h := range w.copies {
 			clear(h)
 		}
-		w.do(Purge{Group: 0})
+		w.handle(Purge{Group: 0})
 		w.d.originFetches.Max = 3
 	})
 	for at := 10 * time.Second; at < 11*time.Second; at += 10 * ms {
-		w.at(at+ms, func() { most = max(most, int(w.busy-w.clock.Now)/int(w.origin)) })
+		w.at(at+ms, func() { maxWaiting = max(maxWaiting, int(w.originBusyUntil-w.clock.Now)/int(w.originFetchTime)) })
 	}
-	w.origin = 60 * ms
-	w.play(11*time.Second, 10*time.Second, 11*time.Second, 60)
-	if most > 6 {
-		t.Errorf("%d fetches waited at the origin, three were allowed at a time", most)
+	w.originFetchTime = 60 * ms
+	w.run(11*time.Second, 10*time.Second, 11*time.Second, 60)
+	if maxWaiting > 6 {
+		t.Errorf("%d fetches waited at the origin, three were allowed at a time", maxWaiting)
 	}
 }
--- a/routing/gossip.go
+++ b/routing/gossip.go
@@ -15,7 +15,7 @@
 // sendMoves sends the queued moves to the other directors of this location.
 func (d *Director) sendMoves() {
 	for _, msg := range encodePendingMoves(d.now, d.zone, d.pendingMoves) {
-		for n := range d.set.Directors {
+		for n := range d.settings.Directors {
 			if d.localDirectors[n] {
 				d.emit(SendGossip{To: n, Data: msg})
 			}
@@ -47,7 +47,7 @@
 
 // acceptsGossipFrom reports whether messages of a director, by its number, are taken in.
 func (d *Director) acceptsGossipFrom(from int) bool {
-	return d.set.Gossip && from != d.set.Index && from >= 0 && from < d.set.Directors
+	return d.settings.Gossip && from != d.settings.Index && from >= 0 && from < d.settings.Directors
 }
 
 // answerGreeting greets a director of this location that was not known, so that both know of each other.
@@ -56,7 +56,7 @@
 		return
 	}
 	d.localDirectors[from] = true
-	d.emit(SendGossip{To: from, Data: announcement(d.zone)})
+	d.emit(SendGossip{To: from, Data: encodeGreeting(d.zone)})
 }
 
 // applyMove lists an object where another director has seen it, unless our own listing moved later. An object that was not
--- a/routing/gossip_format.go
+++ b/routing/gossip_format.go
@@ -27,11 +27,11 @@
 }
 
 // announcement is the head of each message; by itself it tells who serves which location.
-func announcement(zone int) string { return gossipTag + "|" + strconv.Itoa(zone) }
+func encodeGreeting(zone int) string { return gossipTag + "|" + strconv.Itoa(zone) }
 
 // encodeMovedListings words moves to one cache in as few messages as hold them.
 func encodeMovedListings(zone int, cache string, moves []movedListing) (msgs []string) {
-	head := announcement(zone) + "|" + cache + "|"
+	head := encodeGreeting(zone) + "|" + cache + "|"
 	msg := head
 	for _, m := range moves {
 		if len(msg)+maxGossipItemBytes > maxGossipBytes && msg != head {
--- a/routing/gossip_format_test.go
+++ b/routing/gossip_format_test.go
@@ -7,37 +7,37 @@
 	"time"
 )
 
-func TestTipsSurviveTheirMessages(t *testing.T) {
-	var tips []movedListing
+func TestMovedListingsRoundTrip(t *testing.T) {
+	var moves []movedListing
 	for i := range 40 {
-		tips = append(tips, movedListing{key: mix(uint64(i)), age: time.Duration(i) * time.Millisecond})
+		moves = append(moves, movedListing{key: mix(uint64(i)), age: time.Duration(i) * time.Millisecond})
 	}
-	msgs := encodeMovedListings(3, "c1", tips)
+	msgs := encodeMovedListings(3, "c1", moves)
 	var got []movedListing
 	for _, m := range msgs {
 		if len(m) > maxGossipBytes {
 			t.Errorf("a message of %d bytes", len(m))
 		}
-		zone, cache, part, err := decodeGossip(m)
+		zone, cache, decoded, err := decodeGossip(m)
 		if err != nil || zone != 3 || cache != "c1" {
 			t.Fatalf("%q: zone %d, cache %q, %v", m, zone, cache, err)
 		}
-		got = append(got, part...)
+		got = append(got, decoded...)
 	}
-	if len(msgs) < 2 || !reflect.DeepEqual(got, tips) {
-		t.Errorf("%d messages brought %v, want %v", len(msgs), got, tips)
+	if len(msgs) < 2 || !reflect.DeepEqual(got, moves) {
+		t.Errorf("%d messages brought %v, want %v", len(msgs), got, moves)
 	}
 }
 
-func TestMalformedHintsAreDroppedWhole(t *testing.T) {
+func TestDecodeGossipRejectsMalformedMessages(t *testing.T) {
 	good := encodeMovedListings(1, "c1", []movedListing{{key: 7, age: time.Millisecond}})[0]
 	for _, data := range []string{"", "w1", "w2|1", "w1|x", "w1|1|c1", "w1|1||1,7;", good + ";", good + "x,7;", good + "1,!;",
 		good + "-1,7;", "w1|1|c1|", good + "|", strings.Repeat("w", maxGossipBytes+1)} {
-		if _, _, tips, err := decodeGossip(data); err == nil || tips != nil {
-			t.Errorf("%q was taken as %v", data, tips)
+		if _, _, moves, err := decodeGossip(data); err == nil || moves != nil {
+			t.Errorf("%q was taken as %v", data, moves)
 		}
 	}
-	if zone, cache, _, err := decodeGossip(announcement(4)); err != nil || zone != 4 || cache != "" {
+	if zone, cache, _, err := decodeGossip(encodeGreeting(4)); err != nil || zone != 4 || cache != "" {
 		t.Errorf("greeting: zone %d, cache %q, %v", zone, cache, err)
 	}
 }
--- a/routing/inference.go
+++ b/routing/inference.go
@@ -9,7 +9,7 @@
 
 // sparesCapacityBelow is the reported utilization below which a cache was not itself what made an answer late. Reports are
 // noisy by a tenth and a second old.
-const sparesCapacityBelow = 0.8
+const busyUtilization = 0.8
 
 // evidence is what is known of an answer that doesn't tell how it was served.
 type evidence struct {
@@ -27,9 +27,9 @@
 // judgesSource reports whether the answer speaks of the source of a fill and not of the cache: a fill was expected; or a
 // rejection came too late to be the cache's own, which rejects before it does any work; or it came late though the cache
 // had capacity to spare.
-func (e evidence) judgesSource() bool {
+func (e evidence) concernsSource() bool {
 	if !e.hitExpected || e.rejected {
 		return true
 	}
-	return e.late && e.utilizationKnown && e.utilization < sparesCapacityBelow
+	return e.late && e.utilizationKnown && e.utilization < busyUtilization
 }
--- a/routing/limits.go
+++ b/routing/limits.go
@@ -17,7 +17,7 @@
 // Whose fault a late or rejected attempt is, where results don't say.
 const (
 	promptRejectionRatio = 4               // a rejection that came this many times sooner than any fill did not ask a source
-	sharedFaultWindow    = 2 * time.Second // late fills by two sources within this are the fault of the origin behind both
+	originFaultWindow    = 2 * time.Second // late fills by two sources within this are the fault of the origin behind both
 )
 
 // usable reports whether an endpoint may be sent a request now, by its phase, its slow start and its health.
@@ -38,9 +38,9 @@
 // fitsObjective reports whether a cache has capacity for one more attempt, and can finish it within the latency objective
 // beside our attempts that are in flight there.
 func (d *Director) fitsObjective(ep *endpoint, r *request) bool {
-	slots := ep.transferSlots(d.set.WeightsKnown)
-	most := concurrency.MaxWithinObjective(slots, r.class.ObjectiveStretch, r.class.LatencyObjective, r.transferTime)
-	return d.hasCapacity(&ep.concurrencyLimit, r) && float64(ep.concurrencyLimit.InFlight)+r.draw < most
+	slots := ep.transferSlots(d.settings.WeightsKnown)
+	maxTransfers := concurrency.MaxWithinObjective(slots, r.class.ObjectiveStretch, r.class.LatencyObjective, r.transferTime)
+	return d.hasCapacity(&ep.concurrencyLimit, r) && float64(ep.concurrencyLimit.InFlight)+r.draw < maxTransfers
 }
 
 // updateMinLimits sets what limits are not cut below. Fetches from the origin get the sum of what the parents get.
@@ -72,9 +72,9 @@
 	if a.rejectedByCache && a.fillExpected { // the cache alone has no capacity for fills
 		return
 	}
-	if !hit && d.failedOverFill(a, o, late) {
+	if !hit && d.fillAtFault(a, o, late) {
 		d.recordLateFill(a, o)
-		a.sharedFault = d.isSharedFault(a, o)
+		a.originAtFault = d.isOriginFault(a, o)
 	}
 	if late && a.target.role == roleOrigin {
 		a.target.lastLateFill = d.now
@@ -92,11 +92,11 @@
 // answerLost reports whether an attempt got no answer because that was lost on its way, and not for load: what was sent later,
 // by the same way, was answered.
 func answerLost(a *attempt, o AttemptResult) bool {
-	return (o.Status == TimedOut || o.Status == Canceled) && a.overtaken()
+	return (o.Status == TimedOut || o.Status == Canceled) && a.laterAttemptAnswered()
 }
 
 // overtaken reports whether what was sent later, by the same way, has been answered.
-func (a *attempt) overtaken() bool {
+func (a *attempt) laterAttemptAnswered() bool {
 	return a.target.lastSuccessSentAt > a.sentAt && (!a.fillExpected || a.fillSource.lastSuccessSentAt > a.sentAt)
 }
 
@@ -129,7 +129,7 @@
 }
 
 // failedOverFill reports whether an attempt that was no hit was late or failed by its fill, as far as is known.
-func (d *Director) failedOverFill(a *attempt, o AttemptResult, late bool) bool {
+func (d *Director) fillAtFault(a *attempt, o AttemptResult, late bool) bool {
 	if a.rejectedByCache || !late && o.Status != ServerError {
 		return false
 	}
@@ -139,28 +139,28 @@
 // isSharedFault reports whether a late or failed fill is the origin's fault rather than its parent's: where the result doesn't say, if
 // another parent's fill was late at about that time, or a write at the origin. A parent that alone is slow, silent or gone is
 // judged alone.
-func (d *Director) isSharedFault(a *attempt, o AttemptResult) bool {
-	if !a.parentFilled(o) {
+func (d *Director) isOriginFault(a *attempt, o AttemptResult) bool {
+	if !a.fetchedThroughParent(o) {
 		return a.fillSource.role == roleOrigin
 	}
 	if o.Reason == ReasonOriginFailed || len(d.upEndpoints[roleParent]) < 2 {
 		return true
 	}
 	alsoLate := func(ep *endpoint) bool {
-		return ep != a.fillSource && ep.lastLateFill > 0 && d.now-ep.lastLateFill < sharedFaultWindow
+		return ep != a.fillSource && ep.lastLateFill > 0 && d.now-ep.lastLateFill < originFaultWindow
 	}
 	return slices.ContainsFunc(d.upEndpoints[roleParent], alsoLate) || slices.ContainsFunc(d.upEndpoints[roleOrigin], alsoLate)
 }
 
 // recordLateFill notes at a parent that its fill was late or failed.
 func (d *Director) recordLateFill(a *attempt, o AttemptResult) {
-	if a.parentFilled(o) {
+	if a.fetchedThroughParent(o) {
 		a.fillSource.lastLateFill = d.now
 	}
 }
 
 // parentFilled reports whether a parent, which the target could reach, was to fetch from the origin for an attempt.
-func (a *attempt) parentFilled(o AttemptResult) bool {
+func (a *attempt) fetchedThroughParent(o AttemptResult) bool {
 	unreachable := o.Reason == ReasonSourceLost && o.Status == Rejected
 	return a.fillSource.role == roleParent && !a.onlyIfCached && !unreachable
 }
@@ -171,9 +171,9 @@
 	switch {
 	case a.target.role == roleOrigin: // such as a write: fills are fetched there, too
 		return []*concurrency.Limit{&d.originFetches}
-	case hit || !d.judgesSource(a, o, late):
+	case hit || !d.concernsSource(a, o, late):
 		return []*concurrency.Limit{target}
-	case d.sourceAnsweredAlone(a, o) || late && !a.sharedFault:
+	case d.answeredWithoutOrigin(a, o) || late && !a.originAtFault:
 		return []*concurrency.Limit{source}
 	case late || a.fillSource.role == roleOrigin:
 		return []*concurrency.Limit{&d.originFetches}
@@ -182,7 +182,7 @@
 }
 
 // judgesSource reports whether a result that was no hit speaks of the fill source and not of the cache.
-func (d *Director) judgesSource(a *attempt, o AttemptResult, late bool) bool {
+func (d *Director) concernsSource(a *attempt, o AttemptResult, late bool) bool {
 	if a.fillSource == a.target || a.rejectedByCache {
 		return false
 	}
@@ -195,19 +195,19 @@
 		late:        late && d.hitUnknown(a, o),
 	}
 	seen.utilization, seen.utilizationKnown = a.target.load.Utilization(d.now)
-	return seen.judgesSource()
+	return seen.concernsSource()
 }
 
 // sourceAnsweredAlone reports whether the fill source had no part of an answer from the origin.
-func (d *Director) sourceAnsweredAlone(a *attempt, o AttemptResult) bool {
+func (d *Director) answeredWithoutOrigin(a *attempt, o AttemptResult) bool {
 	if a.onlyIfCached || a.fillSource.role == roleCache {
 		return true
 	}
-	return o.Reason == ReasonFilled && d.set.AnswerDetail == DetailAll
+	return o.Reason == ReasonFilled && d.settings.AnswerDetail == DetailAll
 }
 
 // hitUnknown reports whether it is unknown if a result was a hit: results carry no detail in this deployment, whichever cache
 // they come from.
 func (d *Director) hitUnknown(a *attempt, o AttemptResult) bool {
-	return d.set.AnswerDetail == DetailNone && o.Reason == ReasonNone && a.target.role == roleCache
+	return d.settings.AnswerDetail == DetailNone && o.Reason == ReasonNone && a.target.role == roleCache
 }
--- a/routing/limits_test.go
+++ b/routing/limits_test.go
@@ -8,54 +8,54 @@
 	"time"
 )
 
-func TestLateAnswersBringRefusalsAtOnce(t *testing.T) {
-	r := newRig(t, nil)
-	refused := 0
+func TestLateAnswersCauseImmediateRejections(t *testing.T) {
+	r := newHarness(t, nil)
+	rejections := 0
 	for i := range 200 { // every answer is late: ever fewer may be out
 		for j := range 20 {
-			r.n++
-			id := fmt.Sprint("r", r.n)
-			out := r.do(Request{ID: id, Class: "film", Object: fmt.Sprint(i, "-", j), SizeKB: 400,
+			r.lastID++
+			id := fmt.Sprint("r", r.lastID)
+			out := r.handle(Request{ID: id, Class: "film", Object: fmt.Sprint(i, "-", j), SizeKB: 400,
 				Deadline: r.now + 6*time.Second})
-			if f := first[Reject](out); f != nil {
-				refused++
+			if f := firstAction[Reject](out); f != nil {
+				rejections++
 				if f.RetryAfter <= 0 {
 					t.Fatal("a refusal without advice")
 				}
 			}
 		}
-		r.after(2 * time.Second)
+		r.advance(2 * time.Second)
 		ids := make([]string, 0)
 		for id := range r.d.requests {
 			ids = append(ids, id)
 		}
 		slices.Sort(ids)
 		for _, id := range ids {
-			r.do(AttemptResult{ID: id, Status: OK, Reason: ReasonFilled, Final: true, Latency: 2 * time.Second})
+			r.handle(AttemptResult{ID: id, Status: OK, Reason: ReasonFilled, Final: true, Latency: 2 * time.Second})
 		}
 	}
-	if refused == 0 {
+	if rejections == 0 {
 		t.Error("nothing was refused")
 	}
 }
 
 // An answer that got lost on its way is no sign of load: what was sent later, by the same way, was answered in time.
 // Such answers cut the limits, and one of two directors refused a seventh of its requests while all was well.
-func TestLostAnswersCutNoLimit(t *testing.T) {
-	r := newRig(t, nil)
-	at := r.serve("page", "x", ReasonFilled).Endpoint
+func TestLostAnswersDoNotCutLimits(t *testing.T) {
+	r := newHarness(t, nil)
+	cacheID := r.serve("page", "x", ReasonFilled).Endpoint
 	for i := range 20 {
-		id, a := r.ask("page", "x")
+		id, a := r.send("page", "x")
 		if a == nil {
 			t.Fatalf("request %d was refused", i)
 		}
-		if a.Endpoint != at { // a detour
-			r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Final: true, Latency: ms})
+		if a.Endpoint != cacheID { // a detour
+			r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Final: true, Latency: ms})
 			continue
 		}
-		r.after(ms).serve("page", "x", ReasonHit)
-		r.after(3 * time.Second)
-		r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: TimedOut, Final: true, Latency: 3050 * ms})
+		r.advance(ms).serve("page", "x", ReasonHit)
+		r.advance(3 * time.Second)
+		r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: TimedOut, Final: true, Latency: 3050 * ms})
 	}
 	for _, s := range r.d.endpoints {
 		if s.concurrencyLimit.LastCut > 0 {
@@ -69,8 +69,8 @@
 
 // A cache that drains before the list says so refuses everything at once, hits and fills. That is its own doing:
 // after three refusals it is left alone, and neither the sources nor the other caches lose anything by it.
-func TestARefusalAtOnceIsTheCachesOwn(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.AnswerDetail = DetailHit })
+func TestPromptRejectionsCountAgainstTheCache(t *testing.T) {
+	r := newHarness(t, func(s *Settings) { s.AnswerDetail = DetailHit })
 	draining := r.serve("film", "hot0", ReasonFilled).Endpoint
 	for i := range 60 { // these have a home now, and fills have told how soon a source can answer
 		r.serve("film", fmt.Sprint("hot", i), ReasonFilled)
@@ -81,16 +81,16 @@
 		if i%2 == 1 {
 			object = fmt.Sprint("new", i)
 		}
-		id, a := r.ask("film", object)
+		id, a := r.send("film", object)
 		for n := 0; a != nil && a.Endpoint == draining; n++ {
 			refused++
-			a = first[ForwardAttempt](r.do(AttemptResult{ID: id, Attempt: n, Endpoint: a.Endpoint, Status: Rejected}))
+			a = firstAction[ForwardAttempt](r.handle(AttemptResult{ID: id, Attempt: n, Endpoint: a.Endpoint, Status: Rejected}))
 		}
 		if a == nil {
 			t.Fatalf("request %d for %s was given up, with three caches and all sources well", i, object)
 		}
 		n := len(r.d.requests[id].attempts) - 1
-		r.after(40 * ms).do(AttemptResult{ID: id, Attempt: n, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true,
+		r.advance(40 * ms).handle(AttemptResult{ID: id, Attempt: n, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true,
 			Latency: 40 * ms})
 	}
 	for _, l := range r.d.upEndpoints[roleParent:] {
@@ -100,8 +100,8 @@
 			}
 		}
 	}
-	if most := r.d.originFetches.Max; most < 1000 {
-		t.Errorf("fetches are limited to %.1f", most)
+	if limit := r.d.originFetches.Max; limit < 1000 {
+		t.Errorf("fetches are limited to %.1f", limit)
 	}
 	if refused < 3 || refused > 10 {
 		t.Errorf("the draining cache was asked %d times", refused)
@@ -109,19 +109,19 @@
 }
 
 // An answer that is late because an earlier attempt of its request came to nothing says nothing of load.
-func TestTimeOfEarlierAttemptsCutsNoLimit(t *testing.T) {
-	r := newRig(t, nil)
+func TestTimeOfEarlierAttemptsDoesNotCutLimits(t *testing.T) {
+	r := newHarness(t, nil)
 	for i := range 30 {
-		id, a := r.ask("film", fmt.Sprint("x", i))
+		id, a := r.send("film", fmt.Sprint("x", i))
 		if a == nil {
 			t.Fatalf("request %d was refused", i)
 		}
-		a = first[ForwardAttempt](r.after(1200 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Reset, CollateralReset: true,
+		a = firstAction[ForwardAttempt](r.advance(1200 * ms).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Reset, CollateralReset: true,
 			Latency: 1200 * ms}))
 		if a == nil {
 			t.Fatalf("request %d was not sent again", i)
 		}
-		r.after(100 * ms).do(AttemptResult{ID: id, Attempt: 1, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true,
+		r.advance(100 * ms).handle(AttemptResult{ID: id, Attempt: 1, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true,
 			Latency: 100 * ms})
 		for k := range 10 { // further attempts are earned
 			r.serve("film", fmt.Sprint("y", i, k), ReasonHit)
@@ -135,39 +135,39 @@
 }
 
 // At a cache with little room what costs much for its worth is turned away, and what costs little still goes.
-func TestDearRequestsMakeRoom(t *testing.T) {
-	r := newRig(t, untold)
+func TestCostlyRequestsAreRejectedFirst(t *testing.T) {
+	r := newHarness(t, withoutAnswerDetail)
 	for n := range 100 { // what is usual
-		r.kb = 400
+		r.sizeKB = 400
 		r.serve("film", fmt.Sprint("o", n%5), ReasonNone)
 	}
 	for _, s := range r.d.upEndpoints[roleCache] {
 		s.concurrencyLimit.Max, s.concurrencyLimit.InFlight = 10, 6
 	}
-	r.kb = 4000
-	if _, a := r.ask("film", "o1"); a != nil {
+	r.sizeKB = 4000
+	if _, a := r.send("film", "o1"); a != nil {
 		t.Error("one of ten times the usual size takes room that is short")
 	}
-	r.kb = 200
-	if _, a := r.ask("film", "o1"); a == nil {
+	r.sizeKB = 200
+	if _, a := r.send("film", "o1"); a == nil {
 		t.Error("a small one finds no room")
 	}
 }
 
 // Writes go straight to the origin here: that they are late says that fills fetch too much there.
-func TestLateWritesLimitFetches(t *testing.T) {
-	r := newRig(t, untold)
+func TestLateWritesCutOriginFetchLimit(t *testing.T) {
+	r := newHarness(t, withoutAnswerDetail)
 	var ids []string
 	for range 20 {
-		id, a := r.ask("send", "w")
+		id, a := r.send("send", "w")
 		if a == nil || a.Endpoint != "o" {
 			t.Fatalf("a write went to %+v", a)
 		}
 		ids = append(ids, id)
 	}
-	r.after(time.Second)
+	r.advance(time.Second)
 	for _, id := range ids {
-		r.after(ms).do(AttemptResult{ID: id, Endpoint: "o", Status: OK, Final: true, Latency: time.Second})
+		r.advance(ms).handle(AttemptResult{ID: id, Endpoint: "o", Status: OK, Final: true, Latency: time.Second})
 	}
 	if r.d.originFetches.IsUnlimited() {
 		t.Error("twenty late writes, and fetches are not limited")
@@ -175,21 +175,21 @@
 }
 
 // A burst of large objects is not piled onto a cache beyond what it can finish in their aim, before any answer was late.
-func TestABurstStaysWithinWhatEndsInAim(t *testing.T) {
-	r := newRig(t, func(s *Settings) { untold(s); s.WeightsKnown = true })
-	var l []Endpoint
-	for _, m := range members() {
+func TestBurstStaysWithinLatencyObjective(t *testing.T) {
+	r := newHarness(t, func(s *Settings) { withoutAnswerDetail(s); s.WeightsKnown = true })
+	var endpoints []Endpoint
+	for _, m := range testEndpoints() {
 		m.Weight = 7
-		l = append(l, m)
+		endpoints = append(endpoints, m)
 	}
-	r.do(EndpointUpdate{Kind: FullList, Endpoints: l})
-	r.kb = 4000 // a second each; aim 600 ms and 1.6 times that
+	r.handle(EndpointUpdate{Kind: FullList, Endpoints: endpoints})
+	r.sizeKB = 4000 // a second each; aim 600 ms and 1.6 times that
 	for n := range 300 {
-		r.ask("film", fmt.Sprint("o", n))
+		r.send("film", fmt.Sprint("o", n))
 	}
 	for _, s := range r.d.upEndpoints[roleCache] {
-		if took := float64(s.concurrencyLimit.InFlight) / 7; took > 2.3 {
-			t.Errorf("%s has %d out: they take %.1f s, the aim is 2.2", s.id, s.concurrencyLimit.InFlight, took)
+		if seconds := float64(s.concurrencyLimit.InFlight) / 7; seconds > 2.3 {
+			t.Errorf("%s has %d out: they take %.1f s, the aim is 2.2", s.id, s.concurrencyLimit.InFlight, seconds)
 		}
 		if s.concurrencyLimit.InFlight < 10 {
 			t.Errorf("%s has %d out, and could finish fifteen", s.id, s.concurrencyLimit.InFlight)
@@ -199,12 +199,12 @@
 
 // A refusal that comes after a fill's time-out is not the cache's: it refuses at its door. The copy that was listed was gone
 // unseen.
-func TestLateRefusalsAreTheSources(t *testing.T) {
-	r := newRig(t, untold)
+func TestLateRejectionsCountAgainstFillSource(t *testing.T) {
+	r := newHarness(t, withoutAnswerDetail)
 	cacheID := r.serve("film", "a", ReasonNone).Endpoint
 	for range 12 {
-		if id, a := r.after(50*ms).ask("film", "a"); a != nil && a.Endpoint == cacheID {
-			r.after(830 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Rejected, Latency: 830 * ms})
+		if id, a := r.advance(50*ms).send("film", "a"); a != nil && a.Endpoint == cacheID {
+			r.advance(830 * ms).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Rejected, Latency: 830 * ms})
 		}
 	}
 	if s := r.d.endpoints[cacheID]; !s.concurrencyLimit.IsUnlimited() || s.ejectionDuration > 0 {
@@ -217,15 +217,15 @@
 
 // theory-schools-later big-1: late fetches by way of several parents limit all fetches; what parents hold
 // is still asked for, by attempts that should hit as well, and a miss there is a refusal at once.
-func TestALateOriginIsSparedButNotWhatParentsHold(t *testing.T) {
-	r := newRig(t, nil)
+func TestParentCopiesServedWhileOriginIsAtLimit(t *testing.T) {
+	r := newHarness(t, nil)
 	r.serve("film", "listed", ReasonHit)
 	for i := range 40 {
-		id, a := r.ask("film", fmt.Sprint("slow", i))
+		id, a := r.send("film", fmt.Sprint("slow", i))
 		if a == nil || a.OnlyIfCached {
 			continue
 		}
-		r.after(100 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilledByOrigin, Final: true,
+		r.advance(100 * ms).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilledByOrigin, Final: true,
 			Latency: 4 * time.Second})
 	}
 	if r.d.originFetches.Max > 4 {
@@ -236,12 +236,12 @@
 		p.concurrencyLimit.Max = math.Inf(1)
 	}
 	for _, object := range []string{"listed", "new"} {
-		id, a := r.ask("film", object)
+		id, a := r.send("film", object)
 		if a == nil || !a.OnlyIfCached {
 			t.Fatalf("%s: %+v, want an attempt for what is held", object, a)
 		}
-		out := r.after(20 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Miss, Reason: ReasonSourceMiss, Latency: 20 * ms})
-		if first[Reject](out) == nil || first[ForwardAttempt](out) != nil {
+		out := r.advance(20 * ms).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Miss, Reason: ReasonSourceMiss, Latency: 20 * ms})
+		if firstAction[Reject](out) == nil || firstAction[ForwardAttempt](out) != nil {
 			t.Errorf("%s: a miss at the parent brought %v, want a refusal at once", object, out)
 		}
 	}
@@ -249,10 +249,10 @@
 
 // theory-schools-later rough-1: the failures of one vanished parent count against it, not against all
 // fetches.
-func TestOneLateParentDoesNotLimitAllFetches(t *testing.T) {
-	r := newRig(t, nil)
+func TestLostParentDoesNotCutOriginFetchLimit(t *testing.T) {
+	r := newHarness(t, nil)
 	for i := range 60 {
-		id, a := r.ask("film", fmt.Sprint("o", i))
+		id, a := r.send("film", fmt.Sprint("o", i))
 		if a == nil {
 			continue
 		}
@@ -260,7 +260,7 @@
 		if a.FillSource == "p1" {
 			o.Status, o.Reason, o.Final, o.Latency = Rejected, ReasonSourceLost, false, 400*ms
 		}
-		r.after(80 * ms).do(o)
+		r.advance(80 * ms).handle(o)
 	}
 	if !math.IsInf(r.d.originFetches.Max, 1) {
 		t.Errorf("one parent that is gone limits all fetches to %v", r.d.originFetches.Max)
@@ -271,23 +271,23 @@
 }
 
 // Fills that run out of time at one parent, while its sibling's come in time, don't limit the fetches of both.
-func TestOneHangingParentIsNotTheOrigin(t *testing.T) {
-	r := newRig(t, nil)
+func TestHangingParentDoesNotCutOriginFetchLimit(t *testing.T) {
+	r := newHarness(t, nil)
 	for i := range 60 {
-		id, a := r.ask("film", fmt.Sprint("o", i))
+		id, a := r.send("film", fmt.Sprint("o", i))
 		if a == nil {
 			continue
 		}
-		ok := AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilledByOrigin, Final: true, Latency: 80 * ms}
+		result := AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilledByOrigin, Final: true, Latency: 80 * ms}
 		if a.FillSource != "p1" || i < 20 {
-			r.after(80 * ms).do(ok)
+			r.advance(80 * ms).handle(result)
 			continue
 		}
-		again := first[ForwardAttempt](r.after(80 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: ServerError,
+		retry := firstAction[ForwardAttempt](r.advance(80 * ms).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: ServerError,
 			Reason: ReasonSourceLost, Latency: 2 * time.Second}))
-		if again != nil {
-			ok.Endpoint, ok.Attempt = again.Endpoint, 1
-			r.do(ok)
+		if retry != nil {
+			result.Endpoint, result.Attempt = retry.Endpoint, 1
+			r.handle(result)
 		}
 	}
 	if !math.IsInf(r.d.originFetches.Max, 1) {
@@ -300,59 +300,59 @@
 
 // One of many directors has less than one attempt out: its limit is a chance, and grows back once answers
 // are in time.
-func TestLimitsBelowOneAreAChance(t *testing.T) {
-	r := newRig(t, nil)
+func TestLimitsBelowOneActAsProbabilities(t *testing.T) {
+	r := newHarness(t, nil)
 	for _, s := range r.d.upEndpoints[roleCache] {
 		s.concurrencyLimit.Max = 0.5
 	}
-	sent := 0
+	forwarded := 0
 	for i := range 400 {
-		id, a := r.ask("film", fmt.Sprint("o", i))
+		id, a := r.send("film", fmt.Sprint("o", i))
 		if a == nil {
 			continue
 		}
-		sent++
+		forwarded++
 		for _, s := range r.d.upEndpoints[roleCache] { // keep the limit where it is
 			s.concurrencyLimit.Max = 0.5
 		}
-		r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 10 * ms})
+		r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 10 * ms})
 		for _, s := range r.d.upEndpoints[roleCache] {
 			s.concurrencyLimit.Max = 0.5
 		}
 	}
-	if sent < 160 || sent > 240 {
-		t.Errorf("limits of a half let %d of 400 in", sent)
+	if forwarded < 160 || forwarded > 240 {
+		t.Errorf("limits of a half let %d of 400 in", forwarded)
 	}
-	g := &r.d.endpoints["c1"].concurrencyLimit
-	g.Max, g.LateShare, g.LastAnswer = 0.2, 0, r.now
+	limit := &r.d.endpoints["c1"].concurrencyLimit
+	limit.Max, limit.LateShare, limit.LastAnswer = 0.2, 0, r.now
 	for i := range 200 {
-		id, a := r.ask("film", fmt.Sprint("p", i))
+		id, a := r.send("film", fmt.Sprint("p", i))
 		if a != nil {
-			r.after(100 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 10 * ms})
+			r.advance(100 * ms).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 10 * ms})
 		}
 	}
-	if g.Max < 0.9 {
-		t.Errorf("after twenty seconds in time the limit is %v", g.Max)
+	if limit.Max < 0.9 {
+		t.Errorf("after twenty seconds in time the limit is %v", limit.Max)
 	}
 }
 
 // The origin slows down five times while caches hold most of what is asked: hits go on being served, writes are not starved
 // by fills, and two seconds after its recovery nothing is refused.
-func TestASlowOriginCostsFillsOnly(t *testing.T) {
-	for _, tells := range []AnswerDetail{DetailNone, DetailHit} {
-		w := newSmall(t, tells, nil)
-		w.at(10*time.Second, func() { w.origin = 100 * ms })
-		w.at(25*time.Second, func() { w.origin = 20 * ms })
-		w.play(40*time.Second, 12*time.Second, 25*time.Second, 40)
-		if got := float64(w.hitsIn) / float64(w.hits); got < 0.95 {
-			t.Errorf("tells %v: %.2f of what caches hold was served in aim", tells, got)
-		}
-		if got := w.share("send"); got < 0.5 {
-			t.Errorf("tells %v: %.2f of the writes were in aim", tells, got)
+func TestSlowOriginDelaysFillsOnly(t *testing.T) {
+	for _, detail := range []AnswerDetail{DetailNone, DetailHit} {
+		w := newSimulatedLocation(t, detail, nil)
+		w.at(10*time.Second, func() { w.originFetchTime = 100 * ms })
+		w.at(25*time.Second, func() { w.originFetchTime = 20 * ms })
+		w.run(40*time.Second, 12*time.Second, 25*time.Second, 40)
+		if got := float64(w.hitsInObjective) / float64(w.expectedHits); got < 0.95 {
+			t.Errorf("tells %v: %.2f of what caches hold was served in aim", detail, got)
+		}
+		if got := w.objectiveShare("send"); got < 0.5 {
+			t.Errorf("tells %v: %.2f of the writes were in aim", detail, got)
 		}
 		// The limit that is left at 27 s is some ten: a chance burst may still meet it.
-		if n, _ := slices.BinarySearch(w.refused, 27*time.Second); len(w.refused)-n > 3 || n < 20 {
-			t.Errorf("tells %v: %d refused while it was slow, %d from two seconds after on", tells, n, len(w.refused)-n)
+		if n, _ := slices.BinarySearch(w.rejectedAt, 27*time.Second); len(w.rejectedAt)-n > 3 || n < 20 {
+			t.Errorf("tells %v: %d refused while it was slow, %d from two seconds after on", detail, n, len(w.rejectedAt)-n)
 		}
 	}
 }
--- a/routing/mapping_table.go
+++ b/routing/mapping_table.go
@@ -10,7 +10,7 @@
 
 const (
 	listingsPerCache  = 256              // objects listed per cache
-	tableListMultiple = 16               // entries remembered, in multiples of what all lists of the location hold
+	tableSizeMultiple = 16               // entries remembered, in multiples of what all lists of the location hold
 	unknownGap        = time.Hour        // gap of an object seen once
 	requestCountDecay = 15 * time.Second // in which the count of recent requests falls to 1/e
 )
@@ -45,7 +45,7 @@
 }
 
 // gapOrder sorts entries as currentGap does at any moment: what is left out of it is the same for all.
-func (e *mappingEntry) gapOrder() time.Duration { return 3*e.meanGap - e.lastRequest }
+func (e *mappingEntry) gapSortKey() time.Duration { return 3*e.meanGap - e.lastRequest }
 
 // isListed reports whether a list holds the entry. A cache that restarted has an empty list.
 func (e *mappingEntry) isListed() bool {
@@ -63,7 +63,7 @@
 
 // relist puts the entry on a cache's list where its gap belongs, the longest first.
 func (e *mappingEntry) relist(ep *endpoint) {
-	longerGap := func(a, b *mappingEntry) int { return cmp.Compare(b.gapOrder(), a.gapOrder()) }
+	longerGap := func(a, b *mappingEntry) int { return cmp.Compare(b.gapSortKey(), a.gapSortKey()) }
 	i, _ := slices.BinarySearchFunc(ep.listings, e, longerGap)
 	ep.listings = slices.Insert(ep.listings, i, e)
 	e.listedAt, e.listedIncarnation = ep, ep.incarnation
@@ -116,7 +116,7 @@
 
 // tableCapacity is how many entries are remembered.
 func (d *Director) tableCapacity() int {
-	return tableListMultiple * listingsPerCache * max(1, len(d.upEndpoints[roleCache]))
+	return tableSizeMultiple * listingsPerCache * max(1, len(d.upEndpoints[roleCache]))
 }
 
 // recordCopy notes that a cache has served an entry's object from a copy, or has a copy now, and lists the object there.
--- a/routing/observe.go
+++ b/routing/observe.go
@@ -48,7 +48,7 @@
 		Utilization: d.observedUtilization(ep),
 	}
 	if ep.zone >= 0 {
-		o.Zone = d.set.Zones[ep.zone]
+		o.Zone = d.settings.Zones[ep.zone]
 	}
 	return o
 }
@@ -82,7 +82,7 @@
 	groups := 0
 	for name, at := range d.purged.All() {
 		isGroup := name[0] == ' ' // see purge.GroupName
-		if isGroup && d.now-at <= d.set.PurgeSettleTime {
+		if isGroup && d.now-at <= d.settings.PurgeSettleTime {
 			groups++
 		}
 	}
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	ejectionErrorRate      = 0.4 // share of recent attempts that failed, or failed unattributed, from which on an endpoint is ejected
-	errorRateWeight        = 0.2 // weight of the newest attempt in it: three failures in a row eject
-	outlierErrorMultiple   = 1.6 // multiple of its role's rate of unattributed errors that ejects an endpoint
-	ejectionOverdueAnswers = 3   // overdue answers, with none in between, that eject an endpoint
-	panicThreshold         = 0.5 // when fewer than this share of a role are healthy, health is ignored (panic mode)
+	ejectionErrorRate     = 0.4 // share of recent attempts that failed, or failed unattributed, from which on an endpoint is ejected
+	errorRateWeight       = 0.2 // weight of the newest attempt in it: three failures in a row eject
+	outlierErrorMultiple  = 1.6 // multiple of its role's rate of unattributed errors that ejects an endpoint
+	overdueAnswersToEject = 3   // overdue answers, with none in between, that eject an endpoint
+	panicThreshold        = 0.5 // when fewer than this share of a role are healthy, health is ignored (panic mode)
 
 	firstEjection = time.Second
 	maxEjection   = 8 * time.Second // each further ejection lasts twice as long, up to this
@@ -35,7 +35,7 @@
 }
 
 // recordOutlier takes in a failure that ejects an endpoint whatever its error rate.
-func (d *Director) recordOutlier(ep *endpoint) {
+func (d *Director) recordFailureAndEject(ep *endpoint) {
 	ep.errorRate += errorRateWeight * (1 - ep.errorRate)
 	d.eject(ep)
 }
@@ -69,7 +69,7 @@
 		return
 	}
 	if ep.unattributedErrorRate >= outlierErrorMultiple*d.unattributedErrorRate[ep.role] {
-		d.recordOutlier(ep)
+		d.recordFailureAndEject(ep)
 	}
 }
 
@@ -81,10 +81,10 @@
 		a.overdue = true
 		ep.overdueAnswers++
 	}
-	if ep.overdueAnswers < ejectionOverdueAnswers {
+	if ep.overdueAnswers < overdueAnswersToEject {
 		return false
 	}
-	d.recordOutlier(ep)
+	d.recordFailureAndEject(ep)
 	return true
 }
 
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-func TestSilentCacheIsLeftBeforeItsTimeout(t *testing.T) {
-	for _, second := range []bool{true, false} {
-		r := newRig(t, func(s *Settings) { s.HedgedRequests = second })
-		home := r.serve("film", "f", ReasonHit).Endpoint
-		r.after(ms)
+func TestSilentCacheIsAbandonedBeforeTimeout(t *testing.T) {
+	for _, hedging := range []bool{true, false} {
+		r := newHarness(t, func(s *Settings) { s.HedgedRequests = hedging })
+		cacheID := r.serve("film", "f", ReasonHit).Endpoint
+		r.advance(ms)
 		var ids []string
-		var left []Action
+		var actions []Action
 		for len(ids) < 3 { // hits that the listed cache owes, while it answers nothing
-			if id, a := r.ask("film", "f"); a.Endpoint == home {
+			if id, a := r.send("film", "f"); a.Endpoint == cacheID {
 				ids = append(ids, id)
 			}
 		}
 		for i, id := range ids {
-			left = r.after(500 * ms).do(TimerFired{Token: r.d.requests[id].token})
-			if i < 2 && first[CancelAttempt](left) != nil {
+			actions = r.advance(500 * ms).handle(TimerFired{Token: r.d.requests[id].token})
+			if i < 2 && firstAction[CancelAttempt](actions) != nil {
 				t.Fatalf("left after %d overdue hits", i+1)
 			}
 		}
-		if !second {
-			if first[CancelAttempt](left) == nil || first[ForwardAttempt](left) != nil {
-				t.Fatalf("without second copies: %v", left)
+		if !hedging {
+			if firstAction[CancelAttempt](actions) == nil || firstAction[ForwardAttempt](actions) != nil {
+				t.Fatalf("without second copies: %v", actions)
 			}
-			left = r.do(AttemptResult{ID: ids[2], Endpoint: home, Status: Canceled, Latency: 500 * ms})
+			actions = r.handle(AttemptResult{ID: ids[2], Endpoint: cacheID, Status: Canceled, Latency: 500 * ms})
 		}
-		if b := first[ForwardAttempt](left); b == nil || b.Endpoint == home {
-			t.Errorf("second copies %v: after silence of %s: %v", second, home, left)
+		if b := firstAction[ForwardAttempt](actions); b == nil || b.Endpoint == cacheID {
+			t.Errorf("second copies %v: after silence of %s: %v", hedging, cacheID, actions)
 		}
 	}
 }
 
 // A cache that waits for one slow fill, at a director with little traffic, is not silent.
-func TestSlowFillIsNotSilence(t *testing.T) {
-	r := newRig(t, nil)
+func TestSlowFillDoesNotCountAsSilence(t *testing.T) {
+	r := newHarness(t, nil)
 	for i := range 10 {
-		id, _ := r.ask("film", fmt.Sprint(i))
-		out := r.after(700 * ms).do(TimerFired{Token: r.d.requests[id].token})
-		if first[CancelAttempt](out) != nil || first[ForwardAttempt](out) != nil {
+		id, _ := r.send("film", fmt.Sprint(i))
+		out := r.advance(700 * ms).handle(TimerFired{Token: r.d.requests[id].token})
+		if firstAction[CancelAttempt](out) != nil || firstAction[ForwardAttempt](out) != nil {
 			t.Fatalf("left a cache that waits for a fill: %v", out)
 		}
 	}
@@ -50,8 +50,8 @@
 
 // i125874: fills by way of a hung parent timed out with their clients and told nothing, so that it stayed
 // in use.
-func TestSilentParentIsLeft(t *testing.T) {
-	r := newRig(t, nil)
+func TestSilentParentIsEjected(t *testing.T) {
+	r := newHarness(t, nil)
 	type pending struct {
 		id  string
 		a   *ForwardAttempt
@@ -59,22 +59,22 @@
 	}
 	var open []pending
 	for i := range 40 {
-		id, a := r.ask("page", fmt.Sprint("o", i))
+		id, a := r.send("page", fmt.Sprint("o", i))
 		if a == nil {
 			continue
 		}
 		if a.FillSource == "p1" {
 			open = append(open, pending{id, a, r.now + 500*ms})
 		} else {
-			r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 50 * ms})
+			r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 50 * ms})
 		}
-		r.after(60 * ms)
+		r.advance(60 * ms)
 		for _, s := range r.d.upEndpoints[roleCache] { // the caches answer others
 			s.lastOK = r.now
 		}
 		for _, p := range open {
 			if q := r.d.requests[p.id]; q != nil && r.now >= p.due {
-				r.do(TimerFired{Token: q.token})
+				r.handle(TimerFired{Token: q.token})
 			}
 		}
 	}
@@ -84,13 +84,13 @@
 }
 
 // A server that fails most of its requests stays out although some succeed.
-func TestOneSuccessDoesNotClearAFailingCache(t *testing.T) {
-	r := newRig(t, nil)
+func TestOneSuccessDoesNotEndEjection(t *testing.T) {
+	r := newHarness(t, nil)
 	s := r.d.endpoints["c1"]
 	for range 8 {
 		r.d.now = r.now
 		r.d.recordFailure(s)
-		r.after(10 * ms)
+		r.advance(10 * ms)
 	}
 	r.d.recordSuccess(s)
 	if r.d.healthy(s) {
@@ -105,95 +105,95 @@
 }
 
 // When all look ill the fault is elsewhere: requests still go out.
-func TestEjectionsKeepAFloor(t *testing.T) {
-	r := newRig(t, nil)
+func TestPanicModeIgnoresEjections(t *testing.T) {
+	r := newHarness(t, nil)
 	r.d.now = r.now
 	for _, s := range r.d.upEndpoints[roleCache] {
-		r.d.recordOutlier(s)
+		r.d.recordFailureAndEject(s)
 	}
-	if _, a := r.ask("film", "f"); a == nil || r.d.endpoints[a.Endpoint].role != roleCache {
+	if _, a := r.send("film", "f"); a == nil || r.d.endpoints[a.Endpoint].role != roleCache {
 		t.Errorf("all caches ejected: %+v", a)
 	}
 }
 
 // One spoilt answer breaks a connection for all that shares it, and is one failure of the store, not many.
-func TestASharedResetIsOneFailure(t *testing.T) {
-	for _, along := range []bool{true, false} {
-		r := newRig(t, nil)
-		at := r.serve("page", "x", ReasonFilled).Endpoint
+func TestCollateralResetsAreNotFailures(t *testing.T) {
+	for _, collateral := range []bool{true, false} {
+		r := newHarness(t, nil)
+		cacheID := r.serve("page", "x", ReasonFilled).Endpoint
 		var ids []string
 		for range 5 {
-			id, a := r.ask("page", "x")
-			if a == nil || a.Endpoint != at {
+			id, a := r.send("page", "x")
+			if a == nil || a.Endpoint != cacheID {
 				t.Fatalf("%+v", a)
 			}
 			ids = append(ids, id)
 		}
 		for i, id := range ids {
-			r.do(AttemptResult{ID: id, Endpoint: at, Status: Reset, CollateralReset: along && i > 0, Latency: ms})
+			r.handle(AttemptResult{ID: id, Endpoint: cacheID, Status: Reset, CollateralReset: collateral && i > 0, Latency: ms})
 		}
-		if out := r.d.endpoints[at].ejectedUntil > 0; out == along {
-			t.Errorf("along %v: ejected %v", along, out)
+		if ejected := r.d.endpoints[cacheID].ejectedUntil > 0; ejected == collateral {
+			t.Errorf("along %v: ejected %v", collateral, ejected)
 		}
 	}
 }
 
 // Where answers don't tell why a fill failed, a cache that still serves hits is well and its source is not. The
 // cache was blamed: the dead parent stayed in use, and the next cache was asked with the same source.
-func TestAFailedFillIsTheSourcesWhereTheCacheIsWell(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.AnswerDetail = DetailHit })
-	dead := ""
+func TestFailedFillCountsAgainstSourceOfHealthyCache(t *testing.T) {
+	r := newHarness(t, func(s *Settings) { s.AnswerDetail = DetailHit })
+	failingSource := ""
 	for i := range 60 {
 		for j := range 20 { // all caches are well
 			r.serve("page", fmt.Sprint(j), ReasonHit)
 		}
-		id, a := r.after(ms).ask("page", fmt.Sprint("new", i))
+		id, a := r.advance(ms).send("page", fmt.Sprint("new", i))
 		if a == nil {
 			t.Fatalf("request %d was refused", i)
 		}
-		if dead == "" {
-			dead = a.FillSource
+		if failingSource == "" {
+			failingSource = a.FillSource
 		}
-		if a.FillSource != dead {
-			r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Final: true, Latency: ms})
+		if a.FillSource != failingSource {
+			r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Final: true, Latency: ms})
 			continue
 		}
-		again := first[ForwardAttempt](r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: ServerError, Latency: ms}))
-		if again == nil || again.FillSource == dead {
-			t.Fatalf("request %d: asked again with %+v", i, again)
+		retry := firstAction[ForwardAttempt](r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: ServerError, Latency: ms}))
+		if retry == nil || retry.FillSource == failingSource {
+			t.Fatalf("request %d: asked again with %+v", i, retry)
 		}
-		r.do(AttemptResult{ID: id, Attempt: 1, Endpoint: again.Endpoint, Status: OK, Final: true, Latency: ms})
+		r.handle(AttemptResult{ID: id, Attempt: 1, Endpoint: retry.Endpoint, Status: OK, Final: true, Latency: ms})
 	}
 	for _, s := range r.d.endpoints {
-		if out := s.ejectedUntil > 0; out != (s.id == dead) {
-			t.Errorf("%s: ejected %v", s.id, out)
+		if ejected := s.ejectedUntil > 0; ejected != (s.id == failingSource) {
+			t.Errorf("%s: ejected %v", s.id, ejected)
 		}
 	}
 }
 
 // zone+vast: one of three parents failed all its fills. Its errors took the further attempts of all requests, so that no
 // second one came to show who was at fault, and 80 gateways went on asking it for eleven seconds: 2,500 errors.
-func TestAFailingParentIsLeftThoughNoFurtherAttemptIsToHand(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.AnswerDetail = DetailHit })
-	more := Endpoint{ID: "p3", Zone: "hub", Kind: "parent", Cell: 4}
-	r.do(EndpointUpdate{Kind: DeltaList, Endpoints: []Endpoint{more}})
+func TestFailingParentIsEjectedWithoutRetryBudget(t *testing.T) {
+	r := newHarness(t, func(s *Settings) { s.AnswerDetail = DetailHit })
+	thirdParent := Endpoint{ID: "p3", Zone: "hub", Kind: "parent", Cell: 4}
+	r.handle(EndpointUpdate{Kind: DeltaList, Endpoints: []Endpoint{thirdParent}})
 	r.d.retryBudget = 0
-	errors := 0
+	errorCount := 0
 	for i := range 200 {
-		id, a := r.ask("film", fmt.Sprint("o", i))
+		id, a := r.send("film", fmt.Sprint("o", i))
 		if a == nil {
 			continue
 		}
 		r.d.retryBudget = 0 // what others left
 		o := AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 60 * ms}
 		if a.FillSource == "p1" {
-			errors++
+			errorCount++
 			o = AttemptResult{ID: id, Endpoint: a.Endpoint, Status: ServerError, Latency: 10 * ms}
 		}
-		r.after(20 * ms).do(o)
+		r.advance(20 * ms).handle(o)
 	}
-	if errors > 20 { // until it is known, and one for each time that it is tried again
-		t.Errorf("the failing parent was asked %d times in four seconds", errors)
+	if errorCount > 20 { // until it is known, and one for each time that it is tried again
+		t.Errorf("the failing parent was asked %d times in four seconds", errorCount)
 	}
 	for _, s := range r.d.endpoints {
 		if s.role != roleParent && s.ejectionDuration > 0 {
@@ -204,57 +204,57 @@
 
 // A store that fails for everybody costs the fleet a stated number of first attempts: of each director three that find it out,
 // and one at the end of each ejection, which double up to eight seconds.
-func TestAStoreThatIsBadForEverybodyCostsABoundedNumber(t *testing.T) {
+func TestFailingEndpointCostsBoundedAttempts(t *testing.T) {
 	const n, seconds = 80, 24
-	f := newFleet(t, n, nil)
-	firsts := 0
+	f := newDirectorGroup(t, n, nil)
+	firstAttempts := 0
 	for range seconds * 100 {
 		f.now += 10 * ms
-		for i, r := range f.rigs {
+		for i, r := range f.directors {
 			r.now = f.now
 			if (int(f.now/(10*ms))+i)%10 != 0 { // ten requests a second each
 				continue
 			}
-			id, a := r.ask("film", fmt.Sprint("o", i, f.now))
+			id, a := r.send("film", fmt.Sprint("o", i, f.now))
 			for k := 0; a != nil && k < 4; k++ {
 				o := AttemptResult{ID: id, Attempt: k, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true, Latency: 20 * ms}
 				if a.Endpoint == "c1" {
 					if k == 0 {
-						firsts++
+						firstAttempts++
 					}
 					o.Status, o.Reason, o.Final = ServerError, ReasonNone, false
 				}
-				a = first[ForwardAttempt](r.do(o))
+				a = firstAction[ForwardAttempt](r.handle(o))
 			}
 		}
 	}
 	// Ejected for 1, 2, 4 and 8 s, and again for 8: five trials in 24 s.
-	if most := n * (3 + 5 + 1); firsts > most || firsts < n {
-		t.Errorf("%d first attempts were spent on a store that fails all, %d allowed", firsts, most)
+	if maxAttempts := n * (3 + 5 + 1); firstAttempts > maxAttempts || firstAttempts < n {
+		t.Errorf("%d first attempts were spent on a store that fails all, %d allowed", firstAttempts, maxAttempts)
 	}
 }
 
 // One of two parents, and then both, are silent, and nothing tells hits from fills. What caches hold goes on being served, they keep
 // their limits, the dead are left, and with no parent the origin fills.
-func TestDeadParentsAreLeftWhereNothingIsTold(t *testing.T) {
-	for _, tells := range []AnswerDetail{DetailNone, DetailHit} {
-		for _, dead := range [][]string{{"p1"}, {"p1", "p2"}} {
-			w := newSmall(t, tells, nil)
+func TestSilentParentsAreAvoidedWithoutAnswerDetail(t *testing.T) {
+	for _, detail := range []AnswerDetail{DetailNone, DetailHit} {
+		for _, silent := range [][]string{{"p1"}, {"p1", "p2"}} {
+			w := newSimulatedLocation(t, detail, nil)
 			w.at(10*time.Second, func() {
-				for _, p := range dead {
-					w.dead[p] = true
+				for _, p := range silent {
+					w.silent[p] = true
 				}
 			})
-			w.play(30*time.Second, 16*time.Second, 29*time.Second, 40)
-			if got := float64(w.hitsIn) / float64(w.hits); got < 0.9 {
-				t.Errorf("tells %v, dead %v: %.2f of what caches hold was served in aim", tells, dead, got)
+			w.run(30*time.Second, 16*time.Second, 29*time.Second, 40)
+			if got := float64(w.hitsInObjective) / float64(w.expectedHits); got < 0.9 {
+				t.Errorf("tells %v, dead %v: %.2f of what caches hold was served in aim", detail, silent, got)
 			}
-			if got := w.share("film"); got < 0.8 {
-				t.Errorf("tells %v, dead %v: %.2f of all films", tells, dead, got)
+			if got := w.objectiveShare("film"); got < 0.8 {
+				t.Errorf("tells %v, dead %v: %.2f of all films", detail, silent, got)
 			}
 			for _, s := range w.d.upEndpoints[roleCache] {
 				if s.concurrencyLimit.Max < 3 {
-					t.Errorf("tells %v, dead %v: %s is limited to %.1f", tells, dead, s.id, s.concurrencyLimit.Max)
+					t.Errorf("tells %v, dead %v: %s is limited to %.1f", detail, silent, s.id, s.concurrencyLimit.Max)
 				}
 			}
 		}
@@ -262,23 +262,23 @@
 }
 
 // An endpoint that answered once within a long ejection, and then failed again, stayed in use until the end of that ejection.
-func TestAnEjectionThatEndedEarlyDoesNotBlockTheNext(t *testing.T) {
-	r := newRig(t, nil)
+func TestEndedEjectionDoesNotBlockTheNext(t *testing.T) {
+	r := newHarness(t, nil)
 	ep := r.d.endpoints["c1"]
-	fail := func() {
+	failThreeTimes := func() {
 		for range 3 {
 			r.d.recordFailure(ep)
 		}
 	}
 	for ep.ejectionDuration < maxEjection { // it fails whenever it is tried
-		r.after(ep.ejectionDuration).do(TimerFired{})
-		fail()
+		r.advance(ep.ejectionDuration).handle(TimerFired{})
+		failThreeTimes()
 	}
 	for !r.d.healthy(ep) {
 		r.d.recordSuccess(ep)
 	}
-	r.after(ms).do(TimerFired{})
-	fail()
+	r.advance(ms).handle(TimerFired{})
+	failThreeTimes()
 	if r.d.healthy(ep) || ep.ejectedUntil != r.d.now+firstEjection {
 		t.Errorf("healthy %v after three failures in a row, ejected until %v of %v", r.d.healthy(ep), ep.ejectedUntil, r.d.now)
 	}
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -105,8 +105,8 @@
 		if !d.isWarm(other) {
 			continue
 		}
-		if by := loadreport.Imbalance(d.now, &ep.load, &other.load); by > imbalance {
-			best, imbalance = other, by
+		if excess := loadreport.Imbalance(d.now, &ep.load, &other.load); excess > imbalance {
+			best, imbalance = other, excess
 		}
 	}
 	if imbalance > 0 && d.rng.Float64() >= loadreport.MoveProbability(imbalance, cached) {
@@ -166,11 +166,11 @@
 // first are multiplied by the number of directors. Objects above their class's mean size don't get the top rank, so that it
 // holds a small share of the bytes.
 func (d *Director) rankAfterHit(r *request) CacheRank {
-	further := (r.entry.recentRequests - 1) * d.senders(roleCache)
+	estimatedRepeats := (r.entry.recentRequests - 1) * d.senders(roleCache)
 	switch {
-	case further >= topRankRequests-1 && r.transferTime <= r.class.meanTransferTime:
+	case estimatedRepeats >= topRankRequests-1 && r.transferTime <= r.class.meanTransferTime:
 		return RankTop
-	case further >= middleRankRequests-1:
+	case estimatedRepeats >= middleRankRequests-1:
 		return RankMiddle
 	}
 	return RankLow
--- a/routing/placement_test.go
+++ b/routing/placement_test.go
@@ -6,48 +6,48 @@
 	"testing"
 )
 
-func TestDetourFillsFromTheListedCacheAndKeepsNothing(t *testing.T) {
-	r := newRig(t, nil)
-	home := r.serve("film", "f", ReasonFilled).Endpoint
+func TestExplorationFillsFromListedCacheWithoutKeepingCopy(t *testing.T) {
+	r := newHarness(t, nil)
+	listedCache := r.serve("film", "f", ReasonFilled).Endpoint
 	for range 500 {
-		id, a := r.after(500*ms).ask("film", "f")
-		if a.Endpoint != home {
-			if a.FillSource != home || a.CacheRank != 0 {
-				t.Errorf("detour %+v, listed on %s", a, home)
+		id, a := r.advance(500*ms).send("film", "f")
+		if a.Endpoint != listedCache {
+			if a.FillSource != listedCache || a.CacheRank != 0 {
+				t.Errorf("detour %+v, listed on %s", a, listedCache)
 			}
 			return
 		}
-		r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 10 * ms})
+		r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 10 * ms})
 	}
 	t.Error("no detour in 500 requests")
 }
 
 // i125874, abay-lab-cache-later big-1: hits were refused at one cache while its siblings had room.
-func TestObjectsFanOutFromAnOvercommittedCache(t *testing.T) {
-	r := newRig(t, nil)
-	home := hold(r, "hot", 5)
+func TestRequestsMoveFromCacheAtItsLimit(t *testing.T) {
+	r := newHarness(t, nil)
+	fullCache := fillToLimit(r, "hot", 5)
 	for range 5 {
-		if _, a := r.ask("film", "hot"); a == nil || a.Endpoint == home {
-			t.Fatalf("hot object: %+v, overcommitted is %s", a, home)
+		if _, a := r.send("film", "hot"); a == nil || a.Endpoint == fullCache {
+			t.Fatalf("hot object: %+v, overcommitted is %s", a, fullCache)
 		}
 	}
 	for _, s := range r.d.upEndpoints[roleCache] {
 		s.concurrencyLimit.Max = 0
 	}
-	if _, a := r.ask("film", "hot"); a != nil {
+	if _, a := r.send("film", "hot"); a != nil {
 		t.Errorf("no cache has room, yet %+v", a)
 	}
 }
 
 // Popular objects that met at one cache by their hashes are moved to its neighbours once it reports that it is full and
 // they are not; without reports, or with no difference, nothing moves.
-func TestACrowdedCacheIsRelievedByItsReports(t *testing.T) {
+func TestLoadReportsRebalanceCaches(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		fields       []string
-		full, others float64
-		weight       float64
-		least, most  float64 // share of the requests that still go to the full one in the end
+		name                string
+		fields              []string
+		fullLoad, otherLoad float64
+		weight              float64
+		minShare, maxShare  float64 // share of the requests that still go to the full one in the end
 	}{
 		{"full beside idle ones", []string{"cpu_share"}, 1, 0.3, 1, 0, 0.5},
 		{"requests held on ten slots", []string{"busy_reqs"}, 10, 3, 10, 0, 0.5},
@@ -55,41 +55,41 @@
 		{"none is full", []string{"cpu_share"}, 0.5, 0.1, 1, 0.7, 1},
 		{"no reports", nil, 1, 0.3, 1, 0.7, 1},
 	} {
-		r := newRig(t, func(s *Settings) { s.LoadReportFields, s.WeightsKnown, s.AnswerDetail = c.fields, true, DetailNone })
-		var l []Endpoint
-		for _, m := range members() {
+		r := newHarness(t, func(s *Settings) { s.LoadReportFields, s.WeightsKnown, s.AnswerDetail = c.fields, true, DetailNone })
+		var endpoints []Endpoint
+		for _, m := range testEndpoints() {
 			m.Weight = c.weight
-			l = append(l, m)
+			endpoints = append(endpoints, m)
 		}
-		r.do(EndpointUpdate{Kind: FullList, Endpoints: l})
-		full, mine := r.objectsAtOneCache(10)
-		asked, there := 0, 0
+		r.handle(EndpointUpdate{Kind: FullList, Endpoints: endpoints})
+		fullCache, objects := r.objectsAtOneCache(10)
+		requests, toFullCache := 0, 0
 		for n := range 300 {
-			r.after(20 * ms)
-			id, a := r.ask("film", mine[n%len(mine)])
-			load := c.others
-			if a.Endpoint == full {
-				load = c.full
+			r.advance(20 * ms)
+			id, a := r.send("film", objects[n%len(objects)])
+			load := c.otherLoad
+			if a.Endpoint == fullCache {
+				load = c.fullLoad
 			}
-			r.reportOthers(full, c.others)
-			r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Final: true, Latency: 100 * ms, LoadReport: []float64{load}})
+			r.reportLoad(fullCache, c.otherLoad)
+			r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Final: true, Latency: 100 * ms, LoadReport: []float64{load}})
 			if n >= 200 {
-				if asked++; a.Endpoint == full {
-					there++
+				if requests++; a.Endpoint == fullCache {
+					toFullCache++
 				}
 			}
 		}
-		if share := float64(there) / float64(asked); share < c.least || share > c.most {
-			t.Errorf("%s: %.2f of the requests go to the full cache, want %v to %v", c.name, share, c.least, c.most)
+		if share := float64(toFullCache) / float64(requests); share < c.minShare || share > c.maxShare {
+			t.Errorf("%s: %.2f of the requests go to the full cache, want %v to %v", c.name, share, c.minShare, c.maxShare)
 		}
 	}
 }
 
 // objectsAtOneCache asks for films until so many have opened at the cache at which the first one did.
-func (r *rig) objectsAtOneCache(most int) (at string, objects []string) {
-	for n := 0; len(objects) < most; n++ {
+func (r *harness) objectsAtOneCache(count int) (at string, objects []string) {
+	for n := 0; len(objects) < count; n++ {
 		object := fmt.Sprint("o", n)
-		id, a := r.ask("film", object)
+		id, a := r.send("film", object)
 		if a == nil {
 			continue
 		}
@@ -99,13 +99,13 @@
 		if a.Endpoint == at {
 			objects = append(objects, object)
 		}
-		r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Final: true, Latency: 100 * ms})
+		r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Final: true, Latency: 100 * ms})
 	}
 	return at, objects
 }
 
 // reportOthers lets all caches but one report a load, as it would come with other objects' answers.
-func (r *rig) reportOthers(except string, load float64) {
+func (r *harness) reportLoad(except string, load float64) {
 	for _, s := range r.d.upEndpoints[roleCache] {
 		if share, ok := r.d.loadFields.Utilization([]float64{load}, s.transferSlots(true)); ok && s.id != except {
 			s.load.Observe(r.now, share)
@@ -114,10 +114,10 @@
 }
 
 // Whatever is told and allowed, what an idle cache holds is not refused.
-func TestNothingHeldByAnIdleCacheIsRefused(t *testing.T) {
+func TestRequestsToIdleCachesAreNotRejected(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	for n := range 40 {
-		r := newRig(t, func(s *Settings) {
+		r := newHarness(t, func(s *Settings) {
 			s.AnswerDetail, s.Siblings, s.AllowBypass, s.AllowCoalescing = AnswerDetail(rng.IntN(3)), SiblingMode(rng.IntN(3)), rng.IntN(2) == 0, rng.IntN(2) == 0
 			s.HedgedRequests, s.WeightsKnown, s.HealthChecks = rng.IntN(2) == 0, rng.IntN(2) == 0, rng.IntN(2) == 0
 			s.LoadReportFields = [][]string{nil, {"cpu_share"}, {"busy_reqs"}, {"x0", "x1"}}[rng.IntN(4)]
@@ -129,15 +129,15 @@
 			}
 		})
 		for k := range 60 {
-			note := ReasonNone
-			if r.d.set.AnswerDetail != DetailNone {
-				note = ReasonHit
+			reason := ReasonNone
+			if r.d.settings.AnswerDetail != DetailNone {
+				reason = ReasonHit
 			}
-			id, a := r.after(80*ms).ask([]string{"film", "page"}[k%2], fmt.Sprint("x", k%6))
+			id, a := r.advance(80*ms).send([]string{"film", "page"}[k%2], fmt.Sprint("x", k%6))
 			if a == nil {
-				t.Fatalf("case %d: refused, with settings %+v", n, r.d.set)
+				t.Fatalf("case %d: refused, with settings %+v", n, r.d.settings)
 			}
-			r.after(20 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: note, Final: true, Latency: 20 * ms, LoadReport: []float64{0.1, 0.1}})
+			r.advance(20 * ms).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: reason, Final: true, Latency: 20 * ms, LoadReport: []float64{0.1, 0.1}})
 		}
 	}
 }
--- a/routing/request.go
+++ b/routing/request.go
@@ -50,7 +50,7 @@
 	fillExpected    bool // no current copy is known at the target
 	onlyIfCached    bool // the source gives only what it has cached
 	rejectedByCache bool // by the target itself, not by its source
-	sharedFault     bool // late or failed by what lies behind the source
+	originAtFault   bool // late or failed by what lies behind the source
 	overdue         bool // it counts in the overdue answers of an endpoint
 }
 
@@ -77,7 +77,7 @@
 	r := &request{
 		Request:     q,
 		class:       c,
-		maxAttempts: d.set.MaxAttempts,
+		maxAttempts: d.settings.MaxAttempts,
 		key:         mix(hash(q.Object) + uint64(q.Part)),
 		draw:        d.rng.Float64(),
 		startedAt:   d.now,
@@ -92,12 +92,12 @@
 	r.token = d.lastToken
 	d.requests[q.ID] = r
 	d.tokens[r.token] = r
-	d.setRequestTimer(r, max(d.now+d.set.ClockStep, q.Deadline-d.set.ClockStep))
+	d.setRequestTimer(r, max(d.now+d.settings.ClockStep, q.Deadline-d.settings.ClockStep))
 	d.forward(r)
 }
 
 func (d *Director) knownTenant(name string) bool {
-	return len(d.set.Tenants) == 0 || slices.Contains(d.set.Tenants, name)
+	return len(d.settings.Tenants) == 0 || slices.Contains(d.settings.Tenants, name)
 }
 
 // classOf finds the class of a request, with the rules by which it was admitted; nil: there is none of that name.
@@ -106,12 +106,12 @@
 	if q.AdmittedClass == nil {
 		return c
 	}
-	return c.withRules(*q.AdmittedClass)
+	return c.withConfig(*q.AdmittedClass)
 }
 
 // withRules is a class with other rules and what was learned of c, which may be nil.
-func (c *class) withRules(rules Class) *class {
-	next := &class{Class: rules}
+func (c *class) withConfig(config Class) *class {
+	next := &class{Class: config}
 	if c != nil {
 		next.meanTransferTime = c.meanTransferTime
 		next.sizedAnswers = c.sizedAnswers
@@ -122,17 +122,17 @@
 // reconfigure takes in other classes. What was learned of a class goes on under its name.
 func (d *Director) reconfigure(e Reconfigured) {
 	classes := map[string]*class{}
-	for _, rules := range e.Classes {
-		classes[rules.Name] = d.classes[rules.Name].withRules(rules)
+	for _, config := range e.Classes {
+		classes[config.Name] = d.classes[config.Name].withConfig(config)
 	}
 	d.classes = classes
-	d.set.MaxAttempts = e.MaxAttempts
+	d.settings.MaxAttempts = e.MaxAttempts
 }
 
 // forward sends the request on if a route, the rules and the limits allow it. Otherwise it is rejected or failed, unless an
 // attempt in flight may still bring an answer. Where hedged requests are not allowed, it waits for the attempts in flight.
 func (d *Director) forward(r *request) {
-	r.retryPending = r.hasInFlight() && !d.set.HedgedRequests
+	r.retryPending = r.hasInFlight() && !d.settings.HedgedRequests
 	if r.retryPending {
 		return
 	}
@@ -162,7 +162,7 @@
 		Timeout:      r.Deadline - d.now,
 		MaxAge:       d.maxAge(r),
 		CacheRank:    a.cacheRank,
-		Coalesce:     d.set.AllowCoalescing,
+		Coalesce:     d.settings.AllowCoalescing,
 		OnlyIfCached: a.onlyIfCached,
 		RefreshAhead: r.entry != nil && r.class.FreshFor > 0,
 	})
@@ -177,7 +177,7 @@
 	if target, exploring := d.pickCache(r); target != nil {
 		return route{target, d.pickSourceFor(r, target, exploring), exploring}
 	}
-	return d.routePastCaches(r)
+	return d.routeAroundCaches(r)
 }
 
 // routeToOrigin is the route of a request whose answer is never cached: it runs at the origin, and goes there straight where
@@ -186,16 +186,16 @@
 	if origins := d.upEndpoints[roleOrigin]; len(origins) > 0 {
 		to.target, to.fillSource = origins[0], origins[0]
 	}
-	if !d.set.AllowBypass {
+	if !d.settings.AllowBypass {
 		to.target, _ = d.pickCache(r)
 	}
 	return to
 }
 
 // routePastCaches is the route when no cache can be used: straight to who would fill the miss, where that is allowed.
-func (d *Director) routePastCaches(r *request) route {
+func (d *Director) routeAroundCaches(r *request) route {
 	target := d.pickFillSource(r)
-	if !d.set.AllowBypass || target == nil {
+	if !d.settings.AllowBypass || target == nil {
 		return route{}
 	}
 	if origins := d.upEndpoints[roleOrigin]; target.role == roleParent && len(origins) > 0 {
@@ -209,7 +209,7 @@
 	if to.target == nil || to.fillSource == nil || to.fillSource == to.target {
 		return false
 	}
-	return r.entry == nil || !r.entry.hitExpectedAt(to.target) || d.copyGone(r)
+	return r.entry == nil || !r.entry.hitExpectedAt(to.target) || d.listedCopyOutdated(r)
 }
 
 // admitAttempt reports whether an attempt may be sent by its route, the deadline, the rules on repeats and the limits, and
@@ -219,7 +219,7 @@
 	if a.target == nil || a.fillSource == nil {
 		return false
 	}
-	if r.Deadline-d.now <= r.transferTime || !d.repeatAllowed(r, a.target, nil) || r.attemptsSpent() {
+	if r.Deadline-d.now <= r.transferTime || !d.repeatAllowed(r, a.target, nil) || r.attemptsExhausted() {
 		return false
 	}
 	if r.entry == nil {
@@ -231,7 +231,7 @@
 	return d.restrictFill(r, a)
 }
 
-func (r *request) attemptsSpent() bool {
+func (r *request) attemptsExhausted() bool {
 	return r.maxAttempts > 0 && len(r.attempts) >= r.maxAttempts
 }
 
@@ -295,7 +295,7 @@
 // cancelInFlight stops waiting for the attempts in flight, where that is allowed.
 func (d *Director) cancelInFlight(r *request) {
 	for i, a := range r.attempts {
-		if a.inFlight && d.set.CanCancel {
+		if a.inFlight && d.settings.CanCancel {
 			d.emit(CancelAttempt{ID: r.ID, Attempt: i})
 		}
 	}
--- a/routing/result.go
+++ b/routing/result.go
@@ -10,7 +10,7 @@
 	a.inFlight = false
 	a.target.probationInFlight = a.target.probationInFlight && !a.probation
 	d.countInFlight(a, -1)
-	slots := a.target.transferSlots(d.set.WeightsKnown)
+	slots := a.target.transferSlots(d.settings.WeightsKnown)
 	if utilization, ok := d.loadFields.Utilization(o.LoadReport, slots); ok {
 		a.target.load.Observe(d.now, utilization)
 	}
@@ -46,12 +46,12 @@
 	if hit && a.fillSource != a.target {
 		a.fillSource.slowStartBudget.Refund(a.slowStartCost) // it was not asked
 	}
-	if o.SizeKB > 0 && o.Status == OK && d.set.FlowKBps > 0 {
+	if o.SizeKB > 0 && o.Status == OK && d.settings.FlowKBps > 0 {
 		d.learnSize(r, o.SizeKB) // before the limits: by the size it is known whether the answer was late
 	}
 	a.mayHaveRun = o.Status.mayHaveRun()
 	d.updateLimits(r, a, o, hit)
-	d.judgeEndpoints(r, a, o, hit)
+	d.updateEndpointHealth(r, a, o, hit)
 	if r.entry == nil || o.Status != OK {
 		return
 	}
@@ -73,13 +73,13 @@
 }
 
 // judgeEndpoints takes a result into the health of the target and of the fill source.
-func (d *Director) judgeEndpoints(r *request, a *attempt, o AttemptResult, hit bool) {
+func (d *Director) updateEndpointHealth(r *request, a *attempt, o AttemptResult, hit bool) {
 	switch o.Status {
 	case OK:
 		d.earnRetry()
 		d.attributePendingErrors(r)
 		d.recordServed(r, a, a.target, true)
-		d.updateCarriedRate(a.target.role)
+		d.updateWarmRate(a.target.role)
 		if !hit && a.fillSource != a.target {
 			d.recordServed(r, a, a.fillSource, o.Reason != ReasonCoalesced)
 			a.fillSource.recordFillLatency(d.now, o.Latency, r.transferTime)
@@ -97,8 +97,8 @@
 }
 
 // recordServed takes in that an endpoint served an attempt, by work of its own or not.
-func (d *Director) recordServed(r *request, a *attempt, ep *endpoint, worked bool) {
-	if worked {
+func (d *Director) recordServed(r *request, a *attempt, ep *endpoint, didWork bool) {
+	if didWork {
 		ep.recordWork(d.now, d.completedWork(r))
 	}
 	d.recordSuccess(ep)
@@ -115,7 +115,7 @@
 	switch {
 	case o.Reason == ReasonNoFillSlot || o.CollateralReset:
 		// No fault of the endpoint's.
-	case ep.role == roleParent && a.sharedFault:
+	case ep.role == roleParent && a.originAtFault:
 		// The origin's fault.
 	case o.Status == ServerError && o.Reason == ReasonNone:
 		r.pendingErrors = append(r.pendingErrors, ep) // unless the request is malformed: the next endpoint's answer tells
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -34,7 +34,7 @@
 	if r.class.Effect == Idempotent || first == nil {
 		return true
 	}
-	if r.class.Effect == NonIdempotent || d.now-first.sentAt >= r.class.DedupWindow-d.set.ClockStep {
+	if r.class.Effect == NonIdempotent || d.now-first.sentAt >= r.class.DedupWindow-d.settings.ClockStep {
 		return false
 	}
 	switch r.class.DedupScope {
@@ -76,7 +76,7 @@
 
 // earnHedges takes in a lost answer. Only one that cost its request all of its time, with no attempt beside it, earns hedges.
 func (d *Director) earnHedges(r *request) {
-	if d.now >= r.Deadline-2*d.set.ClockStep && len(r.attempts) == 1 {
+	if d.now >= r.Deadline-2*d.settings.ClockStep && len(r.attempts) == 1 {
 		d.hedgeBudget = min(maxSavedHedges, d.hedgeBudget+hedgesPerLostAnswer)
 	}
 }
@@ -85,10 +85,10 @@
 // in time: later ones have been answered, and answers were lost recently. Nothing is hedged where anything is at its limit, since
 // answers that are merely slow would be asked for twice.
 func (d *Director) shouldHedge(r *request, a *attempt) bool {
-	if !d.set.HedgedRequests || d.hedgeBudget < 1 || len(r.attempts) != 1 {
+	if !d.settings.HedgedRequests || d.hedgeBudget < 1 || len(r.attempts) != 1 {
 		return false
 	}
-	return a.inFlight && a.overtaken() && d.limitsNeverCut(a)
+	return a.inFlight && a.laterAttemptAnswered() && d.limitsNeverCut(a)
 }
 
 // limitsNeverCut reports whether all limits that an attempt counts in are still unlimited. One that was cut once stays finite,
--- a/routing/rig_test.go
+++ b/routing/rig_test.go
@@ -10,7 +10,7 @@
 const ms = time.Millisecond
 
 // settings returns a small legal site: two locations, a hub with two parents, one origin.
-func settings() Settings {
+func defaultSettings() Settings {
 	return Settings{
 		Index: 0, Directors: 3, Zone: "here", Zones: []string{"hub", "here", "there"}, ZoneHub: []int{0, 0, 0},
 		ZoneDirectors: []int{0, 2, 1}, Kinds: []string{"box", "parent", "origin"}, ParentKind: 1, OriginKind: 2,
@@ -34,7 +34,7 @@
 	}
 }
 
-func members() []Endpoint {
+func testEndpoints() []Endpoint {
 	return []Endpoint{
 		{ID: "c1", Zone: "here", Kind: "box", Cell: 1}, {ID: "c2", Zone: "here", Kind: "box", Cell: 1},
 		{ID: "c3", Zone: "here", Kind: "box", Cell: 2}, {ID: "c4", Zone: "here", Kind: "box", Cell: 2},
@@ -45,17 +45,17 @@
 }
 
 // rig drives one director by hand.
-type rig struct {
-	t   *testing.T
-	d   *Director
-	now time.Duration
-	n   int
-	kb  float64 // size told with each request; 0: none is
+type harness struct {
+	t      *testing.T
+	d      *Director
+	now    time.Duration
+	lastID int
+	sizeKB float64 // size told with each request; 0: none is
 }
 
-func newRig(t *testing.T, change func(*Settings)) *rig {
+func newHarness(t *testing.T, change func(*Settings)) *harness {
 	t.Helper()
-	s := settings()
+	s := defaultSettings()
 	if change != nil {
 		change(&s)
 	}
@@ -63,38 +63,38 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, d: d, now: time.Hour, kb: 400}
-	r.do(EndpointUpdate{Kind: StaleList, Endpoints: members()})
+	r := &harness{t: t, d: d, now: time.Hour, sizeKB: 400}
+	r.handle(EndpointUpdate{Kind: StaleList, Endpoints: testEndpoints()})
 	return r
 }
 
-func (r *rig) do(e Event) []Action { return r.d.Handle(r.now, e, nil) }
+func (r *harness) handle(e Event) []Action { return r.d.Handle(r.now, e, nil) }
 
-func (r *rig) after(d time.Duration) *rig { r.now += d; return r }
+func (r *harness) advance(d time.Duration) *harness { r.now += d; return r }
 
-// ask sends a request for an object and returns its id and the attempt that came of it, if any.
-func (r *rig) ask(class, object string) (string, *ForwardAttempt) {
-	r.n++
-	id := fmt.Sprint("r", r.n)
+// send sends a request for an object and returns its id and the attempt that came of it, if any.
+func (r *harness) send(class, object string) (string, *ForwardAttempt) {
+	r.lastID++
+	id := fmt.Sprint("r", r.lastID)
 	deadline := r.d.classes[class].Deadline
-	return id, first[ForwardAttempt](r.do(Request{ID: id, Class: class, Object: object, SizeKB: r.kb,
+	return id, firstAction[ForwardAttempt](r.handle(Request{ID: id, Class: class, Object: object, SizeKB: r.sizeKB,
 		Deadline: r.now + deadline, Write: r.d.classes[class].Uncacheable}))
 }
 
 // serve asks for an object until it is answered as the note says.
-func (r *rig) serve(class, object string, note Reason) *ForwardAttempt {
+func (r *harness) serve(class, object string, reason Reason) *ForwardAttempt {
 	r.t.Helper()
-	id, a := r.ask(class, object)
+	id, a := r.send(class, object)
 	if a == nil {
 		r.t.Fatalf("no attempt for %s", object)
 	}
-	r.after(50 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: note, Final: true, Latency: 50 * ms})
+	r.advance(50 * ms).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: reason, Final: true, Latency: 50 * ms})
 	return a
 }
 
 // first returns the first action of a type, or nil.
-func first[T Action](l []Action) *T {
-	for _, a := range l {
+func firstAction[T Action](actions []Action) *T {
+	for _, a := range actions {
 		if v, ok := a.(T); ok {
 			return &v
 		}
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func fmt36(k uint64) string {
+func formatBase36(k uint64) string {
 	const digits = "0123456789abcdefghijklmnopqrstuvwxyz"
 	var b []byte
 	for ; k > 0; k /= 36 {
@@ -113,14 +113,14 @@
 }
 
 // hold makes a director hold n hits at the cache that lists the object, whose learnt limit is n.
-func hold(r *rig, object string, n int) string {
-	home := r.serve("film", object, ReasonHit).Endpoint
-	s := r.d.endpoints[home]
-	s.concurrencyLimit.Max = float64(n)
-	for s.concurrencyLimit.InFlight < n {
-		r.ask("film", object)
+func fillToLimit(r *harness, object string, n int) string {
+	cacheID := r.serve("film", object, ReasonHit).Endpoint
+	cache := r.d.endpoints[cacheID]
+	cache.concurrencyLimit.Max = float64(n)
+	for cache.concurrencyLimit.InFlight < n {
+		r.send("film", object)
 	}
-	return home
+	return cacheID
 }
 
-func untold(s *Settings) { s.AnswerDetail, s.HedgedRequests = DetailNone, false }
+func withoutAnswerDetail(s *Settings) { s.AnswerDetail, s.HedgedRequests = DetailNone, false }
--- a/routing/rules_test.go
+++ b/routing/rules_test.go
@@ -10,58 +10,58 @@
 )
 
 // TestRulesUnderOddSequences drives a director by odd but legal events and checks the rules on its actions.
-func TestRulesUnderOddSequences(t *testing.T) {
+func TestInvariantsUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(60) {
-		if err := odd(seed); err != nil {
+		if err := runRandomEvents(seed); err != nil {
 			t.Errorf("seed %d: %v", seed, err)
 		}
 	}
 }
 
-type sent struct {
-	server string
-	at     time.Duration
-	done   bool
-	ran    bool // may have run
+type trackedAttempt struct {
+	endpoint   string
+	at         time.Duration
+	ended      bool
+	mayHaveRun bool // may have run
 }
 
 // oddRequest is a request as the checks see it.
-type oddRequest struct {
-	q        Request
-	attempts []sent
-	over     bool
-	class    Class // as it was when the request came
-	most     int   // attempts; likewise
+type trackedRequest struct {
+	q           Request
+	attempts    []trackedAttempt
+	answered    bool
+	class       Class // as it was when the request came
+	maxAttempts int   // attempts; likewise
 }
 
 // oddRun is one sequence of odd events, and what the checks know of it.
-type oddRun struct {
-	rng    *rand.Rand
-	s      Settings
-	list   []Endpoint
-	d      *Director
-	now    time.Duration
-	open   map[string]*oddRequest
-	ids    []string
-	timers []SetTimer
-	down   map[string]bool
-	zone   map[string]string
-	cell   map[string]int
-	boot   map[string]time.Duration
-	purged time.Duration
-	paused time.Duration // until then nothing goes to endpoints that are warming up
+type randomRun struct {
+	rng         *rand.Rand
+	settings    Settings
+	endpoints   []Endpoint
+	d           *Director
+	now         time.Duration
+	requests    map[string]*trackedRequest
+	requestIDs  []string
+	timers      []SetTimer
+	notUp       map[string]bool
+	zone        map[string]string
+	cell        map[string]int
+	incarnation map[string]time.Duration
+	purgedAt    time.Duration
+	pausedUntil time.Duration // until then nothing goes to endpoints that are warming up
 }
 
-func odd(seed uint64) error {
+func runRandomEvents(seed uint64) error {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	s := oddSettings(rng)
-	list := oddMembers(rng, s)
+	s := randomSettings(rng)
+	list := randomEndpoints(rng, s)
 	d, err := New(s, seed)
 	if err != nil {
 		return err
 	}
-	o := &oddRun{rng: rng, s: s, list: list, d: d, now: 100 * time.Second, open: map[string]*oddRequest{},
-		down: map[string]bool{}, zone: map[string]string{}, cell: map[string]int{}, boot: map[string]time.Duration{}}
+	o := &randomRun{rng: rng, settings: s, endpoints: list, d: d, now: 100 * time.Second, requests: map[string]*trackedRequest{},
+		notUp: map[string]bool{}, zone: map[string]string{}, cell: map[string]int{}, incarnation: map[string]time.Duration{}}
 	for _, m := range list {
 		o.zone[m.ID], o.cell[m.ID] = m.Zone, m.Cell
 	}
@@ -83,8 +83,8 @@
 	return nil
 }
 
-func oddSettings(rng *rand.Rand) Settings {
-	s := settings()
+func randomSettings(rng *rand.Rand) Settings {
+	s := defaultSettings()
 	s.HedgedRequests = rng.IntN(2) == 0
 	s.CanCancel = rng.IntN(4) > 0
 	s.AllowBypass = rng.IntN(2) == 0
@@ -104,8 +104,8 @@
 	return s
 }
 
-func oddMembers(rng *rand.Rand, s Settings) []Endpoint {
-	list := members()
+func randomEndpoints(rng *rand.Rand, s Settings) []Endpoint {
+	list := testEndpoints()
 	for i := range list {
 		list[i].Weight = float64(rng.IntN(10))
 	}
@@ -116,7 +116,7 @@
 }
 
 // handle gives the director an event, and checks its actions.
-func (o *oddRun) handle(e Event) error {
+func (o *randomRun) handle(e Event) error {
 	for _, a := range o.d.Handle(o.now, e, nil) {
 		if err := o.check(a); err != nil {
 			return err
@@ -125,24 +125,24 @@
 	return nil
 }
 
-func (o *oddRun) check(a Action) error {
+func (o *randomRun) check(a Action) error {
 	switch a := a.(type) {
 	case ForwardAttempt:
 		return o.checkAttempt(a)
 	case Reject:
 		return o.checkReject(a)
 	case Fail:
-		st := o.open[a.ID]
-		if st == nil || st.over {
+		st := o.requests[a.ID]
+		if st == nil || st.answered {
 			return fmt.Errorf("%v: second answer for %s", o.now, a.ID)
 		}
-		st.over = true
+		st.answered = true
 	case CancelAttempt:
-		if !o.s.CanCancel || a.Attempt >= len(o.open[a.ID].attempts) {
+		if !o.settings.CanCancel || a.Attempt >= len(o.requests[a.ID].attempts) {
 			return fmt.Errorf("%v: cancels attempt %d of %s", o.now, a.Attempt, a.ID)
 		}
 	case SendGossip:
-		if !o.s.Gossip || len(a.Data) > 256 {
+		if !o.settings.Gossip || len(a.Data) > 256 {
 			return fmt.Errorf("%v: tells %q", o.now, a.Data)
 		}
 	case SetTimer:
@@ -151,82 +151,82 @@
 	return nil
 }
 
-func (o *oddRun) checkAttempt(a ForwardAttempt) error {
-	st := o.open[a.ID]
-	if st == nil || st.over {
+func (o *randomRun) checkAttempt(a ForwardAttempt) error {
+	st := o.requests[a.ID]
+	if st == nil || st.answered {
 		return fmt.Errorf("%v: attempt for %s, which is over", o.now, a.ID)
 	}
-	if o.down[a.Endpoint] || o.down[a.FillSource] {
+	if o.notUp[a.Endpoint] || o.notUp[a.FillSource] {
 		return fmt.Errorf("%v: %s or %s is not up", o.now, a.Endpoint, a.FillSource)
 	}
-	if len(st.attempts) >= st.most {
-		return fmt.Errorf("%v: attempt %d of %s, %d at most", o.now, len(st.attempts)+1, a.ID, st.most)
+	if len(st.attempts) >= st.maxAttempts {
+		return fmt.Errorf("%v: attempt %d of %s, %d at most", o.now, len(st.attempts)+1, a.ID, st.maxAttempts)
 	}
 	for _, id := range []string{a.Endpoint, a.FillSource} {
-		if started := o.boot[id]; o.now < o.paused && started > 0 && o.d.warmsFor(id) > o.now-started {
-			return fmt.Errorf("%v: %s is cold, and nothing is to go there until %v", o.now, id, o.paused)
+		if started := o.incarnation[id]; o.now < o.pausedUntil && started > 0 && o.d.warmUpDuration(id) > o.now-started {
+			return fmt.Errorf("%v: %s is cold, and nothing is to go there until %v", o.now, id, o.pausedUntil)
 		}
 	}
-	if o.purged > 0 && o.now-o.purged < o.s.PurgeSettleTime && (a.MaxAge <= 0 || a.MaxAge > o.now-o.purged+ms) {
-		return fmt.Errorf("%v: age limit %v, purged %v ago", o.now, a.MaxAge, o.now-o.purged)
+	if o.purgedAt > 0 && o.now-o.purgedAt < o.settings.PurgeSettleTime && (a.MaxAge <= 0 || a.MaxAge > o.now-o.purgedAt+ms) {
+		return fmt.Errorf("%v: age limit %v, purged %v ago", o.now, a.MaxAge, o.now-o.purgedAt)
 	}
 	if err := o.checkRepeat(st, a); err != nil {
 		return err
 	}
-	st.attempts = append(st.attempts, sent{server: a.Endpoint, at: o.now})
+	st.attempts = append(st.attempts, trackedAttempt{endpoint: a.Endpoint, at: o.now})
 	return nil
 }
 
 // checkRepeat holds an attempt against those before it.
-func (o *oddRun) checkRepeat(st *oddRequest, a ForwardAttempt) error {
+func (o *randomRun) checkRepeat(st *trackedRequest, a ForwardAttempt) error {
 	for _, b := range st.attempts {
-		if !o.s.HedgedRequests && !b.done {
+		if !o.settings.HedgedRequests && !b.ended {
 			return fmt.Errorf("%v: second copy of %s", o.now, a.ID)
 		}
-		if st.class.Effect == Idempotent || b.done && !b.ran {
+		if st.class.Effect == Idempotent || b.ended && !b.mayHaveRun {
 			continue
 		}
 		if st.class.Effect == NonIdempotent || o.now-b.at > st.class.DedupWindow ||
-			st.class.DedupScope == ScopeZone && o.zone[a.Endpoint] != o.zone[b.server] ||
-			st.class.DedupScope == ScopeCell && o.cell[a.Endpoint] != o.cell[b.server] {
+			st.class.DedupScope == ScopeZone && o.zone[a.Endpoint] != o.zone[b.endpoint] ||
+			st.class.DedupScope == ScopeCell && o.cell[a.Endpoint] != o.cell[b.endpoint] {
 			return fmt.Errorf("%v: repeats %s of %s", o.now, a.ID, st.class.Name)
 		}
 	}
 	return nil
 }
 
-func (o *oddRun) checkReject(a Reject) error {
-	st := o.open[a.ID]
-	if st == nil || st.over {
+func (o *randomRun) checkReject(a Reject) error {
+	st := o.requests[a.ID]
+	if st == nil || st.answered {
 		return fmt.Errorf("%v: second answer for %s", o.now, a.ID)
 	}
 	for _, b := range st.attempts {
-		if (b.ran || !b.done) && (st.class.Effect == NonIdempotent ||
+		if (b.mayHaveRun || !b.ended) && (st.class.Effect == NonIdempotent ||
 			st.class.Effect == IdempotentWithKey && st.class.DedupScope != ScopeAll) {
 			return fmt.Errorf("%v: refuses %s of %s, which may have run", o.now, a.ID, st.class.Name)
 		}
 	}
-	st.over = true
+	st.answered = true
 	return nil
 }
 
 // end gives the director the result of an attempt, if that is still due.
-func (o *oddRun) end(id string, i int, status Status) error {
-	st := o.open[id]
+func (o *randomRun) endAttempt(id string, i int, status Status) error {
+	st := o.requests[id]
 	b := &st.attempts[i]
-	if b.done {
+	if b.ended {
 		return nil
 	}
-	b.done = true
-	b.ran = status != Rejected && status != ConnectFailed && status != NotSent && status != Miss
-	if status == OK && !st.over {
-		st.over = true
+	b.ended = true
+	b.mayHaveRun = status != Rejected && status != ConnectFailed && status != NotSent && status != Miss
+	if status == OK && !st.answered {
+		st.answered = true
 	}
-	return o.handle(AttemptResult{ID: id, Attempt: i, Endpoint: b.server, Status: status, Reason: Reason(o.rng.IntN(11)),
-		Final: st.over, Latency: o.now - b.at, LoadReport: []float64{2 * o.rng.Float64(), math.NaN(), -1}[:o.rng.IntN(4)]})
+	return o.handle(AttemptResult{ID: id, Attempt: i, Endpoint: b.endpoint, Status: status, Reason: Reason(o.rng.IntN(11)),
+		Final: st.answered, Latency: o.now - b.at, LoadReport: []float64{2 * o.rng.Float64(), math.NaN(), -1}[:o.rng.IntN(4)]})
 }
 
-func (o *oddRun) fireTimers() error {
+func (o *randomRun) fireTimers() error {
 	slices.SortStableFunc(o.timers, func(a, b SetTimer) int { return int(a.At - b.At) })
 	for len(o.timers) > 0 && o.timers[0].At <= o.now {
 		w := o.timers[0]
@@ -239,17 +239,17 @@
 }
 
 // checkDeadlines finds requests without an answer, and lets attempts time out.
-func (o *oddRun) checkDeadlines() error {
-	for _, id := range o.ids {
-		st := o.open[id]
-		if !st.over && o.now > st.q.Deadline+8*ms {
+func (o *randomRun) checkDeadlines() error {
+	for _, id := range o.requestIDs {
+		st := o.requests[id]
+		if !st.answered && o.now > st.q.Deadline+8*ms {
 			return fmt.Errorf("%v: %s was lost, due %v", o.now, id, st.q.Deadline)
 		}
 		if o.now < st.q.Deadline {
 			continue
 		}
 		for i := range st.attempts {
-			if err := o.end(id, i, TimedOut); err != nil {
+			if err := o.endAttempt(id, i, TimedOut); err != nil {
 				return err
 			}
 		}
@@ -258,77 +258,77 @@
 }
 
 // step draws the next event.
-func (o *oddRun) step(n int) error {
+func (o *randomRun) step(n int) error {
 	rng := o.rng
-	pick := func() string { return o.ids[max(0, len(o.ids)-1-rng.IntN(30))] }
+	pick := func() string { return o.requestIDs[max(0, len(o.requestIDs)-1-rng.IntN(30))] }
 	switch k := rng.IntN(20); {
 	case k < 8:
-		return o.ask(n)
-	case k < 15 && len(o.ids) > 0:
+		return o.sendRequest(n)
+	case k < 15 && len(o.requestIDs) > 0:
 		id := pick()
-		if st := o.open[id]; len(st.attempts) > 0 {
-			return o.end(id, rng.IntN(len(st.attempts)), Status(rng.IntN(9)))
+		if st := o.requests[id]; len(st.attempts) > 0 {
+			return o.endAttempt(id, rng.IntN(len(st.attempts)), Status(rng.IntN(9)))
 		}
 	case k < 16:
-		return o.changeList()
+		return o.changeEndpoints()
 	case k < 17:
 		return o.handle(EndpointUpdate{Kind: WatchLost})
 	case k < 18:
 		return o.handle(GossipReceived{From: rng.IntN(4), Data: fmt.Sprintf("w1|%d|c%d|%d,a;", rng.IntN(3), rng.IntN(5), n)})
 	case k < 19 && rng.IntN(10) == 0:
-		o.purged = o.now
+		o.purgedAt = o.now
 		return o.handle(Purge{Group: 1})
 	case k < 19 && rng.IntN(10) == 0:
 		return o.changeClasses()
 	case k < 19 && rng.IntN(10) == 0:
-		o.paused = o.now + time.Duration(rng.IntN(4000))*ms
-		return o.handle(PauseSlowStart{Until: o.paused})
-	case len(o.ids) > 0:
-		return o.leave(pick())
+		o.pausedUntil = o.now + time.Duration(rng.IntN(4000))*ms
+		return o.handle(PauseSlowStart{Until: o.pausedUntil})
+	case len(o.requestIDs) > 0:
+		return o.abandon(pick())
 	}
 	return nil
 }
 
-func (o *oddRun) ask(n int) error {
+func (o *randomRun) sendRequest(n int) error {
 	rng := o.rng
-	c := o.s.Classes[rng.IntN(len(o.s.Classes)-1)] // all but the streamed one
+	c := o.settings.Classes[rng.IntN(len(o.settings.Classes)-1)] // all but the streamed one
 	id := fmt.Sprint("q", n)
-	o.ids = append(o.ids, id)
+	o.requestIDs = append(o.requestIDs, id)
 	q := Request{ID: id, Class: c.Name, Object: fmt.Sprint("o", rng.IntN(40)), Group: 1, Write: c.Uncacheable,
 		SizeKB: float64(rng.IntN(3000)), Deadline: o.now + time.Duration(1+rng.IntN(int(c.Deadline/ms)))*ms}
-	o.open[id] = &oddRequest{q: q, class: c, most: o.s.MaxAttempts}
+	o.requests[id] = &trackedRequest{q: q, class: c, maxAttempts: o.settings.MaxAttempts}
 	return o.handle(q)
 }
 
-func (o *oddRun) changeList() error {
-	m := &o.list[o.rng.IntN(len(o.list))]
+func (o *randomRun) changeEndpoints() error {
+	m := &o.endpoints[o.rng.IntN(len(o.endpoints))]
 	m.Phase = Phase(o.rng.IntN(3))
 	if m.Phase == Up && o.rng.IntN(2) == 0 {
 		m.Incarnation = o.now
 	}
-	o.boot[m.ID] = m.Incarnation
-	o.down[m.ID] = m.Phase != Up
+	o.incarnation[m.ID] = m.Incarnation
+	o.notUp[m.ID] = m.Phase != Up
 	kind := DeltaList
 	if o.rng.IntN(3) == 0 {
 		kind = FullList
 	}
-	return o.handle(EndpointUpdate{Kind: kind, Endpoints: o.list})
+	return o.handle(EndpointUpdate{Kind: kind, Endpoints: o.endpoints})
 }
 
 // changeClasses draws other rules for some class, and another number of attempts.
-func (o *oddRun) changeClasses() error {
+func (o *randomRun) changeClasses() error {
 	rng := o.rng
-	o.s.Classes = slices.Clone(o.s.Classes)
-	c := &o.s.Classes[rng.IntN(len(o.s.Classes)-1)]
+	o.settings.Classes = slices.Clone(o.settings.Classes)
+	c := &o.settings.Classes[rng.IntN(len(o.settings.Classes)-1)]
 	c.Effect, c.DedupScope, c.DedupWindow = Effect(rng.IntN(3)), DedupScope(rng.IntN(3)), time.Duration(1+rng.IntN(2000))*ms
-	o.s.MaxAttempts = 1 + rng.IntN(8)
-	return o.handle(Reconfigured{Classes: o.s.Classes, MaxAttempts: o.s.MaxAttempts})
+	o.settings.MaxAttempts = 1 + rng.IntN(8)
+	return o.handle(Reconfigured{Classes: o.settings.Classes, MaxAttempts: o.settings.MaxAttempts})
 }
 
 // leave lets a client go. Results and departures of requests that the director no longer knows are passed over.
-func (o *oddRun) leave(id string) error {
-	if !o.open[id].over {
-		o.open[id].over = true
+func (o *randomRun) abandon(id string) error {
+	if !o.requests[id].answered {
+		o.requests[id].answered = true
 		if err := o.handle(ClientGone{ID: id}); err != nil {
 			return err
 		}
--- a/routing/settings_test.go
+++ b/routing/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestNewNamesTheBadSetting(t *testing.T) {
+func TestNewNamesInvalidSetting(t *testing.T) {
 	for _, c := range []struct {
 		want   string
 		change func(*Settings)
@@ -15,7 +15,7 @@
 		{"OriginKind", func(s *Settings) { s.OriginKind = 9 }},
 		{"ParentKind", func(s *Settings) { s.ParentKind = 9 }},
 	} {
-		s := settings()
+		s := defaultSettings()
 		c.change(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: error is %v", c.want, err)
--- a/routing/slow_start.go
+++ b/routing/slow_start.go
@@ -15,17 +15,17 @@
 	switch of {
 	case roleCache:
 		return slowstart.Ramp{
-			InitialShare:     d.set.SlowStartInitialShare,
-			Duration:         d.set.SlowStartDuration,
-			OverloadMultiple: d.set.OverloadMultiple,
-			OverloadWindow:   d.set.OverloadWindow,
+			InitialShare:     d.settings.SlowStartInitialShare,
+			Duration:         d.settings.SlowStartDuration,
+			OverloadMultiple: d.settings.OverloadMultiple,
+			OverloadWindow:   d.settings.OverloadWindow,
 		}
 	case roleParent:
 		return slowstart.Ramp{
-			InitialShare:     d.set.ParentSlowStartInitialShare,
-			Duration:         d.set.ParentSlowStartDuration,
-			OverloadMultiple: d.set.ParentOverloadMultiple,
-			OverloadWindow:   d.set.OverloadWindow,
+			InitialShare:     d.settings.ParentSlowStartInitialShare,
+			Duration:         d.settings.ParentSlowStartDuration,
+			OverloadMultiple: d.settings.ParentOverloadMultiple,
+			OverloadWindow:   d.settings.OverloadWindow,
 		}
 	default:
 		return slowstart.Ramp{}
@@ -44,11 +44,11 @@
 	if d.now < d.slowStartPausedUntil {
 		return false
 	}
-	d.updateCarriedRate(ep.role)
+	d.updateWarmRate(ep.role)
 	sender := slowstart.Sender{
-		Senders:      d.knownSenders(ep.role),
+		SenderCount:  d.knownSenders(ep.role),
 		Position:     d.senderPosition(ep),
-		WarmRate:     d.carriedRate[ep.role] * ep.weight,
+		WarmRate:     d.warmRate[ep.role] * ep.weight,
 		ObservedRate: ep.decayedWorkRate(d.now),
 		ObservedOver: recentWindow,
 	}
@@ -73,10 +73,10 @@
 // senderPosition is this director's place, in [0, 1), among those that send to an endpoint (see slowstart.Sender). It is drawn
 // where the director's number is not known.
 func (d *Director) senderPosition(ep *endpoint) float64 {
-	if d.knownSenders(ep.role) <= 0 || d.set.IndexUnknown {
+	if d.knownSenders(ep.role) <= 0 || d.settings.IndexUnknown {
 		return slowstart.SenderPosition(0, d.positionSeed^ep.hash)
 	}
-	return slowstart.SenderPosition(d.set.Index, ep.hash)
+	return slowstart.SenderPosition(d.settings.Index, ep.hash)
 }
 
 // senders is the number of directors that send to endpoints of a role, at least this one.
@@ -85,15 +85,15 @@
 // knownSenders is the number of directors that send to endpoints of a role, or 0 where it is not known: to caches those of
 // this location, where they are counted by zone, else all.
 func (d *Director) knownSenders(to role) float64 {
-	if to == roleCache && d.zone < len(d.set.ZoneDirectors) && d.set.ZoneDirectors[d.zone] > 0 {
-		return float64(d.set.ZoneDirectors[d.zone])
+	if to == roleCache && d.zone < len(d.settings.ZoneDirectors) && d.settings.ZoneDirectors[d.zone] > 0 {
+		return float64(d.settings.ZoneDirectors[d.zone])
 	}
-	return float64(d.set.Directors)
+	return float64(d.settings.Directors)
 }
 
 // updateCarriedRate takes the mean of what the warm endpoints of a role do for us, for each unit of weight, ejected ones
 // included. Where none is warm, the latest value holds.
-func (d *Director) updateCarriedRate(of role) {
+func (d *Director) updateWarmRate(of role) {
 	rate, weight := 0.0, 0.0
 	for _, ep := range d.upEndpoints[of] {
 		if d.isWarm(ep) {
@@ -102,7 +102,7 @@
 		}
 	}
 	if weight > 0 {
-		d.carriedRate[of] = rate / weight
+		d.warmRate[of] = rate / weight
 	}
 }
 
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -76,20 +76,20 @@
 const incarnationTolerance = time.Millisecond
 
 // Export copies out what has been learned: at most so many listings, the latest used first; 0: all.
-func (d *Director) Export(now time.Duration, most int) LearnedState {
-	state := LearnedState{At: now, Zone: d.set.Zone, Listings: d.exportListings(most), Endpoints: d.exportEndpoints()}
+func (d *Director) Export(now time.Duration, maxListings int) LearnedState {
+	state := LearnedState{At: now, Zone: d.settings.Zone, Listings: d.exportListings(maxListings), Endpoints: d.exportEndpoints()}
 	for name, at := range d.purged.All() {
 		state.Purges = append(state.Purges, PurgeRecord{name, at})
 	}
 	return state
 }
 
-func (d *Director) exportListings(most int) []Listing {
-	if most <= 0 {
-		most = len(d.table)
+func (d *Director) exportListings(maxListings int) []Listing {
+	if maxListings <= 0 {
+		maxListings = len(d.table)
 	}
-	listings := make([]Listing, 0, min(most, len(d.table)))
-	for el := d.byRecency.Front(); el != nil && len(listings) < most; el = el.Next() {
+	listings := make([]Listing, 0, min(maxListings, len(d.table)))
+	for el := d.byRecency.Front(); el != nil && len(listings) < maxListings; el = el.Next() {
 		e := el.Value.(*mappingEntry)
 		if e.cache == nil || !e.hitExpectedAt(e.cache) {
 			continue
@@ -169,7 +169,7 @@
 func isShare(x float64) bool { return x >= 0 && x <= 1 }
 
 func (d *Director) importEndpoint(h EndpointHealth, c Confidence, counts *ImportCounts) {
-	ep := d.findUnchanged(h.Endpoint, h.Incarnation, counts)
+	ep := d.findSameIncarnation(h.Endpoint, h.Incarnation, counts)
 	if ep == nil {
 		return
 	}
@@ -204,12 +204,12 @@
 
 // believed reports whether a listing is among the share that is believed. The key decides, and not a draw, so that directors
 // which share a state believe the same listings.
-func (l *Listing) believed(share float64) bool {
+func (l *Listing) selected(share float64) bool {
 	return float64(mix(l.Key)>>11)/(1<<53) < share
 }
 
 func (d *Director) importListing(l Listing, c Confidence, counts *ImportCounts) {
-	if !l.believed(c.Listing) {
+	if !l.selected(c.Listing) {
 		counts.Expired++
 		return
 	}
@@ -217,21 +217,21 @@
 		counts.Invalid++
 		return
 	}
-	ep := d.findUnchanged(l.Endpoint, l.Incarnation, counts)
+	ep := d.findSameIncarnation(l.Endpoint, l.Incarnation, counts)
 	switch {
 	case ep == nil:
 	case ep.role != roleCache || ep.zone != d.zone: // no copy is to be had there
 		counts.Invalid++
 	case !d.isWarm(ep):
 		counts.WarmingUp++
-	case d.takeListing(l, ep):
+	case d.storeListing(l, ep):
 		counts.Listings++
 	}
 }
 
 // takeListing puts a listing into the table, if there is a place for it. A file and other directors may both tell of an object: the
 // later use holds.
-func (d *Director) takeListing(l Listing, ep *endpoint) bool {
+func (d *Director) storeListing(l Listing, ep *endpoint) bool {
 	if e := d.table[l.Key]; e != nil {
 		if e.lastRequest >= l.LastRequest {
 			return false
@@ -262,7 +262,7 @@
 
 func (d *Director) importPurge(p PurgeRecord, counts *ImportCounts) {
 	age := d.now - p.At
-	if p.Name == "" || age < 0 || age > d.set.PurgeSettleTime {
+	if p.Name == "" || age < 0 || age > d.settings.PurgeSettleTime {
 		counts.Expired++
 		return
 	}
@@ -272,7 +272,7 @@
 }
 
 // findUnchanged finds an endpoint that runs as it did when it was written of; nil, and counted, if there is none.
-func (d *Director) findUnchanged(id string, incarnation time.Duration, counts *ImportCounts) *endpoint {
+func (d *Director) findSameIncarnation(id string, incarnation time.Duration, counts *ImportCounts) *endpoint {
 	ep := d.endpoints[id]
 	switch {
 	case ep == nil || !ep.up:
--- a/routing/transfer_time.go
+++ b/routing/transfer_time.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	averageWeight      = 0.1                // weight of the newest sample in moving averages
-	transferTimeWeight = averageWeight / 10 // and in the mean transfer time of a class, whose answers differ more
-	transferTimeGuess  = 0.1                // transfer time where nothing is known of sizes yet, as a share of the latency objective
+	newestSampleWeight   = 0.1                     // weight of the newest sample in moving averages
+	transferTimeWeight   = newestSampleWeight / 10 // and in the mean transfer time of a class, whose answers differ more
+	defaultTransferShare = 0.1                     // transfer time where nothing is known of sizes yet, as a share of the latency objective
 )
 
 // estimateTransferTime finds how long a request's answer takes to transfer at full pace: by its size, or where that isn't known
@@ -13,7 +13,7 @@
 func (d *Director) estimateTransferTime(r *request) {
 	c := r.class
 	if r.SizeKB > 0 {
-		r.transferTime = d.set.TransferTime(r.SizeKB)
+		r.transferTime = d.settings.TransferTime(r.SizeKB)
 	} else {
 		r.transferTime = r.guessTransferTime()
 	}
@@ -29,14 +29,14 @@
 	if r.entry != nil && r.entry.transferTime > 0 {
 		return r.entry.transferTime
 	}
-	return max(r.class.meanTransferTime, time.Duration(transferTimeGuess*float64(r.class.LatencyObjective)))
+	return max(r.class.meanTransferTime, time.Duration(defaultTransferShare*float64(r.class.LatencyObjective)))
 }
 
 // learnSize takes in the size of a request's answer, in kB. Until then its transfer time was a guess, by which large answers
 // would look late.
 func (d *Director) learnSize(r *request, sizeKB float64) {
 	r.SizeKB = sizeKB
-	r.transferTime = d.set.TransferTime(sizeKB)
+	r.transferTime = d.settings.TransferTime(sizeKB)
 	if r.entry != nil {
 		r.entry.transferTime = r.transferTime
 	}
--- a/slowstart/fleet_test.go
+++ b/slowstart/fleet_test.go
@@ -27,7 +27,7 @@
 }
 
 const (
-	fleetCost = 0.25                 // seconds of work of one sending
+	sendCost  = 0.25                 // seconds of work of one sending
 	fleetStep = 5 * time.Millisecond // resolution of the simulated clock
 	fleetSpan = 8 * time.Second      // simulated time
 
@@ -36,13 +36,13 @@
 
 // simSender is one sender of a simulated fleet.
 type simSender struct {
-	budget     Budget
-	learns     time.Duration // when it learns of the store's start
-	began      time.Duration // when it restarted
-	restarted  bool
-	weight     float64 // of its traffic
-	observed   float64 // work a second that the store was seen to do for it, as of observedAt
-	observedAt time.Duration
+	budget      Budget
+	learnsAt    time.Duration // when it learns of the store's start
+	restartedAt time.Duration // when it restarted
+	restarted   bool
+	weight      float64 // of its traffic
+	observed    float64 // work a second that the store was seen to do for it, as of observedAt
+	observedAt  time.Duration
 }
 
 // observedRate is the sender's observed rate, decayed to now.
@@ -54,32 +54,32 @@
 
 // restart makes the sender forget all that it knew.
 func (s *simSender) restart(now time.Duration) {
-	s.budget, s.restarted, s.observed, s.began = Budget{}, true, 0, now
+	s.budget, s.restarted, s.observed, s.restartedAt = Budget{}, true, 0, now
 }
 
 // fleetRun is a simulation of a fleet.
 type fleetRun struct {
 	fleet
-	rng     *rand.Rand
-	start   time.Duration // when the store started
-	store   uint64
-	senders []simSender
-	weights float64 // sum over the senders
-	room    float64 // work that the store can do by now
-	sent    []time.Duration
+	rng           *rand.Rand
+	start         time.Duration // when the store started
+	endpointHash  uint64
+	senders       []simSender
+	totalWeight   float64 // sum over the senders
+	availableWork float64 // work that the store can do by now
+	sent          []time.Duration
 }
 
 func newFleetRun(f fleet, seed uint64) *fleetRun {
 	r := &fleetRun{fleet: f, rng: rand.New(rand.NewPCG(seed, 5)), senders: make([]simSender, f.senders)}
 	r.start = 1000*time.Hour + time.Duration(r.rng.Int64N(int64(time.Minute)))
-	r.store = r.rng.Uint64()
+	r.endpointHash = r.rng.Uint64()
 	for i := range r.senders {
 		s := &r.senders[i]
-		s.learns = r.start + time.Duration(r.rng.Float64()*float64(f.learnSpread))
+		s.learnsAt = r.start + time.Duration(r.rng.Float64()*float64(f.learnSpread))
 		if s.weight = 1; f.uneven {
 			s.weight = math.Exp(r.rng.NormFloat64())
 		}
-		r.weights += s.weight
+		r.totalWeight += s.weight
 	}
 	return r
 }
@@ -104,10 +104,10 @@
 }
 
 // describe is what a sender tells Allows of itself.
-func (r *fleetRun) describe(i int, now time.Duration, carried float64) Sender {
-	s := Sender{Senders: r.knownSenders, Position: SenderPosition(i, r.store), WarmRate: carried, ObservedOver: observedWindow}
+func (r *fleetRun) sender(i int, now time.Duration, warmRate float64) Sender {
+	s := Sender{SenderCount: r.knownSenders, Position: SenderPosition(i, r.endpointHash), WarmRate: warmRate, ObservedOver: observedWindow}
 	if r.senderNumber != nil {
-		s.Position = SenderPosition(r.senderNumber(i), r.store)
+		s.Position = SenderPosition(r.senderNumber(i), r.endpointHash)
 	}
 	if r.knownSenders == 0 {
 		s.Position = SenderPosition(0, r.rng.Uint64())
@@ -115,7 +115,7 @@
 	if !r.warmRateKnown {
 		s.WarmRate = 0
 	} else if r.senders[i].restarted { // what warm ones carry it sees again
-		s.WarmRate *= 1 - math.Exp(-float64(now-r.senders[i].began)/float64(observedWindow))
+		s.WarmRate *= 1 - math.Exp(-float64(now-r.senders[i].restartedAt)/float64(observedWindow))
 	}
 	return s
 }
@@ -127,35 +127,35 @@
 		sim.restart(now + fleetStep)
 		return
 	}
-	carried := r.capacity * r.load * sim.weight / r.weights
-	wants := r.rng.Float64() < carried/fleetCost*factor*fleetStep.Seconds()
+	warmRate := r.capacity * r.load * sim.weight / r.totalWeight
+	wants := r.rng.Float64() < warmRate/sendCost*factor*fleetStep.Seconds()
 	times := 1
 	if r.rushAfter > 0 && now >= r.start+r.rushAfter {
 		wants, times = true, 20
 	}
-	if now < sim.learns || !wants {
+	if now < sim.learnsAt || !wants {
 		return
 	}
-	s := r.describe(i, now, carried)
+	s := r.sender(i, now, warmRate)
 	for range times {
 		s.ObservedRate = sim.observedRate(now)
-		if !r.ramp.Allows(&sim.budget, now, r.start, fleetCost, s) {
+		if !r.ramp.Allows(&sim.budget, now, r.start, sendCost, s) {
 			break
 		}
-		r.ramp.Spend(&sim.budget, now, r.start, fleetCost)
+		r.ramp.Spend(&sim.budget, now, r.start, sendCost)
 		r.sent = append(r.sent, now)
-		if r.room >= fleetCost {
-			r.room -= fleetCost
-			sim.observed += fleetCost / observedWindow.Seconds()
+		if r.availableWork >= sendCost {
+			r.availableWork -= sendCost
+			sim.observed += sendCost / observedWindow.Seconds()
 		}
 	}
 }
 
 // play runs the simulation.
-func (r *fleetRun) play() {
+func (r *fleetRun) run() {
 	for now := r.start; now < r.start+fleetSpan; now += fleetStep {
 		share := r.ramp.CapacityShare(now, r.start)
-		r.room = min(r.capacity*share, r.room+r.capacity*share*fleetStep.Seconds())
+		r.availableWork = min(r.capacity*share, r.availableWork+r.capacity*share*fleetStep.Seconds())
 		for range r.restartsPerSecond {
 			if r.rng.Float64() < fleetStep.Seconds() {
 				r.senders[r.rng.IntN(len(r.senders))].restart(now)
@@ -169,22 +169,22 @@
 }
 
 // worst plays the fleet and returns the most that was sent in any window, in sendings, and what the settings allow then.
-func (f fleet) worst(seed uint64) (sent, allowed float64) {
+func (f fleet) worstWindow(seed uint64) (sent, allowed float64) {
 	r := newFleetRun(f, seed)
-	r.play()
+	r.run()
 	over := math.Inf(-1) // of the window that is furthest over
 	for i, from := range r.sent {
-		n, can := 0.0, 0.0
+		n, allowance := 0.0, 0.0
 		for _, t := range r.sent[i:] {
 			if t < from+f.ramp.OverloadWindow {
 				n++
 			}
 		}
 		for t := from; t < from+f.ramp.OverloadWindow; t += fleetStep {
-			can += f.ramp.OverloadMultiple * f.capacity * f.ramp.CapacityShare(t, r.start) * fleetStep.Seconds() / fleetCost
+			allowance += f.ramp.OverloadMultiple * f.capacity * f.ramp.CapacityShare(t, r.start) * fleetStep.Seconds() / sendCost
 		}
-		if o := n - can - 2*math.Sqrt(can) - 2; o > over {
-			over, sent, allowed = o, n, can
+		if o := n - allowance - 2*math.Sqrt(allowance) - 2; o > over {
+			over, sent, allowed = o, n, allowance
 		}
 	}
 	return sent, allowed
@@ -192,7 +192,7 @@
 
 // The ramp holds for the fleet: whatever the number of senders, and whatever they want and when, in no window is a cold store
 // sent more than N by all together, and chance adds no more than 2 roots of N, and 2. N is what the settings allow it.
-func TestTheRampHoldsForTheFleet(t *testing.T) {
+func TestFleetStaysWithinBudget(t *testing.T) {
 	base := Ramp{InitialShare: 0.15, Duration: 17 * time.Second, OverloadMultiple: 2.5, OverloadWindow: 2 * time.Second}
 	short := Ramp{InitialShare: 0.2, Duration: 12 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second}
 	apart := 300 * time.Millisecond
@@ -229,17 +229,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			broken := 0
+			seedsOverBudget := 0
 			var sent, allowed float64
 			for seed := range uint64(60) {
-				s, n := f.worst(seed)
+				s, n := f.worstWindow(seed)
 				if s > n+2*math.Sqrt(n)+2 {
-					broken++
+					seedsOverBudget++
 					sent, allowed = s, n
 				}
 			}
-			if broken > 1 { // two deviations, and all windows of sixty days
-				t.Errorf("on %d of 60 days, such as %.0f sent where %.1f are allowed", broken, sent, allowed)
+			if seedsOverBudget > 1 { // two deviations, and all windows of sixty days
+				t.Errorf("on %d of 60 days, such as %.0f sent where %.1f are allowed", seedsOverBudget, sent, allowed)
 			}
 		})
 	}
--- a/slowstart/slowstart.go
+++ b/slowstart/slowstart.go
@@ -20,7 +20,7 @@
 	// safetyMargin is the share of an endpoint's budget that is spent: what senders send differs in size.
 	safetyMargin = 0.9
 	// assumedSenders is the number of senders where the settings don't give it.
-	assumedSenders = 100
+	defaultSenderCount = 100
 	// goldenRatioFraction spreads consecutive sender numbers evenly over [0, 1).
 	goldenRatioFraction = 0.6180339887498949
 )
@@ -44,7 +44,7 @@
 
 // Sender describes the sender that asks, and what it knows of endpoints like the one it would send to.
 type Sender struct {
-	Senders      float64       // number of senders to the endpoint; 0: unknown
+	SenderCount  float64       // number of senders to the endpoint; 0: unknown
 	Position     float64       // in the order of senders, 0 to 1: see [SenderPosition]
 	WarmRate     float64       // cost per second that warm endpoints of the same size carry for this sender; 0: unknown
 	ObservedRate float64       // cost per second that this endpoint was lately seen to carry for it
@@ -112,11 +112,11 @@
 	if r.OverloadWindow <= 0 {
 		return true
 	}
-	senders := s.Senders
+	senders := s.SenderCount
 	if senders <= 0 { // else each of a whole fleet would take the floor for its own
-		senders = assumedSenders
+		senders = defaultSenderCount
 	}
-	rate := r.carriedRate(now, start, cost, s)
+	rate := r.estimateRate(now, start, cost, s)
 	window := r.OverloadWindow.Seconds()
 	floor := cost / max(1, window) / max(1, senders)
 	budget := window * max(r.OverloadMultiple*safetyMargin*rate, floor)
@@ -127,7 +127,7 @@
 // carriedRate estimates the cost per second that the endpoint carries for a sender now. An endpoint's full capacity is known by
 // what warm endpoints carry for this sender, and its share of that by its age. What the endpoint itself was seen to carry counts
 // where it is more.
-func (r Ramp) carriedRate(now, start time.Duration, cost float64, s Sender) float64 {
+func (r Ramp) estimateRate(now, start time.Duration, cost float64, s Sender) float64 {
 	if s.WarmRate <= 0 {
 		return s.ObservedRate
 	}
--- a/slowstart/slowstart_test.go
+++ b/slowstart/slowstart_test.go
@@ -10,7 +10,7 @@
 
 // However many senders there are, however uneven their traffic, and whatever moment each learns of the start: in no window
 // is a cold store sent more than its multiple of what it can do, but for what chance adds: 2 roots of that, and 2.
-func TestAllSendersTogetherStayWithinTheBudget(t *testing.T) {
+func TestSendersTogetherStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ramp := Ramp{InitialShare: rapid.Float64Range(0.08, 0.4).Draw(t, "from"), Duration: time.Duration(rapid.IntRange(8, 22).Draw(t, "for")) * time.Second,
 			OverloadMultiple: rapid.Float64Range(2, 2.5).Draw(t, "multiple"), OverloadWindow: time.Duration(rapid.IntRange(1, 2).Draw(t, "within")) * time.Second}
@@ -22,43 +22,43 @@
 			shares[i] = rapid.Float64Range(0.05, 1).Draw(t, "share")
 			sum += shares[i]
 		}
-		learns, budgets := make([]time.Duration, n), make([]Budget, n)
+		learnsAt, budgets := make([]time.Duration, n), make([]Budget, n)
 		start := time.Minute
 		for i := range n {
-			learns[i] = start + time.Duration(rapid.IntRange(0, 100).Draw(t, "learns"))*time.Millisecond
+			learnsAt[i] = start + time.Duration(rapid.IntRange(0, 100).Draw(t, "learns"))*time.Millisecond
 		}
-		store := rapid.Uint64().Draw(t, "store")
+		endpointHash := rapid.Uint64().Draw(t, "store")
 		var sent []float64 // by step
 		for now := start; now < start+6*time.Second; now += step {
-			got := 0.0
+			sentNow := 0.0
 			for i := range n {
-				s := Sender{Senders: float64(n), Position: SenderPosition(i, store), WarmRate: capacity * shares[i] / sum}
-				for now >= learns[i] && ramp.Allows(&budgets[i], now, start, cost, s) { // each always has more to send
+				s := Sender{SenderCount: float64(n), Position: SenderPosition(i, endpointHash), WarmRate: capacity * shares[i] / sum}
+				for now >= learnsAt[i] && ramp.Allows(&budgets[i], now, start, cost, s) { // each always has more to send
 					ramp.Spend(&budgets[i], now, start, cost)
-					got += cost
+					sentNow += cost
 				}
 			}
-			sent = append(sent, got)
+			sent = append(sent, sentNow)
 		}
 		window := int(ramp.OverloadWindow / step)
 		for from := 0; from+window <= len(sent); from++ {
-			total, can := 0.0, 0.0
+			total, capacityWork := 0.0, 0.0
 			for k := from; k < from+window; k++ {
 				total += sent[k]
-				can += capacity * ramp.CapacityShare(start+time.Duration(k)*step, start) * step.Seconds()
+				capacityWork += capacity * ramp.CapacityShare(start+time.Duration(k)*step, start) * step.Seconds()
 			}
-			most := ramp.OverloadMultiple * can / cost
-			if total /= cost; total > most+2*math.Sqrt(most)+2 {
-				t.Fatalf("%v after the start %.1f were sent within %v, %.1f are allowed", time.Duration(from)*step, total, ramp.OverloadWindow, most)
+			allowed := ramp.OverloadMultiple * capacityWork / cost
+			if total /= cost; total > allowed+2*math.Sqrt(allowed)+2 {
+				t.Fatalf("%v after the start %.1f were sent within %v, %.1f are allowed", time.Duration(from)*step, total, ramp.OverloadWindow, allowed)
 			}
 		}
 	})
 }
 
 // What did not come to the store is taken back, the latest of its cost; to a warm one nothing is kept in mind.
-func TestRefunds(t *testing.T) {
+func TestRefund(t *testing.T) {
 	r := Ramp{InitialShare: 0.2, Duration: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second}
-	s := Sender{Senders: 1, WarmRate: 1} // 0.36 at the start, and more by the age
+	s := Sender{SenderCount: 1, WarmRate: 1} // 0.36 at the start, and more by the age
 	var b Budget
 	start := time.Minute
 	r.Spend(&b, start, start, 0.3)
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestShares(t *testing.T) {
+func TestCapacityShare(t *testing.T) {
 	r := Ramp{InitialShare: 0.2, Duration: 10 * time.Second}
 	for _, c := range []struct {
 		now, start time.Duration
@@ -99,19 +99,19 @@
 }
 
 // Of many that know nothing each has its turn with the floor, one in each window: none is shut out for the whole ramp.
-func TestTheFloorGoesRound(t *testing.T) {
+func TestFloorRotatesAmongSenders(t *testing.T) {
 	r := Ramp{InitialShare: 0.15, Duration: 17 * time.Second, OverloadMultiple: 2.5, OverloadWindow: 2 * time.Second}
-	start, store := 1000*time.Hour, uint64(0x9d2c5680a1b3f4e7)
-	budgets, had := make([]Budget, 30), map[int]bool{}
+	start, endpointHash := 1000*time.Hour, uint64(0x9d2c5680a1b3f4e7)
+	budgets, sentOnce := make([]Budget, 30), map[int]bool{}
 	for now := start; now < start+r.Duration; now += 5 * time.Millisecond {
 		for i := range budgets {
-			if r.Allows(&budgets[i], now, start, 0.25, Sender{Senders: 30, Position: SenderPosition(i, store)}) {
+			if r.Allows(&budgets[i], now, start, 0.25, Sender{SenderCount: 30, Position: SenderPosition(i, endpointHash)}) {
 				r.Spend(&budgets[i], now, start, 0.25)
-				had[i] = true
+				sentOnce[i] = true
 			}
 		}
 	}
-	if len(had) < 6 || len(had) > 12 {
-		t.Errorf("%d of 30 had a turn in %v, one in each %v is wanted", len(had), r.Duration, r.OverloadWindow)
+	if len(sentOnce) < 6 || len(sentOnce) > 12 {
+		t.Errorf("%d of 30 had a turn in %v, one in each %v is wanted", len(sentOnce), r.Duration, r.OverloadWindow)
 	}
 }
