--- a/routing/actions.go
+++ b/routing/actions.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Action is anything that a director wants done.
+// Action is an instruction from a director to its caller.
 type Action interface{ action() }
 
-// CacheRank is the rank at which a cache keeps a copy: those of the lowest rank are evicted first, of one rank the least recently
-// used first.
+// CacheRank is the rank at which a cache keeps a copy. Copies of the lowest rank are evicted first;
+// within a rank, the least recently used ones.
 type CacheRank int
 
 // Ranks of a copy, with their values on the wire.
 const (
-	RankNone   CacheRank = 0 // no copy is kept, and one that is there keeps its rank
+	RankNone   CacheRank = 0 // no copy is kept; an existing copy keeps its rank
 	RankLow    CacheRank = 1
 	RankMiddle CacheRank = 2
 	RankTop    CacheRank = 3
@@ -21,51 +21,51 @@
 type ForwardAttempt struct {
 	ID           string // of the request
 	Endpoint     string
-	FillSource   string        // who fills a miss; the endpoint itself: nobody
+	FillSource   string        // endpoint that fills a miss; the same as Endpoint: none
 	Timeout      time.Duration // 0: until the client gives up
-	MaxAge       time.Duration // oldest copy that will do; 0: the class's fresh time
+	MaxAge       time.Duration // maximum age of the copy served; 0: the class's FreshFor
 	CacheRank    CacheRank     // of the copy
-	Coalesce     bool          // wait for a fill that is running
-	OnlyIfCached bool          // the source gives only what it has cached
-	NoParentCopy bool          // leave no copy at the parent
-	RefreshAhead bool          // serve an aging copy and fetch it anew
+	Coalesce     bool          // join a fill that is in flight
+	OnlyIfCached bool          // the fill source serves only from its cache
+	NoParentCopy bool          // the fill source keeps no copy; the director never sets it
+	RefreshAhead bool          // serve a copy that is about to expire, and refresh it
 }
 
-// Reject is a final answer that promises that repeating the request does no harm.
+// Reject is a final answer that guarantees that repeating the request does no harm.
 type Reject struct {
 	ID         string
-	RetryAfter time.Duration // 0: none is sent
+	RetryAfter time.Duration // 0: no Retry-After is sent
 }
 
-// Fail is a final answer that promises nothing.
+// Fail is a final answer without a guarantee: the request may have taken effect.
 type Fail struct{ ID string }
 
-// CancelAttempt stops waiting for an attempt.
+// CancelAttempt stops waiting for an attempt's result.
 type CancelAttempt struct {
 	ID      string
 	Attempt int // from 0, in order of sending
 }
 
-// SetTimer asks for a TimerFired event.
+// SetTimer requests a [TimerFired] event.
 type SetTimer struct {
 	At        time.Duration
 	Token     uint64
-	RequestID string // the timer is void when this request is finished; empty: it belongs to none
+	RequestID string // the timer is void once this request is finished; empty: it belongs to no request
 }
 
-// SendGossip sends a message of at most 256 bytes to one director.
+// SendGossip sends a message of at most 256 bytes to one director, or to all.
 type SendGossip struct {
-	To   int // its number, or AllDirectors
+	To   int // number of the receiver, or AllDirectors
 	Data string
 }
 
-// AllDirectors addresses a SendGossip to all other directors.
+// AllDirectors addresses a [SendGossip] to all other directors.
 const AllDirectors = -1
 
-// StartHealthCheck checks an endpoint.
+// StartHealthCheck starts a health check of an endpoint; the result is a [HealthCheckResult].
 type StartHealthCheck struct{ Endpoint string }
 
-// PollEndpoints asks discovery for changes from now on.
+// PollEndpoints asks discovery for changes of the endpoint list.
 type PollEndpoints struct{}
 
 // Log adds a line to the log.
--- a/routing/deadline.go
+++ b/routing/deadline.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// objectiveAt is when the request loses most of its priority weight: its latency objective on the director's clock.
+// objectiveAt returns the time on the director's clock until which an answer earns the full
+// priority weight: the latency objective with its stretch, at most the deadline.
 func (r *request) objectiveAt() time.Duration {
 	stretch := time.Duration(r.class.ObjectiveStretch * float64(r.transferTime))
 	return min(r.startedAt+r.class.LatencyObjective+stretch, r.Deadline)
 }
 
-// atDeadline reports whether no answer can reach the request's client in time any more.
+// atDeadline reports whether it is too late for an answer to reach the client in time.
 func (d *Director) atDeadline(r *request) bool { return d.now >= r.Deadline-d.settings.ClockStep }
 
-// checkProgress looks at a request whose answer is due: at its deadline it ends, a silent endpoint is left for another one, and
-// an answer that seems lost is hedged.
+// checkProgress checks a request whose answer is due: the request ends at its deadline, a silent
+// endpoint is abandoned for another one, and an answer that seems lost is hedged.
 func (d *Director) checkProgress(r *request) {
 	if d.atDeadline(r) && !r.streaming {
 		d.rejectOrFail(r)
@@ -36,12 +37,13 @@
 	d.setRequestTimer(r, d.now+max(d.settings.ClockStep, r.class.LatencyObjective/2))
 }
 
-// silentEndpoint is the endpoint from which nothing came since the attempt was sent; nil if there is none, or if it isn't known
-// which. The origin is judged by its answers alone.
+// unresponsiveEndpoint returns the endpoint that has answered nothing since the attempt was sent;
+// nil if there is none or it is unknown which one. The origin is never returned as a fill source;
+// it is judged by its answers alone.
 func (a *attempt) unresponsiveEndpoint() *endpoint {
 	suspect := a.target
 	if a.fillExpected {
-		if a.fillSource.role != roleParent || a.target.lastOK < a.sentAt { // cache and parent may both be the silent one
+		if a.fillSource.role != roleParent || a.target.lastOK < a.sentAt { // the cache and the parent may both be silent
 			return nil
 		}
 		suspect = a.fillSource
@@ -52,12 +54,14 @@
 	return suspect
 }
 
-// canLeaveSilent reports whether a request may be retried while its attempt at a silent endpoint may still run.
+// mayRetryElsewhere reports whether a request may be retried while its attempt at a silent endpoint
+// may still be executed.
 func (d *Director) mayRetryElsewhere(r *request) bool {
 	return d.retryBudget >= 1 && r.class.Effect == Idempotent
 }
 
-// leaveSilent cancels the latest attempt, at a silent endpoint, and retries elsewhere.
+// retryElsewhere cancels the latest attempt, at a silent endpoint, and forwards the request to
+// another one.
 func (d *Director) retryElsewhere(r *request, unresponsive *endpoint) {
 	d.retryBudget--
 	r.failedEndpoints = append(r.failedEndpoints, unresponsive)
@@ -67,7 +71,8 @@
 	d.forward(r)
 }
 
-// rejectOrFail gives the final answer at once: a rejection where the client may safely repeat the request, else a failure.
+// rejectOrFail gives the final answer at once: a rejection if the client may safely repeat the
+// request, else a failure.
 func (d *Director) rejectOrFail(r *request) {
 	d.cancelInFlight(r)
 	if r.clientMayRepeat() {
@@ -79,7 +84,8 @@
 	d.release(r)
 }
 
-// clientMayRepeat reports whether a repeat by the client, wherever it arrives, does no harm.
+// clientMayRepeat reports whether a repeat by the client does no harm, at whichever gateway it
+// arrives.
 func (r *request) clientMayRepeat() bool {
 	switch {
 	case r.class.Effect == Idempotent:
@@ -90,8 +96,9 @@
 	return r.firstThatMayHaveRun(nil) == nil
 }
 
-// retryAfter is when a rejected client may come back: between half of Settings.MaxRetryAfter and all of it, so that clients
-// don't come back all at once; 0 where no Retry-After is sent.
+// retryAfter returns the Retry-After of a rejection: a random time between half of
+// Settings.MaxRetryAfter and all of it, so that clients do not return all at once; 0 where
+// Settings.SendRetryAfter is not set.
 func (d *Director) retryAfter() time.Duration {
 	if !d.settings.SendRetryAfter {
 		return 0
--- a/routing/director.go
+++ b/routing/director.go
@@ -12,47 +12,48 @@
 	"larchusher/purge"
 )
 
-// Tokens of the director's own timers; those of requests start at 1.
+// Tokens of the director's own timers; tokens of requests start at 1.
 const (
-	gossipToken = 0                   // pending moves are sent
-	pollToken   = math.MaxUint64 >> 1 // discovery is polled again
+	gossipToken = 0                   // sends the pending moves
+	pollToken   = math.MaxUint64 >> 1 // polls discovery again
 )
 
-// Director decides for one location's traffic. Use New. It is not safe for concurrent use.
+// Director makes the routing decisions for the traffic of one location. It is created by New and is
+// not safe for concurrent use.
 type Director struct {
 	settings     Settings
 	rng          *rand.Rand
 	now          time.Duration
-	actions      []Action // of the event in hand
-	zone         int      // index into set.Zones
-	positionSeed uint64   // drawn for this director alone; see senderPosition
+	actions      []Action // of the event being handled
+	zone         int      // index of the own zone in settings.Zones
+	positionSeed uint64   // seed of this director's own sender positions; see senderPosition
 
 	endpoints      map[string]*endpoint
-	upEndpoints    byRole[[]*endpoint] // those that are up, in order of id; caches of this location only
-	localDirectors map[int]bool        // other directors known to serve this location
+	upEndpoints    byRole[[]*endpoint] // endpoints that are up, sorted by id; of the caches only those of this location
+	localDirectors map[int]bool        // numbers of the other directors known to serve this location
 
 	table        map[uint64]*mappingEntry
-	byRecency    *list.List      // the table's entries, the latest used first
-	pendingMoves []*mappingEntry // moved listings that gossip has not yet sent to the other directors
+	byRecency    *list.List      // the table's entries, the most recently used first
+	pendingMoves []*mappingEntry // moved listings not yet sent to the other directors
 	purged       *purge.Registry
 
 	classes   map[string]*class
-	requests  map[string]*request
-	tokens    map[uint64]*request // by the token of their timers
-	lastToken uint64
+	requests  map[string]*request // by request id
+	tokens    map[uint64]*request // by timer token
+	lastToken uint64              // the latest request's timer token
 
-	retryBudget           float64         // retries that success has earned
-	hedgeBudget           float64         // hedged requests that lost answers have earned
-	unattributedErrorRate byRole[float64] // share of recent attempts that ended in an error whose cause is unknown
-	originFetches         concurrency.Limit
-	meanCost              concurrency.MeanCost
-	loadFields            loadreport.Fields
-	warmRate              byRole[float64] // work a second, for each unit of weight, that warm endpoints did for us
-	slowStartPausedUntil  time.Duration   // nothing is sent to endpoints that are warming up until then
+	retryBudget           float64              // retries that may be sent; earned by successes
+	hedgeBudget           float64              // hedged requests that may be sent; earned by lost answers
+	unattributedErrorRate byRole[float64]      // share of recent attempts, 0 to 1, that ended in an error of unknown cause
+	originFetches         concurrency.Limit    // fetches from the origin, direct or through parents
+	meanCost              concurrency.MeanCost // of requests, per priority weight
+	loadFields            loadreport.Fields    // which values of a load report state the utilization
+	warmRate              byRole[float64]      // work per second and unit of weight that warm endpoints did for this director
+	slowStartPausedUntil  time.Duration        // until this time nothing is sent to endpoints that are warming up
 }
 
-// New returns a director for the given settings. Equal seeds and events give equal actions. The error names the setting that
-// can't be worked with.
+// New returns a director for the given settings. Equal settings, seeds and events give equal
+// actions. The error names the setting that is invalid.
 func New(s Settings, seed uint64) (*Director, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -80,7 +81,8 @@
 	return d, nil
 }
 
-// Handle takes one event at the given time and appends the actions to out. Time must not run backwards.
+// Handle processes one event at the time now and appends the resulting actions to out. now must not
+// be earlier than in the call before. Calls must not be concurrent.
 func (d *Director) Handle(now time.Duration, ev Event, out []Action) []Action {
 	d.now, d.actions = now, out
 	switch ev := ev.(type) {
@@ -105,7 +107,7 @@
 	case TimerFired:
 		d.handleTimer(ev.Token)
 	case HealthCheckResult:
-		// Nothing: endpoints are judged by the results of attempts.
+		// Ignored: endpoint health follows from the results of attempts alone.
 	}
 	out, d.actions = d.actions, nil
 	return out
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -10,10 +10,11 @@
 	"larchusher/slowstart"
 )
 
-// discoveryRetryDivisor divides Settings.MaxPollInterval into the wait before discovery is polled again, when a poll was lost.
+// discoveryRetryDivisor divides Settings.MaxPollInterval into the wait before discovery is polled
+// again after a failed poll.
 const discoveryRetryDivisor = 10
 
-// role is what an endpoint does for a location. Roles are walked in this order.
+// role is the function of an endpoint for a location. Iteration over roles is in this order.
 type role int
 
 const (
@@ -24,49 +25,49 @@
 
 const roleCount = int(roleOrigin) + 1
 
-// byRole holds a value for each role; it is indexed by role.
+// byRole holds one value per role, indexed by role.
 type byRole[T any] [roleCount]T
 
-// endpoint is an endpoint that discovery has named, as it runs since its latest start.
+// endpoint is the state of one endpoint since its latest start.
 type endpoint struct {
 	id          string
 	hash        uint64
 	role        role
 	zone, cell  int // zone is an index into Settings.Zones; -1: not among them
 	weight      float64
-	incarnation time.Duration // clock of its latest start
+	incarnation time.Duration // time of its latest start
 	up          bool
 
 	// Outlier detection.
-	lastOK                time.Duration // latest answer of any use
-	overdueAnswers        int           // answers that were due since then
-	errorRate             float64       // share of recent attempts that failed
-	unattributedErrorRate float64       // share of them that ended in an error whose cause is unknown
+	lastOK                time.Duration // time of the latest usable answer
+	overdueAnswers        int           // attempts without a timely answer since lastOK
+	errorRate             float64       // smoothed share of attempts that failed, 0 to 1
+	unattributedErrorRate float64       // smoothed share of attempts that ended in an error of unknown cause, 0 to 1
 	ejectedUntil          time.Duration
-	ejectionDuration      time.Duration // length of the latest ejection; 0: it was not ejected since it was well
-	probationInFlight     bool          // back from ejection, with one attempt in flight to try it
+	ejectionDuration      time.Duration // length of the latest ejection; 0: none since the error rate was last below ejectionErrorRate
+	probationInFlight     bool          // the ejection is over, and one trial attempt is in flight
 
 	// Limits.
-	concurrencyLimit  concurrency.Limit // of our attempts in flight here, and of those that wait for a fill from here
-	lastSuccessSentAt time.Duration     // latest sending that it answered well, by itself or as a fill source
-	lastHitRejectedAt time.Duration     // latest sending of what should have been a hit and was rejected at once
-	lastLateFill      time.Duration     // latest late fill by it
+	concurrencyLimit  concurrency.Limit // on this director's attempts in flight here, and on those that wait for a fill from here
+	lastSuccessSentAt time.Duration     // sending time of the latest attempt that it answered successfully, by itself or as fill source
+	lastHitRejectedAt time.Duration     // sending time of the latest attempt that should have been a hit and was rejected at once
+	lastLateFill      time.Duration     // time of the latest late fill from here
 	load              loadreport.Load
 
 	// Fills from it.
-	fillLatency    time.Duration // recent time beyond the transfer itself,
-	fillLatencyAt  time.Duration // when it was last seen
-	minFillLatency time.Duration // least time of an attempt with a fill; 0: there was none
+	fillLatency    time.Duration // smoothed time of attempts with a fill from here, without the transfer
+	fillLatencyAt  time.Duration // time of the latest update of fillLatency
+	minFillLatency time.Duration // shortest time of an attempt with a fill from here; 0: none yet
 
 	// Slow start.
-	workRate        float64 // work a second that it did for us recently,
+	workRate        float64 // smoothed work per second that it did for this director
 	workRateAt      time.Duration
 	slowStartBudget slowstart.Budget
 
-	listings []*mappingEntry // the objects listed here, the one with the longest gap first
+	listings []*mappingEntry // entries listed at this cache, the longest gap first
 }
 
-// update takes in what an endpoint list says of the endpoint.
+// update applies an entry of the endpoint list.
 func (ep *endpoint) update(settings *Settings, listed Endpoint) {
 	ep.id, ep.hash = listed.ID, hash(listed.ID)
 	ep.role = settings.roleOf(listed.Kind)
@@ -75,7 +76,8 @@
 	ep.weight = cmp.Or(max(0, listed.Weight), 1)
 }
 
-// roleOf is the role of a kind of machine: a cache unless it is the parents' or the origin's kind.
+// roleOf returns the role of a kind of machine: cache, unless it is the kind of the parents or of
+// the origin.
 func (s *Settings) roleOf(kind string) role {
 	k := slices.Index(s.Kinds, kind)
 	switch {
@@ -87,7 +89,7 @@
 	return roleCache
 }
 
-// transferSlots is how many transfers at full pace the endpoint's link bears; 0: not known.
+// transferSlots returns how many transfers the endpoint's link carries at full pace; 0: unknown.
 func (ep *endpoint) transferSlots(weightsKnown bool) float64 {
 	if !weightsKnown {
 		return 0
@@ -95,7 +97,7 @@
 	return ep.weight
 }
 
-// updateEndpoints takes in a watch event. A lost watch leaves the list as it was.
+// updateEndpoints applies a watch event. After a lost watch the list stays as it was.
 func (d *Director) updateEndpoints(u EndpointUpdate) {
 	if u.Kind == WatchLost {
 		if d.settings.PollDiscovery {
@@ -109,7 +111,7 @@
 	if u.Kind == StaleList && d.settings.PollDiscovery {
 		d.emit(PollEndpoints{})
 	}
-	if u.Kind != DeltaList { // what a full list doesn't name is not up
+	if u.Kind != DeltaList { // endpoints missing from a full list are not up
 		for _, ep := range d.endpoints {
 			ep.up = false
 		}
@@ -121,8 +123,9 @@
 	d.updateMinLimits()
 }
 
-// updateEndpoint takes in one endpoint of a list. A restart makes a new, empty endpoint, but for the attempts that are still in
-// flight. Attempts in flight hold on to an endpoint that is removed.
+// updateEndpoint applies one entry of an endpoint list. A changed incarnation resets the endpoint's
+// state, except for its attempts in flight. An endpoint that is removed stays reachable from
+// attempts in flight.
 func (d *Director) updateEndpoint(listed Endpoint) {
 	ep := d.endpoints[listed.ID]
 	if ep == nil {
@@ -140,7 +143,8 @@
 	}
 }
 
-// collectInUse finds the endpoints that may be chosen: those that are up, of caches only this location's.
+// collectUpEndpoints collects the endpoints that may be chosen: those that are up, of the caches
+// only those of this location.
 func (d *Director) collectUpEndpoints() {
 	d.upEndpoints = byRole[[]*endpoint]{}
 	for _, ep := range d.endpoints {
--- a/routing/events.go
+++ b/routing/events.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Event is anything that reaches a director.
+// Event is an input of [Director.Handle].
 type Event interface{ event() }
 
-// Phase is the state of an endpoint in a list.
+// Phase is the state of an endpoint in the endpoint list.
 type Phase int
 
 // Phases of an endpoint.
 const (
 	Up       Phase = iota
-	Draining       // to be sent nothing new
+	Draining       // is to receive no new attempts
 	Removed
 )
 
@@ -21,51 +21,51 @@
 	Zone        string
 	Kind        string
 	Cell        int
-	Incarnation time.Duration // clock of its latest start; 0: long ago
+	Incarnation time.Duration // time of its latest start; 0: long ago
 	Weight      float64       // capacity, relative to others of its kind; 0 or less: 1
 	Phase       Phase
 }
 
-// UpdateKind says what an EndpointUpdate holds.
+// UpdateKind is the kind of an [EndpointUpdate].
 type UpdateKind int
 
 // Kinds of update.
 const (
 	FullList  UpdateKind = iota
 	DeltaList            // the endpoints that changed
-	StaleList            // the full list as last held, possibly outdated
-	WatchLost            // a call to discovery failed; the prior list stands
+	StaleList            // the full list as last known, possibly outdated
+	WatchLost            // a call to discovery failed; the previous list stays valid
 )
 
-// EndpointUpdate is what discovery reports.
+// EndpointUpdate is an update of the endpoint list from discovery.
 type EndpointUpdate struct {
 	Kind      UpdateKind
 	Endpoints []Endpoint
 }
 
-// Request asks the director for one final answer.
+// Request is a client's request for one final answer.
 type Request struct {
 	ID            string
-	Class         string // its name
+	Class         string // name of the class
 	Tenant        string
 	Object        string
 	Part          int
 	Group         int
-	SizeKB        float64       // of the answer; 0: not known
-	Deadline      time.Duration // on the director's clock
+	SizeKB        float64       // of the answer; 0: unknown
+	Deadline      time.Duration // time on the director's clock
 	Write         bool
-	Retry         bool   // the client's own, of a request that was rejected or failed
-	AdmittedClass *Class // the class as it was when the request was admitted; nil: as it is now
+	Retry         bool   // a retry by the client of a request that was rejected or failed
+	AdmittedClass *Class // the class's settings when the request was admitted; nil: the current ones
 }
 
-// FirstByte says that the answer of a streamed class has begun.
+// FirstByte is the start of the answer to a request of a streamed class.
 type FirstByte struct {
 	ID       string
 	Attempt  int // from 0, in order of sending
 	Endpoint string
 }
 
-// Status is how an attempt or a health check ended.
+// Status is the outcome of an attempt or a health check.
 type Status int
 
 // Statuses of a result.
@@ -75,16 +75,16 @@
 	Rejected
 	TimedOut
 	ConnectFailed
-	Reset // the connection ended under it
+	Reset // the connection ended during the attempt
 	Canceled
 	NotSent
-	Miss // no copy, and nobody to fill it
+	Miss // the endpoint has no copy, and no endpoint could fill it
 )
 
-// broken reports whether a connection did not come up, or ended under the attempt.
+// broken reports whether the connection could not be established or ended during the attempt.
 func (s Status) broken() bool { return s == ConnectFailed || s == Reset }
 
-// mayHaveRun reports whether a request whose attempt ended so may have taken effect.
+// mayHaveRun reports whether the request may have taken effect at the endpoint.
 func (s Status) mayHaveRun() bool {
 	switch s {
 	case Rejected, ConnectFailed, NotSent, Miss:
@@ -94,17 +94,18 @@
 	}
 }
 
-// Reason says how an answer was served or why a fill failed, as far as Settings.AnswerDetail goes.
+// Reason states how an answer was served or why a fill failed, in as much detail as
+// Settings.AnswerDetail allows.
 type Reason int
 
-// Reasons of a result. From ReasonSourceRejected on they tell of a fill that failed.
+// Reasons of a result. ReasonSourceRejected and those after it are causes of failed fills.
 const (
 	ReasonNone           Reason = iota // unknown
-	ReasonHit                          // from a fresh copy
-	ReasonFilled                       // by the fill source, from a copy that it had
-	ReasonFilledByOrigin               // by the origin, through the fill source or straight
-	ReasonCoalesced                    // with a fill that was running
-	ReasonStale                        // from a copy within the class's stale grace
+	ReasonHit                          // served from a fresh copy
+	ReasonFilled                       // filled by the fill source from a copy that it had
+	ReasonFilledByOrigin               // filled by the origin, directly or through the fill source
+	ReasonCoalesced                    // joined a fill that was in flight
+	ReasonStale                        // served from a stale copy, within the class's StaleGrace
 	ReasonSourceRejected               // the fill source rejected the fill
 	ReasonSourceLost                   // the connection to the fill source broke
 	ReasonSourceMiss                   // the fill source lacks the object
@@ -112,25 +113,25 @@
 	ReasonOriginFailed                 // the origin failed the fill source
 )
 
-// fillFailed reports whether a fill failed.
+// fillFailed reports whether the reason is the failure of a fill.
 func (r Reason) fillFailed() bool { return r >= ReasonSourceRejected }
 
-// AttemptResult is the end of one attempt.
+// AttemptResult is the result of one attempt.
 type AttemptResult struct {
 	ID              string // of the request
 	Attempt         int    // from 0, in order of sending
 	Endpoint        string
 	Status          Status
 	Reason          Reason
-	Final           bool          // the request is finished
-	Latency         time.Duration // since the sending
-	FillWait        time.Duration
-	SizeKB          float64   // of the answer; 0: not known
-	LoadReport      []float64 // by Settings.LoadReportFields; nil: no report came with it
-	CollateralReset bool      // Reset by what befell another attempt on its connection
+	Final           bool          // the request has its final answer
+	Latency         time.Duration // time since the attempt was sent
+	FillWait        time.Duration // until the fill source's first byte; 0: not stated; not used by the director
+	SizeKB          float64       // of the answer; 0: unknown
+	LoadReport      []float64     // values in the order of Settings.LoadReportFields; nil: no report came with the result
+	CollateralReset bool          // Status is Reset because another attempt's answer broke the shared connection
 }
 
-// HealthCheckResult is the result of a StartHealthCheck.
+// HealthCheckResult is the result of a [StartHealthCheck].
 type HealthCheckResult struct {
 	Endpoint   string
 	Status     Status
@@ -138,34 +139,35 @@
 	LoadReport []float64
 }
 
-// GossipReceived is a message from another director.
+// GossipReceived is a message received from another director.
 type GossipReceived struct {
-	From int // its number
+	From int // number of the sender
 	Data string
 }
 
-// Purge says that an object, or with no Object every object of the group, was purged.
+// Purge is the purge of an object or, if Object is empty, of every object of the group.
 type Purge struct {
 	Object string
 	Group  int
 	Age    time.Duration // time since it was purged
 }
 
-// ClientGone says that no answer is owed to a request any more: its client left, or the caller has answered it at its deadline.
+// ClientGone reports that a request needs no answer any more: its client left, or the caller has
+// answered it at its deadline.
 type ClientGone struct{ ID string }
 
-// TimerFired is a SetTimer that fell due.
+// TimerFired reports that a timer requested by [SetTimer] is due.
 type TimerFired struct{ Token uint64 }
 
-// Reconfigured says that other classes, and another limit on attempts, hold for the requests that come from now on. Open requests
-// keep the rules by which they were admitted.
+// Reconfigured replaces the classes and the limit on attempts for requests that arrive from now on.
+// Open requests keep the settings under which they were admitted.
 type Reconfigured struct {
 	Classes     []Class
 	MaxAttempts int // 0: no limit
 }
 
-// PauseSlowStart says that nothing is to be sent to endpoints that are warming up until a time, on the director's clock: another
-// process has the budget, or had it a moment ago.
+// PauseSlowStart stops sending to endpoints that are warming up until a time on the director's
+// clock, because another process uses the slow-start budget or used it a moment ago.
 type PauseSlowStart struct{ Until time.Duration }
 
 func (EndpointUpdate) event()    {}
--- a/routing/fill_source.go
+++ b/routing/fill_source.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// fillLatencyAdvantage is how many times the fill latency of the first parent must exceed the second's for the second to be
-// chosen. Less is a tie, which the shared preference order decides: two directors that differ would have both parents fetch and
-// cache the object.
+// fillLatencyAdvantage is the factor by which the first parent's fill latency must exceed the
+// second parent's for the second to be chosen. Below it the shared preference order decides: if two
+// directors chose differently, both parents would fetch and cache the object.
 const fillLatencyAdvantage = 2
 
-// pickSourceFor chooses who fills a miss at a cache. A cache that is explored is filled by the listed one, where that was hit
-// recently; where there is no source at all, the cache itself may still have a copy.
+// pickSourceFor chooses the fill source for a miss at a cache. An explored cache is filled by the
+// listed one, if that one was hit recently. The result is the cache itself, which may still have a
+// copy, if no source is available.
 func (d *Director) pickSourceFor(r *request, target *endpoint, exploring bool) *endpoint {
 	source := d.pickFillSource(r)
 	if exploring && d.siblingCanFill(r) {
@@ -24,15 +25,16 @@
 	return source
 }
 
-// siblingCanFill reports whether the listed cache may fill a miss at another one.
+// siblingCanFill reports whether the listed cache may fill a miss at another cache.
 func (d *Director) siblingCanFill(r *request) bool {
 	e := r.entry
 	return d.settings.Siblings != NoSiblings && e.lastHit > 0 && d.now-e.lastHit < recentWindow && d.usable(e.cache, r)
 }
 
-// pickFillSource chooses who fills a miss: of the object's first two usable parents the one with the lower fill latency, else
-// the origin. An unhealthy parent, sent to in panic mode, fills if fetches from the origin are at their limit, or if
-// there is no origin. It is nil if there is no source.
+// pickFillSource chooses the fill source for a miss: the one with the lower fill latency of the
+// object's first two usable parents, else the origin. An ejected parent that is usable through
+// panic mode is chosen only if fetches from the origin are at their limit or there is no origin.
+// The result is nil if there is no source.
 func (d *Director) pickFillSource(r *request) *endpoint {
 	parents := d.firstUsableParents(r)
 	if len(parents) == 2 && parents[1].recentFillLatency(d.now)*fillLatencyAdvantage < parents[0].recentFillLatency(d.now) {
@@ -47,7 +49,8 @@
 	return parents[0]
 }
 
-// firstUsableParents are the first two parents in the object's preference order that can serve.
+// firstUsableParents returns the first two parents in the object's preference order that can serve
+// the request.
 func (d *Director) firstUsableParents(r *request) []*endpoint {
 	var parents []*endpoint
 	for _, ep := range d.preferenceOrder(r.key, d.upEndpoints[roleParent]) {
@@ -58,7 +61,7 @@
 	return parents
 }
 
-// parentsGoFirst reports whether one of these parents is to fill rather than the origin.
+// preferParents reports whether one of these parents is to fill instead of the origin.
 func (d *Director) preferParents(r *request, parents []*endpoint) bool {
 	if slices.ContainsFunc(parents, d.healthy) {
 		return true
@@ -66,13 +69,14 @@
 	return len(parents) > 0 && !d.hasCapacity(&d.originFetches, r)
 }
 
-// recentFillLatency is the latency of fills from the endpoint, in nanoseconds. It halves with each recentWindow in which none
-// was seen, so that a slow source is tried again.
+// recentFillLatency returns the fill latency of the endpoint in nanoseconds. It halves per
+// recentWindow without a fill, so that a slow source is tried again.
 func (ep *endpoint) recentFillLatency(now time.Duration) float64 {
 	return float64(ep.fillLatency) * math.Exp2(-float64(now-ep.fillLatencyAt)/float64(recentWindow))
 }
 
-// recordFillLatency takes in how long an attempt with a fill from the endpoint took, and which part of it was the transfer.
+// recordFillLatency updates the fill latency by an attempt with a fill from the endpoint, whose
+// transfer took transferTime of latency.
 func (ep *endpoint) recordFillLatency(now, latency, transferTime time.Duration) {
 	overhead := max(0, latency-transferTime)
 	ep.fillLatency += time.Duration(newestSampleWeight * float64(overhead-ep.fillLatency))
@@ -82,9 +86,10 @@
 	}
 }
 
-// restrictFill reports whether an attempt may ask for a fill now, and restricts it to what the limits allow. Where fetches from
-// the origin are at their limit, a parent is asked only for what it has cached: that spares the origin, and costs little if the
-// parent lacks the object. Attempts that should hit are restricted too, since a copy may have been purged, evicted or grown too
+// restrictFill reports whether an attempt may request a fill now, and restricts the fill to what
+// the limits allow. While fetches from the origin are at their limit, a parent serves only from its
+// cache: this spares the origin, and costs little if the parent has no copy. Attempts with an
+// expected hit are restricted too, because the copy may have been purged, evicted or become too
 // old.
 func (d *Director) restrictFill(r *request, a *attempt) bool {
 	mayFetch := d.hasCapacity(&d.originFetches, r)
@@ -99,7 +104,7 @@
 		if a.fillExpected {
 			return false
 		}
-		a.fillSource = a.target // no fill, if the copy is gone after all
+		a.fillSource = a.target // without a fill if the copy is gone
 		return true
 	default:
 		return true
--- a/routing/gossip.go
+++ b/routing/gossip.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-const gossipInterval = 50 * time.Millisecond // moves are gathered for this long before they are sent
+const gossipInterval = 50 * time.Millisecond // moves are collected for this long before they are sent
 
 // queueMove queues a moved listing for the other directors of this location.
 func (d *Director) queueMove(e *mappingEntry) {
@@ -24,8 +24,9 @@
 	d.pendingMoves = d.pendingMoves[:0]
 }
 
-// receiveGossip takes in another director's message. Messages that are malformed, of another location, or not from another
-// director are dropped, and so are moves to a cache that is not of this location.
+// receiveGossip applies a message of another director. Messages that are malformed, from another
+// location or from no valid director are dropped, and so are moves to a cache that is not of this
+// location.
 func (d *Director) receiveGossip(g GossipReceived) {
 	zone, cache, moves, err := decodeGossip(g.Data)
 	if err != nil || zone != d.zone || !d.acceptsGossipFrom(g.From) {
@@ -45,12 +46,13 @@
 	}
 }
 
-// acceptsGossipFrom reports whether messages of a director, by its number, are taken in.
+// acceptsGossipFrom reports whether messages from a director, by its number, are accepted.
 func (d *Director) acceptsGossipFrom(from int) bool {
 	return d.settings.Gossip && from != d.settings.Index && from >= 0 && from < d.settings.Directors
 }
 
-// answerGreeting greets a director of this location that was not known, so that both know of each other.
+// answerGreeting sends a greeting back to a director of this location that was unknown, so that
+// both know each other.
 func (d *Director) answerGreeting(from int) {
 	if d.localDirectors[from] {
 		return
@@ -59,8 +61,8 @@
 	d.emit(SendGossip{To: from, Data: encodeGreeting(d.zone)})
 }
 
-// applyMove lists an object where another director has seen it, unless our own listing moved later. An object that was not
-// known counts no request.
+// applyMove lists an object at the cache that another director reported, unless this director's
+// listing moved later. A new entry created by gossip counts no request.
 func (d *Director) applyMove(m movedListing, ep *endpoint) {
 	e := d.table[m.key]
 	if e == nil {
--- a/routing/gossip_format.go
+++ b/routing/gossip_format.go
@@ -10,26 +10,28 @@
 	"time"
 )
 
-// Messages between directors are text. "w1|zone" is a greeting, "w1|zone|cache|age,key;age,key;..." tells of listings that moved
-// to a cache: the age of the move is in ms, the object's key in base 36, and zone an index into Settings.Zones.
+// Messages between directors are text. "w1|zone" is a greeting; "w1|zone|cache|age,key;age,key;..."
+// lists moves of listings to a cache: the age of the move is in ms, the object's key in base 36,
+// and zone an index into Settings.Zones.
 const (
 	gossipTag          = "w1"
-	maxGossipBytes     = 256 // longest message
-	maxGossipItemBytes = 32  // longest "age,key;"
+	maxGossipBytes     = 256 // maximum length of a message
+	maxGossipItemBytes = 32  // maximum length of "age,key;"
 )
 
 var errMalformedGossip = errors.New("malformed gossip message")
 
-// movedListing says that the listing of a key moved some time ago.
+// movedListing is the listing of a key with the time since it moved.
 type movedListing struct {
 	key uint64
 	age time.Duration
 }
 
-// announcement is the head of each message; by itself it tells who serves which location.
+// encodeGreeting returns a greeting, which is also the head of every other message. It tells the
+// receiver which location the sender serves.
 func encodeGreeting(zone int) string { return gossipTag + "|" + strconv.Itoa(zone) }
 
-// encodeMovedListings words moves to one cache in as few messages as hold them.
+// encodeMovedListings encodes moves to one cache in as few messages as possible.
 func encodeMovedListings(zone int, cache string, moves []movedListing) (msgs []string) {
 	head := encodeGreeting(zone) + "|" + cache + "|"
 	msg := head
@@ -42,7 +44,7 @@
 	return append(msgs, msg)
 }
 
-// encodePendingMoves words moved listings, cache by cache in order of id.
+// encodePendingMoves encodes moved listings, cache by cache in order of id.
 func encodePendingMoves(now time.Duration, zone int, moves []*mappingEntry) (msgs []string) {
 	byCache := map[string][]movedListing{}
 	for _, e := range moves {
@@ -54,7 +56,8 @@
 	return msgs
 }
 
-// decodeGossip reads a message as a whole or not at all; its errors wrap errMalformedGossip. A greeting has no cache.
+// decodeGossip decodes a message completely or not at all; its errors wrap errMalformedGossip. A
+// greeting has an empty cache.
 func decodeGossip(data string) (zone int, cache string, moves []movedListing, err error) {
 	parts := strings.Split(data, "|")
 	isGreeting := len(parts) == 2
@@ -70,7 +73,7 @@
 	}
 	cache = parts[2]
 	if cache == "" {
-		return 0, "", nil, fmt.Errorf("%w: no cache", errMalformedGossip)
+		return 0, "", nil, fmt.Errorf("%w: cache name is empty", errMalformedGossip)
 	}
 	for item := range strings.SplitSeq(strings.TrimSuffix(parts[3], ";"), ";") {
 		move, err := decodeMove(item)
@@ -82,16 +85,16 @@
 	return zone, cache, moves, nil
 }
 
-// decodeMove reads "age,key".
+// decodeMove decodes "age,key".
 func decodeMove(item string) (movedListing, error) {
 	age, key, _ := strings.Cut(item, ",")
 	ms, err := strconv.ParseUint(age, 10, 31)
 	if err != nil {
-		return movedListing{}, fmt.Errorf("age of a move: %w", err)
+		return movedListing{}, fmt.Errorf("age of a moved listing: %w", err)
 	}
 	k, err := strconv.ParseUint(key, 36, 64)
 	if err != nil {
-		return movedListing{}, fmt.Errorf("key of a move: %w", err)
+		return movedListing{}, fmt.Errorf("key of a moved listing: %w", err)
 	}
 	return movedListing{k, time.Duration(ms) * time.Millisecond}, nil
 }
--- a/routing/hash.go
+++ b/routing/hash.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// hash is FNV-1a, mixed.
+// hash returns the FNV-1a hash of s, finalized by mix.
 func hash(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := 0; i < len(s); i++ {
@@ -18,7 +18,8 @@
 	return h ^ h>>31
 }
 
-// score is the rendezvous weight of b for a: over many a, each b is highest in proportion to its weight.
+// score returns the weighted rendezvous score of b for a: over many a, each b has the highest score
+// in proportion to its weight.
 func score(a, b uint64, weight float64) float64 {
 	u := (float64(mix(a^b)>>11) + 0.5) / (1 << 53)
 	return -weight / math.Log(u)
--- a/routing/inference.go
+++ b/routing/inference.go
@@ -1,32 +1,33 @@
 package routing
 
-// This file says what an answer implies where it doesn't tell how it was served: whether a copy was there, whose rejection
-// it was, and who made it late.
+// This file infers how a request was served where the result does not state it: whether the cache
+// had a copy, whether a rejection was the cache's own, and which endpoint made the answer late.
 //
-// A wrong inference has a price, and it differs: a fill taken for a hit leaves sources unjudged, and a dead one in use; a hit
-// taken for a fill credits a dead source, or blames a slow one for a full cache. So each judgement asks for what must have
-// been, not for what is likely on average.
+// Both kinds of error have a cost: a fill taken for a hit leaves its source unjudged, so that a
+// dead source stays in use; a hit taken for a fill credits a dead source or blames a slow one for
+// an overloaded cache. Each inference therefore relies on what must have happened, not on what is
+// likely on average.
 
-// sparesCapacityBelow is the reported utilization below which a cache was not itself what made an answer late. Reports are
-// noisy by a tenth and a second old.
+// busyUtilization is the reported utilization below which a cache did not itself make an answer
+// late. Reports are about a second old, with an error of about a tenth.
 const busyUtilization = 0.8
 
-// evidence is what is known of an answer that doesn't tell how it was served.
+// evidence is what is known about a result that does not state how the request was served.
 type evidence struct {
 	hitExpected      bool    // a copy was expected at the cache
-	served           bool    // it was served
-	rejected         bool    // it was rejected, and not by the cache itself at once
-	late             bool    // it came after the latency objective
-	utilization      float64 // share of the cache's capacity in use,
-	utilizationKnown bool    // where it is known
+	served           bool    // the answer was successful
+	rejected         bool    // the request was rejected, and not at once by the cache itself
+	late             bool    // the result came after the latency objective
+	utilization      float64 // reported share of the cache's capacity in use
+	utilizationKnown bool    // whether a recent report exists
 }
 
-// isHit reports whether the answer was served from a copy, as expected.
+// isHit reports whether the answer was served from the expected copy.
 func (e evidence) isHit() bool { return e.served && e.hitExpected && !e.late }
 
-// judgesSource reports whether the answer speaks of the source of a fill and not of the cache: a fill was expected; or a
-// rejection came too late to be the cache's own, which rejects before it does any work; or it came late though the cache
-// had capacity to spare.
+// concernsSource reports whether the result concerns the fill source and not the cache: a fill was
+// expected; or a rejection came too late to be the cache's own, which rejects before it does any
+// work; or the answer was late although the cache had spare capacity.
 func (e evidence) concernsSource() bool {
 	if !e.hitExpected || e.rejected {
 		return true
--- a/routing/limits.go
+++ b/routing/limits.go
@@ -7,26 +7,29 @@
 	"larchusher/concurrency"
 )
 
-// How far the limits of requests in flight go down. A limit below one is a chance: it lets that share of requests through.
+// Lower bounds of limits on attempts in flight. A limit below one is a probability: it lets that
+// share of requests through.
 const (
 	clientRetryQuota = 0.8 // share of a limit that a client's own retry may use
-	minSharedLimit   = 2.0 // a limit is not cut below this for all directors together,
-	minDirectorLimit = 0.1 // nor below this for each
+	minSharedLimit   = 2.0 // lower bound of a limit over all directors together
+	minDirectorLimit = 0.1 // lower bound of a limit at one director
 )
 
-// Whose fault a late or rejected attempt is, where results don't say.
+// Attribution of late or rejected attempts where results don't state the cause.
 const (
-	promptRejectionRatio = 4               // a rejection that came this many times sooner than any fill did not ask a source
-	originFaultWindow    = 2 * time.Second // late fills by two sources within this are the fault of the origin behind both
+	promptRejectionRatio = 4               // a rejection this many times faster than any fill came without asking the source
+	originFaultWindow    = 2 * time.Second // late fills from two sources within this time are the fault of the origin behind both
 )
 
-// usable reports whether an endpoint may be sent a request now, by its phase, its slow start and its health.
+// usable reports whether an endpoint may be sent a request now, by its phase, slow start and
+// health.
 func (d *Director) usable(ep *endpoint, r *request) bool {
 	return ep.up && d.slowStartAllows(ep, r) && (d.healthy(ep) || d.inPanicMode(ep.role))
 }
 
-// hasCapacity reports whether one more attempt may be in flight under a limit. A client's retry has spent part of its time,
-// and a request that costs much for its priority weight displaces others: both are stopped at a part of the limit.
+// hasCapacity reports whether a limit allows one more attempt in flight. A client's retry has
+// already used part of its time, and a request that is costly for its priority weight displaces
+// others: both may use only a part of the limit.
 func (d *Director) hasCapacity(l *concurrency.Limit, r *request) bool {
 	quota := d.meanCost.Quota(r.costPerWeight)
 	if r.Retry {
@@ -35,15 +38,16 @@
 	return l.HasCapacity(quota, r.draw)
 }
 
-// fitsObjective reports whether a cache has capacity for one more attempt, and can finish it within the latency objective
-// beside our attempts that are in flight there.
+// fitsObjective reports whether a cache has capacity for one more attempt and can finish it within
+// the latency objective besides this director's attempts in flight there.
 func (d *Director) fitsObjective(ep *endpoint, r *request) bool {
 	slots := ep.transferSlots(d.settings.WeightsKnown)
 	maxTransfers := concurrency.MaxWithinObjective(slots, r.class.ObjectiveStretch, r.class.LatencyObjective, r.transferTime)
 	return d.hasCapacity(&ep.concurrencyLimit, r) && float64(ep.concurrencyLimit.InFlight)+r.draw < maxTransfers
 }
 
-// updateMinLimits sets what limits are not cut below. Fetches from the origin get the sum of what the parents get.
+// updateMinLimits sets the lower bounds of all limits. That of fetches from the origin is the sum
+// over the parents.
 func (d *Director) updateMinLimits() {
 	for _, ep := range d.endpoints {
 		ep.concurrencyLimit.Min = max(minDirectorLimit, minSharedLimit/d.senders(ep.role))
@@ -52,14 +56,15 @@
 	d.originFetches.Min = max(minDirectorLimit, minSharedLimit*parents/d.senders(roleOrigin))
 }
 
-// updateLimits adapts the limits of requests in flight by the result of an attempt: at a cache, at a fill source, and at the
-// origin behind the sources. Answers after the latency objective, and rejections, say that too much is in flight there. The
-// limit is then cut to the share that was in time; only what was sent after a cut counts for the next one (package concurrency).
-// This holds for slow endpoints, full links and overload alike.
+// updateLimits adapts the limits on attempts in flight by the result of an attempt: at a cache, at
+// a fill source, and at the origin behind the sources. Answers after the latency objective, and
+// rejections, show that too much is in flight there. The limit is then lowered by the share of late
+// answers; only attempts sent after a cut count for the next one (see package concurrency). Slow
+// endpoints, full links and overload are handled alike.
 func (d *Director) updateLimits(r *request, a *attempt, o AttemptResult, hit bool) {
 	if answerLost(a, o) {
 		d.earnHedges(r)
-		return // it says nothing of load
+		return // a lost answer is no sign of load
 	}
 	if o.Status == Rejected {
 		a.recordHitRejection(o)
@@ -69,7 +74,7 @@
 	if late && r.lateByEarlierAttempts(o) {
 		return
 	}
-	if a.rejectedByCache && a.fillExpected { // the cache alone has no capacity for fills
+	if a.rejectedByCache && a.fillExpected { // only the cache lacks capacity for fills
 		return
 	}
 	if !hit && d.fillAtFault(a, o, late) {
@@ -89,46 +94,50 @@
 	return a.sentAt+o.Latency > r.objectiveAt()
 }
 
-// answerLost reports whether an attempt got no answer because that was lost on its way, and not for load: what was sent later,
-// by the same way, was answered.
+// answerLost reports whether an attempt got no answer because the answer was lost on its way, and
+// not because of load: an attempt sent later by the same way was answered.
 func answerLost(a *attempt, o AttemptResult) bool {
 	return (o.Status == TimedOut || o.Status == Canceled) && a.laterAttemptAnswered()
 }
 
-// overtaken reports whether what was sent later, by the same way, has been answered.
+// laterAttemptAnswered reports whether an attempt sent later, to the same target and fill source,
+// was answered.
 func (a *attempt) laterAttemptAnswered() bool {
 	return a.target.lastSuccessSentAt > a.sentAt && (!a.fillExpected || a.fillSource.lastSuccessSentAt > a.sentAt)
 }
 
-// lateByEarlierAttempts reports whether an answer would have met the latency objective but for the time that earlier attempts
-// took.
+// lateByEarlierAttempts reports whether an answer would have met the latency objective without the
+// time that the request's earlier attempts took.
 func (r *request) lateByEarlierAttempts(o AttemptResult) bool {
 	return (o.Status == OK || o.Status == ServerError) && o.Latency <= r.objectiveAt()-r.startedAt
 }
 
-// rejectedByTarget reports whether a rejection is the cache's own, and not its source's. Where the result doesn't say: it came sooner
-// than a source can be asked. For a fill that may only mean that no slot for fills is free, so it counts only if the cache
-// has rejected a hit since it last answered well. Otherwise the rejections of a cache that drains before the list says so would
-// cut the sources' limits, and so have the requests of all other caches behind them rejected.
+// rejectedByTarget reports whether a rejection is the cache's own and not its source's. Where the
+// result does not state it, the cache's own rejection is one that came sooner than a source can be
+// asked. For a fill that may only mean that the cache has no free slot for fills, so it counts only
+// if the cache has rejected a hit since its last success. Without this rule, the rejections of a
+// cache that starts draining before the endpoint list shows it would cut the sources' limits, and
+// requests of all other caches of these sources would be rejected.
 func (a *attempt) rejectedByTarget(o AttemptResult) bool {
 	return a.rejectedWithoutSource(o) && a.target.lastHitRejectedAt > a.target.lastSuccessSentAt
 }
 
-// recordHitRejection notes that a cache rejected what should have been a hit.
+// recordHitRejection records that a cache rejected an attempt that should have been a hit.
 func (a *attempt) recordHitRejection(o AttemptResult) {
 	if a.rejectedWithoutSource(o) && !a.fillExpected {
 		a.target.lastHitRejectedAt = a.sentAt
 	}
 }
 
-// rejectedWithoutSource reports whether a rejection came from the target alone: it has no source, or the rejection came sooner
-// than a source can be asked.
+// rejectedWithoutSource reports whether a rejection came from the target alone: it has no source,
+// or the rejection came sooner than a source can be asked.
 func (a *attempt) rejectedWithoutSource(o AttemptResult) bool {
 	prompt := o.Reason == ReasonNone && o.Latency < a.fillSource.minFillLatency/promptRejectionRatio
 	return a.fillSource == a.target || prompt
 }
 
-// failedOverFill reports whether an attempt that was no hit was late or failed by its fill, as far as is known.
+// fillAtFault reports whether an attempt that was no hit was late or failed because of its fill, as
+// far as is known.
 func (d *Director) fillAtFault(a *attempt, o AttemptResult, late bool) bool {
 	if a.rejectedByCache || !late && o.Status != ServerError {
 		return false
@@ -136,9 +145,10 @@
 	return a.fillExpected || o.Reason != ReasonNone
 }
 
-// isSharedFault reports whether a late or failed fill is the origin's fault rather than its parent's: where the result doesn't say, if
-// another parent's fill was late at about that time, or a write at the origin. A parent that alone is slow, silent or gone is
-// judged alone.
+// isOriginFault reports whether a late or failed fill is the fault of the origin and not of the
+// parent. With fewer than two parents the origin is at fault. With more, and where the result does
+// not state it, the origin is at fault if another parent's fill, or a write at the origin, was late
+// within originFaultWindow; otherwise the parent itself is slow, silent or unreachable.
 func (d *Director) isOriginFault(a *attempt, o AttemptResult) bool {
 	if !a.fetchedThroughParent(o) {
 		return a.fillSource.role == roleOrigin
@@ -152,24 +162,26 @@
 	return slices.ContainsFunc(d.upEndpoints[roleParent], alsoLate) || slices.ContainsFunc(d.upEndpoints[roleOrigin], alsoLate)
 }
 
-// recordLateFill notes at a parent that its fill was late or failed.
+// recordLateFill records that a parent's fill was late or failed.
 func (d *Director) recordLateFill(a *attempt, o AttemptResult) {
 	if a.fetchedThroughParent(o) {
 		a.fillSource.lastLateFill = d.now
 	}
 }
 
-// parentFilled reports whether a parent, which the target could reach, was to fetch from the origin for an attempt.
+// fetchedThroughParent reports whether the attempt's fill was to be fetched from the origin by a
+// parent that the target could reach.
 func (a *attempt) fetchedThroughParent(o AttemptResult) bool {
 	unreachable := o.Reason == ReasonSourceLost && o.Status == Rejected
 	return a.fillSource.role == roleParent && !a.onlyIfCached && !unreachable
 }
 
-// limitsToUpdate are the limits that a result speaks of: the cache's if it answered by itself, else those of the fill.
+// limitsToUpdate returns the limits that a result concerns: the cache's if it answered without a
+// fill, else those of the fill.
 func (d *Director) limitsToUpdate(a *attempt, o AttemptResult, hit, late bool) []*concurrency.Limit {
 	target, source := &a.target.concurrencyLimit, &a.fillSource.concurrencyLimit
 	switch {
-	case a.target.role == roleOrigin: // such as a write: fills are fetched there, too
+	case a.target.role == roleOrigin: // for example a write; fills are fetched from the origin as well
 		return []*concurrency.Limit{&d.originFetches}
 	case hit || !d.concernsSource(a, o, late):
 		return []*concurrency.Limit{target}
@@ -181,7 +193,8 @@
 	return []*concurrency.Limit{source, &d.originFetches}
 }
 
-// judgesSource reports whether a result that was no hit speaks of the fill source and not of the cache.
+// concernsSource reports whether the result of an attempt that was no hit concerns the fill source
+// and not the cache.
 func (d *Director) concernsSource(a *attempt, o AttemptResult, late bool) bool {
 	if a.fillSource == a.target || a.rejectedByCache {
 		return false
@@ -198,7 +211,7 @@
 	return seen.concernsSource()
 }
 
-// sourceAnsweredAlone reports whether the fill source had no part of an answer from the origin.
+// answeredWithoutOrigin reports whether the fill source answered without fetching from the origin.
 func (d *Director) answeredWithoutOrigin(a *attempt, o AttemptResult) bool {
 	if a.onlyIfCached || a.fillSource.role == roleCache {
 		return true
@@ -206,8 +219,8 @@
 	return o.Reason == ReasonFilled && d.settings.AnswerDetail == DetailAll
 }
 
-// hitUnknown reports whether it is unknown if a result was a hit: results carry no detail in this deployment, whichever cache
-// they come from.
+// hitUnknown reports whether it is unknown if an answer from a cache was a hit, because results
+// carry no detail in this deployment.
 func (d *Director) hitUnknown(a *attempt, o AttemptResult) bool {
 	return d.settings.AnswerDetail == DetailNone && o.Reason == ReasonNone && a.target.role == roleCache
 }
--- a/routing/mapping_table.go
+++ b/routing/mapping_table.go
@@ -9,50 +9,52 @@
 )
 
 const (
-	listingsPerCache  = 256              // objects listed per cache
-	tableSizeMultiple = 16               // entries remembered, in multiples of what all lists of the location hold
-	unknownGap        = time.Hour        // gap of an object seen once
-	requestCountDecay = 15 * time.Second // in which the count of recent requests falls to 1/e
+	listingsPerCache  = 256              // maximum listings per cache
+	tableSizeMultiple = 16               // maximum entries of the table, in multiples of what the lists of all caches of the location hold
+	unknownGap        = time.Hour        // gap of an object requested once
+	requestCountDecay = 15 * time.Second // time in which the count of recent requests decays to 1/e
 )
 
-// mappingEntry is a row of the mapping table: what is remembered of one part of one object.
+// mappingEntry is a row of the mapping table: what is stored about one part of one object.
 type mappingEntry struct {
 	key              uint64
-	cache            *endpoint     // that serves it; nil: not known
-	cacheIncarnation time.Duration // of that cache when it was listed
-	movedAt          time.Duration // when the listing last moved
-	lastHit          time.Duration // 0: none
-	copySeenAt       time.Duration // sending of the latest request that the cache served, or the fill that gossip reported
+	cache            *endpoint     // cache that serves it; nil: unknown
+	cacheIncarnation time.Duration // incarnation of cache when it was listed
+	movedAt          time.Duration // time when the listing last moved
+	lastHit          time.Duration // time of the latest hit; 0: none
+	copySeenAt       time.Duration // sending time of the latest attempt that the cache served, or time of the move that gossip reported
 	lastRequest      time.Duration
 	meanGap          time.Duration // smoothed gap between requests
-	recentRequests   float64       // with requestCountDecay
-	transferTime     time.Duration // where sizes aren't known: the quickest answer yet; 0: none
+	recentRequests   float64       // number of requests, decayed with requestCountDecay
+	transferTime     time.Duration // where sizes are unknown: the shortest latency of an answer; 0: none
 
-	listedAt          *endpoint // whose list holds it; nil: none
+	listedAt          *endpoint // cache whose list contains the entry; nil: none
 	listedIncarnation time.Duration
-	recency           *list.Element // its place in Director.byRecency
+	recency           *list.Element // its element of Director.byRecency
 }
 
-// hitExpectedAt reports whether the entry's object is likely to be cached at an endpoint as it runs now.
+// hitExpectedAt reports whether the entry's object is expected to be cached at the current
+// incarnation of an endpoint.
 func (e *mappingEntry) hitExpectedAt(ep *endpoint) bool {
 	return e.cache == ep && e.cacheIncarnation == ep.incarnation
 }
 
-// currentGap is the mean gap with the time since the latest request counted as one more gap, at the weight that
-// recordRequest gives it.
+// currentGap returns the mean gap with the time since the latest request counted as one more gap,
+// at the weight that countRequest gives a new gap.
 func (e *mappingEntry) currentGap(now time.Duration) time.Duration {
 	return (3*e.meanGap + now - e.lastRequest) / 4
 }
 
-// gapOrder sorts entries as currentGap does at any moment: what is left out of it is the same for all.
+// gapSortKey orders entries as currentGap does at any time; the part of currentGap that is the same
+// for all entries is left out.
 func (e *mappingEntry) gapSortKey() time.Duration { return 3*e.meanGap - e.lastRequest }
 
-// isListed reports whether a list holds the entry. A cache that restarted has an empty list.
+// isListed reports whether the entry is in a cache's list. The list of a restarted cache is empty.
 func (e *mappingEntry) isListed() bool {
 	return e.listedAt != nil && e.listedAt.incarnation == e.listedIncarnation
 }
 
-// unlist takes the entry off its list.
+// unlist removes the entry from its cache's list.
 func (e *mappingEntry) unlist() {
 	if e.isListed() {
 		i := slices.Index(e.listedAt.listings, e)
@@ -61,7 +63,7 @@
 	e.listedAt = nil
 }
 
-// relist puts the entry on a cache's list where its gap belongs, the longest first.
+// relist inserts the entry into a cache's list, which is sorted by gap, the longest first.
 func (e *mappingEntry) relist(ep *endpoint) {
 	longerGap := func(a, b *mappingEntry) int { return cmp.Compare(b.gapSortKey(), a.gapSortKey()) }
 	i, _ := slices.BinarySearchFunc(ep.listings, e, longerGap)
@@ -69,14 +71,15 @@
 	e.listedAt, e.listedIncarnation = ep, ep.incarnation
 }
 
-// recordRequest finds or makes the entry of a key, and counts a request for it.
+// recordRequest returns the entry of a key, which is created if necessary, and counts a request for
+// it.
 func (d *Director) recordRequest(key uint64) *mappingEntry {
 	e := d.table[key]
 	if e == nil {
 		return d.addEntry(key)
 	}
 	listedAt, wasListed := e.listedAt, e.isListed()
-	e.unlist() // its place in the list is by the gap, which changes
+	e.unlist() // its position in the list depends on the gap, which changes now
 	e.countRequest(d.now)
 	d.byRecency.MoveToFront(e.recency)
 	if wasListed {
@@ -85,7 +88,7 @@
 	return e
 }
 
-// countRequest takes a request into the entry's averages.
+// countRequest updates the entry's averages by one request.
 func (e *mappingEntry) countRequest(now time.Duration) {
 	gap := now - e.lastRequest
 	if e.meanGap == unknownGap {
@@ -96,8 +99,8 @@
 	e.recentRequests = e.recentRequests*math.Exp(-float64(gap)/float64(requestCountDecay)) + 1
 }
 
-// addEntry makes the entry of a key that is requested for the first time. When the table is full, the entry that was used least
-// recently is evicted.
+// addEntry creates the entry of a key that is requested for the first time. If the table is full,
+// the least recently used entry is evicted.
 func (d *Director) addEntry(key uint64) *mappingEntry {
 	e := &mappingEntry{key: key, meanGap: unknownGap, lastRequest: d.now, recentRequests: 1}
 	d.insertEntry(e)
@@ -114,12 +117,13 @@
 	d.table[e.key] = e
 }
 
-// tableCapacity is how many entries are remembered.
+// tableCapacity returns the maximum number of entries of the table.
 func (d *Director) tableCapacity() int {
 	return tableSizeMultiple * listingsPerCache * max(1, len(d.upEndpoints[roleCache]))
 }
 
-// recordCopy notes that a cache has served an entry's object from a copy, or has a copy now, and lists the object there.
+// recordCopy records that a cache served an entry's object from a copy, or has a copy now, and
+// lists the object at that cache.
 func (d *Director) recordCopy(e *mappingEntry, a *attempt, hit bool) {
 	if hit {
 		e.lastHit = d.now
--- a/routing/observe.go
+++ b/routing/observe.go
@@ -6,27 +6,29 @@
 	"time"
 )
 
-// EndpointObservation is what is known of an endpoint, for those who plan maintenance. Nothing is decided by it here.
+// EndpointObservation is the state of an endpoint for the planning of maintenance. The director
+// bases no decision on it.
 type EndpointObservation struct {
 	ID, Kind, Zone string // Kind is box, parent or origin
 	Up, Warm       bool
-	Usable         bool // neither its phase nor its failures keep it out of use
+	Usable         bool // neither its phase nor its health excludes it from use
 	Incarnation    time.Duration
 	Weight         float64
-	Utilization    float64 // share of its capacity in use, as recently reported; less than 0: not known
+	Utilization    float64 // recently reported share of its capacity in use; less than 0: unknown
 }
 
-// When there is no time to have fewer endpoints; see pressure.
+// Thresholds above which no endpoint should be taken out of use; see pressure.
 const (
-	manyGroupPurges     = 3   // groups purged that have not settled: their copies are being fetched anew
-	slowOriginLateShare = 0.3 // share of late fetches at which the origin is slow
+	manyGroupPurges     = 3   // purged groups that have not settled: their copies are being refetched
+	slowOriginLateShare = 0.3 // share of late fetches, 0 to 1, at which the origin counts as slow
 )
 
-// observedKinds are the names that EndpointObservation gives to roles.
+// observedKinds are the values of EndpointObservation.Kind.
 var observedKinds = byRole[string]{roleCache: "box", roleParent: "parent", roleOrigin: "origin"}
 
-// Observe gives all endpoints on the list in order of id, and why this is no time to have fewer of them; empty: nothing speaks
-// against it.
+// Observe returns all endpoints on the list, in order of id, and the reason why no endpoint should
+// be taken out of use now; the reason is empty if there is none. Calls must not be concurrent with
+// Handle.
 func (d *Director) Observe(now time.Duration) (all []EndpointObservation, pressure string) {
 	d.now = max(d.now, now)
 	for _, ep := range d.endpoints {
@@ -53,8 +55,9 @@
 	return o
 }
 
-// observedUtilization is the utilization that an endpoint recently reported; less than 0: not known. A cache of this location
-// that we have asked nothing of late carries no load of ours, where loads are reported at all.
+// observedUtilization returns the utilization that an endpoint recently reported; less than 0:
+// unknown. A cache of this location without a recent report and without attempts in flight has a
+// utilization of 0, if load reports exist in this deployment.
 func (d *Director) observedUtilization(ep *endpoint) float64 {
 	if utilization, ok := ep.load.Utilization(d.now); ok {
 		return utilization
@@ -66,7 +69,7 @@
 	return -1
 }
 
-// pressure names what makes the caches' copies dear now; empty: nothing.
+// pressure returns the reason why the caches' copies are needed now, empty if there is none.
 func (d *Director) pressure() string {
 	if d.unsettledGroupPurges() >= manyGroupPurges {
 		return "groups of objects were just purged"
@@ -77,7 +80,8 @@
 	return ""
 }
 
-// unsettledGroupPurges counts the groups of which older copies may be left.
+// unsettledGroupPurges returns the number of groups that may still have copies older than their
+// purge.
 func (d *Director) unsettledGroupPurges() int {
 	groups := 0
 	for name, at := range d.purged.All() {
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	ejectionErrorRate     = 0.4 // share of recent attempts that failed, or failed unattributed, from which on an endpoint is ejected
-	errorRateWeight       = 0.2 // weight of the newest attempt in it: three failures in a row eject
-	outlierErrorMultiple  = 1.6 // multiple of its role's rate of unattributed errors that ejects an endpoint
-	overdueAnswersToEject = 3   // overdue answers, with none in between, that eject an endpoint
-	panicThreshold        = 0.5 // when fewer than this share of a role are healthy, health is ignored (panic mode)
+	ejectionErrorRate     = 0.4 // share of recent attempts that failed, or ended in an unattributed error, at which an endpoint is ejected
+	errorRateWeight       = 0.2 // weight of the newest attempt in the error rate: three failures in a row eject
+	outlierErrorMultiple  = 1.6 // multiple of its role's rate of unattributed errors at which an endpoint is ejected
+	overdueAnswersToEject = 3   // overdue answers without a usable one in between that eject an endpoint
+	panicThreshold        = 0.5 // health is ignored (panic mode) while less than this share of a role's endpoints is healthy
 
 	firstEjection = time.Second
 	maxEjection   = 8 * time.Second // each further ejection lasts twice as long, up to this
 )
 
-// recordSuccess takes in an answer of any use. One that brings the error rate below ejectionErrorRate ends the endpoint's ejection
-// at once, and its next ejection is a first one.
+// recordSuccess records a usable answer. When the error rate falls below ejectionErrorRate, the
+// ejection ends at once, and the next one starts again at firstEjection.
 func (d *Director) recordSuccess(ep *endpoint) {
 	ep.lastOK, ep.overdueAnswers = d.now, 0
 	d.unattributedErrorRate[ep.role] -= errorRateWeight * d.unattributedErrorRate[ep.role]
@@ -26,7 +26,7 @@
 	}
 }
 
-// recordFailure takes in a failure of an endpoint, and ejects the endpoint when its error rate is too high.
+// recordFailure records a failed attempt, and ejects the endpoint if its error rate is too high.
 func (d *Director) recordFailure(ep *endpoint) {
 	ep.errorRate += errorRateWeight * (1 - ep.errorRate)
 	if ep.errorRate >= ejectionErrorRate {
@@ -34,14 +34,15 @@
 	}
 }
 
-// recordOutlier takes in a failure that ejects an endpoint whatever its error rate.
+// recordFailureAndEject records a failure that ejects the endpoint whatever its error rate.
 func (d *Director) recordFailureAndEject(ep *endpoint) {
 	ep.errorRate += errorRateWeight * (1 - ep.errorRate)
 	d.eject(ep)
 }
 
-// eject makes an endpoint unhealthy for firstEjection, doubled with each ejection up to maxEjection. After that it is tried with one
-// attempt at a time (see healthy) until it answers well (see recordSuccess). An ejection that still lasts is not prolonged.
+// eject makes an endpoint unhealthy for firstEjection, doubled with each further ejection up to
+// maxEjection. Afterwards it is tried with one attempt at a time (see healthy) until its error rate
+// is low enough (see recordSuccess). An ejection that is under way is not extended.
 func (d *Director) eject(ep *endpoint) {
 	if ep.ejectedUntil > d.now {
 		return
@@ -50,8 +51,8 @@
 	ep.ejectedUntil = d.now + ep.ejectionDuration
 }
 
-// attributePendingErrors counts a request's errors against their endpoints, once another endpoint's answer has shown that the
-// request is well formed.
+// attributePendingErrors counts a request's errors against their endpoints, after an answer from
+// another endpoint has shown that the request is well formed.
 func (d *Director) attributePendingErrors(r *request) {
 	for _, ep := range r.pendingErrors {
 		d.recordFailure(ep)
@@ -59,9 +60,10 @@
 	r.pendingErrors = nil
 }
 
-// recordUnattributedError takes in an error that may be its request's fault. Malformed requests fail wherever they are sent, so
-// an endpoint with far more such errors than its role has is an outlier. Without this, an endpoint whose errors spend the
-// retry budget would never be found: no retry would be left whose success could confirm the suspicion.
+// recordUnattributedError records an error that may be the request's fault. Malformed requests fail
+// at all endpoints alike, so an endpoint with a much higher rate of such errors than its role is
+// ejected. Without this rule an endpoint whose errors use up the retry budget would stay in use: no
+// retry would be left that could succeed elsewhere and show that the endpoint is at fault.
 func (d *Director) recordUnattributedError(ep *endpoint) {
 	ep.unattributedErrorRate += errorRateWeight * (1 - ep.unattributedErrorRate)
 	d.unattributedErrorRate[ep.role] += errorRateWeight * (1 - d.unattributedErrorRate[ep.role])
@@ -73,9 +75,11 @@
 	}
 }
 
-// recordOverdue takes in that an answer was due and nothing at all came from an endpoint since the sending, and reports whether
-// the endpoint has so many overdue answers that it is ejected, now or already. An attempt counts once in the overdue answers;
-// its error rate rises at each look. Merely slow endpoints answer something in between.
+// recordOverdue records that an answer is due and that the endpoint has answered nothing since the
+// attempt was sent. It reports whether the endpoint has so many overdue answers that it is ejected,
+// now or already. An attempt counts once as an overdue answer, but each check of it raises the
+// error rate once there are enough overdue answers for ejection. Endpoints that are merely slow
+// answer something in between.
 func (d *Director) recordOverdue(a *attempt, ep *endpoint) bool {
 	if !a.overdue {
 		a.overdue = true
@@ -88,14 +92,15 @@
 	return true
 }
 
-// healthy reports whether an endpoint is not ejected. One that is back from ejection is healthy while no attempt is in flight that
-// tries it.
+// healthy reports whether an endpoint is not ejected. After an ejection the endpoint is healthy
+// only while no trial attempt is in flight.
 func (d *Director) healthy(ep *endpoint) bool {
 	return ep.ejectionDuration == 0 || ep.ejectedUntil <= d.now && !ep.probationInFlight
 }
 
-// inPanicMode reports whether so few endpoints of a role are healthy that the fault is likely elsewhere: health is ignored then,
-// and ejected ones are sent to as well. The origin is always sent to.
+// inPanicMode reports whether so few endpoints of a role are healthy that the fault is probably
+// elsewhere. Health is then ignored, and ejected endpoints are sent to as well. The origin is
+// always in panic mode.
 func (d *Director) inPanicMode(of role) bool {
 	if of == roleOrigin {
 		return true
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -7,21 +7,23 @@
 	"larchusher/loadreport"
 )
 
-// The values of the paper.
+// Constants of Adaptive Distributed Caching.
 const (
-	listedCacheProbability = 0.98 // with which the listed cache is used; else another one is explored
-	listingGapRatio        = 0.5  // an object with less than this share of the longest listed gap displaces that object
+	listedCacheProbability = 0.98 // probability of using the listed cache; otherwise another one is explored
+	listingGapRatio        = 0.5  // an object whose gap is below this share of the longest listed gap displaces that listing
 )
 
-// Recent requests that earn a rank; see rankAfterHit.
+// Numbers of recent requests for which a copy gets a rank; see rankAfterHit.
 const (
 	topRankRequests    = 4
 	middleRankRequests = 1.3
 )
 
-// pickCache chooses the cache for a request: the listed one, unless it is at its limit, or else the first in the preference
-// order that has capacity. Crowded caches are rebalanced, and now and then another cache is explored, which exploring reports.
-// It is nil if there is none.
+// pickCache chooses the cache for a request: the listed one; if that is at its limit, the first
+// other cache in preference order that has capacity; if no usable cache is listed, the first in
+// preference order. Requests may move to a less utilized cache (see rebalance). With a small
+// probability another cache is explored, which exploring reports. picked is nil if no cache can
+// serve the request.
 func (d *Director) pickCache(r *request) (picked *endpoint, exploring bool) {
 	listed := d.listedCache(r)
 	if listed == nil {
@@ -42,7 +44,8 @@
 	return d.usable(ep, r) && !slices.Contains(r.failedEndpoints, ep)
 }
 
-// listedCache is the cache at which a hit is expected, if it can serve; else nil.
+// listedCache returns the cache at which a hit is expected, or nil if there is none or it cannot
+// serve the request.
 func (d *Director) listedCache(r *request) *endpoint {
 	e := r.entry
 	if e == nil || e.cache == nil || !e.hitExpectedAt(e.cache) || !d.canServe(e.cache, r) {
@@ -51,21 +54,22 @@
 	return e.cache
 }
 
-// otherCaches are the caches that can serve, but for one, in order of id.
+// otherCaches returns the caches that can serve the request, except one, in order of id.
 func (d *Director) otherCaches(r *request, except *endpoint) []*endpoint {
 	return slices.DeleteFunc(slices.Clone(d.upEndpoints[roleCache]), func(ep *endpoint) bool {
 		return ep == except || !d.canServe(ep, r)
 	})
 }
 
-// preferredCaches are the caches that can serve, in the preference order.
+// preferredCaches returns the caches that can serve the request, in preference order.
 func (d *Director) preferredCaches(r *request) []*endpoint {
 	return slices.DeleteFunc(d.preferenceOrder(r.key, d.upEndpoints[roleCache]), func(ep *endpoint) bool {
 		return !d.canServe(ep, r)
 	})
 }
 
-// pickPreferred is the first of the preferred caches, rebalanced; nil if there is none.
+// pickPreferred returns the first cache in preference order, after rebalancing, or nil if there is
+// none.
 func (d *Director) pickPreferred(r *request) *endpoint {
 	caches := d.preferredCaches(r)
 	if len(caches) == 0 {
@@ -74,9 +78,10 @@
 	return d.rebalance(caches[0], caches, false)
 }
 
-// pickSubstitute chooses in place of a listed cache that is at its limit: the next preferred one that has capacity, whatever
-// filled the listed one, so that copies gather in the shared order. The limits on fill sources bound what the extra fills cost.
-// It is the listed cache if none has capacity.
+// pickSubstitute replaces a listed cache that is at its limit by the next cache in preference order
+// that has capacity, regardless of the source that filled the listed one, so that all directors'
+// copies end up at the same caches. The limits on fill sources bound the cost of the extra fills.
+// If no cache has capacity, the listed one is returned.
 func (d *Director) pickSubstitute(r *request, listed *endpoint) *endpoint {
 	caches := d.preferredCaches(r)
 	for _, ep := range caches {
@@ -87,7 +92,8 @@
 	return listed
 }
 
-// preferenceOrder sorts endpoints for a key: by rendezvous hashing in proportion to their weights. All directors share it.
+// preferenceOrder sorts endpoints for a key by rendezvous hashing, in proportion to their weights.
+// The order is the same at all directors.
 func (d *Director) preferenceOrder(key uint64, from []*endpoint) []*endpoint {
 	l := slices.Clone(from)
 	slices.SortStableFunc(l, func(a, b *endpoint) int {
@@ -96,9 +102,10 @@
 	return l
 }
 
-// rebalance gives the least utilized of others in place of a cache that reports a higher utilization, with a probability that
-// grows with the difference. Popular objects that share a cache by their hashes are spread by it. A listing moves along, so that
-// only some requests are moved at a time; cached says that a copy is expected at the cache, which makes a move dearer.
+// rebalance returns the least utilized of others instead of ep if ep reports a higher utilization,
+// with a probability that grows with the difference. This spreads popular objects whose hashes
+// chose the same cache. The listing follows the request, so only some requests are moved at a time.
+// cached states that a copy is expected at ep, so that a move costs a fill and is less likely.
 func (d *Director) rebalance(ep *endpoint, others []*endpoint, cached bool) *endpoint {
 	best, imbalance := ep, 0.0
 	for _, other := range others {
@@ -115,8 +122,9 @@
 	return best
 }
 
-// listAndRank takes the object into the cache's list (see placeInList) and is the rank at which the attempt has its copy cached. An object that was hit where it is listed is ranked by its
-// requests; what is not known to be cached, by the list of the cache.
+// listAndRank lists the object at a cache if it earns a place (see placeInList) and returns the
+// rank at which the copy is cached. An object that was hit at this cache since it was listed there
+// is ranked by its requests; any other object by its place in the cache's list.
 func (d *Director) listAndRank(r *request, ep *endpoint, exploring bool) CacheRank {
 	e := r.entry
 	rank := d.placeInList(e, ep, exploring)
@@ -126,9 +134,10 @@
 	return rank
 }
 
-// placeInList puts an entry on a cache's list, if it earns a place there, and returns the rank at which a fill is cached: the middle
-// one until the list is full; then the top one if the entry displaces the one with the longest gap, else the lowest. A fill at
-// a cache that is explored is cached only if it displaces one.
+// placeInList lists an entry at a cache if it earns a place there, and returns the rank of a filled
+// copy: the middle rank while the list is not full; then the top rank if the entry displaces the
+// listing with the longest gap, else the lowest rank. At an explored cache, a copy is kept only if
+// the entry's gap is well below the longest gap listed there.
 func (d *Director) placeInList(e *mappingEntry, ep *endpoint, exploring bool) CacheRank {
 	if e.isListed() && e.listedAt == ep {
 		return RankMiddle
@@ -153,7 +162,7 @@
 	return RankMiddle
 }
 
-// beatsLongestGap reports whether an entry's gap is well below the longest of a cache's list.
+// beatsLongestGap reports whether an entry's gap is well below the longest gap in a cache's list.
 func (d *Director) beatsLongestGap(e *mappingEntry, ep *endpoint) bool {
 	if len(ep.listings) == 0 {
 		return false
@@ -162,9 +171,10 @@
 	return float64(e.currentGap(d.now)) < listingGapRatio*float64(longest)
 }
 
-// rankAfterHit is the rank that recent requests earn. A director sees its part of an object's requests, so those beyond the
-// first are multiplied by the number of directors. Objects above their class's mean size don't get the top rank, so that it
-// holds a small share of the bytes.
+// rankAfterHit returns the rank for an object's recent requests. Each director sees only its part
+// of the requests, so those after the first are multiplied by the number of directors. Objects
+// larger than their class's mean never get the top rank, so that the top rank holds a small share
+// of the bytes.
 func (d *Director) rankAfterHit(r *request) CacheRank {
 	estimatedRepeats := (r.entry.recentRequests - 1) * d.senders(roleCache)
 	switch {
--- a/routing/request.go
+++ b/routing/request.go
@@ -7,66 +7,68 @@
 	"larchusher/concurrency"
 )
 
-// progressCheckDivisor divides a class's latency objective into the wait before an attempt without an answer is looked at.
+// progressCheckDivisor divides a class's latency objective into the margin, added to the transfer
+// time, after which an attempt without an answer is checked.
 const progressCheckDivisor = 3
 
-// class is a class of requests and what was learned of it.
+// class is a class of requests with the transfer times learned for it.
 type class struct {
 	Class
-	meanTransferTime time.Duration // moving average of the time that a transfer takes at full pace; 0: none was seen
-	sizedAnswers     int           // answers whose size was known
+	meanTransferTime time.Duration // moving average of the transfer time at full pace; 0: no request yet
+	sizedAnswers     int           // number of answers whose size was known
 }
 
-// request is a request that is not finished, or has attempts in flight.
+// request is the state of a request that is unfinished or still has attempts in flight.
 type request struct {
 	Request
 	class           *class
 	maxAttempts     int // 0: no limit
 	key             uint64
-	entry           *mappingEntry // nil: its answer is never cached
-	transferTime    time.Duration // at full pace
-	costPerWeight   float64       // seconds of transfer for each unit of priority weight
-	draw            float64       // a sampling draw in [0, 1), made once, for limits with a fraction
+	entry           *mappingEntry // nil: the answer is never cached
+	transferTime    time.Duration // estimated, at full pace
+	costPerWeight   float64       // seconds of transfer per unit of priority weight
+	draw            float64       // random number in [0, 1), drawn once, that turns the fraction of a limit into a probability
 	token           uint64        // of its timers
 	startedAt       time.Duration
 	attempts        []*attempt
-	failedEndpoints []*endpoint // not to be tried again
-	pendingErrors   []*endpoint // at fault, unless the request is malformed; see confirmSuspects
-	streaming       bool        // the client has the first byte
-	finished        bool        // the final answer is given, or the client is gone
-	retryPending    bool        // to be forwarded again once the attempts in flight have ended
+	failedEndpoints []*endpoint // not to be tried again by this request
+	pendingErrors   []*endpoint // counted against these endpoints unless the request is malformed; see attributePendingErrors
+	streaming       bool        // the client has the first byte of the answer
+	finished        bool        // the final answer was given, or the client left
+	retryPending    bool        // to be forwarded again once no attempt is in flight
 }
 
-// attempt is one forwarding of a request.
+// attempt is the state of one forwarding of a request.
 type attempt struct {
 	target          *endpoint
-	fillSource      *endpoint // who fills a miss; target: nobody
+	fillSource      *endpoint // endpoint that fills a miss; the target itself: none
 	sentAt          time.Duration
-	slowStartCost   float64 // seconds of transfer
+	slowStartCost   float64 // in seconds of transfer
 	cacheRank       CacheRank
-	inFlight        bool // it has no result yet
-	mayHaveRun      bool // by its result
-	probation       bool // it tries an endpoint that is back from ejection
-	fillExpected    bool // no current copy is known at the target
-	onlyIfCached    bool // the source gives only what it has cached
-	rejectedByCache bool // by the target itself, not by its source
-	originAtFault   bool // late or failed by what lies behind the source
-	overdue         bool // it counts in the overdue answers of an endpoint
+	inFlight        bool // its result has not arrived
+	mayHaveRun      bool // by its result, the request may have taken effect
+	probation       bool // it tries an endpoint whose ejection is over
+	fillExpected    bool // the target is not known to have a current copy
+	onlyIfCached    bool // the fill source serves only from its cache
+	rejectedByCache bool // rejected by the target itself, not by its fill source
+	originAtFault   bool // late or failed because of the origin, not the fill source
+	overdue         bool // it is counted in an endpoint's overdueAnswers
 }
 
-// route is where an attempt goes.
+// route is the endpoints that an attempt uses.
 type route struct {
-	target, fillSource *endpoint // nil: there is none
-	exploring          bool      // target is another cache than the listed one by design
+	target, fillSource *endpoint // nil: none is available
+	exploring          bool      // target was drawn to explore another cache than the listed one
 }
 
-// startRequest takes in a request, and forwards it or answers it at once.
+// startRequest registers a new request, and forwards it or answers it at once. Requests with an id
+// that is already open are ignored.
 func (d *Director) startRequest(q Request) {
 	if d.requests[q.ID] != nil {
 		return
 	}
 	c := d.classOf(q)
-	if c == nil || !d.knownTenant(q.Tenant) { // coming back cannot help
+	if c == nil || !d.knownTenant(q.Tenant) { // no Retry-After: a later retry would be rejected as well
 		d.emit(Reject{ID: q.ID})
 		return
 	}
@@ -100,7 +102,8 @@
 	return len(d.settings.Tenants) == 0 || slices.Contains(d.settings.Tenants, name)
 }
 
-// classOf finds the class of a request, with the rules by which it was admitted; nil: there is none of that name.
+// classOf returns the class of a request, with the settings under which it was admitted, or nil if
+// the class is unknown.
 func (d *Director) classOf(q Request) *class {
 	c := d.classes[q.Class]
 	if q.AdmittedClass == nil {
@@ -109,7 +112,8 @@
 	return c.withConfig(*q.AdmittedClass)
 }
 
-// withRules is a class with other rules and what was learned of c, which may be nil.
+// withConfig returns a class with the given settings and the transfer times learned for c, which
+// may be nil.
 func (c *class) withConfig(config Class) *class {
 	next := &class{Class: config}
 	if c != nil {
@@ -119,7 +123,8 @@
 	return next
 }
 
-// reconfigure takes in other classes. What was learned of a class goes on under its name.
+// reconfigure replaces the classes and the limit on attempts. Transfer times learned for a class
+// are kept by its name.
 func (d *Director) reconfigure(e Reconfigured) {
 	classes := map[string]*class{}
 	for _, config := range e.Classes {
@@ -129,8 +134,10 @@
 	d.settings.MaxAttempts = e.MaxAttempts
 }
 
-// forward sends the request on if a route, the rules and the limits allow it. Otherwise it is rejected or failed, unless an
-// attempt in flight may still bring an answer. Where hedged requests are not allowed, it waits for the attempts in flight.
+// forward sends a request to an endpoint if a route, the class's effect, the deadline and the
+// limits allow it. Otherwise the request is rejected or failed, unless an attempt in flight may
+// still bring an answer. Where hedged requests are not allowed, forwarding waits until no attempt
+// is in flight.
 func (d *Director) forward(r *request) {
 	r.retryPending = r.hasInFlight() && !d.settings.HedgedRequests
 	if r.retryPending {
@@ -169,7 +176,7 @@
 	d.setFirstCheck(r)
 }
 
-// chooseRoute finds where the request may go now.
+// chooseRoute chooses the target and the fill source for the next attempt.
 func (d *Director) chooseRoute(r *request) route {
 	if r.entry == nil {
 		return d.routeToOrigin(r)
@@ -180,8 +187,8 @@
 	return d.routeAroundCaches(r)
 }
 
-// routeToOrigin is the route of a request whose answer is never cached: it runs at the origin, and goes there straight where
-// that is allowed.
+// routeToOrigin returns the route of a request whose answer is never cached. The origin executes
+// it; it is sent there directly where Settings.AllowBypass is set, else through a cache.
 func (d *Director) routeToOrigin(r *request) (to route) {
 	if origins := d.upEndpoints[roleOrigin]; len(origins) > 0 {
 		to.target, to.fillSource = origins[0], origins[0]
@@ -192,7 +199,8 @@
 	return to
 }
 
-// routePastCaches is the route when no cache can be used: straight to who would fill the miss, where that is allowed.
+// routeAroundCaches returns the route when no cache can be used: directly to the endpoint that
+// would fill the miss, where Settings.AllowBypass is set, else none.
 func (d *Director) routeAroundCaches(r *request) route {
 	target := d.pickFillSource(r)
 	if !d.settings.AllowBypass || target == nil {
@@ -204,7 +212,7 @@
 	return route{target: target, fillSource: target}
 }
 
-// expectsFill reports whether the target of a route is likely to ask the source.
+// expectsFill reports whether the target of a route will probably ask the fill source.
 func (d *Director) expectsFill(r *request, to route) bool {
 	if to.target == nil || to.fillSource == nil || to.fillSource == to.target {
 		return false
@@ -212,9 +220,11 @@
 	return r.entry == nil || !r.entry.hitExpectedAt(to.target) || d.listedCopyOutdated(r)
 }
 
-// admitAttempt reports whether an attempt may be sent by its route, the deadline, the rules on repeats and the limits, and
-// restricts its fill to what the source's limits allow (see restrictFill). The target's limit is checked for a request's first
-// attempt only, the source's for retries too; requests whose answer is never cached are held to neither.
+// admitAttempt reports whether an attempt may be sent: it needs a route, time before the deadline,
+// a class that allows the repeat, attempts left, and capacity within the limits. The fill is
+// restricted to what the fill source's limits allow (see restrictFill). The target's limit is
+// checked for a request's first attempt only, the source's for retries too; requests whose answer
+// is never cached are subject to neither.
 func (d *Director) admitAttempt(r *request, a *attempt) bool {
 	if a.target == nil || a.fillSource == nil {
 		return false
@@ -235,7 +245,8 @@
 	return r.maxAttempts > 0 && len(r.attempts) >= r.maxAttempts
 }
 
-// recordAttempt counts an attempt that is about to be sent, in slow-start budgets, limits and probation.
+// recordAttempt counts an attempt that is about to be sent in slow-start budgets, limits and
+// probation.
 func (d *Director) recordAttempt(r *request, a *attempt) {
 	r.attempts = append(r.attempts, a)
 	d.spendSlowStart(a.target, a.slowStartCost)
@@ -247,8 +258,8 @@
 	a.target.probationInFlight = a.target.probationInFlight || a.probation
 }
 
-// setFirstCheck sets the timer at which an attempt without an answer is looked at: while another one can still meet the latency
-// objective, but not before an answer was due.
+// setFirstCheck sets the timer that checks an attempt without an answer: while another attempt can
+// still meet the latency objective, but not before the answer is due.
 func (d *Director) setFirstCheck(r *request) {
 	share := r.class.LatencyObjective / progressCheckDivisor
 	lastChance := r.objectiveAt() - r.transferTime - share
@@ -264,8 +275,8 @@
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.inFlight })
 }
 
-// countInFlight adds n to the attempts in flight wherever this one counts: at its target, and for a fill at the source, and at
-// the origin behind it.
+// countInFlight adds n to the attempts in flight at each limit that the attempt counts in: the
+// target's, and for a fill also the source's and the origin's behind it.
 func (d *Director) countInFlight(a *attempt, n int) {
 	a.target.concurrencyLimit.InFlight += n
 	if !a.fillExpected || a.fillSource == a.target {
@@ -277,14 +288,16 @@
 	}
 }
 
-// markStreaming notes that the client has the first byte: from now on the request is not given up by itself.
+// markStreaming records that the client has the first byte. From now on the director does not
+// retry, reject or fail the request on its own.
 func (d *Director) markStreaming(id string) {
 	if r := d.requests[id]; r != nil {
 		r.streaming = true
 	}
 }
 
-// abandonRequest ends a request whose client is gone. Results still due are counted.
+// abandonRequest ends a request that needs no answer any more. Results that arrive later are still
+// learned from.
 func (d *Director) abandonRequest(id string) {
 	if r := d.requests[id]; r != nil {
 		r.finished = true
@@ -292,7 +305,7 @@
 	}
 }
 
-// cancelInFlight stops waiting for the attempts in flight, where that is allowed.
+// cancelInFlight cancels the attempts in flight, where Settings.CanCancel is set.
 func (d *Director) cancelInFlight(r *request) {
 	for i, a := range r.attempts {
 		if a.inFlight && d.settings.CanCancel {
@@ -301,7 +314,8 @@
 	}
 }
 
-// release drops a finished request. While attempts are in flight it stays, so that their results find it.
+// release deletes a finished request. While attempts are in flight it is kept, so that their
+// results find it.
 func (d *Director) release(r *request) {
 	delete(d.tokens, r.token)
 	if !r.hasInFlight() {
--- a/routing/result.go
+++ b/routing/result.go
@@ -1,6 +1,7 @@
 package routing
 
-// handleResult takes in the end of an attempt, and forwards the request again or ends it where that is called for.
+// handleResult processes the result of an attempt: it updates what is learned, and forwards or ends
+// the request. Results of unknown or already ended attempts are ignored.
 func (d *Director) handleResult(o AttemptResult) {
 	r := d.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || !r.attempts[o.Attempt].inFlight {
@@ -18,7 +19,8 @@
 	d.continueRequest(r, a, o)
 }
 
-// continueRequest decides what follows a result: the end of the request, a retry, or waiting for the attempts in flight.
+// continueRequest decides what follows a result: the end of the request, a retry, or waiting for
+// other attempts in flight.
 func (d *Director) continueRequest(r *request, a *attempt, o AttemptResult) {
 	switch {
 	case r.finished:
@@ -30,7 +32,7 @@
 	case r.retryPending:
 		d.forward(r)
 	case r.hasInFlight():
-	case o.Status == Miss && (a.onlyIfCached || a.fillSource == a.target): // what could fill it is at its limit
+	case o.Status == Miss && (a.onlyIfCached || a.fillSource == a.target): // the endpoint that could fill the miss is at its limit, or there is none
 		d.rejectOrFail(r)
 	case !d.retryAllowed(r, o):
 		d.rejectOrFail(r)
@@ -40,14 +42,15 @@
 	}
 }
 
-// learnFromResult takes a result into what is known of the endpoints, the limits, the transfer times and the mapping table.
+// learnFromResult updates endpoint health, limits, transfer times and the mapping table by a
+// result.
 func (d *Director) learnFromResult(r *request, a *attempt, o AttemptResult) {
 	hit := d.wasHit(r, a, o)
 	if hit && a.fillSource != a.target {
-		a.fillSource.slowStartBudget.Refund(a.slowStartCost) // it was not asked
+		a.fillSource.slowStartBudget.Refund(a.slowStartCost) // the fill source was not asked
 	}
 	if o.SizeKB > 0 && o.Status == OK && d.settings.FlowKBps > 0 {
-		d.learnSize(r, o.SizeKB) // before the limits: by the size it is known whether the answer was late
+		d.learnSize(r, o.SizeKB) // before the limits: whether the answer was late depends on its size
 	}
 	a.mayHaveRun = o.Status.mayHaveRun()
 	d.updateLimits(r, a, o, hit)
@@ -63,7 +66,8 @@
 	}
 }
 
-// wasHit reports whether a result was served from a copy at the target, as it says itself or as it implies.
+// wasHit reports whether an answer was served from a copy at the target, as the result states or
+// implies.
 func (d *Director) wasHit(r *request, a *attempt, o AttemptResult) bool {
 	if o.Status == OK && (o.Reason == ReasonHit || o.Reason == ReasonStale) {
 		return true
@@ -72,7 +76,7 @@
 	return d.hitUnknown(a, o) && seen.isHit()
 }
 
-// judgeEndpoints takes a result into the health of the target and of the fill source.
+// updateEndpointHealth updates the health of the target and of the fill source by a result.
 func (d *Director) updateEndpointHealth(r *request, a *attempt, o AttemptResult, hit bool) {
 	switch o.Status {
 	case OK:
@@ -92,11 +96,12 @@
 			d.recordSuccess(a.fillSource)
 		}
 	case TimedOut, Canceled, NotSent:
-		// Silence is judged while the attempt is in flight; see checkProgress.
+		// Time without any answer is judged while the attempt is in flight; see checkProgress.
 	}
 }
 
-// recordServed takes in that an endpoint served an attempt, by work of its own or not.
+// recordServed records that an endpoint served an attempt. didWork is false if the transfer was
+// another fill's, which the request joined.
 func (d *Director) recordServed(r *request, a *attempt, ep *endpoint, didWork bool) {
 	if didWork {
 		ep.recordWork(d.now, d.completedWork(r))
@@ -105,7 +110,8 @@
 	ep.lastSuccessSentAt = max(ep.lastSuccessSentAt, a.sentAt)
 }
 
-// recordFault takes a failed attempt into the health of the endpoint at fault. That endpoint is not tried again by this request.
+// recordFault counts a failed attempt against the endpoint at fault. This request does not try that
+// endpoint again.
 func (d *Director) recordFault(r *request, a *attempt, o AttemptResult) {
 	ep := a.target
 	if a.fillSource != a.target && !a.rejectedByCache && a.sourceAtFault(o) {
@@ -114,19 +120,20 @@
 	r.failedEndpoints = append(r.failedEndpoints, ep)
 	switch {
 	case o.Reason == ReasonNoFillSlot || o.CollateralReset:
-		// No fault of the endpoint's.
+		// The endpoint is not at fault.
 	case ep.role == roleParent && a.originAtFault:
-		// The origin's fault.
+		// The origin is at fault, not the parent.
 	case o.Status == ServerError && o.Reason == ReasonNone:
-		r.pendingErrors = append(r.pendingErrors, ep) // unless the request is malformed: the next endpoint's answer tells
+		r.pendingErrors = append(r.pendingErrors, ep) // the request may be malformed: another endpoint's answer decides
 		d.recordUnattributedError(ep)
 	default:
 		d.recordFailure(ep)
 	}
 }
 
-// sourceAtFault reports whether a failed attempt, which was not rejected by its target itself, is the fault of the fill source.
-// Of an error that names nobody, the one that has been without success for longer is held at fault.
+// sourceAtFault reports whether a failed attempt is the fault of the fill source. The caller has
+// excluded rejections by the target itself. An error of unknown cause counts against the endpoint
+// whose latest usable answer is older.
 func (a *attempt) sourceAtFault(o AttemptResult) bool {
 	if o.Reason.fillFailed() || o.Status == Rejected {
 		return true
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -5,18 +5,21 @@
 	"time"
 )
 
-// Retries and hedged requests are paid from budgets, so that they stay a small share of the traffic while a fault lasts.
+// Budgets of retries and hedged requests, which keep them a small share of the traffic while a
+// fault lasts.
 const (
-	retriesPerSuccess   = 0.1 // retries earned by one success
+	retriesPerSuccess   = 0.1 // retries earned per success
 	maxSavedRetries     = 10
-	hedgesPerLostAnswer = 10 // hedged requests earned by one answer that never came
+	hedgesPerLostAnswer = 10 // hedged requests earned per lost answer
 	maxSavedHedges      = 2 * hedgesPerLostAnswer
 )
 
-// maxErrorAttempts is the number of attempts from which on an error ends the request, which may be malformed itself.
+// maxErrorAttempts is the number of attempts after which an error ends the request, because the
+// request itself may be malformed.
 const maxErrorAttempts = 3
 
-// firstThatMayHaveRun is the first attempt, but for one, that may have taken effect; nil if there is none.
+// firstThatMayHaveRun returns the first attempt, other than except, that may have taken effect, or
+// nil if there is none.
 func (r *request) firstThatMayHaveRun(except *attempt) *attempt {
 	for _, a := range r.attempts {
 		if a != except && (a.inFlight || a.mayHaveRun) {
@@ -26,9 +29,10 @@
 	return nil
 }
 
-// repeatAllowed reports whether an attempt may go to an endpoint now by the effect of the request's class. An attempt that is not
-// written yet is passed as except. A request with an idempotency key is repeated only to endpoints that drop repeats of the
-// first attempt, and only while they do.
+// repeatAllowed reports whether the effect of the request's class allows an attempt at an endpoint
+// now. An attempt that was recorded but not yet written is passed as except. A request with an
+// idempotency key is repeated only at endpoints that drop repeats of the first attempt, and only
+// within the class's DedupWindow.
 func (d *Director) repeatAllowed(r *request, ep *endpoint, except *attempt) bool {
 	first := r.firstThatMayHaveRun(except)
 	if r.class.Effect == Idempotent || first == nil {
@@ -47,9 +51,11 @@
 	}
 }
 
-// RecheckAttempt reports whether an attempt that waited, for its connection say, may still be written at the given time, and the
-// oldest copy that will do (0: see ForwardAttempt.MaxAge). Since the attempt was made its endpoint or source may have begun to
-// drain, the time in which repeats are dropped may have passed, or its object may have been purged.
+// RecheckAttempt reports whether an attempt that waited, for example for its connection, may still
+// be written at the time now, and the maximum age of the copy served (0: see
+// ForwardAttempt.MaxAge). Since the attempt was created, its endpoint or fill source may have
+// started draining, the class's DedupWindow may have passed, or the object may have been purged.
+// Calls must not be concurrent with Handle.
 func (d *Director) RecheckAttempt(now time.Duration, id string, number int) (maxAge time.Duration, ok bool) {
 	r := d.requests[id]
 	if r == nil || number < 0 || number >= len(r.attempts) || r.finished {
@@ -61,8 +67,8 @@
 	return d.maxAge(r), ok
 }
 
-// retryAllowed reports whether a request may be sent once more after a result, by its deadline and the retry budget. An error at
-// several endpoints is likely the request's own fault.
+// retryAllowed reports whether the deadline and the retry budget allow one more attempt after a
+// result. An error at several endpoints is probably the request's own fault.
 func (d *Director) retryAllowed(r *request, o AttemptResult) bool {
 	if d.atDeadline(r) || d.retryBudget < 1 {
 		return false
@@ -74,16 +80,17 @@
 	d.retryBudget = min(maxSavedRetries, d.retryBudget+retriesPerSuccess)
 }
 
-// earnHedges takes in a lost answer. Only one that cost its request all of its time, with no attempt beside it, earns hedges.
+// earnHedges adds hedged requests to the budget for a lost answer, if the request had a single
+// attempt and lost all of its time by it.
 func (d *Director) earnHedges(r *request) {
 	if d.now >= r.Deadline-2*d.settings.ClockStep && len(r.attempts) == 1 {
 		d.hedgeBudget = min(maxSavedHedges, d.hedgeBudget+hedgesPerLostAnswer)
 	}
 }
 
-// shouldHedge reports whether an attempt's answer, which is due, is likely to be lost, so that a hedged request may still bring one
-// in time: later ones have been answered, and answers were lost recently. Nothing is hedged where anything is at its limit, since
-// answers that are merely slow would be asked for twice.
+// shouldHedge reports whether an overdue answer is probably lost, so that a hedged request may
+// still bring one in time: later attempts were answered, and answers were lost recently. Nothing is
+// hedged once a limit was cut, because answers that are merely slow would be requested twice.
 func (d *Director) shouldHedge(r *request, a *attempt) bool {
 	if !d.settings.HedgedRequests || d.hedgeBudget < 1 || len(r.attempts) != 1 {
 		return false
@@ -91,8 +98,8 @@
 	return a.inFlight && a.laterAttemptAnswered() && d.limitsNeverCut(a)
 }
 
-// limitsNeverCut reports whether all limits that an attempt counts in are still unlimited. One that was cut once stays finite,
-// however far it has grown again.
+// limitsNeverCut reports whether all limits that an attempt counts in are still unlimited. A limit
+// that was cut once stays finite, however far it has grown since.
 func (d *Director) limitsNeverCut(a *attempt) bool {
 	return math.IsInf(min(a.target.concurrencyLimit.Max, a.fillSource.concurrencyLimit.Max, d.originFetches.Max), 1)
 }
--- a/routing/slow_start.go
+++ b/routing/slow_start.go
@@ -7,10 +7,11 @@
 	"larchusher/slowstart"
 )
 
-// recentWindow is the time over which work is averaged. Fill latencies and hits are recent within it.
+// recentWindow is the averaging time of completed work, and the time for which fill latencies and
+// hits count as recent.
 const recentWindow = 3 * time.Second
 
-// slowStartRamp is how endpoints of a role warm up. The origin is always warm.
+// slowStartRamp returns how endpoints of a role warm up. The origin is always warm.
 func (d *Director) slowStartRamp(of role) slowstart.Ramp {
 	switch of {
 	case roleCache:
@@ -36,7 +37,8 @@
 	return d.slowStartRamp(ep.role).CapacityShare(d.now, ep.incarnation) >= 1
 }
 
-// slowStartAllows reports whether the budget of an endpoint that is warming up holds one more attempt; a warm one has no budget.
+// slowStartAllows reports whether the slow-start budget of an endpoint has room for one more
+// attempt. A warm endpoint has no budget to keep.
 func (d *Director) slowStartAllows(ep *endpoint, r *request) bool {
 	if d.isWarm(ep) {
 		return true
@@ -55,23 +57,25 @@
 	return d.slowStartRamp(ep.role).Allows(&ep.slowStartBudget, d.now, ep.incarnation, d.slowStartCost(r), sender)
 }
 
-// spendSlowStart takes a cost, in seconds of transfer, off an endpoint's budget.
+// spendSlowStart deducts a cost, in seconds of transfer, from an endpoint's slow-start budget.
 func (d *Director) spendSlowStart(ep *endpoint, cost float64) {
 	d.slowStartRamp(ep.role).Spend(&ep.slowStartBudget, d.now, ep.incarnation, cost)
 }
 
-// slowStartCost is what an attempt costs of a budget, in seconds of transfer: the mean of its class.
+// slowStartCost returns the cost of an attempt in slow-start budgets, in seconds of transfer: the
+// mean of its class.
 func (d *Director) slowStartCost(r *request) float64 { return r.class.meanTransferTime.Seconds() }
 
-// completedWork is what serving a request shows that an endpoint can do, in seconds of transfer: at most what it cost. A small
-// object counts as what it is and not as its class's mean: small ones are served first where capacity is short, and endpoints
-// would seem to do several times what they can.
+// completedWork returns the work, in seconds of transfer, that a served request adds to an
+// endpoint's measured rate: its own transfer time, at most its cost. A small object does not count
+// as its class's mean: small objects are served first where capacity is short, and endpoints would
+// seem to do several times what they can.
 func (d *Director) completedWork(r *request) float64 {
 	return min(d.slowStartCost(r), r.transferTime.Seconds())
 }
 
-// senderPosition is this director's place, in [0, 1), among those that send to an endpoint (see slowstart.Sender). It is drawn
-// where the director's number is not known.
+// senderPosition returns this director's position, in [0, 1), among the senders to an endpoint (see
+// slowstart.Sender). It is random where the director's index or the number of senders is unknown.
 func (d *Director) senderPosition(ep *endpoint) float64 {
 	if d.knownSenders(ep.role) <= 0 || d.settings.IndexUnknown {
 		return slowstart.SenderPosition(0, d.positionSeed^ep.hash)
@@ -79,11 +83,12 @@
 	return slowstart.SenderPosition(d.settings.Index, ep.hash)
 }
 
-// senders is the number of directors that send to endpoints of a role, at least this one.
+// senders returns the number of directors that send to endpoints of a role, at least 1.
 func (d *Director) senders(to role) float64 { return max(1, d.knownSenders(to)) }
 
-// knownSenders is the number of directors that send to endpoints of a role, or 0 where it is not known: to caches those of
-// this location, where they are counted by zone, else all.
+// knownSenders returns the number of directors that send to endpoints of a role, or 0 if unknown.
+// Caches are sent to by this location's directors, if Settings.ZoneDirectors states their number,
+// all other endpoints by all directors.
 func (d *Director) knownSenders(to role) float64 {
 	if to == roleCache && d.zone < len(d.settings.ZoneDirectors) && d.settings.ZoneDirectors[d.zone] > 0 {
 		return float64(d.settings.ZoneDirectors[d.zone])
@@ -91,8 +96,8 @@
 	return float64(d.settings.Directors)
 }
 
-// updateCarriedRate takes the mean of what the warm endpoints of a role do for us, for each unit of weight, ejected ones
-// included. Where none is warm, the latest value holds.
+// updateWarmRate updates the mean work per second and unit of weight that the warm endpoints of a
+// role, ejected ones included, do for this director. While none is warm, the last value is kept.
 func (d *Director) updateWarmRate(of role) {
 	rate, weight := 0.0, 0.0
 	for _, ep := range d.upEndpoints[of] {
@@ -106,15 +111,16 @@
 	}
 }
 
-// decayedWorkRate is the work a second that the endpoint did for us, averaged over recentWindow. Only what it answered counts:
-// what was sent may be more than it can do.
+// decayedWorkRate returns the work per second that the endpoint did for this director, averaged
+// over recentWindow. Only answered attempts count, because more may have been sent than the
+// endpoint can do.
 func (ep *endpoint) decayedWorkRate(now time.Duration) float64 {
 	ep.workRate *= math.Exp(-float64(now-ep.workRateAt) / float64(recentWindow))
 	ep.workRateAt = now
 	return ep.workRate
 }
 
-// recordWork counts work, in seconds of transfer, that the endpoint did.
+// recordWork adds work, in seconds of transfer, that the endpoint did.
 func (ep *endpoint) recordWork(now time.Duration, work float64) {
 	ep.workRate = ep.decayedWorkRate(now) + work/recentWindow.Seconds()
 }
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -7,75 +7,76 @@
 	"time"
 )
 
-// This file copies out what a director has learned, as values that outlive the process, and takes it in again. How much old
-// knowledge still counts is the caller's decision (package warmstart).
+// This file exports and imports a director's learned state across restarts. The caller decides how
+// far old state still counts (see package warmstart).
 
-// LearnedState is what a director has learned. Times are on the director's clock, which must be the same one when it is taken in
-// again.
+// LearnedState is the learned state of a director. Times are on the director's clock; the importing
+// director must use the same clock.
 type LearnedState struct {
-	At        time.Duration    `json:"At"` // when it was copied out
+	At        time.Duration    `json:"At"` // time of the export
 	Zone      string           `json:"Zone"`
-	Listings  []Listing        `json:"Listings"` // the latest used first
+	Listings  []Listing        `json:"Listings"` // the most recently used first
 	Endpoints []EndpointHealth `json:"Servers"`  // in order of id
 	Purges    []PurgeRecord    `json:"Purges"`   // in order of name
 }
 
-// Listing is a row of the mapping table.
+// Listing is an entry of the mapping table.
 type Listing struct {
 	Key          uint64        `json:"Key"`
 	Endpoint     string        `json:"Server"`
 	Incarnation  time.Duration `json:"Boot"`  // of the endpoint
-	HitAt        time.Duration `json:"HitAt"` // latest hit; 0: none
+	HitAt        time.Duration `json:"HitAt"` // time of the latest hit; 0: none
 	LastRequest  time.Duration `json:"Last"`
 	MeanGap      time.Duration `json:"Gap"`   // smoothed gap between requests
-	Count        float64       `json:"Count"` // recent requests
-	TransferTime time.Duration `json:"Work"`  // quickest answer; 0: not known
+	Count        float64       `json:"Count"` // number of recent requests, decayed
+	TransferTime time.Duration `json:"Work"`  // shortest known transfer time; 0: unknown
 }
 
-// EndpointHealth is what is known of an endpoint.
+// EndpointHealth is the learned state of an endpoint.
 type EndpointHealth struct {
 	Endpoint         string        `json:"Server"`
 	Incarnation      time.Duration `json:"Boot"`
-	LastAnswer       time.Duration `json:"Seen"`    // what is below is as old
-	ErrorRate        float64       `json:"Failing"` // share of recent attempts that failed
-	EjectedUntil     time.Duration `json:"Ejected"` // 0: it was not ejected
+	LastAnswer       time.Duration `json:"Seen"`    // time of the latest answer; the fields below are as old
+	ErrorRate        float64       `json:"Failing"` // smoothed share of recent attempts that failed, 0 to 1
+	EjectedUntil     time.Duration `json:"Ejected"` // end of the latest ejection; 0: it was not ejected
 	Backoff          time.Duration `json:"Penalty"` // length of the latest ejection
-	FillLatency      time.Duration `json:"Quick"`   // recent latency of fills from it, beyond the transfer itself,
-	FillLatencyAt    time.Duration `json:"QuickAt"` // last seen then
-	ConcurrencyLimit float64       `json:"Most"`    // of attempts in flight; 0: none
-	LateShare        float64       `json:"Late"`    // share of late answers
+	FillLatency      time.Duration `json:"Quick"`   // smoothed time of attempts with a fill from it, without the transfer
+	FillLatencyAt    time.Duration `json:"QuickAt"` // time of the latest update of FillLatency
+	ConcurrencyLimit float64       `json:"Most"`    // limit on attempts in flight; 0: unlimited
+	LateShare        float64       `json:"Late"`    // smoothed share of late answers, 0 to 1
 }
 
-// PurgeRecord is a purge, of an object or of a group (see package purge on names).
+// PurgeRecord is a purge of an object or of a group (see package purge for the names).
 type PurgeRecord struct {
 	Name string        `json:"Name"`
 	At   time.Duration `json:"At"`
 }
 
-// Confidence says what old knowledge still counts for, each from 0 to 1. What speaks for sending more should lose confidence
-// sooner than what speaks for sending less.
+// Confidence states how far old state still counts, in values from 0 to 1. State that allows
+// sending more should lose confidence sooner than state that allows sending less.
 type Confidence struct {
-	Listing     float64 // share of the listings that are believed
+	Listing     float64 // share of the listings that are imported
 	Failure     float64 // factor on error rates, backoffs and shares of late answers
-	Limit       float64 // divisor of limits: at one half a limit is twice as high
+	Limit       float64 // divisor of limits: at 0.5 a limit is twice as high
 	FillLatency float64 // factor on fill latencies
 }
 
-// ImportCounts counts what became of a LearnedState: what was taken in by its kind, and what was passed over by the reason.
+// ImportCounts counts the imported items of a LearnedState by kind, and the skipped ones by reason.
 type ImportCounts struct {
 	Listings, Endpoints, Purges int
-	Gone                        int // of endpoints that the list does not name, or not as up
+	Gone                        int // of endpoints that are not on the endpoint list, or not up
 	Restarted                   int // of endpoints that have restarted
-	WarmingUp                   int // of endpoints that are warming up: it would have more sent than their budget
+	WarmingUp                   int // listings of endpoints that are warming up: they would attract more than the slow-start budget
 	Expired                     int // too old
 	Invalid                     int // with impossible values
 }
 
-// incarnationTolerance is the difference up to which two clocks of a start are the same start: a gateway's clock gives one start
-// to some microseconds.
+// incarnationTolerance is the difference below which two start times are the same start: a
+// gateway's clock reproduces a start time to within some microseconds.
 const incarnationTolerance = time.Millisecond
 
-// Export copies out what has been learned: at most so many listings, the latest used first; 0: all.
+// Export returns the learned state with at most maxListings listings, the most recently used first;
+// 0: all.
 func (d *Director) Export(now time.Duration, maxListings int) LearnedState {
 	state := LearnedState{At: now, Zone: d.settings.Zone, Listings: d.exportListings(maxListings), Endpoints: d.exportEndpoints()}
 	for name, at := range d.purged.All() {
@@ -131,18 +132,20 @@
 	return all
 }
 
-// Import takes in what another director had learned, with the confidence that confidenceAt gives to its age: that of each item
-// and not of the whole, so that knowledge which outlives several starts without being confirmed does not grow young by it. The
-// endpoint list must be known: what it does not name, or names with another incarnation, is passed over. Nothing is taken in of
-// a slow-start budget, nor what speaks of endpoints that are warming up: they are sent what they would be sent without it. What has
-// been learned since stays.
+// Import merges the learned state of another director, such as a predecessor. Each item counts with
+// the confidence for its own age, not for the age of the whole state, so that state which survives
+// several restarts without confirmation does not regain confidence. The endpoint list must be
+// known: state of endpoints that are not on it, or that have another incarnation, is skipped. So
+// are listings of endpoints that are warming up, and slow-start budgets are not part of the state:
+// such endpoints are sent what they would be sent without the import. State learned since is kept.
+// Calls must not be concurrent with Handle.
 func (d *Director) Import(now time.Duration, state LearnedState, confidenceAt func(age time.Duration) Confidence) ImportCounts {
 	d.now = now
 	var counts ImportCounts
 	for _, h := range state.Endpoints {
 		d.importEndpoint(h, confidenceAt(now-h.LastAnswer), &counts)
 	}
-	// From the least to the latest used, which then is the last to be evicted.
+	// From the least to the most recently used one, which thus becomes the last to be evicted.
 	for _, l := range slices.Backward(state.Listings) {
 		d.importListing(l, confidenceAt(now-l.LastRequest), &counts)
 	}
@@ -152,7 +155,7 @@
 	return counts
 }
 
-// valid reports whether the values of an endpoint's health are possible at a time.
+// valid reports whether the values of an endpoint's state are possible at the time now.
 func (h *EndpointHealth) valid(now time.Duration) bool {
 	switch {
 	case !isShare(h.ErrorRate), !isShare(h.LateShare):
@@ -165,7 +168,7 @@
 	return h.FillLatencyAt <= now && h.LastAnswer <= now
 }
 
-// isShare reports whether a number is between 0 and 1, which NaN is not.
+// isShare reports whether a number is between 0 and 1; NaN is not.
 func isShare(x float64) bool { return x >= 0 && x <= 1 }
 
 func (d *Director) importEndpoint(h EndpointHealth, c Confidence, counts *ImportCounts) {
@@ -194,16 +197,16 @@
 	}
 }
 
-// valid reports whether the values of a listing are possible at a time.
+// valid reports whether the values of a listing are possible at the time now.
 func (l *Listing) valid(now time.Duration) bool {
-	if !(l.Count >= 0) || math.IsInf(l.Count, 0) { // NaN is neither
+	if !(l.Count >= 0) || math.IsInf(l.Count, 0) { // also true for NaN
 		return false
 	}
 	return l.MeanGap >= 0 && l.TransferTime >= 0 && l.LastRequest <= now && l.HitAt <= now
 }
 
-// believed reports whether a listing is among the share that is believed. The key decides, and not a draw, so that directors
-// which share a state believe the same listings.
+// selected reports whether a listing is in the share of listings that is imported. The key decides,
+// not a random draw, so that directors that share a state import the same listings.
 func (l *Listing) selected(share float64) bool {
 	return float64(mix(l.Key)>>11)/(1<<53) < share
 }
@@ -220,7 +223,7 @@
 	ep := d.findSameIncarnation(l.Endpoint, l.Incarnation, counts)
 	switch {
 	case ep == nil:
-	case ep.role != roleCache || ep.zone != d.zone: // no copy is to be had there
+	case ep.role != roleCache || ep.zone != d.zone: // it is not a cache of this location
 		counts.Invalid++
 	case !d.isWarm(ep):
 		counts.WarmingUp++
@@ -229,8 +232,8 @@
 	}
 }
 
-// takeListing puts a listing into the table, if there is a place for it. A file and other directors may both tell of an object: the
-// later use holds.
+// storeListing puts a listing into the table if there is space, and reports whether it did. If the
+// table has the object already, the listing with the later request is kept.
 func (d *Director) storeListing(l Listing, ep *endpoint) bool {
 	if e := d.table[l.Key]; e != nil {
 		if e.lastRequest >= l.LastRequest {
@@ -249,7 +252,7 @@
 	return true
 }
 
-// restore sets the entry to what a listing says.
+// restore sets the entry's values to those of a listing.
 func (e *mappingEntry) restore(l Listing, ep *endpoint) {
 	e.cache, e.cacheIncarnation = ep, ep.incarnation
 	e.lastHit = l.HitAt
@@ -271,7 +274,8 @@
 	}
 }
 
-// findUnchanged finds an endpoint that runs as it did when it was written of; nil, and counted, if there is none.
+// findSameIncarnation returns an endpoint that is up and has not restarted since the state was
+// exported. If there is none, it counts the reason and returns nil.
 func (d *Director) findSameIncarnation(id string, incarnation time.Duration, counts *ImportCounts) *endpoint {
 	ep := d.endpoints[id]
 	switch {
--- a/routing/transfer_time.go
+++ b/routing/transfer_time.go
@@ -4,12 +4,12 @@
 
 const (
 	newestSampleWeight   = 0.1                     // weight of the newest sample in moving averages
-	transferTimeWeight   = newestSampleWeight / 10 // and in the mean transfer time of a class, whose answers differ more
-	defaultTransferShare = 0.1                     // transfer time where nothing is known of sizes yet, as a share of the latency objective
+	transferTimeWeight   = newestSampleWeight / 10 // the same in the mean transfer time of a class, whose answers vary more
+	defaultTransferShare = 0.1                     // assumed transfer time while no size is known, as a share of the latency objective
 )
 
-// estimateTransferTime finds how long a request's answer takes to transfer at full pace: by its size, or where that isn't known
-// by what the object's or the class's answers took.
+// estimateTransferTime estimates the transfer time of a request's answer at full pace: by its size
+// or, if that is unknown, by earlier answers of the object or the class.
 func (d *Director) estimateTransferTime(r *request) {
 	c := r.class
 	if r.SizeKB > 0 {
@@ -32,8 +32,8 @@
 	return max(r.class.meanTransferTime, time.Duration(defaultTransferShare*float64(r.class.LatencyObjective)))
 }
 
-// learnSize takes in the size of a request's answer, in kB. Until then its transfer time was a guess, by which large answers
-// would look late.
+// learnSize records the size, in kB, of a request's answer. Before it, the transfer time was an
+// estimate by which large answers would look late.
 func (d *Director) learnSize(r *request, sizeKB float64) {
 	r.SizeKB = sizeKB
 	r.transferTime = d.settings.TransferTime(sizeKB)
@@ -46,8 +46,8 @@
 	c.meanTransferTime += time.Duration(weight * float64(r.transferTime-c.meanTransferTime))
 }
 
-// learnTransferTime takes in how long an answer of unknown size took: the quickest of an object's answers is closest to its
-// transfer alone.
+// learnTransferTime updates the transfer times by an answer of unknown size. The shortest latency
+// of an object's answers is closest to its transfer time alone.
 func (r *request) learnTransferTime(latency time.Duration, hit bool) {
 	e, c := r.entry, r.class
 	if e.transferTime == 0 || latency < e.transferTime {
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -144,7 +144,7 @@
 		{"a deadline in words", "hardLimitMs", func(_, s map[string]any) { classes(s)["films"]["hardLimitMs"] = "5000" }},
 		{"no attempts", "sendCap", func(_, s map[string]any) { s["limits"].(map[string]any)["sendCap"] = 0 }},
 		{"negative attempts", "sendCap", func(_, s map[string]any) { s["limits"].(map[string]any)["sendCap"] = -1 }},
-		{"a class twice", "stands twice", func(_, s map[string]any) { classes(s)["films"]["name"] = "images" }},
+		{"a class twice", "duplicate Name", func(_, s map[string]any) { classes(s)["films"]["name"] = "images" }},
 		{"no journal", "journal", func(c, _ map[string]any) { delete(c, "journal") }},
 		{"no name", "name", func(c, _ map[string]any) { delete(c, "name") }},
 	}
