--- a/loadreport/loadreport_test.go
+++ b/loadreport/loadreport_test.go
@@ -19,7 +19,7 @@
 		{[]string{"cpu_share", "x1", "x0"}, []float64{0.7, 0.2, 0.9}, 0, 0.7, true},
 		{[]string{"x1", "util"}, []float64{0.2, 1.1}, 8, 1.1, true},
 		{[]string{"busy_reqs", "x1"}, []float64{6, 0.2}, 8, 0.75, true},
-		{[]string{"busy_reqs", "x1"}, []float64{6, 0.2}, 0, 0, false}, // the slots are unknown
+		{[]string{"busy_reqs", "x1"}, []float64{6, 0.2}, 0, 0, false}, // slots unknown
 		{[]string{"x0"}, []float64{0.5}, 8, 0, false},
 		{[]string{"util"}, nil, 8, 0, false},
 		{[]string{"util"}, []float64{math.NaN()}, 8, 0, false},
@@ -27,12 +27,12 @@
 		{[]string{"util"}, []float64{math.Inf(1)}, 8, 0, false},
 	} {
 		if got, ok := FindFields(c.names).Utilization(c.report, c.slots); ok != c.ok || ok && got != c.want {
-			t.Errorf("%v %v of %v slots: %v %v", c.names, c.report, c.slots, got, ok)
+			t.Errorf("names %v, report %v, slots %v: utilization %v, ok %v", c.names, c.report, c.slots, got, ok)
 		}
 	}
 }
 
-// A report that comes with ten answers at once counts once.
+// A report that several answers carry at the same time counts once.
 func TestReportsWeighByTime(t *testing.T) {
 	var l Load
 	l.Observe(0, 0.2)
@@ -40,16 +40,16 @@
 		l.Observe(50*time.Millisecond, 1)
 	}
 	if got, ok := l.Utilization(50 * time.Millisecond); !ok || got > 0.25 {
-		t.Errorf("share %v after one late value, told ten times", got)
+		t.Errorf("utilization %v after ten equal reports at one time, want at most 0.25", got)
 	}
 	for at := 100 * time.Millisecond; at < 3*time.Second; at += 100 * time.Millisecond {
 		l.Observe(at, 1)
 	}
 	if got, _ := l.Utilization(3 * time.Second); got < 0.9 {
-		t.Errorf("share %v after three seconds at 1", got)
+		t.Errorf("utilization %v after three seconds of reports of 1, want at least 0.9", got)
 	}
 	if _, ok := l.Utilization(7 * time.Second); ok {
-		t.Error("a share is used four seconds after the last report")
+		t.Error("the utilization is used four seconds after the last report")
 	}
 }
 
@@ -68,7 +68,8 @@
 	}
 }
 
-// However reports come, no two stores would move requests to each other, and probabilities are from 0 to 1.
+// For any sequence of reports, no two endpoints move requests to each other, and probabilities are
+// from 0 to 1.
 func TestImbalanceIsOneWay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a, b Load
@@ -76,18 +77,18 @@
 		for range rapid.IntRange(0, 20).Draw(t, "reports") {
 			now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond
 			l := &a
-			if rapid.Bool().Draw(t, "b") {
+			if rapid.Bool().Draw(t, "second endpoint") {
 				l = &b
 			}
-			l.Observe(now, rapid.Float64Range(0, 3).Draw(t, "share"))
+			l.Observe(now, rapid.Float64Range(0, 3).Draw(t, "utilization"))
 		}
 		forward, backward := Imbalance(now, &a, &b), Imbalance(now, &b, &a)
 		if forward > 0 && backward > 0 {
-			t.Fatalf("imbalances %v and %v", forward, backward)
+			t.Fatalf("imbalances %v and %v in both directions, want at most one above 0", forward, backward)
 		}
 		for _, cached := range []bool{false, true} {
 			if c := MoveProbability(forward, cached); c < 0 || c > 1 {
-				t.Fatalf("probability %v", c)
+				t.Fatalf("probability %v is not from 0 to 1", c)
 			}
 		}
 	})
--- a/purge/purge_test.go
+++ b/purge/purge_test.go
@@ -10,7 +10,7 @@
 
 const settleTime = 6 * time.Second
 
-// heard is a purge that a registry is told of.
+// receivedPurge is a purge that a registry receives.
 type receivedPurge struct {
 	object string
 	group  int
@@ -22,12 +22,13 @@
 		time.Duration(rapid.IntRange(0, 9000).Draw(t, "at")) * time.Millisecond}
 })
 
-// covers reports whether a purge is of an object or its group.
+// covers reports whether the purge is of an object or its group.
 func (p receivedPurge) covers(object string, group int) bool {
 	return p.object == object || p.object == "" && p.group == group
 }
 
-// newest is the newest of some purges that covers an object and has not settled.
+// newestPurge returns the time of the newest of some purges that covers an object and has not
+// settled.
 func newestPurge(now time.Duration, all []receivedPurge, object string, group int) (at time.Duration, known bool) {
 	for _, p := range all {
 		if p.covers(object, group) && now-p.at <= settleTime && (!known || p.at > at) {
@@ -37,26 +38,27 @@
 	return at, known
 }
 
-// In whatever order, and however often, purges are heard: the newest of each name counts, until it has settled.
+// For any order and repetition of purges, the newest purge of each name counts until it has
+// settled.
 func TestNewestPurgeWinsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := rapid.SliceOf(drawPurge).Draw(t, "told")
+		all := rapid.SliceOf(drawPurge).Draw(t, "purges")
 		now := 9 * time.Second
 		one, other := New(settleTime), New(settleTime)
 		for _, p := range all {
 			one.Record(now, p.object, p.group, p.at)
 		}
-		for _, p := range rapid.Permutation(append(all, all...)).Draw(t, "again") {
+		for _, p := range rapid.Permutation(append(all, all...)).Draw(t, "order") {
 			other.Record(now, p.object, p.group, p.at)
 		}
 		if a, b := maps.Collect(one.All()), maps.Collect(other.All()); !maps.Equal(a, b) {
-			t.Fatalf("%v and %v", a, b)
+			t.Fatalf("registries differ: %v and %v", a, b)
 		}
 		for _, object := range []string{"a", "b"} {
 			for group := range 2 {
 				want, known := newestPurge(now, all, object, group)
 				if at, ok := one.Latest(now, object, group); ok != known || ok && at != want {
-					t.Fatalf("%s of %d: %v %v, want %v %v", object, group, at, ok, want, known)
+					t.Fatalf("object %s of group %d: purged at %v (known: %v), want %v (known: %v)", object, group, at, ok, want, known)
 				}
 			}
 		}
@@ -66,7 +68,7 @@
 func TestSettledPurgesAreDropped(t *testing.T) {
 	registry := New(settleTime)
 	if !registry.Record(time.Second, "a", 0, time.Second) || registry.Record(time.Second, "a", 0, 0) || registry.Merge(time.Second, "", time.Second) {
-		t.Error("the first is news, an older one and one of nothing are not")
+		t.Error("want the first purge to be new, and an older one and one without a name not to be")
 	}
 	if _, ok := registry.Latest(8*time.Second, "a", 0); ok {
 		t.Error("a settled purge still counts")
--- a/routing/benchmark_test.go
+++ b/routing/benchmark_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkFullSize is a gateway among 300, with 200 stores in its list: what it holds, and what a request costs it, at few
-// requests a second each.
+// BenchmarkFullSize measures the time and memory per request of a gateway among 300, with 200
+// endpoints on its list, at a few requests per second.
 func BenchmarkFullSize(b *testing.B) {
 	s := defaultSettings()
 	s.Directors, s.ZoneDirectors, s.Zones = 300, []int{0, 30, 270}, []string{"hub", "here", "there"}
--- a/routing/director_group_test.go
+++ b/routing/director_group_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// fleet drives many directors over one clock, by hand.
+// directorGroup drives several directors on one clock.
 type directorGroup struct {
 	t         *testing.T
 	now       time.Duration
 	directors []*harness
 }
 
-// newFleet returns n directors that share the location of settings, each with a seed of its own.
+// newDirectorGroup returns n directors of the same location with different seeds.
 func newDirectorGroup(t *testing.T, n int, change func(*Settings)) *directorGroup {
 	t.Helper()
 	f := &directorGroup{t: t, now: time.Hour}
@@ -22,7 +22,7 @@
 	return f
 }
 
-// start returns director i of n, just started.
+// startDirector returns director i of n, newly started.
 func (f *directorGroup) startDirector(i, n int, change func(*Settings)) *harness {
 	s := defaultSettings()
 	s.Index, s.Directors, s.ZoneDirectors = i, n, []int{0, n, 0}
--- a/routing/endpoints_test.go
+++ b/routing/endpoints_test.go
@@ -17,12 +17,13 @@
 	r.handle(EndpointUpdate{Kind: DeltaList, Endpoints: endpoints})
 	for i := range 50 {
 		if a := r.serve("film", fmt.Sprint(i), ReasonFilled); a.Endpoint == "c1" || a.FillSource == "p1" {
-			t.Fatalf("%+v names a draining server", a)
+			t.Fatalf("attempt %+v uses a draining endpoint", a)
 		}
 	}
 }
 
-// Ids come and go all day: what is gone is forgotten, and its outcomes still due do no harm.
+// Endpoint ids change all the time: removed endpoints are dropped, and results of attempts at them
+// do no harm.
 func TestRemovedEndpointsAreDropped(t *testing.T) {
 	r := newHarness(t, nil)
 	r.serve("page", "x", ReasonFilled)
@@ -40,20 +41,20 @@
 	r.handle(EndpointUpdate{Kind: DeltaList, Endpoints: removed})
 	r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Reset, Latency: ms})
 	if n := len(r.d.endpoints); n != 0 {
-		t.Errorf("%d servers are kept", n)
+		t.Errorf("%d removed endpoints are kept, want none", n)
 	}
 }
 
-// Where all caches of a location died, their successors start cold, and what they may be sent rests on what the old
-// ones carried while they did. That was first looked at when a cold one came, with none left to tell: the location
-// stayed shut.
+// When all caches of a location have failed, their replacements start cold, and their slow-start
+// budget depends on the rate that the old caches served. Guards against measuring that rate only
+// when a cold cache appears, with no warm cache left: the location then got no requests.
 func TestReplacementsOfAllCachesReceiveRequests(t *testing.T) {
 	r := newHarness(t, func(s *Settings) { s.AllowBypass = false })
 	for i := range 400 {
 		r.serve("page", fmt.Sprint(i%40), ReasonHit)
 	}
 	removed, replacements := testEndpoints()[:4], []Endpoint{}
-	for range 20 { // they die
+	for range 20 { // all caches fail
 		id, a := r.advance(10*ms).send("page", "x")
 		if a != nil {
 			r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: ConnectFailed, Final: true, Latency: ms})
@@ -66,7 +67,7 @@
 	}
 	r.handle(EndpointUpdate{Kind: DeltaList, Endpoints: append(removed, replacements...)})
 	forwarded := 0
-	for i := range 40 { // two seconds at the old pace
+	for i := range 40 { // two seconds at the previous request rate
 		id, a := r.advance(50*ms).send("page", fmt.Sprint(i))
 		if a != nil {
 			forwarded++
@@ -74,6 +75,6 @@
 		}
 	}
 	if forwarded < 15 {
-		t.Errorf("%d of 40 requests were sent on", forwarded)
+		t.Errorf("%d of 40 requests were forwarded, want at least 15", forwarded)
 	}
 }
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -7,7 +7,8 @@
 	"larchusher/routing"
 )
 
-// A director in front of two caches and an origin takes a request, sends it on, and learns from the answer.
+// A director in front of two caches and an origin forwards a request and learns from the answer. A
+// request that arrives at its deadline is rejected.
 func Example() {
 	d, err := routing.New(routing.Settings{
 		Zone: "lab", Zones: []string{"lab"}, Kinds: []string{"cache", "origin"}, ParentKind: -1, OriginKind: 1,
@@ -26,20 +27,20 @@
 
 	request := routing.Request{ID: "1", Class: "page", Object: "sign", SizeKB: 40, Deadline: now + 3*time.Second}
 	for _, a := range d.Handle(now, request, nil) {
-		if ask, ok := a.(routing.ForwardAttempt); ok {
-			fmt.Println("ask", ask.Endpoint, "filling from", ask.FillSource)
+		if forward, ok := a.(routing.ForwardAttempt); ok {
+			fmt.Println("forward to", forward.Endpoint, "with fills from", forward.FillSource)
 			now += 30 * time.Millisecond
-			d.Handle(now, routing.AttemptResult{ID: "1", Endpoint: ask.Endpoint, Status: routing.OK, Reason: routing.ReasonFilled,
+			d.Handle(now, routing.AttemptResult{ID: "1", Endpoint: forward.Endpoint, Status: routing.OK, Reason: routing.ReasonFilled,
 				Final: true, Latency: 30 * time.Millisecond}, nil)
 		}
 	}
 
-	now += time.Second // too late for this one: it is refused at once, and holds nothing
+	now += time.Second // the deadline of this request has passed: it is rejected at once
 	late := routing.Request{ID: "2", Class: "page", Object: "sign", Deadline: now}
 	for _, a := range d.Handle(now, late, nil) {
 		fmt.Printf("%T\n", a)
 	}
 	// Output:
-	// ask a filling from store
+	// forward to a with fills from store
 	// routing.Reject
 }
--- a/routing/fill_source_test.go
+++ b/routing/fill_source_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Directors near different hubs must not take different parents for a small difference in distance.
+// Directors near different hubs must not choose different parents for a small difference in
+// latency.
 func TestSecondParentChosenOnlyIfMuchFaster(t *testing.T) {
 	r := newHarness(t, nil)
 	key := mix(hash("f"))
@@ -18,13 +19,13 @@
 		parents[0].fillLatency, parents[1].fillLatency = c.first, c.second
 		parents[0].fillLatencyAt, parents[1].fillLatencyAt = r.now, r.now
 		if _, a := r.send("film", "f"); a.FillSource != c.want.id {
-			t.Errorf("%v and %v: source %s, want %s", c.first, c.second, a.FillSource, c.want.id)
+			t.Errorf("fill latencies %v and %v: fill source %s, want %s", c.first, c.second, a.FillSource, c.want.id)
 		}
 	}
 }
 
-// Where nothing is told, what a cache serves of what it has is no credit to the source that was named for a miss: a dead one
-// that fails every fill is left, and for longer each time.
+// Without answer detail, a hit is no success of the fill source that was named for a miss. Guards
+// against a dead source, which fails every fill, staying in use.
 func TestHitsDoNotCountAsFillSourceSuccesses(t *testing.T) {
 	r := newHarness(t, withoutAnswerDetail)
 	listed := r.serve("film", "a", ReasonNone)
@@ -40,6 +41,6 @@
 		}
 	}
 	if s := r.d.endpoints[failingSource]; s.ejectionDuration < 4*time.Second {
-		t.Errorf("a source that failed all fills was last ejected for %v", s.ejectionDuration)
+		t.Errorf("a source that failed all fills was last ejected for %v, want at least 4s", s.ejectionDuration)
 	}
 }
--- a/routing/freshness_test.go
+++ b/routing/freshness_test.go
@@ -23,30 +23,30 @@
 		a := firstAction[ForwardAttempt](r.advance(c.wait).handle(Request{ID: "a", Class: "film", Object: "f", Group: 3,
 			Deadline: r.now + time.Second}))
 		if a.MaxAge < c.minAge || a.MaxAge > c.maxAge {
-			t.Errorf("%s: age limit %v", c.name, a.MaxAge)
+			t.Errorf("%s: MaxAge %v is out of bounds", c.name, a.MaxAge)
 		}
 	}
 }
 
-// A purge is heeded though its object is listed, and forgotten when it has settled.
+// A purge limits the age of copies even if the object is listed, until the purge has settled.
 func TestPurgeLimitsMaxAgeUntilSettled(t *testing.T) {
 	r := newHarness(t, nil)
 	r.handle(Purge{Group: 0, Age: time.Second})
 	if _, a := r.send("film", "a"); a == nil || a.MaxAge <= 0 || a.MaxAge >= time.Second {
-		t.Errorf("a second after a purge: %+v", a)
+		t.Errorf("a second after the purge: attempt %+v, want a MaxAge between 0 and 1s", a)
 	}
 	if _, a := r.advance(6*time.Second).send("film", "a"); a == nil || a.MaxAge != 0 {
-		t.Errorf("after it has settled: %+v", a)
+		t.Errorf("after the purge has settled: attempt %+v, want no MaxAge", a)
 	}
 }
 
-// A clock may start anywhere: a purge at or before its zero counts as any other.
+// The clock may start anywhere: a purge before its zero counts like any other.
 func TestPurgeBeforeClockZero(t *testing.T) {
 	r := newHarness(t, nil)
 	r.now = 100 * ms
 	r.handle(Purge{Object: "o", Age: 150 * ms})
 	if _, a := r.send("film", "o"); a == nil || a.MaxAge == 0 || a.MaxAge > 150*ms {
-		t.Errorf("attempt %+v, want an age under 150 ms", a)
+		t.Errorf("attempt %+v, want a MaxAge between 0 and 150ms", a)
 	}
 }
 
@@ -56,20 +56,21 @@
 		copySeenAt, purgedAt, freshFor, now time.Duration
 		wasPurged, want                     bool
 	}{
-		{"nothing speaks against it", 10, 0, 0, 100, false, false},
-		{"purged before it was had", 10, 5, 0, 100, true, false},
-		{"purged since", 10, 11, 0, 100, true, true},
-		{"purged as it was sent: it may be the old one", 10, 10, 0, 100, true, true},
-		{"within its time", 95, 0, 8, 100, false, false},
-		{"its time is up", 91, 0, 8, 100, false, true},
+		{"no purge and no age limit", 10, 0, 0, 100, false, false},
+		{"purged before the copy was seen", 10, 5, 0, 100, true, false},
+		{"purged after the copy was seen", 10, 11, 0, 100, true, true},
+		{"purged when the request was sent: the copy may be the old one", 10, 10, 0, 100, true, true},
+		{"younger than its fresh time", 95, 0, 8, 100, false, false},
+		{"older than its fresh time", 91, 0, 8, 100, false, true},
 	} {
 		if got := copyOutdated(c.now, c.copySeenAt, c.purgedAt, c.wasPurged, c.freshFor); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
+			t.Errorf("%s: outdated is %v", c.name, got)
 		}
 	}
 }
 
-// When many copies go at once, the fills that follow are counted before they are sent: no more are out than may be.
+// When many copies are purged at once, the following fills are counted before they are sent, so
+// that no more are in flight than the limit allows.
 func TestFillsAfterPurgeAreCountedBeforeSending(t *testing.T) {
 	w := newSimulatedLocation(t, DetailNone, nil)
 	maxWaiting := 0
@@ -86,6 +87,6 @@
 	w.originFetchTime = 60 * ms
 	w.run(11*time.Second, 10*time.Second, 11*time.Second, 60)
 	if maxWaiting > 6 {
-		t.Errorf("%d fetches waited at the origin, three were allowed at a time", maxWaiting)
+		t.Errorf("%d fetches waited at the origin, want at most 6 with a limit of 3", maxWaiting)
 	}
 }
--- a/routing/gossip_format_test.go
+++ b/routing/gossip_format_test.go
@@ -16,7 +16,7 @@
 	var got []movedListing
 	for _, m := range msgs {
 		if len(m) > maxGossipBytes {
-			t.Errorf("a message of %d bytes", len(m))
+			t.Errorf("message of %d bytes is too long", len(m))
 		}
 		zone, cache, decoded, err := decodeGossip(m)
 		if err != nil || zone != 3 || cache != "c1" {
@@ -25,7 +25,7 @@
 		got = append(got, decoded...)
 	}
 	if len(msgs) < 2 || !reflect.DeepEqual(got, moves) {
-		t.Errorf("%d messages brought %v, want %v", len(msgs), got, moves)
+		t.Errorf("%d messages, decoded %v, want at least two messages and %v", len(msgs), got, moves)
 	}
 }
 
@@ -34,7 +34,7 @@
 	for _, data := range []string{"", "w1", "w2|1", "w1|x", "w1|1|c1", "w1|1||1,7;", good + ";", good + "x,7;", good + "1,!;",
 		good + "-1,7;", "w1|1|c1|", good + "|", strings.Repeat("w", maxGossipBytes+1)} {
 		if _, _, moves, err := decodeGossip(data); err == nil || moves != nil {
-			t.Errorf("%q was taken as %v", data, moves)
+			t.Errorf("malformed message %q was decoded as %v", data, moves)
 		}
 	}
 	if zone, cache, _, err := decodeGossip(encodeGreeting(4)); err != nil || zone != 4 || cache != "" {
--- a/routing/gossip_test.go
+++ b/routing/gossip_test.go
@@ -21,7 +21,7 @@
 		data := strings.Replace(c.data, "%s", formatBase36(e.key), 1)
 		r.advance(ms).handle(GossipReceived{From: 1, Data: data})
 		if (e.cache.id == "c1") != c.moves {
-			t.Errorf("%q: listed on %s", data, e.cache.id)
+			t.Errorf("message %q: the object is listed at %s", data, e.cache.id)
 		}
 	}
 }
@@ -34,6 +34,6 @@
 	out := r.advance(gossipInterval).handle(TimerFired{Token: gossipToken})
 	msg := firstAction[SendGossip](out)
 	if msg == nil || msg.To != 1 || len(out) != 1 || len(msg.Data) > maxGossipBytes {
-		t.Errorf("told %v", out)
+		t.Errorf("got actions %v, want one message to director 1", out)
 	}
 }
--- a/routing/inference_test.go
+++ b/routing/inference_test.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// Drawn answers of a store that holds three quarters of what is expected of it, some of whose copies went unseen, before a
-// source that is well, slow or dead. What they are taken for is held against what they were. At a full store only those
-// that were expected to be there are judged: a fill that was expected always counts for its source (see the design note).
+// Random answers of a cache that has three quarters of the copies expected there, as some copies
+// were evicted unnoticed, in front of a fill source that is healthy, slow or dead. The inferred way
+// in which each was served is compared with the real one. At a full cache only answers with an
+// expected hit are drawn, because an expected fill always counts against its source.
 func TestInferenceErrorRate(t *testing.T) {
 	const objective = 800 * time.Millisecond
 	for _, c := range []struct {
 		name          string
-		utilization   float64       // the store
-		fillTime      time.Duration // of a fill
-		fillsRejected bool          // fills are refused after that
-		maxWrong      float64       // share of the judgements that may be wrong, either way
+		utilization   float64       // of the cache
+		fillTime      time.Duration // duration of a fill
+		fillsRejected bool          // fills are rejected after fillTime
+		maxWrong      float64       // maximum share of wrong inferences, of either kind
 	}{
-		{"all is well", 0.5, 20 * time.Millisecond, false, 0.02},
-		{"a slow source", 0.5, 2 * time.Second, false, 0.02},
-		{"a dead source", 0.5, 900 * time.Millisecond, true, 0.02},
-		{"a full store", 1, 20 * time.Millisecond, false, 0.02},
+		{"all healthy", 0.5, 20 * time.Millisecond, false, 0.02},
+		{"slow source", 0.5, 2 * time.Second, false, 0.02},
+		{"dead source", 0.5, 900 * time.Millisecond, true, 0.02},
+		{"full cache", 1, 20 * time.Millisecond, false, 0.02},
 	} {
 		rng := rand.New(rand.NewPCG(1, 2))
 		judgedSource, wronglyJudgedSource, lateFills, wronglyJudgedCache := 0, 0, 0, 0
@@ -40,20 +41,21 @@
 			}
 		}
 		if s := float64(wronglyJudgedSource) / float64(max(1, judgedSource)); s > c.maxWrong {
-			t.Errorf("%s: %.2f of %d late judgements on the source were the store's doing", c.name, s, judgedSource)
+			t.Errorf("%s: of the late answers attributed to the source, a share of %.2f of %d were the cache's fault", c.name, s, judgedSource)
 		}
 		if s := float64(wronglyJudgedCache) / float64(max(1, lateFills)); s > c.maxWrong {
-			t.Errorf("%s: the store is blamed for %.2f of %d that the source made late", c.name, s, lateFills)
+			t.Errorf("%s: the cache is blamed for a share of %.2f of %d answers that the source made late", c.name, s, lateFills)
 		}
 	}
 }
 
-// drawAnswer draws whether a store held what it was asked for, how long it took by itself, and what is known of the answer.
+// randomAnswer draws whether a cache has a copy, how long the cache itself takes, and what is known
+// about the answer.
 func randomAnswer(rng *rand.Rand, objective time.Duration, utilization float64, fillTime time.Duration, fillsRejected bool) (cached bool, cacheTime time.Duration, a evidence) {
 	hitExpected := rng.Float64() < 0.8 || utilization > 0.9
 	cached = rng.Float64() < 0.05
 	if hitExpected {
-		cached = rng.Float64() < 0.9 // some went unseen
+		cached = rng.Float64() < 0.9 // some copies were evicted unnoticed
 	}
 	cacheTime = time.Duration(float64(300*time.Millisecond) * (0.8 + 0.4*rng.Float64()))
 	if utilization > 0.9 {
--- a/routing/limits_test.go
+++ b/routing/limits_test.go
@@ -11,7 +11,7 @@
 func TestLateAnswersCauseImmediateRejections(t *testing.T) {
 	r := newHarness(t, nil)
 	rejections := 0
-	for i := range 200 { // every answer is late: ever fewer may be out
+	for i := range 200 { // every answer is late, so the limits shrink
 		for j := range 20 {
 			r.lastID++
 			id := fmt.Sprint("r", r.lastID)
@@ -20,7 +20,7 @@
 			if f := firstAction[Reject](out); f != nil {
 				rejections++
 				if f.RetryAfter <= 0 {
-					t.Fatal("a refusal without advice")
+					t.Fatal("rejection without a Retry-After")
 				}
 			}
 		}
@@ -35,21 +35,22 @@
 		}
 	}
 	if rejections == 0 {
-		t.Error("nothing was refused")
+		t.Error("no request was rejected")
 	}
 }
 
-// An answer that got lost on its way is no sign of load: what was sent later, by the same way, was answered in time.
-// Such answers cut the limits, and one of two directors refused a seventh of its requests while all was well.
+// An answer that was lost on its way is no sign of load: a later attempt by the same way was
+// answered in time. Guards against limits cut by lost answers, which made one of two directors
+// reject a seventh of its requests while all endpoints were healthy.
 func TestLostAnswersDoNotCutLimits(t *testing.T) {
 	r := newHarness(t, nil)
 	cacheID := r.serve("page", "x", ReasonFilled).Endpoint
 	for i := range 20 {
 		id, a := r.send("page", "x")
 		if a == nil {
-			t.Fatalf("request %d was refused", i)
+			t.Fatalf("request %d was rejected", i)
 		}
-		if a.Endpoint != cacheID { // a detour
+		if a.Endpoint != cacheID { // another cache was explored
 			r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Final: true, Latency: ms})
 			continue
 		}
@@ -59,23 +60,24 @@
 	}
 	for _, s := range r.d.endpoints {
 		if s.concurrencyLimit.LastCut > 0 {
-			t.Errorf("%s: %+v", s.id, s.concurrencyLimit)
+			t.Errorf("%s: limit %+v was cut", s.id, s.concurrencyLimit)
 		}
 	}
 	if r.d.originFetches.LastCut > 0 {
-		t.Errorf("fetches: %+v", r.d.originFetches)
+		t.Errorf("limit %+v of fetches from the origin was cut", r.d.originFetches)
 	}
 }
 
-// A cache that drains before the list says so refuses everything at once, hits and fills. That is its own doing:
-// after three refusals it is left alone, and neither the sources nor the other caches lose anything by it.
+// A cache that starts draining before the endpoint list shows it rejects everything at once, hits
+// and fills. This is the fault of that cache alone: it is avoided after a few rejections,
+// and the limits of the fill sources and of the other caches are not cut.
 func TestPromptRejectionsCountAgainstTheCache(t *testing.T) {
 	r := newHarness(t, func(s *Settings) { s.AnswerDetail = DetailHit })
 	draining := r.serve("film", "hot0", ReasonFilled).Endpoint
-	for i := range 60 { // these have a home now, and fills have told how soon a source can answer
+	for i := range 60 { // objects get a listed cache, and the fills show how soon a source can answer
 		r.serve("film", fmt.Sprint("hot", i), ReasonFilled)
 	}
-	refused := 0
+	rejections := 0
 	for i := range 60 {
 		object := fmt.Sprint("hot", i)
 		if i%2 == 1 {
@@ -83,11 +85,11 @@
 		}
 		id, a := r.send("film", object)
 		for n := 0; a != nil && a.Endpoint == draining; n++ {
-			refused++
+			rejections++
 			a = firstAction[ForwardAttempt](r.handle(AttemptResult{ID: id, Attempt: n, Endpoint: a.Endpoint, Status: Rejected}))
 		}
 		if a == nil {
-			t.Fatalf("request %d for %s was given up, with three caches and all sources well", i, object)
+			t.Fatalf("request %d for %s was not retried, though three caches and all sources are healthy", i, object)
 		}
 		n := len(r.d.requests[id].attempts) - 1
 		r.advance(40 * ms).handle(AttemptResult{ID: id, Attempt: n, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true,
@@ -96,48 +98,49 @@
 	for _, l := range r.d.upEndpoints[roleParent:] {
 		for _, s := range l {
 			if s.ejectionDuration > 0 || s.concurrencyLimit.Max < 1000 {
-				t.Errorf("%s: limit %.1f, ejected for %v", s.id, s.concurrencyLimit.Max, s.ejectionDuration)
+				t.Errorf("%s: limit %.1f, ejected for %v, want neither", s.id, s.concurrencyLimit.Max, s.ejectionDuration)
 			}
 		}
 	}
 	if limit := r.d.originFetches.Max; limit < 1000 {
-		t.Errorf("fetches are limited to %.1f", limit)
+		t.Errorf("fetches from the origin are limited to %.1f, want no limit", limit)
 	}
-	if refused < 3 || refused > 10 {
-		t.Errorf("the draining cache was asked %d times", refused)
+	if rejections < 3 || rejections > 10 {
+		t.Errorf("%d attempts at the draining cache, want 3 to 10", rejections)
 	}
 }
 
-// An answer that is late because an earlier attempt of its request came to nothing says nothing of load.
+// An answer that is late because of the request's failed earlier attempt is no sign of load.
 func TestTimeOfEarlierAttemptsDoesNotCutLimits(t *testing.T) {
 	r := newHarness(t, nil)
 	for i := range 30 {
 		id, a := r.send("film", fmt.Sprint("x", i))
 		if a == nil {
-			t.Fatalf("request %d was refused", i)
+			t.Fatalf("request %d was rejected", i)
 		}
 		a = firstAction[ForwardAttempt](r.advance(1200 * ms).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Reset, CollateralReset: true,
 			Latency: 1200 * ms}))
 		if a == nil {
-			t.Fatalf("request %d was not sent again", i)
+			t.Fatalf("request %d was not retried", i)
 		}
 		r.advance(100 * ms).handle(AttemptResult{ID: id, Attempt: 1, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true,
 			Latency: 100 * ms})
-		for k := range 10 { // further attempts are earned
+		for k := range 10 { // earns retries
 			r.serve("film", fmt.Sprint("y", i, k), ReasonHit)
 		}
 	}
 	for _, s := range r.d.endpoints {
 		if s.concurrencyLimit.Max < 1000 {
-			t.Errorf("%s is limited to %.1f", s.id, s.concurrencyLimit.Max)
+			t.Errorf("%s is limited to %.1f, want no limit", s.id, s.concurrencyLimit.Max)
 		}
 	}
 }
 
-// At a cache with little room what costs much for its worth is turned away, and what costs little still goes.
+// At a cache near its limit, requests that are costly for their priority weight are rejected, and
+// cheap ones are served.
 func TestCostlyRequestsAreRejectedFirst(t *testing.T) {
 	r := newHarness(t, withoutAnswerDetail)
-	for n := range 100 { // what is usual
+	for n := range 100 { // sets the mean cost
 		r.sizeKB = 400
 		r.serve("film", fmt.Sprint("o", n%5), ReasonNone)
 	}
@@ -146,22 +149,23 @@
 	}
 	r.sizeKB = 4000
 	if _, a := r.send("film", "o1"); a != nil {
-		t.Error("one of ten times the usual size takes room that is short")
+		t.Error("a request of ten times the mean size was forwarded to a cache near its limit")
 	}
 	r.sizeKB = 200
 	if _, a := r.send("film", "o1"); a == nil {
-		t.Error("a small one finds no room")
+		t.Error("a small request was rejected")
 	}
 }
 
-// Writes go straight to the origin here: that they are late says that fills fetch too much there.
+// Writes go directly to the origin here. Late writes show that the origin is overloaded, so they
+// cut the limit on fetches.
 func TestLateWritesCutOriginFetchLimit(t *testing.T) {
 	r := newHarness(t, withoutAnswerDetail)
 	var ids []string
 	for range 20 {
 		id, a := r.send("send", "w")
 		if a == nil || a.Endpoint != "o" {
-			t.Fatalf("a write went to %+v", a)
+			t.Fatalf("write: attempt %+v, want one at the origin", a)
 		}
 		ids = append(ids, id)
 	}
@@ -170,11 +174,12 @@
 		r.advance(ms).handle(AttemptResult{ID: id, Endpoint: "o", Status: OK, Final: true, Latency: time.Second})
 	}
 	if r.d.originFetches.IsUnlimited() {
-		t.Error("twenty late writes, and fetches are not limited")
+		t.Error("fetches from the origin are unlimited after twenty late writes")
 	}
 }
 
-// A burst of large objects is not piled onto a cache beyond what it can finish in their aim, before any answer was late.
+// In a burst of large objects, a cache gets no more attempts than it can finish within the latency
+// objective, even before any answer was late.
 func TestBurstStaysWithinLatencyObjective(t *testing.T) {
 	r := newHarness(t, func(s *Settings) { withoutAnswerDetail(s); s.WeightsKnown = true })
 	var endpoints []Endpoint
@@ -183,22 +188,22 @@
 		endpoints = append(endpoints, m)
 	}
 	r.handle(EndpointUpdate{Kind: FullList, Endpoints: endpoints})
-	r.sizeKB = 4000 // a second each; aim 600 ms and 1.6 times that
+	r.sizeKB = 4000 // one second each; the objective is 0.6 s plus 1.6 times that
 	for n := range 300 {
 		r.send("film", fmt.Sprint("o", n))
 	}
 	for _, s := range r.d.upEndpoints[roleCache] {
 		if seconds := float64(s.concurrencyLimit.InFlight) / 7; seconds > 2.3 {
-			t.Errorf("%s has %d out: they take %.1f s, the aim is 2.2", s.id, s.concurrencyLimit.InFlight, seconds)
+			t.Errorf("%s has %d attempts in flight that take %.1f s, want at most the objective of 2.2 s", s.id, s.concurrencyLimit.InFlight, seconds)
 		}
 		if s.concurrencyLimit.InFlight < 10 {
-			t.Errorf("%s has %d out, and could finish fifteen", s.id, s.concurrencyLimit.InFlight)
+			t.Errorf("%s has %d attempts in flight, want at least 10, as it can finish fifteen", s.id, s.concurrencyLimit.InFlight)
 		}
 	}
 }
 
-// A refusal that comes after a fill's time-out is not the cache's: it refuses at its door. The copy that was listed was gone
-// unseen.
+// A rejection that comes after a fill's timeout is not the cache's own, which would have come at
+// once: the listed copy was evicted unnoticed, and the source failed.
 func TestLateRejectionsCountAgainstFillSource(t *testing.T) {
 	r := newHarness(t, withoutAnswerDetail)
 	cacheID := r.serve("film", "a", ReasonNone).Endpoint
@@ -208,15 +213,16 @@
 		}
 	}
 	if s := r.d.endpoints[cacheID]; !s.concurrencyLimit.IsUnlimited() || s.ejectionDuration > 0 {
-		t.Errorf("the cache is limited to %v, ejected for %v", s.concurrencyLimit.Max, s.ejectionDuration)
+		t.Errorf("the cache is limited to %v, ejected for %v, want neither", s.concurrencyLimit.Max, s.ejectionDuration)
 	}
 	if p, q := r.d.endpoints["p1"], r.d.endpoints["p2"]; p.concurrencyLimit.IsUnlimited() && q.concurrencyLimit.IsUnlimited() {
-		t.Error("no source is held to account")
+		t.Error("no parent's limit was cut")
 	}
 }
 
-// theory-schools-later big-1: late fetches by way of several parents limit all fetches; what parents hold
-// is still asked for, by attempts that should hit as well, and a miss there is a refusal at once.
+// Late fetches through several parents cut the limit on fetches from the origin. The parents'
+// copies are still requested, by attempts with an expected hit too, and a miss at the parent is
+// rejected at once.
 func TestParentCopiesServedWhileOriginIsAtLimit(t *testing.T) {
 	r := newHarness(t, nil)
 	r.serve("film", "listed", ReasonHit)
@@ -229,7 +235,7 @@
 			Latency: 4 * time.Second})
 	}
 	if r.d.originFetches.Max > 4 {
-		t.Fatalf("the limit on fetches is %v after forty late ones", r.d.originFetches.Max)
+		t.Fatalf("the limit on fetches is %v after forty late ones, want at most 4", r.d.originFetches.Max)
 	}
 	r.d.originFetches.InFlight = int(math.Ceil(r.d.originFetches.Max)) + 1
 	for _, p := range r.d.upEndpoints[roleParent] {
@@ -238,17 +244,17 @@
 	for _, object := range []string{"listed", "new"} {
 		id, a := r.send("film", object)
 		if a == nil || !a.OnlyIfCached {
-			t.Fatalf("%s: %+v, want an attempt for what is held", object, a)
+			t.Fatalf("%s: attempt %+v, want one with OnlyIfCached", object, a)
 		}
 		out := r.advance(20 * ms).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Miss, Reason: ReasonSourceMiss, Latency: 20 * ms})
 		if firstAction[Reject](out) == nil || firstAction[ForwardAttempt](out) != nil {
-			t.Errorf("%s: a miss at the parent brought %v, want a refusal at once", object, out)
+			t.Errorf("%s: actions after a miss at the parent are %v, want a rejection at once", object, out)
 		}
 	}
 }
 
-// theory-schools-later rough-1: the failures of one vanished parent count against it, not against all
-// fetches.
+// The failures of one unreachable parent count against that parent, and don't cut the limit on all
+// fetches from the origin.
 func TestLostParentDoesNotCutOriginFetchLimit(t *testing.T) {
 	r := newHarness(t, nil)
 	for i := range 60 {
@@ -263,14 +269,15 @@
 		r.advance(80 * ms).handle(o)
 	}
 	if !math.IsInf(r.d.originFetches.Max, 1) {
-		t.Errorf("one parent that is gone limits all fetches to %v", r.d.originFetches.Max)
+		t.Errorf("one unreachable parent limits all fetches to %v, want no limit", r.d.originFetches.Max)
 	}
 	if r.d.healthy(r.d.endpoints["p1"]) {
-		t.Error("the parent that is gone is still in use")
+		t.Error("the unreachable parent is not ejected")
 	}
 }
 
-// Fills that run out of time at one parent, while its sibling's come in time, don't limit the fetches of both.
+// Fills that time out at one parent while its sibling's are in time don't cut the limit on fetches
+// through both.
 func TestHangingParentDoesNotCutOriginFetchLimit(t *testing.T) {
 	r := newHarness(t, nil)
 	for i := range 60 {
@@ -291,15 +298,15 @@
 		}
 	}
 	if !math.IsInf(r.d.originFetches.Max, 1) {
-		t.Errorf("one hanging parent limits all fetches to %v", r.d.originFetches.Max)
+		t.Errorf("one hanging parent limits all fetches to %v, want no limit", r.d.originFetches.Max)
 	}
 	if r.d.healthy(r.d.endpoints["p1"]) {
-		t.Error("the hanging parent is still in use")
+		t.Error("the hanging parent is not ejected")
 	}
 }
 
-// One of many directors has less than one attempt out: its limit is a chance, and grows back once answers
-// are in time.
+// One of many directors may have a limit below one attempt in flight. The limit then acts as a
+// probability, and grows back once answers are in time.
 func TestLimitsBelowOneActAsProbabilities(t *testing.T) {
 	r := newHarness(t, nil)
 	for _, s := range r.d.upEndpoints[roleCache] {
@@ -312,7 +319,7 @@
 			continue
 		}
 		forwarded++
-		for _, s := range r.d.upEndpoints[roleCache] { // keep the limit where it is
+		for _, s := range r.d.upEndpoints[roleCache] { // restore the limit
 			s.concurrencyLimit.Max = 0.5
 		}
 		r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 10 * ms})
@@ -321,7 +328,7 @@
 		}
 	}
 	if forwarded < 160 || forwarded > 240 {
-		t.Errorf("limits of a half let %d of 400 in", forwarded)
+		t.Errorf("limits of 0.5 let %d of 400 requests through, want 160 to 240", forwarded)
 	}
 	limit := &r.d.endpoints["c1"].concurrencyLimit
 	limit.Max, limit.LateShare, limit.LastAnswer = 0.2, 0, r.now
@@ -332,12 +339,13 @@
 		}
 	}
 	if limit.Max < 0.9 {
-		t.Errorf("after twenty seconds in time the limit is %v", limit.Max)
+		t.Errorf("the limit is %v after twenty seconds of answers in time, want at least 0.9", limit.Max)
 	}
 }
 
-// The origin slows down five times while caches hold most of what is asked: hits go on being served, writes are not starved
-// by fills, and two seconds after its recovery nothing is refused.
+// The origin becomes five times slower while caches have copies of most requested objects: hits are
+// still served, writes still reach the origin despite the fills, and two seconds after the recovery
+// nothing is rejected any more.
 func TestSlowOriginDelaysFillsOnly(t *testing.T) {
 	for _, detail := range []AnswerDetail{DetailNone, DetailHit} {
 		w := newSimulatedLocation(t, detail, nil)
@@ -345,14 +353,14 @@
 		w.at(25*time.Second, func() { w.originFetchTime = 20 * ms })
 		w.run(40*time.Second, 12*time.Second, 25*time.Second, 40)
 		if got := float64(w.hitsInObjective) / float64(w.expectedHits); got < 0.95 {
-			t.Errorf("tells %v: %.2f of what caches hold was served in aim", detail, got)
+			t.Errorf("detail %v: a share of %.2f of the expected hits met the objective, want 0.95", detail, got)
 		}
 		if got := w.objectiveShare("send"); got < 0.5 {
-			t.Errorf("tells %v: %.2f of the writes were in aim", detail, got)
+			t.Errorf("detail %v: a share of %.2f of the writes met the objective, want 0.5", detail, got)
 		}
-		// The limit that is left at 27 s is some ten: a chance burst may still meet it.
+		// At 27 s the limit is still about ten, which a random burst may reach.
 		if n, _ := slices.BinarySearch(w.rejectedAt, 27*time.Second); len(w.rejectedAt)-n > 3 || n < 20 {
-			t.Errorf("tells %v: %d refused while it was slow, %d from two seconds after on", detail, n, len(w.rejectedAt)-n)
+			t.Errorf("detail %v: %d rejected by two seconds after the recovery, want at least 20; %d rejected later, want at most 3", detail, n, len(w.rejectedAt)-n)
 		}
 	}
 }
--- a/routing/mapping_table_test.go
+++ b/routing/mapping_table_test.go
@@ -16,18 +16,18 @@
 		}
 	}
 	if same < 90 || same == 100 {
-		t.Errorf("%d of 100 requests went to the listed cache", same)
+		t.Errorf("%d of 100 requests went to the listed cache, want 90 to 99", same)
 	}
-	if other, _ := New(defaultSettings(), 99); true { // a director without a table opens at the same home
+	if other, _ := New(defaultSettings(), 99); true { // a director with an empty table chooses the same first cache
 		other.Handle(0, EndpointUpdate{Kind: FullList, Endpoints: testEndpoints()}, nil)
 		a := firstAction[ForwardAttempt](other.Handle(0, Request{ID: "z", Class: "film", Object: "f", Deadline: time.Second}, nil))
 		if a == nil || a.Endpoint != firstCache {
-			t.Errorf("opened at %v, the home is %s", a, firstCache)
+			t.Errorf("a director with an empty table forwarded %v, want an attempt at %s", a, firstCache)
 		}
 	}
 }
 
-// A listing on a cache that restarted is void.
+// The listings of a restarted cache are invalid.
 func TestRestartInvalidatesListings(t *testing.T) {
 	r := newHarness(t, nil)
 	cacheID := r.serve("film", "f", ReasonHit).Endpoint
@@ -40,11 +40,12 @@
 	}
 	r.handle(EndpointUpdate{Kind: DeltaList, Endpoints: endpoints})
 	if e.hitExpectedAt(r.d.endpoints[cacheID]) || len(r.d.endpoints[cacheID].listings) != 0 {
-		t.Error("the restarted cache still lists the object")
+		t.Error("the object is still listed at the restarted cache")
 	}
 }
 
-// Where nothing is told, popular objects rise to the top rank as they do where hits are told, and rare ones don't.
+// Without answer detail, frequently requested objects get the top rank as they do with it, and
+// rarely requested ones don't.
 func TestCacheRankFollowsRequestRateWithoutAnswerDetail(t *testing.T) {
 	r := newHarness(t, withoutAnswerDetail)
 	rank := RankNone
@@ -52,10 +53,10 @@
 		rank = r.advance(100*ms).serve("film", "popular", ReasonNone).CacheRank
 	}
 	if rank != 3 {
-		t.Errorf("asked twelve times in a second it is kept at rank %d", rank)
+		t.Errorf("rank %d after twelve requests in 1.8 s, want the top rank 3", rank)
 	}
 	r.serve("film", "rare", ReasonNone)
 	if got := r.advance(20*time.Second).serve("film", "rare", ReasonNone).CacheRank; got == 3 {
-		t.Error("asked twice in twenty seconds it is kept at the top rank")
+		t.Error("top rank after two requests in 20 s, want a lower one")
 	}
 }
--- a/routing/placement_test.go
+++ b/routing/placement_test.go
@@ -13,46 +13,47 @@
 		id, a := r.advance(500*ms).send("film", "f")
 		if a.Endpoint != listedCache {
 			if a.FillSource != listedCache || a.CacheRank != 0 {
-				t.Errorf("detour %+v, listed on %s", a, listedCache)
+				t.Errorf("exploring attempt %+v, want a fill from the listed cache %s and rank 0", a, listedCache)
 			}
 			return
 		}
 		r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 10 * ms})
 	}
-	t.Error("no detour in 500 requests")
+	t.Error("no other cache was explored in 500 requests")
 }
 
-// i125874, abay-lab-cache-later big-1: hits were refused at one cache while its siblings had room.
+// Guards against hits being rejected at one cache while its siblings have capacity.
 func TestRequestsMoveFromCacheAtItsLimit(t *testing.T) {
 	r := newHarness(t, nil)
 	fullCache := fillToLimit(r, "hot", 5)
 	for range 5 {
 		if _, a := r.send("film", "hot"); a == nil || a.Endpoint == fullCache {
-			t.Fatalf("hot object: %+v, overcommitted is %s", a, fullCache)
+			t.Fatalf("attempt %+v, want one at another cache than %s, which is at its limit", a, fullCache)
 		}
 	}
 	for _, s := range r.d.upEndpoints[roleCache] {
 		s.concurrencyLimit.Max = 0
 	}
 	if _, a := r.send("film", "hot"); a != nil {
-		t.Errorf("no cache has room, yet %+v", a)
+		t.Errorf("attempt %+v although all caches are at their limits", a)
 	}
 }
 
-// Popular objects that met at one cache by their hashes are moved to its neighbours once it reports that it is full and
-// they are not; without reports, or with no difference, nothing moves.
+// Popular objects that share a cache by their hashes move to other caches when it reports full
+// utilization and the others don't. Without reports or without a difference in utilization nothing
+// moves.
 func TestLoadReportsRebalanceCaches(t *testing.T) {
 	for _, c := range []struct {
 		name                string
 		fields              []string
 		fullLoad, otherLoad float64
 		weight              float64
-		minShare, maxShare  float64 // share of the requests that still go to the full one in the end
+		minShare, maxShare  float64 // bounds of the share of requests that go to the full cache at the end
 	}{
-		{"full beside idle ones", []string{"cpu_share"}, 1, 0.3, 1, 0, 0.5},
-		{"requests held on ten slots", []string{"busy_reqs"}, 10, 3, 10, 0, 0.5},
-		{"all are full", []string{"cpu_share"}, 1, 1, 1, 0.7, 1},
-		{"none is full", []string{"cpu_share"}, 0.5, 0.1, 1, 0.7, 1},
+		{"one cache full, others idle", []string{"cpu_share"}, 1, 0.3, 1, 0, 0.5},
+		{"in-flight counts on ten slots", []string{"busy_reqs"}, 10, 3, 10, 0, 0.5},
+		{"all caches full", []string{"cpu_share"}, 1, 1, 1, 0.7, 1},
+		{"no cache full", []string{"cpu_share"}, 0.5, 0.1, 1, 0.7, 1},
 		{"no reports", nil, 1, 0.3, 1, 0.7, 1},
 	} {
 		r := newHarness(t, func(s *Settings) { s.LoadReportFields, s.WeightsKnown, s.AnswerDetail = c.fields, true, DetailNone })
@@ -85,7 +86,8 @@
 	}
 }
 
-// objectsAtOneCache asks for films until so many have opened at the cache at which the first one did.
+// objectsAtOneCache requests objects until count of them were sent to the same cache as the first
+// one.
 func (r *harness) objectsAtOneCache(count int) (at string, objects []string) {
 	for n := 0; len(objects) < count; n++ {
 		object := fmt.Sprint("o", n)
@@ -104,7 +106,7 @@
 	return at, objects
 }
 
-// reportOthers lets all caches but one report a load, as it would come with other objects' answers.
+// reportLoad reports a load for all caches but one, as answers for other objects would.
 func (r *harness) reportLoad(except string, load float64) {
 	for _, s := range r.d.upEndpoints[roleCache] {
 		if share, ok := r.d.loadFields.Utilization([]float64{load}, s.transferSlots(true)); ok && s.id != except {
@@ -113,7 +115,7 @@
 	}
 }
 
-// Whatever is told and allowed, what an idle cache holds is not refused.
+// Regardless of the settings, a request for an object that an idle cache has is not rejected.
 func TestRequestsToIdleCachesAreNotRejected(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	for n := range 40 {
@@ -135,7 +137,7 @@
 			}
 			id, a := r.advance(80*ms).send([]string{"film", "page"}[k%2], fmt.Sprint("x", k%6))
 			if a == nil {
-				t.Fatalf("case %d: refused, with settings %+v", n, r.d.settings)
+				t.Fatalf("case %d: rejected with settings %+v", n, r.d.settings)
 			}
 			r.advance(20 * ms).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: reason, Final: true, Latency: 20 * ms, LoadReport: []float64{0.1, 0.1}})
 		}
--- a/routing/request_test.go
+++ b/routing/request_test.go
@@ -12,19 +12,20 @@
 		q    Request
 	}{
 		{"unknown class", Request{ID: "a", Class: "?", Deadline: 2 * time.Hour}},
-		{"time is up", Request{ID: "a", Class: "page", Deadline: time.Hour}},
+		{"deadline passed", Request{ID: "a", Class: "page", Deadline: time.Hour}},
 		{"unknown tenant", Request{ID: "a", Class: "page", Tenant: "?", Deadline: 2 * time.Hour}},
 	} {
 		r := newHarness(t, func(s *Settings) { s.Tenants = []string{"known"} })
 		out := r.handle(c.q)
 		if len(out) != 1 || firstAction[Reject](out) == nil || len(r.d.requests) != 0 {
-			t.Errorf("%s: %v", c.name, out)
+			t.Errorf("%s: got actions %v, want a rejection alone", c.name, out)
 		}
 	}
 }
 
-// theory-schools-later rough-1: with no parent left and fetches at their limit a listed cache is asked for what it
-// holds; it was asked over and over for what it lacked.
+// With no parent left and fetches from the origin at their limit, a listed cache is asked only for
+// its copy. A miss then ends the request; guards against asking the cache again and again for a
+// copy that it lacks.
 func TestMissWithoutFillSourceIsRejected(t *testing.T) {
 	r := newHarness(t, nil)
 	r.serve("film", "o", ReasonHit)
@@ -34,16 +35,16 @@
 	r.d.originFetches.Max = 0
 	id, a := r.send("film", "o")
 	if a == nil || a.FillSource != a.Endpoint {
-		t.Fatalf("%+v, want an attempt that nobody fills", a)
+		t.Fatalf("attempt %+v, want one without a fill source", a)
 	}
 	out := r.advance(5 * ms).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Miss, Latency: 5 * ms})
 	if firstAction[Reject](out) == nil || firstAction[ForwardAttempt](out) != nil {
-		t.Errorf("the miss brought %v, want a refusal at once", out)
+		t.Errorf("actions after the miss are %v, want a rejection at once", out)
 	}
 }
 
-// A request that every store answers with an error is at fault itself: it is given up after a few attempts, which
-// cost no store its good name, and leaves further attempts to others.
+// A request to which every endpoint answers with an error is itself malformed: it ends after a few
+// attempts, counts as a failure of no endpoint, and leaves retries for other requests.
 func TestMalformedRequestsEjectNoEndpoint(t *testing.T) {
 	r := newHarness(t, func(s *Settings) { s.AnswerDetail = DetailHit })
 	for i := range 20 {
@@ -53,7 +54,7 @@
 			a = firstAction[ForwardAttempt](r.handle(AttemptResult{ID: id, Attempt: n, Endpoint: a.Endpoint, Status: ServerError}))
 		}
 		if n < 2 || n > 3 || r.d.requests[id] != nil {
-			t.Fatalf("request %d: %d attempts, open: %v", i, n, r.d.requests[id] != nil)
+			t.Fatalf("request %d: %d attempts, want 2 or 3; still open: %v", i, n, r.d.requests[id] != nil)
 		}
 		for k := range 30 {
 			r.serve("film", fmt.Sprint("good", i, k), ReasonHit)
@@ -61,12 +62,12 @@
 	}
 	for _, s := range r.d.endpoints {
 		if s.ejectionDuration > 0 || s.errorRate > 0 {
-			t.Errorf("%s: failing %.2f, ejected for %v", s.id, s.errorRate, s.ejectionDuration)
+			t.Errorf("%s: error rate %.2f, ejected for %v, want neither", s.id, s.errorRate, s.ejectionDuration)
 		}
 	}
-	for i := 0; r.d.endpoints["c1"].ejectionDuration == 0; i++ { // one that fails where others do well is left alone
+	for i := 0; r.d.endpoints["c1"].ejectionDuration == 0; i++ { // an endpoint that fails requests which others serve is ejected
 		if i == 200 {
-			t.Fatal("a cache that always fails is still asked")
+			t.Fatal("a cache that always fails is still in use after 200 requests")
 		}
 		id, a := r.send("film", fmt.Sprint("new", i))
 		n := 0
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -23,13 +23,14 @@
 		id, a := r.send(c.class, "")
 		out := r.advance(c.latency).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: c.status, Latency: c.latency})
 		if (firstAction[ForwardAttempt](out) != nil) != c.retried || (firstAction[Fail](out) != nil) != c.failed {
-			t.Errorf("%s after %v: %v", c.class, c.status, out)
+			t.Errorf("class %s after status %v: got actions %v", c.class, c.status, out)
 		}
 	}
 }
 
-// Where answers get lost on their way, a second copy is sent once the answer is due and later ones have come. Where
-// none did, or a limit binds, the answer is waited for.
+// Where answers get lost on their way, a hedged request is sent once the answer is due and later
+// ones have arrived. If none was lost recently, or a limit was cut, the director waits for the
+// answer.
 func TestHedgingOfLostAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -53,23 +54,24 @@
 			hedges += countAttempts(r.advance(100 * ms).handle(TimerFired{Token: r.d.requests[id].token}))
 		}
 		if hedges != c.hedges {
-			t.Errorf("%s: %d second copies, not %d", c.name, hedges, c.hedges)
+			t.Errorf("%s: %d hedged requests, want %d", c.name, hedges, c.hedges)
 		}
 		if out := r.handle(AttemptResult{ID: id, Attempt: hedges, Endpoint: cacheID, Status: OK, Final: true}); hedges == 1 &&
 			firstAction[CancelAttempt](out) == nil {
-			t.Errorf("%s: the first attempt is still waited for: %v", c.name, out)
+			t.Errorf("%s: the first attempt is not canceled: %v", c.name, out)
 		}
 	}
 }
 
-// overtaken asks for a page at an endpoint until an answer to a later request has overtaken it.
+// sendOvertaken requests a page until the attempt goes to the given endpoint, and lets a later
+// attempt there be answered first.
 func (r *harness) sendOvertaken(at string) (id string, a *ForwardAttempt) {
 	for {
 		if id, a = r.send("page", "x"); a.Endpoint == at {
 			r.advance(ms).serve("page", "x", ReasonHit)
 			return id, a
 		}
-		r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: ms}) // a detour
+		r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: ms}) // another cache was explored
 	}
 }
 
@@ -83,36 +85,38 @@
 	return n
 }
 
-// A repeat that is decided in time and waits for its connection is not written once stores may have forgotten the first
-// attempt, which may have run. It was: behind a dial of 0.4 s.
+// A retry that was decided in time but waits for its connection is not written once the endpoints
+// may have forgotten the idempotency key of the first attempt, which may have been executed. Guards
+// against a retry that was written after a dial of 0.4 s.
 func TestRecheckAttemptEnforcesDedupWindow(t *testing.T) {
 	for _, c := range []struct {
-		gap  time.Duration // from the repeat's decision until it is checked again
+		gap  time.Duration // from the decision to retry until RecheckAttempt
 		want bool
 	}{{300 * ms, true}, {690 * ms, true}, {698 * ms, false}, {time.Second, false}} {
 		r := newHarness(t, nil)
 		id, a := r.send("send", "x")
 		if _, ok := r.d.RecheckAttempt(r.now+2*time.Second, id, 0); !ok {
-			t.Error("a first attempt has no window")
+			t.Error("RecheckAttempt forbids a first attempt, which no window limits")
 		}
 		r.d.now = r.now
 		out := r.advance(300 * ms).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Reset, Latency: 300 * ms})
 		if firstAction[ForwardAttempt](out) == nil {
-			t.Fatalf("it is not repeated: %v", out)
+			t.Fatalf("not retried: got actions %v", out)
 		}
 		if _, ok := r.d.RecheckAttempt(r.now+c.gap, id, 1); ok != c.want {
-			t.Errorf("%v after the first attempt: %v", 300*ms+c.gap, ok)
+			t.Errorf("RecheckAttempt %v after the first attempt: ok is %v", 300*ms+c.gap, ok)
 		}
 	}
 }
 
-// Whatever effect the settings give a class, kept or not, read or written: what may have run goes nowhere again where it
-// must not, and is not refused where a repeat would do harm.
+// For every effect and deduplication scope, of cacheable and uncacheable classes: a request that
+// may have been executed is not repeated where that is forbidden, and is not rejected where a
+// repeat by the client would do harm.
 func TestEffectsAndDedupScopes(t *testing.T) {
 	for _, cacheable := range []bool{true, false} {
 		for _, effect := range []Effect{Idempotent, IdempotentWithKey, NonIdempotent} {
 			for _, scope := range []DedupScope{ScopeAll, ScopeZone, ScopeCell} {
-				for _, afterWindow := range []bool{false, true} { // the window has passed
+				for _, afterWindow := range []bool{false, true} { // whether DedupWindow has passed
 					checkEffect(t, cacheable, effect, scope, afterWindow)
 				}
 			}
@@ -128,7 +132,7 @@
 	})
 	id, a := r.send("k", "x")
 	if a == nil {
-		t.Fatal("no attempt")
+		t.Fatal("no attempt was forwarded")
 	}
 	firstTarget := r.d.endpoints[a.Endpoint]
 	gap := 100 * ms
@@ -137,7 +141,7 @@
 	}
 	out := r.advance(gap).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Reset, Latency: gap})
 	retry, rejected, failed := firstAction[ForwardAttempt](out), firstAction[Reject](out), firstAction[Fail](out)
-	description := fmt.Sprintf("kept %v, effect %v, scope %v, late %v: %v", cacheable, effect, scope, afterWindow, out)
+	description := fmt.Sprintf("cacheable %v, effect %v, scope %v, after window %v: got actions %v", cacheable, effect, scope, afterWindow, out)
 	if retry != nil {
 		retryTarget := r.d.endpoints[retry.Endpoint]
 		if effect == NonIdempotent || effect == IdempotentWithKey && (afterWindow || scope == ScopeZone && retryTarget.zone != firstTarget.zone ||
@@ -153,18 +157,19 @@
 	}
 }
 
-// Who asks for a class or as a tenant that the settings do not name was told to come back, which can't help.
+// A request of an unknown class or tenant is rejected without a Retry-After, because returning
+// later cannot help.
 func TestUnknownClassOrTenantGetsNoRetryAfter(t *testing.T) {
 	r := newHarness(t, func(s *Settings) { s.Tenants = []string{"known"} })
 	for _, q := range []Request{{ID: "class", Class: "unheard of"}, {ID: "tenant", Class: "page", Tenant: "unheard of"}} {
 		q.Object, q.Deadline = "o", r.now+time.Second
 		reject := firstAction[Reject](r.handle(q))
 		if reject == nil || reject.RetryAfter != 0 {
-			t.Errorf("%s: %+v", q.ID, reject)
+			t.Errorf("unknown %s: got %+v, want a rejection without a Retry-After", q.ID, reject)
 		}
 	}
 	late := firstAction[Reject](r.handle(Request{ID: "late", Class: "page", Tenant: "known", Object: "o", Deadline: r.now}))
 	if late == nil || late.RetryAfter == 0 {
-		t.Errorf("one that comes too late: %+v", late)
+		t.Errorf("request past its deadline: got %+v, want a rejection with a Retry-After", late)
 	}
 }
--- a/routing/rig_test.go
+++ b/routing/rig_test.go
@@ -9,7 +9,8 @@
 
 const ms = time.Millisecond
 
-// settings returns a small legal site: two locations, a hub with two parents, one origin.
+// defaultSettings returns settings of a small site: two locations, a hub with two parents, and one
+// origin.
 func defaultSettings() Settings {
 	return Settings{
 		Index: 0, Directors: 3, Zone: "here", Zones: []string{"hub", "here", "there"}, ZoneHub: []int{0, 0, 0},
@@ -44,13 +45,13 @@
 	}
 }
 
-// rig drives one director by hand.
+// harness drives one director with events that the test chooses.
 type harness struct {
 	t      *testing.T
 	d      *Director
 	now    time.Duration
 	lastID int
-	sizeKB float64 // size told with each request; 0: none is
+	sizeKB float64 // size stated with each request, in kB; 0: not stated
 }
 
 func newHarness(t *testing.T, change func(*Settings)) *harness {
@@ -72,7 +73,8 @@
 
 func (r *harness) advance(d time.Duration) *harness { r.now += d; return r }
 
-// send sends a request for an object and returns its id and the attempt that came of it, if any.
+// send sends a request for an object and returns its id and the attempt that the director
+// forwarded, nil if there is none.
 func (r *harness) send(class, object string) (string, *ForwardAttempt) {
 	r.lastID++
 	id := fmt.Sprint("r", r.lastID)
@@ -81,18 +83,19 @@
 		Deadline: r.now + deadline, Write: r.d.classes[class].Uncacheable}))
 }
 
-// serve asks for an object until it is answered as the note says.
+// serve requests an object, answers the attempt after 50 ms with the given reason, and returns the
+// attempt.
 func (r *harness) serve(class, object string, reason Reason) *ForwardAttempt {
 	r.t.Helper()
 	id, a := r.send(class, object)
 	if a == nil {
-		r.t.Fatalf("no attempt for %s", object)
+		r.t.Fatalf("no attempt was forwarded for %s", object)
 	}
 	r.advance(50 * ms).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: reason, Final: true, Latency: 50 * ms})
 	return a
 }
 
-// first returns the first action of a type, or nil.
+// firstAction returns the first action of type T, or nil if there is none.
 func firstAction[T Action](actions []Action) *T {
 	for _, a := range actions {
 		if v, ok := a.(T); ok {
@@ -112,7 +115,8 @@
 	return string(b)
 }
 
-// hold makes a director hold n hits at the cache that lists the object, whose learnt limit is n.
+// fillToLimit sets the limit of the cache that lists the object to n and requests the object until
+// n attempts are in flight there. It returns the cache's id.
 func fillToLimit(r *harness, object string, n int) string {
 	cacheID := r.serve("film", object, ReasonHit).Endpoint
 	cache := r.d.endpoints[cacheID]
--- a/routing/rules_test.go
+++ b/routing/rules_test.go
@@ -9,7 +9,10 @@
 	"time"
 )
 
-// TestRulesUnderOddSequences drives a director by odd but legal events and checks the rules on its actions.
+// TestInvariantsUnderRandomEvents passes random legal events to a director and checks the
+// invariants of its actions: one final answer per request by its deadline, no attempt at an
+// endpoint that is not up or paused, no repeat that the class's effect forbids, and maximum ages
+// that respect purges.
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(60) {
 		if err := runRandomEvents(seed); err != nil {
@@ -22,19 +25,19 @@
 	endpoint   string
 	at         time.Duration
 	ended      bool
-	mayHaveRun bool // may have run
+	mayHaveRun bool
 }
 
-// oddRequest is a request as the checks see it.
+// trackedRequest is a request as the checks track it.
 type trackedRequest struct {
 	q           Request
 	attempts    []trackedAttempt
 	answered    bool
-	class       Class // as it was when the request came
-	maxAttempts int   // attempts; likewise
+	class       Class // when the request was sent
+	maxAttempts int   // when the request was sent
 }
 
-// oddRun is one sequence of odd events, and what the checks know of it.
+// randomRun is one sequence of random events, with the state that the checks track.
 type randomRun struct {
 	rng         *rand.Rand
 	settings    Settings
@@ -49,7 +52,7 @@
 	cell        map[string]int
 	incarnation map[string]time.Duration
 	purgedAt    time.Duration
-	pausedUntil time.Duration // until then nothing goes to endpoints that are warming up
+	pausedUntil time.Duration // nothing may be sent to endpoints that are warming up until then
 }
 
 func runRandomEvents(seed uint64) error {
@@ -115,7 +118,7 @@
 	return list
 }
 
-// handle gives the director an event, and checks its actions.
+// handle passes an event to the director and checks the resulting actions.
 func (o *randomRun) handle(e Event) error {
 	for _, a := range o.d.Handle(o.now, e, nil) {
 		if err := o.check(a); err != nil {
@@ -134,16 +137,16 @@
 	case Fail:
 		st := o.requests[a.ID]
 		if st == nil || st.answered {
-			return fmt.Errorf("%v: second answer for %s", o.now, a.ID)
+			return fmt.Errorf("%v: second final answer for %s", o.now, a.ID)
 		}
 		st.answered = true
 	case CancelAttempt:
 		if !o.settings.CanCancel || a.Attempt >= len(o.requests[a.ID].attempts) {
-			return fmt.Errorf("%v: cancels attempt %d of %s", o.now, a.Attempt, a.ID)
+			return fmt.Errorf("%v: CancelAttempt %d of %s is not allowed or names no attempt", o.now, a.Attempt, a.ID)
 		}
 	case SendGossip:
 		if !o.settings.Gossip || len(a.Data) > 256 {
-			return fmt.Errorf("%v: tells %q", o.now, a.Data)
+			return fmt.Errorf("%v: gossip %q is longer than 256 bytes or gossip is off", o.now, a.Data)
 		}
 	case SetTimer:
 		o.timers = append(o.timers, a)
@@ -154,21 +157,21 @@
 func (o *randomRun) checkAttempt(a ForwardAttempt) error {
 	st := o.requests[a.ID]
 	if st == nil || st.answered {
-		return fmt.Errorf("%v: attempt for %s, which is over", o.now, a.ID)
+		return fmt.Errorf("%v: attempt for %s, which has its final answer", o.now, a.ID)
 	}
 	if o.notUp[a.Endpoint] || o.notUp[a.FillSource] {
-		return fmt.Errorf("%v: %s or %s is not up", o.now, a.Endpoint, a.FillSource)
+		return fmt.Errorf("%v: attempt uses %s and %s, of which one is not up", o.now, a.Endpoint, a.FillSource)
 	}
 	if len(st.attempts) >= st.maxAttempts {
-		return fmt.Errorf("%v: attempt %d of %s, %d at most", o.now, len(st.attempts)+1, a.ID, st.maxAttempts)
+		return fmt.Errorf("%v: attempt %d of %s, want at most %d", o.now, len(st.attempts)+1, a.ID, st.maxAttempts)
 	}
 	for _, id := range []string{a.Endpoint, a.FillSource} {
 		if started := o.incarnation[id]; o.now < o.pausedUntil && started > 0 && o.d.warmUpDuration(id) > o.now-started {
-			return fmt.Errorf("%v: %s is cold, and nothing is to go there until %v", o.now, id, o.pausedUntil)
+			return fmt.Errorf("%v: attempt uses %s, which is warming up, during a pause until %v", o.now, id, o.pausedUntil)
 		}
 	}
 	if o.purgedAt > 0 && o.now-o.purgedAt < o.settings.PurgeSettleTime && (a.MaxAge <= 0 || a.MaxAge > o.now-o.purgedAt+ms) {
-		return fmt.Errorf("%v: age limit %v, purged %v ago", o.now, a.MaxAge, o.now-o.purgedAt)
+		return fmt.Errorf("%v: MaxAge %v, want less than the time since the purge, %v", o.now, a.MaxAge, o.now-o.purgedAt)
 	}
 	if err := o.checkRepeat(st, a); err != nil {
 		return err
@@ -177,11 +180,11 @@
 	return nil
 }
 
-// checkRepeat holds an attempt against those before it.
+// checkRepeat checks an attempt against the effect of its class and the attempts before it.
 func (o *randomRun) checkRepeat(st *trackedRequest, a ForwardAttempt) error {
 	for _, b := range st.attempts {
 		if !o.settings.HedgedRequests && !b.ended {
-			return fmt.Errorf("%v: second copy of %s", o.now, a.ID)
+			return fmt.Errorf("%v: hedged request %s, but hedging is off", o.now, a.ID)
 		}
 		if st.class.Effect == Idempotent || b.ended && !b.mayHaveRun {
 			continue
@@ -189,7 +192,7 @@
 		if st.class.Effect == NonIdempotent || o.now-b.at > st.class.DedupWindow ||
 			st.class.DedupScope == ScopeZone && o.zone[a.Endpoint] != o.zone[b.endpoint] ||
 			st.class.DedupScope == ScopeCell && o.cell[a.Endpoint] != o.cell[b.endpoint] {
-			return fmt.Errorf("%v: repeats %s of %s", o.now, a.ID, st.class.Name)
+			return fmt.Errorf("%v: attempt repeats request %s of class %s, which may have been executed", o.now, a.ID, st.class.Name)
 		}
 	}
 	return nil
@@ -198,19 +201,19 @@
 func (o *randomRun) checkReject(a Reject) error {
 	st := o.requests[a.ID]
 	if st == nil || st.answered {
-		return fmt.Errorf("%v: second answer for %s", o.now, a.ID)
+		return fmt.Errorf("%v: second final answer for %s", o.now, a.ID)
 	}
 	for _, b := range st.attempts {
 		if (b.mayHaveRun || !b.ended) && (st.class.Effect == NonIdempotent ||
 			st.class.Effect == IdempotentWithKey && st.class.DedupScope != ScopeAll) {
-			return fmt.Errorf("%v: refuses %s of %s, which may have run", o.now, a.ID, st.class.Name)
+			return fmt.Errorf("%v: rejected %s of class %s, which may have been executed", o.now, a.ID, st.class.Name)
 		}
 	}
 	st.answered = true
 	return nil
 }
 
-// end gives the director the result of an attempt, if that is still due.
+// endAttempt passes the result of an attempt to the director, if the attempt has none yet.
 func (o *randomRun) endAttempt(id string, i int, status Status) error {
 	st := o.requests[id]
 	b := &st.attempts[i]
@@ -238,12 +241,12 @@
 	return nil
 }
 
-// checkDeadlines finds requests without an answer, and lets attempts time out.
+// checkDeadlines checks that requests are answered by their deadlines, and lets attempts time out.
 func (o *randomRun) checkDeadlines() error {
 	for _, id := range o.requestIDs {
 		st := o.requests[id]
 		if !st.answered && o.now > st.q.Deadline+8*ms {
-			return fmt.Errorf("%v: %s was lost, due %v", o.now, id, st.q.Deadline)
+			return fmt.Errorf("%v: %s has no final answer, want one by %v", o.now, id, st.q.Deadline)
 		}
 		if o.now < st.q.Deadline {
 			continue
@@ -257,7 +260,7 @@
 	return nil
 }
 
-// step draws the next event.
+// step passes one random event to the director.
 func (o *randomRun) step(n int) error {
 	rng := o.rng
 	pick := func() string { return o.requestIDs[max(0, len(o.requestIDs)-1-rng.IntN(30))] }
@@ -291,7 +294,7 @@
 
 func (o *randomRun) sendRequest(n int) error {
 	rng := o.rng
-	c := o.settings.Classes[rng.IntN(len(o.settings.Classes)-1)] // all but the streamed one
+	c := o.settings.Classes[rng.IntN(len(o.settings.Classes)-1)] // all but the streamed class
 	id := fmt.Sprint("q", n)
 	o.requestIDs = append(o.requestIDs, id)
 	q := Request{ID: id, Class: c.Name, Object: fmt.Sprint("o", rng.IntN(40)), Group: 1, Write: c.Uncacheable,
@@ -315,7 +318,7 @@
 	return o.handle(EndpointUpdate{Kind: kind, Endpoints: o.endpoints})
 }
 
-// changeClasses draws other rules for some class, and another number of attempts.
+// changeClasses gives a random class other settings, and draws another limit on attempts.
 func (o *randomRun) changeClasses() error {
 	rng := o.rng
 	o.settings.Classes = slices.Clone(o.settings.Classes)
@@ -325,7 +328,8 @@
 	return o.handle(Reconfigured{Classes: o.settings.Classes, MaxAttempts: o.settings.MaxAttempts})
 }
 
-// leave lets a client go. Results and departures of requests that the director no longer knows are passed over.
+// abandon ends a request for its client. Results and departures of requests unknown to the director
+// must be ignored.
 func (o *randomRun) abandon(id string) error {
 	if !o.requests[id].answered {
 		o.requests[id].answered = true
--- a/routing/settings_test.go
+++ b/routing/settings_test.go
@@ -18,7 +18,7 @@
 		s := defaultSettings()
 		c.change(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: error is %v", c.want, err)
+			t.Errorf("want an error that names %s, got %v", c.want, err)
 		}
 	}
 }
--- a/routing/simulated_location_test.go
+++ b/routing/simulated_location_test.go
@@ -9,27 +9,28 @@
 	"larchusher/lab/virtualclock"
 )
 
-// small is a location with its caches, two parents and the origin, and one director. Caches hold what they were filled with;
-// a fill takes its source's time, and the origin's behind a parent that lacks the object.
+// simulatedLocation is one director in front of a simulated location with its caches, two parents
+// and the origin. Endpoints keep a copy of everything they were filled with. A fill takes the fill
+// source's time, plus the origin's if a parent has no copy.
 type simulatedLocation struct {
 	d                  *Director
 	clock              virtualclock.Clock
 	rng                *rand.Rand
 	zipf               *rand.Zipf
 	settings           Settings
-	copies             map[string]map[string]time.Duration // by server, when each object was filled
-	silent             map[string]bool                     // silent
-	originFetchTime    time.Duration                       // what one fetch takes,
-	originBusyUntil    time.Duration                       // and until when it is at work
+	copies             map[string]map[string]time.Duration // by endpoint and object: time of the fill
+	silent             map[string]bool                     // by endpoint: it answers nothing
+	originFetchTime    time.Duration                       // duration of one fetch
+	originBusyUntil    time.Duration                       // the origin's queue of fetches is empty then
 	requests           map[string]*simulatedRequest
 	lastID             int
-	utilization        map[string]float64 // reported
-	countFrom, countTo time.Duration      // what comes then is counted
+	utilization        map[string]float64 // reported by each endpoint
+	countFrom, countTo time.Duration      // requests that arrive in this interval are counted
 	requestCount       map[string]int
 	inObjective        map[string]int
-	expectedHits       int // of those counted, which a cache held when they came
+	expectedHits       int // counted requests for objects of which a cache had a copy on arrival
 	hitsInObjective    int
-	rejectedAt         []time.Duration // when requests were
+	rejectedAt         []time.Duration // times of rejections
 	attempts           map[string]int
 }
 
@@ -38,7 +39,7 @@
 	arrivedAt    time.Duration
 	hitExpected  bool
 	answered     bool
-	inFlight     []bool // attempts that are out
+	inFlight     []bool // by attempt
 	transferTime time.Duration
 }
 
@@ -65,7 +66,8 @@
 	return w
 }
 
-// play has clients ask until a time, so many a second, and counts what comes from and to some times.
+// run simulates clients that send rate requests per second until a time, and counts the requests
+// that arrive in the interval from from to to.
 func (w *simulatedLocation) run(until, from, to time.Duration, rate float64) {
 	until, w.countFrom, w.countTo = time.Hour+until, time.Hour+from, time.Hour+to
 	var next func()
@@ -83,7 +85,7 @@
 	c, object := w.settings.Classes[0], fmt.Sprint("o", w.zipf.Uint64())
 	switch x := w.rng.Float64(); {
 	case x < 0.04:
-		c = w.settings.Classes[3] // a write
+		c = w.settings.Classes[3] // of the write class
 	case x < 0.4:
 		c, object = w.settings.Classes[1], "p"+object
 	}
@@ -132,10 +134,10 @@
 	}
 }
 
-// executeAttempt works an attempt out: when it ends, and how.
+// executeAttempt simulates an attempt and schedules its result.
 func (w *simulatedLocation) executeAttempt(a ForwardAttempt, object string) {
 	r, now := w.requests[a.ID], w.clock.Now
-	if object == "" { // a further attempt
+	if object == "" { // a retry
 		object = w.d.requests[a.ID].Object
 	}
 	number := len(r.inFlight)
@@ -160,7 +162,7 @@
 		o.Reason = ReasonHit
 	case a.FillSource == a.Endpoint && a.Endpoint != "o":
 		o.Status, latency = Miss, ms
-	case w.silent[a.FillSource]: // it is given up after the fill's own time-out
+	case w.silent[a.FillSource]: // rejected after the fill's own timeout
 		o.Status, latency = Rejected, 830*ms
 	default:
 		o.Reason = ReasonFilled
@@ -170,7 +172,7 @@
 				o.Status, latency = Miss, 10*ms
 				break
 			}
-			w.originBusyUntil = max(w.originBusyUntil, now) + w.originFetchTime // one worker, no end of waiting room
+			w.originBusyUntil = max(w.originBusyUntil, now) + w.originFetchTime // one worker with an unlimited queue
 			latency += w.originBusyUntil - now
 			parentCopyAt = now
 			w.copies[a.FillSource][object] = parentCopyAt
--- a/routing/slow_start_test.go
+++ b/routing/slow_start_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// warmsFor is how long a server takes to warm up.
+// warmUpDuration returns the time that an endpoint takes to warm up; 0 if it is unknown.
 func (d *Director) warmUpDuration(id string) time.Duration {
 	if s := d.endpoints[id]; s != nil {
 		return d.slowStartRamp(s.role).Duration
@@ -16,10 +16,11 @@
 	return 0
 }
 
-// While it is told to pause, a director sends nothing to cold servers; afterwards they have their budget.
+// During a pause a director sends nothing to endpoints that are warming up; afterwards it uses
+// their budget again.
 func TestPauseStopsSlowStart(t *testing.T) {
 	r := newHarness(t, nil)
-	for i := range 400 { // what warm caches carry
+	for i := range 400 { // sets the rate of warm caches
 		r.serve("film", fmt.Sprint("a", i), ReasonHit)
 	}
 	endpoints := testEndpoints()
@@ -32,16 +33,16 @@
 			continue
 		}
 		if toColdCache++; r.now < until {
-			t.Fatalf("the cold cache was sent something %v too early", until-r.now)
+			t.Fatalf("an attempt was forwarded to the cold cache %v before the end of the pause", until-r.now)
 		}
 	}
 	if toColdCache == 0 {
-		t.Error("the cold cache gets nothing any more")
+		t.Error("no attempt was forwarded to the cold cache after the pause")
 	}
 }
 
-// TestColdBudget sends a cold cache what it may have, and no more in any window. ridge-assets tells no
-// sizes: attempts weighed nothing there, and cold caches were pushed over.
+// A cold cache is sent attempts, but not more than its budget allows, with and without known sizes.
+// Guards against attempts of unknown size that cost nothing, which overloaded cold caches.
 func TestSlowStartBudget(t *testing.T) {
 	for _, kb := range []float64{400, 0} {
 		t.Run(fmt.Sprint(kb, "KB"), func(t *testing.T) { testSlowStartBudget(t, kb) })
@@ -51,7 +52,7 @@
 func testSlowStartBudget(t *testing.T, kb float64) {
 	r := newHarness(t, nil)
 	r.sizeKB = kb
-	for i := range 400 { // what warm caches carry
+	for i := range 400 { // sets the rate of warm caches
 		r.serve("film", fmt.Sprint("a", i), ReasonHit)
 	}
 	l := testEndpoints()
@@ -66,20 +67,20 @@
 			toWarmCaches++
 		}
 	}
-	maxAttempts := float64(toWarmCaches) / 3 * 2 * 0.4 // multiple x share after 3 s of what one warm cache carries
+	maxAttempts := float64(toWarmCaches) / 3 * 2 * 0.4 // overload multiple times capacity share after 3 s, of a warm cache's attempts
 	if toColdCache == 0 || float64(toColdCache) > maxAttempts {
-		t.Errorf("a cold cache got %d, a warm one %d, at most %.0f", toColdCache, toWarmCaches/3, maxAttempts)
+		t.Errorf("%d attempts at the cold cache, %d at a warm one; want at least 1 and at most %.0f at the cold one", toColdCache, toWarmCaches/3, maxAttempts)
 	}
 }
 
-// Caches that are ill count in what the warm ones carry, for the well carry their load. Left out, they made what a
-// cold one was sent four times what it could do.
+// Ejected caches count in the mean rate of warm caches, because the healthy ones serve their load.
+// Without them the mean was so high that a cold cache was sent four times what it could serve.
 func TestEjectedCachesCountInWarmRate(t *testing.T) {
 	r := newHarness(t, nil)
 	for i := range 200 {
 		r.serve("page", fmt.Sprint(i%40), ReasonHit)
 	}
-	for _, id := range []string{"c1", "c2"} { // these have answered nothing lately
+	for _, id := range []string{"c1", "c2"} { // these answered nothing recently
 		r.d.endpoints[id].workRate = 0
 		for range 3 {
 			r.d.recordFailure(r.d.endpoints[id])
@@ -91,42 +92,43 @@
 		sum += s.decayedWorkRate(r.now)
 	}
 	if got := r.d.warmRate[roleCache]; sum == 0 || got > 1.01*sum/4 {
-		t.Errorf("carried %v each, %v in all by four", got, sum)
+		t.Errorf("warm rate %v per cache, want a quarter of the total rate %v", got, sum)
 	}
 }
 
-// A server that serves small objects only does no more work for that: what it has carried is what was sent, so that the budget
-// of a cold one, which counts each attempt as its class's mean, does not grow by their number.
+// An endpoint that serves only small objects does not do more work by that. Its measured rate
+// counts the objects' own transfer times, so that the budget of a cold endpoint, which counts each
+// attempt as its class's mean, does not grow with their number.
 func TestSmallObjectsDoNotRaiseSlowStartBudgets(t *testing.T) {
 	r := newHarness(t, withoutAnswerDetail)
-	for n := range 200 { // the class's mean
+	for n := range 200 { // sets the class's mean
 		r.sizeKB = 1200
 		r.advance(20*ms).serve("film", fmt.Sprint("large", n%7), ReasonNone)
 	}
-	for n := range 100 { // twenty a second of a tenth of that, for 5 s
+	for n := range 100 { // ten per second (serve takes 50 ms more), of a tenth of the size
 		r.sizeKB = 120
 		r.advance(50*ms).serve("film", fmt.Sprint("small", n%7), ReasonNone)
 	}
 	r.d.updateWarmRate(roleCache)
 	if estimated, done := 4*r.d.warmRate[roleCache], 20*0.03; estimated > 1.5*done {
-		t.Errorf("four caches are taken to do %.2f s of work a second, and did %.2f", estimated, done)
+		t.Errorf("the measured rate of four caches is %.2f s of work per second, want at most 1.5 times %.2f", estimated, done)
 	}
 }
 
-// i5011b2: floors of a whole attempt for each director added up at a cold parent, and what warm parents
-// carry was measured by what was sent. 40 directors, 10 of them just started, must stay within the parent's
-// budget.
+// 40 directors, 10 of them newly started, together stay within the budget of a cold parent. Guards
+// against two faults that overloaded a cold parent: each director had a floor of a whole attempt,
+// and the rate of warm parents was measured by what was sent, not by what was answered.
 func TestManyDirectorsStayWithinSlowStartBudget(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 1))
 			f := newDirectorGroup(t, 40, nil)
-			probability := 0.05 // that a director asks for something
+			probability := 0.05 // that a director sends a request in a step
 			workBefore := map[string]float64{}
 			for range 600 {
 				f.stepRandomRequests(rng, probability, workBefore)
 			}
-			warmRate := (workBefore["p1"] + workBefore["p2"]) / 2 / 6 // work a second that a warm parent did
+			warmRate := (workBefore["p1"] + workBefore["p2"]) / 2 / 6 // work per second of a warm parent
 			l := testEndpoints()[5:6]
 			l[0].Incarnation = f.now
 			for i := range 10 {
@@ -136,26 +138,26 @@
 				r.now = f.now
 				r.handle(EndpointUpdate{Kind: DeltaList, Endpoints: l})
 			}
-			// Three seconds may bring the multiple of the mean present share; what warm parents did is the least
-			// that one can do.
+			// Three seconds allow the overload multiple of the mean capacity share; the rate of the
+			// warm parents is a lower bound of what one can serve.
 			workAfter := map[string]float64{}
-			probability /= 2 // so that the other parent alone is not seen to do more than it did before
+			probability /= 2 // so that the other parent alone does not serve more than before
 			for range 300 {
 				f.stepRandomRequests(rng, probability, workAfter)
 			}
 			s := defaultSettings()
 			capacityShare := s.ParentSlowStartInitialShare + (1-s.ParentSlowStartInitialShare)*1.5/s.ParentSlowStartDuration.Seconds()
 			if maxWork := warmRate * s.ParentOverloadMultiple * capacityShare * 3; workAfter["p1"] == 0 || workAfter["p1"] > maxWork {
-				t.Errorf("seed %d: a cold parent got %.2f s of work, at most %.2f", seed, workAfter["p1"], maxWork)
+				t.Errorf("seed %d: the cold parent was sent %.2f s of work, want more than 0 and at most %.2f", seed, workAfter["p1"], maxWork)
 			}
 		})
 	}
 }
 
-// askByChance moves the clock by 10 ms, lets each director ask for a new object with a chance, and adds the work that this
-// brings to the sources of the fills.
+// stepRandomRequests moves the clock by 10 ms, lets each director send a request for a new object
+// with the given probability, and adds the resulting work to its fill source.
 func (f *directorGroup) stepRandomRequests(rng *rand.Rand, probability float64, work map[string]float64) {
-	const transferSeconds = 0.1 // seconds of work of each request: 400 KB at 4000 KB/s
+	const transferSeconds = 0.1 // work per request: 400 kB at 4000 kB/s
 	f.now += 10 * ms
 	for _, r := range f.directors {
 		r.now = f.now
@@ -171,7 +173,8 @@
 	}
 }
 
-// Where many share a location, one that knows of no warm server has its part of the floor, and no more.
+// Among many new directors of a location, each of which knows no warm endpoint, a director gets
+// only its share of the budget's floor.
 func TestNewDirectorsShareTheBudgetFloor(t *testing.T) {
 	f := newDirectorGroup(t, 60, nil)
 	endpoints := testEndpoints()
@@ -191,17 +194,17 @@
 			}
 		}
 	}
-	// the floor is one attempt in the three seconds for all, with room for chance
+	// The floor is one attempt in three seconds over all directors, plus a margin for chance.
 	if sent > 5 {
-		t.Errorf("60 new directors sent a cold cache %d attempts in three seconds", sent)
+		t.Errorf("60 new directors sent a cold cache %d attempts in three seconds, want at most 5", sent)
 	}
 }
 
-// refund-counters-later rough-1: after a mass restart every cache of a location is cold, and a budget from the work
-// carried before starved it although it answered.
+// After a mass restart every cache of a location is cold. Guards against a budget that depends only
+// on the rate before the restart, and starves the location although its caches answer.
 func TestAllCachesWarmingUpGetMoreOnceTheyAnswer(t *testing.T) {
 	r := newHarness(t, func(s *Settings) { s.SlowStartInitialShare, s.SlowStartDuration = 0.05, time.Minute })
-	countReachingCaches := func(seconds int) (n int) { // at twenty requests a second
+	countReachingCaches := func(seconds int) (n int) { // at twenty requests per second
 		for range 20 * seconds {
 			r.advance(50 * ms)
 			r.lastID++
@@ -216,28 +219,30 @@
 		}
 		return n
 	}
-	countReachingCaches(10) // what warm caches carry
+	countReachingCaches(10) // sets the rate of warm caches
 	l := testEndpoints()
 	for i := range l[:4] {
 		l[i].Incarnation = r.now
 	}
 	r.handle(EndpointUpdate{Kind: FullList, Endpoints: l})
-	// By its least share a cache would get a half of its work at the end; it is seen to do more.
+	// By its initial share alone, a cache would be sent half of its work at the end; it is observed
+	// to do more.
 	if reached := countReachingCaches(12); reached > 200 {
-		t.Errorf("%d of 240 attempts reached a location that had just started", reached)
+		t.Errorf("%d of 240 attempts reached the caches, which had just started, want at most 200", reached)
 	}
 	if reached := countReachingCaches(3); reached < 50 {
-		t.Errorf("after 12 s without trouble %d of 60 attempts reached the location", reached)
+		t.Errorf("after 12 s without failures %d of 60 attempts reached the caches, want at least 50", reached)
 	}
 }
 
-// The places of directors in the order in which parts are rounded up are even, by their numbers or by their seeds, and other ones
-// at each store. Guards against a fleet that rounds alike: all or none of it would send.
+// The directors' positions in the order in which shares are rounded up are even, by their indices
+// or their seeds, and differ between endpoints. Guards against directors that all round alike, so
+// that all or none of them would send.
 func TestSenderPositionsAreEven(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"by number":           nil,
-		"no number told":      func(s *Settings) { s.Index, s.IndexUnknown = 0, true },
-		"nothing told at all": func(s *Settings) { s.Index, s.IndexUnknown, s.Directors, s.ZoneDirectors = 0, true, 0, nil },
+		"by number":                 nil,
+		"unknown index":             func(s *Settings) { s.Index, s.IndexUnknown = 0, true },
+		"unknown index and numbers": func(s *Settings) { s.Index, s.IndexUnknown, s.Directors, s.ZoneDirectors = 0, true, 0, nil },
 	} {
 		f := newDirectorGroup(t, 100, change)
 		var quarters, secondQuarters [4]int
@@ -249,29 +254,29 @@
 		}
 		minCount, maxCount := 22, 28
 		if name != "by number" {
-			minCount, maxCount = 12, 40 // three deviations
+			minCount, maxCount = 12, 40 // three standard deviations
 		}
 		for q, n := range quarters {
 			if n < minCount || n > maxCount {
-				t.Errorf("%s: %d of 100 directors have their place in quarter %d", name, n, q+1)
+				t.Errorf("%s: %d of 100 directors have positions in quarter %d, want about 25", name, n, q+1)
 			}
 		}
 		if name == "by number" && secondQuarters[0] > 20 {
-			t.Errorf("%d of those that come first at one cache come first at the next", secondQuarters[0])
+			t.Errorf("%d directors are in the first quarter at two caches, want at most 20", secondQuarters[0])
 		}
 	}
 }
 
-// All directors of a location learn of one new, empty cache within a tenth of a second. Some have several times the mean
-// traffic, none hears another, and half of them are dead for a while. In no window is the cache sent more than it can take
-// by what warm ones of its size do.
+// All directors of a location learn of a new, empty cache within a tenth of a second. Some have
+// several times the mean traffic, none receives gossip, and half of them may be down for a while.
+// In no window is the cache sent more than it can serve, by the rate of warm caches of its size.
 func TestUnevenTrafficStaysWithinSlowStartBudget(t *testing.T) {
 	for seed := range uint64(12) {
 		rng := rand.New(rand.NewPCG(seed, 9))
 		n := 2 + rng.IntN(60)
 		group := unevenGroup{rng: rng}
 		group.directorGroup = newDirectorGroup(t, n, func(s *Settings) {
-			s.Gossip = true // and none arrives
+			s.Gossip = true // but no message arrives
 			s.OverloadWindow, s.OverloadMultiple, s.SlowStartInitialShare, s.SlowStartDuration = time.Second, 2, 0.19, 15*time.Second
 		})
 		group.rate = make([]float64, n)
@@ -283,7 +288,7 @@
 		for range 600 {
 			group.step(workBefore)
 		}
-		warmRate := (workBefore["c1"] + workBefore["c2"] + workBefore["c3"] + workBefore["c4"]) / 4 / 6 // work a second: the least that it can do
+		warmRate := (workBefore["c1"] + workBefore["c2"] + workBefore["c3"] + workBefore["c4"]) / 4 / 6 // work per second: a lower bound of what a cache can serve
 		sent := group.restartCache()
 		for from := 0; from+100 <= len(sent); from++ {
 			work, capacity := 0.0, 0.0
@@ -291,25 +296,27 @@
 				work += sent[k]
 				capacity += warmRate * (0.19 + 0.81*float64(k)/1500) * 0.01
 			}
-			// Chance has its part: traffic comes one at a time, and what is warm was measured over six seconds.
+			// A margin for chance: requests come one at a time, and the rate of warm caches was
+			// measured over six seconds.
 			if maxWork := 2*capacity + 6*unevenTransferSeconds; work > maxWork {
-				t.Fatalf("seed %d, %d directors: %.1f s of work within a second, %.1f are allowed", seed, n, work, maxWork)
+				t.Fatalf("seed %d, %d directors: %.1f s of work within a second, want at most %.1f", seed, n, work, maxWork)
 			}
 		}
 	}
 }
 
-const unevenTransferSeconds = 0.1 // seconds of work of each request
+const unevenTransferSeconds = 0.1 // work per request, in seconds
 
-// unevenFleet is a location of directors with uneven traffic.
+// unevenGroup is a location whose directors have uneven traffic.
 type unevenGroup struct {
 	*directorGroup
 	rng  *rand.Rand
-	rate []float64 // of each director's requests,
-	sum  float64   // and of all
+	rate []float64 // by director: relative rate of its requests,
+	sum  float64   // and the sum
 }
 
-// step moves the clock by 10 ms, lets some directors ask, and adds the work that this brings to the caches.
+// step moves the clock by 10 ms, lets some directors send a request, and adds the resulting work to
+// the target caches.
 func (u *unevenGroup) step(work map[string]float64) {
 	const perSecond = 200.0
 	u.now += 10 * ms
@@ -325,8 +332,9 @@
 	}
 }
 
-// startCache restarts c1, of which each director hears a little later, and gives the work that c1 is sent in each step from
-// then on. After a second some directors die, and return knowing the list alone.
+// restartCache restarts c1, which each director learns within 100 ms, and returns the work that c1
+// is sent in each step from then on. After a second some directors restart, knowing only the
+// endpoint list.
 func (u *unevenGroup) restartCache() (sent []float64) {
 	n, rng := len(u.directors), u.rng
 	l := testEndpoints()[:1]
@@ -335,9 +343,9 @@
 	for i := range learnsAt {
 		learnsAt[i] = u.now + time.Duration(rng.IntN(100))*ms
 	}
-	dead := map[int]bool{}
+	killed := map[int]bool{}
 	for i := range n / 2 {
-		dead[i] = rng.IntN(2) == 0
+		killed[i] = rng.IntN(2) == 0
 	}
 	for range 500 {
 		for i, r := range u.directors {
@@ -348,7 +356,7 @@
 			}
 		}
 		if len(sent) == 100 {
-			u.restartDirectors(dead, l)
+			u.restartDirectors(killed, l)
 		}
 		work := map[string]float64{}
 		u.step(work)
@@ -357,10 +365,10 @@
 	return sent
 }
 
-// restart starts those that died anew.
-func (u *unevenGroup) restartDirectors(dead map[int]bool, l []Endpoint) {
-	for i := range dead {
-		if dead[i] {
+// restartDirectors restarts the directors that are marked in killed.
+func (u *unevenGroup) restartDirectors(killed map[int]bool, l []Endpoint) {
+	for i := range killed {
+		if killed[i] {
 			u.directors[i] = u.startDirector(i, len(u.directors), func(s *Settings) { *s = u.directors[i].d.settings })
 			u.directors[i].handle(EndpointUpdate{Kind: FullList, Endpoints: append(testEndpoints()[1:], l...)})
 		}
--- a/routing/snapshot_test.go
+++ b/routing/snapshot_test.go
@@ -10,7 +10,8 @@
 
 func fullConfidence(time.Duration) Confidence { return Confidence{1, 1, 1, 1} }
 
-// taught is a director that has learned where some objects are, with one server that fails and one purge.
+// trainedDirector returns a director that has learned listings of some objects, an error rate of
+// one endpoint and one purge.
 func trainedDirector(t *testing.T, now time.Duration, members []Endpoint) *Director {
 	t.Helper()
 	d, err := New(snapshotSettings(), 1)
@@ -22,8 +23,8 @@
 		now += 10 * time.Millisecond
 		id := string(rune('a'+i%26)) + string(rune('a'+i/26))
 		for _, a := range d.Handle(now, Request{ID: id, Class: snapshotSettings().Classes[0].Name, Object: "f-" + string(rune('a'+i%20)), Deadline: now + 2*time.Second}, nil) {
-			if ask, ok := a.(ForwardAttempt); ok {
-				d.Handle(now+5*time.Millisecond, AttemptResult{ID: id, Endpoint: ask.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 5 * time.Millisecond}, nil)
+			if forward, ok := a.(ForwardAttempt); ok {
+				d.Handle(now+5*time.Millisecond, AttemptResult{ID: id, Endpoint: forward.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 5 * time.Millisecond}, nil)
 			}
 		}
 	}
@@ -44,13 +45,14 @@
 		{ID: "p1", Zone: "hub", Kind: "parent", Weight: 1}, {ID: "o1", Zone: "hub", Kind: "origin", Weight: 1}}
 }
 
-// What was learned is taken in, but for what speaks of servers that are gone, have restarted or are cold.
+// Learned state is imported, except listings of endpoints that are gone, have restarted or are
+// warming up.
 func TestImportRestoresExportedState(t *testing.T) {
 	const now = 1000 * time.Hour
 	d := trainedDirector(t, now, snapshotEndpoints(now))
 	exported := d.Export(now+5*time.Second, 0)
 	if len(exported.Listings) == 0 || len(exported.Endpoints) != 6 || len(exported.Purges) != 1 {
-		t.Fatalf("%d listings, %d servers, %d purges", len(exported.Listings), len(exported.Endpoints), len(exported.Purges))
+		t.Fatalf("exported %d listings, %d endpoints and %d purges, want at least 1, 6 and 1", len(exported.Listings), len(exported.Endpoints), len(exported.Purges))
 	}
 	listingsAt := map[string]int{}
 	for _, l := range exported.Listings {
@@ -67,24 +69,24 @@
 	next := newDirector(snapshotEndpoints(now))
 	counts := next.Import(now+5*time.Second, exported, fullConfidence)
 	if counts.Listings != listingsAt["c1"]+listingsAt["c2"] || counts.WarmingUp != listingsAt["c3"] || counts.Purges != 1 || counts.Endpoints != 6 || next.endpoints["c2"].errorRate != 0.3 {
-		t.Errorf("%+v of %v, failing %v", counts, listingsAt, next.endpoints["c2"].errorRate)
+		t.Errorf("counts %+v of listings %v; error rate %v, want 0.3", counts, listingsAt, next.endpoints["c2"].errorRate)
 	}
 	if reexported := next.Export(now+5*time.Second, 0); len(reexported.Listings) != counts.Listings || !reflect.DeepEqual(reexported.Purges, exported.Purges) {
-		t.Errorf("%d listings, and copied out again %d", counts.Listings, len(reexported.Listings))
+		t.Errorf("%d listings imported, %d exported again", counts.Listings, len(reexported.Listings))
 	}
-	// One has restarted since, one is gone.
+	// c1 has restarted since the export, c2 is gone.
 	members := snapshotEndpoints(now)
 	members[0].Incarnation = now + 4*time.Second
 	counts = newDirector(append(members[:1:1], members[2:]...)).Import(now+5*time.Second, exported, fullConfidence)
 	if counts.Listings != 0 || counts.Restarted != listingsAt["c1"]+1 || counts.Gone != listingsAt["c2"]+1 {
-		t.Errorf("%+v of %v", counts, listingsAt)
+		t.Errorf("counts %+v of listings %v", counts, listingsAt)
 	}
 	if counts = newDirector(snapshotEndpoints(now)).Import(now+5*time.Second, exported, func(time.Duration) Confidence { return Confidence{} }); counts.Listings > 0 || counts.Expired == 0 {
-		t.Errorf("what counts for nothing is used: %+v", counts)
+		t.Errorf("state without any confidence was imported: %+v", counts)
 	}
 }
 
-// Nothing of it moves a cold server's budget, and odd values are passed over.
+// An import changes no slow-start budget, and items with impossible values are skipped.
 func TestImportLeavesSlowStartBudgets(t *testing.T) {
 	const now = 1000 * time.Hour
 	d := trainedDirector(t, now, snapshotEndpoints(now))
@@ -98,7 +100,7 @@
 	}
 	imported.Import(now+5*time.Second, m, fullConfidence)
 	if u := imported.Import(now+5*time.Second, invalid, fullConfidence); u.Invalid != 7 {
-		t.Errorf("%+v", u)
+		t.Errorf("counts %+v, want 7 invalid items", u)
 	}
 	for id, s := range untouched.endpoints {
 		if o := imported.endpoints[id]; !reflect.DeepEqual(o.slowStartBudget, s.slowStartBudget) || o.workRate != s.workRate {
@@ -106,11 +108,11 @@
 		}
 	}
 	if untouched.warmRate != imported.warmRate {
-		t.Errorf("carried %v and %v", untouched.warmRate, imported.warmRate)
+		t.Errorf("warm rates %v and %v, want equal ones", untouched.warmRate, imported.warmRate)
 	}
 }
 
-// Knowledge that nobody confirms does not grow young by restarts.
+// State that is not confirmed does not regain confidence by repeated export and import.
 func TestConfidenceDecaysOverRestarts(t *testing.T) {
 	const start = 1000 * time.Hour
 	d := trainedDirector(t, start, snapshotEndpoints(start)[:2:2])
@@ -130,14 +132,14 @@
 		next.Handle(now, EndpointUpdate{Kind: StaleList, Endpoints: snapshotEndpoints(start)[:2:2]}, nil)
 		next.Import(now, m, halfLife)
 		if f := next.endpoints["c2"].errorRate; f > errorRate {
-			t.Fatalf("failing %v, and was %v", f, errorRate)
+			t.Fatalf("error rate %v after an import, %v before", f, errorRate)
 		} else {
 			errorRate = f
 		}
 		d = next
 	}
 	if n := len(d.Export(now, 0).Listings); n > listings/10 || errorRate > 0.01 {
-		t.Errorf("after a minute of restarts %d of %d listings and a failing share of %v are left", n, listings, errorRate)
+		t.Errorf("after a minute of restarts %d of %d listings and an error rate of %v are left, want a tenth and 0.01 at most", n, listings, errorRate)
 	}
 }
 
--- a/slowstart/fleet_test.go
+++ b/slowstart/fleet_test.go
@@ -7,65 +7,65 @@
 	"time"
 )
 
-// fleet is many senders to one cold store.
+// fleet describes many senders to one endpoint that is warming up.
 type fleet struct {
 	ramp          Ramp
 	senders       int
-	knownSenders  float64       // number of senders as the settings tell it; 0: unknown
-	capacity      float64       // seconds of work a second
-	load          float64       // share of the capacity that all senders together want to send to the store
-	warmRateKnown bool          // each sender knows what warm stores carry for it; else the floor alone holds
-	learnSpread   time.Duration // senders learn of the start within this
-
-	restartsPerSecond int             // senders that end each second, come back at once, and know nothing
-	surgeFactor       float64         // factor by which the demand grows, from two seconds on
-	quietDivisor      float64         // factor by which it was smaller before; 0: it was as it is
-	rushAfter         time.Duration   // from then on everyone wants the store all the time; 0: never
-	killedShare       float64         // share of the senders that ends in one moment, three seconds on, and is back 0.2 s later
-	uneven            bool            // some have several times the others' traffic
-	senderNumber      func(i int) int // by index; nil: the index
+	knownSenders  float64       // number of senders that each sender knows; 0: unknown
+	capacity      float64       // seconds of work per second
+	load          float64       // share of the capacity that all senders together want to send to the endpoint
+	warmRateKnown bool          // each sender knows the rate of warm endpoints for it; otherwise only the floor applies
+	learnSpread   time.Duration // senders learn of the start within this time
+
+	restartsPerSecond int             // mean number of senders that restart per second, and lose their state
+	surgeFactor       float64         // factor on the demand from two seconds after the start; 0: none
+	quietDivisor      float64         // divisor of the demand until the surge, or throughout without one; 0: none
+	rushAfter         time.Duration   // from this time on, all senders always have more to send; 0: never
+	killedShare       float64         // share of the senders that is down from 3 s to 3.2 s after the start, and then has no state
+	uneven            bool            // some senders have several times the others' traffic
+	senderNumber      func(i int) int // number of a sender by its index; nil: the index
 }
 
 const (
-	sendCost  = 0.25                 // seconds of work of one sending
-	fleetStep = 5 * time.Millisecond // resolution of the simulated clock
+	sendCost  = 0.25                 // seconds of work per sending
+	fleetStep = 5 * time.Millisecond // step of the simulated clock
 	fleetSpan = 8 * time.Second      // simulated time
 
-	observedWindow = 3 * time.Second // over which a sender averages what a store carries for it
+	observedWindow = 3 * time.Second // averaging time of a sender's observed rate
 )
 
 // simSender is one sender of a simulated fleet.
 type simSender struct {
 	budget      Budget
-	learnsAt    time.Duration // when it learns of the store's start
-	restartedAt time.Duration // when it restarted
+	learnsAt    time.Duration // when it learns of the endpoint's start
+	restartedAt time.Duration // time of its latest restart
 	restarted   bool
-	weight      float64 // of its traffic
-	observed    float64 // work a second that the store was seen to do for it, as of observedAt
+	weight      float64 // relative rate of its traffic
+	observed    float64 // work per second that the endpoint did for it, as of observedAt
 	observedAt  time.Duration
 }
 
-// observedRate is the sender's observed rate, decayed to now.
+// observedRate returns the sender's observed rate, decayed to now.
 func (s *simSender) observedRate(now time.Duration) float64 {
 	s.observed *= math.Exp(-float64(now-s.observedAt) / float64(observedWindow))
 	s.observedAt = now
 	return s.observed
 }
 
-// restart makes the sender forget all that it knew.
+// restart clears the state of the sender.
 func (s *simSender) restart(now time.Duration) {
 	s.budget, s.restarted, s.observed, s.restartedAt = Budget{}, true, 0, now
 }
 
-// fleetRun is a simulation of a fleet.
+// fleetRun is one simulation of a fleet.
 type fleetRun struct {
 	fleet
 	rng           *rand.Rand
-	start         time.Duration // when the store started
+	start         time.Duration // when the endpoint started
 	endpointHash  uint64
 	senders       []simSender
 	totalWeight   float64 // sum over the senders
-	availableWork float64 // work that the store can do by now
+	availableWork float64 // work that the endpoint can do at this time
 	sent          []time.Duration
 }
 
@@ -84,7 +84,7 @@
 	return r
 }
 
-// demandFactor is the factor on the fleet's demand at a time.
+// demandFactor returns the factor on the fleet's demand at a time.
 func (r *fleetRun) demandFactor(now time.Duration) float64 {
 	switch {
 	case r.surgeFactor > 0 && now >= r.start+2*time.Second:
@@ -103,7 +103,7 @@
 	return float64(i) < r.killedShare*float64(len(r.senders))
 }
 
-// describe is what a sender tells Allows of itself.
+// sender returns the description of sender i that it passes to Allows.
 func (r *fleetRun) sender(i int, now time.Duration, warmRate float64) Sender {
 	s := Sender{SenderCount: r.knownSenders, Position: SenderPosition(i, r.endpointHash), WarmRate: warmRate, ObservedOver: observedWindow}
 	if r.senderNumber != nil {
@@ -114,13 +114,13 @@
 	}
 	if !r.warmRateKnown {
 		s.WarmRate = 0
-	} else if r.senders[i].restarted { // what warm ones carry it sees again
+	} else if r.senders[i].restarted { // it measures the rate of warm endpoints anew
 		s.WarmRate *= 1 - math.Exp(-float64(now-r.senders[i].restartedAt)/float64(observedWindow))
 	}
 	return s
 }
 
-// stepSender has a sender send what it wants and may in one step.
+// stepSender simulates one step of one sender, which sends what it has and may send.
 func (r *fleetRun) stepSender(i int, now time.Duration, factor float64) {
 	sim := &r.senders[i]
 	if r.isKilled(i, now) {
@@ -151,7 +151,7 @@
 	}
 }
 
-// play runs the simulation.
+// run runs the simulation.
 func (r *fleetRun) run() {
 	for now := r.start; now < r.start+fleetSpan; now += fleetStep {
 		share := r.ramp.CapacityShare(now, r.start)
@@ -168,11 +168,12 @@
 	}
 }
 
-// worst plays the fleet and returns the most that was sent in any window, in sendings, and what the settings allow then.
+// worstWindow runs the simulation and returns the number of sendings in the worst window, and the
+// number that the ramp allows in that window.
 func (f fleet) worstWindow(seed uint64) (sent, allowed float64) {
 	r := newFleetRun(f, seed)
 	r.run()
-	over := math.Inf(-1) // of the window that is furthest over
+	excess := math.Inf(-1) // excess of the worst window so far
 	for i, from := range r.sent {
 		n, allowance := 0.0, 0.0
 		for _, t := range r.sent[i:] {
@@ -183,49 +184,50 @@
 		for t := from; t < from+f.ramp.OverloadWindow; t += fleetStep {
 			allowance += f.ramp.OverloadMultiple * f.capacity * f.ramp.CapacityShare(t, r.start) * fleetStep.Seconds() / sendCost
 		}
-		if o := n - allowance - 2*math.Sqrt(allowance) - 2; o > over {
-			over, sent, allowed = o, n, allowance
+		if o := n - allowance - 2*math.Sqrt(allowance) - 2; o > excess {
+			excess, sent, allowed = o, n, allowance
 		}
 	}
 	return sent, allowed
 }
 
-// The ramp holds for the fleet: whatever the number of senders, and whatever they want and when, in no window is a cold store
-// sent more than N by all together, and chance adds no more than 2 roots of N, and 2. N is what the settings allow it.
+// For any number of senders and any traffic, a fleet sends an endpoint that is warming up at most N
+// sendings in any window, plus a margin for chance of 2*sqrt(N)+2, where N is what the ramp allows.
 func TestFleetStaysWithinBudget(t *testing.T) {
 	base := Ramp{InitialShare: 0.15, Duration: 17 * time.Second, OverloadMultiple: 2.5, OverloadWindow: 2 * time.Second}
 	short := Ramp{InitialShare: 0.2, Duration: 12 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second}
 	apart := 300 * time.Millisecond
 	for name, f := range map[string]fleet{
-		"thirty":                          {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.6, warmRateKnown: true, learnSpread: apart},
-		"thirty, a start told at once":    {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.6, warmRateKnown: true},
-		"thirty, a short window":          {ramp: short, senders: 30, knownSenders: 30, capacity: 6, load: 0.6, warmRateKnown: true},
-		"a hundred, a short window":       {ramp: short, senders: 100, knownSenders: 100, capacity: 10, load: 0.6, warmRateKnown: true},
-		"four":                            {ramp: base, senders: 4, knownSenders: 4, capacity: 6, load: 0.9, warmRateKnown: true},
-		"four, a short window":            {ramp: short, senders: 4, knownSenders: 4, capacity: 12, load: 0.9, warmRateKnown: true},
-		"thirty that know nothing":        {ramp: base, senders: 30, knownSenders: 30, capacity: 2, load: 0.9},
-		"three hundred, a floor each":     {ramp: base, senders: 300, knownSenders: 300, capacity: 2, load: 0.9},
-		"thirty, their number untold":     {ramp: base, senders: 30, capacity: 2, load: 0.9},
-		"a hundred, their number untold":  {ramp: short, senders: 100, capacity: 2, load: 0.9},
-		"thirty that restart":             {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.6, warmRateKnown: true, restartsPerSecond: 10},
-		"thirty that restart, untold":     {ramp: base, senders: 30, capacity: 3, load: 0.6, warmRateKnown: true, restartsPerSecond: 10},
-		"a burst of twice the traffic":    {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.6, warmRateKnown: true, surgeFactor: 2},
-		"four, quiet and then in a burst": {ramp: short, senders: 4, knownSenders: 4, capacity: 40, load: 1, warmRateKnown: true, surgeFactor: 20, quietDivisor: 20},
-		"a hundred, and a burst":          {ramp: base, senders: 100, knownSenders: 100, capacity: 8, load: 0.6, warmRateKnown: true, restartsPerSecond: 5, surgeFactor: 1.5},
-		// A release: everyone wants the store in the same moment, after hardly anyone did. Each took one that it had saved up.
-		"twenty, all at once":                 {ramp: base, senders: 20, knownSenders: 20, capacity: 4, load: 0.9, warmRateKnown: true, quietDivisor: 20, rushAfter: 4 * time.Second},
-		"thirty, all at once, a short window": {ramp: short, senders: 30, knownSenders: 30, capacity: 6, load: 1, warmRateKnown: true, quietDivisor: 20, rushAfter: 4 * time.Second},
-		"a hundred, all at once":              {ramp: base, senders: 100, knownSenders: 100, capacity: 6, load: 0.9, warmRateKnown: true, quietDivisor: 20, rushAfter: 4 * time.Second},
-		"three hundred, all at once":          {ramp: base, senders: 300, knownSenders: 300, capacity: 6, load: 0.9, warmRateKnown: true, quietDivisor: 20, rushAfter: 4 * time.Second},
-		"three hundred, from the first":       {ramp: base, senders: 300, knownSenders: 300, capacity: 6, load: 1, warmRateKnown: true, rushAfter: 1},
-		"three hundred that know nothing":     {ramp: base, senders: 300, knownSenders: 300, capacity: 2, load: 1, rushAfter: 1},
-		"thirty, uneven, all at once":         {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.9, warmRateKnown: true, uneven: true, quietDivisor: 5, rushAfter: 4 * time.Second},
-		"every fifth of a hundred and fifty":  {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.9, warmRateKnown: true, rushAfter: time.Second, senderNumber: func(i int) int { return 5*i + 2 }},
-		"every twenty-first of many":          {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.9, warmRateKnown: true, rushAfter: time.Second, senderNumber: func(i int) int { return 21 * i }},
-		// Those that are back know nothing of what they sent in the same window.
-		"seven in ten killed at once":      {ramp: base, senders: 30, knownSenders: 30, capacity: 20, load: 0.9, warmRateKnown: true, killedShare: 0.7, rushAfter: time.Second},
-		"seven in ten of three hundred":    {ramp: base, senders: 300, knownSenders: 300, capacity: 20, load: 0.9, warmRateKnown: true, killedShare: 0.7, rushAfter: time.Second},
-		"thirty that restart, and want it": {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.9, warmRateKnown: true, restartsPerSecond: 10, rushAfter: 1},
+		"30 senders":                              {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.6, warmRateKnown: true, learnSpread: apart},
+		"30 senders, start known at once":         {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.6, warmRateKnown: true},
+		"30 senders, short window":                {ramp: short, senders: 30, knownSenders: 30, capacity: 6, load: 0.6, warmRateKnown: true},
+		"100 senders, short window":               {ramp: short, senders: 100, knownSenders: 100, capacity: 10, load: 0.6, warmRateKnown: true},
+		"4 senders":                               {ramp: base, senders: 4, knownSenders: 4, capacity: 6, load: 0.9, warmRateKnown: true},
+		"4 senders, short window":                 {ramp: short, senders: 4, knownSenders: 4, capacity: 12, load: 0.9, warmRateKnown: true},
+		"30 senders, no known rate":               {ramp: base, senders: 30, knownSenders: 30, capacity: 2, load: 0.9},
+		"300 senders, no known rate":              {ramp: base, senders: 300, knownSenders: 300, capacity: 2, load: 0.9},
+		"30 senders, unknown count":               {ramp: base, senders: 30, capacity: 2, load: 0.9},
+		"100 senders, unknown count":              {ramp: short, senders: 100, capacity: 2, load: 0.9},
+		"30 senders with restarts":                {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.6, warmRateKnown: true, restartsPerSecond: 10},
+		"30 senders with restarts, unknown count": {ramp: base, senders: 30, capacity: 3, load: 0.6, warmRateKnown: true, restartsPerSecond: 10},
+		"30 senders, doubled demand":              {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.6, warmRateKnown: true, surgeFactor: 2},
+		"4 senders, burst after low demand":       {ramp: short, senders: 4, knownSenders: 4, capacity: 40, load: 1, warmRateKnown: true, surgeFactor: 20, quietDivisor: 20},
+		"100 senders with restarts, burst":        {ramp: base, senders: 100, knownSenders: 100, capacity: 8, load: 0.6, warmRateKnown: true, restartsPerSecond: 5, surgeFactor: 1.5},
+		// A release: all senders want the endpoint at the same time, after almost none did. Guards
+		// against each sender using one sending that it had saved up.
+		"20 senders, rush":                 {ramp: base, senders: 20, knownSenders: 20, capacity: 4, load: 0.9, warmRateKnown: true, quietDivisor: 20, rushAfter: 4 * time.Second},
+		"30 senders, rush, short window":   {ramp: short, senders: 30, knownSenders: 30, capacity: 6, load: 1, warmRateKnown: true, quietDivisor: 20, rushAfter: 4 * time.Second},
+		"100 senders, rush":                {ramp: base, senders: 100, knownSenders: 100, capacity: 6, load: 0.9, warmRateKnown: true, quietDivisor: 20, rushAfter: 4 * time.Second},
+		"300 senders, rush":                {ramp: base, senders: 300, knownSenders: 300, capacity: 6, load: 0.9, warmRateKnown: true, quietDivisor: 20, rushAfter: 4 * time.Second},
+		"300 senders, rush from the start": {ramp: base, senders: 300, knownSenders: 300, capacity: 6, load: 1, warmRateKnown: true, rushAfter: 1},
+		"300 senders, rush, no known rate": {ramp: base, senders: 300, knownSenders: 300, capacity: 2, load: 1, rushAfter: 1},
+		"30 senders, uneven traffic, rush": {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.9, warmRateKnown: true, uneven: true, quietDivisor: 5, rushAfter: 4 * time.Second},
+		"30 senders, numbers 5 apart":      {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.9, warmRateKnown: true, rushAfter: time.Second, senderNumber: func(i int) int { return 5*i + 2 }},
+		"30 senders, numbers 21 apart":     {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.9, warmRateKnown: true, rushAfter: time.Second, senderNumber: func(i int) int { return 21 * i }},
+		// Restarted senders don't know what they sent in the same window.
+		"30 senders, 70% killed":         {ramp: base, senders: 30, knownSenders: 30, capacity: 20, load: 0.9, warmRateKnown: true, killedShare: 0.7, rushAfter: time.Second},
+		"300 senders, 70% killed":        {ramp: base, senders: 300, knownSenders: 300, capacity: 20, load: 0.9, warmRateKnown: true, killedShare: 0.7, rushAfter: time.Second},
+		"30 senders with restarts, rush": {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.9, warmRateKnown: true, restartsPerSecond: 10, rushAfter: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -238,8 +240,8 @@
 					sent, allowed = s, n
 				}
 			}
-			if seedsOverBudget > 1 { // two deviations, and all windows of sixty days
-				t.Errorf("on %d of 60 days, such as %.0f sent where %.1f are allowed", seedsOverBudget, sent, allowed)
+			if seedsOverBudget > 1 { // margin of two standard deviations over all windows of 60 seeds
+				t.Errorf("over the budget with %d of 60 seeds, for example %.0f sendings in a window that allows %.1f", seedsOverBudget, sent, allowed)
 			}
 		})
 	}
--- a/slowstart/slowstart_test.go
+++ b/slowstart/slowstart_test.go
@@ -8,32 +8,33 @@
 	"pgregory.net/rapid"
 )
 
-// However many senders there are, however uneven their traffic, and whatever moment each learns of the start: in no window
-// is a cold store sent more than its multiple of what it can do, but for what chance adds: 2 roots of that, and 2.
+// For any number of senders, any distribution of traffic and any times at which they learn of the
+// start: in no window is a cold endpoint sent more than the overload multiple of what it can do,
+// plus a margin for chance of 2*sqrt(N)+2 sendings, where N is the allowed number.
 func TestSendersTogetherStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ramp := Ramp{InitialShare: rapid.Float64Range(0.08, 0.4).Draw(t, "from"), Duration: time.Duration(rapid.IntRange(8, 22).Draw(t, "for")) * time.Second,
-			OverloadMultiple: rapid.Float64Range(2, 2.5).Draw(t, "multiple"), OverloadWindow: time.Duration(rapid.IntRange(1, 2).Draw(t, "within")) * time.Second}
+		ramp := Ramp{InitialShare: rapid.Float64Range(0.08, 0.4).Draw(t, "initial share"), Duration: time.Duration(rapid.IntRange(8, 22).Draw(t, "duration")) * time.Second,
+			OverloadMultiple: rapid.Float64Range(2, 2.5).Draw(t, "overload multiple"), OverloadWindow: time.Duration(rapid.IntRange(1, 2).Draw(t, "overload window")) * time.Second}
 		n := rapid.IntRange(1, 12).Draw(t, "senders")
-		const capacity, cost, step = 100.0, 0.5, 5 * time.Millisecond // seconds of work a second
-		shares := make([]float64, n)                                  // of the traffic; warm stores carry it within their capacity
+		const capacity, cost, step = 100.0, 0.5, 5 * time.Millisecond // capacity and cost in seconds of work, per second and per sending
+		shares := make([]float64, n)                                  // of the traffic; warm endpoints serve all of it
 		sum := 0.0
 		for i := range shares {
-			shares[i] = rapid.Float64Range(0.05, 1).Draw(t, "share")
+			shares[i] = rapid.Float64Range(0.05, 1).Draw(t, "traffic share")
 			sum += shares[i]
 		}
 		learnsAt, budgets := make([]time.Duration, n), make([]Budget, n)
 		start := time.Minute
 		for i := range n {
-			learnsAt[i] = start + time.Duration(rapid.IntRange(0, 100).Draw(t, "learns"))*time.Millisecond
+			learnsAt[i] = start + time.Duration(rapid.IntRange(0, 100).Draw(t, "delay until known"))*time.Millisecond
 		}
-		endpointHash := rapid.Uint64().Draw(t, "store")
-		var sent []float64 // by step
+		endpointHash := rapid.Uint64().Draw(t, "endpoint hash")
+		var sent []float64 // work by step
 		for now := start; now < start+6*time.Second; now += step {
 			sentNow := 0.0
 			for i := range n {
 				s := Sender{SenderCount: float64(n), Position: SenderPosition(i, endpointHash), WarmRate: capacity * shares[i] / sum}
-				for now >= learnsAt[i] && ramp.Allows(&budgets[i], now, start, cost, s) { // each always has more to send
+				for now >= learnsAt[i] && ramp.Allows(&budgets[i], now, start, cost, s) { // each sender always has more to send
 					ramp.Spend(&budgets[i], now, start, cost)
 					sentNow += cost
 				}
@@ -49,36 +50,36 @@
 			}
 			allowed := ramp.OverloadMultiple * capacityWork / cost
 			if total /= cost; total > allowed+2*math.Sqrt(allowed)+2 {
-				t.Fatalf("%v after the start %.1f were sent within %v, %.1f are allowed", time.Duration(from)*step, total, ramp.OverloadWindow, allowed)
+				t.Fatalf("%v after the start %.1f sendings within %v, want at most %.1f", time.Duration(from)*step, total, ramp.OverloadWindow, allowed)
 			}
 		}
 	})
 }
 
-// What did not come to the store is taken back, the latest of its cost; to a warm one nothing is kept in mind.
+// Refund removes the latest sending of the same cost. Sendings to a warm endpoint are not recorded.
 func TestRefund(t *testing.T) {
 	r := Ramp{InitialShare: 0.2, Duration: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second}
-	s := Sender{SenderCount: 1, WarmRate: 1} // 0.36 at the start, and more by the age
+	s := Sender{SenderCount: 1, WarmRate: 1} // the budget is 0.36 s of work at the start, and grows with the age
 	var b Budget
 	start := time.Minute
 	r.Spend(&b, start, start, 0.3)
 	if r.Allows(&b, start+1, start, 0.3, s) {
-		t.Error("twice the part is allowed")
+		t.Error("a second sending is allowed, which exceeds the budget")
 	}
-	b.Refund(0.2) // nothing was sent of that cost
+	b.Refund(0.2) // no effect: no sending has this cost
 	b.Refund(0.3)
 	if !r.Allows(&b, start+1, start, 0.3, s) {
-		t.Error("what was taken back counts still")
+		t.Error("a refunded sending still counts")
 	}
 	r.Spend(&b, start+1, start, 0.3)
 	if !r.Allows(&b, start+time.Second+1, start, 0.3, s) {
-		t.Error("what was sent a window ago counts still")
+		t.Error("a sending still counts after the window")
 	}
 	for i := range 1000 {
 		r.Spend(&b, start+r.Duration+time.Duration(i), start, 0.3)
 	}
 	if len(b.sent) > 0 {
-		t.Errorf("%d sendings to a warm store are kept in mind", len(b.sent))
+		t.Errorf("%d sendings to a warm endpoint are recorded, want none", len(b.sent))
 	}
 }
 
@@ -90,15 +91,16 @@
 	}{{time.Hour, 0, 1}, {20, 20, 0.2}, {5 * time.Second, 10 * time.Second, 0.2}, {15 * time.Second, 10 * time.Second, 0.6},
 		{20 * time.Second, 10 * time.Second, 1}} {
 		if got := r.CapacityShare(c.now, c.start); got < c.want-1e-9 || got > c.want+1e-9 {
-			t.Errorf("%v after a start at %v: %v, want %v", c.now, c.start, got, c.want)
+			t.Errorf("share at %v after a start at %v: %v, want %v", c.now, c.start, got, c.want)
 		}
 	}
 	if (Ramp{}).CapacityShare(1, 1) != 1 {
-		t.Error("a store that is never cold")
+		t.Error("share of an endpoint without a ramp, want 1")
 	}
 }
 
-// Of many that know nothing each has its turn with the floor, one in each window: none is shut out for the whole ramp.
+// Senders that know no rate use the floor in turns, one sender per window, so that none is shut out
+// for the whole ramp.
 func TestFloorRotatesAmongSenders(t *testing.T) {
 	r := Ramp{InitialShare: 0.15, Duration: 17 * time.Second, OverloadMultiple: 2.5, OverloadWindow: 2 * time.Second}
 	start, endpointHash := 1000*time.Hour, uint64(0x9d2c5680a1b3f4e7)
@@ -112,6 +114,6 @@
 		}
 	}
 	if len(sentOnce) < 6 || len(sentOnce) > 12 {
-		t.Errorf("%d of 30 had a turn in %v, one in each %v is wanted", len(sentOnce), r.Duration, r.OverloadWindow)
+		t.Errorf("%d of 30 senders sent within %v, want one in each %v", len(sentOnce), r.Duration, r.OverloadWindow)
 	}
 }
