--- a/routing/events.go
+++ b/routing/events.go
@@ -20,7 +20,7 @@
 	ID          string
 	Zone        string
 	Kind        string
-	Cell        int
+	Cell        int           // group of endpoints within which repeats may be dropped; see ScopeCell
 	Incarnation time.Duration // time of its latest start; 0: long ago
 	Weight      float64       // capacity, relative to others of its kind; 0 or less: 1
 	Phase       Phase
@@ -49,8 +49,8 @@
 	Class         string // name of the class
 	Tenant        string
 	Object        string
-	Part          int
-	Group         int
+	Part          int           // part of the object
+	Group         int           // group by which the object may be purged
 	SizeKB        float64       // of the answer; 0: unknown
 	Deadline      time.Duration // time on the director's clock
 	Write         bool
--- a/routing/inference_test.go
+++ b/routing/inference_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// Random answers of a cache that has three quarters of the copies expected there, as some copies
-// were evicted unnoticed, in front of a fill source that is healthy, slow or dead. The inferred way
-// in which each was served is compared with the real one. At a full cache only answers with an
-// expected hit are drawn, because an expected fill always counts against its source.
+// Random answers of a cache in front of a fill source that is healthy, slow or dead. The cache has
+// nine tenths of the copies expected there, as the others were evicted unnoticed, and three quarters
+// of all requested ones. The inferred way in which each answer was served is compared with the real
+// one. At a full cache only answers with an expected hit are drawn, because an expected fill always
+// counts against its source.
 func TestInferenceErrorRate(t *testing.T) {
 	const objective = 800 * time.Millisecond
 	for _, c := range []struct {
--- a/routing/rules_test.go
+++ b/routing/invariants_test.go
@@ -11,8 +11,8 @@
 
 // TestInvariantsUnderRandomEvents passes random legal events to a director and checks the
 // invariants of its actions: one final answer per request by its deadline, no attempt at an
-// endpoint that is not up or paused, no repeat that the class's effect forbids, and maximum ages
-// that respect purges.
+// endpoint that is not up or, during a pause, is warming up, no repeat that the class's effect
+// forbids, and maximum ages that respect purges.
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(60) {
 		if err := runRandomEvents(seed); err != nil {
@@ -135,11 +135,11 @@
 	case Reject:
 		return o.checkReject(a)
 	case Fail:
-		st := o.requests[a.ID]
-		if st == nil || st.answered {
+		tracked := o.requests[a.ID]
+		if tracked == nil || tracked.answered {
 			return fmt.Errorf("%v: second final answer for %s", o.now, a.ID)
 		}
-		st.answered = true
+		tracked.answered = true
 	case CancelAttempt:
 		if !o.settings.CanCancel || a.Attempt >= len(o.requests[a.ID].attempts) {
 			return fmt.Errorf("%v: CancelAttempt %d of %s is not allowed or names no attempt", o.now, a.Attempt, a.ID)
@@ -155,15 +155,15 @@
 }
 
 func (o *randomRun) checkAttempt(a ForwardAttempt) error {
-	st := o.requests[a.ID]
-	if st == nil || st.answered {
+	tracked := o.requests[a.ID]
+	if tracked == nil || tracked.answered {
 		return fmt.Errorf("%v: attempt for %s, which has its final answer", o.now, a.ID)
 	}
 	if o.notUp[a.Endpoint] || o.notUp[a.FillSource] {
 		return fmt.Errorf("%v: attempt uses %s and %s, of which one is not up", o.now, a.Endpoint, a.FillSource)
 	}
-	if len(st.attempts) >= st.maxAttempts {
-		return fmt.Errorf("%v: attempt %d of %s, want at most %d", o.now, len(st.attempts)+1, a.ID, st.maxAttempts)
+	if len(tracked.attempts) >= tracked.maxAttempts {
+		return fmt.Errorf("%v: attempt %d of %s, want at most %d", o.now, len(tracked.attempts)+1, a.ID, tracked.maxAttempts)
 	}
 	for _, id := range []string{a.Endpoint, a.FillSource} {
 		if started := o.incarnation[id]; o.now < o.pausedUntil && started > 0 && o.d.warmUpDuration(id) > o.now-started {
@@ -173,60 +173,60 @@
 	if o.purgedAt > 0 && o.now-o.purgedAt < o.settings.PurgeSettleTime && (a.MaxAge <= 0 || a.MaxAge > o.now-o.purgedAt+ms) {
 		return fmt.Errorf("%v: MaxAge %v, want less than the time since the purge, %v", o.now, a.MaxAge, o.now-o.purgedAt)
 	}
-	if err := o.checkRepeat(st, a); err != nil {
+	if err := o.checkRepeat(tracked, a); err != nil {
 		return err
 	}
-	st.attempts = append(st.attempts, trackedAttempt{endpoint: a.Endpoint, at: o.now})
+	tracked.attempts = append(tracked.attempts, trackedAttempt{endpoint: a.Endpoint, at: o.now})
 	return nil
 }
 
 // checkRepeat checks an attempt against the effect of its class and the attempts before it.
-func (o *randomRun) checkRepeat(st *trackedRequest, a ForwardAttempt) error {
-	for _, b := range st.attempts {
+func (o *randomRun) checkRepeat(tracked *trackedRequest, a ForwardAttempt) error {
+	for _, b := range tracked.attempts {
 		if !o.settings.HedgedRequests && !b.ended {
 			return fmt.Errorf("%v: hedged request %s, but hedging is off", o.now, a.ID)
 		}
-		if st.class.Effect == Idempotent || b.ended && !b.mayHaveRun {
+		if tracked.class.Effect == Idempotent || b.ended && !b.mayHaveRun {
 			continue
 		}
-		if st.class.Effect == NonIdempotent || o.now-b.at > st.class.DedupWindow ||
-			st.class.DedupScope == ScopeZone && o.zone[a.Endpoint] != o.zone[b.endpoint] ||
-			st.class.DedupScope == ScopeCell && o.cell[a.Endpoint] != o.cell[b.endpoint] {
-			return fmt.Errorf("%v: attempt repeats request %s of class %s, which may have been executed", o.now, a.ID, st.class.Name)
+		if tracked.class.Effect == NonIdempotent || o.now-b.at > tracked.class.DedupWindow ||
+			tracked.class.DedupScope == ScopeZone && o.zone[a.Endpoint] != o.zone[b.endpoint] ||
+			tracked.class.DedupScope == ScopeCell && o.cell[a.Endpoint] != o.cell[b.endpoint] {
+			return fmt.Errorf("%v: attempt repeats request %s of class %s, which may have been executed", o.now, a.ID, tracked.class.Name)
 		}
 	}
 	return nil
 }
 
 func (o *randomRun) checkReject(a Reject) error {
-	st := o.requests[a.ID]
-	if st == nil || st.answered {
+	tracked := o.requests[a.ID]
+	if tracked == nil || tracked.answered {
 		return fmt.Errorf("%v: second final answer for %s", o.now, a.ID)
 	}
-	for _, b := range st.attempts {
-		if (b.mayHaveRun || !b.ended) && (st.class.Effect == NonIdempotent ||
-			st.class.Effect == IdempotentWithKey && st.class.DedupScope != ScopeAll) {
-			return fmt.Errorf("%v: rejected %s of class %s, which may have been executed", o.now, a.ID, st.class.Name)
+	for _, b := range tracked.attempts {
+		if (b.mayHaveRun || !b.ended) && (tracked.class.Effect == NonIdempotent ||
+			tracked.class.Effect == IdempotentWithKey && tracked.class.DedupScope != ScopeAll) {
+			return fmt.Errorf("%v: rejected %s of class %s, which may have been executed", o.now, a.ID, tracked.class.Name)
 		}
 	}
-	st.answered = true
+	tracked.answered = true
 	return nil
 }
 
 // endAttempt passes the result of an attempt to the director, if the attempt has none yet.
 func (o *randomRun) endAttempt(id string, i int, status Status) error {
-	st := o.requests[id]
-	b := &st.attempts[i]
+	tracked := o.requests[id]
+	b := &tracked.attempts[i]
 	if b.ended {
 		return nil
 	}
 	b.ended = true
 	b.mayHaveRun = status != Rejected && status != ConnectFailed && status != NotSent && status != Miss
-	if status == OK && !st.answered {
-		st.answered = true
+	if status == OK && !tracked.answered {
+		tracked.answered = true
 	}
 	return o.handle(AttemptResult{ID: id, Attempt: i, Endpoint: b.endpoint, Status: status, Reason: Reason(o.rng.IntN(11)),
-		Final: st.answered, Latency: o.now - b.at, LoadReport: []float64{2 * o.rng.Float64(), math.NaN(), -1}[:o.rng.IntN(4)]})
+		Final: tracked.answered, Latency: o.now - b.at, LoadReport: []float64{2 * o.rng.Float64(), math.NaN(), -1}[:o.rng.IntN(4)]})
 }
 
 func (o *randomRun) fireTimers() error {
@@ -244,14 +244,14 @@
 // checkDeadlines checks that requests are answered by their deadlines, and lets attempts time out.
 func (o *randomRun) checkDeadlines() error {
 	for _, id := range o.requestIDs {
-		st := o.requests[id]
-		if !st.answered && o.now > st.q.Deadline+8*ms {
-			return fmt.Errorf("%v: %s has no final answer, want one by %v", o.now, id, st.q.Deadline)
+		tracked := o.requests[id]
+		if !tracked.answered && o.now > tracked.q.Deadline+8*ms {
+			return fmt.Errorf("%v: %s has no final answer, want one by %v", o.now, id, tracked.q.Deadline)
 		}
-		if o.now < st.q.Deadline {
+		if o.now < tracked.q.Deadline {
 			continue
 		}
-		for i := range st.attempts {
+		for i := range tracked.attempts {
 			if err := o.endAttempt(id, i, TimedOut); err != nil {
 				return err
 			}
@@ -269,8 +269,8 @@
 		return o.sendRequest(n)
 	case k < 15 && len(o.requestIDs) > 0:
 		id := pick()
-		if st := o.requests[id]; len(st.attempts) > 0 {
-			return o.endAttempt(id, rng.IntN(len(st.attempts)), Status(rng.IntN(9)))
+		if tracked := o.requests[id]; len(tracked.attempts) > 0 {
+			return o.endAttempt(id, rng.IntN(len(tracked.attempts)), Status(rng.IntN(9)))
 		}
 	case k < 16:
 		return o.changeEndpoints()
--- a/routing/limits.go
+++ b/routing/limits.go
@@ -7,8 +7,8 @@
 	"larchusher/concurrency"
 )
 
-// Lower bounds of limits on attempts in flight. A limit below one is a probability: it lets that
-// share of requests through.
+// Quota of client retries, and lower bounds of limits on attempts in flight. A limit below one is a
+// probability: it lets that share of requests through.
 const (
 	clientRetryQuota = 0.8 // share of a limit that a client's own retry may use
 	minSharedLimit   = 2.0 // lower bound of a limit over all directors together
@@ -39,7 +39,7 @@
 }
 
 // fitsObjective reports whether a cache has capacity for one more attempt and can finish it within
-// the latency objective besides this director's attempts in flight there.
+// the latency objective together with this director's other attempts in flight there.
 func (d *Director) fitsObjective(ep *endpoint, r *request) bool {
 	slots := ep.transferSlots(d.settings.WeightsKnown)
 	maxTransfers := concurrency.MaxWithinObjective(slots, r.class.ObjectiveStretch, r.class.LatencyObjective, r.transferTime)
--- a/routing/limits_test.go
+++ b/routing/limits_test.go
@@ -69,8 +69,8 @@
 }
 
 // A cache that starts draining before the endpoint list shows it rejects everything at once, hits
-// and fills. This is the fault of that cache alone: it is avoided after a few rejections,
-// and the limits of the fill sources and of the other caches are not cut.
+// and fills. This is the fault of that cache alone: it is avoided after a few rejections, and
+// the limits of the fill sources and of the other caches are not cut.
 func TestPromptRejectionsCountAgainstTheCache(t *testing.T) {
 	r := newHarness(t, func(s *Settings) { s.AnswerDetail = DetailHit })
 	draining := r.serve("film", "hot0", ReasonFilled).Endpoint
@@ -353,10 +353,10 @@
 		w.at(25*time.Second, func() { w.originFetchTime = 20 * ms })
 		w.run(40*time.Second, 12*time.Second, 25*time.Second, 40)
 		if got := float64(w.hitsInObjective) / float64(w.expectedHits); got < 0.95 {
-			t.Errorf("detail %v: a share of %.2f of the expected hits met the objective, want 0.95", detail, got)
+			t.Errorf("detail %v: a share of %.2f of the expected hits met the objective, want at least 0.95", detail, got)
 		}
 		if got := w.objectiveShare("send"); got < 0.5 {
-			t.Errorf("detail %v: a share of %.2f of the writes met the objective, want 0.5", detail, got)
+			t.Errorf("detail %v: a share of %.2f of the writes met the objective, want at least 0.5", detail, got)
 		}
 		// At 27 s the limit is still about ten, which a random burst may reach.
 		if n, _ := slices.BinarySearch(w.rejectedAt, 27*time.Second); len(w.rejectedAt)-n > 3 || n < 20 {
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -41,8 +41,8 @@
 }
 
 // eject makes an endpoint unhealthy for firstEjection, doubled with each further ejection up to
-// maxEjection. Afterwards it is tried with one attempt at a time (see healthy) until its error rate
-// is low enough (see recordSuccess). An ejection that is under way is not extended.
+// maxEjection. Afterwards it is tried as a target with one attempt at a time (see healthy) until its
+// error rate is low enough (see recordSuccess). An ejection that is under way is not extended.
 func (d *Director) eject(ep *endpoint) {
 	if ep.ejectedUntil > d.now {
 		return
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -50,7 +50,7 @@
 }
 
 // Guards against a hung parent staying in use: fills through it timed out at the deadlines of their
-// requests, and those time-outs counted against no endpoint.
+// requests, and those timeouts counted against no endpoint.
 func TestSilentParentIsEjected(t *testing.T) {
 	r := newHarness(t, nil)
 	type pending struct {
@@ -252,10 +252,10 @@
 			})
 			w.run(30*time.Second, 16*time.Second, 29*time.Second, 40)
 			if got := float64(w.hitsInObjective) / float64(w.expectedHits); got < 0.9 {
-				t.Errorf("detail %v, silent %v: a share of %.2f of the expected hits met the objective, want 0.9", detail, silent, got)
+				t.Errorf("detail %v, silent %v: a share of %.2f of the expected hits met the objective, want at least 0.9", detail, silent, got)
 			}
 			if got := w.objectiveShare("film"); got < 0.8 {
-				t.Errorf("detail %v, silent %v: a share of %.2f of all films met the objective, want 0.8", detail, silent, got)
+				t.Errorf("detail %v, silent %v: a share of %.2f of all films met the objective, want at least 0.8", detail, silent, got)
 			}
 			for _, s := range w.d.upEndpoints[roleCache] {
 				if s.concurrencyLimit.Max < 3 {
--- a/routing/simulated_location_test.go
+++ b/routing/simulated_location_test.go
@@ -45,16 +45,16 @@
 
 func newSimulatedLocation(t *testing.T, detail AnswerDetail, change func(*Settings)) *simulatedLocation {
 	t.Helper()
-	set := defaultSettings()
-	set.AnswerDetail, set.LoadReportFields, set.HedgedRequests = detail, []string{"cpu_share"}, false
+	settings := defaultSettings()
+	settings.AnswerDetail, settings.LoadReportFields, settings.HedgedRequests = detail, []string{"cpu_share"}, false
 	if change != nil {
-		change(&set)
+		change(&settings)
 	}
-	d, err := New(set, 11)
+	d, err := New(settings, 11)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &simulatedLocation{d: d, settings: set, rng: rand.New(rand.NewPCG(3, 4)), copies: map[string]map[string]time.Duration{}, silent: map[string]bool{},
+	w := &simulatedLocation{d: d, settings: settings, rng: rand.New(rand.NewPCG(3, 4)), copies: map[string]map[string]time.Duration{}, silent: map[string]bool{},
 		originFetchTime: 20 * ms, requests: map[string]*simulatedRequest{}, utilization: map[string]float64{}, requestCount: map[string]int{}, inObjective: map[string]int{},
 		attempts: map[string]int{}}
 	w.zipf = rand.NewZipf(w.rng, 1.1, 8, 2000)
--- a/routing/slow_start_test.go
+++ b/routing/slow_start_test.go
@@ -55,9 +55,9 @@
 	for i := range 400 { // sets the rate of warm caches
 		r.serve("film", fmt.Sprint("a", i), ReasonHit)
 	}
-	l := testEndpoints()
-	l[0].Incarnation = r.now
-	r.handle(EndpointUpdate{Kind: DeltaList, Endpoints: l[:1]})
+	endpoints := testEndpoints()
+	endpoints[0].Incarnation = r.now
+	r.handle(EndpointUpdate{Kind: DeltaList, Endpoints: endpoints[:1]})
 	toWarmCaches, toColdCache := 0, 0
 	for i := range 60 { // three seconds
 		switch r.serve("film", fmt.Sprint("b", i), ReasonHit).Endpoint {
@@ -129,14 +129,14 @@
 				f.stepRandomRequests(rng, probability, workBefore)
 			}
 			warmRate := (workBefore["p1"] + workBefore["p2"]) / 2 / 6 // work per second of a warm parent
-			l := testEndpoints()[5:6]
-			l[0].Incarnation = f.now
+			endpoints := testEndpoints()[5:6]
+			endpoints[0].Incarnation = f.now
 			for i := range 10 {
 				f.directors[i] = f.startDirector(i, 40, nil)
 			}
 			for _, r := range f.directors {
 				r.now = f.now
-				r.handle(EndpointUpdate{Kind: DeltaList, Endpoints: l})
+				r.handle(EndpointUpdate{Kind: DeltaList, Endpoints: endpoints})
 			}
 			// Three seconds allow the overload multiple of the mean capacity share; the rate of the
 			// warm parents is a lower bound of what one can serve.
@@ -220,11 +220,11 @@
 		return n
 	}
 	countReachingCaches(10) // sets the rate of warm caches
-	l := testEndpoints()
-	for i := range l[:4] {
-		l[i].Incarnation = r.now
+	endpoints := testEndpoints()
+	for i := range endpoints[:4] {
+		endpoints[i].Incarnation = r.now
 	}
-	r.handle(EndpointUpdate{Kind: FullList, Endpoints: l})
+	r.handle(EndpointUpdate{Kind: FullList, Endpoints: endpoints})
 	// By its initial share alone, a cache would be sent half of its work at the end; it is observed
 	// to do more.
 	if reached := countReachingCaches(12); reached > 200 {
@@ -311,8 +311,8 @@
 type unevenGroup struct {
 	*directorGroup
 	rng  *rand.Rand
-	rate []float64 // by director: relative rate of its requests,
-	sum  float64   // and the sum
+	rate []float64 // by director: relative rate of its requests
+	sum  float64   // sum of rate
 }
 
 // step moves the clock by 10 ms, lets some directors send a request, and adds the resulting work to
@@ -337,8 +337,8 @@
 // endpoint list.
 func (u *unevenGroup) restartCache() (sent []float64) {
 	n, rng := len(u.directors), u.rng
-	l := testEndpoints()[:1]
-	l[0].Incarnation = u.now
+	endpoints := testEndpoints()[:1]
+	endpoints[0].Incarnation = u.now
 	learnsAt := make([]time.Duration, n)
 	for i := range learnsAt {
 		learnsAt[i] = u.now + time.Duration(rng.IntN(100))*ms
@@ -352,11 +352,11 @@
 			if learnsAt[i] > 0 && learnsAt[i] <= u.now {
 				learnsAt[i] = 0
 				r.now = u.now
-				r.handle(EndpointUpdate{Kind: DeltaList, Endpoints: l})
+				r.handle(EndpointUpdate{Kind: DeltaList, Endpoints: endpoints})
 			}
 		}
 		if len(sent) == 100 {
-			u.restartDirectors(killed, l)
+			u.restartDirectors(killed, endpoints)
 		}
 		work := map[string]float64{}
 		u.step(work)
@@ -366,11 +366,11 @@
 }
 
 // restartDirectors restarts the directors that are marked in killed.
-func (u *unevenGroup) restartDirectors(killed map[int]bool, l []Endpoint) {
+func (u *unevenGroup) restartDirectors(killed map[int]bool, endpoints []Endpoint) {
 	for i := range killed {
 		if killed[i] {
 			u.directors[i] = u.startDirector(i, len(u.directors), func(s *Settings) { *s = u.directors[i].d.settings })
-			u.directors[i].handle(EndpointUpdate{Kind: FullList, Endpoints: append(testEndpoints()[1:], l...)})
+			u.directors[i].handle(EndpointUpdate{Kind: FullList, Endpoints: append(testEndpoints()[1:], endpoints...)})
 		}
 	}
 }
--- a/slowstart/fleet_test.go
+++ b/slowstart/fleet_test.go
@@ -196,9 +196,9 @@
 func TestFleetStaysWithinBudget(t *testing.T) {
 	base := Ramp{InitialShare: 0.15, Duration: 17 * time.Second, OverloadMultiple: 2.5, OverloadWindow: 2 * time.Second}
 	short := Ramp{InitialShare: 0.2, Duration: 12 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second}
-	apart := 300 * time.Millisecond
+	learnSpread := 300 * time.Millisecond
 	for name, f := range map[string]fleet{
-		"30 senders":                              {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.6, warmRateKnown: true, learnSpread: apart},
+		"30 senders":                              {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.6, warmRateKnown: true, learnSpread: learnSpread},
 		"30 senders, start known at once":         {ramp: base, senders: 30, knownSenders: 30, capacity: 6, load: 0.6, warmRateKnown: true},
 		"30 senders, short window":                {ramp: short, senders: 30, knownSenders: 30, capacity: 6, load: 0.6, warmRateKnown: true},
 		"100 senders, short window":               {ramp: short, senders: 100, knownSenders: 100, capacity: 10, load: 0.6, warmRateKnown: true},
