--- a/routing/deadline.go
+++ b/routing/deadline.go
@@ -12,8 +12,9 @@
 // atDeadline reports whether it is too late for an answer to reach the client in time.
 func (d *Director) atDeadline(r *request) bool { return d.now >= r.Deadline-d.settings.ClockStep }
 
-// checkProgress checks a request whose answer is due: the request ends at its deadline, a silent
-// endpoint is abandoned for another one, and an answer that seems lost is hedged.
+// checkProgress checks a request whose answer is due but has not begun: the request ends at its
+// deadline, a silent endpoint is abandoned for another one, and an answer that seems lost is
+// hedged.
 func (d *Director) checkProgress(r *request) {
 	if d.atDeadline(r) && !r.streaming {
 		d.rejectOrFail(r)
@@ -38,8 +39,8 @@
 }
 
 // unresponsiveEndpoint returns the endpoint that has answered nothing since the attempt was sent;
-// nil if there is none or it is unknown which one. The origin is never returned as a fill source;
-// it is judged by its answers alone.
+// nil if there is none or it is unknown which one. While a fill is expected only a parent is
+// returned: an origin that fills is judged by its answers alone.
 func (a *attempt) unresponsiveEndpoint() *endpoint {
 	suspect := a.target
 	if a.fillExpected {
--- a/routing/observe.go
+++ b/routing/observe.go
@@ -17,7 +17,7 @@
 	Utilization    float64 // recently reported share of its capacity in use; less than 0: unknown
 }
 
-// Thresholds above which no endpoint should be taken out of use; see pressure.
+// Thresholds from which on no endpoint should be taken out of use; see pressure.
 const (
 	manyGroupPurges     = 3   // purged groups that have not settled: their copies are being refetched
 	slowOriginLateShare = 0.3 // share of late fetches, 0 to 1, at which the origin counts as slow
--- a/routing/placement.go
+++ b/routing/placement.go
@@ -102,10 +102,11 @@
 	return l
 }
 
-// rebalance returns the least utilized of others instead of ep if ep reports a higher utilization,
-// with a probability that grows with the difference. This spreads popular objects whose hashes
-// chose the same cache. The listing follows the request, so only some requests are moved at a time.
-// cached states that a copy is expected at ep, so that a move costs a fill and is less likely.
+// rebalance returns the least utilized warm cache of others instead of ep if ep reports a much
+// higher utilization, with a probability that grows with the difference. This spreads popular
+// objects whose hashes chose the same cache. The listing follows the request, so only some requests
+// are moved at a time. cached states that a copy is expected at ep, so that a move costs a fill and
+// is less likely.
 func (d *Director) rebalance(ep *endpoint, others []*endpoint, cached bool) *endpoint {
 	best, imbalance := ep, 0.0
 	for _, other := range others {
@@ -135,9 +136,10 @@
 }
 
 // placeInList lists an entry at a cache if it earns a place there, and returns the rank of a filled
-// copy: the middle rank while the list is not full; then the top rank if the entry displaces the
-// listing with the longest gap, else the lowest rank. At an explored cache, a copy is kept only if
-// the entry's gap is well below the longest gap listed there.
+// copy. An entry that is already listed there gets the middle rank, and so does any entry while the
+// list is not full; then an entry gets the top rank if it displaces the listing with the longest
+// gap, else the lowest rank. At an explored cache a copy is kept, at the top rank, only if the
+// entry's gap is well below the longest gap listed there.
 func (d *Director) placeInList(e *mappingEntry, ep *endpoint, exploring bool) CacheRank {
 	if e.isListed() && e.listedAt == ep {
 		return RankMiddle
--- a/routing/slow_start.go
+++ b/routing/slow_start.go
@@ -75,7 +75,8 @@
 }
 
 // senderPosition returns this director's position, in [0, 1), among the senders to an endpoint (see
-// slowstart.Sender). It is random where the director's index or the number of senders is unknown.
+// slowstart.Sender). It is derived from the director's seed where its index or the number of senders
+// is unknown.
 func (d *Director) senderPosition(ep *endpoint) float64 {
 	if d.knownSenders(ep.role) <= 0 || d.settings.IndexUnknown {
 		return slowstart.SenderPosition(0, d.positionSeed^ep.hash)
@@ -87,8 +88,8 @@
 func (d *Director) senders(to role) float64 { return max(1, d.knownSenders(to)) }
 
 // knownSenders returns the number of directors that send to endpoints of a role, or 0 if unknown.
-// Caches are sent to by this location's directors, if Settings.ZoneDirectors states their number,
-// all other endpoints by all directors.
+// Those are this location's directors for caches, if Settings.ZoneDirectors states their number, and
+// otherwise all directors.
 func (d *Director) knownSenders(to role) float64 {
 	if to == roleCache && d.zone < len(d.settings.ZoneDirectors) && d.settings.ZoneDirectors[d.zone] > 0 {
 		return float64(d.settings.ZoneDirectors[d.zone])
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -26,7 +26,7 @@
 	Endpoint     string        `json:"Server"`
 	Incarnation  time.Duration `json:"Boot"`  // of the endpoint
 	HitAt        time.Duration `json:"HitAt"` // time of the latest hit; 0: none
-	LastRequest  time.Duration `json:"Last"`
+	LastRequest  time.Duration `json:"Last"`  // time of the latest request
 	MeanGap      time.Duration `json:"Gap"`   // smoothed gap between requests
 	Count        float64       `json:"Count"` // number of recent requests, decayed
 	TransferTime time.Duration `json:"Work"`  // shortest known transfer time; 0: unknown
@@ -64,11 +64,11 @@
 // ImportCounts counts the imported items of a LearnedState by kind, and the skipped ones by reason.
 type ImportCounts struct {
 	Listings, Endpoints, Purges int
-	Gone                        int // of endpoints that are not on the endpoint list, or not up
-	Restarted                   int // of endpoints that have restarted
+	Gone                        int // listings and states of endpoints that are not on the endpoint list, or not up
+	Restarted                   int // the same of endpoints that have restarted
 	WarmingUp                   int // listings of endpoints that are warming up: they would attract more than the slow-start budget
-	Expired                     int // too old
-	Invalid                     int // with impossible values
+	Expired                     int // listings outside the share Confidence.Listing; purges that have settled, are from the future or have no name
+	Invalid                     int // items with impossible values, and listings of endpoints that are no caches of this location
 }
 
 // incarnationTolerance is the difference below which two start times are the same start: a
