--- a/gateway/admission.go
+++ b/gateway/admission.go
@@ -11,27 +11,29 @@
 	"larchusher/overload"
 )
 
-// Front is the way by which a request came. Fronts share the gateway evenly among requests of the same priority weight.
+// Front is a way in by which requests arrive. Requests of the same priority band are served from
+// the fronts in turn.
 type Front int
 
 // The fronts.
 const (
 	PlatformFront Front = iota
 	SignedFront
-	EmbeddedFront // a program that has the gateway built in
+	EmbeddedFront // a program in which the gateway is embedded
 	frontCount
 )
 
-// String names a front, as the counters do.
+// String returns the name of a front in counters.
 func (f Front) String() string { return [...]string{"platform", "signed", "host"}[f] }
 
-// admissionState is the part of a gateway that stands before the directors: it admits requests, queues them and sheds
-// load. It measures for package overload, which decides, and carries out those decisions.
+// admissionState is the part of a gateway in front of the directors: it admits requests, queues
+// them and sheds load. It takes the measurements for package overload, which makes the decisions,
+// and carries these out.
 type admissionState struct {
 	generations       admissionGenerations
 	queue             *overload.Queue
-	rejectionQueue    *overload.Queue // of work to reject requests; it runs when nothing else waits, or has waited for long
-	runningQueuedWork bool            // a QueuedWork of the queue runs
+	rejectionQueue    *overload.Queue // work that rejects requests; it runs when nothing else is queued, or when it has waited for too long
+	runningQueuedWork bool            // queued work is running, and the requests that it submits start at once
 	shedController    *overload.Controller
 	memory            *overload.Memory
 	balancerHealth    overload.Health
@@ -41,7 +43,7 @@
 	Load LoadCounters
 }
 
-// initAdmission makes the admission state, and schedules the first tick.
+// initAdmission sets up the admission state and schedules the first tick.
 func (g *Gateway) initAdmission() error {
 	c := g.overloadConfig()
 	order := overload.NewOrder(c.Classes, c.RetriesFirst)
@@ -64,7 +66,7 @@
 	return nil
 }
 
-// overloadConfig is Config.Overload with what it leaves out.
+// overloadConfig returns Config.Overload with its missing fields filled in.
 func (g *Gateway) overloadConfig() overload.Config {
 	c := g.cfg.Overload
 	c.Classes, c.Fronts = overloadClasses(g.cfg.Settings.Classes), int(frontCount)
@@ -83,9 +85,10 @@
 	return c
 }
 
-// Admit reports whether a request is admitted, as soon as its class, its retry mark and its client's id are known. If it
-// is not, retryAfter is when its client should come back; 0: no advice. It may be called from any goroutine. A request
-// that is submitted afterwards carries Admitted.
+// Admit reports whether to admit a request, as soon as its class, its retry mark and its client's
+// id are known. If not, retryAfter is the Retry-After for its client; 0: none is sent. It may be
+// called from any goroutine. If the request is submitted afterwards, its field Admitted must be
+// set.
 func (g *Gateway) Admit(f Front, class []byte, retry bool, id []byte) (retryAfter time.Duration, ok bool) {
 	a := g.generations.current.Load()
 	retryAfter, ok = a.controller.Admit(int(f), a.order.BandOf(class, retry), xxhash.Sum64(id))
@@ -95,14 +98,15 @@
 	return retryAfter, ok
 }
 
-// ShedShare is the share of the offered requests that is shed, from 0 to 1, over the last tenths of a second.
+// ShedShare returns the share of the offered requests that is shed, from 0 to 1, smoothed over some
+// tenths of a second.
 func (g *Gateway) ShedShare() float64 { return g.shedController.ShedLevel() }
 
-// BalancerWeight is the weight that load balancers should give the gateway, in percent.
+// BalancerWeight returns the weight that load balancers should give to the gateway, in percent.
 func (g *Gateway) BalancerWeight() int { return g.balancerHealth.Weight() }
 
-// RetryAfter is when a client whose request is shed for load should come back. It differs with the client's id, so that
-// clients don't come back all at once.
+// RetryAfter returns the Retry-After for a request that is shed for load; 0: none is sent. It
+// varies with the client's id, so that clients do not all retry at once.
 func (g *Gateway) RetryAfter(id string) time.Duration {
 	if !g.cfg.Settings.SendRetryAfter {
 		return 0
@@ -110,11 +114,12 @@
 	return overload.Jitter(g.shedController.RetryAfter(), xxhash.Sum64String(id))
 }
 
-// longRetryAfterShare is the least share of Settings.MaxRetryAfter in LongRetryAfter.
+// longRetryAfterShare is the smallest share of Settings.MaxRetryAfter that LongRetryAfter returns.
 const longRetryAfterShare = 0.5
 
-// LongRetryAfter is when a client should come back that is rejected for another reason than the present load: between
-// half of Settings.MaxRetryAfter and all of it. It differs with the client's id, too; 0 where no Retry-After is sent.
+// LongRetryAfter returns the Retry-After for a request that is rejected for another reason than the
+// present load: from half of Settings.MaxRetryAfter to all of it, varying with the client's id; 0:
+// none is sent.
 func (g *Gateway) LongRetryAfter(id string) time.Duration {
 	if !g.cfg.Settings.SendRetryAfter {
 		return 0
@@ -124,7 +129,7 @@
 	return time.Duration(longest * (longRetryAfterShare + (1-longRetryAfterShare)*draw))
 }
 
-// shedRequest rejects a request that no endpoint has seen.
+// shedRequest rejects a request that no endpoint has received.
 func (g *Gateway) shedRequest(r *Request, retryAfter time.Duration) {
 	if !g.cfg.Settings.SendRetryAfter {
 		retryAfter = 0
@@ -132,7 +137,7 @@
 	g.answerRequest(r, Answer{Outcome: OutcomeRejected, RetryAfter: retryAfter, Retryable: true})
 }
 
-// rejectShed rejects a request that the admission controller has shed, and counted as such.
+// rejectShed rejects a request that the admission controller has shed, and has counted as shed.
 func (g *Gateway) rejectShed(r *Request, retryAfter time.Duration) {
 	if !g.cfg.Settings.SendRetryAfter {
 		retryAfter = 0
@@ -140,15 +145,16 @@
 	g.answerRequest(r, Answer{Outcome: OutcomeRejected, RetryAfter: retryAfter, Retryable: true, countedAsShed: true})
 }
 
-// classOrder ranks the classes that are served at present.
+// classOrder returns the priority order of the classes that are served at present.
 func (g *Gateway) classOrder() *overload.Order { return g.generations.current.Load().order }
 
-// admissionController is the present admission controller.
+// admissionController returns the present admission controller.
 func (g *Gateway) admissionController() *overload.AdmissionController {
 	return g.generations.current.Load().controller
 }
 
-// recordDuration adds a duration to a histogram in microseconds. One that is out of the histogram's range is left out.
+// recordDuration records a duration in a histogram of microseconds. A duration out of the
+// histogram's range is dropped.
 func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(d.Microseconds()) // it fails for values out of range only
+	_ = h.RecordValue(d.Microseconds()) // the only error is that of a value out of range
 }
--- a/gateway/answers.go
+++ b/gateway/answers.go
@@ -9,12 +9,12 @@
 const (
 	OutcomeServed    Outcome = iota // Body holds the object's bytes
 	OutcomeUnchanged                // the copy that the client holds is current
-	OutcomeRejected                 // not served; repeating it does no harm, after RetryAfter
-	OutcomeFailed                   // it may have run
-	OutcomeExpired                  // no answer in time; as Rejected where Retryable is set, else as Failed
+	OutcomeRejected                 // not served; retrying is harmless, after RetryAfter
+	OutcomeFailed                   // the request may have run
+	OutcomeExpired                  // no answer by the deadline; if Retryable is set, retrying is harmless
 )
 
-// String names an outcome, as the counters do.
+// String returns the name of an outcome in counters.
 func (o Outcome) String() string {
 	return [...]string{"served", "unchanged", "refused", "failed", "expired"}[o]
 }
@@ -23,16 +23,17 @@
 type Answer struct {
 	Outcome    Outcome
 	Body       []byte
-	ETag       string        // of the copy served
-	RetryAfter time.Duration // advice to the client; 0: none
+	ETag       string        // entity tag of the copy served
+	RetryAfter time.Duration // Retry-After for the client; 0: none is sent
 	Retryable  bool          // retrying is harmless
 
-	cause         failureCause // of Failed and Expired, for the log
-	countedAsShed bool         // the admission controller has counted it
+	cause         failureCause // reason for OutcomeFailed and OutcomeExpired, for the log
+	countedAsShed bool         // the admission controller has counted the request as shed
 }
 
-// answerRequest gives a request its final answer, unless it has had one or its client has left: an answer of a second
-// attempt, or one that crosses the deadline, is dropped.
+// answerRequest gives a request its final answer. It does nothing for a request that was answered
+// or abandoned: the answer of a hedged attempt, or one that arrives just after the deadline, is
+// dropped.
 func (g *Gateway) answerRequest(r *Request, a Answer) {
 	if r.answered {
 		return
@@ -49,8 +50,8 @@
 	g.accountAnswer(r, a)
 }
 
-// answerByID gives a request that its director has given up its answer at once. One given up at its very deadline has
-// expired.
+// answerByID answers a request that its director has rejected or failed. If the deadline is due,
+// within Settings.ClockStep and a millisecond, the outcome is OutcomeExpired.
 func (g *Gateway) answerByID(id string, a Answer) {
 	r := g.requests[id]
 	if r == nil {
@@ -62,13 +63,13 @@
 	g.answerRequest(r, a)
 }
 
-// closeRequest takes a request off the open ones.
+// closeRequest removes a request from the open ones, and stops its timers.
 func (g *Gateway) closeRequest(r *Request) {
 	r.answered = true
 	r.deadlineTimer.Stop()
 	g.queue.Remove(&r.queueItem)
-	for _, t := range r.directorTimers { // a timer that is left would keep the request in memory until it fires
-		t.Stop()
+	for _, timer := range r.directorTimers { // a pending timer would keep the request in memory until it fires
+		timer.Stop()
 	}
 	r.directorTimers = nil
 	g.bodyBytes -= len(r.Body)
--- a/gateway/attempts.go
+++ b/gateway/attempts.go
@@ -6,56 +6,57 @@
 	"larchusher/routing"
 )
 
-// Attempt is one sending of a request to an endpoint.
+// Attempt is an attempt to have a request served by an endpoint.
 type Attempt struct {
 	Request      *Request
 	Endpoint     string
 	FillSource   string // endpoint that fills a cache miss; empty: none
 	CacheRank    int
-	MaxAge       time.Duration // oldest copy that may be served; 0: the class's own limit
-	Coalesce     bool          // it may share a fill that is under way
-	OnlyIfCached bool          // the fill source gives only what it has cached
+	MaxAge       time.Duration // age of the oldest copy that may be served; 0: the class's own limit
+	Coalesce     bool          // the attempt may wait for a fill in flight
+	OnlyIfCached bool          // the fill source serves only what it has cached
 	NoParentCopy bool          // the fill source keeps no copy
 	RefreshAhead bool          // the copy is refreshed before it is stale
-	Deadline     time.Time     // when to stop waiting for it
+	Deadline     time.Time     // when the attempt times out
 
-	// BackendState belongs to the backend.
+	// BackendState is for the backend's own use.
 	BackendState any
 
-	locality      int // index of the locality whose director made it,
-	number        int // and its number there
-	startedAt     time.Time
-	pausedAtStart time.Duration // Gateway.pausedTime by then
-	ended         bool
-	status        routing.Status // once it has ended
-	timer         *Timer
+	locality          int // index of the locality whose director made the attempt
+	number            int // number of the attempt in that locality, from 0
+	startedAt         time.Time
+	pausedTimeAtStart time.Duration // Gateway.pausedTime at startedAt
+	ended             bool
+	status            routing.Status // valid once ended is true
+	timer             *Timer
 }
 
 // Result is how an attempt ended.
 type Result struct {
 	Status          routing.Status
 	Reason          routing.Reason
-	FillWait        time.Duration // until the fill source's first byte; 0: not stated
-	LoadReport      []float64     // in the order of Settings.LoadReportFields
+	FillWait        time.Duration // wait for the fill source's first byte; 0: not stated
+	LoadReport      []float64     // values in the order of Settings.LoadReportFields
 	Body            []byte
 	ETag            string
-	NotModified     bool // with routing.OK: the client's copy is current
-	BodyDropped     bool // with routing.OK: there was no memory for the body, which has been skipped
-	CollateralReset bool // with routing.Reset: another attempt's answer broke the connection that they shared
+	NotModified     bool // with routing.OK: the copy that the client holds is current
+	BodyDropped     bool // with routing.OK: the body was skipped for want of memory
+	CollateralReset bool // with routing.Reset: the connection was broken by another attempt's answer
 
-	ReceivedAt  time.Time // when its last byte came; zero: now
-	ReleaseBody func()    // gives Body's memory back, once nobody uses it any more; nil: nothing to do
+	ReceivedAt  time.Time // when the last byte of the answer was received; zero: now
+	ReleaseBody func()    // releases the memory of Body, once it is no longer used; nil: nothing is to be released
 }
 
-// Backend carries attempts to endpoints. It calls [Gateway.PrepareWrite] right before the first byte of an attempt
-// leaves, and [Gateway.AttemptEnded] once for each attempt that was not canceled. Its methods run on the loop and must not
-// block.
+// Backend sends attempts to endpoints. It calls [Gateway.PrepareWrite] right before it writes the
+// first byte of an attempt, and [Gateway.AttemptEnded] once for each attempt that was not canceled.
+// Its methods are called on the loop and must not block.
 type Backend interface {
 	Send(a *Attempt)
-	Cancel(a *Attempt) // nobody waits for a any more
+	Cancel(a *Attempt) // the result of a is no longer wanted
 }
 
-// startAttempt starts what a director asks for, unless its request is over or has moved to another locality.
+// startAttempt sends the attempt that a director asks for, unless its request was answered or has
+// been rerouted to another locality.
 func (g *Gateway) startAttempt(f routing.ForwardAttempt, locality int) {
 	r := g.requests[f.ID]
 	if r == nil || r.locality != locality {
@@ -67,7 +68,7 @@
 	g.Counters.Attempts++
 	a.timer = g.cfg.Loop.At(a.Deadline, func() { g.cancelAttempt(a, routing.TimedOut) })
 	g.recordAttemptSent(a)
-	// The limit is that of the request, whichever directors have made attempts for it.
+	// The limit applies to the request, whichever localities' directors made its attempts.
 	if limit := r.maxAttempts; limit > 0 && len(r.attempts) > limit {
 		g.AttemptEnded(a, Result{Status: routing.NotSent})
 		return
@@ -75,24 +76,24 @@
 	g.cfg.Backend.Send(a)
 }
 
-// newAttempt words what a director asks for as an attempt.
+// newAttempt returns the attempt that a director asks for.
 func (g *Gateway) newAttempt(r *Request, f routing.ForwardAttempt, locality int) *Attempt {
 	now := g.cfg.Loop.Now()
 	a := &Attempt{
-		Request:       r,
-		Endpoint:      f.Endpoint,
-		FillSource:    f.FillSource,
-		CacheRank:     int(f.CacheRank),
-		MaxAge:        f.MaxAge,
-		Coalesce:      f.Coalesce,
-		OnlyIfCached:  f.OnlyIfCached,
-		NoParentCopy:  f.NoParentCopy,
-		RefreshAhead:  f.RefreshAhead,
-		Deadline:      r.Deadline,
-		number:        len(r.attempts) - r.firstInLocality,
-		locality:      locality,
-		startedAt:     now,
-		pausedAtStart: g.pausedTime,
+		Request:           r,
+		Endpoint:          f.Endpoint,
+		FillSource:        f.FillSource,
+		CacheRank:         int(f.CacheRank),
+		MaxAge:            f.MaxAge,
+		Coalesce:          f.Coalesce,
+		OnlyIfCached:      f.OnlyIfCached,
+		NoParentCopy:      f.NoParentCopy,
+		RefreshAhead:      f.RefreshAhead,
+		Deadline:          r.Deadline,
+		number:            len(r.attempts) - r.firstInLocality,
+		locality:          locality,
+		startedAt:         now,
+		pausedTimeAtStart: g.pausedTime,
 	}
 	if a.FillSource == a.Endpoint {
 		a.FillSource = ""
@@ -103,7 +104,8 @@
 	return a
 }
 
-// findAttempt finds an attempt of an open request, or of an answered one that has attempts in flight.
+// findAttempt returns an attempt of an open request, or of an answered one with attempts in flight;
+// nil if there is none.
 func (g *Gateway) findAttempt(id string, number, locality int) *Attempt {
 	r := g.requests[id]
 	if r == nil {
@@ -120,17 +122,20 @@
 	return nil
 }
 
-// PrepareWrite is called right before the first byte of an attempt is written. Connecting or queueing took time, in which
-// its endpoint or fill source may have begun to drain, the object may have been purged, the client may have left, or the
-// deadline may have passed.
+// PrepareWrite reports whether an attempt may be written. Backends call it right before they write
+// the first byte: while the attempt waited for a connection, its endpoint or fill source may have
+// begun to drain, its object may have been purged, its client may have left, or its deadline may
+// have passed.
 //
-// If the attempt may be written it sets MaxAge anew and returns true. Otherwise the attempt is over when it returns false: it
-// has ended as not sent, or was canceled with the request that its client has left, and both are counted.
+// If the attempt may be written, PrepareWrite updates its MaxAge. Otherwise the attempt has ended
+// when PrepareWrite returns false: as not sent, or as canceled together with its request if the
+// client has left. Both are counted.
 func (g *Gateway) PrepareWrite(a *Attempt) bool {
 	if a.ended {
 		return false
 	}
-	// The connection may know that the client has left, or canceled, before the loop does.
+	// The connection may know before the loop does that the client has left or has canceled the
+	// request.
 	if r := a.Request; !r.answered && !r.clientConnected() {
 		g.Counters.GoneBeforeWrite++
 		g.Abandon(r)
@@ -150,16 +155,18 @@
 	return true
 }
 
-// endpointsPermitted reports whether Config.EndpointPermitted allows an attempt's endpoint and fill source.
+// endpointsPermitted reports whether Config.EndpointPermitted allows an attempt's endpoint and its
+// fill source.
 func (g *Gateway) endpointsPermitted(a *Attempt) bool {
-	may := g.cfg.EndpointPermitted
-	if may == nil {
+	permitted := g.cfg.EndpointPermitted
+	if permitted == nil {
 		return true
 	}
-	return may(a.Endpoint) && (a.FillSource == "" || may(a.FillSource))
+	return permitted(a.Endpoint) && (a.FillSource == "" || permitted(a.FillSource))
 }
 
-// AttemptEnded takes in how an attempt ended. The first success is the request's answer.
+// AttemptEnded handles the result of an attempt. The first success is the answer to the request; a
+// second result of an attempt is ignored.
 func (g *Gateway) AttemptEnded(a *Attempt, res Result) {
 	if a.ended {
 		return
@@ -188,7 +195,7 @@
 	g.reportAttempt(a, res)
 }
 
-// answerFrom is the answer that a successful attempt gives its request.
+// answerFrom returns the answer that a successful attempt gives to its request.
 func (g *Gateway) answerFrom(r *Request, res Result) Answer {
 	switch {
 	case res.BodyDropped:
@@ -208,14 +215,16 @@
 	return Answer{Outcome: OutcomeServed, Body: res.Body, ETag: res.ETag}
 }
 
-// tooLargeForClient reports whether a body is larger than expected, and there is no memory for it before the client has
-// read other answers. A request that is not idempotent gets its answer all the same: it cannot be rejected any more.
+// tooLargeForClient reports whether there is no memory for a body, which may be larger than was
+// reserved, until the client has read other answers. It returns false for a request that is not
+// idempotent: that has run, so it can no longer be rejected.
 func (g *Gateway) tooLargeForClient(r *Request, res Result) bool {
 	return r.Client != nil && r.idempotent() && !g.memory.Fits(r.Client.account, len(res.Body))
 }
 
-// reportAttempt tells the locality policy and the director how an attempt ended. Its latency ends when the last byte came,
-// and leaves out pauses of this program: neither is the endpoint's doing.
+// reportAttempt reports the result of an attempt to the locality policy and to the director. The
+// reported latency ends when the last byte was received, and excludes pauses of this program, as
+// neither is caused by the endpoint.
 func (g *Gateway) reportAttempt(a *Attempt, res Result) {
 	g.recordAttemptResult(a, res)
 	g.handleEvent(event{locality: a.locality, Event: routing.AttemptResult{
@@ -233,21 +242,21 @@
 	}})
 }
 
-// latency is how long an attempt took, without pauses of this program.
+// latency returns how long an attempt took, without pauses of this program.
 func (g *Gateway) latency(a *Attempt, res Result) time.Duration {
-	return res.ReceivedAt.Sub(a.startedAt) - (g.pausedTime - a.pausedAtStart)
+	return res.ReceivedAt.Sub(a.startedAt) - (g.pausedTime - a.pausedTimeAtStart)
 }
 
-// cancelAttempt stops waiting for an attempt and says how it ended.
-func (g *Gateway) cancelAttempt(a *Attempt, as routing.Status) {
+// cancelAttempt cancels an attempt and ends it with a status.
+func (g *Gateway) cancelAttempt(a *Attempt, status routing.Status) {
 	if a.ended {
 		return
 	}
 	g.cfg.Backend.Cancel(a)
-	g.AttemptEnded(a, Result{Status: as})
+	g.AttemptEnded(a, Result{Status: status})
 }
 
-// cancelAttempts ends the attempts of a request that nobody waits for.
+// cancelAttempts cancels all attempts of a request whose answer is no longer wanted.
 func (g *Gateway) cancelAttempts(r *Request) {
 	for _, a := range r.attempts {
 		g.cancelAttempt(a, routing.Canceled)
--- a/gateway/clients.go
+++ b/gateway/clients.go
@@ -2,28 +2,30 @@
 
 import "larchusher/overload"
 
-// Client is the connection that a request's answer goes to, where it may be slow to take it. [Gateway.AddClient] makes it.
+// Client is a client's connection for which the memory of unsent answers is accounted, as the
+// client may read slowly. [Gateway.AddClient] makes it.
 type Client struct {
 	account     *overload.Client
 	unsentBytes func() int64
 	closeConn   func(error)
 }
 
-// AddClient counts a client in. unsentBytes tells how much waits to be written to it, closeConn closes it.
+// AddClient registers a client. unsentBytes returns the number of bytes that wait to be written to
+// it; closeConn closes its connection with an error. Both are called on the loop.
 func (g *Gateway) AddClient(unsentBytes func() int64, closeConn func(error)) *Client {
 	c := &Client{unsentBytes: unsentBytes, closeConn: closeConn}
 	c.account = g.memory.AddClient(c)
 	return c
 }
 
-// RemoveClient counts a client out. A nil one is none.
+// RemoveClient removes a client and releases its memory. It does nothing for nil.
 func (g *Gateway) RemoveClient(c *Client) {
 	if c != nil {
 		g.memory.RemoveClient(c.account)
 	}
 }
 
-// reserveAnswer sets memory aside for a request's answer, and reports false if there is none.
+// reserveAnswer reserves memory for the answer to a request, and reports whether there was enough.
 func (g *Gateway) reserveAnswer(r *Request) bool {
 	if r.Client == nil {
 		return true
@@ -35,7 +37,8 @@
 	return ok
 }
 
-// accountAnswer counts the memory that a request's answer takes until its client has read it.
+// accountAnswer replaces a request's reservation by the memory that its answer takes until the
+// client has read it.
 func (g *Gateway) accountAnswer(r *Request, a Answer) {
 	size := -1
 	if a.Outcome == OutcomeServed {
@@ -48,8 +51,8 @@
 	}
 }
 
-// releaseReservation gives back what was set aside for a request's answer. size is that of the answer in bytes, negative
-// if there was none.
+// releaseReservation releases the memory reserved for the answer to a request. size is the size of
+// the answer in bytes; negative: there was no answer to learn the size from.
 func (g *Gateway) releaseReservation(r *Request, size int) {
 	if r.Client != nil {
 		g.memory.Release(r.Client.account, r.reservedBytes, size)
@@ -57,7 +60,8 @@
 	}
 }
 
-// closeSlowClients closes clients that leave answers unread while memory runs short.
+// closeSlowClients closes clients that leave their answers unread while the memory for answers is
+// nearly full.
 func (g *Gateway) closeSlowClients() {
 	unsent := func(c *overload.Client) int64 { return c.Value.(*Client).unsentBytes() }
 	for _, c := range g.memory.Sweep(g.now(), unsent) {
--- a/gateway/counters.go
+++ b/gateway/counters.go
@@ -2,28 +2,28 @@
 
 import "larchusher/routing"
 
-// Counters count what a gateway takes in and gives out since its start.
+// Counters counts a gateway's requests, attempts and events since its start.
 type Counters struct {
-	Submitted       uint64                     // requests
+	Submitted       uint64                     // requests submitted
 	Answered        [OutcomeExpired + 1]uint64 // final answers, by outcome
 	ClientsGone     uint64                     // requests whose client left before the answer
-	Attempts        uint64                     // started
-	Ended           [routing.Miss + 1]uint64   // attempts, by how they ended
-	NotSent         uint64                     // attempts stopped right before they were written,
-	NotPermitted    uint64                     // of them, those that Config.EndpointPermitted did not allow
-	DuplicateIDs    uint64                     // requests with the client's id of one that was open
+	Attempts        uint64                     // attempts started
+	Ended           [routing.Miss + 1]uint64   // attempts ended, by status
+	NotSent         uint64                     // attempts ended by PrepareWrite, which found that they must not be written
+	NotPermitted    uint64                     // attempts of NotSent that Config.EndpointPermitted did not allow
+	DuplicateIDs    uint64                     // requests with the client's id of another open request
 	GoneBeforeWrite uint64                     // requests whose client was found to have left right before an attempt was written
-	GossipSent      uint64                     // messages to other gateways
-	GossipReceived  uint64                     // messages from other gateways
-	Purges          uint64                     // purge events
-	DirectorPanics  uint64                     // events in which a director panicked
+	GossipSent      uint64                     // messages sent to other gateways
+	GossipReceived  uint64                     // messages received from other gateways
+	Purges          uint64                     // purge events received
+	DirectorPanics  uint64                     // events in whose handling a director panicked
 }
 
-// statusNames are the names under which operators scrape how attempts ended, by routing.Status.
+// statusNames are the names of attempts' statuses in metrics and logs, by routing.Status.
 var statusNames = [...]string{"ok", "error", "turned_away", "timed_out", "not_connected", "reset", "cancelled",
 	"not_sent", "miss"}
 
-// ByName returns the counters under the names by which operators scrape them.
+// ByName returns the counters by their names in metrics.
 func (c *Counters) ByName() map[string]uint64 {
 	all := map[string]uint64{
 		"taken":    c.Submitted,
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -10,60 +10,62 @@
 	"larchusher/routing"
 )
 
-// dispatch is the part of a gateway that gives events to directors and applies the actions that they return. What
-// happens while an action is applied is queued, so that a director sees every event completely and in order.
+// dispatch is the part of a gateway that passes events to directors and applies the actions that
+// they return. Events that occur while an action is applied are queued, so that a director handles
+// events one at a time and in order.
 type dispatch struct {
-	events   []event
-	handling bool             // an event is being handled further up the stack
-	actions  []routing.Action // memory that is used again for each event
+	events        []event
+	handlingEvent bool             // an event is being handled further up the stack
+	actions       []routing.Action // buffer that is reused for each event
 }
 
-// event is one event for the director of one locality.
+// event is an event for the director of one locality.
 type event struct {
 	routing.Event
 	locality int
-	request  *Request // of a routing.Request; nil for other events
+	request  *Request // the request of a routing.Request event; nil for other events
 }
 
-// GossipSender carries messages to the other gateways, on the loop and without blocking. to is a gateway's index or
-// routing.AllDirectors. A message may get lost.
+// GossipSender sends messages to other gateways. SendGossip is called on the loop and must not
+// block. to is a gateway's index or routing.AllDirectors. Messages may get lost.
 type GossipSender interface {
 	SendGossip(to int, data string)
 }
 
-// UpdateEndpoints takes in an update of the endpoint list.
+// UpdateEndpoints applies an update of the endpoint list.
 func (g *Gateway) UpdateEndpoints(u routing.EndpointUpdate) {
 	u = g.drain.applyList(u)
 	g.updateLocalityEndpoints(u)
 	g.handleInAll(u)
 }
 
-// Purge takes in a purge event.
+// Purge applies a purge event.
 func (g *Gateway) Purge(p routing.Purge) {
 	g.Counters.Purges++
 	g.handleInAll(p)
 }
 
-// ReceiveGossip takes in a message of another gateway. It is for the director of the own locality.
+// ReceiveGossip handles a message of another gateway, by its index. It is passed to the own
+// locality's director.
 func (g *Gateway) ReceiveGossip(from int, data string) {
 	g.Counters.GossipReceived++
 	g.handleEvent(event{Event: routing.GossipReceived{From: from, Data: data}})
 }
 
-// handleInAll gives an event to every director.
+// handleInAll passes an event to every director.
 func (g *Gateway) handleInAll(e routing.Event) {
 	for i := range g.directors {
 		g.handleEvent(event{Event: e, locality: i})
 	}
 }
 
-// handleEvent gives an event to its director and applies the actions that it returns.
+// handleEvent passes an event to its director and applies the actions that it returns.
 func (g *Gateway) handleEvent(e event) {
 	g.events = append(g.events, e)
-	if g.handling {
+	if g.handlingEvent {
 		return
 	}
-	g.handling = true
+	g.handlingEvent = true
 	for len(g.events) > 0 {
 		e := g.events[0]
 		g.events = g.events[1:]
@@ -71,11 +73,11 @@
 			g.apply(a, e.locality)
 		}
 	}
-	g.handling, g.events = false, nil
+	g.handlingEvent, g.events = false, nil
 }
 
-// callDirector returns the actions of a director for an event. If the director panics, the request at hand fails and the
-// gateway goes on.
+// callDirector returns a director's actions for an event. If the director panics, the panic is
+// logged, the request of the event, if it has one, fails, and the gateway goes on.
 func (g *Gateway) callDirector(e event) (actions []routing.Action) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -92,7 +94,7 @@
 	return g.actions
 }
 
-// apply carries out one action of the director of a locality.
+// apply carries out an action of the director of a locality.
 func (g *Gateway) apply(a routing.Action, locality int) {
 	switch a := a.(type) {
 	case routing.ForwardAttempt:
@@ -102,7 +104,7 @@
 			g.answerByID(a.ID, Answer{Outcome: OutcomeRejected, RetryAfter: a.RetryAfter, Retryable: true})
 		}
 	case routing.Fail:
-		// The request may have moved to another locality, whose director answers for it now.
+		// The request may have been rerouted to another locality, whose director answers it now.
 		if r := g.requests[a.ID]; r != nil && r.locality == locality {
 			g.answerByID(a.ID, Answer{Outcome: OutcomeFailed, cause: causeGivenUp})
 		}
@@ -123,16 +125,17 @@
 	}
 }
 
-// setDirectorTimer sets a timer of a director. One for a request ends with it.
+// setDirectorTimer sets a director's timer. A timer for a request is stopped when that request is
+// closed.
 func (g *Gateway) setDirectorTimer(a routing.SetTimer, locality int) {
 	r := g.requests[a.RequestID]
 	if a.RequestID != "" && r == nil {
 		return
 	}
-	t := g.cfg.Loop.At(g.wallTime(a.At), func() {
+	timer := g.cfg.Loop.At(g.wallTime(a.At), func() {
 		g.handleEvent(event{locality: locality, Event: routing.TimerFired{Token: a.Token}})
 	})
 	if r != nil {
-		r.directorTimers = append(r.directorTimers, t)
+		r.directorTimers = append(r.directorTimers, timer)
 	}
 }
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,11 +1,14 @@
-// Package gateway is the runtime of larchusher: it owns the requests, the attempts made for them, the way each attempt
-// ends, and the one final answer that each request gets. It knows no wire format, socket or encoding.
+// Package gateway is the runtime of larchusher. It owns the open requests, the attempts made for
+// them and their results, and the one final answer that each request gets. It knows no wire format,
+// socket or encoding.
 //
-// A front (internal/net/msgpackrpc, internal/net/signedfront, middleware) admits and submits requests and takes their
-// answers. A director of package routing makes every decision about a request; package overload decides who is admitted,
-// package locality which locality a request goes to. A [Backend] (internal/net/resp) carries attempts to endpoints.
+// Fronts (internal/net/msgpackrpc, internal/net/signedfront, middleware) have requests admitted,
+// submit them and receive their answers. Directors of package routing make all decisions about a
+// request at its endpoints, package overload decides which requests are admitted, and package
+// locality selects the locality of each request. A [Backend] (internal/net/resp) sends the attempts
+// to endpoints.
 //
-// All of it runs on one [Loop]: methods of [Gateway] may be called from functions that the loop runs and nowhere else,
-// unless their comment says otherwise, and none of them blocks. Callbacks such as [Request.Answer] run on the loop, too,
-// and must not block.
+// A gateway runs on one [Loop]. Unless their comments state otherwise, methods of [Gateway] may be
+// called only from functions that the loop runs; none of them blocks. Callbacks such as
+// [Request.Answer] run on the loop, too, and must not block.
 package gateway
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -8,15 +8,15 @@
 	"larchusher/routing"
 )
 
-// drainState merges the endpoint list with the endpoints that planned maintenance drains: directors see an endpoint as
-// draining if either says so.
+// drainState combines the endpoint list with the endpoints that planned maintenance drains.
+// Directors see an endpoint as draining if either of them has it draining.
 type drainState struct {
-	listed      map[string]routing.Endpoint // as the list has it
-	draining    map[string]bool             // by planned maintenance
-	watchEvents int                         // endpoint list updates so far
+	listed      map[string]routing.Endpoint // endpoints by id, as on the endpoint list
+	draining    map[string]bool             // endpoints that planned maintenance drains, by id
+	watchEvents int                         // updates of the endpoint list so far
 }
 
-// applyList takes in an update of the endpoint list, and returns it as directors are to see it.
+// applyList applies an update of the endpoint list, and returns the update for the directors.
 func (h *drainState) applyList(m routing.EndpointUpdate) routing.EndpointUpdate {
 	h.watchEvents++
 	if h.listed == nil {
@@ -41,7 +41,7 @@
 	return m
 }
 
-// merge is an endpoint of the list as directors are to see it.
+// merge returns an endpoint of the list as directors are to see it.
 func (h *drainState) merge(e routing.Endpoint) routing.Endpoint {
 	if h.draining[e.ID] && e.Phase == routing.Up {
 		e.Phase = routing.Draining
@@ -49,14 +49,15 @@
 	return e
 }
 
-// DrainEndpoints says which endpoints get nothing new from now on, and are named as no fill source, for planned
-// maintenance. Those that were named by the call before and are not any more go back to what the list says.
+// DrainEndpoints sets the endpoints that planned maintenance drains: they get no new attempts and
+// are not named as fill sources. Endpoints of the previous call that are missing from this one
+// return to their phase on the endpoint list.
 func (g *Gateway) DrainEndpoints(endpoints map[string]bool) {
-	was := g.drain.draining
+	previous := g.drain.draining
 	g.drain.draining = maps.Clone(endpoints)
 	var changed []routing.Endpoint
 	for id, e := range g.drain.listed {
-		if was[id] != endpoints[id] {
+		if previous[id] != endpoints[id] {
 			changed = append(changed, g.drain.merge(e))
 		}
 	}
@@ -69,16 +70,16 @@
 	g.handleInAll(u)
 }
 
-// NoAttemptsAt reports whether no attempt is in flight at any of the endpoints, nor one that names one of them as its fill
-// source.
-func (g *Gateway) NoAttemptsAt(stores map[string]bool) bool {
-	if len(stores) == 0 {
+// NoAttemptsAt reports whether no attempt is in flight at any of the endpoints, and none that names
+// one of them as its fill source.
+func (g *Gateway) NoAttemptsAt(endpoints map[string]bool) bool {
+	if len(endpoints) == 0 {
 		return true
 	}
 	for _, all := range []map[string]*Request{g.requests, g.answeredWithAttempts} {
 		for _, r := range all {
 			for _, a := range r.attempts {
-				if !a.ended && (stores[a.Endpoint] || a.FillSource != "" && stores[a.FillSource]) {
+				if !a.ended && (endpoints[a.Endpoint] || a.FillSource != "" && endpoints[a.FillSource]) {
 					return false
 				}
 			}
@@ -87,25 +88,27 @@
 	return true
 }
 
-// maxShedShareForMaintenance is the share of the offered requests that may be shed while maintenance still takes endpoints
-// out.
+// maxShedShareForMaintenance is the largest share of the offered requests that may be shed while
+// maintenance may still take endpoints out of service.
 const maxShedShareForMaintenance = 0.05
 
-// ObservedEndpoints is what the own locality's director knows of the endpoints on its list, and why none should be taken
-// out for maintenance now; empty: nothing speaks against it.
+// ObservedEndpoints returns what the own locality's director knows of the endpoints on its list.
+// pressure is the reason why no endpoint should be taken out for maintenance now; empty: there is
+// none.
 func (g *Gateway) ObservedEndpoints() (endpoints []routing.Observed, pressure string) {
 	endpoints, pressure = g.directors[0].Observe(g.now())
 	if pressure == "" && g.ShedShare() > maxShedShareForMaintenance {
-		pressure = "a gateway sheds load"
+		pressure = "a gateway is shedding load"
 	}
-	for i, e := range endpoints { // as the list has it: one that is drained for maintenance is not down
+	for i, e := range endpoints { // as on the endpoint list: an endpoint that maintenance drains is not down
 		endpoints[i].Up = g.drain.listed[e.ID].Phase == routing.Up
 	}
 	return endpoints, pressure
 }
 
-// WatchEvents counts the updates of the endpoint list and the purges that the gateway has taken in.
+// WatchEvents returns the number of updates of the endpoint list and of purge events so far.
 func (g *Gateway) WatchEvents() int { return g.drain.watchEvents + int(g.Counters.Purges) }
 
-// ListedEndpoints are the endpoints as the list has them. The map is the gateway's own and must not be changed.
+// ListedEndpoints returns the endpoints as on the endpoint list, by id. The map is the gateway's
+// own and must not be changed.
 func (g *Gateway) ListedEndpoints() map[string]routing.Endpoint { return g.drain.listed }
--- a/gateway/failures.go
+++ b/gateway/failures.go
@@ -8,7 +8,7 @@
 	"larchusher/internal/logfields"
 )
 
-// failureCause is why a request has failed, as the log words it.
+// failureCause is the reason of a failed request in the log.
 type failureCause string
 
 const (
@@ -20,17 +20,19 @@
 	causeNoMemory         failureCause = "no memory for the answer"
 )
 
-// failureLogInterval is the least time between two lines about failed requests: where many fail, one line says as much as
-// all, and writing all would cost what the gateway needs then.
+// failureLogInterval is the shortest time between two log lines about failed requests. Where many
+// requests fail, one line tells as much as all would, and writing all would take resources that the
+// gateway needs then.
 const failureLogInterval = time.Second
 
-// failureLog bounds the lines about failed requests.
+// failureLog limits the rate of log lines about failed requests.
 type failureLog struct {
-	latest     time.Time // zero: there was none
-	suppressed int       // since the latest
+	latest     time.Time // time of the latest line; zero: there was none
+	suppressed int       // lines left out since then
 }
 
-// logFailure writes why a request has failed, unless a line about another one was just written.
+// logFailure logs why a request has failed, unless a line about another request was logged within
+// failureLogInterval.
 func (g *Gateway) logFailure(r *Request, a Answer) {
 	now := g.cfg.Loop.Now()
 	f := &g.failureLog
@@ -46,7 +48,7 @@
 		logfields.Attempts:  len(r.attempts),
 		logfields.Suppress:  f.suppressed,
 	}
-	if n := len(r.attempts); n > 0 { // the latest one says most
+	if n := len(r.attempts); n > 0 { // the latest attempt is the most telling one
 		last := r.attempts[n-1]
 		fields[logfields.Endpoint] = last.Endpoint
 		fields[logfields.Status] = "in flight"
--- a/gateway/failures_test.go
+++ b/gateway/failures_test.go
@@ -12,11 +12,11 @@
 )
 
 // A log line says why a request failed; where many fail at once, the others are counted in the next line.
-func TestTheLogSaysWhyARequestFailed(t *testing.T) {
-	log, lines := logtest.NewNullLogger()
-	h := &host{t: t, loop: gateway.NewLoop(), sent: make(chan *gateway.Attempt, 100), answers: make(chan gateway.Answer, 100)}
+func TestFailureLogGivesReasonAndIsRateLimited(t *testing.T) {
+	log, logHook := logtest.NewNullLogger()
+	h := &testGateway{t: t, loop: gateway.NewLoop(), sent: make(chan *gateway.Attempt, 100), answers: make(chan gateway.Answer, 100)}
 	var err error
-	h.g, err = gateway.New(gateway.Config{Loop: h.loop, Backend: backend{h.sent}, Log: log, Settings: routing.Settings{
+	h.g, err = gateway.New(gateway.Config{Loop: h.loop, Backend: fakeBackend{h.sent}, Log: log, Settings: routing.Settings{
 		Zone: "here", Zones: []string{"here"}, Kinds: []string{"box", "origin"}, ParentKind: -1, OriginKind: 1, ClockStep: time.Millisecond,
 		Classes: []routing.Class{{Name: "page", LatencyObjective: time.Second, Deadline: 5 * time.Second},
 			{Name: "order", LatencyObjective: time.Second, Deadline: 5 * time.Second, Effect: routing.IdempotentWithKey},
@@ -26,37 +26,37 @@
 	}
 	go h.loop.Run()
 	t.Cleanup(h.loop.Close)
-	h.list(routing.Up)
+	h.updateEndpoints(routing.Up)
 	fail := func(r *gateway.Request) {
 		t.Helper()
-		h.on(func() { h.g.Submit(r) })
+		h.onLoop(func() { h.g.Submit(r) })
 		if a := <-h.answers; a.Outcome == gateway.OutcomeServed {
 			t.Fatalf("%s: %+v", r.ID, a)
 		}
 	}
 	check := func(want map[string]any) {
 		t.Helper()
-		line := lines.LastEntry()
-		if line == nil || line.Message != logfields.RequestFailed || len(lines.AllEntries()) != 1 {
-			t.Fatalf("lines: %+v", lines.AllEntries())
+		entry := logHook.LastEntry()
+		if entry == nil || entry.Message != logfields.RequestFailed || len(logHook.AllEntries()) != 1 {
+			t.Fatalf("lines: %+v", logHook.AllEntries())
 		}
 		for field, value := range want {
-			if line.Data[field] != value {
-				t.Errorf("%s is %v, not %v", field, line.Data[field], value)
+			if entry.Data[field] != value {
+				t.Errorf("%s is %v, not %v", field, entry.Data[field], value)
 			}
 		}
-		lines.Reset()
+		logHook.Reset()
 	}
 
-	fail(h.request("first", "order"))
-	fail(h.request("second", "order"))
+	fail(h.newRequest("first", "order"))
+	fail(h.newRequest("second", "order"))
 	check(map[string]any{logfields.RequestID: "first", logfields.Class: "order", logfields.Outcome: "failed",
 		logfields.Reason: "no idempotency key", logfields.Attempts: 0, logfields.Suppress: 0})
 
 	time.Sleep(1100 * time.Millisecond) // lines come once a second
-	h.on(func() { h.g.Submit(h.request("third", "payment")) })
+	h.onLoop(func() { h.g.Submit(h.newRequest("third", "payment")) })
 	attempt := <-h.sent
-	h.on(func() { h.g.AttemptEnded(attempt, gateway.Result{Status: routing.Reset}) })
+	h.onLoop(func() { h.g.AttemptEnded(attempt, gateway.Result{Status: routing.Reset}) })
 	if a := <-h.answers; a.Outcome != gateway.OutcomeFailed {
 		t.Fatalf("%+v", a)
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -11,54 +11,57 @@
 	"larchusher/routing"
 )
 
-// Config is what a gateway is made of.
+// Config configures a gateway.
 type Config struct {
 	Loop     *Loop
 	Settings routing.Settings
-	Seed     uint64       // of all random draws; 0: it is drawn itself
-	Backend  Backend      // carries attempts
-	Gossip   GossipSender // nil: nothing is sent to other gateways
+	Seed     uint64       // seed of all random draws; 0: a random seed
+	Backend  Backend      // sends attempts to endpoints
+	Gossip   GossipSender // nil: no gossip is sent to other gateways
 	Log      logrus.FieldLogger
 
-	// EndpointPermitted reports whether an endpoint may be sent to, or named as a fill source, at this moment. It goes beside
-	// the endpoint list, and the stricter of the two holds. nil: any may.
+	// EndpointPermitted reports whether attempts may be sent to an endpoint at this moment, or name
+	// it as their fill source. It applies in addition to the endpoint list: an endpoint is used
+	// only if both allow it. It is called on the loop and must not block. nil: every endpoint is
+	// permitted.
 	EndpointPermitted func(endpoint string) bool
 
-	// Localities that requests may go to, the own one first. Bands, Seed and, unless it is set, MaxRetryAfter are filled in
-	// from the rest of the configuration. nil: the own locality only.
+	// Localities configures the localities that requests may go to, the own one first. New fills in
+	// Bands, Seed and, unless it is set, MaxRetryAfter. nil: the own locality only.
 	Localities *locality.Config
 
-	// Overload says how the gateway sheds load. Its Classes, Fronts and, unless it is set, MaxRetryAfter are filled in from
-	// Settings.
+	// Overload configures load shedding. New fills in Classes and Fronts, and defaults for
+	// MaxRetryAfter (that of Settings), Tick, MinPause and MaxWait.
 	Overload overload.Config
 
-	// ReadBarrier calls its function, on any goroutine, once everything that had arrived on connections by now has been
-	// read. The delay until then is how far reading lags. nil: reading never lags.
+	// ReadBarrier calls its function, on any goroutine, once everything that has arrived on
+	// connections before the call has been read. The delay of that call measures how far reading
+	// lags. nil: reading is taken never to lag.
 	ReadBarrier func(func())
 
-	SizeScale       float64 // KB of Settings.FlowKBps for each KB of a request's stated size; 0: 1
-	MaxOpenRequests int     // requests open at once, others are rejected; 0: no limit
-	MaxBodyBytes    int     // bytes of request bodies held at once, other requests are rejected; 0: no limit
+	SizeScale       float64 // factor from the sizes that clients state, in KB, to the KB of Settings.FlowKBps; 0: 1
+	MaxOpenRequests int     // limit on open requests, beyond which requests are rejected; 0: no limit
+	MaxBodyBytes    int     // limit on the bytes of open requests' bodies, beyond which requests are rejected; 0: no limit
 }
 
-// Gateway runs a director for each of its localities.
+// Gateway runs one director for each of its localities. Use [New].
 type Gateway struct {
 	Counters Counters
 
 	cfg Config
 
-	// The directors' clock reads baseDirectorTime, a Unix time, at base, and runs on steadily from there whatever happens to
-	// the system's clock.
-	base             time.Time
+	// The directors' clock reads baseDirectorTime, which is a Unix time, at baseWallTime. It
+	// advances with the monotonic clock from there, whatever adjustments the system's clock gets.
+	baseWallTime     time.Time
 	baseDirectorTime time.Duration
 
-	requests             map[string]*Request // without an answer yet, by directorID
-	requestsByClientID   map[string]*Request // the same, by Request.ID
-	answeredWithAttempts map[string]*Request // answered, with attempts still in flight, by directorID
+	requests             map[string]*Request // requests without an answer yet, by directorID
+	requestsByClientID   map[string]*Request // the same requests, by Request.ID
+	answeredWithAttempts map[string]*Request // answered requests with attempts still in flight, by directorID
 	lastRequestNumber    uint64
-	bodyBytes            int                       // of the bodies of open requests
+	bodyBytes            int                       // total size of the bodies of open requests
 	outcomes             map[string]*ClassOutcomes // by class
-	retiredClassesTimer  *Timer                    // ends classes that a new configuration dropped; nil: there never were any
+	retiredClassesTimer  *Timer                    // removes classes that a new configuration dropped; nil: no class was dropped so far
 
 	dispatch
 	drain      drainState
@@ -67,7 +70,8 @@
 	localityState
 }
 
-// New returns a gateway, and schedules its first tick on the loop. Nothing else happens before the loop runs.
+// New returns a gateway and schedules its first tick on the loop, which need not run yet. The error
+// names what is wrong with the configuration.
 func New(cfg Config) (*Gateway, error) {
 	now := time.Now()
 	if cfg.Seed == 0 { // gateways with the same seed would make the same choices at the same moment
@@ -75,7 +79,7 @@
 	}
 	g := &Gateway{
 		cfg:                  cfg,
-		base:                 now,
+		baseWallTime:         now,
 		baseDirectorTime:     time.Duration(now.UnixNano()),
 		requests:             map[string]*Request{},
 		requestsByClientID:   map[string]*Request{},
@@ -93,15 +97,21 @@
 }
 
 // DirectorTime converts a time to the directors' clock.
-func (g *Gateway) DirectorTime(t time.Time) time.Duration { return g.baseDirectorTime + t.Sub(g.base) }
+func (g *Gateway) DirectorTime(t time.Time) time.Duration {
+	return g.baseDirectorTime + t.Sub(g.baseWallTime)
+}
 
-// now is the present time on the directors' clock.
+// now returns the present time on the directors' clock.
 func (g *Gateway) now() time.Duration { return g.DirectorTime(g.cfg.Loop.Now()) }
 
-// wallTime converts a time on the directors' clock to one that the loop's timers take.
-func (g *Gateway) wallTime(t time.Duration) time.Time { return g.base.Add(t - g.baseDirectorTime) }
+// wallTime converts a time on the directors' clock to the wall-clock time that the loop's timers
+// use.
+func (g *Gateway) wallTime(t time.Duration) time.Time {
+	return g.baseWallTime.Add(t - g.baseDirectorTime)
+}
 
-// IncarnationTime is when an endpoint's incarnation began, given on the directors' clock; zero: long ago.
+// IncarnationTime converts the start of an endpoint's incarnation from the directors' clock to
+// wall-clock time. A start of 0 or less, which stands for long ago, gives the zero time.
 func (g *Gateway) IncarnationTime(incarnation time.Duration) time.Time {
 	if incarnation <= 0 {
 		return time.Time{}
@@ -109,7 +119,7 @@
 	return g.wallTime(incarnation)
 }
 
-// OpenRequests is the number of requests that have no answer yet.
+// OpenRequests returns the number of requests that have no answer yet.
 func (g *Gateway) OpenRequests() int { return len(g.requests) }
 
 // Close answers every open request as expired, for a program that must end now.
--- a/gateway/learned.go
+++ b/gateway/learned.go
@@ -9,7 +9,8 @@
 	"larchusher/warmstart"
 )
 
-// ExportLearned copies out what the directors have learned, at most maxListings of the mapping table of each.
+// ExportLearned returns a copy of what each director has learned, with at most maxListings listings
+// of each mapping table.
 func (g *Gateway) ExportLearned(maxListings int) (all []routing.LearnedState) {
 	for _, d := range g.directors {
 		all = append(all, d.Export(g.now(), maxListings))
@@ -17,8 +18,9 @@
 	return all
 }
 
-// ImportSnapshot has the directors take in what a snapshot holds of their localities. gateway is this gateway's name,
-// settings the fingerprint of its settings. The endpoint list must be known.
+// ImportSnapshot imports a warm-start snapshot into the directors of the localities that it covers.
+// gateway is the name of this gateway, settings the fingerprint of its settings. The endpoint list
+// must have been received before.
 func (g *Gateway) ImportSnapshot(s *warmstart.Snapshot, gateway, settings string) warmstart.ImportReport {
 	all := map[string]*routing.Director{}
 	for i, d := range g.directors {
@@ -27,18 +29,19 @@
 	return s.Import(g.now(), gateway, settings, all)
 }
 
-// ImportLearned has the director of a zone take in what other gateways know, with the confidence that its age leaves.
-func (g *Gateway) ImportLearned(m routing.LearnedState) (u routing.ImportCounts) {
+// ImportLearned imports what peers have learned into the director of the state's zone, with the
+// confidence that the age of the state leaves. It does nothing if no director has that zone.
+func (g *Gateway) ImportLearned(state routing.LearnedState) (counts routing.ImportCounts) {
 	for i, d := range g.directors {
-		if g.names[i] == m.Zone {
-			u = d.Import(g.now(), m, warmstart.ConfidenceAt)
+		if g.names[i] == state.Zone {
+			counts = d.Import(g.now(), state, warmstart.ConfidenceAt)
 		}
 	}
-	return u
+	return counts
 }
 
-// ApplyPeerPurge takes in a purge that another gateway knows of, of that age. The key names an object, or a group as
-// [larchusher/purge.Group] words it; a key that does neither is ignored.
+// ApplyPeerPurge applies a purge that a peer has received, given its age. key is the name of an
+// object, or of a group in the form of [larchusher/purge.Group]. A malformed group name is ignored.
 func (g *Gateway) ApplyPeerPurge(key string, age time.Duration) {
 	p := routing.Purge{Object: key, Age: age}
 	if group, ok := strings.CutPrefix(key, " "); ok {
--- a/gateway/load_stats.go
+++ b/gateway/load_stats.go
@@ -8,62 +8,63 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// LoadCounters count what the gateway did about load since its start.
+// LoadCounters counts the gateway's measures against load since its start, and measures delays.
 type LoadCounters struct {
-	QueueTimeouts     uint64 // requests rejected since they had waited in the queue for too long
-	NoMemory          uint64 // requests rejected since their client, or all clients, leave too many answers unread
-	SlowClientsClosed uint64 // clients closed since they left answers unread while memory ran short
-	PeakAnswerBytes   int64  // most bytes taken by answers on their way
+	QueueTimeouts     uint64 // requests rejected because they had waited in the queue for too long
+	NoMemory          uint64 // requests rejected, or failed, because their client or all clients leave too many answers unread
+	SlowClientsClosed uint64 // clients closed because they left answers unread while memory was nearly full
+	PeakAnswerBytes   int64  // largest number of bytes taken by unsent answers
 
-	QueueWait *hdrhistogram.Histogram // of requests and queued work, in microseconds
-	LoopDelay *hdrhistogram.Histogram // from when something was posted to the loop until it ran, in microseconds
-	PollerLag *hdrhistogram.Histogram // of what reads from connections, in microseconds
+	QueueWait *hdrhistogram.Histogram // waits of requests and queued work in the queue, in microseconds
+	LoopDelay *hdrhistogram.Histogram // delays from the first Post of a batch until it ran on the loop, in microseconds
+	PollerLag *hdrhistogram.Histogram // delays of read barriers, in microseconds
 }
 
-// longestRecorded is the longest duration that the histograms take.
-const longestRecorded = time.Minute
+// maxRecordedDuration is the longest duration that the histograms record.
+const maxRecordedDuration = time.Minute
 
 func newLoadCounters() LoadCounters {
 	const significantDigits = 2
 	histogram := func() *hdrhistogram.Histogram {
-		return hdrhistogram.New(1, longestRecorded.Microseconds(), significantDigits)
+		return hdrhistogram.New(1, maxRecordedDuration.Microseconds(), significantDigits)
 	}
 	return LoadCounters{QueueWait: histogram(), LoopDelay: histogram(), PollerLag: histogram()}
 }
 
-// LoadStats is what a gateway has seen of load and done about it, as of now.
+// LoadStats is a gateway's load and its measures against it at one moment. The counters are those
+// of [LoadCounters].
 type LoadStats struct {
 	QueueTimeouts     uint64
 	NoMemory          uint64
 	SlowClientsClosed uint64
-	PeakAnswerBytes   int64 // most bytes that answers on their way have taken
-	AnswerBytes       int64 // bytes that they take
-	Pauses            int   // times that the host stood still
+	PeakAnswerBytes   int64 // largest number of bytes taken by unsent answers so far
+	AnswerBytes       int64 // bytes taken by unsent answers now
+	Pauses            int   // pauses, in which the host did not run this program
 	PausedTime        time.Duration
-	ShedShare         float64 // of the offered requests, from 0 to 1
-	BalancerWeight    int     // in percent
-	Queued            int     // requests and queued work
+	ShedShare         float64 // share of the offered requests that is shed, from 0 to 1
+	BalancerWeight    int     // weight for load balancers, in percent
+	Queued            int     // requests and work in the queue now
 	QueueWait         Distribution
 	LoopDelay         Distribution
 	PollerLag         Distribution
-	Shed              []ShedCount // requests that were not admitted
+	Shed              []ShedCount // requests that were not admitted, sorted by front and band
 }
 
 // Distribution is a distribution of durations, in seconds.
 type Distribution struct {
 	Count     uint64
 	Sum       float64
-	Quantiles map[float64]float64 // by quantile from 0 to 1
+	Quantiles map[float64]float64 // by quantile, from 0 to 1
 }
 
-// ShedCount is how many requests of one front and band were not admitted.
+// ShedCount is the number of requests of a front and band that were not admitted.
 type ShedCount struct {
 	Front Front
-	Band  string // a class, or the retries of one
+	Band  string // name of a class, or of the retries of one
 	Count uint64
 }
 
-// LoadStats returns what is known of load now.
+// LoadStats returns the present load and the counters about it.
 func (g *Gateway) LoadStats() LoadStats {
 	s := LoadStats{
 		QueueTimeouts:     g.Load.QueueTimeouts,
@@ -89,7 +90,7 @@
 	return s
 }
 
-// distribution sums up a histogram of microseconds.
+// distribution summarizes a histogram of microseconds.
 func distribution(h *hdrhistogram.Histogram) Distribution {
 	const microsecondsPerSecond = 1e6
 	d := Distribution{
--- a/gateway/localities.go
+++ b/gateway/localities.go
@@ -12,22 +12,24 @@
 	"larchusher/routing"
 )
 
-// linkLoadName is the field of load reports with the utilization of a locality's link.
+// linkLoadName is the name of the value in load reports that holds the utilization of the
+// locality's link.
 const linkLoadName = "x1"
 
-// localityState is the part of a gateway that knows of localities: a director for each, and what chooses among them. With
-// the own locality alone there is one director, and nothing else here does anything.
+// localityState is the part of a gateway that handles localities: it has a director for each, and
+// the policy that selects among them. With the own locality alone there is one director, and
+// everything else here is unused.
 type localityState struct {
 	directors            []*routing.Director
-	names                []string           // of the localities, by index; the own one is the first
-	localityPolicy       *locality.Selector // nil: there is the own locality only
+	names                []string           // names of the localities, by index; the own one is the first
+	localityPolicy       *locality.Selector // nil: there is only the own locality
 	endpointIndex        *locality.EndpointIndex
-	linkLoadField        int // index of linkLoadName in a load report; -1: it is not reported
+	linkLoadField        int // index of linkLoadName in load reports; -1: it is not reported
 	localityTickInterval time.Duration
 	lastLocalityTick     time.Duration // on the clock of unpausedTime
 }
 
-// initLocalities makes the directors.
+// initLocalities creates the directors.
 func (g *Gateway) initLocalities() error {
 	if g.cfg.Localities == nil || len(g.cfg.Localities.Localities) == 0 {
 		d, err := routing.New(g.cfg.Settings, g.cfg.Seed)
@@ -40,14 +42,15 @@
 	return g.initSeveralLocalities(*g.cfg.Localities)
 }
 
-// initSeveralLocalities makes a director for each locality, and what chooses among them.
+// initSeveralLocalities creates a director for each locality, and the policy that selects among
+// them.
 func (g *Gateway) initSeveralLocalities(cfg locality.Config) error {
-	set := g.cfg.Settings
-	if own := cfg.Localities[0].Name; own != set.Zone {
-		return fmt.Errorf("gateway: tiers: the first locality is %q, and the own one is %q", own, set.Zone)
+	settings := g.cfg.Settings
+	if own := cfg.Localities[0].Name; own != settings.Zone {
+		return fmt.Errorf("gateway: tiers: the first locality is %q, want the own one, %q", own, settings.Zone)
 	}
 	for i, l := range cfg.Localities {
-		s, err := locality.DirectorSettings(set, cfg.Localities, i)
+		s, err := locality.DirectorSettings(settings, cfg.Localities, i)
 		if err != nil {
 			return fmt.Errorf("gateway: %w", err)
 		}
@@ -57,19 +60,20 @@
 		}
 		g.directors, g.names = append(g.directors, d), append(g.names, l.Name)
 	}
-	order := overload.NewOrder(overloadClasses(set.Classes), g.cfg.Overload.RetriesFirst) // as admission ranks them
+	order := overload.NewOrder(overloadClasses(settings.Classes), g.cfg.Overload.RetriesFirst) // the same priority bands as in admission
 	policy, err := locality.New(g.localityConfig(cfg, order.Bands()))
 	if err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
 	g.localityPolicy = policy
-	g.localityTickInterval = localityTickOf(cfg)
-	g.endpointIndex = locality.NewEndpointIndex(set, cfg.Localities)
-	g.linkLoadField = slices.Index(set.LoadReportFields, linkLoadName)
+	g.localityTickInterval = localityTickInterval(cfg)
+	g.endpointIndex = locality.NewEndpointIndex(settings, cfg.Localities)
+	g.linkLoadField = slices.Index(settings.LoadReportFields, linkLoadName)
 	return nil
 }
 
-// localityConfig completes a configuration from the settings and the number of priority bands.
+// localityConfig returns a configuration with Bands, Seed and MaxRetryAfter filled in from the
+// settings and the number of priority bands.
 func (g *Gateway) localityConfig(cfg locality.Config, bands int) locality.Config {
 	cfg.Bands = bands
 	cfg.Seed = g.cfg.Seed
@@ -79,22 +83,22 @@
 	return cfg
 }
 
-// localityTickOf is how often the shares of localities are set.
-func localityTickOf(cfg locality.Config) time.Duration {
+// localityTickInterval returns how often the shares of localities are set.
+func localityTickInterval(cfg locality.Config) time.Duration {
 	if cfg.Tick > 0 {
 		return cfg.Tick
 	}
 	return locality.DefaultTick
 }
 
-// checkLocalities reports why a configuration of localities can't take the place of the present one.
+// checkLocalities returns an error if a configuration of localities cannot replace the present one.
 func (g *Gateway) checkLocalities(cfg locality.Config) error {
 	var names []string
 	for _, l := range cfg.Localities {
 		names = append(names, l.Name)
 	}
 	if g.localityPolicy == nil || !slices.Equal(names, g.names) {
-		return fmt.Errorf("gateway: tiers: the localities are %q, and were %q at the start", names, g.names)
+		return fmt.Errorf("gateway: tiers: the localities cannot be changed to %q while the gateway runs; at the start they were %q", names, g.names)
 	}
 	complete := g.localityConfig(cfg, g.classOrder().Bands())
 	if err := complete.Validate(); err != nil {
@@ -103,8 +107,8 @@
 	return nil
 }
 
-// ReconfigureLocalities has other limits, ramps and weights hold; the localities must be those of the start. On an error
-// all stays as it was.
+// ReconfigureLocalities replaces the limits, ramps and weights of the localities, which must be
+// those of the start. If it returns an error, nothing has changed.
 func (g *Gateway) ReconfigureLocalities(cfg locality.Config) error {
 	if err := g.checkLocalities(cfg); err != nil {
 		return err
@@ -112,15 +116,16 @@
 	if err := g.localityPolicy.Reconfigure(g.localityConfig(cfg, g.classOrder().Bands())); err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
-	g.cfg.Localities, g.localityTickInterval = &cfg, localityTickOf(cfg)
+	g.cfg.Localities, g.localityTickInterval = &cfg, localityTickInterval(cfg)
 	return nil
 }
 
-// unpausedTime is the directors' clock without pauses of this program, which are no locality's doing.
+// unpausedTime returns the time on the directors' clock without the pauses of this program, which
+// are not caused by any locality.
 func (g *Gateway) unpausedTime() time.Duration { return g.now() - g.pausedTime }
 
-// updateLocalityEndpoints tells the locality policy how many caches of each locality are up after an update of the endpoint
-// list.
+// updateLocalityEndpoints passes the number of caches that are up in each locality to the locality
+// policy, after an update of the endpoint list.
 func (g *Gateway) updateLocalityEndpoints(u routing.EndpointUpdate) {
 	if g.localityPolicy == nil {
 		return
@@ -130,7 +135,8 @@
 	}
 }
 
-// pickLocalityOrShed chooses the locality of a request whose turn it is, or sheds the request and reports false.
+// pickLocalityOrShed selects the locality of a request whose turn it is. If no locality has
+// capacity for the request, it sheds the request and returns false.
 func (g *Gateway) pickLocalityOrShed(r *Request) bool {
 	if !g.needsLocality(r) {
 		return true
@@ -144,27 +150,29 @@
 	return true
 }
 
-// needsLocality reports whether there are several localities, and a request goes to one of them.
+// needsLocality reports whether the locality policy selects the locality of a request.
 func (g *Gateway) needsLocality(r *Request) bool {
 	return g.localityPolicy != nil && !g.bypassesLocalities(r)
 }
 
-// bypassesLocalities reports whether a request runs at the origin, and goes there past all caches.
+// bypassesLocalities reports whether a request is sent to the origin past all caches. That includes
+// requests of unknown classes.
 func (g *Gateway) bypassesLocalities(r *Request) bool {
 	c := r.class
 	return c == nil || c.Uncacheable && g.cfg.Settings.AllowBypass
 }
 
-// rejectionEffect is what a director's rejection comes to, with several localities.
+// rejectionEffect is the effect of a director's rejection where there are several localities.
 type rejectionEffect int
 
 const (
-	rejectionFinal      rejectionEffect = iota // it is the request's answer
-	rejectionRerouted                          // another locality has been given the request
-	rejectionSuperseded                        // another locality had the request already
+	rejectionFinal      rejectionEffect = iota // the rejection is the answer to the request
+	rejectionRerouted                          // the request was passed to another locality's director
+	rejectionSuperseded                        // another locality's director already has the request; the rejection is ignored
 )
 
-// rerouteRejected gives a request that the director of a locality has rejected to another locality, if one may have it.
+// rerouteRejected passes a request that the director of a locality has rejected to the director of
+// another locality, if the locality policy allows that.
 func (g *Gateway) rerouteRejected(id string, from int) rejectionEffect {
 	r := g.requests[id]
 	if g.localityPolicy == nil || r == nil {
@@ -185,7 +193,7 @@
 	return rejectionRerouted
 }
 
-// rejectionOf is what the locality policy is told of a request that its locality has rejected.
+// rejectionOf describes a rejected request for the locality policy.
 func (g *Gateway) rejectionOf(r *Request) locality.Rejection {
 	now := g.cfg.Loop.Now()
 	rejection := locality.Rejection{
@@ -205,15 +213,16 @@
 	return rejection
 }
 
-// recordAttemptSent counts an attempt that goes out in a locality.
+// recordAttemptSent reports an attempt to the locality policy when it is sent.
 func (g *Gateway) recordAttemptSent(a *Attempt) {
 	if g.needsLocality(a.Request) {
 		g.localityPolicy.AttemptStarted(g.unpausedTime(), a.locality)
 	}
 }
 
-// recordAttemptResult tells the locality policy how an attempt ended. One that went past the caches of the own locality
-// counts against them: they were not available.
+// recordAttemptResult reports the result of an attempt to the locality policy. An attempt that
+// bypassed the caches of its locality counts as a failure of the locality, since these were not
+// available.
 func (g *Gateway) recordAttemptResult(a *Attempt, res Result) {
 	if !g.needsLocality(a.Request) {
 		return
@@ -230,8 +239,9 @@
 		hit, detailKnown, g.linkLoad(atCache, res))
 }
 
-// missedObjective reports whether a successful attempt took longer than the latency objective of its class, which grows
-// with the size of the body. Package routing caps the objective at the request's deadline; here it has no cap.
+// missedObjective reports whether a successful attempt took longer than the latency objective of
+// its class, which grows with the size of the body. Unlike package routing, it does not cap the
+// objective at the request's deadline.
 func (g *Gateway) missedObjective(a *Attempt, res Result) bool {
 	c := a.Request.class
 	if c == nil || res.Status != routing.OK {
@@ -242,7 +252,8 @@
 	return g.latency(a, res) > objective
 }
 
-// linkLoad is the utilization of the locality's link in a cache's load report; negative: it is not known.
+// linkLoad returns the utilization of the locality's link from a cache's load report; negative:
+// unknown.
 func (g *Gateway) linkLoad(atCache bool, res Result) float64 {
 	if !atCache || g.linkLoadField < 0 || g.linkLoadField >= len(res.LoadReport) {
 		return -1
@@ -250,7 +261,8 @@
 	return res.LoadReport[g.linkLoadField]
 }
 
-// tickLocalities sets the shares of the localities anew, when it is time. It is called with each tick.
+// tickLocalities sets the shares of the localities when their interval has passed. It is called at
+// each tick of the gateway.
 func (g *Gateway) tickLocalities() {
 	if g.localityPolicy == nil {
 		return
@@ -261,14 +273,15 @@
 	}
 }
 
-// LocalityStats is what the choice among localities has come to, as of now.
+// LocalityStats is the state of the locality policy at one moment.
 type LocalityStats struct {
 	Counters    locality.Counters
-	BypassShare float64 // of the requests that fit in no locality, those that are sent past the caches
+	BypassShare float64 // share of the requests without capacity in any locality that is sent past the caches
 	Localities  []locality.View
 }
 
-// LocalityStats returns what is decided among localities now; false: there is only the own one.
+// LocalityStats returns the state of the locality policy; ok is false if there is only the own
+// locality.
 func (g *Gateway) LocalityStats() (s LocalityStats, ok bool) {
 	if g.localityPolicy == nil {
 		return s, false
--- a/gateway/localities_test.go
+++ b/gateway/localities_test.go
@@ -14,10 +14,10 @@
 )
 
 // newPlaces is a host with a cache here and one there, and nobody's own fault.
-func newPlaces(t *testing.T) *host {
-	h := &host{t: t, loop: gateway.NewLoop(), sent: make(chan *gateway.Attempt, 1000), answers: make(chan gateway.Answer, 1000)}
+func newTwoLocalityGateway(t *testing.T) *testGateway {
+	h := &testGateway{t: t, loop: gateway.NewLoop(), sent: make(chan *gateway.Attempt, 1000), answers: make(chan gateway.Answer, 1000)}
 	var err error
-	h.g, err = gateway.New(gateway.Config{Loop: h.loop, Backend: backend{h.sent}, Log: logrus.New(),
+	h.g, err = gateway.New(gateway.Config{Loop: h.loop, Backend: fakeBackend{h.sent}, Log: logrus.New(),
 		Localities: &locality.Config{Localities: []locality.Locality{{Name: "here"}, {Name: "there", Level: 1}}, MaxSpillover: 1},
 		Settings: routing.Settings{Zone: "here", Zones: []string{"hub", "here", "there"}, ZoneDirectors: []int{0, 1, 1}, Directors: 2,
 			Kinds: []string{"box", "origin"}, ParentKind: -1, OriginKind: 1, ClockStep: time.Millisecond, AllowCoalescing: true, AllowBypass: true,
@@ -30,76 +30,76 @@
 	}
 	go h.loop.Run()
 	t.Cleanup(h.loop.Close)
-	h.list(routing.Up)
+	h.updateEndpoints(routing.Up)
 	return h
 }
 
 // list tells of the stores, that there in a phase.
-func (h *host) list(there routing.Phase) {
-	h.on(func() {
-		h.g.UpdateEndpoints(routing.EndpointUpdate{Endpoints: []routing.Endpoint{{ID: "c", Zone: "here", Kind: "box"}, {ID: "d", Zone: "there", Kind: "box", Phase: there},
+func (h *testGateway) updateEndpoints(remotePhase routing.Phase) {
+	h.onLoop(func() {
+		h.g.UpdateEndpoints(routing.EndpointUpdate{Endpoints: []routing.Endpoint{{ID: "c", Zone: "here", Kind: "box"}, {ID: "d", Zone: "there", Kind: "box", Phase: remotePhase},
 			{ID: "o", Zone: "hub", Kind: "origin"}}})
 	})
 }
 
 // ends has attempts end as their server does, until the request has its answer, and returns it with the servers that were
 // asked.
-func (h *host) ends(how map[string]gateway.Result) (gateway.Answer, []string) {
-	var asked []string
+func (h *testGateway) endAttempts(results map[string]gateway.Result) (gateway.Answer, []string) {
+	var attempted []string
 	for {
 		select {
 		case a := <-h.sent:
-			asked = append(asked, a.Endpoint)
-			h.on(func() { h.g.AttemptEnded(a, how[a.Endpoint]) })
+			attempted = append(attempted, a.Endpoint)
+			h.onLoop(func() { h.g.AttemptEnded(a, results[a.Endpoint]) })
 		case a := <-h.answers:
-			return a, asked
+			return a, attempted
 		case <-time.After(5 * time.Second):
-			h.t.Fatalf("no answer; asked: %v", asked)
+			h.t.Fatalf("no answer; asked: %v", attempted)
 		}
 	}
 }
 
-var good = gateway.Result{Status: routing.OK, Body: []byte("x"), Reason: routing.ReasonHit, LoadReport: []float64{1, 0.4}}
+var okResult = gateway.Result{Status: routing.OK, Body: []byte("x"), Reason: routing.ReasonHit, LoadReport: []float64{1, 0.4}}
 
 // While the own locality serves, nothing goes elsewhere.
-func TestTheOwnLocalityServes(t *testing.T) {
-	h := newPlaces(t)
+func TestOwnLocalityServesWhileHealthy(t *testing.T) {
+	h := newTwoLocalityGateway(t)
 	for i := range 50 {
-		h.on(func() { h.g.Submit(h.request(fmt.Sprint(i), "page")) })
-		if a, asked := h.ends(map[string]gateway.Result{"c": good}); a.Outcome != gateway.OutcomeServed || len(asked) != 1 || asked[0] != "c" {
-			t.Fatalf("%v, asked: %v", a.Outcome, asked)
+		h.onLoop(func() { h.g.Submit(h.newRequest(fmt.Sprint(i), "page")) })
+		if a, attempted := h.endAttempts(map[string]gateway.Result{"c": okResult}); a.Outcome != gateway.OutcomeServed || len(attempted) != 1 || attempted[0] != "c" {
+			t.Fatalf("%v, asked: %v", a.Outcome, attempted)
 		}
 	}
 }
 
 // What the own locality refuses goes to the next one, once, and has one answer.
-func TestARefusedRequestIsMoved(t *testing.T) {
-	h := newPlaces(t)
-	refuses := map[string]gateway.Result{"c": {Status: routing.Rejected}, "o": {Status: routing.Rejected}, "d": good}
-	moved := 0
-	for i := 0; i < 2000 && moved < 3; i++ { // what may go there begins small
+func TestRejectedRequestIsReroutedOnce(t *testing.T) {
+	h := newTwoLocalityGateway(t)
+	results := map[string]gateway.Result{"c": {Status: routing.Rejected}, "o": {Status: routing.Rejected}, "d": okResult}
+	rerouted := 0
+	for i := 0; i < 2000 && rerouted < 3; i++ { // what may go there begins small
 		time.Sleep(time.Millisecond)
-		h.on(func() { h.g.Submit(h.request(fmt.Sprint(i), "page")) })
-		a, asked := h.ends(refuses)
-		switch last := asked[max(0, len(asked)-1):]; {
+		h.onLoop(func() { h.g.Submit(h.newRequest(fmt.Sprint(i), "page")) })
+		a, attempted := h.endAttempts(results)
+		switch last := attempted[max(0, len(attempted)-1):]; {
 		case a.Outcome == gateway.OutcomeServed && len(last) == 1 && last[0] == "d":
-			moved++
+			rerouted++
 		case a.Outcome != gateway.OutcomeRejected:
-			t.Errorf("%v, asked: %v", a.Outcome, asked)
+			t.Errorf("%v, asked: %v", a.Outcome, attempted)
 		}
-		if len(asked) > 8 {
-			t.Errorf("%d attempts", len(asked))
+		if len(attempted) > 8 {
+			t.Errorf("%d attempts", len(attempted))
 		}
 	}
-	if moved < 3 {
-		t.Errorf("%d were moved", moved)
+	if rerouted < 3 {
+		t.Errorf("%d were moved", rerouted)
 	}
 	// And nothing goes there once it drains.
-	h.list(routing.Draining)
+	h.updateEndpoints(routing.Draining)
 	for i := range 10 {
-		h.on(func() { h.g.Submit(h.request(fmt.Sprint("later", i), "page")) })
-		if _, asked := h.ends(refuses); strings.Contains(strings.Join(asked, " "), "d") {
-			t.Errorf("asked while it drains: %v", asked)
+		h.onLoop(func() { h.g.Submit(h.newRequest(fmt.Sprint("later", i), "page")) })
+		if _, attempted := h.endAttempts(results); strings.Contains(strings.Join(attempted, " "), "d") {
+			t.Errorf("asked while it drains: %v", attempted)
 		}
 	}
 	select {
@@ -110,27 +110,27 @@
 }
 
 // What may not run twice goes straight to the origin, and nowhere else when that is lost.
-func TestWritesAreNotMoved(t *testing.T) {
-	h := newPlaces(t)
+func TestNonIdempotentRequestsAreNotRerouted(t *testing.T) {
+	h := newTwoLocalityGateway(t)
 	for i := range 10 {
-		h.on(func() { h.g.Submit(h.request(fmt.Sprint(i), "order")) })
-		a, asked := h.ends(map[string]gateway.Result{"c": good, "d": good, "o": {Status: routing.Reset}})
+		h.onLoop(func() { h.g.Submit(h.newRequest(fmt.Sprint(i), "order")) })
+		a, attempted := h.endAttempts(map[string]gateway.Result{"c": okResult, "d": okResult, "o": {Status: routing.Reset}})
 		if a.Outcome != gateway.OutcomeFailed && a.Outcome != gateway.OutcomeRejected {
 			t.Errorf("%v", a.Outcome)
 		}
-		for _, s := range asked {
+		for _, s := range attempted {
 			if s != "o" {
-				t.Errorf("asked: %v", asked)
+				t.Errorf("asked: %v", attempted)
 			}
 		}
-		if len(asked) > 1 {
-			t.Errorf("it ran %d times", len(asked))
+		if len(attempted) > 1 {
+			t.Errorf("it ran %d times", len(attempted))
 		}
 	}
 }
 
 // What cannot be worked with is named.
-func TestTiersAreChecked(t *testing.T) {
+func TestLocalityConfigurationIsValidated(t *testing.T) {
 	for want, l := range map[string][]locality.Locality{
 		`the first locality is "there"`:  {{Name: "there"}},
 		`"nowhere" is none of the zones`: {{Name: "here"}, {Name: "nowhere", Level: 1}},
@@ -143,8 +143,8 @@
 			t.Errorf("%v, not %q", err, want)
 		}
 	}
-	h := newPlaces(t)
-	h.on(func() {
+	h := newTwoLocalityGateway(t)
+	h.onLoop(func() {
 		if err := h.g.ReconfigureLocalities(locality.Config{Localities: []locality.Locality{{Name: "here"}}}); err == nil {
 			t.Error("other localities are taken in while it runs")
 		}
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -7,59 +7,60 @@
 	"time"
 )
 
-// Loop is the event loop that owns a gateway's state. What happens on other goroutines reaches it by [Loop.Post];
-// everything else here may be called only from functions that the loop runs, or before it runs. Make one with [NewLoop].
+// Loop is the event loop that owns a gateway's state. Other goroutines reach it by [Loop.Post]; its
+// other methods may be called only from functions that the loop runs, or before it runs, unless
+// their comments state otherwise. Use [NewLoop].
 type Loop struct {
-	mu          sync.Mutex // guards queue, queuedSince and closed
-	queue       []func()
-	queuedSince time.Time   // when the first of queue was posted
-	hasPosted   atomic.Bool // queue is not empty
-	wake        chan struct{}
-	closed      bool
-	done        chan struct{}
+	mu            sync.Mutex  // guards posted, firstPostedAt and closed
+	posted        []func()    // functions to run, in the order of Post
+	firstPostedAt time.Time   // when the first function of posted was posted
+	hasPosted     atomic.Bool // whether posted is not empty
+	wake          chan struct{}
+	closed        bool
+	done          chan struct{}
 
 	now             time.Time
 	timers          timerHeap
-	order           uint64    // of the latest timer that was set
-	timersHeldUntil time.Time // zero: they are not held
-	roundsDeferred  int       // rounds in a row in which queued work gave way to what was posted
-	checkedAt       time.Time // when late timers were last looked for
+	lastTimerSeq    uint64    // sequence number of the timer that was set last
+	timersHeldUntil time.Time // until when no timer runs; zero: timers run
+	roundsDeferred  int       // consecutive rounds in which queued work was deferred for posted functions
+	lateCheckedAt   time.Time // when late timers were last checked for
 
 	runQueued   func() (more bool)              // runs one piece of queued work; nil: there is none
-	onLateTimer func(late time.Duration) bool   // told of late timers, it reports whether they are to be held for a moment
-	onDelay     func(sincePosted time.Duration) // told how long what was posted waited
+	onLateTimer func(late time.Duration) bool   // called when a timer is late; returns whether to hold all timers for a moment
+	onDelay     func(sincePosted time.Duration) // called with the delay from the first Post of a batch until the batch runs
 
-	LateTimers uint64 // timers that ran late, though they were not late at the latest look
+	LateTimers uint64 // timers that ran late without having been late at the latest check
 }
 
 const (
-	maxQueuedPerRound  = 16                    // pieces of queued work before timers are looked at again
-	maxRoundsDeferred  = 8                     // rounds in a row in which queued work gives way to what was posted
-	lateTimerThreshold = 30 * time.Millisecond // lateness of a timer that onLateTimer is told of
-	maxTimerHold       = 20 * time.Millisecond // an answer may be no more than 50 ms late
+	maxQueuedPerRound  = 16                    // pieces of queued work that run before timers are checked again
+	maxRoundsDeferred  = 8                     // consecutive rounds in which queued work may be deferred for posted functions
+	lateTimerThreshold = 30 * time.Millisecond // lateness from which onLateTimer is called
+	maxTimerHold       = 20 * time.Millisecond // keeps a deadline's answer at most 50 ms late, with lateTimerThreshold
 )
 
-// NewLoop returns a loop that [Loop.Run] starts.
+// NewLoop returns a loop. [Loop.Run] runs it.
 func NewLoop() *Loop {
 	return &Loop{wake: make(chan struct{}, 1), done: make(chan struct{}), now: time.Now()}
 }
 
-// Post has the loop run f after everything that was posted before. It may be called from any goroutine, and never blocks.
-// It drops f and reports false once the loop is closed.
+// Post has the loop run f after all functions that were posted before. It may be called from any
+// goroutine, and never blocks. Once the loop is closed, it drops f and returns false.
 func (l *Loop) Post(f func()) bool {
 	l.mu.Lock()
 	if l.closed {
 		l.mu.Unlock()
 		return false
 	}
-	first := len(l.queue) == 0
+	first := len(l.posted) == 0
 	if first {
-		l.queuedSince = time.Now()
+		l.firstPostedAt = time.Now()
 		l.hasPosted.Store(true)
 	}
-	l.queue = append(l.queue, f)
+	l.posted = append(l.posted, f)
 	l.mu.Unlock()
-	if !first { // the loop has been woken for what came before
+	if !first { // an earlier Post has woken the loop
 		return true
 	}
 	select {
@@ -69,8 +70,8 @@
 	return true
 }
 
-// Close ends the loop after the function that runs now, and drops what was posted and has not run. It may be called from any
-// goroutine.
+// Close ends the loop after the function that is running, and drops the posted functions that have
+// not run. It may be called from any goroutine.
 func (l *Loop) Close() {
 	l.mu.Lock()
 	if !l.closed {
@@ -84,24 +85,27 @@
 	}
 }
 
-// Done is closed when the loop is. It may be called from any goroutine.
+// Done returns a channel that is closed when the loop is closed. It may be called from any
+// goroutine.
 func (l *Loop) Done() <-chan struct{} { return l.done }
 
-// Now is the time at which the function that runs now began. It never goes back.
+// Now returns the time at which the loop last read the clock, which it does before each function
+// that it runs. It never goes back.
 func (l *Loop) Now() time.Time { return l.now }
 
-// At has the loop run f at t, or as soon after as it can.
+// At has the loop run f at t, or as soon as possible after it.
 func (l *Loop) At(t time.Time, f func()) *Timer {
-	l.order++
-	timer := &Timer{at: t, order: l.order, run: f, loop: l}
+	l.lastTimerSeq++
+	timer := &Timer{at: t, seq: l.lastTimerSeq, run: f, loop: l}
 	heap.Push(&l.timers, timer)
 	return timer
 }
 
-// After is At for a span from now.
+// After has the loop run f after a duration from Now.
 func (l *Loop) After(d time.Duration, f func()) *Timer { return l.At(l.now.Add(d), f) }
 
-// Run runs the loop until it is closed. A round runs what was posted, then the timers that are due, then some queued work.
+// Run runs the loop until it is closed. Each round runs the posted functions, then the timers that
+// are due, then some queued work.
 func (l *Loop) Run() {
 	clock := time.NewTimer(time.Hour)
 	defer clock.Stop()
@@ -121,7 +125,7 @@
 		l.runPosted(batch)
 		l.runTimers()
 		moreQueued := l.runSomeQueued()
-		if moreQueued || len(batch) > 0 { // more may have been posted meanwhile
+		if moreQueued || len(batch) > 0 { // more functions may have been posted meanwhile
 			continue
 		}
 		clock.Reset(l.idleTime())
@@ -132,20 +136,20 @@
 	}
 }
 
-// takePosted takes what was posted, since when it waits, and whether the loop is closed. The memory of the former batch is
-// used again.
+// takePosted returns the posted functions and since when the first of them has waited, and whether
+// the loop is closed. It reuses the memory of the former batch.
 func (l *Loop) takePosted(former []func()) (batch []func(), since time.Time, closed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	batch, l.queue = l.queue, former[:0]
+	batch, l.posted = l.posted, former[:0]
 	l.hasPosted.Store(false)
-	return batch, l.queuedSince, l.closed
+	return batch, l.firstPostedAt, l.closed
 }
 
-// checkLateTimer tells onLateTimer of a timer that is late, before anything else is done in a round: all that follows must
-// know whether the program was paused.
+// checkLateTimer calls onLateTimer if a timer is late. It runs before anything else in a round,
+// since all that follows depends on whether the program was paused.
 func (l *Loop) checkLateTimer() {
-	l.checkedAt = l.now
+	l.lateCheckedAt = l.now
 	if len(l.timers) == 0 || l.onLateTimer == nil || !l.timersHeldUntil.IsZero() {
 		return
 	}
@@ -155,16 +159,17 @@
 	}
 }
 
-// readClock reads the clock within a round. A pause may come there as well: a program that is kept from its processor is so most
-// often where it has work. What follows must know of it.
+// readClock reads the clock within a round, and checks for late timers if that took long. A pause
+// may occur within a round, too: a program that is short of CPU time is mostly paused while it has
+// work to do. The rest of the round must know of the pause.
 func (l *Loop) readClock() {
 	l.now = time.Now()
-	if l.now.Sub(l.checkedAt) > lateTimerThreshold {
+	if l.now.Sub(l.lateCheckedAt) > lateTimerThreshold {
 		l.checkLateTimer()
 	}
 }
 
-// runPosted runs what was posted, in order.
+// runPosted runs the posted functions in order.
 func (l *Loop) runPosted(batch []func()) {
 	for i, f := range batch {
 		l.readClock()
@@ -174,23 +179,24 @@
 	l.readClock()
 }
 
-// runTimers runs the timers that are due, unless they are held.
+// runTimers runs the timers that are due, unless timers are held.
 func (l *Loop) runTimers() {
 	if !l.timersHeldUntil.IsZero() && !l.now.Before(l.timersHeldUntil) {
 		l.timersHeldUntil = time.Time{}
 	}
 	for l.timersHeldUntil.IsZero() && len(l.timers) > 0 && !l.timers[0].at.After(l.now) {
-		t := heap.Pop(&l.timers).(*Timer)
-		if l.now.Sub(t.at) > lateTimerThreshold && l.checkedAt.Sub(t.at) <= lateTimerThreshold {
+		timer := heap.Pop(&l.timers).(*Timer)
+		if l.now.Sub(timer.at) > lateTimerThreshold && l.lateCheckedAt.Sub(timer.at) <= lateTimerThreshold {
 			l.LateTimers++
 		}
-		t.run()
+		timer.run()
 		l.readClock()
 	}
 }
 
-// runSomeQueued runs queued work, unless something was posted meanwhile, and reports whether more is queued. None is run
-// while timers are held: a request whose client left during the pause would start.
+// runSomeQueued runs queued work until a function is posted, and reports whether more is queued.
+// Nothing runs while timers are held, since a request would start whose client may have left during
+// the pause.
 func (l *Loop) runSomeQueued() (more bool) {
 	for n := 0; l.runQueued != nil && l.timersHeldUntil.IsZero() && n < maxQueuedPerRound; n++ {
 		if l.hasPosted.Load() && l.roundsDeferred < maxRoundsDeferred {
@@ -210,7 +216,7 @@
 	return more
 }
 
-// idleTime is how long the loop may sleep if nothing is posted.
+// idleTime returns how long the loop may sleep if nothing is posted.
 func (l *Loop) idleTime() time.Duration {
 	switch {
 	case !l.timersHeldUntil.IsZero():
@@ -221,26 +227,27 @@
 	return time.Hour
 }
 
-// releaseTimers ends the hold on timers.
+// releaseTimers lets timers run again.
 func (l *Loop) releaseTimers() { l.timersHeldUntil = time.Time{} }
 
-// Timer is one entry of a loop's heap.
+// Timer is a function that the loop runs at a time. [Loop.At] makes it.
 type Timer struct {
 	at    time.Time
-	order uint64
+	seq   uint64
 	run   func()
 	loop  *Loop
-	index int // place in the heap; -1: no longer there
+	index int // index in the heap; -1: it has run or was stopped
 }
 
-// Stop takes the timer off the heap. A nil or spent timer is left alone.
+// Stop removes the timer from the loop. It does nothing for a nil timer, or one that has run or was
+// stopped.
 func (t *Timer) Stop() {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&t.loop.timers, t.index)
 	}
 }
 
-// timerHeap orders timers by time, and equal ones by when they were set.
+// timerHeap orders timers by time, and timers of equal time by the order in which they were set.
 type timerHeap []*Timer
 
 func (h timerHeap) Len() int { return len(h) }
@@ -248,7 +255,7 @@
 	if !h[i].at.Equal(h[j].at) {
 		return h[i].at.Before(h[j].at)
 	}
-	return h[i].order < h[j].order
+	return h[i].seq < h[j].seq
 }
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
--- a/gateway/loop_held_test.go
+++ b/gateway/loop_held_test.go
@@ -7,13 +7,13 @@
 
 // While timers are held after a stall, until what came meanwhile has been read, no request begins: its client may have
 // left, and the word of that lies in the sockets.
-func TestNothingBeginsWhileTimersAreHeld(t *testing.T) {
+func TestNoQueuedWorkStartsWhileTimersAreHeld(t *testing.T) {
 	l := NewLoop()
-	began, ran := 0, false
-	l.runQueued = func() bool { began++; return false }
+	started, ran := 0, false
+	l.runQueued = func() bool { started++; return false }
 	l.onLateTimer = func(time.Duration) bool {
 		go l.Post(func() {
-			if began > 0 {
+			if started > 0 {
 				t.Error("low work was done before what was read had come")
 			}
 			l.releaseTimers()
@@ -29,9 +29,9 @@
 
 // A pause may come in the middle of a round. The timers that were due behind it ran before anything knew of the pause, and before
 // what had come meanwhile was read: endpoints that had answered were taken for silent.
-func TestAPauseWithinARoundIsNoticed(t *testing.T) {
+func TestPauseWithinRoundIsDetected(t *testing.T) {
 	const pause = 3 * lateTimerThreshold
-	for name, begin := range map[string]func(*Loop, func()){
+	for name, schedule := range map[string]func(*Loop, func()){
 		"in what was posted": func(l *Loop, sleep func()) { l.Post(sleep) },
 		"in a timer":         func(l *Loop, sleep func()) { l.After(0, sleep) },
 		"in queued work": func(l *Loop, sleep func()) {
@@ -39,19 +39,19 @@
 		},
 	} {
 		l := NewLoop()
-		paused, asked, released := false, false, false
-		begin(l, func() { paused = true; time.Sleep(pause) })
+		paused, detected, released := false, false, false
+		schedule(l, func() { paused = true; time.Sleep(pause) })
 		l.onLateTimer = func(time.Duration) bool {
-			if !paused || asked {
+			if !paused || detected {
 				return false
 			}
-			asked = true
+			detected = true
 			go l.Post(func() { released = true; l.releaseTimers() })
 			return true
 		}
 		l.After(10*time.Millisecond, func() {
-			if !asked || !released {
-				t.Errorf("%s: a late timer ran: asked %v, released %v", name, asked, released)
+			if !detected || !released {
+				t.Errorf("%s: a late timer ran: asked %v, released %v", name, detected, released)
 			}
 			l.Close()
 		})
@@ -60,22 +60,22 @@
 }
 
 // Queued work that was begun after a pause in the same round would be a request whose client may have left meanwhile.
-func TestNothingBeginsBehindAPauseWithinARound(t *testing.T) {
+func TestNoQueuedWorkStartsAfterPauseWithinRound(t *testing.T) {
 	l := NewLoop()
-	began, asked := 0, false
+	started, detected := 0, false
 	l.runQueued = func() bool {
-		if began++; began == 1 {
+		if started++; started == 1 {
 			time.Sleep(3 * lateTimerThreshold)
-		} else if !asked {
+		} else if !detected {
 			t.Error("queued work began before anything knew of the pause")
 		}
-		if began == 2 {
+		if started == 2 {
 			l.Close()
 		}
 		return true
 	}
 	l.onLateTimer = func(time.Duration) bool {
-		asked = true
+		detected = true
 		go l.Post(l.releaseTimers)
 		return true
 	}
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -2,15 +2,16 @@
 
 import "larchusher/overload"
 
-// ClassOutcomes counts the final answers to requests of one class, as their clients see them. With the open requests they
-// add up to those that were submitted, or shed before: a request whose client left first counts as failed.
+// ClassOutcomes counts the final answers to requests of one class, as their clients see them.
+// Together with the open requests they add up to the requests that were submitted or were shed
+// before that. A request whose client left before its answer counts as failed.
 type ClassOutcomes struct {
 	Served   uint64
-	Rejected uint64 // retrying is harmless
+	Rejected uint64 // rejected, or expired where retrying is harmless
 	Failed   uint64
 }
 
-// add counts one final answer.
+// add counts a final answer.
 func (o *ClassOutcomes) add(a Answer) {
 	switch {
 	case a.Outcome == OutcomeServed || a.Outcome == OutcomeUnchanged:
@@ -22,15 +23,17 @@
 	}
 }
 
-// CountAnswer counts a final answer that a front gave by itself, such as the one to a request that cannot be read. Answers
-// of the gateway are counted already. A class that the settings do not name is not counted.
+// CountAnswer counts a final answer that a front gave by itself, such as that to an unreadable
+// request. The gateway's own answers are counted already. Answers of classes that the settings do
+// not name are not counted.
 func (g *Gateway) CountAnswer(class string, a Answer) {
 	if o := g.outcomes[class]; o != nil {
 		o.add(a)
 	}
 }
 
-// initClassOutcomes has the classes of the settings counted; those of former settings stay.
+// initClassOutcomes adds counts for the classes of the settings. Counts of classes that were
+// dropped are kept.
 func (g *Gateway) initClassOutcomes() {
 	for _, c := range g.cfg.Settings.Classes {
 		if g.outcomes[c.Name] == nil {
@@ -39,8 +42,8 @@
 	}
 }
 
-// OutcomesByClass returns the final answers so far for each class that the settings name or have named, with the requests
-// that were not admitted.
+// OutcomesByClass returns the final answers so far for each class that the settings name or have
+// named, including the requests that were not admitted.
 func (g *Gateway) OutcomesByClass() map[string]ClassOutcomes {
 	all := map[string]ClassOutcomes{}
 	for class, o := range g.outcomes {
@@ -58,8 +61,9 @@
 	return all
 }
 
-// EndpointCounts returns how many endpoints are on the list, and to how many of them nothing new is sent at present: they
-// are draining, out for maintenance, or ejected.
+// EndpointCounts returns the number of endpoints on the own director's list, and the number of
+// those that get no new attempts at present because they are draining, out for maintenance, or
+// ejected.
 func (g *Gateway) EndpointCounts() (listed, avoided int) {
 	seen, _ := g.directors[0].Observe(g.now())
 	for _, s := range seen {
--- a/gateway/outcomes_test.go
+++ b/gateway/outcomes_test.go
@@ -20,18 +20,18 @@
 }
 
 // step does one thing; a request that it submits has the id.
-func (r *randomTraffic) step(h *host, id string) {
-	switch k := r.rng.IntN(10); {
-	case k < 4:
+func (r *randomTraffic) step(h *testGateway, id string) {
+	switch choice := r.rng.IntN(10); {
+	case choice < 4:
 		request := &gateway.Request{ID: id, Class: []string{"page", "order"}[r.rng.IntN(2)], Object: fmt.Sprint(r.rng.IntN(20)),
 			Deadline: time.Now().Add(time.Duration(r.rng.IntN(2000)) * time.Millisecond), Answer: func(gateway.Answer) {}}
 		h.g.Submit(request)
 		r.open = append(r.open, request)
-	case k < 6 && len(r.open) > 0:
+	case choice < 6 && len(r.open) > 0:
 		h.g.Abandon(r.open[r.rng.IntN(len(r.open))]) // it may have been answered
-	case k < 9 && len(r.sent) > 0:
+	case choice < 9 && len(r.sent) > 0:
 		h.g.AttemptEnded(r.sent[r.rng.IntN(len(r.sent))], gateway.Result{Status: routing.Status(r.rng.IntN(9))})
-	case k == 9 && r.rng.IntN(10) == 0:
+	case choice == 9 && r.rng.IntN(10) == 0:
 		classes := []routing.Class{{Name: "page", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 1, Effect: routing.Effect(r.rng.IntN(3))},
 			{Name: "order", LatencyObjective: time.Second, Deadline: time.Second, PriorityWeight: 3}}
 		if err := h.g.ReconfigureClasses(classes[:1+r.rng.IntN(2)], 1+r.rng.IntN(5)); err != nil {
@@ -42,10 +42,10 @@
 
 // What was answered, by class, and what is open add up to what was taken at every moment: whatever crosses what, answers of
 // stores, clients that leave, deadlines, new classes and the end of the program.
-func TestOutcomesAddUpToWhatWasTaken(t *testing.T) {
-	var left, served uint64
+func TestOutcomesAddUpToSubmittedRequests(t *testing.T) {
+	var clientsGone, served uint64
 	for seed := range uint64(20) {
-		h, rng := newHost(t, overload.Config{}), rand.New(rand.NewPCG(seed, 1))
+		h, rng := newTestGateway(t, overload.Config{}), rand.New(rand.NewPCG(seed, 1))
 		traffic := &randomTraffic{t: t, rng: rng}
 		check := func(step int) {
 			t.Helper()
@@ -58,7 +58,7 @@
 			}
 		}
 		for step := range 400 {
-			h.on(func() {
+			h.onLoop(func() {
 				traffic.step(h, fmt.Sprint(seed, step))
 				check(step)
 			})
@@ -66,16 +66,16 @@
 				traffic.sent = append(traffic.sent, <-h.sent)
 			}
 		}
-		h.on(func() {
+		h.onLoop(func() {
 			h.g.Close()
 			check(-1)
-			left += h.g.Counters.ClientsGone
+			clientsGone += h.g.Counters.ClientsGone
 			for _, o := range h.g.OutcomesByClass() {
 				served += o.Served
 			}
 		})
 	}
-	if left == 0 || served == 0 {
-		t.Errorf("%d left and %d were served: this shows nothing", left, served)
+	if clientsGone == 0 || served == 0 {
+		t.Errorf("%d left and %d were served: this shows nothing", clientsGone, served)
 	}
 }
--- a/gateway/pauses.go
+++ b/gateway/pauses.go
@@ -9,32 +9,34 @@
 	"larchusher/overload"
 )
 
-// slowClientSweepTicks is how many ticks pass between two looks for clients that leave answers unread.
+// slowClientSweepTicks is the interval, in ticks, at which slow clients are looked for and the
+// weight for load balancers is updated.
 const slowClientSweepTicks = 5
 
-// errSlowClient closes a client that leaves its answers unread while memory runs short.
-var errSlowClient = errors.New("its answers stay unread, and memory runs short")
+// errSlowClient is the error with which closeSlowClients closes a connection.
+var errSlowClient = errors.New("the client leaves its answers unread while the memory for answers is nearly full")
 
-// loopMonitor measures what the overload controller decides by: how far the loop and what reads from connections lag, and
-// how long the program did not run at all because its host stood still. Such a pause is neither an endpoint's doing nor a
-// sign of load.
+// loopMonitor takes the measurements on which the overload controller decides: the lag of the loop
+// and of reading from connections, and the time that the program did not run at all because its
+// host had paused it. Such a pause is neither caused by an endpoint nor a sign of load.
 type loopMonitor struct {
 	pauseMonitor *overload.SchedulingMonitor
-	pausedTime   time.Duration // in all pauses so far
+	pausedTime   time.Duration // total of all pauses so far
 	sample       overload.Sample
 
-	lastTick         time.Time
-	pausedAtLastTick time.Duration // pausedTime by then
-	ticks            int
+	lastTick             time.Time
+	pausedTimeAtLastTick time.Duration // pausedTime at lastTick
+	ticks                int
 
-	barrierSentAt    time.Time     // when the read barrier that is out was sent; zero: none is out
-	pausedAtBarrier  time.Duration // pausedTime by then
-	offeredAtBarrier uint64        // requests offered by then
-	pollerLag        time.Duration // longest since the last tick
+	barrierSentAt       time.Time     // when the pending read barrier was sent; zero: none is pending
+	pausedTimeAtBarrier time.Duration // pausedTime at barrierSentAt
+	offeredAtBarrier    uint64        // requests offered until barrierSentAt
+	pollerLag           time.Duration // longest lag since the last tick
 }
 
-// holdLateTimers is told of late timers, and reports whether they are to be held for a moment. After a pause, everything
-// that came meanwhile is read before any deadline is looked at: it may hold the very answers.
+// holdLateTimers is called when a timer is late, and reports whether to hold all timers for a
+// moment. After a pause, everything that arrived meanwhile is read before any deadline is checked:
+// it may include the answers that the deadlines are for.
 func (g *Gateway) holdLateTimers(time.Duration) bool {
 	if !g.detectPause() || g.cfg.ReadBarrier == nil {
 		return false
@@ -43,7 +45,7 @@
 	return true
 }
 
-// detectPause reports whether the program was paused since it last looked, and books the pause.
+// detectPause reports whether the program was paused since the last call, and records the pause.
 func (g *Gateway) detectPause() bool {
 	paused := g.pauseMonitor.Tick(g.now(), processorTime())
 	if paused <= 0 {
@@ -59,26 +61,27 @@
 	return true
 }
 
-// measurePollerLag sends a read barrier, if anything was offered since the last one. It shows an overload that no queue
-// does: what has arrived lies unread in the sockets.
+// measurePollerLag sends a read barrier if requests were offered since the last one. Its delay
+// shows an overload that no queue shows: requests lie unread in the sockets.
 func (g *Gateway) measurePollerLag(now time.Time) {
 	offered := g.admissionController().TotalOffered()
 	if g.cfg.ReadBarrier == nil || !g.barrierSentAt.IsZero() || offered == g.offeredAtBarrier {
 		return
 	}
 	g.offeredAtBarrier = offered
-	g.barrierSentAt, g.pausedAtBarrier = now, g.pausedTime
+	g.barrierSentAt, g.pausedTimeAtBarrier = now, g.pausedTime
 	g.cfg.ReadBarrier(func() {
-		passed := time.Now()
+		passedAt := time.Now()
 		g.cfg.Loop.Post(func() {
-			lag := max(0, passed.Sub(now)-(g.pausedTime-g.pausedAtBarrier))
+			lag := max(0, passedAt.Sub(now)-(g.pausedTime-g.pausedTimeAtBarrier))
 			recordDuration(g.Load.PollerLag, lag)
 			g.pollerLag, g.barrierSentAt = max(g.pollerLag, lag), time.Time{}
 		})
 	})
 }
 
-// processorTime is what the program has used so far; 0 if that cannot be read.
+// processorTime returns the CPU time that the program has used, user and system time together; 0 if
+// it cannot be read.
 func processorTime() time.Duration {
 	var u unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &u) != nil {
@@ -87,7 +90,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// tick gives the overload controller its sample and sets the admission policy anew, once every Config.Overload.Tick.
+// tick passes a sample to the overload controller and sets the admission policy. It runs once every
+// Config.Overload.Tick.
 func (g *Gateway) tick() {
 	loop := g.cfg.Loop
 	g.detectPause()
@@ -106,14 +110,14 @@
 	loop.After(g.cfg.Overload.Tick, g.tick)
 }
 
-// completeSample adds to the sample what is measured at a tick.
+// completeSample adds the measurements of a tick to the sample.
 func (g *Gateway) completeSample(now time.Time) {
 	s := &g.sample
-	s.Interval = max(time.Millisecond, now.Sub(g.lastTick)-(g.pausedTime-g.pausedAtLastTick))
-	g.lastTick, g.pausedAtLastTick = now, g.pausedTime
+	s.Interval = max(time.Millisecond, now.Sub(g.lastTick)-(g.pausedTime-g.pausedTimeAtLastTick))
+	g.lastTick, g.pausedTimeAtLastTick = now, g.pausedTime
 	s.LongestWait = max(s.LongestWait, g.queue.LongestWait(g.now()))
-	if !g.barrierSentAt.IsZero() { // it has not passed yet, so the lag is at least that long
-		g.pollerLag = max(g.pollerLag, now.Sub(g.barrierSentAt)-(g.pausedTime-g.pausedAtBarrier))
+	if !g.barrierSentAt.IsZero() { // the barrier is still pending, so the lag is at least the time since then
+		g.pollerLag = max(g.pollerLag, now.Sub(g.barrierSentAt)-(g.pausedTime-g.pausedTimeAtBarrier))
 	}
 	s.Grace = g.queue.Grace(g.now())
 	s.Queued = g.queue.Queued()
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -8,37 +8,41 @@
 	"larchusher/overload"
 )
 
-// rejectionWaitDivisor divides the longest wait in the queue to give that of work to reject requests.
+// rejectionWaitDivisor gives the longest wait in the rejection queue: Config.MaxWait divided by
+// this.
 const rejectionWaitDivisor = 3
 
-// QueuedWork is the place in the queue of work that a front has to do before it can submit a request, such as checking a
-// token. Its zero value is not queued.
+// QueuedWork is the queue entry of work that a front has to do before it can submit a request, such
+// as checking a token. The zero value is not queued.
 type QueuedWork struct {
 	item   overload.Item
 	class  string
 	band   int
-	run    func(late bool) // in the queue
-	reject func()          // in the rejection queue
+	run    func(late bool) // runs from the queue; late: it has waited for too long
+	reject func()          // runs from the rejection queue
 }
 
-// Enqueue has f run as soon as a request of that class, arrived at that time, would have its turn: the work that a front
-// does for its requests takes no more of the loop than its share. late says that it has waited for too long, and the
-// request is to be rejected. A request that f submits carries Admitted, and starts at once.
+// Enqueue queues f in the place of a request of a class that arrived at a time, so that the work
+// that a front does for its requests takes no more than their share of the loop's time. f is called
+// on the loop, with late set if it has waited for too long and the request is to be rejected. A
+// request that f submits must have Admitted set, and starts without another wait.
 func (g *Gateway) Enqueue(w *QueuedWork, front Front, class string, arrived time.Time, f func(late bool)) {
 	w.class, w.band, w.run = class, g.classOrder().Band(class, false), f
 	w.item.Value = w
 	g.queue.Push(&w.item, w.band, int(front), g.DirectorTime(arrived))
 }
 
-// EnqueueRejection has f run for a request that is to be shed, where that takes work: at once if nothing else waits, and
-// soon in any case. Clients that come back at once would otherwise take all of the loop's time with rejections.
+// EnqueueRejection queues f, which rejects a request that is shed. f is called on the loop once
+// nothing else is queued, and at the latest after a third of the longest wait. Otherwise rejections
+// that take work, such as checking a token, could use up the loop's time when clients retry at
+// once.
 func (g *Gateway) EnqueueRejection(w *QueuedWork, front Front, f func()) {
 	w.reject = f
 	w.item.Value = w
 	g.rejectionQueue.Push(&w.item, 0, int(front), g.now())
 }
 
-// CancelQueued takes work off the queue. Work that is not queued is left alone.
+// CancelQueued removes work from the queues. It does nothing for work that is not queued.
 func (g *Gateway) CancelQueued(w *QueuedWork) {
 	g.queue.Remove(&w.item)
 	g.rejectionQueue.Remove(&w.item)
@@ -53,7 +57,7 @@
 			return
 		}
 	}
-	if g.runningQueuedWork { // it has had its wait already
+	if g.runningQueuedWork { // its work has waited in the queue already
 		g.startIfMemory(r)
 		return
 	}
@@ -65,7 +69,8 @@
 	g.queue.Push(&r.queueItem, r.band, int(r.Front), g.DirectorTime(arrived))
 }
 
-// runNextQueued gives the next request its turn, and reports whether more wait. The loop calls it when nothing else is due.
+// runNextQueued runs the next queued request or work, and reports whether more is queued. The loop
+// calls it when no posted function and no timer is due.
 func (g *Gateway) runNextQueued() (more bool) {
 	now := g.now()
 	for i := g.rejectionQueue.PopExpired(now); i != nil; i = g.rejectionQueue.PopExpired(now) {
@@ -86,7 +91,7 @@
 	return g.queue.Len() > 0
 }
 
-// rejectExpired rejects what has waited in the queue for too long.
+// rejectExpired rejects the requests that have waited in the queue for too long.
 func (g *Gateway) rejectExpired(now time.Duration) {
 	for i := g.queue.PopExpired(now); i != nil; i = g.queue.PopExpired(now) {
 		g.Load.QueueTimeouts++
@@ -102,7 +107,7 @@
 	}
 }
 
-// runQueuedItem runs what has come off the queue.
+// runQueuedItem runs a request or work that was removed from the queue.
 func (g *Gateway) runQueuedItem(i *overload.Item, now time.Duration) {
 	waited := g.queue.Waited(i, now)
 	recordDuration(g.Load.QueueWait, waited)
@@ -119,7 +124,8 @@
 	}
 }
 
-// startIfMemory starts a request whose turn it is, or sheds it if there is no memory for its answer.
+// startIfMemory starts a request whose turn it is, or sheds it if there is no memory for its
+// answer.
 func (g *Gateway) startIfMemory(r *Request) {
 	if !g.reserveAnswer(r) {
 		g.Load.NoMemory++
--- a/gateway/reconfigure.go
+++ b/gateway/reconfigure.go
@@ -13,12 +13,13 @@
 	"larchusher/routing"
 )
 
-// retiredClassLifetime is for how long requests of a class that a new configuration drops are still served by its old
-// rules: clients learn of new settings some time after the gateway does.
+// retiredClassLifetime is how long requests of a class that a new configuration dropped are still
+// served as configured before: clients learn of new settings some time after the gateway.
 const retiredClassLifetime = 3 * time.Second
 
-// admissionGeneration is what requests are admitted by between two changes of the classes: how classes are ranked, and the
-// controller that admits their requests. Its fields never change; they are read on whatever goroutine reads requests.
+// admissionGeneration is what admits requests between two changes of the classes: the priority
+// order of the classes, and the admission controller. Its fields never change. It is read on any
+// goroutine that reads requests.
 type admissionGeneration struct {
 	order      *overload.Order
 	controller *overload.AdmissionController
@@ -28,14 +29,14 @@
 	return &admissionGeneration{order: order, controller: overload.NewAdmissionController(order.Bands(), int(frontCount))}
 }
 
-// admissionGenerations are the present generation and what earlier ones counted.
+// admissionGenerations are the present generation and the counts of earlier ones.
 type admissionGenerations struct {
 	current  atomic.Pointer[admissionGeneration]
-	previous *admissionGeneration          // the one before: a goroutine may still be using it
-	shed     [frontCount]map[string]uint64 // by name of the band, by the generations before that
+	previous *admissionGeneration          // the generation before; a goroutine may still be using it
+	shed     [frontCount]map[string]uint64 // requests shed by the generations before previous, by name of the band
 }
 
-// replace has another generation admit requests from now on.
+// replace makes another generation admit requests from now on.
 func (a *admissionGenerations) replace(next *admissionGeneration) {
 	if a.previous != nil {
 		for front := range frontCount {
@@ -48,7 +49,7 @@
 	a.previous = a.current.Swap(next)
 }
 
-// addShed adds what one front shed to a sum by the names of bands.
+// addShed adds the requests shed from a front to a sum by name of the band.
 func (a *admissionGeneration) addShed(front Front, sum map[string]uint64) {
 	for band := range a.order.Bands() {
 		if n := a.controller.Shed(int(front), band); n > 0 {
@@ -57,7 +58,7 @@
 	}
 }
 
-// shedByBand returns what a front has shed since the start, by the names of bands.
+// shedByBand returns the requests shed from a front since the start, by name of the band.
 func (a *admissionGenerations) shedByBand(front Front) map[string]uint64 {
 	sum := map[string]uint64{}
 	for name, n := range a.shed[front] {
@@ -70,17 +71,18 @@
 	return sum
 }
 
-// Classes returns the classes whose requests are served at present, retired ones among them.
+// Classes returns the classes that are served at present, including retired ones.
 func (g *Gateway) Classes() []routing.Class { return g.cfg.Settings.Classes }
 
-// Reconfiguration is what may change while a gateway runs.
+// Reconfiguration holds the settings that may change while a gateway runs.
 type Reconfiguration struct {
 	Classes     []routing.Class
-	MaxAttempts int              // of a request; 0: no limit
-	Localities  *locality.Config // the limits, ramps and weights of the localities of the start; nil: they stay as they are
+	MaxAttempts int              // for each request; 0: no limit
+	Localities  *locality.Config // new limits, ramps and weights for the localities of the start; nil: unchanged
 }
 
-// Reconfigure takes a reconfiguration in whole. On an error all stays as it was.
+// Reconfigure applies a reconfiguration as a whole. If a check of the new settings fails, it
+// returns an error and nothing has changed.
 func (g *Gateway) Reconfigure(r Reconfiguration) error {
 	if r.Localities != nil {
 		if err := g.checkLocalities(*r.Localities); err != nil {
@@ -96,25 +98,26 @@
 	return g.ReconfigureLocalities(*r.Localities)
 }
 
-// ReconfigureClasses has other classes and another limit on attempts (0: none) hold for requests that come from now on.
-// Open requests keep the rules by which they came. A class that is not among the new ones is served on for a short while.
+// ReconfigureClasses replaces the classes and the limit on attempts (0: none) for requests that
+// arrive from now on. Open requests keep the settings with which they arrived. A class that is
+// missing from the new ones is still served for retiredClassLifetime.
 //
-// An error of the checks changes nothing.
+// If a check of the new classes fails, it returns an error and nothing has changed.
 func (g *Gateway) ReconfigureClasses(classes []routing.Class, maxAttempts int) error {
 	if err := routing.CheckClasses(classes); err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
-	served := slices.Clone(classes)
+	kept := slices.Clone(classes)
 	for _, c := range g.cfg.Settings.Classes {
 		if !slices.ContainsFunc(classes, func(other routing.Class) bool { return other.Name == c.Name }) {
-			served = append(served, c)
+			kept = append(kept, c)
 		}
 	}
-	if err := g.applyClasses(served, maxAttempts); err != nil {
+	if err := g.applyClasses(kept, maxAttempts); err != nil {
 		return err
 	}
 	g.retiredClassesTimer.Stop()
-	if len(served) > len(classes) {
+	if len(kept) > len(classes) {
 		g.retiredClassesTimer = g.cfg.Loop.After(retiredClassLifetime, func() {
 			if err := g.applyClasses(classes, maxAttempts); err != nil {
 				g.cfg.Log.WithError(err).Error(logfields.ReloadClassesFailed)
@@ -124,7 +127,7 @@
 	return nil
 }
 
-// applyClasses has classes served from now on.
+// applyClasses serves classes from now on.
 func (g *Gateway) applyClasses(classes []routing.Class, maxAttempts int) error {
 	cfg := g.cfg.Overload
 	cfg.Classes = overloadClasses(classes)
@@ -133,7 +136,7 @@
 	if err != nil {
 		return fmt.Errorf("gateway: %w", err)
 	}
-	// A new slice: requests that are open point into the old one.
+	// The slice must be a new one, since open requests point into the old one.
 	g.cfg.Settings.Classes, g.cfg.Settings.MaxAttempts = slices.Clone(classes), maxAttempts
 	g.cfg.Overload, g.shedController = cfg, controller
 	g.initClassOutcomes()
@@ -146,9 +149,9 @@
 	return g.localityPolicy.Reconfigure(g.localityConfig(*g.cfg.Localities, order.Bands()))
 }
 
-// bandOf ranks what waits for its turn anew.
-func (g *Gateway) bandOf(waits any) int {
-	switch w := waits.(type) {
+// bandOf returns the new band of a queued request or work.
+func (g *Gateway) bandOf(value any) int {
+	switch w := value.(type) {
 	case *Request:
 		w.band = g.classOrder().Band(w.Class, w.Retry)
 		return w.band
@@ -159,7 +162,8 @@
 	return g.classOrder().Bands() - 1
 }
 
-// PauseSlowStart has nothing sent to endpoints that are warming up for a span from now; negative: until it is called again.
+// PauseSlowStart stops sending to endpoints that are warming up for a duration from now; negative:
+// until the next call.
 func (g *Gateway) PauseSlowStart(span time.Duration) {
 	until := time.Duration(math.MaxInt64)
 	if span >= 0 {
@@ -168,7 +172,7 @@
 	g.handleInAll(routing.PauseSlowStart{Until: until})
 }
 
-// overloadClasses is what package overload needs to know of classes.
+// overloadClasses converts classes to those of package overload.
 func overloadClasses(classes []routing.Class) (all []overload.Class) {
 	for _, c := range classes {
 		all = append(all, overload.Class{Name: c.Name, PriorityWeight: c.PriorityWeight})
--- a/gateway/rejections_test.go
+++ b/gateway/rejections_test.go
@@ -16,14 +16,14 @@
 func (silentBackend) Send(*Attempt)   {}
 func (silentBackend) Cancel(*Attempt) {}
 
-const longestRetryAfter = 2 * time.Second
+const maxRetryAfter = 2 * time.Second
 
 // rejecting is a gateway without a running loop that may have one request open.
-func rejecting(t *testing.T, sendRetryAfter bool) *Gateway {
+func newFullGateway(t *testing.T, sendRetryAfter bool) *Gateway {
 	t.Helper()
 	g, err := New(Config{Loop: NewLoop(), Backend: silentBackend{}, Log: logrus.New(), MaxOpenRequests: 1, Settings: routing.Settings{
 		Zone: "here", Zones: []string{"here"}, Kinds: []string{"box", "origin"}, ParentKind: -1, OriginKind: 1, ClockStep: time.Millisecond,
-		SendRetryAfter: sendRetryAfter, MaxRetryAfter: longestRetryAfter,
+		SendRetryAfter: sendRetryAfter, MaxRetryAfter: maxRetryAfter,
 		Classes: []routing.Class{{Name: "page", LatencyObjective: time.Second, Deadline: 5 * time.Second, PriorityWeight: 1}}}})
 	if err != nil {
 		t.Fatal(err)
@@ -37,9 +37,9 @@
 
 // Rejections for want of capacity, and those at the deadline, carried a Retry-After that the settings do not allow, and the same one
 // for everybody.
-func TestRetryAfterIsAsTheSettingsSay(t *testing.T) {
+func TestRetryAfterFollowsSettings(t *testing.T) {
 	for _, send := range []bool{true, false} {
-		g := rejecting(t, send)
+		g := newFullGateway(t, send)
 		var answers []Answer
 		first := pageRequest("first", &answers)
 		g.Submit(first)
@@ -53,7 +53,7 @@
 		different := map[time.Duration]bool{}
 		for _, a := range answers {
 			different[a.RetryAfter] = true
-			if isSent := a.RetryAfter > 0; isSent != send || a.RetryAfter > longestRetryAfter || !a.Retryable {
+			if isSent := a.RetryAfter > 0; isSent != send || a.RetryAfter > maxRetryAfter || !a.Retryable {
 				t.Errorf("sent %v: %+v", send, a)
 			}
 		}
@@ -64,8 +64,8 @@
 }
 
 // What an embedded gateway sheds was counted twice: as rejected, and as shed.
-func TestWhatSubmitShedsCountsOnce(t *testing.T) {
-	g := rejecting(t, true)
+func TestShedRequestIsCountedOnce(t *testing.T) {
+	g := newFullGateway(t, true)
 	g.admissionController().SetPolicy(&overload.AdmissionPolicy{Admit: [][]uint32{{0, 0}, {0, 0}, {0, 0}}, RetryAfter: time.Second})
 	var answers []Answer
 	g.Submit(pageRequest("shed", &answers))
--- a/gateway/requests.go
+++ b/gateway/requests.go
@@ -9,60 +9,61 @@
 	"larchusher/routing"
 )
 
-// Request is what a front submits. The exported fields are the front's to set before [Gateway.Submit], and not to change
-// after it.
+// Request is a request as a front submits it. A front sets the exported fields before
+// [Gateway.Submit] and must not change them afterwards.
 type Request struct {
-	ID              string // the client's own id, passed on to endpoints unchanged
+	ID              string // the client's own id, which endpoints get unchanged
 	Class           string
 	Tenant          string
 	Object          string
-	Part            int     // of the object
-	Group           int     // that purges may name in place of the object
-	SizeKB          float64 // of the part, as its client states it; 0: not stated
-	IdempotencyKey  string  // in classes that need one
-	IfNoneMatch     string  // tag of a copy that the client holds
+	Part            int     // index of a part of the object
+	Group           int     // group of objects, by which purges may name the object
+	SizeKB          float64 // size of the part in KB as the client states it; 0: not stated
+	IdempotencyKey  string  // needed in classes of effect routing.IdempotentWithKey
+	IfNoneMatch     string  // entity tag of a copy that the client holds
 	Body            []byte
-	Retry           bool         // the client marks it as a retry of its own
-	Deadline        time.Time    // when the client stops waiting
-	Answer          func(Answer) // called once with the final answer, unless the request is abandoned first
-	ClientConnected func() bool  // asked right before each attempt is written; nil: the client stays until Abandon
+	Retry           bool         // the client marks the request as a retry
+	Deadline        time.Time    // when the client stops waiting; Submit lowers it to the deadline of the class
+	Answer          func(Answer) // called once on the loop with the final answer, unless the request is abandoned first
+	ClientConnected func() bool  // asked before each attempt is written, and when a request with the same ID arrives; nil: the client stays until Abandon
 
-	ArrivedAt   time.Time // when its wait in the queue began; zero: as it is submitted
+	ArrivedAt   time.Time // when its wait in the queue began; zero: when it is submitted
 	Front       Front
-	Admitted    bool    // Gateway.Admit has admitted it
-	Client      *Client // whose unread answers count against its memory; nil: answers take no memory for long
-	RetainsBody bool    // the answer's body is used after Answer has returned
+	Admitted    bool    // Gateway.Admit has admitted the request
+	Client      *Client // client that its answer's memory is accounted to; nil: answers take no memory for long
+	RetainsBody bool    // the answer's body is used after Answer has returned, so its memory is not released
 
-	class       *routing.Class // as it was when the request came; nil: the settings do not name it
-	maxAttempts int            // as it was when the request came; 0: no limit
+	class       *routing.Class // class as configured at arrival; nil: the settings do not name it
+	maxAttempts int            // limit on attempts as configured at arrival; 0: no limit
 
 	queueItem      overload.Item
 	band           int
-	reservedBytes  int64 // of client memory, for the answer
+	reservedBytes  int64 // bytes of Client's memory reserved for the answer
 	directorTimers []*Timer
 
 	directorID       string
 	answered         bool
-	locality         int  // index of the locality that it is in
-	firstInLocality  int  // index of its first attempt there
-	rerouted         bool // it was rejected in another locality before
+	locality         int  // index of the locality that handles the request
+	firstInLocality  int  // index in attempts of the first attempt of that locality
+	rerouted         bool // another locality has rejected the request before
 	attempts         []*Attempt
 	attemptsInFlight int
 	deadlineTimer    *Timer
 }
 
-// idempotent reports whether the request may be repeated freely. One of an unknown class never runs.
+// idempotent reports whether the request may be repeated freely. That includes requests of unknown
+// classes, which never run.
 func (r *Request) idempotent() bool { return r.class == nil || r.class.Effect == routing.Idempotent }
 
-// needsIdempotencyKey reports whether the request may be repeated only under its key.
+// needsIdempotencyKey reports whether the request may be repeated only with its idempotency key.
 func (r *Request) needsIdempotencyKey() bool {
 	return r.class != nil && r.class.Effect == routing.IdempotentWithKey
 }
 
-// clientConnected reports whether the client still waits, as far as its connection knows.
+// clientConnected reports whether the client is still connected, as far as its connection knows.
 func (r *Request) clientConnected() bool { return r.ClientConnected == nil || r.ClientConnected() }
 
-// classByName is what the settings say of a class; nil: nothing.
+// classByName returns a class by its name; nil if the settings do not name it.
 func (g *Gateway) classByName(name string) *routing.Class {
 	for i := range g.cfg.Settings.Classes {
 		if c := &g.cfg.Settings.Classes[i]; c.Name == name {
@@ -72,8 +73,8 @@
 	return nil
 }
 
-// Submit takes a request in. Its Answer is called once on the loop, maybe before Submit returns, unless the
-// front abandons the request first.
+// Submit takes over a request. Its Answer is called once on the loop, possibly before Submit
+// returns, unless the front abandons the request first.
 func (g *Gateway) Submit(r *Request) {
 	g.register(r)
 	if g.overCapacity() {
@@ -85,17 +86,19 @@
 		g.answerRequest(r, Answer{Outcome: OutcomeFailed, cause: causeDuplicateID})
 		return
 	}
-	if r.IdempotencyKey == "" && r.needsIdempotencyKey() { // a retry could not be told from another request
+	if r.IdempotencyKey == "" && r.needsIdempotencyKey() { // without a key, endpoints could not tell a retry from another request
 		g.answerRequest(r, Answer{Outcome: OutcomeFailed, cause: causeNoIdempotencyKey})
 		return
 	}
 	g.limitDeadline(r)
-	// A deadline of the gateway's own, whatever the director does; the director's is Settings.ClockStep earlier.
+	// This timer bounds every request, whatever the director does. The director's own deadline is
+	// Settings.ClockStep earlier.
 	r.deadlineTimer = g.cfg.Loop.At(r.Deadline, func() { g.expireRequest(r) })
 	g.enqueueRequest(r)
 }
 
-// register counts a request among the open ones, under the rules of its class as they are now.
+// register adds a request to the open ones, and fixes the configuration of its class and the limit
+// on its attempts for as long as it is open.
 func (g *Gateway) register(r *Request) {
 	g.lastRequestNumber++
 	r.directorID = strconv.FormatUint(g.lastRequestNumber, 36)
@@ -105,22 +108,24 @@
 	g.bodyBytes += len(r.Body)
 }
 
-// overCapacity reports whether more requests, or bytes of their bodies, are open than may be.
+// overCapacity reports whether the open requests exceed Config.MaxOpenRequests or
+// Config.MaxBodyBytes.
 func (g *Gateway) overCapacity() bool {
 	tooMany := g.cfg.MaxOpenRequests > 0 && len(g.requests) > g.cfg.MaxOpenRequests
 	tooLarge := g.cfg.MaxBodyBytes > 0 && g.bodyBytes > g.cfg.MaxBodyBytes
 	return tooMany || tooLarge
 }
 
-// claimID has a request hold its client's id, and reports false if another open request does. Endpoints would take both
-// for one. Clients draw an id for each request, so that the later one is a duplicate, unless the client of the earlier one
-// has left and repeats it.
+// claimID reserves the client's id for a request, and returns false if another open request has it,
+// as endpoints would take both for one request. Clients draw a new id for each request, so a second
+// request with an id is a duplicate, unless the client of the first one has left and now retries
+// it: then the first one is abandoned.
 func (g *Gateway) claimID(r *Request) bool {
-	if holder := g.requestsByClientID[r.ID]; holder != nil {
-		if holder.clientConnected() {
+	if existing := g.requestsByClientID[r.ID]; existing != nil {
+		if existing.clientConnected() {
 			return false
 		}
-		g.Abandon(holder)
+		g.Abandon(existing)
 	}
 	if r.ID != "" {
 		g.requestsByClientID[r.ID] = r
@@ -128,31 +133,33 @@
 	return true
 }
 
-// limitDeadline has nothing held for longer than any client of the class waits.
+// limitDeadline lowers the deadline of a request to that of its class, counted from now, as no
+// client of the class waits longer.
 func (g *Gateway) limitDeadline(r *Request) {
 	if r.class == nil || r.class.Deadline <= 0 {
 		return
 	}
-	if last := g.cfg.Loop.Now().Add(r.class.Deadline); r.Deadline.After(last) {
-		r.Deadline = last
+	if latest := g.cfg.Loop.Now().Add(r.class.Deadline); r.Deadline.After(latest) {
+		r.Deadline = latest
 	}
 }
 
-// startRequest hands a request, whose turn it is, to the director of the locality that is chosen for it.
+// startRequest selects the locality of a request whose turn it is, and submits the request to that
+// locality's director.
 func (g *Gateway) startRequest(r *Request) {
 	if g.pickLocalityOrShed(r) {
 		g.submitToDirector(r)
 	}
 }
 
-// submitToDirector hands a request to the director of its locality.
+// submitToDirector submits a request to the director of its locality.
 func (g *Gateway) submitToDirector(r *Request) {
-	var admitted *routing.Class
-	if r.class != g.classByName(r.Class) { // the class has been reconfigured since
-		admitted = r.class
+	var admittedClass *routing.Class
+	if r.class != g.classByName(r.Class) { // the class has been reconfigured since the request arrived
+		admittedClass = r.class
 	}
 	g.handleEvent(event{request: r, locality: r.locality, Event: routing.Request{
-		AdmittedClass: admitted,
+		AdmittedClass: admittedClass,
 		ID:            r.directorID,
 		Class:         r.Class,
 		Tenant:        r.Tenant,
@@ -166,7 +173,8 @@
 	}})
 }
 
-// Abandon says that the client has left: no answer is owed to it, and its attempts are canceled.
+// Abandon drops a request whose client has left: it gets no answer, and its attempts are canceled.
+// It does nothing for a request that was answered.
 func (g *Gateway) Abandon(r *Request) {
 	if r.answered {
 		return
@@ -179,7 +187,7 @@
 	g.cancelAttempts(r)
 }
 
-// expireRequest answers a request at its deadline, which the director has let pass.
+// expireRequest answers a request that its director has not answered by its deadline.
 func (g *Gateway) expireRequest(r *Request) {
 	if r.answered {
 		return
