--- a/gateway/admission.go
+++ b/gateway/admission.go
@@ -36,7 +36,7 @@
 	runningQueuedWork bool            // queued work is running, and the requests that it submits start at once
 	shedController    *overload.Controller
 	memory            *overload.Memory
-	balancerHealth    overload.Health
+	balancerWeight    overload.BalancerWeight
 
 	loopMonitor
 
@@ -103,7 +103,7 @@
 func (g *Gateway) ShedShare() float64 { return g.shedController.ShedLevel() }
 
 // BalancerWeight returns the weight that load balancers should give to the gateway, in percent.
-func (g *Gateway) BalancerWeight() int { return g.balancerHealth.Weight() }
+func (g *Gateway) BalancerWeight() int { return g.balancerWeight.Weight() }
 
 // RetryAfter returns the Retry-After for a request that is shed for load; 0: none is sent. It
 // varies with the client's id, so that clients do not all retry at once.
--- a/gateway/pauses.go
+++ b/gateway/pauses.go
@@ -104,7 +104,7 @@
 	g.measurePollerLag(now)
 	g.ticks++
 	if g.ticks%slowClientSweepTicks == 0 {
-		g.balancerHealth.Update(g.now(), g.shedController.ShedLevel())
+		g.balancerWeight.Update(g.now(), g.shedController.ShedLevel())
 		g.closeSlowClients()
 	}
 	loop.After(g.cfg.Overload.Tick, g.tick)
--- a/overload/doc.go
+++ b/overload/doc.go
@@ -5,7 +5,7 @@
 //   - in which order queued requests are served, and how long they may wait: [Order], [Queue];
 //   - whose responses may take memory: [Memory];
 //   - whether a gap in time was a pause of the host, which must not be mistaken for load: [SchedulingMonitor];
-//   - which weight load balancers are told: [Health].
+//   - which weight load balancers are told: [BalancerWeight].
 //
 // The package does no I/O, reads no clock and holds no global state: the gateway feeds it samples and carries out its
 // decisions. Times are on one clock that runs forward, from any beginning. Nothing blocks. Only [AdmissionController] is safe
--- a/overload/health.go
+++ b/overload/health.go
@@ -13,9 +13,9 @@
 	maxUpdateGap       = 10 * time.Second
 )
 
-// Health turns the shed level into the weight that load balancers are told. The weight falls as more is shed, in steps that a
+// BalancerWeight turns the shed level into the weight that load balancers are told. The weight falls as more is shed, in steps that a
 // passing peak doesn't reach, and recovers slowly, so that load is not swung to and fro. The zero value is in full health.
-type Health struct {
+type BalancerWeight struct {
 	weight     float64 // smoothed, in percent
 	advertised int     // in percent
 	updatedAt  time.Duration
@@ -24,7 +24,7 @@
 
 // Update takes in the shed level, 0 to 1, and returns the weight to advertise, in percent. Gaps between updates that are longer
 // than maxUpdateGap count as that.
-func (h *Health) Update(now time.Duration, level float64) int {
+func (h *BalancerWeight) Update(now time.Duration, level float64) int {
 	if !h.started {
 		h.started, h.updatedAt = true, now
 		h.weight, h.advertised = maxWeightPercent, maxWeightPercent
@@ -44,7 +44,7 @@
 }
 
 // Weight returns the weight advertised last, in percent.
-func (h *Health) Weight() int {
+func (h *BalancerWeight) Weight() int {
 	if !h.started {
 		return maxWeightPercent
 	}
--- a/overload/health_test.go
+++ b/overload/health_test.go
@@ -6,8 +6,8 @@
 )
 
 // Load that comes and goes every second, and single peaks, do not swing the weight.
-func TestHealthDoesNotFlap(t *testing.T) {
-	var h Health
+func TestBalancerWeightDoesNotFlap(t *testing.T) {
+	var h BalancerWeight
 	swings, last, dir := 0, 100, 0
 	for i := range 600 { // a minute
 		level := 0.0
