--- a/gateway/admission_test.go
+++ b/gateway/admission_test.go
@@ -11,7 +11,8 @@
 	"larchusher/routing"
 )
 
-// host is a gateway with one cache and the origin, on a loop of its own.
+// testGateway is a gateway with one cache and the origin, on a running loop. It collects the
+// attempts that the gateway sends, and the answers to requests.
 type testGateway struct {
 	t       *testing.T
 	loop    *gateway.Loop
@@ -39,7 +40,7 @@
 	return h
 }
 
-// on runs f on the loop.
+// onLoop runs f on the loop and waits for it.
 func (h *testGateway) onLoop(f func()) {
 	done := make(chan bool)
 	h.loop.Post(func() { f(); close(done) })
@@ -51,55 +52,59 @@
 		Answer: func(a gateway.Answer) { h.answers <- a }}
 }
 
-// What waited for its turn for too long is refused with when to come back, and no store sees it.
+// A request that has waited in the queue for longer than MaxWait is rejected with a Retry-After and
+// is not sent to any endpoint.
 func TestRequestIsRejectedAfterQueueTimeout(t *testing.T) {
 	h := newTestGateway(t, overload.Config{MaxWait: 50 * time.Millisecond})
 	old := h.newRequest("old", "page")
 	old.ArrivedAt = time.Now().Add(-time.Second)
 	h.onLoop(func() { h.g.Submit(old) })
 	if a := <-h.answers; a.Outcome != gateway.OutcomeRejected || !a.Retryable || a.RetryAfter <= 0 || a.RetryAfter > 2*time.Second {
-		t.Errorf("%+v", a)
+		t.Errorf("answer after the queue timeout: %+v, want a retryable rejection with a Retry-After of up to 2 s", a)
 	}
 	h.onLoop(func() {
 		if len(h.sent) > 0 || h.g.Load.QueueTimeouts != 1 || h.g.OpenRequests() != 0 {
-			t.Errorf("%d were sent, %d overdue, %d open", len(h.sent), h.g.Load.QueueTimeouts, h.g.OpenRequests())
+			t.Errorf("%d attempts sent, %d queue timeouts, %d requests open; want 0, 1 and 0", len(h.sent), h.g.Load.QueueTimeouts, h.g.OpenRequests())
 		}
 	})
 }
 
-// Of what waits, answers of stores are taken in first, then requests by worth; a withdrawn one has left.
+// Results of endpoints that are posted to the loop are handled before queued requests, and queued
+// requests start in the order of their priority weight. A request that was abandoned in the queue
+// does not start.
 func TestLoopHandlesResultsFirstThenRequestsByPriority(t *testing.T) {
 	h := newTestGateway(t, overload.Config{})
 	h.onLoop(func() { h.g.Submit(h.newRequest("first", "page")) })
 	first := <-h.sent
-	page, order, abandoned := h.newRequest("page", "page"), h.newRequest("order", "order"), h.newRequest("gone", "order")
-	h.onLoop(func() { // all of it waits while this runs
+	page, order, abandoned := h.newRequest("page", "page"), h.newRequest("order", "order"), h.newRequest("abandoned", "order")
+	h.onLoop(func() { // all of this is queued until the function returns
 		h.g.Submit(page)
 		h.g.Submit(abandoned)
 		h.g.Submit(order)
 		h.g.Abandon(abandoned)
 		h.loop.Post(func() {
 			if len(h.sent) > 0 {
-				t.Error("new work goes before an answer that has come")
+				t.Error("a queued request started before a posted result was handled")
 			}
 			h.g.AttemptEnded(first, gateway.Result{Status: routing.OK, Body: []byte("x")})
 		})
 	})
 	if a := <-h.answers; a.Outcome != gateway.OutcomeServed {
-		t.Errorf("%+v", a)
+		t.Errorf("answer: %+v, want it served", a)
 	}
 	if a, b := <-h.sent, <-h.sent; a.Request != order || b.Request != page {
-		t.Errorf("%s went before %s", a.Request.ID, b.Request.ID)
+		t.Errorf("%s started before %s", a.Request.ID, b.Request.ID)
 	}
 	h.onLoop(func() {
 		if len(h.sent) > 0 {
-			t.Error("a withdrawn request was sent")
+			t.Error("an abandoned request was sent")
 		}
 	})
 }
 
-// An answer that is longer than there is memory for is refused to a client that leaves others unread, not to one that
-// reads; and what was set aside comes back, also when a client leaves.
+// An answer that does not fit into the memory limit is rejected. A client that leaves much unread
+// gets its next request rejected, while a client that reads its answers is served. A client can be
+// removed twice.
 func TestAnswersStayWithinMemoryLimit(t *testing.T) {
 	h := newTestGateway(t, overload.Config{MemoryLimit: 100 << 10})
 	var unsentBytes int64
@@ -120,32 +125,32 @@
 				}
 				h.g.AttemptEnded(a, gateway.Result{Status: routing.OK, Body: make([]byte, size)})
 			})
-		case a := <-h.answers: // it was refused before it was sent
+		case a := <-h.answers: // rejected before it was sent
 			return a
 		}
 		return <-h.answers
 	}
 	var fast *gateway.Client
 	h.onLoop(func() {
-		fast = h.g.AddClient(func() int64 { return 0 }, func(error) { t.Error("a client that reads is closed") })
+		fast = h.g.AddClient(func() int64 { return 0 }, func(error) { t.Error("a client that reads its answers was closed") })
 	})
 	if a := serve("long", fast, 130<<10); a.Outcome != gateway.OutcomeRejected || !a.Retryable {
-		t.Errorf("an answer longer than the memory: %v", a.Outcome)
+		t.Errorf("an answer larger than the memory: outcome %v, want a retryable rejection", a.Outcome)
 	}
 	if a := serve("short", fast, 50<<10); a.Outcome != gateway.OutcomeServed {
-		t.Errorf("an answer for which there is room: %v", a.Outcome)
+		t.Errorf("an answer that fits: outcome %v, want it served", a.Outcome)
 	}
-	if a := serve("first", slow, 90<<10); a.Outcome != gateway.OutcomeServed { // and it stays unread
-		t.Errorf("%v", a.Outcome)
+	if a := serve("first", slow, 90<<10); a.Outcome != gateway.OutcomeServed { // it stays unread
+		t.Errorf("the first answer to a slow client: outcome %v, want it served", a.Outcome)
 	}
 	if a := serve("second", slow, 0); a.Outcome != gateway.OutcomeRejected {
-		t.Errorf("to one that leaves much unread: %v", a.Outcome)
+		t.Errorf("the second answer to a client with much unread: outcome %v, want a rejection", a.Outcome)
 	}
-	if a := serve("beside", fast, 20<<10); a.Outcome != gateway.OutcomeServed {
-		t.Errorf("beside one that leaves much unread: %v", a.Outcome)
+	if a := serve("other", fast, 20<<10); a.Outcome != gateway.OutcomeServed {
+		t.Errorf("an answer to a reading client while another leaves much unread: outcome %v, want it served", a.Outcome)
 	}
 	h.onLoop(func() { h.g.RemoveClient(slow); h.g.RemoveClient(slow) })
 	if closed {
-		t.Error("closed without need")
+		t.Error("the slow client was closed though memory was not short")
 	}
 }
--- a/gateway/failures_test.go
+++ b/gateway/failures_test.go
@@ -11,7 +11,8 @@
 	"larchusher/routing"
 )
 
-// A log line says why a request failed; where many fail at once, the others are counted in the next line.
+// A failed request is logged with its reason. The lines are limited to one a second, and each gives
+// the number of lines left out since the last one.
 func TestFailureLogGivesReasonAndIsRateLimited(t *testing.T) {
 	log, logHook := logtest.NewNullLogger()
 	h := &testGateway{t: t, loop: gateway.NewLoop(), sent: make(chan *gateway.Attempt, 100), answers: make(chan gateway.Answer, 100)}
@@ -31,18 +32,18 @@
 		t.Helper()
 		h.onLoop(func() { h.g.Submit(r) })
 		if a := <-h.answers; a.Outcome == gateway.OutcomeServed {
-			t.Fatalf("%s: %+v", r.ID, a)
+			t.Fatalf("request %s: answer %+v, want a failure", r.ID, a)
 		}
 	}
 	check := func(want map[string]any) {
 		t.Helper()
 		entry := logHook.LastEntry()
 		if entry == nil || entry.Message != logfields.RequestFailed || len(logHook.AllEntries()) != 1 {
-			t.Fatalf("lines: %+v", logHook.AllEntries())
+			t.Fatalf("log entries: %+v, want one about a failed request", logHook.AllEntries())
 		}
 		for field, value := range want {
 			if entry.Data[field] != value {
-				t.Errorf("%s is %v, not %v", field, entry.Data[field], value)
+				t.Errorf("field %s is %v, want %v", field, entry.Data[field], value)
 			}
 		}
 		logHook.Reset()
@@ -53,12 +54,12 @@
 	check(map[string]any{logfields.RequestID: "first", logfields.Class: "order", logfields.Outcome: "failed",
 		logfields.Reason: "no idempotency key", logfields.Attempts: 0, logfields.Suppress: 0})
 
-	time.Sleep(1100 * time.Millisecond) // lines come once a second
+	time.Sleep(1100 * time.Millisecond) // longer than the interval of one second between lines
 	h.onLoop(func() { h.g.Submit(h.newRequest("third", "payment")) })
 	attempt := <-h.sent
 	h.onLoop(func() { h.g.AttemptEnded(attempt, gateway.Result{Status: routing.Reset}) })
 	if a := <-h.answers; a.Outcome != gateway.OutcomeFailed {
-		t.Fatalf("%+v", a)
+		t.Fatalf("answer %+v after a lost connection to a non-idempotent request, want a failure", a)
 	}
 	check(map[string]any{logfields.RequestID: "third", logfields.Outcome: "failed", logfields.Reason: "no further attempt allowed",
 		logfields.Attempts: 1, logfields.Endpoint: attempt.Endpoint, logfields.Status: "reset", logfields.Suppress: 1})
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -10,14 +10,15 @@
 	"larchusher/routing"
 )
 
-// backend keeps attempts as if their connections were coming up.
+// fakeBackend collects the attempts that are sent, as if their connections were still being
+// established.
 type fakeBackend struct{ sent chan *gateway.Attempt }
 
 func (b fakeBackend) Send(a *gateway.Attempt) { b.sent <- a }
 func (fakeBackend) Cancel(*gateway.Attempt)   {}
 
-// What waited for its connection is checked again before it is written: meanwhile its store may have begun to
-// drain, or its object may have been purged.
+// PrepareWrite checks an attempt that has waited for its connection again: meanwhile its endpoint
+// may have begun to drain, or its object may have been purged.
 func TestPrepareWriteRechecksQueuedAttempt(t *testing.T) {
 	loop, b := gateway.NewLoop(), fakeBackend{make(chan *gateway.Attempt, 10)}
 	g, err := gateway.New(gateway.Config{Loop: loop, Backend: b, Log: logrus.New(), Settings: routing.Settings{
@@ -51,27 +52,27 @@
 	onLoop(func() {
 		g.Purge(routing.Purge{Object: "x", Age: time.Second})
 		if !g.PrepareWrite(a) || a.MaxAge < 900*time.Millisecond || a.MaxAge > 5*time.Second {
-			t.Errorf("after a purge: age limit %v", a.MaxAge)
+			t.Errorf("MaxAge is %v for an object purged a second ago, want 0.9 s to 5 s", a.MaxAge)
 		}
 		g.AttemptEnded(a, gateway.Result{Status: routing.OK, Body: []byte("x")})
-		g.AttemptEnded(a, gateway.Result{Status: routing.OK, Body: []byte("y")}) // a second end changes nothing
+		g.AttemptEnded(a, gateway.Result{Status: routing.OK, Body: []byte("y")}) // a second result is ignored
 	})
 	if got := <-answers; got.Outcome != gateway.OutcomeServed || string(got.Body) != "x" {
-		t.Errorf("%+v", got)
+		t.Errorf("answer: %+v, want the body x of the first result", got)
 	}
 	a = submit()
 	onLoop(func() {
 		updateEndpoints(routing.Draining)
 		if g.PrepareWrite(a) {
-			t.Error("a draining store may be written to")
+			t.Error("PrepareWrite allows an attempt at a draining endpoint")
 		}
 	})
 	if got := <-answers; got.Outcome == gateway.OutcomeServed || len(answers) > 0 {
-		t.Errorf("%+v", got)
+		t.Errorf("answer: %+v, want one that is not served, and no second one", got)
 	}
 	onLoop(func() {
 		if g.Counters.NotSent != 1 || g.OpenRequests() != 0 {
-			t.Errorf("%+v, %d open", g.Counters, g.OpenRequests())
+			t.Errorf("counters %+v, %d requests open; want one attempt not sent and no request open", g.Counters, g.OpenRequests())
 		}
 	})
 }
--- a/gateway/loop_held_test.go
+++ b/gateway/loop_held_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// While timers are held after a stall, until what came meanwhile has been read, no request begins: its client may have
-// left, and the word of that lies in the sockets.
+// While timers are held after a pause, until everything that arrived meanwhile has been read, no
+// queued request starts: its client may have left, and the notice of that may still be unread in a
+// socket.
 func TestNoQueuedWorkStartsWhileTimersAreHeld(t *testing.T) {
 	l := NewLoop()
 	started, ran := 0, false
@@ -14,7 +15,7 @@
 	l.onLateTimer = func(time.Duration) bool {
 		go l.Post(func() {
 			if started > 0 {
-				t.Error("low work was done before what was read had come")
+				t.Error("queued work ran before the read barrier had passed")
 			}
 			l.releaseTimers()
 		})
@@ -23,17 +24,18 @@
 	l.After(-time.Second, func() { ran = true; l.Close() })
 	l.Run()
 	if !ran {
-		t.Error("the timer never ran")
+		t.Error("the timer did not run after the hold")
 	}
 }
 
-// A pause may come in the middle of a round. The timers that were due behind it ran before anything knew of the pause, and before
-// what had come meanwhile was read: endpoints that had answered were taken for silent.
+// A pause may occur in the middle of a round. Timers that were due after it ran before the pause
+// was detected and before everything that had arrived meanwhile was read, so that endpoints that
+// had answered counted as silent.
 func TestPauseWithinRoundIsDetected(t *testing.T) {
 	const pause = 3 * lateTimerThreshold
 	for name, schedule := range map[string]func(*Loop, func()){
-		"in what was posted": func(l *Loop, sleep func()) { l.Post(sleep) },
-		"in a timer":         func(l *Loop, sleep func()) { l.After(0, sleep) },
+		"in a posted function": func(l *Loop, sleep func()) { l.Post(sleep) },
+		"in a timer":           func(l *Loop, sleep func()) { l.After(0, sleep) },
 		"in queued work": func(l *Loop, sleep func()) {
 			l.runQueued = func() bool { sleep(); l.runQueued = nil; return false }
 		},
@@ -51,7 +53,7 @@
 		}
 		l.After(10*time.Millisecond, func() {
 			if !detected || !released {
-				t.Errorf("%s: a late timer ran: asked %v, released %v", name, detected, released)
+				t.Errorf("pause %s: a late timer ran; pause detected %v, timers released %v", name, detected, released)
 			}
 			l.Close()
 		})
@@ -59,7 +61,8 @@
 	}
 }
 
-// Queued work that was begun after a pause in the same round would be a request whose client may have left meanwhile.
+// Queued work must not start after a pause in the same round, since it may be a request whose
+// client left during the pause.
 func TestNoQueuedWorkStartsAfterPauseWithinRound(t *testing.T) {
 	l := NewLoop()
 	started, detected := 0, false
@@ -67,7 +70,7 @@
 		if started++; started == 1 {
 			time.Sleep(3 * lateTimerThreshold)
 		} else if !detected {
-			t.Error("queued work began before anything knew of the pause")
+			t.Error("queued work ran before the pause was detected")
 		}
 		if started == 2 {
 			l.Close()
--- a/gateway/outcomes_test.go
+++ b/gateway/outcomes_test.go
@@ -11,7 +11,7 @@
 	"larchusher/routing"
 )
 
-// randomTraffic does at random what clients, endpoints and operators do.
+// randomTraffic performs random actions of clients, endpoints and operators on a gateway.
 type randomTraffic struct {
 	t    *testing.T
 	rng  *rand.Rand
@@ -19,7 +19,7 @@
 	sent []*gateway.Attempt
 }
 
-// step does one thing; a request that it submits has the id.
+// step performs one random action. id is that of the request that it may submit.
 func (r *randomTraffic) step(h *testGateway, id string) {
 	switch choice := r.rng.IntN(10); {
 	case choice < 4:
@@ -28,7 +28,7 @@
 		h.g.Submit(request)
 		r.open = append(r.open, request)
 	case choice < 6 && len(r.open) > 0:
-		h.g.Abandon(r.open[r.rng.IntN(len(r.open))]) // it may have been answered
+		h.g.Abandon(r.open[r.rng.IntN(len(r.open))]) // may have been answered already
 	case choice < 9 && len(r.sent) > 0:
 		h.g.AttemptEnded(r.sent[r.rng.IntN(len(r.sent))], gateway.Result{Status: routing.Status(r.rng.IntN(9))})
 	case choice == 9 && r.rng.IntN(10) == 0:
@@ -40,8 +40,9 @@
 	}
 }
 
-// What was answered, by class, and what is open add up to what was taken at every moment: whatever crosses what, answers of
-// stores, clients that leave, deadlines, new classes and the end of the program.
+// At every moment the outcomes by class and the open requests add up to the submitted requests,
+// however results of endpoints, clients that leave, deadlines, changes of classes and the end of
+// the program interleave.
 func TestOutcomesAddUpToSubmittedRequests(t *testing.T) {
 	var clientsGone, served uint64
 	for seed := range uint64(20) {
@@ -54,7 +55,7 @@
 				sum += o.Served + o.Rejected + o.Failed
 			}
 			if sum != h.g.Counters.Submitted {
-				t.Errorf("seed %d, step %d: %d are told, %d were taken", seed, step, sum, h.g.Counters.Submitted)
+				t.Errorf("seed %d, step %d: outcomes and open requests add up to %d, and %d requests were submitted", seed, step, sum, h.g.Counters.Submitted)
 			}
 		}
 		for step := range 400 {
@@ -76,6 +77,6 @@
 		})
 	}
 	if clientsGone == 0 || served == 0 {
-		t.Errorf("%d left and %d were served: this shows nothing", clientsGone, served)
+		t.Errorf("%d clients left and %d requests were served; want some of both, or the test covers too little", clientsGone, served)
 	}
 }
--- a/gateway/reconfigure_test.go
+++ b/gateway/reconfigure_test.go
@@ -9,7 +9,8 @@
 	"larchusher/routing"
 )
 
-// A reload whose localities were at fault had its classes taken in all the same, and counted as a success.
+// A reload with a faulty configuration of localities applied its classes all the same, and counted
+// as a success.
 func TestReconfigurationIsAtomic(t *testing.T) {
 	newClasses := []routing.Class{{Name: "page", LatencyObjective: time.Second, Deadline: 9 * time.Second, PriorityWeight: 1}}
 	valid := locality.Config{Localities: []locality.Locality{{Name: "here"}, {Name: "there", Level: 1}}}
@@ -20,16 +21,16 @@
 		change  gateway.Reconfiguration
 		applied bool
 	}{
-		"sound":                    {gateway.Reconfiguration{Classes: newClasses, Localities: &valid}, true},
-		"localities of others":     {gateway.Reconfiguration{Classes: newClasses, Localities: &swapped}, false},
-		"a limit that is negative": {gateway.Reconfiguration{Classes: newClasses, Localities: &negative}, false},
-		"no classes":               {gateway.Reconfiguration{Localities: &valid}, false},
+		"valid":                       {gateway.Reconfiguration{Classes: newClasses, Localities: &valid}, true},
+		"another order of localities": {gateway.Reconfiguration{Classes: newClasses, Localities: &swapped}, false},
+		"a negative limit":            {gateway.Reconfiguration{Classes: newClasses, Localities: &negative}, false},
+		"no classes":                  {gateway.Reconfiguration{Localities: &valid}, false},
 	} {
 		h := newTwoLocalityGateway(t)
 		h.onLoop(func() {
 			err := h.g.Reconfigure(c.change)
 			if isApplied := h.g.Classes()[0].Deadline == 9*time.Second; (err == nil) != c.applied || isApplied != c.applied {
-				t.Errorf("%s: taken %v, %v", name, isApplied, err)
+				t.Errorf("%s: classes applied: %v, error: %v", name, isApplied, err)
 			}
 		})
 	}
--- a/gateway/rejections_test.go
+++ b/gateway/rejections_test.go
@@ -10,7 +10,7 @@
 	"larchusher/routing"
 )
 
-// silentBackend takes attempts and never answers them.
+// silentBackend accepts attempts and never ends them.
 type silentBackend struct{}
 
 func (silentBackend) Send(*Attempt)   {}
@@ -18,7 +18,7 @@
 
 const maxRetryAfter = 2 * time.Second
 
-// rejecting is a gateway without a running loop that may have one request open.
+// newFullGateway returns a gateway that may have one request open, on a loop that does not run.
 func newFullGateway(t *testing.T, sendRetryAfter bool) *Gateway {
 	t.Helper()
 	g, err := New(Config{Loop: NewLoop(), Backend: silentBackend{}, Log: logrus.New(), MaxOpenRequests: 1, Settings: routing.Settings{
@@ -35,8 +35,8 @@
 	return &Request{ID: id, Class: "page", Object: id, Deadline: time.Now().Add(time.Second), Answer: func(a Answer) { *answers = append(*answers, a) }}
 }
 
-// Rejections for want of capacity, and those at the deadline, carried a Retry-After that the settings do not allow, and the same one
-// for everybody.
+// Rejections for want of capacity and those at the deadline carried a Retry-After even where the
+// settings do not allow one, and the same one for all clients.
 func TestRetryAfterFollowsSettings(t *testing.T) {
 	for _, send := range []bool{true, false} {
 		g := newFullGateway(t, send)
@@ -48,31 +48,32 @@
 		}
 		g.expireRequest(first)
 		if len(answers) != 7 {
-			t.Fatalf("%d answers", len(answers))
+			t.Fatalf("%d answers, want 7", len(answers))
 		}
 		different := map[time.Duration]bool{}
 		for _, a := range answers {
 			different[a.RetryAfter] = true
 			if isSent := a.RetryAfter > 0; isSent != send || a.RetryAfter > maxRetryAfter || !a.Retryable {
-				t.Errorf("sent %v: %+v", send, a)
+				t.Errorf("SendRetryAfter %v: answer %+v", send, a)
 			}
 		}
 		if send && len(different) < 6 {
-			t.Errorf("all clients come back at %d times", len(different))
+			t.Errorf("six clients and the expired one got only %d different values of Retry-After", len(different))
 		}
 	}
 }
 
-// What an embedded gateway sheds was counted twice: as rejected, and as shed.
+// A request that Submit shed, as with an embedded gateway, was counted twice: as rejected and as
+// shed.
 func TestShedRequestIsCountedOnce(t *testing.T) {
 	g := newFullGateway(t, true)
 	g.admissionController().SetPolicy(&overload.AdmissionPolicy{Admit: [][]uint32{{0, 0}, {0, 0}, {0, 0}}, RetryAfter: time.Second})
 	var answers []Answer
 	g.Submit(pageRequest("shed", &answers))
 	if len(answers) != 1 || answers[0].Outcome != OutcomeRejected {
-		t.Fatalf("%+v", answers)
+		t.Fatalf("answers %+v, want one rejection", answers)
 	}
 	if got := g.OutcomesByClass()["page"]; got != (ClassOutcomes{Rejected: 1}) {
-		t.Errorf("%+v", got)
+		t.Errorf("outcomes %+v, want one rejection", got)
 	}
 }
--- a/locality/endpoints.go
+++ b/locality/endpoints.go
@@ -16,7 +16,7 @@
 func DirectorSettings(base routing.Settings, localities []Locality, index int) (routing.Settings, error) {
 	s, l := base, localities[index]
 	if !slices.Contains(s.Zones, l.Name) {
-		return s, fmt.Errorf("tiers: Localities[%d].Name: %q is none of the zones, which are %q", index, l.Name, s.Zones)
+		return s, fmt.Errorf("tiers: Localities[%d].Name: %q is not one of the zones, which are %q", index, l.Name, s.Zones)
 	}
 	s.Zone = l.Name
 	gateways := max(1, base.Directors)
