--- a/overload/admission_test.go
+++ b/overload/admission_test.go
@@ -11,7 +11,7 @@
 	ac.SetPolicy(&AdmissionPolicy{Admit: [][]uint32{{fullShare / 4}}, RetryAfter: time.Second})
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	in, least, most := 0, time.Hour, time.Duration(0)
+	admitted, least, most := 0, time.Hour, time.Duration(0)
 	for w := range 4 {
 		all.Go(func() {
 			for i := range 10000 {
@@ -19,7 +19,7 @@
 				retryAfter, ok := ac.Admit(0, 0, draw)
 				mu.Lock()
 				if ok {
-					in++
+					admitted++
 				} else {
 					least, most = min(least, retryAfter), max(most, retryAfter)
 				}
@@ -28,10 +28,10 @@
 		})
 	}
 	all.Wait()
-	if in < 9500 || in > 10500 || ac.Offered(0, 0) != 40000 || ac.Shed(0, 0) != uint64(40000-in) {
-		t.Errorf("%d of 40000 are in, %d shed", in, ac.Shed(0, 0))
+	if admitted < 9500 || admitted > 10500 || ac.Offered(0, 0) != 40000 || ac.Shed(0, 0) != uint64(40000-admitted) {
+		t.Errorf("%d of 40000 requests admitted and %d shed, want about 10000 admitted", admitted, ac.Shed(0, 0))
 	}
 	if least < 750*ms || most > 1250*ms || most-least < 450*ms {
-		t.Errorf("Retry-After from %v to %v", least, most)
+		t.Errorf("Retry-After from %v to %v, want 750 ms to 1.25 s, and most of that range", least, most)
 	}
 }
--- a/overload/allowance.go
+++ b/overload/allowance.go
@@ -6,63 +6,68 @@
 )
 
 const (
-	// backlogTicks is the number of ticks in which a backlog beyond the target wait is to be worked off.
+	// backlogTicks is the number of ticks in which a backlog beyond the target wait is to be worked
+	// off.
 	backlogTicks = 5
-	// quietShedShare is the share of the offered cost up to which a tick counts as one in which nothing was shed.
-	quietShedShare = 0.001
-	// quietTicksToStop is the number of such ticks in a row after which everything is admitted again.
-	quietTicksToStop = 25
+	// negligibleShedShare is the share of the offered cost up to which a tick counts as one in
+	// which nothing was shed.
+	negligibleShedShare = 0.001
+	// quietTicksToStopShedding is the number of consecutive ticks without shedding after which
+	// everything is admitted again.
+	quietTicksToStopShedding = 25
 )
 
-// shares is how an allowance is spent, band by band.
-type shares struct {
-	left    float64 // of the allowance
-	offered float64 // cost, of all bands so far
-	spent   float64 // cost, of all bands so far
-	backlog float64 // cost queued, of all bands so far
-	admit   [][]uint32
+// allocation is the division of the allowance among bands. Costs are per tick.
+type allocation struct {
+	remaining float64 // part of the allowance that is left for further bands
+	offered   float64 // cost offered in the bands so far
+	admitted  float64 // cost admitted in the bands so far
+	backlog   float64 // cost queued in the bands so far
+	admit     [][]uint32
 }
 
-// spendAllowance returns the policy that spends the allowance on what is offered; nil if everything is admitted.
+// allocateAllowance returns the policy that divides the allowance among the offered requests; nil
+// if everything is admitted.
 //
-// Bands are served in order. A band's fronts get equal parts of what the bands before it leave, less what works off the
-// backlog beyond the target wait. Only the backlog of the band itself and those before it counts: what waits behind it is no
-// reason to shed it. A band whose offered cost fits into what is left is not shed for a backlog that is gone before anyone
-// has waited for half of the bound: a short disturbance passes, and the bands behind it make room. The band in which the
-// allowance ends is admitted by lot.
-func (c *Controller) spendAllowance(s Sample) *AdmissionPolicy {
+// Bands are served in order. The fronts of a band get equal parts of what the bands before it
+// leave, less the part that works off the backlog beyond the target wait. Only the backlog of the
+// band itself and of those before it counts, as requests queued behind a band are no reason to shed
+// it. A band whose offered cost fits into what is left is not shed for a backlog that is worked off
+// before a request has waited for half of MaxWait: a short disturbance passes, and later bands make
+// room. The band in which the allowance ends is admitted in part, by the draws of its requests.
+func (c *Controller) allocateAllowance(s Sample) *AdmissionPolicy {
 	if !c.shedding {
 		return nil
 	}
 	rate := max(minServedRate, c.servedRate)
 	targetBacklog := rate * float64(c.cfg.TargetWait+s.Grace) / float64(c.cfg.Tick)
 	tolerableBacklog := max(targetBacklog, rate*float64(c.cfg.MaxWait/2+s.Grace)/float64(c.cfg.Tick))
-	sh := shares{left: c.allowance, admit: make([][]uint32, len(c.offered))}
-	for f := range sh.admit {
-		sh.admit[f] = make([]uint32, c.order.Bands())
+	alloc := allocation{remaining: c.allowance, admit: make([][]uint32, len(c.offered))}
+	for f := range alloc.admit {
+		alloc.admit[f] = make([]uint32, c.order.Bands())
 	}
 	for b := range c.order.Bands() {
-		wanted := c.offeredInBand(b)
+		offered := c.offeredInBand(b)
 		if b < len(s.Queued) {
-			sh.backlog += float64(s.Queued[b]) * c.order.Cost(b)
+			alloc.backlog += float64(s.Queued[b]) * c.order.Cost(b)
 		}
 		allowedBacklog := targetBacklog
-		if wanted <= sh.left {
+		if offered <= alloc.remaining {
 			allowedBacklog = tolerableBacklog
 		}
-		c.spendOnBand(&sh, b, wanted, allowedBacklog)
+		c.allocateToBand(&alloc, b, offered, allowedBacklog)
 	}
-	shed := sh.shedShare()
-	if c.countQuiet(shed) {
+	shed := alloc.shedShare()
+	if c.countQuietTick(shed) {
 		c.stopShedding()
 		return nil
 	}
-	c.policy = AdmissionPolicy{Admit: sh.admit, RetryAfter: c.retryAfterFor(shed), ShedShare: shed}
+	c.policy = AdmissionPolicy{Admit: alloc.admit, RetryAfter: c.retryAfterFor(shed), ShedShare: shed}
 	policy := c.policy
 	return &policy
 }
 
-// offeredInBand is the cost offered in a tick in a band, by all fronts.
+// offeredInBand returns the smoothed cost offered in a band per tick, by all fronts.
 func (c *Controller) offeredInBand(band int) float64 {
 	cost := 0.0
 	for f := range c.offered {
@@ -71,50 +76,51 @@
 	return cost
 }
 
-// spendOnBand sets what each front is admitted in a band.
-func (c *Controller) spendOnBand(sh *shares, band int, wanted, allowedBacklog float64) {
-	workOff := max(0, sh.backlog-allowedBacklog) / backlogTicks
-	perFront := fairShare(c.offered, band, max(0, sh.left-workOff))
+// allocateToBand sets the admitted share of each front in a band.
+func (c *Controller) allocateToBand(alloc *allocation, band int, bandOffered, allowedBacklog float64) {
+	backlogReduction := max(0, alloc.backlog-allowedBacklog) / backlogTicks
+	frontLimit := fairShare(c.offered, band, max(0, alloc.remaining-backlogReduction))
 	for f := range c.offered {
-		want := c.offered[f][band]
-		got := min(want, perFront)
-		sh.offered += want
-		sh.spent += got
+		offered := c.offered[f][band]
+		admitted := min(offered, frontLimit)
+		alloc.offered += offered
+		alloc.admitted += admitted
 		switch {
-		case want <= 0 && sh.left-wanted > 0: // none came lately: the first may come in
-			sh.admit[f][band] = fullShare
-		case want > 0:
-			sh.admit[f][band] = uint32(math.Round(fullShare * got / want))
+		case offered <= 0 && alloc.remaining-bandOffered > 0: // none was offered lately, so the next one is admitted
+			alloc.admit[f][band] = fullShare
+		case offered > 0:
+			alloc.admit[f][band] = uint32(math.Round(fullShare * admitted / offered))
 		}
 	}
-	sh.left = max(0, sh.left-wanted)
+	alloc.remaining = max(0, alloc.remaining-bandOffered)
 }
 
-// shedShare is the share of the offered cost that is shed.
-func (sh *shares) shedShare() float64 {
-	if sh.offered <= 0 {
+// shedShare returns the share of the offered cost that is shed.
+func (a *allocation) shedShare() float64 {
+	if a.offered <= 0 {
 		return 0
 	}
-	return max(0, 1-sh.spent/sh.offered)
+	return max(0, 1-a.admitted/a.offered)
 }
 
-// countQuiet counts a tick that sheds a share, and reports whether next to nothing was shed for long enough to admit
-// everything again.
-func (c *Controller) countQuiet(shed float64) bool {
-	if shed > quietShedShare {
+// countQuietTick counts the consecutive ticks in which next to nothing was shed, and reports
+// whether there were enough of them to admit everything again.
+func (c *Controller) countQuietTick(shed float64) bool {
+	if shed > negligibleShedShare {
 		c.quietTicks = 0
 		return false
 	}
 	c.quietTicks++
-	return c.quietTicks >= quietTicksToStop
+	return c.quietTicks >= quietTicksToStopShedding
 }
 
-// fairShare returns the most that one front may have of what is left in a band, so that fronts which want less get all that
-// they want and the others get equal parts (max-min fairness); +Inf if all get what they want.
-func fairShare(offered [][]float64, band int, left float64) float64 {
+// fairShare returns the largest cost that one front may get of what is left for a band, by max-min
+// fairness: fronts that offer less get all of it, and the others get equal parts. It returns +Inf
+// if all fronts get what they offer.
+func fairShare(offered [][]float64, band int, remaining float64) float64 {
 	level := 0.0
 	for {
-		above, next := 0, math.Inf(1) // fronts that want more than the level, and the least of what they want
+		above, next := 0, math.Inf(1) // fronts that offer more than level, and the least of what they offer
 		for f := range offered {
 			if want := offered[f][band]; want > level {
 				above++
@@ -125,33 +131,35 @@
 			return math.Inf(1)
 		}
 		need := (next - level) * float64(above)
-		if need > left {
-			return level + left/float64(above)
+		if need > remaining {
+			return level + remaining/float64(above)
 		}
-		left -= need
+		remaining -= need
 		level = next
 	}
 }
 
-// Shares of the longest Retry-After that rejected requests are told: the least, while few are rejected, and the most, while all
-// are.
+// Shares of the longest Retry-After in rejections: the smallest one while few requests are
+// rejected, the largest one while all are.
 const (
 	minRetryAfterShare = 0.25
 	maxRetryAfterShare = 0.8
 )
 
-// RetryAfterShare returns the share of the longest Retry-After that requests are told while a share of them, 0 to 1, is
-// rejected. Both shedding by overload and rejections by locality go by it.
+// RetryAfterShare returns the share of the longest Retry-After that rejections carry while a share
+// of the requests, 0 to 1, is rejected. Packages overload and locality both use it.
 func RetryAfterShare(rejectedShare float64) float64 {
 	return minRetryAfterShare + (maxRetryAfterShare-minRetryAfterShare)*min(1, rejectedShare)
 }
 
-// retryAfterFor is the Retry-After while a share of the offered cost is shed, before [Jitter].
+// retryAfterFor returns the Retry-After, before [Jitter], while a share of the offered cost is
+// shed.
 func (c *Controller) retryAfterFor(shed float64) time.Duration {
 	return time.Duration(float64(c.cfg.MaxRetryAfter) * RetryAfterShare(shed))
 }
 
-// RetryAfter returns the Retry-After, before [Jitter], for a request that was admitted and is rejected later.
+// RetryAfter returns the Retry-After, before [Jitter], for a request that was admitted and is
+// rejected later.
 func (c *Controller) RetryAfter() time.Duration {
 	if c.shedding && c.policy.RetryAfter > 0 {
 		return c.policy.RetryAfter
--- a/overload/config.go
+++ b/overload/config.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Class is a class of requests, as the order of service needs it.
+// Class is a class of requests, with what its rank depends on.
 type Class struct {
 	Name           string
-	PriorityWeight float64 // of one request answered in time; 0 or more
+	PriorityWeight float64 // weight of a request that is answered in time; 0 or more
 	Cost           float64 // of serving one request, relative to other classes; 0: 1
 }
 
-// Defaults for what a Config leaves out.
+// Defaults of Config.
 const (
 	DefaultMaxWait       = 150 * time.Millisecond
 	DefaultTargetWait    = 10 * time.Millisecond
@@ -24,23 +24,23 @@
 	DefaultMinPause      = 40 * time.Millisecond
 )
 
-// Config configures the decisions. The zero value of a field is its default.
+// Config configures overload control. Fields that are zero get their defaults.
 type Config struct {
 	Classes []Class
-	Fronts  int // front ends by which requests come; 0: 1
+	Fronts  int // number of fronts by which requests arrive; 0: 1
 
-	MaxWait    time.Duration // longest wait in the queue, in time that the program ran
-	TargetWait time.Duration // wait aimed at while requests are shed
-	Tick       time.Duration // how often the admission policy is set
-	ProbeShare float64       // share admitted beyond what was served, to find out about more capacity; 0 to 1
+	MaxWait    time.Duration // longest wait in the queue, without pauses of the program
+	TargetWait time.Duration // longest wait aimed at while requests are shed
+	Tick       time.Duration // interval at which the admission policy is set
+	ProbeShare float64       // share admitted in excess of what was served, to detect more capacity; 0 to 1
 
-	MaxRetryAfter time.Duration // longest Retry-After that shed requests are told
-	RetriesFirst  bool          // a client's retry is served before first attempts of its class, not after
-	MinPause      time.Duration // a shorter gap in which the program did not run is no pause
-	MemoryLimit   int64         // bytes that responses may take, on their way to clients; 0: unlimited
+	MaxRetryAfter time.Duration // longest Retry-After of shed requests
+	RetriesFirst  bool          // clients' retries are served before first attempts of their class, not after them
+	MinPause      time.Duration // a shorter gap in which the program did not run is not a pause
+	MemoryLimit   int64         // bytes that unsent responses may take; 0: unlimited
 }
 
-// validate fills in defaults, or returns an error that names the first faulty field.
+// validate fills in defaults. Its error names the first faulty field.
 func (c *Config) validate() error {
 	if err := c.validateClasses(); err != nil {
 		return err
@@ -54,7 +54,7 @@
 		return errors.New("overload: TargetWait is negative")
 	case c.Tick < 0:
 		return errors.New("overload: Tick is negative")
-	case !(c.ProbeShare >= 0 && c.ProbeShare <= 1): // NaN fails, too
+	case !(c.ProbeShare >= 0 && c.ProbeShare <= 1): // also fails for NaN
 		return fmt.Errorf("overload: ProbeShare: %v is not from 0 to 1", c.ProbeShare)
 	case c.MaxRetryAfter < 0:
 		return errors.New("overload: MaxRetryAfter is negative")
@@ -68,7 +68,7 @@
 	c.Tick = cmp.Or(c.Tick, DefaultTick)
 	c.TargetWait = cmp.Or(c.TargetWait, min(DefaultTargetWait, c.MaxWait/2))
 	if c.TargetWait > c.MaxWait {
-		return fmt.Errorf("overload: TargetWait %v is over MaxWait %v", c.TargetWait, c.MaxWait)
+		return fmt.Errorf("overload: TargetWait %v exceeds MaxWait %v", c.TargetWait, c.MaxWait)
 	}
 	c.ProbeShare = cmp.Or(c.ProbeShare, DefaultProbeShare)
 	c.MaxRetryAfter = cmp.Or(c.MaxRetryAfter, DefaultMaxRetryAfter)
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// validateClasses is the part of validate for Classes.
+// validateClasses validates Classes and fills in their defaults.
 func (c *Config) validateClasses() error {
 	if len(c.Classes) == 0 {
 		return errors.New("overload: Classes is empty")
@@ -86,11 +86,11 @@
 		class := &c.Classes[i]
 		switch {
 		case seen[class.Name]:
-			return fmt.Errorf("overload: Classes[%d]: %q stands twice", i, class.Name)
-		case !(class.PriorityWeight >= 0): // NaN fails, too
-			return fmt.Errorf("overload: Classes[%d].PriorityWeight: %v", i, class.PriorityWeight)
+			return fmt.Errorf("overload: Classes[%d]: the name %q is a duplicate", i, class.Name)
+		case !(class.PriorityWeight >= 0): // also fails for NaN
+			return fmt.Errorf("overload: Classes[%d].PriorityWeight: %v is not 0 or more", i, class.PriorityWeight)
 		case !(class.Cost >= 0):
-			return fmt.Errorf("overload: Classes[%d].Cost: %v", i, class.Cost)
+			return fmt.Errorf("overload: Classes[%d].Cost: %v is not 0 or more", i, class.Cost)
 		}
 		seen[class.Name] = true
 		class.Cost = cmp.Or(class.Cost, 1)
--- a/overload/export_test.go
+++ b/overload/export_test.go
@@ -1,4 +1,4 @@
 package overload
 
-// Slow reports whether a client reads its responses more slowly than it requests them.
+// Slow reports whether a client reads its responses too slowly.
 func (c *Client) Slow() bool { return c.slow }
--- a/overload/health.go
+++ b/overload/health.go
@@ -5,25 +5,27 @@
 // How the weight follows the shed level. Weights are in percent.
 const (
 	maxWeightPercent   = 100
-	minWeightPercent   = 10              // some load must come, or recovery would not be seen
+	minWeightPercent   = 10              // some load must arrive, or recovery could not be detected
 	weightStepPercent  = 5               // advertised weights are multiples of this
-	weightSlackPercent = 4               // difference from the advertised weight that isn't advertised
-	weightFallTime     = time.Second     // time constant of falling
-	weightRiseTime     = 5 * time.Second // time constant of rising
+	weightSlackPercent = 4               // smaller deviations from the advertised weight are not advertised
+	weightFallTime     = time.Second     // time constant while the weight falls
+	weightRiseTime     = 5 * time.Second // time constant while the weight rises
 	maxUpdateGap       = 10 * time.Second
 )
 
-// BalancerWeight turns the shed level into the weight that load balancers are told. The weight falls as more is shed, in steps that a
-// passing peak doesn't reach, and recovers slowly, so that load is not swung to and fro. The zero value is in full health.
+// BalancerWeight converts the shed level into the weight that is advertised to load balancers. The
+// weight falls as more is shed, in steps that are too large for a passing peak, and rises slowly,
+// so that load does not swing back and forth. The zero value has full weight. It is not safe for
+// concurrent use.
 type BalancerWeight struct {
-	weight     float64 // smoothed, in percent
+	weight     float64 // in percent, smoothed
 	advertised int     // in percent
 	updatedAt  time.Duration
 	started    bool
 }
 
-// Update takes in the shed level, 0 to 1, and returns the weight to advertise, in percent. Gaps between updates that are longer
-// than maxUpdateGap count as that.
+// Update processes the shed level, 0 to 1, and returns the weight to advertise, in percent. A gap
+// since the last update that is longer than maxUpdateGap counts as maxUpdateGap.
 func (h *BalancerWeight) Update(now time.Duration, level float64) int {
 	if !h.started {
 		h.started, h.updatedAt = true, now
--- a/overload/memory.go
+++ b/overload/memory.go
@@ -6,57 +6,62 @@
 	"time"
 )
 
-// Memory shares the memory for responses among clients, by dynamic thresholds (Choudhury and Hahne, "Dynamic queue length
-// thresholds for shared-memory packet switches", 1998): each client may use as much as a share of what is free. Clients
-// that use much leave little free, and are stopped first; those that use little always find room.
+// Memory shares the memory for responses among clients by dynamic thresholds (Choudhury and Hahne,
+// "Dynamic queue length thresholds for shared-memory packet switches", 1998): each client may use
+// up to a share of the free memory. Clients that use much leave little free, and are limited first;
+// clients that use little always find room.
 //
-// A client uses what is buffered for it, written but not sent, and what is reserved for its requests in flight. As a response
-// may be longer than expected, [Memory.Fits] checks it again before it is written. A reserve beyond the limit is for
-// clients that have read all that they were sent, so that no number of others shuts them out.
+// A client uses the bytes that are buffered for it, which are written but not sent, and the bytes
+// that are reserved for its requests in flight. As a response may be larger than expected,
+// [Memory.Fits] checks it again before it is written. A reserve beyond the limit is for clients
+// that have read all of their responses, so that other clients cannot starve them, whatever their
+// number.
 type Memory struct {
-	limit        int64 // bytes; 0: unlimited
-	buffered     int64 // bytes written and not sent, of all clients
-	reserved     int64 // bytes expected for requests in flight, of all clients
-	expectedSize float64
+	limit        int64   // bytes; 0: unlimited
+	buffered     int64   // bytes written and not sent, for all clients
+	reserved     int64   // bytes expected for requests in flight, for all clients
+	expectedSize float64 // bytes of a response, smoothed over all clients
 	clients      map[*Client]bool
-	serial       uint64 // of the latest client
+	lastSerial   uint64 // serial number of the client added last
 
-	Rejected uint64 // requests and responses without room
-	Closed   uint64 // clients that [Memory.Sweep] has named
+	Rejected uint64 // requests and responses rejected for want of memory
+	Closed   uint64 // clients that [Memory.Sweep] returned to be closed
 }
 
-// Client is one client's part of the memory. Make one with [Memory.AddClient].
+// Client is the account of a client in a [Memory]. [Memory.AddClient] makes it.
 type Client struct {
-	Value any // the caller's
+	Value any // for the caller's use
 
 	serial       uint64
 	reserved     int64   // bytes expected for requests in flight
 	buffered     int64   // bytes written and not sent
-	expectedSize float64 // bytes of a response, smoothed; 0: none was seen
+	expectedSize float64 // bytes of a response, smoothed; 0: there was none so far
 
-	checkedAt    time.Duration // time of the latest check for slowness
-	bufferedThen int64         // bytes buffered at that time
-	added        int64         // bytes written since
-	slow         bool
+	checkedAt       time.Duration // time of the latest check for slowness
+	bufferedAtCheck int64         // bytes buffered at checkedAt
+	addedSinceCheck int64         // bytes written since checkedAt
+	slow            bool
 }
 
-// initialExpectedSize is the size of a response, in bytes, that is expected before any was seen: the longest there is.
+// initialExpectedSize is the expected size of a response, in bytes, before any was seen: the
+// largest size that occurs.
 const initialExpectedSize = 240_000
 
-// NewMemory returns the sharing of a number of bytes; 0: unlimited.
+// NewMemory returns a Memory with a limit in bytes; 0: unlimited.
 func NewMemory(limit int64) *Memory {
 	return &Memory{limit: limit, expectedSize: initialExpectedSize, clients: map[*Client]bool{}}
 }
 
-// AddClient adds a client; value is kept for the caller.
+// AddClient adds a client. value is for the caller's use.
 func (m *Memory) AddClient(value any) *Client {
-	m.serial++
-	c := &Client{Value: value, serial: m.serial}
+	m.lastSerial++
+	c := &Client{Value: value, serial: m.lastSerial}
 	m.clients[c] = true
 	return c
 }
 
-// RemoveClient removes a client and all that it uses. One that was removed before is ignored.
+// RemoveClient removes a client and releases all that it uses. It does nothing for a client that
+// was removed before.
 func (m *Memory) RemoveClient(c *Client) {
 	if !m.clients[c] {
 		return
@@ -68,15 +73,15 @@
 }
 
 const (
-	// maxReservedRatio is the multiple of the limit that may be reserved in all: a request takes memory only when it is
-	// answered, and stores may be silent.
+	// maxReservedRatio is the multiple of the limit that may be reserved in total. It is above 1
+	// because a request takes memory only when it is answered, and endpoints may not answer.
 	maxReservedRatio = 4
 	// maxClientShare is the share of the free memory that one client may use.
 	maxClientShare = 0.25
 )
 
-// Reserve reserves memory for the response to one more request of a client. It returns the number of bytes reserved, to be
-// given back with [Memory.Release]; ok is false if there is no room.
+// Reserve reserves memory for the response to another request of a client. It returns the number of
+// bytes reserved, to be released by [Memory.Release]; ok is false if there is no room.
 func (m *Memory) Reserve(c *Client) (n int64, ok bool) {
 	n = int64(cmp.Or(c.expectedSize, m.expectedSize))
 	if m.limit > 0 && !m.mayReserve(c, n) {
@@ -88,8 +93,8 @@
 	return n, true
 }
 
-// mayReserve reports whether a number of bytes may be reserved for a client. For a client that leaves responses unread, what is
-// reserved counts as if it were buffered.
+// mayReserve reports whether n bytes may be reserved for a client. For a client with unread
+// responses, reserved bytes count as buffered ones.
 func (m *Memory) mayReserve(c *Client, n int64) bool {
 	if m.reserved+n > maxReservedRatio*m.limit {
 		return false
@@ -104,10 +109,11 @@
 	return float64(c.reserved+c.buffered+n) <= maxClientShare*float64(free)
 }
 
-// readerReserveDivisor gives the reserve beyond the limit for clients that have read all: the limit divided by this.
+// readerReserveDivisor gives the reserve for clients that have read all of their responses: the
+// limit divided by this.
 const readerReserveDivisor = 4
 
-// available is the number of bytes that may be buffered for a client in addition.
+// available returns the number of further bytes that may be buffered for a client.
 func (m *Memory) available(c *Client) int64 {
 	if c.buffered == 0 && !c.slow {
 		return m.limit - m.buffered + m.limit/readerReserveDivisor
@@ -115,7 +121,7 @@
 	return m.limit - m.buffered
 }
 
-// Fits reports whether a response of a size, in bytes, may be written to a client.
+// Fits reports whether a response of a size in bytes may be written to a client.
 func (m *Memory) Fits(c *Client, size int) bool {
 	if m.limit <= 0 {
 		return true
@@ -128,8 +134,8 @@
 	return false
 }
 
-// Release gives back the n bytes that were reserved for a request. size is that of its response, in bytes; negative: it had
-// none.
+// Release releases the n bytes that were reserved for a request. size is the size of its response
+// in bytes, from which the expected size is updated; negative: there was no response.
 func (m *Memory) Release(c *Client, n int64, size int) {
 	if !m.clients[c] {
 		return
@@ -144,13 +150,14 @@
 	c.expectedSize = max(1, c.expectedSize)
 }
 
-// Weights of the newest response in the expected size: one that is longer than expected counts more than a shorter one.
+// Weights of the newest response in the expected size. A response that is larger than expected
+// counts more than a smaller one.
 const (
 	sizeGrowWeight   = 0.5
 	sizeShrinkWeight = 0.1
 )
 
-// learnSize moves an expected size towards that of a response.
+// learnSize moves an expected size towards the size of a response.
 func learnSize(expected *float64, size float64) {
 	weight := sizeShrinkWeight
 	if *expected == 0 {
@@ -161,17 +168,18 @@
 	*expected += weight * (size - *expected)
 }
 
-// SetBuffered records how many bytes are buffered for a client now, and how many were just added to it.
+// SetBuffered records how many bytes are buffered for a client now, and how many of them were added
+// since the last call.
 func (m *Memory) SetBuffered(c *Client, buffered, added int64) {
 	if !m.clients[c] {
 		return
 	}
 	m.buffered += buffered - c.buffered
 	c.buffered = buffered
-	c.added += added
+	c.addedSinceCheck += added
 }
 
-// Used returns the number of bytes buffered, of all clients.
+// Used returns the number of bytes buffered for all clients.
 func (m *Memory) Used() int64 { return m.buffered }
 
 // Pressure returns the share of the limit that is buffered; 0 if there is no limit.
@@ -182,18 +190,18 @@
 	return float64(m.buffered) / float64(m.limit)
 }
 
-// When a client is slow, and when slow clients are closed.
+// When a client counts as slow, and when slow clients are closed.
 const (
 	slowCheckInterval = 400 * time.Millisecond
-	minDrainedShare   = 0.2      // share of what is buffered that a client must read within that interval, or it is slow
-	minSlowBytes      = 32 << 10 // with less buffered a client is not slow
+	minDrainedShare   = 0.2      // share of its buffered bytes that a client must read within the interval, or it is slow
+	minSlowBytes      = 32 << 10 // a client with fewer bytes buffered is not slow
 	closeFrom         = 0.7      // pressure from which slow clients are closed ...
-	closeTo           = 0.5      // ... until it is below this
+	closeTo           = 0.5      // ... until the pressure is below this
 )
 
-// Sweep finds out which clients are slow, and returns those to be closed: none while there is memory enough, else slow ones,
-// those first for which most is buffered. It is to be called some times a second. buffered returns the number of bytes
-// buffered for a client now.
+// Sweep updates which clients are slow, and returns those to be closed: none while there is enough
+// memory, otherwise slow ones, starting with those for which most is buffered. It is to be called a
+// few times a second. buffered returns the number of bytes buffered for a client now.
 func (m *Memory) Sweep(now time.Duration, buffered func(*Client) int64) (toClose []*Client) {
 	for c := range m.clients {
 		if c.buffered > 0 {
@@ -216,21 +224,22 @@
 	return toClose
 }
 
-// checkSlow judges, once an interval, whether a client is slow.
+// checkSlow decides, once per interval, whether a client is slow.
 func (c *Client) checkSlow(now time.Duration) {
 	switch {
 	case c.buffered < minSlowBytes:
 		c.slow = false
 	case now-c.checkedAt >= slowCheckInterval:
-		drained := c.bufferedThen + c.added - c.buffered
+		drained := c.bufferedAtCheck + c.addedSinceCheck - c.buffered
 		c.slow = float64(drained) < minDrainedShare*float64(c.buffered)
 	default:
 		return
 	}
-	c.bufferedThen, c.checkedAt, c.added = c.buffered, now, 0
+	c.bufferedAtCheck, c.checkedAt, c.addedSinceCheck = c.buffered, now, 0
 }
 
-// slowClients returns the slow clients, those first for which most is buffered; equal ones in the order in which they came.
+// slowClients returns the slow clients, by descending buffered bytes, and equal ones in the order
+// in which they were added.
 func (m *Memory) slowClients() (slow []*Client) {
 	for c := range m.clients {
 		if c.slow {
--- a/overload/memory_test.go
+++ b/overload/memory_test.go
@@ -7,15 +7,15 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever clients do, no more is set aside than there is, and all of it comes back.
+// Whatever clients do, no more than the limit allows is reserved, and all of it is released.
 func TestMemoryStaysWithinItsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMemory(4 << 20)
-		type out struct {
+		type reservation struct {
 			c *Client
 			n int64
 		}
-		var open []out
+		var open []reservation
 		var clients []*Client
 		for range 5 {
 			clients = append(clients, m.AddClient(nil))
@@ -24,9 +24,9 @@
 			c := clients[rapid.IntRange(0, 4).Draw(t, "client")]
 			if rapid.Bool().Draw(t, "asks") {
 				if n, ok := m.Reserve(c); ok {
-					open = append(open, out{c, n})
+					open = append(open, reservation{c, n})
 					if m.reserved > 16<<20 {
-						t.Fatalf("%d are expected", m.reserved)
+						t.Fatalf("%d bytes are reserved, limit 16 MB", m.reserved)
 					}
 				}
 			} else if len(open) > 0 {
@@ -42,7 +42,7 @@
 			m.RemoveClient(c)
 		}
 		if m.Used() != 0 || m.reserved != 0 {
-			t.Fatalf("%d and %d are left", m.Used(), m.reserved)
+			t.Fatalf("%d bytes buffered and %d reserved at the end, want 0", m.Used(), m.reserved)
 		}
 	})
 }
@@ -55,7 +55,7 @@
 	rejected int
 }
 
-// request has each client ask for twenty responses of 200,000 bytes.
+// request makes each client request twenty responses of 200,000 bytes.
 func (s *slowReaders) request() {
 	for _, c := range s.clients {
 		for range 20 {
@@ -73,13 +73,14 @@
 	}
 }
 
-// 200 clients that do not read and ask for much: they are held back, then closed, and one that reads always finds room.
-func TestSlowClientsMakeRoomForQuickOnes(t *testing.T) {
+// 200 clients that request much and read nothing are limited, then closed, while a client that
+// reads always finds room.
+func TestSlowClientsDoNotStarveFastOnes(t *testing.T) {
 	m := NewMemory(16 << 20)
-	quick := m.AddClient("quick")
-	for range 3 { // it is known what it asks for
-		if n, ok := m.Reserve(quick); ok {
-			m.Release(quick, n, 7600)
+	fast := m.AddClient("quick")
+	for range 3 { // so that its expected size is learned
+		if n, ok := m.Reserve(fast); ok {
+			m.Release(fast, n, 7600)
 		}
 	}
 	slow := &slowReaders{m: m, buffered: map[*Client]int64{}}
@@ -90,24 +91,24 @@
 	for now := time.Duration(0); now < 3*time.Second; now += 100 * ms {
 		slow.request()
 		for range 100 {
-			n, ok := m.Reserve(quick)
+			n, ok := m.Reserve(fast)
 			if !ok {
-				t.Fatalf("at %v a quick client finds no room, %d of %d are taken", now, m.Used(), 16<<20)
+				t.Fatalf("at %v a reading client finds no room; %d of %d bytes are buffered", now, m.Used(), 16<<20)
 			}
-			m.Release(quick, n, 7600)
+			m.Release(fast, n, 7600)
 		}
 		if m.Used() > 20<<20 {
-			t.Fatalf("%d are taken", m.Used())
+			t.Fatalf("%d bytes are buffered, limit 16 MB and a quarter", m.Used())
 		}
 		for _, c := range m.Sweep(now, func(c *Client) int64 { return slow.buffered[c] }) {
 			if c.Value != "slow" || !c.Slow() {
-				t.Fatal("a client that reads is closed")
+				t.Fatal("a client that reads its responses was closed")
 			}
 			closed++
 			m.RemoveClient(c)
 		}
 	}
 	if closed == 0 || slow.rejected == 0 {
-		t.Errorf("%d were closed, %d requests rejected", closed, slow.rejected)
+		t.Errorf("%d clients closed and %d requests rejected, want some of both", closed, slow.rejected)
 	}
 }
--- a/overload/queue.go
+++ b/overload/queue.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// Item is the place of one request in a [Queue]. Its zero value is in none. It is a part of what it stands for, so that
-// queueing allocates nothing, and removal takes the same time wherever it stands.
+// Item is the entry of a request in a [Queue]. The zero value is in no queue. An Item is a field of
+// what it stands for, so that queueing allocates nothing, and removal takes constant time at any
+// position.
 type Item struct {
-	Value any // the caller's
+	Value any // for the caller's use
 
 	next, prev   *Item
 	list         *itemList // nil: not queued
 	band, front  int
 	arrived      time.Duration
-	pausedBefore time.Duration // the queue's pausedTime at the arrival
+	pausedBefore time.Duration // the queue's pausedTime on arrival
 }
 
 // Queued reports whether the item is in a queue.
 func (i *Item) Queued() bool { return i.list != nil }
 
-// itemList is a doubly linked list of items, in the order of arrival.
+// itemList is a doubly linked list of items in the order in which they were added.
 type itemList struct{ first, last *Item }
 
 func (l *itemList) push(i *Item) {
@@ -48,17 +49,18 @@
 	i.next, i.prev, i.list = nil, nil, nil
 }
 
-// Queue holds admitted requests until they are served. It serves bands in their order, within a band the fronts by turns, and
-// within a front in the order of arrival. Its length is bounded by time: [Queue.PopExpired] returns what has waited for too
-// long. Waits are in time that the program ran.
+// Queue holds admitted requests until they are served. It serves the bands in order, within a band
+// the fronts in turn, and within a front the requests in the order in which they were added. Its
+// length is bounded by waiting time: [Queue.PopExpired] returns requests that have waited for too
+// long. Waits do not include pauses of the program.
 type Queue struct {
 	lists     [][]itemList // by band, then by front
 	nextFront []int        // by band: the front whose turn it is
 	count     []int        // items by band
-	size      int          // items in all
+	size      int          // total number of items
 
 	maxWait    time.Duration
-	pausedTime time.Duration // of all pauses so far
+	pausedTime time.Duration // total of all pauses so far
 	grace      time.Duration // added to maxWait ...
 	graceEnds  time.Duration // ... until this time
 }
@@ -72,8 +74,9 @@
 	return q
 }
 
-// Rebanded moves all items to a new queue with another number of bands, and returns that. band returns an item's new band by its
-// Value. Within a band and front they stand in the order of their arrival; the time that they have waited counts on.
+// Rebanded moves all items to a new queue with another number of bands, and returns that queue.
+// band returns the new band of an item by its Value. Within a band and front, items are in the
+// order of their arrival times, and they keep the time that they have waited.
 func (q *Queue) Rebanded(bands int, band func(value any) int) *Queue {
 	next := NewQueue(bands, len(q.lists[0]), q.maxWait)
 	next.pausedTime, next.grace, next.graceEnds = q.pausedTime, q.grace, q.graceEnds
@@ -93,11 +96,12 @@
 // Len returns the number of items.
 func (q *Queue) Len() int { return q.size }
 
-// Queued returns the number of items by band. The slice is the queue's own, and is valid until the queue changes.
+// Queued returns the number of items by band. The slice is the queue's own, and is valid until the
+// queue changes.
 func (q *Queue) Queued() []int { return q.count }
 
-// Push adds an item that arrived at a time, which may be earlier than that of others in the queue. An item that is in a queue
-// is ignored.
+// Push adds an item with its arrival time, which may be earlier than that of items added before. It
+// does nothing if the item is in a queue.
 func (q *Queue) Push(i *Item, band, front int, arrived time.Duration) {
 	if i.Queued() {
 		return
@@ -109,7 +113,7 @@
 	q.size++
 }
 
-// Remove removes an item. One that is in no queue, or in another, is ignored.
+// Remove removes an item. It does nothing for an item that is not in this queue.
 func (q *Queue) Remove(i *Item) {
 	if !q.contains(i) {
 		return
@@ -123,7 +127,7 @@
 	return i.Queued() && i.band < len(q.lists) && i.list == &q.lists[i.band][i.front]
 }
 
-// Pop removes and returns the item that is to be served next; nil if there is none.
+// Pop removes and returns the item to serve next; nil if there is none.
 func (q *Queue) Pop() *Item {
 	for b, n := range q.count {
 		if n == 0 {
@@ -142,18 +146,18 @@
 	return nil
 }
 
-// AddPausedTime records that the program did not run for a time, which doesn't count as waiting.
+// AddPausedTime records a pause of the program. Pauses do not count as waiting.
 func (q *Queue) AddPausedTime(d time.Duration) { q.pausedTime += d }
 
-// What has queued up in a pause may wait for longer: by the length of the pause, but by no more than maxGrace, and for
-// graceMultiple times as long as that.
+// Items that queued up during a pause may wait for longer than maxWait: by the length of the pause,
+// but by at most maxGrace, and for graceMultiple times as long as that.
 const (
 	maxGrace      = time.Second
 	graceMultiple = 6
 )
 
-// AddPauseWithGrace records an unusual pause that ended just now: as AddPausedTime, and what has queued up meanwhile may wait for
-// longer.
+// AddPauseWithGrace records an unusual pause that has just ended: like AddPausedTime, and items
+// that queued up meanwhile may wait for longer.
 func (q *Queue) AddPauseWithGrace(now, d time.Duration) {
 	q.AddPausedTime(d)
 	if g := min(d, maxGrace); g >= q.grace || now >= q.graceEnds {
@@ -161,12 +165,12 @@
 	}
 }
 
-// Waited returns how long an item has waited.
+// Waited returns how long an item has waited, without pauses.
 func (q *Queue) Waited(i *Item, now time.Duration) time.Duration {
 	return max(0, now-i.arrived-(q.pausedTime-i.pausedBefore))
 }
 
-// Grace returns by how much longer than usual an item may wait now.
+// Grace returns by how much longer than maxWait an item may wait now.
 func (q *Queue) Grace(now time.Duration) time.Duration { return q.WaitLimit(now) - q.maxWait }
 
 // WaitLimit returns how long an item may wait now.
@@ -177,7 +181,8 @@
 	return q.maxWait
 }
 
-// PopExpired removes and returns an item that has waited for too long, of the last bands first; nil if there is none.
+// PopExpired removes and returns an item that has waited for too long, from the last bands first;
+// nil if there is none.
 func (q *Queue) PopExpired(now time.Duration) *Item {
 	limit := q.WaitLimit(now)
 	for b := len(q.lists) - 1; b >= 0; b-- {
@@ -194,7 +199,7 @@
 	return nil
 }
 
-// LongestWait returns the longest that any item at the head of its list has waited.
+// LongestWait returns the longest wait among the items at the heads of the lists.
 func (q *Queue) LongestWait(now time.Duration) (longest time.Duration) {
 	for b, n := range q.count {
 		if n == 0 {
--- a/overload/queue_test.go
+++ b/overload/queue_test.go
@@ -7,15 +7,15 @@
 	"pgregory.net/rapid"
 )
 
-// queueModel drives a queue and remembers what must be in it.
+// queueModel drives a queue, and keeps a model of what must be in it.
 type queueModel struct {
-	t   *rapid.T
-	q   *Queue
-	in  []*queuedEntry
-	now time.Duration
+	t      *rapid.T
+	q      *Queue
+	queued []*modelEntry
+	now    time.Duration
 }
 
-type queuedEntry struct {
+type modelEntry struct {
 	item        *Item
 	band, front int
 	at          time.Duration
@@ -23,68 +23,68 @@
 
 const modelBands, modelFronts = 4, 2
 
-// drop removes an item from the model.
-func (m *queueModel) drop(i *Item) *queuedEntry {
-	for k, e := range m.in {
+// take removes an item from the model and returns its entry.
+func (m *queueModel) take(i *Item) *modelEntry {
+	for k, e := range m.queued {
 		if e.item == i {
-			m.in = append(m.in[:k:k], m.in[k+1:]...)
+			m.queued = append(m.queued[:k:k], m.queued[k+1:]...)
 			return e
 		}
 	}
-	m.t.Fatal("an item that was not in")
+	m.t.Fatal("the queue returned an item that was not in it")
 	return nil
 }
 
 func (m *queueModel) push() {
-	e := &queuedEntry{item: &Item{}, band: rapid.IntRange(0, modelBands-1).Draw(m.t, "band"),
+	e := &modelEntry{item: &Item{}, band: rapid.IntRange(0, modelBands-1).Draw(m.t, "band"),
 		front: rapid.IntRange(0, modelFronts-1).Draw(m.t, "front"), at: m.now}
 	m.q.Push(e.item, e.band, e.front, m.now)
-	m.q.Push(e.item, 0, 0, m.now) // a second time changes nothing
-	m.in = append(m.in, e)
+	m.q.Push(e.item, 0, 0, m.now) // a second Push is ignored
+	m.queued = append(m.queued, e)
 }
 
 func (m *queueModel) pop() {
 	i := m.q.Pop()
 	if i == nil {
-		if len(m.in) > 0 {
-			m.t.Fatal("nothing is handed out")
+		if len(m.queued) > 0 {
+			m.t.Fatal("Pop returned nothing from a queue with items")
 		}
 		return
 	}
-	got := m.drop(i)
-	for _, e := range m.in {
+	got := m.take(i)
+	for _, e := range m.queued {
 		if e.band < got.band || e.band == got.band && e.front == got.front && e.at < got.at {
-			m.t.Fatalf("band %d front %d came before band %d front %d", got.band, got.front, e.band, e.front)
+			m.t.Fatalf("an item of band %d, front %d was served before an earlier one of band %d, front %d", got.band, got.front, e.band, e.front)
 		}
 	}
 }
 
 func (m *queueModel) remove() {
-	if len(m.in) == 0 {
+	if len(m.queued) == 0 {
 		return
 	}
-	e := m.in[rapid.IntRange(0, len(m.in)-1).Draw(m.t, "which")]
+	e := m.queued[rapid.IntRange(0, len(m.queued)-1).Draw(m.t, "which")]
 	m.q.Remove(e.item)
 	m.q.Remove(e.item)
-	m.drop(e.item)
+	m.take(e.item)
 }
 
 func (m *queueModel) expire() {
 	for i := m.q.PopExpired(m.now); i != nil; i = m.q.PopExpired(m.now) {
-		if e := m.drop(i); m.now-e.at <= 20*ms {
-			m.t.Fatalf("expired after %v", m.now-e.at)
+		if e := m.take(i); m.now-e.at <= 20*ms {
+			m.t.Fatalf("an item expired after %v, limit 20 ms", m.now-e.at)
 		}
 	}
-	for _, e := range m.in {
+	for _, e := range m.queued {
 		if m.now-e.at > 20*ms {
-			m.t.Fatalf("kept for %v", m.now-e.at)
+			m.t.Fatalf("an item was kept for %v, limit 20 ms", m.now-e.at)
 		}
 	}
 }
 
-// Whatever is pushed, taken back and let expire: the queue hands out by bands, in each front's order, nothing twice,
-// and counts right.
-func TestQueueOrder(t *testing.T) {
+// Whatever is pushed, removed and expired, the queue serves by band, and in order within each front
+// of a band, returns nothing twice, and counts right.
+func TestQueueServesBandsThenArrivalOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &queueModel{t: t, q: NewQueue(modelBands, modelFronts, 20*ms)}
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
@@ -99,14 +99,14 @@
 			case 4:
 				m.expire()
 			}
-			if m.q.Len() != len(m.in) {
-				t.Fatalf("%d are in, and it says %d", len(m.in), m.q.Len())
+			if m.q.Len() != len(m.queued) {
+				t.Fatalf("the queue holds %d items, and Len returns %d", len(m.queued), m.q.Len())
 			}
 		}
 	})
 }
 
-// What waits keeps its order and the time that it has waited when there are other bands.
+// Rebanded keeps the order of items and the time that they have waited.
 func TestRebandedKeepsOrderAndWaits(t *testing.T) {
 	q := NewQueue(3, 2, 100*ms)
 	q.AddPausedTime(30 * ms)
@@ -122,22 +122,22 @@
 	}
 	next := q.Rebanded(5, func(v any) int { return 4 - v.(int)%2 })
 	if q.Len() != 0 || next.Len() != 6 || next.Queued()[4] != 3 || next.Queued()[3] != 3 {
-		t.Fatalf("%d were left behind, %d moved: %v", q.Len(), next.Len(), next.Queued())
+		t.Fatalf("%d items left in the old queue, %d in the new one, by band %v", q.Len(), next.Len(), next.Queued())
 	}
 	for i := range items {
 		if got := next.Waited(&items[i], time.Second); got != waited[i] {
-			t.Errorf("item %d waited %v, and %v after the move", i, waited[i], got)
+			t.Errorf("item %d had waited %v, and %v after Rebanded", i, waited[i], got)
 		}
 	}
 	next.Remove(&items[3])
 	for _, want := range []int{1, 5, 0, 2, 4} {
 		if got := next.Pop(); got.Value != want {
-			t.Errorf("%v came before %d", got.Value, want)
+			t.Errorf("item %v was served before item %d", got.Value, want)
 		}
 	}
 }
 
-func TestQueueTakesTheFrontsByTurns(t *testing.T) {
+func TestQueueServesFrontsInTurn(t *testing.T) {
 	q := NewQueue(1, 3, time.Second)
 	for n := range 10 {
 		q.Push(&Item{Value: 0}, 0, 0, time.Duration(n))
@@ -149,24 +149,25 @@
 		seen[q.Pop().Value] = true
 	}
 	if len(seen) != 3 {
-		t.Errorf("of three fronts, %v were served in three turns", seen)
+		t.Errorf("fronts served in three calls of Pop: %v, want all three", seen)
 	}
 }
 
-// A pause of the host is no waiting, and what queued up in it may wait for longer, for a while.
-func TestQueueForgivesPauses(t *testing.T) {
+// A pause by the host does not count as waiting, and items that queued up during it may wait for
+// longer, for a limited time.
+func TestQueueExtendsWaitAfterPause(t *testing.T) {
 	q := NewQueue(1, 1, 20*ms)
 	i, j := &Item{}, &Item{}
 	q.Push(i, 0, 0, 0)
 	q.AddPauseWithGrace(300*ms, 300*ms)
 	q.Push(j, 0, 0, 300*ms)
 	if w := q.Waited(i, 310*ms); w != 10*ms {
-		t.Errorf("waited %v", w)
+		t.Errorf("waited %v, want 10 ms", w)
 	}
 	if q.PopExpired(610*ms) != nil || q.PopExpired(625*ms) != i {
-		t.Error("the time after a pause is not 20 ms and the pause's length")
+		t.Error("after a pause an item does not expire after 20 ms and the length of the pause")
 	}
 	if q.WaitLimit(2200*ms) != 20*ms {
-		t.Error("the grace does not end")
+		t.Error("the longer wait after a pause does not end")
 	}
 }
