--- a/locality/backoff.go
+++ b/locality/backoff.go
@@ -3,18 +3,22 @@
 import "time"
 
 const (
-	// maxProbationBackoffRatio bounds the backoff between failed probations, as a multiple of Config.BaseBackoff: a
-	// probation costs little, and a late one costs all that the locality could have served.
+	// maxProbationBackoffRatio limits the backoff between failed probations, as a multiple of
+	// Config.BaseBackoff: a probation costs little, while a late one costs all that the locality
+	// could have served.
 	maxProbationBackoffRatio = 4
-	// maxBackoffDoublings keeps the shift from overflowing; more doublings exceed every bound.
+	// maxBackoffDoublings keeps the shift from overflowing. More doublings would exceed every
+	// limit.
 	maxBackoffDoublings = 8
-	// Backoffs are spread from minBackoffJitter times to minBackoffJitter+backoffJitter times their length.
+	// Backoffs vary from minBackoffJitter times to minBackoffJitter+backoffJitter times their
+	// length.
 	minBackoffJitter = 0.75
 	backoffJitter    = 0.5
 )
 
-// eject takes the locality out of use for a backoff. draw, in [0, 1), spreads the backoffs of gateways that see the same at the
-// same moment. What was seen of the locality is forgotten: it is judged anew when it is back.
+// eject stops sending to the locality for a backoff. draw, in [0, 1), varies the backoff among
+// gateways that make the same observations at the same time. Earlier results and load reports of
+// the locality are dropped, so that it is judged anew when it returns.
 func (l *localityState) eject(now time.Duration, c *Config, draw float64) {
 	backoff := l.nextBackoff(c)
 	l.retryAt = now + time.Duration((minBackoffJitter+backoffJitter*draw)*float64(backoff))
@@ -25,9 +29,10 @@
 	l.sentSinceSuccess = 0
 }
 
-// nextBackoff returns the backoff of a locality that is being ejected. One that fails again after it had recovered waits
-// twice as long as the last time, up to Config.MaxBackoff. One that fails its probations waits ever longer too, but no longer
-// than maxProbationBackoffRatio allows.
+// nextBackoff returns the backoff of a locality that is being ejected. A locality that fails again
+// after it had recovered waits twice as long as the last time, up to Config.MaxBackoff. A locality
+// that fails its probations waits longer each time, too, but no longer than
+// maxProbationBackoffRatio allows.
 func (l *localityState) nextBackoff(c *Config) time.Duration {
 	if l.state != StateProbation {
 		l.backoff = min(c.MaxBackoff, max(c.BaseBackoff, 2*l.backoff))
@@ -36,16 +41,16 @@
 		l.failedProbations++
 	}
 	longest := maxProbationBackoffRatio * c.BaseBackoff
-	if l.failedProbations > 0 && l.backoff > longest { // the long backoff is over
+	if l.failedProbations > 0 && l.backoff > longest { // the long backoff was served before the first probation
 		return longest
 	}
 	betweenProbations := min(c.MaxBackoff, longest, c.BaseBackoff<<min(l.failedProbations, maxBackoffDoublings))
 	return max(l.backoff, betweenProbations)
 }
 
-// forgiveBackoff halves the remembered backoff each time that the locality was in good health for as long as that, and for as
-// long as a ramp takes.
-func (l *localityState) forgiveBackoff(now time.Duration, c *Config) {
+// decayBackoff halves the remembered backoff whenever the locality was in good health for longer
+// than that backoff and than a ramp takes.
+func (l *localityState) decayBackoff(now time.Duration, c *Config) {
 	if l.backoff <= 0 || now-l.healthySince <= max(l.backoff, c.RampDuration) {
 		return
 	}
--- a/locality/budget.go
+++ b/locality/budget.go
@@ -2,44 +2,48 @@
 
 import "time"
 
-// budget bounds what is spent to a share of the requests that come, in every moment: it earns with each of them.
-type budget struct{ saved float64 } // requests
+// budget is a token bucket that limits a kind of request to a share of all requests, over any short
+// time. Each request adds a share of a token.
+type budget struct{ tokens float64 } // requests that may be sent now
 
-// budgetWindow is the time of whose requests a budget may save up at most: a bound is exceeded by a hundredth in a second.
+// budgetWindow limits the tokens that a budget can hold to those of the requests of this time. A
+// limit is thus exceeded by at most a hundredth within a second.
 const budgetWindow = 10 * time.Millisecond
 
-// rateMemory is the time constant of the rate of requests.
-const rateMemory = time.Second
+// rateTimeConstant is the time constant of the request rate.
+const rateTimeConstant = time.Second
 
-// earn adds a share of a request, up to the most that may be saved.
-func (b *budget) earn(share, most float64) { b.saved = min(max(1, most), b.saved+share) }
+// refill adds a share of a token. The budget holds at most maxTokens, or 1 if that is more.
+func (b *budget) refill(share, maxTokens float64) { b.tokens = min(max(1, maxTokens), b.tokens+share) }
 
-// allows reports whether a request may be spent.
-func (b *budget) allows() bool { return b.saved >= 1 }
+// hasToken reports whether the budget allows a request.
+func (b *budget) hasToken() bool { return b.tokens >= 1 }
 
-// spend spends a request.
-func (b *budget) spend() { b.saved-- }
+// take takes the token of a request.
+func (b *budget) take() { b.tokens-- }
 
-// earnBudgets counts a request: the budgets of levels and localities are shares of the requests that come.
-func (s *Selector) earnBudgets(now time.Duration) {
-	s.requests.add(now, 1, rateMemory)
-	most := s.requests.now(now, rateMemory) * budgetWindow.Seconds()
+// refillBudgets adds to the budgets of levels and localities at each request, as these are shares
+// of the requests.
+func (s *Selector) refillBudgets(now time.Duration) {
+	s.requests.add(now, 1, rateTimeConstant)
+	maxTokens := s.requests.valueAt(now, rateTimeConstant) * budgetWindow.Seconds()
 	for level := 1; level < len(s.levelBudgets); level++ {
-		s.levelBudgets[level].earn(s.cfg.MaxSpillover, most)
+		s.levelBudgets[level].refill(s.cfg.MaxSpillover, maxTokens)
 	}
 	for _, l := range s.localities[1:] {
-		l.budget.earn(l.maxSpillover, most)
+		l.budget.refill(l.maxSpillover, maxTokens)
 	}
 }
 
-// spendBudgets takes a request from the budgets of a locality and its level, and reports whether both allow it.
-func (s *Selector) spendBudgets(locality int) bool {
+// takeFromBudgets takes a token from the budgets of a locality and of its level. It returns false
+// and takes none if one of them is empty.
+func (s *Selector) takeFromBudgets(locality int) bool {
 	l := s.localities[locality]
 	level := &s.levelBudgets[l.Level]
-	if !l.budget.allows() || !level.allows() {
+	if !l.budget.hasToken() || !level.hasToken() {
 		return false
 	}
-	l.budget.spend()
-	level.spend()
+	l.budget.take()
+	level.take()
 	return true
 }
--- a/locality/bypass.go
+++ b/locality/bypass.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// bypass is the part of the requests without capacity in any locality that the own director is given all the same, to send
-// them past its caches.
+// bypass holds the state of bypassing: requests for which no locality has capacity may still be
+// given to the own director, which sends them past the caches.
 type bypass struct {
-	share     float64     // of the requests without capacity in any locality, 0 to 1
-	good, bad decayingSum // results
+	share     float64     // share of the requests without capacity in any locality that bypass the caches, 0 to 1
+	good, bad decayingSum // decaying numbers of good and bad results
 }
 
-// bypassProbeShare is the share of the requests without capacity in any locality that is sent past the caches to find out how
-// that goes.
+// bypassProbeShare is the share of the requests without capacity in any locality that bypass the
+// caches to find out whether they are served.
 const bypassProbeShare = 0.1
 
-// BypassFinished records how an attempt ended that the own director sent past the caches of its locality, straight to what
-// stands behind them. For the locality it is a failure: see [ClassifyResult].
+// BypassFinished records the result of an attempt that the own director sent past the caches of its
+// locality, to a parent or the origin. For the locality it counts as a failure; see
+// [ClassifyResult].
 func (s *Selector) BypassFinished(now time.Duration, r Result) {
 	w := resultWeights[r]
-	s.bypass.good.add(now, w.good, resultMemory)
-	s.bypass.bad.add(now, w.bad, resultMemory)
+	s.bypass.good.add(now, w.good, resultTimeConstant)
+	s.bypass.bad.add(now, w.bad, resultTimeConstant)
 }
 
-// setBypassShare sends as many of the requests without capacity in any locality past the caches as has been seen to go well,
-// so that nothing is rejected that the upper caches and the origin could still serve. What they can do is the director's to judge, which rejects
-// what they can't.
+// setBypassShare sets the share of the requests without capacity in any locality that bypass the
+// caches, by the results of earlier ones, so that no request is rejected that the parents and the
+// origin could still serve. The director judges what these can serve, and rejects the rest.
 func (s *Selector) setBypassShare(now, span time.Duration) {
-	good, bad := s.bypass.good.now(now, resultMemory), s.bypass.bad.now(now, resultMemory)
+	good, bad := s.bypass.good.valueAt(now, resultTimeConstant), s.bypass.bad.valueAt(now, resultTimeConstant)
 	results := good + bad
 	own := s.localities[0]
 	switch {
-	case s.servedShare >= 1 || own.state == StateRecovering: // its ramp says how much its caches are given
+	case s.servedShare >= 1 || own.state == StateRecovering: // the ramp determines what the own caches get
 		s.bypass.share = 0
-	case results < 1: // nothing is known; a few are worth trying where no cache is left that could hang
+	case results < 1: // nothing is known; only without any cache that could hang are a few requests worth a try
 		s.bypass.share = 0
-		if own.isGone() {
+		if own.hasNoCacheUp() {
 			s.bypass.share = bypassProbeShare
 		}
 	case good < (1+s.cfg.MinHealth)/2*results:
 		s.bypass.share = max(s.bypass.share/2, bypassProbeShare)
-	case results >= s.requests.now(now, rateMemory)/2: // most of the load has just gone this way, and well
+	case results >= s.requests.valueAt(now, rateTimeConstant)/2: // at least half of the load was bypassed lately, with good results
 		s.bypass.share = 1
 	default:
 		s.bypass.share = min(1, s.bypass.share+2*s.cfg.SpilloverRise*span.Seconds())
--- a/locality/config.go
+++ b/locality/config.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Locality is a place with caches that may serve requests.
+// Locality is a location with caches that may serve requests.
 type Locality struct {
 	Name   string
-	Level  int     // priority level: 0 for the own one, 1 and up for those that load may spill over to
-	Weight float64 // capacity of its caches together, relative to the others'; 0: 1
+	Level  int     // priority level: 0 for the own locality, 1 and up for localities that load may spill over to
+	Weight float64 // total capacity of its caches relative to other localities; 0: 1
 }
 
-// Defaults for what a Config leaves out.
+// Defaults of Config.
 const (
 	DefaultOverProvisioning   = 1.4
 	DefaultMaxSpillover       = 0.3
@@ -32,45 +32,48 @@
 	DefaultMaxRetryAfter      = 2 * time.Second
 )
 
-// Config configures the decisions. The zero value of a field is its default.
+// Config configures a Selector. Fields that are zero get their defaults.
 type Config struct {
 	Localities []Locality // the own one first
-	Bands      int        // priority bands of requests, the first served first (see overload.Order); 0: 1
+	Bands      int        // priority bands of requests, of which band 0 is served first (see overload.Order); 0: 1
 
-	// OverProvisioning is the factor by which a locality has more capacity than its load needs: it takes all of its load
-	// while a share of 1/OverProvisioning of it is healthy. 1 to 10.
+	// OverProvisioning is the ratio of a locality's capacity to what its load needs: the locality
+	// keeps all of its load while a share of at least 1/OverProvisioning of it is healthy. 1 to 10.
 	OverProvisioning float64
-	// MaxSpillover is the share of the own load that goes to the localities of one level at most. 0 to 1.
+	// MaxSpillover is the largest share of the own load that may spill over to the localities of
+	// one level. 0 to 1.
 	MaxSpillover float64
-	// SpareCapacityShare is the share of what a locality reports to be spare that all gateways of the own locality use
-	// together at most. 0 to 1.
+	// SpareCapacityShare is the largest share of the spare capacity reported by a locality that all
+	// gateways of the own locality use together. 0 to 1.
 	SpareCapacityShare float64
-	// FullUtilization is the utilization that a locality's links may have, spillover included; the rest is spare. 0 to 2.
+	// FullUtilization is the highest intended utilization of a locality's links, including
+	// spillover. What the utilization is below it is spare capacity. 0 to 2.
 	FullUtilization float64
-	// SpilloverRise is by how much the share that spills over to a locality grows in a second at most; it falls at once. 0 to 10.
+	// SpilloverRise is by how much, at most, the share that spills over to a locality rises per
+	// second. The share falls without delay. 0 to 10.
 	SpilloverRise float64
-	// PanicThreshold is the share of all weight that must be healthy. At or below it the fault is taken to be elsewhere, and
-	// nothing spills over. 0 to 1.
+	// PanicThreshold is the share of the total weight at or below which too little is healthy. The
+	// fault is then assumed to be elsewhere, and nothing spills over (panic mode). 0 to 1.
 	PanicThreshold float64
 	// MinHealth is the share of good results below which a locality is ejected. 0 to 1.
 	MinHealth float64
 
-	RampStart    float64       // share of its load with which a locality recovers; 0 to 1
-	RampDuration time.Duration // least time until it has all of its load
+	RampStart    float64       // share of its load that a recovering locality starts with; 0 to 1
+	RampDuration time.Duration // shortest time until a recovering locality has all of its load, without rejections elsewhere
 	WarmHitRatio float64       // share of the usual hit ratio from which a recovering locality ramps up at full pace; 0 to 1
 
-	SilenceTimeout time.Duration // a locality with attempts in flight and no success for so long is ejected
-	BaseBackoff    time.Duration // wait before an ejected locality is tried; it doubles when the locality is ejected again ...
+	SilenceTimeout time.Duration // a locality with attempts in flight and without success for this long is ejected
+	BaseBackoff    time.Duration // wait before an ejected locality is tried again; doubles when the locality is ejected after it recovered ...
 	MaxBackoff     time.Duration // ... up to this, and halves after as long in good health
 
-	Tick          time.Duration // how often shares are set
-	MaxRetryAfter time.Duration // longest Retry-After that rejected requests are told
-	Seed          uint64        // of this gateway, so that backoffs differ from gateway to gateway
+	Tick          time.Duration // interval at which shares are set
+	MaxRetryAfter time.Duration // longest Retry-After of rejected requests
+	Seed          uint64        // seed of this gateway, so that backoffs differ between gateways
 }
 
-// FieldError says that a field of a [Config] is faulty.
+// FieldError is an error of [Config.Validate] about one field of a [Config].
 type FieldError struct {
-	Field  string // for instance "MaxBackoff" or "Localities[1].Name"
+	Field  string // such as "MaxBackoff" or "Localities[1].Name"
 	Reason string
 }
 
@@ -80,7 +83,7 @@
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Validate fills in defaults. Its error is a [*FieldError] for the first faulty field.
+// Validate fills in defaults. It returns a [*FieldError] for the first faulty field.
 func (c *Config) Validate() error {
 	if err := c.validateLocalities(); err != nil {
 		return err
@@ -97,7 +100,7 @@
 
 func (c *Config) validateLocalities() error {
 	if len(c.Localities) == 0 {
-		return fieldError("Localities", "there is none")
+		return fieldError("Localities", "empty, want at least the own locality")
 	}
 	seen := map[string]bool{}
 	for i := range c.Localities {
@@ -105,11 +108,11 @@
 		field := fmt.Sprintf("Localities[%d]", i)
 		switch {
 		case l.Name == "" || seen[l.Name]:
-			return fieldError(field+".Name", "%q is empty or stands twice", l.Name)
+			return fieldError(field+".Name", "the name %q is empty or a duplicate", l.Name)
 		case (i == 0) != (l.Level == 0) || l.Level < 0:
-			return fieldError(field+".Level", "%d; the first is the own one, of level 0, and no other", l.Level)
-		case !(l.Weight >= 0): // NaN fails, too
-			return fieldError(field+".Weight", "%v", l.Weight)
+			return fieldError(field+".Level", "%d, want 0 for the first locality, which is the own one, and 1 or more for the others", l.Level)
+		case !(l.Weight >= 0): // also fails for NaN
+			return fieldError(field+".Weight", "%v is not 0 or more", l.Weight)
 		}
 		seen[l.Name] = true
 		l.Weight = cmp.Or(l.Weight, 1)
@@ -119,10 +122,10 @@
 
 func (c *Config) validateNumbers() error {
 	for _, f := range []struct {
-		name               string
-		value              *float64
-		byDefault          float64
-		smallest, greatest float64
+		name        string
+		value       *float64
+		byDefault   float64
+		least, most float64
 	}{
 		{"OverProvisioning", &c.OverProvisioning, DefaultOverProvisioning, 1, 10},
 		{"MaxSpillover", &c.MaxSpillover, DefaultMaxSpillover, 0, 1},
@@ -135,8 +138,8 @@
 		{"WarmHitRatio", &c.WarmHitRatio, DefaultWarmHitRatio, 0, 1},
 	} {
 		*f.value = cmp.Or(*f.value, f.byDefault)
-		if !(*f.value >= f.smallest && *f.value <= f.greatest) { // NaN fails, too
-			return fieldError(f.name, "%v is not from %v to %v", *f.value, f.smallest, f.greatest)
+		if !(*f.value >= f.least && *f.value <= f.most) { // also fails for NaN
+			return fieldError(f.name, "%v is not from %v to %v", *f.value, f.least, f.most)
 		}
 	}
 	return nil
@@ -161,7 +164,7 @@
 		}
 	}
 	if c.MaxBackoff < c.BaseBackoff {
-		return fieldError("MaxBackoff", "%v is less than the first wait, which is %v", c.MaxBackoff, c.BaseBackoff)
+		return fieldError("MaxBackoff", "%v is less than the base backoff, which is %v", c.MaxBackoff, c.BaseBackoff)
 	}
 	return nil
 }
--- a/locality/endpoints.go
+++ b/locality/endpoints.go
@@ -7,12 +7,15 @@
 	"larchusher/routing"
 )
 
-// DirectorSettings returns the settings of the director for one locality, by its index, in a gateway that has a director for
-// each; base are those of the director for the own locality. The error says that a locality is none of the zones.
+// DirectorSettings returns the settings of the director for one locality, given its index, in a
+// gateway that has a director for each locality. base are the settings of the director for the own
+// locality. It returns an error if the locality is not one of the zones.
 //
-// Every gateway of the installation may send to every locality, and has as many directors, which share the upper caches.
-// What a director spends on a store in slow start follows what warm stores carry for it, which adds up to what they can do
-// however many directors there are; but each director has a floor, and floors are shared by the number of directors.
+// Every gateway of the installation may send to every locality, and has as many directors, which
+// share the parents. In slow start, a director sends an endpoint a load that depends on what warm
+// endpoints carry for that director; over all directors this adds up to what the endpoints can
+// serve, whatever the number of directors. But each director also sends a minimum, which has to be
+// divided by the number of directors.
 func DirectorSettings(base routing.Settings, localities []Locality, index int) (routing.Settings, error) {
 	s, l := base, localities[index]
 	if !slices.Contains(s.Zones, l.Name) {
@@ -25,20 +28,22 @@
 		s.ZoneDirectors[i] = gateways
 	}
 	s.Directors = gateways * len(localities)
-	// Gossip is among the gateways of one location: those of another know nothing of our director for theirs.
+	// Gossip is exchanged among the gateways of one location. Those of another location have no
+	// director that corresponds to ours for their location.
 	s.Gossip = base.Gossip && index == 0
 	return s, nil
 }
 
-// EndpointIndex counts the caches of each locality from the endpoint list.
+// EndpointIndex maintains the number of caches that are up in each locality, from the endpoint
+// list.
 type EndpointIndex struct {
-	localities  map[string]int // index by zone
+	localities  map[string]int // index of a locality by its zone
 	isCacheKind func(kind string) bool
-	endpoints   map[string]indexedEndpoint // by id
-	cachesUp    []int                      // by locality
+	endpoints   map[string]indexedEndpoint // by endpoint id
+	cachesUp    []int                      // number of caches up, by locality
 }
 
-// noLocality is the index of endpoints outside the localities.
+// noLocality is the locality index of endpoints outside the localities.
 const noLocality = -1
 
 type indexedEndpoint struct {
@@ -47,7 +52,7 @@
 	up       bool
 }
 
-// NewEndpointIndex returns an empty index.
+// NewEndpointIndex returns an empty index for the localities.
 func NewEndpointIndex(s routing.Settings, localities []Locality) *EndpointIndex {
 	x := &EndpointIndex{
 		localities: map[string]int{},
@@ -64,10 +69,10 @@
 	return x
 }
 
-// Update takes in an update of the endpoint list, and returns the number of caches that are up, by locality. The slice is the
-// index's own, and is valid until the next call.
+// Update applies an update of the endpoint list, and returns the number of caches that are up, by
+// locality. The slice is the index's own, and is valid until the next call.
 func (x *EndpointIndex) Update(u routing.EndpointUpdate) []int {
-	if u.Kind == routing.WatchLost { // what was known goes on
+	if u.Kind == routing.WatchLost { // the endpoints known so far are kept
 		return x.cachesUp
 	}
 	if u.Kind != routing.DeltaList {
@@ -85,7 +90,7 @@
 	return x.cachesUp
 }
 
-// set takes in the entry of one endpoint.
+// set applies the list entry of one endpoint.
 func (x *EndpointIndex) set(e routing.Endpoint) {
 	if e.Phase == routing.Removed {
 		delete(x.endpoints, e.ID)
@@ -98,7 +103,7 @@
 	x.endpoints[e.ID] = indexedEndpoint{locality: locality, cache: x.isCacheKind(e.Kind), up: e.Phase == routing.Up}
 }
 
-// IsCache reports whether an endpoint is a cache of a locality, and not one behind it.
+// IsCache reports whether an endpoint is a cache of a locality, and not a parent or the origin.
 func (x *EndpointIndex) IsCache(id string, locality int) bool {
 	e, ok := x.endpoints[id]
 	return ok && e.cache && e.locality == locality
--- a/locality/endpoints_test.go
+++ b/locality/endpoints_test.go
@@ -10,8 +10,8 @@
 func TestDirectorSettings(t *testing.T) {
 	base := routing.Settings{Directors: 4, Zone: "own", Zones: []string{"hub", "own", "near", "far"}, ZoneDirectors: []int{0, 2, 1, 1}, Gossip: true}
 	for locality, want := range []int{12, 12, 12} {
-		s, err := DirectorSettings(base, config().Localities, locality)
-		if err != nil || s.Zone != config().Localities[locality].Name || s.ZoneDirectors[1] != 4 || s.Directors != want || s.Gossip != (locality == 0) {
+		s, err := DirectorSettings(base, testConfig().Localities, locality)
+		if err != nil || s.Zone != testConfig().Localities[locality].Name || s.ZoneDirectors[1] != 4 || s.Directors != want || s.Gossip != (locality == 0) {
 			t.Errorf("%d: %+v, %v", locality, s, err)
 		}
 	}
@@ -20,18 +20,18 @@
 	}
 }
 
-func TestEndpointIndexCounts(t *testing.T) {
-	x := NewEndpointIndex(routing.Settings{Kinds: []string{"box", "parent", "origin"}, ParentKind: 1, OriginKind: 2}, config().Localities)
+func TestEndpointIndexCountsCachesUp(t *testing.T) {
+	index := NewEndpointIndex(routing.Settings{Kinds: []string{"box", "parent", "origin"}, ParentKind: 1, OriginKind: 2}, testConfig().Localities)
 	list := []routing.Endpoint{{ID: "a", Zone: "own", Kind: "box"}, {ID: "b", Zone: "own", Kind: "box", Phase: routing.Draining},
 		{ID: "c", Zone: "near", Kind: "box"}, {ID: "p", Zone: "own", Kind: "parent"}, {ID: "x", Zone: "elsewhere", Kind: "box"}}
-	if up := x.Update(routing.EndpointUpdate{Kind: routing.FullList, Endpoints: list}); up[0] != 1 || up[1] != 1 || up[2] != 0 {
+	if up := index.Update(routing.EndpointUpdate{Kind: routing.FullList, Endpoints: list}); up[0] != 1 || up[1] != 1 || up[2] != 0 {
 		t.Errorf("%v", up)
 	}
-	if up := x.Update(routing.EndpointUpdate{Kind: routing.DeltaList, Endpoints: []routing.Endpoint{{ID: "a", Phase: routing.Removed},
+	if up := index.Update(routing.EndpointUpdate{Kind: routing.DeltaList, Endpoints: []routing.Endpoint{{ID: "a", Phase: routing.Removed},
 		{ID: "d", Zone: "far", Kind: "box"}}}); up[0] != 0 || up[1] != 1 || up[2] != 1 {
 		t.Errorf("%v", up)
 	}
-	if up := x.Update(routing.EndpointUpdate{Kind: routing.WatchLost}); up[2] != 1 || !x.IsCache("c", 1) || x.IsCache("c", 0) || x.IsCache("p", 0) {
+	if up := index.Update(routing.EndpointUpdate{Kind: routing.WatchLost}); up[2] != 1 || !index.IsCache("c", 1) || index.IsCache("c", 0) || index.IsCache("p", 0) {
 		t.Errorf("%v", up)
 	}
 }
--- a/locality/export_test.go
+++ b/locality/export_test.go
@@ -1,6 +1,6 @@
 package locality
 
-// Panicking reports whether nearly everything looks unhealthy, so that the fault is taken to be elsewhere.
+// Panicking reports whether the selector is in panic mode.
 func (s *Selector) Panicking() bool { return s.panicking }
 
 // SpilloverShare returns the share of the own load that goes to other localities.
--- a/locality/health.go
+++ b/locality/health.go
@@ -2,73 +2,73 @@
 
 import "time"
 
-// State is how a locality is used.
+// State is the state of a locality, on which its load depends.
 type State int
 
 // The states of a locality.
 const (
-	StateHealthy    State = iota // it takes its load
-	StateEjected                 // it gets nothing until its backoff is over
-	StateProbation               // then it gets a few requests
-	StateRecovering              // and if they end well a growing part of its load
+	StateHealthy    State = iota // gets its load
+	StateEjected                 // gets nothing until its backoff has passed
+	StateProbation               // gets a few requests, after the backoff
+	StateRecovering              // gets a growing part of its load, after a successful probation
 )
 
-// String returns the name of a state in counters and logs.
+// String returns the name of a state in metrics and logs.
 func (s State) String() string { return [...]string{"steady", "away", "trial", "returning"}[s] }
 
-// Over how long what was seen of a locality counts.
+// Time constants with which observations of a locality decay.
 const (
-	resultMemory      = 1500 * time.Millisecond // results
-	utilizationMemory = resultMemory / 2        // load reports
-	hitMemory         = 2 * time.Second         // hits and misses
-	usualMemory       = 60 * time.Second        // what is usual in good health
+	resultTimeConstant      = 1500 * time.Millisecond // results
+	utilizationTimeConstant = resultTimeConstant / 2  // load reports
+	hitTimeConstant         = 2 * time.Second         // hits and misses
+	usualTimeConstant       = 60 * time.Second        // usual hit ratio and utilization
 
-	minResults = 5.0 // with fewer results, hits or attempts nothing is known
+	minResults = 5.0 // with fewer results, reads or attempts, nothing is concluded
 )
 
-// localityState is a locality as this gateway sees it.
+// localityState is the state of a locality as observed by this gateway.
 type localityState struct {
 	Locality
 	state      State
 	stateSince time.Duration
 
 	// Backoff.
-	retryAt          time.Duration // ejected: on probation from then on
-	backoff          time.Duration // latest backoff after it had recovered; 0: none, or forgiven
-	failedProbations int           // in a row
+	retryAt          time.Duration // when an ejected locality may go on probation
+	backoff          time.Duration // latest backoff after a recovery; 0: none, or decayed
+	failedProbations int           // consecutive ones
 	healthySince     time.Duration
 
-	// What was seen of it.
-	cachesUp         int // by the endpoint list
+	// Observations.
+	cachesUp         int // by the endpoint list; valid once listed is true
 	listed           bool
-	good, bad        decayingSum // results
+	good, bad        decayingSum // decaying numbers of good and bad results
 	hits, reads      decayingSum
-	usualHits        movingAverage // hit ratio in good health
-	usualUtilization movingAverage // in good health
-	utilization      movingAverage // of its links, by its reports
-	inFlight         int           // attempts
-	sentSinceSuccess int           // attempts
+	usualHitRatio    movingAverage // hit ratio in good health
+	usualUtilization movingAverage // utilization in good health
+	utilization      movingAverage // utilization of its links, from load reports
+	inFlight         int           // attempts in flight
+	sentSinceSuccess int           // attempts sent since the latest success
 	lastSuccess      time.Duration
-	probationSent    int // requests of the probation that were sent,
-	probationPassed  int // that ended well,
-	probationFailed  int // and that did not
+	probationSent    int // requests sent in the current probation,
+	probationPassed  int // of these, those that succeeded,
+	probationFailed  int // and those that failed
 
-	// What it may have.
-	rampShare       float64 // of its load, 0 to 1
-	maxSpillover    float64 // share of the own load that may spill over to it; not for the own locality
+	// Load that it may get.
+	rampShare       float64 // share of its load that it gets by its ramp, 0 to 1
+	maxSpillover    float64 // largest share of the own load that may spill over to it; unused for the own locality
 	laggedSpillover movingAverage
 	budget          budget
 	picked          uint64
 }
 
-// record takes in a result.
+// record records a result.
 func (l *localityState) record(now time.Duration, r Result) {
-	if l.state == StateEjected { // it is of the time before the ejection
+	if l.state == StateEjected { // the result is of an attempt from before the ejection
 		return
 	}
 	w := resultWeights[r]
-	l.good.add(now, w.good, resultMemory)
-	l.bad.add(now, w.bad, resultMemory)
+	l.good.add(now, w.good, resultTimeConstant)
+	l.bad.add(now, w.bad, resultTimeConstant)
 	if l.state != StateProbation {
 		return
 	}
@@ -77,61 +77,65 @@
 		l.probationPassed++
 	case ResultFailure, ResultRejected:
 		l.probationFailed++
-	case ResultNeutral: // no verdict
+	case ResultNeutral: // no evidence about the locality
 	}
 }
 
-// health returns the share of good results lately, 0 to 1. known is false, and the health 1, if there were too few.
+// health returns the share of good results lately, 0 to 1. If there were too few results, known is
+// false and the health is 1.
 func (l *localityState) health(now time.Duration) (health float64, known bool) {
-	good, bad := l.good.now(now, resultMemory), l.bad.now(now, resultMemory)
+	good, bad := l.good.valueAt(now, resultTimeConstant), l.bad.valueAt(now, resultTimeConstant)
 	if good+bad < minResults {
 		return 1, false
 	}
 	return good / (good + bad), true
 }
 
-// isBelow reports whether the health is known and below a bound.
+// isBelow reports whether the health is known and below a limit.
 func (l *localityState) isBelow(now time.Duration, bound float64) bool {
 	health, known := l.health(now)
 	return known && health < bound
 }
 
-// isSilent reports whether attempts are in flight and none has succeeded for too long.
+// isSilent reports whether attempts are in flight and none has succeeded for longer than
+// Config.SilenceTimeout.
 func (l *localityState) isSilent(now time.Duration, c *Config) bool {
 	return l.inFlight > 0 && l.sentSinceSuccess >= int(minResults) && now-l.lastSuccess > c.SilenceTimeout
 }
 
-// isGone reports whether the endpoint list has no cache up there.
-func (l *localityState) isGone() bool { return l.listed && l.cachesUp == 0 }
+// hasNoCacheUp reports whether, by the endpoint list, no cache of the locality is up.
+func (l *localityState) hasNoCacheUp() bool { return l.listed && l.cachesUp == 0 }
 
-// inUse reports whether the locality takes load, beyond a probation.
+// inUse reports whether the locality gets load beyond that of a probation.
 func (l *localityState) inUse() bool { return l.state == StateHealthy || l.state == StateRecovering }
 
-// hitRatio returns the share of reads that were hits lately, 0 to 1. known is false if there were too few.
+// hitRatio returns the share of hits among recent reads, 0 to 1. known is false if there were too
+// few reads.
 func (l *localityState) hitRatio(now time.Duration) (share float64, known bool) {
-	reads := l.reads.now(now, hitMemory)
+	reads := l.reads.valueAt(now, hitTimeConstant)
 	if reads < minResults {
 		return 0, false
 	}
-	return l.hits.now(now, hitMemory) / reads, true
+	return l.hits.valueAt(now, hitTimeConstant) / reads, true
 }
 
-// learnFromHealth is the health from which what is seen of a locality is usual.
-const learnFromHealth = 0.9
+// minLearningHealth is the health from which observations of a locality count as usual.
+const minLearningHealth = 0.9
 
-// learnUsual takes the hit ratio and the utilization for usual while the locality is in good health.
-func (l *localityState) learnUsual(now time.Duration) {
+// learnUsualValues updates the usual hit ratio and utilization while the locality is in good
+// health.
+func (l *localityState) learnUsualValues(now time.Duration) {
 	if l.state != StateHealthy || l.backoff > 0 {
 		return
 	}
-	if health, known := l.health(now); !known || health < learnFromHealth {
+	if health, known := l.health(now); !known || health < minLearningHealth {
 		return
 	}
 	if ratio, known := l.hitRatio(now); known {
-		l.usualHits.add(now, ratio, usualMemory)
+		l.usualHitRatio.add(now, ratio, usualTimeConstant)
 	}
 	if l.utilization.known {
-		l.usualUtilization.add(now, l.utilization.value, usualMemory)
+		l.usualUtilization.add(now, l.utilization.value, usualTimeConstant)
 	}
 }
 
@@ -143,26 +147,26 @@
 		l.probationSent, l.probationPassed, l.probationFailed = 0, 0, 0
 	case StateRecovering, StateHealthy:
 		l.healthySince = now
-	case StateEjected: // retryAt is set by eject
+	case StateEjected: // eject sets retryAt
 	}
 }
 
-// situation is what a change of state depends on beside the locality itself.
-type situation struct {
-	span      time.Duration  // since the last tick
-	wanted    bool           // there is load for the locality
+// stateInputs are the inputs of a state change other than the locality's own state.
+type stateInputs struct {
+	span      time.Duration  // time since the last tick
+	needed    bool           // there is load for the locality
 	rejecting bool           // no locality has capacity for some of the requests
-	draw      func() float64 // draws from [0, 1)
+	draw      func() float64 // returns a random number in [0, 1)
 }
 
-// updateState changes the state where that is due, and reports whether it did.
-func (l *localityState) updateState(now time.Duration, c *Config, s situation) (changed bool) {
+// updateState changes the state if that is due, and reports whether it changed.
+func (l *localityState) updateState(now time.Duration, c *Config, s stateInputs) (changed bool) {
 	before := l.state
 	switch l.state {
 	case StateHealthy, StateRecovering:
 		l.updateInUse(now, c, s)
 	case StateEjected:
-		if now >= l.retryAt && !l.isGone() && s.wanted {
+		if now >= l.retryAt && !l.hasNoCacheUp() && s.needed {
 			l.enter(now, StateProbation)
 		}
 	case StateProbation:
@@ -171,35 +175,38 @@
 	return l.state != before
 }
 
-// updateInUse ejects a locality that is unhealthy, silent or gone, and moves the ramp of one that recovers.
-func (l *localityState) updateInUse(now time.Duration, c *Config, s situation) {
-	doubtful := (1 + c.MinHealth) / 2 // halfway to full health
+// updateInUse ejects a locality that is unhealthy, silent or without caches, and moves the ramp of
+// a recovering one.
+func (l *localityState) updateInUse(now time.Duration, c *Config, s stateInputs) {
+	halfHealthy := (1 + c.MinHealth) / 2 // halfway from MinHealth to full health
 	minHealth := c.MinHealth
-	if l.state == StateRecovering { // it is trusted less
-		minHealth = doubtful
+	if l.state == StateRecovering { // a recovering locality is ejected sooner
+		minHealth = halfHealthy
 	}
-	if l.isBelow(now, minHealth) || l.isGone() || l.isSilent(now, c) {
+	if l.isBelow(now, minHealth) || l.hasNoCacheUp() || l.isSilent(now, c) {
 		l.eject(now, c, s.draw())
 		return
 	}
-	if l.isBelow(now, doubtful) {
+	if l.isBelow(now, halfHealthy) {
 		l.healthySince = now
 	}
-	l.forgiveBackoff(now, c)
+	l.decayBackoff(now, c)
 	if l.state == StateRecovering {
 		l.rampUp(now, c, s)
 	}
 }
 
-// Of the requests of a probation so many must end well; one more failure than can be spared ends it.
+// Numbers of requests in a probation: probationSuccesses of them must succeed, and more than
+// probationFailures failures end it.
 const (
 	probationRequests  = 5
 	probationSuccesses = 3
 	probationFailures  = probationRequests - probationSuccesses
 )
 
-// updateProbation ends a probation that has passed, failed, or had no answers or no requests for too long.
-func (l *localityState) updateProbation(now time.Duration, c *Config, s situation) {
+// updateProbation ends a probation that has succeeded or failed, or that got no results or no
+// requests for too long.
+func (l *localityState) updateProbation(now time.Duration, c *Config, s stateInputs) {
 	if l.probationPassed >= probationSuccesses {
 		l.enter(now, StateRecovering)
 		l.rampShare = c.RampStart
@@ -208,7 +215,7 @@
 	failed := l.probationFailed > probationFailures
 	unanswered := l.probationSent > 0 && now-l.stateSince > 2*c.SilenceTimeout
 	unused := now-l.stateSince > c.MaxBackoff
-	if failed || unanswered || unused || l.isGone() {
+	if failed || unanswered || unused || l.hasNoCacheUp() {
 		l.eject(now, c, s.draw())
 	}
 }
--- a/locality/result.go
+++ b/locality/result.go
@@ -2,19 +2,19 @@
 
 import "larchusher/routing"
 
-// Result is how an attempt at a locality ended.
+// Result is the result of an attempt at a locality.
 type Result int
 
 // Results of an attempt.
 const (
-	ResultSuccess  Result = iota // answered in time
-	ResultLate                   // answered after its latency objective
+	ResultSuccess  Result = iota // succeeded within its latency objective
+	ResultLate                   // succeeded after its latency objective
 	ResultFailure                // ended by an error, a broken connection or a timeout
-	ResultRejected               // rejected by the locality, or by its director, for want of capacity
-	ResultNeutral                // says nothing of the locality: canceled, never sent, or a miss of what needn't be filled
+	ResultRejected               // rejected by the locality or by its director for want of capacity
+	ResultNeutral                // no evidence about the locality: canceled, never sent, or a miss that need not be filled
 )
 
-// resultWeights are how much a result counts as good and as bad.
+// resultWeights are the numbers of good and bad results that each result counts as.
 var resultWeights = [...]struct{ good, bad float64 }{
 	ResultSuccess:  {1, 0},
 	ResultLate:     {0.5, 0.5},
@@ -23,9 +23,10 @@
 	ResultNeutral:  {},
 }
 
-// ClassifyResult returns what the end of an attempt says of its locality. cache: it went to a cache there, and not past them,
-// which speaks against a locality that has caches. late: its answer came after its latency objective. collateral: it was
-// another attempt's answer that broke the connection which they shared.
+// ClassifyResult returns the result of an attempt by its status. cache is whether the attempt went
+// to a cache of the locality; if it bypassed the caches, it counts as a failure, as the locality
+// has caches that should have served it. late is whether the answer came after the latency
+// objective. collateral is whether the connection was broken by the answer to another attempt.
 func ClassifyResult(s routing.Status, cache, late, collateral bool) Result {
 	r := ResultNeutral
 	switch s {
--- a/locality/selector.go
+++ b/locality/selector.go
@@ -5,54 +5,56 @@
 	"time"
 )
 
-// Selector selects the locality of each request. Use [New].
+// Selector selects the locality of each request. Use [New]. It is not safe for concurrent use.
 type Selector struct {
 	cfg        Config
 	rng        *rand.Rand
 	localities []*localityState // as in Config.Localities
 	lastTick   time.Duration
-	requests   decayingSum // requests that came lately
+	requests   decayingSum // recent requests, decaying
 
 	// Shares of the own load, set by each tick.
-	ownShare    float64   // that stays
-	spillShares []float64 // that spill over, by locality
-	servedShare float64   // the sum of these; no locality has capacity for the rest
-	panicking   bool      // nearly everything looks unhealthy
+	ownShare    float64   // share that stays
+	spillShares []float64 // shares that spill over, by locality
+	servedShare float64   // sum of these shares; no locality has capacity for the rest
+	panicking   bool      // panic mode: nearly everything looks unhealthy
 
 	levelBudgets []budget // by level
 
-	// When no locality has capacity for all of the load, requests are admitted by band, and some are sent past the own caches.
-	offered         []float64 // requests by band, in the current tick
-	offeredSmoothed []float64 // requests a tick by band
-	admitShares     []float64 // by band
+	// Used while no locality has capacity for all of the load: requests are then admitted by band,
+	// and some bypass the own caches.
+	offered         []float64 // requests by band in the current tick
+	offeredSmoothed []float64 // requests per tick by band, smoothed
+	admitShares     []float64 // admitted shares by band
 	bypass          bypass
 
 	Counters Counters
 }
 
-// Counters count decisions.
+// Counters counts the decisions of a [Selector].
 type Counters struct {
-	Picked       uint64 // requests that were given a locality,
-	Spilled      uint64 // of these, another than the own one
-	Rerouted     uint64 // requests that were given another one after the first had rejected them
-	Bypassed     uint64 // requests that no locality had capacity for, and that the own director sends past its caches
-	Rejected     uint64 // requests that no locality had capacity for, and that were rejected
-	BoundReached uint64 // bypassed and rejected requests that would have had a locality, but for its exhausted budget
-	StateChanges uint64 // of localities
-	PanicTicks   uint64 // ticks in which nearly everything looked unhealthy
+	Picked       uint64 // requests that got a locality
+	Spilled      uint64 // of these, requests that got another locality than the own one
+	Rerouted     uint64 // requests that got another locality after a rejection by the first
+	Bypassed     uint64 // requests without capacity in any locality, given to the own director to bypass its caches
+	Rejected     uint64 // requests without capacity in any locality that were rejected
+	BoundReached uint64 // bypassed and rejected requests that had a locality whose budget was exhausted
+	StateChanges uint64 // state changes of localities
+	PanicTicks   uint64 // ticks in panic mode
 }
 
 // seedStream is the second word of the seed of the random numbers.
 const seedStream = 0x7469657273
 
-// New returns a Selector that has all load stay. The error is that of [Config.Validate].
+// New returns a Selector that keeps all load in the own locality. Its error is that of
+// [Config.Validate].
 func New(cfg Config) (*Selector, error) {
 	s := &Selector{rng: rand.New(rand.NewPCG(cfg.Seed, seedStream))}
 	return s, s.Reconfigure(cfg)
 }
 
-// Reconfigure takes in a new configuration. What is known of a locality is kept, by its name. If it returns an error, that of
-// [Config.Validate], everything stays as it was.
+// Reconfigure replaces the configuration. The state of each locality is kept, by its name. If it
+// returns an error, which is that of [Config.Validate], nothing has changed.
 func (s *Selector) Reconfigure(cfg Config) error {
 	if err := cfg.Validate(); err != nil {
 		return err
@@ -81,7 +83,7 @@
 	return nil
 }
 
-// SetCachesUp records how many caches of a locality the endpoint list has up.
+// SetCachesUp records the number of caches of a locality that are up by the endpoint list.
 func (s *Selector) SetCachesUp(locality, up int) {
 	l := s.localities[locality]
 	l.cachesUp, l.listed = up, true
@@ -90,15 +92,16 @@
 // AttemptStarted records that an attempt is sent to a locality.
 func (s *Selector) AttemptStarted(now time.Duration, locality int) {
 	l := s.localities[locality]
-	if l.sentSinceSuccess == 0 { // silence counts from when an attempt is in flight
+	if l.sentSinceSuccess == 0 { // silence is measured from when an attempt is in flight
 		l.lastSuccess = max(l.lastSuccess, now)
 	}
 	l.inFlight++
 	l.sentSinceSuccess++
 }
 
-// AttemptFinished records how an attempt at a locality ended. hit says whether it was answered from a cached copy, which counts
-// only where hitKnown. utilization is that of the locality's links by the load report of the answer; negative: unknown.
+// AttemptFinished records the result of an attempt at a locality. hit is whether it was answered
+// from a cached copy; it is ignored unless hitKnown is set. utilization is that of the locality's
+// links, from the load report of the answer; negative: unknown.
 func (s *Selector) AttemptFinished(now time.Duration, locality int, r Result, hit, hitKnown bool, utilization float64) {
 	l := s.localities[locality]
 	l.inFlight = max(0, l.inFlight-1)
@@ -107,20 +110,20 @@
 		l.lastSuccess, l.sentSinceSuccess = now, 0
 	}
 	if hitKnown {
-		l.reads.add(now, 1, hitMemory)
+		l.reads.add(now, 1, hitTimeConstant)
 		if hit {
-			l.hits.add(now, 1, hitMemory)
+			l.hits.add(now, 1, hitTimeConstant)
 		}
 	}
 	if utilization >= 0 {
-		l.utilization.add(now, utilization, utilizationMemory)
+		l.utilization.add(now, utilization, utilizationTimeConstant)
 	}
 }
 
-// offeredWeight is the weight of the newest tick in the requests offered.
+// offeredWeight is the weight of the newest tick in the requests offered per band.
 const offeredWeight = 0.2
 
-// Tick updates states and shares. It is to be called every Config.Tick.
+// Tick updates the states and shares. It is to be called every Config.Tick.
 func (s *Selector) Tick(now time.Duration) {
 	span := max(0, now-s.lastTick)
 	if s.lastTick == 0 {
@@ -137,36 +140,37 @@
 	s.setBypassShare(now, span)
 }
 
-// updateStates updates the state of each locality. Others than the own one are wanted only while load spills over.
+// updateStates updates the state of each locality. Localities other than the own one are needed
+// only while load spills over.
 func (s *Selector) updateStates(now, span time.Duration) {
 	spilling, rejecting := s.ownShare < 1, s.servedShare < 1
 	for i, l := range s.localities {
-		l.learnUsual(now)
-		at := situation{span: span, wanted: spilling || i == 0, rejecting: rejecting, draw: s.rng.Float64}
-		if l.updateState(now, &s.cfg, at) {
+		l.learnUsualValues(now)
+		inputs := stateInputs{span: span, needed: spilling || i == 0, rejecting: rejecting, draw: s.rng.Float64}
+		if l.updateState(now, &s.cfg, inputs) {
 			s.Counters.StateChanges++
 		}
 	}
 }
 
-// View is the state of a locality, for those who look.
+// View is a snapshot of the state of a locality, for metrics.
 type View struct {
 	Name          string
 	State         State
-	Share         float64 // of the own load, that goes there
-	Ramp          float64 // share of its load that it may have while it recovers
-	Health        float64 // share of good results
-	Utilization   float64 // of its links; negative: unknown
+	Share         float64 // share of the own load that it gets
+	Ramp          float64 // share of its load that it gets by its ramp
+	Health        float64 // share of good results lately; 1 if unknown
+	Utilization   float64 // utilization of its links; negative: unknown
 	Backoff       time.Duration
-	Picked        uint64  // requests
-	HitRatio      float64 // lately; negative: unknown
-	UsualHitRatio float64 // in good health; negative: unknown
+	Picked        uint64  // requests that it got
+	HitRatio      float64 // recent hit ratio; negative: unknown
+	UsualHitRatio float64 // hit ratio in good health; negative: unknown
 }
 
-// unknownShare stands for a share that is not known, in a View.
+// unknownShare stands for an unknown share in a View.
 const unknownShare = -1
 
-// View returns the state of all localities, in the order of the configuration.
+// View returns the state of all localities, in the order of Config.Localities.
 func (s *Selector) View(now time.Duration) (all []View) {
 	for i, l := range s.localities {
 		v := View{Name: l.Name, State: l.state, Share: s.share(i), Ramp: l.rampShare, Backoff: l.backoff, Picked: l.picked,
@@ -178,15 +182,15 @@
 		if ratio, known := l.hitRatio(now); known {
 			v.HitRatio = ratio
 		}
-		if l.usualHits.known {
-			v.UsualHitRatio = l.usualHits.value
+		if l.usualHitRatio.known {
+			v.UsualHitRatio = l.usualHitRatio.value
 		}
 		all = append(all, v)
 	}
 	return all
 }
 
-// share is the share of the own load that goes to a locality.
+// share returns the share of the own load that goes to a locality.
 func (s *Selector) share(locality int) float64 {
 	if locality == 0 {
 		return s.ownShare
@@ -194,8 +198,9 @@
 	return s.spillShares[locality]
 }
 
-// BypassShare returns, of the requests that no locality has capacity for, the share that is sent past the own caches.
+// BypassShare returns the share of the requests without capacity in any locality that bypass the
+// own caches.
 func (s *Selector) BypassShare() float64 { return s.bypass.share }
 
-// RejectedShare returns the share of the own load that no locality has capacity for.
+// RejectedShare returns the share of the own load for which no locality has capacity.
 func (s *Selector) RejectedShare() float64 { return 1 - s.servedShare }
--- a/overload/controller.go
+++ b/overload/controller.go
@@ -35,7 +35,7 @@
 	servedRate    float64 // cost served in a tick while requests waited for long, smoothed
 	allowance     float64 // cost admitted in a tick
 	shedding      bool    // the allowance limits what is admitted
-	longWaitTicks int     // ticks with long waits since everything was admitted, weighted by countLongWaits
+	longWaitTicks int     // consecutive ticks with long waits while everything is admitted; clear overload counts more
 	quietTicks    int     // consecutive ticks of shedding in which next to nothing was shed
 	policy        AdmissionPolicy
 	shedLevel     float64 // share of the offered cost that is shed, smoothed
@@ -109,7 +109,7 @@
 
 // How the allowance follows the served cost.
 const (
-	// longWaitTicksToStartShedding is the number of ticks with long waits after which load is shed.
+	// longWaitTicksToStartShedding is the number of consecutive ticks with long waits that starts shedding.
 	// A tick of clear overload counts as clearOverloadTicks: one in which clearOverloadRatio times
 	// the served cost is admitted and a request has waited for a third of MaxWait.
 	longWaitTicksToStartShedding = 8
