--- a/locality/budget.go
+++ b/locality/budget.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// budget is a token bucket that limits a kind of request to a share of all requests, over any short
-// time. Each request adds a share of a token.
+// budget is a token bucket that limits the requests sent to a locality or level to a share of all
+// requests, over any short time. Each request adds a share of a token.
 type budget struct{ tokens float64 } // requests that may be sent now
 
 // budgetWindow limits the tokens that a budget can hold to those of the requests of this time. A
--- a/locality/config.go
+++ b/locality/config.go
@@ -59,7 +59,7 @@
 	MinHealth float64
 
 	RampStart    float64       // share of its load that a recovering locality starts with; 0 to 1
-	RampDuration time.Duration // shortest time until a recovering locality has all of its load, without rejections elsewhere
+	RampDuration time.Duration // shortest time until a recovering locality has all of its load; half as long while requests are rejected
 	WarmHitRatio float64       // share of the usual hit ratio from which a recovering locality ramps up at full pace; 0 to 1
 
 	SilenceTimeout time.Duration // a locality with attempts in flight and without success for this long is ejected
--- a/locality/health.go
+++ b/locality/health.go
@@ -36,7 +36,7 @@
 	retryAt          time.Duration // when an ejected locality may go on probation
 	backoff          time.Duration // latest backoff after a recovery; 0: none, or decayed
 	failedProbations int           // consecutive ones
-	healthySince     time.Duration
+	healthySince     time.Duration // start of the good health that counts for decayBackoff
 
 	// Observations.
 	cachesUp         int // by the endpoint list; valid once listed is true
@@ -48,17 +48,17 @@
 	utilization      movingAverage // utilization of its links, from load reports
 	inFlight         int           // attempts in flight
 	sentSinceSuccess int           // attempts sent since the latest success
-	lastSuccess      time.Duration
-	probationSent    int // requests sent in the current probation,
-	probationPassed  int // of these, those that succeeded,
-	probationFailed  int // and those that failed
+	lastSuccess      time.Duration // time of the latest success, or of the first attempt since then if that is later
+	probationSent    int           // requests sent in the current probation,
+	probationPassed  int           // of these, those that succeeded,
+	probationFailed  int           // and those that failed
 
 	// Load that it may get.
-	rampShare       float64 // share of its load that it gets by its ramp, 0 to 1
-	maxSpillover    float64 // largest share of the own load that may spill over to it; unused for the own locality
-	laggedSpillover movingAverage
-	budget          budget
-	picked          uint64
+	rampShare       float64       // share of its load that it gets by its ramp, 0 to 1
+	maxSpillover    float64       // largest share of the own load that may spill over to it; unused for the own locality
+	laggedSpillover movingAverage // share of the own load that spills over to it, as late as load reports are
+	budget          budget        // of requests that spill over to it; unused for the own locality
+	picked          uint64        // requests that it got
 }
 
 // record records a result.
@@ -204,8 +204,9 @@
 	probationFailures  = probationRequests - probationSuccesses
 )
 
-// updateProbation ends a probation that has succeeded or failed, or that got no results or no
-// requests for too long.
+// updateProbation ends a probation that has succeeded or failed, that is still undecided 2 times
+// Config.SilenceTimeout after its start although requests were sent, or that has lasted for longer
+// than Config.MaxBackoff.
 func (l *localityState) updateProbation(now time.Duration, c *Config, s stateInputs) {
 	if l.probationPassed >= probationSuccesses {
 		l.enter(now, StateRecovering)
--- a/locality/result.go
+++ b/locality/result.go
@@ -14,7 +14,7 @@
 	ResultNeutral                // no evidence about the locality: canceled, never sent, or a miss that need not be filled
 )
 
-// resultWeights are the numbers of good and bad results that each result counts as.
+// resultWeights are the weights with which each result counts as good and as bad.
 var resultWeights = [...]struct{ good, bad float64 }{
 	ResultSuccess:  {1, 0},
 	ResultLate:     {0.5, 0.5},
--- a/locality/selector.go
+++ b/locality/selector.go
@@ -38,7 +38,7 @@
 	Rerouted     uint64 // requests that got another locality after a rejection by the first
 	Bypassed     uint64 // requests without capacity in any locality, given to the own director to bypass its caches
 	Rejected     uint64 // requests without capacity in any locality that were rejected
-	BoundReached uint64 // bypassed and rejected requests that had a locality whose budget was exhausted
+	BoundReached uint64 // requests bypassed or rejected only because the budgets of their locality were exhausted
 	StateChanges uint64 // state changes of localities
 	PanicTicks   uint64 // ticks in panic mode
 }
--- a/overload/config.go
+++ b/overload/config.go
@@ -30,7 +30,7 @@
 	Fronts  int // number of fronts by which requests arrive; 0: 1
 
 	MaxWait    time.Duration // longest wait in the queue, without pauses of the program
-	TargetWait time.Duration // longest wait aimed at while requests are shed
+	TargetWait time.Duration // wait in the queue aimed at while requests are shed
 	Tick       time.Duration // interval at which the admission policy is set
 	ProbeShare float64       // share admitted in excess of what was served, to detect more capacity; 0 to 1
 
