--- a/gateway/admission.go
+++ b/gateway/admission.go
@@ -11,8 +11,8 @@
 	"larchusher/overload"
 )
 
-// Front is a way in by which requests arrive. Requests of the same priority band are served from
-// the fronts in turn.
+// Front is a way in by which requests arrive. The fronts share the capacity for requests of the
+// same priority band evenly.
 type Front int
 
 // The fronts.
--- a/gateway/reconfigure.go
+++ b/gateway/reconfigure.go
@@ -127,7 +127,8 @@
 	return nil
 }
 
-// applyClasses serves classes from now on.
+// applyClasses makes admission, the queue, the directors and the locality policy use classes from
+// now on.
 func (g *Gateway) applyClasses(classes []routing.Class, maxAttempts int) error {
 	cfg := g.cfg.Overload
 	cfg.Classes = overloadClasses(classes)
--- a/gateway/requests.go
+++ b/gateway/requests.go
@@ -16,8 +16,8 @@
 	Class           string
 	Tenant          string
 	Object          string
-	Part            int     // index of a part of the object
-	Group           int     // group of objects, by which purges may name the object
+	Part            int     // index of the part of the object
+	Group           int     // group of the object, which a purge may name instead of the object
 	SizeKB          float64 // size of the part in KB as the client states it; 0: not stated
 	IdempotencyKey  string  // needed in classes of effect routing.IdempotentWithKey
 	IfNoneMatch     string  // entity tag of a copy that the client holds
--- a/locality/config.go
+++ b/locality/config.go
@@ -112,7 +112,7 @@
 		case (i == 0) != (l.Level == 0) || l.Level < 0:
 			return fieldError(field+".Level", "%d, want 0 for the first locality, which is the own one, and 1 or more for the others", l.Level)
 		case !(l.Weight >= 0): // also fails for NaN
-			return fieldError(field+".Weight", "%v is not 0 or more", l.Weight)
+			return fieldError(field+".Weight", "%v, want 0 or more", l.Weight)
 		}
 		seen[l.Name] = true
 		l.Weight = cmp.Or(l.Weight, 1)
--- a/locality/pick.go
+++ b/locality/pick.go
@@ -146,8 +146,8 @@
 	return noPick, s.retryAfter(id), false
 }
 
-// The Retry-After of a rejected request varies by half of its length, from minRetryAfterJitter times
-// its length, in retryAfterSteps steps, so that clients do not all retry at once.
+// The Retry-After of a rejected request varies by half of its length, from minRetryAfterJitter
+// times its length, in retryAfterSteps steps, so that clients do not all retry at once.
 const (
 	minRetryAfterJitter = 0.75
 	retryAfterSteps     = 1024
--- a/locality/ramp.go
+++ b/locality/ramp.go
@@ -26,10 +26,9 @@
 	}
 }
 
-// rampPace returns the pace of the ramp. A locality that misses most of what it is asked for ramps
-// up slowly: moving objects back before its cache is warm would lose their hits in both localities.
-// While requests are rejected, a miss is better than a rejection, and a locality in full health
-// ramps up faster.
+// rampPace returns the pace of the ramp. A locality with a low hit ratio ramps up slowly: objects
+// that have to be filled again in two localities lose their hits in both. While requests are
+// rejected, a miss is better than a rejection, and a locality in full health ramps up faster.
 func (l *localityState) rampPace(now time.Duration, c *Config, rejecting bool) float64 {
 	health, known := l.health(now)
 	if rejecting && known && health > fastRampHealth {
--- a/locality/result_test.go
+++ b/locality/result_test.go
@@ -16,7 +16,7 @@
 		{routing.Rejected, true, false, false, ResultRejected}, {routing.Canceled, true, false, false, ResultNeutral}, {routing.NotSent, false, false, false, ResultNeutral},
 		{routing.Miss, true, false, false, ResultNeutral}} {
 		if got := ClassifyResult(c.status, c.cache, c.late, c.collateral); got != c.want {
-			t.Errorf("%+v: %v", c, got)
+			t.Errorf("attempt and wanted result %+v: got %v", c, got)
 		}
 	}
 }
--- a/overload/bands.go
+++ b/overload/bands.go
@@ -32,7 +32,8 @@
 	return o
 }
 
-// Bands returns the number of bands: two for each class, and a last one for requests of unknown classes.
+// Bands returns the number of bands: two for each class, and a last one for requests of unknown
+// classes.
 func (o *Order) Bands() int { return 2*len(o.names) + 1 }
 
 // Band returns the band of a request by the name of its class and whether it is a client's retry.
--- a/overload/config.go
+++ b/overload/config.go
@@ -88,9 +88,9 @@
 		case seen[class.Name]:
 			return fmt.Errorf("overload: Classes[%d]: the name %q is a duplicate", i, class.Name)
 		case !(class.PriorityWeight >= 0): // also fails for NaN
-			return fmt.Errorf("overload: Classes[%d].PriorityWeight: %v is not 0 or more", i, class.PriorityWeight)
+			return fmt.Errorf("overload: Classes[%d].PriorityWeight: %v, want 0 or more", i, class.PriorityWeight)
 		case !(class.Cost >= 0):
-			return fmt.Errorf("overload: Classes[%d].Cost: %v is not 0 or more", i, class.Cost)
+			return fmt.Errorf("overload: Classes[%d].Cost: %v, want 0 or more", i, class.Cost)
 		}
 		seen[class.Name] = true
 		class.Cost = cmp.Or(class.Cost, 1)
--- a/overload/controller.go
+++ b/overload/controller.go
@@ -109,9 +109,10 @@
 
 // How the allowance follows the served cost.
 const (
-	// longWaitTicksToStartShedding is the number of consecutive ticks with long waits that starts shedding.
-	// A tick of clear overload counts as clearOverloadTicks: one in which clearOverloadRatio times
-	// the served cost is admitted and a request has waited for a third of MaxWait.
+	// longWaitTicksToStartShedding is the number of consecutive ticks with long waits that starts
+	// shedding. A tick of clear overload counts as clearOverloadTicks: one in which
+	// clearOverloadRatio times the served cost is admitted and a request has waited for a third of
+	// MaxWait.
 	longWaitTicksToStartShedding = 8
 	clearOverloadRatio           = 1.3
 	clearOverloadTicks           = 3
@@ -169,7 +170,7 @@
 	return max(minServedRate, c.servedRate) * (1 + c.cfg.ProbeShare)
 }
 
-// startShedding limits what is admitted to an allowance.
+// startShedding starts shedding, with an allowance for the next tick.
 func (c *Controller) startShedding(allowance float64) { c.shedding, c.allowance = true, allowance }
 
 // stopShedding admits everything again.
--- a/overload/controller_test.go
+++ b/overload/controller_test.go
@@ -195,7 +195,7 @@
 		m.tick(load{"replay", false, 0, 60}, load{"replay", false, 1, 3000})
 	}
 	if m.servedByFront[0] < 0.97*200*60 {
-		t.Errorf("%.0f of %d requests of a front are served while another front is overloaded", m.servedByFront[0], 200*60)
+		t.Errorf("%.0f of %d requests of a front are served while another front offers 50 times as many", m.servedByFront[0], 200*60)
 	}
 }
 
--- a/overload/memory_test.go
+++ b/overload/memory_test.go
@@ -22,7 +22,7 @@
 		}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			c := clients[rapid.IntRange(0, 4).Draw(t, "client")]
-			if rapid.Bool().Draw(t, "asks") {
+			if rapid.Bool().Draw(t, "reserve") {
 				if n, ok := m.Reserve(c); ok {
 					open = append(open, reservation{c, n})
 					if m.reserved > 16<<20 {
--- a/overload/queue.go
+++ b/overload/queue.go
@@ -7,8 +7,8 @@
 )
 
 // Item is the entry of a request in a [Queue]. The zero value is in no queue. An Item is a field of
-// what it stands for, so that queueing allocates nothing, and removal takes constant time at any
-// position.
+// the request that it queues, so that queueing allocates nothing, and removal takes constant time
+// at any position.
 type Item struct {
 	Value any // for the caller's use
 
--- a/overload/scheduling_test.go
+++ b/overload/scheduling_test.go
@@ -14,7 +14,7 @@
 		paused   bool
 	}{{"a regular tick", 20 * ms, 10 * ms, false}, {"300 ms of own work", 320 * ms, 300 * ms, false},
 		{"a short gap", 370 * ms, 301 * ms, false}, {"300 ms without running", 690 * ms, 302 * ms, true},
-		{"the next tick", 710 * ms, 303 * ms, false}, {"a throttled quarter", 805 * ms, 320 * ms, true}} {
+		{"the next tick", 710 * ms, 303 * ms, false}, {"95 ms with 17 ms of CPU time", 805 * ms, 320 * ms, true}} {
 		if got := m.Tick(step.now, step.cpu); (got > 0) != step.paused {
 			t.Errorf("%s: pause of %v", step.name, got)
 		}
