--- a/gateway/admission.go
+++ b/gateway/admission.go
@@ -32,7 +32,7 @@
 type admissionState struct {
 	generations       admissionGenerations
 	queue             *overload.Queue
-	rejectionQueue    *overload.Queue // work that rejects requests; it runs when nothing else is queued, or when it has waited for too long
+	rejectionQueue    *overload.Queue // rejections; they run when nothing else is queued, or after a third of MaxWait
 	runningQueuedWork bool            // queued work is running, and the requests that it submits start at once
 	shedController    *overload.Controller
 	memory            *overload.Memory
--- a/gateway/failures.go
+++ b/gateway/failures.go
@@ -13,7 +13,7 @@
 
 const (
 	causeDeadline         failureCause = "deadline passed"
-	causeGivenUp          failureCause = "no further attempt allowed"
+	causeNoFurtherAttempt failureCause = "no further attempt allowed"
 	causeDirectorPanic    failureCause = "director panicked"
 	causeDuplicateID      failureCause = "request id in use"
 	causeNoIdempotencyKey failureCause = "no idempotency key"
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -61,7 +61,7 @@
 	lastRequestNumber    uint64
 	bodyBytes            int                       // total size of the bodies of open requests
 	outcomes             map[string]*ClassOutcomes // by class
-	retiredClassesTimer  *Timer                    // removes classes that a new configuration dropped; nil: no class was dropped so far
+	retiredClassesTimer  *Timer                    // removes dropped classes; nil: no class was dropped so far
 
 	dispatch
 	drain      drainState
--- a/gateway/load_stats.go
+++ b/gateway/load_stats.go
@@ -8,7 +8,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// LoadCounters counts the gateway's measures against load since its start, and measures delays.
+// LoadCounters counts the gateway's reactions to load since its start, and records delays.
 type LoadCounters struct {
 	QueueTimeouts     uint64 // requests rejected because they had waited in the queue for too long
 	NoMemory          uint64 // requests rejected, or failed, because their client or all clients leave too many answers unread
@@ -31,8 +31,8 @@
 	return LoadCounters{QueueWait: histogram(), LoopDelay: histogram(), PollerLag: histogram()}
 }
 
-// LoadStats is a gateway's load and its measures against it at one moment. The counters are those
-// of [LoadCounters].
+// LoadStats is a gateway's load and its reactions to load at one moment. The counters are those of
+// [LoadCounters].
 type LoadStats struct {
 	QueueTimeouts     uint64
 	NoMemory          uint64
--- a/gateway/localities.go
+++ b/gateway/localities.go
@@ -60,7 +60,7 @@
 		}
 		g.directors, g.names = append(g.directors, d), append(g.names, l.Name)
 	}
-	order := overload.NewOrder(overloadClasses(settings.Classes), g.cfg.Overload.RetriesFirst) // the same priority bands as in admission
+	order := overload.NewOrder(overloadClasses(settings.Classes), g.cfg.Overload.RetriesFirst) // as in initAdmission
 	policy, err := locality.New(g.localityConfig(cfg, order.Bands()))
 	if err != nil {
 		return fmt.Errorf("gateway: %w", err)
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -37,7 +37,7 @@
 	maxQueuedPerRound  = 16                    // pieces of queued work that run before timers are checked again
 	maxRoundsDeferred  = 8                     // consecutive rounds in which queued work may be deferred for posted functions
 	lateTimerThreshold = 30 * time.Millisecond // lateness from which onLateTimer is called
-	maxTimerHold       = 20 * time.Millisecond // limits the lateness of answers at their deadline to 50 ms, together with lateTimerThreshold
+	maxTimerHold       = 20 * time.Millisecond // with lateTimerThreshold, an answer at its deadline is at most 50 ms late
 )
 
 // NewLoop returns a loop. [Loop.Run] runs it.
--- a/gateway/reconfigure.go
+++ b/gateway/reconfigure.go
@@ -17,7 +17,7 @@
 // served as configured before: clients learn of new settings some time after the gateway.
 const retiredClassLifetime = 3 * time.Second
 
-// admissionGeneration is what admits requests between two changes of the classes: the priority
+// admissionGeneration holds what admits requests between two changes of the classes: the priority
 // order of the classes, and the admission controller. Its fields never change. It is read on any
 // goroutine that reads requests.
 type admissionGeneration struct {
--- a/gateway/requests.go
+++ b/gateway/requests.go
@@ -25,7 +25,7 @@
 	Retry           bool         // the client marks the request as a retry
 	Deadline        time.Time    // when the client stops waiting; Submit lowers it to the deadline of the class
 	Answer          func(Answer) // called once on the loop with the final answer, unless the request is abandoned first
-	ClientConnected func() bool  // asked before each attempt is written, and when a request with the same ID arrives; nil: the client stays until Abandon
+	ClientConnected func() bool  // called on the loop, before writing an attempt and when the ID is used again; nil: always true
 
 	ArrivedAt   time.Time // when its wait in the queue began; zero: when it is submitted
 	Front       Front
--- a/locality/config.go
+++ b/locality/config.go
@@ -49,8 +49,8 @@
 	// FullUtilization is the highest intended utilization of a locality's links, including
 	// spillover. What the utilization is below it is spare capacity. 0 to 2.
 	FullUtilization float64
-	// SpilloverRise is by how much, at most, the share that spills over to a locality rises per
-	// second. The share falls without delay. 0 to 10.
+	// SpilloverRise is the fastest rise, per second, of the share that spills over to a locality.
+	// The share falls without delay. 0 to 10.
 	SpilloverRise float64
 	// PanicThreshold is the share of the total weight at or below which too little is healthy. The
 	// fault is then assumed to be elsewhere, and nothing spills over (panic mode). 0 to 1.
@@ -59,11 +59,11 @@
 	MinHealth float64
 
 	RampStart    float64       // share of its load that a recovering locality starts with; 0 to 1
-	RampDuration time.Duration // shortest time until a recovering locality has all of its load; half as long while requests are rejected
+	RampDuration time.Duration // shortest time of a recovery until all load is back; half as long while requests are rejected
 	WarmHitRatio float64       // share of the usual hit ratio from which a recovering locality ramps up at full pace; 0 to 1
 
 	SilenceTimeout time.Duration // a locality with attempts in flight and without success for this long is ejected
-	BaseBackoff    time.Duration // wait before an ejected locality is tried again; doubles when the locality is ejected after it recovered ...
+	BaseBackoff    time.Duration // wait before an ejected locality is tried; doubles if it recovers and is ejected again ...
 	MaxBackoff     time.Duration // ... up to this, and halves after as long in good health
 
 	Tick          time.Duration // interval at which shares are set
--- a/locality/health.go
+++ b/locality/health.go
@@ -178,16 +178,16 @@
 // updateInUse ejects a locality that is unhealthy, silent or without caches, and moves the ramp of
 // a recovering one.
 func (l *localityState) updateInUse(now time.Duration, c *Config, s stateInputs) {
-	halfHealthy := (1 + c.MinHealth) / 2 // halfway from MinHealth to full health
+	halfwayHealth := (1 + c.MinHealth) / 2 // halfway from MinHealth to full health
 	minHealth := c.MinHealth
 	if l.state == StateRecovering { // a recovering locality is ejected sooner
-		minHealth = halfHealthy
+		minHealth = halfwayHealth
 	}
 	if l.isBelow(now, minHealth) || l.hasNoCacheUp() || l.isSilent(now, c) {
 		l.eject(now, c, s.draw())
 		return
 	}
-	if l.isBelow(now, halfHealthy) {
+	if l.isBelow(now, halfwayHealth) {
 		l.healthySince = now
 	}
 	l.decayBackoff(now, c)
--- a/locality/pick.go
+++ b/locality/pick.go
@@ -15,7 +15,7 @@
 	bypassHashMultiplier     = 0xbf58476d1ce4e5b9
 )
 
-// fraction maps an evenly distributed hash to a number in [0, 1).
+// fraction converts an evenly distributed hash into a number in [0, 1).
 func fraction(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
 
 // Pick returns the index of the locality for a request of a priority band. If ok is false, the
--- a/locality/selector_test.go
+++ b/locality/selector_test.go
@@ -88,11 +88,11 @@
 func TestOverProvisioningAbsorbsFailures(t *testing.T) {
 	for failureInterval, minShare := range map[uint64]float64{4: 1, 2: 0.6} {
 		var d *simulation
-		d = newSimulation(t, testConfig(), func(where int) (Result, bool, float64) {
-			if where == 0 && d.requestCount/3%failureInterval == 0 {
+		d = newSimulation(t, testConfig(), func(locality int) (Result, bool, float64) {
+			if locality == 0 && d.requestCount/3%failureInterval == 0 {
 				return ResultFailure, false, 0.5
 			}
-			return healthy(where)
+			return healthy(locality)
 		})
 		d.run(20*time.Second, 1000)
 		d.reset()
@@ -107,11 +107,11 @@
 // last return first.
 func TestObjectsKeepTheirLocalityWhileLoadReturns(t *testing.T) {
 	faulty := true
-	d := newSimulation(t, testConfig(), func(where int) (Result, bool, float64) {
-		if where == 0 && faulty {
+	d := newSimulation(t, testConfig(), func(locality int) (Result, bool, float64) {
+		if locality == 0 && faulty {
 			return ResultFailure, false, -1
 		}
-		return healthy(where)
+		return healthy(locality)
 	})
 	d.run(10*time.Second, 1000)
 	faulty = false
@@ -138,12 +138,12 @@
 		rate := rapid.SampledFrom([]int{100, 500, 1000}).Draw(t, "rate")
 		plan := rapid.SliceOfN(rapid.IntRange(0, 26), 8, 8).Draw(t, "plan")
 		var d *simulation
-		d = newSimulation(&testing.B{}, cfg, func(where int) (Result, bool, float64) {
-			how := plan[int(d.now/(2*time.Second))%len(plan)]
-			for range where {
-				how /= 3
+		d = newSimulation(&testing.B{}, cfg, func(locality int) (Result, bool, float64) {
+			outcome := plan[int(d.now/(2*time.Second))%len(plan)]
+			for range locality {
+				outcome /= 3
 			}
-			return [...]Result{ResultSuccess, ResultFailure, ResultLate}[how%3], d.requestCount%4 > 0, float64(how%3) / 2
+			return [...]Result{ResultSuccess, ResultFailure, ResultLate}[outcome%3], d.requestCount%4 > 0, float64(outcome%3) / 2
 		})
 		d.run(16*time.Second, rate)
 		for i, s := range d.spilled {
@@ -159,8 +159,8 @@
 // priority.
 func TestFaultyLocalityIsEjected(t *testing.T) {
 	for name, result := range map[string]Result{"errors": ResultFailure, "rejections": ResultRejected, "late": ResultLate} {
-		d := newSimulation(t, testConfig(), func(where int) (Result, bool, float64) {
-			if where == 0 {
+		d := newSimulation(t, testConfig(), func(locality int) (Result, bool, float64) {
+			if locality == 0 {
 				return result, false, -1
 			}
 			return ResultSuccess, true, 0.6
@@ -172,7 +172,7 @@
 	}
 	selector := newSelector(t, testConfig())
 	for now := time.Duration(0); now < 3*time.Second; now += 10 * ms {
-		if where, _, ok := selector.Pick(now, 0, hash(uint64(now)), 1); ok && where == 0 {
+		if locality, _, ok := selector.Pick(now, 0, hash(uint64(now)), 1); ok && locality == 0 {
 			selector.AttemptStarted(now, 0)
 		}
 		if now%DefaultTick == 0 {
@@ -203,11 +203,11 @@
 	for seed := range uint64(100) {
 		cfg := testConfig()
 		cfg.Seed = seed
-		d := newSimulation(t, cfg, func(where int) (Result, bool, float64) {
-			if where == 0 {
+		d := newSimulation(t, cfg, func(locality int) (Result, bool, float64) {
+			if locality == 0 {
 				return ResultFailure, false, -1
 			}
-			return healthy(where)
+			return healthy(locality)
 		})
 		var probations []time.Duration
 		for last := StateHealthy; d.now < 40*time.Second; d.run(50*ms, 200) {
@@ -239,11 +239,11 @@
 // backoff decays.
 func TestRepeatedEjectionDoublesBackoff(t *testing.T) {
 	faulty := false
-	d := newSimulation(t, testConfig(), func(where int) (Result, bool, float64) {
-		if where == 0 && faulty {
+	d := newSimulation(t, testConfig(), func(locality int) (Result, bool, float64) {
+		if locality == 0 && faulty {
 			return ResultFailure, false, -1
 		}
-		return healthy(where)
+		return healthy(locality)
 	})
 	d.run(2*time.Second, 500)
 	var backoffs []time.Duration
@@ -282,8 +282,8 @@
 // Spillover follows the spare capacity that localities report: a fully used one gets hardly
 // anything.
 func TestSpilloverFollowsSpareCapacity(t *testing.T) {
-	d := newSimulation(t, testConfig(), func(where int) (Result, bool, float64) {
-		return [...]Result{ResultFailure, ResultSuccess, ResultSuccess}[where], true, [...]float64{0, 0.9, 0.3}[where]
+	d := newSimulation(t, testConfig(), func(locality int) (Result, bool, float64) {
+		return [...]Result{ResultFailure, ResultSuccess, ResultSuccess}[locality], true, [...]float64{0, 0.9, 0.3}[locality]
 	})
 	d.run(20*time.Second, 1000)
 	v := d.View(d.now)
@@ -294,8 +294,8 @@
 
 // A new configuration keeps the state of the localities, and a faulty one changes nothing.
 func TestReconfigureKeepsState(t *testing.T) {
-	d := newSimulation(t, testConfig(), func(where int) (Result, bool, float64) {
-		return [...]Result{ResultFailure, ResultSuccess, ResultSuccess}[where], true, 0.4
+	d := newSimulation(t, testConfig(), func(locality int) (Result, bool, float64) {
+		return [...]Result{ResultFailure, ResultSuccess, ResultSuccess}[locality], true, 0.4
 	})
 	d.run(10*time.Second, 500)
 	cfg := testConfig()
--- a/overload/controller_test.go
+++ b/overload/controller_test.go
@@ -109,10 +109,10 @@
 			t.Fatalf("served %.0f requests, capacity %.0f", served, 200*capacity)
 		}
 		shares := []float64{m.share("turn"), m.share("replay"), m.share("assets")}
-		for i, better := range shares[:2] {
-			for k, worse := range shares[i+1:] {
-				if offered := []float64{all * turns, all * replays}[i]; offered >= 5 && better < 0.97 && worse > 0.06 {
-					t.Fatalf("served share of class %d: %.2f, of class %d, which has less weight: %.2f", i, better, i+1+k, worse)
+		for i, higher := range shares[:2] {
+			for k, lower := range shares[i+1:] {
+				if offered := []float64{all * turns, all * replays}[i]; offered >= 5 && higher < 0.97 && lower > 0.06 {
+					t.Fatalf("served share of class %d: %.2f, of class %d, which has less weight: %.2f", i, higher, i+1+k, lower)
 				}
 			}
 		}
