--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -56,7 +56,7 @@
 	baseDirectorTime time.Duration
 
 	requests             map[string]*Request // requests without an answer yet, by directorID
-	requestsByClientID   map[string]*Request // the same requests, by Request.ID
+	requestsByClientID   map[string]*Request // of these, those with an ID, by Request.ID
 	answeredWithAttempts map[string]*Request // answered requests with attempts still in flight, by directorID
 	lastRequestNumber    uint64
 	bodyBytes            int                       // total size of the bodies of open requests
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -70,8 +70,8 @@
 	return true
 }
 
-// Close ends the loop after the function that is running, and drops the posted functions that have
-// not run. It may be called from any goroutine.
+// Close ends the loop after the round that is running, and drops the functions that were posted
+// since that round began. It may be called from any goroutine.
 func (l *Loop) Close() {
 	l.mu.Lock()
 	if !l.closed {
@@ -159,9 +159,9 @@
 	}
 }
 
-// readClock reads the clock within a round, and checks for late timers if that took long. A pause
-// may occur within a round, too: a program that is short of CPU time is mostly paused while it has
-// work to do. The rest of the round must know of the pause.
+// readClock reads the clock within a round, and checks for late timers if the latest check is more
+// than lateTimerThreshold ago. A pause may occur within a round, too: a program that is short of
+// CPU time is mostly paused while it has work to do. The rest of the round must know of the pause.
 func (l *Loop) readClock() {
 	l.now = time.Now()
 	if l.now.Sub(l.lateCheckedAt) > lateTimerThreshold {
@@ -194,9 +194,10 @@
 	}
 }
 
-// runSomeQueued runs queued work until a function is posted, and reports whether more is queued.
-// Nothing runs while timers are held, since a request would start whose client may have left during
-// the pause.
+// runSomeQueued runs up to maxQueuedPerRound pieces of queued work, and reports whether more is
+// queued. It stops as soon as a function is posted, but in at most maxRoundsDeferred consecutive
+// rounds. Nothing runs while timers are held, since a request would start whose client may have
+// left during the pause.
 func (l *Loop) runSomeQueued() (more bool) {
 	for n := 0; l.runQueued != nil && l.timersHeldUntil.IsZero() && n < maxQueuedPerRound; n++ {
 		if l.hasPosted.Load() && l.roundsDeferred < maxRoundsDeferred {
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -70,7 +70,7 @@
 }
 
 // runNextQueued runs the next queued request or work, and reports whether more is queued. The loop
-// calls it when no posted function and no timer is due.
+// calls it in each round after the posted functions and the timers.
 func (g *Gateway) runNextQueued() (more bool) {
 	now := g.now()
 	for i := g.rejectionQueue.PopExpired(now); i != nil; i = g.rejectionQueue.PopExpired(now) {
--- a/locality/config.go
+++ b/locality/config.go
@@ -47,7 +47,7 @@
 	// gateways of the own locality use together. 0 to 1.
 	SpareCapacityShare float64
 	// FullUtilization is the highest intended utilization of a locality's links, including
-	// spillover. What the utilization is below it is spare capacity. 0 to 2.
+	// spillover. The unused part of it is spare capacity. 0 to 2.
 	FullUtilization float64
 	// SpilloverRise is the fastest rise, per second, of the share that spills over to a locality.
 	// The share falls without delay. 0 to 10.
--- a/locality/endpoints.go
+++ b/locality/endpoints.go
@@ -28,8 +28,8 @@
 		s.ZoneDirectors[i] = gateways
 	}
 	s.Directors = gateways * len(localities)
-	// Gossip is exchanged among the gateways of one location. Those of another location have no
-	// director that corresponds to ours for their location.
+	// Gossip is exchanged among the gateways of one location. The gateways of another location do
+	// not know of this gateway's director for their location.
 	s.Gossip = base.Gossip && index == 0
 	return s, nil
 }
--- a/overload/controller.go
+++ b/overload/controller.go
@@ -122,8 +122,8 @@
 	servedRateWeight = 0.05
 	// allowanceGrowth is the factor by which the allowance grows in a tick without long waits.
 	allowanceGrowth = 1.25
-	// lagAllowanceFactor is the share of the admitted cost to which the allowance is reduced when
-	// the event loop lags.
+	// lagAllowanceFactor is the share of the admitted cost, or of the allowance if that is less, to
+	// which the allowance is reduced when the event loop lags.
 	lagAllowanceFactor = 0.9
 	// minServedRate is the smallest cost per tick that is taken for the capacity.
 	minServedRate = 1
