--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -98,7 +98,7 @@
 func (g *Gateway) ObservedEndpoints() (endpoints []routing.Observed, pressure string) {
 	endpoints, pressure = g.directors[0].Observe(g.now())
 	if pressure == "" && g.ShedShare() > maxShedShareForMaintenance {
-		pressure = "a gateway is shedding load"
+		pressure = "a gateway sheds load"
 	}
 	for i, e := range endpoints { // as on the endpoint list: an endpoint that maintenance drains is not down
 		endpoints[i].Up = g.drain.listed[e.ID].Phase == routing.Up
