--- a/client/plan/call.go
+++ b/client/plan/call.go
@@ -9,21 +9,21 @@
 // call is a call that has not ended.
 type call struct {
 	Call
-	heapIndex        int // place in deadlineHeap; -1: none
+	heapIndex        int // index in deadlineHeap; -1: not in it
 	class            *Class
-	order            uint64 // of arrival
-	attemptCount     int
-	mayHaveRunSince  time.Duration // when the earliest attempt was sent that may have run; negative: none may have
+	order            uint64        // position in the order of arrival
+	attemptCount     int           // attempts sent so far
+	mayHaveRunSince  time.Duration // when the earliest attempt that may have run was sent; negative: no attempt may have run
 	inFlight         []*attempt
-	connectNotBefore time.Duration // drawn by connectTime; 0: not drawn
-	pendingGateway   *gateway      // the one whose connection it waits for
-	redirecting      bool          // its gateway was ejected: the next attempt counts against the redirect budget
-	crossedClose     bool          // it was sent again once for an orderly close that an attempt crossed
-	rejectedUntil    time.Duration // the latest Retry-After; 0: none
-	failed           bool          // a gateway answered that it failed
+	connectNotBefore time.Duration // earliest time to connect for this call, drawn by connectTime; 0: not drawn
+	pendingGateway   *gateway      // the gateway that the call waits for, until a connection has capacity; nil: none
+	redirecting      bool          // the call's gateway was ejected: the next attempt is taken from the redirect budget
+	crossedClose     bool          // an attempt crossed an orderly close of its connection; allowed once per call
+	rejectedUntil    time.Duration // when the latest Retry-After ends; 0: none
+	failed           bool          // a gateway answered with a failure
 }
 
-// attempt is one sending of a call.
+// attempt is an attempt of a call that is in flight.
 type attempt struct {
 	id     uint64
 	call   *call
@@ -31,19 +31,20 @@
 	sentAt time.Duration
 }
 
-// startCall takes a new call, or ends it at once if it can't be sent.
-func (p *Planner) startCall(q Call) {
+// startCall queues a new call, or ends it at once if the planner is closed or the class is unknown. It ignores a call with
+// the id of an open call.
+func (p *Planner) startCall(ev Call) {
 	p.Counters.Calls++
-	if p.calls[q.ID] != nil {
+	if p.calls[ev.ID] != nil {
 		return
 	}
-	class := p.classes[q.Class]
-	c := &call{Call: q, class: class, mayHaveRunSince: -1, heapIndex: -1}
+	class := p.classes[ev.Class]
+	c := &call{Call: ev, class: class, mayHaveRunSince: -1, heapIndex: -1}
 	if p.closed {
 		p.finish(c, Closed, 0)
 		return
 	}
-	if class == nil { // no gateway would know it
+	if class == nil { // not among Config.Classes
 		p.finish(c, Unsent, 0)
 		return
 	}
@@ -52,15 +53,15 @@
 	}
 	p.lastOrder++
 	c.order = p.lastOrder
-	p.calls[q.ID] = c
+	p.calls[ev.ID] = c
 	heap.Push(&p.byDeadline, c)
 	p.enqueue(c)
 }
 
-// hasCalls reports whether any call is open: a client without work leaves ejected gateways alone.
+// hasCalls reports whether any call is open. A client without open calls sends no health checks to ejected gateways.
 func (p *Planner) hasCalls() bool { return len(p.calls) > 0 }
 
-// enqueue has a call wait to be sent, if it does not yet.
+// enqueue adds a call to the waiting calls, unless it is waiting already.
 func (p *Planner) enqueue(c *call) {
 	if !p.isWaiting(c) {
 		p.waiting, p.waitingSorted = append(p.waiting, c), false
@@ -75,18 +76,18 @@
 
 func (p *Planner) isWaiting(c *call) bool { return slices.Contains(p.waiting, c) }
 
-// superseded reports whether a newer attempt of a call is in flight or about to be sent: the end of an older one
-// changes nothing then.
+// superseded reports whether another attempt of a call is in flight or about to be sent. The failure of one attempt then
+// neither ends nor retries the call.
 func (p *Planner) superseded(c *call) bool { return len(c.inFlight) > 0 || p.isWaiting(c) }
 
-// finish gives a call its one ending. by is the attempt that was answered, 0 if none was.
-func (p *Planner) finish(c *call, as Ending, by uint64) {
-	p.Counters.Ended[as]++
+// finish ends a call. attemptID is the attempt whose answer or lost connection ended it; 0: none.
+func (p *Planner) finish(c *call, ending Ending, attemptID uint64) {
+	p.Counters.Ended[ending]++
 	p.release(c)
-	p.emit(End{Call: c.ID, Ending: as, Attempt: by, RetryAfter: max(0, c.rejectedUntil-p.now), Attempts: c.attemptCount})
+	p.emit(End{Call: c.ID, Ending: ending, Attempt: attemptID, RetryAfter: max(0, c.rejectedUntil-p.now), Attempts: c.attemptCount})
 }
 
-// release forgets a call and abandons its attempts.
+// release removes a call from the planner and abandons its attempts.
 func (p *Planner) release(c *call) {
 	delete(p.calls, c.ID)
 	if c.heapIndex >= 0 {
@@ -100,19 +101,19 @@
 	c.inFlight = nil
 }
 
-// releaseAttempt takes an attempt off its connection.
+// releaseAttempt removes an attempt from its connection.
 func (p *Planner) releaseAttempt(t *attempt) {
 	delete(t.conn.attempts, t.id)
 	t.conn.gateway.inFlight--
 	t.conn.lastUsed = p.now
 }
 
-// removeAttempt takes an attempt off its call.
+// removeAttempt removes an attempt from its call.
 func (c *call) removeAttempt(t *attempt) {
 	c.inFlight = slices.DeleteFunc(c.inFlight, func(o *attempt) bool { return o == t })
 }
 
-// recordMayHaveRun notes that an attempt may have run.
+// recordMayHaveRun records that an attempt may have run: from then on mayRepeat limits further attempts.
 func (c *call) recordMayHaveRun(t *attempt) {
 	if c.mayHaveRunSince < 0 || t.sentAt < c.mayHaveRunSince {
 		c.mayHaveRunSince = t.sentAt
--- a/client/plan/config.go
+++ b/client/plan/config.go
@@ -7,48 +7,53 @@
 	"time"
 )
 
-// Config is what a planner goes by. Gateways and Classes are needed; the zero value of any other field stands for its
-// default, the constant named Default and the field.
+// Config configures a planner. Gateways and Classes are required. For any other field, zero stands for the constant whose
+// name is Default and the name of the field; Clients has no default.
 type Config struct {
-	Gateways []string // names or addresses, each once
-	Classes  []Class  // each name once
+	Gateways []string // names or addresses, without duplicates
+	Classes  []Class  // with unique names
 
-	// Retries is the number of attempts that a call may have beyond its first; negative: none.
+	// Retries is the maximum number of attempts of a call after its first. Negative: calls are not retried.
 	Retries int
-	// Budget is the part of a retry that each success earns, over all calls; BudgetMost is how many retries may be saved
-	// up.
-	Budget     float64
+	// Budget is the fraction of a retry that each served call adds to the retry budget, which all calls share.
+	Budget float64
+	// BudgetMost is the maximum of the retry budget, in retries.
 	BudgetMost float64
 
-	// Open is the number of attempts that may be in flight on a connection.
+	// Open is the maximum number of attempts in flight on a connection.
 	Open int
-	// Conns is the number of connections that a gateway may have.
+	// Conns is the maximum number of connections to a gateway.
 	Conns int
-	// Way is the time that a request and its answer take on the network. Nothing is sent that has less left.
+	// Way is the network time of a request and its answer together (round trip). An attempt is sent only if the call has
+	// more time left than this, and the gateway gets the time that remains after it.
 	Way time.Duration
-	// Idle is how long a connection without attempts in flight is kept open.
+	// Idle is how long a connection stays open without attempts in flight.
 	Idle time.Duration
-	// Connect is the time in which a connection has to come up.
+	// Connect is the timeout for establishing a connection.
 	Connect time.Duration
-	// Silence is how long a connection with attempts in flight may be without a byte before a health check is sent on it.
-	// The gateway is ejected if that stays unanswered for as long again.
+	// Silence is how long a connection with attempts in flight may receive nothing before a health check is sent on it.
+	// The gateway is ejected if the health check is not answered within the same time.
 	Silence time.Duration
 
-	// Spread is the least span over which reconnects are spread after a gateway was ejected. It is longer where a gateway
-	// has so many Clients that more than SpreadRate of them would reconnect in a second.
-	Spread     time.Duration
-	Clients    int
+	// Spread is the minimum time over which clients spread their reconnects after a gateway was ejected. The time is
+	// longer if more than SpreadRate of the Clients would otherwise reconnect per second.
+	Spread time.Duration
+	// Clients is the number of clients of a gateway; 0: reconnects are spread over Spread.
+	Clients int
+	// SpreadRate is the maximum number of connections per second that a gateway should get from reconnecting clients.
 	SpreadRate float64
-	// Redirect limits the calls that go from an ejected gateway to others, as a part of the usual rate of attempts.
+	// Redirect limits how many calls per second move from an ejected gateway to others, as a fraction of the average
+	// rate of attempts; 10 calls per second are always allowed.
 	Redirect float64
 
-	// ProbeFirst is the first backoff before an ejected gateway is connected to again; it doubles up to ProbeLongest.
+	// ProbeFirst is the first backoff before the planner connects to an ejected gateway again. The backoff doubles with
+	// each failure, up to ProbeLongest.
 	ProbeFirst, ProbeLongest time.Duration
-	// Ramp is the time in which a gateway that has recovered returns to its full share of calls (slow start).
+	// Ramp is the time over which a recovered gateway returns to its full share of calls (slow start).
 	Ramp time.Duration
 }
 
-// Defaults of Config.
+// Defaults of the fields of Config.
 const (
 	DefaultRetries      = 2
 	DefaultBudget       = 0.1
@@ -56,18 +61,18 @@
 	DefaultOpen         = 32
 	DefaultConns        = 4
 	DefaultWay          = 10 * time.Millisecond
-	DefaultIdle         = 3 * time.Second // before the gateway closes: it does so after 10 s, and its own clients after 4 s
+	DefaultIdle         = 3 * time.Second // shorter than the gateway's idle timeout, 10 s, and that of its usual clients, 4 s
 	DefaultConnect      = time.Second
 	DefaultSilence      = time.Second
 	DefaultSpread       = 2 * time.Second
-	DefaultSpreadRate   = 500 // connections a second
+	DefaultSpreadRate   = 500 // connections per second
 	DefaultRedirect     = 0.25
 	DefaultProbeFirst   = time.Second
 	DefaultProbeLongest = 30 * time.Second
 	DefaultRamp         = 10 * time.Second
 )
 
-// Check fills in defaults, or returns an error that names the first field that can't be worked with.
+// Check replaces zero values by their defaults, or returns an error that names the first invalid field.
 func (c *Config) Check() error {
 	if err := c.checkGateways(); err != nil {
 		return err
@@ -84,12 +89,12 @@
 
 func (c *Config) checkGateways() error {
 	if len(c.Gateways) == 0 {
-		return errors.New("client: Gateways is empty")
+		return errors.New("client: Gateways is empty: at least one address is required")
 	}
 	seen := map[string]bool{}
 	for i, g := range c.Gateways {
 		if g == "" || seen[g] {
-			return fmt.Errorf("client: Gateways[%d]: %q is empty or stands twice", i, g)
+			return fmt.Errorf("client: Gateways[%d]: %q is empty or a duplicate", i, g)
 		}
 		seen[g] = true
 	}
@@ -98,24 +103,25 @@
 
 func (c *Config) checkClasses() error {
 	if len(c.Classes) == 0 {
-		return errors.New("client: Classes is empty")
+		return errors.New("client: Classes is empty: at least one class is required")
 	}
 	seen := map[string]bool{}
 	for i, class := range c.Classes {
 		switch {
 		case class.Name == "" || seen[class.Name]:
-			return fmt.Errorf("client: Classes[%d].Name: %q is empty or stands twice", i, class.Name)
+			return fmt.Errorf("client: Classes[%d].Name: %q is empty or a duplicate", i, class.Name)
 		case class.Effect < Idempotent || class.Effect > NonIdempotent:
-			return fmt.Errorf("client: Classes[%d].Effect: %d", i, class.Effect)
+			return fmt.Errorf("client: Classes[%d].Effect: %d is not a defined effect", i, class.Effect)
 		case class.Window < 0 || class.Deadline < 0:
-			return fmt.Errorf("client: Classes[%d]: a span is negative", i)
+			return fmt.Errorf("client: Classes[%d]: Window or Deadline is negative", i)
 		}
 		seen[class.Name] = true
 	}
 	return nil
 }
 
-// checkLimits names the first number or span that is negative or NaN. Retries may be negative.
+// checkLimits returns an error that names the first number or duration that is negative or NaN. It does not check Retries,
+// which may be negative.
 func (c *Config) checkLimits() error {
 	for _, f := range []struct {
 		name  string
@@ -138,7 +144,7 @@
 		{"Ramp", c.Ramp >= 0},
 	} {
 		if !f.valid {
-			return fmt.Errorf("client: %s is negative", f.name)
+			return fmt.Errorf("client: %s is negative or not a number", f.name)
 		}
 	}
 	return nil
--- a/client/plan/conn.go
+++ b/client/plan/conn.go
@@ -11,28 +11,28 @@
 type conn struct {
 	id                uint64
 	gateway           *gateway
-	up                bool
-	checkingHealth    bool // the gateway was ejected: nothing is sent before it answers a health check
-	unresponsive      bool // nothing new is sent on it, but answers are still taken
-	startedAt         time.Duration
-	lastReceived      time.Duration // when anything came; silence counts from the later of this and lastUsed
-	healthCheckSentAt time.Duration // 0: none is unanswered
-	lastUsed          time.Duration // when an attempt was sent or ended
+	up                bool          // it is established
+	checkingHealth    bool          // the gateway was ejected: no attempt is sent before a health check succeeds
+	unresponsive      bool          // a health check timed out: no attempt is sent any more, but answers are still accepted
+	startedAt         time.Duration // when Connect was emitted
+	lastReceived      time.Duration // the last message, Up, or first attempt in flight; silence counts from the later of this and lastUsed
+	healthCheckSentAt time.Duration // when the unanswered health check was sent; 0: there is none
+	lastUsed          time.Duration // when an attempt was last sent or ended
 	attempts          map[uint64]*attempt
 }
 
-// sortedAttempts are the attempts in flight, in the order in which they were sent.
+// sortedAttempts returns the attempts in flight, in the order in which they were sent.
 func (cn *conn) sortedAttempts() []*attempt {
 	return slices.SortedFunc(maps.Values(cn.attempts), func(a, b *attempt) int { return cmp.Compare(a.id, b.id) })
 }
 
-// hasCapacity reports whether an attempt may be sent on a connection that has at most limit in flight.
+// hasCapacity reports whether another attempt may be sent on the connection, with at most limit attempts in flight.
 func (cn *conn) hasCapacity(limit int) bool {
 	usable := cn.up && !cn.checkingHealth && !cn.unresponsive
 	return usable && cn.healthCheckSentAt == 0 && len(cn.attempts) < limit
 }
 
-// connWithCapacity is the connection with the fewest attempts in flight that may be sent one more, or nil.
+// connWithCapacity returns the connection with the fewest attempts in flight on which another may be sent, or nil.
 func (p *Planner) connWithCapacity(g *gateway) *conn {
 	var best *conn
 	for _, cn := range g.conns {
@@ -55,7 +55,7 @@
 	p.emit(Connect{Conn: cn.id, Gateway: g.name})
 }
 
-// closeConn closes a connection and forgets it.
+// closeConn removes a connection and emits a Disconnect for it.
 func (p *Planner) closeConn(cn *conn) {
 	p.removeConn(cn)
 	p.emit(Disconnect{cn.id})
@@ -67,7 +67,8 @@
 	g.conns = slices.DeleteFunc(g.conns, func(o *conn) bool { return o == cn })
 }
 
-// handleUp begins a health check if the gateway was ejected: that it accepts connections does not say that it serves.
+// handleUp marks a connection as established. If the gateway is ejected it sends a health check first, since a gateway that
+// accepts connections may not serve requests yet.
 func (p *Planner) handleUp(cn *conn) {
 	cn.up, cn.lastReceived, cn.lastUsed = true, p.now, p.now
 	if cn.gateway.ejected {
@@ -76,8 +77,8 @@
 	}
 }
 
-// handleDown settles the attempts of a connection that did not come up or has ended, and ejects its gateway unless
-// the end says nothing against it.
+// handleDown ends the attempts of a connection that could not be established or has ended. It ejects the gateway, unless
+// the gateway closed an idle connection in order, or was ejected when this connection became unresponsive.
 func (p *Planner) handleDown(cn *conn, clean bool) {
 	p.removeConn(cn)
 	inFlight := len(cn.attempts)
@@ -86,17 +87,18 @@
 	switch {
 	case cn.checkingHealth || !cn.up:
 		p.recordConnectFailure(cn.gateway)
-	case cn.unresponsive || idleClose: // it is ejected already, or closed a connection without work
+	case cn.unresponsive || idleClose: // already ejected, or an idle connection was closed
 	default:
 		p.eject(cn.gateway)
 	}
 }
 
-// crossedCloseWindow is how long before an orderly close an attempt may have been sent and still have crossed it on the way.
+// crossedCloseWindow is how long before an orderly close of the connection an attempt may have been sent so that the two can
+// have crossed on the network.
 const crossedCloseWindow = 50 * time.Millisecond
 
-// settleAttempts ends the attempts of a connection that is gone, in the order in which they were sent, and reports
-// whether one crossed an orderly close.
+// settleAttempts retries or ends the calls whose attempts were in flight on a lost connection, in the order in which they
+// were sent. It reports whether an attempt crossed an orderly close.
 func (p *Planner) settleAttempts(cn *conn, clean bool) (crossed bool) {
 	attempts := cn.sortedAttempts()
 	for _, t := range attempts {
@@ -118,18 +120,19 @@
 	return crossed
 }
 
-// crossedClose reports whether the only attempt on a connection crossed its clean close on the way. Such a close says that
-// nothing of the attempt has reached the gateway, so it has not run and may be sent again, once for each call.
+// crossedClose reports whether the only attempt on a connection crossed a clean close of that connection. A clean close
+// means that no byte of the attempt reached the gateway, so it has not run and may be sent again. This is allowed once per
+// call.
 func (p *Planner) crossedClose(t *attempt) bool {
 	return p.now-t.sentAt <= crossedCloseWindow && !t.call.crossedClose
 }
 
-// reconnectSlackShare is the part of the time that a call has left that it may wait for a reconnect.
+// reconnectSlackShare is the fraction of a call's remaining time that the call may wait for a reconnect.
 const reconnectSlackShare = 0.7
 
-// connectTime is when a gateway may be connected to for a call: at once if it has a usable connection; after another
-// gateway was ejected at the time that was drawn for it, or sooner, at one drawn within the call's slack, if the call
-// could not wait so long.
+// connectTime returns when a connection to a gateway may be opened for a call. If the gateway has a usable connection,
+// that is now. Otherwise it is the time that was drawn for the gateway to spread reconnects after an ejection. If the call
+// cannot wait that long, an earlier time is drawn within a share of the call's remaining time.
 func (p *Planner) connectTime(g *gateway, c *call) time.Duration {
 	if slices.ContainsFunc(g.conns, func(cn *conn) bool { return !cn.unresponsive }) {
 		return p.now
@@ -146,13 +149,13 @@
 	return g.connectNotBefore
 }
 
-// reconnectSpread is the span over which the clients of an ejected gateway reconnect: at least Config.Spread, and long
-// enough that no gateway gets more than Config.SpreadRate connections a second.
+// reconnectSpread returns the time over which the clients of an ejected gateway spread their reconnects: at least
+// Config.Spread, and long enough that the clients together open at most Config.SpreadRate connections per second.
 func (p *Planner) reconnectSpread() time.Duration {
 	return max(p.cfg.Spread, time.Duration(float64(p.cfg.Clients)/p.cfg.SpreadRate*float64(time.Second)))
 }
 
-// drawUpTo draws a time in [0, d).
+// drawUpTo draws a random duration in [0, d).
 func (p *Planner) drawUpTo(d time.Duration) time.Duration {
 	return time.Duration(p.rng.Float64() * float64(d))
 }
--- a/client/plan/deadline.go
+++ b/client/plan/deadline.go
@@ -1,6 +1,7 @@
 package plan
 
-// expire ends a call whose time is over, by what is known of its attempts.
+// expire ends a call that has no time left: as Refused if it was only rejected, as Unsent if no attempt was sent, otherwise
+// as Expired.
 func (p *Planner) expire(c *call) {
 	switch {
 	case c.onlyRejected():
@@ -12,7 +13,7 @@
 	}
 }
 
-// onlyRejected reports whether every gateway that answered rejected the call, and nothing of it may have run.
+// onlyRejected reports whether a gateway rejected the call or its class, no attempt may have run, and none is in flight.
 func (c *call) onlyRejected() bool {
 	return len(c.inFlight) == 0 && c.rejectedUntil > 0 && c.mayHaveRunSince < 0
 }
@@ -20,7 +21,7 @@
 // tooLateToSend reports whether an attempt sent now could not be answered by the call's deadline.
 func (p *Planner) tooLateToSend(c *call) bool { return p.now+p.cfg.Way >= c.Deadline }
 
-// deadlineHeap is a heap of calls, for package container/heap: the earliest deadline first, then the first to arrive.
+// deadlineHeap is a heap of calls for package container/heap, ordered by deadline and, for equal deadlines, by arrival.
 type deadlineHeap []*call
 
 func (h deadlineHeap) Len() int { return len(h) }
@@ -37,14 +38,14 @@
 	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
-// Push appends a call; heap.Push calls it.
+// Push appends a call. It is called by heap.Push only.
 func (h *deadlineHeap) Push(x any) {
 	c := x.(*call)
 	c.heapIndex = len(*h)
 	*h = append(*h, c)
 }
 
-// Pop takes the last call; heap.Pop and heap.Remove call it.
+// Pop removes and returns the last call. It is called by heap.Pop and heap.Remove only.
 func (h *deadlineHeap) Pop() any {
 	old := *h
 	c := old[len(old)-1]
--- a/client/plan/dispatch.go
+++ b/client/plan/dispatch.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// dispatchWaiting sends waiting calls to gateways, or has them connected to: the highest priority weight first.
+// dispatchWaiting sends the waiting calls or opens connections for them, in the order of priority weight, highest first.
 func (p *Planner) dispatchWaiting() {
 	if len(p.waiting) == 0 {
 		return
 	}
 	p.sortWaiting()
-	rejected := map[string]time.Duration{} // by class: no gateway may be sent a call before this time
+	rejected := map[string]time.Duration{} // by class: until when no gateway may be sent a call of it
 	for _, c := range slices.Clone(p.waiting) {
 		if p.calls[c.ID] == c && p.mayDispatch(c) {
 			p.dispatch(c, rejected)
@@ -30,23 +30,23 @@
 	p.waitingSorted = true
 }
 
-// mayDispatch reports whether a waiting call may be sent now. One that may not be sent any more it ends.
+// mayDispatch reports whether a waiting call may be sent now. It ends a call that may no longer be sent at all.
 func (p *Planner) mayDispatch(c *call) bool {
 	if p.tooLateToSend(c) {
 		p.expire(c)
 		return false
 	}
-	if c.attemptCount > 0 && !p.mayRepeat(c) { // its idempotency window closed while it waited
+	if c.attemptCount > 0 && !p.mayRepeat(c) { // the class's window ended while the call waited
 		p.stopRetrying(c)
 		return false
 	}
 	return !c.redirecting || p.mayRedirect(c)
 }
 
-// dispatch sends a call to the gateway that it waits for, or to one that is picked. Classes that no gateway takes are
-// noted in rejected, so that one pick serves all their calls.
+// dispatch sends a call to its pending gateway, if that can still be used, or else to a newly picked one. If no gateway may
+// be sent the class, dispatch records that in rejected, so that it does not pick again for further calls of the class.
 func (p *Planner) dispatch(c *call, rejected map[string]time.Duration) {
-	if p.canUsePendingGateway(c) { // another pick would have another gateway connected to as well
+	if p.canUsePendingGateway(c) { // a new pick could open a connection to a second gateway for the same call
 		p.sendOrConnect(c, c.pendingGateway)
 		return
 	}
@@ -62,7 +62,7 @@
 	p.waitForRetryAfter(c, until)
 }
 
-// canUsePendingGateway reports whether the gateway that a call waits for may still be sent it, now or once a connection is up.
+// canUsePendingGateway reports whether a call can be sent to its pending gateway, now or as soon as a connection is up.
 func (p *Planner) canUsePendingGateway(c *call) bool {
 	g := c.pendingGateway
 	if g == nil || g.ejected || g.rejectedUntil[c.Class] > p.now {
@@ -71,8 +71,8 @@
 	return g.isConnecting() || p.connWithCapacity(g) != nil
 }
 
-// waitForRetryAfter has a call wait until a gateway that rejected its class may be asked again, or ends it if that is too
-// late. Never says that all gateways are ejected: the call waits for a health check.
+// waitForRetryAfter leaves a call waiting until the earliest Retry-After for its class ends, or ends the call as Refused if
+// that leaves no time for an answer. If until is never, all gateways are ejected: the call waits for one to recover.
 func (p *Planner) waitForRetryAfter(c *call, until time.Duration) {
 	if until == never {
 		return
@@ -83,7 +83,8 @@
 	}
 }
 
-// sendOrConnect sends a call to a gateway, or connects to it if no connection has capacity.
+// sendOrConnect sends a call to a gateway. If no connection has capacity, it makes the gateway the call's pending gateway
+// and opens a connection, unless one is being established, the limit is reached, or connectTime is in the future.
 func (p *Planner) sendOrConnect(c *call, g *gateway) {
 	if cn := p.connWithCapacity(g); cn != nil {
 		p.send(c, cn)
@@ -101,7 +102,7 @@
 	cn.attempts[t.id] = t
 	cn.gateway.inFlight++
 	if len(cn.attempts) == 1 {
-		cn.lastReceived = p.now // silence counts from when work is in flight
+		cn.lastReceived = p.now // Config.Silence is measured from the first attempt in flight
 	}
 	cn.lastUsed = p.now
 	c.inFlight = append(c.inFlight, t)
@@ -113,7 +114,7 @@
 	}
 	if c.redirecting {
 		c.redirecting = false
-		p.redirects.saved--
+		p.redirects.tokens--
 		p.Counters.Redirected++
 	}
 	c.connectNotBefore, c.pendingGateway = 0, nil
--- a/client/plan/gateway.go
+++ b/client/plan/gateway.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// gateway is what is known of one gateway.
+// gateway is the planner's state of one gateway.
 type gateway struct {
 	name             string
 	conns            []*conn
-	inFlight         int                      // attempts on all connections
-	successRate      float64                  // moving average of recent results, 0 to 1
-	rejectedUntil    map[string]time.Duration // by class: the end of a Retry-After
-	ejected          bool                     // it gets no calls before a health check succeeds
-	healthCheckAt    time.Duration            // while it is ejected: when it is connected to next
-	backoff          time.Duration            // while it is ejected: the wait before that, without jitter
-	recoveredAt      time.Duration            // when it began to take calls: slow start counts from here
-	connectNotBefore time.Duration            // see connectTime
+	inFlight         int                      // attempts in flight on all connections
+	successRate      float64                  // moving average of the scores of recent results, 0 to 1
+	rejectedUntil    map[string]time.Duration // by class: when the gateway's latest Retry-After ends
+	ejected          bool                     // the gateway gets no calls until a health check succeeds
+	healthCheckAt    time.Duration            // while ejected: when to connect for the next health check
+	backoff          time.Duration            // while ejected: the delay before that, without jitter
+	recoveredAt      time.Duration            // when the gateway was last returned to use: the start of slow start
+	connectNotBefore time.Duration            // earliest time to connect, drawn to spread reconnects; see connectTime
 }
 
 func newGateway(name string, cfg Config) *gateway {
 	return &gateway{name: name, successRate: 1, rejectedUntil: map[string]time.Duration{}, recoveredAt: -cfg.Ramp}
 }
 
-// Weights of a gateway.
+// Constants of a gateway's weighted load.
 const (
 	successRateGain = 0.05 // weight of the newest result in the success rate
-	minSuccessRate  = 0.05 // keeps a few calls on a gateway that fails, so that its recovery shows
-	rampStartShare  = 0.1  // share of its load with which slow start begins
+	minSuccessRate  = 0.05 // lower limit: a failing gateway still gets a few calls, which show its recovery
+	rampStartShare  = 0.1  // share of its full load that a recovered gateway gets at the beginning of slow start
 )
 
-// recordResult takes a result, from 0 (failed) to 1 (served), into the success rate.
+// recordResult updates the success rate with the score of a result, from 0 (failed) to 1 (served).
 func (g *gateway) recordResult(score float64) {
 	g.successRate += successRateGain * (score - g.successRate)
 }
 
-// isConnecting reports whether a connection is coming up or under its first health check.
+// isConnecting reports whether a connection is being established, or waits for the health check of an ejected gateway.
 func (g *gateway) isConnecting() bool {
 	for _, cn := range g.conns {
 		if !cn.up || cn.checkingHealth {
@@ -45,7 +45,7 @@
 	return false
 }
 
-// AvailableGateways is the number of gateways that are not ejected.
+// AvailableGateways returns the number of gateways that are not ejected.
 func (p *Planner) AvailableGateways() int {
 	n := 0
 	for _, g := range p.gateways {
@@ -56,8 +56,8 @@
 	return n
 }
 
-// pickGateway draws two of the gateways that may be sent a call and takes the one with the lower weighted load. If there is
-// none, it returns nil and the end of the earliest Retry-After, or never if all are ejected.
+// pickGateway draws two of the gateways that may be sent a call and returns the one with the lower weighted load. If no
+// gateway may be sent the call, it returns nil and the end of the earliest Retry-After, or never if all are ejected.
 func (p *Planner) pickGateway(c *call) (*gateway, time.Duration) {
 	var eligible []*gateway
 	until := never
@@ -84,23 +84,23 @@
 	return best, until
 }
 
-// weightedLoad is the number of attempts in flight with one more, divided by the gateway's success rate and by its share in
-// slow start.
+// weightedLoad returns the number of attempts in flight plus one, divided by the gateway's success rate and by the share
+// of its full load that it gets in slow start.
 func (p *Planner) weightedLoad(g *gateway) float64 {
 	ramp := min(1, rampStartShare+(1-rampStartShare)*float64(p.now-g.recoveredAt)/float64(max(1, p.cfg.Ramp)))
 	return (float64(g.inFlight) + 1) / (max(minSuccessRate, g.successRate) * max(rampStartShare, ramp))
 }
 
-// sendRateWindow is the time constant of sendRate.
+// sendRateWindow is the time constant of the decay of sendRate.
 const sendRateWindow = 2 * time.Second
 
-// sendRate is an exponentially decaying average of attempts a second.
+// sendRate is an exponentially decaying average of attempts per second.
 type sendRate struct {
 	perSecond float64
 	updatedAt time.Duration
 }
 
-// at decays the rate to now and returns it.
+// at returns the rate at a time, in attempts per second.
 func (r *sendRate) at(now time.Duration) float64 {
 	r.perSecond *= math.Exp(-float64(now-r.updatedAt) / float64(sendRateWindow))
 	r.updatedAt = now
@@ -110,26 +110,26 @@
 // add counts one attempt.
 func (r *sendRate) add(now time.Duration) { r.perSecond = r.at(now) + 1/sendRateWindow.Seconds() }
 
-// Limits of what ejected gateways leave to the others.
+// Limits of redirects, which are calls sent to another gateway because theirs was ejected.
 const (
-	minRedirectsPerSecond    = 10 // allowed however low the usual rate is
-	redirectBurstsPerSecond  = 10 // the budget saves up a tenth of a second, or one redirect if that is more
-	urgentRedirectTravelTime = 4  // with fewer travel times (Config.Way) left a call does not wait for the budget
+	minRedirectsPerSecond     = 10 // allowed even if the average rate of attempts is low
+	redirectBurstDivisor      = 10 // the budget holds at most the redirects of 1/10 s, but at least one
+	urgentRedirectTravelTimes = 4  // a call with less than this many times Config.Way left does not wait for the budget
 )
 
-// redirectBudget limits how many calls a second go from an ejected gateway to others, so that they are not overloaded
-// at once. Its unit is one redirect; urgent ones may overdraw it.
+// redirectBudget is a token bucket that limits how many calls per second move from an ejected gateway to others, so that
+// these are not overloaded all at once.
 type redirectBudget struct {
-	saved     float64
+	tokens    float64 // in redirects; negative after urgent redirects, which may overdraw the budget
 	updatedAt time.Duration
 }
 
-// mayRedirect reports whether a call whose gateway was ejected may go to another now: up to a part (Config.Redirect) of
-// the usual rate do, and those at once whose deadline is near.
+// mayRedirect reports whether a call whose gateway was ejected may be sent to another gateway now: the redirect budget
+// allows it, or the call's deadline is too near to wait.
 func (p *Planner) mayRedirect(c *call) bool {
 	rate := max(minRedirectsPerSecond, p.cfg.Redirect*p.sendRate.at(p.now))
 	b := &p.redirects
-	b.saved = min(max(1, rate/redirectBurstsPerSecond), b.saved+rate*(p.now-b.updatedAt).Seconds())
+	b.tokens = min(max(1, rate/redirectBurstDivisor), b.tokens+rate*(p.now-b.updatedAt).Seconds())
 	b.updatedAt = p.now
-	return b.saved >= 1 || c.Deadline-p.now < urgentRedirectTravelTime*p.cfg.Way
+	return b.tokens >= 1 || c.Deadline-p.now < urgentRedirectTravelTimes*p.cfg.Way
 }
--- a/client/plan/health.go
+++ b/client/plan/health.go
@@ -1,7 +1,8 @@
 package plan
 
-// eject takes a gateway out of use until a health check succeeds. Attempts on its other connections may still be
-// answered. The other gateways will be connected to in its place: each at a time drawn over the reconnect spread.
+// eject takes a gateway out of use until a health check succeeds. Attempts in flight on its other connections may still be
+// answered. For each remaining gateway without a connection, eject draws the earliest time to connect, so that the clients
+// of the ejected gateway do not all connect to another one at once.
 func (p *Planner) eject(g *gateway) {
 	p.Counters.Ejections++
 	if !g.ejected {
@@ -18,8 +19,9 @@
 	}
 }
 
-// recordConnectFailure notes that a gateway could not be reached or does not serve yet. An ejected one backs off
-// longer, but not beyond the reconnect spread while no gateway is left: someone has to find out which is back first.
+// recordConnectFailure ejects a gateway that could not be connected to, or that failed its health check. If it is ejected
+// already, its backoff doubles. While all gateways are ejected the backoff is at most the reconnect spread, so that the
+// client soon notices the first gateway that recovers.
 func (p *Planner) recordConnectFailure(g *gateway) {
 	if !g.ejected {
 		p.eject(g)
@@ -32,26 +34,28 @@
 	p.scheduleHealthCheck(g)
 }
 
-// scheduleHealthCheck draws the next health check of an ejected gateway, from half its backoff to one and a half.
+// scheduleHealthCheck draws the time of the next health check of an ejected gateway: after 0.5 to 1.5 times its backoff.
 func (p *Planner) scheduleHealthCheck(g *gateway) {
 	g.healthCheckAt = p.now + g.backoff/2 + p.drawUpTo(g.backoff)
 }
 
 func (p *Planner) sendHealthCheck(cn *conn) {
-	cn.healthCheckSentAt = max(1, p.now) // 0 says that none was sent
+	cn.healthCheckSentAt = max(1, p.now) // 0 means that no health check is unanswered
 	p.Counters.HealthChecks++
 	p.emit(HealthCheck{cn.id})
 }
 
-// handleHeard takes a sign of life, which ends a health check.
-func (p *Planner) handleHeard(cn *conn, healthy bool) {
+// handleReceived processes a message other than the answer to an attempt in flight. Any such message ends a pending health
+// check; on a connection to an ejected gateway, healthy is the result of that check.
+func (p *Planner) handleReceived(cn *conn, healthy bool) {
 	cn.lastReceived, cn.healthCheckSentAt = p.now, 0
 	if cn.checkingHealth {
 		p.handleHealthCheckResult(cn, healthy)
 	}
 }
 
-// handleHealthCheckResult returns an ejected gateway to use, or backs off.
+// handleHealthCheckResult returns an ejected gateway to use if it is healthy. Otherwise it closes the connection and backs
+// off.
 func (p *Planner) handleHealthCheckResult(cn *conn, healthy bool) {
 	cn.checkingHealth = false
 	if !healthy {
@@ -64,8 +68,8 @@
 	g.connectNotBefore = p.now + p.drawUpTo(p.reconnectSpread())
 }
 
-// markUnresponsive ejects the gateway of a connection that stayed silent. Its attempts stay in flight, since their answers
-// may yet come; those that may be repeated are sent elsewhere as well.
+// markUnresponsive ejects the gateway of a connection on which a health check timed out. The attempts on the connection
+// stay in flight, since their answers may still arrive; calls that may be retried are queued for another gateway as well.
 func (p *Planner) markUnresponsive(cn *conn) {
 	cn.unresponsive = true
 	attempts := cn.sortedAttempts()
--- a/client/plan/plan.go
+++ b/client/plan/plan.go
@@ -1,100 +1,110 @@
-// Package plan decides for a client of several gateways: which gateway a call is sent to, when to connect, whether to
-// retry, and when to give up. It does no I/O, reads no clock, starts no goroutine and draws only from the source that it
-// is given, so that the same events give the same actions. Package client drives it on real connections, under a lock.
+// Package plan makes the decisions of a client of several gateways: which gateway each call is sent to, when to connect,
+// whether to retry and when to give up. It does no I/O, reads no clock, starts no goroutine, and draws random numbers only
+// from the source passed to [New], so that the same events always produce the same actions. Package client executes these
+// actions on real connections and calls the planner under a mutex.
 //
-// A driver hands each [Event] to [Planner.Handle], carries out the actions in their order, and hands in a [Timer]
-// event at the time that [Planner.NextTimer] returns. Times are spans on one clock that runs forward from any beginning.
+// A driver passes each [Event] to [Planner.Handle], executes the returned actions in order, and passes in a [Timer] event
+// at the time returned by [Planner.NextTimer]. Times are durations since an arbitrary start of one monotonic clock.
 //
-// A call has one or more attempts and one [Ending]. The rules stand in these files:
+// A call is sent in one or more attempts and ends with exactly one [Ending]. The rules are in these files:
 //
-//   - deadline.go: when a call is given up;
-//   - dispatch.go, gateway.go: which waiting call is sent first, and to which gateway;
-//   - retry.go: what may be sent again, and the retry budget;
-//   - health.go: when a gateway is ejected, and when it returns;
-//   - conn.go: when to connect, and how reconnects are spread;
-//   - result.go: what an answer changes;
-//   - timer.go: what is due, and when.
+//   - deadline.go: when a call expires;
+//   - dispatch.go, gateway.go: in which order waiting calls are sent, and to which gateway;
+//   - retry.go: which calls may be sent again, and the retry budget;
+//   - health.go: when a gateway is ejected, and when it is used again;
+//   - conn.go: when to connect, and how reconnects are spread over time;
+//   - result.go: what the planner does with an answer;
+//   - timer.go: which timers are due, and when the next one is.
 package plan
 
 import "time"
 
-// Effect says what repeating a request of a class may do.
+// Effect classifies requests by what happens if one is executed more than once.
 type Effect int
 
-// The effects of a class.
+// Effects of a class.
 const (
-	Idempotent        Effect = iota // may be repeated freely
-	IdempotentWithKey               // a repeat with the same key is dropped during the class's window
-	NonIdempotent                   // must not run twice
+	Idempotent        Effect = iota // may be executed any number of times
+	IdempotentWithKey               // gateways drop a repeat with the same idempotency key for Class.Window
+	NonIdempotent                   // must not be executed twice
 )
 
-// Class is what the planner needs to know of a class of requests.
+// Class describes a class of requests to the planner.
 type Class struct {
 	Name     string
 	Effect   Effect
-	Window   time.Duration // of IdempotentWithKey: for how long after an attempt has been sent a repeat is dropped
-	Worth    float64       // priority weight: of the calls that wait, the highest is sent first
-	Deadline time.Duration // no call takes longer; 0: as long as its own deadline says
+	Window   time.Duration // for IdempotentWithKey: how long after an attempt was sent gateways drop its repeats
+	Worth    float64       // priority weight: of the waiting calls, those with the highest weight are sent first
+	Deadline time.Duration // longest time that a call may take; 0: limited by the deadline of the call only
 }
 
-// Ending is how a call ended.
+// Ending is the result of a call.
 type Ending int
 
-// The endings of a call.
+// Endings of a call.
 const (
-	Served  Ending = iota // with an answer
-	Refused               // rejected: nothing ran; come back later
-	Failed                // the gateway said so, and it may have run
-	Unknown               // it may have run, and nobody can say
-	Expired               // there was no time left
-	Unsent                // no gateway could be reached; nothing ran
-	Closed                // the client was closed
+	// Served: a gateway answered the call.
+	Served Ending = iota
+	// Refused: the call was rejected, or every usable gateway rejects its class until too late. Nothing ran, with one
+	// exception: an earlier attempt of a call that may be repeated may have run.
+	Refused
+	// Failed: a gateway answered with a failure. The call may have run.
+	Failed
+	// Unknown: a connection was lost before the answer. The call may have run.
+	Unknown
+	// Expired: the deadline passed before an answer. The call may have run.
+	Expired
+	// Unsent: no attempt was sent by the deadline, or the class is not configured. Nothing ran.
+	Unsent
+	// Closed: the planner was closed before the call ended. The call may have run if an attempt had been sent.
+	Closed
 )
 
-// String is an ending's name in counters, metrics and traces.
+// String returns the name of an ending in counters, metrics and traces.
 func (e Ending) String() string {
 	return [...]string{"served", "refused", "failed", "unknown", "expired", "unsent", "closed"}[e]
 }
 
-// Event is anything that reaches a planner.
+// Event is an input of the planner; see [Planner.Handle].
 type Event interface{ event() }
 
-// Call asks for one ending, by a deadline on the planner's clock. ID must be new among the open calls.
+// Call starts a call, which ends with one [End] unless it is cancelled. ID must differ from those of all open calls.
+// Deadline is a time on the planner's clock.
 type Call struct {
 	ID       uint64
 	Class    string
 	Deadline time.Duration
 }
 
-// Cancelled says that nobody waits for a call any more. No End follows.
+// Cancelled reports that the caller no longer waits for a call. The planner abandons its attempts and emits no [End].
 type Cancelled struct{ ID uint64 }
 
-// Up says that a connection came up.
+// Up reports that a connection was established.
 type Up struct{ Conn uint64 }
 
-// Down says that a connection did not come up or has ended.
+// Down reports that a connection could not be established or has ended.
 type Down struct {
 	Conn  uint64
-	Clean bool // the gateway closed it in order, and nothing of the attempts in flight can have reached it
+	Clean bool // the gateway closed it in order, and no byte of the attempts in flight can have reached the gateway
 }
 
-// Received says that something came on a connection that is no answer to an attempt, such as the answer to a health check.
+// Received reports a message other than the answer to an attempt in flight, such as the answer to a health check.
 type Received struct {
 	Conn    uint64
-	Healthy bool // it answers a health check with yes
+	Healthy bool // it is the answer to a health check, and the gateway is healthy
 }
 
-// Answered is the answer to an attempt: served if OK, else rejected if Rejected, else failed.
+// Answered reports the answer to an attempt: served if OK, else rejected if Rejected, else failed.
 type Answered struct {
 	Conn, Attempt uint64
 	OK, Rejected  bool
-	RetryAfter    time.Duration // of a rejection; 0: none was given
+	RetryAfter    time.Duration // for a rejection: when the class may be sent to this gateway again; 0: not given
 }
 
-// Timer says that the time given by [Planner.NextTimer] has come. It does no harm at other times.
+// Timer reports that the time returned by [Planner.NextTimer] has come. A Timer at any other time is harmless.
 type Timer struct{}
 
-// Close ends all calls and connections.
+// Close ends all calls as [Closed] and closes all connections.
 type Close struct{}
 
 func (Call) event()      {}
@@ -106,39 +116,39 @@
 func (Timer) event()     {}
 func (Close) event()     {}
 
-// Action is anything that a planner wants done.
+// Action is an output of the planner, to be executed by the driver; see [Planner.Handle].
 type Action interface{ action() }
 
-// Connect opens a connection; Up or Down follows.
+// Connect opens a connection to a gateway. The driver answers with [Up] or [Down].
 type Connect struct {
 	Conn    uint64
 	Gateway string
 }
 
-// Send sends an attempt of a call. Attempt ids are new with each and rise on a connection.
+// Send sends an attempt of a call. Attempt ids are unique and increase on each connection.
 type Send struct {
 	Conn, Attempt, Call uint64
-	Limit               time.Duration // the time that the gateway has for it
-	Retry               bool          // it is not the call's first attempt
-	SendKey             bool          // the call's idempotency key is sent with it
+	Limit               time.Duration // time within which the gateway must answer
+	Retry               bool          // the attempt is not the first of its call
+	SendKey             bool          // the idempotency key of the call is sent with the attempt
 }
 
-// Abandon says that no answer to an attempt is wanted any more.
+// Abandon cancels an attempt: its answer is no longer needed.
 type Abandon struct{ Conn, Attempt uint64 }
 
-// HealthCheck asks a connection whether its gateway serves; Received follows if it answers.
+// HealthCheck sends a health check on a connection. The driver reports the answer as [Received].
 type HealthCheck struct{ Conn uint64 }
 
-// Disconnect closes a connection; no Down follows.
+// Disconnect closes a connection. No [Down] has to follow; the planner ignores one that does.
 type Disconnect struct{ Conn uint64 }
 
 // End ends a call.
 type End struct {
 	Call       uint64
 	Ending     Ending
-	Attempt    uint64        // the attempt that was answered; 0: none was
-	RetryAfter time.Duration // of Refused: when to come back
-	Attempts   int           // how many were sent
+	Attempt    uint64        // the attempt whose answer or lost connection ended the call; 0: none
+	RetryAfter time.Duration // for Refused: how long the caller should wait before a new call; 0: not given
+	Attempts   int           // number of attempts that were sent
 }
 
 func (Connect) action()     {}
--- a/client/plan/planner.go
+++ b/client/plan/planner.go
@@ -8,28 +8,29 @@
 	"time"
 )
 
-// never is later than every time on the planner's clock.
+// never is a time that the planner's clock does not reach.
 const never = time.Duration(math.MaxInt64)
 
-// Planner decides. It is not safe for concurrent use.
+// Planner holds the state of a client's calls, connections and gateways, and decides on actions. It is not safe for
+// concurrent use.
 type Planner struct {
-	Counters Counters
+	Counters Counters // updated by Handle; to be read only while Handle does not run
 
 	cfg     Config
 	rng     *rand.Rand
 	now     time.Duration
-	actions []Action // wanted by the event that is handled
+	actions []Action // emitted while an event is handled
 	closed  bool
 
 	classes  map[string]*Class
 	gateways []*gateway
 	conns    map[uint64]*conn
-	lastID   uint64 // of connections and attempts
+	lastID   uint64 // the last id given to a connection or an attempt
 
 	calls         map[uint64]*call
-	lastOrder     uint64
+	lastOrder     uint64 // the order of the newest call
 	byDeadline    deadlineHeap
-	waiting       []*call // calls to be sent, by priority weight once they are sorted
+	waiting       []*call // calls to be sent; sorted by priority weight if waitingSorted
 	waitingSorted bool
 
 	retryBudget retryBudget
@@ -37,7 +38,8 @@
 	redirects   redirectBudget
 }
 
-// New returns a planner, or the error of [Config.Check]. All that it draws comes from rng.
+// New returns a planner, or the error of [Config.Check]. The planner draws all random numbers from rng, which nothing else
+// may use concurrently with [Planner.Handle].
 func New(cfg Config, rng *rand.Rand) (*Planner, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -55,7 +57,8 @@
 	return p, nil
 }
 
-// Handle takes one event and appends the actions to out. Time must not run backwards. It doesn't block.
+// Handle processes an event and returns out with the resulting actions appended. now is the time on the planner's clock; a
+// time before that of the previous event counts as equal to it. Handle doesn't block.
 func (p *Planner) Handle(now time.Duration, ev Event, out []Action) []Action {
 	p.now, p.actions = max(now, p.now), out
 	p.dispatchEvent(ev)
@@ -85,7 +88,7 @@
 		}
 	case Received:
 		if cn := p.conns[ev.Conn]; cn != nil {
-			p.handleHeard(cn, ev.Healthy)
+			p.handleReceived(cn, ev.Healthy)
 		}
 	case Answered:
 		if cn := p.conns[ev.Conn]; cn != nil {
@@ -98,7 +101,7 @@
 
 func (p *Planner) emit(a Action) { p.actions = append(p.actions, a) }
 
-// shutDown ends all calls, in the order in which they came, and all connections.
+// shutDown ends all calls in the order of their arrival, and closes all connections.
 func (p *Planner) shutDown() {
 	p.closed = true
 	open := make([]*call, 0, len(p.calls))
@@ -119,7 +122,7 @@
 	p.waiting = nil
 }
 
-// CallOf is the call that an attempt belongs to, if it is in flight.
+// CallOf returns the id of the call that an attempt on a connection belongs to, or false if the attempt is not in flight.
 func (p *Planner) CallOf(conn, id uint64) (uint64, bool) {
 	cn := p.conns[conn]
 	if cn == nil {
--- a/client/plan/planner_test.go
+++ b/client/plan/planner_test.go
@@ -14,538 +14,552 @@
 
 const ms = time.Millisecond
 
-func config() Config {
+func testConfig() Config {
 	return Config{Gateways: []string{"a", "b", "c"}, Classes: []Class{{Name: "safe", Worth: 2}, {Name: "keyed", Effect: IdempotentWithKey,
 		Window: 3 * time.Second, Worth: 3}, {Name: "unsafe", Effect: NonIdempotent, Worth: 1}}}
 }
 
-// network plays gateways and network against a planner, and checks what it does.
-type network struct {
+// fakeNetwork simulates gateways and connections for a planner, on a virtual clock, and checks the planner's actions.
+type fakeNetwork struct {
 	t             interface{ Fatalf(string, ...any) }
 	p             *Planner
 	now           time.Duration
-	conns         map[uint64]*networkConn
-	calls         map[uint64]*networkCall
+	conns         map[uint64]*fakeConn
+	calls         map[uint64]*observedCall
 	lastAttempt   map[uint64]uint64 // by connection
 	actions       []Action
-	rejectedUntil map[string]time.Duration // by gateway and class: not before then
+	rejectedUntil map[string]time.Duration // by gateway and class: when the Retry-After ends
 	sends         []Send
-	connects      []time.Duration
+	connects      []time.Duration // times of Connect actions
 }
 
-type networkConn struct {
+type fakeConn struct {
 	gateway  string
 	up       bool
 	attempts map[uint64]Send
 }
 
-type networkCall struct {
+type observedCall struct {
 	Call
 	ended           bool
 	ending          Ending
 	attempts        int
-	mayHaveRunSince time.Duration // when the earliest attempt that may have run was sent
+	mayHaveRunSince time.Duration // when the first attempt that may have run failed or lost its connection
 	mayHaveRun      bool
 	endedAt         time.Duration
 }
 
-func newNetwork(t interface{ Fatalf(string, ...any) }, cfg Config, seed uint64) *network {
+func newFakeNetwork(t interface{ Fatalf(string, ...any) }, cfg Config, seed uint64) *fakeNetwork {
 	p, err := New(cfg, rand.New(rand.NewPCG(seed, 1)))
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
-	return &network{t: t, p: p, conns: map[uint64]*networkConn{}, calls: map[uint64]*networkCall{}, lastAttempt: map[uint64]uint64{}, rejectedUntil: map[string]time.Duration{}}
+	return &fakeNetwork{t: t, p: p, conns: map[uint64]*fakeConn{}, calls: map[uint64]*observedCall{}, lastAttempt: map[uint64]uint64{}, rejectedUntil: map[string]time.Duration{}}
 }
 
-func (w *network) class(c uint64) *Class {
-	for i := range w.p.cfg.Classes {
-		if k := &w.p.cfg.Classes[i]; k.Name == w.calls[c].Class {
+func (net *fakeNetwork) classOf(callID uint64) *Class {
+	for i := range net.p.cfg.Classes {
+		if k := &net.p.cfg.Classes[i]; k.Name == net.calls[callID].Class {
 			return k
 		}
 	}
 	return &Class{}
 }
 
-// handle hands an event in and checks what comes out.
-func (w *network) handle(ev Event) {
+// handle passes an event to the planner and checks and applies the resulting actions.
+func (net *fakeNetwork) handle(ev Event) {
 	if c, ok := ev.(Call); ok {
-		w.calls[c.ID] = &networkCall{Call: c}
+		net.calls[c.ID] = &observedCall{Call: c}
 	}
-	w.actions = w.p.Handle(w.now, ev, w.actions[:0])
-	for _, a := range w.actions {
+	net.actions = net.p.Handle(net.now, ev, net.actions[:0])
+	for _, a := range net.actions {
 		switch a := a.(type) {
 		case Connect:
-			w.conns[a.Conn] = &networkConn{gateway: a.Gateway, attempts: map[uint64]Send{}}
-			w.connects = append(w.connects, w.now)
+			net.conns[a.Conn] = &fakeConn{gateway: a.Gateway, attempts: map[uint64]Send{}}
+			net.connects = append(net.connects, net.now)
 		case Disconnect:
-			if w.conns[a.Conn] == nil {
-				w.t.Fatalf("a connection is hung up twice")
+			if net.conns[a.Conn] == nil {
+				net.t.Fatalf("Disconnect for a connection that is closed already")
 			}
-			delete(w.conns, a.Conn)
+			delete(net.conns, a.Conn)
 		case Send:
-			w.sent(a)
+			net.checkSend(a)
 		case Abandon:
-			if c := w.conns[a.Conn]; c != nil {
+			if c := net.conns[a.Conn]; c != nil {
 				delete(c.attempts, a.Attempt)
 			}
 		case End:
-			c := w.calls[a.Call]
+			c := net.calls[a.Call]
 			if c.ended {
-				w.t.Fatalf("call %d ends twice", a.Call)
+				net.t.Fatalf("call %d ended twice", a.Call)
 			}
-			c.ended, c.ending, c.endedAt = true, a.Ending, w.now
-			if w.now > c.Deadline {
-				w.t.Fatalf("call %d ends %v late", a.Call, w.now-c.Deadline)
+			c.ended, c.ending, c.endedAt = true, a.Ending, net.now
+			if net.now > c.Deadline {
+				net.t.Fatalf("call %d ended %v after its deadline", a.Call, net.now-c.Deadline)
 			}
 			if a.Ending == Unsent && c.attempts > 0 || a.Ending == Refused && c.mayHaveRun && c.Class == "unsafe" {
-				w.t.Fatalf("call %d ends as %v after %d tries, ran %v", a.Call, a.Ending, c.attempts, c.mayHaveRun)
+				net.t.Fatalf("call %d ended as %v after %d attempts, may have run: %v", a.Call, a.Ending, c.attempts, c.mayHaveRun)
 			}
 		}
 	}
 }
 
-func (w *network) sent(a Send) {
-	c, k := w.calls[a.Call], w.class(a.Call)
-	cn := w.conns[a.Conn]
+func (net *fakeNetwork) checkSend(a Send) {
+	c, k := net.calls[a.Call], net.classOf(a.Call)
+	cn := net.conns[a.Conn]
 	switch {
 	case c.ended:
-		w.t.Fatalf("sent for a call that has ended")
+		net.t.Fatalf("attempt sent for a call that has ended")
 	case cn == nil || !cn.up:
-		w.t.Fatalf("sent on a connection that is not up")
+		net.t.Fatalf("attempt sent on a connection that is not up")
 	case len(cn.attempts) >= DefaultOpen:
-		w.t.Fatalf("%d requests are open", len(cn.attempts))
-	case a.Attempt <= w.lastAttempt[a.Conn]:
-		w.t.Fatalf("ids do not rise")
+		net.t.Fatalf("attempt sent on a connection with %d attempts in flight", len(cn.attempts))
+	case a.Attempt <= net.lastAttempt[a.Conn]:
+		net.t.Fatalf("attempt ids on a connection do not increase")
 	case a.Retry != (c.attempts > 0):
-		w.t.Fatalf("try %d is marked %v", c.attempts+1, a.Retry)
-	case a.Limit <= 0 || w.now+a.Limit > c.Deadline:
-		w.t.Fatalf("limit %v with %v left", a.Limit, c.Deadline-w.now)
+		net.t.Fatalf("attempt %d of a call has Retry %v", c.attempts+1, a.Retry)
+	case a.Limit <= 0 || net.now+a.Limit > c.Deadline:
+		net.t.Fatalf("Limit is %v with %v left until the deadline", a.Limit, c.Deadline-net.now)
 	case c.mayHaveRun && k.Effect == NonIdempotent:
-		w.t.Fatalf("an unsafe call is sent again")
-	case c.mayHaveRun && k.Effect == IdempotentWithKey && w.now >= c.mayHaveRunSince+k.Window:
-		w.t.Fatalf("a keyed call is sent again after %v", w.now-c.mayHaveRunSince)
-	case w.now < w.rejectedUntil[cn.gateway+" "+c.Class]:
-		w.t.Fatalf("sent %v before the gateway is to be asked again", w.rejectedUntil[cn.gateway+" "+c.Class]-w.now)
+		net.t.Fatalf("non-idempotent call sent again after an attempt that may have run")
+	case c.mayHaveRun && k.Effect == IdempotentWithKey && net.now >= c.mayHaveRunSince+k.Window:
+		net.t.Fatalf("call with an idempotency key sent again after %v, outside the window", net.now-c.mayHaveRunSince)
+	case net.now < net.rejectedUntil[cn.gateway+" "+c.Class]:
+		net.t.Fatalf("attempt sent %v before the gateway's Retry-After ended", net.rejectedUntil[cn.gateway+" "+c.Class]-net.now)
 	case a.SendKey != (k.Effect == IdempotentWithKey):
-		w.t.Fatalf("key %v for a call of effect %v", a.SendKey, k.Effect)
+		net.t.Fatalf("SendKey is %v for a call with effect %v", a.SendKey, k.Effect)
 	}
-	w.lastAttempt[a.Conn] = a.Attempt
+	net.lastAttempt[a.Conn] = a.Attempt
 	cn.attempts[a.Attempt] = a
 	c.attempts++
-	w.sends = append(w.sends, a)
+	net.sends = append(net.sends, a)
 }
 
-// answer answers an attempt; later is the Retry-After of a rejection.
-func (w *network) answer(conn, try uint64, ok, backoff bool, later time.Duration) {
-	if cn := w.conns[conn]; cn != nil {
-		if s, is := cn.attempts[try]; is {
-			delete(cn.attempts, try)
-			if !ok && !backoff {
-				w.recordMayHaveRun(s)
+// answer answers an attempt: as served if ok, else as rejected with retryAfter if rejected, else as failed.
+func (net *fakeNetwork) answer(conn, attemptID uint64, ok, rejected bool, retryAfter time.Duration) {
+	if cn := net.conns[conn]; cn != nil {
+		if s, is := cn.attempts[attemptID]; is {
+			delete(cn.attempts, attemptID)
+			if !ok && !rejected {
+				net.recordMayHaveRun(s)
 			}
-			if backoff {
-				w.rejectedUntil[cn.gateway+" "+w.calls[s.Call].Class] = w.now + later
+			if rejected {
+				net.rejectedUntil[cn.gateway+" "+net.calls[s.Call].Class] = net.now + retryAfter
 			}
 		}
 	}
-	w.handle(Answered{Conn: conn, Attempt: try, OK: ok, Rejected: backoff, RetryAfter: later})
+	net.handle(Answered{Conn: conn, Attempt: attemptID, OK: ok, Rejected: rejected, RetryAfter: retryAfter})
 }
 
-func (w *network) recordMayHaveRun(s Send) {
-	c := w.calls[s.Call]
+func (net *fakeNetwork) recordMayHaveRun(s Send) {
+	c := net.calls[s.Call]
 	if !c.mayHaveRun {
-		c.mayHaveRun, c.mayHaveRunSince = true, w.now // no earlier than it was sent: a weaker check than the planner's own
+		c.mayHaveRun, c.mayHaveRunSince = true, net.now // later than the time of sending, which the planner uses: a weaker check
 	}
 }
 
-// end ends a connection.
-func (w *network) end(id uint64, clean bool) {
-	cn := w.conns[id]
-	delete(w.conns, id)
+// closeConn ends a connection from the gateway's side. The attempts in flight may have run, unless the close was clean and
+// only one attempt was in flight.
+func (net *fakeNetwork) closeConn(id uint64, clean bool) {
+	cn := net.conns[id]
+	delete(net.conns, id)
 	if !clean || len(cn.attempts) > 1 {
 		for _, s := range cn.attempts {
-			w.recordMayHaveRun(s)
+			net.recordMayHaveRun(s)
 		}
 	}
-	for k := range w.rejectedUntil { // the Retry-After of a process that is gone holds no longer
+	for k := range net.rejectedUntil { // the Retry-After of a gateway process ends with the process
 		if strings.HasPrefix(k, cn.gateway+" ") {
-			delete(w.rejectedUntil, k)
+			delete(net.rejectedUntil, k)
 		}
 	}
-	w.handle(Down{Conn: id, Clean: clean})
+	net.handle(Down{Conn: id, Clean: clean})
 }
 
-func (w *network) connIDs() []uint64 {
-	return slices.Sorted(maps.Keys(w.conns))
+func (net *fakeNetwork) connIDs() []uint64 {
+	return slices.Sorted(maps.Keys(net.conns))
 }
 
-// Whatever gateways and connections do, each call ends once and by its deadline, and nothing is sent that its class, the
-// marks, the limits or a refusal do not allow (the checks of network).
-func TestAnythingMayHappen(t *testing.T) {
+// For random events of gateways and connections, each call ends exactly once and by its deadline, and each attempt respects
+// the effect of its class, the limits, the time left and Retry-After. The checks are in fakeNetwork.
+func TestInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newNetwork(t, config(), rapid.Uint64().Draw(t, "seed"))
+		net := newFakeNetwork(t, testConfig(), rapid.Uint64().Draw(t, "seed"))
 		id := uint64(0)
 		for range rapid.IntRange(10, 150).Draw(t, "steps") {
-			w.now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * ms
-			w.runDueTimers(t)
-			ids := w.connIDs()
+			net.now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * ms
+			net.runDueTimers(t)
+			ids := net.connIDs()
 			step := rapid.IntRange(0, 9).Draw(t, "step")
 			if step <= 3 || len(ids) == 0 {
 				id++
-				w.handle(Call{ID: id, Class: rapid.SampledFrom([]string{"safe", "keyed", "unsafe", "none"}).Draw(t, "class"),
-					Deadline: w.now + time.Duration(rapid.IntRange(0, 5000).Draw(t, "limit"))*ms})
+				net.handle(Call{ID: id, Class: rapid.SampledFrom([]string{"safe", "keyed", "unsafe", "none"}).Draw(t, "class"),
+					Deadline: net.now + time.Duration(rapid.IntRange(0, 5000).Draw(t, "limit"))*ms})
 				continue
 			}
-			w.randomConnEvent(t, step, rapid.SampledFrom(ids).Draw(t, "conn"), id)
+			net.randomConnEvent(t, step, rapid.SampledFrom(ids).Draw(t, "conn"), id)
 		}
-		w.handle(Close{})
-		for id, c := range w.calls {
+		net.handle(Close{})
+		for id, c := range net.calls {
 			if !c.ended {
-				t.Fatalf("call %d never ends", id)
+				t.Fatalf("call %d did not end after Close", id)
 			}
 		}
-		if w.p.byDeadline.Len()+len(w.p.conns)+len(w.p.calls)+len(w.p.waiting) > 0 {
-			t.Fatalf("something is left")
+		if net.p.byDeadline.Len()+len(net.p.conns)+len(net.p.calls)+len(net.p.waiting) > 0 {
+			t.Fatalf("the closed planner still has calls or connections")
 		}
 	})
 }
 
-// runDueTimers has the timers that ran out by now run in their time.
-func (w *network) runDueTimers(t *rapid.T) {
-	for at, ok := w.p.NextTimer(); ok && at <= w.now; at, ok = w.p.NextTimer() {
-		now := w.now
-		w.now = at
-		w.handle(Timer{})
-		w.now = now
-		if next, again := w.p.NextTimer(); again && next <= at {
-			t.Fatalf("it wants to be woken at %v, where it was: %+v", next, w.p.pendingTimers(at))
+// runDueTimers passes in a Timer event for each timer that is due by now, each at its own time. It fails if the planner
+// asks for a timer at a time that has been handled.
+func (net *fakeNetwork) runDueTimers(t *rapid.T) {
+	for at, ok := net.p.NextTimer(); ok && at <= net.now; at, ok = net.p.NextTimer() {
+		now := net.now
+		net.now = at
+		net.handle(Timer{})
+		net.now = now
+		if next, again := net.p.NextTimer(); again && next <= at {
+			t.Fatalf("NextTimer is %v, which was handled already; planner state: %+v", next, net.p.describeTimers(at))
 		}
 	}
-	w.handle(Timer{})
+	net.handle(Timer{})
 }
 
-// randomConnEvent has something happen on a connection: it comes up or is lost, it says whether its gateway is alive, or an attempt is answered. By
-// another step the latest call is canceled.
-func (w *network) randomConnEvent(t *rapid.T, step int, conn, latest uint64) {
-	cn := w.conns[conn]
+// randomConnEvent draws an event on a connection: it is established or lost, receives the answer to a health check, or an
+// attempt on it is answered. If the connection has no attempts in flight, an answer to an unknown attempt arrives and the
+// latest call is cancelled.
+func (net *fakeNetwork) randomConnEvent(t *rapid.T, step int, conn, latestCall uint64) {
+	cn := net.conns[conn]
 	if !cn.up {
 		if rapid.IntRange(0, 3).Draw(t, "up") > 0 {
 			cn.up = true
-			w.handle(Up{Conn: conn})
+			net.handle(Up{Conn: conn})
 		} else {
-			w.end(conn, false)
+			net.closeConn(conn, false)
 		}
 		return
 	}
-	tries := slices.Sorted(maps.Keys(cn.attempts))
+	attemptIDs := slices.Sorted(maps.Keys(cn.attempts))
 	switch {
 	case step == 9:
-		w.end(conn, rapid.Bool().Draw(t, "clean"))
+		net.closeConn(conn, rapid.Bool().Draw(t, "clean"))
 	case step == 8:
-		w.handle(Received{Conn: conn, Healthy: rapid.Bool().Draw(t, "alive")})
-	case len(tries) > 0:
-		try := rapid.SampledFrom(tries).Draw(t, "try")
-		kind := rapid.IntRange(0, 3).Draw(t, "answer")
-		w.answer(conn, try, kind <= 1, kind == 2, time.Duration(rapid.IntRange(0, 2000).Draw(t, "later"))*ms)
+		net.handle(Received{Conn: conn, Healthy: rapid.Bool().Draw(t, "healthy")})
+	case len(attemptIDs) > 0:
+		attemptID := rapid.SampledFrom(attemptIDs).Draw(t, "attempt")
+		answerKind := rapid.IntRange(0, 3).Draw(t, "answer")
+		net.answer(conn, attemptID, answerKind <= 1, answerKind == 2, time.Duration(rapid.IntRange(0, 2000).Draw(t, "retryAfter"))*ms)
 	default:
-		w.handle(Answered{Conn: conn, Attempt: 999999, OK: true}) // never asked
-		if latest > 0 {
-			w.handle(Cancelled{ID: latest})
-			w.calls[latest].ended = true
+		net.handle(Answered{Conn: conn, Attempt: 999999, OK: true}) // an attempt that was never sent
+		if latestCall > 0 {
+			net.handle(Cancelled{ID: latestCall})
+			net.calls[latestCall].ended = true
 		}
 	}
 }
 
-// run plays on for a while: every millisecond, timers and what react does.
-func (w *network) run(d time.Duration, react func()) {
-	for end := w.now + d; w.now < end; w.now += ms {
-		w.handle(Timer{})
-		for _, id := range w.connIDs() {
-			if cn := w.conns[id]; !cn.up {
+// advance moves the clock forward by d in steps of 1 ms. Each step passes in a Timer, establishes the pending connections
+// and calls onTick unless it is nil.
+func (net *fakeNetwork) advance(d time.Duration, onTick func()) {
+	for end := net.now + d; net.now < end; net.now += ms {
+		net.handle(Timer{})
+		for _, id := range net.connIDs() {
+			if cn := net.conns[id]; !cn.up {
 				cn.up = true
-				w.handle(Up{Conn: id})
+				net.handle(Up{Conn: id})
 			}
 		}
-		if react != nil {
-			react()
+		if onTick != nil {
+			onTick()
 		}
 	}
 }
 
-func (w *network) inFlight() (all []Send) {
-	for _, id := range w.connIDs() {
-		for _, s := range slices.Sorted(maps.Keys(w.conns[id].attempts)) {
-			all = append(all, w.conns[id].attempts[s])
+func (net *fakeNetwork) inFlight() (all []Send) {
+	for _, id := range net.connIDs() {
+		for _, s := range slices.Sorted(maps.Keys(net.conns[id].attempts)) {
+			all = append(all, net.conns[id].attempts[s])
 		}
 	}
 	return all
 }
 
-// With every gateway rejecting, hardly more is sent than was asked for.
-func TestRefusalsAreNotAnsweredByRetries(t *testing.T) {
-	w := newNetwork(t, config(), 1)
+// If every gateway rejects every attempt, the number of attempts exceeds the number of calls by at most 10 %.
+func TestFewRetriesWhenAllGatewaysReject(t *testing.T) {
+	net := newFakeNetwork(t, testConfig(), 1)
 	n := uint64(0)
-	w.run(30*time.Second, func() {
+	net.advance(30*time.Second, func() {
 		n++
-		w.handle(Call{ID: n, Class: "safe", Deadline: w.now + 2*time.Second})
-		for _, s := range w.inFlight() {
-			w.answer(s.Conn, s.Attempt, false, true, 500*ms)
+		net.handle(Call{ID: n, Class: "safe", Deadline: net.now + 2*time.Second})
+		for _, s := range net.inFlight() {
+			net.answer(s.Conn, s.Attempt, false, true, 500*ms)
 		}
 	})
-	if tries := w.p.Counters.Attempts; float64(tries) > 1.1*float64(n) {
-		t.Errorf("%d tries for %d calls", tries, n)
+	if attempts := net.p.Counters.Attempts; float64(attempts) > 1.1*float64(n) {
+		t.Errorf("%d attempts for %d calls, want at most 10 %% more than calls", attempts, n)
 	}
-	for id, c := range w.calls {
+	for id, c := range net.calls {
 		if c.ended && c.ending != Refused {
-			t.Fatalf("call %d: %v", id, c.ending)
+			t.Fatalf("call %d ended as %v, want refused", id, c.ending)
 		}
 	}
 }
 
-// A rejection that comes after the call has been sent again counts, and leaves the newer attempt alone.
-func TestALateRefusalLeavesTheNewerTry(t *testing.T) {
-	w := newNetwork(t, config(), 2)
-	w.handle(Call{ID: 1, Class: "safe", Deadline: 10 * time.Second})
-	w.run(4*time.Second, nil) // the first gateway is silent, and is left
-	open := w.inFlight()
-	if len(open) != 2 || !open[1].Retry {
-		t.Fatalf("%d tries are out: %+v", len(open), open)
-	}
-	w.answer(open[0].Conn, open[0].Attempt, false, true, time.Second)
-	if w.calls[1].ended || len(w.inFlight()) != 1 || w.p.Counters.RejectionsHeeded != 1 {
-		t.Fatalf("ended %v, %d out, %d held", w.calls[1].ended, len(w.inFlight()), w.p.Counters.RejectionsHeeded)
-	}
-	w.answer(open[1].Conn, open[1].Attempt, true, false, 0)
-	if c := w.calls[1]; !c.ended || c.ending != Served {
-		t.Errorf("%v", c.ending)
+// A rejection of an attempt arrives after the call was sent again. Its Retry-After is counted, and the newer attempt can
+// still be served.
+func TestLateRejectionDoesNotEndNewerAttempt(t *testing.T) {
+	net := newFakeNetwork(t, testConfig(), 2)
+	net.handle(Call{ID: 1, Class: "safe", Deadline: 10 * time.Second})
+	net.advance(4*time.Second, nil) // the first gateway does not answer and is ejected
+	inFlight := net.inFlight()
+	if len(inFlight) != 2 || !inFlight[1].Retry {
+		t.Fatalf("%d attempts in flight, want a first one and a retry: %+v", len(inFlight), inFlight)
+	}
+	net.answer(inFlight[0].Conn, inFlight[0].Attempt, false, true, time.Second)
+	if net.calls[1].ended || len(net.inFlight()) != 1 || net.p.Counters.RejectionsHeeded != 1 {
+		t.Fatalf("after the late rejection: ended %v, %d attempts in flight, %d rejections with a Retry-After; want false, 1, 1",
+			net.calls[1].ended, len(net.inFlight()), net.p.Counters.RejectionsHeeded)
+	}
+	net.answer(inFlight[1].Conn, inFlight[1].Attempt, true, false, 0)
+	if c := net.calls[1]; !c.ended || c.ending != Served {
+		t.Errorf("call ended as %v, want served", c.ending)
 	}
 }
 
-// What a class does not allow is not sent again, and the call says what is known.
-func TestEffects(t *testing.T) {
+// After the loss of a connection only a call whose class allows it is sent again; a non-idempotent call ends as unknown. A
+// non-idempotent call that crossed an orderly close is sent again, since it cannot have run.
+func TestConnectionLossByEffect(t *testing.T) {
 	for class, want := range map[string]Ending{"safe": Served, "keyed": Served, "unsafe": Unknown} {
-		w := newNetwork(t, config(), 3)
-		w.handle(Call{ID: 1, Class: class, Deadline: 10 * time.Second})
-		w.run(10*ms, nil)
-		w.end(w.inFlight()[0].Conn, false)
-		w.run(5*time.Second, func() {
-			for _, s := range w.inFlight() {
-				w.answer(s.Conn, s.Attempt, true, false, 0)
+		net := newFakeNetwork(t, testConfig(), 3)
+		net.handle(Call{ID: 1, Class: class, Deadline: 10 * time.Second})
+		net.advance(10*ms, nil)
+		net.closeConn(net.inFlight()[0].Conn, false)
+		net.advance(5*time.Second, func() {
+			for _, s := range net.inFlight() {
+				net.answer(s.Conn, s.Attempt, true, false, 0)
 			}
 		})
-		if c := w.calls[1]; !c.ended || c.ending != want {
-			t.Errorf("%s: ended %v as %v", class, c.ended, c.ending)
+		if c := net.calls[1]; !c.ended || c.ending != want {
+			t.Errorf("class %s: ended %v as %v", class, c.ended, c.ending)
 		}
 	}
-	w := newNetwork(t, config(), 3) // an orderly close within 50 ms proves that nothing ran
-	w.handle(Call{ID: 1, Class: "unsafe", Deadline: 10 * time.Second})
-	w.run(10*ms, nil)
-	w.end(w.inFlight()[0].Conn, true)
-	w.run(100*ms, nil)
-	if len(w.inFlight()) != 1 || w.p.Counters.Crossed != 1 {
-		t.Errorf("%d tries are out after a close that it crossed", len(w.inFlight()))
+	net := newFakeNetwork(t, testConfig(), 3) // a clean close at most 50 ms after the attempt was sent: nothing ran
+	net.handle(Call{ID: 1, Class: "unsafe", Deadline: 10 * time.Second})
+	net.advance(10*ms, nil)
+	net.closeConn(net.inFlight()[0].Conn, true)
+	net.advance(100*ms, nil)
+	if len(net.inFlight()) != 1 || net.p.Counters.Crossed != 1 {
+		t.Errorf("%d attempts in flight after one crossed an orderly close, want 1", len(net.inFlight()))
 	}
 }
 
-// A thousand clients of a gateway that dies connect to others over two seconds, in no tenth of one more than 12 %.
-func TestReconnectsAreSpread(t *testing.T) {
+// When a gateway with a thousand clients crashes, the clients spread their reconnects over 2 s: at most 12 % of them connect
+// within any 100 ms, and almost all calls are served.
+func TestReconnectsAreSpreadAfterEjection(t *testing.T) {
 	buckets := map[time.Duration]int{}
-	all, kept := 0, 0
+	total, served := 0, 0
 	for n := range uint64(1000) {
-		cfg := config()
+		cfg := testConfig()
 		cfg.Gateways = []string{"a", "b"}
-		w := newNetwork(t, cfg, n)
-		w.handle(Call{ID: 1, Class: "safe", Deadline: 5 * time.Second})
-		w.run(3*ms, nil)
-		at := w.now
-		before := len(w.connects)
-		w.end(w.inFlight()[0].Conn, false)
-		w.run(5*time.Second, func() {
-			for _, s := range w.inFlight() {
-				w.answer(s.Conn, s.Attempt, true, false, 0)
+		net := newFakeNetwork(t, cfg, n)
+		net.handle(Call{ID: 1, Class: "safe", Deadline: 5 * time.Second})
+		net.advance(3*ms, nil)
+		crashedAt := net.now
+		connectsBefore := len(net.connects)
+		net.closeConn(net.inFlight()[0].Conn, false)
+		net.advance(5*time.Second, func() {
+			for _, s := range net.inFlight() {
+				net.answer(s.Conn, s.Attempt, true, false, 0)
 			}
 		})
-		for _, c := range w.connects[before:] {
-			if c-at < 2*time.Second {
-				buckets[(c-at)/(100*ms)]++
+		for _, c := range net.connects[connectsBefore:] {
+			if c-crashedAt < 2*time.Second {
+				buckets[(c-crashedAt)/(100*ms)]++
 			}
-			all++
+			total++
 		}
-		if c := w.calls[1]; c.ended && c.ending == Served {
-			kept++
+		if c := net.calls[1]; c.ended && c.ending == Served {
+			served++
 		}
 	}
 	for b, n := range buckets {
 		if n > 120 {
-			t.Errorf("%d connect within 100 ms, %v after the death", n, b*100*ms)
+			t.Errorf("%d clients connect within 100 ms, %v after the crash; want at most 120", n, b*100*ms)
 		}
 	}
-	if len(buckets) < 19 || kept < 990 {
-		t.Errorf("%d connects in %d tenths of a second, %d calls served", all, len(buckets), kept)
+	if len(buckets) < 19 || served < 990 {
+		t.Errorf("%d connects within %d intervals of 100 ms, want at least 19 intervals; %d calls served, want at least 990",
+			total, len(buckets), served)
 	}
 }
 
-// A gateway dies, and the next half a second later: what is left serves all, and the reconnects are spread.
-func TestASecondDeath(t *testing.T) {
-	tenths := map[time.Duration]int{}
-	all, kept := 0, 0
+// A gateway crashes, and a second one 0.5 s later: the remaining gateway serves almost all calls, and no interval of 100 ms
+// has more than 12 % of the reconnects.
+func TestReconnectsAreSpreadAfterSecondCrash(t *testing.T) {
+	buckets := map[time.Duration]int{}
+	total, served := 0, 0
 	for n := range uint64(600) {
-		w := newNetwork(t, config(), n)
-		for _, at := range w.ejectTwo() {
-			tenths[at/(100*ms)]++
-			all++
+		net := newFakeNetwork(t, testConfig(), n)
+		for _, at := range net.crashTwoGateways() {
+			buckets[at/(100*ms)]++
+			total++
 		}
-		if c := w.calls[1]; c.ended && c.ending == Served {
-			kept++
+		if c := net.calls[1]; c.ended && c.ending == Served {
+			served++
 		}
 	}
-	for k, n := range tenths {
-		if float64(n) > 0.12*float64(all) {
-			t.Errorf("%d of %d connects in one tenth of a second, %v after the first death", n, all, k*100*ms)
+	for k, n := range buckets {
+		if float64(n) > 0.12*float64(total) {
+			t.Errorf("%d of %d connects within 100 ms, at %v; want at most 12 %%", n, total, k*100*ms)
 		}
 	}
-	if kept < 594 {
-		t.Errorf("%d of 600 were served", kept)
+	if served < 594 {
+		t.Errorf("%d of 600 calls served, want at least 594", served)
 	}
 }
 
-// ejectTwo has gateway a die under a call, and b half a second later, and returns when connections were begun from then on.
-func (w *network) ejectTwo() []time.Duration {
-	w.handle(Call{ID: 1, Class: "safe", Deadline: 5 * time.Second})
-	w.run(3*ms, nil)
-	kill := func(name string) {
-		for _, id := range w.connIDs() {
-			if w.conns[id].gateway == name {
-				w.end(id, false)
+// crashTwoGateways crashes gateway a while a call may be in flight on it, and gateway b 0.5 s later. It returns the times of
+// all Connect actions after the first crash.
+func (net *fakeNetwork) crashTwoGateways() []time.Duration {
+	net.handle(Call{ID: 1, Class: "safe", Deadline: 5 * time.Second})
+	net.advance(3*ms, nil)
+	crash := func(name string) {
+		for _, id := range net.connIDs() {
+			if net.conns[id].gateway == name {
+				net.closeConn(id, false)
 			}
 		}
 	}
 	down := map[string]bool{"a": true}
-	kill("a")
-	before := len(w.connects)
-	for end := w.now + 5*time.Second; w.now < end; w.now += 5 * ms {
-		if w.now >= 503*ms && !down["b"] {
+	crash("a")
+	before := len(net.connects)
+	for end := net.now + 5*time.Second; net.now < end; net.now += 5 * ms {
+		if net.now >= 503*ms && !down["b"] {
 			down["b"] = true
-			kill("b")
+			crash("b")
 		}
-		w.handle(Timer{})
-		w.connect(func(cn *networkConn) bool { return down[cn.gateway] }, nil)
-		if w.now > time.Second { // nobody answers before
-			for _, s := range w.inFlight() {
-				w.answer(s.Conn, s.Attempt, true, false, 0)
+		net.handle(Timer{})
+		net.updateConns(func(cn *fakeConn) bool { return down[cn.gateway] }, nil)
+		if net.now > time.Second { // no gateway answers earlier
+			for _, s := range net.inFlight() {
+				net.answer(s.Conn, s.Attempt, true, false, 0)
 			}
 		}
 	}
-	return w.connects[before:]
+	return net.connects[before:]
 }
 
-// A gateway that answers whether it is there, and nothing else: calls end by their deadlines, and it is not left for it.
-func TestAGatewayThatOnlySaysItIsAlive(t *testing.T) {
-	w := newNetwork(t, config(), 5)
-	w.handle(Call{ID: 1, Class: "unsafe", Deadline: 5 * time.Second})
-	probes := 0
-	for w.now < 6*time.Second {
-		w.now += ms
-		before := w.p.Counters.HealthChecks
-		w.handle(Timer{})
-		for _, id := range w.connIDs() {
-			if cn := w.conns[id]; !cn.up {
+// A gateway that answers health checks but no requests is not ejected: the call expires at its deadline.
+func TestGatewayThatAnswersOnlyHealthChecks(t *testing.T) {
+	net := newFakeNetwork(t, testConfig(), 5)
+	net.handle(Call{ID: 1, Class: "unsafe", Deadline: 5 * time.Second})
+	healthChecks := 0
+	for net.now < 6*time.Second {
+		net.now += ms
+		checksBefore := net.p.Counters.HealthChecks
+		net.handle(Timer{})
+		for _, id := range net.connIDs() {
+			if cn := net.conns[id]; !cn.up {
 				cn.up = true
-				w.handle(Up{Conn: id})
-			} else if w.p.Counters.HealthChecks > before {
-				probes++
-				w.handle(Received{Conn: id, Healthy: true})
+				net.handle(Up{Conn: id})
+			} else if net.p.Counters.HealthChecks > checksBefore {
+				healthChecks++
+				net.handle(Received{Conn: id, Healthy: true})
 			}
 		}
 	}
-	if c := w.calls[1]; !c.ended || c.ending != Expired || probes < 3 || w.p.Counters.Ejections != 0 {
-		t.Errorf("ended %v as %v, %d probes, %d deaths", c.ended, c.ending, probes, w.p.Counters.Ejections)
+	if c := net.calls[1]; !c.ended || c.ending != Expired || healthChecks < 3 || net.p.Counters.Ejections != 0 {
+		t.Errorf("ended %v as %v, want expired; %d health checks, want at least 3; %d ejections, want 0",
+			c.ended, c.ending, healthChecks, net.p.Counters.Ejections)
 	}
 }
 
-// A gateway that is back at once at the same address, and does not serve yet, gets nothing before it says that it does.
-func TestAGatewayThatIsBackAndNotReady(t *testing.T) {
-	cfg := config()
+// A gateway that restarts at the same address accepts connections before it serves requests. It gets no attempt until a
+// health check succeeds.
+func TestRestartedGatewayGetsNoCallsUntilHealthy(t *testing.T) {
+	cfg := testConfig()
 	cfg.Gateways = []string{"a"}
-	w := newNetwork(t, cfg, 6)
-	w.handle(Call{ID: 1, Class: "safe", Deadline: 9 * time.Second})
-	w.run(10*ms, nil)
-	w.end(w.inFlight()[0].Conn, false)
+	net := newFakeNetwork(t, cfg, 6)
+	net.handle(Call{ID: 1, Class: "safe", Deadline: 9 * time.Second})
+	net.advance(10*ms, nil)
+	net.closeConn(net.inFlight()[0].Conn, false)
 	ready := false
-	for w.now < 8*time.Second {
-		w.now += 10 * ms
-		ready = ready || w.now > 3*time.Second
-		w.handle(Timer{})
-		for _, id := range w.connIDs() {
-			if cn := w.conns[id]; !cn.up {
+	for net.now < 8*time.Second {
+		net.now += 10 * ms
+		ready = ready || net.now > 3*time.Second
+		net.handle(Timer{})
+		for _, id := range net.connIDs() {
+			if cn := net.conns[id]; !cn.up {
 				cn.up = true
-				w.handle(Up{Conn: id})
-				w.handle(Received{Conn: id, Healthy: ready})
+				net.handle(Up{Conn: id})
+				net.handle(Received{Conn: id, Healthy: ready})
 			}
 		}
-		if !ready && len(w.inFlight()) > 0 {
-			t.Fatal("sent to one that does not serve yet")
+		if !ready && len(net.inFlight()) > 0 {
+			t.Fatal("attempt sent to a gateway that is not healthy yet")
 		}
-		for _, s := range w.inFlight() {
-			w.answer(s.Conn, s.Attempt, true, false, 0)
+		for _, s := range net.inFlight() {
+			net.answer(s.Conn, s.Attempt, true, false, 0)
 		}
 	}
-	if c := w.calls[1]; !c.ended || c.ending != Served {
-		t.Errorf("ended %v as %v", c.ended, c.ending)
+	if c := net.calls[1]; !c.ended || c.ending != Served {
+		t.Errorf("ended %v as %v, want served", c.ended, c.ending)
 	}
 }
 
-// All gateways are away for ten seconds: calls end by their deadlines, and the return is no spike.
-func TestAllGatewaysAway(t *testing.T) {
-	tries := map[time.Duration]int{}
+// All gateways are down for 10 s. Calls in that time end as unsent, and when the gateways return, the rate of attempts of 300
+// clients stays below five times the usual rate.
+func TestAllGatewaysDownForTenSeconds(t *testing.T) {
+	attempts := map[time.Duration]int{}
 	for n := range uint64(300) {
-		w := newNetwork(t, config(), n)
+		net := newFakeNetwork(t, testConfig(), n)
 		id := uint64(0)
-		for w.now < 14*time.Second {
+		for net.now < 14*time.Second {
 			if id++; true {
-				w.handle(Call{ID: id, Class: "safe", Deadline: w.now + 2*time.Second})
+				net.handle(Call{ID: id, Class: "safe", Deadline: net.now + 2*time.Second})
 			}
-			for end := w.now + 100*ms; w.now < end; w.now += 10 * ms {
-				w.handle(Timer{})
-				w.connect(func(cn *networkConn) bool { return !cn.up && w.now < 10*time.Second }, func(c uint64) {
-					w.handle(Received{Conn: c, Healthy: true})
+			for end := net.now + 100*ms; net.now < end; net.now += 10 * ms {
+				net.handle(Timer{})
+				net.updateConns(func(cn *fakeConn) bool { return !cn.up && net.now < 10*time.Second }, func(c uint64) {
+					net.handle(Received{Conn: c, Healthy: true})
 				})
-				for _, s := range w.inFlight() {
-					tries[w.now/(100*ms)]++
-					w.answer(s.Conn, s.Attempt, true, false, 0)
+				for _, s := range net.inFlight() {
+					attempts[net.now/(100*ms)]++
+					net.answer(s.Conn, s.Attempt, true, false, 0)
 				}
 			}
 		}
-		for id, c := range w.calls {
+		for id, c := range net.calls {
 			if c.ended && c.ending != Served && c.ending != Unsent {
-				t.Fatalf("call %d: %v", id, c.ending)
+				t.Fatalf("call %d ended as %v, want served or unsent", id, c.ending)
 			}
 		}
 	}
-	most, usual := 0, 300
-	for _, n := range tries {
-		most = max(most, n)
+	highest, usual := 0, 300
+	for _, n := range attempts {
+		highest = max(highest, n)
 	}
-	if most > 5*usual {
-		t.Errorf("%d tries in 100 ms, %d are usual", most, usual)
+	if highest > 5*usual {
+		t.Errorf("%d attempts within 100 ms, want at most 5 times the usual %d", highest, usual)
 	}
 }
 
-func TestConfigNamesWhatIsWrong(t *testing.T) {
+func TestConfigErrorNamesField(t *testing.T) {
 	for want, change := range map[string]func(*Config){
-		"Gateways is empty":  func(c *Config) { c.Gateways = nil },
-		`Gateways[1]: "a"`:   func(c *Config) { c.Gateways = []string{"a", "a"} },
-		"Classes is empty":   func(c *Config) { c.Classes = nil },
-		"Classes[0].Name":    func(c *Config) { c.Classes[0].Name = "" },
-		"Classes[2].Effect":  func(c *Config) { c.Classes[2].Effect = 7 },
-		"Classes[1]: a span": func(c *Config) { c.Classes[1].Window = -1 },
-		"Spread is negative": func(c *Config) { c.Spread = -1 },
-		"Budget is negative": func(c *Config) { c.Budget = -0.1 },
+		"Gateways is empty":              func(c *Config) { c.Gateways = nil },
+		`Gateways[1]: "a"`:               func(c *Config) { c.Gateways = []string{"a", "a"} },
+		"Classes is empty":               func(c *Config) { c.Classes = nil },
+		"Classes[0].Name":                func(c *Config) { c.Classes[0].Name = "" },
+		"Classes[2].Effect":              func(c *Config) { c.Classes[2].Effect = 7 },
+		"Classes[1]: Window or Deadline": func(c *Config) { c.Classes[1].Window = -1 },
+		"Spread is negative":             func(c *Config) { c.Spread = -1 },
+		"Budget is negative":             func(c *Config) { c.Budget = -0.1 },
 	} {
-		c := config()
+		c := testConfig()
 		change(&c)
 		if _, err := New(c, rand.New(rand.NewPCG(1, 1))); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("want %q, got %v", want, err)
+			t.Errorf("want an error with %q, got %v", want, err)
 		}
 	}
 	for e := Served; e <= Closed; e++ {
@@ -555,31 +569,35 @@
 	}
 }
 
-// connect ends the connections that are lost, and has the others come up; came is called with each one that does.
-func (w *network) connect(lost func(*networkConn) bool, came func(id uint64)) {
-	for _, id := range w.connIDs() {
-		switch cn := w.conns[id]; {
-		case lost(cn):
-			w.end(id, false)
+// updateConns closes the connections for which fails returns true, and establishes the other pending ones. It calls onUp,
+// unless that is nil, with the id of each connection that it establishes.
+func (net *fakeNetwork) updateConns(fails func(*fakeConn) bool, onUp func(id uint64)) {
+	for _, id := range net.connIDs() {
+		switch cn := net.conns[id]; {
+		case fails(cn):
+			net.closeConn(id, false)
 		case !cn.up:
 			cn.up = true
-			w.handle(Up{Conn: id})
-			if came != nil {
-				came(id)
+			net.handle(Up{Conn: id})
+			if onUp != nil {
+				onUp(id)
 			}
 		}
 	}
 }
 
-// pendingTimers tells what asks to be woken at a time that has passed.
-func (p *Planner) pendingTimers(at time.Duration) (all []string) {
+// describeTimers returns the state that NextTimer depends on, and the time at, for the message of a failed test.
+func (p *Planner) describeTimers(at time.Duration) (all []string) {
 	for _, c := range p.waiting {
-		all = append(all, fmt.Sprintf("call %d: deadline %v from %v moved %v tries %d out %d", c.ID, c.Deadline, c.connectNotBefore, c.redirecting, c.attemptCount, len(c.inFlight)))
+		all = append(all, fmt.Sprintf("call %d: deadline %v, connect not before %v, redirecting %v, attempts %d, in flight %d",
+			c.ID, c.Deadline, c.connectNotBefore, c.redirecting, c.attemptCount, len(c.inFlight)))
 	}
 	for _, g := range p.gateways {
-		all = append(all, fmt.Sprintf("%s: dead %v probe %v next %v hold %v", g.name, g.ejected, g.healthCheckAt, g.connectNotBefore, g.rejectedUntil))
+		all = append(all, fmt.Sprintf("%s: ejected %v, health check at %v, connect not before %v, rejected until %v",
+			g.name, g.ejected, g.healthCheckAt, g.connectNotBefore, g.rejectedUntil))
 		for _, cn := range g.conns {
-			all = append(all, fmt.Sprintf("conn %d: up %v since %v asked %v used %v heard %v tries %d probing %v limbo %v", cn.id, cn.up, cn.startedAt,
+			all = append(all, fmt.Sprintf("conn %d: up %v, started %v, health check sent %v, last used %v, last received %v, attempts %d, checking health %v, unresponsive %v",
+				cn.id, cn.up, cn.startedAt,
 				cn.healthCheckSentAt, cn.lastUsed, cn.lastReceived, len(cn.attempts), cn.checkingHealth, cn.unresponsive))
 		}
 	}
--- a/client/plan/result.go
+++ b/client/plan/result.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// retryAfterJitter is the largest part of a Retry-After that is added to it, so that clients that were rejected
-// together don't return together.
+// retryAfterJitter is the maximum random fraction of a Retry-After that is added to it, so that clients that were rejected
+// at the same time don't all come back at the same time.
 const retryAfterJitter = 0.25
 
-// Scores of an attempt's result in a gateway's success rate.
+// Scores of an attempt in the success rate of its gateway, by the attempt's result.
 const (
 	servedScore   = 1
 	rejectedScore = 0.5
 	failedScore   = 0
 )
 
-// handleAnswer settles the attempt that was answered.
+// handleAnswer processes the answer to an attempt. It closes an unresponsive connection whose last attempt was answered.
 func (p *Planner) handleAnswer(cn *conn, a Answered) {
 	cn.lastReceived = p.now
-	if !cn.checkingHealth { // a gateway under a health check has to answer that one
+	if !cn.checkingHealth { // an ejected gateway must answer the health check itself
 		cn.healthCheckSentAt = 0
 	}
 	t := cn.attempts[a.Attempt]
@@ -39,8 +39,8 @@
 	}
 }
 
-// recordLateAnswer counts the answer to an attempt that was abandoned, answered before or never sent. Its
-// Retry-After can't be heeded: the class is not known any more.
+// recordLateAnswer counts the answer to an attempt that was abandoned, has been answered before or was never sent. A
+// Retry-After in it has no effect on the gateway, since the class of the attempt is no longer known.
 func (p *Planner) recordLateAnswer(a Answered) {
 	p.Counters.Late++
 	if a.Rejected && a.RetryAfter > 0 {
@@ -54,8 +54,8 @@
 	p.finish(t.call, Served, t.id)
 }
 
-// handleRejected holds back all calls of the class from the gateway until its Retry-After has passed, and retries the
-// call elsewhere if it may.
+// handleRejected sends no call of the class to the gateway until the Retry-After, plus jitter, has passed. It retries the
+// call if that is allowed, and ends it as Refused otherwise.
 func (p *Planner) handleRejected(t *attempt, retryAfter time.Duration) {
 	c, g := t.call, t.conn.gateway
 	g.recordResult(rejectedScore)
--- a/client/plan/retry.go
+++ b/client/plan/retry.go
@@ -1,39 +1,41 @@
 package plan
 
-// initialRetryBudget is how many retries a new client has: few, since many clients that start at once must not add up.
+// initialRetryBudget is the retry budget of a new client, in retries. It is small because many clients may start at once,
+// and their budgets add up.
 const initialRetryBudget = 2
 
-// retryBudget limits retries over all calls. Each success earns a part of a retry, up to a limit, so that retries
-// stay a small part of the traffic while a fault lasts. Its unit is one retry.
+// retryBudget is a token bucket that limits the retries of all calls together. Each served call adds a fraction of a retry,
+// so that retries remain a small share of the traffic during a fault. All values are in retries.
 type retryBudget struct {
-	saved            float64
-	earnedPerSuccess float64
-	limit            float64
+	tokens           float64
+	earnedPerSuccess float64 // Config.Budget
+	limit            float64 // Config.BudgetMost
 }
 
 func newRetryBudget(cfg Config) retryBudget {
-	return retryBudget{saved: min(initialRetryBudget, cfg.BudgetMost), earnedPerSuccess: cfg.Budget, limit: cfg.BudgetMost}
+	return retryBudget{tokens: min(initialRetryBudget, cfg.BudgetMost), earnedPerSuccess: cfg.Budget, limit: cfg.BudgetMost}
 }
 
-func (b *retryBudget) earn() { b.saved = min(b.limit, b.saved+b.earnedPerSuccess) }
+func (b *retryBudget) earn() { b.tokens = min(b.limit, b.tokens+b.earnedPerSuccess) }
 
-// allows reports whether one more retry may be sent.
-func (b *retryBudget) allows() bool { return b.saved >= 1 }
+// allows reports whether the budget has a whole retry left.
+func (b *retryBudget) allows() bool { return b.tokens >= 1 }
 
-func (b *retryBudget) spend() { b.saved-- }
+func (b *retryBudget) spend() { b.tokens-- }
 
-// retryOrFinish has a call wait for another attempt after the one that ended, or ends it.
-func (p *Planner) retryOrFinish(c *call, as Ending, t *attempt) {
-	if as == Unknown {
+// retryOrFinish queues a call for another attempt after attempt t failed, or ends the call with the given ending if it may
+// not be retried.
+func (p *Planner) retryOrFinish(c *call, ending Ending, t *attempt) {
+	if ending == Unknown {
 		c.recordMayHaveRun(t)
 	}
 	if !p.scheduleRetry(c) {
-		p.finish(c, as, t.id)
+		p.finish(c, ending, t.id)
 	}
 }
 
-// scheduleRetry has a call wait for another attempt, and reports whether it may have one: it has attempts left, what may
-// have run may be repeated, there is time for an answer, and the retry budget allows it.
+// scheduleRetry queues a call for another attempt and takes a retry from the budget. It returns false and counts the reason
+// if the call has no attempts left, may not be repeated, has no time left for an answer, or if the retry budget is empty.
 func (p *Planner) scheduleRetry(c *call) bool {
 	switch {
 	case c.attemptCount > max(0, p.cfg.Retries):
@@ -52,8 +54,9 @@
 	return false
 }
 
-// mayRepeat reports whether another attempt may be sent now. If one may have run, only idempotent calls may be
-// repeated, and those with an idempotency key only so early that the repeat arrives within the class's window.
+// mayRepeat reports whether another attempt of a call may be sent now. If no attempt may have run, it always may. Otherwise
+// a call must be idempotent, or have an idempotency key and be repeated so early that the repeat arrives within the class's
+// window.
 func (p *Planner) mayRepeat(c *call) bool {
 	if c.class.Effect == Idempotent || c.mayHaveRunSince < 0 {
 		return true
@@ -61,7 +64,8 @@
 	return c.class.Effect == IdempotentWithKey && p.now+p.cfg.Way < c.mayHaveRunSince+c.class.Window
 }
 
-// stopRetrying ends a call that may not be sent again, unless one of its attempts may still be answered.
+// stopRetrying ends a waiting call that may no longer be repeated. If an attempt is still in flight, the call is only taken
+// from the waiting calls, since that attempt may be answered.
 func (p *Planner) stopRetrying(c *call) {
 	p.Counters.NotRepeatable++
 	switch {
--- a/client/plan/timer.go
+++ b/client/plan/timer.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// runTimers does what is due: deadlines, connections that are idle or silent, health checks of ejected gateways.
+// runTimers expires calls at their deadline, forgets Retry-Afters that have passed, handles timeouts of connections, and
+// connects to ejected gateways whose backoff has passed.
 func (p *Planner) runTimers() {
 	for len(p.byDeadline) > 0 && p.byDeadline[0].Deadline <= p.now {
 		p.expire(p.byDeadline[0])
@@ -16,19 +17,21 @@
 		for _, cn := range slices.Clone(g.conns) {
 			p.runConnTimers(g, cn)
 		}
-		if p.wantsHealthCheck(g) && p.now >= g.healthCheckAt {
+		if p.needsHealthCheck(g) && p.now >= g.healthCheckAt {
 			p.connect(g)
 		}
 	}
 }
 
-// wantsHealthCheck reports whether an ejected gateway is to be connected to once its backoff has passed.
-func (p *Planner) wantsHealthCheck(g *gateway) bool {
+// needsHealthCheck reports whether the planner is to connect to an ejected gateway once its backoff has passed: calls are
+// open, and no connection to it is being established.
+func (p *Planner) needsHealthCheck(g *gateway) bool {
 	return g.ejected && !g.isConnecting() && p.hasCalls()
 }
 
-// runConnTimers does what is due on a connection: one that does not come up is given up, one that is silent with
-// attempts in flight is asked for a health check and left if that stays unanswered, one that is idle is closed.
+// runConnTimers handles the timeouts of a connection. It closes a connection that was not established in time, that is idle
+// for too long, or that is unresponsive without attempts in flight. If a connection with attempts in flight is silent, it
+// sends a health check, and gives the connection up if that is not answered in time.
 func (p *Planner) runConnTimers(g *gateway, cn *conn) {
 	checking := cn.healthCheckSentAt > 0
 	switch {
@@ -66,17 +69,19 @@
 	return cn.healthCheckSentAt + p.cfg.Silence
 }
 
-// silentAt is when a connection with attempts in flight has been silent for so long that it is asked for a health check.
+// silentAt returns when a health check is due on a connection with attempts in flight that receives nothing.
 func (p *Planner) silentAt(cn *conn) time.Duration {
 	return max(cn.lastReceived, cn.lastUsed) + p.cfg.Silence
 }
 
 func (p *Planner) idleAt(cn *conn) time.Duration { return cn.lastUsed + p.cfg.Idle }
 
-// redirectPollInterval is how often waiting redirects are looked at: four times while the least rate allows one.
+// redirectPollInterval is the interval of timers while redirects wait for their budget: a quarter of the time in which the
+// minimum rate adds one redirect to it.
 const redirectPollInterval = time.Second / minRedirectsPerSecond / 4
 
-// NextTimer is when a Timer event is wanted; false: not before something else happens.
+// NextTimer returns the time on the planner's clock at which the driver should pass in a Timer event, or false if no timer
+// is needed before the next other event. The time may change with each event.
 func (p *Planner) NextTimer() (at time.Duration, ok bool) {
 	at = min(p.nextCallTimer(), p.nextGatewayTimer())
 	for _, g := range p.gateways {
@@ -87,7 +92,7 @@
 	return max(at, p.now), at != never
 }
 
-// nextCallTimer is when a call expires, or a waiting one may be sent.
+// nextCallTimer returns when the next call expires or a waiting call may be sent.
 func (p *Planner) nextCallTimer() time.Duration {
 	at := never
 	if len(p.byDeadline) > 0 {
@@ -105,7 +110,7 @@
 	return at
 }
 
-// nextGatewayTimer is when a gateway may be sent waiting calls, may be connected to, or gets a health check.
+// nextGatewayTimer returns when the next gateway may be sent waiting calls or be connected to.
 func (p *Planner) nextGatewayTimer() time.Duration {
 	at := never
 	for _, g := range p.gateways {
@@ -117,14 +122,14 @@
 				at = min(at, g.connectNotBefore)
 			}
 		}
-		if p.wantsHealthCheck(g) {
+		if p.needsHealthCheck(g) {
 			at = min(at, g.healthCheckAt)
 		}
 	}
 	return at
 }
 
-// nextConnTimer is when a connection has something due in runConnTimers.
+// nextConnTimer returns when runConnTimers is next due for a connection.
 func (p *Planner) nextConnTimer(cn *conn) time.Duration {
 	switch {
 	case !cn.up:
