--- a/client/acks_other.go
+++ b/client/acks_other.go
@@ -4,7 +4,7 @@
 
 import "net"
 
-// ackReader knows nothing on this system: what was written may have arrived.
+// ackReader reports that acknowledgements are not known on this operating system, so that any written byte may have arrived.
 type ackReader struct{}
 
 func newAckReader(net.Conn) *ackReader { return nil }
--- a/client/bench_test.go
+++ b/client/bench_test.go
@@ -15,8 +15,8 @@
 	"larchusher/lab/loopback"
 )
 
-// answering is a gateway that answers everything at once with 7.6 kB.
-func answering(tb testing.TB) string {
+// startAnsweringGateway starts a gateway that answers every request at once with 7.6 kB, and returns its address.
+func startAnsweringGateway(tb testing.TB) string {
 	l, err := loopback.Listen("127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
@@ -35,7 +35,7 @@
 	return l.Addr().String()
 }
 
-// answerAll answers each request on a connection with a body, until the connection ends.
+// answerAll answers each request on a connection with the given body, until the connection ends.
 func answerAll(c net.Conn, body []byte) {
 	defer loopback.Close(c)
 	in, d := bufio.NewReader(c), msgpack.NewDecoder(nil)
@@ -49,7 +49,7 @@
 			return
 		}
 		if m := v.([]any); len(m) == 4 {
-			_ = e.Encode([]any{1, m[1], nil, []any{body, map[string]string{}}}) // a buffer takes it all
+			_ = e.Encode([]any{1, m[1], nil, []any{body, map[string]string{}}}) // writing to a buffer does not fail
 		}
 		if in.Buffered() > 0 {
 			continue
@@ -61,11 +61,11 @@
 	}
 }
 
-const benchObject = "7f3a9c21e0b4d655"
+const testObject = "7f3a9c21e0b4d655"
 
-// A request by the library on an open connection.
+// BenchmarkDo measures Do on an open connection.
 func BenchmarkDo(b *testing.B) {
-	c, err := New(Config{Gateways: []string{answering(b)}, Classes: []Class{{Name: "images"}}})
+	c, err := New(Config{Gateways: []string{startAnsweringGateway(b)}, Classes: []Class{{Name: "images"}}})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -74,15 +74,15 @@
 	defer cancel()
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := c.Do(ctx, Request{Class: "images", Object: benchObject}); err != nil {
+		if _, err := c.Do(ctx, Request{Class: "images", Object: testObject}); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// The same by 64 callers at once: the throughput of one client.
+// BenchmarkDoParallel measures the throughput of one client with 64 concurrent callers per processor.
 func BenchmarkDoParallel(b *testing.B) {
-	c, err := New(Config{Gateways: []string{answering(b)}, Classes: []Class{{Name: "images"}}})
+	c, err := New(Config{Gateways: []string{startAnsweringGateway(b)}, Classes: []Class{{Name: "images"}}})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -91,16 +91,17 @@
 	b.SetParallelism(64)
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
-			if _, err := c.Do(context.Background(), Request{Class: "images", Object: benchObject}); err != nil {
+			if _, err := c.Do(context.Background(), Request{Class: "images", Object: testObject}); err != nil {
 				b.Error(err)
 			}
 		}
 	})
 }
 
-// The plain way: a request over the same kind of socket, with nothing decided.
-func BenchmarkBare(b *testing.B) {
-	nc, err := loopback.Dial(answering(b))
+// BenchmarkRawRoundTrip measures a request and its answer on the same kind of socket without the client, as a baseline for
+// BenchmarkDo.
+func BenchmarkRawRoundTrip(b *testing.B) {
+	nc, err := loopback.Dial(startAnsweringGateway(b))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -112,7 +113,7 @@
 	for b.Loop() {
 		id++
 		out.Reset()
-		_ = e.Request(&rpc.Request{ID: id, Class: "images", Txn: benchObject, Limit: time.Second, Object: benchObject})
+		_ = e.Request(&rpc.Request{ID: id, Class: "images", Txn: testObject, Limit: time.Second, Object: testObject})
 		if _, err := nc.Write(out.Bytes()); err != nil {
 			b.Fatal(err)
 		}
--- a/client/client.go
+++ b/client/client.go
@@ -1,6 +1,6 @@
-// Package client speaks to larchusher's gateways: it keeps the deadline over all attempts of a request, marks
-// retries, heeds rejections and their Retry-After, keeps retries within a budget, leaves gateways that are ejected and spreads
-// its reconnects. Package plan decides; this package carries it out on real connections.
+// Package client sends requests to larchusher's gateways. A [Client] enforces the deadline of a call over all its attempts,
+// marks retries, waits for the Retry-After of rejections, limits retries by a budget, sends nothing to ejected gateways and
+// spreads its reconnects over time. The decisions are made in package plan; this package executes them on connections.
 //
 //	c, err := client.New(client.Config{
 //		Gateways: []string{"10.0.0.4:9090", "10.0.0.5:9090"},
@@ -12,8 +12,8 @@
 //	r, err := c.Do(ctx, client.Request{Class: "images", Object: "7f3a9c21e0b4d655", Part: 3, Group: 17})
 //	var refused *client.RefusedError
 //	switch {
-//	case errors.As(err, &refused): // nothing ran; come back after refused.Later
-//	case errors.Is(err, client.ErrUnknown): // it may have run
+//	case errors.As(err, &refused): // rejected: try again after refused.Later
+//	case errors.Is(err, client.ErrUnknown): // the connection was lost, and the request may have run
 //	}
 package client
 
@@ -33,23 +33,23 @@
 	"larchusher/client/plan"
 )
 
-// Client is a client of several gateways. It is safe for concurrent use.
+// Client sends requests to several gateways. It is safe for concurrent use. Create one with [New].
 type Client struct {
 	cfg   Config
-	epoch time.Time
+	epoch time.Time // start of the planner's clock
 
-	mu          sync.Mutex // guards what follows, but for running
+	mu          sync.Mutex // guards the fields below, except openConns
 	planner     *plan.Planner
 	rng         *mrand.ChaCha8
-	conns       map[uint64]Conn
-	calls       map[uint64]*call
+	conns       map[uint64]Conn  // by the planner's connection id
+	calls       map[uint64]*call // by the planner's call id
 	lastCallID  uint64
 	timer       *time.Timer
-	wakeAt      time.Duration // when the timer runs out; 0: it is stopped
-	actions     []plan.Action
+	timerAt     time.Duration // when the timer fires, on the planner's clock; 0: stopped; see timerFired
+	actions     []plan.Action // buffer, reused by apply
 	instruments *instruments
 	closed      bool
-	running     sync.WaitGroup // connections that have not reported Down
+	openConns   sync.WaitGroup // connections that have not reported Down
 }
 
 // call is a call that has not ended.
@@ -57,15 +57,16 @@
 	request        *Request
 	idempotencyKey string
 	startedAt      time.Time
-	answer         Answer
+	answer         Answer // the last answer to an attempt in flight
 	span           trace.Span
-	done           chan plan.End
+	done           chan plan.End // receives the ending; has a buffer of one
 }
 
-// noSpan takes all and keeps nothing.
+// noSpan is the span of calls without tracing. It ignores everything that is recorded on it.
 var noSpan = trace.SpanFromContext(context.Background())
 
-// New returns a client, or an error that names what can't be worked with. It connects when it is first used.
+// New returns a client, or an error that names the invalid field of the configuration. The client connects to a gateway
+// when the first request needs it. Call [Client.Close] to release its connections and goroutines.
 func New(cfg Config) (*Client, error) {
 	if err := cfg.setDefaults(); err != nil {
 		return nil, err
@@ -88,20 +89,24 @@
 	return c, nil
 }
 
-// seed is the configured seed, or a new one.
+// seed returns the configured seed, or a random one if that is 0.
 func (cfg *Config) seed() (seed [32]byte, err error) {
 	if cfg.Seed != 0 {
 		binary.LittleEndian.PutUint64(seed[:], cfg.Seed)
 		return seed, nil
 	}
 	if _, err := rand.Read(seed[:]); err != nil {
-		return seed, fmt.Errorf("client: a seed: %w", err)
+		return seed, fmt.Errorf("client: reading a random seed: %w", err)
 	}
 	return seed, nil
 }
 
-// Do asks for a part, and waits for the call's one ending: at the context's deadline at the latest. Its errors are those of
-// this package, or the context's if that was canceled.
+// Do requests a part of an object and waits for the result, until the deadline of the context at the latest. If the context
+// has no deadline, Config.Deadline applies; a shorter deadline of the class applies in both cases. Do may be called from any
+// number of goroutines.
+//
+// The error is one of this package's errors (see [ErrRefused] and the others), to be tested with errors.Is, or
+// context.Canceled if the context was canceled.
 func (c *Client) Do(ctx context.Context, r Request) (Response, error) {
 	if err := r.check(); err != nil {
 		return Response{}, err
@@ -116,15 +121,15 @@
 		ctx, k.span = c.startSpan(ctx, &r)
 		defer k.span.End()
 	}
-	id := c.start(k, deadline)
+	id := c.startCall(k, deadline)
 	select {
 	case e := <-k.done:
 		return k.result(e)
 	case <-ctx.Done():
 	}
-	c.cancel(id, k, ctx.Err())
+	c.cancelCall(id, k, ctx.Err())
 	select {
-	case e := <-k.done: // it ended just before
+	case e := <-k.done: // the call ended before cancelCall locked the mutex
 		return k.result(e)
 	default:
 	}
@@ -140,8 +145,8 @@
 			attribute.Int("larchusher.part", r.Part)))
 }
 
-// start gives a call to the planner and returns its id.
-func (c *Client) start(k *call, deadline time.Time) uint64 {
+// startCall passes a call to the planner and returns its id.
+func (c *Client) startCall(k *call, deadline time.Time) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastCallID++
@@ -154,8 +159,8 @@
 	return id
 }
 
-// cancel ends a call that its caller gave up, unless it has ended.
-func (c *Client) cancel(id uint64, k *call, cause error) {
+// cancelCall ends a call whose context is done, unless the call has ended already. cause is the error of the context.
+func (c *Client) cancelCall(id uint64, k *call, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if _, open := c.calls[id]; !open {
@@ -170,7 +175,7 @@
 	c.instruments.recordCall(k.request.Class, ending, 0, time.Since(k.startedAt))
 }
 
-// result is what the caller gets for an ending.
+// result converts the ending of a call to the results of Do.
 func (k *call) result(e plan.End) (Response, error) {
 	switch e.Ending {
 	case plan.Served:
@@ -193,8 +198,8 @@
 	}
 }
 
-// Close ends all calls with ErrClosed, and waits until every goroutine of the client has ended. A second Close returns
-// ErrClosed.
+// Close ends all calls with [ErrClosed], closes the connections, and waits until all goroutines of the client have ended. A
+// second call returns ErrClosed. Close must not be called from Config.Hook.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	if c.closed {
@@ -205,12 +210,12 @@
 	c.apply(plan.Close{})
 	c.timer.Stop()
 	c.mu.Unlock()
-	c.running.Wait()
+	c.openConns.Wait()
 	c.instruments.close()
 	return nil
 }
 
-// Counters counts the decisions so far, by name; see [plan.Counters].
+// Counters returns the numbers of the client's decisions so far, by name; see [plan.Counters].
 func (c *Client) Counters() map[string]uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/client/delivery.go
+++ b/client/delivery.go
@@ -7,76 +7,76 @@
 	"sync"
 )
 
-// errPeerClosed is why nothing is written any more on a connection whose other end has closed it.
-var errPeerClosed = errors.New("the other end has closed the connection")
+// errPeerClosed is the error of Write on a connection that the peer has closed.
+var errPeerClosed = errors.New("write not attempted: the peer has closed the connection")
 
-// deliveryConn is a connection that knows how much of what was written may have reached the program at its other end. What
-// arrived may have run, though the connection then ends without an answer: a gateway that dies closes as orderly as one that
-// closes an idle connection.
+// deliveryConn is a connection that tracks which of the written bytes may have reached the program at the other end. A
+// request that arrived may have run even if the connection ends without an answer: a gateway that crashes closes its
+// connections in order (FIN), like a gateway that closes an idle connection.
 //
-// Offsets count the bytes given to Write. Read is for one goroutine, and Write for one.
+// Offsets count the bytes passed to Write. Read may be called by one goroutine at a time, and so may Write.
 type deliveryConn struct {
 	net.Conn
-	acks *ackReader // nil: nothing is known of arrivals
+	acks *ackReader // nil: acknowledgements cannot be read, and any byte written may have arrived
 
 	mu      sync.Mutex
-	written uint64   // bytes that were given to the kernel, or may have been
-	end     *peerEnd // nil: the other end has not closed in order
+	written uint64   // bytes passed to Write, counted before they are written
+	end     *peerEnd // nil: no orderly end has been read
 }
 
-// peerEnd is what is known of a connection when its orderly end is read.
+// peerEnd records how much had arrived at the peer when the orderly end of the connection was read.
 type peerEnd struct {
-	arrivedBytes  uint64 // that may have reached the program at the other end
-	arrivalsKnown bool   // else arrivedBytes says nothing
+	arrivedBytes  uint64 // bytes that may have reached the program at the other end
+	arrivalsKnown bool   // false: arrivedBytes is not valid
 }
 
-// newDeliveryConn wraps a connection on which nothing was written yet.
+// newDeliveryConn wraps a connection on which nothing has been written yet.
 func newDeliveryConn(nc net.Conn) *deliveryConn {
 	return &deliveryConn{Conn: nc, acks: newAckReader(nc)}
 }
 
-// Read reads, and takes note of an orderly end. Bytes that arrived before the other end closed are acknowledged by its FIN at the
-// latest, so those that are not acknowledged now did not reach it.
+// Read reads from the connection and, at an orderly end, records how much the peer has acknowledged. The peer's FIN
+// acknowledges all bytes that arrived before it, so bytes that are not acknowledged at the end did not reach the program.
 func (c *deliveryConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if errors.Is(err, io.EOF) {
-		c.recordEnd()
+		c.recordPeerEnd()
 	}
 	return n, err
 }
 
-func (c *deliveryConn) recordEnd() {
+func (c *deliveryConn) recordPeerEnd() {
 	acknowledged, known := c.acks.acknowledged()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.end == nil { // what is acknowledged later may come from a kernel that discards it
+	if c.end == nil { // bytes acknowledged later may be discarded by the peer's kernel
 		c.end = &peerEnd{arrivedBytes: acknowledged, arrivalsKnown: known}
 	}
 }
 
-// Write writes, unless the other end has closed the connection.
+// Write writes to the connection, or returns errPeerClosed without writing if the peer is known to have closed it.
 func (c *deliveryConn) Write(b []byte) (int, error) {
 	if c.acks.peerClosed() {
 		return 0, errPeerClosed
 	}
 	c.mu.Lock()
-	c.written += uint64(len(b)) // before the write: it may arrive while it is under way
+	c.written += uint64(len(b)) // counted first, since bytes may arrive before Write returns
 	c.mu.Unlock()
 	return c.Conn.Write(b)
 }
 
-// offset is where the next write begins.
+// offset returns the offset of the next write.
 func (c *deliveryConn) offset() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
 }
 
-// mayHaveArrived reports whether any byte from an offset on may have reached the program at the other end.
+// mayHaveArrived reports whether a byte at or after an offset may have reached the program at the other end.
 func (c *deliveryConn) mayHaveArrived(offset uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.written <= offset { // nothing of it was written
+	if c.written <= offset { // nothing was written from the offset on
 		return false
 	}
 	if c.end == nil || !c.end.arrivalsKnown {
--- a/client/delivery_test.go
+++ b/client/delivery_test.go
@@ -20,22 +20,22 @@
 	"larchusher/client/plan"
 )
 
-// standIn is a gateway of either protocol that counts the requests that it has read.
-type standIn struct {
+// fakeGateway is a gateway for either transport that counts the requests that it has read, without health checks.
+type fakeGateway struct {
 	addr     string
 	received atomic.Int64
 }
 
-// startStandIn has serve called with each connection.
-func startStandIn(t *testing.T, serve func(s *standIn, conn *net.TCPConn)) *standIn {
+// startFakeGateway starts a gateway that calls serve for each connection, and closes the connection afterwards.
+func startFakeGateway(t *testing.T, serve func(gw *fakeGateway, conn *net.TCPConn)) *fakeGateway {
 	t.Helper()
 	var lc net.ListenConfig
 	l, err := lc.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close() }) // the test's own
-	s := &standIn{addr: l.Addr().String()}
+	t.Cleanup(func() { _ = l.Close() }) // nothing depends on the result
+	gw := &fakeGateway{addr: l.Addr().String()}
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -43,25 +43,25 @@
 				return
 			}
 			go func() {
-				serve(s, conn.(*net.TCPConn))
-				_ = conn.Close() // the client may have closed it
+				serve(gw, conn.(*net.TCPConn))
+				_ = conn.Close() // fails if serve has closed it
 			}()
 		}
 	}()
-	return s
+	return gw
 }
 
-// nextRequest reads a request and returns the answer to it. isCheck: it is a health check.
+// nextRequest reads a request and returns the encoded answer to it. isCheck reports whether it is a health check.
 type nextRequest func() (answer string, isCheck bool, err error)
 
-// wire is one of the protocols, as a gateway sees it.
-type wire struct {
+// protocol is one of the transports, with a reader for the gateway's side.
+type protocol struct {
 	name      string
 	transport func() Transport
-	reader    func(io.Reader) nextRequest
+	newReader func(io.Reader) nextRequest
 }
 
-func rpcReader(in io.Reader) nextRequest {
+func newRPCReader(in io.Reader) nextRequest {
 	d := msgpack.NewDecoder(in)
 	return func() (string, bool, error) {
 		v, err := d.DecodeInterfaceLoose()
@@ -79,7 +79,7 @@
 	}
 }
 
-func httpReader(in io.Reader) nextRequest {
+func newHTTPReader(in io.Reader) nextRequest {
 	r := bufio.NewReader(in)
 	return func() (string, bool, error) {
 		q, err := http.ReadRequest(r)
@@ -94,15 +94,15 @@
 	}
 }
 
-// receive reads requests, answering health checks, until one is to be served. It returns the answer to that.
-func (s *standIn) receive(conn net.Conn, next nextRequest) (answer string, err error) {
+// receiveRequest reads and counts the next request, and returns the answer to it. It answers health checks before that.
+func (gw *fakeGateway) receiveRequest(conn net.Conn, next nextRequest) (answer string, err error) {
 	for {
 		answer, isCheck, err := next()
 		if err != nil {
 			return "", err
 		}
 		if !isCheck {
-			s.received.Add(1)
+			gw.received.Add(1)
 			return answer, nil
 		}
 		if _, err := io.WriteString(conn, answer); err != nil {
@@ -111,14 +111,14 @@
 	}
 }
 
-func wires() []wire {
-	return []wire{
-		{"RPC", func() Transport { return &RPC{} }, rpcReader},
-		{"HTTP", func() Transport { return &HTTP{} }, httpReader},
+func protocols() []protocol {
+	return []protocol{
+		{"RPC", func() Transport { return &RPC{} }, newRPCReader},
+		{"HTTP", func() Transport { return &HTTP{} }, newHTTPReader},
 	}
 }
 
-func deliveryClient(t *testing.T, addr string, transport Transport) *Client {
+func newTestClient(t *testing.T, addr string, transport Transport) *Client {
 	t.Helper()
 	c, err := New(Config{Gateways: []string{addr}, Transport: transport, Seed: 1, Classes: []Class{
 		{Name: "pay", Effect: Unsafe}, {Name: "turn", Effect: Keyed, Window: 3 * time.Second}, {Name: "image"}}})
@@ -129,98 +129,98 @@
 	return c
 }
 
-// callTime is how long each call may take.
-const callTime = time.Second
+// callTimeout is the timeout of each call.
+const callTimeout = time.Second
 
 func do(t *testing.T, c *Client, class string) error {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), callTime)
+	ctx, cancel := context.WithTimeout(t.Context(), callTimeout)
 	defer cancel()
 	_, err := c.Do(ctx, Request{Class: class, Object: "7f3a9c21e0b4d655"})
 	return err
 }
 
-// A gateway that dies after it has read a request closes as orderly as one that closes an idle connection. What may not run
-// twice was sent again.
-func TestADyingGatewayHasRunTheRequest(t *testing.T) {
-	for _, w := range wires() {
-		for _, after := range []time.Duration{0, 5 * time.Millisecond, 40 * time.Millisecond} {
-			s := startStandIn(t, func(s *standIn, conn *net.TCPConn) {
-				if _, err := s.receive(conn, w.reader(conn)); err == nil {
-					time.Sleep(after)
+// A gateway that crashes after it has read a request closes the connection in order, like one that closes an idle
+// connection. The client took the crash for an idle close and sent a request of an Unsafe class again.
+func TestCrashedGatewayMayHaveRunRequest(t *testing.T) {
+	for _, p := range protocols() {
+		for _, delay := range []time.Duration{0, 5 * time.Millisecond, 40 * time.Millisecond} {
+			gw := startFakeGateway(t, func(gw *fakeGateway, conn *net.TCPConn) {
+				if _, err := gw.receiveRequest(conn, p.newReader(conn)); err == nil {
+					time.Sleep(delay)
 				}
 			})
-			c := deliveryClient(t, s.addr, w.transport())
+			c := newTestClient(t, gw.addr, p.transport())
 			if err := do(t, c, "pay"); !errors.Is(err, ErrUnknown) {
-				t.Errorf("%s, dead after %v: %v", w.name, after, err)
+				t.Errorf("%s, crash %v after reading the request: Do returned %v, want ErrUnknown", p.name, delay, err)
 			}
-			if n := s.received.Load(); n != 1 {
-				t.Errorf("%s, dead after %v: it was received %d times", w.name, after, n)
+			if n := gw.received.Load(); n != 1 {
+				t.Errorf("%s, crash %v after reading the request: received %d times, want once", p.name, delay, n)
 			}
 		}
 	}
 }
 
-// An answer that is cut after any of its bytes says that the request has run, or may have.
-func TestAnAnswerCutAnywhereIsNotSentAgain(t *testing.T) {
-	for _, w := range wires() {
+// If an answer is truncated after any of its bytes, the request may have run, and one of an Unsafe class is not sent again.
+func TestAnswerTruncatedAtAnyByteIsNotRetried(t *testing.T) {
+	for _, p := range protocols() {
 		for cut := 1; ; cut++ {
-			whole := make(chan int, 1)
-			s := startStandIn(t, func(s *standIn, conn *net.TCPConn) {
-				if answer, err := s.receive(conn, w.reader(conn)); err == nil {
-					whole <- len(answer)
-					_, _ = io.WriteString(conn, answer[:min(cut, len(answer))]) // the client may have gone
+			answerLen := make(chan int, 1)
+			gw := startFakeGateway(t, func(gw *fakeGateway, conn *net.TCPConn) {
+				if answer, err := gw.receiveRequest(conn, p.newReader(conn)); err == nil {
+					answerLen <- len(answer)
+					_, _ = io.WriteString(conn, answer[:min(cut, len(answer))]) // fails if the client has closed the connection
 				}
 			})
-			err := do(t, deliveryClient(t, s.addr, w.transport()), "pay")
-			if cut >= <-whole {
+			err := do(t, newTestClient(t, gw.addr, p.transport()), "pay")
+			if cut >= <-answerLen {
 				if err != nil {
-					t.Errorf("%s, answered: %v", w.name, err)
+					t.Errorf("%s, complete answer: Do returned %v", p.name, err)
 				}
 				break
 			}
-			if n := s.received.Load(); !errors.Is(err, ErrUnknown) || n != 1 {
-				t.Errorf("%s, cut after %d bytes: received %d times, %v", w.name, cut, n, err)
+			if n := gw.received.Load(); !errors.Is(err, ErrUnknown) || n != 1 {
+				t.Errorf("%s, answer truncated to %d bytes: received %d times, want once; Do returned %v, want ErrUnknown", p.name, cut, n, err)
 			}
 		}
 	}
 }
 
-// On a connection that was used before, net/http sent a request again by itself, also one that may not run twice, and the planner's
-// counters did not know.
-func TestNothingIsReplayedBehindThePlanner(t *testing.T) {
+// On a connection that had carried a request before, net/http resent a request by itself when the connection broke, even one
+// of an Unsafe class, and the planner's counters did not include that.
+func TestHTTPTransportDoesNotReplayRequests(t *testing.T) {
 	for _, class := range []string{"pay", "turn", "image"} {
-		s := startStandIn(t, func(s *standIn, conn *net.TCPConn) {
-			next := httpReader(conn)
-			answer, err := s.receive(conn, next)
+		gw := startFakeGateway(t, func(gw *fakeGateway, conn *net.TCPConn) {
+			next := newHTTPReader(conn)
+			answer, err := gw.receiveRequest(conn, next)
 			if err != nil {
 				return
 			}
 			if _, err := io.WriteString(conn, answer); err == nil {
-				_, _ = s.receive(conn, next) // it is counted, and the connection ends
+				_, _ = gw.receiveRequest(conn, next) // the second request is counted, and the connection ends without an answer
 			}
 		})
-		c := deliveryClient(t, s.addr, &HTTP{})
+		c := newTestClient(t, gw.addr, &HTTP{})
 		if err := do(t, c, class); err != nil {
 			t.Fatal(err)
 		}
 		err := do(t, c, class)
-		received, sent := s.received.Load(), c.Counters()["tries"]
+		received, sent := gw.received.Load(), c.Counters()["tries"]
 		if received != int64(sent) {
-			t.Errorf("%s: %d were received, %d sent: %v", class, received, sent, err)
+			t.Errorf("class %s: %d requests received, want the %d attempts counted by the planner; Do returned %v", class, received, sent, err)
 		}
 		if class == "pay" && (received != 2 || !errors.Is(err, ErrUnknown)) {
-			t.Errorf("%s: %d were received, %v", class, received, err)
+			t.Errorf("class %s: %d requests received, want 2; Do returned %v, want ErrUnknown", class, received, err)
 		}
 	}
 }
 
-// serveUntilIdle answers requests until none has come for a while, and closes, unless one lies unread in the kernel by then. lingers:
-// it shuts the sending side down, and discards what still comes.
-func (s *standIn) serveUntilIdle(conn *net.TCPConn, next nextRequest, idle time.Duration, lingers bool) {
+// serveUntilIdle answers requests until none has arrived for the time idle. Then it shuts down its sending side, unless the
+// kernel holds unread data by then. If lingers is true, it reads and discards data for another 100 ms before it returns.
+func (gw *fakeGateway) serveUntilIdle(conn *net.TCPConn, next nextRequest, idle time.Duration, lingers bool) {
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(idle)) // it fails if the connection is closed, and then the read does
-		answer, err := s.receive(conn, next)
+		_ = conn.SetReadDeadline(time.Now().Add(idle)) // fails if the connection is closed, and then the read fails as well
+		answer, err := gw.receiveRequest(conn, next)
 		if errors.Is(err, os.ErrDeadlineExceeded) && !closeUnlessUnread(conn) {
 			continue
 		}
@@ -237,110 +237,115 @@
 	}
 }
 
-// closeUnlessUnread shuts the sending side down, and reports false if something lies unread.
+// closeUnlessUnread shuts down the sending side of a connection and returns true. If the kernel holds unread data, it
+// returns false instead.
 func closeUnlessUnread(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return true
 	}
 	closed := true
-	_ = raw.Control(func(fd uintptr) { // it fails if the connection is closed
+	_ = raw.Control(func(fd uintptr) { // fails if the connection is closed
 		if n, err := unix.IoctlGetInt(int(fd), unix.TIOCINQ); err == nil && n > 0 {
 			closed = false
 			return
 		}
-		_ = unix.Shutdown(int(fd), unix.SHUT_WR) // likewise
+		_ = unix.Shutdown(int(fd), unix.SHUT_WR) // fails if the connection is closed
 	})
 	return closed
 }
 
-// callAtRandom makes calls with pauses of up to twice the mean, and counts how they end.
-func callAtRandom(t *testing.T, c *Client, calls int, least, most time.Duration) (ends map[string]int) {
+// makeCalls makes calls of the class "pay" with random pauses between minPause and maxPause, and counts their outcomes.
+func makeCalls(t *testing.T, c *Client, calls int, minPause, maxPause time.Duration) (outcomes map[string]int) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(1, 1))
-	ends = map[string]int{}
+	outcomes = map[string]int{}
 	for range calls {
 		err := do(t, c, "pay")
 		switch {
 		case err == nil:
-			ends["served"]++
+			outcomes["served"]++
 		case errors.Is(err, ErrUnknown):
-			ends["unknown"]++
+			outcomes["unknown"]++
 		default:
-			ends["unsent"]++
+			outcomes["unsent"]++
 		}
-		for until := time.Now().Add(least + time.Duration(rng.Int64N(int64(most-least)))); time.Now().Before(until); { // a sleep is not as exact
+		for until := time.Now().Add(minPause + time.Duration(rng.Int64N(int64(maxPause-minPause)))); time.Now().Before(until); { // time.Sleep is not precise enough
 			runtime.Gosched()
 		}
 	}
-	return ends
+	return outcomes
 }
 
-// What may not run twice runs once, also where each call is made just when the gateway closes the idle connection, and
-// whether that lingers or not. The calls are served but for those that the close crosses within a write: of these nobody can tell.
-func TestCallsThatCrossAnIdleCloseRunOnce(t *testing.T) {
+// Calls of an Unsafe class run at most once even if each is made just as the gateway closes the idle connection, whether the
+// gateway then lingers or not. Calls are served, except those whose write crosses the close: these may end as unknown.
+func TestCallsCrossingIdleCloseRunOnce(t *testing.T) {
 	const calls, idle = 150, 2 * time.Millisecond
-	for _, w := range wires() {
+	for _, p := range protocols() {
 		for _, lingers := range []bool{false, true} {
-			s := startStandIn(t, func(s *standIn, conn *net.TCPConn) { s.serveUntilIdle(conn, w.reader(conn), idle, lingers) })
-			c := deliveryClient(t, s.addr, w.transport())
-			ends := callAtRandom(t, c, calls, idle, idle+idle/2)
-			t.Logf("%s, lingers %v: %v, %d received, %d crossed", w.name, lingers, ends, s.received.Load(), c.Counters()["crossed"])
-			if n := int(s.received.Load()); n < ends["served"] || n > ends["served"]+ends["unknown"] {
-				t.Errorf("%s, lingers %v: %v, %d received", w.name, lingers, ends, n)
+			gw := startFakeGateway(t, func(gw *fakeGateway, conn *net.TCPConn) { gw.serveUntilIdle(conn, p.newReader(conn), idle, lingers) })
+			c := newTestClient(t, gw.addr, p.transport())
+			outcomes := makeCalls(t, c, calls, idle, idle+idle/2)
+			t.Logf("%s, lingers %v: outcomes %v, %d requests received, %d attempts crossed a close",
+				p.name, lingers, outcomes, gw.received.Load(), c.Counters()["crossed"])
+			if n := int(gw.received.Load()); n < outcomes["served"] || n > outcomes["served"]+outcomes["unknown"] {
+				t.Errorf("%s, lingers %v: outcomes %v, %d requests received, want one for each served call and at most one for each unknown",
+					p.name, lingers, outcomes, n)
 			}
 		}
 	}
 }
 
-// On a quiet day clients leave idle connections before gateways close them, and no call ends as unknown. The times are those of the
-// defaults (3 s and 10 s), a hundred times as fast.
-func TestIdleClosesOfAQuietDay(t *testing.T) {
+// With the default idle timeouts (client 3 s, gateway 10 s), the client closes idle connections before the gateway does, so
+// that no call crosses a close and all are served. The test runs with a hundredth of these times.
+func TestClientClosesIdleConnectionsFirst(t *testing.T) {
 	const clientIdle, gatewayIdle = 30 * time.Millisecond, 100 * time.Millisecond
-	for _, w := range wires() {
+	for _, p := range protocols() {
 		for _, lingers := range []bool{false, true} {
-			s := startStandIn(t, func(s *standIn, conn *net.TCPConn) { s.serveUntilIdle(conn, w.reader(conn), gatewayIdle, lingers) })
-			c, err := New(Config{Gateways: []string{s.addr}, Transport: w.transport(), Classes: []Class{{Name: "pay", Effect: Unsafe}},
+			gw := startFakeGateway(t, func(gw *fakeGateway, conn *net.TCPConn) {
+				gw.serveUntilIdle(conn, p.newReader(conn), gatewayIdle, lingers)
+			})
+			c, err := New(Config{Gateways: []string{gw.addr}, Transport: p.transport(), Classes: []Class{{Name: "pay", Effect: Unsafe}},
 				Plan: plan.Config{Idle: clientIdle}})
 			if err != nil {
 				t.Fatal(err)
 			}
 			const calls = 40
-			ends := callAtRandom(t, c, calls, 0, 2*clientIdle)
+			outcomes := makeCalls(t, c, calls, 0, 2*clientIdle)
 			if err := c.Close(); err != nil {
 				t.Error(err)
 			}
-			if ends["served"] != calls || s.received.Load() != calls {
-				t.Errorf("%s, lingers %v: %v, %d received", w.name, lingers, ends, s.received.Load())
+			if outcomes["served"] != calls || gw.received.Load() != calls {
+				t.Errorf("%s, lingers %v: outcomes %v, %d requests received, want all calls served once", p.name, lingers, outcomes, gw.received.Load())
 			}
 		}
 	}
 }
 
-// Bytes that come to a closed socket did not arrive; those that were written before the end may have, and so may those that a
-// gateway's kernel acknowledges while the connection lingers.
-func TestDeliveryIsKnownAtAnOrderlyEnd(t *testing.T) {
+// Bytes written before the peer's orderly close may have arrived. Bytes written after it have not arrived if the peer closed
+// its socket, but may have arrived if the peer only shut down its sending side and lingers.
+func TestDeliveryIsKnownAfterOrderlyClose(t *testing.T) {
 	for _, test := range []struct {
-		name                 string
-		end                  func(*net.TCPConn) error
-		writtenBefore, after bool // whether a write before the end, and one behind it, may have arrived
+		name                        string
+		closePeer                   func(*net.TCPConn) error
+		arrivedBefore, arrivedAfter bool // whether a write before the close, and one after it, may have arrived
 	}{
 		{"closed", (*net.TCPConn).Close, true, false},
 		{"lingers", (*net.TCPConn).CloseWrite, true, true},
 	} {
 		accepted := make(chan *net.TCPConn)
-		s := startStandIn(t, func(_ *standIn, conn *net.TCPConn) {
+		gw := startFakeGateway(t, func(_ *fakeGateway, conn *net.TCPConn) {
 			if _, err := io.ReadFull(conn, make([]byte, 3)); err != nil {
 				t.Error(err)
 			}
-			if err := test.end(conn); err != nil {
+			if err := test.closePeer(conn); err != nil {
 				t.Error(err)
 			}
 			accepted <- conn
 			<-t.Context().Done()
 		})
 		var d net.Dialer
-		nc, err := d.DialContext(t.Context(), "tcp", s.addr)
+		nc, err := d.DialContext(t.Context(), "tcp", gw.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -350,21 +355,21 @@
 		}
 		<-accepted
 		if _, err := c.Write([]byte("de")); !errors.Is(err, errPeerClosed) {
-			t.Errorf("%s: a write behind the end: %v", test.name, err)
+			t.Errorf("%s: Write after the peer closed: %v, want errPeerClosed", test.name, err)
 		}
 		if c.mayHaveArrived(3) {
-			t.Errorf("%s: what was not written may have arrived", test.name)
+			t.Errorf("%s: mayHaveArrived is true for bytes that were not written", test.name)
 		}
-		c.written += 2 // as if the end had come right behind the look for it
+		c.written += 2 // as if the peer had closed just after Write checked for that
 		if _, err := nc.Write([]byte("de")); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(100 * time.Millisecond) // a kernel may delay what it acknowledges
+		time.Sleep(100 * time.Millisecond) // a kernel may delay acknowledgements
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-			t.Errorf("%s: %v", test.name, err)
+			t.Errorf("%s: Read returned %v, want io.EOF", test.name, err)
 		}
-		if before, after := c.mayHaveArrived(0), c.mayHaveArrived(3); before != test.writtenBefore || after != test.after {
-			t.Errorf("%s: may have arrived: before the end %v, behind it %v", test.name, before, after)
+		if before, after := c.mayHaveArrived(0), c.mayHaveArrived(3); before != test.arrivedBefore || after != test.arrivedAfter {
+			t.Errorf("%s: mayHaveArrived for bytes written before the close is %v, for bytes written after it %v", test.name, before, after)
 		}
 		if err := nc.Close(); err != nil {
 			t.Error(err)
--- a/client/driver.go
+++ b/client/driver.go
@@ -12,7 +12,7 @@
 	"larchusher/client/plan"
 )
 
-// now is the time on the planner's clock.
+// now returns the time on the planner's clock.
 func (c *Client) now() time.Duration { return time.Since(c.epoch) }
 
 func (c *Client) handleEvent(ev plan.Event) {
@@ -21,27 +21,27 @@
 	c.apply(ev)
 }
 
-// apply gives an event to the planner and performs what it wants. It is called under the lock.
+// apply passes an event to the planner, performs the resulting actions and sets the timer. The caller holds the mutex.
 func (c *Client) apply(ev plan.Event) {
 	c.actions = c.planner.Handle(c.now(), ev, c.actions[:0])
 	for _, a := range c.actions {
 		c.perform(a)
 	}
 	if _, ok := ev.(plan.Timer); ok {
-		c.wakeAt = timerFired
+		c.timerAt = timerFired
 	}
 	c.setTimer()
 }
 
-// perform does one thing that the planner wants. It is called under the lock.
+// perform executes an action of the planner. The caller holds the mutex.
 func (c *Client) perform(a plan.Action) {
 	switch a := a.(type) {
 	case plan.Connect:
-		c.running.Add(1)
+		c.openConns.Add(1)
 		c.conns[a.Conn] = c.cfg.Transport.Connect(a.Gateway, c.cfg.connectTimeout(), &connEvents{client: c, id: a.Conn})
 	case plan.Send:
 		if k, cn := c.calls[a.Call], c.conns[a.Conn]; k != nil && cn != nil {
-			c.send(k, cn, a)
+			c.sendAttempt(k, cn, a)
 		}
 	case plan.Abandon:
 		if cn := c.conns[a.Conn]; cn != nil {
@@ -55,13 +55,13 @@
 		c.closeConn(a.Conn)
 	case plan.End:
 		if k := c.calls[a.Call]; k != nil {
-			c.end(k, a)
+			c.endCall(k, a)
 		}
 	}
 }
 
-// send sends an attempt of a call on a connection.
-func (c *Client) send(k *call, cn Conn, a plan.Send) {
+// sendAttempt sends an attempt of a call on a connection, with a new transaction id.
+func (c *Client) sendAttempt(k *call, cn Conn, a plan.Send) {
 	t := Try{ID: a.Attempt, Request: k.request, Txn: c.drawHex(txnBytes), Limit: a.Limit, Second: a.Retry}
 	if a.SendKey {
 		t.Key = k.idempotencyKey
@@ -71,8 +71,8 @@
 		attribute.Bool("larchusher.second", t.Second), attribute.Int64("larchusher.limit_ms", t.Limit.Milliseconds())))
 }
 
-// end gives a call its result, and reports it.
-func (c *Client) end(k *call, a plan.End) {
+// endCall passes the ending of a call to Do, the span, the instruments and the hook.
+func (c *Client) endCall(k *call, a plan.End) {
 	delete(c.calls, a.Call)
 	k.span.SetAttributes(attribute.String("larchusher.ending", a.Ending.String()), attribute.Int("larchusher.tries", a.Attempts))
 	if a.Ending != plan.Served {
@@ -92,31 +92,32 @@
 	}
 }
 
-// timerFired is what wakeAt says of a timer that has run out: no time is equal to it, so that it is set again.
+// timerFired is the value of timerAt after the timer has fired. It differs from all times, so that setTimer always sets the
+// timer again.
 const timerFired = time.Duration(-1)
 
-// setTimer has the timer run out when the planner wants to be woken, or stops it.
+// setTimer sets the timer to the planner's next timer, or stops it if there is none. The caller holds the mutex.
 func (c *Client) setTimer() {
 	at, ok := c.planner.NextTimer()
 	switch {
 	case ok && !c.closed:
-		if at != c.wakeAt {
-			c.wakeAt = at
+		if at != c.timerAt {
+			c.timerAt = at
 			c.timer.Reset(max(0, at-c.now()))
 		}
-	case c.wakeAt != 0:
-		c.wakeAt = 0
+	case c.timerAt != 0:
+		c.timerAt = 0
 		c.timer.Stop()
 	}
 }
 
-// Bytes that are drawn for an id; it is sent as twice as many hex digits.
+// Lengths of random ids in bytes. Each byte is sent as two hex digits.
 const (
 	txnBytes            = 8
 	idempotencyKeyBytes = 16
 )
 
-// drawHex draws n bytes, a multiple of 8 up to 16, as hex digits. It is called under the lock.
+// drawHex draws n random bytes and returns them as hex digits; n is 8 or 16. The caller holds the mutex.
 func (c *Client) drawHex(n int) string {
 	var b [16]byte
 	for i := 0; i < n; i += 8 {
@@ -125,7 +126,7 @@
 	return hex.EncodeToString(b[:n])
 }
 
-// connEvents hands a connection's reports to the planner.
+// connEvents passes the events of a connection to the planner. It implements [Events].
 type connEvents struct {
 	client *Client
 	id     uint64
@@ -135,7 +136,7 @@
 
 func (e *connEvents) Down(clean bool) {
 	c := e.client
-	defer c.running.Done()
+	defer c.openConns.Done()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conns[e.id] != nil {
--- a/client/errors.go
+++ b/client/errors.go
@@ -6,23 +6,37 @@
 	"time"
 )
 
-// Errors of a call, to be told apart by errors.Is. A rejection is a [RefusedError], too.
+// Errors of a call, to be tested with errors.Is. The comments tell whether the request may have been executed.
 var (
-	ErrRefused = errors.New("client: refused: nothing ran")
-	ErrFailed  = errors.New("client: failed: the gateway gave it up, and it may have run")
-	ErrUnknown = errors.New("client: its end is unknown: it may have run")
+	// ErrRefused is the error of a call that gateways rejected; the error is a [RefusedError] as well. The rejected attempt
+	// did not run. For a class that may be repeated, an earlier attempt may have run.
+	ErrRefused = errors.New("client: refused: the gateway did not run the request")
+	// ErrFailed is the error of a call that a gateway answered with a failure. The request may have run. The error wraps the
+	// cause, if the transport knows it.
+	ErrFailed = errors.New("client: failed: the gateway answered with a failure, and the request may have run")
+	// ErrUnknown is the error of a call whose connection was lost before the answer. The request may have run.
+	ErrUnknown = errors.New("client: its end is unknown: the connection was lost, and the request may have run")
+	// ErrExpired is the error of a call without an answer by its deadline. The request may have run. The error wraps
+	// context.DeadlineExceeded.
 	ErrExpired = errors.New("client: no answer in time")
-	ErrUnsent  = errors.New("client: no gateway could be reached: nothing ran")
-	ErrClosed  = errors.New("client: closed")
-	ErrRequest = errors.New("client: a request that can't be sent")
+	// ErrUnsent is the error of a call of which no attempt was sent by its deadline, or whose class is not in Config.Classes.
+	// The request did not run.
+	ErrUnsent = errors.New("client: no gateway could be reached: the request was not sent")
+	// ErrClosed is the error of a call that had not ended when the client was closed, or that was made later.
+	ErrClosed = errors.New("client: closed")
+	// ErrRequest is the error of a request that is invalid. It was not sent.
+	ErrRequest = errors.New("client: invalid request")
 )
 
-// RefusedError says that the call was rejected: nothing ran, and the caller may come back after Later.
-type RefusedError struct{ Later time.Duration }
+// RefusedError is the error of a call that was rejected. It matches [ErrRefused].
+type RefusedError struct {
+	Later time.Duration // how long the caller should wait before it repeats the call; 0: the gateway did not tell
+}
 
+// Error returns the message of ErrRefused and the time after which to retry.
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("%v, come back after %v", ErrRefused, e.Later.Round(time.Millisecond))
+	return fmt.Sprintf("%v, retry after %v", ErrRefused, e.Later.Round(time.Millisecond))
 }
 
-// Is makes it an ErrRefused.
+// Is reports whether target is [ErrRefused].
 func (e *RefusedError) Is(target error) bool { return target == ErrRefused }
--- a/client/http.go
+++ b/client/http.go
@@ -15,55 +15,57 @@
 	"time"
 )
 
-// HTTP is the signed front's protocol: HTTP/1.1 with signed paths. A goroutine carries each attempt.
+// HTTP is the transport for the signed front: HTTP/1.1 with signed URLs. Each attempt runs in a goroutine of its own. The
+// zero value sends unsigned paths. An HTTP must not be copied, and its fields must not be changed after the first use.
 type HTTP struct {
-	// Sign turns a path and query, such as "/assets/7f3a9c21e0b4d655/3?shard=17", into one with a token. It is called
-	// for each attempt, so that a token may expire between two; nil: paths go as they are.
+	// Sign returns a target (path and query, such as "/assets/7f3a9c21e0b4d655/3?shard=17") with a token added. It is called
+	// for each attempt that has no renewed token, so that a token may expire between two attempts, and must be safe for
+	// concurrent use. If it returns an error, the attempt fails without being sent. nil: targets are sent without a token.
 	Sign func(ctx context.Context, target string) (string, error)
-	// Dial connects; nil: as net.Dialer does.
+	// Dial opens a TCP connection. It must be safe for concurrent use. nil: a net.Dialer is used.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
 	mu           sync.Mutex
-	renewedToken string // the latest token that an answer renewed; empty: none
+	renewedToken string // the latest renewed token that came with an answer; empty: none
 	renewedUntil time.Time
 }
 
-// ErrToken is why a call failed whose token the gateway did not take.
-var ErrToken = errors.New("the token was refused")
+// ErrToken is wrapped by the error of a call that failed because the gateway rejected its token (status 403).
+var ErrToken = errors.New("the gateway rejected the token")
 
-// Limits of a connection.
+// Limits of the HTTP transport.
 const (
-	httpMaxConns       = 32              // connections to a gateway, each with one request at a time
-	httpIdleTimeout    = 3 * time.Second // before the gateway closes an idle connection
+	httpMaxConns       = 32              // TCP connections to a gateway, each with one request at a time
+	httpIdleTimeout    = 3 * time.Second // shorter than the idle timeout of the gateway
 	healthCheckTimeout = time.Second
 	maxAnswerBytes     = 256 << 10
-	maxErrorTextBytes  = 200 // of an answer's body in an error
+	maxErrorTextBytes  = 200 // bytes of the body of an answer that are quoted in an error
 	maxRetryAfter      = time.Hour
-	// maxUndelivered is how many times an attempt is written to a connection of which the gateway closes before anything
-	// arrives: idle connections are closed in numbers.
-	maxUndelivered = 4
+	// maxUndeliveredWrites is the maximum number of connections to which an attempt is written if the gateway closes each
+	// before a byte arrives. More than one is needed because a gateway closes several idle connections at once.
+	maxUndeliveredWrites = 4
 )
 
-// idempotencyKeyHeader is written as it stands here. net/http takes a request with the header's canonical form for one that may be
-// sent twice, and does so by itself.
+// idempotencyKeyHeader is the header's name as it is written to the wire. It is lower-case on purpose: net/http considers a
+// request with the header in canonical form to be idempotent and would retry it by itself.
 const idempotencyKeyHeader = "idempotency-key"
 
-// httpConn is a gateway as the planner sees it: one connection with many attempts at once, on as many connections as net/http
-// opens.
+// httpConn presents a gateway to the planner as one connection with many attempts in flight. net/http sends these attempts
+// on up to httpMaxConns TCP connections.
 type httpConn struct {
 	http    *HTTP
 	gateway string
 	events  Events
 	client  *http.Client
-	ctx     context.Context // ends with the connection
+	ctx     context.Context // canceled when the connection ends
 	cancel  context.CancelFunc
 
 	mu      sync.Mutex
-	cancels map[uint64]context.CancelFunc // by attempt: those in flight
-	running sync.WaitGroup                // attempts and health checks
+	cancels map[uint64]context.CancelFunc // by attempt id: the attempts in flight
+	running sync.WaitGroup                // goroutines of attempts and health checks
 }
 
-// Connect begins to connect.
+// Connect starts to connect to a gateway. It implements [Transport].
 func (h *HTTP) Connect(gateway string, timeout time.Duration, ev Events) Conn {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &httpConn{http: h, gateway: gateway, events: ev, ctx: ctx, cancel: cancel, cancels: map[uint64]context.CancelFunc{}}
@@ -71,12 +73,12 @@
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
 	}
-	first := make(chan net.Conn, 1) // the connection that proves that the gateway is there carries the first request
+	firstConn := make(chan net.Conn, 1) // the connection dialled to check that the gateway accepts connections; used for the first request
 	transport := &http.Transport{
 		MaxConnsPerHost: httpMaxConns, MaxIdleConnsPerHost: httpMaxConns, IdleConnTimeout: httpIdleTimeout, DisableCompression: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			select {
-			case nc := <-first:
+			case nc := <-firstConn:
 				return newDeliveryConn(nc), nil
 			default:
 			}
@@ -89,18 +91,18 @@
 	}
 	c.client = &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	go func() {
-		dctx, done := context.WithTimeout(ctx, timeout)
-		nc, err := dial(dctx, "tcp", gateway)
-		done()
+		dialCtx, cancelDial := context.WithTimeout(ctx, timeout)
+		nc, err := dial(dialCtx, "tcp", gateway)
+		cancelDial()
 		if err == nil {
-			first <- nc
+			firstConn <- nc
 			c.events.Up()
 			<-ctx.Done()
 		}
 		cancel()
 		c.running.Wait()
 		select {
-		case nc := <-first:
+		case nc := <-firstConn:
 			_ = nc.Close() // nothing was sent on it
 		default:
 		}
@@ -110,7 +112,7 @@
 	return c
 }
 
-// Send starts an attempt.
+// Send starts an attempt in a new goroutine. It implements [Conn].
 func (c *httpConn) Send(t Try) {
 	ctx, cancel := context.WithTimeout(c.ctx, t.Limit)
 	c.mu.Lock()
@@ -120,25 +122,25 @@
 		defer cancel()
 		a, err := c.roundTrip(ctx, t)
 		c.mu.Lock()
-		_, wanted := c.cancels[t.ID]
+		_, inFlight := c.cancels[t.ID]
 		delete(c.cancels, t.ID)
 		c.mu.Unlock()
 		switch {
-		case !wanted || c.ctx.Err() != nil:
-		case err != nil && ctx.Err() == nil: // the connection broke: its attempts may have run, and nobody can say
+		case !inFlight || c.ctx.Err() != nil:
+		case err != nil && ctx.Err() == nil: // the connection broke: the attempts on it may have run
 			c.cancel()
-		case err != nil: // no time is left; the planner ends the call
+		case err != nil: // the time limit passed; the planner ends the call
 		default:
 			c.events.Answer(t.ID, a)
 		}
 	})
 }
 
-// roundTrip sends one request and reads its answer. An error says that none came; what fails before anything is sent is
-// an answer with an Err. A request of which nothing reached the gateway, since that closed an idle connection, is written to
-// another connection: it is the same attempt.
+// roundTrip sends an attempt and reads its answer. It returns an error if no complete answer was received. If the request
+// could not be created, it returns an Answer with Err instead, since nothing was sent. If the gateway closes the connection,
+// such as an idle one, before any byte of the request arrives, roundTrip writes the same attempt to another connection.
 func (c *httpConn) roundTrip(ctx context.Context, t Try) (Answer, error) {
-	for undelivered := 1; ; undelivered++ {
+	for writes := 1; ; writes++ {
 		var used usedConn
 		q, err := c.newRequest(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: used.record}), t)
 		if err != nil {
@@ -148,16 +150,16 @@
 		if err == nil {
 			return c.readAnswer(resp)
 		}
-		if used.mayHaveArrived() || ctx.Err() != nil || undelivered == maxUndelivered {
+		if used.mayHaveArrived() || ctx.Err() != nil || writes == maxUndeliveredWrites {
 			return Answer{}, err
 		}
 	}
 }
 
-// usedConn is the connection that a request was given, and how much had been written to it before.
+// usedConn records the connection on which net/http sent a request.
 type usedConn struct {
-	conn   *deliveryConn // nil: it was given none
-	offset uint64
+	conn   *deliveryConn // nil: net/http has not assigned a connection
+	offset uint64        // of the first byte of the request
 }
 
 func (u *usedConn) record(info httptrace.GotConnInfo) {
@@ -166,23 +168,25 @@
 	}
 }
 
-// mayHaveArrived reports whether the request may have reached the gateway. Without a connection there is nobody to try again with.
+// mayHaveArrived reports whether the request may have reached the gateway. Without a connection it returns true as well:
+// net/http could not connect, so that the request is not to be written again.
 func (u *usedConn) mayHaveArrived() bool { return u.conn == nil || u.conn.mayHaveArrived(u.offset) }
 
-// readAnswer reads the answer whose head has come.
+// readAnswer reads the body of a response, closes it, and converts the response to an answer.
 func (c *httpConn) readAnswer(resp *http.Response) (Answer, error) {
-	defer func() { _ = resp.Body.Close() }() // what could be read of it was
+	defer func() { _ = resp.Body.Close() }() // the body has been read
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil {
 		return Answer{}, err
 	}
 	if len(body) > maxAnswerBytes {
-		return Answer{}, errors.New("an answer that does not end")
+		return Answer{}, errors.New("the body of the answer is longer than 256 KiB")
 	}
 	return c.answer(resp, body), nil
 }
 
-// newRequest makes the request of an attempt, with a renewed token if there is one, else with a signed path.
+// newRequest creates the HTTP request of an attempt. It carries the renewed token in a cookie if there is one, otherwise its
+// target is signed. An attempt with an idempotency key is a POST, any other a GET.
 func (c *httpConn) newRequest(ctx context.Context, t Try) (*http.Request, error) {
 	r := t.Request
 	target := "/" + r.Class + "/" + r.Object + "/" + strconv.Itoa(r.Part) + "?shard=" + strconv.Itoa(r.Group)
@@ -190,7 +194,7 @@
 	if token == "" && c.http.Sign != nil {
 		var err error
 		if target, err = c.http.Sign(ctx, target); err != nil {
-			return nil, fmt.Errorf("signing: %w", err)
+			return nil, fmt.Errorf("signing the URL: %w", err)
 		}
 	}
 	method := http.MethodGet
@@ -216,8 +220,9 @@
 	return q, nil
 }
 
-// forbidReplay keeps net/http from sending a request again by itself: what is sent again decides the planner. A GET without a
-// body is replayed however GetBody stands, so it gets one to read, which has no bytes and is not sent.
+// forbidReplay prevents net/http from retrying a request by itself, since the planner decides about retries. net/http
+// may retry a request that has GetBody, and any GET without a body. So forbidReplay removes GetBody and gives a GET without
+// a body an empty reader, of which nothing is sent.
 func forbidReplay(q *http.Request) {
 	q.GetBody = nil
 	if q.Method == http.MethodGet && q.Body == http.NoBody {
@@ -225,7 +230,8 @@
 	}
 }
 
-// answer converts a response to an answer by its status.
+// answer converts a response to an answer: 200 and 304 are served, 503 is a rejection, any other status a failure. It stores
+// a renewed token, and drops the stored one after a 403.
 func (c *httpConn) answer(resp *http.Response, body []byte) Answer {
 	a := Answer{Tag: strings.Trim(resp.Header.Get("ETag"), `"`)}
 	switch resp.StatusCode {
@@ -246,18 +252,19 @@
 	return a
 }
 
-// retryAfter is a response's Retry-After in whole seconds; 0 if it has none or one that can't be read.
+// retryAfter returns the Retry-After of a response, at most maxRetryAfter. It returns 0 if the header is missing or is not a
+// number of seconds.
 func retryAfter(resp *http.Response) time.Duration {
-	s, _ := strconv.Atoi(resp.Header.Get("Retry-After")) // 0 if it is no number, the nearest int if it is out of range
+	s, _ := strconv.Atoi(resp.Header.Get("Retry-After")) // 0 if it is not a number, the nearest int if it is out of range
 	return time.Duration(max(0, min(s, int(maxRetryAfter/time.Second)))) * time.Second
 }
 
-// errorText is the beginning of a body, for an error.
+// errorText returns the beginning of the body of an answer, to be quoted in an error.
 func errorText(body []byte) string {
 	return strings.TrimSpace(string(body[:min(len(body), maxErrorTextBytes)]))
 }
 
-// Abandon cancels an attempt.
+// Abandon cancels an attempt. It implements [Conn].
 func (c *httpConn) Abandon(try uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -267,7 +274,8 @@
 	}
 }
 
-// Probe asks for a path that nobody serves: any answer will do.
+// Probe sends a health check: HEAD / in a new goroutine. Any response counts as healthy, although the gateway does not serve
+// that path. It implements [Conn].
 func (c *httpConn) Probe() {
 	c.running.Go(func() {
 		ctx, cancel := context.WithTimeout(c.ctx, healthCheckTimeout)
@@ -277,11 +285,11 @@
 			return
 		}
 		if resp, err := c.client.Do(q); err == nil {
-			_ = resp.Body.Close() // an answer to HEAD has none
+			_ = resp.Body.Close() // a response to HEAD has no body
 			c.events.Heard(true)
 		}
 	})
 }
 
-// Close ends the connection.
+// Close ends the connection and cancels its attempts. It implements [Conn].
 func (c *httpConn) Close() { c.cancel() }
--- a/client/http_token.go
+++ b/client/http_token.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// renewalCookie carries a renewed URI-signing token.
+// renewalCookie is the name of the cookie that carries a renewed URI-signing token.
 const renewalCookie = "URISigningPackage"
 
-// currentToken is the renewed token, while it is good; else it is empty.
+// currentToken returns the renewed token, or "" if there is none or it is no longer to be used.
 func (h *HTTP) currentToken(now time.Time) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -18,8 +18,8 @@
 	return ""
 }
 
-// storeRenewedToken keeps a token that came with an answer, for nine tenths of its time, so that it does not expire on its
-// way.
+// storeRenewedToken stores the renewed token among the cookies of an answer, if there is one. The token is used for nine
+// tenths of its lifetime, so that it does not expire on the way to the gateway.
 func (h *HTTP) storeRenewedToken(cookies []*http.Cookie) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -30,7 +30,7 @@
 	}
 }
 
-// dropRenewedToken forgets the token that the gateway refused: the next attempt is signed anew.
+// dropRenewedToken removes the stored token after the gateway rejected a token. The next attempt is signed by HTTP.Sign.
 func (h *HTTP) dropRenewedToken() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/client/metrics.go
+++ b/client/metrics.go
@@ -10,24 +10,32 @@
 	"go.opentelemetry.io/otel/metric"
 )
 
-// Names of the instruments that a client makes of its Config.Meter.
+// Names of the instruments that a client creates with [Config.Meter].
 const (
-	MetricDuration  = "larchusher.client.call.duration" // histogram, in seconds, by class and ending (those of plan.Ending, and "cancelled")
-	MetricTries     = "larchusher.client.call.tries"    // histogram: attempts of a call, by class and ending
-	MetricDecisions = "larchusher.client.decisions"     // counter, by decision: the names of Client.Counters
-	MetricAlive     = "larchusher.client.gateways"      // gauge: gateways in use
+	// MetricDuration is a histogram of the time of calls over all attempts, in seconds, by the attributes "class" and
+	// "ending". An ending is the name of a [plan.Ending] or "cancelled".
+	MetricDuration = "larchusher.client.call.duration"
+	// MetricTries is a histogram of the number of attempts of a call, by the attributes "class" and "ending". Calls whose
+	// context ended first are recorded with 0.
+	MetricTries = "larchusher.client.call.tries"
+	// MetricDecisions is a counter of decisions, by the attribute "decision". Its values are the names of [Client.Counters],
+	// except those of endings.
+	MetricDecisions = "larchusher.client.decisions"
+	// MetricAlive is a gauge of the gateways that are not ejected.
+	MetricAlive = "larchusher.client.gateways"
 )
 
-// endingCancelled is the ending of a call that its caller canceled. The planner has no ending for it.
+// endingCancelled is the ending, in metrics, of a call whose context was canceled. The planner has no ending for it.
 const endingCancelled = "cancelled"
 
-// instruments are a client's instruments. A nil one measures nothing.
+// instruments holds the metric instruments of a client. Methods of a nil *instruments do nothing.
 type instruments struct {
 	duration, attempts metric.Float64Histogram
 	registration       metric.Registration
 }
 
-// newInstruments makes the instruments. What is counted by the planner is read when it is collected, and costs a call nothing.
+// newInstruments creates the instruments, or returns nil if m is nil. The planner's counters are read only when metrics are
+// collected, so that they add no cost to calls.
 func newInstruments(m metric.Meter, c *Client) (*instruments, error) {
 	if m == nil {
 		return nil, nil
@@ -49,24 +57,24 @@
 	if err != nil {
 		return nil, meterError(err)
 	}
-	alive, err := m.Int64ObservableGauge(MetricAlive, metric.WithDescription("Gateways in use."))
+	available, err := m.Int64ObservableGauge(MetricAlive, metric.WithDescription("Gateways in use."))
 	if err != nil {
 		return nil, meterError(err)
 	}
 	s.registration, err = m.RegisterCallback(func(_ context.Context, o metric.Observer) error {
-		c.observe(o, decisions, alive)
+		c.observe(o, decisions, available)
 		return nil
-	}, decisions, alive)
+	}, decisions, available)
 	if err != nil {
 		return nil, meterError(err)
 	}
 	return &s, nil
 }
 
-func meterError(err error) error { return fmt.Errorf("client: Meter: %w", err) }
+func meterError(err error) error { return fmt.Errorf("client: Meter: creating an instrument: %w", err) }
 
-// observe reports the planner's counters, but for endings: the histogram of calls has them.
-func (c *Client) observe(o metric.Observer, decisions metric.Int64Observable, alive metric.Int64Observable) {
+// observe reports the planner's counters, except those of endings, which MetricDuration counts.
+func (c *Client) observe(o metric.Observer, decisions metric.Int64Observable, available metric.Int64Observable) {
 	c.mu.Lock()
 	counters, gateways := c.planner.Counters.All(), c.planner.AvailableGateways()
 	c.mu.Unlock()
@@ -75,22 +83,22 @@
 			o.ObserveInt64(decisions, int64(n), metric.WithAttributes(attribute.String("decision", name)))
 		}
 	}
-	o.ObserveInt64(alive, int64(gateways))
+	o.ObserveInt64(available, int64(gateways))
 }
 
-// recordCall measures a call that ended.
-func (s *instruments) recordCall(class, as string, tries int, took time.Duration) {
+// recordCall records a call that has ended.
+func (s *instruments) recordCall(class, ending string, attempts int, elapsed time.Duration) {
 	if s == nil {
 		return
 	}
-	by := metric.WithAttributeSet(attribute.NewSet(attribute.String("class", class), attribute.String("ending", as)))
-	s.duration.Record(context.Background(), took.Seconds(), by)
-	s.attempts.Record(context.Background(), float64(tries), by)
+	attributes := metric.WithAttributeSet(attribute.NewSet(attribute.String("class", class), attribute.String("ending", ending)))
+	s.duration.Record(context.Background(), elapsed.Seconds(), attributes)
+	s.attempts.Record(context.Background(), float64(attempts), attributes)
 }
 
-// close ends the collection of counters.
+// close stops the collection of the planner's counters.
 func (s *instruments) close() {
 	if s != nil {
-		_ = s.registration.Unregister() // the client ends, and nobody could mend it
+		_ = s.registration.Unregister() // the client is closed, and an error could not be handled
 	}
 }
--- a/client/object.go
+++ b/client/object.go
@@ -9,21 +9,24 @@
 	"time"
 )
 
-// Object says what to read.
+// Object describes an object that [Client.Open] reads.
 type Object struct {
-	Class, Object string
-	Group         int
-	Parts         int           // how many there are
-	Ahead         int           // parts fetched ahead of the reader, which bounds memory; 0: 2
-	PartDeadline  time.Duration // of each part; 0: the client's
+	Class, Object string        // as in Request
+	Group         int           // as in Request
+	Parts         int           // number of parts, from part 0; at least 1
+	Ahead         int           // number of parts that are fetched ahead of the current one, and kept in memory; 0: 2
+	PartDeadline  time.Duration // longest time to fetch a part; 0: Config.Deadline, unless ctx has a deadline
 }
 
-// defaultAhead is how many parts are fetched ahead where an Object does not say.
+// defaultAhead is the default of Object.Ahead.
 const defaultAhead = 2
 
-// Open returns a reader over the parts of an object. It may seek to what it has passed, and to the end of what it has
-// seen; a part that could not be had is asked for again by the next Read. Close ends what is fetched ahead. The context
-// holds for all of it. One goroutine may use it at a time.
+// Open returns a reader over the parts of an object, in their order, or [ErrRequest] if o is invalid. No request is sent
+// before the first Read. ctx applies to all requests of the reader; its end cancels them.
+//
+// The reader can seek to any offset up to the end of the last part that it has fetched for Read. If a part cannot be fetched,
+// Read returns the error, and the next Read fetches the part again. Close cancels the fetches in progress and waits for them.
+// The reader must not be used by several goroutines at the same time.
 func (c *Client) Open(ctx context.Context, o Object) (io.ReadSeekCloser, error) {
 	if o.Parts <= 0 {
 		return nil, fmt.Errorf("%w: Parts is %d", ErrRequest, o.Parts)
@@ -38,30 +41,30 @@
 	return &objectReader{client: c, object: o, ctx: ctx, cancel: cancel, parts: map[int]*part{}}, nil
 }
 
-// part is a part that is being fetched, or has been.
+// part is a part that is being fetched or has been fetched.
 type part struct {
-	done chan struct{} // closed when body and err are set
+	done chan struct{} // closed once body and err are set
 	body []byte
 	err  error
 }
 
-// objectReader is what Open returns.
+// objectReader reads the parts of an object in their order. It implements io.ReadSeekCloser.
 type objectReader struct {
 	client     *Client
 	object     Object
 	ctx        context.Context
 	cancel     context.CancelFunc
-	parts      map[int]*part
-	partStarts []int64 // by part: the offset at which it begins, as far as is known
-	partIndex  int     // the part that is read next,
-	partOffset int     // and the offset in it
+	parts      map[int]*part // by index: parts that are being fetched, or are fetched and not read to their end
+	partStarts []int64       // by index: offset of the part in the object, as far as the lengths of parts are known
+	partIndex  int           // the part that the next Read reads
+	partOffset int           // offset of the next byte within that part
 	fetches    sync.WaitGroup
 	closed     bool
 }
 
-var errObjectClosed = errors.New("client: the object is closed")
+var errObjectClosed = errors.New("client: the object reader is closed")
 
-// fetch begins to fetch a part, if that has not begun.
+// fetch returns a part, and starts to fetch it in a new goroutine if that has not been done.
 func (r *objectReader) fetch(n int) *part {
 	if p := r.parts[n]; p != nil {
 		return p
@@ -81,7 +84,8 @@
 	return p
 }
 
-// Read reads on. An error of a part leaves the position as it is: the next Read fetches that part again.
+// Read implements io.Reader. If a part cannot be fetched, Read returns the error and keeps the position, so that the next
+// Read fetches that part again.
 func (r *objectReader) Read(b []byte) (int, error) {
 	for {
 		if r.closed {
@@ -107,13 +111,13 @@
 	}
 }
 
-// currentPart waits for the part that is read next, has those ahead of it fetched, and notes where it ends.
+// currentPart starts to fetch the current part and those ahead of it, waits for the current one and records its length.
 func (r *objectReader) currentPart() (*part, error) {
 	p := r.fetch(r.partIndex)
 	for n := r.partIndex + 1; n <= min(r.partIndex+r.object.Ahead, r.object.Parts-1); n++ {
 		r.fetch(n)
 	}
-	<-p.done // by the context's or the client's deadline at the latest
+	<-p.done // closed at the deadline of the part, the context or the client at the latest
 	if p.err != nil {
 		delete(r.parts, r.partIndex)
 		return nil, fmt.Errorf("part %d: %w", r.partIndex, p.err)
@@ -125,7 +129,7 @@
 	return p, nil
 }
 
-// knownEnd is the offset up to which the lengths of parts are known.
+// knownEnd returns the offset up to which the lengths of parts are known.
 func (r *objectReader) knownEnd() int64 {
 	if len(r.partStarts) == 0 {
 		return 0
@@ -133,7 +137,8 @@
 	return r.partStarts[len(r.partStarts)-1]
 }
 
-// Seek goes to an offset that is known: the length of a part is known once it has been read. The end can't be sought.
+// Seek implements io.Seeker, for offsets up to the end of the last part that has been fetched for Read, since only these
+// lengths are known. It returns an error and keeps the position for an offset outside of that, and for io.SeekEnd.
 func (r *objectReader) Seek(offset int64, whence int) (int64, error) {
 	if r.closed {
 		return 0, errObjectClosed
@@ -143,10 +148,10 @@
 	case io.SeekCurrent:
 		offset += position
 	case io.SeekEnd:
-		return position, errors.New("client: the end is not known before it is read")
+		return position, errors.New("client: seeking from the end of an object is not supported: its length is not known")
 	}
 	if offset < 0 || offset > r.knownEnd() {
-		return position, fmt.Errorf("client: place %d is not known yet; %d is", offset, r.knownEnd())
+		return position, fmt.Errorf("client: cannot seek to offset %d, want 0 to %d, the end of the parts read so far", offset, r.knownEnd())
 	}
 	n := r.partAt(offset)
 	if n != r.partIndex {
@@ -159,7 +164,7 @@
 	return offset, nil
 }
 
-// position is the offset of the next byte to be read.
+// position returns the offset in the object of the next byte to be read.
 func (r *objectReader) position() int64 {
 	position := int64(r.partOffset)
 	if r.partIndex < len(r.partStarts) {
@@ -168,7 +173,7 @@
 	return position
 }
 
-// partAt is the part that holds a known offset.
+// partAt returns the index of the part that contains a known offset.
 func (r *objectReader) partAt(offset int64) int {
 	n := 0
 	for n+1 < len(r.partStarts) && r.partStarts[n+1] <= offset {
@@ -177,7 +182,8 @@
 	return n
 }
 
-// dropFetchedOutside drops parts that have been fetched and are not wanted by a reader at part n.
+// dropFetchedOutside drops the fetched parts that a reader at part n does not need, which are those before it and those more
+// than Object.Ahead after it.
 func (r *objectReader) dropFetchedOutside(n int) {
 	for k, p := range r.parts {
 		if k >= n && k <= n+r.object.Ahead {
@@ -186,12 +192,12 @@
 		select {
 		case <-p.done:
 			delete(r.parts, k)
-		default: // still on its way: it would be fetched twice if the reader came back
+		default: // still being fetched: kept, so that it is not fetched twice if the reader seeks back
 		}
 	}
 }
 
-// Close cancels what is being fetched, and waits for it.
+// Close cancels the fetches in progress and waits for them. A second call returns an error.
 func (r *objectReader) Close() error {
 	if r.closed {
 		return errObjectClosed
--- a/client/roundtripper.go
+++ b/client/roundtripper.go
@@ -12,14 +12,17 @@
 	"time"
 )
 
-// RoundTripper sends requests for /CLASS/OBJECT/PART?shard=GROUP through a client, with all its decisions, for programs
-// that have an http.Client. Tokens are the transport's matter: those in a URL are ignored.
+// RoundTripper is an http.RoundTripper that sends requests through a [Client], for programs that use an http.Client. It
+// accepts URLs with the path and query /CLASS/OBJECT/PART?shard=GROUP; shard is optional. The host, the method and tokens in
+// the URL are ignored: the client chooses the gateway, and its transport signs requests. It is safe for concurrent use.
 type RoundTripper struct{ Client *Client }
 
-// RoundTrip answers a request. Its errors are those of Do; a rejection is a 503 with Retry-After.
+// RoundTrip sends a request with [Client.Do] and converts the result: status 200, 304 if the copy named in If-None-Match is
+// current, or 503 with Retry-After for a rejection. The header Idempotency-Key becomes Request.Key. Any other error of Do is
+// returned as it is; an invalid URL gives [ErrRequest].
 func (t *RoundTripper) RoundTrip(q *http.Request) (*http.Response, error) {
 	if q.Body != nil {
-		defer func() { _ = q.Body.Close() }() // net/http asks for it; it is the caller's, and was read
+		defer func() { _ = q.Body.Close() }() // as http.RoundTripper requires; the body has been read
 	}
 	r, err := parseURL(q.URL)
 	if err != nil {
@@ -28,7 +31,7 @@
 	r.Key = strings.Trim(q.Header.Get("Idempotency-Key"), `"`)
 	r.Have = strings.Trim(q.Header.Get("If-None-Match"), `"`)
 	if q.Body != nil {
-		if r.Body, err = io.ReadAll(io.LimitReader(q.Body, maxBodyBytes+1)); err != nil { // Do rejects one that is longer
+		if r.Body, err = io.ReadAll(io.LimitReader(q.Body, maxBodyBytes+1)); err != nil { // one more, so that Do rejects a longer body
 			return nil, err
 		}
 	}
@@ -49,20 +52,20 @@
 	return newResponse(q, status, got), nil
 }
 
-// parseURL reads /CLASS/OBJECT/PART?shard=GROUP.
+// parseURL returns the request for a URL of the form /CLASS/OBJECT/PART?shard=GROUP, or an error that wraps ErrRequest.
 func parseURL(u *url.URL) (Request, error) {
 	segments := strings.Split(strings.TrimPrefix(u.Path, "/"), "/")
 	if len(segments) != 3 {
-		return Request{}, fmt.Errorf("%w: path %q is not /CLASS/OBJECT/PART", ErrRequest, u.Path)
+		return Request{}, fmt.Errorf("%w: path is %q, want /CLASS/OBJECT/PART", ErrRequest, u.Path)
 	}
 	part, err := strconv.Atoi(segments[2])
 	if err != nil {
-		return Request{}, fmt.Errorf("%w: part %q", ErrRequest, segments[2])
+		return Request{}, fmt.Errorf("%w: part is %q, want a number", ErrRequest, segments[2])
 	}
 	group := 0
 	if s := u.Query().Get("shard"); s != "" {
 		if group, err = strconv.Atoi(s); err != nil {
-			return Request{}, fmt.Errorf("%w: shard %q", ErrRequest, s)
+			return Request{}, fmt.Errorf("%w: shard is %q, want a number", ErrRequest, s)
 		}
 	}
 	return Request{Class: segments[0], Object: segments[1], Part: part, Group: group}, nil
@@ -80,5 +83,5 @@
 	return resp
 }
 
-// wholeSeconds rounds up, so that nobody comes back too early.
+// wholeSeconds returns d in seconds, rounded up so that callers don't retry before a Retry-After has passed.
 func wholeSeconds(d time.Duration) int { return int((d + time.Second - 1) / time.Second) }
--- a/client/transport.go
+++ b/client/transport.go
@@ -2,47 +2,58 @@
 
 import "time"
 
-// Try is one attempt of a request.
+// Try is an attempt of a request, passed to [Conn.Send].
 type Try struct {
-	ID      uint64
-	Request *Request
-	Txn     string        // 16 hex digits, new with every attempt
-	Key     string        // idempotency key, the same with all attempts of a request; empty: the class has none
-	Limit   time.Duration // the time that the gateway has for it
-	Second  bool          // it is not the first
+	ID      uint64        // id of the attempt, for Conn.Abandon and Events.Answer; increases on each connection
+	Request *Request      // not to be changed
+	Txn     string        // transaction id: 16 hex digits, new for each attempt
+	Key     string        // idempotency key, the same for all attempts of a request; empty: the class has none
+	Limit   time.Duration // time within which the gateway must answer
+	Second  bool          // the attempt is not the first of its request
 }
 
-// Answer is what comes back for an attempt: served if OK, else rejected if Backoff, else failed.
+// Answer is the answer to an attempt: served if OK, else rejected if Backoff, else failed.
 type Answer struct {
 	OK        bool
 	Backoff   bool
-	Later     time.Duration // of a rejection: when to come back; 0: it was not told
-	Unchanged bool          // the copy that the caller holds is current
-	Body      []byte
-	Tag       string
-	Err       error // why it failed, where that is known
+	Later     time.Duration // for a rejection: how long to wait before the next attempt; 0: not given
+	Unchanged bool          // the copy named by Request.Have is current
+	Body      []byte        // belongs to the caller of Do
+	Tag       string        // tag of the object; empty: not given
+	Err       error         // for a failure: the cause; nil: not known
 }
 
-// Events is what a connection reports, from any goroutine but not from within a call of its methods.
+// Events receives the events of a connection. A connection may call its methods from any goroutine, but not from within
+// a call of a method of [Transport] or [Conn]: the client calls those with its mutex locked.
 type Events interface {
+	// Up reports that the connection was established.
 	Up()
-	// Down comes once, as the last of all: also after Close, and when nothing of the connection runs any more. clean: the
-	// gateway closed it in order, and nothing of the attempts in flight can have reached it.
+	// Down reports that the connection could not be established or has ended. It is called exactly once for a connection,
+	// also after Conn.Close, as the last event and after all goroutines of the connection have ended. clean means that the
+	// gateway closed the connection in order, and that no byte of the attempts in flight can have reached the gateway.
 	Down(clean bool)
+	// Heard reports a message other than the answer to an attempt in flight. alive means that it is the answer to a health
+	// check, and that the gateway is healthy.
 	Heard(alive bool)
+	// Answer reports the answer to the attempt with the id try.
 	Answer(try uint64, a Answer)
 }
 
-// Transport carries requests to gateways. Its methods and those of its connections must not block.
+// Transport opens connections to gateways. Its methods and those of its connections must not block, and must not call a
+// method of [Events] themselves; see there.
 type Transport interface {
-	// Connect begins to connect. Up follows, or Down.
+	// Connect starts to connect to a gateway. The connection reports Up within the timeout, or Down.
 	Connect(gateway string, timeout time.Duration, ev Events) Conn
 }
 
-// Conn is one connection.
+// Conn is a connection to a gateway. The client calls one method at a time.
 type Conn interface {
+	// Send sends an attempt.
 	Send(Try)
-	Abandon(try uint64) // no answer is wanted any more
-	Probe()             // a health check: Heard follows, if the gateway is there
-	Close()             // Down follows
+	// Abandon cancels an attempt: its answer is no longer needed.
+	Abandon(try uint64)
+	// Probe sends a health check. If the gateway answers, the connection reports Heard.
+	Probe()
+	// Close ends the connection, which then reports Down.
+	Close()
 }
