--- a/client/rpc/rpc.go
+++ b/client/rpc/rpc.go
@@ -1,7 +1,7 @@
-// Package rpc encodes and decodes the platform's protocol, MessagePack-RPC over TCP, from a client's side. It converts the
-// names of the fields on the wire (limit, item, n, shard, second, unique, mine, later, still) for the client library.
+// Package rpc implements the client side of the platform's protocol, MessagePack-RPC over TCP. It translates between the
+// field names on the wire (limit, item, n, shard, second, unique, mine, later, still) and those of the client library.
 //
-// An [Encoder] and a [Reader] block as their stream does, and are not safe for concurrent use.
+// The methods of an [Encoder] and a [Reader] block while the underlying stream blocks. They are not safe for concurrent use.
 package rpc
 
 import (
@@ -15,54 +15,54 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Limits of an answer; what is longer is an error before memory is taken for it.
+// Limits of an answer. A longer value is an error, which is returned before memory is allocated for it.
 const (
-	maxBodyBytes = 256 << 10 // an object has 240,000 bytes at most
-	maxTextBytes = 4 << 10   // of an error word, and of a field's name and value
+	maxBodyBytes = 256 << 10 // above the largest object, which has 240,000 bytes
+	maxTextBytes = 4 << 10   // for an error code, and for the name and the value of a field
 	maxFields    = 16
 )
 
-// Kinds of messages, by MessagePack-RPC.
+// Message types of MessagePack-RPC.
 const (
 	kindRequest      = 0
 	kindResponse     = 1
 	kindNotification = 2
 )
 
-// Backoff is the error word of a rejection.
+// Backoff is the error code (Response.Error) of a rejection.
 const Backoff = "Backoff"
 
-// Request is one attempt of a request.
+// Request is a message with an attempt of a request.
 type Request struct {
-	ID     uint32 // of the message; new with each on a connection
+	ID     uint32 // message id, unique on the connection
 	Class  string
-	Txn    string        // 16 hex digits, new with every attempt
-	Limit  time.Duration // for an answer; sent in whole milliseconds, one at least
-	Retry  bool          // it is not the request's first attempt
+	Txn    string        // transaction id: 16 hex digits, new for each attempt
+	Limit  time.Duration // time within which the gateway must answer; sent in whole milliseconds, at least 1
+	Retry  bool          // the attempt is not the first of its request
 	Key    string        // idempotency key; empty: none
-	Object string        // 16 hex digits
+	Object string        // object id: 16 hex digits
 	Part   int
 	Group  int
-	Have   string // tag of a copy that the client holds; empty: none
+	Have   string // tag of the client's copy; empty: no copy
 	Body   []byte
 }
 
-// Encoder writes messages.
+// Encoder writes messages to a stream. Its methods return the errors of the stream.
 type Encoder struct{ enc *msgpack.Encoder }
 
-// NewEncoder returns an encoder that writes to w.
+// NewEncoder returns an encoder that writes to w, without buffering.
 func NewEncoder(w io.Writer) *Encoder {
 	e := msgpack.NewEncoder(w)
 	e.UseCompactInts(true)
 	return &Encoder{e}
 }
 
-// Request writes a request.
+// Request writes a request message.
 func (e *Encoder) Request(r *Request) error {
-	fields := r.appendFields(make([]field, 0, maxRequestFields)) // on the stack
+	fields := r.appendFields(make([]field, 0, maxRequestFields)) // allocated on the stack
 	body := r.Body
 	if body == nil {
-		body = []byte{} // an empty body, where nil would be encoded as none
+		body = []byte{} // encoded as an empty string, while nil would be encoded as the MessagePack nil
 	}
 	err := errors.Join(e.header(r.ID, r.Class), e.enc.EncodeArrayLen(2), e.enc.EncodeMapLen(len(fields)))
 	for _, f := range fields {
@@ -73,10 +73,10 @@
 
 type field struct{ name, value string }
 
-// maxRequestFields is the number of fields that a request can have.
+// maxRequestFields is the maximum number of fields of a request.
 const maxRequestFields = 8
 
-// appendFields appends a request's fields as they are sent, in their order.
+// appendFields appends the fields of a request to a slice, in the order in which they are sent.
 func (r *Request) appendFields(fields []field) []field {
 	fields = append(fields,
 		field{"txn", r.Txn},
@@ -96,61 +96,62 @@
 	return fields
 }
 
-// header writes what comes before a request's parameters.
+// header writes the beginning of a request message, up to its parameters.
 func (e *Encoder) header(id uint32, method string) error {
 	return errors.Join(e.enc.EncodeArrayLen(4), e.enc.EncodeInt(kindRequest), e.enc.EncodeUint(uint64(id)), e.enc.EncodeString(method))
 }
 
-// Cancel writes that no answer to a request is wanted any more.
+// Cancel writes a notification that cancels the request with a message id.
 func (e *Encoder) Cancel(id uint32) error {
 	return errors.Join(e.enc.EncodeArrayLen(3), e.enc.EncodeInt(kindNotification), e.enc.EncodeString("cancelRequest"),
 		e.enc.EncodeArrayLen(1), e.enc.EncodeUint(uint64(id)))
 }
 
-// HealthCheck writes the question whether the gateway serves.
+// HealthCheck writes a health check with a message id.
 func (e *Encoder) HealthCheck(id uint32) error {
 	return errors.Join(e.header(id, "alive"), e.enc.EncodeArrayLen(1), e.enc.EncodeMapLen(0))
 }
 
-// Response is one answer.
+// Response is the answer to a request or a health check.
 type Response struct {
-	ID         uint32 // of the message that it answers
-	Error      string // word of the error; empty: served
+	ID         uint32 // id of the message that is answered
+	Error      string // error code; empty: served
 	Body       []byte
 	Still      bool          // with an empty body: the client's copy is current
-	RetryAfter time.Duration // of a rejection: when to come back; 0: it was not told
-	Healthy    bool          // the answer to a health check is yes
+	RetryAfter time.Duration // for a rejection: how long to wait before the next attempt; 0: not given
+	Healthy    bool          // the answer to a health check, and the gateway is healthy
 }
 
-// Reader reads answers. What it can't read, and what is longer than any answer may be, is an error; the stream is of no
-// use after one. The error is io.EOF only if the stream ends between two answers, and io.ErrUnexpectedEOF within one.
+// Reader reads answers from a stream.
 type Reader struct {
-	Reuse bool // a Body holds until the next call only
+	Reuse bool // reuse one buffer for the bodies: a Response.Body is valid until the next call of Next only
 
 	dec  *msgpack.Decoder
-	body []byte
+	body []byte // buffer for bodies if Reuse is set
 }
 
-// NewReader returns a reader of a connection.
+// NewReader returns a reader that reads from r through a buffer.
 func NewReader(r io.Reader) *Reader {
 	return &Reader{dec: msgpack.NewDecoder(bufio.NewReaderSize(r, 64<<10))}
 }
 
-// The codes of MessagePack that an answer is told apart by.
+// MessagePack type codes that determine how an answer is read.
 const (
 	codeNil   = 0xc0
 	codeFalse = 0xc2
 	codeTrue  = 0xc3
 )
 
-// Next reads an answer.
+// Next reads the next answer. The error is io.EOF only if the stream ends between two answers; it wraps io.ErrUnexpectedEOF
+// if the stream ends within one. An answer that is malformed or exceeds a limit is an error as well. After any error the
+// stream must not be used any more.
 func (r *Reader) Next() (Response, error) {
 	if _, err := r.dec.PeekCode(); err != nil {
 		return Response{}, err
 	}
 	a, err := r.readResponse()
-	if errors.Is(err, io.EOF) { // the decoder gives it between any two items
-		return Response{}, fmt.Errorf("within an answer: %w", io.ErrUnexpectedEOF)
+	if errors.Is(err, io.EOF) { // the decoder returns io.EOF between any two values of an answer
+		return Response{}, fmt.Errorf("rpc: stream ended within an answer: %w", io.ErrUnexpectedEOF)
 	}
 	return a, err
 }
@@ -171,7 +172,7 @@
 	return a, err
 }
 
-// readHeader reads what comes before an answer's error and result, and returns the id of its request.
+// readHeader reads the beginning of an answer, up to its error and result, and returns the id of the answered message.
 func (r *Reader) readHeader() (id uint32, err error) {
 	n, err := r.dec.DecodeArrayLen()
 	if err != nil {
@@ -180,23 +181,23 @@
 	kind, err1 := r.dec.DecodeInt()
 	id, err2 := r.dec.DecodeUint32()
 	if err = errors.Join(err1, err2); err != nil || n != 4 || kind != kindResponse {
-		return 0, fmt.Errorf("a message of type %d with %d items: %w", kind, n, errors.Join(err, errors.New("not an answer")))
+		return 0, fmt.Errorf("rpc: message of type %d with %d items: %w", kind, n, errors.Join(err, errors.New("want an answer: type 1 with 4 items")))
 	}
 	return id, nil
 }
 
-// readError reads [WORD, FIELDS], and no result.
+// readError reads an error, [CODE, FIELDS], and the nil in place of a result.
 func (r *Reader) readError(a *Response) error {
 	n, err := r.dec.DecodeArrayLen()
 	if err != nil || n != 2 {
-		return fmt.Errorf("an error of %d items: %w", n, errors.Join(err, errors.New("not [WORD, FIELDS]")))
+		return fmt.Errorf("rpc: error with %d items: %w", n, errors.Join(err, errors.New("want 2 items, [CODE, FIELDS]")))
 	}
 	word, err := r.readBytes(nil, maxTextBytes)
 	if err != nil {
 		return err
 	}
 	if a.Error = string(word); a.Error == "" {
-		return errors.New("an error without a word")
+		return errors.New("rpc: the error code of an answer is empty")
 	}
 	if err = r.readFields(a); err != nil {
 		return err
@@ -204,14 +205,14 @@
 	return r.dec.DecodeNil()
 }
 
-// readResult reads no error, and [BODY, FIELDS].
+// readResult reads the nil in place of an error, and a result, [BODY, FIELDS].
 func (r *Reader) readResult(a *Response) error {
 	if err := r.dec.DecodeNil(); err != nil {
 		return err
 	}
 	n, err := r.dec.DecodeArrayLen()
 	if err != nil || n != 2 {
-		return fmt.Errorf("a result of %d items: %w", n, errors.Join(err, errors.New("not [BODY, FIELDS]")))
+		return fmt.Errorf("rpc: result with %d items: %w", n, errors.Join(err, errors.New("want 2 items, [BODY, FIELDS]")))
 	}
 	if err := r.readContent(a); err != nil {
 		return err
@@ -219,7 +220,7 @@
 	return r.readFields(a)
 }
 
-// readContent reads a body, or the answer to a health check.
+// readContent reads the first item of a result: a body, or the boolean that answers a health check.
 func (r *Reader) readContent(a *Response) error {
 	code, err := r.dec.PeekCode()
 	if err != nil {
@@ -229,41 +230,41 @@
 		a.Healthy, err = r.dec.DecodeBool()
 		return err
 	}
-	var into []byte
+	var buf []byte
 	if r.Reuse {
-		into = r.body
+		buf = r.body
 	}
-	a.Body, err = r.readBytes(into, maxBodyBytes)
+	a.Body, err = r.readBytes(buf, maxBodyBytes)
 	if r.Reuse {
 		r.body = a.Body
 	}
 	return err
 }
 
-// readBytes reads a string of up to most bytes, into a buffer if it holds so many.
-func (r *Reader) readBytes(into []byte, most int) ([]byte, error) {
+// readBytes reads a string of at most maxLen bytes. It reads into buf if its capacity suffices, and allocates otherwise.
+func (r *Reader) readBytes(buf []byte, maxLen int) ([]byte, error) {
 	n, err := r.dec.DecodeBytesLen()
 	if err != nil {
 		return nil, err
 	}
-	if n < 0 || n > most {
-		return nil, fmt.Errorf("a string of %d bytes", n)
+	if n < 0 || n > maxLen {
+		return nil, fmt.Errorf("rpc: string of %d bytes in an answer is too long", n)
 	}
-	if cap(into) < n {
-		into = make([]byte, n)
+	if cap(buf) < n {
+		buf = make([]byte, n)
 	}
-	into = into[:n]
-	return into, r.dec.ReadFull(into)
+	buf = buf[:n]
+	return buf, r.dec.ReadFull(buf)
 }
 
-// readFields reads a map of strings; fields that are not known are ignored.
+// readFields reads the fields of an answer, a map of strings. It ignores unknown fields.
 func (r *Reader) readFields(a *Response) error {
 	n, err := r.dec.DecodeMapLen()
 	if err != nil {
 		return err
 	}
 	if n > maxFields {
-		return fmt.Errorf("%d fields", n)
+		return fmt.Errorf("rpc: answer with %d fields, want at most 16", n)
 	}
 	for range n {
 		name, err := r.readBytes(nil, maxTextBytes)
@@ -289,7 +290,7 @@
 			return err
 		}
 		if ms < 0 {
-			return errors.New("later is negative")
+			return errors.New("rpc: field later of an answer is negative")
 		}
 		a.RetryAfter = time.Duration(ms) * time.Millisecond
 	case "still":
