--- a/signedurl/config.go
+++ b/signedurl/config.go
@@ -8,50 +8,51 @@
 	"time"
 )
 
-// Form is one form of token.
+// Form is the form of a token.
 type Form string
 
-// The forms.
+// Forms of tokens.
 const (
-	URISigning Form = "uri-signing"
-	EdgeAuth   Form = "edge-auth"
+	URISigning Form = "uri-signing" // a JWT as in RFC 9246
+	EdgeAuth   Form = "edge-auth"   // st~exp~acl~hmac
 )
 
-// Key is one key of a signer. Several of a form may be in force at once, for rotation.
+// Key is a key that verifies or signs tokens of one form. Several keys of a form may be in use at once, for key rotation.
 type Key struct {
-	ID        string // the kid of a URI-signing token; for edge-auth a name for logs
+	ID        string // unique; the kid of a URI-signing token, and a name for logs for edge-auth
 	Form      Form
-	Algorithm string            // URI signing: the one algorithm that this key may be used with
-	Secret    []byte            // HMAC keys
-	Public    crypto.PublicKey  // asymmetric keys: to verify
-	Private   crypto.PrivateKey // and, if present, to issue
+	Algorithm string            // for URI signing: the only algorithm that the key may be used with, such as HS256 or ES256
+	Secret    []byte            // for edge-auth and the algorithms HS256, HS384 and HS512: the HMAC key, at least 16 bytes
+	Public    crypto.PublicKey  // for other algorithms: the key to verify tokens
+	Private   crypto.PrivateKey // for other algorithms: the key to sign tokens; nil: the key can only verify
 }
 
-// Config is what a verifier and an issuer are made of. Base and Keys are needed.
+// Config configures a [Verifier] or an [Issuer]. Base and Keys are required.
 type Config struct {
-	// Base is the scheme and authority that signers put before the path, such as https://assets.example. It
-	// is fixed here, as a Host header is the client's to choose.
-	Base   string
-	Keys   []Key
-	Leeway time.Duration // by how much the signer's clock and ours may differ; from 0 to 1 minute
+	// Base is the scheme and authority of signed URIs, such as https://assets.example. It is configured and not taken from
+	// the Host header, since clients can choose that.
+	Base string
+	Keys []Key // with unique ids
+	// Leeway is how much the clock of the signer and the local clock may differ, 0 to 1 minute.
+	Leeway time.Duration
 }
 
-// check names the first part of a configuration that cannot be used.
+// check returns an error that names the first invalid field of a configuration.
 func (c Config) check() error {
 	if c.Leeway < 0 || c.Leeway > maxLeeway {
-		return fmt.Errorf("leeway: %v is not from 0 to 1m", c.Leeway)
+		return fmt.Errorf("leeway: %v, want 0 to 1m", c.Leeway)
 	}
 	scheme, host, ok := strings.Cut(c.Base, "://")
 	if !ok || scheme != "https" && scheme != "http" || host == "" || strings.ContainsAny(host, "/?#") {
-		return fmt.Errorf("base: %q is not a scheme and a host", c.Base)
+		return fmt.Errorf("base: %q, want a scheme and a host such as https://assets.example", c.Base)
 	}
 	if len(c.Keys) == 0 {
-		return errors.New("key: there is none")
+		return errors.New("key: no key is configured, want at least one")
 	}
 	seen := map[string]bool{}
 	for _, k := range c.Keys {
 		if k.ID == "" || seen[k.ID] {
-			return fmt.Errorf("key.id: %q is empty or used twice", k.ID)
+			return fmt.Errorf("key.id: %q is empty or a duplicate", k.ID)
 		}
 		seen[k.ID] = true
 		if err := k.check(); err != nil {
@@ -61,26 +62,26 @@
 	return nil
 }
 
-// minSecretBytes is the least length of an HMAC secret.
+// minSecretBytes is the minimum length of an HMAC secret.
 const minSecretBytes = 16
 
-// maxLeeway bounds how much longer than signed a token is good.
+// maxLeeway is the maximum of Config.Leeway, which limits how long after its expiry a token is accepted.
 const maxLeeway = time.Minute
 
-// check names the first part of a key that cannot be used.
+// check returns an error that names the first invalid field of a key.
 func (k Key) check() error {
 	if _, ok := signingMethods[k.Algorithm]; k.Form == URISigning && !ok {
-		return fmt.Errorf("algorithm: %q is not one of those allowed", k.Algorithm)
+		return fmt.Errorf("algorithm: %q is not supported", k.Algorithm)
 	}
 	switch {
 	case k.Form == EdgeAuth || k.Form == URISigning && strings.HasPrefix(k.Algorithm, "HS"):
 		if len(k.Secret) < minSecretBytes {
-			return fmt.Errorf("secret: under %d bytes", minSecretBytes)
+			return fmt.Errorf("secret: shorter than %d bytes", minSecretBytes)
 		}
 	case k.Form != URISigning:
-		return fmt.Errorf("form: unknown form %q", k.Form)
+		return fmt.Errorf("form: %q, want uri-signing or edge-auth", k.Form)
 	case k.Public == nil:
-		return errors.New("public: missing")
+		return errors.New("public: a public key is required")
 	}
 	return nil
 }
--- a/signedurl/edgeauth.go
+++ b/signedurl/edgeauth.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// edgeAuthFields are the fields that an edge-auth token may have, all of them signed.
+// edgeAuthFields are the names of the fields that the signed part of an edge-auth token may contain.
 var edgeAuthFields = map[string]bool{"st": true, "exp": true, "acl": true, "id": true, "data": true}
 
-// verifyEdgeAuth verifies an edge-auth token for a path.
+// verifyEdgeAuth verifies an edge-auth token for a path, which excludes the query.
 func (v *Verifier) verifyEdgeAuth(path, token string, now time.Time) (Grant, error) {
-	// The code comes last: a field behind it would not be signed.
-	body, code, ok := strings.Cut(token, "~hmac=")
+	// The MAC must be last, since a field after it would not be signed.
+	body, mac, ok := strings.Cut(token, "~hmac=")
 	if !ok {
-		return Grant{}, reject(MalformedToken, "hmac is missing")
+		return Grant{}, reject(MalformedToken, "field hmac is missing")
 	}
 	fields, err := parseEdgeAuthFields(body)
 	if err != nil {
 		return Grant{}, err
 	}
-	sum, err := hex.DecodeString(code)
+	sum, err := hex.DecodeString(mac)
 	if err != nil || len(sum) != sha256.Size {
-		return Grant{}, reject(MalformedToken, "hmac is no SHA-256")
+		return Grant{}, reject(MalformedToken, "field hmac is not a SHA-256 sum in hex")
 	}
 	g := Grant{Form: EdgeAuth, Subject: fields["id"]}
 	if g.KeyID, err = v.edgeAuthKeyID(body, sum); err != nil {
@@ -40,27 +40,28 @@
 			return g, nil
 		}
 	}
-	return Grant{}, reject(URIMismatch, "no entry of acl matches")
+	return Grant{}, reject(URIMismatch, "no entry of field acl matches the path")
 }
 
-// parseEdgeAuthFields reads the signed part of a token.
+// parseEdgeAuthFields parses the signed part of a token into its fields.
 func parseEdgeAuthFields(body string) (map[string]string, error) {
 	fields := map[string]string{}
 	for f := range strings.SplitSeq(body, "~") {
 		name, value, ok := strings.Cut(f, "=")
-		_, twice := fields[name]
-		if name == "ip" || name == "url" { // a restriction that is not checked must not be ignored
-			return nil, reject(UnsupportedClaim, "the field %s", name)
+		_, duplicate := fields[name]
+		if name == "ip" || name == "url" { // restrictions that are not implemented must not be ignored
+			return nil, reject(UnsupportedClaim, "field %s is not supported", name)
 		}
-		if !ok || twice || !edgeAuthFields[name] {
-			return nil, reject(MalformedToken, "the field %.20q", name)
+		if !ok || duplicate || !edgeAuthFields[name] {
+			return nil, reject(MalformedToken, "field %.20q is unknown, duplicate or without a value", name)
 		}
 		fields[name] = value
 	}
 	return fields, nil
 }
 
-// edgeAuthKeyID returns the id of the key that signed a token. A token has no kid: every key in force is tried, the last that fits counts.
+// edgeAuthKeyID returns the id of the key that signed a token. Edge-auth tokens have no key id, so all keys of the form are
+// tried; if several match, the last one counts.
 func (v *Verifier) edgeAuthKeyID(body string, sum []byte) (id string, err error) {
 	keys := 0
 	for _, k := range v.cfg.Keys {
@@ -81,17 +82,17 @@
 	return id, nil
 }
 
-// checkEdgeAuthTimes checks from when and until when a token is good, and returns the latter.
+// checkEdgeAuthTimes checks that a token is valid at the time now, with the leeway on both ends, and returns its expiry.
 func (v *Verifier) checkEdgeAuthTimes(fields map[string]string, now time.Time) (expiry time.Time, err error) {
 	exp, err := strconv.ParseInt(fields["exp"], 10, 64)
 	if err != nil {
-		return expiry, reject(MalformedToken, "exp: %w", err)
+		return expiry, reject(MalformedToken, "field exp: %w", err)
 	}
 	expiry = time.Unix(exp, 0)
 	if s, ok := fields["st"]; ok {
 		st, err := strconv.ParseInt(s, 10, 64)
 		if err != nil {
-			return expiry, reject(MalformedToken, "st: %w", err)
+			return expiry, reject(MalformedToken, "field st: %w", err)
 		}
 		if now.Before(time.Unix(st, 0).Add(-v.cfg.Leeway)) {
 			return expiry, &Error{Reason: NotYetValid}
@@ -103,27 +104,27 @@
 	return expiry, nil
 }
 
-// edgeAuthMAC is the HMAC-SHA-256 of a token's signed part.
+// edgeAuthMAC returns the HMAC-SHA-256 of the signed part of a token.
 func edgeAuthMAC(secret []byte, body string) []byte {
 	h := hmac.New(sha256.New, secret)
 	h.Write([]byte(body))
 	return h.Sum(nil)
 }
 
-// matchesAccessList reports whether a path matches an entry of an access list: * stands for any characters, ? for one.
-// It takes time in proportion to the two lengths multiplied at most.
+// matchesAccessList reports whether a path matches an entry of an access list, in which * matches any characters and ? any
+// one character. The time is at most proportional to the product of the two lengths.
 func matchesAccessList(pattern, path string) bool {
-	p, s, star, mark := 0, 0, -1, 0
+	p, s, star, starPos := 0, 0, -1, 0
 	for s < len(path) {
 		switch {
 		case p < len(pattern) && pattern[p] == '*':
-			star, mark = p, s
+			star, starPos = p, s
 			p++
 		case p < len(pattern) && (pattern[p] == '?' || pattern[p] == path[s]):
 			p, s = p+1, s+1
 		case star >= 0:
-			mark++
-			p, s = star+1, mark
+			starPos++
+			p, s = star+1, starPos
 		default:
 			return false
 		}
@@ -131,7 +132,7 @@
 	return strings.Trim(pattern[p:], "*") == ""
 }
 
-// signEdgeAuth issues an edge-auth token.
+// signEdgeAuth returns an edge-auth token for an order. Without a pattern the token is for the path of the target.
 func (i *Issuer) signEdgeAuth(o Order) (string, error) {
 	path, _, _ := strings.Cut(o.Target, "?")
 	acl := o.Pattern
@@ -139,7 +140,7 @@
 		acl = path
 	}
 	if strings.ContainsAny(acl+o.Subject, "~&;# ") {
-		return "", errors.New("a character that cannot stand in the token")
+		return "", errors.New("path, pattern or subject contains ~, &, ;, # or a space, which an edge-auth token cannot contain")
 	}
 	body := "exp=" + strconv.FormatInt(o.Expiry.Unix(), 10) + "~acl=" + acl
 	if !o.NotBefore.IsZero() {
--- a/signedurl/jwt.go
+++ b/signedurl/jwt.go
@@ -13,33 +13,33 @@
 	"github.com/golang-jwt/jwt/v5"
 )
 
-// signingMethods are the algorithms that a key can be pinned to. "none" is not among them.
+// signingMethods are the algorithms that a key can be pinned to. The algorithm "none" (no signature) is left out on purpose.
 var signingMethods = map[string]jwt.SigningMethod{
 	"HS256": jwt.SigningMethodHS256, "HS384": jwt.SigningMethodHS384, "HS512": jwt.SigningMethodHS512,
 	"ES256": jwt.SigningMethodES256, "ES384": jwt.SigningMethodES384, "RS256": jwt.SigningMethodRS256,
 	"PS256": jwt.SigningMethodPS256, "EdDSA": jwt.SigningMethodEdDSA,
 }
 
-// transportCookie is the value of cdnistt that has a fresh token travel in a cookie.
+// transportCookie is the value of the claim cdnistt that requests renewed tokens in a cookie.
 const transportCookie = 1
 
-// understoodClaims are the claims that cdnicrit may name.
+// understoodClaims are the claims that the claim cdnicrit (critical claims) may name.
 var understoodClaims = map[string]bool{"cdniv": true, "cdniuc": true, "cdniets": true, "cdnistt": true,
 	"cdnicrit": true}
 
 var (
-	errUnknownKey     = errors.New("no such key")
-	errWrongAlgorithm = errors.New("not the algorithm of this key")
+	errUnknownKey     = errors.New("no key has the token's kid")
+	errWrongAlgorithm = errors.New("the token's algorithm is not that of the key")
 )
 
-// verifyJWT verifies a URI-signing token for a whole URI.
+// verifyJWT verifies a URI-signing token for a URI with scheme and host.
 func (v *Verifier) verifyJWT(uri, token string, now time.Time) (Grant, error) {
 	var keyID string
 	claims := jwt.MapClaims{}
 	parser := jwt.NewParser(jwt.WithLeeway(v.cfg.Leeway), jwt.WithTimeFunc(func() time.Time { return now }),
 		jwt.WithExpirationRequired(), jwt.WithStrictDecoding())
 	_, err := parser.ParseWithClaims(token, claims, func(t *jwt.Token) (any, error) {
-		keyID, _ = t.Header["kid"].(string) // empty if it has none: no key has that id
+		keyID, _ = t.Header["kid"].(string) // without a kid it is empty, which is no key's id
 		return v.jwtKey(keyID, t.Method.Alg())
 	})
 	if err != nil {
@@ -51,8 +51,8 @@
 	return newJWTGrant(keyID, claims), nil
 }
 
-// jwtKey returns the key to verify a token with. A key is pinned to one algorithm, which guards against a token that names
-// its own: none, or HMAC under a public key.
+// jwtKey returns the key to verify a token with. A token with an algorithm other than that of the key is rejected: otherwise
+// an attacker could choose the algorithm "none", or HMAC with a public key as the secret.
 func (v *Verifier) jwtKey(id, algorithm string) (any, error) {
 	for _, k := range v.cfg.Keys {
 		if k.Form != URISigning || k.ID != id {
@@ -69,7 +69,7 @@
 	return nil, errUnknownKey
 }
 
-// jwtReasons gives the reason for each error of the JWT parser. One error may be several of them: the first counts.
+// jwtReasons gives the reason for each error of the JWT parser. An error may match several entries, of which the first counts.
 var jwtReasons = []struct {
 	err    error
 	reason Reason
@@ -93,7 +93,7 @@
 	return MalformedToken
 }
 
-// newJWTGrant is what verified claims allow.
+// newJWTGrant returns the grant for verified claims.
 func newJWTGrant(keyID string, claims jwt.MapClaims) Grant {
 	g := Grant{Form: URISigning, KeyID: keyID}
 	g.Subject, _ = claims["sub"].(string)
@@ -107,7 +107,7 @@
 	return g
 }
 
-// checkClaims checks what RFC 9246 adds to a JWT.
+// checkClaims checks the claims that RFC 9246 adds to a JWT, for a URI.
 func checkClaims(claims jwt.MapClaims, uri string) error {
 	if v, ok := claims["cdniv"]; ok && v != 1.0 {
 		return reject(UnsupportedClaim, "cdniv is not 1")
@@ -115,13 +115,13 @@
 	if crit, ok := claims["cdnicrit"].(string); ok {
 		for name := range strings.SplitSeq(crit, ",") {
 			if !understoodClaims[name] {
-				return reject(UnsupportedClaim, "cdnicrit names a claim that is not understood")
+				return reject(UnsupportedClaim, "cdnicrit names a claim that is not supported")
 			}
 		}
-	} else if _, there := claims["cdnicrit"]; there {
-		return reject(MalformedToken, "cdnicrit is no string")
+	} else if _, present := claims["cdnicrit"]; present {
+		return reject(MalformedToken, "cdnicrit is not a string")
 	}
-	if _, ok := claims["cdniip"]; ok { // a restriction to an address must not be ignored
+	if _, ok := claims["cdniip"]; ok { // a restriction to a client address must not be ignored
 		return reject(UnsupportedClaim, "cdniip")
 	}
 	if _, ok := claims["cdnistd"]; ok {
@@ -134,13 +134,14 @@
 	return checkContainer(container, uri)
 }
 
-// checkContainer checks that a URI is in the container of a token (cdniuc): its hash, or an expression for whole URIs.
+// checkContainer checks that a URI matches the URI container of a token (claim cdniuc), which is the hash of a URI or a
+// regular expression that the whole URI must match.
 func checkContainer(container, uri string) error {
 	kind, value, _ := strings.Cut(container, ":")
 	switch kind {
 	case "hash":
 		if subtle.ConstantTimeCompare([]byte(value), []byte(uriHash(uri))) != 1 {
-			return reject(URIMismatch, "the hash is of another URI")
+			return reject(URIMismatch, "the hash in cdniuc is of another URI")
 		}
 	case "regex":
 		re, err := regexp.CompilePOSIX("^(" + value + ")$")
@@ -148,21 +149,21 @@
 			return reject(MalformedToken, "cdniuc: %w", err)
 		}
 		if !re.MatchString(uri) {
-			return reject(URIMismatch, "the URI does not match")
+			return reject(URIMismatch, "the URI does not match the regular expression in cdniuc")
 		}
 	default:
-		return reject(UnsupportedClaim, "cdniuc has another kind of container")
+		return reject(UnsupportedClaim, "cdniuc is neither a hash nor a regex container")
 	}
 	return nil
 }
 
-// uriHash is the hash container's value, in the URL segment form of RFC 6920.
+// uriHash returns the value of a hash container for a URI: its SHA-256 in the URL segment format of RFC 6920.
 func uriHash(uri string) string {
 	sum := sha256.Sum256([]byte(uri))
 	return "sha-256;" + base64.RawURLEncoding.EncodeToString(sum[:])
 }
 
-// signJWT issues a URI-signing token.
+// signJWT returns a URI-signing token for an order.
 func (i *Issuer) signJWT(o Order) (string, error) {
 	claims := jwt.MapClaims{"cdniv": 1, "exp": o.Expiry.Unix(), "cdniuc": "hash:" + uriHash(i.cfg.Base+o.Target)}
 	if o.Pattern != "" {
@@ -183,7 +184,7 @@
 	return i.signClaims(claims)
 }
 
-// signClaims signs claims with the issuer's key.
+// signClaims returns a JWT with the given claims, signed with the issuer's key.
 func (i *Issuer) signClaims(claims jwt.MapClaims) (string, error) {
 	t := jwt.NewWithClaims(signingMethods[i.key.Algorithm], claims)
 	t.Header["kid"] = i.key.ID
@@ -193,8 +194,8 @@
 	return t.SignedString(i.key.Private)
 }
 
-// Renew issues the fresh token that a grant asks for: the same claims, good for its span from now. It
-// returns "" where none is wanted.
+// Renew returns a renewed token for a grant: the same claims, with an expiry at now plus Renewal.Span. It returns "" if the
+// grant's token is not to be renewed or the issuer's key is not for URI signing.
 func (i *Issuer) Renew(g Grant, now time.Time) (string, error) {
 	if g.Renewal.Span <= 0 || i.key.Form != URISigning {
 		return "", nil
--- a/signedurl/signedurl.go
+++ b/signedurl/signedurl.go
@@ -1,11 +1,11 @@
-// Package signedurl verifies and issues signed URLs as content networks use them. Two forms are spoken:
+// Package signedurl verifies and issues signed URLs as content delivery networks use them. It supports two forms of tokens:
 //
-//   - URI Signing (RFC 9246): a signed JWT in the query parameter or cookie URISigningPackage, with pinned
-//     algorithms and keys chosen by kid;
-//   - the common edge-auth token, st~exp~acl~hmac, in the query parameter or cookie hdnts.
+//   - URI Signing (RFC 9246): a signed JWT in the query parameter or cookie URISigningPackage. The kid selects the key, and
+//     each key is pinned to one algorithm;
+//   - edge-auth: the fields st, exp and acl with an HMAC, st~exp~acl~hmac, in the query parameter or cookie hdnts.
 //
-// A URI is verified as it was sent: nothing is decoded or normalised, and what could be read in two ways is
-// rejected. A [Verifier] and an [Issuer] hold no state and may be shared.
+// A URI is verified exactly as it was sent, without decoding or normalisation. A URI that servers could interpret in
+// different ways is rejected; see [CheckTarget]. A [Verifier] and an [Issuer] are immutable and safe for concurrent use.
 package signedurl
 
 import (
@@ -13,32 +13,32 @@
 	"time"
 )
 
-// Parameter names of the two forms.
+// Names of the query parameters and cookies that carry tokens.
 const (
-	URISigningPackage = "URISigningPackage"
-	EdgeAuthToken     = "hdnts"
+	URISigningPackage = "URISigningPackage" // for the form URISigning
+	EdgeAuthToken     = "hdnts"             // for the form EdgeAuth
 )
 
-// Grant is what a valid token allows.
+// Grant describes a valid token.
 type Grant struct {
 	Form    Form
-	KeyID   string
-	Subject string // sub or id, where the token has one
-	Expiry  time.Time
+	KeyID   string    // Key.ID of the key that signed the token
+	Subject string    // claim sub or field id; empty: the token has none
+	Expiry  time.Time // as in the token, without the leeway
 	Renewal Renewal
 }
 
-// Renewal is a token's wish for a fresh one with each answer (cdniets and cdnistt of RFC 9246).
+// Renewal tells whether each answer is to carry a renewed token (claims cdniets and cdnistt of RFC 9246).
 type Renewal struct {
-	Span   time.Duration // how long the fresh token is good; 0: none is wanted
-	Cookie bool          // it travels in a cookie
-	claims map[string]any
+	Span   time.Duration  // lifetime of the renewed token; 0: the token is not renewed
+	Cookie bool           // the renewed token is sent in a cookie
+	claims map[string]any // claims of the verified token
 }
 
-// Verifier checks tokens.
+// Verifier verifies the tokens of requests. Create one with [NewVerifier]. It is safe for concurrent use.
 type Verifier struct{ cfg Config }
 
-// NewVerifier returns a verifier, or an error that names what is wrong with its configuration.
+// NewVerifier returns a verifier, or an error that names the invalid field of the configuration.
 func NewVerifier(cfg Config) (*Verifier, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -46,8 +46,8 @@
 	return &Verifier{cfg: cfg}, nil
 }
 
-// Verify checks the token of a request, given its target (path and query) and Cookie header as sent. Every
-// error is an [*Error].
+// Verify verifies the token of a request at the time now. target (path and query) and cookie (the Cookie header) are passed
+// as they were sent. Every error is an [*Error], whose reason [ReasonOf] returns.
 func (v *Verifier) Verify(target, cookie string, now time.Time) (Grant, error) {
 	if err := CheckTarget(target); err != nil {
 		return Grant{}, err
--- a/signedurl/signedurl_test.go
+++ b/signedurl/signedurl_test.go
@@ -17,7 +17,7 @@
 
 const leeway = 3 * time.Second
 
-func config(t *testing.T) Config {
+func testConfig(t *testing.T) Config {
 	pair, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		t.Fatal(err)
@@ -43,33 +43,35 @@
 	return uri
 }
 
-func check(t *testing.T, cfg Config, uri string, at time.Time, want Reason) {
+func checkVerify(t *testing.T, cfg Config, target string, at time.Time, want Reason) {
 	t.Helper()
 	v, err := NewVerifier(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := v.Verify(uri, "", at); ReasonOf(err) != want || (want == "") != (err == nil) {
-		t.Errorf("%.80s: %v, want %q", uri, err, want)
+	if _, err := v.Verify(target, "", at); ReasonOf(err) != want || (want == "") != (err == nil) {
+		t.Errorf("%.80s: error %v, want the reason %q", target, err, want)
 	}
 }
 
-// The signer's clock and ours differ by a few seconds, either way.
-func TestLeewayHasTwoSides(t *testing.T) {
-	cfg := config(t)
+// The clocks of the signer and the verifier may differ in either direction, so that the leeway applies to NotBefore and to
+// Expiry.
+func TestLeewayAppliesToBothEnds(t *testing.T) {
+	cfg := testConfig(t)
 	for _, key := range []string{"h", "e", "old", "new"} {
 		uri := sign(t, cfg, key, Order{Target: "/a/b?x=1", NotBefore: now, Expiry: now.Add(time.Minute)})
 		for at, want := range map[time.Duration]Reason{
 			-leeway - time.Millisecond: NotYetValid, -leeway: "", 0: "", time.Minute: "",
 			time.Minute + leeway - time.Millisecond: "", time.Minute + leeway: Expired, time.Hour: Expired,
 		} {
-			check(t, cfg, uri, now.Add(at), want)
+			checkVerify(t, cfg, uri, now.Add(at), want)
 		}
 	}
 }
 
-func TestWhatIsRefused(t *testing.T) {
-	cfg := config(t)
+// Each kind of faulty token, and each way to tamper with a valid one, is rejected with its reason.
+func TestVerifyReasons(t *testing.T) {
+	cfg := testConfig(t)
 	o := Order{Target: "/a/b", Expiry: now.Add(time.Minute)}
 	jws, edge := sign(t, cfg, "h", o), sign(t, cfg, "new", o)
 	token := func(alg jwt.SigningMethod, key any, kid any, claims jwt.MapClaims) string {
@@ -92,7 +94,7 @@
 		}
 		return c
 	}
-	hs := func(change ...any) string {
+	signedHS256 := func(change ...any) string {
 		return token(jwt.SigningMethodHS256, cfg.Keys[0].Secret, "h", claims(change...))
 	}
 	der, err := x509.MarshalPKIXPublicKey(cfg.Keys[1].Public)
@@ -101,19 +103,19 @@
 	}
 	public := pem.EncodeToMemory(&pem.Block{Type: "PUBLIC KEY", Bytes: der})
 	for uri, want := range map[string]Reason{
-		jws: "", edge: "", hs(): "", hs("cdniv", 1): "", hs("cdniuc", "regex:https://assets.example/a/.*"): "",
+		jws: "", edge: "", signedHS256(): "", signedHS256("cdniv", 1): "", signedHS256("cdniuc", "regex:https://assets.example/a/.*"): "",
 		token(jwt.SigningMethodNone, jwt.UnsafeAllowNoneSignatureType, "h", claims()):  BadAlgorithm,
 		token(jwt.SigningMethodHS512, cfg.Keys[0].Secret, "h", claims()):               BadAlgorithm,
 		token(jwt.SigningMethodHS256, public, "e", claims()):                           BadAlgorithm,
 		token(jwt.SigningMethodHS256, cfg.Keys[0].Secret, "gone", claims()):            UnknownKey,
 		token(jwt.SigningMethodHS256, cfg.Keys[0].Secret, nil, claims()):               UnknownKey,
 		token(jwt.SigningMethodHS256, []byte("another secret of them"), "h", claims()): BadSignature,
-		hs("exp", nil): MalformedToken, hs("cdniuc", nil): MalformedToken, hs("cdniip", "x"): UnsupportedClaim,
-		hs("cdniv", 2): UnsupportedClaim, hs("cdnicrit", "cdnix"): UnsupportedClaim, hs("cdnicrit", 7): MalformedToken,
-		hs("cdniuc", "regex:https://assets.example/a"): URIMismatch, hs("cdniuc", "regex:("): MalformedToken,
-		hs("cdniuc", "regex:https://x/y|https://assets.example/a/b"): "",
-		hs("cdniuc", "other:x"):                 UnsupportedClaim,
-		strings.Replace(jws, "/a/b", "/a/c", 1): URIMismatch, strings.Replace(jws, "?", "?x=1&", 1): URIMismatch,
+		signedHS256("exp", nil): MalformedToken, signedHS256("cdniuc", nil): MalformedToken, signedHS256("cdniip", "x"): UnsupportedClaim,
+		signedHS256("cdniv", 2): UnsupportedClaim, signedHS256("cdnicrit", "cdnix"): UnsupportedClaim, signedHS256("cdnicrit", 7): MalformedToken,
+		signedHS256("cdniuc", "regex:https://assets.example/a"): URIMismatch, signedHS256("cdniuc", "regex:("): MalformedToken,
+		signedHS256("cdniuc", "regex:https://x/y|https://assets.example/a/b"): "",
+		signedHS256("cdniuc", "other:x"):                                      UnsupportedClaim,
+		strings.Replace(jws, "/a/b", "/a/c", 1):                               URIMismatch, strings.Replace(jws, "?", "?x=1&", 1): URIMismatch,
 		strings.Replace(edge, "/a/b?", "/a/c?", 1):       URIMismatch,
 		strings.Replace(edge, "acl=/a/b", "acl=/a/*", 1): BadSignature, edge + "~acl=/*": MalformedToken,
 		edge + "0": MalformedToken, "/a/b?hdnts=exp=9999999999~acl=/*": MalformedToken,
@@ -123,34 +125,34 @@
 		edge + "&hdnts=x": DuplicateToken, "/a/b?URISigningPackage=a.b.c": MalformedToken,
 		jws[:len(jws)-23]: BadSignature,
 	} {
-		check(t, cfg, uri, now, want)
+		checkVerify(t, cfg, uri, now, want)
 	}
 	v, _ := NewVerifier(cfg)
 	if _, err := v.Verify(jws, "x=1; hdnts=y", now); ReasonOf(err) != DuplicateToken {
-		t.Errorf("a second token in the cookie: %v", err)
+		t.Errorf("tokens in the query and a cookie: %v, want the reason duplicate_token", err)
 	}
 	if g, err := v.Verify("/a/b", "x=1; "+edge[len("/a/b?"):], now); err != nil || g.KeyID != "new" {
-		t.Errorf("in the cookie alone: %+v %v", g, err)
+		t.Errorf("token in a cookie only: grant %+v, error %v, want a grant for key new", g, err)
 	}
 }
 
-func TestTargetsThatCouldBeReadInTwoWays(t *testing.T) {
+func TestCheckTargetRejectsAmbiguousTargets(t *testing.T) {
 	for _, target := range []string{"", "a/b", "/a/../b", "/a/./b", "/..", "/a//b", "/a/%2e%2e/b", "/a/%2E%2E/b",
 		"/a%2fb", "/a%2Fb", "/a%5Cb", "/a\\b", "/a%00b", "/a%0Ab", "/a%41b", "/a%25b", "/a%c3%a9", "/a%", "/a%4",
 		"/a%G0", "/a b", "/a\x00b", "/é", "/a;x=1/b", "/a#b", "/a?x=%2e", "/a?x=\t", "http://h/a",
 		"/" + strings.Repeat("a", maxTargetBytes)} {
 		if err := CheckTarget(target); ReasonOf(err) != MalformedURI {
-			t.Errorf("%q: %v", target, err)
+			t.Errorf("%q: error %v, want the reason malformed_uri", target, err)
 		}
 	}
 	for _, target := range []string{"/", "/a/b", "/a/", "/a~b/c.d_e-f", "/a%C3%A9", "/a?x=1&y=/z", "/a%20b"[:2]} {
 		if err := CheckTarget(target); err != nil {
-			t.Errorf("%q: %v", target, err)
+			t.Errorf("%q: error %v, want none", target, err)
 		}
 	}
 }
 
-func TestFaultyConfigurationsAreNamed(t *testing.T) {
+func TestConfigErrorNamesField(t *testing.T) {
 	for want, change := range map[string]func(*Config){
 		"base":      func(c *Config) { c.Base = "assets.example" },
 		"leeway":    func(c *Config) { c.Leeway = time.Hour },
@@ -161,19 +163,19 @@
 		"algorithm": func(c *Config) { c.Keys[0].Algorithm = "none" },
 		"form":      func(c *Config) { c.Keys[0].Form = "other" },
 	} {
-		cfg := config(t)
+		cfg := testConfig(t)
 		change(&cfg)
 		if _, err := NewVerifier(cfg); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("want an error that names %s, got %v", want, err)
 		}
 	}
 }
 
-func TestAccessLists(t *testing.T) {
+func TestMatchesAccessList(t *testing.T) {
 	for pattern, paths := range map[string][2]string{"/a/*": {"/a/b/c", "/b"}, "/a/?": {"/a/b", "/a/bc"},
 		"*": {"/x", ""}, "/a/*/c": {"/a/x/y/c", "/a/c"}, "/a": {"/a", "/ab"}} {
 		if !matchesAccessList(pattern, paths[0]) || paths[1] != "" && matchesAccessList(pattern, paths[1]) {
-			t.Errorf("%s: %v", pattern, paths)
+			t.Errorf("entry %s: of the paths %q the first must match, and the second, unless empty, must not", pattern, paths)
 		}
 	}
 }
--- a/signedurl/target.go
+++ b/signedurl/target.go
@@ -2,18 +2,19 @@
 
 import "strings"
 
-// maxTargetBytes is the greatest length of a path and query.
+// maxTargetBytes is the maximum length of a target.
 const maxTargetBytes = 4096
 
-// CheckTarget rejects a target that could be read in more than one way: dot segments, empty segments,
-// backslashes, raw bytes outside printable ASCII, and every escape that is malformed, not needed, or hides a
-// character with a meaning in paths.
+// CheckTarget returns an [*Error] with the reason [MalformedURI] if a target (path and query) is longer than 4096 bytes or
+// could be interpreted in different ways by different servers. Such targets contain dot segments or empty segments (except
+// an empty last one), path parameters (;), bytes that must be escaped, or percent escapes that are malformed, in lower
+// case, unnecessary, or stand for a control character, a space, / \ or %.
 func CheckTarget(target string) error {
 	if len(target) > maxTargetBytes {
-		return reject(MalformedURI, "%d bytes", len(target))
+		return reject(MalformedURI, "target has %d bytes, want at most 4096", len(target))
 	}
 	if !strings.HasPrefix(target, "/") {
-		return reject(MalformedURI, "it is no path")
+		return reject(MalformedURI, "target does not begin with /")
 	}
 	path, _, _ := strings.Cut(target, "?")
 	if err := checkBytes(target, len(path)); err != nil {
@@ -22,14 +23,14 @@
 	return checkSegments(path)
 }
 
-// checkBytes checks a target byte by byte; its path has so many bytes.
+// checkBytes checks the bytes and escapes of a target whose path has pathLen bytes.
 func checkBytes(target string, pathLen int) error {
 	for i := 0; i < len(target); i++ {
 		switch c := target[i]; {
 		case !allowedRaw(c):
-			return reject(MalformedURI, "the byte %#x", c)
+			return reject(MalformedURI, "byte %#x is not allowed without an escape", c)
 		case c == ';' && i < pathLen:
-			return reject(MalformedURI, "a path parameter")
+			return reject(MalformedURI, "path parameters (;) are not allowed")
 		case c == '%':
 			if err := checkEscape(target[i:]); err != nil {
 				return err
@@ -40,35 +41,35 @@
 	return nil
 }
 
-// allowedRaw reports whether a byte may stand in a target as it is.
+// allowedRaw reports whether a byte may occur in a target without an escape.
 func allowedRaw(c byte) bool {
 	return c > ' ' && c < 0x7f && strings.IndexByte("\"<>\\^`{|}#", c) < 0
 }
 
-// checkEscape checks the escape with which s begins.
+// checkEscape checks the percent escape at the beginning of s.
 func checkEscape(s string) error {
 	if len(s) < 3 || !upperHex(s[1]) || !upperHex(s[2]) {
-		return reject(MalformedURI, "a malformed escape")
+		return reject(MalformedURI, "percent escape is malformed, want two upper-case hex digits")
 	}
 	if c := hexValue(s[1])<<4 | hexValue(s[2]); !allowedEscaped(c) {
-		return reject(MalformedURI, "the escape %s", s[:3])
+		return reject(MalformedURI, "escape %s is not allowed", s[:3])
 	}
 	return nil
 }
 
-// allowedEscaped reports whether an escape may stand for a byte: not for one that needs none, for a control character or
-// a space, or for one with a meaning in paths.
+// allowedEscaped reports whether a byte may be written as a percent escape. Bytes that need no escape, control characters,
+// the space, and the characters / \ and % may not.
 func allowedEscaped(c byte) bool {
 	return c > ' ' && c != 0x7f && !unreserved(c) && strings.IndexByte("/\\%", c) < 0
 }
 
-// checkSegments rejects dot segments and empty ones, but for an empty one at the end.
+// checkSegments rejects a path with dot segments or empty segments, except an empty last one.
 func checkSegments(path string) error {
 	segments := strings.Split(path[1:], "/")
 	for i, s := range segments {
 		empty := s == "" && i < len(segments)-1
 		if s == "." || s == ".." || empty {
-			return reject(MalformedURI, "the segment %q", s)
+			return reject(MalformedURI, "path segment %q is not allowed", s)
 		}
 	}
 	return nil
@@ -76,7 +77,7 @@
 
 func upperHex(c byte) bool { return c >= '0' && c <= '9' || c >= 'A' && c <= 'F' }
 
-// hexValue is the value of an upper-case hex digit.
+// hexValue returns the value of an upper-case hex digit.
 func hexValue(c byte) byte {
 	if c <= '9' {
 		return c - '0'
@@ -84,7 +85,7 @@
 	return c - 'A' + 10
 }
 
-// unreserved reports whether a character is unreserved by RFC 3986.
+// unreserved reports whether a character is unreserved in RFC 3986, so that it needs no escape.
 func unreserved(c byte) bool {
 	return c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' ||
 		strings.IndexByte("-._~", c) >= 0
