--- a/middleware/example_test.go
+++ b/middleware/example_test.go
@@ -17,30 +17,32 @@
 	"larchusher/signedurl"
 )
 
-// memory is a backend that answers from memory. A real one sends the attempt off and posts its end to the loop.
-type memory struct {
+// memoryBackend is a backend that answers attempts from memory. A real backend sends each attempt to its endpoint and posts
+// the result to the loop.
+type memoryBackend struct {
 	loop *gateway.Loop
 	gw   *gateway.Gateway
 }
 
-func (m *memory) Send(a *gateway.Attempt) {
+func (m *memoryBackend) Send(a *gateway.Attempt) {
 	m.loop.Post(func() {
-		if m.gw.PrepareWrite(a) { // it may still go
+		if m.gw.PrepareWrite(a) { // the attempt may still be sent
 			m.gw.AttemptEnded(a, gateway.Result{Status: routing.OK, Reason: routing.ReasonHit, ETag: "v1",
 				Body: fmt.Appendf(nil, "%s part %d from %s", a.Request.Object, a.Request.Part, a.Endpoint)})
 		}
 	})
 }
 
-func (m *memory) Cancel(*gateway.Attempt) {}
+func (m *memoryBackend) Cancel(*gateway.Attempt) {}
 
-// The gateway as a library, as middleware of a chi router.
+// This example embeds a gateway as middleware of a chi router. The router serves signed URLs of the class "assets" from the
+// gateway, rejects unsigned and altered ones, and serves other paths itself.
 func Example() {
 	settings := routing.Settings{Zone: "here", Zones: []string{"here"}, Kinds: []string{"box", "origin"},
 		ParentKind: -1, OriginKind: 1, ClockStep: time.Millisecond, Classes: []routing.Class{
 			{Name: "assets", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}}}
 	loop := gateway.NewLoop()
-	backend := &memory{loop: loop}
+	backend := &memoryBackend{loop: loop}
 	gw, err := gateway.New(gateway.Config{Loop: loop, Settings: settings, Backend: backend, Log: logrus.New()})
 	if err != nil {
 		panic(err)
@@ -59,12 +61,12 @@
 	if err != nil {
 		panic(err)
 	}
-	guard, err := middleware.New(middleware.Config{Loop: loop, Gateway: gw, Settings: settings, Verifier: verifier})
+	gatewayMiddleware, err := middleware.New(middleware.Config{Loop: loop, Gateway: gw, Settings: settings, Verifier: verifier})
 	if err != nil {
 		panic(err)
 	}
 	router := chi.NewRouter()
-	router.Use(guard)
+	router.Use(gatewayMiddleware)
 	router.Get("/about", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "about") })
 	server := httptest.NewServer(router)
 	defer server.Close()
@@ -87,7 +89,7 @@
 			panic(err)
 		}
 		body, _ := io.ReadAll(resp.Body)
-		_ = resp.Body.Close() // read to its end
+		_ = resp.Body.Close() // the body has been read
 		fmt.Println(resp.StatusCode, string(body))
 	}
 	// Output:
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -1,8 +1,9 @@
-// Package middleware puts a gateway before the handlers of net/http, or of a router that takes its
-// middleware, such as chi. Requests for a class of the gateway are verified and answered by it, by the rules of
-// the signed front; all others go on to the next handler.
+// Package middleware embeds a gateway in an HTTP server, as middleware for net/http handlers or for a router that accepts
+// such middleware, such as chi. It passes requests for a class of the gateway to the gateway, with the same checks and
+// answers as the signed front. It passes all other requests to the next handler.
 //
-// The handler runs on the goroutines of net/http and waits there for the gateway's one answer, or until the client is gone.
+// The middleware runs in the goroutines of net/http. A request blocks its goroutine until the gateway has given the final
+// answer, the gateway's loop has ended, or the client has disconnected.
 package middleware
 
 import (
@@ -20,19 +21,20 @@
 	"larchusher/signedurl"
 )
 
-// Config is what the middleware is made of. Loop, Gateway and Verifier are needed.
+// Config configures the middleware. Loop, Gateway and Verifier are required.
 type Config struct {
-	Loop     *gateway.Loop // the one that the gateway runs on
+	Loop     *gateway.Loop // the loop that the gateway runs on; the caller runs and closes it
 	Gateway  *gateway.Gateway
-	Settings routing.Settings // those of the gateway
-	Verifier *signedurl.Verifier
-	Issuer   *signedurl.Issuer // renews tokens; nil: they are not renewed
+	Settings routing.Settings    // the settings of the gateway, which name its classes
+	Verifier *signedurl.Verifier // verifies the tokens of requests
+	Issuer   *signedurl.Issuer   // signs renewed tokens; nil: tokens are not renewed
 }
 
-// New returns the middleware, or an error that names what is needed.
+// New returns the middleware, a function that wraps the next handler. The wrapped handlers are safe for concurrent use. New
+// returns an error if a required field of cfg is nil.
 func New(cfg Config) (func(http.Handler) http.Handler, error) {
 	if cfg.Loop == nil || cfg.Gateway == nil || cfg.Verifier == nil {
-		return nil, errors.New("middleware: Loop, Gateway and Verifier are needed")
+		return nil, errors.New("middleware: Loop, Gateway or Verifier is nil: all three are required")
 	}
 	m := &handler{Config: cfg, api: httpapi.New(cfg.Settings, cfg.Verifier, cfg.Issuer),
 		requestIDBase: uint64(time.Now().UnixNano())}
@@ -45,16 +47,16 @@
 type handler struct {
 	Config
 	api           *httpapi.API
-	requestIDBase uint64 // differs from process to process, so that ids do
+	requestIDBase uint64 // start time in nanoseconds, so that request ids differ between processes
 	requestCount  atomic.Uint64
 }
 
-// retryAfterShutdown is when a client may come back whose request arrives as the gateway ends.
+// retryAfterShutdown is the Retry-After of a request that arrives after the gateway's loop has ended.
 const retryAfterShutdown = time.Second
 
-// serveHTTP answers a request for a class of the gateway, and hands any other on.
+// serveHTTP answers a request for a class of the gateway, and passes any other request to next.
 func (m *handler) serveHTTP(w http.ResponseWriter, r *http.Request, next http.Handler) {
-	target := r.RequestURI // as sent: r.URL has been decoded
+	target := r.RequestURI // as it was sent and signed; r.URL has been decoded
 	if !m.api.HasClass(target) {
 		next.ServeHTTP(w, r)
 		return
@@ -74,14 +76,14 @@
 	select {
 	case a := <-answer:
 		writeResponse(w, m.api.Respond(admitted, a, time.Now()))
-	case <-m.Loop.Done(): // the gateway ended under it
+	case <-m.Loop.Done(): // the loop has ended, and with it the gateway
 		writeResponse(w, m.api.Respond(admitted, gateway.Answer{Outcome: gateway.OutcomeFailed}, time.Now()))
 	case <-r.Context().Done():
 		m.Loop.Post(func() { m.Gateway.Abandon(admitted.Request) })
 	}
 }
 
-// bodyProblem is the answer to a request whose body cannot be read.
+// bodyProblem returns the answer to a request whose body cannot be read: status 413 if it is too long, otherwise 400.
 func bodyProblem(err error) *httpapi.Problem {
 	status := http.StatusBadRequest
 	var tooLong *http.MaxBytesError
@@ -91,7 +93,8 @@
 	return &httpapi.Problem{Status: status, Reason: "the body cannot be read"}
 }
 
-// submit hands a request to the gateway. The channel takes its one answer without blocking the gateway's loop.
+// submit passes a request to the gateway on its loop. The returned channel receives the final answer; it has a buffer of
+// one, so that the loop does not block. If the loop has ended, the answer is a rejection.
 func (m *handler) submit(admitted *httpapi.AdmittedRequest, r *http.Request) <-chan gateway.Answer {
 	answer := make(chan gateway.Answer, 1)
 	q := admitted.Request
@@ -113,5 +116,5 @@
 		w.Header().Set("Content-Length", strconv.Itoa(len(r.Body)))
 	}
 	w.WriteHeader(r.Status)
-	_, _ = w.Write(r.Body) // net/http drops it for HEAD
+	_, _ = w.Write(r.Body) // for HEAD net/http sends no body
 }
