--- a/client/config.go
+++ b/client/config.go
@@ -27,7 +27,8 @@
 	Plan     plan.Config // settings of retries, connections and ejection; its Gateways and Classes are ignored
 	// Deadline is the longest time that a call without a deadline in its context may take. 0: 5 s.
 	Deadline time.Duration
-	// Seed is the seed of all random draws, including idempotency keys. 0: a random seed.
+	// Seed is the seed of all random draws. 0: a random seed. Clients with the same seed draw the same transaction ids and
+	// idempotency keys, so other values are for tests and simulations.
 	Seed uint64
 	// Transport carries requests to gateways. nil: MessagePack-RPC over TCP, as [RPC].
 	Transport Transport
--- a/client/errors.go
+++ b/client/errors.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Errors of a call, to be tested with errors.Is. The comments tell whether the request may have been executed.
+// Errors of a call, to be tested with errors.Is. The comment of each states whether the request may have run on a gateway.
 var (
 	// ErrRefused is the error of a call that gateways rejected; the error is a [RefusedError] as well. The rejected attempt
 	// did not run. For a class that may be repeated, an earlier attempt may have run.
@@ -30,7 +30,7 @@
 
 // RefusedError is the error of a call that was rejected. It matches [ErrRefused].
 type RefusedError struct {
-	Later time.Duration // how long the caller should wait before it repeats the call; 0: the gateway did not tell
+	Later time.Duration // how long the caller should wait before it repeats the call; 0: not known
 }
 
 // Error returns the message of ErrRefused and the time after which to retry.
--- a/client/object.go
+++ b/client/object.go
@@ -29,7 +29,7 @@
 // The reader must not be used by several goroutines at the same time.
 func (c *Client) Open(ctx context.Context, o Object) (io.ReadSeekCloser, error) {
 	if o.Parts <= 0 {
-		return nil, fmt.Errorf("%w: Parts is %d", ErrRequest, o.Parts)
+		return nil, fmt.Errorf("%w: Parts is %d, want at least 1", ErrRequest, o.Parts)
 	}
 	if err := (&Request{Class: o.Class, Object: o.Object, Group: o.Group}).check(); err != nil {
 		return nil, err
--- a/client/plan/conn.go
+++ b/client/plan/conn.go
@@ -15,7 +15,7 @@
 	checkingHealth    bool          // the gateway was ejected: no attempt is sent before a health check succeeds
 	unresponsive      bool          // a health check timed out: no attempt is sent any more, but answers are still accepted
 	startedAt         time.Duration // when Connect was emitted
-	lastReceived      time.Duration // the last message, Up, or first attempt in flight; silence counts from the later of this and lastUsed
+	lastReceived      time.Duration // when the last message arrived; also set by Up and by the first attempt in flight
 	healthCheckSentAt time.Duration // when the unanswered health check was sent; 0: there is none
 	lastUsed          time.Duration // when an attempt was last sent or ended
 	attempts          map[uint64]*attempt
--- a/client/plan/gateway.go
+++ b/client/plan/gateway.go
@@ -113,7 +113,7 @@
 // Limits of redirects, which are calls sent to another gateway because theirs was ejected.
 const (
 	minRedirectsPerSecond     = 10 // allowed even if the average rate of attempts is low
-	redirectBurstDivisor      = 10 // the budget holds at most the redirects of 1/10 s, but at least one
+	redirectBurstDivisor      = 10 // the budget is limited to the redirects of 1/10 s, but not below one
 	urgentRedirectTravelTimes = 4  // a call with less than this many times Config.Way left does not wait for the budget
 )
 
--- a/client/plan/retry.go
+++ b/client/plan/retry.go
@@ -18,7 +18,7 @@
 
 func (b *retryBudget) earn() { b.tokens = min(b.limit, b.tokens+b.earnedPerSuccess) }
 
-// allows reports whether the budget has a whole retry left.
+// allows reports whether the budget contains at least one retry.
 func (b *retryBudget) allows() bool { return b.tokens >= 1 }
 
 func (b *retryBudget) spend() { b.tokens-- }
--- a/client/plan/timer.go
+++ b/client/plan/timer.go
@@ -69,7 +69,8 @@
 	return cn.healthCheckSentAt + p.cfg.Silence
 }
 
-// silentAt returns when a health check is due on a connection with attempts in flight that receives nothing.
+// silentAt returns when a health check is due on a connection with attempts in flight: Config.Silence after the later of the
+// last message and the last attempt that was sent or ended.
 func (p *Planner) silentAt(cn *conn) time.Duration {
 	return max(cn.lastReceived, cn.lastUsed) + p.cfg.Silence
 }
