--- a/client/delivery_test.go
+++ b/client/delivery_test.go
@@ -132,7 +132,7 @@
 // callTimeout is the timeout of each call.
 const callTimeout = time.Second
 
-func do(t *testing.T, c *Client, class string) error {
+func doCall(t *testing.T, c *Client, class string) error {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), callTimeout)
 	defer cancel()
@@ -151,7 +151,7 @@
 				}
 			})
 			c := newTestClient(t, gw.addr, p.transport())
-			if err := do(t, c, "pay"); !errors.Is(err, ErrUnknown) {
+			if err := doCall(t, c, "pay"); !errors.Is(err, ErrUnknown) {
 				t.Errorf("%s, crash %v after reading the request: Do returned %v, want ErrUnknown", p.name, delay, err)
 			}
 			if n := gw.received.Load(); n != 1 {
@@ -172,7 +172,7 @@
 					_, _ = io.WriteString(conn, answer[:min(cut, len(answer))]) // fails if the client has closed the connection
 				}
 			})
-			err := do(t, newTestClient(t, gw.addr, p.transport()), "pay")
+			err := doCall(t, newTestClient(t, gw.addr, p.transport()), "pay")
 			if cut >= <-answerLen {
 				if err != nil {
 					t.Errorf("%s, complete answer: Do returned %v", p.name, err)
@@ -201,10 +201,10 @@
 			}
 		})
 		c := newTestClient(t, gw.addr, &HTTP{})
-		if err := do(t, c, class); err != nil {
+		if err := doCall(t, c, class); err != nil {
 			t.Fatal(err)
 		}
-		err := do(t, c, class)
+		err := doCall(t, c, class)
 		received, sent := gw.received.Load(), c.Counters()["tries"]
 		if received != int64(sent) {
 			t.Errorf("class %s: %d requests received, want the %d attempts counted by the planner; Do returned %v", class, received, sent, err)
@@ -261,7 +261,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	outcomes = map[string]int{}
 	for range calls {
-		err := do(t, c, "pay")
+		err := doCall(t, c, "pay")
 		switch {
 		case err == nil:
 			outcomes["served"]++
--- a/client/object.go
+++ b/client/object.go
@@ -185,13 +185,13 @@
 // dropFetchedOutside drops the fetched parts that a reader at part n does not need, which are those before it and those more
 // than Object.Ahead after it.
 func (r *objectReader) dropFetchedOutside(n int) {
-	for k, p := range r.parts {
-		if k >= n && k <= n+r.object.Ahead {
+	for index, p := range r.parts {
+		if index >= n && index <= n+r.object.Ahead {
 			continue
 		}
 		select {
 		case <-p.done:
-			delete(r.parts, k)
+			delete(r.parts, index)
 		default: // still being fetched: kept, so that it is not fetched twice if the reader seeks back
 		}
 	}
--- a/client/plan/planner_test.go
+++ b/client/plan/planner_test.go
@@ -105,7 +105,7 @@
 }
 
 func (net *fakeNetwork) checkSend(a Send) {
-	c, k := net.calls[a.Call], net.classOf(a.Call)
+	c, class := net.calls[a.Call], net.classOf(a.Call)
 	cn := net.conns[a.Conn]
 	switch {
 	case c.ended:
@@ -120,14 +120,14 @@
 		net.t.Fatalf("attempt %d of a call has Retry %v", c.attempts+1, a.Retry)
 	case a.Limit <= 0 || net.now+a.Limit > c.Deadline:
 		net.t.Fatalf("Limit is %v with %v left until the deadline", a.Limit, c.Deadline-net.now)
-	case c.mayHaveRun && k.Effect == NonIdempotent:
+	case c.mayHaveRun && class.Effect == NonIdempotent:
 		net.t.Fatalf("non-idempotent call sent again after an attempt that may have run")
-	case c.mayHaveRun && k.Effect == IdempotentWithKey && net.now >= c.mayHaveRunSince+k.Window:
+	case c.mayHaveRun && class.Effect == IdempotentWithKey && net.now >= c.mayHaveRunSince+class.Window:
 		net.t.Fatalf("call with an idempotency key sent again after %v, outside the window", net.now-c.mayHaveRunSince)
 	case net.now < net.rejectedUntil[cn.gateway+" "+c.Class]:
 		net.t.Fatalf("attempt sent %v before the gateway's Retry-After ended", net.rejectedUntil[cn.gateway+" "+c.Class]-net.now)
-	case a.SendKey != (k.Effect == IdempotentWithKey):
-		net.t.Fatalf("SendKey is %v for a call with effect %v", a.SendKey, k.Effect)
+	case a.SendKey != (class.Effect == IdempotentWithKey):
+		net.t.Fatalf("SendKey is %v for a call with effect %v", a.SendKey, class.Effect)
 	}
 	net.lastAttempt[a.Conn] = a.Attempt
 	cn.attempts[a.Attempt] = a
@@ -359,10 +359,10 @@
 func TestReconnectsAreSpreadAfterEjection(t *testing.T) {
 	buckets := map[time.Duration]int{}
 	total, served := 0, 0
-	for n := range uint64(1000) {
+	for seed := range uint64(1000) {
 		cfg := testConfig()
 		cfg.Gateways = []string{"a", "b"}
-		net := newFakeNetwork(t, cfg, n)
+		net := newFakeNetwork(t, cfg, seed)
 		net.handle(Call{ID: 1, Class: "safe", Deadline: 5 * time.Second})
 		net.advance(3*ms, nil)
 		crashedAt := net.now
@@ -383,9 +383,9 @@
 			served++
 		}
 	}
-	for b, n := range buckets {
+	for bucket, n := range buckets {
 		if n > 120 {
-			t.Errorf("%d clients connect within 100 ms, %v after the crash; want at most 120", n, b*100*ms)
+			t.Errorf("%d clients connect within 100 ms, %v after the crash; want at most 120", n, bucket*100*ms)
 		}
 	}
 	if len(buckets) < 19 || served < 990 {
@@ -399,8 +399,8 @@
 func TestReconnectsAreSpreadAfterSecondCrash(t *testing.T) {
 	buckets := map[time.Duration]int{}
 	total, served := 0, 0
-	for n := range uint64(600) {
-		net := newFakeNetwork(t, testConfig(), n)
+	for seed := range uint64(600) {
+		net := newFakeNetwork(t, testConfig(), seed)
 		for _, at := range net.crashTwoGateways() {
 			buckets[at/(100*ms)]++
 			total++
@@ -409,9 +409,9 @@
 			served++
 		}
 	}
-	for k, n := range buckets {
+	for bucket, n := range buckets {
 		if float64(n) > 0.12*float64(total) {
-			t.Errorf("%d of %d connects within 100 ms, at %v; want at most 12 %%", n, total, k*100*ms)
+			t.Errorf("%d of %d connects within 100 ms, at %v; want at most 12 %%", n, total, bucket*100*ms)
 		}
 	}
 	if served < 594 {
@@ -512,8 +512,8 @@
 // clients stays below five times the usual rate.
 func TestAllGatewaysDownForTenSeconds(t *testing.T) {
 	attempts := map[time.Duration]int{}
-	for n := range uint64(300) {
-		net := newFakeNetwork(t, testConfig(), n)
+	for seed := range uint64(300) {
+		net := newFakeNetwork(t, testConfig(), seed)
 		id := uint64(0)
 		for net.now < 14*time.Second {
 			if id++; true {
--- a/signedurl/jwt.go
+++ b/signedurl/jwt.go
@@ -23,8 +23,8 @@
 // transportCookie is the value of the claim cdnistt that requests renewed tokens in a cookie.
 const transportCookie = 1
 
-// understoodClaims are the claims that the claim cdnicrit (critical claims) may name.
-var understoodClaims = map[string]bool{"cdniv": true, "cdniuc": true, "cdniets": true, "cdnistt": true,
+// supportedClaims are the claims that the claim cdnicrit (critical claims) may name.
+var supportedClaims = map[string]bool{"cdniv": true, "cdniuc": true, "cdniets": true, "cdnistt": true,
 	"cdnicrit": true}
 
 var (
@@ -114,7 +114,7 @@
 	}
 	if crit, ok := claims["cdnicrit"].(string); ok {
 		for name := range strings.SplitSeq(crit, ",") {
-			if !understoodClaims[name] {
+			if !supportedClaims[name] {
 				return reject(UnsupportedClaim, "cdnicrit names a claim that is not supported")
 			}
 		}
--- a/signedurl/target.go
+++ b/signedurl/target.go
@@ -48,7 +48,7 @@
 
 // checkEscape checks the percent escape at the beginning of s.
 func checkEscape(s string) error {
-	if len(s) < 3 || !upperHex(s[1]) || !upperHex(s[2]) {
+	if len(s) < 3 || !isUpperHex(s[1]) || !isUpperHex(s[2]) {
 		return reject(MalformedURI, "percent escape is malformed, want two upper-case hex digits")
 	}
 	if c := hexValue(s[1])<<4 | hexValue(s[2]); !allowedEscaped(c) {
@@ -60,7 +60,7 @@
 // allowedEscaped reports whether a byte may be written as a percent escape. Bytes that need no escape, control characters,
 // the space, and the characters / \ and % may not.
 func allowedEscaped(c byte) bool {
-	return c > ' ' && c != 0x7f && !unreserved(c) && strings.IndexByte("/\\%", c) < 0
+	return c > ' ' && c != 0x7f && !isUnreserved(c) && strings.IndexByte("/\\%", c) < 0
 }
 
 // checkSegments rejects a path with dot segments or empty segments, except an empty last one.
@@ -75,7 +75,7 @@
 	return nil
 }
 
-func upperHex(c byte) bool { return c >= '0' && c <= '9' || c >= 'A' && c <= 'F' }
+func isUpperHex(c byte) bool { return c >= '0' && c <= '9' || c >= 'A' && c <= 'F' }
 
 // hexValue returns the value of an upper-case hex digit.
 func hexValue(c byte) byte {
@@ -85,8 +85,8 @@
 	return c - 'A' + 10
 }
 
-// unreserved reports whether a character is unreserved in RFC 3986, so that it needs no escape.
-func unreserved(c byte) bool {
+// isUnreserved reports whether a character is unreserved in RFC 3986, so that it needs no escape.
+func isUnreserved(c byte) bool {
 	return c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' ||
 		strings.IndexByte("-._~", c) >= 0
 }
