--- a/cluster/audit_test.go
+++ b/cluster/audit_test.go
@@ -9,10 +9,11 @@
 	"larchusher/maintenance"
 )
 
-// Once a request had twelve transitions, the audit log said nothing more of it: its history keeps that many.
-func TestTheAuditLogNamesEachTransition(t *testing.T) {
+// The history of a request keeps 12 transitions. Guards against an audit log that has no further entries for a request once its
+// history is full.
+func TestAuditLogHasEveryTransition(t *testing.T) {
 	const transitions, kept = 40, 12
-	for _, at := range [][]int{nil, {3, 7}, {11, 13, 22}} { // that come together with the one behind them
+	for _, at := range [][]int{nil, {3, 7}, {11, 13, 22}} { // indices of transitions that the node learns together with the next one
 		n := nonVoter(t, false, nil)
 		r := &maintenance.Request{ID: 7, Machine: "m1", Kind: maintenance.KindBox}
 		var want, got []string
@@ -34,7 +35,7 @@
 			}
 		}
 		if !slices.Equal(got, want) {
-			t.Errorf("together with the next %v: %d lines of %d:\n%q\n%q", at, len(got), len(want), got, want)
+			t.Errorf("transitions %v learned together with the next: %d audit lines, want %d:\n%q\n%q", at, len(got), len(want), got, want)
 		}
 	}
 }
--- a/cluster/config.go
+++ b/cluster/config.go
@@ -10,36 +10,36 @@
 	"larchusher/maintenance"
 )
 
-// Config describes a node.
+// Config configures a [Node].
 type Config struct {
 	Self         string
-	Incarnation  uint64                  // new with each start; not 0
-	Members      []string                // all gateways, Self among them
-	Voters       []string                // the members that vote, in an order that all share
-	Acceptor     consensus.AcceptorState // of a voter
-	View         []byte                  // as the former incarnation stored it; nil: there is none
-	Durable      bool                    // StoreView outlives the process: a grant counts as known only once it is stored
+	Incarnation  uint64                  // new with each start of the process; not 0
+	Members      []string                // names of all gateways, including Self
+	Voters       []string                // the members that vote, in the same order on all gateways
+	Acceptor     consensus.AcceptorState // used if Self is a voter: its stored state, or one with a new Incarnation alone
+	View         []byte                  // the view that an earlier process stored; nil: there is none
+	Durable      bool                    // StoreView survives a restart: a grant is reported as known only once it is stored
 	Limits       maintenance.Limits
-	WallClockMs  func() int64  // Unix time, for the history of requests alone
-	RoundTimeout time.Duration // of consensus; 0: its default
-	ReadInterval time.Duration // of consensus
+	WallClockMs  func() int64  // Unix time in ms, used for the request histories only
+	RoundTimeout time.Duration // of package consensus; 0: its default
+	ReadInterval time.Duration // least time between two consensus rounds that serve reads alone
 	Seed         uint64
 }
 
-// check names a setting that is not valid, and fills in the defaults of Limits.
+// check fills in the defaults of Limits and returns an error that names the first setting that is not valid.
 func (c *Config) check() error {
 	if c.Incarnation == 0 || c.WallClockMs == nil {
-		return errors.New("cluster: Incarnation or WallClockMs is missing")
+		return errors.New("cluster: Incarnation is 0 or WallClockMs is nil")
 	}
 	if !slices.Contains(c.Members, c.Self) {
-		return fmt.Errorf("cluster: Self: %q is none of the members", c.Self)
+		return fmt.Errorf("cluster: Self: %q is not in Members", c.Self)
 	}
 	if len(c.Voters) == 0 {
-		return errors.New("cluster: Voters: none")
+		return errors.New("cluster: Voters is empty; want at least one member")
 	}
 	for _, v := range c.Voters {
 		if !slices.Contains(c.Members, v) {
-			return fmt.Errorf("cluster: Voters: %q is none of the members", v)
+			return fmt.Errorf("cluster: Voters: %q is not in Members", v)
 		}
 	}
 	if err := c.Limits.Check(); err != nil {
@@ -48,13 +48,13 @@
 	return nil
 }
 
-// Counters count what a node did.
+// Counters count the events of a node since its start.
 type Counters struct {
-	LeaseRequests    uint64 // sent
-	Views            uint64 // answers to them that were not given up
+	LeaseRequests    uint64 // lease requests sent, including those that this node sent to itself
+	Views            uint64 // replies to lease requests that were still waited for
 	LeaseExpirations uint64
-	Unknown          uint64 // messages and views that can't be read
-	NonMembers       uint64 // lease requests of others than members, or to one that does not vote
-	Advances         uint64 // steps of the maintenance plan that this node proposed as coordinator
-	Dropped          uint64 // requests to the voter here that were not taken, or not completed
+	Unknown          uint64 // messages of an unknown kind, and views that could not be decoded
+	NonMembers       uint64 // lease requests from non-members, or received by a node that is not a voter
+	Advances         uint64 // proposals of this node, as coordinator, to move maintenance requests to their next stage
+	Dropped          uint64 // requests that this node's voter rejected or could not complete
 }
--- a/cluster/coordinator.go
+++ b/cluster/coordinator.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// advanceInterval is how often the coordinator looks whether a request can be taken forward.
+	// advanceInterval is how often the coordinator checks whether maintenance requests can move to their next stage.
 	advanceInterval = 250 * time.Millisecond
-	// reportLifetime is how long a gateway's report counts, and how long a voter that is silent counts as running.
+	// reportLifetime is how long a gateway's report is used, and how long a silent voter is taken to be running.
 	reportLifetime = 3 * time.Second
-	// reportRetention is how long a report that no longer counts is kept.
+	// reportRetention is how long a report is stored; between reportLifetime and this age it is not used.
 	reportRetention = 10 * reportLifetime
 )
 
@@ -24,15 +24,16 @@
 	at time.Duration
 }
 
-// stageKey names a request at a stage, under one grant.
+// stageKey identifies a stage of a maintenance request under one grant.
 type stageKey struct {
 	id    uint64
 	stage maintenance.Stage
 	epoch uint64
 }
 
-// isCoordinator reports whether this voter is the first of those that have sent something lately. Two that both think so do no harm: each
-// step is checked against the agreed state when it is applied.
+// isCoordinator reports whether this voter comes first among the voters that have sent something within reportLifetime. Two
+// voters that both take themselves for the coordinator do no harm: each step is checked against the agreed state when it is
+// applied.
 func (n *Node) isCoordinator() bool {
 	for _, v := range n.cfg.Voters {
 		if v == n.cfg.Self {
@@ -45,8 +46,8 @@
 	return false
 }
 
-// observations joins what all gateways have reported lately, in the order of their names. Where they differ, the most cautious
-// observation counts.
+// observations merges the reports of all gateways that are younger than reportLifetime, in the order of the gateways' names, and
+// deletes those older than reportRetention. Where reports differ, the more cautious observation of a machine is used.
 func (n *Node) observations() *maintenance.Observations {
 	o := &maintenance.Observations{Machines: map[string]maintenance.Machine{}}
 	for _, from := range slices.Sorted(maps.Keys(n.reports)) {
@@ -60,8 +61,8 @@
 		}
 		o.Pressure = cmp.Or(o.Pressure, r.Pressure)
 		for name, m := range r.Machines {
-			if joined, ok := o.Machines[name]; ok {
-				m = mostCautious(joined, m)
+			if earlier, ok := o.Machines[name]; ok {
+				m = mergeMachine(earlier, m)
 			}
 			o.Machines[name] = m
 		}
@@ -69,9 +70,9 @@
 	return o
 }
 
-// mostCautious joins two observations of a machine: it is up, warm, or started again only once both say so, and as busy as
-// either of them says.
-func mostCautious(a, b maintenance.Machine) maintenance.Machine {
+// mergeMachine merges two observations of a machine cautiously: it is up or warm only if both say so, its start is the earlier
+// of the two, and its utilization the higher one.
+func mergeMachine(a, b maintenance.Machine) maintenance.Machine {
 	a.Up = a.Up && b.Up
 	a.Warm = a.Warm && b.Warm
 	a.BootMs = min(a.BootMs, b.BootMs)
@@ -81,11 +82,11 @@
 	return a
 }
 
-// advance proposes to take requests forward, if any can be.
+// advance proposes to move maintenance requests to their next stage, if this node is the coordinator and any request can move.
 func (n *Node) advance() {
 	s, ok := n.chosenState()
 	if !ok || !n.isCoordinator() {
-		clear(n.stageSince) // another node measures; if this one takes over, it starts to measure again
+		clear(n.stageSince) // another node measures; if this one becomes coordinator it starts again from zero
 		return
 	}
 	o := n.observations()
@@ -100,11 +101,12 @@
 		return
 	}
 	n.Counters.Advances++
-	// Nobody waits for the outcome.
+	// UnknownKind: no reply is sent when this proposal completes.
 	n.submit(pendingRequest{from: n.cfg.Self, message: Message{Kind: UnknownKind}, at: n.now}, command)
 }
 
-// measureStages reports which time limits of the requests have passed, by this node's own steady clock.
+// measureStages returns for each request between Requested and its end which time limits of its stage have passed, measured by
+// this node's own steady clock since it first saw the request at that stage.
 func (n *Node) measureStages(s *maintenance.State) (all []maintenance.ElapsedLimits) {
 	since := map[stageKey]time.Duration{}
 	for _, r := range s.Requests {
--- a/cluster/drain.go
+++ b/cluster/drain.go
@@ -7,8 +7,8 @@
 	"larchusher/maintenance"
 )
 
-// EndpointPermitted reports whether a machine may be sent to, or be named as a source, at this moment. The caller asks right before it
-// writes: a process that was suspended goes on where it stood, with a view whose lease may have run out meanwhile.
+// EndpointPermitted reports whether a machine may be sent to, or named as a fill source, at this moment. The caller must ask right
+// before it writes: a suspended process resumes where it was stopped, and the lease may have expired meanwhile.
 func (n *Node) EndpointPermitted(now time.Duration, machine string) bool {
 	if n.view == nil {
 		return false
@@ -19,11 +19,12 @@
 	return !n.view.ExcludedMachines(false)[machine]
 }
 
-// updateDrain derives the machines that may not be sent to from the view and the lease, and emits them if they changed.
+// updateDrain derives the machines that must not be sent to from the view and the lease, and emits them if they changed. It
+// emits ShutDown if this gateway's own machine is to be taken out of service.
 func (n *Node) updateDrain() {
 	n.drainedUnderLease = n.now < n.leaseUntil
 	excluded := n.view.ExcludedMachines(n.drainedUnderLease)
-	if n.ownDrain() && !n.shuttingDown {
+	if n.ownMachineDraining() && !n.shuttingDown {
 		n.shuttingDown = true
 		n.emit(ShutDown{})
 	}
@@ -33,15 +34,15 @@
 		return
 	}
 	if n.drainedUnderLease && len(excluded) == 0 {
-		n.stopForDrains()
+		n.recordStopped()
 	}
-	if n.drainedUnderLease { // the same machines, but perhaps for a newer drain, which has to be answered
+	if n.drainedUnderLease { // the same machines, but possibly for a newer drain, which DrainCompleted has to confirm
 		n.emit(n.draining)
 	}
 }
 
-// ownDrain reports whether the machine of this incarnation drains.
-func (n *Node) ownDrain() bool {
+// ownMachineDraining reports whether the agreed state drains this gateway's own machine, in this incarnation.
+func (n *Node) ownMachineDraining() bool {
 	for _, r := range n.view.Requests {
 		if r.Machine == n.cfg.Self && r.Stage == maintenance.Draining && r.Incarnation == n.cfg.Incarnation {
 			return true
@@ -50,25 +51,25 @@
 	return false
 }
 
-// drained takes in that nothing is under way at the machines of a generation. A gateway that shuts down reports that it has stopped
-// only once it has.
-func (n *Node) drained(generation uint64) {
+// drainCompleted records that nothing is in flight at the machines of a generation, if that is the current one. A gateway that
+// shuts down reports that it has stopped only once the shutdown is complete.
+func (n *Node) drainCompleted(generation uint64) {
 	current := generation == n.draining.Generation && n.view != nil && n.drainedUnderLease
-	if current && (!n.shuttingDown || n.shutDown) {
-		n.stopForDrains()
+	if current && (!n.shuttingDown || n.shutdownComplete) {
+		n.recordStopped()
 		n.requestLeaseSoon()
 	}
 }
 
 func (n *Node) shutdownCompleted() {
-	n.shutDown = true
+	n.shutdownComplete = true
 	if n.view != nil {
-		n.stopForDrains()
+		n.recordStopped()
 	}
 	n.requestLeaseSoon()
 }
 
-// stopForDrains records that this gateway has stopped sending for all drains that it knows of.
-func (n *Node) stopForDrains() {
+// recordStopped records that this gateway has stopped sending for all drains that its view lists.
+func (n *Node) recordStopped() {
 	n.stoppedEpoch = max(n.stoppedEpoch, n.view.LatestDrainEpoch())
 }
--- a/cluster/explore_test.go
+++ b/cluster/explore_test.go
@@ -15,50 +15,51 @@
 	"larchusher/maintenance"
 )
 
-// The explorer plays one plan over consensus, maintenance and cluster together: three gateways, three machines, among them an upper cache. It makes
-// one fault of each kind at every single message of it, and then draws pairs of them. An undisturbed run has a message for
-// every place at which anything can go wrong, so that each gap between two of them is tried.
+// The explorer repeats one scenario over packages consensus, maintenance and cluster: three gateways take three machines, one of
+// them a parent, out of service. It injects one fault of each kind at single messages of that scenario, and then random pairs
+// of faults. Whatever can go wrong does so between two messages of a run without faults, so these are the places to try.
 
-// faultKinds are what can happen to a message, or to its sender or receiver.
+// faultKinds are the faults that can be injected at a message, or at its sender or receiver. deliver is false if the message is
+// lost.
 var faultKinds = []struct {
-	name string
-	do   func(w *simulation, from, to string) (carry bool)
+	name   string
+	inject func(w *simulation, from, to string) (deliver bool)
 }{
-	{"it is lost", func(*simulation, string, string) bool { return false }},
-	{"it comes twice", func(w *simulation, _, _ string) bool { w.duplicateNext = true; return true }},
-	{"it comes 1.5 s late", func(w *simulation, _, _ string) bool { w.delayNext = 1500 * time.Millisecond; return true }},
-	{"its sender crashes before it", func(w *simulation, from, _ string) bool { w.crash(from, time.Second, false); return false }},
-	{"its sender crashes after it", func(w *simulation, from, _ string) bool {
+	{"the message is lost", func(*simulation, string, string) bool { return false }},
+	{"the message is delivered twice", func(w *simulation, _, _ string) bool { w.duplicateNext = true; return true }},
+	{"the message is delayed by 1.5 s", func(w *simulation, _, _ string) bool { w.delayNext = 1500 * time.Millisecond; return true }},
+	{"the sender crashes before sending", func(w *simulation, from, _ string) bool { w.crash(from, time.Second, false); return false }},
+	{"the sender crashes after sending", func(w *simulation, from, _ string) bool {
 		w.clock.At(w.clock.Now, func() { w.crash(from, time.Second, false) })
 		return true
 	}},
-	{"its receiver crashes, and loses what it stored", func(w *simulation, _, to string) bool { w.crash(to, time.Second, true); return false }},
-	{"its sender is isolated for 3 s", func(w *simulation, from, _ string) bool { w.isolate(from, true, true, 3*time.Second); return false }},
-	{"its sender can't send for 3 s", func(w *simulation, from, _ string) bool { w.isolate(from, false, true, 3*time.Second); return false }},
-	{"its receiver receives nothing for 3 s", func(w *simulation, _, to string) bool { w.isolate(to, true, false, 3*time.Second); return false }},
-	{"its sender is suspended for 3 s", func(w *simulation, from, _ string) bool {
+	{"the receiver crashes and loses its storage", func(w *simulation, _, to string) bool { w.crash(to, time.Second, true); return false }},
+	{"the sender is isolated for 3 s", func(w *simulation, from, _ string) bool { w.isolate(from, true, true, 3*time.Second); return false }},
+	{"the sender can't send for 3 s", func(w *simulation, from, _ string) bool { w.isolate(from, false, true, 3*time.Second); return false }},
+	{"the receiver receives nothing for 3 s", func(w *simulation, _, to string) bool { w.isolate(to, true, false, 3*time.Second); return false }},
+	{"the sender is suspended for 3 s", func(w *simulation, from, _ string) bool {
 		w.clock.At(w.clock.Now, func() { w.suspend(from, 3*time.Second) })
 		return true
 	}},
 }
 
-// crash kills a node, which is back after a while.
-func (w *simulation) crash(name string, back time.Duration, forget bool) {
+// crash kills a node and restarts it after a downtime.
+func (w *simulation) crash(name string, downtime time.Duration, eraseStorage bool) {
 	g := w.nodes[name]
 	if g == nil || g.node == nil {
 		return
 	}
-	g.run++
+	g.generation++
 	g.node = nil
-	w.clock.At(w.clock.Now+back, func() {
+	w.clock.At(w.clock.Now+downtime, func() {
 		if g.node == nil {
-			w.startNode(g, forget && w.othersCanVote(name))
+			w.startNode(g, eraseStorage && w.othersCanVote(name))
 		}
 	})
 }
 
-// isolate severs the links to a node, from it, or both.
-func (w *simulation) isolate(name string, receiving, sending bool, long time.Duration) {
+// isolate severs the links to a node, those from it, or both, for a duration.
+func (w *simulation) isolate(name string, receiving, sending bool, duration time.Duration) {
 	var all [][2]string
 	for _, n := range w.names {
 		if n != name && receiving {
@@ -71,33 +72,33 @@
 	for _, c := range all {
 		w.severed[c] = true
 	}
-	w.clock.At(w.clock.Now+long, func() {
+	w.clock.At(w.clock.Now+duration, func() {
 		for _, c := range all {
 			delete(w.severed, c)
 		}
 	})
 }
 
-// suspend stops a node, which goes on where it stood.
-func (w *simulation) suspend(name string, long time.Duration) {
+// suspend stops a node for a duration. It resumes where it was stopped, before it has received the messages that have arrived.
+func (w *simulation) suspend(name string, duration time.Duration) {
 	g := w.nodes[name]
 	if g == nil || g.node == nil || g.suspended {
 		return
 	}
 	g.suspended = true
-	epoch := g.run
-	w.clock.At(w.clock.Now+long, func() {
-		if g.run != epoch || g.node == nil {
+	generation := g.generation
+	w.clock.At(w.clock.Now+duration, func() {
+		if g.generation != generation || g.node == nil {
 			return
 		}
 		g.suspended = false
 		for _, box := range slices.Sorted(maps.Keys(w.machines)) {
 			if g.node.EndpointPermitted(w.localTime(g), box) {
-				w.checkSent(g, box)
+				w.checkInService(g, box)
 			}
 		}
 		for _, h := range g.inbox {
-			if g.run == epoch {
+			if g.generation == generation {
 				w.handle(g, h)
 			}
 		}
@@ -105,11 +106,11 @@
 	})
 }
 
-// fault is one at a message.
+// fault is a fault of a kind, an index into faultKinds, at a message of the scenario, counted from 0.
 type fault struct{ at, kind int }
 
-// playPlan plays the plan with faults.
-func playPlan(faults ...fault) (w *simulation, bad string) {
+// runScenario runs the scenario with faults. It returns a violation or lost request, or "".
+func runScenario(faults ...fault) (w *simulation, failure string) {
 	w = newSimulation(7, 3)
 	at := map[int]int{}
 	for _, f := range faults {
@@ -121,7 +122,7 @@
 		}
 		w.messages++
 		if kind, ok := at[w.messages-1]; ok {
-			return faultKinds[kind].do(w, from, to)
+			return faultKinds[kind].inject(w, from, to)
 		}
 		return true
 	}
@@ -136,13 +137,13 @@
 		}
 	}
 	if w.violation == "" {
-		w.violation = "the plan does not end: " + string(w.latest.Value)
+		w.violation = "not all maintenance requests have ended by the time limit: " + string(w.latest.Value)
 	}
 	return w, w.violation
 }
 
-// inParallel runs f for 0 to n-1 beside each other, until one says something.
-func inParallel(n int, f func(i int) string) (bad string) {
+// inParallel calls f with 0 to n-1 on all processors, until a call returns a failure, and returns that.
+func inParallel(n int, f func(i int) string) (failure string) {
 	var (
 		all  sync.WaitGroup
 		mu   sync.Mutex
@@ -154,60 +155,60 @@
 				mu.Lock()
 				i := next
 				next++
-				stop := i >= n || bad != ""
+				stop := i >= n || failure != ""
 				mu.Unlock()
 				if stop {
 					return
 				}
 				if s := f(i); s != "" {
 					mu.Lock()
-					bad = s
+					failure = s
 					mu.Unlock()
 				}
 			}
 		})
 	}
 	all.Wait()
-	return bad
+	return failure
 }
 
-// CI plays every thirtieth place; EXPLORE=0 each one, and so many pairs, drawn.
-func TestAFaultAtEveryMessage(t *testing.T) {
-	w, bad := playPlan()
-	if bad != "" {
-		t.Fatal(bad)
+// By default every thirtieth message gets a fault. EXPLORE=n injects one at every message, and runs n random pairs of faults.
+func TestFaultAtEveryMessage(t *testing.T) {
+	w, failure := runScenario()
+	if failure != "" {
+		t.Fatal(failure)
 	}
 	messages, stride, pairs := w.messages, 30, 60
 	if n, err := strconv.Atoi(os.Getenv("EXPLORE")); err == nil {
 		stride, pairs = 1, n
 	}
 	if messages < 100 {
-		t.Fatalf("the plan took %d messages", messages)
+		t.Fatalf("the scenario took %d messages, want 100 or more", messages)
 	}
 	runs := 0
 	for kind := range faultKinds {
-		places := (messages + stride - 1 - kind*3%stride) / stride
-		runs += places
-		if bad := inParallel(places, func(i int) string {
+		runsOfKind := (messages + stride - 1 - kind*3%stride) / stride
+		runs += runsOfKind
+		if failure := inParallel(runsOfKind, func(i int) string {
 			f := fault{i*stride + kind*3%stride, kind}
-			if _, bad := playPlan(f); bad != "" {
-				return fmt.Sprintf("message %d, %s: %s", f.at, faultKinds[kind].name, bad)
+			if _, failure := runScenario(f); failure != "" {
+				return fmt.Sprintf("message %d, %s: %s", f.at, faultKinds[kind].name, failure)
 			}
 			return ""
-		}); bad != "" {
-			t.Error(bad)
+		}); failure != "" {
+			t.Error(failure)
 		}
 	}
-	if bad := inParallel(pairs, func(i int) string {
+	if failure := inParallel(pairs, func(i int) string {
 		rng := rand.New(rand.NewPCG(uint64(i), 3))
 		a := fault{rng.IntN(messages), rng.IntN(len(faultKinds))}
 		b := fault{min(messages, a.at+1+rng.IntN(120)), rng.IntN(len(faultKinds))}
-		if _, bad := playPlan(a, b); bad != "" {
-			return fmt.Sprintf("%v, then %v: %s", a, b, bad)
+		if _, failure := runScenario(a, b); failure != "" {
+			return fmt.Sprintf("%v, then %v: %s", a, b, failure)
 		}
 		return ""
-	}); bad != "" {
-		t.Error(bad)
+	}); failure != "" {
+		t.Error(failure)
 	}
-	t.Logf("%d messages undisturbed; %d runs with one fault, %d with two", messages, runs, pairs)
+	t.Logf("%d messages without faults; %d runs with one fault, %d with two", messages, runs, pairs)
 }
--- a/cluster/network_faults_test.go
+++ b/cluster/network_faults_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// injectFault makes one of the faults at a time, for 0.2 s to 6.2 s.
+// injectFault injects a random fault at a time, which lasts for 0.2 s to 6.2 s.
 func (w *simulation) injectFault(at time.Duration) {
 	w.clock.At(at, func() {
 		m := w.nodes[w.names[w.rng.IntN(len(w.names))]]
@@ -24,36 +24,36 @@
 	})
 }
 
-// kill ends a node, which is started again with or without what it had stored.
-func (w *simulation) kill(m *host, back time.Duration) {
+// kill kills a node and restarts it at a time, with or without what it had stored.
+func (w *simulation) kill(m *simulatedNode, restartAt time.Duration) {
 	if m.node == nil {
 		return
 	}
-	m.run++
+	m.generation++
 	m.node = nil
-	forget := w.rng.IntN(4) == 0 && (!slices.Contains(w.voters, m.name) || w.othersCanVote(m.name))
-	w.clock.At(back, func() {
+	eraseStorage := w.rng.IntN(4) == 0 && (!slices.Contains(w.voters, m.name) || w.othersCanVote(m.name))
+	w.clock.At(restartAt, func() {
 		if m.node == nil {
-			w.startNode(m, forget)
+			w.startNode(m, eraseStorage)
 		}
 	})
 }
 
-// suspendUntil stops a node, which goes on where it stood, before it has received anything.
-func (w *simulation) suspendUntil(m *host, resume time.Duration) {
+// suspendUntil stops a node until a time. It resumes where it was stopped, before it has received the messages that have arrived.
+func (w *simulation) suspendUntil(m *simulatedNode, resume time.Duration) {
 	if m.node == nil || m.suspended {
 		return
 	}
 	m.suspended = true
-	run := m.run
+	generation := m.generation
 	w.clock.At(resume, func() {
-		if m.run != run {
+		if m.generation != generation {
 			return
 		}
 		m.suspended = false
 		for name := range w.machines {
 			if m.node.EndpointPermitted(w.localTime(m), name) {
-				w.checkSent(m, name)
+				w.checkInService(m, name)
 			}
 		}
 		for _, received := range m.inbox {
@@ -63,7 +63,7 @@
 	})
 }
 
-// partition severs links between two sides, one way or both.
+// partition severs the links between two random sets of nodes, in one or both directions, until a time.
 func (w *simulation) partition(heal time.Duration) {
 	side, oneWay := map[string]bool{}, w.rng.IntN(2) == 0
 	for _, n := range w.names {
@@ -79,11 +79,11 @@
 	w.clock.At(heal, func() { clear(w.severed) })
 }
 
-// othersCanVote says that all other voters run and may vote. Where a majority of votes is lost nothing can be settled any
-// more until an operator says so, and no run asks for that.
-func (w *simulation) othersCanVote(but string) bool {
+// othersCanVote reports whether all voters but one are running and may vote. If a majority of the voters lost their state, the
+// cluster could agree on nothing until an operator intervenes, and no operator does so in these runs.
+func (w *simulation) othersCanVote(except string) bool {
 	for _, n := range w.voters {
-		if m := w.nodes[n]; n != but && (m.node == nil || !m.node.voter.CanVote()) {
+		if m := w.nodes[n]; n != except && (m.node == nil || !m.node.voter.CanVote()) {
 			return false
 		}
 	}
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -1,16 +1,18 @@
-// Package cluster is a gateway's part in what the gateways agree on: which machines are taken out for maintenance, and when.
+// Package cluster agrees with the other gateways on which machines are taken out of service for maintenance, and when.
 //
-// A node has up to three roles. As a gateway it renews a lease on its view of the agreed state, and says which machines may be
-// sent to (lease.go, drain.go). Some nodes are voters as well: they keep the state by package consensus and answer the other gateways and the
-// operators' tools (voter.go, operator.go). One voter, the coordinator, takes the maintenance plan forward (coordinator.go).
+// A node has up to three roles. As a gateway it renews a lease on its view of the agreed state, and decides which machines
+// may be sent to (lease.go, drain.go). Some nodes are voters as well: they store the state by package consensus and answer
+// the other gateways and the operators' tools (voter.go, operator.go). One voter, the coordinator, moves maintenance requests
+// from stage to stage (coordinator.go).
 //
-// A lease request is answered with the state that a majority confirmed after the request came, so that the gateway knows what
-// was agreed on when it asked. From then on its lease holds for Limits.Lease by its own clock. A gateway without a lease goes on serving:
-// it takes granted machines for drained, and no other machine can be taken out, since none is drained before every
-// gateway has confirmed that it knows of the grant.
+// The reply to a lease request contains the state that a majority of the voters confirmed after the request arrived, so the
+// gateway knows everything that was agreed on when it sent the request. The lease holds from that time for Limits.Lease by
+// the gateway's own clock. A gateway without a lease keeps serving. It then treats granted machines as drained. No other
+// machine can go out of service unnoticed, since no machine is drained before every gateway has confirmed that it knows of
+// the grant.
 //
-// The package does no I/O, reads no clock and starts no goroutine: its caller hands events to Node.Handle, one at a time, and carries out
-// the actions that it returns, in their order. The same events give the same actions.
+// The package does no I/O, reads no clock and starts no goroutine: its caller passes events to Node.Handle, one at a time,
+// and carries out the actions that it returns, in their order. The same events give the same actions.
 package cluster
 
 import (
@@ -23,53 +25,53 @@
 	"larchusher/maintenance"
 )
 
-// Node is one gateway's part. Use New. It is not safe for concurrent use.
+// Node is the state machine of one gateway in the cluster. Create it with [New]. It is not safe for concurrent use.
 type Node struct {
 	Counters Counters
 
 	cfg     Config
 	rng     *rand.Rand
 	now     time.Duration
-	actions []Action // of the event that is being handled
-	lastID  uint64   // of lease requests, relayed requests, and requests to the voter here
+	actions []Action // returned by the current call of Handle
+	lastID  uint64   // used for lease requests, relayed requests and submissions to this node's voter
 
 	// The view and its lease (lease.go).
-	view                   *maintenance.State // a summary; nil: none is known
+	view                   *maintenance.State // a summary of the agreed state; nil: none is known
 	viewDigest             uint64
 	viewRevision           uint64
-	storingRevision        uint64        // of the view that was to be stored last
+	storingRevision        uint64        // revision of the view that StoreView was emitted for last
 	durableEpoch           uint64        // epoch of the latest view that is stored
-	leaseUntil             time.Duration // by the clock of Handle
+	leaseUntil             time.Duration // on the clock of Handle
 	nextLeaseRequest       time.Duration
-	leaseRequests          map[uint64]time.Duration // without an answer yet, by ID: when they were sent
-	targetVoter            int                      // index of the voter that is asked
-	repliesSinceFirstVoter int                      // since the first voter was tried
-	unanswered             int                      // requests in a row
-
-	// What may not be sent to (drain.go).
-	draining          DrainMachines // the latest
-	drainedUnderLease bool          // it was derived while the lease held
+	leaseRequests          map[uint64]time.Duration // time of sending, by ID, of the requests that have no reply yet
+	targetVoter            int                      // index in Voters of the voter that lease requests go to
+	repliesSinceFirstVoter int                      // replies since the first voter was last switched to
+	unanswered             int                      // consecutive lease requests without a reply
+
+	// The machines that must not be sent to (drain.go).
+	draining          DrainMachines // as emitted last
+	drainedUnderLease bool          // draining was derived while the lease held
 	stoppedEpoch      uint64        // the gateway has stopped sending for all drains up to this epoch
 	shuttingDown      bool          // ShutDown was emitted
-	shutDown          bool          // and is completed
+	shutdownComplete  bool          // ShutdownCompleted was received
 
 	// The voter (voter.go, operator.go).
-	voter            *consensus.Voter   // nil: this node does not vote
-	chosen           *maintenance.State // decoded state of chosenRevision
+	voter            *consensus.Voter   // nil: this node is not a voter
+	chosen           *maintenance.State // the decoded state of revision chosenRevision
 	chosenRevision   uint64
-	pending          map[string]pendingRequest           // by the ID under which the voter here was asked
-	relayed          map[uint64]pendingRequest           // sent on to a voter elsewhere, by ID
-	auditedHistories map[uint64][]maintenance.Transition // by request: its history as it was emitted
+	pending          map[string]pendingRequest           // by the ID of the submission to this node's voter
+	relayed          map[uint64]pendingRequest           // by the ID under which they were relayed to another voter
+	auditedHistories map[uint64][]maintenance.Transition // by request ID: the history of which all transitions were emitted
 
 	// The coordinator (coordinator.go).
 	ownReport    Report
 	reports      map[string]receivedReport
-	lastReceived map[string]time.Duration   // from each member
-	stageSince   map[stageKey]time.Duration // since when this node has seen requests at their stages
+	lastReceived map[string]time.Duration   // time of the latest message, by member
+	stageSince   map[stageKey]time.Duration // time at which this node first saw a request at a stage
 	nextAdvance  time.Duration
 }
 
-// New returns a node. An error names the setting that is not valid, or that the stored view can't be read.
+// New returns a node. The error names a setting that is not valid, or says that the stored view can't be decoded.
 func New(c Config) (*Node, error) {
 	if err := c.check(); err != nil {
 		return nil, err
@@ -103,13 +105,14 @@
 	return n, nil
 }
 
-// ExtendDrainGrace has the time until a drained machine counts as left be at least d from now on. It is never shortened: what was
-// sent under the longer one may still run.
+// ExtendDrainGrace raises Limits.DrainGrace to at least d; it never lowers it, because attempts that were sent under the longer
+// one may still be running.
 func (n *Node) ExtendDrainGrace(d time.Duration) {
 	n.cfg.Limits.DrainGrace = max(n.cfg.Limits.DrainGrace, d)
 }
 
-// Handle takes one event at the given time and appends the actions to out. Time must not run backwards.
+// Handle processes one event at the given time, on a steady clock that never goes backwards, and appends the resulting actions
+// to out.
 func (n *Node) Handle(now time.Duration, e Event, out []Action) []Action {
 	n.now, n.actions = now, out
 	switch e := e.(type) {
@@ -119,7 +122,7 @@
 		n.ownReport = e.Report
 		n.reports[n.cfg.Self] = receivedReport{e.Report, now}
 	case DrainCompleted:
-		n.drained(e.Generation)
+		n.drainCompleted(e.Generation)
 	case AcceptorStateStored:
 		if n.voter != nil {
 			n.stepVoter(consensus.StateStored{Number: e.Number})
@@ -135,13 +138,13 @@
 	return out
 }
 
-// Ready reports whether the gateway may send to any machine: it knows of a view, its own or one that was stored.
+// Ready reports whether the gateway may send to machines: it has a view, received from a voter or stored by an earlier process.
 func (n *Node) Ready() bool { return n.view != nil }
 
-// View is a summary of the agreed state as this gateway knows it; nil: none is known. It is not to be changed.
+// View returns a summary of the agreed state as this gateway knows it; nil if none is known. The caller must not change it.
 func (n *Node) View() *maintenance.State { return n.view }
 
-// ConsensusCounters are those of the voter here; false: this node does not vote.
+// ConsensusCounters returns the counters of this node's voter; false if the node is not a voter.
 func (n *Node) ConsensusCounters() (consensus.Counters, bool) {
 	if n.voter == nil {
 		return consensus.Counters{}, false
@@ -151,7 +154,7 @@
 
 func (n *Node) emit(a Action) { n.actions = append(n.actions, a) }
 
-// send sends a message; one to the node itself is received at once.
+// send sends a message. A message to this node itself is received immediately, without an action.
 func (n *Node) send(to string, m Message) {
 	if to == n.cfg.Self {
 		n.receive(to, m)
@@ -184,7 +187,7 @@
 	}
 }
 
-// expireRequests gives up what other nodes have not answered in time.
+// expireRequests abandons relayed requests and lease requests that no voter has answered in time.
 func (n *Node) expireRequests() {
 	for id, r := range n.relayed {
 		if n.now-r.at > requestTimeout {
@@ -198,7 +201,7 @@
 	}
 }
 
-// receive takes a message. Only operator requests are taken from others than members.
+// receive handles a message. From senders that are not members only operators' requests are accepted.
 func (n *Node) receive(from string, m Message) {
 	member := slices.Contains(n.cfg.Members, from)
 	if member {
--- a/cluster/operator.go
+++ b/cluster/operator.go
@@ -7,10 +7,11 @@
 	"larchusher/maintenance"
 )
 
-// maxRelayed bounds the operators' requests that wait for a voter elsewhere; further ones are rejected.
+// maxRelayed bounds the operators' requests that wait for a voter on another gateway; further ones are rejected.
 const maxRelayed = 64
 
-// serveOperatorRequest takes a command or a query of an operator's tool, or relays it to a voter.
+// serveOperatorRequest submits a command or a query of an operator's tool to this node's voter, or relays it to a voter on
+// another gateway.
 func (n *Node) serveOperatorRequest(from string, m Message) {
 	if n.voter == nil {
 		n.relay(from, m)
@@ -22,7 +23,7 @@
 		return
 	}
 	var c maintenance.Command
-	if err := json.Unmarshal(m.Value, &c); err != nil || !operatorMayGive(&c) {
+	if err := json.Unmarshal(m.Value, &c); err != nil || !isOperatorCommand(&c) {
 		n.send(from, Message{Kind: OperatorReply, ID: m.ID, Rejected: "not an order"})
 		return
 	}
@@ -32,12 +33,12 @@
 	n.submit(r, n.encodeCommand(c))
 }
 
-// operatorMayGive reports whether a command is one of an operator's, not one that gateways give.
-func operatorMayGive(c *maintenance.Command) bool {
+// isOperatorCommand reports whether operators may give a command; the others are given by gateways only.
+func isOperatorCommand(c *maintenance.Command) bool {
 	return c.Advance == nil && c.Join == nil && c.Notified == nil
 }
 
-// describeMachine fills in kind and zone of a machine as the gateways observe it; an empty kind: no gateway knows the machine.
+// describeMachine fills in the kind and zone of a machine from the gateways' observations. An empty kind: no gateway knows it.
 func (n *Node) describeMachine(o *maintenance.RequestOrder) {
 	m, ok := n.observations().Machines[o.Machine]
 	if !ok {
@@ -47,7 +48,7 @@
 	o.Kind, o.Zone = m.Kind, m.Zone
 }
 
-// relay hands an operator's request on to a voter.
+// relay forwards an operator's request to the voter that this node renews its lease with.
 func (n *Node) relay(from string, m Message) {
 	if len(n.relayed) >= maxRelayed {
 		n.send(from, Message{Kind: OperatorReply, ID: m.ID, Rejected: "too many orders are under way"})
@@ -59,7 +60,7 @@
 	n.send(n.cfg.Voters[n.targetVoter], m)
 }
 
-// relayReply hands a voter's reply back to whom the request came from.
+// relayReply returns a voter's reply to the sender of the relayed request.
 func (n *Node) relayReply(m Message) {
 	r, ok := n.relayed[m.ID]
 	if !ok {
@@ -70,7 +71,7 @@
 	n.send(r.from, m)
 }
 
-// replyOperator answers a command with its result, and a query from the state that the voters have confirmed.
+// replyOperator answers a command with its result, and a query with the state that the voters have confirmed.
 func (n *Node) replyOperator(r pendingRequest, d consensus.Completed) {
 	m := Message{Kind: OperatorReply, ID: r.message.ID, Value: d.Reply, Revision: d.State.Revision}
 	switch r.message.Query {
--- a/cluster/simulation_test.go
+++ b/cluster/simulation_test.go
@@ -16,40 +16,40 @@
 	"larchusher/maintenance"
 )
 
-// simulation runs several nodes in simulated time: messages are late, lost, duplicated and out of order; links are cut one way or
-// both; nodes are killed, suspended, and come back with and without what they had stored; their clocks run at different paces.
-// Machines are a model of their own, and a checker compares what nodes send to with what was agreed on.
+// simulation runs several nodes in virtual time. Messages are delayed, lost, duplicated and reordered; links fail in one or both
+// directions; nodes are killed and suspended, and restart with or without what they had stored; their clocks run at different
+// rates. The machines are simulated too, and the checks compare what nodes send, and what voters agree on, with the limits.
 type simulation struct {
 	rng             *rand.Rand
 	clock           virtualclock.Clock
 	names           []string
 	voters          []string
-	nodes           map[string]*host
-	severed         map[[2]string]bool // from, to
+	nodes           map[string]*simulatedNode
+	severed         map[[2]string]bool // failed links, by sender and receiver
 	loss            float64
 	duplication     float64
 	machines        map[string]*machine
 	limits          maintenance.Limits
 	lastIncarnation uint64
-	latest          consensus.State // the newest that anybody learned
+	latest          consensus.State // the newest state that any voter has learned
 	violation       string
 	sent            int
 	replies         map[uint64]Message
-	acknowledged    map[string]bool // machines whose requests somebody has taken
+	acknowledged    map[string]bool // machines whose maintenance requests were accepted by a voter
 	lastRequestID   uint64
 
-	intercept     func(from, to string) bool // nil: nothing befalls a message
-	messages      int                        // messages between nodes
-	duplicateNext bool                       // the next one
+	intercept     func(from, to string) bool // called for each message: false drops it; nil: all are delivered
+	messages      int                        // messages between two nodes so far
+	duplicateNext bool                       // deliver the next message twice
 	delayNext     time.Duration
 }
 
 type machine struct {
 	maintenance.Machine
-	out bool // by the newest state
+	outOfService bool // out of service by the newest state, and not restarted yet
 }
 
-type host struct {
+type simulatedNode struct {
 	name         string
 	node         *Node
 	clockRate    float64
@@ -59,14 +59,14 @@
 	acceptor     consensus.AcceptorState
 	view         []byte
 	durable      bool
-	inFlight     map[string]time.Duration // attempts out at machines, until
-	run          int
+	inFlight     map[string]time.Duration // end of the latest attempt at each machine
+	generation   int
 	draining     map[string]bool
 	shuttingDown bool
 }
 
 func newSimulation(seed uint64, n int) *simulation {
-	w := &simulation{rng: rand.New(rand.NewPCG(seed, 5)), nodes: map[string]*host{}, severed: map[[2]string]bool{}, machines: map[string]*machine{}, replies: map[uint64]Message{}, acknowledged: map[string]bool{},
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, 5)), nodes: map[string]*simulatedNode{}, severed: map[[2]string]bool{}, machines: map[string]*machine{}, replies: map[uint64]Message{}, acknowledged: map[string]bool{},
 		limits: maintenance.Limits{Lease: 2 * time.Second, DrainGrace: 500 * time.Millisecond, SlowStart: 4 * time.Second, MaxOut: 3, MinWarmParents: 1}}
 	if err := w.limits.Check(); err != nil {
 		panic(err)
@@ -88,20 +88,20 @@
 		w.machines[fmt.Sprintf("p%d", i)] = &machine{Machine: maintenance.Machine{Kind: maintenance.KindParent, Zone: "hub", Up: true, Warm: true, Weight: 20, Utilization: 0.4}}
 	}
 	for _, name := range w.names {
-		m := &host{name: name, clockRate: 0.96 + 0.08*w.rng.Float64(), durable: w.rng.IntN(2) == 0 || slices.Contains(w.voters, name)}
+		m := &simulatedNode{name: name, clockRate: 0.96 + 0.08*w.rng.Float64(), durable: w.rng.IntN(2) == 0 || slices.Contains(w.voters, name)}
 		w.nodes[name] = m
 		w.startNode(m, false)
 	}
 	return w
 }
 
-// startNode starts a node; forget loses what it had stored.
-func (w *simulation) startNode(m *host, forget bool) {
+// startNode starts a process of a node. With eraseStorage, or if its storage is not durable, it starts without what it had stored.
+func (w *simulation) startNode(m *simulatedNode, eraseStorage bool) {
 	w.lastIncarnation++
-	if forget || !m.durable || m.acceptor.Incarnation == 0 {
+	if eraseStorage || !m.durable || m.acceptor.Incarnation == 0 {
 		m.acceptor, m.view = consensus.AcceptorState{Incarnation: w.lastIncarnation}, nil
 	}
-	m.run++
+	m.generation++
 	m.suspended, m.inbox, m.inFlight, m.draining, m.shuttingDown = false, nil, map[string]time.Duration{}, nil, false
 	m.startedAt = w.clock.Now
 	var err error
@@ -110,16 +110,16 @@
 	if err != nil {
 		panic(err)
 	}
-	epoch := m.run
+	generation := m.generation
 	var tick func()
 	tick = func() {
-		if m.run != epoch {
+		if m.generation != generation {
 			return
 		}
 		if !m.suspended {
 			w.handle(m, ReportUpdated{w.report(m)})
 			w.handle(m, Tick{})
-			if m.run == epoch {
+			if m.generation == generation {
 				w.trySending(m)
 			}
 		}
@@ -128,12 +128,12 @@
 	w.clock.At(w.clock.Now+time.Duration(w.rng.IntN(50))*time.Millisecond, tick)
 }
 
-func (w *simulation) localTime(m *host) time.Duration {
+func (w *simulation) localTime(m *simulatedNode) time.Duration {
 	return time.Second + time.Duration(m.clockRate*float64(w.clock.Now-m.startedAt))
 }
 
-// report is what a node observes: all machines, and itself.
-func (w *simulation) report(m *host) Report {
+// report returns what a node observes: all machines, and itself.
+func (w *simulation) report(m *simulatedNode) Report {
 	r := Report{Machines: map[string]maintenance.Machine{m.name: {Kind: maintenance.KindGateway, Zone: "z" + strconv.Itoa(slices.Index(w.names, m.name)%2), Up: true,
 		Warm: m.node.Ready(), Weight: 1}}}
 	for name, b := range w.machines {
@@ -142,23 +142,23 @@
 	return r
 }
 
-// trySending has the node send to some machine, if it may, and checks that against what was agreed on.
-func (w *simulation) trySending(m *host) {
+// trySending sends a request to a random machine, if the node permits it, and checks that the machine is in service.
+func (w *simulation) trySending(m *simulatedNode) {
 	name := slices.Sorted(maps.Keys(w.machines))[w.rng.IntN(len(w.machines))]
 	if m.node.EndpointPermitted(w.localTime(m), name) && !m.shuttingDown {
-		w.checkSent(m, name)
+		w.checkInService(m, name)
 		m.inFlight[name] = w.clock.Now + time.Duration(w.rng.IntN(300))*time.Millisecond
 	}
 	w.reportDrained(m)
 }
 
-func (w *simulation) checkSent(m *host, name string) {
-	if w.machines[name].out {
-		w.violation = fmt.Sprintf("%v: %s sends to %s, which is out", w.clock.Now, m.name, name)
+func (w *simulation) checkInService(m *simulatedNode, name string) {
+	if w.machines[name].outOfService {
+		w.violation = fmt.Sprintf("%v: %s sends to %s, which is out of service", w.clock.Now, m.name, name)
 	}
 }
 
-func (w *simulation) reportDrained(m *host) {
+func (w *simulation) reportDrained(m *simulatedNode) {
 	for name := range m.draining {
 		if m.inFlight[name] > w.clock.Now {
 			return
@@ -169,24 +169,24 @@
 	}
 }
 
-// handle hands an event to a node and carries out its actions.
-func (w *simulation) handle(m *host, e Event) {
+// handle passes an event to a node and carries out its actions.
+func (w *simulation) handle(m *simulatedNode, e Event) {
 	if m.node == nil {
 		return
 	}
-	run := m.run
+	generation := m.generation
 	for _, a := range m.node.Handle(w.localTime(m), e, nil) {
-		if m.run != run { // it crashed over one of them
+		if m.generation != generation { // the node was killed while it carried out an action
 			return
 		}
 		w.carryOut(m, a)
 	}
-	if m.run == run && m.node.voter != nil {
+	if m.generation == generation && m.node.voter != nil {
 		w.checkChosen(m)
 	}
 }
 
-func (w *simulation) carryOut(m *host, a Action) {
+func (w *simulation) carryOut(m *simulatedNode, a Action) {
 	switch a := a.(type) {
 	case Send:
 		w.send(m.name, a.To, a.Message)
@@ -202,9 +202,9 @@
 		})
 	case DrainMachines:
 		m.draining = a.Machines
-		run := m.run
+		generation := m.generation
 		w.clock.At(w.clock.Now, func() {
-			if m.run == run && !m.suspended {
+			if m.generation == generation && !m.suspended {
 				w.reportDrained(m)
 			}
 		})
@@ -215,27 +215,27 @@
 	}
 }
 
-// store has a write done after up to 3 ms, unless the node crashes before.
-func (w *simulation) store(m *host, written func()) {
-	run := m.run
+// store completes a write after up to 3 ms, unless the node is killed before that.
+func (w *simulation) store(m *simulatedNode, completed func()) {
+	generation := m.generation
 	w.clock.At(w.clock.Now+time.Duration(w.rng.IntN(3000))*time.Microsecond, func() {
-		if m.run == run {
-			written()
+		if m.generation == generation {
+			completed()
 		}
 	})
 }
 
-// shutDown has a node drain, report it, and end; then it is started again.
-func (w *simulation) shutDown(m *host) {
-	run := m.run
+// shutDown lets a node answer its requests for 300 ms, reports that, stops the node 3 s later and starts it again.
+func (w *simulation) shutDown(m *simulatedNode) {
+	generation := m.generation
 	w.clock.At(w.clock.Now+300*time.Millisecond, func() {
-		if m.run != run || m.node == nil || m.suspended {
+		if m.generation != generation || m.node == nil || m.suspended {
 			return
 		}
 		w.handle(m, ShutdownCompleted{})
 		w.clock.At(w.clock.Now+3*time.Second, func() {
-			if m.run == run {
-				m.run++
+			if m.generation == generation {
+				m.generation++
 				m.node = nil
 				w.clock.At(w.clock.Now+500*time.Millisecond, func() { w.startNode(m, false) })
 			}
@@ -243,15 +243,16 @@
 	})
 }
 
-// checkChosen checks what a voter knows against what others know, and works on the machines that are out.
-func (w *simulation) checkChosen(m *host) {
+// checkChosen compares the state that a voter has learned with the newest one known, and restarts the machines that it takes out of
+// service. A violation is a machine that goes out of service while a running node has an attempt in flight there.
+func (w *simulation) checkChosen(m *simulatedNode) {
 	s, ok := m.node.voter.Chosen()
 	if !ok || s.Revision < w.latest.Revision {
 		return
 	}
 	if s.Revision == w.latest.Revision {
 		if string(s.Value) != string(w.latest.Value) {
-			w.violation = fmt.Sprintf("%v: revision %d is two things", w.clock.Now, s.Revision)
+			w.violation = fmt.Sprintf("%v: two different states have revision %d", w.clock.Now, s.Revision)
 		}
 		return
 	}
@@ -267,48 +268,48 @@
 		if b == nil {
 			continue
 		}
-		was := b.out
-		b.out = r.Stage == maintenance.OutOfService
-		if b.out && !was { // the work begins: it stops at once
+		wasOut := b.outOfService
+		b.outOfService = r.Stage == maintenance.OutOfService
+		if b.outOfService && !wasOut { // the maintenance begins: the machine stops immediately
 			for _, g := range w.nodes {
 				if g.inFlight[r.Machine] > w.clock.Now && !g.suspended {
-					w.violation = fmt.Sprintf("%v: %s is called out while %s has work there", w.clock.Now, r.Machine, g.name)
+					w.violation = fmt.Sprintf("%v: %s goes out of service while %s has attempts in flight there", w.clock.Now, r.Machine, g.name)
 				}
 			}
 			b.Up, b.Warm = false, false
 			w.clock.At(w.clock.Now+time.Duration(300+w.rng.IntN(900))*time.Millisecond, func() {
 				b.Up, b.BootMs = true, int64(w.clock.Now/time.Millisecond)
-				b.out = false
+				b.outOfService = false
 				w.clock.At(w.clock.Now+2*time.Second, func() { b.Warm = b.Up })
 			})
 		}
 	}
 }
 
-// checkLimits is the independent checker of the limits: by the state alone, without the code that enforces them.
+// checkLimits checks the limits on a state independently of the code that enforces them.
 func (w *simulation) checkLimits(s *maintenance.State) {
-	away, zone := 0, map[string]int{}
+	outCount, outByGroup := 0, map[string]int{}
 	seen := map[string]bool{}
 	for _, r := range s.Requests {
 		if r.Stage == maintenance.Requested || r.Stage.Ended() {
 			continue
 		}
 		if seen[r.Machine] {
-			w.violation = r.Machine + " is taken out twice"
+			w.violation = r.Machine + " is taken out of service by two requests at once"
 		}
 		seen[r.Machine] = true
-		away++
-		zone[r.Kind+r.Zone]++
+		outCount++
+		outByGroup[r.Kind+r.Zone]++
 	}
-	if away > w.limits.MaxOut {
-		w.violation = fmt.Sprintf("%d machines are out at once", away)
+	if outCount > w.limits.MaxOut {
+		w.violation = fmt.Sprintf("%d machines are out of service at once, more than MaxOut", outCount)
 	}
-	if zone[maintenance.KindParent+"hub"] > 1 {
-		w.violation = "both upper caches are out"
+	if outByGroup[maintenance.KindParent+"hub"] > 1 {
+		w.violation = "both parents are out of service at once"
 	}
-	for z, n := range zone {
-		if n > 2 { // a third of six
-			w.violation = fmt.Sprintf("%d of six are out in %s", n, z)
+	for z, n := range outByGroup {
+		if n > 2 { // MaxZoneShareOut is 0.34, and each zone has six caches
+			w.violation = fmt.Sprintf("%d of 6 machines are out of service in group %s", n, z)
 		}
 	}
 }
@@ -321,16 +322,16 @@
 	if w.severed[[2]string{from, to}] || w.rng.Float64() < w.loss {
 		return
 	}
-	times, late := 1, w.delayNext
+	copies, delay := 1, w.delayNext
 	w.delayNext = 0
 	if w.duplicateNext {
-		times, w.duplicateNext = 2, false
+		copies, w.duplicateNext = 2, false
 	}
 	if w.rng.Float64() < w.duplication {
-		times = 2
+		copies = 2
 	}
-	for range times {
-		w.clock.At(w.clock.Now+late+time.Duration(200+w.rng.IntN(4000))*time.Microsecond, func() {
+	for range copies {
+		w.clock.At(w.clock.Now+delay+time.Duration(200+w.rng.IntN(4000))*time.Microsecond, func() {
 			if g := w.nodes[to]; g != nil && g.node != nil {
 				if g.suspended {
 					g.inbox = append(g.inbox, MessageReceived{from, m})
@@ -344,8 +345,9 @@
 	}
 }
 
-// sendCommand sends a command as an operator's tool would, and tries again elsewhere until it is answered.
-func (w *simulation) sendCommand(c maintenance.Command, tries int) {
+// sendCommand sends a command to a random gateway, as an operator's tool does, and repeats it up to that many times until it is
+// accepted.
+func (w *simulation) sendCommand(c maintenance.Command, retries int) {
 	b, _ := json.Marshal(c)
 	w.lastRequestID++
 	id := w.lastRequestID
@@ -358,8 +360,8 @@
 				w.acknowledged[c.Request.Machine] = true
 			}
 		}
-		if !ok && tries > 0 { // a gateway that has just begun knows no machines
-			w.sendCommand(c, tries-1)
+		if !ok && retries > 0 { // a gateway that has just started knows no machines yet
+			w.sendCommand(c, retries-1)
 		}
 	})
 }
@@ -368,23 +370,24 @@
 	w.sendCommand(maintenance.Command{Request: &maintenance.RequestOrder{Key: "k-" + machine, Machine: machine, DurationMs: 5000, After: after}}, 30)
 }
 
-// lostRequest names a request that was taken and is missing from a state; empty: none is.
+// lostRequest describes an accepted request that is missing from a state; it returns "" if there is none.
 func (w *simulation) lostRequest(s *maintenance.State) string {
 	for m := range w.acknowledged {
 		if !slices.ContainsFunc(s.Requests, func(r *maintenance.Request) bool { return r.Machine == m }) {
-			return "the request for " + m + " was taken, and is not in the state"
+			return "the request for " + m + " was accepted, and is missing from the state"
 		}
 	}
 	return ""
 }
 
-// playSeed is one seeded run: ten machines and more are asked for, faults are injected, and in the end all is done.
-func playSeed(seed uint64) (*simulation, string) {
+// runSeed plays one random run: 8 to 13 maintenance requests are sent and faults injected. From 24 s on there are no network
+// faults, and all requests must end.
+func runSeed(seed uint64) (*simulation, string) {
 	w := newSimulation(seed, 3+int(seed%5))
 	for i := range 8 + w.rng.IntN(6) {
 		all := slices.Sorted(maps.Keys(w.machines))
 		m := all[w.rng.IntN(len(all))]
-		if i == 0 && len(w.names) >= 4 { // and one of the gateways' own
+		if i == 0 && len(w.names) >= 4 { // the first request is for the machine of a gateway
 			m = w.names[w.rng.IntN(len(w.names))]
 		}
 		w.clock.At(time.Duration(1500+w.rng.IntN(6000))*time.Millisecond, func() { w.request(m) })
@@ -393,7 +396,7 @@
 		w.injectFault(time.Duration(1000+w.rng.IntN(15000)) * time.Millisecond)
 	}
 	end := 24 * time.Second
-	w.clock.At(end, func() { // what is still wrong is put right
+	w.clock.At(end, func() { // all network faults end
 		clear(w.severed)
 		w.loss, w.duplication = 0, 0
 	})
@@ -404,21 +407,21 @@
 		}
 	}
 	if w.violation == "" {
-		w.violation = "the plan does not end: " + string(w.latest.Value)
+		w.violation = "not all maintenance requests have ended by the time limit: " + string(w.latest.Value)
 	}
 	return w, w.violation
 }
 
-func TestSeededRuns(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	n := 40
 	if x, err := strconv.Atoi(os.Getenv("EXPLORE")); err == nil {
 		n = x
 	}
 	done := 0
 	for seed := range uint64(n) {
-		w, bad := playSeed(seed)
-		if bad != "" {
-			t.Fatalf("seed %d, %d nodes: %s", seed, len(w.names), bad)
+		w, failure := runSeed(seed)
+		if failure != "" {
+			t.Fatalf("seed %d, %d nodes: %s", seed, len(w.names), failure)
 		}
 		d, _ := maintenance.Decode(w.latest.Value)
 		for _, r := range d.Requests {
@@ -428,6 +431,6 @@
 		}
 	}
 	if done < 4*n {
-		t.Errorf("%d works were done in %d runs", done, n)
+		t.Errorf("%d maintenance requests were completed in %d runs, want 4 a run or more", done, n)
 	}
 }
--- a/cluster/voter.go
+++ b/cluster/voter.go
@@ -14,20 +14,21 @@
 )
 
 const (
-	// maxPending bounds the requests that wait for the voter here; further ones are dropped.
+	// maxPending bounds the requests that wait for this node's voter; further ones are dropped.
 	maxPending = 256
-	// requestTimeout is how long a request may wait for a voter, here or elsewhere, before it is given up.
+	// requestTimeout is how long a request may wait for a voter, of this node or another, before it is abandoned.
 	requestTimeout = 8 * time.Second
 )
 
-// pendingRequest is a lease request or an operator's request that waits for a voter.
+// pendingRequest is a lease request or an operator's request that waits for a voter's reply.
 type pendingRequest struct {
 	from    string
 	message Message
 	at      time.Duration
 }
 
-// submit proposes a command to the voter here, or reads the state if there is none, for a request that waits for the outcome.
+// submit proposes a command to this node's voter on behalf of a request, or starts a read if the command is nil. complete
+// answers the request.
 func (n *Node) submit(r pendingRequest, command []byte) {
 	if len(n.pending) >= maxPending {
 		n.Counters.Dropped++
@@ -43,7 +44,7 @@
 	}
 }
 
-// stepVoter hands an event to the voter here and carries out its actions.
+// stepVoter passes an event to this node's voter and carries out the voter's actions.
 func (n *Node) stepVoter(e consensus.Event) {
 	for _, a := range n.voter.Handle(n.now, e, nil) {
 		switch a := a.(type) {
@@ -59,7 +60,7 @@
 	}
 }
 
-// complete answers the request that a proposal or a read was made for.
+// complete answers the request on whose behalf a proposal or a read was submitted.
 func (n *Node) complete(d consensus.Completed) {
 	r, ok := n.pending[d.ID]
 	if !ok {
@@ -76,7 +77,8 @@
 	}
 }
 
-// chosenState is the newest state that the voter here knows to be chosen; it may be old. It is not to be changed.
+// chosenState returns the newest state that this node's voter knows to be chosen; other voters may know a newer one. The
+// caller must not change it. It reports false if no state is known or it can't be decoded.
 func (n *Node) chosenState() (*maintenance.State, bool) {
 	s, ok := n.voter.Chosen()
 	if !ok {
@@ -92,15 +94,17 @@
 	return n.chosen, true
 }
 
-// serveLeaseRequest has the voters confirm the state for a gateway. What it reports of itself is agreed on first, if that is new.
+// serveLeaseRequest has the voters confirm the agreed state for a gateway. If the gateway reports something new about itself,
+// that is proposed as a change of the state in the same step.
 func (n *Node) serveLeaseRequest(from string, m Message) {
 	n.submit(pendingRequest{from, m, n.now}, n.memberCommand(from, m))
 }
 
-// memberCommand takes what a gateway reports of itself into the agreed state; nil: it stands there already.
+// memberCommand returns the command that records in the agreed state what a gateway reports of itself: its incarnation and its
+// epochs. It returns nil if they are recorded already.
 func (n *Node) memberCommand(from string, m Message) []byte {
 	s, ok := n.chosenState()
-	if !ok { // the first gateway of all
+	if !ok { // no gateway has joined yet
 		return n.joinCommand(from, m)
 	}
 	g, joined := s.Gateways[from]
@@ -119,17 +123,17 @@
 		NotifiedEpoch: m.NotifiedEpoch}})
 }
 
-// encodeCommand adds who gives a command, if it names nobody, and when.
+// encodeCommand encodes a command after setting its time, and its actor to this node if it has none.
 func (n *Node) encodeCommand(c maintenance.Command) []byte {
 	c.Actor, c.AtMs = cmp.Or(c.Actor, n.cfg.Self), n.cfg.WallClockMs()
 	return mustMarshal(c)
 }
 
-// mustMarshal encodes a type that can't fail to be encoded.
+// mustMarshal encodes a value as JSON and panics on an error, which the types that it is used for can't cause.
 func mustMarshal(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("cluster: %v", err))
+		panic(fmt.Sprintf("cluster: encoding a command or a reply as JSON: %v", err))
 	}
 	return b
 }
@@ -140,7 +144,7 @@
 	if !ok || n.chosenRevision != d.State.Revision {
 		return
 	}
-	// A gateway whose incarnation has not joined gets no lease: drains would not wait for it.
+	// A gateway gets no lease before its incarnation has joined, since drains don't wait for a gateway that has not joined.
 	if s.Gateways[r.from].Incarnation != r.message.Incarnation {
 		return
 	}
@@ -152,7 +156,7 @@
 	n.send(r.from, m)
 }
 
-// emitAudit emits what is new in the histories of the requests.
+// emitAudit emits an AuditEntry for each transition that the histories of the requests have gained since the last call.
 func (n *Node) emitAudit(s consensus.State) {
 	decoded, err := maintenance.Decode(s.Value)
 	if err != nil {
@@ -169,8 +173,8 @@
 	maps.DeleteFunc(n.auditedHistories, func(id uint64, _ []maintenance.Transition) bool { return !present[id] })
 }
 
-// newTransitions returns what a history has and an earlier one of the same request had not. A history keeps its first entry and the
-// latest ones, so that its length does not tell.
+// newTransitions returns the transitions that a history has gained over an earlier version of it. A history keeps its first entry
+// and the latest ones and drops those between, so the two can't be compared by their lengths.
 func newTransitions(earlier, history []maintenance.Transition) []maintenance.Transition {
 	if len(earlier) == 0 || len(history) == 0 {
 		return history
