--- a/internal/clusternode/files.go
+++ b/internal/clusternode/files.go
@@ -16,19 +16,19 @@
 	maxFileBytes = 2 << 20
 )
 
-// errCorrupt reports that a file is not as it was written.
-var errCorrupt = errors.New("the file is spoilt")
+// errCorrupt reports that the MAC of a file does not match its data, or that the file is shorter than a MAC.
+var errCorrupt = errors.New("file is damaged or was written with another key: its MAC does not match")
 
-// authenticate is the code that stands before the data of a file.
-func authenticate(key, data []byte) []byte {
+// computeMAC returns the HMAC-SHA-256 of a file's data. It is stored before the data.
+func computeMAC(key, data []byte) []byte {
 	h := hmac.New(sha256.New, key)
 	h.Write(data)
 	return h.Sum(nil)
 }
 
-// writeFile replaces a file atomically: it is complete, or as it was before.
+// writeFile replaces a file atomically: after a crash the file has either the old content or the new one, complete.
 func writeFile(dir snapshot.FS, name string, key, data []byte) error {
-	if err := replaceFile(dir, name, append(authenticate(key, data), data...)); err != nil {
+	if err := replaceFile(dir, name, append(computeMAC(key, data), data...)); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	return nil
@@ -52,7 +52,8 @@
 	return dir.SyncDir()
 }
 
-// readFile reads what writeFile wrote; nil: there is no file.
+// readFile returns the data that writeFile wrote, or nil if there is no such file. It fails with errCorrupt if the MAC does not
+// match.
 func readFile(dir snapshot.FS, name string, key []byte) ([]byte, error) {
 	b, err := dir.Read(name, maxFileBytes)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -64,20 +65,21 @@
 	if len(b) < sha256.Size {
 		return nil, fmt.Errorf("%s: %w", name, errCorrupt)
 	}
-	code, data := b[:sha256.Size], b[sha256.Size:]
-	if !hmac.Equal(code, authenticate(key, data)) {
+	mac, data := b[:sha256.Size], b[sha256.Size:]
+	if !hmac.Equal(mac, computeMAC(key, data)) {
 		return nil, fmt.Errorf("%s: %w", name, errCorrupt)
 	}
 	return data, nil
 }
 
-// fileWriter writes files in a goroutine of its own, one at a time. Of the writes that wait for one name, the latest is made.
+// fileWriter writes files on a goroutine of its own, one at a time. If several writes of one file are waiting, only the latest is
+// made.
 type fileWriter struct {
 	dir     snapshot.FS
 	key     []byte
 	mu      sync.Mutex
 	changed *sync.Cond
-	pending map[string]pendingFile // by name
+	pending map[string]pendingFile // the next write of each file, by name
 	closing bool
 	done    chan struct{} // closed once the goroutine has ended
 }
@@ -94,8 +96,8 @@
 	return w
 }
 
-// write has a file written. It does not block; written is called in the writer's goroutine once the file is durable, unless a
-// later write of the name replaces this one.
+// write schedules the replacement of a file and does not block. The writer's goroutine calls written once the file is durable or
+// the write has failed, unless a later write of the same file replaces this one first. It may be called from any goroutine.
 func (w *fileWriter) write(name string, data []byte, written func(error)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -106,7 +108,7 @@
 func (w *fileWriter) run() {
 	defer close(w.done)
 	for {
-		pending, closing := w.take()
+		pending, closing := w.takePending()
 		if len(pending) == 0 && closing {
 			return
 		}
@@ -118,8 +120,8 @@
 	}
 }
 
-// take waits for something to write, or for the end, and takes all that waits.
-func (w *fileWriter) take() (pending map[string]pendingFile, closing bool) {
+// takePending waits until there is something to write or close was called, and returns all waiting writes.
+func (w *fileWriter) takePending() (pending map[string]pendingFile, closing bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for len(w.pending) == 0 && !w.closing {
@@ -129,7 +131,7 @@
 	return pending, w.closing
 }
 
-// close ends the writer after what waits. It blocks until then.
+// close makes the waiting writes, ends the writer's goroutine, and blocks until that has ended.
 func (w *fileWriter) close() {
 	w.mu.Lock()
 	w.closing = true
--- a/internal/clusternode/metrics.go
+++ b/internal/clusternode/metrics.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// Metrics are the counters and gauges by name. A name that does not apply to this gateway is absent.
+// Metrics returns the counters and gauges by metric name. Names that do not apply to this gateway are absent: without replication
+// those of the replica, on a gateway that is not a voter those of consensus.
 func (n *Node) Metrics() map[string]float64 {
 	c, t := n.cluster.Counters, n.transport.Counters
 	v := map[string]float64{
@@ -37,7 +38,7 @@
 	return v
 }
 
-// MetricNames are the names of Metrics in order.
+// MetricNames returns the names of Metrics, sorted.
 func (n *Node) MetricNames() (names []string) {
 	for name := range n.Metrics() {
 		names = append(names, name)
@@ -67,8 +68,8 @@
 		"differed":   n.Divergences,
 		"slots":      uint64(r.node.Len()),
 		"living":     uint64(r.node.LivePeers(r.owner.now())),
-		"held":       uint64(len(r.draining)),
-		"slowest_us": uint64(r.slowest.Microseconds()),
+		"held":       uint64(len(r.peerDrained)),
+		"slowest_us": uint64(r.longestHandling.Microseconds()),
 	} {
 		v["shared_"+name] = float64(x)
 	}
--- a/internal/clusternode/node.go
+++ b/internal/clusternode/node.go
@@ -1,7 +1,7 @@
-// Package clusternode runs a gateway's part in its cluster: packages cluster and replication on the event loop, the transport
-// between gateways, and the files that outlive the process.
+// Package clusternode runs a gateway as a member of its cluster. It connects packages cluster and replication to the event loop,
+// the transport between the gateways, and the files that survive a restart.
 //
-// All methods of Node run on the loop; its files are written by a goroutine of their own.
+// All methods of Node run on the event loop. The files are written on a goroutine of their own.
 package clusternode
 
 import (
@@ -30,41 +30,41 @@
 const (
 	tickInterval   = 50 * time.Millisecond
 	reportInterval = 500 * time.Millisecond
-	// readInterval bounds how often the voters confirm reads; what comes meanwhile shares a round.
+	// readInterval is the least time between two consensus rounds that serve reads alone; reads that come in between share one.
 	readInterval = 40 * time.Millisecond
-	// drainSlack is added to the longest deadline of a request: after both, what was sent to a machine has ended.
+	// drainSlack is added to the longest request deadline; after both, everything that was sent to a drained machine has ended.
 	drainSlack = 500 * time.Millisecond
 )
 
-// Node is a gateway's part in its cluster. Use Start.
+// Node is this gateway's member of the cluster. Create it with [Start].
 type Node struct {
-	// OnShutDown is called when this gateway's own machine is to be taken out. It begins a graceful shutdown and calls its argument once
-	// that is complete.
+	// OnShutDown is called on the event loop when this gateway's own machine is to be taken out of service. It must begin a
+	// graceful shutdown, and have completed called on the loop once the gateway sends nothing more.
 	OnShutDown func(completed func())
 
 	cfg             *config.Cluster
 	loop            *gateway.Loop
 	gateway         *gateway.Gateway
 	log             logrus.FieldLogger
-	zone            string // of this gateway
+	zone            string // zone of this gateway
 	purgeSettleTime time.Duration
-	started         time.Time // of the clock that packages cluster and replication are given
+	started         time.Time // zero of the clock that is passed to packages cluster and replication, plus one second
 	closed          bool
 
 	cluster    *cluster.Node
-	draining   cluster.DrainMachines // the latest
+	draining   cluster.DrainMachines // as package cluster emitted it last
 	reportedAt time.Time
 
 	transport   *clustertransport.Transport
-	replication *replicator // nil: it is not configured
+	replication *replicator // nil: replication is not configured
 
-	files    *fileWriter // nil: nothing outlives the process
-	unlock   func()      // the folder; nil: there is none
-	warnedAt time.Time   // of a failed write
+	files                *fileWriter // nil: no folder is configured, and nothing survives a restart
+	unlock               func()      // unlocks the folder; nil: it is not locked
+	writeFailureLoggedAt time.Time   // time of the latest log entry for a failed write
 }
 
-// Start starts a gateway's part in its cluster. The gateway must ask EndpointPermitted right before it writes to a machine. An
-// error names what can't be opened, or the setting that is not valid.
+// Start starts a gateway's member of the cluster. The gateway must call EndpointPermitted right before each write to a machine. The
+// error names what could not be opened, or the setting that is not valid.
 func Start(cfg *config.Cluster, set routing.Settings, gw *gateway.Gateway, loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger) (*Node, error) {
 	n := &Node{
 		cfg:             cfg,
@@ -73,18 +73,18 @@
 		log:             log.WithField(logfields.Self, cfg.Name),
 		zone:            set.Zone,
 		purgeSettleTime: set.PurgeSettleTime,
-		started:         time.Now().Add(-time.Second), // the clock never gives 0, which stands for never
+		started:         time.Now().Add(-time.Second), // so that the clock never gives 0, which stands for never
 	}
 	if err := n.open(set, engine); err != nil {
 		n.closeFiles()
 		return nil, err
 	}
-	// The first tick asks for a lease. Until then EndpointPermitted allows only what a stored view does.
+	// The first tick requests a lease. Until the reply arrives EndpointPermitted goes by the stored view, if there is one.
 	loop.After(0, n.tick)
 	return n, nil
 }
 
-// open opens files, state and transport. After an error the caller closes the files.
+// open opens the files, the cluster state and the transport, and starts replication. If it fails the caller closes the files.
 func (n *Node) open(set routing.Settings, engine *transport.Engine) error {
 	c := n.clusterConfig(set)
 	if n.cfg.Folder != "" {
@@ -116,7 +116,7 @@
 	return c
 }
 
-// drainGraceFor is how long what was sent to a machine under the deadlines of classes may still run.
+// drainGraceFor returns how long what was sent to a machine may be running: the longest deadline of the classes, plus drainSlack.
 func drainGraceFor(classes []routing.Class) time.Duration {
 	longestDeadline := time.Duration(0)
 	for _, c := range classes {
@@ -125,7 +125,7 @@
 	return longestDeadline + drainSlack
 }
 
-// ReconfigureClasses takes in the classes of a reload: a longer deadline extends the time that drained machines are left.
+// ReconfigureClasses applies the classes of a reload: a longer deadline extends the time before a drained machine counts as idle.
 func (n *Node) ReconfigureClasses(classes []routing.Class) {
 	n.cluster.ExtendDrainGrace(drainGraceFor(classes))
 }
@@ -137,47 +137,48 @@
 	return names
 }
 
-// newIncarnation is a number that no other start has; never 0.
+// newIncarnation returns a random number, not 0, that no other start of a process has with overwhelming probability.
 func newIncarnation() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
 
-// Close ends the node, after what waits to be written.
+// Close closes the transport, completes the waiting writes and unlocks the folder. It blocks until the writes are done.
 func (n *Node) Close() {
 	n.closed = true
 	n.transport.Close()
 	n.closeFiles()
 }
 
-// now is a steady clock, whatever happens to the wall clock.
+// now returns the time since the start on the monotonic clock, which changes of the wall clock don't affect, plus one second.
 func (n *Node) now() time.Duration { return time.Since(n.started) }
 
-// wallClockMs is the Unix time, for histories and logical clocks alone. In the lab, a file can set it off.
+// wallClockMs returns the Unix time in ms, for request histories and logical clocks only. Tests can offset it by writing a number
+// of ms into the configured clock file.
 func (n *Node) wallClockMs() int64 {
 	ms := time.Now().UnixMilli()
 	if n.cfg.ClockFile == "" {
 		return ms
 	}
 	b, err := os.ReadFile(n.cfg.ClockFile)
-	if err != nil { // no file: no offset
+	if err != nil { // no file means no offset
 		return ms
 	}
 	offset, err := strconv.ParseInt(strings.TrimSpace(string(b)), 10, 64)
-	if err != nil { // it is being written
+	if err != nil { // the file is being written
 		return ms
 	}
 	return ms + offset
 }
 
-// EndpointPermitted reports whether an endpoint may be sent to at this moment. It reads the clock by itself: the loop's is as old as its
-// round, and a process that was suspended goes on in the middle of one.
+// EndpointPermitted reports whether an endpoint may be sent to at this moment. It reads the clock itself, because the loop's time is
+// that of the start of the loop's current round, and a process may be suspended and resumed within a round.
 func (n *Node) EndpointPermitted(endpoint string) bool {
 	return n.cluster.EndpointPermitted(n.now(), endpoint)
 }
 
-// Ready reports whether the gateway may serve: it knows what was agreed on, now or before its start.
+// Ready reports whether the gateway may serve: it has a view of the agreed state, received now or stored by an earlier process.
 func (n *Node) Ready() bool { return n.cluster.Ready() }
 
 func (n *Node) tick() {
@@ -197,7 +198,7 @@
 	n.loop.After(tickInterval, n.tick)
 }
 
-// receive hands a message to the part that it is for.
+// receive passes a message to package replication, to a replication query, or to package cluster.
 func (n *Node) receive(from string, m cluster.Message) {
 	switch {
 	case n.closed:
@@ -212,7 +213,7 @@
 	}
 }
 
-// handle hands an event to package cluster and carries out its actions.
+// handle passes an event to package cluster and carries out its actions.
 func (n *Node) handle(e cluster.Event) {
 	if n.closed {
 		return
@@ -240,12 +241,12 @@
 	}
 }
 
-// report is what this gateway observes of the caches, and of itself.
+// report returns what this gateway observes of the caches and parents, and of itself.
 func (n *Node) report() cluster.Report {
 	endpoints, pressure := n.gateway.ObservedEndpoints()
 	r := cluster.Report{Pressure: pressure, Machines: map[string]maintenance.Machine{}}
 	for _, e := range endpoints {
-		if e.Kind == "origin" { // not a machine of this installation
+		if e.Kind == "origin" { // the origin is not a machine of this cluster
 			continue
 		}
 		m := maintenance.Machine{Kind: e.Kind, Zone: e.Zone, Up: e.Up, Warm: e.Warm, Weight: e.Weight, Utilization: e.Utilization}
@@ -258,19 +259,20 @@
 	return r
 }
 
-// applyDrains has the gateway send nothing to machines that are out for maintenance, or that a peer was notified drain.
+// applyDrains has the gateway drain the machines that package cluster lists for maintenance, and those that peers report as
+// drained.
 func (n *Node) applyDrains() {
 	all := maps.Clone(n.draining.Machines)
-	if n.replication != nil && len(n.replication.draining) > 0 {
+	if n.replication != nil && len(n.replication.peerDrained) > 0 {
 		if all == nil {
 			all = map[string]bool{}
 		}
-		maps.Copy(all, n.replication.draining)
+		maps.Copy(all, n.replication.peerDrained)
 	}
 	n.gateway.DrainEndpoints(all)
 }
 
-// reportDrained reports once nothing is under way at the machines that are to be drained.
+// reportDrained passes DrainCompleted to package cluster if no attempt is in flight at the machines to be drained.
 func (n *Node) reportDrained() {
 	if n.draining.Generation > 0 && n.gateway.NoAttemptsAt(n.draining.Machines) {
 		n.handle(cluster.DrainCompleted{Generation: n.draining.Generation})
--- a/internal/clusternode/replicator.go
+++ b/internal/clusternode/replicator.go
@@ -14,21 +14,22 @@
 	"larchusher/warmstart"
 )
 
-// publishInterval is how often this gateway publishes what it has learned by itself.
+// publishInterval is how often this gateway publishes what it has learned by itself. Watch events are published at once.
 const publishInterval = 500 * time.Millisecond
 
-// replicator runs package replication: it publishes what this gateway learns, and uses what its peers do. It runs on the loop.
+// replicator runs package replication on the event loop: it publishes what this gateway learns, and applies what its peers
+// publish.
 type replicator struct {
-	owner       *Node
-	node        *replication.Node
-	sharer      *warmstart.Sharer
-	publishedAt time.Time
-	watchEvents int             // of the gateway, when it published last
-	draining    map[string]bool // endpoints that a peer was notified drain
-	slowest     time.Duration   // the longest that the loop was occupied
+	owner           *Node
+	node            *replication.Node
+	sharer          *warmstart.Sharer
+	publishedAt     time.Time
+	watchEvents     int             // the gateway's count of watch events at the latest publication
+	peerDrained     map[string]bool // endpoints that are drained here because a peer reports them as drained
+	longestHandling time.Duration   // longest time for which handle or a publication occupied the event loop
 }
 
-// startReplication does nothing if replication is not configured.
+// startReplication starts package replication if it is configured.
 func (n *Node) startReplication() error {
 	r := n.cfg.Replication
 	if r == nil {
@@ -50,12 +51,12 @@
 	return nil
 }
 
-// CatchingUp reports whether the gateway does not know yet what its peers know.
+// CatchingUp reports whether the gateway is still waiting for what its peers know. It is false without replication.
 func (n *Node) CatchingUp() bool { return n.replication != nil && n.replication.node.CatchingUp() }
 
-// handle hands an event to package replication and carries out its actions.
+// handle passes an event to package replication and carries out its actions.
 func (r *replicator) handle(e replication.Event) {
-	began := time.Now()
+	start := time.Now()
 	for _, a := range r.node.Handle(r.owner.now(), e, nil) {
 		switch a := a.(type) {
 		case replication.Send:
@@ -68,10 +69,10 @@
 			r.importLearned(a)
 		}
 	}
-	r.slowest = max(r.slowest, time.Since(began))
+	r.longestHandling = max(r.longestHandling, time.Since(start))
 }
 
-// applyPurges applies purges that a peer was notified of, at once: this gateway's own watch may be late.
+// applyPurges applies the purges that peers have published. This gateway's own watch may deliver them later.
 func (r *replicator) applyPurges(slots []replication.Slot) {
 	gw := r.owner.gateway
 	for _, s := range slots {
@@ -81,16 +82,16 @@
 	}
 }
 
-// importLearned has the gateway use what its peers have learned.
+// importLearned has the gateway use what its peers have learned, and logs how much of it was used.
 func (r *replicator) importLearned(a replication.CaughtUp) {
 	gw := r.owner.gateway
 	used := gw.ImportLearned(r.sharer.Collect(r.owner.now(), gw.DirectorTime(r.owner.loop.Now()), gw.ListedEndpoints()))
-	detail := fmt.Sprintf("after %v: %d listings, %d endpoints and %d purges used of %d slots", a.Took.Round(time.Millisecond),
+	detail := fmt.Sprintf("after %v: %d listings, %d endpoints and %d purges imported from a replica of %d slots", a.Took.Round(time.Millisecond),
 		used.Listings, used.Endpoints, used.Purges, r.node.Len())
 	r.owner.log.WithFields(logrus.Fields{logfields.From: a.From, logfields.Detail: detail}).Info(logfields.ClusterCaughtUp)
 }
 
-// tick publishes what this gateway has learned: at once what its watch brought, the rest every publishInterval.
+// tick publishes what this gateway has learned: at the first tick after a watch event, otherwise every publishInterval.
 func (r *replicator) tick() {
 	r.handle(replication.Tick{})
 	now, events := r.owner.loop.Now(), r.owner.gateway.WatchEvents()
@@ -99,20 +100,20 @@
 	}
 	r.publishedAt, r.watchEvents = now, events
 	began := time.Now()
-	for _, learned := range r.owner.gateway.ExportLearned(r.owner.cfg.Replication.Listings)[:1] { // of this gateway's zone
+	for _, learned := range r.owner.gateway.ExportLearned(r.owner.cfg.Replication.Listings)[:1] { // the first element is this gateway's own locality
 		r.sharer.Publish(r.owner.now(), learned, r.owner.gateway.ListedEndpoints())
 	}
 	r.updateDrains()
-	r.slowest = max(r.slowest, time.Since(began))
+	r.longestHandling = max(r.longestHandling, time.Since(began))
 }
 
-// updateDrains drains endpoints that a peer was notified drain, beside those that are out for maintenance.
+// updateDrains drains the endpoints that peers report as drained, in addition to those drained for maintenance.
 func (r *replicator) updateDrains() {
 	draining := r.sharer.HeldEndpoints(r.owner.now(), r.owner.gateway.ListedEndpoints())
-	if maps.Equal(draining, r.draining) {
+	if maps.Equal(draining, r.peerDrained) {
 		return
 	}
-	r.draining = draining
+	r.peerDrained = draining
 	r.owner.log.WithField(logfields.Endpoints, slices.Sorted(maps.Keys(draining))).Info(logfields.ClusterPrecautionaryDrain)
 	r.owner.applyDrains()
 }
--- a/internal/clusternode/storage.go
+++ b/internal/clusternode/storage.go
@@ -13,17 +13,18 @@
 	"larchusher/maintenance"
 )
 
-// The files that outlive the process, in the folder of the operator's file.
+// Names of the files that survive a restart, in the folder that the setting fleet.folder names.
 const (
 	acceptorFile = "fleet-vote"
 	viewFile     = "fleet-view"
 )
 
-// writeFailureLogInterval is how often failed writes are logged.
+// writeFailureLogInterval is the least time between two log entries for failed writes.
 const writeFailureLogInterval = 10 * time.Second
 
-// openFiles locks the folder and reads what the former incarnation stored. A file that can't be read counts as lost: then this acceptor has to
-// be admitted again, and nothing is sent before the other gateways have answered.
+// openFiles creates and locks the folder, and reads the files that an earlier process stored. A file that can't be read counts as
+// lost. Without its state the acceptor has to be admitted again by the other voters; without a view nothing is sent before a
+// voter has replied.
 func (n *Node) openFiles(c *cluster.Config) error {
 	dir := snapshot.Folder(n.cfg.Folder)
 	if err := os.MkdirAll(n.cfg.Folder, 0o700); err != nil {
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// loadAcceptor is the stored state of the acceptor; nil: there is none.
+// loadAcceptor returns the stored state of the acceptor; nil if there is none, or if it can't be read, which is logged.
 func (n *Node) loadAcceptor(dir snapshot.Folder) *consensus.AcceptorState {
 	b, err := readFile(dir, acceptorFile, n.cfg.Key)
 	if err == nil && b == nil {
@@ -59,7 +60,7 @@
 	return &a
 }
 
-// loadView is the stored view; nil: there is none.
+// loadView returns the stored view; nil if there is none, or if it can't be read, which is logged.
 func (n *Node) loadView(dir snapshot.Folder) []byte {
 	view, err := readFile(dir, viewFile, n.cfg.Key)
 	if err == nil && view != nil {
@@ -72,7 +73,7 @@
 	return view
 }
 
-// closeFiles writes what waits and unlocks the folder.
+// closeFiles completes the waiting writes and unlocks the folder.
 func (n *Node) closeFiles() {
 	if n.files != nil {
 		n.files.close()
@@ -91,8 +92,9 @@
 	n.store(acceptorFile, b, cluster.AcceptorStateStored{Number: s.Number})
 }
 
-// store writes a file and hands the event to package cluster once it is durable. After a failed write there is no event, and the
-// other voters go on without this one. Without a folder nothing has to outlive the process: its next start is another incarnation.
+// store writes a file and passes the event to package cluster once the file is durable. After a failed write there is no event, and
+// the other voters continue without this one. Without a folder the event comes immediately: nothing has to survive a restart,
+// because the next process has another incarnation.
 func (n *Node) store(name string, data []byte, stored cluster.Event) {
 	if n.files == nil {
 		n.loop.Post(func() { n.handle(stored) })
@@ -110,8 +112,8 @@
 }
 
 func (n *Node) logWriteFailure(err error) {
-	if time.Since(n.warnedAt) > writeFailureLogInterval {
-		n.warnedAt = time.Now()
+	if time.Since(n.writeFailureLoggedAt) > writeFailureLogInterval {
+		n.writeFailureLoggedAt = time.Now()
 		n.log.WithError(err).Error(logfields.ClusterWriteFailed)
 	}
 }
