--- a/internal/net/clustertransport/codec.go
+++ b/internal/net/clustertransport/codec.go
@@ -14,7 +14,8 @@
 	"larchusher/maintenance"
 )
 
-// The messages of packages cluster and consensus in their encoded form, whose names are those of the first version.
+// Conversions between the messages of packages cluster and consensus and their protobuf form. The protobuf fields keep the names
+// of the first version of the format, which differ from those of the Go fields.
 
 func encodeMessage(m cluster.Message) *linkpb.Message {
 	pb := &linkpb.Message{
@@ -92,7 +93,8 @@
 		AcceptedBallot: decodeBallot(pb.GetAccepted()),
 		State:          decodeState(pb.GetState()),
 	}
-	// Former versions proposed values under ballots that no majority had promised. Kind 0 is ignored, so that they have to send a Prepare.
+	// A former version sent Accept messages with a Prior ballot, for which no majority had given a promise. Kind 0 is ignored by
+	// voters, so that such a proposer has to send a Prepare.
 	if pb.GetPrior() != nil {
 		m.Kind = 0
 	}
@@ -137,7 +139,7 @@
 	return r
 }
 
-// EncodeAcceptorState encodes an acceptor's state for its file.
+// EncodeAcceptorState encodes an acceptor's state for the voter's file.
 func EncodeAcceptorState(a consensus.AcceptorState) ([]byte, error) {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(&linkpb.Kept{
 		Life:     a.Incarnation,
@@ -147,19 +149,19 @@
 		Has:      a.Initialized,
 	})
 	if err != nil {
-		return nil, fmt.Errorf("a vote: %w", err)
+		return nil, fmt.Errorf("encoding the acceptor's state: %w", err)
 	}
 	return b, nil
 }
 
-// DecodeAcceptorState reads what EncodeAcceptorState has written. One without an incarnation is an error.
+// DecodeAcceptorState decodes what EncodeAcceptorState has returned. It fails if the bytes can't be decoded or have no incarnation.
 func DecodeAcceptorState(b []byte) (consensus.AcceptorState, error) {
 	var pb linkpb.Kept
 	if err := proto.Unmarshal(b, &pb); err != nil {
-		return consensus.AcceptorState{}, fmt.Errorf("a vote: %w", err)
+		return consensus.AcceptorState{}, fmt.Errorf("decoding the acceptor's state: %w", err)
 	}
 	if pb.GetLife() == 0 {
-		return consensus.AcceptorState{}, errors.New("a vote without a life")
+		return consensus.AcceptorState{}, errors.New("decoding the acceptor's state: its incarnation is 0")
 	}
 	return consensus.AcceptorState{
 		Incarnation: pb.GetLife(),
--- a/internal/net/clustertransport/frame.go
+++ b/internal/net/clustertransport/frame.go
@@ -14,8 +14,8 @@
 	"larchusher/internal/net/clustertransport/linkpb"
 )
 
-// The greeting is magic and a challenge. A frame is the length of an envelope (4 bytes, big endian), the HMAC-SHA256 of
-// challenge and envelope, and the envelope.
+// The greeting of a connection is the magic and a challenge. A frame is the length of its envelope (4 bytes, big endian), the
+// HMAC-SHA-256 over the challenge and the envelope, and the envelope.
 const (
 	magic            = "LFL1"
 	challengeSize    = 16
@@ -26,17 +26,17 @@
 	maxNameBytes     = 64
 )
 
-// Why a frame is rejected, to be told apart by errors.Is.
+// Errors for which a frame is rejected and its connection closed, for errors.Is.
 var (
-	ErrFrameTooLong     = errors.New("a frame is too long")
-	ErrNotAuthenticated = errors.New("a frame is not authenticated")
-	ErrWrongRecipient   = errors.New("a frame is for somebody else")
-	ErrMalformed        = errors.New("a frame can't be read")
-	ErrNoVersion        = errors.New("a frame has no version")
+	ErrFrameTooLong     = errors.New("envelope of a frame exceeds the maximum of 512 KiB")
+	ErrNotAuthenticated = errors.New("frame has no valid MAC for this key and connection")
+	ErrWrongRecipient   = errors.New("frame has the wrong sender or recipient")
+	ErrMalformed        = errors.New("frame can't be decoded")
+	ErrNoVersion        = errors.New("frame has no version")
 )
 
-// errNoGreeting reports that who accepted a connection is no member.
-var errNoGreeting = errors.New("not the greeting of a member")
+// errNoGreeting reports that the accepting side of a connection did not send the greeting of a cluster member.
+var errNoGreeting = errors.New("no valid greeting of a cluster member received")
 
 func newChallenge() []byte {
 	b := make([]byte, challengeSize)
@@ -44,7 +44,7 @@
 	return b
 }
 
-// parseGreeting returns the challenge of a greeting; false: it is none.
+// parseGreeting returns the challenge in a greeting, or false if the bytes are not a greeting.
 func parseGreeting(b []byte) (challenge []byte, ok bool) {
 	if len(b) != greetingSize || string(b[:len(magic)]) != magic {
 		return nil, false
@@ -59,7 +59,8 @@
 	return h.Sum(nil)
 }
 
-// FrameSize is the size of a message on the wire, in bytes, between members with names of ten characters; 0: it can't be encoded.
+// FrameSize returns the size in bytes of a message on the wire, between members with names of ten characters; 0 if the message
+// can't be encoded.
 func FrameSize(m cluster.Message) int {
 	w := &frameWriter{from: "gateway-00", to: "gateway-00"}
 	f, err := w.frame(m)
@@ -69,12 +70,12 @@
 	return len(f)
 }
 
-// frameWriter makes the frames of one direction of a connection.
+// frameWriter encodes the frames of one direction of a connection. It is not safe for concurrent use.
 type frameWriter struct {
-	key, challenge []byte // the challenge is the receiver's
+	key, challenge []byte // challenge is the one that the receiver sent
 	from, to       string
 	sequence       uint64
-	ownChallenge   []byte // for the frames that come back; sent with the first frame
+	ownChallenge   []byte // the receiver computes the MACs of its frames over it; sent with the first frame, then nil
 }
 
 func (w *frameWriter) frame(m cluster.Message) ([]byte, error) {
@@ -83,7 +84,7 @@
 	w.ownChallenge = nil
 	b, err := proto.Marshal(e)
 	if err != nil {
-		return nil, fmt.Errorf("a frame: %w", err)
+		return nil, fmt.Errorf("encoding a frame: %w", err)
 	}
 	if len(b) > maxEnvelopeBytes {
 		return nil, fmt.Errorf("%w: %d bytes", ErrFrameTooLong, len(b))
@@ -94,18 +95,18 @@
 	return append(f, b...), nil
 }
 
-// frameReader cuts a stream into frames and checks each. Its first error is final.
+// frameReader splits a byte stream into frames and checks each of them. After its first error it must not be used any more.
 type frameReader struct {
-	key, challenge []byte // the challenge is its own
+	key, challenge []byte // challenge is the one that this side sent
 	self           string
-	from           string // sender of the first frame; others are rejected
+	from           string // sender of the first frame; frames from other senders are rejected
 	sequence       uint64
-	replayed       uint64 // frames that came again, or out of order
-	peerChallenge  []byte // that came with the first frame
-	buf            []byte // without a complete frame yet
+	replayed       uint64 // frames that were ignored because their sequence number was not higher than the one before
+	peerChallenge  []byte // challenge in the first frame; a tool sends one
+	buf            []byte // bytes received after the last complete frame
 }
 
-// feed takes bytes and calls emit with each message.
+// feed appends received bytes and calls emit with each message that is complete.
 func (r *frameReader) feed(b []byte, emit func(from string, m cluster.Message)) error {
 	r.buf = append(r.buf, b...)
 	for {
@@ -123,7 +124,7 @@
 		if r.from == "" {
 			r.from, r.peerChallenge = e.GetFrom(), e.GetChallenge()
 		}
-		if e.GetSequence() <= r.sequence { // duplicated or overtaken on its way: as good as lost
+		if e.GetSequence() <= r.sequence { // duplicated or overtaken: ignored like a lost message
 			r.replayed++
 			continue
 		}
@@ -132,21 +133,21 @@
 	}
 }
 
-// next cuts off the next envelope that is complete, and authentic; nil: there is none yet.
+// next removes the next envelope from the buffer and returns it after checking its MAC; nil: it is not complete yet.
 func (r *frameReader) next() ([]byte, error) {
 	if len(r.buf) < headerSize {
 		return nil, nil
 	}
 	size := int(binary.BigEndian.Uint32(r.buf))
-	if size > maxEnvelopeBytes { // before that much is waited for
+	if size > maxEnvelopeBytes { // checked before that many bytes are buffered
 		return nil, fmt.Errorf("%w: %d bytes", ErrFrameTooLong, size)
 	}
 	end := headerSize + size
 	if len(r.buf) < end {
 		return nil, nil
 	}
-	code, envelope := r.buf[lengthSize:headerSize], r.buf[headerSize:end:end]
-	if !hmac.Equal(code, mac(r.key, r.challenge, envelope)) {
+	frameMAC, envelope := r.buf[lengthSize:headerSize], r.buf[headerSize:end:end]
+	if !hmac.Equal(frameMAC, mac(r.key, r.challenge, envelope)) {
 		return nil, ErrNotAuthenticated
 	}
 	r.buf = r.buf[end:]
@@ -156,7 +157,8 @@
 	return envelope, nil
 }
 
-// checkEnvelope rejects envelopes without a version, for another member, and of another sender than the first.
+// checkEnvelope returns an error for an envelope without a version, for another recipient, without a valid sender, or from another
+// sender than the first one on the connection.
 func (r *frameReader) checkEnvelope(e *linkpb.Envelope) error {
 	if e.GetVersion() == 0 {
 		return ErrNoVersion
--- a/internal/net/clustertransport/incoming.go
+++ b/internal/net/clustertransport/incoming.go
@@ -9,20 +9,20 @@
 	"larchusher/internal/net/transport"
 )
 
-// incoming is an accepted connection, of a member or a tool.
+// incoming is an accepted connection, from a member or a tool. Unless marked, its fields belong to the event loop.
 type incoming struct {
 	transport *Transport
-	frames    frameReader // poller
+	frames    frameReader // used on the poller
 
 	conn      *transport.Conn
-	from      string // empty: no frame was received yet
-	rejected  bool   // its first frame was: nothing that comes behind it is taken
+	from      string // empty: no frame has been received yet
+	rejected  bool   // the first frame was rejected; frames after it are ignored
 	isTool    bool
-	lastFrame time.Time    // or when it was accepted
-	writer    *frameWriter // to a tool
+	lastFrame time.Time    // time of the latest frame, or of the accept
+	writer    *frameWriter // nil unless the connection is a tool's
 }
 
-// OnOpened makes the challenge, before the first byte can come.
+// OnOpened creates the challenge before the first bytes can arrive. It is called on the poller, like the other callbacks.
 func (c *incoming) OnOpened(conn *transport.Conn) {
 	t := c.transport
 	c.frames = frameReader{key: t.key, challenge: newChallenge(), self: t.self}
@@ -35,12 +35,12 @@
 	})
 }
 
-// OnReady greets with the challenge.
+// OnReady sends the greeting, which contains the challenge.
 func (c *incoming) OnReady(conn *transport.Conn) {
-	_ = conn.Write([]byte(magic), c.frames.challenge) // after an error the connection ends, and OnClosed is called
+	_ = conn.Write([]byte(magic), c.frames.challenge) // an error closes the connection, and OnClosed is called
 }
 
-// OnBytes takes frames.
+// OnBytes reads frames and posts their messages to the event loop. An invalid frame is logged and closes the connection.
 func (c *incoming) OnBytes(_ *transport.Conn, b []byte, _ time.Time) error {
 	t := c.transport
 	err := c.frames.feed(b, func(from string, m cluster.Message) {
@@ -60,10 +60,10 @@
 	return err
 }
 
-// received takes a message of an authenticated frame; challenge is that of a tool.
+// received handles the message of an authenticated frame on the event loop. challenge is the one that a tool has sent.
 func (c *incoming) received(from string, challenge []byte, m cluster.Message) {
 	t := c.transport
-	if c.rejected || t.closed { // frames that were read before the connection closed
+	if c.rejected || t.closed { // the frame was read before the connection was closed
 		return
 	}
 	c.lastFrame = t.loop.Now()
@@ -71,7 +71,7 @@
 		if t.members[from] == nil && !c.registerTool(from, challenge) {
 			c.rejected = true
 			t.Counters.Rejected++
-			c.conn.Close(fmt.Errorf("%.64q is neither a member nor a tool", from))
+			c.conn.Close(fmt.Errorf("%.64q is not a member, and can't be registered as a tool: its challenge is invalid, its name in use, or too many tools are connected", from))
 			return
 		}
 		c.from = from
@@ -81,7 +81,8 @@
 	t.receive(from, m)
 }
 
-// registerTool has replies to a name go over this connection; false: it is not a tool's, or there are too many.
+// registerTool has replies to a name sent over this connection. It reports false if the challenge has the wrong length, the name
+// is in use, or maxTools are connected.
 func (c *incoming) registerTool(name string, challenge []byte) bool {
 	t := c.transport
 	if len(challenge) != challengeSize || len(t.tools) >= maxTools || t.tools[name] != nil || name == t.self {
@@ -93,7 +94,7 @@
 	return true
 }
 
-// OnClosed forgets the connection.
+// OnClosed removes the connection from the transport.
 func (c *incoming) OnClosed(*transport.Conn, error) {
 	t := c.transport
 	t.loop.Post(func() {
@@ -104,7 +105,7 @@
 	})
 }
 
-// reply sends a message to a tool.
+// reply sends a message to the tool on this connection.
 func (c *incoming) reply(m cluster.Message) {
 	t := c.transport
 	f, err := c.writer.frame(m)
--- a/internal/net/clustertransport/outgoing.go
+++ b/internal/net/clustertransport/outgoing.go
@@ -11,25 +11,26 @@
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	// The backoff after a connection that failed doubles up to its maximum.
+	// The backoff after a failed connection starts at minBackoff and doubles up to maxBackoff.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 2 * time.Second
-	// maxQueuedMessages bounds what waits for a connection to come up; further messages are dropped.
+	// maxQueuedMessages bounds the messages that wait until a connection is up; further ones are dropped.
 	maxQueuedMessages = 16
-	// maxUnsentBytes bounds what waits for a member that does not read; further messages are dropped.
+	// maxUnsentBytes bounds the bytes that are buffered for a member that does not read; further messages are dropped.
 	maxUnsentBytes = 1 << 20
 )
 
-// outgoing sends messages to one member, over a connection that it dials when there is something to send.
+// outgoing sends messages to one member. It dials a connection when there is a message to send and none is up. It belongs to the
+// event loop.
 type outgoing struct {
 	transport *Transport
 	name      string
 	addr      string
 
 	conn      *outgoingConn // nil: there is none
-	dialAfter time.Time     // no dial earlier
+	dialAfter time.Time     // no dial before this time
 	backoff   time.Duration
-	queued    []cluster.Message // until the connection is up
+	queued    []cluster.Message // messages that wait until the connection is up
 }
 
 func (o *outgoing) send(m cluster.Message) {
@@ -53,16 +54,16 @@
 	t.Counters.Dials++
 	c := &outgoingConn{member: o}
 	o.conn = c
-	dialled := func(*transport.Conn) {} // the greeting tells that it is up
-	t.engine.Dial(o.addr, dialTimeout, c, dialled, func(err error) {
+	onDialled := func(*transport.Conn) {} // the connection is up only once the greeting has arrived
+	t.engine.Dial(o.addr, dialTimeout, c, onDialled, func(err error) {
 		t.loop.Post(func() { o.disconnected(c, err) })
 	})
 }
 
-// connected sends what was queued, once the member has greeted.
+// connected is called once the member has sent its greeting. It sends the queued messages.
 func (o *outgoing) connected(c *outgoingConn, conn *transport.Conn, challenge []byte) {
 	if o.conn != c {
-		conn.Close(errors.New("given up"))
+		conn.Close(errors.New("connection was abandoned before its greeting arrived"))
 		return
 	}
 	c.conn = conn
@@ -71,7 +72,7 @@
 	queued := o.queued
 	o.queued = nil
 	for _, m := range queued {
-		if o.conn == c { // a write may end it
+		if o.conn == c { // a failed write ends the connection
 			o.write(m)
 		}
 	}
@@ -96,7 +97,7 @@
 	}
 }
 
-// disconnected takes in that a connection did not come up, or ended.
+// disconnected handles a connection that could not be opened or has ended: it drops the queue and delays the next dial.
 func (o *outgoing) disconnected(c *outgoingConn, err error) {
 	if o.conn != c {
 		return
@@ -109,7 +110,7 @@
 	o.backoff = min(maxBackoff, 2*o.backoff)
 }
 
-// reset ends the connection and drops what was queued for it.
+// reset closes the connection and drops the queued messages.
 func (o *outgoing) reset(err error) {
 	if o.conn != nil && o.conn.conn != nil {
 		o.conn.conn.Close(err)
@@ -118,19 +119,19 @@
 	o.conn, o.queued = nil, nil
 }
 
-// outgoingConn is a connection to a member, which sends its greeting and nothing else.
+// outgoingConn is a connection to a member. The member sends its greeting over it and nothing else.
 type outgoingConn struct {
 	member   *outgoing
-	greeting []byte // poller
+	greeting []byte // used on the poller
 
-	conn   *transport.Conn // nil: not up yet
-	writer *frameWriter    // nil: not up yet
+	conn   *transport.Conn // nil: no greeting has arrived yet
+	writer *frameWriter    // nil: no greeting has arrived yet
 }
 
-// OnBytes reads the greeting.
+// OnBytes reads the greeting. It is called on the poller.
 func (c *outgoingConn) OnBytes(conn *transport.Conn, b []byte, _ time.Time) error {
 	if len(c.greeting) >= greetingSize {
-		return errors.New("a member that says more than its greeting")
+		return errors.New("member sent more than its greeting")
 	}
 	c.greeting = append(c.greeting, b...)
 	if len(c.greeting) < greetingSize {
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// OnClosed has the next message dial again.
+// OnClosed reports the end of the connection to the event loop; the next message dials again.
 func (c *outgoingConn) OnClosed(_ *transport.Conn, err error) {
 	if err == nil {
 		err = errors.New("closed")
--- a/internal/net/clustertransport/replication_codec.go
+++ b/internal/net/clustertransport/replication_codec.go
@@ -7,9 +7,10 @@
 	"larchusher/replication"
 )
 
-// The messages of package replication in their encoded form.
+// Conversions between the messages of package replication and their protobuf form.
 
-// maxAgeMicros is the greatest age of a slot that is read, so that a time does not overflow. No kind of slot lasts as long.
+// maxAgeMicros is the maximum age of a received slot in µs; higher ages are lowered to it, so that times don't overflow. No kind of
+// slot lives as long.
 const maxAgeMicros = uint64(24 * time.Hour / time.Microsecond)
 
 func encodeReplication(m *replication.Message) *linkpb.Copy {
--- a/internal/net/clustertransport/tool.go
+++ b/internal/net/clustertransport/tool.go
@@ -12,10 +12,11 @@
 	"larchusher/cluster"
 )
 
-// defaultRequestTimeout is how long a request without a deadline may take.
+// defaultRequestTimeout is the timeout of a request whose context has no deadline.
 const defaultRequestTimeout = 10 * time.Second
 
-// Tool is an operator's connection to one gateway. Its methods block; it is not for use in a gateway.
+// Tool is the connection of an operator's tool to one gateway. Its methods block, so a gateway must not use it. It is not safe for
+// concurrent use.
 type Tool struct {
 	conn   net.Conn
 	writer *frameWriter
@@ -23,7 +24,8 @@
 	lastID uint64
 }
 
-// DialTool connects to the gateway of a name. The context's deadline, if any, is that of the whole connection until Request is called.
+// DialTool connects to the gateway with a name and reads its greeting, within the context's deadline, if there is one. key is the
+// cluster's key.
 func DialTool(ctx context.Context, name, addr string, key []byte) (*Tool, error) {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", addr)
@@ -32,7 +34,7 @@
 	}
 	challenge, err := readGreeting(ctx, conn)
 	if err != nil {
-		_ = conn.Close() // the greeting's error says what is wrong
+		_ = conn.Close() // the greeting's error is the cause
 		return nil, fmt.Errorf("gateway %s at %s: %w", name, addr, err)
 	}
 	id := make([]byte, 8)
@@ -45,7 +47,7 @@
 	}, nil
 }
 
-// readGreeting returns the challenge of the gateway's greeting.
+// readGreeting reads the gateway's greeting and returns its challenge.
 func readGreeting(ctx context.Context, conn net.Conn) ([]byte, error) {
 	if at, ok := ctx.Deadline(); ok {
 		if err := conn.SetDeadline(at); err != nil {
@@ -63,7 +65,8 @@
 	return challenge, nil
 }
 
-// Request sends a command or a query and waits for its reply, until the context's deadline or for defaultRequestTimeout.
+// Request sends a command or a query and returns the reply. It fails at the context's deadline, or after defaultRequestTimeout if
+// there is none.
 func (t *Tool) Request(ctx context.Context, m cluster.Message) (cluster.Message, error) {
 	t.lastID++
 	m.Kind, m.ID = cluster.OperatorRequest, t.lastID
@@ -76,15 +79,15 @@
 		at = time.Now().Add(defaultRequestTimeout)
 	}
 	if err := t.conn.SetDeadline(at); err != nil {
-		return cluster.Message{}, fmt.Errorf("asking: %w", err)
+		return cluster.Message{}, fmt.Errorf("sending the request: %w", err)
 	}
 	if _, err := t.conn.Write(f); err != nil {
-		return cluster.Message{}, fmt.Errorf("asking: %w", err)
+		return cluster.Message{}, fmt.Errorf("sending the request: %w", err)
 	}
 	return t.receiveReply(m.ID)
 }
 
-// receiveReply waits for the reply to a request; other messages are ignored.
+// receiveReply reads until the reply to a request arrives; other messages are ignored.
 func (t *Tool) receiveReply(id uint64) (cluster.Message, error) {
 	buf := make([]byte, 32<<10)
 	for {
@@ -107,5 +110,5 @@
 	}
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (t *Tool) Close() error { return t.conn.Close() }
--- a/internal/net/clustertransport/transport.go
+++ b/internal/net/clustertransport/transport.go
@@ -1,12 +1,12 @@
-// Package clustertransport carries messages between the gateways of an installation, and between an operator's tool and one of
-// them.
+// Package clustertransport carries messages between the gateways of a cluster, and between an operator's tool and a gateway.
 //
-// Each TCP connection carries messages one way, from the member that dialled; a tool's carries them both ways. Who accepts a connection
-// greets with a challenge, and every frame is authenticated by the installation's key over that challenge. So frames
-// without the key are rejected, and so is what was sent before on another connection; a frame that comes again on the same
-// one is ignored. Nothing is encrypted, and nothing protects against one who has the key or delays frames.
+// A TCP connection between gateways carries messages in one direction, from the member that dialled it; a tool's connection carries
+// them in both. The accepting side greets with a random challenge, and each frame has a MAC over that challenge and the frame,
+// with the cluster's key. Frames without the key, and frames recorded on another connection, are therefore rejected; a frame
+// that is replayed on the same connection is ignored. Nothing is encrypted, and there is no protection against attackers who
+// have the key, or who delay frames.
 //
-// A Transport lives on the event loop; what is marked poller runs on the connection's poller.
+// A Transport belongs to the event loop. Fields that are marked so are used on the connection's poller instead.
 package clustertransport
 
 import (
@@ -22,30 +22,31 @@
 )
 
 const (
-	// greetingTimeout is how long an accepted connection may be without a frame, and how often idle connections are closed.
+	// greetingTimeout is how long an accepted connection may stay open without a frame, and the interval of the check for it.
 	greetingTimeout = 2 * time.Second
-	// toolIdleTimeout is how long a tool's connection may be without a further frame.
+	// toolIdleTimeout is how long a tool's connection may stay open after its latest frame.
 	toolIdleTimeout = 30 * time.Second
-	// maxTools bounds the tools that are connected.
+	// maxTools bounds the number of connected tools.
 	maxTools = 32
 )
 
-// errTransportClosed ends connections when the transport is closed.
+// errTransportClosed is the reason with which connections are closed when the transport is closed.
 var errTransportClosed = errors.New("closed")
 
-// Member is a gateway of the installation.
+// Member is a gateway of the cluster: its name, and the address (host:port) on which it listens for the other members.
 type Member struct{ Name, Addr string }
 
-// Counters count what went over the transport. Bytes sent are those of frames, bytes received those of the messages' values.
+// Counters count the messages and connections of a transport. SentBytes counts the bytes of frames, ReceivedBytes those of the
+// messages' values.
 type Counters struct {
 	Sent, SentBytes, Received, ReceivedBytes uint64
-	Dropped                                  uint64 // messages that were not sent: no connection, or a full one
-	Rejected                                 uint64 // connections closed for a frame that was not valid, or not from a member or a tool
-	Replayed                                 uint64 // frames that came again, or out of order
-	Dials, Disconnects                       uint64 // of connections to members
+	Dropped                                  uint64 // messages not sent: no connection, a full queue or buffer, or not encodable
+	Rejected                                 uint64 // connections closed for an invalid frame, or one from neither a member nor a tool
+	Replayed                                 uint64 // frames ignored as duplicated or overtaken
+	Dials, Disconnects                       uint64 // connections to members: dials, and dials that failed or connections that ended
 }
 
-// Transport connects a gateway with the other members, and with tools. Use Open.
+// Transport connects a gateway with the other members and with tools. Create it with [Open]. All methods run on the event loop.
 type Transport struct {
 	Counters Counters
 
@@ -62,8 +63,8 @@
 	closed   bool
 }
 
-// Open listens for the other members and for tools. Each message is handed to receive, on the loop. An error says why the address can't be
-// listened on.
+// Open listens for the other members and for tools. Each message is passed to receive on the event loop. It fails if the address
+// can't be listened on.
 func Open(self, listen string, members []Member, key []byte, loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger,
 	receive func(from string, m cluster.Message)) (*Transport, error) {
 	t := &Transport{
@@ -86,16 +87,16 @@
 	maxConns := 2*len(members) + maxTools
 	t.listener, err = engine.Listen(listen, maxConns, nil, func() transport.Handler { return &incoming{transport: t} })
 	if err != nil {
-		return nil, fmt.Errorf("listening for the fleet: %w", err)
+		return nil, fmt.Errorf("listening for cluster members and tools: %w", err)
 	}
 	loop.After(greetingTimeout, t.closeIdle)
 	return t, nil
 }
 
-// Addr is the address that it listens on.
+// Addr returns the address that the transport listens on.
 func (t *Transport) Addr() string { return t.listener.Addr().String() }
 
-// Send sends a message to a member, or back to a tool. It does not block, and the message may get lost.
+// Send sends a message to a member, or to a connected tool. It does not block. Messages may be lost.
 func (t *Transport) Send(to string, m cluster.Message) {
 	if member := t.members[to]; member != nil {
 		member.send(m)
@@ -108,7 +109,7 @@
 	t.Counters.Dropped++
 }
 
-// Close ends listening and all connections.
+// Close stops listening and closes all connections.
 func (t *Transport) Close() {
 	t.closed = true
 	t.listener.Close()
@@ -120,13 +121,14 @@
 	}
 }
 
-// closeIdle closes accepted connections without a frame in time. A member's connection may be idle once it has sent one.
+// closeIdle closes accepted connections that have not sent a frame in time, and idle connections of tools. A member's connection
+// may stay idle once it has sent a frame.
 func (t *Transport) closeIdle() {
 	now := t.loop.Now()
 	for c := range t.accepted {
 		idle := now.Sub(c.lastFrame)
 		if c.from == "" && idle > greetingTimeout || c.isTool && idle > toolIdleTimeout {
-			c.conn.Close(errors.New("it says nothing"))
+			c.conn.Close(errors.New("no frame received in time"))
 		}
 	}
 	if !t.closed {
--- a/internal/net/clustertransport/transport_test.go
+++ b/internal/net/clustertransport/transport_test.go
@@ -88,21 +88,22 @@
 	}
 }
 
-// What a former version proposed without a Prepare had no majority's promise: it is read as a message that voters ignore.
-func TestAFormerVersionHasToPrepare(t *testing.T) {
+// A former version proposed values without a Prepare, so without the promise of a majority. Its Accept messages, which have a prior
+// ballot, must be decoded as a kind that voters ignore.
+func TestAcceptWithPriorBallotIsIgnored(t *testing.T) {
 	pb := encodeMessage(cluster.Message{Kind: cluster.ConsensusMessage, Consensus: consensus.Message{Kind: consensus.Accept, Ballot: consensus.Ballot{Number: 5, Voter: "a"}}})
 	if decodeMessage(pb).Consensus.Kind != consensus.Accept {
-		t.Fatal("an accept after a prepare is not read")
+		t.Fatal("an Accept without a prior ballot is not decoded as one")
 	}
 	pb.Vote.Prior = encodeBallot(consensus.Ballot{Number: 4, Voter: "a"})
 	if got := decodeMessage(pb).Consensus.Kind; got != 0 {
-		t.Errorf("it is read as %v", got)
+		t.Errorf("an Accept with a prior ballot is decoded as kind %v, want 0", got)
 	}
 }
 
-// Messages are read as they were written, in whatever pieces they come; and of a stream that was changed in any byte nothing is
-// read from the frame on in which that is.
-func TestFramesAreReadAsWrittenOrNotAtAll(t *testing.T) {
+// A stream is decoded to the messages that were written, in whatever pieces it arrives. If a byte of it was changed, no message is
+// decoded from the frame with that byte on.
+func TestFramesRoundTripOrAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		challenge := bytes.Repeat([]byte{7}, challengeSize)
 		w := &frameWriter{key: key, challenge: challenge, from: "a", to: "b"}
@@ -136,7 +137,7 @@
 			stream = stream[n:]
 		}
 		if !reflect.DeepEqual(got, sent[:intact]) && len(got)+intact > 0 {
-			t.Fatalf("%+v are read, %+v were written", got, sent[:intact])
+			t.Fatalf("%+v were decoded, want %+v", got, sent[:intact])
 		}
 	})
 }
@@ -150,56 +151,56 @@
 	return f
 }
 
-// What nobody with the key would send now is rejected: with another key, to another connection, for another, without a version, too
-// long; and what comes again on the same connection is ignored.
+// Frames are rejected that have another key, were made for another connection or recipient, have no sender or no version, or are too
+// long. Frames that are replayed or overtaken on the same connection are ignored.
 func TestForgedAndReplayedFrames(t *testing.T) {
-	one, two := bytes.Repeat([]byte{1}, challengeSize), bytes.Repeat([]byte{2}, challengeSize)
-	good := func() *frameWriter { return &frameWriter{key: key, challenge: one, from: "a", to: "b"} }
-	none := func() []byte {
+	challenge, otherChallenge := bytes.Repeat([]byte{1}, challengeSize), bytes.Repeat([]byte{2}, challengeSize)
+	writer := func() *frameWriter { return &frameWriter{key: key, challenge: challenge, from: "a", to: "b"} }
+	withoutVersion := func() []byte {
 		b, _ := proto.Marshal(&linkpb.Envelope{From: "a", To: "b", Sequence: 1})
-		return append(append([]byte{0, 0, 0, byte(len(b))}, mac(key, one, b)...), b...)
+		return append(append([]byte{0, 0, 0, byte(len(b))}, mac(key, challenge, b)...), b...)
 	}
 	for _, c := range []struct {
 		name   string
 		stream []byte
 		want   error
 	}{
-		{"another key", frameOf(t, &frameWriter{key: []byte("x"), challenge: one, from: "a", to: "b"}, cluster.Message{Kind: cluster.RenewLease}), ErrNotAuthenticated},
-		{"another connection's", frameOf(t, &frameWriter{key: key, challenge: two, from: "a", to: "b"}, cluster.Message{Kind: cluster.RenewLease}), ErrNotAuthenticated},
-		{"for another", frameOf(t, &frameWriter{key: key, challenge: one, from: "a", to: "c"}, cluster.Message{Kind: cluster.RenewLease}), ErrWrongRecipient},
-		{"from nobody", frameOf(t, &frameWriter{key: key, challenge: one, to: "b"}, cluster.Message{Kind: cluster.RenewLease}), ErrWrongRecipient},
-		{"no version", none(), ErrNoVersion},
+		{"another key", frameOf(t, &frameWriter{key: []byte("x"), challenge: challenge, from: "a", to: "b"}, cluster.Message{Kind: cluster.RenewLease}), ErrNotAuthenticated},
+		{"challenge of another connection", frameOf(t, &frameWriter{key: key, challenge: otherChallenge, from: "a", to: "b"}, cluster.Message{Kind: cluster.RenewLease}), ErrNotAuthenticated},
+		{"another recipient", frameOf(t, &frameWriter{key: key, challenge: challenge, from: "a", to: "c"}, cluster.Message{Kind: cluster.RenewLease}), ErrWrongRecipient},
+		{"no sender", frameOf(t, &frameWriter{key: key, challenge: challenge, to: "b"}, cluster.Message{Kind: cluster.RenewLease}), ErrWrongRecipient},
+		{"no version", withoutVersion(), ErrNoVersion},
 		{"too long", []byte{0x7f, 0, 0, 0, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1}, ErrFrameTooLong},
 		{"HTTP", []byte("GET / HTTP/1.1\r\nHost: somewhere.example\r\n\r\n"), ErrFrameTooLong},
 	} {
-		r := &frameReader{key: key, challenge: one, self: "b"}
-		err := r.feed(c.stream, func(string, cluster.Message) { t.Errorf("%s is read", c.name) })
+		r := &frameReader{key: key, challenge: challenge, self: "b"}
+		err := r.feed(c.stream, func(string, cluster.Message) { t.Errorf("%s: the message was accepted", c.name) })
 		if !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
 		}
 	}
-	w := good()
+	w := writer()
 	first, second := frameOf(t, w, cluster.Message{Kind: cluster.RenewLease, ID: 1}), frameOf(t, w, cluster.Message{Kind: cluster.RenewLease, ID: 2})
-	r, n := &frameReader{key: key, challenge: one, self: "b"}, 0
+	r, n := &frameReader{key: key, challenge: challenge, self: "b"}, 0
 	for _, f := range [][]byte{second, first, second} {
 		if err := r.feed(f, func(string, cluster.Message) { n++ }); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if n != 1 || r.replayed != 2 {
-		t.Errorf("%d of a frame, one overtaken and one that comes again are read, %d ignored", n, r.replayed)
+		t.Errorf("after an overtaken and a duplicated frame %d messages were accepted, want 1; %d frames were ignored, want 2", n, r.replayed)
 	}
-	r = &frameReader{key: key, challenge: one, self: "b"}
-	other := &frameWriter{key: key, challenge: one, from: "c", to: "b", sequence: 5}
-	if err := r.feed(append(frameOf(t, good(), cluster.Message{}), frameOf(t, other, cluster.Message{})...), func(string, cluster.Message) {}); !errors.Is(err, ErrWrongRecipient) {
-		t.Errorf("two senders on one connection: %v", err)
+	r = &frameReader{key: key, challenge: challenge, self: "b"}
+	other := &frameWriter{key: key, challenge: challenge, from: "c", to: "b", sequence: 5}
+	if err := r.feed(append(frameOf(t, writer(), cluster.Message{}), frameOf(t, other, cluster.Message{})...), func(string, cluster.Message) {}); !errors.Is(err, ErrWrongRecipient) {
+		t.Errorf("two senders on one connection: %v, want ErrWrongRecipient", err)
 	}
-	if _, err := good().frame(cluster.Message{Value: make([]byte, maxEnvelopeBytes+1)}); !errors.Is(err, ErrFrameTooLong) {
-		t.Errorf("a message over the bound: %v", err)
+	if _, err := writer().frame(cluster.Message{Value: make([]byte, maxEnvelopeBytes+1)}); !errors.Is(err, ErrFrameTooLong) {
+		t.Errorf("a message of more than maxEnvelopeBytes: %v, want ErrFrameTooLong", err)
 	}
 }
 
-func TestAcceptorStatesAreReadAsWritten(t *testing.T) {
+func TestAcceptorStateRoundTrip(t *testing.T) {
 	v := consensus.AcceptorState{Incarnation: 9, Promised: consensus.Ballot{Number: 4, Voter: "a"}, Accepted: consensus.Ballot{Number: 3, Voter: "b"}, Initialized: true,
 		State: consensus.State{Revision: 2, Incarnations: map[string]uint64{"a": 1}, Value: []byte("{}")}}
 	b, err := EncodeAcceptorState(v)
@@ -207,17 +208,17 @@
 		t.Fatal(err)
 	}
 	if got, err := DecodeAcceptorState(b); err != nil || !reflect.DeepEqual(got, v) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("decoded %+v, error %v", got, err)
 	}
 	for _, bad := range [][]byte{nil, {0xff, 0xff}, b[:len(b)-1]} {
 		if _, err := DecodeAcceptorState(bad); err == nil {
-			t.Errorf("%x is read", bad)
+			t.Errorf("no error for the damaged encoding %x", bad)
 		}
 	}
 }
 
-// Two members exchange messages over a connection each way; a member that ends and starts again is found; a tool is answered on
-// its own connection; who has not the key is rejected.
+// Two members exchange messages over a connection in each direction, also after one of them restarts. A tool gets its replies on its
+// own connection. A tool without the key gets an error, which is not a timeout.
 func TestTransport(t *testing.T) {
 	members := freeMembers(t, "a", "b")
 	a, b := startMember(t, members, 0), startMember(t, members, 1)
@@ -228,12 +229,12 @@
 	tool := dialTool(ctx, t, members[0], key)
 	for range 2 {
 		if m, err := tool.Request(ctx, cluster.Message{Query: "state"}); err != nil || string(m.Value) != "yes" {
-			t.Fatalf("a tool's request: %+v, %v", m, err)
+			t.Fatalf("reply to a tool's request: %+v, error %v", m, err)
 		}
 	}
-	thief := dialTool(ctx, t, members[0], []byte("another key altogether, 32 bytes"))
-	if _, err := thief.Request(ctx, cluster.Message{Query: "state"}); err == nil || strings.Contains(err.Error(), "deadline") {
-		t.Errorf("without the key: %v", err)
+	wrongKey := dialTool(ctx, t, members[0], []byte("another key altogether, 32 bytes"))
+	if _, err := wrongKey.Request(ctx, cluster.Message{Query: "state"}); err == nil || strings.Contains(err.Error(), "deadline") {
+		t.Errorf("request without the key: error %v, want one that is not a timeout", err)
 	}
 	closed := make(chan struct{})
 	b.loop.Post(func() { b.transport.Close(); close(closed) })
@@ -242,61 +243,61 @@
 	sendUntilReceived(t, a, b, "b", 3)
 }
 
-// Nothing of a connection is taken in whose first frame was rejected, also where more frames came with it.
-func TestNothingIsReceivedBehindARejectedFrame(t *testing.T) {
+// After the first frame of a connection was rejected, no message is received from it, even if more frames arrived in the same read.
+func TestNoMessageAfterRejectedFrame(t *testing.T) {
 	members := freeMembers(t, "a")
 	a := startMember(t, members, 0)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	stranger := dialTool(ctx, t, members[0], key)
-	stranger.writer.from, stranger.writer.ownChallenge = "stranger", nil // neither a member nor a tool
-	var both []byte
+	unregistered := dialTool(ctx, t, members[0], key)
+	unregistered.writer.from, unregistered.writer.ownChallenge = "stranger", nil // neither a member nor a tool
+	var frames []byte
 	for id := range uint64(2) {
-		f, err := stranger.writer.frame(cluster.Message{Kind: cluster.RenewLease, ID: id + 1})
+		f, err := unregistered.writer.frame(cluster.Message{Kind: cluster.RenewLease, ID: id + 1})
 		if err != nil {
 			t.Fatal(err)
 		}
-		both = append(both, f...)
+		frames = append(frames, f...)
 	}
-	if _, err := stranger.conn.Write(both); err != nil {
+	if _, err := unregistered.conn.Write(frames); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := stranger.conn.Read(make([]byte, 1)); err == nil {
-		t.Error("a stranger is answered")
+	if _, err := unregistered.conn.Read(make([]byte, 1)); err == nil {
+		t.Error("the connection of a sender that is neither a member nor a tool was not closed")
 	}
 	select {
 	case m := <-a.received:
-		t.Errorf("message %d was received", m.ID)
+		t.Errorf("message %d was received after a rejected frame", m.ID)
 	case <-time.After(200 * time.Millisecond):
 	}
 }
 
-// What was read before the transport closed, and comes to the loop behind that, is not taken in.
-func TestNothingIsReceivedOnceClosed(t *testing.T) {
+// A frame that was read before the transport closed, but reaches the event loop only after that, is ignored.
+func TestNoMessageAfterClose(t *testing.T) {
 	members := freeMembers(t, "a", "b")
 	a, b := startMember(t, members, 0), startMember(t, members, 1)
 	sendUntilReceived(t, b, a, "a", 1)
-	held, closed := make(chan struct{}), make(chan struct{})
+	loopBlocked, closed := make(chan struct{}), make(chan struct{})
 	a.loop.Post(func() {
-		close(held)
-		time.Sleep(200 * time.Millisecond) // the frame comes meanwhile, and waits behind this
+		close(loopBlocked)
+		time.Sleep(200 * time.Millisecond) // the frame arrives in the meantime and is posted to the loop after this function
 		a.transport.Close()
 		close(closed)
 	})
-	<-held
+	<-loopBlocked
 	for len(a.received) > 0 {
-		<-a.received // what sendUntilReceived sent more than once
+		<-a.received // duplicates that sendUntilReceived sent
 	}
 	b.loop.Post(func() { b.transport.Send("a", cluster.Message{Kind: cluster.RenewLease, ID: 2}) })
 	<-closed
 	select {
 	case m := <-a.received:
-		t.Errorf("message %d was received", m.ID)
+		t.Errorf("message %d was received after the transport was closed", m.ID)
 	case <-time.After(200 * time.Millisecond):
 	}
 }
 
-// freeMembers are members with addresses that nobody listens on.
+// freeMembers returns members with addresses that were free a moment ago.
 func freeMembers(t *testing.T, names ...string) (members []Member) {
 	t.Helper()
 	for _, name := range names {
@@ -313,7 +314,7 @@
 	return members
 }
 
-// runningMember answers operators' requests with yes, and hands on all other messages.
+// runningMember answers operators' requests with "yes", and passes all other messages to received.
 type runningMember struct {
 	loop      *gateway.Loop
 	transport *Transport
@@ -346,10 +347,10 @@
 	return m
 }
 
-// sendUntilReceived repeats a message until it arrives: it may get lost while a connection comes up.
+// sendUntilReceived repeats a message until it arrives, because messages may be lost while a connection is being opened.
 func sendUntilReceived(t *testing.T, from, to *runningMember, name string, id uint64) {
 	t.Helper()
-	late := time.After(10 * time.Second)
+	timeout := time.After(10 * time.Second)
 	for {
 		from.loop.Post(func() { from.transport.Send(name, cluster.Message{Kind: cluster.RenewLease, ID: id}) })
 		select {
@@ -358,8 +359,8 @@
 				return
 			}
 		case <-time.After(50 * time.Millisecond):
-		case <-late:
-			t.Fatalf("nothing arrives at %s", name)
+		case <-timeout:
+			t.Fatalf("no message arrived at %s within 10 s", name)
 		}
 	}
 }
@@ -370,12 +371,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = tool.Close() }) // the gateway may have closed it
+	t.Cleanup(func() { _ = tool.Close() }) // the gateway may have closed the connection already
 	return tool
 }
 
-// A tool that reaches another program says so, whether that greets with something else or closes.
-func TestDialToolNamesAWrongGreeting(t *testing.T) {
+// DialTool returns errNoGreeting if another program listens on the address, whether that sends something else or closes the
+// connection.
+func TestDialToolReportsWrongGreeting(t *testing.T) {
 	for name, greeting := range map[string]string{"another protocol": "HTTP/1.1 400 Bad Request\r\n\r\n", "closed": ""} {
 		var lc net.ListenConfig
 		l, err := lc.Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -394,7 +396,7 @@
 		_, err = DialTool(ctx, "a", l.Addr().String(), key)
 		cancel()
 		if !errors.Is(err, errNoGreeting) || strings.Contains(err.Error(), "nil") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want errNoGreeting", name, err)
 		}
 		if err := l.Close(); err != nil {
 			t.Error(err)
