--- a/internal/hotrestart/doc.go
+++ b/internal/hotrestart/doc.go
@@ -1,8 +1,8 @@
-// Package hotrestart lets a new process of a gateway take over from one that still serves. The processes find each other by locks
-// on files in a folder that they share. The kernel releases a process's locks when it ends, so a lock never claims a process
-// that is gone.
+// Package hotrestart lets a new process of a gateway take over from a process that is still serving. The processes find each other
+// by locks on files in a folder that they share. The kernel releases the locks of a process when it ends, so that a lock is
+// never left behind by a process that has crashed.
 //
-// The process that serves is the active one. A process that joins while one is active is its successor:
+// The process that serves is the active one. A process that joins while another is active is its successor:
 //
 //	successor                              active process
 //	Join
@@ -12,9 +12,9 @@
 //	Handover.Connections.Next         <--  Link.Migrate: sends connections of clients
 //	OnPredecessorExit calls back      <--  Close, or the end of the process
 //
-// The package knows nothing of what the state is. Where Unix sockets don't work, no sockets go over, and the state does.
+// The state is opaque to this package. Where Unix sockets don't work, the state is handed over without sockets.
 //
 // [Join], [Process.RequestHandover] and [Receiver.Next] block. [Process.Watch] and [Process.OnPredecessorExit] start goroutines,
-// which [Process.Close] ends. The methods of a Process may be called from any goroutine; RequestHandover and OnPredecessorExit
-// once, one after the other.
+// which [Process.Close] ends. The methods of a Process may be called from any goroutine. RequestHandover and OnPredecessorExit may
+// be called once each, and not at the same time.
 package hotrestart
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -13,33 +13,34 @@
 )
 
 const (
-	// tokenBytes is the length of a token. It names a request, so that no process takes an answer that was meant for another.
+	// tokenBytes is the length of a token in bytes. A token identifies a request, so that no process reads the reply to another's.
 	tokenBytes = 4
-	// maxStateBytes is the length of the longest state that is read.
+	// maxStateBytes is the maximum length of a state; a longer one is not read.
 	maxStateBytes = 16 << 20
-	// watchInterval is the time between two looks for a request: it costs little, and a successor waits.
+	// watchInterval is the interval at which Watch checks for a request: short, because the successor waits, and the check is cheap.
 	watchInterval = 200 * time.Millisecond
 )
 
-// Handover is what the active process has handed over to its successor.
+// Handover is what a successor has received from the active process.
 type Handover struct {
 	State       []byte
-	Sockets     map[string]*os.File // listening sockets by their addresses; the caller's to close
-	Connections *Receiver           // receives connections of clients later; nil: none will come
-	SocketsErr  error               // why there are no sockets; nil: there are
+	Sockets     map[string]*os.File // listening sockets by address; the caller must close them
+	Connections *Receiver           // receives clients' connections later; nil: none will be sent
+	SocketsErr  error               // why no sockets were received; nil: they were
 }
 
-// RequestHandover asks the active process for its state and its listening sockets, and waits for them. It fails with [ErrNoState]
-// if no state has come after the timeout, or once the active process has ended.
+// RequestHandover asks the active process for its state and its listening sockets, and blocks until they have arrived. It fails with
+// [ErrNoState] if the state has not arrived before the timeout, or the active process has ended. If only the sockets are missing
+// it does not fail, and sets SocketsErr.
 func (p *Process) RequestHandover(timeout time.Duration) (h Handover, err error) {
 	random := make([]byte, tokenBytes)
 	if _, err := rand.Read(random); err != nil {
-		return h, fmt.Errorf("the handover's token: %w", err)
+		return h, fmt.Errorf("drawing a handover token: %w", err)
 	}
 	token := hex.EncodeToString(random)
 	listener, listenErr := net.ListenUnix(network, &net.UnixAddr{Name: p.socketPath(token), Net: network})
 	if listenErr == nil {
-		defer func() { _ = listener.Close() }() // removes the file, or the next active process does
+		defer func() { _ = listener.Close() }() // removes the socket's file; if not, the next active process does
 	}
 	if err := p.writeFile(requestFile, []byte(token)); err != nil {
 		return h, err
@@ -55,41 +56,41 @@
 	return h, nil
 }
 
-// awaitState waits for the file that answers a token.
+// awaitState polls for the state file that the active process writes for a token, reads it and removes it.
 func (p *Process) awaitState(token string, timeout time.Duration) ([]byte, error) {
-	answer := filepath.Join(p.dir, statePrefix+token)
-	for end := time.Now().Add(timeout); ; time.Sleep(pollInterval) {
-		info, err := os.Stat(answer)
+	path := filepath.Join(p.dir, statePrefix+token)
+	for deadline := time.Now().Add(timeout); ; time.Sleep(pollInterval) {
+		info, err := os.Stat(path)
 		if err == nil && info.Size() <= maxStateBytes {
-			state, err := os.ReadFile(answer)
-			_ = os.Remove(answer) // or the next active process does
+			state, err := os.ReadFile(path)
+			_ = os.Remove(path) // if this fails the next active process removes it
 			return state, err
 		}
-		if time.Now().After(end) || tryLock(p.activeLock, unix.LOCK_EX) {
+		if time.Now().After(deadline) || tryLock(p.activeLock, unix.LOCK_EX) {
 			return nil, ErrNoState
 		}
 	}
 }
 
-// writeFile puts a file in place as a whole.
+// writeFile writes a file atomically, by renaming a temporary one.
 func (p *Process) writeFile(name string, data []byte) error {
 	path := filepath.Join(p.dir, name)
 	if err := os.WriteFile(path+temporarySuffix, data, fileMode); err != nil {
-		return fmt.Errorf("handing over: %w", err)
+		return fmt.Errorf("handover: writing a file for the other process: %w", err)
 	}
 	if err := os.Rename(path+temporarySuffix, path); err != nil {
-		return fmt.Errorf("handing over: %w", err)
+		return fmt.Errorf("handover: writing a file for the other process: %w", err)
 	}
 	return nil
 }
 
-// AnswerFunc hands a state and listening sockets over to the successor that asked for them, and returns a link by which clients'
-// connections can follow. An error that wraps [ErrNoSockets] says that the state went over without sockets, which is of use,
-// too.
+// AnswerFunc hands over a state and listening sockets to the successor that requested them. It returns a link over which clients'
+// connections can be sent later, which the caller must close. An error that wraps [ErrNoSockets] means that the state was handed
+// over, but no sockets; the successor can use the state alone.
 type AnswerFunc func(state []byte, sockets []Socket) (*Link, error)
 
-// answerTo answers the successor with a token.
-func (p *Process) answerTo(token string) AnswerFunc {
+// answerRequest returns the function that answers the request with a token.
+func (p *Process) answerRequest(token string) AnswerFunc {
 	return func(state []byte, sockets []Socket) (*Link, error) {
 		if err := p.writeFile(statePrefix+token, state); err != nil {
 			return nil, err
@@ -102,11 +103,11 @@
 	}
 }
 
-// Watch looks for successors on a goroutine of its own, while this process is the active one. It calls came for each request for a
-// handover, and gone if a successor that made one ends.
-func (p *Process) Watch(came func(answer AnswerFunc), gone func()) {
+// Watch checks for successors on a goroutine of its own, whenever this process is the active one, until Close. On that goroutine it
+// calls onRequest for each request for a handover, and onSuccessorExit when a successor that made a request has ended.
+func (p *Process) Watch(onRequest func(answer AnswerFunc), onSuccessorExit func()) {
 	go func() {
-		present, answered := false, ""
+		successorPresent, answeredToken := false, ""
 		ticker := time.NewTicker(watchInterval)
 		defer ticker.Stop()
 		for {
@@ -119,22 +120,22 @@
 				continue
 			}
 			token := p.requestedToken()
-			isNew := token != "" && token != answered
+			isNew := token != "" && token != answeredToken
 			if isNew && p.HasSuccessor() {
-				present, answered = true, token
-				came(p.answerTo(token))
-			} else if present && !p.HasSuccessor() {
-				present = false
-				gone()
+				successorPresent, answeredToken = true, token
+				onRequest(p.answerRequest(token))
+			} else if successorPresent && !p.HasSuccessor() {
+				successorPresent = false
+				onSuccessorExit()
 			}
 		}
 	}()
 }
 
-// requestedToken returns the token of the latest request; empty: there is none.
+// requestedToken returns the token of the latest request, or "" if there is none.
 func (p *Process) requestedToken() string {
 	path := filepath.Join(p.dir, requestFile)
-	if err := unix.Access(path, unix.F_OK); err != nil { // nearly always; it costs less than an open that fails
+	if err := unix.Access(path, unix.F_OK); err != nil { // the usual case; Access is cheaper than an Open that fails
 		return ""
 	}
 	token, err := os.ReadFile(path)
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// join is Join, with what it takes closed at the end. Locks belong to open files, so two processes of one test are told apart as
-// those of two programs are.
+// join calls Join, and Close at the end of the test. File locks belong to open files rather than processes, so two Processes in one
+// test exclude each other like those of two programs.
 func join(t *testing.T, dir string) *Process {
 	t.Helper()
 	p, err := Join(dir, 5*pollInterval)
@@ -29,13 +29,13 @@
 	t.Helper()
 	select {
 	case <-c:
-	case <-time.After(patience):
-		t.Fatalf("it never came that %s", what)
+	case <-time.After(testTimeout):
+		t.Fatalf("timed out waiting until %s", what)
 	}
 }
 
-// listening is a TCP socket that listens, its address and its raw connection.
-func listening(t *testing.T) (*net.TCPListener, string, syscall.RawConn) {
+// listenTCP returns a listening TCP socket, its address and its raw connection.
+func listenTCP(t *testing.T) (*net.TCPListener, string, syscall.RawConn) {
 	t.Helper()
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,13 +48,13 @@
 	return l.(*net.TCPListener), l.Addr().String(), raw
 }
 
-// closeLater closes something at the end of a test.
-func closeLater(t *testing.T, what io.Closer) {
-	t.Cleanup(func() { _ = what.Close() }) // nothing is written to it
+// closeAtEnd closes something at the end of the test.
+func closeAtEnd(t *testing.T, what io.Closer) {
+	t.Cleanup(func() { _ = what.Close() }) // nothing was written to it
 }
 
-// answerWith answers a successor with a state, the socket at an address twice, and a connection with two inputs.
-func answerWith(t *testing.T, answer AnswerFunc, addr string, raw syscall.RawConn) {
+// answerHandover answers a request with a state, one socket under two addresses, and a client's connection with two inputs.
+func answerHandover(t *testing.T, answer AnswerFunc, addr string, raw syscall.RawConn) {
 	link, err := answer([]byte("all that is known"), []Socket{{addr, raw}, {"again", raw}})
 	if err != nil {
 		t.Error(err)
@@ -65,109 +65,109 @@
 		t.Error(controlErr, err)
 	}
 	if err := link.Migrate("too long", []BufferedInput{{Data: make([]byte, maxPacketBytes)}}, 0); err == nil {
-		t.Error("a packet that is too long goes over")
+		t.Error("Migrate accepts a packet of more than maxPacketBytes")
 	}
 	link.Close()
 }
 
-// checkHandover checks that what answerWith has sent has come.
+// checkHandover checks that a handover has what answerHandover sent.
 func checkHandover(t *testing.T, h Handover) {
 	t.Helper()
 	if string(h.State) != "all that is known" || h.SocketsErr != nil || len(h.Sockets) != 2 {
-		t.Fatalf("%+v", h)
+		t.Fatalf("handover: %+v, want the state and two sockets", h)
 	}
-	moved, err := h.Connections.Next()
-	if err != nil || moved.Addr != "where" || len(moved.Inputs) != 2 || string(moved.Inputs[0].Data) != "half" ||
-		moved.Inputs[0].Age != time.Second || string(moved.Inputs[1].Data) != "rest" {
-		t.Fatalf("%+v, %v", moved, err)
+	migrated, err := h.Connections.Next()
+	if err != nil || migrated.Addr != "where" || len(migrated.Inputs) != 2 || string(migrated.Inputs[0].Data) != "half" ||
+		migrated.Inputs[0].Age != time.Second || string(migrated.Inputs[1].Data) != "rest" {
+		t.Fatalf("migrated connection: %+v, error %v, want inputs half and rest at address where", migrated, err)
 	}
-	closeLater(t, moved.File)
+	closeAtEnd(t, migrated.File)
 	if _, err := h.Connections.Next(); err == nil {
-		t.Error("the link has no end")
+		t.Error("Next returns no error after the link was closed")
 	}
 }
 
-// checkSockets has a successor ask for the state and the sockets of the process that answers with answerWith. What waits to be
-// accepted is not reset with the former process's socket.
-func checkSockets(t *testing.T, successor *Process, listener *net.TCPListener) {
+// checkSocketHandover has a successor request a handover, which its predecessor answers by answerHandover. A connection that waits in
+// the accept queue must survive the close of the predecessor's listening socket.
+func checkSocketHandover(t *testing.T, successor *Process, listener *net.TCPListener) {
 	t.Helper()
 	addr := listener.Addr().String()
 	queued, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeLater(t, queued)
-	handed, err := successor.RequestHandover(patience)
+	closeAtEnd(t, queued)
+	handover, err := successor.RequestHandover(testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkHandover(t, handed)
+	checkHandover(t, handover)
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	over, err := net.FileListener(handed.Sockets[addr])
+	inherited, err := net.FileListener(handover.Sockets[addr])
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeLater(t, over)
-	if conn, err := over.Accept(); err != nil || conn.RemoteAddr().String() != queued.LocalAddr().String() {
-		t.Errorf("%v", err)
+	closeAtEnd(t, inherited)
+	if conn, err := inherited.Accept(); err != nil || conn.RemoteAddr().String() != queued.LocalAddr().String() {
+		t.Errorf("accepting the connection that waited in the queue: error %v, or another connection", err)
 	}
-	for _, f := range handed.Sockets {
-		closeLater(t, f)
+	for _, f := range handover.Sockets {
+		closeAtEnd(t, f)
 	}
 }
 
-// The state goes over, the successor hears of the end of the former process, and takes its place: the next one may come.
-func TestStateGoesOver(t *testing.T) {
+// A successor receives the state, is notified when the active process ends, and becomes the active one, which can have a successor.
+func TestHandover(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "gateway")
 	first := join(t, dir)
 	if first.IsSuccessor() || first.HasSuccessor() {
-		t.Error("one that is alone has company")
+		t.Error("a process that joins alone is a successor or has one")
 	}
-	listener, addr, raw := listening(t)
-	first.Watch(func(answer AnswerFunc) { answerWith(t, answer, addr, raw) }, func() {})
+	listener, addr, raw := listenTCP(t)
+	first.Watch(func(answer AnswerFunc) { answerHandover(t, answer, addr, raw) }, func() {})
 	second := join(t, dir)
 	if !second.IsSuccessor() || second.HasSuccessor() || !first.HasSuccessor() {
-		t.Error("who takes over from whom?")
+		t.Error("the second process is not the successor of the first")
 	}
-	checkSockets(t, second, listener)
+	checkSocketHandover(t, second, listener)
 	if _, err := Join(dir, 5*pollInterval); !errors.Is(err, ErrTooManyProcesses) {
-		t.Errorf("a third one: %v", err)
+		t.Errorf("a third process joins: error %v, want ErrTooManyProcesses", err)
 	}
 	if first.SuccessorServes() {
-		t.Error("the successor takes no clients yet")
+		t.Error("SuccessorServes before StartServing")
 	}
 	if err := second.StartServing(); err != nil || !first.SuccessorServes() {
-		t.Errorf("the successor takes clients: %v", err)
+		t.Errorf("not SuccessorServes after StartServing, which returned %v", err)
 	}
 	second.StopServing()
 	if first.SuccessorServes() {
-		t.Error("the successor takes no clients any more")
+		t.Error("SuccessorServes after StopServing")
 	}
-	alone := make(chan struct{})
-	second.OnPredecessorExit(func() { close(alone) })
+	predecessorExited := make(chan struct{})
+	second.OnPredecessorExit(func() { close(predecessorExited) })
 	select {
-	case <-alone:
-		t.Fatal("the former process still runs")
+	case <-predecessorExited:
+		t.Fatal("OnPredecessorExit calls back while the predecessor is running")
 	case <-time.After(4 * pollInterval):
 	}
 	first.Close()
-	await(t, "the former process has ended", alone)
+	await(t, "the successor is notified of the predecessor's end", predecessorExited)
 	third := join(t, dir)
 	if !third.IsSuccessor() || !second.HasSuccessor() || second.SuccessorServes() {
-		t.Error("the successor has not taken the place of the one that serves")
+		t.Error("the second process has not become active: the third is not its successor, or serves already")
 	}
 }
 
-// A third process waits for its turn, and takes over from the second once the first has ended.
-func TestAThirdProcessWaits(t *testing.T) {
+// A third process waits until one of the two others has ended. If the first one ends, it becomes the successor of the second.
+func TestThirdProcessWaits(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "gateway")
 	first, second := join(t, dir), join(t, dir)
 	second.OnPredecessorExit(func() {})
 	joined := make(chan *Process, 1)
 	go func() {
-		third, err := Join(dir, patience)
+		third, err := Join(dir, testTimeout)
 		if err != nil {
 			t.Error(err)
 		}
@@ -175,78 +175,79 @@
 	}()
 	select {
 	case <-joined:
-		t.Fatal("three processes at once")
+		t.Fatal("a third process joined while two were running")
 	case <-time.After(4 * pollInterval):
 	}
 	first.Close()
 	third := <-joined
 	defer third.Close()
 	if !third.IsSuccessor() || !second.HasSuccessor() {
-		t.Error("it does not take over from the second")
+		t.Error("the third process is not the successor of the second")
 	}
 }
 
-// A successor that ends before it serves is noticed; the next one gets a state of its own, not the one meant for the first.
-func TestASuccessorThatEnds(t *testing.T) {
+// The end of a successor that does not serve yet is noticed. The next successor gets the state that was written for it, not the late
+// one for the first.
+func TestSuccessorExitsBeforeServing(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "gateway")
 	first := join(t, dir)
-	asked, gone := make(chan AnswerFunc, 1), make(chan struct{})
-	first.Watch(func(answer AnswerFunc) { asked <- answer }, func() { close(gone) })
+	requests, successorExited := make(chan AnswerFunc, 1), make(chan struct{})
+	first.Watch(func(answer AnswerFunc) { requests <- answer }, func() { close(successorExited) })
 	second := join(t, dir)
 	if _, err := second.RequestHandover(5 * pollInterval); !errors.Is(err, ErrNoState) {
-		t.Errorf("nobody answered: %v", err)
+		t.Errorf("request without an answer: error %v, want ErrNoState", err)
 	}
-	late := <-asked
+	firstAnswer := <-requests
 	second.Close()
-	await(t, "the successor has ended", gone)
+	await(t, "the active process notices the successor's end", successorExited)
 	third := join(t, dir)
-	if _, err := late([]byte("late"), nil); !errors.Is(err, ErrNoSockets) {
+	if _, err := firstAnswer([]byte("late"), nil); !errors.Is(err, ErrNoSockets) {
 		t.Error(err)
 	}
 	go func() {
-		if _, err := (<-asked)([]byte("fresh"), nil); err != nil {
+		if _, err := (<-requests)([]byte("fresh"), nil); err != nil {
 			t.Error(err)
 		}
 	}()
-	if handed, err := third.RequestHandover(patience); err != nil || string(handed.State) != "fresh" {
-		t.Errorf("%+v, %v", handed, err)
+	if handover, err := third.RequestHandover(testTimeout); err != nil || string(handover.State) != "fresh" {
+		t.Errorf("handover %+v, error %v, want the state fresh", handover, err)
 	}
 }
 
-// Where the one that serves ends before it answers, its successor does not wait for it.
-func TestAPredecessorThatEnds(t *testing.T) {
+// If the active process ends before it answers, its successor does not wait for the timeout.
+func TestPredecessorExitsBeforeAnswering(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "gateway")
 	first := join(t, dir)
 	second := join(t, dir)
 	first.Close()
-	began := time.Now()
-	if _, err := second.RequestHandover(patience); !errors.Is(err, ErrNoState) || time.Since(began) > patience/2 {
-		t.Errorf("%v after %v", err, time.Since(began))
+	start := time.Now()
+	if _, err := second.RequestHandover(testTimeout); !errors.Is(err, ErrNoState) || time.Since(start) > testTimeout/2 {
+		t.Errorf("error %v after %v, want ErrNoState before the timeout", err, time.Since(start))
 	}
 }
 
-// A folder that others can write, or a link in its place, is not used.
-func TestForeignFolders(t *testing.T) {
-	open := filepath.Join(t.TempDir(), "open")
-	if err := os.Mkdir(open, 0o700); err != nil {
+// Join rejects a folder that other users can write to, and a symbolic link in its place.
+func TestJoinRejectsFoldersNotPrivate(t *testing.T) {
+	worldWritable := filepath.Join(t.TempDir(), "open")
+	if err := os.Mkdir(worldWritable, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Chmod(open, 0o777); err != nil {
+	if err := os.Chmod(worldWritable, 0o777); err != nil {
 		t.Fatal(err)
 	}
 	link := filepath.Join(t.TempDir(), "link")
 	if err := os.Symlink(t.TempDir(), link); err != nil {
 		t.Fatal(err)
 	}
-	for _, dir := range []string{open, link} {
+	for _, dir := range []string{worldWritable, link} {
 		if _, err := Join(dir, 0); !errors.Is(err, ErrFolderNotPrivate) {
-			t.Errorf("%s: %v", dir, err)
+			t.Errorf("%s: error %v, want ErrFolderNotPrivate", dir, err)
 		}
 	}
 }
 
-// A successor got no sockets after one accept that failed for a shortage that passes.
-func TestAFailedAcceptDoesNotEndTheWaitForSockets(t *testing.T) {
+// Guards against a handover without sockets because a single accept failed for a temporary shortage.
+func TestAcceptIsRetried(t *testing.T) {
 	calls := 0
 	conn, err := acceptWithRetry(func() (*net.UnixConn, error) {
 		if calls++; calls < 4 {
@@ -255,11 +256,11 @@
 		return &net.UnixConn{}, nil
 	})
 	if conn == nil || err != nil || calls != 4 {
-		t.Errorf("after %d accepts: %v, %v", calls, conn, err)
+		t.Errorf("after %d accepts: connection %v, error %v, want a connection after 4", calls, conn, err)
 	}
 	for _, end := range []error{os.ErrDeadlineExceeded, net.ErrClosed} {
 		if _, err := acceptWithRetry(func() (*net.UnixConn, error) { return nil, end }); !errors.Is(err, end) {
-			t.Errorf("%v: %v", end, err)
+			t.Errorf("accept failed with %v, which ends the wait: got error %v", end, err)
 		}
 	}
 }
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -13,55 +13,55 @@
 	"golang.org/x/sys/unix"
 )
 
-// network is the kind of Unix socket that sockets go over by: it keeps packets apart.
+// network is the kind of Unix socket over which descriptors are sent. It preserves packet boundaries.
 const network = "unixpacket"
 
 const (
 	maxSocketsPerPacket = 64
-	maxPacketBytes      = 192 << 10 // beside the sockets
-	// sendTimeout bounds the wait for a successor that does not read: the sender may have more to do.
+	maxPacketBytes      = 192 << 10 // without the descriptors
+	// sendTimeout bounds the wait for a successor that does not read. It is short because the sender may still have to serve requests.
 	sendTimeout = 20 * time.Millisecond
 )
 
-// Socket is a listening socket that goes over to a successor. The connections that wait in its queue go over with it.
+// Socket is a listening socket to be handed over to a successor. The connections in its accept queue are handed over with it.
 type Socket struct {
-	Addr string // where it listens: the successor finds it by this
+	Addr string // listening address, by which the successor identifies the socket
 	Conn syscall.RawConn
 }
 
-// BufferedInput is something that was read from a connection and not handled yet.
+// BufferedInput is data that was read from a connection and has not been processed yet.
 type BufferedInput struct {
 	Data []byte        `json:"Data"`
-	Age  time.Duration `json:"Age"` // since it was read
+	Age  time.Duration `json:"Age"` // time since it was read
 }
 
-// MigratedConn is a connection of a client that has gone over.
+// MigratedConn is a client's connection that was received from the active process.
 type MigratedConn struct {
-	Addr   string          // of the socket that accepted it
+	Addr   string          // listening address of the socket that accepted it
 	Inputs []BufferedInput // in the order in which they were read
-	File   *os.File        // the caller's to close
+	File   *os.File        // the caller must close it
 }
 
-// packet is what goes over beside sockets: the address of each, and for a connection what was read from it.
+// packet is the data that is sent with descriptors: the address of each, and for a connection the inputs read from it.
 type packet struct {
 	Addrs  []string        `json:"Addrs"`
 	Pieces []BufferedInput `json:"Pieces,omitempty"`
 }
 
-// errPacket says that what has come is not what a Link sends.
-var errPacket = errors.New("sockets that were handed over cannot be read")
+// errPacket reports a packet that no Link sends.
+var errPacket = errors.New("packet with handed-over sockets can't be decoded")
 
 // Link sends sockets to a successor. It is not safe for concurrent use.
 type Link struct{ conn *net.UnixConn }
 
-// socketPath is the path of the Unix socket on which the successor with a token waits.
+// socketPath returns the path of the Unix socket on which the successor with a token listens.
 func (p *Process) socketPath(token string) string { return filepath.Join(p.dir, socketPrefix+token) }
 
-// dialLink connects to the successor with a token, and sends it the listening sockets.
+// dialLink connects to the successor with a token and sends it the listening sockets.
 func (p *Process) dialLink(token string, sockets []Socket) (*Link, error) {
 	conn, err := net.DialUnix(network, nil, &net.UnixAddr{Name: p.socketPath(token), Net: network})
 	if err != nil {
-		return nil, fmt.Errorf("handing sockets over: %w", err)
+		return nil, fmt.Errorf("handover: connecting to the successor's socket: %w", err)
 	}
 	l := &Link{conn}
 	var listening packet
@@ -76,8 +76,8 @@
 	return l, nil
 }
 
-// Migrate sends a connection of a client to the successor, which reads on behind the inputs. The descriptor stays the caller's.
-// It fails if the packet is too long, or the successor does not read for a while.
+// Migrate sends a client's connection to the successor, which first processes the inputs and then reads from the connection. The
+// caller keeps its descriptor. It fails if the packet is too long, or the successor has not read it within sendTimeout.
 func (l *Link) Migrate(addr string, inputs []BufferedInput, descriptor int) error {
 	return l.send(packet{Addrs: []string{addr}, Pieces: inputs}, []int{descriptor})
 }
@@ -85,22 +85,22 @@
 func (l *Link) send(p packet, descriptors []int) error {
 	data, err := json.Marshal(p)
 	if err != nil {
-		return fmt.Errorf("handing sockets over: %w", err)
+		return fmt.Errorf("handover: encoding a packet: %w", err)
 	}
 	if len(data) > maxPacketBytes || len(descriptors) > maxSocketsPerPacket {
-		return fmt.Errorf("handing over %d sockets and %d bytes: too many", len(descriptors), len(data))
+		return fmt.Errorf("handover: %d sockets and %d bytes exceed the limits of a packet, 64 sockets and 192 KiB", len(descriptors), len(data))
 	}
-	_ = l.conn.SetWriteDeadline(time.Now().Add(sendTimeout)) // fails only if it is closed, and then the write does
+	_ = l.conn.SetWriteDeadline(time.Now().Add(sendTimeout)) // an error means that the connection is closed, which the write reports
 	if _, _, err := l.conn.WriteMsgUnix(data, unix.UnixRights(descriptors...), nil); err != nil {
-		return fmt.Errorf("handing sockets over: %w", err)
+		return fmt.Errorf("handover: sending sockets to the successor: %w", err)
 	}
 	return nil
 }
 
-// Close ends the link. What was sent stays the successor's.
-func (l *Link) Close() { _ = l.conn.Close() } // all was sent when Migrate returned
+// Close closes the link. The successor keeps what was sent.
+func (l *Link) Close() { _ = l.conn.Close() } // everything was sent when Migrate returned, so an error has no effect
 
-// withDescriptors calls f with the descriptors of open and of sockets, which stay open meanwhile.
+// withDescriptors calls f with the descriptors in open, followed by those of sockets, which stay open during the call.
 func withDescriptors(sockets []Socket, open []int, f func([]int) error) error {
 	if len(sockets) == 0 {
 		return f(open)
--- a/internal/hotrestart/process.go
+++ b/internal/hotrestart/process.go
@@ -12,33 +12,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// pollInterval is the time between two looks for a file or a lock while both processes run.
+// pollInterval is the interval at which a process checks for a file or a lock of another one.
 const pollInterval = 20 * time.Millisecond
 
-// Errors to be told apart by errors.Is.
+// Errors of this package, for errors.Is.
 var (
-	ErrTooManyProcesses = errors.New("two processes of this gateway run already")
-	ErrFolderNotPrivate = errors.New("the folder is not this user's alone")
-	ErrNoState          = errors.New("no state has come in time")
-	ErrNoSockets        = errors.New("no sockets were handed over")
+	ErrTooManyProcesses = errors.New("two processes of this gateway are running already")
+	ErrFolderNotPrivate = errors.New("handover folder is not a folder that belongs to this user and is closed to others")
+	ErrNoState          = errors.New("active process handed over no state in time")
+	ErrNoSockets        = errors.New("state was handed over without sockets")
 )
 
-// Process is this process's place among those of a gateway: the active one, or its successor. Use [Join].
+// Process is this process among those of a gateway: the active one or its successor. Create it with [Join].
 type Process struct {
 	dir           string
-	activeLock    *os.File // locked, or to be locked once the active process has ended
-	successorLock *os.File // nil: this process was active from its start
+	activeLock    *os.File // locked if this process is active; a successor locks it once the active process has ended
+	successorLock *os.File // nil: this process has been active from its start
 
 	mu          sync.Mutex
-	active      bool     // this process is the active one
+	active      bool     // guarded by mu, like servingLock
 	servingLock *os.File // nil: not locked
 	closed      chan struct{}
 	closeOnce   sync.Once
 }
 
-// Join takes this process's place among those that share a folder, which is made if need be. If a process and its successor run
-// already it waits for one of them to end, and fails with [ErrTooManyProcesses] after the timeout. It fails with
-// [ErrFolderNotPrivate] if others can use the folder.
+// Join registers this process among those that share a folder, as the active one or as its successor. It creates the folder if it
+// does not exist. If two processes are running already it waits for one of them to end, and fails with [ErrTooManyProcesses]
+// after the timeout. It fails with [ErrFolderNotPrivate] if other users have access to the folder.
 func Join(dir string, timeout time.Duration) (*Process, error) {
 	if err := ensurePrivateFolder(dir); err != nil {
 		return nil, err
@@ -52,9 +52,9 @@
 		closeLockFile(active)
 		return nil, err
 	}
-	// The successor's lock comes first: whoever holds it may lock the other once that is released.
-	for end := time.Now().Add(timeout); !tryLock(successor, unix.LOCK_EX); time.Sleep(pollInterval) {
-		if time.Now().After(end) {
+	// The successor's lock is taken first: only its holder may wait for the active process's lock.
+	for deadline := time.Now().Add(timeout); !tryLock(successor, unix.LOCK_EX); time.Sleep(pollInterval) {
+		if time.Now().After(deadline) {
 			closeLockFile(active)
 			closeLockFile(successor)
 			return nil, fmt.Errorf("%s: %w", dir, ErrTooManyProcesses)
@@ -67,25 +67,26 @@
 	}
 	p.active = true
 	p.removeLeftovers()
-	closeLockFile(successor) // last: a successor may make a request from now on
+	closeLockFile(successor) // last, because a successor may make a request from now on
 	return p, nil
 }
 
-// removeLeftovers removes the files that earlier processes have left.
+// removeLeftovers removes files of handovers that earlier processes left behind.
 func (p *Process) removeLeftovers() {
-	entries, _ := os.ReadDir(p.dir) // what can't be read is left: tokens keep it from being taken for another's
+	entries, _ := os.ReadDir(p.dir) // files that can't be listed stay; nobody reads them, since each handover has a new token
 	for _, e := range entries {
 		name := e.Name()
 		if name == requestFile || strings.HasPrefix(name, statePrefix) || strings.HasPrefix(name, socketPrefix) {
-			_ = os.Remove(filepath.Join(p.dir, name)) // likewise
+			_ = os.Remove(filepath.Join(p.dir, name)) // if this fails the file stays, for the same reason
 		}
 	}
 }
 
-// IsSuccessor reports whether this process takes over from another one, which may have ended by now.
+// IsSuccessor reports whether this process joined as a successor. It stays true after the predecessor has ended.
 func (p *Process) IsSuccessor() bool { return p.successorLock != nil }
 
-// StartServing tells the active process that this one, its successor, serves clients from now on.
+// StartServing signals to the active process, by a lock, that this process serves clients from now on. It does nothing unless this
+// process is a successor, and fails if the lock file can't be opened.
 func (p *Process) StartServing() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,21 +97,21 @@
 	if err != nil {
 		return err
 	}
-	for !tryLock(f, unix.LOCK_EX) { // the active process may just be looking whether it is locked
+	for !tryLock(f, unix.LOCK_EX) { // the active process locks it for a moment to check it
 		time.Sleep(time.Millisecond)
 	}
 	p.servingLock = f
 	return nil
 }
 
-// StopServing takes back StartServing: this process is about to end.
+// StopServing withdraws the signal of StartServing, because this process is about to end.
 func (p *Process) StopServing() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.releaseServingLock()
 }
 
-// releaseServingLock is called with mu locked.
+// releaseServingLock releases the serving lock. The caller must hold mu.
 func (p *Process) releaseServingLock() {
 	if p.servingLock != nil {
 		closeLockFile(p.servingLock)
@@ -118,8 +119,8 @@
 	}
 }
 
-// OnPredecessorExit calls exited, on a goroutine of its own, once the process that this one takes over from has ended. This process
-// is the active one from then on.
+// OnPredecessorExit waits on a goroutine of its own until the predecessor has ended, makes this process the active one, and then
+// calls exited on that goroutine.
 func (p *Process) OnPredecessorExit(exited func()) {
 	go func() {
 		for !tryLock(p.activeLock, unix.LOCK_EX) {
@@ -140,7 +141,7 @@
 	p.active = true
 	p.releaseServingLock()
 	p.removeLeftovers()
-	closeLockFile(p.successorLock) // last: the next successor may make a request from now on
+	closeLockFile(p.successorLock) // last, because the next successor may make a request from now on
 }
 
 // isActive reports whether this process is the active one.
@@ -150,14 +151,14 @@
 	return p.active
 }
 
-// HasSuccessor reports whether a successor of this process runs.
-func (p *Process) HasSuccessor() bool { return p.isActive() && p.heldByOther(successorLockFile) }
+// HasSuccessor reports whether this process is active and a successor of it is running.
+func (p *Process) HasSuccessor() bool { return p.isActive() && p.lockedByOther(successorLockFile) }
 
-// SuccessorServes reports whether a successor of this process runs and serves clients.
-func (p *Process) SuccessorServes() bool { return p.HasSuccessor() && p.heldByOther(servingLockFile) }
+// SuccessorServes reports whether this process is active and a successor of it is running and serves clients.
+func (p *Process) SuccessorServes() bool { return p.HasSuccessor() && p.lockedByOther(servingLockFile) }
 
-// heldByOther reports whether another process holds a lock.
-func (p *Process) heldByOther(name string) bool {
+// lockedByOther reports whether another process holds the lock on a file of the folder. It reports false if the file can't be opened.
+func (p *Process) lockedByOther(name string) bool {
 	f, err := openLockFile(p.dir, name)
 	if err != nil {
 		return false
@@ -166,7 +167,8 @@
 	return !tryLock(f, unix.LOCK_SH)
 }
 
-// Close gives up this process's place. It is to be called last: a successor takes it for the end of this process.
+// Close releases the locks of this process and stops its goroutines. It must be called last, because a successor takes it for the end
+// of this process.
 func (p *Process) Close() {
 	p.closeOnce.Do(func() {
 		close(p.closed)
