--- a/internal/snapshot/decode.go
+++ b/internal/snapshot/decode.go
@@ -13,27 +13,27 @@
 	"larchusher/warmstart"
 )
 
-// Damage is what was found wrong with a file that can be used all the same.
+// Damage describes what was found wrong with a file that can be used in spite of it.
 type Damage struct {
-	BadRecords     int  // records with a wrong checksum, or that can't be read: each costs itself
-	UnknownRecords int  // records of an unknown kind
-	Truncated      bool // the file ends within a record, or a length can't be
-	Complete       bool // the tail is there and agrees: the file is complete, as it was written
+	BadRecords     int  // records skipped for a wrong checksum, a payload that can't be decoded, or a missing director's record before them
+	UnknownRecords int  // records skipped for an unknown kind
+	Truncated      bool // the file ends within a record, a record's length is impossible, or bytes follow the tail
+	Complete       bool // the tail is present and matches the bytes before it: the file is as it was written
 }
 
-// decoder reads a file record by record.
+// decoder decodes a file record by record.
 type decoder struct {
-	data, rest []byte
-	key        []byte
-	s          *warmstart.Snapshot
-	damage     Damage
-	records    uint32 // before the tail
-	hasHead    bool
-	signed     bool // the tail has the key's MAC
+	data, rest  []byte
+	key         []byte
+	s           *warmstart.Snapshot
+	damage      Damage
+	records     uint32 // number of records before the tail, decoded or not
+	hasHead     bool
+	hasValidMAC bool // the tail has the MAC that the key gives for the bytes before it
 }
 
-// Decode reads a snapshot from a file, and checks its MAC if there is a key. An error, one of this package's, says that nothing
-// of the file may be used; else damage says what is missing.
+// Decode decodes a snapshot from the content of a file. With a key, the file must be complete and its MAC must be valid. If err is not
+// nil it wraps an error of this package, and nothing of the file may be used; otherwise damage describes what is missing.
 func Decode(data, key []byte) (s *warmstart.Snapshot, damage Damage, err error) {
 	if err := checkHeader(data); err != nil {
 		return nil, Damage{}, err
@@ -42,7 +42,7 @@
 	for more := true; more && len(d.rest) > 0; {
 		more = d.decodeRecord()
 	}
-	authentic := d.signed && d.damage.Complete
+	authentic := d.hasValidMAC && d.damage.Complete
 	if len(key) > 0 && !authentic {
 		return nil, d.damage, ErrMAC
 	}
@@ -54,14 +54,14 @@
 
 func checkHeader(data []byte) error {
 	if len(data) > maxFileBytes {
-		return fmt.Errorf("%w: %d bytes", ErrTooLong, len(data))
+		return fmt.Errorf("%w: %d bytes, more than 64 MiB", ErrTooLong, len(data))
 	}
 	if len(data) < headerBytes || !bytes.HasPrefix(data, []byte(magic)) {
 		return ErrNotSnapshot
 	}
 	version := binary.BigEndian.Uint16(data[4:])
 	if version > Version {
-		return fmt.Errorf("%w: %d, and %d is read here", ErrNewerVersion, version, Version)
+		return fmt.Errorf("%w: version %d, and the newest that this program reads is %d", ErrNewerVersion, version, Version)
 	}
 	if version == 0 || data[6] != 0 || data[7] != 0 {
 		return ErrNotSnapshot
@@ -69,10 +69,10 @@
 	return nil
 }
 
-// decodeRecord reads the next record, and reports whether another may follow.
+// decodeRecord decodes the next record, and reports whether another may follow.
 func (d *decoder) decodeRecord() (more bool) {
 	before := d.data[:len(d.data)-len(d.rest)]
-	frame, payload, ok := d.cutRecord()
+	frame, payload, ok := d.nextRecord()
 	if !ok {
 		d.damage.Truncated = true
 		return false
@@ -97,8 +97,9 @@
 	return true
 }
 
-// cutRecord cuts the next record off the rest; false if that can't be one.
-func (d *decoder) cutRecord() (frame, payload []byte, ok bool) {
+// nextRecord removes the next record from the rest. It reports false if the rest is too short for a record of the encoded length, or
+// that length exceeds maxRecordBytes.
+func (d *decoder) nextRecord() (frame, payload []byte, ok bool) {
 	if len(d.rest) < frameBytes {
 		return nil, nil, false
 	}
@@ -111,24 +112,24 @@
 	return frame, payload, true
 }
 
-// checkTail compares the tail with the bytes before it.
+// checkTail checks whether the tail is the last record, and compares it with the bytes before it.
 func (d *decoder) checkTail(tail *snapshotpb.Tail, before []byte) {
 	isLast := len(d.rest) == 0
 	agrees := tail.GetRecords() == d.records && tail.GetSum() == xxhash.Sum64(before)
 	d.damage.Complete = isLast && d.damage.BadRecords == 0 && agrees
-	d.signed = len(d.key) > 0 && hmac.Equal(tail.GetMac(), computeMAC(before, d.key))
+	d.hasValidMAC = len(d.key) > 0 && hmac.Equal(tail.GetMac(), computeMAC(before, d.key))
 	if !isLast {
 		d.damage.Truncated = true
 	}
 }
 
-// addRecord adds a record to the snapshot. Records after a director's are that director's.
+// addRecord adds a record to the snapshot. Records that follow a director's record belong to that director.
 func (d *decoder) addRecord(r *snapshotpb.Record) {
 	if director := r.GetDirector(); director != nil {
 		d.s.Directors = append(d.s.Directors, learnedState(director))
 		return
 	}
-	if len(d.s.Directors) == 0 { // its director's record has been lost
+	if len(d.s.Directors) == 0 { // the director's record was lost
 		d.damage.BadRecords++
 		return
 	}
--- a/internal/snapshot/decode_test.go
+++ b/internal/snapshot/decode_test.go
@@ -15,8 +15,8 @@
 	"larchusher/warmstart"
 )
 
-// example is a snapshot of n listings, whose values follow from the number.
-func example(n int) *warmstart.Snapshot {
+// exampleSnapshot returns a snapshot with n listings. n determines all its values.
+func exampleSnapshot(n int) *warmstart.Snapshot {
 	s := &warmstart.Snapshot{Made: time.Duration(n+1) * time.Hour, Gateway: "n1", Settings: "abc", Position: int64(n)}
 	m := routing.LearnedState{
 		At:     s.Made,
@@ -53,31 +53,31 @@
 
 var testKey = []byte("0123456789abcdef")
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	for _, key := range [][]byte{nil, testKey} {
-		want := example(100)
+		want := exampleSnapshot(100)
 		data, err := Encode(want, key)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got, d, err := Decode(data, key)
 		if err != nil || !d.Complete || !reflect.DeepEqual(got, want) {
-			t.Errorf("%+v, %v", d, err)
+			t.Errorf("decoding what was encoded: damage %+v, error %v, or another snapshot", d, err)
 		}
 	}
 	if _, err := Encode(&warmstart.Snapshot{Gateway: strings.Repeat("x", 5000)}, nil); err == nil {
-		t.Error("a record that nobody would read is written")
+		t.Error("Encode accepts a record of more than maxRecordBytes")
 	}
 }
 
-// checkSound fails if a decoded snapshot has anything in it that was not written.
-func checkSound(t *testing.T, what string, s, want *warmstart.Snapshot) {
+// checkOnlyWrittenData fails the test if a decoded snapshot contains anything that was not encoded.
+func checkOnlyWrittenData(t *testing.T, what string, s, want *warmstart.Snapshot) {
 	t.Helper()
 	if s == nil {
 		return
 	}
 	if s.Gateway != want.Gateway || s.Made != want.Made || s.Settings != want.Settings {
-		t.Fatalf("%s: the head is %+v", what, s)
+		t.Fatalf("%s: head %+v was never encoded", what, s)
 	}
 	known := map[routing.Listing]bool{}
 	for _, l := range want.Directors[0].Listings {
@@ -86,19 +86,19 @@
 	for _, d := range s.Directors {
 		for _, l := range d.Listings {
 			if !known[l] {
-				t.Fatalf("%s: %+v was never written", what, l)
+				t.Fatalf("%s: %+v was never encoded", what, l)
 			}
 		}
 		for _, h := range d.Endpoints {
 			if h != want.Directors[0].Endpoints[0] {
-				t.Fatalf("%s: %+v was never written", what, h)
+				t.Fatalf("%s: %+v was never encoded", what, h)
 			}
 		}
 	}
 }
 
-// encoded is a file without a MAC.
-func encoded(t *testing.T, s *warmstart.Snapshot) []byte {
+// encodeWithoutKey returns the content of a file without a MAC.
+func encodeWithoutKey(t *testing.T, s *warmstart.Snapshot) []byte {
 	t.Helper()
 	data, err := Encode(s, nil)
 	if err != nil {
@@ -107,7 +107,7 @@
 	return data
 }
 
-// splitRecords returns the records of a file, with their frames.
+// splitRecords returns the records of a file, each with its length and checksum.
 func splitRecords(data []byte) (records [][]byte) {
 	for rest := data[headerBytes:]; len(rest) > 0; {
 		n := frameBytes + int(binary.BigEndian.Uint32(rest))
@@ -116,43 +116,43 @@
 	return records
 }
 
-// Every bit flipped: what is read was written, and damage is told.
-func TestFlippedBitsAreFound(t *testing.T) {
-	want := example(12)
-	data := encoded(t, want)
+// For each single flipped bit, the file is not taken for complete, what is decoded was encoded, and with a key nothing is decoded.
+func TestDecodeDetectsFlippedBits(t *testing.T) {
+	want := exampleSnapshot(12)
+	data := encodeWithoutKey(t, want)
 	for i := range data {
 		for bit := range 8 {
-			spoilt := bytes.Clone(data)
-			spoilt[i] ^= 1 << bit
-			s, d, err := Decode(spoilt, nil)
+			damaged := bytes.Clone(data)
+			damaged[i] ^= 1 << bit
+			s, d, err := Decode(damaged, nil)
 			if err == nil && d.Complete {
-				t.Fatalf("byte %d, bit %d: it is called whole", i, bit)
+				t.Fatalf("byte %d, bit %d: the file is taken for complete", i, bit)
 			}
-			checkSound(t, fmt.Sprintf("byte %d, bit %d", i, bit), s, want)
-			if _, _, err := Decode(spoilt, testKey); err == nil {
-				t.Fatalf("byte %d, bit %d: it is used without its MAC", i, bit)
+			checkOnlyWrittenData(t, fmt.Sprintf("byte %d, bit %d", i, bit), s, want)
+			if _, _, err := Decode(damaged, testKey); err == nil {
+				t.Fatalf("byte %d, bit %d: the file is used although it has no MAC", i, bit)
 			}
 		}
 	}
 }
 
-// Every cut: what is read was written, and damage is told.
-func TestCutsAreFound(t *testing.T) {
-	want := example(12)
-	data := encoded(t, want)
+// For each truncation, the file is not taken for complete, and what is decoded was encoded.
+func TestDecodeDetectsTruncation(t *testing.T) {
+	want := exampleSnapshot(12)
+	data := encodeWithoutKey(t, want)
 	for n := range data {
 		s, d, err := Decode(data[:n], nil)
 		if err == nil && d.Complete {
-			t.Fatalf("%d of %d bytes are called whole", n, len(data))
+			t.Fatalf("%d of %d bytes are taken for the complete file", n, len(data))
 		}
-		checkSound(t, fmt.Sprintf("cut at %d", n), s, want)
+		checkOnlyWrittenData(t, fmt.Sprintf("cut at %d", n), s, want)
 	}
 }
 
-// Records swapped, repeated and left out: what is read was written, and damage is told.
-func TestMisplacedRecordsAreFound(t *testing.T) {
-	want := example(12)
-	data := encoded(t, want)
+// If records are swapped, repeated or missing, the file is not taken for complete, and what is decoded was encoded.
+func TestDecodeDetectsMisplacedRecords(t *testing.T) {
+	want := exampleSnapshot(12)
+	data := encodeWithoutKey(t, want)
 	records := splitRecords(data)
 	build := func(order ...int) []byte {
 		b := bytes.Clone(data[:headerBytes])
@@ -174,62 +174,62 @@
 	} {
 		s, d, err := Decode(build(order...), nil)
 		if err == nil && d.Complete {
-			t.Errorf("%s: it is called whole", name)
+			t.Errorf("%s: the file is taken for complete", name)
 		}
-		checkSound(t, name, s, want)
+		checkOnlyWrittenData(t, name, s, want)
 	}
 }
 
-// A damaged record costs itself, and a length that claims much costs the rest.
+// A record with a wrong checksum is skipped alone. After an impossible length, nothing that follows is decoded.
 func TestDamagedRecords(t *testing.T) {
-	data := encoded(t, example(12))
+	data := encodeWithoutKey(t, exampleSnapshot(12))
 	records := splitRecords(data)
-	spoilt := bytes.Clone(data)
+	damaged := bytes.Clone(data)
 	at := headerBytes
 	for _, r := range records[:8] {
 		at += len(r)
 	}
-	spoilt[at+frameBytes+3] ^= 1 // in a listing
-	if s, d, err := Decode(spoilt, nil); err != nil || d.BadRecords != 1 || len(s.Directors[0].Listings) != 11 || len(s.Directors) != 2 {
-		t.Errorf("one record: %+v, %v", d, err)
+	damaged[at+frameBytes+3] ^= 1 // in a listing
+	if s, d, err := Decode(damaged, nil); err != nil || d.BadRecords != 1 || len(s.Directors[0].Listings) != 11 || len(s.Directors) != 2 {
+		t.Errorf("one damaged record: damage %+v, error %v, want one bad record and all others decoded", d, err)
 	}
-	binary.BigEndian.PutUint32(spoilt[headerBytes:], 1<<31)
-	if _, _, err := Decode(spoilt, nil); !errors.Is(err, ErrHeader) {
-		t.Errorf("a length of 2 GB: %v", err)
+	binary.BigEndian.PutUint32(damaged[headerBytes:], 1<<31)
+	if _, _, err := Decode(damaged, nil); !errors.Is(err, ErrHeader) {
+		t.Errorf("length of 2 GiB in the first record: error %v, want ErrHeader", err)
 	}
 }
 
 func TestVersionsAndKeys(t *testing.T) {
-	data, _ := Encode(example(3), testKey)
+	data, _ := Encode(exampleSnapshot(3), testKey)
 	for name, c := range map[string]struct {
-		spoil func([]byte)
-		key   []byte
-		want  error
-	}{"newer": {func(b []byte) { b[5] = Version + 1 }, testKey, ErrNewerVersion}, "none": {func(b []byte) { b[5] = 0 }, testKey, ErrNotSnapshot},
+		damage func([]byte)
+		key    []byte
+		want   error
+	}{"newer version": {func(b []byte) { b[5] = Version + 1 }, testKey, ErrNewerVersion}, "version 0": {func(b []byte) { b[5] = 0 }, testKey, ErrNotSnapshot},
 		"another file": {func(b []byte) { b[0] = 'X' }, testKey, ErrNotSnapshot}, "another key": {func([]byte) {}, []byte("fedcba9876543210"), ErrMAC},
-		"whole": {func([]byte) {}, testKey, nil}, "read without a key": {func([]byte) {}, nil, nil}} {
+		"undamaged": {func([]byte) {}, testKey, nil}, "read without a key": {func([]byte) {}, nil, nil}} {
 		b := bytes.Clone(data)
-		c.spoil(b)
+		c.damage(b)
 		if _, _, err := Decode(b, c.key); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v", name, err)
 		}
 	}
-	plain, _ := Encode(example(3), nil)
+	plain, _ := Encode(exampleSnapshot(3), nil)
 	if _, _, err := Decode(plain, testKey); !errors.Is(err, ErrMAC) {
-		t.Errorf("without a MAC where there is a key: %v", err)
+		t.Errorf("file without a MAC, read with a key: error %v, want ErrMAC", err)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	whole, _ := Encode(example(5), nil)
-	signed, _ := Encode(example(1), testKey)
-	for _, b := range [][]byte{whole, signed, whole[:len(whole)-9], []byte(magic), nil} {
+	complete, _ := Encode(exampleSnapshot(5), nil)
+	signed, _ := Encode(exampleSnapshot(1), testKey)
+	for _, b := range [][]byte{complete, signed, complete[:len(complete)-9], []byte(magic), nil} {
 		f.Add(b)
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s, d, err := Decode(b, nil)
 		if err == nil && s == nil || err != nil && s != nil {
-			t.Fatalf("%v, %+v, %v", s, d, err)
+			t.Fatalf("snapshot %v, damage %+v, error %v: want either a snapshot or an error", s, d, err)
 		}
 		if s == nil {
 			return
@@ -239,14 +239,14 @@
 			n += len(m.Listings) + len(m.Endpoints) + len(m.Purges)
 		}
 		if n > len(b)/frameBytes {
-			t.Fatalf("%d records of %d bytes", n, len(b))
+			t.Fatalf("%d records decoded from %d bytes, too few for their headers", n, len(b))
 		}
 	})
 }
 
 func BenchmarkEncodeDecode(b *testing.B) {
 	for _, n := range []int{3072, 49152} {
-		s := example(n)
+		s := exampleSnapshot(n)
 		data, _ := Encode(s, nil)
 		b.Run(fmt.Sprintf("encode-%d", n), func(b *testing.B) {
 			b.SetBytes(int64(len(data)))
--- a/internal/snapshot/disk_test.go
+++ b/internal/snapshot/disk_test.go
@@ -8,31 +8,31 @@
 	"slices"
 )
 
-// disk is a file system in memory that fails, or loses its power, at a step. What is not synced by then is lost, or there
-// in part; a rename that is not synced has happened, or not.
+// disk is an FS in memory, of which one step fails or loses power. After a loss of power, data that was not synced is missing or
+// partly there, and a rename that was not synced may or may not have happened.
 type disk struct {
-	files   map[string][]byte // as processes see them
-	durable map[string][]byte // as they are after the power is back
-	names   map[string]string // renames that the folder does not hold for sure: by new name
-	steps   int
-	fail    int // the step that fails; 0: none
-	power   bool
-	off     bool
-	rng     *rand.Rand
+	files           map[string][]byte // files as processes see them, by name
+	durable         map[string][]byte // files as they are after a loss of power, except for what unsynced data and renames may add
+	unsyncedRenames map[string]string // old names of renames that were not followed by SyncDir, by new name
+	steps           int
+	failAt          int // number of the step that fails, from 1; 0: none
+	losesPower      bool
+	poweredOff      bool
+	rng             *rand.Rand
 }
 
 var errDisk = errors.New("the disk failed")
 
 func newDisk(seed uint64) *disk {
-	return &disk{files: map[string][]byte{}, durable: map[string][]byte{}, names: map[string]string{}, rng: rand.New(rand.NewPCG(seed, 1))}
+	return &disk{files: map[string][]byte{}, durable: map[string][]byte{}, unsyncedRenames: map[string]string{}, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
 func (d *disk) step() error {
-	if d.off {
+	if d.poweredOff {
 		return errDisk
 	}
-	if d.steps++; d.fail > 0 && d.steps == d.fail {
-		d.off = d.power
+	if d.steps++; d.failAt > 0 && d.steps == d.failAt {
+		d.poweredOff = d.losesPower
 		return errDisk
 	}
 	return nil
@@ -53,7 +53,7 @@
 
 func (f *diskFile) Write(b []byte) (int, error) {
 	if err := f.d.step(); err != nil {
-		n := f.d.rng.IntN(len(b)) // full in the middle
+		n := f.d.rng.IntN(len(b)) // a write that fails has written a part
 		f.d.files[f.name] = append(f.d.files[f.name], b[:n]...)
 		return n, err
 	}
@@ -77,7 +77,7 @@
 	}
 	d.files[to] = d.files[from]
 	delete(d.files, from)
-	d.names[to] = from
+	d.unsyncedRenames[to] = from
 	return nil
 }
 
@@ -85,13 +85,13 @@
 	if err := d.step(); err != nil {
 		return err
 	}
-	for to, from := range d.names {
+	for to, from := range d.unsyncedRenames {
 		if b, ok := d.durable[from]; ok {
 			d.durable[to] = b
 			delete(d.durable, from)
 		}
 	}
-	clear(d.names)
+	clear(d.unsyncedRenames)
 	for name := range d.durable {
 		if _, ok := d.files[name]; !ok {
 			delete(d.durable, name)
@@ -130,19 +130,20 @@
 	return nil
 }
 
-// back is the disk after a loss of power: of what was not synced any part may be there.
-func (d *disk) back() *disk {
+// afterPowerLoss returns a disk with a possible content after a loss of power: of data and renames that were not synced, random
+// parts are there.
+func (d *disk) afterPowerLoss() *disk {
 	next := newDisk(d.rng.Uint64())
 	add := func(name string, b []byte) { next.files[name], next.durable[name] = bytes.Clone(b), bytes.Clone(b) }
 	for name, b := range d.durable {
 		add(name, b)
 	}
-	for name, b := range d.files { // written and not synced: lost, there in part, or whole
-		if _, ok := d.durable[name]; !ok && len(b) > 0 && d.rng.IntN(2) == 0 && d.names[name] == "" {
+	for name, b := range d.files { // written but not synced: missing, partly there, or complete
+		if _, ok := d.durable[name]; !ok && len(b) > 0 && d.rng.IntN(2) == 0 && d.unsyncedRenames[name] == "" {
 			add(name, b[:d.rng.IntN(len(b)+1)])
 		}
 	}
-	for to, from := range d.names { // the rename may have come before the power went
+	for to, from := range d.unsyncedRenames { // the rename may have happened before the loss of power
 		if b, ok := d.durable[from]; ok && d.rng.IntN(2) == 0 {
 			add(to, b)
 			delete(next.files, from)
--- a/internal/snapshot/encode.go
+++ b/internal/snapshot/encode.go
@@ -12,14 +12,14 @@
 	"larchusher/warmstart"
 )
 
-// encoder appends records to a file.
+// encoder appends records to the content of a file.
 type encoder struct {
 	b       []byte
 	records uint32
-	err     error // of all records that could not be appended
+	err     error // of all records that could not be appended; nil: none
 }
 
-// add appends a record.
+// add appends a record with its length and checksum. Errors are collected in err.
 func (e *encoder) add(r *snapshotpb.Record) {
 	at := len(e.b)
 	e.b = append(e.b, make([]byte, frameBytes)...)
@@ -31,17 +31,18 @@
 	}
 	frame, payload := e.b[at:at+frameBytes], e.b[at+frameBytes:]
 	if len(payload) > maxRecordBytes {
-		e.err = errors.Join(e.err, fmt.Errorf("a record of %d bytes", len(payload)))
+		e.err = errors.Join(e.err, fmt.Errorf("record of %d bytes exceeds the maximum of 4 KiB", len(payload)))
 	}
 	binary.BigEndian.PutUint32(frame, uint32(len(payload)))
 	binary.BigEndian.PutUint32(frame[4:], recordChecksum(frame[:4], payload))
 	e.records++
 }
 
-// initialFileBytes is the capacity with which a file is begun.
+// initialFileBytes is the capacity that is allocated for a file at first.
 const initialFileBytes = 64 << 10
 
-// Encode returns a snapshot as a file, with a MAC if there is a key. It fails if the file or a record is too long to be read.
+// Encode encodes a snapshot as the content of a file, with a MAC if there is a key. It fails if the file or one of its records is
+// longer than Decode accepts.
 func Encode(s *warmstart.Snapshot, key []byte) ([]byte, error) {
 	e := &encoder{b: append(make([]byte, 0, initialFileBytes), magic...)}
 	e.b = binary.BigEndian.AppendUint16(e.b, Version)
@@ -65,10 +66,10 @@
 	}
 	e.add(&snapshotpb.Record{Is: &snapshotpb.Record_Tail{Tail: tail}})
 	if len(e.b) > maxFileBytes {
-		e.err = errors.Join(e.err, fmt.Errorf("%w: %d bytes", ErrTooLong, len(e.b)))
+		e.err = errors.Join(e.err, fmt.Errorf("%w: %d bytes, more than 64 MiB", ErrTooLong, len(e.b)))
 	}
 	if e.err != nil {
-		return nil, fmt.Errorf("snapshot: %w", e.err)
+		return nil, fmt.Errorf("snapshot: encoding: %w", e.err)
 	}
 	return e.b, nil
 }
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -1,12 +1,12 @@
-// Package snapshot keeps what a gateway has learned in files that survive crashes: versioned, with a checksum for each
-// record and one over all, written beside the old ones and put in place as a whole.
+// Package snapshot stores what a gateway has learned in files that survive crashes. Each file has a version, a checksum for each
+// record and one over the file, and is written under a temporary name and then renamed.
 //
-// A file begins with the four bytes "LKSN", two of its version and two that are 0. Then come records, each of four bytes of
-// length, four of CRC-32C (Castagnoli) over the length and what follows, and a protobuf message (snapshotpb.Record). The
-// last is the tail, with the number of records and an xxHash64 over all bytes before it, and an HMAC-SHA-256 of the same
-// where there is a key. Numbers are big-endian.
+// A file begins with the four bytes "LKSN", two bytes with its version, and two bytes that are 0. Records follow. Each has four bytes
+// with its length, four with a CRC-32C (Castagnoli) over the length and the payload, and the payload, a protobuf message
+// (snapshotpb.Record). The last record is the tail. It has the number of records before it, an xxHash64 over all bytes before
+// it, and, if there is a key, an HMAC-SHA-256 over the same bytes. Numbers are big-endian.
 //
-// [Encode] and [Decode] do no I/O. A [Store] does, on the goroutine that calls it. A [Saver] writes on a goroutine of its own.
+// [Encode] and [Decode] do no I/O. A [Store] does I/O on the goroutine that calls it, a [Saver] on a goroutine of its own.
 package snapshot
 
 import (
@@ -16,35 +16,35 @@
 	"hash/crc32"
 )
 
-// Version is the version of the files that are written, and the newest that is read. There is no older one yet.
+// Version is the version of the files that Encode writes, and the newest that Decode reads. It is the first version.
 const Version = 1
 
-// Parts of a file, and bounds, in bytes.
+// Parts of a file and their limits, in bytes.
 const (
 	magic          = "LKSN"
 	headerBytes    = 8
-	frameBytes     = 8        // of a record: length and checksum
-	maxRecordBytes = 4 << 10  // of a record without its frame
-	maxFileBytes   = 64 << 20 // nothing longer is read or written
+	frameBytes     = 8        // length and checksum of a record
+	maxRecordBytes = 4 << 10  // limit of a record's payload
+	maxFileBytes   = 64 << 20 // limit of a file, for reading and writing
 )
 
-// Errors of a file of which nothing is used, to be told apart by errors.Is.
+// Errors for which nothing of a file is used, for errors.Is.
 var (
-	ErrNotSnapshot  = errors.New("not a snapshot")
-	ErrNewerVersion = errors.New("of a newer version; left alone")
-	ErrHeader       = errors.New("its head can't be read")
-	ErrMAC          = errors.New("its MAC is missing or not the key's")
-	ErrTooLong      = errors.New("too long")
+	ErrNotSnapshot  = errors.New("file is not a snapshot")
+	ErrNewerVersion = errors.New("snapshot has a newer version than this program reads; it is neither used nor removed")
+	ErrHeader       = errors.New("snapshot's head record is missing or can't be decoded")
+	ErrMAC          = errors.New("snapshot is incomplete, or its MAC is missing or does not match the key")
+	ErrTooLong      = errors.New("file is too long")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// recordChecksum is the checksum of a record, over its length and its payload.
+// recordChecksum returns the CRC-32C of a record, over its encoded length and its payload.
 func recordChecksum(length, payload []byte) uint32 {
 	return crc32.Update(crc32.Checksum(length, castagnoli), castagnoli, payload)
 }
 
-// computeMAC authenticates the bytes of a file before its tail.
+// computeMAC returns the HMAC-SHA-256 of the bytes of a file before its tail.
 func computeMAC(b, key []byte) []byte {
 	h := hmac.New(sha256.New, key)
 	h.Write(b)
--- a/internal/snapshot/killed_test.go
+++ b/internal/snapshot/killed_test.go
@@ -13,8 +13,8 @@
 	"larchusher/warmstart"
 )
 
-// killWriter starts a process that writes all the time, kills it after a while, and returns the last snapshot that it said it
-// had written; -1: none.
+// killWriter starts a process that saves snapshots without a pause, and kills it after a delay from its first output. It returns the
+// position of the last snapshot that the process reported as saved; -1: none.
 func killWriter(t *testing.T, folder string, after time.Duration) (written int64) {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), os.Args[0], "-test.run=^TestKilledWriters$")
@@ -26,37 +26,38 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	said := make(chan int64, 1)
-	began := make(chan bool)
+	reported := make(chan int64, 1)
+	started := make(chan bool)
 	go func() {
 		var n, latest int64
 		latest = -1
 		for first := true; ; first = false {
 			_, err := fmt.Fscanln(out, &n)
-			if first { // it writes, or has ended without a word
-				close(began)
+			if first { // the process has saved a snapshot, or has ended without saving one
+				close(started)
 			}
 			if err != nil {
 				break
 			}
 			latest = n
 		}
-		said <- latest
+		reported <- latest
 	}()
-	<-began
-	time.Sleep(after) // the moment is what is tried
+	<-started
+	time.Sleep(after) // the kill comes at a random moment of a write
 	_ = cmd.Process.Kill()
-	written = <-said
+	written = <-reported
 	_ = cmd.Wait()
 	return written
 }
 
-// A process that writes all the time is killed at random moments: what is there can always be read, and is no older than
-// what it said it had written. LARCHUSHER_LONG=20 makes it 1,000 kills, for docs/measurements/state.md.
+// A process that saves snapshots without a pause is killed at random moments. After each kill all files must be complete, and the
+// newest one must not be older than what the process reported as saved. LARCHUSHER_LONG=20 raises the number of kills to 1,000, as
+// for docs/measurements/state.md.
 func TestKilledWriters(t *testing.T) {
 	folder := t.TempDir()
 	if dir := os.Getenv("LARCHUSHER_WRITER"); dir != "" {
-		writer(dir)
+		runWriter(dir)
 		return
 	}
 	kills := 50
@@ -69,32 +70,32 @@
 		written := killWriter(t, folder, time.Duration(rng.IntN(5000))*time.Microsecond)
 		best, all, err := NewStore(Folder(folder), testKey).Load()
 		if err != nil || best == nil {
-			t.Fatalf("kill %d: %v, %v", k, best, err)
+			t.Fatalf("kill %d: loaded %v, error %v", k, best, err)
 		}
 		for _, f := range all {
 			if f.Err != nil || !f.Damage.Complete {
-				t.Errorf("kill %d: %s: %+v, %v", k, f.Name, f.Damage, f.Err)
+				t.Errorf("kill %d: file %s is not complete: damage %+v, error %v", k, f.Name, f.Damage, f.Err)
 			}
 		}
-		if p := best.Snapshot.Position; p < max(last, written) || !reflect.DeepEqual(best.Snapshot, numbered(p)) {
-			t.Fatalf("kill %d: %d is read, %d was written and %d before", k, p, written, last)
+		if p := best.Snapshot.Position; p < max(last, written) || !reflect.DeepEqual(best.Snapshot, exampleAt(p)) {
+			t.Fatalf("kill %d: position %d is loaded or its snapshot differs; position %d was reported as saved, and %d was loaded before", k, p, written, last)
 		}
 		last = best.Snapshot.Position
 	}
 	names, err := Folder(folder).List()
 	if err != nil || len(names) > keptGenerations+3 {
-		t.Errorf("%v are left, %v", names, err)
+		t.Errorf("too many files are left: %v, or error %v", names, err)
 	}
 }
 
-func numbered(n int64) *warmstart.Snapshot {
-	s := example(200)
+func exampleAt(n int64) *warmstart.Snapshot {
+	s := exampleSnapshot(200)
 	s.Position = n
 	return s
 }
 
-// writer writes until it is killed, and says what it has written.
-func writer(folder string) {
+// runWriter saves snapshots until it is killed, and prints the position of each after it was saved.
+func runWriter(folder string) {
 	unlock, err := Folder(folder).Lock()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -107,7 +108,7 @@
 		n = best.Snapshot.Position + 1
 	}
 	for ; ; n++ {
-		if _, err := store.Save(numbered(n)); err != nil {
+		if _, err := store.Save(exampleAt(n)); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
--- a/internal/snapshot/metrics.go
+++ b/internal/snapshot/metrics.go
@@ -6,7 +6,7 @@
 	"larchusher/internal/metrics"
 )
 
-// Metrics returns the counters of a Saver. now is Unix time.
+// Metrics returns the metrics of a Saver, for the event loop. now is the Unix time.
 func (s *Saver) Metrics(now time.Duration) (all []metrics.Value) {
 	add := func(kind metrics.Kind, name, help string, v float64, labels ...metrics.Label) {
 		all = append(all, metrics.Value{Name: name, Help: help, Kind: kind, Value: v, Labels: labels})
--- a/internal/snapshot/records.go
+++ b/internal/snapshot/records.go
@@ -8,7 +8,8 @@
 	"larchusher/warmstart"
 )
 
-// The records of a file and the values that they stand for. The names of the records' fields are those of the files.
+// Conversions between the values of a snapshot and the records of a file. The protobuf fields keep the names of the file format,
+// which differ from those of the Go fields.
 
 func headRecord(s *warmstart.Snapshot) *snapshotpb.Record {
 	return &snapshotpb.Record{Is: &snapshotpb.Record_Head{Head: &snapshotpb.Head{
--- a/internal/snapshot/saver.go
+++ b/internal/snapshot/saver.go
@@ -10,41 +10,41 @@
 	"larchusher/warmstart"
 )
 
-// Saver writes snapshots beside the event loop of a gateway: the loop copies out what is to be written, and a goroutine of the
-// Saver's own writes it, so that requests don't wait for a disk. [Open] may be called anywhere and may block; the methods
-// are for the event loop and, [Saver.Close] apart, don't block.
+// Saver writes the snapshots of a gateway. The event loop copies out what is to be written, and the Saver writes it on a goroutine of
+// its own, so that requests don't wait for the disk. [Open] may be called on any goroutine and may block. The methods must be
+// called on the event loop and don't block, except [Saver.Close].
 type Saver struct {
 	store      *Store
 	log        logrus.FieldLogger
 	unlock     func()
 	export     func() *warmstart.Snapshot
 	post       func(func()) bool
-	work       chan *warmstart.Snapshot // to the writing goroutine
-	writerDone chan struct{}            // closed when that has ended
+	writes     chan *warmstart.Snapshot // to the writer's goroutine
+	writerDone chan struct{}            // closed when the writer's goroutine has ended
 	schedule   warmstart.SaveSchedule
 
-	Size          int           // bytes of the latest file
-	LastStarted   time.Duration // start of the latest write, Unix time; 0: none
-	LongestExport time.Duration // longest time that the event loop took to copy out a snapshot
+	Size          int           // size in bytes of the latest file
+	LastStarted   time.Duration // Unix time at which the latest write was started; 0: none
+	LongestExport time.Duration // longest time that the event loop spent copying out a snapshot
 
-	Imported        warmstart.ImportReport // what became of the snapshot that was found at the start
-	SnapshotFound   bool                   // there was one
-	UnreadableFiles int                    // of which nothing could be used then
-	BadRecords      int                    // of the one that was found
+	Imported        warmstart.ImportReport // what was used of the snapshot that was found at the start, set by the program
+	SnapshotFound   bool                   // a snapshot was found at the start
+	UnreadableFiles int                    // files of which nothing could be used at the start
+	BadRecords      int                    // damaged records in the snapshot that was found at the start
 }
 
-// openTimeout bounds how long a start waits for its folder.
+// openTimeout bounds how long Open waits for the folder to be read.
 const openTimeout = 2 * time.Second
 
-// loaded is what a store has loaded.
-type loaded struct {
+// loadResult has the results of Store.Load.
+type loadResult struct {
 	best *LoadedFile
 	all  []LoadedFile
 	err  error
 }
 
-// Open locks a folder and reads the latest snapshot; found is nil if there is none. An error says that this process goes
-// without the folder.
+// Open locks a folder and loads the best snapshot in it; found is nil if there is none. It fails if the folder can't be locked or
+// read, or not within openTimeout; the process then has to run without the folder.
 func Open(folder string, key []byte, log logrus.FieldLogger) (s *Saver, found *warmstart.Snapshot, err error) {
 	unlock, err := Folder(folder).Lock()
 	if err != nil {
@@ -54,13 +54,13 @@
 		store:      NewStore(Folder(folder), key),
 		log:        log,
 		unlock:     unlock,
-		work:       make(chan *warmstart.Snapshot, 1),
+		writes:     make(chan *warmstart.Snapshot, 1),
 		writerDone: make(chan struct{}),
 	}
-	done := make(chan loaded, 1)
+	done := make(chan loadResult, 1)
 	go func() {
 		best, all, err := s.store.Load()
-		done <- loaded{best, all, err}
+		done <- loadResult{best, all, err}
 	}()
 	select {
 	case l := <-done:
@@ -68,14 +68,14 @@
 			unlock()
 			return nil, nil, l.err
 		}
-		return s, s.takeLoaded(l), nil
-	case <-time.After(openTimeout): // the goroutine ends when the folder answers
-		return nil, nil, errors.New("the folder does not answer")
+		return s, s.recordLoaded(l), nil
+	case <-time.After(openTimeout): // the goroutine ends when the folder has been read
+		return nil, nil, errors.New("the snapshot folder could not be read within 2 s")
 	}
 }
 
-// takeLoaded records and logs what was loaded, and returns the snapshot to be used.
-func (s *Saver) takeLoaded(l loaded) *warmstart.Snapshot {
+// recordLoaded records and logs the results of a load, and returns the snapshot to be used; nil if there is none.
+func (s *Saver) recordLoaded(l loadResult) *warmstart.Snapshot {
 	for _, f := range l.all {
 		if f.Err != nil {
 			s.UnreadableFiles++
@@ -96,20 +96,20 @@
 	return l.best.Snapshot
 }
 
-// Start starts the writing, at an interval; 0: warmstart.DefaultSaveInterval. export copies out what has been learned, on the
-// event loop; post has the event loop run a function.
+// Start starts the writer's goroutine. A snapshot is written at each interval; 0: warmstart.DefaultSaveInterval. export is called on
+// the event loop and returns a copy of what the gateway has learned. post has the event loop run a function.
 func (s *Saver) Start(interval time.Duration, post func(func()) bool, export func() *warmstart.Snapshot) {
 	s.schedule.Interval, s.post, s.export = interval, post, export
 	go func() {
 		defer close(s.writerDone)
-		for snap := range s.work {
+		for snap := range s.writes {
 			size, err := s.store.Save(snap)
 			post(func() { s.saveFinished(snap.Made, size, err) })
 		}
 	}()
 }
 
-// Tick starts a write if one is due. It is to be called several times an interval, with the Unix time.
+// Tick starts a write if one is due. It must be called several times in an interval, with the Unix time.
 func (s *Saver) Tick(now time.Duration) {
 	if s.schedule.Hanging(now) {
 		s.log.Error(logfields.SnapshotWriteHangs)
@@ -119,10 +119,10 @@
 	}
 	s.schedule.Started(now)
 	s.LastStarted = now
-	s.work <- s.exportState() // doesn't block: no write is in progress, and there is room for one
+	s.writes <- s.exportState() // does not block: no write is in progress, and the channel has room for one
 }
 
-// exportState copies out a snapshot, and measures how long that takes.
+// exportState copies out a snapshot and measures how long the copying takes.
 func (s *Saver) exportState() *warmstart.Snapshot {
 	began := time.Now()
 	snap := s.export()
@@ -130,7 +130,7 @@
 	return snap
 }
 
-// saveFinished records the end of a write. Only the first failure is logged.
+// saveFinished records the end of a write. Only the first failed one is logged.
 func (s *Saver) saveFinished(now time.Duration, size int, err error) {
 	isFirst := s.schedule.Failed == 0
 	s.schedule.Finished(now, err != nil)
@@ -141,17 +141,17 @@
 	}
 }
 
-// SaveNow starts a write whatever the interval, unless one is in progress: the program is about to end, and may be killed at
-// any moment.
+// SaveNow starts a write before the interval has passed, unless one is in progress. It is for a program that is about to end, and may
+// be killed at any moment.
 func (s *Saver) SaveNow(now time.Duration) {
 	s.schedule.Force()
 	s.Tick(now)
 }
 
-// Close unlocks the folder. It is to be called when the event loop has ended, and waits for the current write, but no longer than
-// the timeout: its file will be complete or not be there.
+// Close ends the writer and unlocks the folder. It must be called after the event loop has ended. It waits for the current write, but
+// no longer than the timeout; a write that is interrupted leaves no incomplete snapshot under its final name.
 func (s *Saver) Close(timeout time.Duration) {
-	close(s.work)
+	close(s.writes)
 	select {
 	case <-s.writerDone:
 	case <-time.After(timeout):
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -10,8 +10,8 @@
 	"larchusher/warmstart"
 )
 
-// Names of files: a prefix, the number of the generation in generationDigits hexadecimal digits, and a suffix. One that is being
-// written has temporarySuffix as well.
+// A file's name is filePrefix, the number of the generation in generationDigits hexadecimal digits, and fileSuffix. A file that is
+// being written has temporarySuffix in addition.
 const (
 	filePrefix       = "knowledge-"
 	fileSuffix       = ".lks"
@@ -19,21 +19,20 @@
 	generationDigits = 16
 )
 
-// keptGenerations is the number of generations that are kept: the latest one, and one to fall back on.
+// keptGenerations is the number of generations that Save keeps: the latest one, and one as a fallback.
 const keptGenerations = 2
 
-// Store keeps generations of snapshots in a folder. Its methods block for as long as the folder does. It is not safe for concurrent
-// use.
+// Store stores generations of snapshots in a folder. Its methods block on the folder. It is not safe for concurrent use.
 type Store struct {
 	fs               FS
-	key              []byte // of the MAC; empty: none
+	key              []byte // key of the MAC; empty: files have no MAC
 	latestGeneration uint64
 }
 
-// NewStore returns a store. key is that of the MAC; empty: files have none.
+// NewStore returns a store. key is the key of the files' MACs; empty: the files have none.
 func NewStore(fs FS, key []byte) *Store { return &Store{fs: fs, key: key} }
 
-// generationOf returns the generation in the name of a file; false if it is no snapshot's.
+// generationOf returns the generation in a file's name, or false if the name is not that of a snapshot.
 func generationOf(name string) (generation uint64, ok bool) {
 	digits, hasPrefix := strings.CutPrefix(name, filePrefix)
 	digits, hasSuffix := strings.CutSuffix(digits, fileSuffix)
@@ -45,11 +44,11 @@
 	return fmt.Sprintf("%s%0*x%s", filePrefix, generationDigits, generation, fileSuffix)
 }
 
-// list returns the generations, the newest first, and the names of files of writes that did not end.
+// list returns the generations, newest first, and the names of temporary files of writes that were not completed.
 func (s *Store) list() (generations []uint64, unfinished []string, err error) {
 	names, err := s.fs.List()
 	if err != nil {
-		return nil, nil, fmt.Errorf("snapshot: listing: %w", err)
+		return nil, nil, fmt.Errorf("snapshot: listing the folder: %w", err)
 	}
 	for _, name := range names {
 		if generation, ok := generationOf(name); ok {
@@ -63,8 +62,8 @@
 	return generations, unfinished, nil
 }
 
-// Save writes a snapshot as a new generation, and removes old ones. Until the new one is complete the old ones are what is
-// read. It returns the size of the file in bytes.
+// Save writes a snapshot as a new generation and removes old generations. Until the new file is complete, Load returns an older one. It
+// returns the size of the file in bytes.
 func (s *Store) Save(snap *warmstart.Snapshot) (size int, err error) {
 	data, err := Encode(snap, s.key)
 	if err != nil {
@@ -82,13 +81,13 @@
 		return 0, err
 	}
 	for _, name := range unfinished {
-		_ = s.fs.Remove(name) // the next Save tries again
+		_ = s.fs.Remove(name) // if this fails the next Save tries again
 	}
-	s.removeOld(generations)
+	s.removeOldGenerations(generations)
 	return len(data), nil
 }
 
-// writeFile writes a file under a temporary name and puts it in place once it is on disk.
+// writeFile writes a file under a temporary name, syncs it and renames it.
 func (s *Store) writeFile(name string, data []byte) error {
 	temporary := name + temporarySuffix
 	f, err := s.fs.Create(temporary)
@@ -97,36 +96,36 @@
 	}
 	_, err = f.Write(data)
 	if err == nil {
-		err = f.Sync() // or the name could be there before the bytes
+		err = f.Sync() // without it the renamed file could be there before its data
 	}
 	if err = errors.Join(err, f.Close()); err != nil {
-		_ = s.fs.Remove(temporary) // the next Save tries again
+		_ = s.fs.Remove(temporary) // if this fails the next Save tries again
 		return fmt.Errorf("snapshot: writing %s: %w", temporary, err)
 	}
 	if err := s.fs.Rename(temporary, name); err != nil {
-		_ = s.fs.Remove(temporary) // the next Save tries again
-		return fmt.Errorf("snapshot: putting %s in place: %w", name, err)
+		_ = s.fs.Remove(temporary) // if this fails the next Save tries again
+		return fmt.Errorf("snapshot: renaming the temporary file to %s: %w", name, err)
 	}
 	if err := s.fs.SyncDir(); err != nil {
-		return fmt.Errorf("snapshot: the folder: %w", err)
+		return fmt.Errorf("snapshot: syncing the folder: %w", err)
 	}
 	return nil
 }
 
-// removeOld removes all but the newest of the generations that were there before the latest Save. Files of newer versions are
-// not ours to remove.
-func (s *Store) removeOld(generations []uint64) {
+// removeOldGenerations removes all but the newest of the generations that existed before the current Save. It does not remove files of
+// newer versions of the format, which another program wrote.
+func (s *Store) removeOldGenerations(generations []uint64) {
 	if len(generations) < keptGenerations {
 		return
 	}
 	for _, generation := range generations[keptGenerations-1:] {
 		if name := fileName(generation); !s.isNewerVersion(name) {
-			_ = s.fs.Remove(name) // the next Save tries again
+			_ = s.fs.Remove(name) // if this fails the next Save tries again
 		}
 	}
 }
 
-// isNewerVersion reports whether a file is of a newer version of the format.
+// isNewerVersion reports whether a file has a newer version of the format.
 func (s *Store) isNewerVersion(name string) bool {
 	data, err := s.fs.Read(name, maxFileBytes)
 	if err != nil {
@@ -136,16 +135,16 @@
 	return errors.Is(err, ErrNewerVersion)
 }
 
-// LoadedFile is a file that was read.
+// LoadedFile is the result of reading a file.
 type LoadedFile struct {
 	Name     string
-	Size     int // bytes
+	Size     int // in bytes
 	Damage   Damage
-	Err      error // why nothing of it is used; nil: it is
+	Err      error // why nothing of the file can be used; nil: it can
 	Snapshot *warmstart.Snapshot
 }
 
-// Inspect reads all generations, the newest first.
+// Inspect reads all generations and returns them, newest first.
 func (s *Store) Inspect() (all []LoadedFile, err error) {
 	generations, _, err := s.list()
 	if err != nil {
@@ -166,8 +165,8 @@
 	return f
 }
 
-// Load reads all generations, and returns as best the newest one that is complete, or else the newest of which anything can be
-// used; nil if there is none.
+// Load reads all generations. best is the newest one that is complete, or else the newest one that can be used in part; nil if there
+// is none.
 func (s *Store) Load() (best *LoadedFile, all []LoadedFile, err error) {
 	if all, err = s.Inspect(); err != nil {
 		return nil, nil, err
@@ -187,8 +186,8 @@
 	return best, all, nil
 }
 
-// Prune removes all files but the one that [Store.Load] prefers and those of newer versions, and returns the names of those
-// that it removed.
+// Prune removes all files except the one that [Store.Load] returns as best and those of newer versions. It returns the names of the
+// removed files.
 func (s *Store) Prune() (removed []string, err error) {
 	best, all, err := s.Load()
 	if err != nil {
