--- a/cluster/explore_test.go
+++ b/cluster/explore_test.go
@@ -92,14 +92,14 @@
 			return
 		}
 		g.suspended = false
-		for _, box := range slices.Sorted(maps.Keys(w.machines)) {
-			if g.node.EndpointPermitted(w.localTime(g), box) {
-				w.checkInService(g, box)
+		for _, machineName := range slices.Sorted(maps.Keys(w.machines)) {
+			if g.node.EndpointPermitted(w.localTime(g), machineName) {
+				w.checkInService(g, machineName)
 			}
 		}
-		for _, h := range g.inbox {
+		for _, received := range g.inbox {
 			if g.generation == generation {
-				w.handle(g, h)
+				w.handle(g, received)
 			}
 		}
 		g.inbox = nil
@@ -107,21 +107,21 @@
 }
 
 // fault is a fault of a kind, an index into faultKinds, at a message of the scenario, counted from 0.
-type fault struct{ at, kind int }
+type fault struct{ message, kind int }
 
 // runScenario runs the scenario with faults. It returns a violation or lost request, or "".
 func runScenario(faults ...fault) (w *simulation, failure string) {
 	w = newSimulation(7, 3)
-	at := map[int]int{}
+	kindAt := map[int]int{}
 	for _, f := range faults {
-		at[f.at] = f.kind
+		kindAt[f.message] = f.kind
 	}
 	w.intercept = func(from, to string) bool {
 		if w.nodes[to] == nil || from == to {
 			return true
 		}
 		w.messages++
-		if kind, ok := at[w.messages-1]; ok {
+		if kind, ok := kindAt[w.messages-1]; ok {
 			return faultKinds[kind].inject(w, from, to)
 		}
 		return true
@@ -145,12 +145,12 @@
 // inParallel calls f with 0 to n-1 on all processors, until a call returns a failure, and returns that.
 func inParallel(n int, f func(i int) string) (failure string) {
 	var (
-		all  sync.WaitGroup
-		mu   sync.Mutex
-		next int
+		workers sync.WaitGroup
+		mu      sync.Mutex
+		next    int
 	)
 	for range max(1, runtime.GOMAXPROCS(0)) {
-		all.Go(func() {
+		workers.Go(func() {
 			for {
 				mu.Lock()
 				i := next
@@ -168,7 +168,7 @@
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 	return failure
 }
 
@@ -192,7 +192,7 @@
 		if failure := inParallel(runsOfKind, func(i int) string {
 			f := fault{i*stride + kind*3%stride, kind}
 			if _, failure := runScenario(f); failure != "" {
-				return fmt.Sprintf("message %d, %s: %s", f.at, faultKinds[kind].name, failure)
+				return fmt.Sprintf("message %d, %s: %s", f.message, faultKinds[kind].name, failure)
 			}
 			return ""
 		}); failure != "" {
@@ -202,7 +202,7 @@
 	if failure := inParallel(pairs, func(i int) string {
 		rng := rand.New(rand.NewPCG(uint64(i), 3))
 		a := fault{rng.IntN(messages), rng.IntN(len(faultKinds))}
-		b := fault{min(messages, a.at+1+rng.IntN(120)), rng.IntN(len(faultKinds))}
+		b := fault{min(messages, a.message+1+rng.IntN(120)), rng.IntN(len(faultKinds))}
 		if _, failure := runScenario(a, b); failure != "" {
 			return fmt.Sprintf("%v, then %v: %s", a, b, failure)
 		}
--- a/cluster/network_faults_test.go
+++ b/cluster/network_faults_test.go
@@ -9,17 +9,17 @@
 func (w *simulation) injectFault(at time.Duration) {
 	w.clock.At(at, func() {
 		m := w.nodes[w.names[w.rng.IntN(len(w.names))]]
-		heal := w.clock.Now + time.Duration(200+w.rng.IntN(6000))*time.Millisecond
+		healAt := w.clock.Now + time.Duration(200+w.rng.IntN(6000))*time.Millisecond
 		switch w.rng.IntN(6) {
 		case 0, 1:
-			w.kill(m, heal)
+			w.kill(m, healAt)
 		case 2:
-			w.suspendUntil(m, heal)
+			w.suspendUntil(m, healAt)
 		case 3, 4:
-			w.partition(heal)
+			w.partition(healAt)
 		case 5:
 			w.loss, w.duplication = 0.2*w.rng.Float64(), 0.2*w.rng.Float64()
-			w.clock.At(heal, func() { w.loss, w.duplication = 0, 0 })
+			w.clock.At(healAt, func() { w.loss, w.duplication = 0, 0 })
 		}
 	})
 }
@@ -40,13 +40,13 @@
 }
 
 // suspendUntil stops a node until a time. It resumes where it was stopped, before it has received the messages that have arrived.
-func (w *simulation) suspendUntil(m *simulatedNode, resume time.Duration) {
+func (w *simulation) suspendUntil(m *simulatedNode, resumeAt time.Duration) {
 	if m.node == nil || m.suspended {
 		return
 	}
 	m.suspended = true
 	generation := m.generation
-	w.clock.At(resume, func() {
+	w.clock.At(resumeAt, func() {
 		if m.generation != generation {
 			return
 		}
@@ -64,7 +64,7 @@
 }
 
 // partition severs the links between two random sets of nodes, in one or both directions, until a time.
-func (w *simulation) partition(heal time.Duration) {
+func (w *simulation) partition(healAt time.Duration) {
 	side, oneWay := map[string]bool{}, w.rng.IntN(2) == 0
 	for _, n := range w.names {
 		side[n] = w.rng.IntN(2) == 0
@@ -76,7 +76,7 @@
 			}
 		}
 	}
-	w.clock.At(heal, func() { clear(w.severed) })
+	w.clock.At(healAt, func() { clear(w.severed) })
 }
 
 // othersCanVote reports whether all voters but one are running and may vote. If a majority of the voters lost their state, the
--- a/cluster/simulation_test.go
+++ b/cluster/simulation_test.go
@@ -51,16 +51,16 @@
 
 type simulatedNode struct {
 	name         string
-	node         *Node
-	clockRate    float64
+	node         *Node   // nil: the process is not running
+	clockRate    float64 // rate of the node's clock, relative to the virtual clock
 	startedAt    time.Duration
 	suspended    bool
-	inbox        []MessageReceived
-	acceptor     consensus.AcceptorState
-	view         []byte
-	durable      bool
+	inbox        []MessageReceived        // arrived while the process was suspended
+	acceptor     consensus.AcceptorState  // as stored
+	view         []byte                   // as stored; nil: none
+	durable      bool                     // storage survives a restart
 	inFlight     map[string]time.Duration // end of the latest attempt at each machine
-	generation   int
+	generation   int                      // raised by each start and kill, so that callbacks for an earlier process do nothing
 	draining     map[string]bool
 	shuttingDown bool
 }
@@ -412,6 +412,7 @@
 	return w, w.violation
 }
 
+// EXPLORE=n plays n seeds instead of 40.
 func TestRandomFaults(t *testing.T) {
 	n := 40
 	if x, err := strconv.Atoi(os.Getenv("EXPLORE")); err == nil {
--- a/internal/clusternode/node.go
+++ b/internal/clusternode/node.go
@@ -36,7 +36,7 @@
 	drainSlack = 500 * time.Millisecond
 )
 
-// Node is this gateway's member of the cluster. Create it with [Start].
+// Node makes this gateway a member of its cluster. Create it with [Start].
 type Node struct {
 	// OnShutDown is called on the event loop when this gateway's own machine is to be taken out of service. It must begin a
 	// graceful shutdown, and have completed called on the loop once the gateway sends nothing more.
@@ -63,19 +63,20 @@
 	writeFailureLoggedAt time.Time   // time of the latest log entry for a failed write
 }
 
-// Start starts a gateway's member of the cluster. The gateway must call EndpointPermitted right before each write to a machine. The
-// error names what could not be opened, or the setting that is not valid.
-func Start(cfg *config.Cluster, set routing.Settings, gw *gateway.Gateway, loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger) (*Node, error) {
+// Start makes a gateway a member of its cluster. It must be called on the event loop, or before the loop runs. The gateway must call
+// EndpointPermitted right before each write to a machine. The error names what could not be opened, or the setting that is not
+// valid.
+func Start(cfg *config.Cluster, settings routing.Settings, gw *gateway.Gateway, loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger) (*Node, error) {
 	n := &Node{
 		cfg:             cfg,
 		loop:            loop,
 		gateway:         gw,
 		log:             log.WithField(logfields.Self, cfg.Name),
-		zone:            set.Zone,
-		purgeSettleTime: set.PurgeSettleTime,
+		zone:            settings.Zone,
+		purgeSettleTime: settings.PurgeSettleTime,
 		started:         time.Now().Add(-time.Second), // so that the clock never gives 0, which stands for never
 	}
-	if err := n.open(set, engine); err != nil {
+	if err := n.open(settings, engine); err != nil {
 		n.closeFiles()
 		return nil, err
 	}
@@ -85,8 +86,8 @@
 }
 
 // open opens the files, the cluster state and the transport, and starts replication. If it fails the caller closes the files.
-func (n *Node) open(set routing.Settings, engine *transport.Engine) error {
-	c := n.clusterConfig(set)
+func (n *Node) open(settings routing.Settings, engine *transport.Engine) error {
+	c := n.clusterConfig(settings)
 	if n.cfg.Folder != "" {
 		if err := n.openFiles(&c); err != nil {
 			return err
@@ -106,10 +107,10 @@
 	return n.startReplication()
 }
 
-func (n *Node) clusterConfig(set routing.Settings) cluster.Config {
+func (n *Node) clusterConfig(settings routing.Settings) cluster.Config {
 	limits := n.cfg.Limits
-	limits.DrainGrace = max(set.DrainGrace, drainGraceFor(set.Classes))
-	limits.SlowStart = max(set.SlowStartFor, set.ParentSlowStartFor)
+	limits.DrainGrace = max(settings.DrainGrace, drainGraceFor(settings.Classes))
+	limits.SlowStart = max(settings.SlowStartFor, settings.ParentSlowStartFor)
 	c := cluster.Config{Self: n.cfg.Name, Incarnation: newIncarnation(), Members: n.memberNames(), Voters: n.cfg.Voters, Limits: limits,
 		WallClockMs: n.wallClockMs, ReadInterval: readInterval, Seed: newIncarnation()}
 	c.Acceptor = consensus.AcceptorState{Incarnation: c.Incarnation}
--- a/internal/clusternode/replicator.go
+++ b/internal/clusternode/replicator.go
@@ -14,7 +14,8 @@
 	"larchusher/warmstart"
 )
 
-// publishInterval is how often this gateway publishes what it has learned by itself. Watch events are published at once.
+// publishInterval is how often this gateway publishes what it has learned by itself. After a watch event it publishes at
+// the next tick.
 const publishInterval = 500 * time.Millisecond
 
 // replicator runs package replication on the event loop: it publishes what this gateway learns, and applies what its peers
--- a/internal/hotrestart/process.go
+++ b/internal/hotrestart/process.go
@@ -19,7 +19,7 @@
 var (
 	ErrTooManyProcesses = errors.New("two processes of this gateway are running already")
 	ErrFolderNotPrivate = errors.New("handover folder is not a folder that belongs to this user and is closed to others")
-	ErrNoState          = errors.New("active process handed over no state in time")
+	ErrNoState          = errors.New("active process handed over no state: it did not answer in time, or has ended")
 	ErrNoSockets        = errors.New("state was handed over without sockets")
 )
 
--- a/internal/net/clustertransport/transport.go
+++ b/internal/net/clustertransport/transport.go
@@ -1,10 +1,10 @@
 // Package clustertransport carries messages between the gateways of a cluster, and between an operator's tool and a gateway.
 //
 // A TCP connection between gateways carries messages in one direction, from the member that dialled it; a tool's connection carries
-// them in both. The accepting side greets with a random challenge, and each frame has a MAC over that challenge and the frame,
-// with the cluster's key. Frames without the key, and frames recorded on another connection, are therefore rejected; a frame
-// that is replayed on the same connection is ignored. Nothing is encrypted, and there is no protection against attackers who
-// have the key, or who delay frames.
+// them in both. The accepting side greets with a random challenge, and each frame has a MAC that is computed over that challenge
+// and the frame with the cluster's key. Frames made without the key, and frames recorded on another connection, are therefore
+// rejected; a frame that is replayed on the same connection is ignored. Nothing is encrypted, and there is no protection
+// against attackers who have the key, or who delay frames.
 //
 // A Transport belongs to the event loop. Fields that are marked so are used on the connection's poller instead.
 package clustertransport
--- a/internal/snapshot/decode_test.go
+++ b/internal/snapshot/decode_test.go
@@ -145,7 +145,7 @@
 		if err == nil && d.Complete {
 			t.Fatalf("%d of %d bytes are taken for the complete file", n, len(data))
 		}
-		checkOnlyWrittenData(t, fmt.Sprintf("cut at %d", n), s, want)
+		checkOnlyWrittenData(t, fmt.Sprintf("truncated to %d bytes", n), s, want)
 	}
 }
 
@@ -168,7 +168,7 @@
 	for name, order := range map[string][]int{
 		"swapped":        append([]int{0, 1, 2, 3, 4, 6, 5}, all[7:]...),
 		"repeated":       append([]int{0, 1, 2, 3, 4, 5, 5}, all[6:]...),
-		"left out":       append([]int{0, 1, 2, 3, 4}, all[6:]...),
+		"missing":        append([]int{0, 1, 2, 3, 4}, all[6:]...),
 		"after the tail": append(slices.Clone(all), 5),
 		"head last":      append(all[1:len(all):len(all)], 0),
 	} {
--- a/internal/snapshot/disk_test.go
+++ b/internal/snapshot/disk_test.go
@@ -21,12 +21,13 @@
 	rng             *rand.Rand
 }
 
-var errDisk = errors.New("the disk failed")
+var errDisk = errors.New("injected disk failure")
 
 func newDisk(seed uint64) *disk {
 	return &disk{files: map[string][]byte{}, durable: map[string][]byte{}, unsyncedRenames: map[string]string{}, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
+// step counts a step. It fails at step failAt, and at each later one if the disk has lost power.
 func (d *disk) step() error {
 	if d.poweredOff {
 		return errDisk
