--- a/cluster/config.go
+++ b/cluster/config.go
@@ -29,7 +29,7 @@
 // check fills in the defaults of Limits and returns an error that names the first setting that is not valid.
 func (c *Config) check() error {
 	if c.Incarnation == 0 || c.WallClockMs == nil {
-		return errors.New("cluster: Incarnation is 0 or WallClockMs is nil")
+		return errors.New("cluster: Incarnation is 0 or WallClockMs is nil; both are required")
 	}
 	if !slices.Contains(c.Members, c.Self) {
 		return fmt.Errorf("cluster: Self: %q is not in Members", c.Self)
--- a/cluster/coordinator.go
+++ b/cluster/coordinator.go
@@ -70,8 +70,8 @@
 	return o
 }
 
-// mergeMachine merges two observations of a machine cautiously: it is up or warm only if both say so, its start is the earlier
-// of the two, and its utilization the higher one.
+// mergeMachine merges two observations of a machine cautiously: it is up or warm only if it is so in both, its start is the
+// earlier of the two, and its utilization the higher one.
 func mergeMachine(a, b maintenance.Machine) maintenance.Machine {
 	a.Up = a.Up && b.Up
 	a.Warm = a.Warm && b.Warm
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -71,7 +71,8 @@
 	nextAdvance  time.Duration
 }
 
-// New returns a node. The error names a setting that is not valid, or says that the stored view can't be decoded.
+// New returns a node. It fails for a setting that is not valid, which the error names, and for a stored view that can't be
+// decoded.
 func New(c Config) (*Node, error) {
 	if err := c.check(); err != nil {
 		return nil, err
--- a/internal/hotrestart/process.go
+++ b/internal/hotrestart/process.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// pollInterval is the interval at which a process checks for a file or a lock of another one.
+// pollInterval is the interval at which a process checks for a file or a lock of another one, while both run.
 const pollInterval = 20 * time.Millisecond
 
 // Errors of this package, for errors.Is.
--- a/internal/snapshot/decode_test.go
+++ b/internal/snapshot/decode_test.go
@@ -180,7 +180,7 @@
 	}
 }
 
-// A record with a wrong checksum is skipped alone. After an impossible length, nothing that follows is decoded.
+// Of a file with one wrong checksum only that record is skipped. After an impossible length nothing more is decoded.
 func TestDamagedRecords(t *testing.T) {
 	data := encodeWithoutKey(t, exampleSnapshot(12))
 	records := splitRecords(data)
