--- a/cluster/voter.go
+++ b/cluster/voter.go
@@ -104,7 +104,7 @@
 // epochs. It returns nil if they are recorded already.
 func (n *Node) memberCommand(from string, m Message) []byte {
 	s, ok := n.chosenState()
-	if !ok { // no gateway has joined yet
+	if !ok { // no state is known yet, as before the first gateway joins
 		return n.joinCommand(from, m)
 	}
 	g, joined := s.Gateways[from]
