--- a/cluster/coordinator.go
+++ b/cluster/coordinator.go
@@ -90,7 +90,7 @@
 		return
 	}
 	o := n.observations()
-	o.Elapsed = n.measureStages(s)
+	o.StageTimeouts = n.measureStages(s)
 	if !slices.ContainsFunc(s.Requests, func(r *maintenance.Request) bool { return !r.Stage.Ended() }) {
 		return
 	}
@@ -107,7 +107,7 @@
 
 // measureStages returns for each request between Requested and its end which time limits of its stage have passed, measured by
 // this node's own steady clock since it first saw the request at that stage.
-func (n *Node) measureStages(s *maintenance.State) (all []maintenance.ElapsedLimits) {
+func (n *Node) measureStages(s *maintenance.State) (all []maintenance.StageTimeouts) {
 	since := map[stageKey]time.Duration{}
 	for _, r := range s.Requests {
 		if r.Stage.Ended() || r.Stage == maintenance.Requested {
@@ -120,7 +120,7 @@
 		}
 		since[k] = at
 		elapsed := n.now - at
-		all = append(all, maintenance.ElapsedLimits{ID: r.ID, Stage: r.Stage, Epoch: r.GrantEpoch,
+		all = append(all, maintenance.StageTimeouts{ID: r.ID, Stage: r.Stage, Epoch: r.GrantEpoch,
 			LeasesExpired: elapsed >= n.cfg.Limits.LeaseExpiry(),
 			Overdue:       elapsed >= time.Duration(r.DurationMs)*time.Millisecond,
 			SlowStartOver: elapsed >= n.cfg.Limits.SlowStart})
--- a/cluster/operator.go
+++ b/cluster/operator.go
@@ -39,7 +39,7 @@
 }
 
 // describeMachine fills in the kind and zone of a machine from the gateways' observations. An empty kind: no gateway knows it.
-func (n *Node) describeMachine(o *maintenance.RequestOrder) {
+func (n *Node) describeMachine(o *maintenance.RequestSpec) {
 	m, ok := n.observations().Machines[o.Machine]
 	if !ok {
 		o.Kind = ""
--- a/cmd/larchusher/state.go
+++ b/cmd/larchusher/state.go
@@ -84,8 +84,8 @@
 	if f.Snapshot == nil {
 		return s
 	}
-	s.Made = time.Unix(0, int64(f.Snapshot.Made))
-	s.AgeS, s.Gateway, s.Settings, s.Position = now.Sub(s.Made).Seconds(), f.Snapshot.Gateway, f.Snapshot.Settings, f.Snapshot.Position
+	s.Made = time.Unix(0, int64(f.Snapshot.CreatedAt))
+	s.AgeS, s.Gateway, s.Settings, s.Position = now.Sub(s.Made).Seconds(), f.Snapshot.Gateway, f.Snapshot.SettingsFingerprint, f.Snapshot.JournalPosition
 	unix := time.Duration(now.UnixNano())
 	for _, d := range f.Snapshot.Directors {
 		p := place{Zone: d.Zone, Listings: len(d.Listings), Servers: len(d.Endpoints), Purges: len(d.Purges)}
--- a/internal/clusternode/node.go
+++ b/internal/clusternode/node.go
@@ -110,7 +110,7 @@
 func (n *Node) clusterConfig(settings routing.Settings) cluster.Config {
 	limits := n.cfg.Limits
 	limits.DrainGrace = max(settings.DrainGrace, drainGraceFor(settings.Classes))
-	limits.SlowStart = max(settings.SlowStartFor, settings.ParentSlowStartFor)
+	limits.SlowStart = max(settings.SlowStartDuration, settings.ParentSlowStartDuration)
 	c := cluster.Config{Self: n.cfg.Name, Incarnation: newIncarnation(), Members: n.memberNames(), Voters: n.cfg.Voters, Limits: limits,
 		WallClockMs: n.wallClockMs, ReadInterval: readInterval, Seed: newIncarnation()}
 	c.Acceptor = consensus.AcceptorState{Incarnation: c.Incarnation}
--- a/internal/clusternode/replicator.go
+++ b/internal/clusternode/replicator.go
@@ -110,7 +110,7 @@
 
 // updateDrains drains the endpoints that peers report as drained, in addition to those drained for maintenance.
 func (r *replicator) updateDrains() {
-	draining := r.sharer.HeldEndpoints(r.owner.now(), r.owner.gateway.ListedEndpoints())
+	draining := r.sharer.PeerDrainedEndpoints(r.owner.now(), r.owner.gateway.ListedEndpoints())
 	if maps.Equal(draining, r.peerDrained) {
 		return
 	}
--- a/internal/snapshot/killed_test.go
+++ b/internal/snapshot/killed_test.go
@@ -77,10 +77,10 @@
 				t.Errorf("kill %d: file %s is not complete: damage %+v, error %v", k, f.Name, f.Damage, f.Err)
 			}
 		}
-		if p := best.Snapshot.Position; p < max(last, written) || !reflect.DeepEqual(best.Snapshot, exampleAt(p)) {
+		if p := best.Snapshot.JournalPosition; p < max(last, written) || !reflect.DeepEqual(best.Snapshot, exampleAt(p)) {
 			t.Fatalf("kill %d: position %d is loaded or its snapshot differs; position %d was reported as saved, and %d was loaded before", k, p, written, last)
 		}
-		last = best.Snapshot.Position
+		last = best.Snapshot.JournalPosition
 	}
 	names, err := Folder(folder).List()
 	if err != nil || len(names) > keptGenerations+3 {
@@ -90,7 +90,7 @@
 
 func exampleAt(n int64) *warmstart.Snapshot {
 	s := exampleSnapshot(200)
-	s.Position = n
+	s.JournalPosition = n
 	return s
 }
 
@@ -105,7 +105,7 @@
 	store := NewStore(Folder(folder), testKey)
 	n := int64(0)
 	if best, _, err := store.Load(); err == nil && best != nil {
-		n = best.Snapshot.Position + 1
+		n = best.Snapshot.JournalPosition + 1
 	}
 	for ; ; n++ {
 		if _, err := store.Save(exampleAt(n)); err != nil {
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -28,10 +28,10 @@
 	}
 	got := -1
 	if best != nil {
-		if !best.Damage.Complete || !reflect.DeepEqual(best.Snapshot, exampleSnapshot(int(best.Snapshot.Position))) {
+		if !best.Damage.Complete || !reflect.DeepEqual(best.Snapshot, exampleSnapshot(int(best.Snapshot.JournalPosition))) {
 			t.Fatalf("fault at step %d, power loss %v: the loaded file is not complete: %+v", failAt, losesPower, best.Damage)
 		}
-		got = int(best.Snapshot.Position)
+		got = int(best.Snapshot.JournalPosition)
 	}
 	if got < lastSaved {
 		t.Fatalf("fault at step %d, power loss %v, seed %d: snapshot %d was saved, but %d is loaded (%d files)", failAt, losesPower, seed, lastSaved, got, len(all))
@@ -66,7 +66,7 @@
 	for name, b := range d.files {
 		d.files[name] = b[:len(b)-30]
 	}
-	if best, all, err := store.Load(); err != nil || best == nil || best.Damage.Complete || best.Snapshot.Position != 7 || len(all) != 2 {
+	if best, all, err := store.Load(); err != nil || best == nil || best.Damage.Complete || best.Snapshot.JournalPosition != 7 || len(all) != 2 {
 		t.Errorf("loading two truncated generations: %+v, error %v, want the incomplete one at position 7", best, err)
 	}
 	newer := bytes.Clone(d.files[fileName(3)])
@@ -80,7 +80,7 @@
 	if removed, err := store.Prune(); err != nil || len(removed) != 1 || !bytes.Equal(d.files[fileName(1)], newer) {
 		t.Errorf("Prune removed %v, error %v, want 1 file removed and that of the newer version unchanged", removed, err)
 	}
-	if best, _, err := store.Load(); err != nil || best.Snapshot.Position != 3 {
+	if best, _, err := store.Load(); err != nil || best.Snapshot.JournalPosition != 3 {
 		t.Errorf("after Prune: loaded %+v, error %v, want position 3", best, err)
 	}
 }
