--- a/consensus/events.go
+++ b/consensus/events.go
@@ -1,27 +1,28 @@
 package consensus
 
-// Event is anything that reaches a voter.
+// Event is an input to [Voter.Handle].
 type Event interface{ event() }
 
-// MessageReceived is a message from another voter.
+// MessageReceived delivers a message from another voter. Messages from unknown senders are ignored.
 type MessageReceived struct {
 	From    string
 	Message Message
 }
 
-// StateStored reports that the write of that number, and all before it, are durable.
+// StateStored reports that the state of the StoreState action with this number, or a later one, is durable.
 type StateStored struct{ Number uint64 }
 
-// Propose asks for a command to be applied to the value. Completed answers it.
+// Propose requests that a command be applied to the value. A Completed action with the same ID answers it.
 type Propose struct {
 	ID      string // repeated in Completed
-	Command []byte
+	Command []byte // passed to Config.Apply
 }
 
-// Read asks for the value as it is now, or later. Completed answers it.
+// Read requests a linearizable read: the value includes every change that was acknowledged before the request. A Completed action
+// with the same ID answers it.
 type Read struct{ ID string }
 
-// Tick reports that time has passed.
+// Tick makes the voter check its timeouts.
 type Tick struct{}
 
 func (MessageReceived) event() {}
@@ -30,30 +31,31 @@
 func (Read) event()            {}
 func (Tick) event()            {}
 
-// Action is anything that a voter wants done.
+// Action is an output of [Voter.Handle] that the caller has to carry out.
 type Action interface{ action() }
 
-// Send sends a message to another voter. It may get lost.
+// Send requests that a message be sent to another voter. The message may be lost.
 type Send struct {
 	To      string
 	Message Message
 }
 
-// StoreState makes an acceptor's state durable; StateStored answers it. A later state may replace one that is not written yet.
+// StoreState requests that the acceptor's state be made durable; the caller reports it with StateStored. A later state may
+// replace an earlier one that is not written yet.
 type StoreState struct {
 	Number uint64
 	State  AcceptorState
 }
 
-// Completed answers a Propose or a Read with the value after it.
+// Completed is the result of a Propose or a Read.
 type Completed struct {
 	ID       string
-	State    State
-	Reply    []byte // what the command returned
-	Rejected bool   // the command was not taken, or its outcome is unknown
+	State    State  // the value after the command, or as read
+	Reply    []byte // reply of Config.Apply to the command; nil for a Read
+	Rejected bool   // the command or read was not executed, or its outcome is unknown; State and Reply are not set
 }
 
-// Learned reports that a newer value was chosen.
+// Learned reports that a value with a higher revision was chosen.
 type Learned struct{ State State }
 
 func (Send) action()       {}
--- a/consensus/explore_test.go
+++ b/consensus/explore_test.go
@@ -15,13 +15,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The explorer goes through all that can happen to three voters, up to stated numbers of commands, timeouts, losses, crashes
-// and cuts, and the random runs through longer stretches of the same. Values are lists of the commands applied, so that
-// two values that were both chosen must be one the beginning of the other.
+// The explorer enumerates all interleavings of events at three voters, for a given number of commands, timeouts, lost messages,
+// crashes and network partitions. The random runs play longer sequences of the same events. A value is the list of the commands
+// applied to it, so of any two chosen values one must be a prefix of the other.
 
 var voterNames = []string{"a", "b", "c"}
 
-// appendOnce applies a command to a list, once.
+// appendOnce is a Config.Apply that appends a command to the list unless it is there already, and replies with the list's length.
 func appendOnce(value, command []byte) (next, reply []byte) {
 	all := strings.Fields(string(value))
 	if !slices.Contains(all, string(command)) {
@@ -30,32 +30,34 @@
 	return []byte(strings.Join(all, " ")), []byte(strconv.Itoa(len(all)))
 }
 
-type inFlight struct {
+// envelope is a message in flight.
+type envelope struct {
 	from, to string
 	message  Message
 }
 
-// budget are what may still happen.
+// budget is the number of events of each kind that may still happen.
 type budget struct{ commands, reads, ticks, losses, crashes, stateLosses, cuts, duplicates int }
 
+// cluster is the simulated state of three voters, their storage and the network, together with what the checks need to know.
 type cluster struct {
-	voters             map[string]*Voter        // nil: down
-	durable            map[string]AcceptorState // as stored
-	unwritten          map[string][]StoreState
-	delayedWrites      bool // writes take time
-	inFlight           []inFlight
-	isolated           string // no message reaches or leaves this voter; empty: none
+	voters             map[string]*Voter        // by name; nil: down
+	durable            map[string]AcceptorState // by voter: the state on disk
+	unwritten          map[string][]StoreState  // by voter: writes that are not durable yet
+	delayedWrites      bool                     // writes become durable in a step of their own; false: at once
+	inFlight           []envelope
+	isolated           string // messages from and to this voter are not delivered; empty: none is isolated
 	budget             budget
 	now                time.Duration
 	lastIncarnation    uint64
-	chosen             []string // the longest list that is known to be chosen
-	acknowledged       map[string]bool
-	acknowledgedBefore map[string]int // by question: commands acknowledged before it
-	violation          string
+	chosen             []string        // the longest list that a voter has reported as chosen
+	acknowledged       map[string]bool // by ID: commands that a voter has reported as completed
+	acknowledgedBefore map[string]int  // by ID of a read: number of commands acknowledged before it
+	violation          string          // the latest violated invariant; empty: none
 }
 
-func newCluster(left budget, late bool) *cluster {
-	w := &cluster{voters: map[string]*Voter{}, durable: map[string]AcceptorState{}, unwritten: map[string][]StoreState{}, delayedWrites: late, budget: left, acknowledged: map[string]bool{}, acknowledgedBefore: map[string]int{}}
+func newCluster(faults budget, delayedWrites bool) *cluster {
+	w := &cluster{voters: map[string]*Voter{}, durable: map[string]AcceptorState{}, unwritten: map[string][]StoreState{}, delayedWrites: delayedWrites, budget: faults, acknowledged: map[string]bool{}, acknowledgedBefore: map[string]int{}}
 	for _, n := range voterNames {
 		w.lastIncarnation++
 		w.durable[n] = AcceptorState{Incarnation: w.lastIncarnation}
@@ -64,6 +66,7 @@
 	return w
 }
 
+// start starts a voter from its durable state.
 func (w *cluster) start(name string) {
 	v, err := New(Config{Self: name, Voters: voterNames, Acceptor: w.durable[name], Apply: appendOnce, RoundTimeout: 1, BackoffBase: 1, Seed: 1})
 	if err != nil {
@@ -72,6 +75,7 @@
 	w.voters[name] = v
 }
 
+// clone returns a deep copy, so that each step can be applied to a copy of its own.
 func (w *cluster) clone() *cluster {
 	c := *w
 	c.voters, c.durable, c.unwritten, c.acknowledged, c.acknowledgedBefore = map[string]*Voter{}, maps.Clone(w.durable), map[string][]StoreState{}, maps.Clone(w.acknowledged), maps.Clone(w.acknowledgedBefore)
@@ -81,7 +85,7 @@
 			pcg := *v.pcg
 			k.pcg, k.rng = &pcg, rand.New(&pcg)
 			k.replies, k.unadmitted, k.commandReplies, k.eligible = maps.Clone(v.replies), maps.Clone(v.unadmitted), maps.Clone(v.commandReplies), maps.Clone(v.eligible)
-			k.heldReplies, k.proposals, k.reads, k.queuedProposals, k.queuedReads = slices.Clone(v.heldReplies), slices.Clone(v.proposals), slices.Clone(v.reads), slices.Clone(v.queuedProposals), slices.Clone(v.queuedReads)
+			k.pendingReplies, k.proposals, k.reads, k.queuedProposals, k.queuedReads = slices.Clone(v.pendingReplies), slices.Clone(v.proposals), slices.Clone(v.reads), slices.Clone(v.queuedProposals), slices.Clone(v.queuedReads)
 			k.acceptor.State, k.chosen, k.proposed = v.acceptor.State.clone(), v.chosen.clone(), v.proposed.clone()
 			c.voters[n] = &k
 		}
@@ -93,6 +97,7 @@
 	return &c
 }
 
+// handle passes an event to a voter, unless it is down, carries out the actions, and checks completed commands and reads.
 func (w *cluster) handle(name string, e Event) {
 	v := w.voters[name]
 	if v == nil {
@@ -106,7 +111,7 @@
 		for _, a := range out {
 			switch a := a.(type) {
 			case Send:
-				w.inFlight = append(w.inFlight, inFlight{name, a.To, a.Message})
+				w.inFlight = append(w.inFlight, envelope{name, a.To, a.Message})
 			case StoreState:
 				if w.delayedWrites {
 					w.unwritten[name] = append(w.unwritten[name], a)
@@ -120,7 +125,7 @@
 					if a.Reply != nil {
 						w.acknowledged[a.ID] = true
 					} else if n := w.acknowledgedBefore[a.ID]; len(strings.Fields(string(a.State.Value))) < n {
-						w.violation = fmt.Sprintf("%s answers %q with %q, and %d were acknowledged before", name, a.ID, a.State.Value, n)
+						w.violation = fmt.Sprintf("%s answered read %q with %q, but %d commands were acknowledged before", name, a.ID, a.State.Value, n)
 					}
 				}
 			case Learned:
@@ -130,24 +135,25 @@
 	}
 }
 
-// checkChosen checks a value that a voter takes for chosen against all before.
+// checkChosen checks that a value that a voter reports as chosen is consistent with all reported before, and that the longest one
+// contains all acknowledged commands.
 func (w *cluster) checkChosen(name string, s State) {
 	got := strings.Fields(string(s.Value))
 	n := min(len(got), len(w.chosen))
 	if !slices.Equal(got[:n], w.chosen[:n]) {
-		w.violation = fmt.Sprintf("%s says that %v was agreed on, and %v was", name, got, w.chosen)
+		w.violation = fmt.Sprintf("%s reports %v as chosen, but %v was chosen before", name, got, w.chosen)
 	}
 	if len(got) > len(w.chosen) {
 		w.chosen = got
 	}
 	for id := range w.acknowledged {
 		if !slices.Contains(w.chosen, id) {
-			w.violation = fmt.Sprintf("%s was acknowledged, and the value is %v", id, w.chosen)
+			w.violation = fmt.Sprintf("command %s was acknowledged, but the chosen value is %v", id, w.chosen)
 		}
 	}
 }
 
-// steps are all that can happen next.
+// steps returns all events that can happen next.
 func (w *cluster) steps() (all []func(*cluster)) {
 	all = w.networkSteps()
 	for _, n := range voterNames {
@@ -155,7 +161,7 @@
 			all = append(all, func(w *cluster) { w.start(n) })
 			continue
 		}
-		all = append(all, w.workSteps(n)...)
+		all = append(all, w.voterSteps(n)...)
 		all = append(all, w.faultSteps(n)...)
 	}
 	if w.isolated != "" {
@@ -164,7 +170,7 @@
 	return all
 }
 
-// networkSteps deliver, lose or duplicate a message.
+// networkSteps returns the steps that deliver, lose or duplicate a message in flight.
 func (w *cluster) networkSteps() (all []func(*cluster)) {
 	seen := map[string]bool{}
 	for i, f := range w.inFlight {
@@ -172,7 +178,7 @@
 		k.text(f.from, f.to)
 		k.message(f.message)
 		key := string(k.b)
-		if seen[key] { // the same message twice is one case
+		if seen[key] { // identical messages lead to identical states
 			continue
 		}
 		seen[key] = true
@@ -193,8 +199,8 @@
 	return all
 }
 
-// workSteps are a write that becomes durable, a command, a read, and time that passes.
-func (w *cluster) workSteps(n string) (all []func(*cluster)) {
+// voterSteps returns the steps in which a voter's write becomes durable, it receives a command or a read, or its time passes.
+func (w *cluster) voterSteps(n string) (all []func(*cluster)) {
 	if len(w.unwritten[n]) > 0 {
 		all = append(all, func(w *cluster) {
 			p := w.unwritten[n][0]
@@ -224,7 +230,7 @@
 	return all
 }
 
-// faultSteps are a crash, one that loses the stored state as well, and an isolated voter.
+// faultSteps returns the steps in which a voter crashes, crashes and loses its stored state, or is isolated.
 func (w *cluster) faultSteps(n string) (all []func(*cluster)) {
 	if w.budget.crashes > 0 {
 		all = append(all, func(w *cluster) { w.budget.crashes--; w.voters[n], w.unwritten[n] = nil, nil })
@@ -242,7 +248,7 @@
 	return all
 }
 
-// key tells states apart: all but the time and what only counts.
+// key returns a hash of the state, without the time and the counters. States with equal keys are explored once.
 func (w *cluster) key() uint64 {
 	k := &fingerprint{}
 	k.num(uint64(w.budget.commands), uint64(w.budget.reads), uint64(w.acknowledgedBefore["q1"]), uint64(w.acknowledgedBefore["q2"]), uint64(w.budget.ticks), uint64(w.budget.losses), uint64(w.budget.crashes), uint64(w.budget.stateLosses), uint64(w.budget.cuts),
@@ -262,17 +268,17 @@
 		k.acceptor(v.acceptor)
 		k.state(v.chosen)
 		k.state(v.proposed)
-		k.ballot(v.chosenAt, v.ballot, v.nextBallot)
+		k.ballot(v.chosenBallot, v.ballot, v.nextBallot)
 		k.incarnations(v.eligible)
 		k.incarnations(v.unadmitted)
-		holds := uint64(0)
+		flags := uint64(0)
 		if v.nextPromised {
-			holds = 1
+			flags = 1
 		}
 		if v.bootstrapping {
-			holds += 2
+			flags += 2
 		}
-		k.num(v.maxBallotNumber, uint64(v.phase), holds, v.lastWrite-v.durableWrite, uint64(len(v.reads)), uint64(len(v.queuedReads)))
+		k.num(v.maxBallotNumber, uint64(v.phase), flags, v.lastWrite-v.durableWrite, uint64(len(v.reads)), uint64(len(v.queuedReads)))
 		for _, q := range [][]Propose{v.proposals, v.queuedProposals} {
 			for _, x := range q {
 				k.text(x.ID)
@@ -285,14 +291,14 @@
 			}
 			k.num(78)
 		}
-		for _, h := range v.heldReplies {
+		for _, h := range v.pendingReplies {
 			k.num(v.lastWrite - h.afterWrite)
 			k.text(h.message.To)
 			k.message(h.message.Message)
 		}
 	}
 	var sum uint64
-	for _, f := range w.inFlight { // in any order
+	for _, f := range w.inFlight { // summed, since the order of messages in flight does not matter
 		m := &fingerprint{}
 		m.text(f.from, f.to)
 		m.message(f.message)
@@ -302,6 +308,7 @@
 	return xxhash.Sum64(k.b)
 }
 
+// fingerprint collects the bytes that identify a state or a message.
 type fingerprint struct{ b []byte }
 
 func (k *fingerprint) num(all ...uint64) {
@@ -348,14 +355,15 @@
 	k.state(m.State)
 }
 
-// explore goes through all states, at most so many, and says how many there were and whether that was all.
-func explore(first *cluster, most int) (states int, all bool, bad string, path int) {
-	seen := map[uint64]bool{first.key(): true}
+// explore visits all states that can be reached from initial, at most limit. It returns the number of states visited, whether
+// these were all, and the first violation, if any, with the number of steps that led to it.
+func explore(initial *cluster, limit int) (states int, complete bool, violation string, depth int) {
+	seen := map[uint64]bool{initial.key(): true}
 	type node struct {
 		w     *cluster
 		depth int
 	}
-	stack := []node{{first, 0}}
+	stack := []node{{initial, 0}}
 	for len(stack) > 0 {
 		n := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
@@ -369,7 +377,7 @@
 			if seen[k] {
 				continue
 			}
-			if len(seen) >= most {
+			if len(seen) >= limit {
 				return len(seen), false, "", 0
 			}
 			seen[k] = true
@@ -379,7 +387,7 @@
 	return len(seen), true, "", 0
 }
 
-// settle lets all that is under way end, with time passing, nothing lost and nobody down.
+// settle restarts all voters, ends all faults, and runs until no message, write or round is outstanding.
 func (w *cluster) settle() {
 	w.isolated, w.budget.losses, w.budget.crashes, w.budget.stateLosses, w.budget.duplicates = "", 0, 0, 0, 0
 	for range 4000 {
@@ -394,81 +402,83 @@
 			w.handle(f.to, MessageReceived{f.from, f.message})
 			continue
 		}
-		moved := false
+		progressed := false
 		for _, n := range voterNames {
 			for len(w.unwritten[n]) > 0 {
 				p := w.unwritten[n][0]
 				w.unwritten[n] = w.unwritten[n][1:]
 				w.durable[n] = p.State
 				w.handle(n, StateStored{p.Number})
-				moved = true
+				progressed = true
 			}
 		}
-		if moved || len(w.inFlight) > 0 {
+		if progressed || len(w.inFlight) > 0 {
 			continue
 		}
 		w.now += 100
-		for _, n := range voterNames { // one after the other: who is first has time
+		for _, n := range voterNames { // only one voter at a time, so that its round can complete without a conflict
 			if w.voters[n].HasPending() {
 				w.handle(n, Tick{})
-				moved = true
+				progressed = true
 				break
 			}
 		}
-		if !moved {
+		if !progressed {
 			return
 		}
 	}
-	w.violation = "it does not come to rest"
+	w.violation = "messages, writes or rounds are still outstanding after 4000 steps"
 }
 
-// bootstrapped is a world in which a first value stands.
-func bootstrapped(left budget, late bool) *cluster {
-	w := newCluster(budget{}, late)
+// bootstrapped returns a cluster in which the first value, x0, has been chosen.
+func bootstrapped(faults budget, delayedWrites bool) *cluster {
+	w := newCluster(budget{}, delayedWrites)
 	w.handle("a", Propose{"x0", []byte("x0")})
 	w.settle()
-	w.budget = left
+	w.budget = faults
 	return w
 }
 
-func maxStates(def int) int {
+// exploreLimit returns the value of the environment variable EXPLORE, or a default if it is no number.
+func exploreLimit(defaultLimit int) int {
 	if n, err := strconv.Atoi(os.Getenv("EXPLORE")); err == nil {
 		return n
 	}
-	return def
+	return defaultLimit
 }
 
-// All interleavings, as far as the stated bounds go: from an agreed value on two proposers, and with each kind of failure; and at the
-// very beginning. EXPLORE sets how many states are gone through at most in each.
+// Explores all interleavings within the budgets: after the bootstrap with two commands and with each kind of failure, and during
+// the bootstrap itself. The environment variable EXPLORE sets the maximum number of states per case.
 func TestExplore(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		w    *cluster
 	}{
-		{"two commands, a time-out", bootstrapped(budget{commands: 2, ticks: 1}, false)},
-		{"a command, a loss, a time-out", bootstrapped(budget{commands: 1, ticks: 1, losses: 1}, false)},
-		{"a command, a question, a time-out", bootstrapped(budget{commands: 1, reads: 1, ticks: 1}, false)},
-		{"a command, a crash", bootstrapped(budget{commands: 1, ticks: 1, crashes: 1}, false)},
-		{"a command, a memory lost", bootstrapped(budget{commands: 1, ticks: 1, stateLosses: 1}, false)},
-		{"a command, one cut off", bootstrapped(budget{commands: 1, ticks: 1, cuts: 1}, false)},
-		{"the beginning", newCluster(budget{commands: 1, ticks: 1}, false)},
-		{"the beginning, a memory lost", newCluster(budget{commands: 1, ticks: 1, stateLosses: 1}, false)},
+		{"two commands, one timeout", bootstrapped(budget{commands: 2, ticks: 1}, false)},
+		{"one command, one lost message, one timeout", bootstrapped(budget{commands: 1, ticks: 1, losses: 1}, false)},
+		{"one command, one read, one timeout", bootstrapped(budget{commands: 1, reads: 1, ticks: 1}, false)},
+		{"one command, one crash, one timeout", bootstrapped(budget{commands: 1, ticks: 1, crashes: 1}, false)},
+		{"one command, one lost state, one timeout", bootstrapped(budget{commands: 1, ticks: 1, stateLosses: 1}, false)},
+		{"one command, one isolated voter, one timeout", bootstrapped(budget{commands: 1, ticks: 1, cuts: 1}, false)},
+		{"bootstrap, one command, one timeout", newCluster(budget{commands: 1, ticks: 1}, false)},
+		{"bootstrap, one command, one lost state, one timeout", newCluster(budget{commands: 1, ticks: 1, stateLosses: 1}, false)},
 	} {
-		states, all, bad, depth := explore(c.w, maxStates(3000))
-		if bad != "" {
-			t.Errorf("%s: after %d steps: %s", c.name, depth, bad)
+		states, complete, violation, depth := explore(c.w, exploreLimit(3000))
+		if violation != "" {
+			t.Errorf("%s: after %d steps: %s", c.name, depth, violation)
 		}
-		t.Logf("%s: %d states, all of them: %v", c.name, states, all)
+		t.Logf("%s: %d states visited; complete: %v", c.name, states, complete)
 	}
 }
 
-// random plays a long run.
-func random(seed uint64, late bool) (string, int) {
+// playRandom plays a long random run, given by its seed, and then lets the cluster settle. It returns the violation, if any, and
+// the number of commands in the chosen value.
+func playRandom(seed uint64, delayedWrites bool) (string, int) {
 	rng := rand.New(rand.NewPCG(seed, 77))
-	left := budget{commands: 3 + rng.IntN(5), reads: 3, ticks: 40, losses: rng.IntN(12), crashes: rng.IntN(4), stateLosses: rng.IntN(2), cuts: rng.IntN(3), duplicates: rng.IntN(6)}
-	w := newCluster(left, late)
+	faults := budget{commands: 3 + rng.IntN(5), reads: 3, ticks: 40, losses: rng.IntN(12), crashes: rng.IntN(4), stateLosses: rng.IntN(2), cuts: rng.IntN(3), duplicates: rng.IntN(6)}
+	w := newCluster(faults, delayedWrites)
 	if rng.IntN(3) > 0 {
-		w = bootstrapped(left, late)
+		w = bootstrapped(faults, delayedWrites)
 	}
 	for range 60 + rng.IntN(200) {
 		all := w.steps()
@@ -484,17 +494,18 @@
 	return w.violation, len(w.chosen)
 }
 
-// Long random runs with all kinds of failure. In the end, with nobody down, all comes to rest. EXPLORE sets how many.
+// Plays long random runs with all kinds of failure. After the last failure each run must settle. The environment variable EXPLORE
+// sets the number of runs.
 func TestRandomRuns(t *testing.T) {
-	agreed := 0
-	for seed := range uint64(maxStates(1000)) {
-		bad, n := random(seed, seed%2 == 1)
-		if bad != "" {
-			t.Fatalf("seed %d: %s", seed, bad)
+	totalChosen := 0
+	for seed := range uint64(exploreLimit(1000)) {
+		violation, chosen := playRandom(seed, seed%2 == 1)
+		if violation != "" {
+			t.Fatalf("seed %d: %s", seed, violation)
 		}
-		agreed += n
+		totalChosen += chosen
 	}
-	if agreed == 0 {
-		t.Error("nothing was ever agreed on")
+	if totalChosen == 0 {
+		t.Error("no command was chosen in any run")
 	}
 }
--- a/consensus/membership.go
+++ b/consensus/membership.go
@@ -5,15 +5,18 @@
 	"slices"
 )
 
-// Which incarnations may vote: all present ones form the first value, and later ones are admitted one by one.
+// Membership decides which incarnations may vote. The first value (bootstrap) names the present incarnations of all voters; later
+// incarnations are admitted one by one.
 
-// mayBootstrap reports whether a Prepare names this acceptor's incarnation for the first value, and the acceptor knows of no value.
+// mayBootstrap reports whether this acceptor may initialize itself from a Prepare: the Prepare names its incarnation for the
+// first value, and the acceptor neither has a state nor knows of a chosen value.
 func (v *Voter) mayBootstrap(m Message) bool {
 	incarnation, named := m.State.Incarnations[v.cfg.Self]
 	return !v.initialized() && named && incarnation == v.acceptor.Incarnation && v.chosen.Revision == 0
 }
 
-// mustBootstrap reports whether all voters have replied to the Prepare, none of them has a value, and some have no state at all.
+// mustBootstrap reports whether the round has to be repeated as a bootstrap: all voters have replied to the Prepare, none of them
+// has accepted a value, at least one has no state, and this round is not a bootstrap already.
 func (v *Voter) mustBootstrap(newest Message) bool {
 	return newest.AcceptedBallot == (Ballot{}) &&
 		v.chosen.Revision == 0 &&
@@ -22,19 +25,19 @@
 		!v.bootstrapping
 }
 
-// uninitializedReplies are the incarnations, by voter, that have no state.
+// uninitializedReplies returns, by voter, the incarnations that have replied that they have no state.
 func (v *Voter) uninitializedReplies() map[string]uint64 {
-	without := map[string]uint64{}
+	uninitialized := map[string]uint64{}
 	for from, m := range v.replies {
 		if m.Kind == Uninitialized {
-			without[from] = m.Incarnation
+			uninitialized[from] = m.Incarnation
 		}
 	}
-	return without
+	return uninitialized
 }
 
-// bootstrap prepares the first value. Where some have promised, another bootstrap was begun: it goes on with the incarnations that
-// that one named, and no others.
+// bootstrap sends a new Prepare that names the incarnations for the first value. If some acceptors have already promised, an
+// earlier bootstrap was started, and this one names exactly the incarnations of that one.
 func (v *Voter) bootstrap(newest Message, promised bool) {
 	incarnations := newest.State.Incarnations
 	if !promised {
@@ -47,9 +50,9 @@
 	v.sendPrepare(incarnations)
 }
 
-// noteUninitialized takes in that a voter has no state: a new incarnation has to be admitted, and one that is admitted and does not
-// know it has to learn the value.
-func (v *Voter) noteUninitialized(from string, incarnation uint64) {
+// handleUninitialized handles a reply of a voter that has no state. If a value has been chosen, an incarnation that it does not
+// name is queued for admission, and one that it names is sent the value.
+func (v *Voter) handleUninitialized(from string, incarnation uint64) {
 	if v.chosen.Revision == 0 {
 		return
 	}
@@ -58,13 +61,14 @@
 		return
 	}
 	if from != v.cfg.Self {
-		learn := Message{Kind: Learn, Incarnation: v.acceptor.Incarnation, Ballot: v.chosenAt, State: v.chosen.clone()}
+		learn := Message{Kind: Learn, Incarnation: v.acceptor.Incarnation, Ballot: v.chosenBallot, State: v.chosen.clone()}
 		v.emit(Send{To: from, Message: learn})
 	}
 }
 
-// admitOne lets the first incarnation that waits vote on later values, if there is a value already. One at a time: a majority of the
-// others vouches for each.
+// admitOne adds to next the first incarnation that waits for admission, if a value exists already. It reports whether it did. The
+// incarnation may vote from the following value on. Incarnations are admitted one at a time, so that a majority of the voters
+// named before accepts each of them.
 func (v *Voter) admitOne(next *State) bool {
 	admitted := false
 	for _, name := range slices.Sorted(maps.Keys(v.unadmitted)) {
@@ -80,16 +84,16 @@
 	return admitted
 }
 
-// adoptIfAdmitted initializes an acceptor without a state from a chosen value that names its incarnation. Its former incarnation can't
-// vote any more: a majority of the others has accepted the new one.
-func (v *Voter) adoptIfAdmitted(s State, at Ballot) {
+// adoptIfAdmitted initializes an acceptor that has no accepted value from a chosen value that names its incarnation. This is safe:
+// a majority has accepted the new incarnation, so votes of the former one no longer count.
+func (v *Voter) adoptIfAdmitted(s State, ballot Ballot) {
 	hasValue := v.initialized() && v.acceptor.Accepted != Ballot{}
 	if hasValue || s.Incarnations[v.cfg.Self] != v.acceptor.Incarnation {
 		return
 	}
-	v.acceptor.Initialized, v.acceptor.State, v.acceptor.Accepted = true, s.clone(), at
-	if v.acceptor.Promised.Less(at) {
-		v.acceptor.Promised = at
+	v.acceptor.Initialized, v.acceptor.State, v.acceptor.Accepted = true, s.clone(), ballot
+	if v.acceptor.Promised.Less(ballot) {
+		v.acceptor.Promised = ballot
 	}
 	v.persist()
 }
--- a/consensus/proposer.go
+++ b/consensus/proposer.go
@@ -7,25 +7,27 @@
 	"time"
 )
 
-// phase is what the proposer's round waits for.
+// phase is the phase of the proposer's round.
 type phase int
 
 const (
-	idle       phase = iota // no round is under way
-	preparing               // promises
-	accepting               // acceptances
-	confirming              // confirmations of promises given earlier
+	idle       phase = iota // no round is in progress
+	preparing               // waits for promises
+	accepting               // waits for acceptances
+	confirming              // waits for confirmations of promises given earlier
 )
 
-// awaited is the kind of reply that takes a phase forward.
-func (p phase) awaited() MessageKind {
+// expectedReply returns the kind of reply that counts towards a majority in a phase.
+func (p phase) expectedReply() MessageKind {
 	return map[phase]MessageKind{preparing: Promise, accepting: Accepted, confirming: Confirmed}[p]
 }
 
-// ballotSkipOnStart is how many ballot numbers a start passes over. An incarnation that was killed may have sent a ballot
-// before the acceptor's state for it was durable; used again, that ballot would stand for two values. No disk lags by so many rounds.
+// ballotSkipOnStart is the number of ballot numbers that an initialized voter skips when it starts. A killed process may have
+// sent a ballot before the acceptor's state for it was durable; if it used that ballot again, one ballot would stand for two
+// values. The number is far above the rounds that can start while one write is outstanding.
 const ballotSkipOnStart = 1 << 20
 
+// firstBallotNumber returns the number above which this voter's ballots start.
 func (v *Voter) firstBallotNumber() uint64 {
 	n := v.acceptor.Promised.Number
 	if v.acceptor.Initialized {
@@ -34,18 +36,18 @@
 	return n
 }
 
-// newBallot is newer than any that was seen.
+// newBallot returns a ballot of this voter that is newer than all ballots seen so far.
 func (v *Voter) newBallot() Ballot {
 	v.maxBallotNumber++
 	return Ballot{Number: v.maxBallotNumber, Voter: v.cfg.Self}
 }
 
-// beginRound begins a round if none is under way and something waits for one. The round serves all that waits.
+// beginRound starts a round if one is due. The round serves all queued commands and reads.
 func (v *Voter) beginRound() {
 	if !v.roundDue() {
 		return
 	}
-	if len(v.queuedProposals)+len(v.unadmitted) == 0 { // for reads alone
+	if len(v.queuedProposals)+len(v.unadmitted) == 0 { // only reads
 		if v.lastReadRound > 0 && v.now < v.lastReadRound+v.cfg.ReadInterval {
 			return
 		}
@@ -70,19 +72,22 @@
 	}
 }
 
+// roundDue reports whether a command, a read or an admission waits, no round is in progress and the backoff is over.
 func (v *Voter) roundDue() bool {
 	waiting := len(v.queuedProposals) + len(v.queuedReads) + len(v.unadmitted)
 	return v.phase == idle && waiting > 0 && v.now >= v.backoffUntil
 }
 
-// sendPrepare asks all for promises. Incarnations, if any, are those that form the first value.
+// sendPrepare asks all voters, this one included, for promises. A bootstrap names the incarnations that may vote on the first
+// value; other rounds pass nil.
 func (v *Voter) sendPrepare(incarnations map[string]uint64) {
 	m := Message{Kind: Prepare, Ballot: v.ballot, State: State{Incarnations: incarnations}}
 	v.broadcast(m)
 	v.receive(v.cfg.Self, m)
 }
 
-// sendConfirm asks all whether their promises to the next ballot hold: then the chosen value is still the latest.
+// sendConfirm asks all voters whether their promises to the next ballot still hold. If a majority confirms, the chosen value is the
+// latest.
 func (v *Voter) sendConfirm() {
 	v.phase, v.eligible, v.ballot = confirming, v.chosen.Incarnations, v.nextBallot
 	m := Message{Kind: Confirm, Ballot: v.ballot}
@@ -90,7 +95,7 @@
 	v.receive(v.cfg.Self, m)
 }
 
-// sendAccept applies the round's commands to a value and asks all to accept the outcome, and to promise the next ballot.
+// sendAccept applies the round's commands to base and asks all voters to accept the result and to promise the next ballot.
 func (v *Voter) sendAccept(base State) {
 	next := base.clone()
 	v.commandReplies = map[string][]byte{}
@@ -104,7 +109,7 @@
 		next.Revision++
 	}
 	v.proposed = next
-	v.eligible = base.Incarnations // an incarnation that this value admits has no vote on it
+	v.eligible = base.Incarnations // an incarnation that this value admits may not vote on it
 	if v.nextPromised {
 		v.ballot = v.nextBallot
 	}
@@ -116,7 +121,7 @@
 	v.receive(v.cfg.Self, m)
 }
 
-// receiveConflict ends the round if an acceptor has promised a newer ballot.
+// receiveConflict abandons the round if an acceptor has promised a ballot newer than the round's.
 func (v *Voter) receiveConflict(m Message) {
 	if v.phase != idle && v.ballot.Less(m.Ballot) {
 		v.Counters.Conflicts++
@@ -124,30 +129,31 @@
 	}
 }
 
-// receiveReply takes in an acceptor's reply to the round under way.
+// receiveReply records an acceptor's reply in the current round, and moves the round on when a majority has replied. Replies with
+// another ballot, or of a kind that the phase does not expect, are ignored.
 func (v *Voter) receiveReply(from string, m Message) {
 	if v.phase == idle || m.Ballot != v.ballot {
 		return
 	}
-	awaited := v.phase.awaited()
-	if m.Kind != awaited && m.Kind != Uninitialized {
+	expected := v.phase.expectedReply()
+	if m.Kind != expected && m.Kind != Uninitialized {
 		return
 	}
 	v.replies[from] = m
 	if m.Kind == Uninitialized {
-		v.noteUninitialized(from, m.Incarnation)
+		v.handleUninitialized(from, m.Incarnation)
 	}
 	switch {
 	case v.phase == preparing:
 		v.receivePromises()
-	case v.hasMajority(awaited) && v.phase == accepting:
+	case v.hasMajority(expected) && v.phase == accepting:
 		v.valueChosen()
-	case v.hasMajority(awaited):
+	case v.hasMajority(expected):
 		v.completeRound(v.chosen)
 	}
 }
 
-// hasMajority reports whether a majority of the voters has given a reply of that kind under an incarnation that may vote.
+// hasMajority reports whether a majority of all voters has replied with this kind under an eligible incarnation.
 func (v *Voter) hasMajority(kind MessageKind) bool {
 	n := 0
 	for from, m := range v.replies {
@@ -158,7 +164,7 @@
 	return n > len(v.cfg.Voters)/2
 }
 
-// receivePromises goes on to the Accept once a majority has promised, or forms the first value where nobody has a state.
+// receivePromises sends the Accept once a majority has promised, or starts a bootstrap if no voter has a value.
 func (v *Voter) receivePromises() {
 	newest, promised := v.newestPromise()
 	if v.mustBootstrap(newest) {
@@ -168,13 +174,14 @@
 	if !promised {
 		return
 	}
-	// The incarnations that may vote are those of the newest value: no majority of older ones can miss it.
+	// The newest accepted value names the eligible incarnations. A majority of the incarnations of an older value includes an
+	// acceptor of the newer one, so it can't be missed.
 	v.eligible = newest.State.Incarnations
 	if !v.hasMajority(Promise) {
 		return
 	}
-	// A first value that no acceptor has accepted yet needs all voters. A voter that lost its state during the bootstrap could
-	// otherwise complete a majority without those that remember a value.
+	// While no acceptor has reported an accepted value, the round needs replies of all voters. Otherwise a voter that lost its state
+	// during the bootstrap could complete a majority that lacks the acceptors with an accepted value.
 	if newest.AcceptedBallot == (Ballot{}) && len(v.replies) < len(v.cfg.Voters) {
 		return
 	}
@@ -186,7 +193,7 @@
 	v.sendAccept(newest.State)
 }
 
-// newestPromise is the promise with the newest accepted value; false: there is none yet.
+// newestPromise returns the promise with the newest accepted value, or false if no acceptor has promised yet.
 func (v *Voter) newestPromise() (newest Message, found bool) {
 	for _, from := range slices.Sorted(maps.Keys(v.replies)) {
 		m := v.replies[from]
@@ -200,7 +207,7 @@
 	return newest, found
 }
 
-// valueChosen has all learn the value that a majority has accepted.
+// valueChosen completes a round whose value a majority has accepted, and sends the value to all other voters.
 func (v *Voter) valueChosen() {
 	v.Counters.Chosen++
 	s := v.proposed
@@ -216,13 +223,13 @@
 		}
 	}
 	v.learnChosen(s, v.ballot)
-	// The promises are about this value: after another one they allow nothing.
-	v.nextPromised = nextPromises > len(v.cfg.Voters)/2 && v.chosenAt == v.ballot
+	// The promises to the next ballot only cover a value derived from this one. They are void if a newer value is known already.
+	v.nextPromised = nextPromises > len(v.cfg.Voters)/2 && v.chosenBallot == v.ballot
 	v.broadcast(Message{Kind: Learn, Ballot: v.ballot, State: s.clone()})
 	v.completeRound(s)
 }
 
-// completeRound answers the commands and reads that the round served.
+// completeRound answers the commands and reads of the round with the state s, and ends the round.
 func (v *Voter) completeRound(s State) {
 	for _, p := range v.proposals {
 		v.emit(Completed{ID: p.ID, State: s.clone(), Reply: v.commandReplies[p.ID]})
@@ -231,19 +238,19 @@
 		v.emit(Completed{ID: r.ID, State: s.clone()})
 	}
 	v.proposals, v.reads = nil, nil
-	v.phase, v.conflictsInRow = idle, 0
+	v.phase, v.abandonedInRow = idle, 0
 }
 
-// maxBackoffDoublings bounds the wait after conflicts in a row, as a power of two of Config.BackoffBase.
+// maxBackoffDoublings is how often the backoff limit doubles at most, starting from Config.BackoffBase.
 const maxBackoffDoublings = 3
 
-// abandonRound ends a round that failed. Its commands and reads wait for the next one, after a random backoff that keeps two
-// proposers from conflicting again.
+// abandonRound ends a round after a conflict or a timeout. Its commands and reads are queued for the next round, which starts after
+// a random backoff, so that two proposers do not keep conflicting.
 func (v *Voter) abandonRound() {
 	v.phase, v.nextPromised = idle, false
 	v.queuedProposals = append(v.proposals, v.queuedProposals...)
 	v.queuedReads = append(v.reads, v.queuedReads...)
 	v.proposals, v.reads = nil, nil
-	v.conflictsInRow = min(maxBackoffDoublings, v.conflictsInRow+1)
-	v.backoffUntil = v.now + time.Duration(v.rng.Int64N(int64(v.cfg.BackoffBase)<<v.conflictsInRow))
+	v.abandonedInRow = min(maxBackoffDoublings, v.abandonedInRow+1)
+	v.backoffUntil = v.now + time.Duration(v.rng.Int64N(int64(v.cfg.BackoffBase)<<v.abandonedInRow))
 }
--- a/consensus/voter.go
+++ b/consensus/voter.go
@@ -1,21 +1,21 @@
-// Package consensus keeps one replicated value that survives the failure of a minority of its voters. Any voter may change the
-// value; there is no leader.
+// Package consensus implements one replicated value that survives the failure of a minority of its voters. Any voter may change
+// the value; there is no leader.
 //
-// It is the register of CASPaxos (Rystsov, "CASPaxos: Replicated State Machines without logs", 2018). Each voter
-// is a proposer and an acceptor. A proposer has a majority of acceptors promise to accept no older ballot (Prepare, Promise), takes
-// the newest value that any of them has accepted, applies its commands to it, and has a majority accept the outcome (Accept,
-// Accepted). It is chosen then, and all others learn it (Learn).
+// It implements the CASPaxos register (Rystsov, "CASPaxos: Replicated State Machines without logs", 2018). Each voter is both a
+// proposer and an acceptor. A proposer asks all acceptors to reject older ballots (Prepare). Once a majority has promised
+// (Promise), it applies its commands to the newest value that any of them has accepted, and asks all to accept the result
+// (Accept). The result is chosen when a majority has accepted it (Accepted), and the proposer sends it to all others (Learn).
 //
-// Two round trips become one by the paper's one-round-trip optimization: with the Accept, acceptors promise the proposer's next ballot as well,
-// so that its next value needs no Prepare. A read needs no write while those promises hold: a majority confirms them (Confirm,
-// Confirmed), and so the proposer's value is the latest.
+// The one-round-trip optimization of the paper saves the Prepare: together with an Accept, acceptors promise the proposer's next
+// ballot, so that its next value needs no Prepare. While these promises hold, a read needs no write either: once a
+// majority has confirmed them (Confirm, Confirmed), the proposer's value is known to be the latest.
 //
-// An acceptor that has lost its state comes back under a new incarnation. Only incarnations that the value itself names
-// may vote, and a new one is admitted by a majority of the others, so that no acceptor votes twice under one name. The first
-// value is formed with all voters present.
+// An acceptor that has lost its state restarts under a new incarnation. Only the incarnations that the value names may
+// vote, and a majority of these admits each new one, so that no acceptor votes twice under one name. Choosing the first
+// value (the bootstrap) requires all voters.
 //
-// The package does no I/O, reads no clock and starts no goroutine: its caller hands events to Voter.Handle, one at a time, and carries out
-// the actions that it returns, in their order. The same events give the same actions.
+// The package does no I/O, reads no clock and starts no goroutine. Its caller passes events to [Voter.Handle], one at a time, and
+// carries out the returned actions in order. The same sequence of events yields the same actions.
 package consensus
 
 import (
@@ -24,60 +24,60 @@
 	"time"
 )
 
-// maxPending bounds the commands, and the reads, that wait at one voter; further ones are rejected.
+// maxPending is the maximum number of queued commands, and of queued reads, at one voter. Further ones are rejected.
 const maxPending = 256
 
-// Voter is one proposer and acceptor. Use New. It is not safe for concurrent use.
+// Voter is a proposer and an acceptor. Create it with New. It is not safe for concurrent use.
 type Voter struct {
 	Counters Counters
 
 	cfg     Config
 	pcg     *rand.PCG
 	rng     *rand.Rand
-	now     time.Duration
-	actions []Action // of the event that is being handled
-
-	// The acceptor.
-	acceptor     AcceptorState
-	lastWrite    uint64 // number of the latest write of acceptor
-	durableWrite uint64 // number of the latest write that is durable
-	heldReplies  []heldReply
-
-	// What is learned.
-	chosen          State  // the newest value that is known to be chosen
-	chosenAt        Ballot // under which it was
+	now     time.Duration // argument of the current Handle call
+	actions []Action      // collected during the current Handle call
+
+	// Acceptor.
+	acceptor       AcceptorState
+	lastWrite      uint64         // number of the latest StoreState
+	durableWrite   uint64         // number of the latest StoreState that is durable
+	pendingReplies []pendingReply // replies that wait for a write
+
+	// Learner.
+	chosen          State  // newest value that is known to be chosen
+	chosenBallot    Ballot // ballot under which chosen was chosen
 	maxBallotNumber uint64 // highest number seen in any ballot
 
-	// The proposer's round.
+	// Proposer, current round.
 	phase          phase
-	ballot         Ballot
-	bootstrapping  bool // this round forms the first value
-	roundDeadline  time.Duration
-	lastReadRound  time.Duration      // when the latest round for reads alone began
-	replies        map[string]Message // to this phase, by voter
+	ballot         Ballot             // of the current round; acceptors repeat it in their replies
+	bootstrapping  bool               // this round chooses the first value
+	roundDeadline  time.Duration      // the round is abandoned then
+	lastReadRound  time.Duration      // start of the latest round that served only reads
+	replies        map[string]Message // replies in the current phase, by voter
 	eligible       map[string]uint64  // by voter: the incarnation that may vote in this round
-	proposed       State              // in the phase accepting
-	proposals      []Propose          // that this round serves
-	reads          []Read             // that this round serves
-	commandReplies map[string][]byte  // by ID of the Propose
-
-	// Between rounds.
-	nextPromised    bool              // a majority may still hold its promises to nextBallot, given with chosen
-	nextBallot      Ballot            // for the next value, without a Prepare
-	backoffUntil    time.Duration     // no round begins earlier
-	conflictsInRow  int               // abandoned rounds since the latest that completed, up to 3
-	unadmitted      map[string]uint64 // by voter: its incarnation that waits to be admitted
+	proposed       State              // value sent in Accept; set in the phase accepting
+	proposals      []Propose          // commands that this round serves
+	reads          []Read             // reads that this round serves
+	commandReplies map[string][]byte  // replies of Config.Apply, by Propose.ID
+
+	// Proposer, between rounds.
+	nextPromised    bool              // a majority has promised nextBallot, together with accepting chosen, and may still hold to it
+	nextBallot      Ballot            // ballot of the next value if no Prepare is needed
+	backoffUntil    time.Duration     // no round starts earlier
+	abandonedInRow  int               // rounds abandoned since the latest completed one, capped at maxBackoffDoublings
+	unadmitted      map[string]uint64 // by voter: the incarnation that waits to be admitted
 	queuedProposals []Propose
 	queuedReads     []Read
 }
 
-// heldReply waits for a write of the acceptor's state.
-type heldReply struct {
-	afterWrite uint64
+// pendingReply is an acceptor's reply that waits until the state behind it is durable.
+type pendingReply struct {
+	afterWrite uint64 // number of the StoreState that it waits for
 	message    Send
 }
 
-// New returns a voter. An error names the setting that is not valid.
+// New returns a voter. It returns an error that names the setting if c is invalid.
 func New(c Config) (*Voter, error) {
 	if err := c.check(); err != nil {
 		return nil, err
@@ -89,7 +89,8 @@
 	return v, nil
 }
 
-// Handle takes one event at the given time and appends the actions to out. Time must not run backwards.
+// Handle processes one event and returns out with the resulting actions appended. now is the time on a monotonic clock of the
+// caller's choice; it must not decrease from call to call.
 func (v *Voter) Handle(now time.Duration, e Event, out []Action) []Action {
 	v.now, v.actions = now, out
 	switch e := e.(type) {
@@ -99,7 +100,7 @@
 		}
 	case StateStored:
 		v.durableWrite = max(v.durableWrite, e.Number)
-		v.releaseReplies()
+		v.sendDurableReplies()
 	case Propose:
 		if len(v.queuedProposals) >= maxPending {
 			v.emit(Completed{ID: e.ID, Rejected: true})
@@ -123,20 +124,22 @@
 	return out
 }
 
-// Chosen is the newest value that this voter knows to be chosen; it may be old. False: it knows of none.
+// Chosen returns the newest value that this voter knows to be chosen. A newer one may exist; use Read for the latest. It returns
+// false if the voter knows of none.
 func (v *Voter) Chosen() (State, bool) { return v.chosen, v.chosen.Revision > 0 }
 
-// CanVote reports whether this voter's vote counts, as far as it knows.
+// CanVote reports whether this voter's votes count, judged by the newest value that it knows.
 func (v *Voter) CanVote() bool {
 	return v.initialized() && (v.chosen.Revision == 0 || v.chosen.Incarnations[v.cfg.Self] == v.acceptor.Incarnation)
 }
 
-// HasPending reports whether a round is under way or a command or read waits for one.
+// HasPending reports whether a round is in progress or a command or read is queued.
 func (v *Voter) HasPending() bool {
 	return v.phase != idle || len(v.queuedProposals)+len(v.queuedReads) > 0
 }
 
-// RejectPending answers all commands and reads as rejected, for a caller that no longer waits for them.
+// RejectPending drops all commands and reads, queued or in the current round, and returns out with a rejected Completed
+// appended for each. A command of the current round may still be chosen.
 func (v *Voter) RejectPending(out []Action) []Action {
 	for _, p := range append(v.proposals, v.queuedProposals...) {
 		out = append(out, Completed{ID: p.ID, Rejected: true})
@@ -148,9 +151,10 @@
 	return out
 }
 
+// emit adds an action to those that the current Handle call returns.
 func (v *Voter) emit(a Action) { v.actions = append(v.actions, a) }
 
-// broadcast sends a message to all other voters.
+// broadcast sends a message to all other voters, with this voter's incarnation.
 func (v *Voter) broadcast(m Message) {
 	m.Incarnation = v.acceptor.Incarnation
 	for _, to := range v.cfg.Voters {
@@ -160,7 +164,7 @@
 	}
 }
 
-// receive hands a message to the role that it is for.
+// receive dispatches a message to the acceptor, the learner or the proposer.
 func (v *Voter) receive(from string, m Message) {
 	v.maxBallotNumber = max(v.maxBallotNumber, m.Ballot.Number, m.NextBallot.Number)
 	switch m.Kind {
