--- a/consensus/explore_test.go
+++ b/consensus/explore_test.go
@@ -37,7 +37,7 @@
 }
 
 // budget is the number of events of each kind that may still happen.
-type budget struct{ commands, reads, ticks, losses, crashes, stateLosses, cuts, duplicates int }
+type budget struct{ commands, reads, ticks, losses, crashes, stateLosses, isolations, duplicates int }
 
 // cluster is the simulated state of three voters, their storage and the network, together with what the checks need to know.
 type cluster struct {
@@ -56,8 +56,8 @@
 	violation          string          // the latest violated invariant; empty: none
 }
 
-func newCluster(faults budget, delayedWrites bool) *cluster {
-	w := &cluster{voters: map[string]*Voter{}, durable: map[string]AcceptorState{}, unwritten: map[string][]StoreState{}, delayedWrites: delayedWrites, budget: faults, acknowledged: map[string]bool{}, acknowledgedBefore: map[string]int{}}
+func newCluster(events budget, delayedWrites bool) *cluster {
+	w := &cluster{voters: map[string]*Voter{}, durable: map[string]AcceptorState{}, unwritten: map[string][]StoreState{}, delayedWrites: delayedWrites, budget: events, acknowledged: map[string]bool{}, acknowledgedBefore: map[string]int{}}
 	for _, n := range voterNames {
 		w.lastIncarnation++
 		w.durable[n] = AcceptorState{Incarnation: w.lastIncarnation}
@@ -242,8 +242,8 @@
 			w.voters[n], w.unwritten[n], w.durable[n] = nil, nil, AcceptorState{Incarnation: w.lastIncarnation}
 		})
 	}
-	if w.budget.cuts > 0 && w.isolated == "" {
-		all = append(all, func(w *cluster) { w.budget.cuts--; w.isolated = n })
+	if w.budget.isolations > 0 && w.isolated == "" {
+		all = append(all, func(w *cluster) { w.budget.isolations--; w.isolated = n })
 	}
 	return all
 }
@@ -251,7 +251,7 @@
 // key returns a hash of the state, without the time and the counters. States with equal keys are explored once.
 func (w *cluster) key() uint64 {
 	k := &fingerprint{}
-	k.num(uint64(w.budget.commands), uint64(w.budget.reads), uint64(w.acknowledgedBefore["q1"]), uint64(w.acknowledgedBefore["q2"]), uint64(w.budget.ticks), uint64(w.budget.losses), uint64(w.budget.crashes), uint64(w.budget.stateLosses), uint64(w.budget.cuts),
+	k.num(uint64(w.budget.commands), uint64(w.budget.reads), uint64(w.acknowledgedBefore["q1"]), uint64(w.acknowledgedBefore["q2"]), uint64(w.budget.ticks), uint64(w.budget.losses), uint64(w.budget.crashes), uint64(w.budget.stateLosses), uint64(w.budget.isolations),
 		uint64(w.budget.duplicates), uint64(len(w.acknowledged)))
 	k.text(w.isolated)
 	k.text(w.chosen...)
@@ -431,11 +431,11 @@
 }
 
 // bootstrapped returns a cluster in which the first value, x0, has been chosen.
-func bootstrapped(faults budget, delayedWrites bool) *cluster {
+func bootstrapped(events budget, delayedWrites bool) *cluster {
 	w := newCluster(budget{}, delayedWrites)
 	w.handle("a", Propose{"x0", []byte("x0")})
 	w.settle()
-	w.budget = faults
+	w.budget = events
 	return w
 }
 
@@ -459,7 +459,7 @@
 		{"one command, one read, one timeout", bootstrapped(budget{commands: 1, reads: 1, ticks: 1}, false)},
 		{"one command, one crash, one timeout", bootstrapped(budget{commands: 1, ticks: 1, crashes: 1}, false)},
 		{"one command, one lost state, one timeout", bootstrapped(budget{commands: 1, ticks: 1, stateLosses: 1}, false)},
-		{"one command, one isolated voter, one timeout", bootstrapped(budget{commands: 1, ticks: 1, cuts: 1}, false)},
+		{"one command, one isolated voter, one timeout", bootstrapped(budget{commands: 1, ticks: 1, isolations: 1}, false)},
 		{"bootstrap, one command, one timeout", newCluster(budget{commands: 1, ticks: 1}, false)},
 		{"bootstrap, one command, one lost state, one timeout", newCluster(budget{commands: 1, ticks: 1, stateLosses: 1}, false)},
 	} {
@@ -475,10 +475,10 @@
 // the number of commands in the chosen value.
 func playRandom(seed uint64, delayedWrites bool) (string, int) {
 	rng := rand.New(rand.NewPCG(seed, 77))
-	faults := budget{commands: 3 + rng.IntN(5), reads: 3, ticks: 40, losses: rng.IntN(12), crashes: rng.IntN(4), stateLosses: rng.IntN(2), cuts: rng.IntN(3), duplicates: rng.IntN(6)}
-	w := newCluster(faults, delayedWrites)
+	events := budget{commands: 3 + rng.IntN(5), reads: 3, ticks: 40, losses: rng.IntN(12), crashes: rng.IntN(4), stateLosses: rng.IntN(2), isolations: rng.IntN(3), duplicates: rng.IntN(6)}
+	w := newCluster(events, delayedWrites)
 	if rng.IntN(3) > 0 {
-		w = bootstrapped(faults, delayedWrites)
+		w = bootstrapped(events, delayedWrites)
 	}
 	for range 60 + rng.IntN(200) {
 		all := w.steps()
--- a/maintenance/advance.go
+++ b/maintenance/advance.go
@@ -1,7 +1,7 @@
 package maintenance
 
-// advance takes every request forward as far as the state and the observations allow, takes back grants that the remaining machines
-// could not bear, and grants further requests.
+// advance moves every request to its next stage if the state and the observations allow it, revokes grants that exceed the limits
+// meanwhile, and grants waiting requests.
 func (s *State) advance(c *Command, l Limits) {
 	o := c.Advance
 	for _, r := range s.Requests {
@@ -25,7 +25,7 @@
 	}
 }
 
-// grant lets a machine go. Earlier requests of its group that had to wait are counted as overtaken.
+// grant grants a request. Waiting requests of its group that precede it in the queue are counted as overtaken.
 func (s *State) grant(r *Request, c *Command, o *Observations) {
 	for _, earlier := range s.Requests {
 		if earlier.Stage == Requested && earlier != r && earlier.group() == r.group() && s.precedes(earlier, r) {
@@ -40,9 +40,9 @@
 	r.transition(c, Granted, "")
 }
 
-// advanceRequest takes a granted request one stage on, if it may go.
+// advanceRequest moves a granted request to its next stage, if the state and the observations allow it.
 func (s *State) advanceRequest(r *Request, c *Command, o *Observations) {
-	elapsed := o.elapsed(r)
+	elapsed := o.stageTimeouts(r)
 	m, observed := o.Machines[r.Machine]
 	up := observed && m.Up
 	switch r.Stage {
@@ -55,7 +55,7 @@
 	case Draining:
 		s.advanceDraining(r, c, elapsed)
 	case OutOfService:
-		restarted := up && m.BootMs > r.BootMs && r.Kind != KindGateway // a gateway's join tells of its restart
+		restarted := up && m.BootMs > r.BootMs && r.Kind != KindGateway // the restart of a gateway is handled when it joins
 		if restarted {
 			r.transition(c, Returned, "it started anew")
 		} else if elapsed.Overdue && !r.Overdue {
@@ -74,11 +74,11 @@
 		} else if !up {
 			r.transition(c, Returned, "it went again")
 		}
-	case Requested, Completed, Withdrawn: // a request is granted by advance, and does not move once it has ended
+	case Requested, Completed, Withdrawn: // a request is granted by advance; an ended one stays as it is
 	}
 }
 
-// allNotified reports whether every gateway knows of a grant.
+// allNotified reports whether every gateway has confirmed that it knows of a grant.
 func (s *State) allNotified(grantEpoch uint64) bool {
 	for _, g := range s.Gateways {
 		if g.NotifiedEpoch < grantEpoch {
@@ -88,7 +88,7 @@
 	return true
 }
 
-// allStopped reports whether every gateway has stopped sending for a drain.
+// allStopped reports whether every gateway has confirmed that it has stopped sending for a drain.
 func (s *State) allStopped(drainEpoch uint64) bool {
 	for _, g := range s.Gateways {
 		if g.StoppedEpoch < drainEpoch {
@@ -98,13 +98,14 @@
 	return true
 }
 
-// advanceDraining puts a machine out of service once nothing can be sent to it any more.
+// advanceDraining moves a machine to out of service once no gateway can send to it any more. For the machine of a gateway it
+// waits until that gateway has stopped, or has been replaced by another incarnation, and removes its registration.
 func (s *State) advanceDraining(r *Request, c *Command, elapsed StageTimeouts) {
 	if r.Kind == KindGateway {
 		if g := s.Gateways[r.Machine]; g.Incarnation == r.Incarnation && g.StoppedEpoch < r.DrainEpoch {
 			return
 		}
-		delete(s.Gateways, r.Machine) // this incarnation has stopped, and sends nothing more
+		delete(s.Gateways, r.Machine) // the incarnation has stopped sending
 	} else if !elapsed.LeasesExpired && !s.allStopped(r.DrainEpoch) {
 		return
 	}
--- a/maintenance/budget.go
+++ b/maintenance/budget.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// The disruption budget: which machine may be out beside those that are.
+// The disruption budget decides whether one more machine may be out.
 
-// blockedBy says which limit keeps a machine from being out beside the others that count as out; empty: none does. A request
-// that is granted is judged as if it were not.
+// blockedBy returns the reason why a machine may not be out together with those that count as out, or an empty string if it may.
+// A request that is granted already is judged as if it were not.
 func (s *State) blockedBy(r *Request, o *Observations, l Limits) string {
 	m, known := o.Machines[r.Machine]
 	if !known {
@@ -24,20 +24,20 @@
 	}
 	c := candidate{name: r.Machine, Machine: m, othersOut: others, o: o, names: slices.Sorted(maps.Keys(o.Machines))}
 	group := c.sumGroup()
-	for _, limit := range []func() string{
-		c.zoneOutage,
-		func() string { return group.capacityLimit(m, l) },
-		func() string { return c.parentLimit(l) },
-		func() string { return group.shareLimit(m, l) },
+	for _, check := range []func() string{
+		c.checkZoneOutage,
+		func() string { return group.checkCapacity(m, l) },
+		func() string { return c.checkParentLoad(l) },
+		func() string { return group.checkShareOut(m, l) },
 	} {
-		if reason := limit(); reason != "" {
+		if reason := check(); reason != "" {
 			return reason
 		}
 	}
 	return ""
 }
 
-// othersOut are the machines of the other requests that count as out, and how many requests there are.
+// othersOut returns the machines of the other requests that count as out, and the number of these requests.
 func (s *State) othersOut(r *Request) (machines map[string]bool, requests int) {
 	machines = map[string]bool{}
 	for _, other := range s.Requests {
@@ -49,19 +49,20 @@
 	return machines, requests
 }
 
-// candidate is a machine that may go out, among all that are observed. Sums go over names, in their order.
+// candidate is a machine that is checked against the limits, together with all observed machines.
 type candidate struct {
 	Machine
 	name      string
-	othersOut map[string]bool
+	othersOut map[string]bool // machines that count as out
 	o         *Observations
-	names     []string
+	names     []string // of all observed machines, sorted; floating-point sums go in this order, so that they are deterministic
 }
 
-// zoneOutage blocks all maintenance while more than half of a zone's boxes are down without having been taken out.
-func (c *candidate) zoneOutage() string {
-	type boxes struct{ all, down int }
-	zones := map[string]*boxes{}
+// checkZoneOutage blocks all maintenance while more than half of a zone's caches are down without being out for maintenance. The
+// candidate is not counted. Like the other checks it returns the reason, or an empty string if the candidate passes.
+func (c *candidate) checkZoneOutage() string {
+	type cacheCounts struct{ all, down int }
+	zones := map[string]*cacheCounts{}
 	for _, name := range c.names {
 		m := c.o.Machines[name]
 		if m.Kind != KindCache || name == c.name {
@@ -69,7 +70,7 @@
 		}
 		z := zones[m.Zone]
 		if z == nil {
-			z = &boxes{}
+			z = &cacheCounts{}
 			zones[m.Zone] = z
 		}
 		z.all++
@@ -85,9 +86,10 @@
 	return ""
 }
 
-// parentLimit keeps the load of the upper caches within what would remain of them. It holds for boxes as well: a box that
-// returns empty is filled through them. It does not hold while one of them does not report its load.
-func (c *candidate) parentLimit(l Limits) string {
+// checkParentLoad blocks a cache or parent if the load of all parents would exceed MaxUtilization of those that remain. Caches are
+// checked as well, since a cache that returns empty is filled through the parents. The check passes while a parent that is up
+// does not report its load.
+func (c *candidate) checkParentLoad(l Limits) string {
 	if c.Kind == KindGateway {
 		return ""
 	}
@@ -111,16 +113,17 @@
 	return ""
 }
 
-// groupSums are the machines of a candidate's kind in its zone, as they would be without it.
+// groupSums sums up the machines of a candidate's group as they would be without it.
 type groupSums struct {
-	machines    int     // the candidate among them
-	remaining   int     // up, warm and in service
-	unavailable int     // the others
-	capacity    float64 // weight of those that remain
-	load        float64 // in units of weight, of all that are up and in service, the candidate among them
-	loadUnknown bool    // one that remains does not report its load
+	machines    int     // all machines of the group, including the candidate
+	remaining   int     // other machines that are up, warm and not out
+	unavailable int     // other machines that are down, cold or out
+	capacity    float64 // total weight of the remaining machines
+	load        float64 // load in units of weight of all machines that are up and not out, including the candidate
+	loadUnknown bool    // a remaining machine does not report its load
 }
 
+// sumGroup sums up the candidate's group.
 func (c *candidate) sumGroup() (g groupSums) {
 	for _, name := range c.names {
 		m := c.o.Machines[name]
@@ -129,7 +132,7 @@
 		}
 		g.machines++
 		inService := m.Up && !c.othersOut[name]
-		if inService && m.Utilization > 0 { // the load of the candidate, and of those that warm up, remains
+		if inService && m.Utilization > 0 { // the load of the candidate and of cold machines has to be carried by the others
 			g.load += m.Utilization * m.Weight
 		}
 		switch {
@@ -145,12 +148,13 @@
 	return g
 }
 
-// capacityLimit keeps enough machines of the group in service for the load, or for what depends on them.
-func (g groupSums) capacityLimit(m Machine, l Limits) string {
+// checkCapacity checks that the remaining machines of the group suffice: for parents MinWarmParents of them, for gateways one, and for
+// caches one and a utilization of at most MaxUtilization.
+func (g groupSums) checkCapacity(m Machine, l Limits) string {
 	switch {
 	case m.Kind == KindParent && g.remaining < l.MinWarmParents:
 		return fmt.Sprintf("%d warm upper caches would stay in %s, %d have to", g.remaining, m.Zone, l.MinWarmParents)
-	case m.Kind == KindParent: // for their load, see parentLimit
+	case m.Kind == KindParent: // their load is checked by checkParentLoad
 		return ""
 	case m.Kind == KindGateway && g.remaining < 1:
 		return fmt.Sprintf("no other gateway is ready in %s", m.Zone)
@@ -166,8 +170,9 @@
 	return ""
 }
 
-// shareLimit bounds the share of the group that is out, down or cold; one machine may always be.
-func (g groupSums) shareLimit(m Machine, l Limits) string {
+// checkShareOut checks that the share of the group that is out, down or cold stays within MaxZoneShareOut. The candidate passes if no
+// other machine is.
+func (g groupSums) checkShareOut(m Machine, l Limits) string {
 	if g.unavailable > 0 && g.unavailable+1 > int(l.MaxZoneShareOut*float64(g.machines)) {
 		return fmt.Sprintf("%d of %d machines of its kind in %s are out or cold", g.unavailable, g.machines, m.Zone)
 	}
--- a/maintenance/limits.go
+++ b/maintenance/limits.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Limits bound how many machines may be out, and for how long a gateway may be wrong about that. Use Check. The defaults stand
-// at each field; zero means the default.
+// Limits bounds how many machines may be out at the same time, and for how long a gateway may act on an outdated state. Call Check
+// before use: it replaces zero values by the defaults.
 type Limits struct {
-	MaxUtilization    float64       // of the caches of a zone that remain, and of the upper caches, under the present load; 0.85
-	MaxZoneShareOut   float64       // share of a zone's machines of one kind that may be out; one always may; 0.34
-	MinWarmParents    int           // warm upper caches that remain in a zone; 1
-	MaxOut            int           // machines of all kinds that may be out; 4
-	MaxTimesOvertaken int           // later requests of its group that may be granted before a request; 8
-	Lease             time.Duration // how long a gateway may use its view of the state; 5s
-	MaxClockDrift     float64       // share by which two clocks may run apart; 0.1
-	DrainGrace        time.Duration // until nothing new goes to a drained machine and what went there has ended; no default
-	SlowStart         time.Duration // a machine that returned is warm after this at the latest; no default
+	MaxUtilization    float64       // maximum utilization of a zone's remaining caches, and of the remaining parents; default 0.85
+	MaxZoneShareOut   float64       // maximum share of a zone's machines of one kind that may be out; one always may; default 0.34
+	MinWarmParents    int           // minimum number of warm parents that remain in a zone; default 1
+	MaxOut            int           // maximum number of machines of all kinds that may be out; default 4
+	MaxTimesOvertaken int           // how often requests of its group may be granted out of turn before a request; default 8
+	Lease             time.Duration // how long a gateway may act on its copy of the state without renewing it; default 5s
+	MaxClockDrift     float64       // maximum relative difference between the rates of two clocks; default 0.1
+	DrainGrace        time.Duration // time after a lease expires until its gateway has stopped sending and its requests have ended; no default
+	SlowStart         time.Duration // time after which a returned machine counts as warm; no default
 }
 
-// Check fills in defaults. An error begins with the operators' key of the setting that is not valid, and a colon.
+// Check fills in defaults and validates the limits. An error begins with the operator's key of the invalid setting and a colon.
 func (l *Limits) Check() error {
 	l.MaxUtilization = cmp.Or(l.MaxUtilization, 0.85)
 	l.MaxZoneShareOut = cmp.Or(l.MaxZoneShareOut, 0.34)
@@ -32,27 +32,27 @@
 	l.MaxClockDrift = cmp.Or(l.MaxClockDrift, 0.1)
 	switch {
 	case !(l.MaxUtilization > 0 && l.MaxUtilization <= 1):
-		return fmt.Errorf("full: %v is not over 0 and up to 1", l.MaxUtilization)
+		return fmt.Errorf("full: %v, want more than 0 and at most 1", l.MaxUtilization)
 	case !(l.MaxZoneShareOut > 0 && l.MaxZoneShareOut < 1):
-		return fmt.Errorf("zone_share: %v is not between 0 and 1", l.MaxZoneShareOut)
+		return fmt.Errorf("zone_share: %v, want more than 0 and less than 1", l.MaxZoneShareOut)
 	case l.MinWarmParents < 1:
-		return fmt.Errorf("parents: %d is under 1", l.MinWarmParents)
+		return fmt.Errorf("parents: %d, want at least 1", l.MinWarmParents)
 	case l.MaxOut < 1:
-		return fmt.Errorf("at_once: %d is under 1", l.MaxOut)
+		return fmt.Errorf("at_once: %d, want at least 1", l.MaxOut)
 	case l.MaxTimesOvertaken < 1:
-		return fmt.Errorf("patience: %d is under 1", l.MaxTimesOvertaken)
+		return fmt.Errorf("patience: %d, want at least 1", l.MaxTimesOvertaken)
 	case l.Lease < 500*time.Millisecond || l.Lease > time.Minute:
-		return fmt.Errorf("lease: %v is not from 500ms to 1m", l.Lease)
+		return fmt.Errorf("lease: %v, want 500ms to 1m", l.Lease)
 	case !(l.MaxClockDrift > 0 && l.MaxClockDrift <= 1):
-		return fmt.Errorf("drift: %v is not over 0 and up to 1", l.MaxClockDrift)
+		return fmt.Errorf("drift: %v, want more than 0 and at most 1", l.MaxClockDrift)
 	case l.DrainGrace < 0 || l.SlowStart < 0:
-		return errors.New("grace or ramp: negative")
+		return errors.New("grace or ramp: negative, want 0 or more")
 	}
 	return nil
 }
 
-// LeaseExpiry is how long after the agreement on a drain every lease that was given before it has expired, by whichever gateway's
-// clock, and what was sent under such a lease has ended.
+// LeaseExpiry returns the time after the agreement on a drain by which every lease granted before the agreement has expired, by any
+// gateway's clock, and all requests sent under such a lease have ended.
 func (l *Limits) LeaseExpiry() time.Duration {
 	return time.Duration(float64(l.Lease)*(1+l.MaxClockDrift)) + l.DrainGrace
 }
--- a/maintenance/maintenance_test.go
+++ b/maintenance/maintenance_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-func limits(t interface{ Fatal(...any) }) Limits {
+// testLimits returns the default limits with a drain grace of 1 s and a slow start of 10 s.
+func testLimits(t interface{ Fatal(...any) }) Limits {
 	b := Limits{DrainGrace: time.Second, SlowStart: 10 * time.Second}
 	if err := b.Check(); err != nil {
 		t.Fatal(err)
@@ -19,8 +20,9 @@
 	return b
 }
 
-// observed is two zones of six boxes, two upper caches at one place, and two gateways a zone.
-func observed() *Observations {
+// healthyObservations returns two zones with six caches (b00 to b15) and two gateways (g00 to g11) each, and two parents (p0, p1) in
+// a hub. All are up and warm.
+func healthyObservations() *Observations {
 	o := &Observations{Machines: map[string]Machine{}}
 	for z := range 2 {
 		for i := range 6 {
@@ -34,19 +36,21 @@
 	return o
 }
 
-type rig struct {
-	t     *testing.T
-	b     Limits
-	value []byte
+// harness applies commands to an encoded state.
+type harness struct {
+	t      *testing.T
+	limits Limits
+	value  []byte // the encoded state
 }
 
-func (r *rig) do(c Command) Reply {
+// apply applies a command and returns the reply.
+func (r *harness) apply(c Command) Reply {
 	r.t.Helper()
 	in, err := json.Marshal(c)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	next, out := Apply(r.b)(r.value, in)
+	next, out := Apply(r.limits)(r.value, in)
 	r.value = next
 	var reply Reply
 	if err := json.Unmarshal(out, &reply); err != nil {
@@ -55,7 +59,7 @@
 	return reply
 }
 
-func (r *rig) state() *State {
+func (r *harness) state() *State {
 	s, err := Decode(r.value)
 	if err != nil {
 		r.t.Fatal(err)
@@ -63,17 +67,18 @@
 	return s
 }
 
-func (r *rig) ask(machine string, change func(*RequestSpec)) Reply {
-	m := observed().Machines[machine]
-	a := &RequestSpec{Key: "k" + machine, Machine: machine, DurationMs: 60_000, Kind: m.Kind, Zone: m.Zone}
+// request requests maintenance of a machine. change, unless nil, changes the request before it is made.
+func (r *harness) request(machine string, change func(*RequestSpec)) Reply {
+	m := healthyObservations().Machines[machine]
+	spec := &RequestSpec{Key: "k" + machine, Machine: machine, DurationMs: 60_000, Kind: m.Kind, Zone: m.Zone}
 	if change != nil {
-		change(a)
+		change(spec)
 	}
-	return r.do(Command{Actor: "x", Request: a})
+	return r.apply(Command{Actor: "x", Request: spec})
 }
 
-// stage is that of the latest request for b00.
-func (r *rig) stage() Stage {
+// stage returns the stage of the latest request for b00.
+func (r *harness) stage() Stage {
 	for _, q := range slices.Backward(r.state().Requests) {
 		if q.Machine == "b00" {
 			return q.Stage
@@ -82,7 +87,7 @@
 	return ""
 }
 
-// setParentLoad has all upper caches report a utilization.
+// setParentLoad sets the utilization that all parents report.
 func setParentLoad(o *Observations, utilization float64) {
 	for n, m := range o.Machines {
 		if m.Utilization = utilization; m.Kind == KindParent {
@@ -91,41 +96,41 @@
 	}
 }
 
-// Each limit by itself blocks a request, and says so.
+// Each limit on its own must block a request, with a reason that names the limit.
 func TestEachLimitBlocks(t *testing.T) {
 	for _, c := range []struct {
-		name, machine string
-		change        func(*Observations)
-		more          func(*Limits)
-		away          []string // that are granted before
-		why           string   // empty: it is granted
+		name, machine      string
+		changeObservations func(*Observations)
+		changeLimits       func(*Limits)
+		out                []string // machines that are out of service already
+		wantReason         string   // part of the reason; empty: the request is granted
 	}{
-		{"nothing", "b00", nil, nil, nil, ""},
-		{"not in the list", "b09", nil, nil, nil, "not in the list"},
+		{"no limit reached", "b00", nil, nil, nil, ""},
+		{"machine not observed", "b09", nil, nil, nil, "not in the list"},
 		{"pressure", "b00", func(o *Observations) { o.Pressure = "the origin is slow" }, nil, nil, "the origin is slow"},
-		{"a second of six", "b00", nil, nil, []string{"b01"}, ""},
-		{"a third of six", "b00", nil, nil, []string{"b01", "b02"}, "out or cold"},
-		{"a cold one counts", "b00", func(o *Observations) { m := o.Machines["b01"]; m.Warm = false; o.Machines["b01"] = m }, nil, []string{"b02"}, "out or cold"},
-		{"at once", "b00", nil, func(b *Limits) { b.MaxOut = 2 }, []string{"b11", "p0"}, "2 machines are out"},
-		{"load", "b00", func(o *Observations) {
+		{"second of six caches", "b00", nil, nil, []string{"b01"}, ""},
+		{"third of six caches", "b00", nil, nil, []string{"b01", "b02"}, "out or cold"},
+		{"cold cache counts as unavailable", "b00", func(o *Observations) { m := o.Machines["b01"]; m.Warm = false; o.Machines["b01"] = m }, nil, []string{"b02"}, "out or cold"},
+		{"MaxOut", "b00", nil, func(b *Limits) { b.MaxOut = 2 }, []string{"b11", "p0"}, "2 machines are out"},
+		{"load of the zone", "b00", func(o *Observations) {
 			for n, m := range o.Machines {
 				if m.Utilization = 0.75; m.Zone == "z0" {
 					o.Machines[n] = m
 				}
 			}
 		}, nil, nil, "the load of z0"},
-		{"load not known", "b00", func(o *Observations) { m := o.Machines["b03"]; m.Utilization = -1; o.Machines["b03"] = m }, nil, nil, "not known"},
-		{"the last warm upper cache", "p0", func(o *Observations) { m := o.Machines["p1"]; m.Warm = false; o.Machines["p1"] = m }, func(b *Limits) { b.MaxZoneShareOut = 0.99 }, nil,
+		{"load of a cache unknown", "b00", func(o *Observations) { m := o.Machines["b03"]; m.Utilization = -1; o.Machines["b03"] = m }, nil, nil, "not known"},
+		{"last warm parent", "p0", func(o *Observations) { m := o.Machines["p1"]; m.Warm = false; o.Machines["p1"] = m }, func(b *Limits) { b.MaxZoneShareOut = 0.99 }, nil,
 			"0 warm upper caches would stay"},
-		{"the second upper cache", "p0", nil, func(b *Limits) { b.MaxZoneShareOut = 0.99 }, []string{"p1"}, "0 warm upper caches would stay"},
-		{"two have to stay", "p0", nil, func(b *Limits) { b.MinWarmParents = 2 }, nil, "1 warm upper caches would stay"},
-		{"the other gateway", "g00", nil, func(b *Limits) { b.MaxZoneShareOut = 0.99 }, []string{"g01"}, "no other gateway"},
-		{"a gateway", "g00", nil, nil, nil, ""},
-		{"upper caches at their load", "p0", func(o *Observations) { setParentLoad(o, 0.44) }, func(b *Limits) { b.MaxZoneShareOut = 0.99 }, nil, "the load of the upper caches, 17.6"},
-		{"a box would come back empty before them", "b00", func(o *Observations) { setParentLoad(o, 0.9) }, nil, nil, "the load of the upper caches, 36.0"},
-		{"one of them is out already", "b00", func(o *Observations) { setParentLoad(o, 0.44) }, nil, []string{"p1"}, "the load of the upper caches"},
-		{"they tell nothing", "b00", func(o *Observations) { setParentLoad(o, -1) }, nil, nil, ""},
-		{"a zone is away", "p0", func(o *Observations) {
+		{"second parent", "p0", nil, func(b *Limits) { b.MaxZoneShareOut = 0.99 }, []string{"p1"}, "0 warm upper caches would stay"},
+		{"MinWarmParents 2", "p0", nil, func(b *Limits) { b.MinWarmParents = 2 }, nil, "1 warm upper caches would stay"},
+		{"last gateway of the zone", "g00", nil, func(b *Limits) { b.MaxZoneShareOut = 0.99 }, []string{"g01"}, "no other gateway"},
+		{"one of two gateways", "g00", nil, nil, nil, ""},
+		{"load of the parents, parent", "p0", func(o *Observations) { setParentLoad(o, 0.44) }, func(b *Limits) { b.MaxZoneShareOut = 0.99 }, nil, "the load of the upper caches, 17.6"},
+		{"load of the parents, cache that would return empty", "b00", func(o *Observations) { setParentLoad(o, 0.9) }, nil, nil, "the load of the upper caches, 36.0"},
+		{"load of the parents, one out already", "b00", func(o *Observations) { setParentLoad(o, 0.44) }, nil, []string{"p1"}, "the load of the upper caches"},
+		{"load of the parents unknown", "b00", func(o *Observations) { setParentLoad(o, -1) }, nil, nil, ""},
+		{"outage of another zone", "p0", func(o *Observations) {
 			for _, n := range []string{"b10", "b11", "b12", "b13"} {
 				m := o.Machines[n]
 				m.Up = false
@@ -133,146 +138,147 @@
 			}
 		}, nil, nil, "zone z1 is away"},
 	} {
-		b := limits(t)
-		if c.more != nil {
-			c.more(&b)
+		b := testLimits(t)
+		if c.changeLimits != nil {
+			c.changeLimits(&b)
 		}
-		o := observed()
-		if c.change != nil {
-			c.change(o)
+		o := healthyObservations()
+		if c.changeObservations != nil {
+			c.changeObservations(o)
 		}
 		s := &State{}
-		for i, n := range c.away {
+		for i, n := range c.out {
 			s.Requests = append(s.Requests, &Request{ID: uint64(i + 1), Machine: n, Kind: o.Machines[n].Kind, Zone: o.Machines[n].Zone, Stage: OutOfService})
 		}
 		r := &Request{ID: 9, Machine: c.machine, Kind: o.Machines[c.machine].Kind, Zone: o.Machines[c.machine].Zone, Stage: Requested}
 		s.Requests = append(s.Requests, r)
-		why := s.blockedBy(r, o, b)
-		if (why == "") != (c.why == "") || !strings.Contains(why, c.why) {
-			t.Errorf("%s: %q, want %q", c.name, why, c.why)
+		reason := s.blockedBy(r, o, b)
+		if (reason == "") != (c.wantReason == "") || !strings.Contains(reason, c.wantReason) {
+			t.Errorf("%s: blocked by %q, want %q", c.name, reason, c.wantReason)
 		}
-		if got := s.nextToGrant(o, b) != nil; got != (c.why == "") {
-			t.Errorf("%s: granted %v", c.name, got)
+		if got := s.nextToGrant(o, b) != nil; got != (c.wantReason == "") {
+			t.Errorf("%s: request can be granted: %v, want the opposite", c.name, got)
 		}
 	}
 }
 
-// A request moves on only once every gateway has reported, and what is lost on the way is repeated.
-func TestStagesWaitForEveryGateway(t *testing.T) {
-	r := &rig{t: t, b: limits(t)}
-	o := observed()
-	step := func(spans ...StageTimeouts) { o.StageTimeouts = spans; r.do(Command{Actor: "x", Advance: o}) }
-	want := func(s Stage) {
+// A request advances only after every gateway has reported, or after the leases have expired, and reports of another incarnation
+// or a later epoch are rejected. A repeated request with the same idempotency key is the same request.
+func TestRequestAdvancesOnlyAfterAllGatewaysReport(t *testing.T) {
+	r := &harness{t: t, limits: testLimits(t)}
+	o := healthyObservations()
+	advance := func(timeouts ...StageTimeouts) { o.StageTimeouts = timeouts; r.apply(Command{Actor: "x", Advance: o}) }
+	advanceAndExpect := func(s Stage) {
 		t.Helper()
-		step()
+		advance()
 		if got := r.stage(); got != s {
-			t.Fatalf("it is %s, want %s", got, s)
+			t.Fatalf("b00 is in stage %s, want %s", got, s)
 		}
 	}
-	r.do(Command{Join: &GatewayUpdate{Name: "g1", Incarnation: 1, NoView: true}})
-	r.do(Command{Join: &GatewayUpdate{Name: "g2", Incarnation: 2, NoView: true}})
-	if again := r.ask("b00", nil); again.ID != 1 || r.ask("b00", nil).ID != 1 {
-		t.Error("asked twice with one key it is two requests")
-	}
-	want(Granted)
-	want(Granted)
-	r.do(Command{Notified: &GatewayUpdate{Name: "g1", Incarnation: 1, NotifiedEpoch: 1}})
-	want(Granted)
-	if got := r.do(Command{Notified: &GatewayUpdate{Name: "g2", Incarnation: 77, NotifiedEpoch: 1}}); got.Rejected == "" {
-		t.Error("the report of another incarnation is taken")
-	}
-	if got := r.do(Command{Notified: &GatewayUpdate{Name: "g2", Incarnation: 2, NotifiedEpoch: 99}}); got.Rejected == "" {
-		t.Error("a report of a later epoch is taken")
-	}
-	// g2 restarts with a view that it had stored before the grant: it does not know of it.
-	r.do(Command{Join: &GatewayUpdate{Name: "g2", Incarnation: 3, NotifiedEpoch: 0}})
-	want(Granted)
-	r.do(Command{Notified: &GatewayUpdate{Name: "g2", Incarnation: 3, NotifiedEpoch: 1}})
-	want(Draining)
-	r.do(Command{Notified: &GatewayUpdate{Name: "g1", Incarnation: 1, NotifiedEpoch: 2, StoppedEpoch: 2}})
-	want(Draining)
-	step(StageTimeouts{ID: 1, Stage: Draining, Epoch: 99, LeasesExpired: true}) // of another grant
-	want(Draining)
-	step(StageTimeouts{ID: 1, Stage: Draining, Epoch: 1, LeasesExpired: true}) // all leases have run out
+	r.apply(Command{Join: &GatewayUpdate{Name: "g1", Incarnation: 1, NoView: true}})
+	r.apply(Command{Join: &GatewayUpdate{Name: "g2", Incarnation: 2, NoView: true}})
+	if again := r.request("b00", nil); again.ID != 1 || r.request("b00", nil).ID != 1 {
+		t.Error("requests with the same idempotency key got different IDs, want ID 1 for all")
+	}
+	advanceAndExpect(Granted)
+	advanceAndExpect(Granted)
+	r.apply(Command{Notified: &GatewayUpdate{Name: "g1", Incarnation: 1, NotifiedEpoch: 1}})
+	advanceAndExpect(Granted)
+	if got := r.apply(Command{Notified: &GatewayUpdate{Name: "g2", Incarnation: 77, NotifiedEpoch: 1}}); got.Rejected == "" {
+		t.Error("the report of an incarnation that has not joined was accepted")
+	}
+	if got := r.apply(Command{Notified: &GatewayUpdate{Name: "g2", Incarnation: 2, NotifiedEpoch: 99}}); got.Rejected == "" {
+		t.Error("a report of an epoch later than the state's was accepted")
+	}
+	// g2 restarts with a view that it had stored before the grant, so it does not know of the grant.
+	r.apply(Command{Join: &GatewayUpdate{Name: "g2", Incarnation: 3, NotifiedEpoch: 0}})
+	advanceAndExpect(Granted)
+	r.apply(Command{Notified: &GatewayUpdate{Name: "g2", Incarnation: 3, NotifiedEpoch: 1}})
+	advanceAndExpect(Draining)
+	r.apply(Command{Notified: &GatewayUpdate{Name: "g1", Incarnation: 1, NotifiedEpoch: 2, StoppedEpoch: 2}})
+	advanceAndExpect(Draining)
+	advance(StageTimeouts{ID: 1, Stage: Draining, Epoch: 99, LeasesExpired: true}) // for another grant: ignored
+	advanceAndExpect(Draining)
+	advance(StageTimeouts{ID: 1, Stage: Draining, Epoch: 1, LeasesExpired: true})
 	if r.stage() != OutOfService {
-		t.Fatal("it is not out though all leases have run out")
+		t.Fatal("b00 is not out of service after all leases have expired")
 	}
-	if got := r.do(Command{Withdraw: &Target{Name: "b00"}}); got.Rejected == "" {
-		t.Error("what is out was withdrawn")
+	if got := r.apply(Command{Withdraw: &Target{Name: "b00"}}); got.Rejected == "" {
+		t.Error("the request for a machine that is out of service was withdrawn")
 	}
-	step(StageTimeouts{ID: 1, Stage: OutOfService, Epoch: 1, Overdue: true})
+	advance(StageTimeouts{ID: 1, Stage: OutOfService, Epoch: 1, Overdue: true})
 	if q := r.state().Requests[0]; !q.Overdue || q.Stage != OutOfService {
-		t.Errorf("overdue: %+v", q)
+		t.Errorf("request %+v, want it overdue and out of service", q)
 	}
 	m := o.Machines["b00"]
 	m.BootMs = 77
 	o.Machines["b00"] = m
-	want(Returned)
+	advanceAndExpect(Returned)
 	m.Warm = false
 	o.Machines["b00"] = m
-	want(WarmingUp)
-	want(WarmingUp)
-	step(StageTimeouts{ID: 1, Stage: WarmingUp, Epoch: 1, SlowStartOver: true})
-	want(Completed)
+	advanceAndExpect(WarmingUp)
+	advanceAndExpect(WarmingUp)
+	advance(StageTimeouts{ID: 1, Stage: WarmingUp, Epoch: 1, SlowStartOver: true})
+	advanceAndExpect(Completed)
 	if got := r.state().Requests[0].History; len(got) != 8 || got[0].To != Requested {
-		t.Errorf("history %+v", got)
+		t.Errorf("history %+v, want 8 transitions, the first to the stage requested", got)
 	}
 }
 
-// A grant is taken back when boxes crash before the machine is out, and given again once there is capacity.
-func TestAGrantIsTakenBack(t *testing.T) {
-	r := &rig{t: t, b: limits(t)}
-	r.do(Command{Join: &GatewayUpdate{Name: "g1", Incarnation: 1, NoView: true}})
-	r.ask("b00", nil)
-	o := observed()
-	r.do(Command{Advance: o})
-	bad := observed()
+// A grant is revoked when other caches of the zone crash before the machine is out of service, and given again once they are back.
+func TestGrantIsRevokedWhenCapacityIsLost(t *testing.T) {
+	r := &harness{t: t, limits: testLimits(t)}
+	r.apply(Command{Join: &GatewayUpdate{Name: "g1", Incarnation: 1, NoView: true}})
+	r.request("b00", nil)
+	o := healthyObservations()
+	r.apply(Command{Advance: o})
+	degraded := healthyObservations()
 	for _, n := range []string{"b01", "b02"} {
-		m := bad.Machines[n]
+		m := degraded.Machines[n]
 		m.Up = false
-		bad.Machines[n] = m
+		degraded.Machines[n] = m
 	}
-	r.do(Command{Advance: bad})
+	r.apply(Command{Advance: degraded})
 	if got := r.stage(); got != Requested {
-		t.Fatalf("two boxes crashed, and it is %s", got)
+		t.Fatalf("b00 is in stage %s after two caches of its zone crashed, want asked", got)
 	}
-	r.do(Command{Advance: o})
+	r.apply(Command{Advance: o})
 	if q := r.state().Requests[0]; q.Stage != Granted || q.GrantEpoch != 2 {
-		t.Errorf("with all well again: %+v", q)
+		t.Errorf("after both caches are back the request is %+v, want it granted in epoch 2", q)
 	}
 }
 
-// A request that can not go is overtaken by so many later ones of its group at most; then its group waits for it.
-func TestNoRequestIsOvertakenForEver(t *testing.T) {
-	r := &rig{t: t, b: limits(t)}
-	r.b.MaxTimesOvertaken, r.b.MaxOut = 3, 1
-	r.do(Command{Join: &GatewayUpdate{Name: "g1", Incarnation: 1, NoView: true}})
-	o := observed()
-	big := o.Machines["b00"] // without it the rest could not bear the load
+// A request that is blocked is overtaken by at most MaxTimesOvertaken requests of its group. Then the group waits for it.
+func TestRequestIsOvertakenAtMostMaxTimes(t *testing.T) {
+	r := &harness{t: t, limits: testLimits(t)}
+	r.limits.MaxTimesOvertaken, r.limits.MaxOut = 3, 1
+	r.apply(Command{Join: &GatewayUpdate{Name: "g1", Incarnation: 1, NoView: true}})
+	o := healthyObservations()
+	big := o.Machines["b00"] // so large that the remaining caches can't carry its load
 	big.Weight, big.Utilization = 60, 0.5
 	o.Machines["b00"] = big
-	r.ask("b00", nil)
+	r.request("b00", nil)
 	granted := 0
 	for range 40 {
 		for _, n := range []string{"b01", "b02", "b03"} {
-			r.ask(n, func(a *RequestSpec) { a.Key = fmt.Sprint(n, granted) })
+			r.request(n, func(a *RequestSpec) { a.Key = fmt.Sprint(n, granted) })
 		}
-		r.do(Command{Advance: o})
+		r.apply(Command{Advance: o})
 		for _, q := range r.state().Requests {
 			if q.Stage == Granted {
 				granted++
-				r.do(Command{Withdraw: &Target{Name: q.Machine}})
+				r.apply(Command{Withdraw: &Target{Name: q.Machine}})
 			}
 		}
 	}
-	if granted != r.b.MaxTimesOvertaken {
-		t.Errorf("%d later ones of its group were granted before it, %d are allowed", granted, r.b.MaxTimesOvertaken)
+	if granted != r.limits.MaxTimesOvertaken {
+		t.Errorf("%d requests of the group were granted before the blocked one, want %d", granted, r.limits.MaxTimesOvertaken)
 	}
 	big.Utilization = 0.05
 	o.Machines["b00"] = big
-	r.do(Command{Advance: o})
+	r.apply(Command{Advance: o})
 	if got := r.stage(); got != Granted {
-		t.Errorf("there is room for it, and it is %s", got)
+		t.Errorf("b00 is in stage %s after its load has fallen, want granted", got)
 	}
 }
 
@@ -287,52 +293,53 @@
 		{"after: 17", func(a *RequestSpec) { a.After = make([]string, 17) }},
 		{"a name over", func(a *RequestSpec) { a.Machine = strings.Repeat("m", 65) }},
 	} {
-		r := &rig{t: t, b: limits(t)}
-		r.ask("b01", func(a *RequestSpec) { a.After = []string{"b00"} })
-		if got := r.ask("b00", c.change); !strings.Contains(got.Rejected, c.want) || len(r.state().Requests) != 1 {
-			t.Errorf("%q, want %q", got.Rejected, c.want)
+		r := &harness{t: t, limits: testLimits(t)}
+		r.request("b01", func(a *RequestSpec) { a.After = []string{"b00"} })
+		if got := r.request("b00", c.change); !strings.Contains(got.Rejected, c.want) || len(r.state().Requests) != 1 {
+			t.Errorf("rejected with %q, want a reason that contains %q and no new request", got.Rejected, c.want)
 		}
 	}
-	r := &rig{t: t, b: limits(t)}
-	r.ask("b00", nil)
-	if got := r.ask("b00", func(a *RequestSpec) { a.Key = "other" }); !strings.Contains(got.Rejected, "open request") || got.ID != 1 {
-		t.Errorf("a second request for a machine: %+v", got)
+	r := &harness{t: t, limits: testLimits(t)}
+	r.request("b00", nil)
+	if got := r.request("b00", func(a *RequestSpec) { a.Key = "other" }); !strings.Contains(got.Rejected, "open request") || got.ID != 1 {
+		t.Errorf("second request for b00: reply %+v, want a rejection with the ID of the open request", got)
 	}
 	for _, c := range []Command{{}, {Withdraw: &Target{Name: "b09"}}, {Finish: &Target{Name: "b00"}}, {Forget: &Target{Name: "g9"}}, {Join: &GatewayUpdate{}}} {
-		if got := r.do(c); got.Rejected == "" {
-			t.Errorf("%+v was taken", c)
+		if got := r.apply(c); got.Rejected == "" {
+			t.Errorf("invalid command %+v was accepted", c)
 		}
 	}
-	if _, reply := Apply(r.b)(r.value, []byte("{")); !strings.Contains(string(reply), "refused") {
-		t.Errorf("half a command: %s", reply)
+	if _, reply := Apply(r.limits)(r.value, []byte("{")); !strings.Contains(string(reply), "refused") {
+		t.Errorf("truncated command: reply %s, want a rejection", reply)
 	}
 }
 
-func TestPlanNamesWavesAndLimits(t *testing.T) {
-	r := &rig{t: t, b: limits(t)}
+func TestPlanReportsWavesAndBlockingReasons(t *testing.T) {
+	r := &harness{t: t, limits: testLimits(t)}
 	for _, m := range []string{"p0", "p1", "b00", "b01", "b02"} {
-		r.ask(m, func(a *RequestSpec) {
+		r.request(m, func(a *RequestSpec) {
 			if m == "b00" {
 				a.After = []string{"p1"}
 			}
 		})
 	}
 	got := map[string]string{}
-	for _, v := range r.state().Plan(observed(), r.b) {
+	for _, v := range r.state().Plan(healthyObservations(), r.limits) {
 		got[v.Request.Machine] = fmt.Sprint(v.Wave, " ", v.BlockedBy)
 	}
 	for m, want := range map[string]string{"p0": "1 ", "p1": "2 ", "b00": "3 it goes after p1, which is asked", "b01": "1 ", "b02": "1 "} {
 		if got[m] != want {
-			t.Errorf("%s: %q, want %q", m, got[m], want)
+			t.Errorf("plan of %s: wave and reason %q, want %q", m, got[m], want)
 		}
 	}
 }
 
-// Whatever commands and observations come, in whatever order: no more machines are out than may be, none twice, the upper
-// caches never all; a command that comes twice changes nothing more; and a state is read as it was written.
-func TestNothingGoesBeyondTheLimits(t *testing.T) {
+// Applies random commands with random observations. At no time may more machines than MaxOut be out, one machine be out twice, or
+// both parents be out. Applying a command twice must not change more than applying it once, and a decoded state must encode to the
+// same bytes.
+func TestRandomCommandsRespectLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := limits(t)
+		l := testLimits(t)
 		value := []byte(nil)
 		epoch := uint64(0)
 		for i := range rapid.IntRange(1, 60).Draw(t, "commands") {
@@ -348,11 +355,11 @@
 				t.Fatal(err)
 			}
 			if string(after.Encode()) != string(next) && len(next) > 0 {
-				t.Fatalf("%s is read as %s", next, after.Encode())
+				t.Fatalf("state %s was decoded and encoded to %s, want the same bytes", next, after.Encode())
 			}
 			if c.Advance == nil && c.Finish == nil {
 				if again, _ := Apply(l)(next, command); string(again) != string(next) {
-					t.Fatalf("a second %s changed %s to %s", command, next, again)
+					t.Fatalf("command %s, applied a second time, changed %s to %s", command, next, again)
 				}
 			}
 			checkOut(t, after, l)
@@ -362,10 +369,10 @@
 	})
 }
 
-// drawCommand draws a command, by number i, after drawing faults of the machines that it may report.
+// drawCommand draws command number i of a run. Observations that it contains have random faults.
 func drawCommand(t *rapid.T, i int, epoch uint64, s *State) (c Command) {
 	names := []string{"b00", "b01", "b02", "b03", "b10", "p0", "p1", "g00", "g01"}
-	o := observed()
+	o := healthyObservations()
 	for _, n := range names {
 		if rapid.IntRange(0, 9).Draw(t, "faulty") == 0 {
 			m := o.Machines[n]
@@ -396,7 +403,7 @@
 	return c
 }
 
-// checkOut checks that no machine is out twice, no more are out than may be, and one upper cache remains.
+// checkOut checks that no machine is out twice, that at most MaxOut are out, and that at least one parent is not.
 func checkOut(t *rapid.T, s *State, l Limits) {
 	out, parents, seen := 0, 0, map[string]bool{}
 	for _, r := range s.Requests {
@@ -404,7 +411,7 @@
 			continue
 		}
 		if seen[r.Machine] {
-			t.Fatalf("%s is out twice", r.Machine)
+			t.Fatalf("machine %s is out by two requests", r.Machine)
 		}
 		seen[r.Machine] = true
 		out++
@@ -413,11 +420,11 @@
 		}
 	}
 	if out > l.MaxOut || parents > 1 {
-		t.Fatalf("%d are out, %d upper caches", out, parents)
+		t.Fatalf("%d machines are out, %d of them parents, want at most the limit and one parent", out, parents)
 	}
 }
 
-// checkNotified checks that no machine drains while a gateway does not know of its grant, but for one that has just started.
+// checkNotified checks that no machine drains while a gateway does not know of its grant, unless the gateway has just joined.
 func checkNotified(t *rapid.T, before, after *State) {
 	for _, r := range after.Requests {
 		if r.Stage != Draining {
@@ -425,7 +432,7 @@
 		}
 		for name, g := range after.Gateways {
 			if g.NotifiedEpoch < r.GrantEpoch && before.Gateways[name].Incarnation == g.Incarnation {
-				t.Fatalf("%s drains, and %s does not know of its grant", r.Machine, name)
+				t.Fatalf("machine %s is draining, but gateway %s has not been notified of the grant", r.Machine, name)
 			}
 		}
 	}
--- a/maintenance/observations.go
+++ b/maintenance/observations.go
@@ -1,42 +1,44 @@
 package maintenance
 
-// The kinds of machine.
+// Kinds of machines, as stored in Machine.Kind.
 const (
-	KindCache   = "box"     // a cache that clients are sent to
-	KindParent  = "parent"  // an upper cache, which fills boxes
+	KindCache   = "box"     // a cache that serves requests
+	KindParent  = "parent"  // an upper cache, which fills caches
 	KindGateway = "gateway" // runs this program
 )
 
-// Machine is what is observed of a machine.
+// Machine is the observed state of a machine.
 type Machine struct {
 	Kind        string  `json:"kind"`
 	Zone        string  `json:"zone"`
 	Up          bool    `json:"up"`
-	Warm        bool    `json:"warm"`   // of a gateway: it is ready
-	BootMs      int64   `json:"boot"`   // Unix time of its latest start
+	Warm        bool    `json:"warm"`   // for a gateway: it is ready
+	BootMs      int64   `json:"boot"`   // Unix time in ms of its latest start
 	Weight      float64 `json:"weight"` // capacity, relative to other machines of its kind
-	Utilization float64 `json:"busy"`   // share of its capacity that is in use; negative: unknown
+	Utilization float64 `json:"busy"`   // share of its capacity in use, 0 to 1; negative: unknown
 }
 
-// StageTimeouts says which time limits of a request at a stage have passed, by the clock of the coordinator.
+// StageTimeouts reports which time limits of a request have passed in its present stage, by the coordinator's clock. ID, Stage and
+// Epoch identify the stage; the flags of another stage or grant are ignored.
 type StageTimeouts struct {
-	ID            uint64 `json:"id"`
-	Stage         Stage  `json:"stage"`
-	Epoch         uint64 `json:"epoch"`            // of its grant
+	ID            uint64 `json:"id"`               // of the request
+	Stage         Stage  `json:"stage"`            // in which the time limits have passed
+	Epoch         uint64 `json:"epoch"`            // GrantEpoch of the request
 	LeasesExpired bool   `json:"lapsed,omitempty"` // draining: all leases from before the drain have expired
-	Overdue       bool   `json:"late,omitempty"`   // out of service: for longer than was said
-	SlowStartOver bool   `json:"ramped,omitempty"` // warming up: the machine must be warm by now
+	Overdue       bool   `json:"late,omitempty"`   // out of service: for longer than Request.DurationMs
+	SlowStartOver bool   `json:"ramped,omitempty"` // warming up: slow start has ended, so the machine counts as warm
 }
 
-// Observations are what the coordinator has gathered; where gateways differ, the most cautious report.
+// Observations is the coordinator's summary of what the gateways observe. Where gateways differ, it contains the most cautious
+// report.
 type Observations struct {
 	Machines      map[string]Machine `json:"machines"`
-	Pressure      string             `json:"strain,omitempty"` // why no machine should be taken out: overload, a slow origin, purges
+	Pressure      string             `json:"strain,omitempty"` // why no machine should be taken out: overload, a slow origin, purges; empty: no reason
 	StageTimeouts []StageTimeouts    `json:"spans,omitempty"`
 }
 
-// elapsed are the time limits of a request at its present stage; zero: none is known to have passed.
-func (o *Observations) elapsed(r *Request) (found StageTimeouts) {
+// stageTimeouts returns the time limits that have passed for a request in its present stage, or zero if none are known.
+func (o *Observations) stageTimeouts(r *Request) (found StageTimeouts) {
 	for _, e := range o.StageTimeouts {
 		if e.ID == r.ID && e.Stage == r.Stage && e.Epoch == r.GrantEpoch {
 			found = e
--- a/maintenance/queue.go
+++ b/maintenance/queue.go
@@ -6,18 +6,20 @@
 	"slices"
 )
 
-// precedes reports whether a goes before b where both may go: by priority, then deadline, then age.
+// precedes reports whether a is before b in the queue: by priority, then deadline, then age.
 func (s *State) precedes(a, b *Request) bool {
 	return cmp.Or(cmp.Compare(b.Priority, a.Priority), cmp.Compare(a.deadline(), b.deadline()), cmp.Compare(a.ID, b.ID)) < 0
 }
 
-// noDeadline is later than any deadline, in Unix milliseconds.
+// noDeadline is the deadline, as Unix time in ms, of a request that has none: later than any other.
 const noDeadline = 1 << 62
 
+// deadline returns the deadline as Unix time in ms, or noDeadline.
 func (r *Request) deadline() int64 { return cmp.Or(r.DeadlineMs, noDeadline) }
 
-// waiting are the requests that wait for a grant, in the order in which they go: first those that were overtaken too often.
-func (s *State) waiting(maxTimesOvertaken int) (l []*Request) {
+// waitingRequests returns the requests that wait for a grant, in queue order; those that have been overtaken maxTimesOvertaken times
+// come first.
+func (s *State) waitingRequests(maxTimesOvertaken int) (l []*Request) {
 	for _, r := range s.Requests {
 		if r.Stage == Requested {
 			l = append(l, r)
@@ -36,24 +38,25 @@
 	return l
 }
 
-// nextToGrant is the request to be granted now; nil: none may be. Where a request was overtaken too often, its group waits for it.
+// nextToGrant returns the first waiting request that may be granted now, or nil. A request that has been overtaken
+// MaxTimesOvertaken times blocks all requests of its group that follow it.
 func (s *State) nextToGrant(o *Observations, l Limits) *Request {
-	closed := map[string]bool{} // groups that wait for a request
-	for _, r := range s.waiting(l.MaxTimesOvertaken) {
-		if closed[r.group()] {
+	blockedGroups := map[string]bool{} // groups in which an overtaken request has to be granted first
+	for _, r := range s.waitingRequests(l.MaxTimesOvertaken) {
+		if blockedGroups[r.group()] {
 			continue
 		}
 		if s.waitsFor(r) == "" && s.blockedBy(r, o, l) == "" {
 			return r
 		}
 		if r.TimesOvertaken >= l.MaxTimesOvertaken {
-			closed[r.group()] = true
+			blockedGroups[r.group()] = true
 		}
 	}
 	return nil
 }
 
-// waitsFor says which machine has to go before this one by its own order; empty: none.
+// waitsFor returns why a request waits for another machine in its After list, or an empty string if it does not.
 func (s *State) waitsFor(r *Request) string {
 	for _, m := range r.After {
 		if open := s.openRequest(m); open != nil {
@@ -66,30 +69,30 @@
 // PlanEntry is a waiting request in the plan.
 type PlanEntry struct {
 	Request   *Request `json:"Request"`
-	Wave      int      `json:"Wave"` // in which it would go, from 1, if nothing else changes; 0: in none
-	BlockedBy string   `json:"Why"`  // why it does not go now; empty: it may
+	Wave      int      `json:"Wave"` // number of the wave in which it would be granted, from 1; 0: in none
+	BlockedBy string   `json:"Why"`  // why it can't be granted now; empty: it can
 }
 
-// Plan says in which waves requests would be granted if each wave returned before the next and nothing else changed, and why each
-// of them does not go now.
+// Plan returns the waiting requests in queue order, each with the reason why it can't be granted now and with the wave in which it
+// would be granted, if each wave completed before the next and the observations did not change.
 func (s *State) Plan(o *Observations, l Limits) []PlanEntry {
 	var entries []PlanEntry
-	for _, r := range s.waiting(l.MaxTimesOvertaken) {
+	for _, r := range s.waitingRequests(l.MaxTimesOvertaken) {
 		entries = append(entries, PlanEntry{Request: r, BlockedBy: cmp.Or(s.waitsFor(r), s.blockedBy(r, o, l))})
 	}
-	future, err := Decode(s.Encode())
+	simulated, err := Decode(s.Encode())
 	if err != nil {
 		return entries
 	}
 	c := &Command{Advance: o}
 	for wave := 1; wave <= len(entries)+1; wave++ {
-		granted := future.grantWave(c, l)
+		granted := simulated.grantWave(c, l)
 		for i := range entries {
 			if granted[entries[i].Request.ID] {
 				entries[i].Wave = wave
 			}
 		}
-		for _, r := range future.Requests {
+		for _, r := range simulated.Requests {
 			if r.Stage.countsAsOut() {
 				r.transition(c, Completed, "")
 			}
@@ -98,7 +101,8 @@
 	return entries
 }
 
-// grantWave grants what may go at once, and names the requests.
+// grantWave grants all requests that may be out at the same time, and returns their IDs. It leaves out what only matters for real
+// grants, such as epochs.
 func (s *State) grantWave(c *Command, l Limits) map[uint64]bool {
 	granted := map[uint64]bool{}
 	for range l.MaxOut {
--- a/maintenance/request.go
+++ b/maintenance/request.go
@@ -9,15 +9,15 @@
 
 const (
 	maxOpenRequests  = 128
-	maxEndedRequests = 64 // kept for readers; beyond, the oldest is dropped
-	maxNameLength    = 64 // bytes of a machine, zone, kind, key or gateway
+	maxEndedRequests = 64 // ended requests kept for operators to read; beyond this, the oldest is dropped
+	maxNameLength    = 64 // bytes in the name of a machine, zone, kind, key or gateway
 	maxPredecessors  = 16 // names in RequestSpec.After
 	maxGateways      = 1024
 	maxDuration      = 30 * 24 * time.Hour
-	maxPriority      = 100 // and its negative the least
+	maxPriority      = 100 // the minimum is -maxPriority
 )
 
-// addRequest adds a request, unless its key stands for one already.
+// addRequest adds a request and returns its ID. If a request with the same idempotency key exists, it returns the ID of that one.
 func (s *State) addRequest(c *Command) (requestID uint64, err error) {
 	o, open, ended := c.Request, 0, 0
 	for _, r := range s.Requests {
@@ -54,7 +54,7 @@
 	return r.ID, nil
 }
 
-// check names what is not valid in an order by itself.
+// check validates a request without regard to the state. The error names the field.
 func (o *RequestSpec) check() error {
 	switch {
 	case o.Key == "" || len(o.Key) > maxNameLength:
@@ -75,7 +75,8 @@
 	return nil
 }
 
-// wouldCycle reports whether a machine would have to wait for itself, through the open requests of others.
+// wouldCycle reports whether a machine that waits for the machines in after would wait for itself, through the open requests of
+// those machines.
 func (s *State) wouldCycle(machine string, after []string) bool {
 	seen := map[string]bool{}
 	for next := slices.Clone(after); len(next) > 0; {
@@ -92,7 +93,7 @@
 	return false
 }
 
-// withdraw ends a request whose machine is not out of service yet.
+// withdraw ends the open request for a machine that is not out of service yet.
 func (s *State) withdraw(c *Command) (requestID uint64, err error) {
 	r := s.openRequest(c.Withdraw.Name)
 	if r == nil {
@@ -105,10 +106,10 @@
 	return r.ID, nil
 }
 
-// revocable reports whether a grant can still be taken back: no work on the machine can have begun.
+// revocable reports whether a grant can still be revoked: the machine is not out of service, so no maintenance has begun.
 func (r *Request) revocable() bool { return r.Stage == Granted || r.Stage == Draining }
 
-// finish takes in that the work on a machine is done.
+// finish records that the maintenance of a machine that is out of service is done.
 func (s *State) finish(c *Command) (requestID uint64, err error) {
 	r := s.openRequest(c.Finish.Name)
 	if r == nil || r.Stage != OutOfService {
--- a/maintenance/stored_test.go
+++ b/maintenance/stored_test.go
@@ -6,15 +6,17 @@
 	"larchusher/lab/golden"
 )
 
-// What gateways have agreed on, and what tools are told, is read by other versions. The files were written by 1a818d3.
-func TestEncodedFormsAreThoseOf1a818d3(t *testing.T) {
+// The replicated state, and the replies and plans sent to tools, are read by other versions. Their encoding must stay as in the
+// golden files, which commit 1a818d3 wrote.
+func TestEncodingMatchesGoldenFiles(t *testing.T) {
 	golden.JSON(t, "testdata/1a818d3/state.json", &State{})
 	golden.JSON(t, "testdata/1a818d3/command.json", &Command{})
 	golden.JSON(t, "testdata/1a818d3/reply.json", &Reply{})
 	golden.JSON(t, "testdata/1a818d3/verdict.json", &PlanEntry{})
 }
 
-func TestEncodedTypesNameTheirFields(t *testing.T) {
+// Every encoded field has a tag, so that renaming the field does not change the encoding.
+func TestEncodedFieldsAreTagged(t *testing.T) {
 	golden.Tagged(t, State{})
 	golden.Tagged(t, Command{})
 	golden.Tagged(t, Reply{})
--- a/replication/stored_test.go
+++ b/replication/stored_test.go
@@ -7,7 +7,7 @@
 )
 
 // Values in common slots are read by gateways of other versions. The files were written by 1a818d3.
-func TestEncodedFormsAreThoseOf1a818d3(t *testing.T) {
+func TestEncodingMatchesGoldenFiles(t *testing.T) {
 	golden.JSON(t, "testdata/1a818d3/place.json", &ListingValue{})
 	golden.JSON(t, "testdata/1a818d3/evidence.json", &HealthValue{})
 	golden.JSON(t, "testdata/1a818d3/notice.json", &DrainValue{})
@@ -15,7 +15,7 @@
 	golden.JSON(t, "testdata/1a818d3/difference.json", &Divergence{})
 }
 
-func TestEncodedTypesNameTheirFields(t *testing.T) {
+func TestEncodedFieldsAreTagged(t *testing.T) {
 	golden.Tagged(t, ListingValue{})
 	golden.Tagged(t, HealthValue{})
 	golden.Tagged(t, DrainValue{})
