--- a/replication/announce.go
+++ b/replication/announce.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	// announcePeers is how many peers are notified at once of new safety slots. They notify others.
+	// announcePeers is the number of peers to which an announcement is sent. They send announcements of their own.
 	announcePeers = 3
-	// announceDelay is for how long new safety slots are gathered for one announcement.
+	// announceDelay is the time for which new safety slots are collected for one announcement.
 	announceDelay = 10 * time.Millisecond
 )
 
-// announceSoon announces what is new within announceDelay.
+// announceSoon schedules an announcement after announceDelay, unless one is scheduled already.
 func (n *Node) announceSoon(now time.Duration) {
 	if n.announceAt == 0 {
 		n.announceAt = now + announceDelay
 	}
 }
 
-// announce notifies a few peers how far this node has the safety streams of incarnations that were active lately.
+// announce sends the versions of the safety streams of recently active incarnations to announcePeers random peers.
 func (n *Node) announce() {
 	m := Message{Kind: Announce}
 	for _, v := range n.VersionVector() {
@@ -36,7 +36,7 @@
 	}
 }
 
-// receiveAnnouncement pulls from a peer that has newer safety slots: at once, or after the pull under way.
+// receiveAnnouncement pulls from a peer that has announced newer safety slots: at once, or after the reply to the pending pull.
 func (n *Node) receiveAnnouncement(from string, m Message) {
 	if !n.Lags(m.Versions) {
 		return
@@ -45,15 +45,16 @@
 		n.pullFrom(from)
 		return
 	}
-	n.announcer, n.announced = from, m.Versions
+	n.announcingPeer, n.announcedVersions = from, m.Versions
 }
 
-// takeAnnouncer is the peer whose announcement is still news; empty: there is none. It is returned once.
-func (n *Node) takeAnnouncer() string {
-	announcer := n.announcer
-	n.announcer = ""
-	if announcer == "" || !n.Lags(n.announced) {
+// takeAnnouncingPeer returns and clears the peer that has announced slots, or returns an empty string if there is none or its slots have
+// been received meanwhile.
+func (n *Node) takeAnnouncingPeer() string {
+	peer := n.announcingPeer
+	n.announcingPeer = ""
+	if peer == "" || !n.Lags(n.announcedVersions) {
 		return ""
 	}
-	return announcer
+	return peer
 }
--- a/replication/budget.go
+++ b/replication/budget.go
@@ -3,32 +3,34 @@
 import "time"
 
 const (
-	// ownBulkShare is the part of its budget that a node's own bulk may cost all members: one in so many bytes.
-	ownBulkShare = 4
-	// bulkBurstSeconds is for how long a node may save up its own bulk budget.
+	// ownBulkDivisor limits what a node's own bulk slots may cost all members together: this fraction of BytesPerSecond.
+	ownBulkDivisor = 4
+	// bulkBurstSeconds is the number of seconds for which the budget of own bulk slots accumulates.
 	bulkBurstSeconds = 4
-	// minBulkBurst is what may be saved up in any case, in bytes.
+	// minBulkBurst is the minimum, in bytes, up to which that budget accumulates.
 	minBulkBurst = 4096
-	// minBulkBudget is what one more bulk slot may cost, in bytes.
+	// minBulkBudget is the budget in bytes below which it counts as spent, since one more bulk slot may cost as much.
 	minBulkBudget = 256
-	// safetyReserve is the part of a node's budget that bulk may not use, so that safety slots need not wait: one in so many bytes a second.
-	safetyReserve = 4
+	// safetyReserveDivisor keeps part of the send budget for safety slots, so that they need not wait behind bulk: this fraction of one
+	// second's BytesPerSecond.
+	safetyReserveDivisor = 4
 )
 
-// refillBudgets adds what may be sent since the last event.
+// refillBudgets adds to the budgets what may be sent for the time since the previous event. The send budget accumulates for at most one
+// second.
 func (n *Node) refillBudgets() {
-	elapsed := (n.now - n.budgetsAt).Seconds()
-	n.budgetsAt = n.now
+	elapsed := (n.now - n.budgetsUpdatedAt).Seconds()
+	n.budgetsUpdatedAt = n.now
 	rate := float64(n.cfg.BytesPerSecond)
 	n.sendBudget = min(rate, n.sendBudget+elapsed*rate)
-	ownRate := rate / ownBulkShare / float64(len(n.cfg.Members))
+	ownRate := rate / ownBulkDivisor / float64(len(n.cfg.Members))
 	n.bulkBudget = min(max(bulkBurstSeconds*ownRate, minBulkBurst), n.bulkBudget+elapsed*ownRate)
 }
 
-// BulkBudgetSpent reports that this node's own bulk has cost its peers what it may for now.
+// BulkBudgetSpent reports whether the budget for this node's own bulk slots is spent for now.
 func (n *Node) BulkBudgetSpent() bool { return n.bulkBudget < minBulkBudget }
 
-// publishBulk writes a bulk slot, if what it costs each other member is within the budget.
+// publishBulk writes a bulk slot, if its size is within the budget for own bulk slots. It reports whether the slot was written.
 func (n *Node) publishBulk(now time.Duration, k Kind, key string, value []byte, seen time.Duration) bool {
 	cost := float64(estimateSlotBytes(key, value, n.cfg.Self.Name))
 	if n.bulkBudget < cost {
--- a/replication/capacity.go
+++ b/replication/capacity.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	// writerShare is the part of a kind's capacity that the slots of one gateway may take: one in so many, so that it can't crowd out
-	// the others.
-	writerShare = 4
-	// evictedShare is the part of a writer's slots that one eviction drops: one in so many, so that a full replica does not sort
-	// all slots at every message.
-	evictedShare = 16
-	// maxSweepSlots bounds the slots that one Sweep looks at.
+	// writerDivisor limits the slots of one gateway to this fraction of a kind's capacity, so that it can't crowd out the others:
+	// a quarter.
+	writerDivisor = 4
+	// evictionDivisor is the fraction of a writer's slots that one eviction drops: a sixteenth, so that a full replica does not
+	// evict with every message.
+	evictionDivisor = 16
+	// maxSweepSlots is the maximum number of slots that one Sweep visits.
 	maxSweepSlots = 1000
 )
 
-// enforceCapacity evicts slots after one of a writer was added.
+// enforceCapacity evicts slots of a kind, if necessary, after one of a gateway was added: slots of that gateway if it has more than its
+// share, or slots of the gateway with the most if the kind has too many. writer is the name of the gateway.
 func (r *Replica) enforceCapacity(k Kind, writer string) {
-	maxSlots := ruleOf(k).maxSlots
+	maxSlots := limitsOf(k).maxSlots
 	switch {
-	case r.countByWriter[k][writer] > max(1, maxSlots/writerShare):
+	case r.countByWriter[k][writer] > max(1, maxSlots/writerDivisor):
 		r.evict(k, writer)
 	case r.count[k] > maxSlots:
 		r.evict(k, r.largestWriter(k))
 	}
 }
 
-// largestWriter is the gateway with the most slots of a kind; of equals, the first by name.
+// largestWriter returns the gateway with the most slots of a kind; among equals, the first by name.
 func (r *Replica) largestWriter(k Kind) (writer string) {
 	for name, n := range r.countByWriter[k] {
 		most := r.countByWriter[k][writer]
@@ -39,16 +40,16 @@
 	return writer
 }
 
-// evict drops the slots of a kind that a writer has written first.
+// evict drops a fraction of a gateway's slots of a kind: those of its first incarnations, and of these the ones written first.
 func (r *Replica) evict(k Kind, writer string) {
-	left := max(1, r.countByWriter[k][writer]/evictedShare)
+	remaining := max(1, r.countByWriter[k][writer]/evictionDivisor)
 	for _, i := range slices.SortedFunc(maps.Keys(r.incarnations), Incarnation.compare) {
 		if i.Name != writer {
 			continue
 		}
 		for _, s := range slices.Clone(r.incarnations[i].logs[k.stream()].slots) {
-			if left > 0 && s.Kind == k && !s.removed {
-				left--
+			if remaining > 0 && s.Kind == k && !s.removed {
+				remaining--
 				r.Counters.Evicted++
 				r.remove(s)
 			}
@@ -56,38 +57,38 @@
 	}
 }
 
-// Sweep drops slots that have outlived their kind, and incarnations of which nothing is left. One call looks at maxSweepSlots and the next
-// one goes on from there: readers check ages by themselves.
+// Sweep drops slots that are older than the maximum age of their kind, and forgets inactive incarnations without slots. One call visits
+// at most maxSweepSlots, and the next one continues from there. Readers therefore check ages themselves.
 func (r *Replica) Sweep(now time.Duration) {
-	if len(r.sweeping) == 0 {
+	if len(r.sweepQueue) == 0 {
 		r.beginSweep(now)
 	}
 	for range maxSweepSlots {
-		if len(r.sweeping) == 0 {
+		if len(r.sweepQueue) == 0 {
 			return
 		}
 		r.sweepNext(now)
 	}
 }
 
-// beginSweep begins a pass, without the incarnations that are forgotten now: twice the longest time that a slot lasts after the latest news
-// of them, so that whatever still comes of them has outlived its kind.
+// beginSweep starts a pass over all incarnations. It forgets those that have no slots and have not been active for twice the highest
+// maximum age of any kind, so that any of their slots that may still arrive is too old to be accepted.
 func (r *Replica) beginSweep(now time.Duration) {
 	for i, state := range r.incarnations {
-		r.sweeping = append(r.sweeping, i)
+		r.sweepQueue = append(r.sweepQueue, i)
 		empty := state.logs[Safety].live()+state.logs[Bulk].live() == 0
-		if i != r.self && empty && now-state.lastActive > 2*unknownKindRule.maxAge {
+		if i != r.self && empty && now-state.lastActive > 2*unknownKindLimits.maxAge {
 			delete(r.incarnations, i)
 		}
 	}
-	slices.SortFunc(r.sweeping, Incarnation.compare)
+	slices.SortFunc(r.sweepQueue, Incarnation.compare)
 }
 
-// sweepNext looks at the next slot of the pass, or goes on to the next incarnation.
+// sweepNext visits the next slot of the pass, or moves on to the next incarnation.
 func (r *Replica) sweepNext(now time.Duration) {
-	state := r.incarnations[r.sweeping[0]]
+	state := r.incarnations[r.sweepQueue[0]]
 	if state == nil || r.sweepOffset >= len(state.logs[Safety].slots)+len(state.logs[Bulk].slots) {
-		r.sweeping, r.sweepOffset = r.sweeping[1:], 0
+		r.sweepQueue, r.sweepOffset = r.sweepQueue[1:], 0
 		return
 	}
 	log, at := &state.logs[Safety], r.sweepOffset
@@ -102,7 +103,7 @@
 	r.Counters.Expired++
 	before := len(log.slots)
 	r.remove(s)
-	if len(log.slots) < before { // compacted: positions have changed
+	if len(log.slots) < before { // the log was compacted, so positions have changed: start over with this incarnation
 		r.sweepOffset = 0
 	}
 }
--- a/replication/config.go
+++ b/replication/config.go
@@ -9,38 +9,39 @@
 )
 
 const (
-	// DefaultPullInterval is the mean time between two pulls while up to a hundred incarnations are known; with more, it is in proportion
-	// longer.
+	// DefaultPullInterval is the mean time between two pulls while fewer than 200 incarnations are known; with more it grows in
+	// proportion to their number.
 	DefaultPullInterval = time.Second
-	// DefaultBytesPerSecond bounds what a node sends its peers, and what its own bulk may cost all of them together.
+	// DefaultBytesPerSecond limits what a node sends to its peers in replies. A quarter of it limits what the bulk slots that it
+	// writes cost all members together.
 	DefaultBytesPerSecond = 256 << 10
-	// DefaultCatchUpTimeout is how long a node that starts waits for its peers before it goes on with what it has.
+	// DefaultCatchUpTimeout is the time after which a starting node stops waiting for its peers and uses the slots that it has.
 	DefaultCatchUpTimeout = 3 * time.Second
 )
 
-// Config describes a node.
+// Config configures a Node.
 type Config struct {
 	Self            Incarnation
-	Members         []string             // all gateways by name, Self's among them
+	Members         []string             // names of all gateways, including Self.Name
 	PurgeSettleTime time.Duration        // see NewReplica
-	PullInterval    time.Duration        // 0: DefaultPullInterval
-	BytesPerSecond  int                  // 0: DefaultBytesPerSecond
+	PullInterval    time.Duration        // mean time between two pulls; 0: DefaultPullInterval
+	BytesPerSecond  int                  // send budget; 0: DefaultBytesPerSecond
 	CatchUpTimeout  time.Duration        // 0: DefaultCatchUpTimeout
-	WallClock       func() time.Duration // Unix time
-	SlotBytes       func(*Slot) int      // size of a slot on the wire; nil: an estimate
-	Seed            uint64
+	WallClock       func() time.Duration // returns the Unix time
+	SlotBytes       func(*Slot) int      // returns the size of a slot on the wire in bytes; nil: an estimate
+	Seed            uint64               // seed of the random choices of peers, intervals and checksum ranges
 }
 
-// check fills in defaults and names a setting that is not valid.
+// check fills in defaults. It returns an error that names the first invalid setting.
 func (c *Config) check() error {
 	if c.Self.Number == 0 || c.WallClock == nil {
-		return errors.New("replication: Self.Number or WallClock is missing")
+		return errors.New("replication: Self.Number is 0 or WallClock is nil, want both set")
 	}
 	if !slices.Contains(c.Members, c.Self.Name) {
-		return fmt.Errorf("replication: Self: %q is none of the members", c.Self.Name)
+		return fmt.Errorf("replication: Self.Name: %q is not in Members", c.Self.Name)
 	}
 	if c.PullInterval < 0 || c.BytesPerSecond < 0 || c.CatchUpTimeout < 0 {
-		return errors.New("replication: PullInterval, BytesPerSecond or CatchUpTimeout: negative")
+		return errors.New("replication: PullInterval, BytesPerSecond or CatchUpTimeout is negative, want 0 or more")
 	}
 	c.PullInterval = cmp.Or(c.PullInterval, DefaultPullInterval)
 	c.BytesPerSecond = cmp.Or(c.BytesPerSecond, DefaultBytesPerSecond)
@@ -51,20 +52,20 @@
 	return nil
 }
 
-// estimateSlotBytes is about the size of a slot on the wire.
+// estimateSlotBytes estimates the size of a slot on the wire in bytes.
 func estimateSlotBytes(key string, value []byte, writer string) int {
-	const fixedFields = 48
-	return fixedFields + len(key) + len(value) + len(writer)
+	const fixedFieldBytes = 48
+	return fixedFieldBytes + len(key) + len(value) + len(writer)
 }
 
-// NodeCounters count what a node did.
+// NodeCounters counts events at one node since its start.
 type NodeCounters struct {
-	Pulls             uint64 // sent
-	PullReplies       uint64 // sent
-	PullTimeouts      uint64 // pulls without an answer in time
-	Announcements     uint64 // sent, each to a few peers
-	StaleReplies      uint64 // replies to no pull that is under way
-	Throttled         uint64 // pulls, or bulk, not served or written for want of budget
-	ChecksumsCompared uint64 // checksums compared
-	Divergences       uint64 // found
+	Pulls             uint64 // pulls sent
+	PullReplies       uint64 // replies sent
+	PullTimeouts      uint64 // pulls without a reply within pullTimeout
+	Announcements     uint64 // announcements made, each to up to announcePeers peers
+	StaleReplies      uint64 // received replies that match no pending pull; ignored
+	Throttled         uint64 // pulls not served or served without bulk, and own bulk slots not written, because a budget was spent
+	ChecksumsCompared uint64 // checksums of peers compared with the own slots
+	Divergences       uint64 // divergences detected
 }
--- a/replication/divergence.go
+++ b/replication/divergence.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// pullsPerChecksum is how often a reply without slots carries a checksum: one in so many.
+	// pullsPerChecksum makes one in so many pulls of a peer be answered with a checksum, if neither side lacks any slots.
 	pullsPerChecksum = 10
-	// mismatchesToReport is how many more checksums of one peer have to differ than not before a divergence is reported: one may
-	// differ for slots that expired meanwhile.
+	// mismatchesToReport is by how many the differing checksums of a peer must outnumber the matching ones before a divergence is
+	// reported. A single checksum may differ because slots have expired meanwhile.
 	mismatchesToReport = 3
-	// maxDivergences bounds the divergences that are kept.
+	// maxDivergences is the number of divergences kept for operators; beyond it, the oldest is dropped.
 	maxDivergences = 64
 )
 
-// Divergence is a difference between two replicas that should have been the same.
+// Divergence is a detected difference between two replicas in slots that both have received.
 type Divergence struct {
-	Peer   string        `json:"With"`
-	Writer Incarnation   `json:"Life"` // whose slots differ
-	From   uint64        `json:"From"` // in which numbers, both included
-	To     uint64        `json:"To"`
-	Cause  string        `json:"Cause"`
-	At     time.Duration `json:"At"` // by the clock of Handle
+	Peer   string        `json:"With"`  // the member with the other replica
+	Writer Incarnation   `json:"Life"`  // whose slots differ
+	From   uint64        `json:"From"`  // first slot number of the compared range
+	To     uint64        `json:"To"`    // last slot number of the range, inclusive
+	Cause  string        `json:"Cause"` // for operators: what was found and what is done about it
+	At     time.Duration `json:"At"`    // time of detection, on the clock of Handle
 }
 
-// Divergences are the latest that were found.
+// Divergences returns the latest detected divergences, the oldest first.
 func (n *Node) Divergences() []Divergence { return slices.Clone(n.divergences) }
 
-// drawChecksum draws a range of a stream to be compared; nil: there is none.
+// drawChecksum returns the checksum of a random range of a random stream, or nil if there are no slots in it.
 func (n *Node) drawChecksum() *RangeChecksum {
 	all := slices.DeleteFunc(n.VersionVector(), func(v StreamVersions) bool { return v.UpTo == [streams]uint64{} })
 	if len(all) == 0 {
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// compareChecksum compares a range with a peer's. A divergence is resolved by the writer, which writes its slots again, or by pulling all of
-// that writer's streams again.
+// compareChecksum compares the checksum in a reply, if any, with the own slots. A divergence is repaired: if the slots are this node's own,
+// they are written again under new numbers; otherwise all slots of their writer are pulled again.
 func (n *Node) compareChecksum(from string, m Message) {
 	if m.Checksum == nil || len(m.Slots) > 0 {
 		return
@@ -61,8 +61,8 @@
 		return
 	}
 	n.mismatches[from] = 0
-	n.report(Divergence{Peer: from, Writer: m.Checksum.Incarnation, From: m.Checksum.From, To: m.Checksum.To, At: n.now,
-		Cause: "the same numbers, other slots: they are asked for anew, or said anew by who wrote them"})
+	n.recordDivergence(Divergence{Peer: from, Writer: m.Checksum.Incarnation, From: m.Checksum.From, To: m.Checksum.To, At: n.now,
+		Cause: "slots with the same numbers differ: the writer writes them again, other gateways pull them again"})
 	if m.Checksum.Incarnation == n.cfg.Self {
 		n.Rewrite(n.now, *m.Checksum)
 	} else {
@@ -70,7 +70,8 @@
 	}
 }
 
-func (n *Node) report(d Divergence) {
+// recordDivergence counts a divergence and keeps it for operators.
+func (n *Node) recordDivergence(d Divergence) {
 	n.Stats.Divergences++
 	if len(n.divergences) >= maxDivergences {
 		n.divergences = n.divergences[1:]
--- a/replication/events.go
+++ b/replication/events.go
@@ -2,37 +2,38 @@
 
 import "time"
 
-// Event is anything that reaches a node.
+// Event is an input to [Node.Handle].
 type Event interface{ event() }
 
-// MessageReceived is a message from another member.
+// MessageReceived delivers a message from another member. Messages from unknown senders are ignored.
 type MessageReceived struct {
 	From    string
 	Message Message
 }
 
-// Tick reports that time has passed. It comes at least every 100 ms.
+// Tick makes the node check its timeouts and schedules. The caller must send one at least every 100 ms.
 type Tick struct{}
 
 func (MessageReceived) event() {}
 func (Tick) event()            {}
 
-// Action is anything that a node wants done.
+// Action is an output of [Node.Handle] that the caller has to carry out.
 type Action interface{ action() }
 
-// Send sends a message. It may get lost.
+// Send requests that a message be sent to another member. The message may be lost.
 type Send struct {
 	To      string
 	Message Message
 }
 
-// SafetySlotsLearned reports slots of safety kinds that are new here.
+// SafetySlotsLearned reports safety slots of other incarnations that were received for the first time.
 type SafetySlotsLearned struct{ Slots []Slot }
 
-// CaughtUp reports that the node knows what its peers know, or goes on without. It comes once.
+// CaughtUp reports that the node has caught up with its peers, or has stopped waiting for them. It is emitted once, unless the node is the
+// only member.
 type CaughtUp struct {
-	From string        // the peer that completed it; empty: none answered within Config.CatchUpTimeout
-	Took time.Duration // since the first event
+	From string        // peer whose reply completed the catch-up; empty: it did not complete within Config.CatchUpTimeout
+	Took time.Duration // time since the first event
 }
 
 func (Send) action()               {}
--- a/replication/explore_test.go
+++ b/replication/explore_test.go
@@ -14,18 +14,18 @@
 // exchange what they have (completely, or broken off after the first slot), with one loss of memory, one member isolated and connected again, and
 // one stretch of time in which all of it, the tombstone last, runs out.
 
-type explored struct {
-	now             time.Duration
-	replicas        [3]*Replica
-	lastIncarnation uint64
-	written         [3]bool // who has written
-	memoryLost      bool    // it has been
-	isolated        int     // this one is cut off; 3: nobody; it was, 4
-	timePassed      bool
-	tombstonedAt    time.Duration // when the tombstone was said; 0: not yet
-	purgedAt        time.Duration
-	violation       string
-	breakOff        bool // exchanges break off, too
+type exploration struct {
+	now              time.Duration
+	replicas         [3]*Replica
+	lastIncarnation  uint64
+	written          [3]bool // who has written
+	memoryLost       bool    // it has been
+	isolated         int     // this one is cut off; 3: nobody; it was, 4
+	timePassed       bool
+	tombstonedAt     time.Duration // when the tombstone was said; 0: not yet
+	purgedAt         time.Duration
+	violation        string
+	partialExchanges bool // exchanges break off, too
 }
 
 var writers = [3]struct {
@@ -33,15 +33,15 @@
 	key  string
 }{{Purge, "o"}, {Health, "b"}, {Tombstone, TombstoneKey(Health, "b")}}
 
-func newExplored() *explored {
-	e := &explored{now: 100 * time.Second, isolated: 3}
+func newExploration() *exploration {
+	e := &exploration{now: 100 * time.Second, isolated: 3}
 	for i := range e.replicas {
 		e.restart(i)
 	}
 	return e
 }
 
-func (e *explored) restart(i int) {
+func (e *exploration) restart(i int) {
 	e.lastIncarnation++
 	e.replicas[i] = NewReplica(Incarnation{string(rune('a' + i)), e.lastIncarnation}, 0)
 }
@@ -77,7 +77,7 @@
 	return k
 }
 
-func (e *explored) clone() *explored {
+func (e *exploration) clone() *exploration {
 	x := *e
 	for i, c := range e.replicas {
 		x.replicas[i] = c.clone()
@@ -86,12 +86,12 @@
 }
 
 // exchange has one ask another; part: it breaks off after the first slot.
-func (e *explored) exchange(i, j int, part bool) {
-	most := 1 << 20
-	if part {
-		most = 1
+func (e *exploration) exchange(i, j int, partial bool) {
+	maxBytes := 1 << 20
+	if partial {
+		maxBytes = 1
 	}
-	slots, reached, _ := e.replicas[j].Delta(e.replicas[i].VersionVector(), most, most, func(*Slot) int { return 1 })
+	slots, reached, _ := e.replicas[j].Delta(e.replicas[i].VersionVector(), maxBytes, maxBytes, func(*Slot) int { return 1 })
 	for _, s := range slots {
 		e.replicas[i].Merge(e.now, e.now, *s)
 	}
@@ -102,10 +102,10 @@
 	}
 }
 
-func (e *explored) steps() (all []func(*explored)) {
+func (e *exploration) steps() (all []func(*exploration)) {
 	for i, w := range writers {
 		if !e.written[i] {
-			all = append(all, func(e *explored) {
+			all = append(all, func(e *exploration) {
 				e.written[i] = true
 				e.now += time.Second
 				e.replicas[i].Write(e.now, e.now, w.kind, w.key, []byte{1}, e.now)
@@ -122,25 +122,25 @@
 			if i == j || e.isolated == i || e.isolated == j || !e.replicas[i].Lags(e.replicas[j].VersionVector()) {
 				continue
 			}
-			all = append(all, func(e *explored) { e.exchange(i, j, false) })
-			if e.breakOff {
-				all = append(all, func(e *explored) { e.exchange(i, j, true) })
+			all = append(all, func(e *exploration) { e.exchange(i, j, false) })
+			if e.partialExchanges {
+				all = append(all, func(e *exploration) { e.exchange(i, j, true) })
 			}
 		}
 		if !e.memoryLost {
-			all = append(all, func(e *explored) { e.memoryLost = true; e.restart(i) })
+			all = append(all, func(e *exploration) { e.memoryLost = true; e.restart(i) })
 		}
 		if e.isolated == 3 {
-			all = append(all, func(e *explored) { e.isolated = i })
+			all = append(all, func(e *exploration) { e.isolated = i })
 		}
 	}
 	if e.isolated < 3 {
-		all = append(all, func(e *explored) { e.isolated = 4 })
+		all = append(all, func(e *exploration) { e.isolated = 4 })
 	}
 	if !e.timePassed {
-		all = append(all, func(e *explored) {
+		all = append(all, func(e *exploration) {
 			e.timePassed = true
-			e.now += rules[Tombstone].maxAge - 30*time.Second // all but the tombstone runs out
+			e.now += limitsByKind[Tombstone].maxAge - 30*time.Second // all but the tombstone runs out
 			for _, c := range e.replicas {
 				c.Sweep(e.now)
 			}
@@ -150,7 +150,7 @@
 }
 
 // check is what must hold at every moment.
-func (e *explored) check() {
+func (e *exploration) check() {
 	for i, c := range e.replicas {
 		for _, s := range c.slots {
 			if s.Kind == Health && e.tombstonedAt > 0 && s.SeenBefore <= e.tombstonedAt && len(c.byKey[Tombstone]) > 0 {
@@ -161,10 +161,10 @@
 }
 
 // settle has all exchange what they have, and compares the replicas.
-func (e *explored) settle() string {
-	had := false // somebody has the purge
+func (e *exploration) settle() string {
+	purgeKnown := false // somebody has the purge
 	for _, c := range e.replicas {
-		had = had || c.Purges(e.now)["o"] > 0
+		purgeKnown = purgeKnown || c.Purges(e.now)["o"] > 0
 	}
 	for range 4 {
 		for i := range e.replicas {
@@ -179,9 +179,9 @@
 	var sums [3]uint64
 	for i, c := range e.replicas {
 		for _, s := range c.slots {
-			sums[i] += c.slotChecksum(e.now, s)
+			sums[i] += c.slotSum(e.now, s)
 		}
-		if had && c.Purges(e.now)["o"] == 0 {
+		if purgeKnown && c.Purges(e.now)["o"] == 0 {
 			return fmt.Sprintf("%c does not know of the purge, which somebody knew of", 'a'+i)
 		}
 	}
@@ -191,7 +191,7 @@
 	return e.violation
 }
 
-func (e *explored) key() uint64 {
+func (e *exploration) key() uint64 {
 	h := fnv.New64a()
 	num := func(all ...uint64) {
 		for _, n := range all {
@@ -215,11 +215,11 @@
 }
 
 // exploreAll goes through all states, and says how many there were.
-func exploreAll(parts bool) (states int, bad string) {
-	first := newExplored()
-	first.breakOff = parts
-	seen := map[uint64]bool{first.key(): true}
-	stack := []*explored{first}
+func exploreAll(partialExchanges bool) (states int, violation string) {
+	initial := newExploration()
+	initial.partialExchanges = partialExchanges
+	seen := map[uint64]bool{initial.key(): true}
+	stack := []*exploration{initial}
 	for len(stack) > 0 {
 		e := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
@@ -243,9 +243,9 @@
 
 // CI leaves out exchanges that break off; EXPLORE has them, too.
 func TestExplore(t *testing.T) {
-	states, bad := exploreAll(os.Getenv("EXPLORE") != "")
-	if bad != "" {
-		t.Errorf("after %d states: %s", states, bad)
+	states, violation := exploreAll(os.Getenv("EXPLORE") != "")
+	if violation != "" {
+		t.Errorf("after %d states: %s", states, violation)
 	}
 	t.Logf("%d states, all of them", states)
 	if states < 10_000 {
--- a/replication/faults.go
+++ b/replication/faults.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// HealthValue is the value of a Health: what a gateway has seen of a server.
+// HealthValue is the value of a Health: what a gateway has observed of an endpoint.
 type HealthValue struct {
-	BootMs           int64   `json:"b,omitempty"` // Unix time of the start of the server that is meant
-	ErrorRate        float64 `json:"f,omitempty"` // share of recent attempts that failed
-	LateShare        float64 `json:"l,omitempty"` // share of recent answers that were late
-	EjectedMs        int64   `json:"o,omitempty"` // how long it was still to be ejected, when this was written
-	ConcurrencyLimit float64 `json:"m,omitempty"` // of requests in flight there; 0: none
+	BootMs           int64   `json:"b,omitempty"` // Unix time in ms of the start of the observed incarnation of the endpoint
+	ErrorRate        float64 `json:"f,omitempty"` // share of recent attempts that failed, 0 to 1
+	LateShare        float64 `json:"l,omitempty"` // share of recent answers that were late, 0 to 1
+	EjectedMs        int64   `json:"o,omitempty"` // remaining time of the ejection in ms, when the value was written; 0: not ejected
+	ConcurrencyLimit float64 `json:"m,omitempty"` // limit of the writer's requests in flight at the endpoint; 0: none
 }
 
-// From which shares on a server counts as faulty.
+// Shares from which on an endpoint counts as faulty.
 const (
 	faultyErrorRate = 0.1
 	faultyLateShare = 0.3
 )
 
-// Faulty reports whether a server is bad enough for the writer to report it to other gateways.
+// Faulty reports whether the endpoint is faulty enough to be reported to other gateways.
 func (v HealthValue) Faulty() bool {
 	return v.ErrorRate >= faultyErrorRate || v.LateShare >= faultyLateShare || v.EjectedMs > 0
 }
 
-// valid reports whether a value lies within what a gateway can have seen.
+// valid reports whether all fields are within the range that a correct gateway can observe.
 func (v HealthValue) valid() bool {
 	shares := v.ErrorRate >= 0 && v.ErrorRate <= 1 && v.LateShare >= 0 && v.LateShare <= 1
 	ejected := v.EjectedMs >= 0 && v.EjectedMs <= time.Minute.Milliseconds()
@@ -35,27 +35,28 @@
 	return shares && ejected && limit
 }
 
-// FaultReport is what several gateways report of a server.
+// FaultReport combines the reports of several gateways that an endpoint is faulty.
 type FaultReport struct {
-	Server         string
-	OldestEvidence time.Duration // of the evidence that it rests on
-	Reporters      int           // gateways
-	Value          HealthValue
+	Server         string        // id of the endpoint
+	OldestEvidence time.Duration // time of the oldest evidence used, on the replica's clock
+	Reporters      int           // number of gateways whose reports were used
+	Value          HealthValue   // median of the reports
 }
 
-// A server counts as faulty if at least minReporters gateways other than the reader report it, and one in reporterShare of those that
-// are alive: a single gateway's own network path may be at fault.
+// An endpoint counts as faulty only if at least minReporters gateways other than the reader report it, and at least one in
+// reporterDivisor of the other gateways that are alive. A single report may be due to the network path of its gateway.
 const (
-	minReporters  = 2
-	reporterShare = 3
+	minReporters    = 2
+	reporterDivisor = 3
 )
 
-// FaultReports gives the servers that enough gateways report as faulty, with the median of their reports, while so many other gateways
-// are alive. What former incarnations of the reader itself have written counts by itself.
+// FaultReports returns the endpoints that enough gateways report as faulty, sorted by id, each with the median of the reports. alive is
+// the number of other gateways that are alive. If there are too few reports, one that this gateway itself has written, for instance
+// in a former incarnation, suffices.
 func (r *Replica) FaultReports(now time.Duration, alive int) (all []FaultReport) {
 	for server, slots := range r.byKey[Health] {
-		evidence := r.evidence(now, slots)
-		if report, ok := evidence.report(r.self.Name, alive, now); ok {
+		evidence := r.collectEvidence(now, slots)
+		if report, ok := evidence.combine(r.self.Name, alive, now); ok {
 			report.Server = server
 			all = append(all, report)
 		}
@@ -64,15 +65,15 @@
 	return all
 }
 
-// healthEvidence is what gateways have written of one server.
+// healthEvidence contains the reports of all gateways about one endpoint.
 type healthEvidence struct {
-	slots  map[string]*Slot // by gateway: the newest slot of its incarnations
-	values map[string]HealthValue
-	bootMs int64 // the server's latest start that any of them knows of
+	slots  map[string]*Slot       // by gateway: the newest slot of its incarnations
+	values map[string]HealthValue // by gateway: the value of that slot, if valid
+	bootMs int64                  // Unix time in ms of the endpoint's latest start that any of them knows of
 }
 
-// evidence takes the newest value of each gateway that has not outlived its kind.
-func (r *Replica) evidence(now time.Duration, slots []*Slot) healthEvidence {
+// collectEvidence collects the newest value of each gateway, without slots older than the maximum age.
+func (r *Replica) collectEvidence(now time.Duration, slots []*Slot) healthEvidence {
 	e := healthEvidence{slots: map[string]*Slot{}, values: map[string]HealthValue{}}
 	for _, s := range slots {
 		if now-s.SeenAfter > r.maxAge(Health) {
@@ -91,16 +92,16 @@
 	return e
 }
 
-// reports reports whether a gateway's value says that the server, as it runs now, is faulty.
-func (e *healthEvidence) reports(v HealthValue) bool { return v.Faulty() && v.BootMs == e.bootMs }
+// reportsFault reports whether a value says that the current incarnation of the endpoint is faulty.
+func (e *healthEvidence) reportsFault(v HealthValue) bool { return v.Faulty() && v.BootMs == e.bootMs }
 
-// report combines the values; false: there are not enough.
-func (e *healthEvidence) report(self string, alive int, now time.Duration) (FaultReport, bool) {
+// combine combines the reports of faults into one. It returns false if there are too few. self is the name of the reading gateway.
+func (e *healthEvidence) combine(self string, alive int, now time.Duration) (FaultReport, bool) {
 	var values []HealthValue
 	others, oldest := 0, now
-	for _, name := range slices.Sorted(maps.Keys(e.values)) { // in one order, so that equal reports give one median
+	for _, name := range slices.Sorted(maps.Keys(e.values)) { // in a fixed order, so that the median is deterministic if reports have equal rates
 		v := e.values[name]
-		if !e.reports(v) {
+		if !e.reportsFault(v) {
 			continue
 		}
 		values = append(values, v)
@@ -112,9 +113,9 @@
 	if len(values) == 0 {
 		return FaultReport{}, false
 	}
-	if others < minReporters || others*reporterShare < alive { // then only what the reader itself has written
+	if others < minReporters || others*reporterDivisor < alive { // too few: use only the report of the reader itself, if any
 		own, ok := e.values[self]
-		if !ok || !e.reports(own) {
+		if !ok || !e.reportsFault(own) {
 			return FaultReport{}, false
 		}
 		values, oldest = []HealthValue{own}, e.slots[self].SeenAfter
@@ -122,7 +123,7 @@
 	return FaultReport{OldestEvidence: oldest, Reporters: len(values), Value: e.median(values)}, true
 }
 
-// median is the value with the median error rate, for the median time of ejection.
+// median returns the value with the median error rate, with its EjectedMs replaced by the median ejection time. It sorts values.
 func (e *healthEvidence) median(values []HealthValue) HealthValue {
 	middle := (len(values) - 1) / 2
 	slices.SortStableFunc(values, func(a, b HealthValue) int { return cmp.Compare(a.ErrorRate, b.ErrorRate) })
--- a/replication/network_faults_test.go
+++ b/replication/network_faults_test.go
@@ -15,9 +15,9 @@
 		case 3, 4:
 			w.partition(heal)
 		case 5:
-			w.loss, w.duplication, w.maxDelay = 0.3*w.rng.Float64(), 0.3*w.rng.Float64(), 300*time.Millisecond
+			w.lossRate, w.duplicationRate, w.maxDelay = 0.3*w.rng.Float64(), 0.3*w.rng.Float64(), 300*time.Millisecond
 			m.wallOffset = time.Duration(w.rng.IntN(60000)-30000) * time.Millisecond
-			w.clock.At(heal, func() { w.loss, w.duplication, w.maxDelay = 0, 0, 4*time.Millisecond })
+			w.clock.At(heal, func() { w.lossRate, w.duplicationRate, w.maxDelay = 0, 0, 4*time.Millisecond })
 		}
 	})
 }
--- a/replication/node.go
+++ b/replication/node.go
@@ -6,44 +6,44 @@
 	"time"
 )
 
-// Node is a gateway's part in keeping the replicas alike. Use NewNode. It is not safe for concurrent use.
+// Node exchanges the slots of one replica with the other members. Create it with NewNode. It is not safe for concurrent use.
 type Node struct {
 	*Replica
 	Stats NodeCounters
 
 	cfg     Config
 	rng     *rand.Rand
-	now     time.Duration
-	actions []Action // of the event that is being handled
+	now     time.Duration // argument of the current Handle call
+	actions []Action      // collected during the current Handle call
 
 	// Catching up.
-	started         time.Duration // of the first event; negative: there was none yet
+	startedAt       time.Duration // time of the first event; negative: none yet
 	caughtUp        bool
-	peersCatchingUp map[string]bool // peers that were asked, and were catching up themselves
+	peersCatchingUp map[string]bool // peers that have replied that they are catching up themselves
 
 	// Pulls (pull.go).
 	lastPullID   uint64
-	pull         *pendingPull // nil: none is under way
-	nextPull     time.Duration
-	replyBytes   int // that the next reply may have
-	lastReceived map[string]time.Duration
+	pull         *pendingPull // the pull that waits for its reply; nil: none
+	nextPullAt   time.Duration
+	replyBytes   int                      // maximum size of the next reply, in bytes
+	lastReceived map[string]time.Duration // by peer: time of its latest message
 
 	// Announcements (announce.go).
-	announceAt time.Duration    // 0: there is nothing to announce
-	announcer  string           // who has newer safety slots, to be pulled from next; empty: nobody
-	announced  []StreamVersions // by the announcer
+	announceAt        time.Duration    // time of the next announcement; 0: nothing to announce
+	announcingPeer    string           // peer that has announced newer safety slots and is to be pulled from next; empty: none
+	announcedVersions []StreamVersions // versions in that announcement
 
 	// Budgets (budget.go), in bytes.
-	sendBudget float64
-	bulkBudget float64
-	budgetsAt  time.Duration
+	sendBudget       float64 // for replies
+	bulkBudget       float64 // for this node's own bulk slots
+	budgetsUpdatedAt time.Duration
 
 	// Divergences (divergence.go).
 	divergences []Divergence
-	mismatches  map[string]int // by peer: checksums that differed, less those that were the same since
+	mismatches  map[string]int // by peer: number of checksums that differed, minus those that matched since; at least 0
 }
 
-// NewNode returns a node. An error names the setting that is not valid.
+// NewNode returns a node with an empty replica. It returns an error that names the setting if c is invalid.
 func NewNode(c Config) (*Node, error) {
 	if err := c.check(); err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 		Replica:         NewReplica(c.Self, c.PurgeSettleTime),
 		cfg:             c,
 		rng:             rand.New(rand.NewPCG(c.Seed, 0x2545f491)),
-		started:         -1,
+		startedAt:       -1,
 		peersCatchingUp: map[string]bool{},
 		replyBytes:      initialReplyBytes,
 		lastReceived:    map[string]time.Duration{},
@@ -62,11 +62,12 @@
 	}, nil
 }
 
-// Handle takes one event at the given time and appends the actions to out. Time must not run backwards.
+// Handle processes one event and returns out with the resulting actions appended. now is the time on a monotonic clock of the
+// caller's choice; it must not decrease from call to call.
 func (n *Node) Handle(now time.Duration, e Event, out []Action) []Action {
 	n.now, n.actions = now, out
-	if n.started < 0 {
-		n.started, n.budgetsAt = now, now
+	if n.startedAt < 0 {
+		n.startedAt, n.budgetsUpdatedAt = now, now
 		n.caughtUp = len(n.cfg.Members) == 1
 	}
 	n.refillBudgets()
@@ -83,8 +84,9 @@
 	return out
 }
 
-// Publish writes this incarnation's slot for a key, as Write does, if the budget allows, and announces safety slots soon. Seen is
-// when its evidence was seen. It reports whether anything changed.
+// Publish writes this incarnation's slot for a key like [Replica.Write], and announces it to a few peers if it is a safety slot. A bulk slot
+// is not written if the budget for own bulk slots is spent. seen is the time at which the evidence was seen, on the clock of
+// now. Publish reports whether the slot was written.
 func (n *Node) Publish(now time.Duration, k Kind, key string, value []byte, seen time.Duration) bool {
 	if k.stream() == Bulk {
 		return n.publishBulk(now, k, key, value, seen)
@@ -96,13 +98,14 @@
 	return true
 }
 
-// CatchingUp reports whether the node does not know yet what its peers know.
+// CatchingUp reports whether the node is still catching up with its peers after its start.
 func (n *Node) CatchingUp() bool { return !n.caughtUp }
 
-// aliveIntervals is for how many pull intervals a peer counts as alive after its latest message.
+// aliveIntervals is the number of pull intervals for which a peer counts as alive after its latest message.
 const aliveIntervals = 10
 
-// LivePeers is how many other members have sent something lately.
+// LivePeers returns the number of other members that count as alive: a message of theirs arrived within the last aliveIntervals pull
+// intervals.
 func (n *Node) LivePeers(now time.Duration) (count int) {
 	for _, at := range n.lastReceived {
 		if now-at < aliveIntervals*n.pullInterval() {
@@ -112,33 +115,36 @@
 	return count
 }
 
+// emit adds an action to those that the current Handle call returns.
 func (n *Node) emit(a Action) { n.actions = append(n.actions, a) }
 
 func (n *Node) send(to string, m Message) { n.emit(Send{to, m}) }
 
+// tick expires slots, the pending pull and the catch-up, and sends an announcement or a pull if one is due.
 func (n *Node) tick() {
 	n.Sweep(n.now)
 	n.expirePull()
-	if !n.caughtUp && n.now-n.started >= n.cfg.CatchUpTimeout {
+	if !n.caughtUp && n.now-n.startedAt >= n.cfg.CatchUpTimeout {
 		n.finishCatchUp("")
 	}
 	if n.announceAt > 0 && n.now >= n.announceAt {
 		n.announceAt = 0
 		n.announce()
 	}
-	if n.pull == nil && n.now >= n.nextPull {
+	if n.pull == nil && n.now >= n.nextPullAt {
 		n.pullFromAny()
 	}
 }
 
-// finishCatchUp reports that the node has caught up, through a peer or without.
+// finishCatchUp emits CaughtUp, once. peer is the peer whose reply completed the catch-up; empty: it timed out.
 func (n *Node) finishCatchUp(peer string) {
 	if !n.caughtUp {
 		n.caughtUp = true
-		n.emit(CaughtUp{peer, n.now - n.started})
+		n.emit(CaughtUp{peer, n.now - n.startedAt})
 	}
 }
 
+// receive dispatches a message by its kind.
 func (n *Node) receive(from string, m Message) {
 	switch m.Kind {
 	case Pull:
@@ -150,7 +156,8 @@
 	}
 }
 
-// pickPeer draws another member. A node that catches up asks those first that were not catching up themselves.
+// pickPeer draws another member at random, or returns an empty string if there is none. While the node is catching up it prefers peers
+// that are not known to be catching up themselves.
 func (n *Node) pickPeer() string {
 	if len(n.cfg.Members) < 2 {
 		return ""
--- a/replication/pull.go
+++ b/replication/pull.go
@@ -6,42 +6,44 @@
 )
 
 const (
-	// pullTimeout is how long a reply is waited for.
+	// pullTimeout is the time after which a pull without a reply is given up.
 	pullTimeout = 1500 * time.Millisecond
-	// fastReply is how long a reply may take for the next one to be larger; one that takes twice as long makes it smaller.
+	// fastReply is the round-trip time below which the maximum size of the next reply doubles. Above twice this time it is halved.
 	fastReply = 250 * time.Millisecond
 
-	// The size of replies, in bytes, adapts between these.
+	// Limits of the maximum size of a reply, in bytes.
 	initialReplyBytes = 32 << 10
 	minReplyBytes     = 2 << 10
 	maxReplyBytes     = 64 << 10
 
-	// What a reply costs beside its slots, about, in bytes.
+	// Approximate size of a reply without its slots, in bytes.
 	replyOverhead   = 64
 	versionOverhead = 24 // for each StreamVersions
 )
 
-// pendingPull is a pull under way.
+// pendingPull is a pull that waits for its reply.
 type pendingPull struct {
-	id uint64
-	to string
-	at time.Duration
+	id     uint64
+	peer   string
+	sentAt time.Duration
 }
 
-// pullInterval is the mean time between two pulls. A pull names all incarnations: with many of them it is sent less often.
+// pullInterval returns the mean time between two pulls. A pull contains the versions of all incarnations, so with hundreds of
+// incarnations pulls are sent less often.
 func (n *Node) pullInterval() time.Duration {
 	const incarnationsPerInterval = 100
 	return n.cfg.PullInterval * time.Duration(max(1, len(n.incarnations)/incarnationsPerInterval))
 }
 
+// pullFromAny pulls from a random peer.
 func (n *Node) pullFromAny() { n.pullFrom("") }
 
-// pullFrom asks a peer for what is new; an empty name: one that is drawn. The time to the next pull is drawn from 3/4 to 5/4 of
-// the interval.
+// pullFrom sends a pull to a peer, or to a random one if to is empty. The time until the next pull is drawn from 3/4 to 5/4 of
+// the pull interval.
 func (n *Node) pullFrom(to string) {
 	interval := n.pullInterval()
-	n.nextPull = n.now + interval*3/4 + time.Duration(n.rng.Int64N(int64(interval/2)))
-	// A peer is drawn even where a name is given, so that a seed gives the same run whoever announces what.
+	n.nextPullAt = n.now + interval*3/4 + time.Duration(n.rng.Int64N(int64(interval/2)))
+	// A peer is drawn even if one is given, so that the sequence of random numbers does not depend on announcements.
 	to = cmp.Or(to, n.pickPeer())
 	if to == "" {
 		return
@@ -52,25 +54,26 @@
 	n.send(to, Message{Kind: Pull, ID: n.lastPullID, Versions: n.VersionVector(), MaxBytes: n.replyBytes, CatchingUp: !n.caughtUp})
 }
 
-// expirePull gives up a pull without a reply in time. Another peer is asked at once, for less.
+// expirePull gives up the pending pull after pullTimeout. The next pull is due at once, with a smaller maximum reply size.
 func (n *Node) expirePull() {
-	if n.pull == nil || n.now-n.pull.at <= pullTimeout {
+	if n.pull == nil || n.now-n.pull.sentAt <= pullTimeout {
 		return
 	}
 	n.Stats.PullTimeouts++
 	n.replyBytes = max(minReplyBytes, n.replyBytes/4)
-	n.pull, n.announcer = nil, ""
-	n.nextPull = n.now
+	n.pull, n.announcingPeer = nil, ""
+	n.nextPullAt = n.now
 }
 
-// servePull sends a peer what it lacks, safety first, as far as the budget goes. Without any it gets no reply, and asks another.
+// servePull replies to a pull with the slots that the peer lacks, safety first, within the send budget. If the budget is spent it does
+// not reply, and the peer pulls from another member after its timeout.
 func (n *Node) servePull(from string, m Message) {
 	if n.sendBudget < minReplyBytes {
 		n.Stats.Throttled++
 		return
 	}
 	maxBytes := min(max(m.MaxBytes, minReplyBytes), maxReplyBytes)
-	bulkBytes := int(n.sendBudget) - n.cfg.BytesPerSecond/safetyReserve
+	bulkBytes := int(n.sendBudget) - n.cfg.BytesPerSecond/safetyReserveDivisor
 	if bulkBytes < minReplyBytes {
 		n.Stats.Throttled++
 	}
@@ -78,7 +81,7 @@
 	reply := Message{Kind: PullReply, ID: m.ID, Versions: reached, More: more, CatchingUp: !n.caughtUp}
 	bytes := replyOverhead + versionOverhead*len(reached)
 	for _, s := range slots {
-		reply.Slots = append(reply.Slots, n.transfer(s))
+		reply.Slots = append(reply.Slots, n.toTransferred(s))
 		bytes += n.cfg.SlotBytes(s)
 	}
 	lags := n.Lags(m.Versions)
@@ -88,25 +91,26 @@
 	n.sendBudget -= float64(bytes)
 	n.Stats.PullReplies++
 	n.send(from, reply)
-	if lags && n.pull == nil && n.caughtUp { // the peer has what this node lacks
-		n.nextPull = min(n.nextPull, n.now+n.cfg.PullInterval/8)
+	if lags && n.pull == nil && n.caughtUp { // the peer has slots that this node lacks: pull soon
+		n.nextPullAt = min(n.nextPullAt, n.now+n.cfg.PullInterval/8)
 	}
 }
 
-// transfer dates a slot by its age.
-func (n *Node) transfer(s *Slot) TransferredSlot {
+// toTransferred returns a slot for a message, dated by its age.
+func (n *Node) toTransferred(s *Slot) TransferredSlot {
 	t := TransferredSlot{Slot: *s, MaxAge: n.now - s.SeenAfter, MinAge: max(0, n.now-s.SeenBefore)}
 	t.Slot.SeenAfter, t.Slot.SeenBefore = 0, 0
 	return t
 }
 
-// receivePullReply takes in what a peer has sent, and decides whom to pull from next.
+// receivePullReply merges the slots of a reply to the pending pull, and schedules the next pull. Other replies are ignored, since the age
+// of their slots can't be bounded.
 func (n *Node) receivePullReply(from string, m Message) {
-	if n.pull == nil || n.pull.id != m.ID || n.pull.to != from {
+	if n.pull == nil || n.pull.id != m.ID || n.pull.peer != from {
 		n.Stats.StaleReplies++
 		return
 	}
-	pulledAt := n.pull.at
+	pulledAt := n.pull.sentAt
 	n.pull = nil
 	n.adaptReplyBytes(n.now - pulledAt)
 	learned := n.mergeTransferred(m.Slots, pulledAt)
@@ -123,7 +127,7 @@
 	n.pullNext(from, m)
 }
 
-// adaptReplyBytes asks for larger replies while they are fast, and for smaller ones while they are slow.
+// adaptReplyBytes adapts the maximum size of the next reply to the round-trip time of the latest one.
 func (n *Node) adaptReplyBytes(took time.Duration) {
 	switch {
 	case took < fastReply:
@@ -133,8 +137,8 @@
 	}
 }
 
-// mergeTransferred merges slots of a reply and returns the safety slots among them that are new. A slot had its age when it was sent:
-// after the pull, and before now.
+// mergeTransferred merges the slots of a reply and returns the new safety slots among them. The ages of the slots apply to the time at
+// which the reply was sent, which is after the pull and before now.
 func (n *Node) mergeTransferred(slots []TransferredSlot, pulledAt time.Duration) (learned []Slot) {
 	for _, t := range slots {
 		if t.MinAge < 0 || t.MaxAge < t.MinAge {
@@ -150,15 +154,16 @@
 	return learned
 }
 
-// pullNext goes on after a reply: with a peer that has announced safety slots, with the same one while it has more, or, while catching up,
-// with another one until one that has caught up itself has sent all it has.
+// pullNext decides after a reply from which peer to pull next: first from one that has announced newer safety slots, then from the same
+// peer while it has more. While the node is catching up, it then goes on to another peer, until one that is not catching up
+// itself has sent all its slots.
 func (n *Node) pullNext(from string, m Message) {
-	announcer := n.takeAnnouncer()
+	announcingPeer := n.takeAnnouncingPeer()
 	switch {
-	case announcer != "":
-		n.pullFrom(announcer)
-	case m.More && len(m.Slots) == 0: // the peer's budget is spent
-		n.nextPull = min(n.nextPull, n.now+n.cfg.PullInterval/4)
+	case announcingPeer != "":
+		n.pullFrom(announcingPeer)
+	case m.More && len(m.Slots) == 0: // the peer's send budget is spent
+		n.nextPullAt = min(n.nextPullAt, n.now+n.cfg.PullInterval/4)
 	case m.More:
 		n.pullFrom(from)
 	case n.caughtUp:
@@ -166,7 +171,7 @@
 		n.finishCatchUp(from)
 	default:
 		n.peersCatchingUp[from] = true
-		if len(n.peersCatchingUp) >= len(n.cfg.Members)-1 { // all start together: nobody knows more
+		if len(n.peersCatchingUp) >= len(n.cfg.Members)-1 { // all members are starting: no peer knows more
 			n.finishCatchUp(from)
 		} else {
 			n.pullFromAny()
--- a/replication/replica.go
+++ b/replication/replica.go
@@ -1,22 +1,25 @@
-// Package replication replicates what the gateways of an installation know in common, so that one that restarts catches up with
-// its peers before it does harm.
+// Package replication replicates state that the gateways of an installation share, such as purges, drains, endpoint health and
+// listings. A restarted gateway catches up with its peers before it serves requests with outdated state.
 //
-// The state consists of slots. A slot is what one incarnation of a gateway has written for one key of one kind, and only that incarnation
-// ever changes it. So two copies of a slot are versions of one writer's, and the higher number wins: replicas merge in any order, any number of
-// times. What several incarnations write for the same key is combined by the reader, by a rule for each kind (values.go, faults.go).
+// The state consists of slots. A slot is the value that one incarnation of a gateway has written for one key of one kind, and only
+// that incarnation ever changes it. Of two copies of a slot the one with the higher number wins, so replicas can be merged in any
+// order and any number of times. The reader combines the slots that several incarnations have written for the same key, by a
+// rule for each kind (values.go, faults.go).
 //
-// Each incarnation numbers its slots in two streams, safety and bulk. Members exchange version vectors, and are sent the slots that they
-// lack in the order of their numbers, safety first (Scuttlebutt: van Renesse, Dumitriu, Gough, Thomas, "Efficient Reconciliation
-// and Flow Control for Anti-Entropy Protocols", 2008). So an exchange that breaks off leaves a prefix, which the next one
-// continues, with any peer.
+// Each incarnation numbers its slots in two streams, safety and bulk. Members exchange version vectors, and send each other the
+// missing slots in the order of their numbers, safety first (Scuttlebutt: van Renesse, Dumitriu, Gough, Thomas, "Efficient
+// Reconciliation and Flow Control for Anti-Entropy Protocols", 2008). An interrupted exchange therefore leaves a prefix of each
+// stream, and the next exchange continues from there, with any peer.
 //
-// No rule depends on wall clocks. A slot travels with its age, and every replica measures its further age by its own steady clock. The age is
-// an interval, from the request for a slot to its arrival: what speaks for sending to an endpoint counts as old as it may be, a
-// purge as young as it may be. A slot that has outlived its kind is dropped, and taken from nobody; so a tombstone need only outlive
-// what it covers, however long a member was away.
+// No rule depends on wall clocks. A slot is transferred with the age of its evidence, and every replica measures the further age by
+// its own monotonic clock. Since the time of the transfer is only known to lie between the request and the reply, the age is an
+// interval. Evidence in favor of sending to an endpoint counts as old as possible, a purge as young as possible. A slot older than
+// the maximum age of its kind is dropped, and not accepted from peers. A tombstone therefore only has to outlive the slots
+// that it covers, however long a member was disconnected.
 //
-// Replica holds the state, Node exchanges it. The package does no I/O, reads no clock and starts no goroutine: its caller hands events
-// to Node.Handle, one at a time, and carries out the actions that it returns. The same events give the same actions.
+// Replica contains the state, Node exchanges it with the peers. The package does no I/O, reads no clock and starts no goroutine. Its
+// caller passes events to [Node.Handle], one at a time, and carries out the returned actions. The same sequence of events yields
+// the same actions.
 package replication
 
 import (
@@ -25,25 +28,26 @@
 )
 
 const (
-	// maxIncarnations bounds the incarnations whose streams are followed.
+	// maxIncarnations is the maximum number of incarnations whose streams are tracked. Slots of further ones are rejected.
 	maxIncarnations = 4096
-	// ageTolerance is by how much the ages of one slot at two replicas may differ, and a wall clock be ahead.
+	// ageTolerance is the difference up to which the ages of one slot at two replicas count as equal, and the time by which the
+	// wall clock of another member may be ahead.
 	ageTolerance = 2 * time.Second
 )
 
-// Counters count what happened to slots.
+// Counters counts the slots written, merged and dropped at one replica.
 type Counters struct {
-	Written    uint64 // by this incarnation
-	Merged     uint64 // taken from others
-	Duplicates uint64 // from others, known already
-	Expired    uint64 // dropped, having outlived their kind
-	Evicted    uint64 // dropped for want of capacity
-	Rejected   uint64 // not taken: out of bounds
-	Outdated   uint64 // not taken: they had outlived their kind
-	Tombstoned uint64 // not taken, or dropped, for a tombstone
+	Written    uint64 // written by this incarnation
+	Merged     uint64 // accepted from other replicas
+	Duplicates uint64 // received from other replicas, but known already
+	Expired    uint64 // dropped, older than the maximum age of their kind
+	Evicted    uint64 // dropped, beyond the capacity of their kind
+	Rejected   uint64 // not accepted or not written, malformed or out of bounds
+	Outdated   uint64 // not accepted, older than the maximum age of their kind
+	Tombstoned uint64 // not accepted or dropped, covered by a tombstone
 }
 
-// Replica is one gateway's copy of the state. Use NewReplica. It is not safe for concurrent use.
+// Replica is one gateway's copy of the replicated state. Create it with NewReplica. It is not safe for concurrent use.
 type Replica struct {
 	Counters Counters
 
@@ -53,21 +57,21 @@
 	slots           map[slotID]*Slot
 	byKey           map[Kind]map[string][]*Slot
 	count           map[Kind]int
-	countByWriter   map[Kind]map[string]int // by name: of all incarnations of a gateway
-	timestamp       uint64                  // hybrid logical clock: Unix milliseconds in the upper 48 bits, a counter below
+	countByWriter   map[Kind]map[string]int // number of slots by kind and gateway name, over all incarnations of the gateway
+	timestamp       uint64                  // hybrid logical clock: Unix time in ms in the upper 48 bits, a counter in the lower 16
 
-	sweeping    []Incarnation // still to be swept in this pass
-	sweepOffset int           // in the logs of the first of them
+	sweepQueue  []Incarnation // incarnations that this pass of Sweep has not finished
+	sweepOffset int           // position in the concatenated logs of the first of them
 }
 
-// incarnationState is what is known of an incarnation.
+// incarnationState is the state of one incarnation at a replica.
 type incarnationState struct {
 	logs       [streams]streamLog
-	lastActive time.Duration // when anything new of it was received
+	lastActive time.Duration // time of the latest new slot or version of this incarnation
 }
 
-// NewReplica returns an empty replica for an incarnation. Purges are kept for purgeSettleTime, by when no older copy of an object can be
-// left; 0: as long as the kind lasts.
+// NewReplica returns an empty replica for an incarnation. Purges are kept for purgeSettleTime, after which no copy of an object from
+// before the purge can be left; 0: for the maximum age of the kind.
 func NewReplica(self Incarnation, purgeSettleTime time.Duration) *Replica {
 	return &Replica{
 		self:            self,
@@ -80,22 +84,23 @@
 	}
 }
 
-// maxAge is how long a slot of a kind lasts.
+// maxAge returns the maximum age of slots of a kind.
 func (r *Replica) maxAge(k Kind) time.Duration {
 	if k == Purge && r.purgeSettleTime > 0 {
-		return min(r.purgeSettleTime, rules[Purge].maxAge)
+		return min(r.purgeSettleTime, limitsByKind[Purge].maxAge)
 	}
-	return ruleOf(k).maxAge
+	return limitsOf(k).maxAge
 }
 
-// Write sets this incarnation's slot for a key. Seen is when its evidence was seen, wall the Unix time. It reports whether
-// anything changed: what is written already is written again only once half of its time is over.
+// Write writes this incarnation's slot for a key. seen is the time at which the evidence was seen, on the clock of now; wall is the Unix
+// time. It reports whether the slot was written. It is not written if a field is too long or the evidence is older than the maximum
+// age, nor if the same value was written with evidence younger by less than half the maximum age.
 func (r *Replica) Write(now, wall time.Duration, k Kind, key string, value []byte, seen time.Duration) bool {
 	if key == "" || len(key) > maxKeyBytes || len(value) > maxValueBytes || now-seen > r.maxAge(k) {
 		r.Counters.Rejected++
 		return false
 	}
-	if old := r.slots[slotID{k, key, r.self}]; old != nil && r.stillHolds(old, value, seen) {
+	if old := r.slots[slotID{k, key, r.self}]; old != nil && r.isCurrent(old, value, seen) {
 		return false
 	}
 	r.timestamp = max(r.timestamp+1, wallTimestamp(wall))
@@ -106,8 +111,9 @@
 	return true
 }
 
-// stillHolds reports whether a slot needs no new write for the same value, seen later. A later purge of the same name is another one.
-func (r *Replica) stillHolds(old *Slot, value []byte, seen time.Duration) bool {
+// isCurrent reports whether an existing slot makes a write of a value unnecessary: it has the same value, and evidence that is not much
+// older. A later purge of the same name is a purge of its own, and always written.
+func (r *Replica) isCurrent(old *Slot, value []byte, seen time.Duration) bool {
 	if string(old.Value) != string(value) {
 		return false
 	}
@@ -115,10 +121,11 @@
 	return seen <= old.SeenBefore || old.Kind != Purge && fresh
 }
 
-// wallTimestamp is the hybrid logical clock at a Unix time.
+// wallTimestamp returns the smallest value of the hybrid logical clock at a Unix time.
 func wallTimestamp(wall time.Duration) uint64 { return uint64(max(0, wall.Milliseconds())) << 16 }
 
-// Merge takes in a slot from another replica, its evidence dated by the clock of this one. It reports whether the slot is new here.
+// Merge merges a slot from another replica. Its SeenAfter and SeenBefore must be on the clock of now; wall is the Unix time. It reports
+// whether the slot was new and has been stored.
 func (r *Replica) Merge(now, wall time.Duration, s Slot) bool {
 	switch {
 	case s.Writer == r.self || !s.wellFormed(now):
@@ -139,7 +146,7 @@
 		r.Counters.Tombstoned++
 		return false
 	}
-	// A writer whose wall clock is far ahead does not take this replica's along; its slots are ordered by age all the same.
+	// A writer whose wall clock is far ahead must not advance the logical clock here. Its slots can still be ordered by age.
 	if s.Timestamp <= wallTimestamp(wall+ageTolerance) {
 		r.timestamp = max(r.timestamp, s.Timestamp)
 	}
@@ -149,7 +156,7 @@
 	return true
 }
 
-// insert replaces the slot with the same slotID, if any.
+// insert stores a slot, replaces the one with the same slotID, if any, applies a tombstone, and evicts slots beyond the capacity.
 func (r *Replica) insert(now time.Duration, s *Slot) {
 	if old := r.slots[s.id()]; old != nil {
 		r.remove(old)
@@ -175,7 +182,7 @@
 	r.enforceCapacity(s.Kind, s.Writer.Name)
 }
 
-// remove drops a slot; in its log it stays until that is compacted.
+// remove drops a slot. It stays in its log, marked as removed, until the log is compacted.
 func (r *Replica) remove(s *Slot) {
 	if s.removed {
 		return
@@ -200,11 +207,11 @@
 	}
 }
 
-// Len is the number of slots.
+// Len returns the number of slots.
 func (r *Replica) Len() int { return len(r.slots) }
 
-// Count is the number of slots of a kind.
+// Count returns the number of slots of a kind.
 func (r *Replica) Count(k Kind) int { return r.count[k] }
 
-// HasWritten reports whether this incarnation has a slot for a key.
+// HasWritten reports whether the replica has a slot of this incarnation for a key.
 func (r *Replica) HasWritten(k Kind, key string) bool { return r.slots[slotID{k, key, r.self}] != nil }
--- a/replication/replica_test.go
+++ b/replication/replica_test.go
@@ -41,7 +41,7 @@
 }
 
 // Merging gives the same in any order, any number of times, and however it is grouped.
-func TestReplicasMerge(t *testing.T) {
+func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawSlots(t)
 		mixed := rapid.Permutation(all).Draw(t, "order")
@@ -65,7 +65,7 @@
 }
 
 // Wherever an exchange breaks off, deltas make two replicas the same, with no slot sent twice and no bulk before safety.
-func TestDeltasArePrefixes(t *testing.T) {
+func TestDeltasConvergeAfterInterruptedExchanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := NewReplica(incarnation("from", 1), 0), NewReplica(incarnation("to", 1), 0)
 		for i := range rapid.IntRange(1, 40).Draw(t, "n") {
@@ -113,41 +113,41 @@
 }
 
 // A slot does not grow younger by being passed on, however often and slowly.
-func TestASlotAgesAsItIsPassedOn(t *testing.T) {
+func TestSlotKeepsAgingWhileForwarded(t *testing.T) {
 	now := 100 * sec
 	a := NewReplica(incarnation("a", 1), 0)
 	a.Write(now, now, Listing, "o", Encode(ListingValue{Server: "b1"}), now)
-	held := a.slots[slotID{Listing, "o", incarnation("a", 1)}]
-	early, late := held.SeenAfter, held.SeenBefore
+	slot := a.slots[slotID{Listing, "o", incarnation("a", 1)}]
+	seenAfter, seenBefore := slot.SeenAfter, slot.SeenBefore
 	for i := range 40 {
 		c, err := NewNode(Config{Self: incarnation("n", 2), Members: []string{"a", "n"}, WallClock: func() time.Duration { return now }})
 		if err != nil {
 			t.Fatal(err)
 		}
 		out := c.Handle(now, Tick{}, nil)
-		ask := out[len(out)-1].(Send).Message
+		pull := out[len(out)-1].(Send).Message
 		sent := now + 300*time.Millisecond
-		s := *held
-		w := TransferredSlot{Slot: s, MaxAge: sent - early, MinAge: sent - late}
+		s := *slot
+		w := TransferredSlot{Slot: s, MaxAge: sent - seenAfter, MinAge: sent - seenBefore}
 		now = sent + 300*time.Millisecond
-		c.Handle(now, MessageReceived{"a", Message{Kind: PullReply, ID: ask.ID, Slots: []TransferredSlot{w}}}, nil)
+		c.Handle(now, MessageReceived{"a", Message{Kind: PullReply, ID: pull.ID, Slots: []TransferredSlot{w}}}, nil)
 		if len(c.slots) == 0 {
 			break
 		}
 		for _, s := range c.slots {
-			early, late, held = s.SeenAfter, s.SeenBefore, s
+			seenAfter, seenBefore, slot = s.SeenAfter, s.SeenBefore, s
 		}
-		if early > 100*sec {
-			t.Fatalf("after %d steps it seems to be seen at %v", i, early)
+		if seenAfter > 100*sec {
+			t.Fatalf("after %d steps it seems to be seen at %v", i, seenAfter)
 		}
 	}
-	if age := now - early; age < 24*sec {
+	if age := now - seenAfter; age < 24*sec {
 		t.Errorf("at %v it is %v old", now, age)
 	}
 }
 
 // A tombstone covers what was seen before it, wherever that turns up, for longer than that lasts; what is seen later stands.
-func TestATombstoneOutlivesWhatItCovers(t *testing.T) {
+func TestTombstoneOutlivesCoveredSlots(t *testing.T) {
 	c := NewReplica(incarnation("c", 1), 0)
 	old := Slot{Writer: incarnation("w", 1), Seq: 1, Kind: Health, Key: "b1", Value: Encode(HealthValue{ErrorRate: 1}), SeenAfter: 100 * sec, SeenBefore: 100 * sec}
 	c.Merge(100*sec, 0, old)
@@ -176,17 +176,17 @@
 }
 
 // A member that lies in every field, in valid form, is bounded.
-func TestALiarIsBounded(t *testing.T) {
+func TestMaliciousMemberIsBounded(t *testing.T) {
 	c := NewReplica(incarnation("c", 1), 6*sec)
 	now := 100 * sec
 	c.Write(now, now, Purge, "mine", nil, now)
-	liar := func(seq uint64, k Kind, key string, v any) Slot {
+	malicious := func(seq uint64, k Kind, key string, v any) Slot {
 		return Slot{Writer: incarnation("liar", 9), Seq: seq, Kind: k, Key: key, Value: Encode(v), Timestamp: 1 << 62, SeenAfter: now, SeenBefore: now}
 	}
 	for i := range uint64(20000) {
-		c.Merge(now, now, liar(i+1, Purge, fmt.Sprint("x", i), 0))
+		c.Merge(now, now, malicious(i+1, Purge, fmt.Sprint("x", i), 0))
 	}
-	if n := c.Count(Purge); n > rules[Purge].maxSlots/writerShare+1 {
+	if n := c.Count(Purge); n > limitsByKind[Purge].maxSlots/writerDivisor+1 {
 		t.Errorf("%d of its purges are kept", n)
 	}
 	if c.Purges(now)["mine"] == 0 {
@@ -195,8 +195,8 @@
 	if c.timestamp >= 1<<61 {
 		t.Error("its clock took this one along")
 	}
-	c.Merge(now, now, liar(1, Health, "b1", HealthValue{ErrorRate: 1, EjectedMs: 1000}))
-	c.Merge(now, now, liar(2, Health, "b2", HealthValue{ErrorRate: 7}))
+	c.Merge(now, now, malicious(1, Health, "b1", HealthValue{ErrorRate: 1, EjectedMs: 1000}))
+	c.Merge(now, now, malicious(2, Health, "b2", HealthValue{ErrorRate: 7}))
 	if got := c.FaultReports(now, 5); len(got) != 0 {
 		t.Errorf("its word alone counts: %+v", got)
 	}
@@ -218,37 +218,37 @@
 // A server counts as faulty when several gateways report it, for the start that they mean, by the median of their reports.
 func TestFaultReportsNeedSeveralReporters(t *testing.T) {
 	now := 100 * sec
-	say := func(c *Replica, who string, seen time.Duration, e HealthValue) {
-		c.Merge(now, now, Slot{Writer: incarnation(who, 1), Seq: 1, Kind: Health, Key: "b1", Value: Encode(e), SeenAfter: seen, SeenBefore: seen})
+	report := func(c *Replica, gateway string, seen time.Duration, e HealthValue) {
+		c.Merge(now, now, Slot{Writer: incarnation(gateway, 1), Seq: 1, Kind: Health, Key: "b1", Value: Encode(e), SeenAfter: seen, SeenBefore: seen})
 	}
 	for _, x := range []struct {
-		name   string
-		living int
-		say    func(c *Replica)
-		want   float64 // 0: nothing
+		name    string
+		alive   int
+		reports func(c *Replica)
+		want    float64 // 0: nothing
 	}{
-		{"one", 5, func(c *Replica) { say(c, "a", now, HealthValue{ErrorRate: 1}) }, 0},
+		{"one", 5, func(c *Replica) { report(c, "a", now, HealthValue{ErrorRate: 1}) }, 0},
 		{"two", 5, func(c *Replica) {
-			say(c, "a", now, HealthValue{ErrorRate: 0.4})
-			say(c, "b", now, HealthValue{ErrorRate: 1})
+			report(c, "a", now, HealthValue{ErrorRate: 0.4})
+			report(c, "b", now, HealthValue{ErrorRate: 1})
 		}, 0.4},
 		{"two of many", 9, func(c *Replica) {
-			say(c, "a", now, HealthValue{ErrorRate: 1})
-			say(c, "b", now, HealthValue{ErrorRate: 1})
+			report(c, "a", now, HealthValue{ErrorRate: 1})
+			report(c, "b", now, HealthValue{ErrorRate: 1})
 		}, 0},
 		{"of an earlier start", 3, func(c *Replica) {
-			say(c, "a", now, HealthValue{ErrorRate: 1})
-			say(c, "b", now, HealthValue{ErrorRate: 1, BootMs: 5})
+			report(c, "a", now, HealthValue{ErrorRate: 1})
+			report(c, "b", now, HealthValue{ErrorRate: 1, BootMs: 5})
 		}, 0},
-		{"an own former incarnation", 9, func(c *Replica) { say(c, "c", now, HealthValue{ErrorRate: 0.7}) }, 0.7},
+		{"an own former incarnation", 9, func(c *Replica) { report(c, "c", now, HealthValue{ErrorRate: 0.7}) }, 0.7},
 		{"old", 3, func(c *Replica) {
-			say(c, "a", now-121*sec, HealthValue{ErrorRate: 1})
-			say(c, "b", now, HealthValue{ErrorRate: 1})
+			report(c, "a", now-121*sec, HealthValue{ErrorRate: 1})
+			report(c, "b", now, HealthValue{ErrorRate: 1})
 		}, 0},
 	} {
 		c := NewReplica(incarnation("c", 2), 0)
-		x.say(c)
-		got := c.FaultReports(now, x.living)
+		x.reports(c)
+		got := c.FaultReports(now, x.alive)
 		if x.want == 0 && len(got) > 0 || x.want > 0 && (len(got) != 1 || got[0].Value.ErrorRate != x.want) {
 			t.Errorf("%s: %+v, want %v", x.name, got, x.want)
 		}
@@ -256,7 +256,7 @@
 }
 
 // The same slots give the same report, however often it is asked for: also of two reporters that agree in the error rate alone.
-func TestFaultReportsAreTheSameEachTime(t *testing.T) {
+func TestFaultReportsAreDeterministic(t *testing.T) {
 	now := 100 * sec
 	c := NewReplica(incarnation("c", 2), 0)
 	for who, late := range map[string]float64{"a": 0, "b": 0.5} {
@@ -275,10 +275,10 @@
 }
 
 // What is clearly newer wins whatever its clock says; what is about as old, by the logical clock, at all copies alike.
-func TestTheNewestListingIsRead(t *testing.T) {
+func TestNewestListingWins(t *testing.T) {
 	now := 100 * sec
-	put := func(c *Replica, who string, seen time.Duration, stamp uint64, server string) {
-		c.Merge(now, now, Slot{Writer: incarnation(who, 1), Seq: 1, Kind: Listing, Key: "o", Value: Encode(ListingValue{Server: server}), Timestamp: stamp, SeenAfter: seen, SeenBefore: seen})
+	merge := func(c *Replica, gateway string, seen time.Duration, timestamp uint64, server string) {
+		c.Merge(now, now, Slot{Writer: incarnation(gateway, 1), Seq: 1, Kind: Listing, Key: "o", Value: Encode(ListingValue{Server: server}), Timestamp: timestamp, SeenAfter: seen, SeenBefore: seen})
 	}
 	read := func(f func(c *Replica)) string {
 		c := NewReplica(incarnation("c", 2), 0)
@@ -289,19 +289,19 @@
 		}
 		return l[0].Value.Server
 	}
-	if got := read(func(c *Replica) { put(c, "a", now-10*sec, 1<<60, "wrong clock"); put(c, "b", now, 5, "newer") }); got != "newer" {
+	if got := read(func(c *Replica) { merge(c, "a", now-10*sec, 1<<60, "wrong clock"); merge(c, "b", now, 5, "newer") }); got != "newer" {
 		t.Error(got)
 	}
-	if got := read(func(c *Replica) { put(c, "a", now-sec, 9, "later"); put(c, "b", now, 5, "earlier") }); got != "later" {
+	if got := read(func(c *Replica) { merge(c, "a", now-sec, 9, "later"); merge(c, "b", now, 5, "earlier") }); got != "later" {
 		t.Error(got)
 	}
-	if got := read(func(c *Replica) { put(c, "b", now, 5, "b"); put(c, "a", now, 5, "a") }); got != "b" {
+	if got := read(func(c *Replica) { merge(c, "b", now, 5, "b"); merge(c, "a", now, 5, "a") }); got != "b" {
 		t.Error(got)
 	}
 }
 
 // The counts of all incarnations are summed, the newest of each.
-func TestWorkSentAddsUp(t *testing.T) {
+func TestWorkSentSumsIncarnations(t *testing.T) {
 	c := NewReplica(incarnation("c", 2), 0)
 	for i, n := range []float64{3, 7, 5} { // the third is late, and older
 		c.Merge(100*sec, 0, Slot{Writer: incarnation("a", 1), Seq: []uint64{1, 3, 2}[i], Kind: SlowStart, Key: "b1 7", Value: Encode(n), SeenAfter: 99 * sec, SeenBefore: 99 * sec})
@@ -313,7 +313,7 @@
 	}
 }
 
-func TestConfigNamesWhatIsWrong(t *testing.T) {
+func TestInvalidConfigIsRejected(t *testing.T) {
 	wall := func() time.Duration { return 0 }
 	for _, c := range []Config{{}, {Self: incarnation("a", 1), WallClock: wall}, {Self: incarnation("a", 1), Members: []string{"a"}}, {Self: incarnation("a", 1), Members: []string{"a"}, WallClock: wall, BytesPerSecond: -1}} {
 		if _, err := NewNode(c); err == nil {
@@ -323,21 +323,21 @@
 }
 
 // A reply to no pull, or of another peer than the one that was asked, is not taken: its ages can't be counted from a pull.
-func TestOnlyRepliesToPullsAreTaken(t *testing.T) {
+func TestUnrequestedRepliesAreIgnored(t *testing.T) {
 	n, err := NewNode(Config{Self: incarnation("n", 2), Members: []string{"a", "b", "n"}, WallClock: func() time.Duration { return sec }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask := n.Handle(sec, Tick{}, nil)[0].(Send)
-	other := map[string]string{"a": "b", "b": "a"}[ask.To]
-	w := []TransferredSlot{{Slot: Slot{Writer: incarnation("w", 1), Seq: 1, Kind: Purge, Key: "o"}}}
-	n.Handle(sec, MessageReceived{ask.To, Message{Kind: PullReply, ID: ask.Message.ID + 1, Slots: w}}, nil)
-	n.Handle(sec, MessageReceived{other, Message{Kind: PullReply, ID: ask.Message.ID, Slots: w}}, nil)
-	n.Handle(sec, MessageReceived{"stranger", Message{Kind: PullReply, ID: ask.Message.ID, Slots: w}}, nil)
+	pull := n.Handle(sec, Tick{}, nil)[0].(Send)
+	other := map[string]string{"a": "b", "b": "a"}[pull.To]
+	slots := []TransferredSlot{{Slot: Slot{Writer: incarnation("w", 1), Seq: 1, Kind: Purge, Key: "o"}}}
+	n.Handle(sec, MessageReceived{pull.To, Message{Kind: PullReply, ID: pull.Message.ID + 1, Slots: slots}}, nil)
+	n.Handle(sec, MessageReceived{other, Message{Kind: PullReply, ID: pull.Message.ID, Slots: slots}}, nil)
+	n.Handle(sec, MessageReceived{"stranger", Message{Kind: PullReply, ID: pull.Message.ID, Slots: slots}}, nil)
 	if n.Len() != 0 || n.Stats.StaleReplies != 2 {
 		t.Errorf("%d slots were taken, %d answers passed over", n.Len(), n.Stats.StaleReplies)
 	}
-	n.Handle(sec, MessageReceived{ask.To, Message{Kind: PullReply, ID: ask.Message.ID, Slots: w}}, nil)
+	n.Handle(sec, MessageReceived{pull.To, Message{Kind: PullReply, ID: pull.Message.ID, Slots: slots}}, nil)
 	if n.Len() != 1 {
 		t.Error("the answer was not taken")
 	}
--- a/replication/simulation_test.go
+++ b/replication/simulation_test.go
@@ -21,8 +21,8 @@
 	names           []string
 	nodes           map[string]*host
 	severed         map[[2]string]bool
-	loss            float64
-	duplication     float64
+	lossRate        float64
+	duplicationRate float64
 	maxDelay        time.Duration // a message takes up to so long
 	lastIncarnation uint64
 	purged          map[string]time.Duration // by name: the newest that was said, and lasted at somebody else
@@ -31,16 +31,16 @@
 }
 
 type host struct {
-	name       string
-	node       *Node
-	run        int
-	clockRate  float64
-	startedAt  time.Duration
-	wallOffset time.Duration // of its wall clock
-	suspended  bool
-	inbox      []MessageReceived
-	purges     map[string]time.Duration // learned, by the world's clock
-	caughtUp   *CaughtUp
+	name          string
+	node          *Node
+	run           int
+	clockRate     float64
+	startedAt     time.Duration
+	wallOffset    time.Duration // of its wall clock
+	suspended     bool
+	inbox         []MessageReceived
+	learnedPurges map[string]time.Duration // learned, by the world's clock
+	caughtUp      *CaughtUp
 }
 
 const purgeSettleTime = 6 * time.Second
@@ -62,17 +62,17 @@
 func (w *simulation) startNode(m *host) {
 	w.lastIncarnation++
 	m.run++
-	m.startedAt, m.suspended, m.inbox, m.purges, m.caughtUp = w.clock.Now, false, nil, map[string]time.Duration{}, nil
+	m.startedAt, m.suspended, m.inbox, m.learnedPurges, m.caughtUp = w.clock.Now, false, nil, map[string]time.Duration{}, nil
 	var err error
 	m.node, err = NewNode(Config{Self: Incarnation{m.name, w.lastIncarnation}, Members: w.names, PurgeSettleTime: purgeSettleTime, PullInterval: 200 * time.Millisecond, CatchUpTimeout: w.catchUpTimeout,
 		WallClock: func() time.Duration { return time.Hour + w.clock.Now + m.wallOffset }, Seed: w.lastIncarnation})
 	if err != nil {
 		panic(err)
 	}
-	epoch := m.run
+	run := m.run
 	var tick func()
 	tick = func() {
-		if m.run != epoch {
+		if m.run != run {
 			return
 		}
 		if !m.suspended {
@@ -95,7 +95,7 @@
 		case SafetySlotsLearned:
 			for _, s := range a.Slots {
 				if s.Kind == Purge {
-					m.purges[s.Key] = w.clock.Now - (w.localTime(m) - s.SeenBefore)
+					m.learnedPurges[s.Key] = w.clock.Now - (w.localTime(m) - s.SeenBefore)
 				}
 			}
 		case CaughtUp:
@@ -108,11 +108,11 @@
 	for _, s := range m.Slots {
 		w.bytes += 64 + len(s.Slot.Key) + len(s.Slot.Value)
 	}
-	if w.severed[[2]string{from, to}] || w.rng.Float64() < w.loss {
+	if w.severed[[2]string{from, to}] || w.rng.Float64() < w.lossRate {
 		return
 	}
 	times := 1
-	if w.rng.Float64() < w.duplication {
+	if w.rng.Float64() < w.duplicationRate {
 		times = 2
 	}
 	for range times {
@@ -132,7 +132,7 @@
 	if m.node == nil || m.suspended {
 		return
 	}
-	m.purges[key] = w.clock.Now
+	m.learnedPurges[key] = w.clock.Now
 	m.node.Publish(w.localTime(m), Purge, key, nil, w.localTime(m))
 	w.purged[key] = w.clock.Now
 }
@@ -165,15 +165,15 @@
 }
 
 // awaitConvergence waits until all are alike, and says how long that took.
-func (w *simulation) awaitConvergence(most time.Duration) (time.Duration, bool) {
-	from := w.clock.Now
-	for w.clock.Now < from+most {
+func (w *simulation) awaitConvergence(limit time.Duration) (time.Duration, bool) {
+	start := w.clock.Now
+	for w.clock.Now < start+limit {
 		if w.converged() {
-			return w.clock.Now - from, true
+			return w.clock.Now - start, true
 		}
 		w.clock.Pass(50 * time.Millisecond)
 	}
-	return most, false
+	return limit, false
 }
 
 // playSeed is one seeded run with faults. Two seconds after the last one all that run have converged, no purge is lost, and none has
@@ -183,15 +183,15 @@
 	for range w.rng.IntN(5) {
 		w.injectFault(time.Duration(1500+w.rng.IntN(5000)) * time.Millisecond)
 	}
-	last := 9 * time.Second
+	faultsEnd := 9 * time.Second
 	for i := range 40 {
 		key := fmt.Sprintf("o%d", w.rng.IntN(12))
 		name := w.names[w.rng.IntN(len(w.names))]
 		w.clock.At(time.Duration(1200+w.rng.IntN(7000))*time.Millisecond, func() { w.publishAny(name, key, i) })
 	}
-	w.clock.At(last-2*time.Second, func() { w.purge(w.names[w.rng.IntN(len(w.names))], "late") })
-	w.clock.At(last, func() { clear(w.severed); w.loss, w.duplication, w.maxDelay = 0, 0, 4*time.Millisecond })
-	w.clock.Run(last + time.Millisecond)
+	w.clock.At(faultsEnd-2*time.Second, func() { w.purge(w.names[w.rng.IntN(len(w.names))], "late") })
+	w.clock.At(faultsEnd, func() { clear(w.severed); w.lossRate, w.duplicationRate, w.maxDelay = 0, 0, 4*time.Millisecond })
+	w.clock.Run(faultsEnd + time.Millisecond)
 	for _, m := range w.nodes {
 		if m.node == nil { // those that are down come back within four seconds
 			w.clock.Pass(4 * time.Second)
@@ -231,7 +231,7 @@
 		}
 		learned := false
 		for _, m := range w.nodes {
-			learned = learned || m.node != nil && !m.suspended && m.purges[key] >= at-time.Millisecond
+			learned = learned || m.node != nil && !m.suspended && m.learnedPurges[key] >= at-time.Millisecond
 		}
 		for _, m := range w.nodes {
 			got, ok := m.node.Purges(w.localTime(m))[key]
@@ -252,25 +252,25 @@
 	}
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	next, taken := 0, uint64(0)
+	nextSeed, merged := 0, uint64(0)
 	for range runtime.GOMAXPROCS(0) {
 		all.Go(func() {
 			for {
 				mu.Lock()
-				seed := next
-				next++
+				seed := nextSeed
+				nextSeed++
 				mu.Unlock()
 				if seed >= n || t.Failed() {
 					return
 				}
-				w, bad := playSeed(uint64(seed))
-				if bad != "" {
-					t.Errorf("seed %d: %s", seed, bad)
+				w, violation := playSeed(uint64(seed))
+				if violation != "" {
+					t.Errorf("seed %d: %s", seed, violation)
 				}
 				mu.Lock()
 				for _, m := range w.nodes {
 					if m.node != nil {
-						taken += m.node.Counters.Merged
+						merged += m.node.Counters.Merged
 					}
 				}
 				mu.Unlock()
@@ -278,13 +278,13 @@
 		})
 	}
 	all.Wait()
-	if taken < uint64(n)*20 {
-		t.Errorf("%d slots were taken in %d runs", taken, n)
+	if merged < uint64(n)*20 {
+		t.Errorf("%d slots were taken in %d runs", merged, n)
 	}
 }
 
 // A node that restarts catches up with what all know; the peer that it pulls from dies half way, and another one continues.
-func TestCatchingUpGoesOnWithAnother(t *testing.T) {
+func TestCatchUpContinuesWithAnotherPeer(t *testing.T) {
 	w := newSimulation(5, 3)
 	w.clock.Pass(2 * time.Second)
 	g0 := w.nodes["g0"]
@@ -295,29 +295,29 @@
 	if _, ok := w.awaitConvergence(20 * time.Second); !ok {
 		t.Fatal("the listings do not spread")
 	}
-	back := w.nodes["g2"]
-	w.startNode(back)
-	for back.node.Len() < 1000 {
+	restarted := w.nodes["g2"]
+	w.startNode(restarted)
+	for restarted.node.Len() < 1000 {
 		w.clock.Pass(time.Millisecond)
-		if back.caughtUp != nil {
-			t.Fatalf("it says that it has caught up with %d", back.node.Len())
+		if restarted.caughtUp != nil {
+			t.Fatalf("it says that it has caught up with %d", restarted.node.Len())
 		}
 	}
-	from := back.node.pull.to
-	w.nodes[from].run++
-	w.nodes[from].node = nil
-	half := back.node.Counters.Merged
+	killedPeer := restarted.node.pull.peer
+	w.nodes[killedPeer].run++
+	w.nodes[killedPeer].node = nil
+	mergedBefore := restarted.node.Counters.Merged
 	w.clock.Pass(6 * time.Second)
-	if back.caughtUp == nil || back.caughtUp.From == from || back.node.Count(Listing) < 3000 {
-		t.Fatalf("%+v after %d of 3000", back.caughtUp, back.node.Count(Listing))
+	if restarted.caughtUp == nil || restarted.caughtUp.From == killedPeer || restarted.node.Count(Listing) < 3000 {
+		t.Fatalf("%+v after %d of 3000", restarted.caughtUp, restarted.node.Count(Listing))
 	}
-	if again := back.node.Counters.Duplicates; again > 400 || half < 900 {
-		t.Errorf("%d of %d were sent again", again, half)
+	if duplicates := restarted.node.Counters.Duplicates; duplicates > 400 || mergedBefore < 900 {
+		t.Errorf("%d of %d were sent again", duplicates, mergedBefore)
 	}
 }
 
 // Nobody is there: it goes on without after the stated time; all start at once: none waits for the others.
-func TestCatchingUpNeverWaitsForEver(t *testing.T) {
+func TestCatchUpTimeIsBounded(t *testing.T) {
 	w := newSimulation(6, 3)
 	w.clock.Pass(4 * time.Second)
 	for _, m := range w.nodes {
@@ -341,7 +341,7 @@
 }
 
 // A purge is with all others sooner than the bulk that was there before it.
-func TestAPurgeIsNotQueuedBehindListings(t *testing.T) {
+func TestPurgeOvertakesListings(t *testing.T) {
 	w := newSimulation(8, 5)
 	w.clock.Pass(2 * time.Second)
 	g0 := w.nodes["g0"]
@@ -363,33 +363,33 @@
 		w.clock.Pass(5 * time.Millisecond)
 	}
 	took := w.clock.Now - at
-	if full := w.nodes["g4"].node.Count(Listing); took > 300*time.Millisecond || full >= 16000 {
-		t.Errorf("it took %v, with %d listings there", took, full)
+	if listings := w.nodes["g4"].node.Count(Listing); took > 300*time.Millisecond || listings >= 16000 {
+		t.Errorf("it took %v, with %d listings there", took, listings)
 	}
 }
 
 // Two copies hold different things under one number, and one has lost some without knowing: stretches that are compared tell, it is
 // noted, and all settle on the same.
-func TestWhatDiffersIsFoundAndSettled(t *testing.T) {
+func TestDivergenceIsDetectedAndRepaired(t *testing.T) {
 	w := newSimulation(9, 3)
 	w.clock.Pass(time.Second)
 	g0, g1 := w.nodes["g0"], w.nodes["g1"]
-	say := func() {
+	publish := func() {
 		for i := range 30 {
 			g0.node.bulkBudget = 1e9
 			g0.node.Publish(w.localTime(g0), Listing, fmt.Sprintf("o%d", i), Encode(ListingValue{Server: "b1", Requests: 1}), w.localTime(g0))
 		}
 	}
-	say()
+	publish()
 	if _, ok := w.awaitConvergence(10 * time.Second); !ok {
 		t.Fatal("the listings do not spread")
 	}
 	for i := range 5 {
-		x := g1.node.slots[slotID{Listing, fmt.Sprintf("o%d", i), g0.node.self}]
+		slot := g1.node.slots[slotID{Listing, fmt.Sprintf("o%d", i), g0.node.self}]
 		if i == 0 {
-			x.Value = Encode(ListingValue{Server: "b9"})
+			slot.Value = Encode(ListingValue{Server: "b9"})
 		} else {
-			g1.node.remove(x)
+			g1.node.remove(slot)
 		}
 	}
 	if w.converged() {
@@ -399,15 +399,15 @@
 	if !ok {
 		t.Fatalf("it is not settled: %s", w.divergence())
 	}
-	noted := 0
+	recorded := 0
 	for _, m := range w.nodes {
 		for _, d := range m.node.Divergences() {
-			if noted++; d.Writer != g0.node.self {
+			if recorded++; d.Writer != g0.node.self {
 				t.Errorf("%+v", d)
 			}
 		}
 	}
-	if noted == 0 {
+	if recorded == 0 {
 		t.Errorf("settled after %v, and nobody noted it", took)
 	}
 }
--- a/replication/slot.go
+++ b/replication/slot.go
@@ -8,38 +8,40 @@
 	"time"
 )
 
-// Bounds of what a slot may hold, in bytes.
+// Maximum lengths of the fields of a slot, in bytes.
 const (
 	maxKeyBytes   = 128
 	maxValueBytes = 512
 	maxNameBytes  = 64
 )
 
-// Incarnation names one start of a gateway.
+// Incarnation identifies one start of a gateway process.
 type Incarnation struct {
-	Name   string `json:"Name"`
-	Number uint64 `json:"Number"` // that no other start has
+	Name   string `json:"Name"`   // of the gateway
+	Number uint64 `json:"Number"` // unique among the starts of the gateway
 }
 
+// compare orders incarnations by name, then number.
 func (i Incarnation) compare(o Incarnation) int {
 	return cmp.Or(cmp.Compare(i.Name, o.Name), cmp.Compare(i.Number, o.Number))
 }
 
-// Slot is what one incarnation has written for one key of one kind.
+// Slot is the value that one incarnation has written for one key of one kind.
 type Slot struct {
 	Writer    Incarnation
-	Seq       uint64 // in the writer's stream of that kind
+	Seq       uint64 // number of the slot in the writer's stream, from 1
 	Kind      Kind
-	Key       string
-	Value     []byte
-	Timestamp uint64 // hybrid logical clock of the writer: orders slots of about the same age
+	Key       string // meaning depends on Kind
+	Value     []byte // meaning depends on Kind
+	Timestamp uint64 // hybrid logical clock of the writer; orders slots of about the same age
 
-	// SeenAfter and SeenBefore bound when the writer saw the evidence, by the clock of the replica that holds the slot.
+	// SeenAfter and SeenBefore are the earliest and the latest time at which the writer can have seen the evidence for the value, by the
+	// monotonic clock of the replica that stores the slot.
 	SeenAfter, SeenBefore time.Duration
-	removed               bool // it stays in its streamLog until that is compacted
+	removed               bool // dropped, but still in its streamLog until that is compacted
 }
 
-// slotID tells slots apart; a later write replaces an earlier one with the same.
+// slotID identifies a slot. A later write with the same slotID replaces an earlier one.
 type slotID struct {
 	kind   Kind
 	key    string
@@ -48,7 +50,8 @@
 
 func (s *Slot) id() slotID { return slotID{s.Kind, s.Key, s.Writer} }
 
-// wellFormed reports whether a slot from another replica is within bounds, and its evidence not from the future.
+// wellFormed reports whether the fields of a slot from another replica are within their bounds, and its evidence is not from the
+// future.
 func (s *Slot) wellFormed(now time.Duration) bool {
 	named := s.Writer.Name != "" && len(s.Writer.Name) <= maxNameBytes
 	sized := s.Key != "" && len(s.Key) <= maxKeyBytes && len(s.Value) <= maxValueBytes
@@ -56,12 +59,13 @@
 	return named && sized && seen && s.Seq > 0
 }
 
-// supersedes reports whether s replaces an older write of the same slotID. Two writes under one number mean that a member is
-// faulty or lies: every replica keeps the same one of the two.
+// supersedes reports whether s replaces another write of the same slotID: the one with the higher number. Two different writes with the
+// same number mean that a member is faulty or malicious; then the higher hash decides, so that all replicas keep the same one.
 func (s *Slot) supersedes(old *Slot) bool {
 	return s.Seq > old.Seq || s.Seq == old.Seq && s.hash() > old.hash()
 }
 
+// hash returns a hash of all fields that are the same at every replica.
 func (s *Slot) hash() uint64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprintf(h, "%d %q %q %d %d %d ", s.Kind, s.Key, s.Writer.Name, s.Writer.Number, s.Seq, s.Timestamp) // never fails
@@ -69,29 +73,33 @@
 	return h.Sum64()
 }
 
-// streamLog is one stream of an incarnation.
+// streamLog contains the slots of one stream of an incarnation.
 type streamLog struct {
-	upTo    uint64  // all slots up to this number are known, or were not worth sending
-	slots   []*Slot // by Seq
-	removed int     // slots among them that are removed
+	upTo    uint64  // all slots up to this number have been received, or no longer exist
+	slots   []*Slot // sorted by Seq
+	removed int     // number of removed slots in slots
 }
 
+// live returns the number of slots that are not removed.
 func (l *streamLog) live() int { return len(l.slots) - l.removed }
 
-// from are the slots from a number on.
+// from returns the slots with at least the given number, including removed ones.
 func (l *streamLog) from(seq uint64) []*Slot { return l.slots[l.index(seq):] }
 
+// index returns the index of the first slot with at least the given number.
 func (l *streamLog) index(seq uint64) int {
 	at, _ := slices.BinarySearchFunc(l.slots, seq, func(s *Slot, seq uint64) int { return cmp.Compare(s.Seq, seq) })
 	return at
 }
 
+// insert inserts a slot at the place of its number.
 func (l *streamLog) insert(s *Slot) { l.slots = slices.Insert(l.slots, l.index(s.Seq), s) }
 
-// compactSlack is how many removed slots a log may hold beyond half of it.
+// compactSlack keeps short logs from being compacted too often: compaction starts when twice the number of removed slots exceeds
+// the length of the log by more than this.
 const compactSlack = 8
 
-// compact drops removed slots once they are half of the log.
+// compact deletes the removed slots from the log once they are more than about half of it.
 func (l *streamLog) compact() {
 	if l.removed*2 > len(l.slots)+compactSlack {
 		l.slots = slices.DeleteFunc(l.slots, func(s *Slot) bool { return s.removed })
--- a/replication/tombstone.go
+++ b/replication/tombstone.go
@@ -5,10 +5,11 @@
 	"slices"
 )
 
-// TombstoneKey is the key of a Tombstone for a key of a kind.
+// TombstoneKey returns the key of a Tombstone that covers all slots of a kind and key.
 func TombstoneKey(k Kind, key string) string { return fmt.Sprintf("%d %s", uint32(k), key) }
 
-// parseTombstoneKey is the inverse of TombstoneKey; false: it is none. A tombstone does not cover tombstones.
+// parseTombstoneKey parses a key made by TombstoneKey. It returns false for a malformed key, and for one that covers tombstones,
+// which is not allowed.
 func parseTombstoneKey(s string) (k Kind, key string, ok bool) {
 	var number uint32
 	if n, err := fmt.Sscanf(s, "%d ", &number); n != 1 || err != nil || Kind(number) == Tombstone {
@@ -17,7 +18,7 @@
 	return Kind(number), s[len(fmt.Sprintf("%d ", number)):], true
 }
 
-// tombstoned reports whether a tombstone covers a slot: one that is not older than its evidence.
+// tombstoned reports whether a tombstone covers a slot: one whose own evidence is not older than that of the slot.
 func (r *Replica) tombstoned(s *Slot) bool {
 	for _, t := range r.byKey[Tombstone][TombstoneKey(s.Kind, s.Key)] {
 		if s.SeenBefore <= t.SeenBefore {
@@ -27,7 +28,7 @@
 	return false
 }
 
-// applyTombstone drops the slots that a new tombstone covers.
+// applyTombstone removes the slots that a new tombstone covers.
 func (r *Replica) applyTombstone(t *Slot) {
 	k, key, ok := parseTombstoneKey(t.Key)
 	if !ok {
--- a/replication/values.go
+++ b/replication/values.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// The values of slots, and how what several incarnations have written for one key is combined.
+// Values of slots, and the rules by which a reader combines the slots that several incarnations have written for one key.
 
-// ListingValue is the value of a Listing: where an object is cached.
+// ListingValue is the value of a Listing: the endpoint at which an object is cached.
 type ListingValue struct {
-	Server       string  `json:"s"`
-	BootMs       int64   `json:"b,omitempty"` // Unix time of the server's start; 0: long ago
-	Requests     float64 `json:"n"`           // recent requests for the object at the writer
-	MeanGapMs    int64   `json:"g,omitempty"` // between those requests
-	MinLatencyMs int64   `json:"w,omitempty"` // of the server's answers for the object
+	Server       string  `json:"s"`           // id of the endpoint
+	BootMs       int64   `json:"b,omitempty"` // Unix time in ms of the endpoint's start; 0: long ago
+	Requests     float64 `json:"n"`           // number of recent requests for the object at the writer
+	MeanGapMs    int64   `json:"g,omitempty"` // mean time in ms between those requests
+	MinLatencyMs int64   `json:"w,omitempty"` // shortest latency in ms of the endpoint's answers for the object
 }
 
-// DrainValue is the value of a Drain.
+// DrainValue is the value of a Drain: whether an endpoint drains or is in use again.
 type DrainValue struct {
-	BootMs int64 `json:"b,omitempty"` // Unix time of the start of the server that is meant
-	Up     bool  `json:"u,omitempty"` // it is in use again
+	BootMs int64 `json:"b,omitempty"` // Unix time in ms of the start of the endpoint's incarnation that drains
+	Up     bool  `json:"u,omitempty"` // true: the endpoint is in use again; false: it drains or has left the endpoint list
 }
 
-// Encode encodes a value. It panics for a type that can't be encoded.
+// Encode encodes a value as JSON. It panics if the type can't be encoded, which is a programming error.
 func Encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -34,11 +34,11 @@
 	return b
 }
 
-// decodeValue reads a value; one that can't be read counts as absent.
+// decodeValue decodes the value of a slot. It returns false for a malformed value; callers ignore such slots.
 func decodeValue[T any](s *Slot) (v T, ok bool) { return v, json.Unmarshal(s.Value, &v) == nil }
 
-// newer reports whether a is the newer slot of a key: by age where that differs clearly, else by the writers' logical clocks,
-// and then by their names, so that all replicas agree.
+// newer reports whether slot a of a key is newer than slot b: by age if the ages differ by more than ageTolerance, otherwise by the
+// writers' logical clocks, and then by the writers, so that all replicas choose the same slot.
 func newer(a, b *Slot) bool {
 	if d := a.SeenBefore - b.SeenBefore; d > ageTolerance || d < -ageTolerance {
 		return d > 0
@@ -46,7 +46,7 @@
 	return cmp.Or(cmp.Compare(a.Timestamp, b.Timestamp), a.Writer.compare(b.Writer)) > 0
 }
 
-// newest is the newest of the slots of a key, of which there is one at least.
+// newest returns the newest of the slots of a key. slots must not be empty.
 func newest(slots []*Slot) *Slot {
 	best := slots[0]
 	for _, s := range slots[1:] {
@@ -57,7 +57,8 @@
 	return best
 }
 
-// Purges gives the time of the newest purge of each name. It counts as young as it may be: what was fetched meanwhile is fetched again.
+// Purges returns the latest possible time of the newest purge of each name, on the clock of now. An object that was fetched between
+// the purge and this time is fetched again, which is safe.
 func (r *Replica) Purges(now time.Duration) map[string]time.Duration {
 	all := map[string]time.Duration{}
 	for key, slots := range r.byKey[Purge] {
@@ -70,15 +71,16 @@
 	return all
 }
 
-// ListingEntry is a Listing as it is read.
+// ListingEntry is the newest Listing of a key.
 type ListingEntry struct {
 	Key     string
-	LastUse time.Duration // as old as it may be
+	LastUse time.Duration // earliest possible time of the latest request for the object, on the replica's clock
 	Writer  Incarnation
 	Value   ListingValue
 }
 
-// Listings gives for each key where it was cached last, the latest used first; at most so many, or all for 0.
+// Listings returns the newest Listing of each key, sorted by the latest use, the most recent first; at most limit entries, or all if
+// limit is 0.
 func (r *Replica) Listings(now time.Duration, limit int) (all []ListingEntry) {
 	for key, slots := range r.byKey[Listing] {
 		s := newest(slots)
@@ -96,7 +98,8 @@
 	return all
 }
 
-// Locate gives the server that a key was cached at last, and when; false: no gateway says. It does not look at the age.
+// Locate returns the endpoint in the newest Listing of a key, and the earliest possible time of its latest use. It returns false if
+// there is no Listing with a valid value. Unlike Listings it ignores the age.
 func (r *Replica) Locate(key string) (server string, at time.Duration, ok bool) {
 	slots := r.byKey[Listing][key]
 	if len(slots) == 0 {
@@ -107,8 +110,8 @@
 	return v.Server, s.SeenAfter, ok
 }
 
-// Drains gives the servers that another incarnation has said drain, within a time, by the Unix time in milliseconds of the start that
-// is meant. One that says so outweighs others that do not.
+// Drains returns the endpoints that another incarnation has reported as draining at most within ago. The map gives, by endpoint id, the
+// Unix time in ms of the start of the draining endpoint. One report that an endpoint drains suffices, whatever others report.
 func (r *Replica) Drains(now, within time.Duration) map[string]int64 {
 	all := map[string]int64{}
 	for key, slots := range r.byKey[Drain] {
@@ -122,10 +125,11 @@
 	return all
 }
 
-// maxWorkSent bounds what one writer may claim to have sent; more is not believed.
+// maxWorkSent is the highest plausible value of one writer; higher values are ignored.
 const maxWorkSent = 1e12
 
-// WorkSent is what all incarnations together have sent a server since a start, in the unit that the writers count in.
+// WorkSent returns the work that all incarnations together have sent to an endpoint since its start, in the unit in which the writers
+// publish it. key is the key of the SlowStart slots.
 func (r *Replica) WorkSent(key string) (sum float64) {
 	for _, s := range r.byKey[SlowStart][key] {
 		if n, ok := decodeValue[float64](s); ok && n > 0 && n < maxWorkSent {
@@ -135,7 +139,7 @@
 	return sum
 }
 
-// Row is a slot as operators see it.
+// Row is a slot in the form that operators are shown.
 type Row struct {
 	Kind        string          `json:"kind"`
 	Key         string          `json:"key"`
@@ -146,7 +150,8 @@
 	Value       json.RawMessage `json:"value,omitempty"`
 }
 
-// Rows gives slots in order, of one kind or, for an empty name, of all; at most so many, and how many there are.
+// Rows returns the first slots, at most limit, sorted by kind, key and writer, and the total number. kind is the name of the kind to
+// return; empty: all kinds.
 func (r *Replica) Rows(now time.Duration, kind string, limit int) (rows []Row, total int) {
 	var slots []*Slot
 	for _, s := range r.slots {
--- a/replication/versions.go
+++ b/replication/versions.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// StreamVersions says up to which number a replica has the streams of an incarnation.
+// StreamVersions gives the number up to which a replica has all slots of each stream of an incarnation.
 type StreamVersions struct {
 	Incarnation Incarnation
 	UpTo        [streams]uint64 // by Stream
 }
 
-// VersionVector says how far this replica has the streams of all incarnations, in the order of their names and numbers.
+// VersionVector returns the versions of all incarnations that this replica knows, sorted by incarnation.
 func (r *Replica) VersionVector() (all []StreamVersions) {
 	for i, state := range r.incarnations {
 		all = append(all, StreamVersions{i, [streams]uint64{state.logs[Safety].upTo, state.logs[Bulk].upTo}})
@@ -21,11 +21,12 @@
 	return all
 }
 
+// sortVersions sorts versions by incarnation.
 func sortVersions(all []StreamVersions) {
 	slices.SortFunc(all, func(a, b StreamVersions) int { return a.Incarnation.compare(b.Incarnation) })
 }
 
-// Lags reports whether another replica has a stream further than this one.
+// Lags reports whether a replica with the given versions has slots that this one lacks.
 func (r *Replica) Lags(theirs []StreamVersions) bool {
 	for _, v := range theirs {
 		state := r.incarnations[v.Incarnation]
@@ -38,7 +39,8 @@
 	return false
 }
 
-// AdvanceTo records that all slots of a stream up to a number were taken in, or no longer exist.
+// AdvanceTo records that all slots of another incarnation's stream up to a number have been received, or no longer exist. Invalid
+// arguments, and new incarnations beyond maxIncarnations, are ignored.
 func (r *Replica) AdvanceTo(now time.Duration, i Incarnation, st Stream, upTo uint64) {
 	if i == r.self || st < 0 || st >= streams || i.Name == "" || len(i.Name) > maxNameBytes {
 		return
@@ -56,7 +58,7 @@
 	}
 }
 
-// ResetVersions forgets how far another incarnation's streams are known, so that peers send all of them again.
+// ResetVersions sets the versions of another incarnation's streams to 0, so that peers send all of its slots again.
 func (r *Replica) ResetVersions(i Incarnation) {
 	state := r.incarnations[i]
 	if state == nil || i == r.self {
@@ -67,9 +69,9 @@
 	}
 }
 
-// Delta is what a replica with the given versions lacks, in the order in which it has to be sent, and the versions that it has
-// reached with it. It holds at most maxBytes by slotBytes, but one slot at least; bulk only while all of it is under bulkBytes. More: it
-// lacks further slots.
+// Delta returns the slots that a replica with the given versions lacks, in the order in which they have to be merged, and the versions
+// that it then reaches. The slots have at most maxBytes, as measured by slotBytes, but there is at least one if it is a safety slot.
+// Bulk slots are only added while the total is at most bulkBytes. more reports that the replica lacks further slots.
 func (r *Replica) Delta(theirs []StreamVersions, maxBytes, bulkBytes int, slotBytes func(*Slot) int) (slots []*Slot, reached []StreamVersions, more bool) {
 	known := map[Incarnation][streams]uint64{}
 	for _, v := range theirs {
@@ -91,16 +93,16 @@
 	return d.slots, d.versions(), false
 }
 
-// delta collects what Delta returns.
+// delta collects the result of Delta.
 type delta struct {
 	maxBytes, bulkBytes int
 	slotBytes           func(*Slot) int
-	bytes               int
+	bytes               int // total size of slots
 	slots               []*Slot
 	reached             map[Incarnation]*[streams]uint64
 }
 
-// add adds a stream after a number. It reports whether all of it had space.
+// add adds the slots of a stream after a number, as far as there is space. It reports whether all of them fit.
 func (d *delta) add(i Incarnation, st Stream, log *streamLog, after uint64) bool {
 	reached := d.reached[i]
 	if reached == nil {
@@ -123,6 +125,7 @@
 	return true
 }
 
+// hasSpace reports whether a slot of the given size fits. The first slot always fits into maxBytes, so that an exchange makes progress.
 func (d *delta) hasSpace(st Stream, size int) bool {
 	if st == Bulk && d.bytes+size > d.bulkBytes {
 		return false
@@ -130,6 +133,7 @@
 	return d.bytes+size <= d.maxBytes || len(d.slots) == 0
 }
 
+// versions returns the reached versions, sorted by incarnation.
 func (d *delta) versions() (all []StreamVersions) {
 	for i, upTo := range d.reached {
 		all = append(all, StreamVersions{i, *upTo})
