--- a/replication/explore_test.go
+++ b/replication/explore_test.go
@@ -10,29 +10,32 @@
 	"time"
 )
 
-// The explorer goes through every order in which three members can make three writes of different kinds, among them a tombstone, and
-// exchange what they have (completely, or broken off after the first slot), with one loss of memory, one member isolated and connected again, and
-// one stretch of time in which all of it, the tombstone last, runs out.
+// The explorer enumerates every order in which three members can make three writes of different kinds, one of them a tombstone, and
+// exchange slots, completely or interrupted after the first slot. In each order at most one member restarts with an empty replica, one
+// is isolated and reconnected, and time passes once, so that all slots but the tombstone expire.
 
+// exploration is one state of the three replicas, and the events that have happened.
 type exploration struct {
 	now              time.Duration
 	replicas         [3]*Replica
 	lastIncarnation  uint64
-	written          [3]bool // who has written
-	memoryLost       bool    // it has been
-	isolated         int     // this one is cut off; 3: nobody; it was, 4
-	timePassed       bool
-	tombstonedAt     time.Duration // when the tombstone was said; 0: not yet
-	purgedAt         time.Duration
-	violation        string
-	partialExchanges bool // exchanges break off, too
+	written          [3]bool       // by replica: its write has been made
+	memoryLost       bool          // a member has restarted with an empty replica
+	isolated         int           // index of the isolated replica; 3: none was isolated yet; 4: it is connected again
+	timePassed       bool          // slots other than the tombstone have expired
+	tombstonedAt     time.Duration // time of the tombstone's write; 0: not written yet
+	purgedAt         time.Duration // time of the purge's write; 0: not written yet
+	violation        string        // the latest violated invariant; empty: none
+	partialExchanges bool          // also explore interrupted exchanges
 }
 
+// writers is the write that each replica makes.
 var writers = [3]struct {
 	kind Kind
 	key  string
 }{{Purge, "o"}, {Health, "b"}, {Tombstone, TombstoneKey(Health, "b")}}
 
+// newExploration returns the initial state: three empty replicas.
 func newExploration() *exploration {
 	e := &exploration{now: 100 * time.Second, isolated: 3}
 	for i := range e.replicas {
@@ -41,12 +44,13 @@
 	return e
 }
 
+// restart replaces a replica by an empty one of a new incarnation.
 func (e *exploration) restart(i int) {
 	e.lastIncarnation++
 	e.replicas[i] = NewReplica(Incarnation{string(rune('a' + i)), e.lastIncarnation}, 0)
 }
 
-// clone copies a replica, slot by slot.
+// clone returns a deep copy of a replica.
 func (r *Replica) clone() *Replica {
 	k := NewReplica(r.self, r.purgeSettleTime)
 	k.timestamp = r.timestamp
@@ -77,6 +81,7 @@
 	return k
 }
 
+// clone returns a deep copy of the state.
 func (e *exploration) clone() *exploration {
 	x := *e
 	for i, c := range e.replicas {
@@ -85,7 +90,7 @@
 	return &x
 }
 
-// exchange has one ask another; part: it breaks off after the first slot.
+// exchange has replica i pull from replica j. A partial exchange is interrupted after the first slot.
 func (e *exploration) exchange(i, j int, partial bool) {
 	maxBytes := 1 << 20
 	if partial {
@@ -102,6 +107,7 @@
 	}
 }
 
+// steps returns all events that can happen next.
 func (e *exploration) steps() (all []func(*exploration)) {
 	for i, w := range writers {
 		if !e.written[i] {
@@ -140,7 +146,7 @@
 	if !e.timePassed {
 		all = append(all, func(e *exploration) {
 			e.timePassed = true
-			e.now += limitsByKind[Tombstone].maxAge - 30*time.Second // all but the tombstone runs out
+			e.now += limitsByKind[Tombstone].maxAge - 30*time.Second // all slots but the tombstone expire
 			for _, c := range e.replicas {
 				c.Sweep(e.now)
 			}
@@ -149,20 +155,20 @@
 	return all
 }
 
-// check is what must hold at every moment.
+// check checks the invariant that must hold in every state: a replica with the tombstone has no slot that it covers.
 func (e *exploration) check() {
 	for i, c := range e.replicas {
 		for _, s := range c.slots {
 			if s.Kind == Health && e.tombstonedAt > 0 && s.SeenBefore <= e.tombstonedAt && len(c.byKey[Tombstone]) > 0 {
-				e.violation = fmt.Sprintf("%c holds what a tombstone covers", 'a'+i)
+				e.violation = fmt.Sprintf("replica %c has a slot that its tombstone covers", 'a'+i)
 			}
 		}
 	}
 }
 
-// settle has all exchange what they have, and compares the replicas.
+// settle exchanges all slots between all replicas, and checks that they have converged and that a known purge has not been lost.
 func (e *exploration) settle() string {
-	purgeKnown := false // somebody has the purge
+	purgeKnown := false // at least one replica has the purge
 	for _, c := range e.replicas {
 		purgeKnown = purgeKnown || c.Purges(e.now)["o"] > 0
 	}
@@ -182,15 +188,16 @@
 			sums[i] += c.slotSum(e.now, s)
 		}
 		if purgeKnown && c.Purges(e.now)["o"] == 0 {
-			return fmt.Sprintf("%c does not know of the purge, which somebody knew of", 'a'+i)
+			return fmt.Sprintf("replica %c lacks the purge, which another one had", 'a'+i)
 		}
 	}
 	if sums[0] != sums[1] || sums[1] != sums[2] {
-		return "they do not know the same in the end"
+		return "the replicas differ after all slots have been exchanged"
 	}
 	return e.violation
 }
 
+// key returns a hash of the state. States with equal keys are explored once.
 func (e *exploration) key() uint64 {
 	h := fnv.New64a()
 	num := func(all ...uint64) {
@@ -214,7 +221,7 @@
 	return h.Sum64()
 }
 
-// exploreAll goes through all states, and says how many there were.
+// exploreAll visits all states that can be reached, and returns their number and the first violation, if any.
 func exploreAll(partialExchanges bool) (states int, violation string) {
 	initial := newExploration()
 	initial.partialExchanges = partialExchanges
@@ -241,14 +248,15 @@
 	return len(seen), ""
 }
 
-// CI leaves out exchanges that break off; EXPLORE has them, too.
+// In every order of writes, exchanges and failures the replicas converge. Interrupted exchanges are explored only if the environment
+// variable EXPLORE is set, since CI has no time for them.
 func TestExplore(t *testing.T) {
 	states, violation := exploreAll(os.Getenv("EXPLORE") != "")
 	if violation != "" {
 		t.Errorf("after %d states: %s", states, violation)
 	}
-	t.Logf("%d states, all of them", states)
+	t.Logf("%d states visited", states)
 	if states < 10_000 {
-		t.Errorf("%d states", states)
+		t.Errorf("%d states visited, want at least 10,000", states)
 	}
 }
--- a/replication/network_faults_test.go
+++ b/replication/network_faults_test.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// injectFault makes one of the faults at a time, for 0.2 s to 4.2 s.
+// injectFault schedules a random fault at a time, for 0.2 s to 4.2 s: a killed node, a suspended node, a partition, or loss,
+// duplication and delay of messages together with a wrong wall clock.
 func (w *simulation) injectFault(at time.Duration) {
 	w.clock.At(at, func() {
 		m := w.nodes[w.names[w.rng.IntN(len(w.names))]]
@@ -22,7 +23,7 @@
 	})
 }
 
-// kill ends a node, which starts again as another incarnation.
+// kill kills a node, and restarts it as another incarnation at the time back.
 func (w *simulation) kill(m *host, back time.Duration) {
 	if m.node == nil {
 		return
@@ -32,7 +33,7 @@
 	w.clock.At(back, func() { w.startNode(m) })
 }
 
-// suspendUntil stops a node, which goes on where it stood.
+// suspendUntil suspends a node until the time resume, when it continues with its state and handles the messages received meanwhile.
 func (w *simulation) suspendUntil(m *host, resume time.Duration) {
 	if m.node == nil || m.suspended {
 		return
@@ -51,7 +52,7 @@
 	})
 }
 
-// partition severs links between two sides, one way or both.
+// partition splits the nodes at random into two sides and severs the links between them, in one direction or both, until the time heal.
 func (w *simulation) partition(heal time.Duration) {
 	side, oneWay := map[string]bool{}, w.rng.IntN(2) == 0
 	for _, n := range w.names {
--- a/replication/replica_test.go
+++ b/replication/replica_test.go
@@ -12,7 +12,7 @@
 
 func incarnation(name string, n uint64) Incarnation { return Incarnation{name, n} }
 
-// drawSlots is a set of slots as several incarnations could have written them: one slot for each number of one incarnation.
+// drawSlots draws slots as three correct incarnations could have written them: one slot for each sequence number.
 func drawSlots(t *rapid.T) (all []Slot) {
 	for w := range 3 {
 		for n := range rapid.IntRange(0, 6).Draw(t, "n") {
@@ -25,6 +25,7 @@
 	return all
 }
 
+// replicaOf returns a replica into which slots were merged in order.
 func replicaOf(slots []Slot) *Replica {
 	c := NewReplica(incarnation("self", 1), 0)
 	for _, s := range slots {
@@ -33,6 +34,7 @@
 	return c
 }
 
+// sum returns a hash of all slots that does not depend on their order.
 func (r *Replica) sum() (sum uint64) {
 	for _, s := range r.slots {
 		sum += s.hash()
@@ -40,7 +42,7 @@
 	return sum
 }
 
-// Merging gives the same in any order, any number of times, and however it is grouped.
+// Merging slots yields the same replica in any order, with repetitions, and when two partial replicas are merged.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawSlots(t)
@@ -48,10 +50,10 @@
 		again := append(append([]Slot{}, mixed...), rapid.SliceOfN(rapid.SampledFrom(append(mixed, Slot{})), 0, 8).Draw(t, "again")...)
 		want := replicaOf(all).sum()
 		if got := replicaOf(mixed).sum(); got != want {
-			t.Fatalf("merged in another order, the replica differs")
+			t.Fatalf("the replica differs after merging the slots in another order")
 		}
 		if got := replicaOf(again).sum(); got != want {
-			t.Fatalf("merged twice, the replica differs")
+			t.Fatalf("the replica differs after merging some slots twice")
 		}
 		half := rapid.IntRange(0, len(all)).Draw(t, "half")
 		a, b := replicaOf(mixed[:half]), replicaOf(mixed[half:])
@@ -59,12 +61,13 @@
 			a.Merge(100*sec, 100*sec, *s)
 		}
 		if got := a.sum(); got != want {
-			t.Fatalf("grouped otherwise, the replica differs")
+			t.Fatalf("the replica differs after merging two partial replicas")
 		}
 	})
 }
 
-// Wherever an exchange breaks off, deltas make two replicas the same, with no slot sent twice and no bulk before safety.
+// Deltas make two replicas equal even if some are lost. No slot is sent twice to a replica that has it, and no bulk slot precedes a safety
+// slot.
 func TestDeltasConvergeAfterInterruptedExchanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := NewReplica(incarnation("from", 1), 0), NewReplica(incarnation("to", 1), 0)
@@ -84,25 +87,27 @@
 			}
 		}
 		if from.sum() != to.sum() || to.Lags(from.VersionVector()) {
-			t.Fatal("the replicas differ")
+			t.Fatal("the replicas differ after the last delta")
 		}
 	})
 }
 
+// checkSafetyFirst checks that no safety slot follows a bulk slot.
 func checkSafetyFirst(t *rapid.T, slots []*Slot) {
 	bulk := false
 	for _, s := range slots {
 		if bulk && s.Kind.stream() == Safety {
-			t.Fatal("bulk goes before safety")
+			t.Fatal("a bulk slot precedes a safety slot in a delta")
 		}
 		bulk = bulk || s.Kind.stream() == Bulk
 	}
 }
 
+// mergeDelta merges a delta into a replica and checks that all its slots are new there.
 func mergeDelta(t *rapid.T, to *Replica, slots []*Slot, reached []StreamVersions) {
 	for _, s := range slots {
 		if !to.Merge(100*sec, 100*sec, *s) {
-			t.Fatalf("%v was sent twice", s)
+			t.Fatalf("slot %v was sent although the replica has it", s)
 		}
 	}
 	for _, v := range reached {
@@ -112,7 +117,7 @@
 	}
 }
 
-// A slot does not grow younger by being passed on, however often and slowly.
+// A slot that is forwarded from node to node, with delays, must never appear younger than it is.
 func TestSlotKeepsAgingWhileForwarded(t *testing.T) {
 	now := 100 * sec
 	a := NewReplica(incarnation("a", 1), 0)
@@ -138,44 +143,46 @@
 			seenAfter, seenBefore, slot = s.SeenAfter, s.SeenBefore, s
 		}
 		if seenAfter > 100*sec {
-			t.Fatalf("after %d steps it seems to be seen at %v", i, seenAfter)
+			t.Fatalf("after %d transfers the evidence is dated %v, want at most 100s", i, seenAfter)
 		}
 	}
 	if age := now - seenAfter; age < 24*sec {
-		t.Errorf("at %v it is %v old", now, age)
+		t.Errorf("at %v the slot is %v old, want at least 24s", now, age)
 	}
 }
 
-// A tombstone covers what was seen before it, wherever that turns up, for longer than that lasts; what is seen later stands.
+// A tombstone drops existing slots with older evidence, and keeps them from being merged again for longer than they can last at any
+// replica. Slots with newer evidence are accepted.
 func TestTombstoneOutlivesCoveredSlots(t *testing.T) {
 	c := NewReplica(incarnation("c", 1), 0)
 	old := Slot{Writer: incarnation("w", 1), Seq: 1, Kind: Health, Key: "b1", Value: Encode(HealthValue{ErrorRate: 1}), SeenAfter: 100 * sec, SeenBefore: 100 * sec}
 	c.Merge(100*sec, 0, old)
 	c.Write(110*sec, 0, Tombstone, TombstoneKey(Health, "b1"), []byte(`"a bad cable"`), 110*sec)
 	if c.Count(Health) != 0 {
-		t.Error("it is still there")
+		t.Error("the slot covered by the tombstone was not removed")
 	}
 	for now := 110 * sec; now < 400*sec; now += 5 * sec {
 		c.Sweep(now)
 		s := old
 		s.Seq = 2
-		s.Writer.Number = uint64(now) // another incarnation that had it
+		s.Writer.Number = uint64(now) // as if another incarnation had written it
 		if c.Merge(now, 0, s) {
-			t.Fatalf("it is back at %v", now)
+			t.Fatalf("the covered slot was accepted again at %v", now)
 		}
 	}
 	if c.Count(Tombstone) != 0 {
-		t.Error("the tombstone stays for ever")
+		t.Error("the tombstone has not expired")
 	}
 	c.Write(500*sec, 0, Tombstone, TombstoneKey(Health, "b1"), nil, 500*sec)
 	later := old
 	later.SeenAfter, later.SeenBefore = 501*sec, 501*sec
 	if !c.Merge(502*sec, 0, later) {
-		t.Error("newer evidence is covered, too")
+		t.Error("a slot with evidence newer than the tombstone was not accepted")
 	}
 }
 
-// A member that lies in every field, in valid form, is bounded.
+// A malicious member that sends well-formed slots with arbitrary contents can't fill the replica, advance its logical clock, make an
+// endpoint count as faulty alone, or write in the name of this incarnation.
 func TestMaliciousMemberIsBounded(t *testing.T) {
 	c := NewReplica(incarnation("c", 1), 6*sec)
 	now := 100 * sec
@@ -187,35 +194,35 @@
 		c.Merge(now, now, malicious(i+1, Purge, fmt.Sprint("x", i), 0))
 	}
 	if n := c.Count(Purge); n > limitsByKind[Purge].maxSlots/writerDivisor+1 {
-		t.Errorf("%d of its purges are kept", n)
+		t.Errorf("%d purges were kept, most of them of the malicious member, want at most its share of the capacity and one", n)
 	}
 	if c.Purges(now)["mine"] == 0 {
 		t.Error("it has pushed out another one's")
 	}
 	if c.timestamp >= 1<<61 {
-		t.Error("its clock took this one along")
+		t.Error("the logical clock was advanced by a timestamp far in the future")
 	}
 	c.Merge(now, now, malicious(1, Health, "b1", HealthValue{ErrorRate: 1, EjectedMs: 1000}))
 	c.Merge(now, now, malicious(2, Health, "b2", HealthValue{ErrorRate: 7}))
 	if got := c.FaultReports(now, 5); len(got) != 0 {
-		t.Errorf("its word alone counts: %+v", got)
+		t.Errorf("fault reports based on a single gateway: %+v, want none", got)
 	}
 	for _, bad := range []Slot{
-		{Writer: incarnation("c", 1), Seq: 99, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                     // in this one's name
-		{Writer: incarnation("liar", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now + sec},                             // of the future
-		{Writer: incarnation("liar", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now - 50*sec, SeenBefore: now - 50*sec},                 // outlived
-		{Writer: incarnation("liar", 9), Seq: 0, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                   // without a number
-		{Writer: incarnation("liar", 9), Seq: 1, Kind: Purge, Key: string(make([]byte, maxKeyBytes+1)), SeenAfter: now, SeenBefore: now},   // too long
-		{Writer: incarnation("liar", 9), Seq: 1, Kind: Purge, Key: "o", Value: make([]byte, maxValueBytes+1), SeenAfter: 0, SeenBefore: 0}, // likewise
-		{Writer: incarnation("", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                       // of nobody
+		{Writer: incarnation("c", 1), Seq: 99, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                     // written in the name of this incarnation
+		{Writer: incarnation("liar", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now + sec},                             // evidence from the future
+		{Writer: incarnation("liar", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now - 50*sec, SeenBefore: now - 50*sec},                 // older than the maximum age
+		{Writer: incarnation("liar", 9), Seq: 0, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                   // without a sequence number
+		{Writer: incarnation("liar", 9), Seq: 1, Kind: Purge, Key: string(make([]byte, maxKeyBytes+1)), SeenAfter: now, SeenBefore: now},   // key too long
+		{Writer: incarnation("liar", 9), Seq: 1, Kind: Purge, Key: "o", Value: make([]byte, maxValueBytes+1), SeenAfter: 0, SeenBefore: 0}, // value too long
+		{Writer: incarnation("", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                       // without a writer name
 	} {
 		if c.Merge(now, now, bad) {
-			t.Errorf("taken: %+v", bad)
+			t.Errorf("invalid slot was accepted: %+v", bad)
 		}
 	}
 }
 
-// A server counts as faulty when several gateways report it, for the start that they mean, by the median of their reports.
+// An endpoint counts as faulty if enough gateways report it for its current incarnation. The result is the median of their reports.
 func TestFaultReportsNeedSeveralReporters(t *testing.T) {
 	now := 100 * sec
 	report := func(c *Replica, gateway string, seen time.Duration, e HealthValue) {
@@ -225,23 +232,23 @@
 		name    string
 		alive   int
 		reports func(c *Replica)
-		want    float64 // 0: nothing
+		want    float64 // error rate of the report; 0: no report
 	}{
-		{"one", 5, func(c *Replica) { report(c, "a", now, HealthValue{ErrorRate: 1}) }, 0},
-		{"two", 5, func(c *Replica) {
+		{"one of five gateways", 5, func(c *Replica) { report(c, "a", now, HealthValue{ErrorRate: 1}) }, 0},
+		{"two of five gateways", 5, func(c *Replica) {
 			report(c, "a", now, HealthValue{ErrorRate: 0.4})
 			report(c, "b", now, HealthValue{ErrorRate: 1})
 		}, 0.4},
-		{"two of many", 9, func(c *Replica) {
+		{"two of nine gateways", 9, func(c *Replica) {
 			report(c, "a", now, HealthValue{ErrorRate: 1})
 			report(c, "b", now, HealthValue{ErrorRate: 1})
 		}, 0},
-		{"of an earlier start", 3, func(c *Replica) {
+		{"one about an earlier incarnation of the endpoint", 3, func(c *Replica) {
 			report(c, "a", now, HealthValue{ErrorRate: 1})
 			report(c, "b", now, HealthValue{ErrorRate: 1, BootMs: 5})
 		}, 0},
-		{"an own former incarnation", 9, func(c *Replica) { report(c, "c", now, HealthValue{ErrorRate: 0.7}) }, 0.7},
-		{"old", 3, func(c *Replica) {
+		{"former incarnation of the reader itself", 9, func(c *Replica) { report(c, "c", now, HealthValue{ErrorRate: 0.7}) }, 0.7},
+		{"one too old", 3, func(c *Replica) {
 			report(c, "a", now-121*sec, HealthValue{ErrorRate: 1})
 			report(c, "b", now, HealthValue{ErrorRate: 1})
 		}, 0},
@@ -250,12 +257,12 @@
 		x.reports(c)
 		got := c.FaultReports(now, x.alive)
 		if x.want == 0 && len(got) > 0 || x.want > 0 && (len(got) != 1 || got[0].Value.ErrorRate != x.want) {
-			t.Errorf("%s: %+v, want %v", x.name, got, x.want)
+			t.Errorf("%s: reports %+v, want error rate %v", x.name, got, x.want)
 		}
 	}
 }
 
-// The same slots give the same report, however often it is asked for: also of two reporters that agree in the error rate alone.
+// The same slots always yield the same report, even if two reporters agree in the error rate but differ in other fields.
 func TestFaultReportsAreDeterministic(t *testing.T) {
 	now := 100 * sec
 	c := NewReplica(incarnation("c", 2), 0)
@@ -270,11 +277,12 @@
 		}
 	}
 	if len(shares) != 1 {
-		t.Errorf("late shares, and how often each was reported: %v", shares)
+		t.Errorf("late shares and how often each was reported: %v, want only one", shares)
 	}
 }
 
-// What is clearly newer wins whatever its clock says; what is about as old, by the logical clock, at all copies alike.
+// Of two listings with clearly different ages the younger one wins, whatever the timestamps. With similar ages the higher timestamp wins,
+// and with equal timestamps the writer's name decides, so that all replicas agree.
 func TestNewestListingWins(t *testing.T) {
 	now := 100 * sec
 	merge := func(c *Replica, gateway string, seen time.Duration, timestamp uint64, server string) {
@@ -285,31 +293,31 @@
 		f(c)
 		l := c.Listings(now, 10)
 		if len(l) != 1 {
-			t.Fatalf("%+v", l)
+			t.Fatalf("listings %+v, want exactly one", l)
 		}
 		return l[0].Value.Server
 	}
-	if got := read(func(c *Replica) { merge(c, "a", now-10*sec, 1<<60, "wrong clock"); merge(c, "b", now, 5, "newer") }); got != "newer" {
+	if got := read(func(c *Replica) { merge(c, "a", now-10*sec, 1<<60, "older evidence, higher timestamp"); merge(c, "b", now, 5, "younger evidence") }); got != "younger evidence" {
 		t.Error(got)
 	}
-	if got := read(func(c *Replica) { merge(c, "a", now-sec, 9, "later"); merge(c, "b", now, 5, "earlier") }); got != "later" {
+	if got := read(func(c *Replica) { merge(c, "a", now-sec, 9, "higher timestamp"); merge(c, "b", now, 5, "lower timestamp") }); got != "higher timestamp" {
 		t.Error(got)
 	}
-	if got := read(func(c *Replica) { merge(c, "b", now, 5, "b"); merge(c, "a", now, 5, "a") }); got != "b" {
+	if got := read(func(c *Replica) { merge(c, "b", now, 5, "higher writer name"); merge(c, "a", now, 5, "lower writer name") }); got != "higher writer name" {
 		t.Error(got)
 	}
 }
 
-// The counts of all incarnations are summed, the newest of each.
+// WorkSent sums the newest values of all incarnations.
 func TestWorkSentSumsIncarnations(t *testing.T) {
 	c := NewReplica(incarnation("c", 2), 0)
-	for i, n := range []float64{3, 7, 5} { // the third is late, and older
+	for i, n := range []float64{3, 7, 5} { // the third arrives late and has a lower number than the second
 		c.Merge(100*sec, 0, Slot{Writer: incarnation("a", 1), Seq: []uint64{1, 3, 2}[i], Kind: SlowStart, Key: "b1 7", Value: Encode(n), SeenAfter: 99 * sec, SeenBefore: 99 * sec})
 	}
 	c.Merge(100*sec, 0, Slot{Writer: incarnation("a", 2), Seq: 1, Kind: SlowStart, Key: "b1 7", Value: Encode(10.0), SeenAfter: 99 * sec, SeenBefore: 99 * sec})
 	c.Write(100*sec, 0, SlowStart, "b1 7", Encode(1.0), 100*sec)
 	if got := c.WorkSent("b1 7"); got != 18 {
-		t.Errorf("%v", got)
+		t.Errorf("work sent %v, want 7 + 10 + 1 = 18", got)
 	}
 }
 
@@ -317,12 +325,13 @@
 	wall := func() time.Duration { return 0 }
 	for _, c := range []Config{{}, {Self: incarnation("a", 1), WallClock: wall}, {Self: incarnation("a", 1), Members: []string{"a"}}, {Self: incarnation("a", 1), Members: []string{"a"}, WallClock: wall, BytesPerSecond: -1}} {
 		if _, err := NewNode(c); err == nil {
-			t.Errorf("%+v is taken", c)
+			t.Errorf("invalid config %+v was accepted", c)
 		}
 	}
 }
 
-// A reply to no pull, or of another peer than the one that was asked, is not taken: its ages can't be counted from a pull.
+// Replies with another ID than the pending pull, or from another peer, are ignored: without the time of the pull, the ages of their
+// slots are unknown.
 func TestUnrequestedRepliesAreIgnored(t *testing.T) {
 	n, err := NewNode(Config{Self: incarnation("n", 2), Members: []string{"a", "b", "n"}, WallClock: func() time.Duration { return sec }})
 	if err != nil {
@@ -335,10 +344,10 @@
 	n.Handle(sec, MessageReceived{other, Message{Kind: PullReply, ID: pull.Message.ID, Slots: slots}}, nil)
 	n.Handle(sec, MessageReceived{"stranger", Message{Kind: PullReply, ID: pull.Message.ID, Slots: slots}}, nil)
 	if n.Len() != 0 || n.Stats.StaleReplies != 2 {
-		t.Errorf("%d slots were taken, %d answers passed over", n.Len(), n.Stats.StaleReplies)
+		t.Errorf("%d slots accepted, %d stale replies counted, want 0 and 2", n.Len(), n.Stats.StaleReplies)
 	}
 	n.Handle(sec, MessageReceived{pull.To, Message{Kind: PullReply, ID: pull.Message.ID, Slots: slots}}, nil)
 	if n.Len() != 1 {
-		t.Error("the answer was not taken")
+		t.Error("the slot in the reply to the pending pull was not accepted")
 	}
 }
--- a/replication/simulation_test.go
+++ b/replication/simulation_test.go
@@ -13,8 +13,9 @@
 	"larchusher/lab/virtualclock"
 )
 
-// simulation runs several nodes in simulated time, over links that lose, duplicate, delay and are severed; nodes are killed and come back as
-// other incarnations, are suspended and go on; wall clocks are off. A checker of its own remembers what was purged.
+// simulation runs several nodes on a virtual clock. Links lose, duplicate and delay messages, and can be severed. Nodes are killed and
+// restarted as other incarnations, or suspended and resumed. Wall clocks are wrong. Purges are recorded independently of the nodes, to
+// check that none is lost.
 type simulation struct {
 	rng             *rand.Rand
 	clock           virtualclock.Clock
@@ -23,28 +24,30 @@
 	severed         map[[2]string]bool
 	lossRate        float64
 	duplicationRate float64
-	maxDelay        time.Duration // a message takes up to so long
+	maxDelay        time.Duration // maximum delay of a message, on top of 0.2 ms
 	lastIncarnation uint64
-	purged          map[string]time.Duration // by name: the newest that was said, and lasted at somebody else
+	purged          map[string]time.Duration // by name: time of the latest purge
 	bytes           int
 	catchUpTimeout  time.Duration
 }
 
+// host is the simulated machine of a gateway, with the node that currently runs on it.
 type host struct {
 	name          string
 	node          *Node
 	run           int
 	clockRate     float64
 	startedAt     time.Duration
-	wallOffset    time.Duration // of its wall clock
+	wallOffset    time.Duration // error of the wall clock
 	suspended     bool
 	inbox         []MessageReceived
-	learnedPurges map[string]time.Duration // learned, by the world's clock
+	learnedPurges map[string]time.Duration // by name: time of the purges known to the node, on the virtual clock
 	caughtUp      *CaughtUp
 }
 
 const purgeSettleTime = 6 * time.Second
 
+// newSimulation returns a simulation of n nodes, all started at time 1 s. Their monotonic clocks run up to 3 % fast or slow.
 func newSimulation(seed uint64, n int) *simulation {
 	w := &simulation{rng: rand.New(rand.NewPCG(seed, 31)), nodes: map[string]*host{}, severed: map[[2]string]bool{}, purged: map[string]time.Duration{}, maxDelay: 4 * time.Millisecond}
 	w.clock.Now = time.Second
@@ -59,6 +62,7 @@
 	return w
 }
 
+// startNode starts a new incarnation on a host. It receives a tick every 50 ms.
 func (w *simulation) startNode(m *host) {
 	w.lastIncarnation++
 	m.run++
@@ -83,10 +87,12 @@
 	w.clock.At(w.clock.Now+time.Duration(w.rng.IntN(50))*time.Millisecond, tick)
 }
 
+// localTime returns the time on the monotonic clock of a host.
 func (w *simulation) localTime(m *host) time.Duration {
 	return time.Minute + time.Duration(m.clockRate*float64(w.clock.Now-m.startedAt))
 }
 
+// handle passes an event to the node of a host and carries out the actions.
 func (w *simulation) handle(m *host, e Event) {
 	for _, a := range m.node.Handle(w.localTime(m), e, nil) {
 		switch a := a.(type) {
@@ -104,6 +110,7 @@
 	}
 }
 
+// send delivers a message after a random delay, or loses or duplicates it. A suspended host queues it.
 func (w *simulation) send(from, to string, m Message) {
 	for _, s := range m.Slots {
 		w.bytes += 64 + len(s.Slot.Key) + len(s.Slot.Value)
@@ -126,7 +133,7 @@
 	}
 }
 
-// purge has a node receive a purge from its watch.
+// purge makes a node receive a purge from its discovery and publish it.
 func (w *simulation) purge(name, key string) {
 	m := w.nodes[name]
 	if m.node == nil || m.suspended {
@@ -137,10 +144,11 @@
 	w.purged[key] = w.clock.Now
 }
 
-// converged says whether all that live hold the same: what is young at one of them is at all others. What is about to run out may have
-// run out elsewhere already, since clocks differ.
+// converged reports whether every running node has the slots of every other one, without those that may have expired elsewhere already.
 func (w *simulation) converged() bool { return w.divergence() == "" }
 
+// divergence describes a slot that one running node has and another lacks, or returns an empty string. Slots older than 60 % of their
+// maximum age are skipped, since clocks differ and they may have expired elsewhere.
 func (w *simulation) divergence() string {
 	for _, a := range w.nodes {
 		if a.node == nil || a.suspended {
@@ -156,7 +164,7 @@
 					continue
 				}
 				if got := b.node.slots[x]; got == nil || got.Seq != s.Seq || string(got.Value) != string(s.Value) {
-					return fmt.Sprintf("%s lacks %s %s of %v, number %d, which %s has", b.name, s.Kind, s.Key, s.Writer, s.Seq, a.name)
+					return fmt.Sprintf("%s lacks slot %s %s of %v, number %d, which %s has", b.name, s.Kind, s.Key, s.Writer, s.Seq, a.name)
 				}
 			}
 		}
@@ -164,7 +172,8 @@
 	return ""
 }
 
-// awaitConvergence waits until all are alike, and says how long that took.
+// awaitConvergence runs the simulation until the nodes have converged, at most for limit. It returns the time that this took, and whether
+// they have converged.
 func (w *simulation) awaitConvergence(limit time.Duration) (time.Duration, bool) {
 	start := w.clock.Now
 	for w.clock.Now < start+limit {
@@ -176,8 +185,8 @@
 	return limit, false
 }
 
-// playSeed is one seeded run with faults. Two seconds after the last one all that run have converged, no purge is lost, and none has
-// grown younger on its way.
+// playSeed plays a random run with faults, given by its seed. Two seconds after the last fault all running nodes must have converged, and
+// no purge may be lost or appear older than it is. It returns the violation, if any.
 func playSeed(seed uint64) (*simulation, string) {
 	w := newSimulation(seed, 3+int(seed%5))
 	for range w.rng.IntN(5) {
@@ -193,18 +202,18 @@
 	w.clock.At(faultsEnd, func() { clear(w.severed); w.lossRate, w.duplicationRate, w.maxDelay = 0, 0, 4*time.Millisecond })
 	w.clock.Run(faultsEnd + time.Millisecond)
 	for _, m := range w.nodes {
-		if m.node == nil { // those that are down come back within four seconds
+		if m.node == nil { // killed nodes restart within four seconds
 			w.clock.Pass(4 * time.Second)
 		}
 	}
 	w.clock.Pass(2 * time.Second)
 	if !w.converged() {
-		return w, "two seconds after the last fault: " + w.divergence()
+		return w, "not converged two seconds after the last fault: " + w.divergence()
 	}
 	return w, w.lostPurge()
 }
 
-// publishAny has a node write a slot of a drawn kind.
+// publishAny makes a node write a slot of a random kind.
 func (w *simulation) publishAny(name, key string, i int) {
 	m := w.nodes[name]
 	if m.node == nil || m.suspended {
@@ -218,12 +227,12 @@
 	case 2:
 		m.node.Publish(w.localTime(m), Listing, key, Encode(ListingValue{Server: fmt.Sprintf("b%d", w.rng.IntN(4)), Requests: float64(i)}), w.localTime(m))
 	case 3:
-		m.node.Publish(w.localTime(m), 77, key, []byte{byte(i)}, w.localTime(m)) // of a later version
+		m.node.Publish(w.localTime(m), 77, key, []byte{byte(i)}, w.localTime(m)) // an unknown kind, as of a later version
 	}
 }
 
-// lostPurge names a young purge that a node that runs has learned and another one does not know, or knows as older than it is; empty:
-// there is none.
+// lostPurge describes a recent purge that one running node has learned, but another one does not know or dates too early. It returns an
+// empty string if there is none.
 func (w *simulation) lostPurge() string {
 	for key, at := range w.purged {
 		if w.clock.Now-at > purgeSettleTime-time.Second {
@@ -237,14 +246,14 @@
 			got, ok := m.node.Purges(w.localTime(m))[key]
 			outdated := w.clock.Now-(w.localTime(m)-got) < at-500*time.Millisecond
 			if learned && (!ok || outdated) {
-				return fmt.Sprintf("%s does not know of the purge of %s at %v", m.name, key, at)
+				return fmt.Sprintf("%s lacks the purge of %s at %v, or dates it too early", m.name, key, at)
 			}
 		}
 	}
 	return ""
 }
 
-// EXPLORE sets how many runs.
+// Plays random runs with faults. The environment variable EXPLORE sets the number of runs.
 func TestSeededRuns(t *testing.T) {
 	n := 300
 	if x, err := strconv.Atoi(os.Getenv("EXPLORE")); err == nil {
@@ -279,11 +288,12 @@
 	}
 	all.Wait()
 	if merged < uint64(n)*20 {
-		t.Errorf("%d slots were taken in %d runs", merged, n)
+		t.Errorf("%d slots were merged in %d runs, want at least 20 per run", merged, n)
 	}
 }
 
-// A node that restarts catches up with what all know; the peer that it pulls from dies half way, and another one continues.
+// The peer from which a restarted node catches up is killed half way. The node continues with another peer, without receiving the
+// first half again.
 func TestCatchUpContinuesWithAnotherPeer(t *testing.T) {
 	w := newSimulation(5, 3)
 	w.clock.Pass(2 * time.Second)
@@ -293,14 +303,14 @@
 		g0.node.Publish(w.localTime(g0), Listing, fmt.Sprintf("o%d", i), Encode(ListingValue{Server: "b1", Requests: 1}), w.localTime(g0))
 	}
 	if _, ok := w.awaitConvergence(20 * time.Second); !ok {
-		t.Fatal("the listings do not spread")
+		t.Fatal("the nodes did not converge within 20 s")
 	}
 	restarted := w.nodes["g2"]
 	w.startNode(restarted)
 	for restarted.node.Len() < 1000 {
 		w.clock.Pass(time.Millisecond)
 		if restarted.caughtUp != nil {
-			t.Fatalf("it says that it has caught up with %d", restarted.node.Len())
+			t.Fatalf("the node reports that it has caught up with %d of 3000 slots", restarted.node.Len())
 		}
 	}
 	killedPeer := restarted.node.pull.peer
@@ -309,20 +319,20 @@
 	mergedBefore := restarted.node.Counters.Merged
 	w.clock.Pass(6 * time.Second)
 	if restarted.caughtUp == nil || restarted.caughtUp.From == killedPeer || restarted.node.Count(Listing) < 3000 {
-		t.Fatalf("%+v after %d of 3000", restarted.caughtUp, restarted.node.Count(Listing))
+		t.Fatalf("caught up: %+v with %d of 3000 listings, want all of them, from the surviving peer", restarted.caughtUp, restarted.node.Count(Listing))
 	}
 	if duplicates := restarted.node.Counters.Duplicates; duplicates > 400 || mergedBefore < 900 {
-		t.Errorf("%d of %d were sent again", duplicates, mergedBefore)
+		t.Errorf("%d slots were received twice, after %d had been merged; want at most 400, and at least 900 merged", duplicates, mergedBefore)
 	}
 }
 
-// Nobody is there: it goes on without after the stated time; all start at once: none waits for the others.
+// A node whose peers can't be reached stops catching up after the timeout. If all nodes start at the same time, none waits for the timeout.
 func TestCatchUpTimeIsBounded(t *testing.T) {
 	w := newSimulation(6, 3)
 	w.clock.Pass(4 * time.Second)
 	for _, m := range w.nodes {
 		if m.caughtUp == nil || m.caughtUp.Took > time.Second {
-			t.Errorf("%s: all began together, and it waited: %+v", m.name, m.caughtUp)
+			t.Errorf("%s: caught up: %+v, want within 1 s, since all nodes started together", m.name, m.caughtUp)
 		}
 	}
 	m := w.nodes["g1"]
@@ -332,15 +342,15 @@
 	w.startNode(m)
 	w.clock.Pass(DefaultCatchUpTimeout - 100*time.Millisecond)
 	if m.caughtUp != nil {
-		t.Fatalf("too soon: %+v", m.caughtUp)
+		t.Fatalf("caught up before the timeout, with no peer reachable: %+v", m.caughtUp)
 	}
 	w.clock.Pass(300 * time.Millisecond)
 	if m.caughtUp == nil || m.caughtUp.From != "" {
-		t.Errorf("it waits for ever: %+v", m.caughtUp)
+		t.Errorf("after the timeout: caught up: %+v, want without a peer", m.caughtUp)
 	}
 }
 
-// A purge is with all others sooner than the bulk that was there before it.
+// A purge reaches all nodes before the bulk slots that were published earlier.
 func TestPurgeOvertakesListings(t *testing.T) {
 	w := newSimulation(8, 5)
 	w.clock.Pass(2 * time.Second)
@@ -364,12 +374,12 @@
 	}
 	took := w.clock.Now - at
 	if listings := w.nodes["g4"].node.Count(Listing); took > 300*time.Millisecond || listings >= 16000 {
-		t.Errorf("it took %v, with %d listings there", took, listings)
+		t.Errorf("the purge took %v, with %d listings at g4; want at most 300ms and less than 16000", took, listings)
 	}
 }
 
-// Two copies hold different things under one number, and one has lost some without knowing: stretches that are compared tell, it is
-// noted, and all settle on the same.
+// A replica has another value under the same number, and has lost other slots without noticing. Checksums must detect this, the
+// divergence must be recorded, and the replicas must converge again.
 func TestDivergenceIsDetectedAndRepaired(t *testing.T) {
 	w := newSimulation(9, 3)
 	w.clock.Pass(time.Second)
@@ -382,7 +392,7 @@
 	}
 	publish()
 	if _, ok := w.awaitConvergence(10 * time.Second); !ok {
-		t.Fatal("the listings do not spread")
+		t.Fatal("the nodes did not converge within 10 s")
 	}
 	for i := range 5 {
 		slot := g1.node.slots[slotID{Listing, fmt.Sprintf("o%d", i), g0.node.self}]
@@ -393,21 +403,21 @@
 		}
 	}
 	if w.converged() {
-		t.Fatal("nothing differs")
+		t.Fatal("the replicas do not differ after one was changed")
 	}
 	took, ok := w.awaitConvergence(60 * time.Second)
 	if !ok {
-		t.Fatalf("it is not settled: %s", w.divergence())
+		t.Fatalf("not converged within 60 s: %s", w.divergence())
 	}
 	recorded := 0
 	for _, m := range w.nodes {
 		for _, d := range m.node.Divergences() {
 			if recorded++; d.Writer != g0.node.self {
-				t.Errorf("%+v", d)
+				t.Errorf("divergence %+v, want one of the slots of g0", d)
 			}
 		}
 	}
 	if recorded == 0 {
-		t.Errorf("settled after %v, and nobody noted it", took)
+		t.Errorf("the replicas converged after %v, but no node recorded a divergence", took)
 	}
 }
--- a/replication/stored_test.go
+++ b/replication/stored_test.go
@@ -6,7 +6,8 @@
 	"larchusher/lab/golden"
 )
 
-// Values in common slots are read by gateways of other versions. The files were written by 1a818d3.
+// Values of replicated slots, and replies to tools, are read by other versions. Their encoding must stay as in the golden files, which
+// commit 1a818d3 wrote.
 func TestEncodingMatchesGoldenFiles(t *testing.T) {
 	golden.JSON(t, "testdata/1a818d3/place.json", &ListingValue{})
 	golden.JSON(t, "testdata/1a818d3/evidence.json", &HealthValue{})
@@ -15,6 +16,7 @@
 	golden.JSON(t, "testdata/1a818d3/difference.json", &Divergence{})
 }
 
+// Every encoded field has a tag, so that renaming the field does not change the encoding.
 func TestEncodedFieldsAreTagged(t *testing.T) {
 	golden.Tagged(t, ListingValue{})
 	golden.Tagged(t, HealthValue{})
