--- a/warmstart/collect.go
+++ b/warmstart/collect.go
@@ -9,9 +9,9 @@
 	"larchusher/routing"
 )
 
-// Collect returns what other gateways have published, as learned state for the director. now is on the replication's clock,
-// directorTime is the director's clock now; ages are kept. The endpoint list says by which incarnation the director knows a
-// endpoint.
+// Collect returns the state that other gateways have published, as learned state for the director. now is on the replication
+// node's clock, directorTime is the director's clock now; times are converted by their age. Incarnations of endpoints are returned as
+// in the endpoint list, where they match it.
 func (s *Sharer) Collect(now, directorTime time.Duration, list map[string]routing.Endpoint) routing.LearnedState {
 	m := routing.LearnedState{At: directorTime, Zone: s.zone}
 	for _, l := range s.node.Listings(now, 0) {
@@ -19,7 +19,7 @@
 		if !ok || l.Value.MeanGapMs < 0 || l.Value.MinLatencyMs < 0 {
 			continue
 		}
-		lastUse := translate(l.LastUse, now, directorTime)
+		lastUse := translateTime(l.LastUse, now, directorTime)
 		m.Listings = append(m.Listings, routing.Listing{
 			Key:          object,
 			Endpoint:     l.Value.Server,
@@ -35,7 +35,7 @@
 		h := routing.EndpointHealth{
 			Endpoint:         r.Server,
 			Incarnation:      listedIncarnation(list, r.Server, r.Value.BootMs),
-			LastAnswer:       translate(r.OldestEvidence, now, directorTime),
+			LastAnswer:       translateTime(r.OldestEvidence, now, directorTime),
 			ErrorRate:        r.Value.ErrorRate,
 			LateShare:        r.Value.LateShare,
 			ConcurrencyLimit: r.Value.ConcurrencyLimit,
@@ -53,7 +53,8 @@
 	return m
 }
 
-// listedIncarnation is an endpoint's incarnation as the endpoint list has it, if that is the published one; else as published.
+// listedIncarnation returns the incarnation of an endpoint in the endpoint list, if it equals the published one in ms, or otherwise
+// the published one.
 func listedIncarnation(list map[string]routing.Endpoint, id string, ms int64) time.Duration {
 	if e, ok := list[id]; ok && incarnationMs(e.Incarnation) == ms {
 		return e.Incarnation
@@ -62,37 +63,37 @@
 }
 
 const (
-	// peerDrainMaxAge is the age up to which a drain counts that other gateways know of and the own endpoint list does not.
+	// peerDrainMaxAge is the maximum age of a drain that other gateways have published and the own endpoint list does not show.
 	peerDrainMaxAge = 10 * time.Second
-	// maxHeldDivisor bounds how many endpoints of a kind and zone are held on others' word: the number of them divided by this,
-	// and at least one. A gateway with a wrong endpoint list can hold few endpoints only.
-	maxHeldDivisor = 4
+	// maxPeerDrainedDivisor limits the endpoints of a kind and zone that are treated as draining because of other gateways: their number
+	// divided by this, but at least one. A gateway with a wrong endpoint list can therefore affect only few endpoints.
+	maxPeerDrainedDivisor = 4
 )
 
-// PeerDrainedEndpoints returns the endpoints that are to be taken for draining, by id: those that the own endpoint list still has up in
-// the incarnation that another gateway's endpoint list has draining or gone.
+// PeerDrainedEndpoints returns the ids of the endpoints that should be treated as draining because of other gateways: those that are
+// still up in the own endpoint list, but that drain or are missing, in the same incarnation, in the endpoint list of another gateway.
 func (s *Sharer) PeerDrainedEndpoints(now time.Duration, list map[string]routing.Endpoint) map[string]bool {
-	listed := map[string]int{} // by group
+	groupSizes := map[string]int{} // by group
 	for _, e := range list {
-		listed[holdGroup(e)]++
+		groupSizes[drainGroup(e)]++
 	}
 	drains := s.node.Drains(now, peerDrainMaxAge)
-	held, heldInGroup := map[string]bool{}, map[string]int{}
+	drained, drainedInGroup := map[string]bool{}, map[string]int{}
 	for _, id := range slices.Sorted(maps.Keys(drains)) {
 		e, ok := list[id]
 		if !ok || e.Phase != routing.Up || incarnationMs(e.Incarnation) != drains[id] {
 			continue
 		}
-		group := holdGroup(e)
-		if heldInGroup[group] >= max(1, listed[group]/maxHeldDivisor) {
+		group := drainGroup(e)
+		if drainedInGroup[group] >= max(1, groupSizes[group]/maxPeerDrainedDivisor) {
 			continue
 		}
-		heldInGroup[group]++
-		held[id] = true
+		drainedInGroup[group]++
+		drained[id] = true
 	}
-	s.PeerDrained = len(held)
-	return held
+	s.PeerDrained = len(drained)
+	return drained
 }
 
-// holdGroup names the endpoints among which the number of held ones is bounded.
-func holdGroup(e routing.Endpoint) string { return e.Kind + " " + e.Zone }
+// drainGroup returns the group of an endpoint, in which maxPeerDrainedDivisor limits the number of drained endpoints: its kind and zone.
+func drainGroup(e routing.Endpoint) string { return e.Kind + " " + e.Zone }
--- a/warmstart/confidence.go
+++ b/warmstart/confidence.go
@@ -7,23 +7,25 @@
 	"larchusher/routing"
 )
 
-// Half-lives of learned state. What speaks for sending more ages faster than what speaks for sending less: an endpoint that is
-// wrongly taken for faulty is soon tried again, while one wrongly taken for healthy is sent requests that it can't serve.
+// Half-lives of the confidence in learned state. State that attracts requests to an endpoint decays faster than state that keeps
+// requests away: an endpoint that is wrongly considered faulty is soon tried again, but one that is wrongly considered healthy is sent
+// requests that it can't serve.
 const (
-	ListingHalfLife     = time.Minute      // an object is cached at an endpoint: for sending more there
-	FillLatencyHalfLife = 30 * time.Second // a parent fills faster: for sending more there
-	FailureHalfLife     = 2 * time.Minute  // an endpoint fails or answers late: for sending less
-	LimitHalfLife       = 2 * time.Minute  // the concurrency limit of an endpoint: for sending less
+	ListingHalfLife     = time.Minute      // that an object is cached at an endpoint: attracts requests
+	FillLatencyHalfLife = 30 * time.Second // fill latency of a parent: attracts fills to the faster parent
+	FailureHalfLife     = 2 * time.Minute  // that an endpoint fails or answers late: keeps requests away
+	LimitHalfLife       = 2 * time.Minute  // concurrency limit of an endpoint: keeps requests away
 )
 
 const (
-	// minConfidence is the confidence below which learned state counts for nothing.
+	// minConfidence is the confidence below which learned state is ignored.
 	minConfidence = 0.001
-	// maxClockSkew is by how much state may be of the future, as a clock may have been put back.
+	// maxClockSkew is the time by which state may be dated in the future, since the clock may have been set back.
 	maxClockSkew = 2 * time.Second
 )
 
-// ConfidenceAt returns what learned state of an age still counts for. State of the future counts for nothing.
+// ConfidenceAt returns the confidence, from 0 to 1, in each type of learned state of the given age. It is 0 for state dated more than
+// maxClockSkew in the future.
 func ConfidenceAt(age time.Duration) routing.Confidence {
 	return routing.Confidence{
 		Listing:     confidence(age, ListingHalfLife),
@@ -33,6 +35,7 @@
 	}
 }
 
+// confidence halves with each halfLife of the age.
 func confidence(age, halfLife time.Duration) float64 {
 	if age < -maxClockSkew {
 		return 0
--- a/warmstart/doc.go
+++ b/warmstart/doc.go
@@ -1,8 +1,10 @@
-// Package warmstart decides what a gateway may use of state that it has not learned itself just now:
+// Package warmstart decides which learned state a gateway may use that its present process has not learned itself, so that a
+// restarted gateway does not start without any:
 //
-//   - of a [Snapshot] that it, or the process before it, has left: whether it is valid, and what it still counts for at its age;
-//   - of what other gateways publish by way of package replication, and what it publishes itself: [Sharer];
-//   - and when snapshots are written: [SaveSchedule].
+//   - [Snapshot] is the state saved by an earlier process of the gateway. Its confidence falls with its age, and an invalid snapshot
+//     is not used.
+//   - [Sharer] publishes learned state to other gateways through package replication, and collects theirs.
+//   - [SaveSchedule] decides when snapshots are written.
 //
-// The package does no I/O and reads no clock. Nothing blocks. Its types are not safe for concurrent use.
+// The package does no I/O, reads no clock and never blocks. Its types are not safe for concurrent use.
 package warmstart
--- a/warmstart/publish.go
+++ b/warmstart/publish.go
@@ -11,9 +11,9 @@
 	"larchusher/routing"
 )
 
-// Publish publishes what is news in a director's learned state and in the endpoint list: first what safety depends on (purges and
-// drains), then faults of endpoints, then listings, those of the most requests first, until the replication's budget is spent.
-// now is on the replication's clock, m.At on the director's.
+// Publish publishes the changes of a director's learned state and of the endpoint list: first purges and drains, on which safety
+// depends, then faults of endpoints, then listings, those with the most requests first, until the budget of the replication node is
+// spent. now is on the replication node's clock, m.At on the director's.
 func (s *Sharer) Publish(now time.Duration, m routing.LearnedState, list map[string]routing.Endpoint) {
 	s.publishPurges(now, m)
 	s.publishDrains(now, list)
@@ -21,8 +21,8 @@
 	s.publishListings(now, m)
 }
 
-// publish publishes one slot, and reports whether the replication took it.
-func (s *Sharer) publish(now time.Duration, k replication.Kind, key string, value []byte, at time.Duration) bool {
+// publishSlot publishes one slot and reports whether the replication node has written it.
+func (s *Sharer) publishSlot(now time.Duration, k replication.Kind, key string, value []byte, at time.Duration) bool {
 	if !s.node.Publish(now, k, key, value, at) {
 		return false
 	}
@@ -30,12 +30,12 @@
 	return true
 }
 
-// ownPurgeMargin is the time by which a purge of a name must be newer than the one that another gateway told of, to be one of
-// this gateway's own.
+// ownPurgeMargin is the time by which a purge of a name must be newer than the one received from another gateway, to count as a
+// purge that this gateway itself has learned of.
 const ownPurgeMargin = 20 * time.Millisecond
 
-// publishPurges publishes the purges that this gateway is the first to know of. What it has from others it doesn't publish: the
-// purge would get a little younger each time.
+// publishPurges publishes the purges that no other gateway has published yet. Purges received from other gateways are not published
+// again, since they would appear a little younger each time.
 func (s *Sharer) publishPurges(now time.Duration, m routing.LearnedState) {
 	published := s.node.Purges(now)
 	unsettled := map[string]bool{}
@@ -44,15 +44,16 @@
 		if at, ok := s.peerPurges[p.Name]; ok && p.At <= at+ownPurgeMargin {
 			continue
 		}
-		made := translate(p.At, m.At, now)
-		if at, ok := published[p.Name]; !ok || made > at+samePurgeWithin {
-			s.publish(now, replication.Purge, p.Name, nil, made)
+		made := translateTime(p.At, m.At, now)
+		if at, ok := published[p.Name]; !ok || made > at+purgeTimeTolerance {
+			s.publishSlot(now, replication.Purge, p.Name, nil, made)
 		}
 	}
 	maps.DeleteFunc(s.peerPurges, func(name string, _ time.Duration) bool { return !unsettled[name] })
 }
 
-// publishDrains publishes which endpoints have left the endpoint list or drain, and which of these are up again.
+// publishDrains publishes the endpoints that drain or have left the endpoint list, and those that are up again after this gateway
+// has published their drain.
 func (s *Sharer) publishDrains(now time.Duration, list map[string]routing.Endpoint) {
 	for id, e := range list {
 		if e.Phase != routing.Up {
@@ -61,7 +62,7 @@
 		s.listedUp[id] = e
 		if s.node.HasWritten(replication.Drain, id) {
 			up := replication.DrainValue{BootMs: incarnationMs(e.Incarnation), Up: true}
-			s.publish(now, replication.Drain, id, replication.Encode(up), now)
+			s.publishSlot(now, replication.Drain, id, replication.Encode(up), now)
 		}
 	}
 	for id, was := range s.listedUp {
@@ -69,58 +70,61 @@
 			continue
 		}
 		down := replication.DrainValue{BootMs: incarnationMs(was.Incarnation)}
-		s.publish(now, replication.Drain, id, replication.Encode(down), now)
+		s.publishSlot(now, replication.Drain, id, replication.Encode(down), now)
 		delete(s.listedUp, id)
 	}
 }
 
-// publishHealth publishes which endpoints are faulty, and once that one of these has recovered.
+// publishHealth publishes the health of faulty endpoints, and the recovery, once, of those that this gateway has reported as faulty.
 func (s *Sharer) publishHealth(now time.Duration, m routing.LearnedState) {
 	for _, h := range m.Endpoints {
 		value := healthValue(h, m.At)
 		recent := h.LastAnswer > 0 && m.At-h.LastAnswer < FailureHalfLife
 		switch faulty := value.Faulty(); {
 		case faulty && recent:
-			s.complainedOf[h.Endpoint] = true
-			s.publish(now, replication.Health, h.Endpoint, replication.Encode(value), translate(h.LastAnswer, m.At, now))
-		case !faulty && s.complainedOf[h.Endpoint]:
-			delete(s.complainedOf, h.Endpoint)
+			s.reportedFaulty[h.Endpoint] = true
+			s.publishSlot(now, replication.Health, h.Endpoint, replication.Encode(value), translateTime(h.LastAnswer, m.At, now))
+		case !faulty && s.reportedFaulty[h.Endpoint]:
+			delete(s.reportedFaulty, h.Endpoint)
 			if s.node.HasWritten(replication.Health, h.Endpoint) {
 				recovered := replication.HealthValue{BootMs: value.BootMs}
-				s.publish(now, replication.Health, h.Endpoint, replication.Encode(recovered), now)
+				s.publishSlot(now, replication.Health, h.Endpoint, replication.Encode(recovered), now)
 			}
 		}
 	}
 }
 
 const (
-	// ejectionStep is the step to which the rest of an ejection is rounded up, and maxPublishedEjection the longest published.
+	// ejectionStep is the granularity of published ejection times: the remaining time is rounded to it and increased by one step, so
+	// that it is never too short. maxPublishedEjection is the longest time published.
 	ejectionStep         = 5 * time.Second
 	maxPublishedEjection = time.Minute
-	// shareSteps is the number of steps to which shares are rounded.
+	// shareSteps is the number of steps between 0 and 1 to which shares are rounded.
 	shareSteps = 10
 )
 
-// healthValue is the health of an endpoint as it is published, coarsely: what hardly changes is not published again.
+// healthValue returns the health of an endpoint in the form that is published. Its numbers are rounded, so that small changes are not
+// published again. at is the director's clock now.
 func healthValue(h routing.EndpointHealth, at time.Duration) replication.HealthValue {
-	v := replication.HealthValue{BootMs: incarnationMs(h.Incarnation), ErrorRate: coarseShare(h.ErrorRate), LateShare: coarseShare(h.LateShare)}
+	v := replication.HealthValue{BootMs: incarnationMs(h.Incarnation), ErrorRate: roundShare(h.ErrorRate), LateShare: roundShare(h.LateShare)}
 	if h.EjectedUntil > at {
 		v.EjectedMs = min(maxPublishedEjection, (h.EjectedUntil-at).Round(ejectionStep)+ejectionStep).Milliseconds()
 	}
-	if h.ConcurrencyLimit > 0 { // to a power of two
+	if h.ConcurrencyLimit > 0 { // rounded to a power of two
 		v.ConcurrencyLimit = math.Exp2(math.Round(math.Log2(h.ConcurrencyLimit)))
 	}
 	return v
 }
 
-func coarseShare(share float64) float64 {
+// roundShare rounds a share to shareSteps, within 0 and 1.
+func roundShare(share float64) float64 {
 	return math.Round(min(1, max(0, share))*shareSteps) / shareSteps
 }
 
-// listingRepeatAfter is the age from which the same listing of an object is published again.
+// listingRepeatAfter is the age from which on an unchanged listing of an object is published again.
 const listingRepeatAfter = 20 * time.Second
 
-// publishListings publishes where objects are cached, those of the most requests first.
+// publishListings publishes listings that are new, changed or old, those with the most requests first, until the budget is spent.
 func (s *Sharer) publishListings(now time.Duration, m routing.LearnedState) {
 	byRequests := slices.Clone(m.Listings)
 	slices.SortFunc(byRequests, func(a, b routing.Listing) int {
@@ -132,12 +136,13 @@
 			continue
 		}
 		value := replication.Encode(listingValue(l))
-		if !s.publish(now, replication.Listing, key, value, translate(l.LastRequest, m.At, now)) && s.node.BulkBudgetSpent() {
+		if !s.publishSlot(now, replication.Listing, key, value, translateTime(l.LastRequest, m.At, now)) && s.node.BulkBudgetSpent() {
 			return
 		}
 	}
 }
 
+// listingValue returns a listing in the form that is published.
 func listingValue(l routing.Listing) replication.ListingValue {
 	return replication.ListingValue{
 		Server:       l.Endpoint,
--- a/warmstart/sharer_test.go
+++ b/warmstart/sharer_test.go
@@ -9,16 +9,17 @@
 	"larchusher/routing"
 )
 
-// pair is two gateways' sharers that hear each other at once when sync is called.
-type pair struct {
-	t     *testing.T
-	now   time.Duration
-	nodes map[string]*replication.Node
-	s     map[string]*Sharer
+// gateways contains the nodes and sharers of several gateways, which exchange messages without delay while sync runs.
+type gateways struct {
+	t       *testing.T
+	now     time.Duration
+	nodes   map[string]*replication.Node
+	sharers map[string]*Sharer
 }
 
-func newPair(t *testing.T, names ...string) *pair {
-	p := &pair{t: t, now: time.Minute, nodes: map[string]*replication.Node{}, s: map[string]*Sharer{}}
+// newGateways returns gateways with the given names, all in zone z.
+func newGateways(t *testing.T, names ...string) *gateways {
+	p := &gateways{t: t, now: time.Minute, nodes: map[string]*replication.Node{}, sharers: map[string]*Sharer{}}
 	for i, n := range names {
 		node, err := replication.NewNode(replication.Config{
 			Self:            replication.Incarnation{Name: n, Number: uint64(i + 1)},
@@ -29,12 +30,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.nodes[n], p.s[n] = node, NewSharer(node, "z", 100)
+		p.nodes[n], p.sharers[n] = node, NewSharer(node, "z", 100)
 	}
 	return p
 }
 
-func (p *pair) sync() {
+// sync lets four seconds pass in ticks of 100 ms.
+func (p *gateways) sync() {
 	for range 40 {
 		p.now += 100 * time.Millisecond
 		for from, n := range p.nodes {
@@ -43,7 +45,8 @@
 	}
 }
 
-func (p *pair) handle(name string, n *replication.Node, e replication.Event) {
+// handle passes an event to a node and delivers the messages that it sends.
+func (p *gateways) handle(name string, n *replication.Node, e replication.Event) {
 	for _, a := range n.Handle(p.now, e, nil) {
 		if s, ok := a.(replication.Send); ok {
 			p.handle(s.To, p.nodes[s.To], replication.MessageReceived{From: name, Message: s.Message})
@@ -51,7 +54,8 @@
 	}
 }
 
-func list(phase routing.Phase, boot time.Duration) map[string]routing.Endpoint {
+// endpointList returns a list of eight endpoints, b0 to b7, that started at boot. All are up but b0, which is in the given phase.
+func endpointList(phase routing.Phase, boot time.Duration) map[string]routing.Endpoint {
 	l := map[string]routing.Endpoint{}
 	for i := range 8 {
 		id := fmt.Sprint("b", i)
@@ -63,148 +67,150 @@
 	return l
 }
 
-const director = 1000 * time.Hour // its clock is another one
+const directorTime = 1000 * time.Hour // time on the director's clock, which differs from that of the nodes
 
-// What one has learned is what the other takes in, with its ages, by clocks that have nothing in common.
+// State published by one gateway is collected by another with the same age, although their clocks differ.
 func TestPublishedStateKeepsItsAge(t *testing.T) {
-	p := newPair(t, "a", "b")
+	p := newGateways(t, "a", "b")
 	boot := 500*time.Hour + 300*time.Nanosecond
 	learned := routing.LearnedState{
-		At:        director,
-		Listings:  []routing.Listing{{Key: 77, Endpoint: "b1", Incarnation: boot, LastRequest: director - 10*time.Second, Count: 4, MeanGap: time.Second}},
-		Purges:    []routing.PurgeRecord{{Name: " 3", At: director - time.Second}},
-		Endpoints: []routing.EndpointHealth{{Endpoint: "b2", Incarnation: boot, LastAnswer: director - 2*time.Second, ErrorRate: 0.8}},
+		At:        directorTime,
+		Listings:  []routing.Listing{{Key: 77, Endpoint: "b1", Incarnation: boot, LastRequest: directorTime - 10*time.Second, Count: 4, MeanGap: time.Second}},
+		Purges:    []routing.PurgeRecord{{Name: " 3", At: directorTime - time.Second}},
+		Endpoints: []routing.EndpointHealth{{Endpoint: "b2", Incarnation: boot, LastAnswer: directorTime - 2*time.Second, ErrorRate: 0.8}},
 	}
-	p.s["a"].Publish(p.now, learned, list(routing.Up, boot))
+	p.sharers["a"].Publish(p.now, learned, endpointList(routing.Up, boot))
 	p.sync()
-	other := list(routing.Up, boot-200*time.Nanosecond) // another gateway's clock
-	m := p.s["b"].Collect(p.now, 2*director, other)
+	other := endpointList(routing.Up, boot-200*time.Nanosecond) // as computed by another gateway's clock
+	m := p.sharers["b"].Collect(p.now, 2*directorTime, other)
 	if len(m.Listings) != 1 || m.Listings[0].Key != 77 || m.Listings[0].Incarnation != other["b1"].Incarnation || m.Listings[0].Count != 4 {
-		t.Fatalf("%+v", m.Listings)
+		t.Fatalf("listings %+v, want that of object 77 with its incarnation and count", m.Listings)
 	}
-	near := func(what string, age, want time.Duration) {
-		if d := age - want - 4*time.Second; d < -10*time.Millisecond || d > 300*time.Millisecond { // four seconds have passed
-			t.Errorf("%s is %v old", what, age)
+	checkAge := func(what string, age, want time.Duration) {
+		if d := age - want - 4*time.Second; d < -10*time.Millisecond || d > 300*time.Millisecond { // sync took four seconds
+			t.Errorf("the age of %s is %v, want its age at publication and about 4s", what, age)
 		}
 	}
-	near("the listing", 2*director-m.Listings[0].LastRequest, 10*time.Second)
+	checkAge("the listing", 2*directorTime-m.Listings[0].LastRequest, 10*time.Second)
 	if len(m.Purges) != 1 || m.Purges[0].Name != " 3" {
-		t.Fatalf("%+v", m.Purges)
+		t.Fatalf("purges %+v, want one of \" 3\"", m.Purges)
 	}
-	near("the purge", 2*director-m.Purges[0].At+samePurgeWithin, time.Second)
+	checkAge("the purge", 2*directorTime-m.Purges[0].At+purgeTimeTolerance, time.Second)
 	if len(m.Endpoints) != 0 {
-		t.Errorf("one gateway's word makes a store faulty for another: %+v", m.Endpoints)
+		t.Errorf("endpoints reported faulty by a single gateway: %+v, want none", m.Endpoints)
 	}
 }
 
-// A store has recovered: what was published of its faults is over at all others.
+// After the gateways that reported an endpoint as faulty have published its recovery, others no longer consider it faulty.
 func TestRecoveryIsPublished(t *testing.T) {
-	p := newPair(t, "a", "b", "c")
-	faulty := routing.LearnedState{At: director, Endpoints: []routing.EndpointHealth{
-		{Endpoint: "b2", LastAnswer: director, ErrorRate: 0.8, EjectedUntil: director + 3*time.Second}}}
+	p := newGateways(t, "a", "b", "c")
+	faulty := routing.LearnedState{At: directorTime, Endpoints: []routing.EndpointHealth{
+		{Endpoint: "b2", LastAnswer: directorTime, ErrorRate: 0.8, EjectedUntil: directorTime + 3*time.Second}}}
 	for _, n := range []string{"a", "b"} {
-		p.s[n].Publish(p.now, faulty, nil)
+		p.sharers[n].Publish(p.now, faulty, nil)
 	}
 	p.sync()
-	if m := p.s["c"].Collect(p.now, director, nil); len(m.Endpoints) != 1 || m.Endpoints[0].ErrorRate != 0.8 || m.Endpoints[0].EjectedUntil == 0 {
-		t.Fatalf("%+v", m.Endpoints)
+	if m := p.sharers["c"].Collect(p.now, directorTime, nil); len(m.Endpoints) != 1 || m.Endpoints[0].ErrorRate != 0.8 || m.Endpoints[0].EjectedUntil == 0 {
+		t.Fatalf("endpoints %+v, want b2 alone, with error rate 0.8 and ejected", m.Endpoints)
 	}
 	for _, n := range []string{"a", "b"} {
-		p.s[n].Publish(p.now, routing.LearnedState{At: director, Endpoints: []routing.EndpointHealth{{Endpoint: "b2", LastAnswer: director}}}, nil)
+		p.sharers[n].Publish(p.now, routing.LearnedState{At: directorTime, Endpoints: []routing.EndpointHealth{{Endpoint: "b2", LastAnswer: directorTime}}}, nil)
 	}
 	p.sync()
-	if m := p.s["c"].Collect(p.now, director, nil); len(m.Endpoints) != 0 {
-		t.Errorf("it is still faulty: %+v", m.Endpoints)
+	if m := p.sharers["c"].Collect(p.now, directorTime, nil); len(m.Endpoints) != 0 {
+		t.Errorf("the recovered endpoint is still reported as faulty: %+v", m.Endpoints)
 	}
 }
 
-// What hardly changes is not published again, and a purge that another gateway has published is not published by everybody.
-func TestLittleIsPublishedTwice(t *testing.T) {
-	p := newPair(t, "a", "b")
+// State that hardly changes is not published again, and a purge received from another gateway is not published again.
+func TestUnchangedStateIsNotPublishedAgain(t *testing.T) {
+	p := newGateways(t, "a", "b")
 	m := routing.LearnedState{
-		At:        director,
-		Endpoints: []routing.EndpointHealth{{Endpoint: "b2", LastAnswer: director, ErrorRate: 0.8}},
-		Purges:    []routing.PurgeRecord{{Name: "o", At: director}},
+		At:        directorTime,
+		Endpoints: []routing.EndpointHealth{{Endpoint: "b2", LastAnswer: directorTime, ErrorRate: 0.8}},
+		Purges:    []routing.PurgeRecord{{Name: "o", At: directorTime}},
 	}
-	p.s["a"].Publish(p.now, m, nil)
+	p.sharers["a"].Publish(p.now, m, nil)
 	p.sync()
 	m.At += 4 * time.Second
-	published := p.s["a"].Published
+	published := p.sharers["a"].Published
 	for range 20 {
 		m.At += 100 * time.Millisecond
 		p.now += 100 * time.Millisecond
 		m.Endpoints[0].LastAnswer, m.Endpoints[0].ErrorRate = m.At, m.Endpoints[0].ErrorRate-0.001
-		p.s["a"].Publish(p.now, m, nil)
+		p.sharers["a"].Publish(p.now, m, nil)
 	}
-	if got := p.s["a"].Published; got != published {
-		t.Errorf("%d slots were published, and %d again", published, got-published)
+	if got := p.sharers["a"].Published; got != published {
+		t.Errorf("after %d published slots, %d more were published without a notable change", published, got-published)
 	}
 	known := m.At - p.now + p.nodes["b"].Purges(p.now)["o"]
-	p.s["b"].Publish(p.now, routing.LearnedState{At: m.At, Purges: []routing.PurgeRecord{{Name: "o", At: known}}}, nil)
-	if p.s["b"].Published != 0 {
-		t.Error("both publish the same purge")
+	p.sharers["b"].Publish(p.now, routing.LearnedState{At: m.At, Purges: []routing.PurgeRecord{{Name: "o", At: known}}}, nil)
+	if p.sharers["b"].Published != 0 {
+		t.Error("b published the purge that it had received from a")
 	}
 }
 
-// An object is purged again, and again: sooner after the first than anybody hears of it, and later. What another gateway makes of it is
-// never older than the latest; and it does not publish it as its own.
-func TestPurgesInARowAreCovered(t *testing.T) {
+// An object is purged twice, sometimes before other gateways have received the first purge. Another gateway must date the purge no
+// earlier than the second one, and must not publish it again.
+func TestRepeatedPurgesAreCovered(t *testing.T) {
 	const ms = time.Millisecond
-	for _, apart := range []time.Duration{30 * ms, 99 * ms, 130 * ms, 495 * ms, 2000 * ms} {
-		p := newPair(t, "a", "b")
-		first := director
-		p.s["a"].Publish(p.now, routing.LearnedState{At: first, Purges: []routing.PurgeRecord{{Name: "o", At: first}}}, nil)
-		p.now += apart
-		p.s["a"].Publish(p.now, routing.LearnedState{At: first + apart, Purges: []routing.PurgeRecord{{Name: "o", At: first + apart}}}, nil)
+	for _, gap := range []time.Duration{30 * ms, 99 * ms, 130 * ms, 495 * ms, 2000 * ms} {
+		p := newGateways(t, "a", "b")
+		first := directorTime
+		p.sharers["a"].Publish(p.now, routing.LearnedState{At: first, Purges: []routing.PurgeRecord{{Name: "o", At: first}}}, nil)
+		p.now += gap
+		p.sharers["a"].Publish(p.now, routing.LearnedState{At: first + gap, Purges: []routing.PurgeRecord{{Name: "o", At: first + gap}}}, nil)
 		latest := p.now
 		p.sync()
-		m := p.s["b"].Collect(p.now, 2*director, nil)
-		if len(m.Purges) != 1 || 2*director-m.Purges[0].At > p.now-latest {
-			t.Errorf("%v apart: b takes it for %v old, it is %v", apart, 2*director-m.Purges[0].At, p.now-latest)
+		m := p.sharers["b"].Collect(p.now, 2*directorTime, nil)
+		if len(m.Purges) != 1 || 2*directorTime-m.Purges[0].At > p.now-latest {
+			t.Errorf("purges %v apart: age %v at b, want at most %v, the age of the second one", gap, 2*directorTime-m.Purges[0].At, p.now-latest)
 		}
 		m.At += 300 * time.Millisecond
 		p.now += 300 * time.Millisecond
-		p.s["b"].Publish(p.now, routing.LearnedState{At: m.At, Purges: m.Purges}, nil)
-		if p.s["b"].Published != 0 {
-			t.Errorf("%v apart: b publishes what it was told", apart)
+		p.sharers["b"].Publish(p.now, routing.LearnedState{At: m.At, Purges: m.Purges}, nil)
+		if p.sharers["b"].Published != 0 {
+			t.Errorf("purges %v apart: b published the purge that it had received", gap)
 		}
 	}
 }
 
-// A drain that the own list does not have yet holds the store: in the incarnation that is meant, for a while, and few stores only.
+// A drain published by another gateway applies to the endpoint in the own list, but only in the same incarnation, up to the maximum
+// age, and to few endpoints. A gateway ignores its own publications.
 func TestPeerDrainedEndpoints(t *testing.T) {
-	p := newPair(t, "a", "b")
-	p.s["a"].Publish(p.now, routing.LearnedState{At: director}, list(routing.Up, time.Hour))
-	p.s["a"].Publish(p.now, routing.LearnedState{At: director}, list(routing.Draining, time.Hour))
+	p := newGateways(t, "a", "b")
+	p.sharers["a"].Publish(p.now, routing.LearnedState{At: directorTime}, endpointList(routing.Up, time.Hour))
+	p.sharers["a"].Publish(p.now, routing.LearnedState{At: directorTime}, endpointList(routing.Draining, time.Hour))
 	p.sync()
-	if held := p.s["b"].PeerDrainedEndpoints(p.now, list(routing.Up, time.Hour)); len(held) != 1 || !held["b0"] {
-		t.Fatalf("%v", held)
+	if drained := p.sharers["b"].PeerDrainedEndpoints(p.now, endpointList(routing.Up, time.Hour)); len(drained) != 1 || !drained["b0"] {
+		t.Fatalf("drained endpoints %v, want b0 alone", drained)
 	}
-	if held := p.s["b"].PeerDrainedEndpoints(p.now, list(routing.Up, 2*time.Hour)); len(held) != 0 {
-		t.Errorf("another incarnation is held: %v", held)
+	if drained := p.sharers["b"].PeerDrainedEndpoints(p.now, endpointList(routing.Up, 2*time.Hour)); len(drained) != 0 {
+		t.Errorf("another incarnation of the endpoint counts as drained: %v", drained)
 	}
-	if held := p.s["b"].PeerDrainedEndpoints(p.now+peerDrainMaxAge+time.Second, list(routing.Up, time.Hour)); len(held) != 0 {
-		t.Errorf("it is held for ever: %v", held)
+	if drained := p.sharers["b"].PeerDrainedEndpoints(p.now+peerDrainMaxAge+time.Second, endpointList(routing.Up, time.Hour)); len(drained) != 0 {
+		t.Errorf("the drain still applies after its maximum age: %v", drained)
 	}
-	if held := p.s["a"].PeerDrainedEndpoints(p.now, list(routing.Up, time.Hour)); len(held) != 0 {
-		t.Errorf("the own word is held against the own list: %v", held)
+	if drained := p.sharers["a"].PeerDrainedEndpoints(p.now, endpointList(routing.Up, time.Hour)); len(drained) != 0 {
+		t.Errorf("the drain that a has published applies to a itself: %v", drained)
 	}
-	gone := list(routing.Up, time.Hour)
+	gone := endpointList(routing.Up, time.Hour)
 	clear(gone)
-	p.s["a"].Publish(p.now, routing.LearnedState{At: director}, gone) // all of them, or it lies
+	p.sharers["a"].Publish(p.now, routing.LearnedState{At: directorTime}, gone) // all endpoints are gone from its list, which may be wrong
 	p.sync()
-	if held := p.s["b"].PeerDrainedEndpoints(p.now, list(routing.Up, time.Hour)); len(held) != 2 {
-		t.Errorf("%d of 8 are held", len(held))
+	if drained := p.sharers["b"].PeerDrainedEndpoints(p.now, endpointList(routing.Up, time.Hour)); len(drained) != 2 {
+		t.Errorf("%d of 8 endpoints count as drained, want 2", len(drained))
 	}
 }
 
-func TestWhatCanBeForgotten(t *testing.T) {
+// ParseForget accepts bulk kinds, and rejects safety kinds, unknown kinds and invalid keys.
+func TestParseForget(t *testing.T) {
 	if key, why, err := ParseForget("health", "b1", "a bad cable"); err != nil || key != replication.TombstoneKey(replication.Health, "b1") || string(why) != `"a bad cable"` {
-		t.Errorf("%q %s %v", key, why, err)
+		t.Errorf("key %q, value %s, error %v; want the tombstone of health b1 with the reason", key, why, err)
 	}
 	for _, bad := range [][2]string{{"purge", "o"}, {"drain", "b1"}, {"forget", "x"}, {"nonsense", "x"}, {"health", ""}, {"listing", string(make([]byte, 101))}} {
 		if _, _, err := ParseForget(bad[0], bad[1], ""); err == nil {
-			t.Errorf("%q of %.10q can be forgotten", bad[0], bad[1])
+			t.Errorf("kind %q with key %.10q was accepted", bad[0], bad[1])
 		}
 	}
 }
