--- a/maintenance/limits.go
+++ b/maintenance/limits.go
@@ -14,7 +14,7 @@
 	MaxZoneShareOut   float64       // maximum share of a zone's machines of one kind that may be out; one always may; default 0.34
 	MinWarmParents    int           // minimum number of warm parents that remain in a zone; default 1
 	MaxOut            int           // maximum number of machines of all kinds that may be out; default 4
-	MaxTimesOvertaken int           // how often requests of its group may be granted out of turn before a request; default 8
+	MaxTimesOvertaken int           // how many requests behind a waiting one of the same group may be granted before it; default 8
 	Lease             time.Duration // how long a gateway may act on its copy of the state without renewing it; default 5s
 	MaxClockDrift     float64       // maximum relative difference between the rates of two clocks; default 0.1
 	DrainGrace        time.Duration // time after a lease expires until its gateway has stopped sending and its requests have ended; no default
--- a/maintenance/maintenance_test.go
+++ b/maintenance/maintenance_test.go
@@ -13,11 +13,11 @@
 
 // testLimits returns the default limits with a drain grace of 1 s and a slow start of 10 s.
 func testLimits(t interface{ Fatal(...any) }) Limits {
-	b := Limits{DrainGrace: time.Second, SlowStart: 10 * time.Second}
-	if err := b.Check(); err != nil {
+	l := Limits{DrainGrace: time.Second, SlowStart: 10 * time.Second}
+	if err := l.Check(); err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return l
 }
 
 // healthyObservations returns two zones with six caches (b00 to b15) and two gateways (g00 to g11) each, and two parents (p0, p1) in
@@ -111,7 +111,7 @@
 		{"second of six caches", "b00", nil, nil, []string{"b01"}, ""},
 		{"third of six caches", "b00", nil, nil, []string{"b01", "b02"}, "out or cold"},
 		{"cold cache counts as unavailable", "b00", func(o *Observations) { m := o.Machines["b01"]; m.Warm = false; o.Machines["b01"] = m }, nil, []string{"b02"}, "out or cold"},
-		{"MaxOut", "b00", nil, func(b *Limits) { b.MaxOut = 2 }, []string{"b11", "p0"}, "2 machines are out"},
+		{"MaxOut", "b00", nil, func(l *Limits) { l.MaxOut = 2 }, []string{"b11", "p0"}, "2 machines are out"},
 		{"load of the zone", "b00", func(o *Observations) {
 			for n, m := range o.Machines {
 				if m.Utilization = 0.75; m.Zone == "z0" {
@@ -120,13 +120,13 @@
 			}
 		}, nil, nil, "the load of z0"},
 		{"load of a cache unknown", "b00", func(o *Observations) { m := o.Machines["b03"]; m.Utilization = -1; o.Machines["b03"] = m }, nil, nil, "not known"},
-		{"last warm parent", "p0", func(o *Observations) { m := o.Machines["p1"]; m.Warm = false; o.Machines["p1"] = m }, func(b *Limits) { b.MaxZoneShareOut = 0.99 }, nil,
+		{"last warm parent", "p0", func(o *Observations) { m := o.Machines["p1"]; m.Warm = false; o.Machines["p1"] = m }, func(l *Limits) { l.MaxZoneShareOut = 0.99 }, nil,
 			"0 warm upper caches would stay"},
-		{"second parent", "p0", nil, func(b *Limits) { b.MaxZoneShareOut = 0.99 }, []string{"p1"}, "0 warm upper caches would stay"},
-		{"MinWarmParents 2", "p0", nil, func(b *Limits) { b.MinWarmParents = 2 }, nil, "1 warm upper caches would stay"},
-		{"last gateway of the zone", "g00", nil, func(b *Limits) { b.MaxZoneShareOut = 0.99 }, []string{"g01"}, "no other gateway"},
+		{"second parent", "p0", nil, func(l *Limits) { l.MaxZoneShareOut = 0.99 }, []string{"p1"}, "0 warm upper caches would stay"},
+		{"MinWarmParents 2", "p0", nil, func(l *Limits) { l.MinWarmParents = 2 }, nil, "1 warm upper caches would stay"},
+		{"last gateway of the zone", "g00", nil, func(l *Limits) { l.MaxZoneShareOut = 0.99 }, []string{"g01"}, "no other gateway"},
 		{"one of two gateways", "g00", nil, nil, nil, ""},
-		{"load of the parents, parent", "p0", func(o *Observations) { setParentLoad(o, 0.44) }, func(b *Limits) { b.MaxZoneShareOut = 0.99 }, nil, "the load of the upper caches, 17.6"},
+		{"load of the parents, parent", "p0", func(o *Observations) { setParentLoad(o, 0.44) }, func(l *Limits) { l.MaxZoneShareOut = 0.99 }, nil, "the load of the upper caches, 17.6"},
 		{"load of the parents, cache that would return empty", "b00", func(o *Observations) { setParentLoad(o, 0.9) }, nil, nil, "the load of the upper caches, 36.0"},
 		{"load of the parents, one out already", "b00", func(o *Observations) { setParentLoad(o, 0.44) }, nil, []string{"p1"}, "the load of the upper caches"},
 		{"load of the parents unknown", "b00", func(o *Observations) { setParentLoad(o, -1) }, nil, nil, ""},
@@ -138,9 +138,9 @@
 			}
 		}, nil, nil, "zone z1 is away"},
 	} {
-		b := testLimits(t)
+		limits := testLimits(t)
 		if c.changeLimits != nil {
-			c.changeLimits(&b)
+			c.changeLimits(&limits)
 		}
 		o := healthyObservations()
 		if c.changeObservations != nil {
@@ -152,11 +152,11 @@
 		}
 		r := &Request{ID: 9, Machine: c.machine, Kind: o.Machines[c.machine].Kind, Zone: o.Machines[c.machine].Zone, Stage: Requested}
 		s.Requests = append(s.Requests, r)
-		reason := s.blockedBy(r, o, b)
+		reason := s.blockedBy(r, o, limits)
 		if (reason == "") != (c.wantReason == "") || !strings.Contains(reason, c.wantReason) {
 			t.Errorf("%s: blocked by %q, want %q", c.name, reason, c.wantReason)
 		}
-		if got := s.nextToGrant(o, b) != nil; got != (c.wantReason == "") {
+		if got := s.nextToGrant(o, limits) != nil; got != (c.wantReason == "") {
 			t.Errorf("%s: request can be granted: %v, want the opposite", c.name, got)
 		}
 	}
@@ -261,7 +261,7 @@
 	granted := 0
 	for range 40 {
 		for _, n := range []string{"b01", "b02", "b03"} {
-			r.request(n, func(a *RequestSpec) { a.Key = fmt.Sprint(n, granted) })
+			r.request(n, func(spec *RequestSpec) { spec.Key = fmt.Sprint(n, granted) })
 		}
 		r.apply(Command{Advance: o})
 		for _, q := range r.state().Requests {
@@ -287,21 +287,21 @@
 		want   string
 		change func(*RequestSpec)
 	}{
-		{"no such machine", func(a *RequestSpec) { a.Kind = "" }}, {"key", func(a *RequestSpec) { a.Key = "" }}, {"for", func(a *RequestSpec) { a.DurationMs = 0 }},
-		{"for", func(a *RequestSpec) { a.DurationMs = 1 << 50 }}, {"priority", func(a *RequestSpec) { a.Priority = 1000 }},
-		{"after itself", func(a *RequestSpec) { a.After = []string{"b00"} }}, {"by way of others", func(a *RequestSpec) { a.After = []string{"b01"} }},
-		{"after: 17", func(a *RequestSpec) { a.After = make([]string, 17) }},
-		{"a name over", func(a *RequestSpec) { a.Machine = strings.Repeat("m", 65) }},
+		{"no such machine", func(spec *RequestSpec) { spec.Kind = "" }}, {"key", func(spec *RequestSpec) { spec.Key = "" }}, {"for", func(spec *RequestSpec) { spec.DurationMs = 0 }},
+		{"for", func(spec *RequestSpec) { spec.DurationMs = 1 << 50 }}, {"priority", func(spec *RequestSpec) { spec.Priority = 1000 }},
+		{"after itself", func(spec *RequestSpec) { spec.After = []string{"b00"} }}, {"by way of others", func(spec *RequestSpec) { spec.After = []string{"b01"} }},
+		{"after: 17", func(spec *RequestSpec) { spec.After = make([]string, 17) }},
+		{"a name over", func(spec *RequestSpec) { spec.Machine = strings.Repeat("m", 65) }},
 	} {
 		r := &harness{t: t, limits: testLimits(t)}
-		r.request("b01", func(a *RequestSpec) { a.After = []string{"b00"} })
+		r.request("b01", func(spec *RequestSpec) { spec.After = []string{"b00"} })
 		if got := r.request("b00", c.change); !strings.Contains(got.Rejected, c.want) || len(r.state().Requests) != 1 {
 			t.Errorf("rejected with %q, want a reason that contains %q and no new request", got.Rejected, c.want)
 		}
 	}
 	r := &harness{t: t, limits: testLimits(t)}
 	r.request("b00", nil)
-	if got := r.request("b00", func(a *RequestSpec) { a.Key = "other" }); !strings.Contains(got.Rejected, "open request") || got.ID != 1 {
+	if got := r.request("b00", func(spec *RequestSpec) { spec.Key = "other" }); !strings.Contains(got.Rejected, "open request") || got.ID != 1 {
 		t.Errorf("second request for b00: reply %+v, want a rejection with the ID of the open request", got)
 	}
 	for _, c := range []Command{{}, {Withdraw: &Target{Name: "b09"}}, {Finish: &Target{Name: "b00"}}, {Forget: &Target{Name: "g9"}}, {Join: &GatewayUpdate{}}} {
@@ -317,9 +317,9 @@
 func TestPlanReportsWavesAndBlockingReasons(t *testing.T) {
 	r := &harness{t: t, limits: testLimits(t)}
 	for _, m := range []string{"p0", "p1", "b00", "b01", "b02"} {
-		r.request(m, func(a *RequestSpec) {
+		r.request(m, func(spec *RequestSpec) {
 			if m == "b00" {
-				a.After = []string{"p1"}
+				spec.After = []string{"p1"}
 			}
 		})
 	}
--- a/maintenance/observations.go
+++ b/maintenance/observations.go
@@ -15,7 +15,7 @@
 	Warm        bool    `json:"warm"`   // for a gateway: it is ready
 	BootMs      int64   `json:"boot"`   // Unix time in ms of its latest start
 	Weight      float64 `json:"weight"` // capacity, relative to other machines of its kind
-	Utilization float64 `json:"busy"`   // share of its capacity in use, 0 to 1; negative: unknown
+	Utilization float64 `json:"busy"`   // share of its capacity in use; negative: unknown
 }
 
 // StageTimeouts reports which time limits of a request have passed in its present stage, by the coordinator's clock. ID, Stage and
--- a/replication/budget.go
+++ b/replication/budget.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// ownBulkDivisor limits what a node's own bulk slots may cost all members together: this fraction of BytesPerSecond.
+	// ownBulkDivisor limits what a node's own bulk slots may cost all members together to 1/ownBulkDivisor of BytesPerSecond.
 	ownBulkDivisor = 4
 	// bulkBurstSeconds is the number of seconds for which the budget of own bulk slots accumulates.
 	bulkBurstSeconds = 4
@@ -11,8 +11,8 @@
 	minBulkBurst = 4096
 	// minBulkBudget is the budget in bytes below which it counts as spent, since one more bulk slot may cost as much.
 	minBulkBudget = 256
-	// safetyReserveDivisor keeps part of the send budget for safety slots, so that they need not wait behind bulk: this fraction of one
-	// second's BytesPerSecond.
+	// safetyReserveDivisor reserves the last 1/safetyReserveDivisor of the send budget for safety slots, so that they need not wait
+	// behind bulk.
 	safetyReserveDivisor = 4
 )
 
--- a/replication/capacity.go
+++ b/replication/capacity.go
@@ -7,11 +7,10 @@
 )
 
 const (
-	// writerDivisor limits the slots of one gateway to this fraction of a kind's capacity, so that it can't crowd out the others:
-	// a quarter.
+	// writerDivisor limits the slots of one gateway to 1/writerDivisor of a kind's capacity, so that it can't crowd out the others.
 	writerDivisor = 4
-	// evictionDivisor is the fraction of a writer's slots that one eviction drops: a sixteenth, so that a full replica does not
-	// evict with every message.
+	// evictionDivisor makes one eviction drop 1/evictionDivisor of a gateway's slots, so that a full replica does not go through all
+	// slots with every message.
 	evictionDivisor = 16
 	// maxSweepSlots is the maximum number of slots that one Sweep visits.
 	maxSweepSlots = 1000
--- a/replication/explore_test.go
+++ b/replication/explore_test.go
@@ -249,7 +249,7 @@
 }
 
 // In every order of writes, exchanges and failures the replicas converge. Interrupted exchanges are explored only if the environment
-// variable EXPLORE is set, since CI has no time for them.
+// variable EXPLORE is set; CI leaves them out.
 func TestExplore(t *testing.T) {
 	states, violation := exploreAll(os.Getenv("EXPLORE") != "")
 	if violation != "" {
--- a/replication/replica.go
+++ b/replication/replica.go
@@ -1,5 +1,5 @@
 // Package replication replicates state that the gateways of an installation share, such as purges, drains, endpoint health and
-// listings. A restarted gateway catches up with its peers before it serves requests with outdated state.
+// listings, so that a restarted gateway can catch up with its peers before it acts on outdated state.
 //
 // The state consists of slots. A slot is the value that one incarnation of a gateway has written for one key of one kind, and only
 // that incarnation ever changes it. Of two copies of a slot the one with the higher number wins, so replicas can be merged in any
--- a/replication/replica_test.go
+++ b/replication/replica_test.go
@@ -188,7 +188,7 @@
 	now := 100 * sec
 	c.Write(now, now, Purge, "mine", nil, now)
 	malicious := func(seq uint64, k Kind, key string, v any) Slot {
-		return Slot{Writer: incarnation("liar", 9), Seq: seq, Kind: k, Key: key, Value: Encode(v), Timestamp: 1 << 62, SeenAfter: now, SeenBefore: now}
+		return Slot{Writer: incarnation("malicious", 9), Seq: seq, Kind: k, Key: key, Value: Encode(v), Timestamp: 1 << 62, SeenAfter: now, SeenBefore: now}
 	}
 	for i := range uint64(20000) {
 		c.Merge(now, now, malicious(i+1, Purge, fmt.Sprint("x", i), 0))
@@ -208,13 +208,13 @@
 		t.Errorf("fault reports based on a single gateway: %+v, want none", got)
 	}
 	for _, bad := range []Slot{
-		{Writer: incarnation("c", 1), Seq: 99, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                     // written in the name of this incarnation
-		{Writer: incarnation("liar", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now + sec},                             // evidence from the future
-		{Writer: incarnation("liar", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now - 50*sec, SeenBefore: now - 50*sec},                 // older than the maximum age
-		{Writer: incarnation("liar", 9), Seq: 0, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                   // without a sequence number
-		{Writer: incarnation("liar", 9), Seq: 1, Kind: Purge, Key: string(make([]byte, maxKeyBytes+1)), SeenAfter: now, SeenBefore: now},   // key too long
-		{Writer: incarnation("liar", 9), Seq: 1, Kind: Purge, Key: "o", Value: make([]byte, maxValueBytes+1), SeenAfter: 0, SeenBefore: 0}, // value too long
-		{Writer: incarnation("", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                       // without a writer name
+		{Writer: incarnation("c", 1), Seq: 99, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                          // written in the name of this incarnation
+		{Writer: incarnation("malicious", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now + sec},                             // evidence from the future
+		{Writer: incarnation("malicious", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now - 50*sec, SeenBefore: now - 50*sec},                 // older than the maximum age
+		{Writer: incarnation("malicious", 9), Seq: 0, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                   // without a sequence number
+		{Writer: incarnation("malicious", 9), Seq: 1, Kind: Purge, Key: string(make([]byte, maxKeyBytes+1)), SeenAfter: now, SeenBefore: now},   // key too long
+		{Writer: incarnation("malicious", 9), Seq: 1, Kind: Purge, Key: "o", Value: make([]byte, maxValueBytes+1), SeenAfter: 0, SeenBefore: 0}, // value too long
+		{Writer: incarnation("", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                            // without a writer name
 	} {
 		if c.Merge(now, now, bad) {
 			t.Errorf("invalid slot was accepted: %+v", bad)
@@ -297,13 +297,22 @@
 		}
 		return l[0].Value.Server
 	}
-	if got := read(func(c *Replica) { merge(c, "a", now-10*sec, 1<<60, "older evidence, higher timestamp"); merge(c, "b", now, 5, "younger evidence") }); got != "younger evidence" {
+	if got := read(func(c *Replica) {
+		merge(c, "a", now-10*sec, 1<<60, "older evidence, higher timestamp")
+		merge(c, "b", now, 5, "younger evidence")
+	}); got != "younger evidence" {
 		t.Error(got)
 	}
-	if got := read(func(c *Replica) { merge(c, "a", now-sec, 9, "higher timestamp"); merge(c, "b", now, 5, "lower timestamp") }); got != "higher timestamp" {
+	if got := read(func(c *Replica) {
+		merge(c, "a", now-sec, 9, "higher timestamp")
+		merge(c, "b", now, 5, "lower timestamp")
+	}); got != "higher timestamp" {
 		t.Error(got)
 	}
-	if got := read(func(c *Replica) { merge(c, "b", now, 5, "higher writer name"); merge(c, "a", now, 5, "lower writer name") }); got != "higher writer name" {
+	if got := read(func(c *Replica) {
+		merge(c, "b", now, 5, "higher writer name")
+		merge(c, "a", now, 5, "lower writer name")
+	}); got != "higher writer name" {
 		t.Error(got)
 	}
 }
--- a/warmstart/collect.go
+++ b/warmstart/collect.go
@@ -45,8 +45,8 @@
 		}
 		m.Endpoints = append(m.Endpoints, h)
 	}
-	for name, made := range s.node.Purges(now) {
-		age := s.PurgeAge(now, directorTime, name, made)
+	for name, purgedAt := range s.node.Purges(now) {
+		age := s.PurgeAge(now, directorTime, name, purgedAt)
 		m.Purges = append(m.Purges, routing.PurgeRecord{Name: name, At: directorTime - age})
 	}
 	slices.SortFunc(m.Purges, func(a, b routing.PurgeRecord) int { return cmp.Compare(a.Name, b.Name) })
--- a/warmstart/confidence.go
+++ b/warmstart/confidence.go
@@ -40,9 +40,9 @@
 	if age < -maxClockSkew {
 		return 0
 	}
-	left := math.Exp2(-float64(max(0, age)) / float64(halfLife))
-	if left < minConfidence {
+	remaining := math.Exp2(-float64(max(0, age)) / float64(halfLife))
+	if remaining < minConfidence {
 		return 0
 	}
-	return left
+	return remaining
 }
--- a/warmstart/publish.go
+++ b/warmstart/publish.go
@@ -44,9 +44,9 @@
 		if at, ok := s.peerPurges[p.Name]; ok && p.At <= at+ownPurgeMargin {
 			continue
 		}
-		made := translateTime(p.At, m.At, now)
-		if at, ok := published[p.Name]; !ok || made > at+purgeTimeTolerance {
-			s.publishSlot(now, replication.Purge, p.Name, nil, made)
+		purgedAt := translateTime(p.At, m.At, now)
+		if at, ok := published[p.Name]; !ok || purgedAt > at+purgeTimeTolerance {
+			s.publishSlot(now, replication.Purge, p.Name, nil, purgedAt)
 		}
 	}
 	maps.DeleteFunc(s.peerPurges, func(name string, _ time.Duration) bool { return !unsettled[name] })
@@ -65,11 +65,11 @@
 			s.publishSlot(now, replication.Drain, id, replication.Encode(up), now)
 		}
 	}
-	for id, was := range s.listedUp {
+	for id, listed := range s.listedUp {
 		if e, ok := list[id]; ok && e.Phase == routing.Up {
 			continue
 		}
-		down := replication.DrainValue{BootMs: incarnationMs(was.Incarnation)}
+		down := replication.DrainValue{BootMs: incarnationMs(listed.Incarnation)}
 		s.publishSlot(now, replication.Drain, id, replication.Encode(down), now)
 		delete(s.listedUp, id)
 	}
--- a/warmstart/sharer.go
+++ b/warmstart/sharer.go
@@ -64,15 +64,15 @@
 	return key, err == nil
 }
 
-// purgeTimeTolerance is the time by which the times of one purge, as observed by two gateways, almost never differ more. A further
-// purge of the same name within this time is not published again, but covered by [Sharer.PurgeAge].
+// purgeTimeTolerance is the maximum difference between the times at which two gateways observe the same purge; it is almost never
+// exceeded. A further purge of the same name within this time is not published, but covered by [Sharer.PurgeAge].
 const purgeTimeTolerance = 100 * time.Millisecond
 
-// PurgeAge records a purge received from another gateway, and returns the age with which the director should apply it. now and made are
-// on the replication node's clock; directorTime is the director's clock now. The age is reduced by purgeTimeTolerance, so that the
-// purge also covers a further purge of the same name within that time.
-func (s *Sharer) PurgeAge(now, directorTime time.Duration, name string, made time.Duration) (age time.Duration) {
-	age = max(0, now-made-purgeTimeTolerance)
+// PurgeAge records a purge received from another gateway, and returns the age with which the director should apply it. now and
+// purgedAt are on the replication node's clock; directorTime is the director's clock now. The age is reduced by
+// purgeTimeTolerance, so that the purge also covers a further purge of the same name within that time.
+func (s *Sharer) PurgeAge(now, directorTime time.Duration, name string, purgedAt time.Duration) (age time.Duration) {
+	age = max(0, now-purgedAt-purgeTimeTolerance)
 	s.peerPurges[name] = max(s.peerPurges[name], directorTime-age)
 	return age
 }
