--- a/consensus/events.go
+++ b/consensus/events.go
@@ -9,7 +9,7 @@
 	Message Message
 }
 
-// StateStored reports that the state of the StoreState action with this number, or a later one, is durable.
+// StateStored reports that the StoreState with this number is durable, and that all earlier ones are durable or replaced by it.
 type StateStored struct{ Number uint64 }
 
 // Propose requests that a command be applied to the value. A Completed action with the same ID answers it.
--- a/maintenance/command.go
+++ b/maintenance/command.go
@@ -60,8 +60,9 @@
 )
 
 // Apply returns a function that applies an encoded Command to an encoded State under the given limits, and returns the encoded
-// next state and the encoded Reply. The function is deterministic and idempotent. A rejected command leaves the state unchanged;
-// the reply gives the reason.
+// next state and the encoded Reply. The function is deterministic. A command that is applied twice changes no more than if it is
+// applied once, except for an Advance, which may move a request on by a further stage. A rejected command leaves the state
+// unchanged; the reply gives the reason.
 func Apply(l Limits) func(value, command []byte) (next, reply []byte) {
 	return func(value, command []byte) ([]byte, []byte) {
 		s, err := Decode(value)
--- a/replication/pull.go
+++ b/replication/pull.go
@@ -155,8 +155,8 @@
 }
 
 // pullNext decides after a reply from which peer to pull next: first from one that has announced newer safety slots, then from the same
-// peer while it has more. While the node is catching up, it then goes on to another peer, until one that is not catching up
-// itself has sent all its slots.
+// peer while it has more. While the node is catching up, it then pulls from another peer, until one that is not catching up itself
+// has sent all its slots.
 func (n *Node) pullNext(from string, m Message) {
 	announcingPeer := n.takeAnnouncingPeer()
 	switch {
--- a/replication/simulation_test.go
+++ b/replication/simulation_test.go
@@ -21,28 +21,28 @@
 	clock           virtualclock.Clock
 	names           []string
 	nodes           map[string]*host
-	severed         map[[2]string]bool
-	lossRate        float64
-	duplicationRate float64
-	maxDelay        time.Duration // maximum delay of a message, on top of 0.2 ms
+	severed         map[[2]string]bool // by sender and receiver: no message gets through
+	lossRate        float64            // probability that a message is lost
+	duplicationRate float64            // probability that a message is delivered twice
+	maxDelay        time.Duration      // maximum delay of a message, on top of 0.2 ms
 	lastIncarnation uint64
 	purged          map[string]time.Duration // by name: time of the latest purge
-	bytes           int
-	catchUpTimeout  time.Duration
+	bytes           int                      // approximate total size of the slots sent
+	catchUpTimeout  time.Duration            // of the nodes; 0: the default
 }
 
 // host is the simulated machine of a gateway, with the node that currently runs on it.
 type host struct {
 	name          string
-	node          *Node
-	run           int
-	clockRate     float64
-	startedAt     time.Duration
+	node          *Node         // nil: killed
+	run           int           // changes with each start and kill, so that timers of an earlier node do nothing
+	clockRate     float64       // rate of the monotonic clock, relative to the virtual clock
+	startedAt     time.Duration // on the virtual clock
 	wallOffset    time.Duration // error of the wall clock
 	suspended     bool
-	inbox         []MessageReceived
+	inbox         []MessageReceived        // messages received while suspended
 	learnedPurges map[string]time.Duration // by name: time of the purges known to the node, on the virtual clock
-	caughtUp      *CaughtUp
+	caughtUp      *CaughtUp                // the node's report; nil: none yet
 }
 
 const purgeSettleTime = 6 * time.Second
--- a/replication/values.go
+++ b/replication/values.go
@@ -110,8 +110,8 @@
 	return v.Server, s.SeenAfter, ok
 }
 
-// Drains returns the endpoints that another incarnation has reported as draining at most within ago. The map gives, by endpoint id, the
-// Unix time in ms of the start of the draining endpoint. One report that an endpoint drains suffices, whatever others report.
+// Drains returns the endpoints that another incarnation has reported as draining, in a report that is not older than within. The map
+// gives, by endpoint id, the Unix time in ms of the start of the draining endpoint. One such report suffices, whatever others report.
 func (r *Replica) Drains(now, within time.Duration) map[string]int64 {
 	all := map[string]int64{}
 	for key, slots := range r.byKey[Drain] {
