--- a/consensus/acceptor.go
+++ b/consensus/acceptor.go
@@ -7,8 +7,8 @@
 	return v.acceptor.Initialized && v.acceptor.State.Incarnations[v.cfg.Self] == v.acceptor.Incarnation
 }
 
-// receivePrepare promises the ballot and returns the accepted state, or replies with Conflict or Uninitialized. A Prepare that
-// bootstraps may initialize the acceptor first.
+// receivePrepare promises the ballot and returns the accepted state, or replies with Conflict or Uninitialized. A
+// Prepare that bootstraps may initialize the acceptor first.
 func (v *Voter) receivePrepare(from string, m Message) {
 	if v.mayBootstrap(m) {
 		v.acceptor.Initialized = true
@@ -35,8 +35,8 @@
 		v.reply(from, Message{Kind: Conflict, Ballot: v.acceptor.Promised})
 	default:
 		v.acceptor.Promised, v.acceptor.Accepted, v.acceptor.State = m.Ballot, m.Ballot, m.State.clone()
-		// A value that is proposed without a Prepare needs the promises of a majority first. Otherwise a value that only a minority
-		// has accepted under the next ballot could later outrank one chosen under an older ballot.
+		// A value that is proposed without a Prepare needs the promises of a majority first. Otherwise a value that
+		// only a minority has accepted under the next ballot could later outrank one chosen under an older ballot.
 		if m.Ballot.Less(m.NextBallot) {
 			v.acceptor.Promised = m.NextBallot
 		}
--- a/consensus/ballot.go
+++ b/consensus/ballot.go
@@ -2,8 +2,8 @@
 
 import "cmp"
 
-// Ballot is the proposal number of a round. Ballots are ordered by Number, and with equal numbers by the name of the proposing
-// voter, so that no two voters ever use the same ballot.
+// Ballot is the proposal number of a round. Ballots are ordered by Number, and with equal numbers by the name of the
+// proposing voter, so that no two voters ever use the same ballot.
 type Ballot struct {
 	Number uint64
 	Voter  string
--- a/consensus/config.go
+++ b/consensus/config.go
@@ -10,8 +10,8 @@
 const (
 	// DefaultRoundTimeout is the time after which an unfinished round is abandoned and retried.
 	DefaultRoundTimeout = 400 * time.Millisecond
-	// DefaultBackoffBase scales the random backoff after an abandoned round: up to 2, 4 and then 8 times this after one, two and
-	// three or more abandoned rounds in a row.
+	// DefaultBackoffBase scales the random backoff after an abandoned round: up to 2, 4 and then 8 times this after
+	// one, two and three or more abandoned rounds in a row.
 	DefaultBackoffBase = 150 * time.Millisecond
 )
 
@@ -20,8 +20,8 @@
 	Self     string        // name of this voter; one of Voters
 	Voters   []string      // names of all voters, in the same order at every voter
 	Acceptor AcceptorState // last stored state; a voter without a stored state sets only a new, non-zero Incarnation
-	// Apply applies a command to a value and returns the next value and the reply to the command. It must be deterministic, and
-	// idempotent, since a command of an abandoned round may be applied again.
+	// Apply applies a command to a value and returns the next value and the reply to the command. It must be
+	// deterministic, and idempotent, since a command of an abandoned round may be applied again.
 	Apply        func(value, command []byte) (next, reply []byte)
 	RoundTimeout time.Duration // 0: DefaultRoundTimeout
 	ReadInterval time.Duration // minimum time between the starts of two rounds that serve only reads; reads wait for the next round
--- a/consensus/events.go
+++ b/consensus/events.go
@@ -9,7 +9,8 @@
 	Message Message
 }
 
-// StateStored reports that the StoreState with this number is durable, and that all earlier ones are durable or replaced by it.
+// StateStored reports that the StoreState with this number is durable, and that all earlier ones are durable or
+// replaced by it.
 type StateStored struct{ Number uint64 }
 
 // Propose requests that a command be applied to the value. A Completed action with the same ID answers it.
@@ -18,8 +19,8 @@
 	Command []byte // passed to Config.Apply
 }
 
-// Read requests a linearizable read: the value includes every change that was acknowledged before the request. A Completed action
-// with the same ID answers it.
+// Read requests a linearizable read: the value includes every change that was acknowledged before the request. A
+// Completed action with the same ID answers it.
 type Read struct{ ID string }
 
 // Tick makes the voter check its timeouts.
--- a/consensus/explore_test.go
+++ b/consensus/explore_test.go
@@ -15,13 +15,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The explorer enumerates all interleavings of events at three voters, for a given number of commands, timeouts, lost messages,
-// crashes and network partitions. The random runs play longer sequences of the same events. A value is the list of the commands
-// applied to it, so of any two chosen values one must be a prefix of the other.
+// The explorer enumerates all interleavings of events at three voters, for a given number of commands, timeouts, lost
+// messages, crashes and network partitions. The random runs play longer sequences of the same events. A value is the
+// list of the commands applied to it, so of any two chosen values one must be a prefix of the other.
 
 var voterNames = []string{"a", "b", "c"}
 
-// appendOnce is a Config.Apply that appends a command to the list unless it is there already, and replies with the list's length.
+// appendOnce is a Config.Apply that appends a command to the list unless it is there already, and replies with the
+// list's length.
 func appendOnce(value, command []byte) (next, reply []byte) {
 	all := strings.Fields(string(value))
 	if !slices.Contains(all, string(command)) {
@@ -135,8 +136,8 @@
 	}
 }
 
-// checkChosen checks that a value that a voter reports as chosen is consistent with all reported before, and that the longest one
-// contains all acknowledged commands.
+// checkChosen checks that a value that a voter reports as chosen is consistent with all reported before, and that the
+// longest one contains all acknowledged commands.
 func (w *cluster) checkChosen(name string, s State) {
 	got := strings.Fields(string(s.Value))
 	n := min(len(got), len(w.chosen))
@@ -199,7 +200,8 @@
 	return all
 }
 
-// voterSteps returns the steps in which a voter's write becomes durable, it receives a command or a read, or its time passes.
+// voterSteps returns the steps in which a voter's write becomes durable, it receives a command or a read, or its time
+// passes.
 func (w *cluster) voterSteps(n string) (all []func(*cluster)) {
 	if len(w.unwritten[n]) > 0 {
 		all = append(all, func(w *cluster) {
@@ -355,8 +357,8 @@
 	k.state(m.State)
 }
 
-// explore visits all states that can be reached from initial, at most limit. It returns the number of states visited, whether
-// these were all, and the first violation, if any, with the number of steps that led to it.
+// explore visits all states that can be reached from initial, at most limit. It returns the number of states visited,
+// whether these were all, and the first violation, if any, with the number of steps that led to it.
 func explore(initial *cluster, limit int) (states int, complete bool, violation string, depth int) {
 	seen := map[uint64]bool{initial.key(): true}
 	type node struct {
@@ -447,8 +449,8 @@
 	return defaultLimit
 }
 
-// Explores all interleavings within the budgets: after the bootstrap with two commands and with each kind of failure, and during
-// the bootstrap itself. The environment variable EXPLORE sets the maximum number of states per case.
+// Explores all interleavings within the budgets: after the bootstrap with two commands and with each kind of failure,
+// and during the bootstrap itself. The environment variable EXPLORE sets the maximum number of states per case.
 func TestExplore(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -471,8 +473,8 @@
 	}
 }
 
-// playRandom plays a long random run, given by its seed, and then lets the cluster settle. It returns the violation, if any, and
-// the number of commands in the chosen value.
+// playRandom plays a long random run, given by its seed, and then lets the cluster settle. It returns the violation, if
+// any, and the number of commands in the chosen value.
 func playRandom(seed uint64, delayedWrites bool) (string, int) {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	events := budget{commands: 3 + rng.IntN(5), reads: 3, ticks: 40, losses: rng.IntN(12), crashes: rng.IntN(4), stateLosses: rng.IntN(2), isolations: rng.IntN(3), duplicates: rng.IntN(6)}
@@ -494,8 +496,8 @@
 	return w.violation, len(w.chosen)
 }
 
-// Plays long random runs with all kinds of failure. After the last failure each run must settle. The environment variable EXPLORE
-// sets the number of runs.
+// Plays long random runs with all kinds of failure. After the last failure each run must settle. The environment
+// variable EXPLORE sets the number of runs.
 func TestRandomRuns(t *testing.T) {
 	totalChosen := 0
 	for seed := range uint64(exploreLimit(1000)) {
--- a/consensus/membership.go
+++ b/consensus/membership.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Membership decides which incarnations may vote. The first value (bootstrap) names the present incarnations of all voters; later
-// incarnations are admitted one by one.
+// Membership decides which incarnations may vote. The first value (bootstrap) names the present incarnations of all
+// voters; later incarnations are admitted one by one.
 
 // mayBootstrap reports whether this acceptor may initialize itself from a Prepare: the Prepare names its incarnation for the
 // first value, and the acceptor neither has a state nor knows of a chosen value.
@@ -15,8 +15,8 @@
 	return !v.initialized() && named && incarnation == v.acceptor.Incarnation && v.chosen.Revision == 0
 }
 
-// mustBootstrap reports whether the round has to be repeated as a bootstrap: all voters have replied to the Prepare, none of them
-// has accepted a value, at least one has no state, and this round is not a bootstrap already.
+// mustBootstrap reports whether the round has to be repeated as a bootstrap: all voters have replied to the Prepare,
+// none of them has accepted a value, at least one has no state, and this round is not a bootstrap already.
 func (v *Voter) mustBootstrap(newest Message) bool {
 	return newest.AcceptedBallot == (Ballot{}) &&
 		v.chosen.Revision == 0 &&
@@ -50,8 +50,8 @@
 	v.sendPrepare(incarnations)
 }
 
-// handleUninitialized handles a reply of a voter that has no state. If a value has been chosen, an incarnation that it does not
-// name is queued for admission, and one that it names is sent the value.
+// handleUninitialized handles a reply of a voter that has no state. If a value has been chosen, an incarnation that it
+// does not name is queued for admission, and one that it names is sent the value.
 func (v *Voter) handleUninitialized(from string, incarnation uint64) {
 	if v.chosen.Revision == 0 {
 		return
@@ -66,9 +66,9 @@
 	}
 }
 
-// admitOne adds to next the first incarnation that waits for admission, if a value exists already. It reports whether it did. The
-// incarnation may vote from the following value on. Incarnations are admitted one at a time, so that a majority of the voters
-// named before accepts each of them.
+// admitOne adds to next the first incarnation that waits for admission, if a value exists already. It reports whether
+// it did. The incarnation may vote from the following value on. Incarnations are admitted one at a time, so that a
+// majority of the voters named before accepts each of them.
 func (v *Voter) admitOne(next *State) bool {
 	admitted := false
 	for _, name := range slices.Sorted(maps.Keys(v.unadmitted)) {
@@ -84,8 +84,8 @@
 	return admitted
 }
 
-// adoptIfAdmitted initializes an acceptor that has no accepted value from a chosen value that names its incarnation. This is safe:
-// a majority has accepted the new incarnation, so votes of the former one no longer count.
+// adoptIfAdmitted initializes an acceptor that has no accepted value from a chosen value that names its incarnation.
+// This is safe: a majority has accepted the new incarnation, so votes of the former one no longer count.
 func (v *Voter) adoptIfAdmitted(s State, ballot Ballot) {
 	hasValue := v.initialized() && v.acceptor.Accepted != Ballot{}
 	if hasValue || s.Incarnations[v.cfg.Self] != v.acceptor.Incarnation {
--- a/consensus/proposer.go
+++ b/consensus/proposer.go
@@ -22,9 +22,9 @@
 	return map[phase]MessageKind{preparing: Promise, accepting: Accepted, confirming: Confirmed}[p]
 }
 
-// ballotSkipOnStart is the number of ballot numbers that an initialized voter skips when it starts. A killed process may have
-// sent a ballot before the acceptor's state for it was durable; if it used that ballot again, one ballot would stand for two
-// values. The number is far above the rounds that can start while one write is outstanding.
+// ballotSkipOnStart is the number of ballot numbers that an initialized voter skips when it starts. A killed process
+// may have sent a ballot before the acceptor's state for it was durable; if it used that ballot again, one ballot would
+// stand for two values. The number is far above the rounds that can start while one write is outstanding.
 const ballotSkipOnStart = 1 << 20
 
 // firstBallotNumber returns the number above which this voter's ballots start.
@@ -78,16 +78,16 @@
 	return v.phase == idle && waiting > 0 && v.now >= v.backoffUntil
 }
 
-// sendPrepare asks all voters, this one included, for promises. A bootstrap names the incarnations that may vote on the first
-// value; other rounds pass nil.
+// sendPrepare asks all voters, this one included, for promises. A bootstrap names the incarnations that may vote on the
+// first value; other rounds pass nil.
 func (v *Voter) sendPrepare(incarnations map[string]uint64) {
 	m := Message{Kind: Prepare, Ballot: v.ballot, State: State{Incarnations: incarnations}}
 	v.broadcast(m)
 	v.receive(v.cfg.Self, m)
 }
 
-// sendConfirm asks all voters whether their promises to the next ballot still hold. If a majority confirms, the chosen value is the
-// latest.
+// sendConfirm asks all voters whether their promises to the next ballot still hold. If a majority confirms, the chosen
+// value is the latest.
 func (v *Voter) sendConfirm() {
 	v.phase, v.eligible, v.ballot = confirming, v.chosen.Incarnations, v.nextBallot
 	m := Message{Kind: Confirm, Ballot: v.ballot}
@@ -129,8 +129,8 @@
 	}
 }
 
-// receiveReply records an acceptor's reply in the current round, and moves the round on when a majority has replied. Replies with
-// another ballot, or of a kind that the phase does not expect, are ignored.
+// receiveReply records an acceptor's reply in the current round, and moves the round on when a majority has replied.
+// Replies with another ballot, or of a kind that the phase does not expect, are ignored.
 func (v *Voter) receiveReply(from string, m Message) {
 	if v.phase == idle || m.Ballot != v.ballot {
 		return
@@ -174,14 +174,14 @@
 	if !promised {
 		return
 	}
-	// The newest accepted value names the eligible incarnations. A majority of the incarnations of an older value includes an
-	// acceptor of the newer one, so it can't be missed.
+	// The newest accepted value names the eligible incarnations. A majority of the incarnations of an older value
+	// includes an acceptor of the newer one, so it can't be missed.
 	v.eligible = newest.State.Incarnations
 	if !v.hasMajority(Promise) {
 		return
 	}
-	// While no acceptor has reported an accepted value, the round needs replies of all voters. Otherwise a voter that lost its state
-	// during the bootstrap could complete a majority that lacks the acceptors with an accepted value.
+	// While no acceptor has reported an accepted value, the round needs replies of all voters. Otherwise a voter that
+	// lost its state during the bootstrap could complete a majority that lacks the acceptors with an accepted value.
 	if newest.AcceptedBallot == (Ballot{}) && len(v.replies) < len(v.cfg.Voters) {
 		return
 	}
@@ -223,7 +223,8 @@
 		}
 	}
 	v.learnChosen(s, v.ballot)
-	// The promises to the next ballot only cover a value derived from this one. They are void if a newer value is known already.
+	// The promises to the next ballot only cover a value derived from this one. They are void if a newer value is known
+	// already.
 	v.nextPromised = nextPromises > len(v.cfg.Voters)/2 && v.chosenBallot == v.ballot
 	v.broadcast(Message{Kind: Learn, Ballot: v.ballot, State: s.clone()})
 	v.completeRound(s)
@@ -244,8 +245,8 @@
 // maxBackoffDoublings is how often the backoff limit doubles at most, starting from Config.BackoffBase.
 const maxBackoffDoublings = 3
 
-// abandonRound ends a round after a conflict or a timeout. Its commands and reads are queued for the next round, which starts after
-// a random backoff, so that two proposers do not keep conflicting.
+// abandonRound ends a round after a conflict or a timeout. Its commands and reads are queued for the next round, which
+// starts after a random backoff, so that two proposers do not keep conflicting.
 func (v *Voter) abandonRound() {
 	v.phase, v.nextPromised = idle, false
 	v.queuedProposals = append(v.proposals, v.queuedProposals...)
--- a/consensus/voter.go
+++ b/consensus/voter.go
@@ -1,21 +1,22 @@
-// Package consensus implements one replicated value that survives the failure of a minority of its voters. Any voter may change
-// the value; there is no leader.
+// Package consensus implements one replicated value that survives the failure of a minority of its voters. Any voter
+// may change the value; there is no leader.
 //
-// It implements the CASPaxos register (Rystsov, "CASPaxos: Replicated State Machines without logs", 2018). Each voter is both a
-// proposer and an acceptor. A proposer asks all acceptors to reject older ballots (Prepare). Once a majority has promised
-// (Promise), it applies its commands to the newest value that any of them has accepted, and asks all to accept the result
-// (Accept). The result is chosen when a majority has accepted it (Accepted), and the proposer sends it to all others (Learn).
+// It implements the CASPaxos register (Rystsov, "CASPaxos: Replicated State Machines without logs", 2018). Each voter
+// is both a proposer and an acceptor. A proposer asks all acceptors to reject older ballots (Prepare). Once a majority
+// has promised (Promise), it applies its commands to the newest value that any of them has accepted, and asks all to
+// accept the result (Accept). The result is chosen when a majority has accepted it (Accepted), and the proposer sends
+// it to all others (Learn).
 //
-// The one-round-trip optimization of the paper saves the Prepare: together with an Accept, acceptors promise the proposer's next
-// ballot, so that its next value needs no Prepare. While these promises hold, a read needs no write either: once a
-// majority has confirmed them (Confirm, Confirmed), the proposer's value is known to be the latest.
+// The one-round-trip optimization of the paper saves the Prepare: together with an Accept, acceptors promise the
+// proposer's next ballot, so that its next value needs no Prepare. While these promises hold, a read needs no write
+// either: once a majority has confirmed them (Confirm, Confirmed), the proposer's value is known to be the latest.
 //
 // An acceptor that has lost its state restarts under a new incarnation. Only the incarnations that the value names may
 // vote, and a majority of these admits each new one, so that no acceptor votes twice under one name. Choosing the first
 // value (the bootstrap) requires all voters.
 //
-// The package does no I/O, reads no clock and starts no goroutine. Its caller passes events to [Voter.Handle], one at a time, and
-// carries out the returned actions in order. The same sequence of events yields the same actions.
+// The package does no I/O, reads no clock and starts no goroutine. Its caller passes events to [Voter.Handle], one at a
+// time, and carries out the returned actions in order. The same sequence of events yields the same actions.
 package consensus
 
 import (
@@ -89,8 +90,8 @@
 	return v, nil
 }
 
-// Handle processes one event and returns out with the resulting actions appended. now is the time on a monotonic clock of the
-// caller's choice; it must not decrease from call to call.
+// Handle processes one event and returns out with the resulting actions appended. now is the time on a monotonic clock
+// of the caller's choice; it must not decrease from call to call.
 func (v *Voter) Handle(now time.Duration, e Event, out []Action) []Action {
 	v.now, v.actions = now, out
 	switch e := e.(type) {
@@ -124,8 +125,8 @@
 	return out
 }
 
-// Chosen returns the newest value that this voter knows to be chosen. A newer one may exist; use Read for the latest. It returns
-// false if the voter knows of none.
+// Chosen returns the newest value that this voter knows to be chosen. A newer one may exist; use Read for the latest.
+// It returns false if the voter knows of none.
 func (v *Voter) Chosen() (State, bool) { return v.chosen, v.chosen.Revision > 0 }
 
 // CanVote reports whether this voter's votes count, judged by the newest value that it knows.
--- a/consensus/voter_test.go
+++ b/consensus/voter_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Voter a has proposed the latest value that it knows of. Then b proposes a newer one, which c accepts and a does not receive. A
-// read at a must not return the old value, although a was given promises for its next ballot.
+// Voter a has proposed the latest value that it knows of. Then b proposes a newer one, which c accepts and a does not
+// receive. A read at a must not return the old value, although a was given promises for its next ballot.
 func TestReadRequiresConfirmedPromises(t *testing.T) {
 	w := bootstrapped(budget{}, false)
 	w.voters["b"].backoffUntil, w.voters["c"].backoffUntil = 0, 0
@@ -35,8 +35,9 @@
 	}
 }
 
-// During the bootstrap, c lost its state after a and c had accepted a value. In a second bootstrap, b and the new incarnation of c
-// have initialized themselves. They are a majority of the voters, but they must not choose a value without a.
+// During the bootstrap, c lost its state after a and c had accepted a value. In a second bootstrap, b and the new
+// incarnation of c have initialized themselves. They are a majority of the voters, but they must not choose a value
+// without a.
 func TestBootstrapRequiresAllVoters(t *testing.T) {
 	firstBootstrap, secondBootstrap := map[string]uint64{"a": 1, "b": 2, "c": 3}, map[string]uint64{"a": 1, "b": 2, "c": 9}
 	ballot := Ballot{5, "a"}
@@ -83,9 +84,9 @@
 	}
 }
 
-// Voter a is killed after it has sent an Accept, but before its own vote for that ballot is durable; b has accepted the value. After
-// its restart, a must not use the ballot again for another value: there would be two values of one ballot, and a chosen value
-// could be lost.
+// Voter a is killed after it has sent an Accept, but before its own vote for that ballot is durable; b has accepted the
+// value. After its restart, a must not use the ballot again for another value: there would be two values of one ballot,
+// and a chosen value could be lost.
 func TestBallotIsNotReusedAfterRestart(t *testing.T) {
 	w := bootstrapped(budget{}, true)
 	w.handle("a", Propose{"x1", []byte("x1")}) // the Accept needs no Prepare, and is sent before the write of a is durable
@@ -111,9 +112,10 @@
 	}
 }
 
-// Two voters propose concurrently. c proposes a value under the ballot promised with its previous one, and only c itself accepts
-// it; a proposes another value, which a and b accept. The value under c's ballot must not outrank it later. While acceptors did
-// not promise the next ballot together with an Accept, run 75,962 of 100,000 random runs lost an acknowledged command this way.
+// Two voters propose concurrently. c proposes a value under the ballot promised with its previous one, and only c
+// itself accepts it; a proposes another value, which a and b accept. The value under c's ballot must not outrank it
+// later. While acceptors did not promise the next ballot together with an Accept, run 75,962 of 100,000 random runs
+// lost an acknowledged command this way.
 func TestNextBallotIsPromisedBeforeItsAccept(t *testing.T) {
 	w := newCluster(budget{}, false)
 	w.handle("c", Propose{"x0", []byte("x0")})
--- a/maintenance/advance.go
+++ b/maintenance/advance.go
@@ -1,7 +1,7 @@
 package maintenance
 
-// advance moves every request to its next stage if the state and the observations allow it, revokes grants that exceed the limits
-// meanwhile, and grants waiting requests.
+// advance moves every request to its next stage if the state and the observations allow it, revokes grants that exceed
+// the limits meanwhile, and grants waiting requests.
 func (s *State) advance(c *Command, l Limits) {
 	o := c.Advance
 	for _, r := range s.Requests {
--- a/maintenance/budget.go
+++ b/maintenance/budget.go
@@ -8,8 +8,8 @@
 
 // The disruption budget decides whether one more machine may be out.
 
-// blockedBy returns the reason why a machine may not be out together with those that count as out, or an empty string if it may.
-// A request that is granted already is judged as if it were not.
+// blockedBy returns the reason why a machine may not be out together with those that count as out, or an empty string
+// if it may. A request that is granted already is judged as if it were not.
 func (s *State) blockedBy(r *Request, o *Observations, l Limits) string {
 	m, known := o.Machines[r.Machine]
 	if !known {
@@ -58,8 +58,9 @@
 	names     []string // of all observed machines, sorted; floating-point sums go in this order, so that they are deterministic
 }
 
-// checkZoneOutage blocks all maintenance while more than half of a zone's caches are down without being out for maintenance. The
-// candidate is not counted. Like the other checks it returns the reason, or an empty string if the candidate passes.
+// checkZoneOutage blocks all maintenance while more than half of a zone's caches are down without being out for
+// maintenance. The candidate is not counted. Like the other checks it returns the reason, or an empty string if the
+// candidate passes.
 func (c *candidate) checkZoneOutage() string {
 	type cacheCounts struct{ all, down int }
 	zones := map[string]*cacheCounts{}
@@ -86,9 +87,9 @@
 	return ""
 }
 
-// checkParentLoad blocks a cache or parent if the load of all parents would exceed MaxUtilization of those that remain. Caches are
-// checked as well, since a cache that returns empty is filled through the parents. The check passes while a parent that is up
-// does not report its load.
+// checkParentLoad blocks a cache or parent if the load of all parents would exceed MaxUtilization of those that remain.
+// Caches are checked as well, since a cache that returns empty is filled through the parents. The check passes while a
+// parent that is up does not report its load.
 func (c *candidate) checkParentLoad(l Limits) string {
 	if c.Kind == KindGateway {
 		return ""
@@ -148,8 +149,8 @@
 	return g
 }
 
-// checkCapacity checks that the remaining machines of the group suffice: for parents MinWarmParents of them, for gateways one, and for
-// caches one and a utilization of at most MaxUtilization.
+// checkCapacity checks that the remaining machines of the group suffice: for parents MinWarmParents of them, for
+// gateways one, and for caches one and a utilization of at most MaxUtilization.
 func (g groupSums) checkCapacity(m Machine, l Limits) string {
 	switch {
 	case m.Kind == KindParent && g.remaining < l.MinWarmParents:
@@ -170,8 +171,8 @@
 	return ""
 }
 
-// checkShareOut checks that the share of the group that is out, down or cold stays within MaxZoneShareOut. The candidate passes if no
-// other machine is.
+// checkShareOut checks that the share of the group that is out, down or cold stays within MaxZoneShareOut. The
+// candidate passes if no other machine is.
 func (g groupSums) checkShareOut(m Machine, l Limits) string {
 	if g.unavailable > 0 && g.unavailable+1 > int(l.MaxZoneShareOut*float64(g.machines)) {
 		return fmt.Sprintf("%d of %d machines of its kind in %s are out or cold", g.unavailable, g.machines, m.Zone)
--- a/maintenance/command.go
+++ b/maintenance/command.go
@@ -59,10 +59,10 @@
 	ErrTooManyRequests  = errors.New("too many open requests")
 )
 
-// Apply returns a function that applies an encoded Command to an encoded State under the given limits, and returns the encoded
-// next state and the encoded Reply. The function is deterministic. A command that is applied twice changes no more than if it is
-// applied once, except for an Advance, which may move a request on by a further stage. A rejected command leaves the state
-// unchanged; the reply gives the reason.
+// Apply returns a function that applies an encoded Command to an encoded State under the given limits, and returns the
+// encoded next state and the encoded Reply. The function is deterministic. A command that is applied twice changes no
+// more than if it is applied once, except for an Advance, which may move a request on by a further stage. A rejected
+// command leaves the state unchanged; the reply gives the reason.
 func Apply(l Limits) func(value, command []byte) (next, reply []byte) {
 	return func(value, command []byte) ([]byte, []byte) {
 		s, err := Decode(value)
@@ -81,7 +81,8 @@
 	}
 }
 
-// apply applies a command and returns the ID of the request that it is about, or 0. An error means that the command is rejected.
+// apply applies a command and returns the ID of the request that it is about, or 0. An error means that the command is
+// rejected.
 func (s *State) apply(c *Command, l Limits) (requestID uint64, err error) {
 	switch {
 	case c.Request != nil:
@@ -103,9 +104,9 @@
 	return 0, errors.New("an empty command")
 }
 
-// join registers a new incarnation of a gateway. A gateway without a stored state sends to no machine before it has received this
-// state or a later one, so it counts as notified of all grants so far. A gateway with a stored state sends by that state
-// until then, so it counts as notified only up to the epoch of that state.
+// join registers a new incarnation of a gateway. A gateway without a stored state sends to no machine before it has
+// received this state or a later one, so it counts as notified of all grants so far. A gateway with a stored state
+// sends by that state until then, so it counts as notified only up to the epoch of that state.
 func (s *State) join(c *Command) error {
 	m := c.Join
 	if m.Name == "" || len(m.Name) > maxNameLength || m.Incarnation == 0 {
@@ -127,8 +128,8 @@
 	return nil
 }
 
-// handleRestart advances the request for a gateway's own machine when the gateway joins under another incarnation: before the
-// machine is out of service the grant is revoked, and afterwards the machine has returned.
+// handleRestart advances the request for a gateway's own machine when the gateway joins under another incarnation:
+// before the machine is out of service the grant is revoked, and afterwards the machine has returned.
 func (s *State) handleRestart(c *Command, m *GatewayUpdate) {
 	r := s.openRequest(m.Name)
 	if r == nil || r.Incarnation == m.Incarnation {
@@ -143,8 +144,8 @@
 	}
 }
 
-// recordNotified records the epochs up to which a gateway knows of all grants, and has stopped sending for all drains. It rejects a
-// report of another incarnation or of an epoch that does not exist yet.
+// recordNotified records the epochs up to which a gateway knows of all grants, and has stopped sending for all drains.
+// It rejects a report of another incarnation or of an epoch that does not exist yet.
 func (s *State) recordNotified(m *GatewayUpdate) error {
 	g, ok := s.Gateways[m.Name]
 	if !ok || g.Incarnation != m.Incarnation {
--- a/maintenance/limits.go
+++ b/maintenance/limits.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Limits bounds how many machines may be out at the same time, and for how long a gateway may act on an outdated state. Call Check
-// before use: it replaces zero values by the defaults.
+// Limits bounds how many machines may be out at the same time, and for how long a gateway may act on an outdated state.
+// Call Check before use: it replaces zero values by the defaults.
 type Limits struct {
 	MaxUtilization    float64       // maximum utilization of a zone's remaining caches, and of the remaining parents; default 0.85
 	MaxZoneShareOut   float64       // maximum share of a zone's machines of one kind that may be out; one always may; default 0.34
@@ -21,7 +21,8 @@
 	SlowStart         time.Duration // time after which a returned machine counts as warm; no default
 }
 
-// Check fills in defaults and validates the limits. An error begins with the operator's key of the invalid setting and a colon.
+// Check fills in defaults and validates the limits. An error begins with the operator's key of the invalid setting and
+// a colon.
 func (l *Limits) Check() error {
 	l.MaxUtilization = cmp.Or(l.MaxUtilization, 0.85)
 	l.MaxZoneShareOut = cmp.Or(l.MaxZoneShareOut, 0.34)
@@ -51,8 +52,8 @@
 	return nil
 }
 
-// LeaseExpiry returns the time after the agreement on a drain by which every lease granted before the agreement has expired, by any
-// gateway's clock, and all requests sent under such a lease have ended.
+// LeaseExpiry returns the time after the agreement on a drain by which every lease granted before the agreement has
+// expired, by any gateway's clock, and all requests sent under such a lease have ended.
 func (l *Limits) LeaseExpiry() time.Duration {
 	return time.Duration(float64(l.Lease)*(1+l.MaxClockDrift)) + l.DrainGrace
 }
--- a/maintenance/maintenance_test.go
+++ b/maintenance/maintenance_test.go
@@ -20,8 +20,8 @@
 	return l
 }
 
-// healthyObservations returns two zones with six caches (b00 to b15) and two gateways (g00 to g11) each, and two parents (p0, p1) in
-// a hub. All are up and warm.
+// healthyObservations returns two zones with six caches (b00 to b15) and two gateways (g00 to g11) each, and two
+// parents (p0, p1) in a hub. All are up and warm.
 func healthyObservations() *Observations {
 	o := &Observations{Machines: map[string]Machine{}}
 	for z := range 2 {
@@ -162,8 +162,8 @@
 	}
 }
 
-// A request advances only after every gateway has reported, or after the leases have expired, and reports of another incarnation
-// or a later epoch are rejected. A repeated request with the same idempotency key is the same request.
+// A request advances only after every gateway has reported, or after the leases have expired, and reports of another
+// incarnation or a later epoch are rejected. A repeated request with the same idempotency key is the same request.
 func TestRequestAdvancesOnlyAfterAllGatewaysReport(t *testing.T) {
 	r := &harness{t: t, limits: testLimits(t)}
 	o := healthyObservations()
@@ -225,7 +225,8 @@
 	}
 }
 
-// A grant is revoked when other caches of the zone crash before the machine is out of service, and given again once they are back.
+// A grant is revoked when other caches of the zone crash before the machine is out of service, and given again once
+// they are back.
 func TestGrantIsRevokedWhenCapacityIsLost(t *testing.T) {
 	r := &harness{t: t, limits: testLimits(t)}
 	r.apply(Command{Join: &GatewayUpdate{Name: "g1", Incarnation: 1, NoView: true}})
@@ -334,9 +335,9 @@
 	}
 }
 
-// Applies random commands with random observations. At no time may more machines than MaxOut be out, one machine be out twice, or
-// both parents be out. Applying a command twice must not change more than applying it once, and a decoded state must encode to the
-// same bytes.
+// Applies random commands with random observations. At no time may more machines than MaxOut be out, one machine be out
+// twice, or both parents be out. Applying a command twice must not change more than applying it once, and a decoded
+// state must encode to the same bytes.
 func TestRandomCommandsRespectLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := testLimits(t)
@@ -424,7 +425,8 @@
 	}
 }
 
-// checkNotified checks that no machine drains while a gateway does not know of its grant, unless the gateway has just joined.
+// checkNotified checks that no machine drains while a gateway does not know of its grant, unless the gateway has just
+// joined.
 func checkNotified(t *rapid.T, before, after *State) {
 	for _, r := range after.Requests {
 		if r.Stage != Draining {
--- a/maintenance/observations.go
+++ b/maintenance/observations.go
@@ -18,8 +18,8 @@
 	Utilization float64 `json:"busy"`   // share of its capacity in use; negative: unknown
 }
 
-// StageTimeouts reports which time limits of a request have passed in its present stage, by the coordinator's clock. ID, Stage and
-// Epoch identify the stage; the flags of another stage or grant are ignored.
+// StageTimeouts reports which time limits of a request have passed in its present stage, by the coordinator's clock.
+// ID, Stage and Epoch identify the stage; the flags of another stage or grant are ignored.
 type StageTimeouts struct {
 	ID            uint64 `json:"id"`               // of the request
 	Stage         Stage  `json:"stage"`            // in which the time limits have passed
@@ -29,8 +29,8 @@
 	SlowStartOver bool   `json:"ramped,omitempty"` // warming up: slow start has ended, so the machine counts as warm
 }
 
-// Observations is the coordinator's summary of what the gateways observe. Where gateways differ, it contains the most cautious
-// report.
+// Observations is the coordinator's summary of what the gateways observe. Where gateways differ, it contains the most
+// cautious report.
 type Observations struct {
 	Machines      map[string]Machine `json:"machines"`
 	Pressure      string             `json:"strain,omitempty"` // why no machine should be taken out: overload, a slow origin, purges; empty: no reason
--- a/maintenance/queue.go
+++ b/maintenance/queue.go
@@ -17,8 +17,8 @@
 // deadline returns the deadline as Unix time in ms, or noDeadline.
 func (r *Request) deadline() int64 { return cmp.Or(r.DeadlineMs, noDeadline) }
 
-// waitingRequests returns the requests that wait for a grant, in queue order; those that have been overtaken maxTimesOvertaken times
-// come first.
+// waitingRequests returns the requests that wait for a grant, in queue order; those that have been overtaken
+// maxTimesOvertaken times come first.
 func (s *State) waitingRequests(maxTimesOvertaken int) (l []*Request) {
 	for _, r := range s.Requests {
 		if r.Stage == Requested {
@@ -73,8 +73,8 @@
 	BlockedBy string   `json:"Why"`  // why it can't be granted now; empty: it can
 }
 
-// Plan returns the waiting requests in queue order, each with the reason why it can't be granted now and with the wave in which it
-// would be granted, if each wave completed before the next and the observations did not change.
+// Plan returns the waiting requests in queue order, each with the reason why it can't be granted now and with the wave
+// in which it would be granted, if each wave completed before the next and the observations did not change.
 func (s *State) Plan(o *Observations, l Limits) []PlanEntry {
 	var entries []PlanEntry
 	for _, r := range s.waitingRequests(l.MaxTimesOvertaken) {
@@ -101,8 +101,8 @@
 	return entries
 }
 
-// grantWave grants all requests that may be out at the same time, and returns their IDs. It leaves out what only matters for real
-// grants, such as epochs.
+// grantWave grants all requests that may be out at the same time, and returns their IDs. It leaves out what only
+// matters for real grants, such as epochs.
 func (s *State) grantWave(c *Command, l Limits) map[uint64]bool {
 	granted := map[uint64]bool{}
 	for range l.MaxOut {
--- a/maintenance/request.go
+++ b/maintenance/request.go
@@ -17,7 +17,8 @@
 	maxPriority      = 100 // the minimum is -maxPriority
 )
 
-// addRequest adds a request and returns its ID. If a request with the same idempotency key exists, it returns the ID of that one.
+// addRequest adds a request and returns its ID. If a request with the same idempotency key exists, it returns the ID of
+// that one.
 func (s *State) addRequest(c *Command) (requestID uint64, err error) {
 	o, open, ended := c.Request, 0, 0
 	for _, r := range s.Requests {
@@ -75,8 +76,8 @@
 	return nil
 }
 
-// wouldCycle reports whether a machine that waits for the machines in after would wait for itself, through the open requests of
-// those machines.
+// wouldCycle reports whether a machine that waits for the machines in after would wait for itself, through the open
+// requests of those machines.
 func (s *State) wouldCycle(machine string, after []string) bool {
 	seen := map[string]bool{}
 	for next := slices.Clone(after); len(next) > 0; {
--- a/maintenance/state.go
+++ b/maintenance/state.go
@@ -1,5 +1,6 @@
-// Package maintenance decides when machines may be taken out of service for maintenance: caches, parents and the machines of the
-// gateways. It consists of a state and of the commands that change it, which package consensus replicates among the gateways.
+// Package maintenance decides when machines may be taken out of service for maintenance: caches, parents and the
+// machines of the gateways. It consists of a state and of the commands that change it, which package consensus
+// replicates among the gateways.
 //
 // A maintenance request passes through these stages:
 //
@@ -13,7 +14,8 @@
 //   - warming up: the machine is up again, but not warm yet;
 //   - completed or withdrawn: the request has ended.
 //
-// Apply is a pure function of state, command and limits. It does no I/O, reads no clock, and may be called from any goroutine.
+// Apply is a pure function of state, command and limits. It does no I/O, reads no clock, and may be called from any
+// goroutine.
 package maintenance
 
 import (
@@ -116,12 +118,13 @@
 	Gateways      map[string]Gateway `json:"gateways,omitempty"`
 }
 
-// Decode decodes a state. Empty input yields an empty state.
+// Decode decodes a state. Empty input yields an empty state. It returns an error if the input is not the JSON form of a
+// state.
 func Decode(value []byte) (*State, error) {
 	s := &State{}
 	if len(value) > 0 {
 		if err := json.Unmarshal(value, s); err != nil {
-			return nil, fmt.Errorf("work: state: %w", err)
+			return nil, fmt.Errorf("maintenance: can't decode the state: %w", err)
 		}
 	}
 	if s.Gateways == nil {
@@ -159,8 +162,8 @@
 	return nil
 }
 
-// ExcludedMachines returns the machines that a gateway must not send to. A gateway with a valid lease knows which of the granted
-// machines are draining; one without must assume that all of them are.
+// ExcludedMachines returns the machines that a gateway must not send to. A gateway with a valid lease knows which of
+// the granted machines are draining; one without must assume that all of them are.
 func (s *State) ExcludedMachines(hasLease bool) map[string]bool {
 	excluded := map[string]bool{}
 	for _, r := range s.Requests {
@@ -171,8 +174,8 @@
 	return excluded
 }
 
-// Summary returns the part of the state that every gateway has to know: the epoch, and the requests that are granted, draining or out
-// of service.
+// Summary returns the part of the state that every gateway has to know: the epoch, and the requests that are granted,
+// draining or out of service.
 func (s *State) Summary() *State {
 	summary := &State{Epoch: s.Epoch, Gateways: map[string]Gateway{}}
 	for _, r := range s.Requests {
@@ -184,8 +187,8 @@
 	return summary
 }
 
-// LatestDrainEpoch returns the epoch of the latest drain, or 0. A gateway that has stopped sending to all ExcludedMachines may report
-// this epoch as its StoppedEpoch.
+// LatestDrainEpoch returns the epoch of the latest drain, or 0. A gateway that has stopped sending to all
+// ExcludedMachines may report this epoch as its StoppedEpoch.
 func (s *State) LatestDrainEpoch() (epoch uint64) {
 	for _, r := range s.Requests {
 		if r.Stage == Draining || r.Stage == OutOfService {
--- a/maintenance/stored_test.go
+++ b/maintenance/stored_test.go
@@ -6,8 +6,8 @@
 	"larchusher/lab/golden"
 )
 
-// The replicated state, and the replies and plans sent to tools, are read by other versions. Their encoding must stay as in the
-// golden files, which commit 1a818d3 wrote.
+// The replicated state, and the replies and plans sent to tools, are read by other versions. Their encoding must stay
+// as in the golden files, which commit 1a818d3 wrote.
 func TestEncodingMatchesGoldenFiles(t *testing.T) {
 	golden.JSON(t, "testdata/1a818d3/state.json", &State{})
 	golden.JSON(t, "testdata/1a818d3/command.json", &Command{})
--- a/replication/announce.go
+++ b/replication/announce.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// receiveAnnouncement pulls from a peer that has announced newer safety slots: at once, or after the reply to the pending pull.
+// receiveAnnouncement pulls from a peer that has announced newer safety slots: at once, or after the reply to the
+// pending pull.
 func (n *Node) receiveAnnouncement(from string, m Message) {
 	if !n.Lags(m.Versions) {
 		return
@@ -48,8 +49,8 @@
 	n.announcingPeer, n.announcedVersions = from, m.Versions
 }
 
-// takeAnnouncingPeer returns and clears the peer that has announced slots, or returns an empty string if there is none or its slots have
-// been received meanwhile.
+// takeAnnouncingPeer returns and clears the peer that has announced slots, or returns an empty string if there is none
+// or its slots have been received meanwhile.
 func (n *Node) takeAnnouncingPeer() string {
 	peer := n.announcingPeer
 	n.announcingPeer = ""
--- a/replication/capacity.go
+++ b/replication/capacity.go
@@ -7,17 +7,19 @@
 )
 
 const (
-	// writerDivisor limits the slots of one gateway to 1/writerDivisor of a kind's capacity, so that it can't crowd out the others.
+	// writerDivisor limits the slots of one gateway to 1/writerDivisor of a kind's capacity, so that it can't crowd out
+	// the others.
 	writerDivisor = 4
-	// evictionDivisor makes one eviction drop 1/evictionDivisor of a gateway's slots, so that a full replica does not go through all
-	// slots with every message.
+	// evictionDivisor makes one eviction drop 1/evictionDivisor of a gateway's slots, so that a full replica does not
+	// go through all slots with every message.
 	evictionDivisor = 16
 	// maxSweepSlots is the maximum number of slots that one Sweep visits.
 	maxSweepSlots = 1000
 )
 
-// enforceCapacity evicts slots of a kind, if necessary, after one of a gateway was added: slots of that gateway if it has more than its
-// share, or slots of the gateway with the most if the kind has too many. writer is the name of the gateway.
+// enforceCapacity evicts slots of a kind, if necessary, after one of a gateway was added: slots of that gateway if it
+// has more than its share, or slots of the gateway with the most if the kind has too many. writer is the name of the
+// gateway.
 func (r *Replica) enforceCapacity(k Kind, writer string) {
 	maxSlots := limitsOf(k).maxSlots
 	switch {
@@ -39,7 +41,8 @@
 	return writer
 }
 
-// evict drops a fraction of a gateway's slots of a kind: those of its first incarnations, and of these the ones written first.
+// evict drops a fraction of a gateway's slots of a kind: those of its first incarnations, and of these the ones written
+// first.
 func (r *Replica) evict(k Kind, writer string) {
 	remaining := max(1, r.countByWriter[k][writer]/evictionDivisor)
 	for _, i := range slices.SortedFunc(maps.Keys(r.incarnations), Incarnation.compare) {
@@ -56,8 +59,9 @@
 	}
 }
 
-// Sweep drops slots that are older than the maximum age of their kind, and forgets inactive incarnations without slots. One call visits
-// at most maxSweepSlots, and the next one continues from there. Readers therefore check ages themselves.
+// Sweep drops slots that are older than the maximum age of their kind, and forgets inactive incarnations without slots.
+// One call visits at most maxSweepSlots, and the next one continues from there. Readers therefore check ages
+// themselves.
 func (r *Replica) Sweep(now time.Duration) {
 	if len(r.sweepQueue) == 0 {
 		r.beginSweep(now)
@@ -70,8 +74,9 @@
 	}
 }
 
-// beginSweep starts a pass over all incarnations. It forgets those that have no slots and have not been active for twice the highest
-// maximum age of any kind, so that any of their slots that may still arrive is too old to be accepted.
+// beginSweep starts a pass over all incarnations. It forgets those that have no slots and have not been active for
+// twice the highest maximum age of any kind, so that any of their slots that may still arrive is too old to be
+// accepted.
 func (r *Replica) beginSweep(now time.Duration) {
 	for i, state := range r.incarnations {
 		r.sweepQueue = append(r.sweepQueue, i)
--- a/replication/checksum.go
+++ b/replication/checksum.go
@@ -13,7 +13,8 @@
 	Sum         uint64 // sum of the hashes of the slots
 }
 
-// Checksum returns the checksum of up to checksumSlots slots of a stream, starting at a number. It returns false if there are none.
+// Checksum returns the checksum of up to checksumSlots slots of a stream, starting at a number. It returns false if
+// there are none.
 func (r *Replica) Checksum(now time.Duration, i Incarnation, st Stream, from uint64) (RangeChecksum, bool) {
 	sum := RangeChecksum{Incarnation: i, Stream: st, From: from}
 	state := r.incarnations[i]
@@ -28,8 +29,8 @@
 	return sum, len(slots) > 0
 }
 
-// slotSum returns the summand of a slot in a checksum: its hash, or 0 if it is about to expire, since another replica may have dropped
-// it already.
+// slotSum returns the summand of a slot in a checksum: its hash, or 0 if it is about to expire, since another replica
+// may have dropped it already.
 func (r *Replica) slotSum(now time.Duration, s *Slot) uint64 {
 	if s.removed || now-s.SeenBefore > r.maxAge(s.Kind)-ageTolerance {
 		return 0
@@ -55,8 +56,8 @@
 	return sum == theirs.Sum
 }
 
-// Rewrite writes this incarnation's slots of a range again under new numbers, so that all replicas replace their copies by the
-// writer's.
+// Rewrite writes this incarnation's slots of a range again under new numbers, so that all replicas replace their copies
+// by the writer's.
 func (r *Replica) Rewrite(now time.Duration, target RangeChecksum) {
 	log := &r.incarnations[r.self].logs[target.Stream]
 	var rewritten []Slot
--- a/replication/config.go
+++ b/replication/config.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	// DefaultPullInterval is the mean time between two pulls while fewer than 200 incarnations are known; with more it grows in
-	// proportion to their number.
+	// DefaultPullInterval is the mean time between two pulls while fewer than 200 incarnations are known; with more it
+	// grows in proportion to their number.
 	DefaultPullInterval = time.Second
-	// DefaultBytesPerSecond limits what a node sends to its peers in replies. A quarter of it limits what the bulk slots that it
-	// writes cost all members together.
+	// DefaultBytesPerSecond limits what a node sends to its peers in replies. A quarter of it limits what the bulk
+	// slots that it writes cost all members together.
 	DefaultBytesPerSecond = 256 << 10
-	// DefaultCatchUpTimeout is the time after which a starting node stops waiting for its peers and uses the slots that it has.
+	// DefaultCatchUpTimeout is the time after which a starting node stops waiting for its peers and uses the slots that
+	// it has.
 	DefaultCatchUpTimeout = 3 * time.Second
 )
 
--- a/replication/divergence.go
+++ b/replication/divergence.go
@@ -6,10 +6,11 @@
 )
 
 const (
-	// pullsPerChecksum makes one in so many pulls of a peer be answered with a checksum, if neither side lacks any slots.
+	// pullsPerChecksum is the number of a peer's pulls per checksum: a pull whose ID is a multiple of it is answered
+	// with a checksum, if neither side lacks any slots.
 	pullsPerChecksum = 10
-	// mismatchesToReport is by how many the differing checksums of a peer must outnumber the matching ones before a divergence is
-	// reported. A single checksum may differ because slots have expired meanwhile.
+	// mismatchesToReport is by how many the differing checksums of a peer must outnumber the matching ones before a
+	// divergence is reported. A single checksum may differ because slots have expired meanwhile.
 	mismatchesToReport = 3
 	// maxDivergences is the number of divergences kept for operators; beyond it, the oldest is dropped.
 	maxDivergences = 64
@@ -45,8 +46,8 @@
 	return nil
 }
 
-// compareChecksum compares the checksum in a reply, if any, with the own slots. A divergence is repaired: if the slots are this node's own,
-// they are written again under new numbers; otherwise all slots of their writer are pulled again.
+// compareChecksum compares the checksum in a reply, if any, with the own slots. A divergence is repaired: if the slots
+// are this node's own, they are written again under new numbers; otherwise all slots of their writer are pulled again.
 func (n *Node) compareChecksum(from string, m Message) {
 	if m.Checksum == nil || len(m.Slots) > 0 {
 		return
--- a/replication/events.go
+++ b/replication/events.go
@@ -29,8 +29,8 @@
 // SafetySlotsLearned reports safety slots of other incarnations that were received for the first time.
 type SafetySlotsLearned struct{ Slots []Slot }
 
-// CaughtUp reports that the node has caught up with its peers, or has stopped waiting for them. It is emitted once, unless the node is the
-// only member.
+// CaughtUp reports that the node has caught up with its peers, or has stopped waiting for them. It is emitted once,
+// unless the node is the only member.
 type CaughtUp struct {
 	From string        // peer whose reply completed the catch-up; empty: it did not complete within Config.CatchUpTimeout
 	Took time.Duration // time since the first event
--- a/replication/explore_test.go
+++ b/replication/explore_test.go
@@ -10,9 +10,10 @@
 	"time"
 )
 
-// The explorer enumerates every order in which three members can make three writes of different kinds, one of them a tombstone, and
-// exchange slots, completely or interrupted after the first slot. In each order at most one member restarts with an empty replica, one
-// is isolated and reconnected, and time passes once, so that all slots but the tombstone expire.
+// The explorer enumerates every order in which three members can make three writes of different kinds, one of them a
+// tombstone, and exchange slots, completely or interrupted after the first slot. In each order at most one member
+// restarts with an empty replica, one is isolated and reconnected, and time passes once, so that all slots but the
+// tombstone expire.
 
 // exploration is one state of the three replicas, and the events that have happened.
 type exploration struct {
@@ -166,7 +167,8 @@
 	}
 }
 
-// settle exchanges all slots between all replicas, and checks that they have converged and that a known purge has not been lost.
+// settle exchanges all slots between all replicas, and checks that they have converged and that a known purge has not
+// been lost.
 func (e *exploration) settle() string {
 	purgeKnown := false // at least one replica has the purge
 	for _, c := range e.replicas {
@@ -248,8 +250,8 @@
 	return len(seen), ""
 }
 
-// In every order of writes, exchanges and failures the replicas converge. Interrupted exchanges are explored only if the environment
-// variable EXPLORE is set; CI leaves them out.
+// In every order of writes, exchanges and failures the replicas converge. Interrupted exchanges are explored only if
+// the environment variable EXPLORE is set; CI leaves them out.
 func TestExplore(t *testing.T) {
 	states, violation := exploreAll(os.Getenv("EXPLORE") != "")
 	if violation != "" {
--- a/replication/faults.go
+++ b/replication/faults.go
@@ -43,16 +43,17 @@
 	Value          HealthValue   // median of the reports
 }
 
-// An endpoint counts as faulty only if at least minReporters gateways other than the reader report it, and at least one in
-// reporterDivisor of the other gateways that are alive. A single report may be due to the network path of its gateway.
+// An endpoint counts as faulty only if at least minReporters gateways other than the reader report it, and these are at
+// least 1/reporterDivisor of the other gateways that are alive. A single report may be due to the network path of its
+// gateway.
 const (
 	minReporters    = 2
 	reporterDivisor = 3
 )
 
-// FaultReports returns the endpoints that enough gateways report as faulty, sorted by id, each with the median of the reports. alive is
-// the number of other gateways that are alive. If there are too few reports, one that this gateway itself has written, for instance
-// in a former incarnation, suffices.
+// FaultReports returns the endpoints that enough gateways report as faulty, sorted by id, each with the median of the
+// reports. alive is the number of other gateways that are alive. If there are too few reports, one that this gateway
+// itself has written, for instance in a former incarnation, suffices.
 func (r *Replica) FaultReports(now time.Duration, alive int) (all []FaultReport) {
 	for server, slots := range r.byKey[Health] {
 		evidence := r.collectEvidence(now, slots)
@@ -95,7 +96,8 @@
 // reportsFault reports whether a value says that the current incarnation of the endpoint is faulty.
 func (e *healthEvidence) reportsFault(v HealthValue) bool { return v.Faulty() && v.BootMs == e.bootMs }
 
-// combine combines the reports of faults into one. It returns false if there are too few. self is the name of the reading gateway.
+// combine combines the reports of faults into one. It returns false if there are too few. self is the name of the
+// reading gateway.
 func (e *healthEvidence) combine(self string, alive int, now time.Duration) (FaultReport, bool) {
 	var values []HealthValue
 	others, oldest := 0, now
@@ -123,7 +125,8 @@
 	return FaultReport{OldestEvidence: oldest, Reporters: len(values), Value: e.median(values)}, true
 }
 
-// median returns the value with the median error rate, with its EjectedMs replaced by the median ejection time. It sorts values.
+// median returns the value with the median error rate, with its EjectedMs replaced by the median ejection time. It
+// sorts values.
 func (e *healthEvidence) median(values []HealthValue) HealthValue {
 	middle := (len(values) - 1) / 2
 	slices.SortStableFunc(values, func(a, b HealthValue) int { return cmp.Compare(a.ErrorRate, b.ErrorRate) })
--- a/replication/kind.go
+++ b/replication/kind.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Kind determines the meaning of a slot's key and value. Kinds below FirstBulk are safety kinds. Slots of an unknown kind, written by
-// a later version, are stored and forwarded like others.
+// Kind determines the meaning of a slot's key and value. Kinds below FirstBulk are safety kinds. Slots of an unknown
+// kind, written by a later version, are stored and forwarded like others.
 type Kind uint32
 
 // Known kinds. The numbers are part of the wire format.
--- a/replication/message.go
+++ b/replication/message.go
@@ -24,8 +24,8 @@
 	Checksum   *RangeChecksum    // in PullReply without slots: checksum of a range at the sender, to detect divergence; nil: none
 }
 
-// TransferredSlot is a slot in a message. Its evidence is dated by its age, since clocks differ between members; SeenAfter and
-// SeenBefore of the Slot are zero.
+// TransferredSlot is a slot in a message. Its evidence is dated by its age, since clocks differ between members;
+// SeenAfter and SeenBefore of the Slot are zero.
 type TransferredSlot struct {
 	Slot           Slot
 	MaxAge, MinAge time.Duration // bounds of the age of the evidence when the message was sent
--- a/replication/network_faults_test.go
+++ b/replication/network_faults_test.go
@@ -33,7 +33,8 @@
 	w.clock.At(back, func() { w.startNode(m) })
 }
 
-// suspendUntil suspends a node until the time resume, when it continues with its state and handles the messages received meanwhile.
+// suspendUntil suspends a node until the time resume, when it continues with its state and handles the messages
+// received meanwhile.
 func (w *simulation) suspendUntil(m *host, resume time.Duration) {
 	if m.node == nil || m.suspended {
 		return
@@ -52,7 +53,8 @@
 	})
 }
 
-// partition splits the nodes at random into two sides and severs the links between them, in one direction or both, until the time heal.
+// partition splits the nodes at random into two sides and severs the links between them, in one direction or both,
+// until the time heal.
 func (w *simulation) partition(heal time.Duration) {
 	side, oneWay := map[string]bool{}, w.rng.IntN(2) == 0
 	for _, n := range w.names {
--- a/replication/node.go
+++ b/replication/node.go
@@ -62,8 +62,8 @@
 	}, nil
 }
 
-// Handle processes one event and returns out with the resulting actions appended. now is the time on a monotonic clock of the
-// caller's choice; it must not decrease from call to call.
+// Handle processes one event and returns out with the resulting actions appended. now is the time on a monotonic clock
+// of the caller's choice; it must not decrease from call to call.
 func (n *Node) Handle(now time.Duration, e Event, out []Action) []Action {
 	n.now, n.actions = now, out
 	if n.startedAt < 0 {
@@ -84,9 +84,9 @@
 	return out
 }
 
-// Publish writes this incarnation's slot for a key like [Replica.Write], and announces it to a few peers if it is a safety slot. A bulk slot
-// is not written if the budget for own bulk slots is spent. seen is the time at which the evidence was seen, on the clock of
-// now. Publish reports whether the slot was written.
+// Publish writes this incarnation's slot for a key like [Replica.Write], and announces it to a few peers if it is a
+// safety slot. A bulk slot is not written if the budget for own bulk slots is spent. seen is the time at which the
+// evidence was seen, on the clock of now. Publish reports whether the slot was written.
 func (n *Node) Publish(now time.Duration, k Kind, key string, value []byte, seen time.Duration) bool {
 	if k.stream() == Bulk {
 		return n.publishBulk(now, k, key, value, seen)
@@ -104,8 +104,8 @@
 // aliveIntervals is the number of pull intervals for which a peer counts as alive after its latest message.
 const aliveIntervals = 10
 
-// LivePeers returns the number of other members that count as alive: a message of theirs arrived within the last aliveIntervals pull
-// intervals.
+// LivePeers returns the number of other members that count as alive: a message of theirs arrived within the last
+// aliveIntervals pull intervals.
 func (n *Node) LivePeers(now time.Duration) (count int) {
 	for _, at := range n.lastReceived {
 		if now-at < aliveIntervals*n.pullInterval() {
@@ -156,8 +156,8 @@
 	}
 }
 
-// pickPeer draws another member at random, or returns an empty string if there is none. While the node is catching up it prefers peers
-// that are not known to be catching up themselves.
+// pickPeer draws another member at random, or returns an empty string if there is none. While the node is catching up
+// it prefers peers that are not known to be catching up themselves.
 func (n *Node) pickPeer() string {
 	if len(n.cfg.Members) < 2 {
 		return ""
--- a/replication/pull.go
+++ b/replication/pull.go
@@ -8,7 +8,8 @@
 const (
 	// pullTimeout is the time after which a pull without a reply is given up.
 	pullTimeout = 1500 * time.Millisecond
-	// fastReply is the round-trip time below which the maximum size of the next reply doubles. Above twice this time it is halved.
+	// fastReply is the round-trip time below which the maximum size of the next reply doubles. Above twice this time it
+	// is halved.
 	fastReply = 250 * time.Millisecond
 
 	// Limits of the maximum size of a reply, in bytes.
@@ -28,8 +29,8 @@
 	sentAt time.Duration
 }
 
-// pullInterval returns the mean time between two pulls. A pull contains the versions of all incarnations, so with hundreds of
-// incarnations pulls are sent less often.
+// pullInterval returns the mean time between two pulls. A pull contains the versions of all incarnations, so with
+// hundreds of incarnations pulls are sent less often.
 func (n *Node) pullInterval() time.Duration {
 	const incarnationsPerInterval = 100
 	return n.cfg.PullInterval * time.Duration(max(1, len(n.incarnations)/incarnationsPerInterval))
@@ -38,8 +39,8 @@
 // pullFromAny pulls from a random peer.
 func (n *Node) pullFromAny() { n.pullFrom("") }
 
-// pullFrom sends a pull to a peer, or to a random one if to is empty. The time until the next pull is drawn from 3/4 to 5/4 of
-// the pull interval.
+// pullFrom sends a pull to a peer, or to a random one if to is empty. The time until the next pull is drawn from 3/4 to
+// 5/4 of the pull interval.
 func (n *Node) pullFrom(to string) {
 	interval := n.pullInterval()
 	n.nextPullAt = n.now + interval*3/4 + time.Duration(n.rng.Int64N(int64(interval/2)))
@@ -65,8 +66,8 @@
 	n.nextPullAt = n.now
 }
 
-// servePull replies to a pull with the slots that the peer lacks, safety first, within the send budget. If the budget is spent it does
-// not reply, and the peer pulls from another member after its timeout.
+// servePull replies to a pull with the slots that the peer lacks, safety first, within the send budget. If the budget
+// is spent it does not reply, and the peer pulls from another member after its timeout.
 func (n *Node) servePull(from string, m Message) {
 	if n.sendBudget < minReplyBytes {
 		n.Stats.Throttled++
@@ -103,8 +104,8 @@
 	return t
 }
 
-// receivePullReply merges the slots of a reply to the pending pull, and schedules the next pull. Other replies are ignored, since the age
-// of their slots can't be bounded.
+// receivePullReply merges the slots of a reply to the pending pull, and schedules the next pull. Other replies are
+// ignored, since the age of their slots can't be bounded.
 func (n *Node) receivePullReply(from string, m Message) {
 	if n.pull == nil || n.pull.id != m.ID || n.pull.peer != from {
 		n.Stats.StaleReplies++
@@ -137,8 +138,8 @@
 	}
 }
 
-// mergeTransferred merges the slots of a reply and returns the new safety slots among them. The ages of the slots apply to the time at
-// which the reply was sent, which is after the pull and before now.
+// mergeTransferred merges the slots of a reply and returns the new safety slots among them. The ages of the slots apply
+// to the time at which the reply was sent, which is after the pull and before now.
 func (n *Node) mergeTransferred(slots []TransferredSlot, pulledAt time.Duration) (learned []Slot) {
 	for _, t := range slots {
 		if t.MinAge < 0 || t.MaxAge < t.MinAge {
@@ -154,9 +155,9 @@
 	return learned
 }
 
-// pullNext decides after a reply from which peer to pull next: first from one that has announced newer safety slots, then from the same
-// peer while it has more. While the node is catching up, it then pulls from another peer, until one that is not catching up itself
-// has sent all its slots.
+// pullNext decides after a reply from which peer to pull next: first from one that has announced newer safety slots,
+// then from the same peer while it has more. While the node is catching up, it then pulls from another peer, until one
+// that is not catching up itself has sent all its slots.
 func (n *Node) pullNext(from string, m Message) {
 	announcingPeer := n.takeAnnouncingPeer()
 	switch {
--- a/replication/replica.go
+++ b/replication/replica.go
@@ -1,25 +1,25 @@
-// Package replication replicates state that the gateways of an installation share, such as purges, drains, endpoint health and
-// listings, so that a restarted gateway can catch up with its peers before it acts on outdated state.
+// Package replication replicates state that the gateways of an installation share, such as purges, drains, endpoint
+// health and listings, so that a restarted gateway can catch up with its peers before it acts on outdated state.
 //
-// The state consists of slots. A slot is the value that one incarnation of a gateway has written for one key of one kind, and only
-// that incarnation ever changes it. Of two copies of a slot the one with the higher number wins, so replicas can be merged in any
-// order and any number of times. The reader combines the slots that several incarnations have written for the same key, by a
-// rule for each kind (values.go, faults.go).
+// The state consists of slots. A slot is the value that one incarnation of a gateway has written for one key of one
+// kind, and only that incarnation ever changes it. Of two copies of a slot the one with the higher number wins, so
+// replicas can be merged in any order and any number of times. The reader combines the slots that several incarnations
+// have written for the same key, by a rule for each kind (values.go, faults.go).
 //
-// Each incarnation numbers its slots in two streams, safety and bulk. Members exchange version vectors, and send each other the
-// missing slots in the order of their numbers, safety first (Scuttlebutt: van Renesse, Dumitriu, Gough, Thomas, "Efficient
-// Reconciliation and Flow Control for Anti-Entropy Protocols", 2008). An interrupted exchange therefore leaves a prefix of each
-// stream, and the next exchange continues from there, with any peer.
+// Each incarnation numbers its slots in two streams, safety and bulk. Members exchange version vectors, and send each
+// other the missing slots in the order of their numbers, safety first (Scuttlebutt: van Renesse, Dumitriu, Gough,
+// Thomas, "Efficient Reconciliation and Flow Control for Anti-Entropy Protocols", 2008). An interrupted exchange
+// therefore leaves a prefix of each stream, and the next exchange continues from there, with any peer.
 //
-// No rule depends on wall clocks. A slot is transferred with the age of its evidence, and every replica measures the further age by
-// its own monotonic clock. Since the time of the transfer is only known to lie between the request and the reply, the age is an
-// interval. Evidence in favor of sending to an endpoint counts as old as possible, a purge as young as possible. A slot older than
-// the maximum age of its kind is dropped, and not accepted from peers. A tombstone therefore only has to outlive the slots
-// that it covers, however long a member was disconnected.
+// No rule depends on wall clocks. A slot is transferred with the age of its evidence, and every replica measures the
+// further age by its own monotonic clock. Since the time of the transfer is only known to lie between the request and
+// the reply, the age is an interval. Evidence in favor of sending to an endpoint counts as old as possible, a purge as
+// young as possible. A slot older than the maximum age of its kind is dropped, and not accepted from peers. A tombstone
+// therefore only has to outlive the slots that it covers, however long a member was disconnected.
 //
-// Replica contains the state, Node exchanges it with the peers. The package does no I/O, reads no clock and starts no goroutine. Its
-// caller passes events to [Node.Handle], one at a time, and carries out the returned actions. The same sequence of events yields
-// the same actions.
+// Replica contains the state, Node exchanges it with the peers. The package does no I/O, reads no clock and starts no
+// goroutine. Its caller passes events to [Node.Handle], one at a time, and carries out the returned actions. The same
+// sequence of events yields the same actions.
 package replication
 
 import (
@@ -30,8 +30,8 @@
 const (
 	// maxIncarnations is the maximum number of incarnations whose streams are tracked. Slots of further ones are rejected.
 	maxIncarnations = 4096
-	// ageTolerance is the difference up to which the ages of one slot at two replicas count as equal, and the time by which the
-	// wall clock of another member may be ahead.
+	// ageTolerance is the difference up to which the ages of one slot at two replicas count as equal, and the time by
+	// which the wall clock of another member may be ahead.
 	ageTolerance = 2 * time.Second
 )
 
@@ -70,8 +70,8 @@
 	lastActive time.Duration // time of the latest new slot or version of this incarnation
 }
 
-// NewReplica returns an empty replica for an incarnation. Purges are kept for purgeSettleTime, after which no copy of an object from
-// before the purge can be left; 0: for the maximum age of the kind.
+// NewReplica returns an empty replica for an incarnation. Purges are kept for purgeSettleTime, after which no copy of
+// an object from before the purge can be left; 0: for the maximum age of the kind.
 func NewReplica(self Incarnation, purgeSettleTime time.Duration) *Replica {
 	return &Replica{
 		self:            self,
@@ -92,9 +92,10 @@
 	return limitsOf(k).maxAge
 }
 
-// Write writes this incarnation's slot for a key. seen is the time at which the evidence was seen, on the clock of now; wall is the Unix
-// time. It reports whether the slot was written. It is not written if a field is too long or the evidence is older than the maximum
-// age, nor if the same value was written with evidence younger by less than half the maximum age.
+// Write writes this incarnation's slot for a key. seen is the time at which the evidence was seen, on the clock of now;
+// wall is the Unix time. It reports whether the slot was written. It is not written if a field is too long or the
+// evidence is older than the maximum age, nor if the same value was written with evidence younger by less than half the
+// maximum age.
 func (r *Replica) Write(now, wall time.Duration, k Kind, key string, value []byte, seen time.Duration) bool {
 	if key == "" || len(key) > maxKeyBytes || len(value) > maxValueBytes || now-seen > r.maxAge(k) {
 		r.Counters.Rejected++
@@ -111,8 +112,8 @@
 	return true
 }
 
-// isCurrent reports whether an existing slot makes a write of a value unnecessary: it has the same value, and evidence that is not much
-// older. A later purge of the same name is a purge of its own, and always written.
+// isCurrent reports whether an existing slot makes a write of a value unnecessary: it has the same value, and evidence
+// that is not much older. A later purge of the same name is a purge of its own, and always written.
 func (r *Replica) isCurrent(old *Slot, value []byte, seen time.Duration) bool {
 	if string(old.Value) != string(value) {
 		return false
@@ -124,8 +125,8 @@
 // wallTimestamp returns the smallest value of the hybrid logical clock at a Unix time.
 func wallTimestamp(wall time.Duration) uint64 { return uint64(max(0, wall.Milliseconds())) << 16 }
 
-// Merge merges a slot from another replica. Its SeenAfter and SeenBefore must be on the clock of now; wall is the Unix time. It reports
-// whether the slot was new and has been stored.
+// Merge merges a slot from another replica. Its SeenAfter and SeenBefore must be on the clock of now; wall is the Unix
+// time. It reports whether the slot was new and has been stored.
 func (r *Replica) Merge(now, wall time.Duration, s Slot) bool {
 	switch {
 	case s.Writer == r.self || !s.wellFormed(now):
@@ -156,7 +157,8 @@
 	return true
 }
 
-// insert stores a slot, replaces the one with the same slotID, if any, applies a tombstone, and evicts slots beyond the capacity.
+// insert stores a slot, replaces the one with the same slotID, if any, applies a tombstone, and evicts slots beyond the
+// capacity.
 func (r *Replica) insert(now time.Duration, s *Slot) {
 	if old := r.slots[s.id()]; old != nil {
 		r.remove(old)
--- a/replication/replica_test.go
+++ b/replication/replica_test.go
@@ -66,8 +66,8 @@
 	})
 }
 
-// Deltas make two replicas equal even if some are lost. No slot is sent twice to a replica that has it, and no bulk slot precedes a safety
-// slot.
+// Deltas make two replicas equal even if some are lost. No slot is sent twice to a replica that has it, and no bulk
+// slot precedes a safety slot.
 func TestDeltasConvergeAfterInterruptedExchanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := NewReplica(incarnation("from", 1), 0), NewReplica(incarnation("to", 1), 0)
@@ -151,8 +151,8 @@
 	}
 }
 
-// A tombstone drops existing slots with older evidence, and keeps them from being merged again for longer than they can last at any
-// replica. Slots with newer evidence are accepted.
+// A tombstone drops existing slots with older evidence, and keeps them from being merged again for longer than they can
+// last at any replica. Slots with newer evidence are accepted.
 func TestTombstoneOutlivesCoveredSlots(t *testing.T) {
 	c := NewReplica(incarnation("c", 1), 0)
 	old := Slot{Writer: incarnation("w", 1), Seq: 1, Kind: Health, Key: "b1", Value: Encode(HealthValue{ErrorRate: 1}), SeenAfter: 100 * sec, SeenBefore: 100 * sec}
@@ -181,8 +181,8 @@
 	}
 }
 
-// A malicious member that sends well-formed slots with arbitrary contents can't fill the replica, advance its logical clock, make an
-// endpoint count as faulty alone, or write in the name of this incarnation.
+// A malicious member that sends well-formed slots with arbitrary contents can't fill the replica, advance its logical
+// clock, make an endpoint count as faulty alone, or write in the name of this incarnation.
 func TestMaliciousMemberIsBounded(t *testing.T) {
 	c := NewReplica(incarnation("c", 1), 6*sec)
 	now := 100 * sec
@@ -222,7 +222,8 @@
 	}
 }
 
-// An endpoint counts as faulty if enough gateways report it for its current incarnation. The result is the median of their reports.
+// An endpoint counts as faulty if enough gateways report it for its current incarnation. The result is the median of
+// their reports.
 func TestFaultReportsNeedSeveralReporters(t *testing.T) {
 	now := 100 * sec
 	report := func(c *Replica, gateway string, seen time.Duration, e HealthValue) {
@@ -281,8 +282,8 @@
 	}
 }
 
-// Of two listings with clearly different ages the younger one wins, whatever the timestamps. With similar ages the higher timestamp wins,
-// and with equal timestamps the writer's name decides, so that all replicas agree.
+// Of two listings with clearly different ages the younger one wins, whatever the timestamps. With similar ages the
+// higher timestamp wins, and with equal timestamps the writer's name decides, so that all replicas agree.
 func TestNewestListingWins(t *testing.T) {
 	now := 100 * sec
 	merge := func(c *Replica, gateway string, seen time.Duration, timestamp uint64, server string) {
@@ -339,8 +340,8 @@
 	}
 }
 
-// Replies with another ID than the pending pull, or from another peer, are ignored: without the time of the pull, the ages of their
-// slots are unknown.
+// Replies with another ID than the pending pull, or from another peer, are ignored: without the time of the pull, the
+// ages of their slots are unknown.
 func TestUnrequestedRepliesAreIgnored(t *testing.T) {
 	n, err := NewNode(Config{Self: incarnation("n", 2), Members: []string{"a", "b", "n"}, WallClock: func() time.Duration { return sec }})
 	if err != nil {
--- a/replication/simulation_test.go
+++ b/replication/simulation_test.go
@@ -13,9 +13,9 @@
 	"larchusher/lab/virtualclock"
 )
 
-// simulation runs several nodes on a virtual clock. Links lose, duplicate and delay messages, and can be severed. Nodes are killed and
-// restarted as other incarnations, or suspended and resumed. Wall clocks are wrong. Purges are recorded independently of the nodes, to
-// check that none is lost.
+// simulation runs several nodes on a virtual clock. Links lose, duplicate and delay messages, and can be severed. Nodes
+// are killed and restarted as other incarnations, or suspended and resumed. Wall clocks are wrong. Purges are recorded
+// independently of the nodes, to check that none is lost.
 type simulation struct {
 	rng             *rand.Rand
 	clock           virtualclock.Clock
@@ -144,11 +144,12 @@
 	w.purged[key] = w.clock.Now
 }
 
-// converged reports whether every running node has the slots of every other one, without those that may have expired elsewhere already.
+// converged reports whether every running node has the slots of every other one, without those that may have expired
+// elsewhere already.
 func (w *simulation) converged() bool { return w.divergence() == "" }
 
-// divergence describes a slot that one running node has and another lacks, or returns an empty string. Slots older than 60 % of their
-// maximum age are skipped, since clocks differ and they may have expired elsewhere.
+// divergence describes a slot that one running node has and another lacks, or returns an empty string. Slots older than
+// 60 % of their maximum age are skipped, since clocks differ and they may have expired elsewhere.
 func (w *simulation) divergence() string {
 	for _, a := range w.nodes {
 		if a.node == nil || a.suspended {
@@ -172,8 +173,8 @@
 	return ""
 }
 
-// awaitConvergence runs the simulation until the nodes have converged, at most for limit. It returns the time that this took, and whether
-// they have converged.
+// awaitConvergence runs the simulation until the nodes have converged, at most for limit. It returns the time that this
+// took, and whether they have converged.
 func (w *simulation) awaitConvergence(limit time.Duration) (time.Duration, bool) {
 	start := w.clock.Now
 	for w.clock.Now < start+limit {
@@ -185,8 +186,8 @@
 	return limit, false
 }
 
-// playSeed plays a random run with faults, given by its seed. Two seconds after the last fault all running nodes must have converged, and
-// no purge may be lost or appear older than it is. It returns the violation, if any.
+// playSeed plays a random run with faults, given by its seed. Two seconds after the last fault all running nodes must
+// have converged, and no purge may be lost or appear older than it is. It returns the violation, if any.
 func playSeed(seed uint64) (*simulation, string) {
 	w := newSimulation(seed, 3+int(seed%5))
 	for range w.rng.IntN(5) {
@@ -231,8 +232,8 @@
 	}
 }
 
-// lostPurge describes a recent purge that one running node has learned, but another one does not know or dates too early. It returns an
-// empty string if there is none.
+// lostPurge describes a recent purge that one running node has learned, but another one does not know or dates too
+// early. It returns an empty string if there is none.
 func (w *simulation) lostPurge() string {
 	for key, at := range w.purged {
 		if w.clock.Now-at > purgeSettleTime-time.Second {
@@ -292,8 +293,8 @@
 	}
 }
 
-// The peer from which a restarted node catches up is killed half way. The node continues with another peer, without receiving the
-// first half again.
+// The peer from which a restarted node catches up is killed half way. The node continues with another peer, without
+// receiving the first half again.
 func TestCatchUpContinuesWithAnotherPeer(t *testing.T) {
 	w := newSimulation(5, 3)
 	w.clock.Pass(2 * time.Second)
@@ -326,7 +327,8 @@
 	}
 }
 
-// A node whose peers can't be reached stops catching up after the timeout. If all nodes start at the same time, none waits for the timeout.
+// A node whose peers can't be reached stops catching up after the timeout. If all nodes start at the same time, none
+// waits for the timeout.
 func TestCatchUpTimeIsBounded(t *testing.T) {
 	w := newSimulation(6, 3)
 	w.clock.Pass(4 * time.Second)
@@ -378,8 +380,8 @@
 	}
 }
 
-// A replica has another value under the same number, and has lost other slots without noticing. Checksums must detect this, the
-// divergence must be recorded, and the replicas must converge again.
+// A replica has another value under the same number, and has lost other slots without noticing. Checksums must detect
+// this, the divergence must be recorded, and the replicas must converge again.
 func TestDivergenceIsDetectedAndRepaired(t *testing.T) {
 	w := newSimulation(9, 3)
 	w.clock.Pass(time.Second)
--- a/replication/slot.go
+++ b/replication/slot.go
@@ -35,8 +35,8 @@
 	Value     []byte // meaning depends on Kind
 	Timestamp uint64 // hybrid logical clock of the writer; orders slots of about the same age
 
-	// SeenAfter and SeenBefore are the earliest and the latest time at which the writer can have seen the evidence for the value, by the
-	// monotonic clock of the replica that stores the slot.
+	// SeenAfter and SeenBefore are the earliest and the latest time at which the writer can have seen the evidence for
+	// the value, by the monotonic clock of the replica that stores the slot.
 	SeenAfter, SeenBefore time.Duration
 	removed               bool // dropped, but still in its streamLog until that is compacted
 }
@@ -50,8 +50,8 @@
 
 func (s *Slot) id() slotID { return slotID{s.Kind, s.Key, s.Writer} }
 
-// wellFormed reports whether the fields of a slot from another replica are within their bounds, and its evidence is not from the
-// future.
+// wellFormed reports whether the fields of a slot from another replica are within their bounds, and its evidence is not
+// from the future.
 func (s *Slot) wellFormed(now time.Duration) bool {
 	named := s.Writer.Name != "" && len(s.Writer.Name) <= maxNameBytes
 	sized := s.Key != "" && len(s.Key) <= maxKeyBytes && len(s.Value) <= maxValueBytes
@@ -59,8 +59,9 @@
 	return named && sized && seen && s.Seq > 0
 }
 
-// supersedes reports whether s replaces another write of the same slotID: the one with the higher number. Two different writes with the
-// same number mean that a member is faulty or malicious; then the higher hash decides, so that all replicas keep the same one.
+// supersedes reports whether s replaces another write of the same slotID: the one with the higher number. Two different
+// writes with the same number mean that a member is faulty or malicious; then the higher hash decides, so that all
+// replicas keep the same one.
 func (s *Slot) supersedes(old *Slot) bool {
 	return s.Seq > old.Seq || s.Seq == old.Seq && s.hash() > old.hash()
 }
@@ -95,8 +96,8 @@
 // insert inserts a slot at the place of its number.
 func (l *streamLog) insert(s *Slot) { l.slots = slices.Insert(l.slots, l.index(s.Seq), s) }
 
-// compactSlack keeps short logs from being compacted too often: compaction starts when twice the number of removed slots exceeds
-// the length of the log by more than this.
+// compactSlack keeps short logs from being compacted too often: compaction starts when twice the number of removed
+// slots exceeds the length of the log by more than this.
 const compactSlack = 8
 
 // compact deletes the removed slots from the log once they are more than about half of it.
--- a/replication/stored_test.go
+++ b/replication/stored_test.go
@@ -6,8 +6,8 @@
 	"larchusher/lab/golden"
 )
 
-// Values of replicated slots, and replies to tools, are read by other versions. Their encoding must stay as in the golden files, which
-// commit 1a818d3 wrote.
+// Values of replicated slots, and replies to tools, are read by other versions. Their encoding must stay as in the
+// golden files, which commit 1a818d3 wrote.
 func TestEncodingMatchesGoldenFiles(t *testing.T) {
 	golden.JSON(t, "testdata/1a818d3/place.json", &ListingValue{})
 	golden.JSON(t, "testdata/1a818d3/evidence.json", &HealthValue{})
--- a/replication/tombstone.go
+++ b/replication/tombstone.go
@@ -8,8 +8,8 @@
 // TombstoneKey returns the key of a Tombstone that covers all slots of a kind and key.
 func TombstoneKey(k Kind, key string) string { return fmt.Sprintf("%d %s", uint32(k), key) }
 
-// parseTombstoneKey parses a key made by TombstoneKey. It returns false for a malformed key, and for one that covers tombstones,
-// which is not allowed.
+// parseTombstoneKey parses a key made by TombstoneKey. It returns false for a malformed key, and for one that covers
+// tombstones, which is not allowed.
 func parseTombstoneKey(s string) (k Kind, key string, ok bool) {
 	var number uint32
 	if n, err := fmt.Sscanf(s, "%d ", &number); n != 1 || err != nil || Kind(number) == Tombstone {
--- a/replication/values.go
+++ b/replication/values.go
@@ -37,8 +37,8 @@
 // decodeValue decodes the value of a slot. It returns false for a malformed value; callers ignore such slots.
 func decodeValue[T any](s *Slot) (v T, ok bool) { return v, json.Unmarshal(s.Value, &v) == nil }
 
-// newer reports whether slot a of a key is newer than slot b: by age if the ages differ by more than ageTolerance, otherwise by the
-// writers' logical clocks, and then by the writers, so that all replicas choose the same slot.
+// newer reports whether slot a of a key is newer than slot b: by age if the ages differ by more than ageTolerance,
+// otherwise by the writers' logical clocks, and then by the writers, so that all replicas choose the same slot.
 func newer(a, b *Slot) bool {
 	if d := a.SeenBefore - b.SeenBefore; d > ageTolerance || d < -ageTolerance {
 		return d > 0
@@ -57,8 +57,8 @@
 	return best
 }
 
-// Purges returns the latest possible time of the newest purge of each name, on the clock of now. An object that was fetched between
-// the purge and this time is fetched again, which is safe.
+// Purges returns the latest possible time of the newest purge of each name, on the clock of now. An object that was
+// fetched between the purge and this time is fetched again, which is safe.
 func (r *Replica) Purges(now time.Duration) map[string]time.Duration {
 	all := map[string]time.Duration{}
 	for key, slots := range r.byKey[Purge] {
@@ -79,8 +79,8 @@
 	Value   ListingValue
 }
 
-// Listings returns the newest Listing of each key, sorted by the latest use, the most recent first; at most limit entries, or all if
-// limit is 0.
+// Listings returns the newest Listing of each key, sorted by the latest use, the most recent first; at most limit
+// entries, or all if limit is 0.
 func (r *Replica) Listings(now time.Duration, limit int) (all []ListingEntry) {
 	for key, slots := range r.byKey[Listing] {
 		s := newest(slots)
@@ -98,8 +98,8 @@
 	return all
 }
 
-// Locate returns the endpoint in the newest Listing of a key, and the earliest possible time of its latest use. It returns false if
-// there is no Listing with a valid value. Unlike Listings it ignores the age.
+// Locate returns the endpoint in the newest Listing of a key, and the earliest possible time of its latest use. It
+// returns false if there is no Listing with a valid value. Unlike Listings it ignores the age.
 func (r *Replica) Locate(key string) (server string, at time.Duration, ok bool) {
 	slots := r.byKey[Listing][key]
 	if len(slots) == 0 {
@@ -110,8 +110,9 @@
 	return v.Server, s.SeenAfter, ok
 }
 
-// Drains returns the endpoints that another incarnation has reported as draining, in a report that is not older than within. The map
-// gives, by endpoint id, the Unix time in ms of the start of the draining endpoint. One such report suffices, whatever others report.
+// Drains returns the endpoints that another incarnation has reported as draining, in a report that is not older than
+// within. The map gives, by endpoint id, the Unix time in ms of the start of the draining endpoint. One such report
+// suffices, whatever others report.
 func (r *Replica) Drains(now, within time.Duration) map[string]int64 {
 	all := map[string]int64{}
 	for key, slots := range r.byKey[Drain] {
@@ -128,8 +129,8 @@
 // maxWorkSent is the highest plausible value of one writer; higher values are ignored.
 const maxWorkSent = 1e12
 
-// WorkSent returns the work that all incarnations together have sent to an endpoint since its start, in the unit in which the writers
-// publish it. key is the key of the SlowStart slots.
+// WorkSent returns the work that all incarnations together have sent to an endpoint since its start, in the unit in
+// which the writers publish it. key is the key of the SlowStart slots.
 func (r *Replica) WorkSent(key string) (sum float64) {
 	for _, s := range r.byKey[SlowStart][key] {
 		if n, ok := decodeValue[float64](s); ok && n > 0 && n < maxWorkSent {
@@ -150,8 +151,8 @@
 	Value       json.RawMessage `json:"value,omitempty"`
 }
 
-// Rows returns the first slots, at most limit, sorted by kind, key and writer, and the total number. kind is the name of the kind to
-// return; empty: all kinds.
+// Rows returns the first slots, at most limit, sorted by kind, key and writer, and the total number. kind is the name
+// of the kind to return; empty: all kinds.
 func (r *Replica) Rows(now time.Duration, kind string, limit int) (rows []Row, total int) {
 	var slots []*Slot
 	for _, s := range r.slots {
--- a/replication/versions.go
+++ b/replication/versions.go
@@ -39,8 +39,8 @@
 	return false
 }
 
-// AdvanceTo records that all slots of another incarnation's stream up to a number have been received, or no longer exist. Invalid
-// arguments, and new incarnations beyond maxIncarnations, are ignored.
+// AdvanceTo records that all slots of another incarnation's stream up to a number have been received, or no longer
+// exist. Invalid arguments, and new incarnations beyond maxIncarnations, are ignored.
 func (r *Replica) AdvanceTo(now time.Duration, i Incarnation, st Stream, upTo uint64) {
 	if i == r.self || st < 0 || st >= streams || i.Name == "" || len(i.Name) > maxNameBytes {
 		return
@@ -69,9 +69,10 @@
 	}
 }
 
-// Delta returns the slots that a replica with the given versions lacks, in the order in which they have to be merged, and the versions
-// that it then reaches. The slots have at most maxBytes, as measured by slotBytes, but there is at least one if it is a safety slot.
-// Bulk slots are only added while the total is at most bulkBytes. more reports that the replica lacks further slots.
+// Delta returns the slots that a replica with the given versions lacks, in the order in which they have to be merged,
+// and the versions that it then reaches. The slots have at most maxBytes, as measured by slotBytes, but there is at
+// least one if it is a safety slot. Bulk slots are only added while the total is at most bulkBytes. more reports that
+// the replica lacks further slots.
 func (r *Replica) Delta(theirs []StreamVersions, maxBytes, bulkBytes int, slotBytes func(*Slot) int) (slots []*Slot, reached []StreamVersions, more bool) {
 	known := map[Incarnation][streams]uint64{}
 	for _, v := range theirs {
@@ -125,7 +126,8 @@
 	return true
 }
 
-// hasSpace reports whether a slot of the given size fits. The first slot always fits into maxBytes, so that an exchange makes progress.
+// hasSpace reports whether a slot of the given size fits. The first slot always fits into maxBytes, so that an exchange
+// makes progress.
 func (d *delta) hasSpace(st Stream, size int) bool {
 	if st == Bulk && d.bytes+size > d.bulkBytes {
 		return false
--- a/warmstart/collect.go
+++ b/warmstart/collect.go
@@ -9,9 +9,9 @@
 	"larchusher/routing"
 )
 
-// Collect returns the state that other gateways have published, as learned state for the director. now is on the replication
-// node's clock, directorTime is the director's clock now; times are converted by their age. Incarnations of endpoints are returned as
-// in the endpoint list, where they match it.
+// Collect returns the state that other gateways have published, as learned state for the director. now is on the
+// replication node's clock, directorTime is the director's clock now; times are converted by their age. Incarnations of
+// endpoints are returned as in the endpoint list, where they match it.
 func (s *Sharer) Collect(now, directorTime time.Duration, list map[string]routing.Endpoint) routing.LearnedState {
 	m := routing.LearnedState{At: directorTime, Zone: s.zone}
 	for _, l := range s.node.Listings(now, 0) {
@@ -53,8 +53,8 @@
 	return m
 }
 
-// listedIncarnation returns the incarnation of an endpoint in the endpoint list, if it equals the published one in ms, or otherwise
-// the published one.
+// listedIncarnation returns the incarnation of an endpoint in the endpoint list, if it equals the published one in ms,
+// or otherwise the published one.
 func listedIncarnation(list map[string]routing.Endpoint, id string, ms int64) time.Duration {
 	if e, ok := list[id]; ok && incarnationMs(e.Incarnation) == ms {
 		return e.Incarnation
@@ -63,15 +63,18 @@
 }
 
 const (
-	// peerDrainMaxAge is the maximum age of a drain that other gateways have published and the own endpoint list does not show.
+	// peerDrainMaxAge is the maximum age of a drain that other gateways have published and the own endpoint list does
+	// not show.
 	peerDrainMaxAge = 10 * time.Second
-	// maxPeerDrainedDivisor limits the endpoints of a kind and zone that are treated as draining because of other gateways: their number
-	// divided by this, but at least one. A gateway with a wrong endpoint list can therefore affect only few endpoints.
+	// maxPeerDrainedDivisor limits the endpoints of a kind and zone that are treated as draining because of other
+	// gateways: their number divided by this, but at least one. A gateway with a wrong endpoint list can therefore
+	// affect only few endpoints.
 	maxPeerDrainedDivisor = 4
 )
 
-// PeerDrainedEndpoints returns the ids of the endpoints that should be treated as draining because of other gateways: those that are
-// still up in the own endpoint list, but that drain or are missing, in the same incarnation, in the endpoint list of another gateway.
+// PeerDrainedEndpoints returns the ids of the endpoints that should be treated as draining because of other gateways:
+// those that are still up in the own endpoint list, but that drain or are missing, in the same incarnation, in the
+// endpoint list of another gateway.
 func (s *Sharer) PeerDrainedEndpoints(now time.Duration, list map[string]routing.Endpoint) map[string]bool {
 	groupSizes := map[string]int{} // by group
 	for _, e := range list {
@@ -95,5 +98,6 @@
 	return drained
 }
 
-// drainGroup returns the group of an endpoint, in which maxPeerDrainedDivisor limits the number of drained endpoints: its kind and zone.
+// drainGroup returns the group of an endpoint, in which maxPeerDrainedDivisor limits the number of drained endpoints:
+// its kind and zone.
 func drainGroup(e routing.Endpoint) string { return e.Kind + " " + e.Zone }
--- a/warmstart/confidence.go
+++ b/warmstart/confidence.go
@@ -7,9 +7,9 @@
 	"larchusher/routing"
 )
 
-// Half-lives of the confidence in learned state. State that attracts requests to an endpoint decays faster than state that keeps
-// requests away: an endpoint that is wrongly considered faulty is soon tried again, but one that is wrongly considered healthy is sent
-// requests that it can't serve.
+// Half-lives of the confidence in learned state. State that attracts requests to an endpoint decays faster than state
+// that keeps requests away: an endpoint that is wrongly considered faulty is soon tried again, but one that is wrongly
+// considered healthy is sent requests that it can't serve.
 const (
 	ListingHalfLife     = time.Minute      // that an object is cached at an endpoint: attracts requests
 	FillLatencyHalfLife = 30 * time.Second // fill latency of a parent: attracts fills to the faster parent
@@ -24,8 +24,8 @@
 	maxClockSkew = 2 * time.Second
 )
 
-// ConfidenceAt returns the confidence, from 0 to 1, in each type of learned state of the given age. It is 0 for state dated more than
-// maxClockSkew in the future.
+// ConfidenceAt returns the confidence, from 0 to 1, in each type of learned state of the given age. It is 0 for state
+// dated more than maxClockSkew in the future.
 func ConfidenceAt(age time.Duration) routing.Confidence {
 	return routing.Confidence{
 		Listing:     confidence(age, ListingHalfLife),
--- a/warmstart/confidence_test.go
+++ b/warmstart/confidence_test.go
@@ -7,8 +7,8 @@
 	"larchusher/routing"
 )
 
-// Confidence never increases with age and is 0 after a day. State that attracts requests decays faster than state that keeps requests
-// away.
+// Confidence never increases with age and is 0 after a day. State that attracts requests decays faster than state that
+// keeps requests away.
 func TestConfidenceDecaysWithAge(t *testing.T) {
 	last := ConfidenceAt(0)
 	if last != (routing.Confidence{Listing: 1, Failure: 1, Limit: 1, FillLatency: 1}) {
--- a/warmstart/publish.go
+++ b/warmstart/publish.go
@@ -11,9 +11,9 @@
 	"larchusher/routing"
 )
 
-// Publish publishes the changes of a director's learned state and of the endpoint list: first purges and drains, on which safety
-// depends, then faults of endpoints, then listings, those with the most requests first, until the budget of the replication node is
-// spent. now is on the replication node's clock, m.At on the director's.
+// Publish publishes the changes of a director's learned state and of the endpoint list: first purges and drains, on
+// which safety depends, then faults of endpoints, then listings, those with the most requests first, until the budget
+// of the replication node is spent. now is on the replication node's clock, m.At on the director's.
 func (s *Sharer) Publish(now time.Duration, m routing.LearnedState, list map[string]routing.Endpoint) {
 	s.publishPurges(now, m)
 	s.publishDrains(now, list)
@@ -30,12 +30,12 @@
 	return true
 }
 
-// ownPurgeMargin is the time by which a purge of a name must be newer than the one received from another gateway, to count as a
-// purge that this gateway itself has learned of.
+// ownPurgeMargin is the time by which a purge of a name must be newer than the one received from another gateway, to
+// count as a purge that this gateway itself has learned of.
 const ownPurgeMargin = 20 * time.Millisecond
 
-// publishPurges publishes the purges that no other gateway has published yet. Purges received from other gateways are not published
-// again, since they would appear a little younger each time.
+// publishPurges publishes the purges that no other gateway has published yet. Purges received from other gateways are
+// not published again, since they would appear a little younger each time.
 func (s *Sharer) publishPurges(now time.Duration, m routing.LearnedState) {
 	published := s.node.Purges(now)
 	unsettled := map[string]bool{}
@@ -52,8 +52,8 @@
 	maps.DeleteFunc(s.peerPurges, func(name string, _ time.Duration) bool { return !unsettled[name] })
 }
 
-// publishDrains publishes the endpoints that drain or have left the endpoint list, and those that are up again after this gateway
-// has published their drain.
+// publishDrains publishes the endpoints that drain or have left the endpoint list, and those that are up again after
+// this gateway has published their drain.
 func (s *Sharer) publishDrains(now time.Duration, list map[string]routing.Endpoint) {
 	for id, e := range list {
 		if e.Phase != routing.Up {
@@ -75,7 +75,8 @@
 	}
 }
 
-// publishHealth publishes the health of faulty endpoints, and the recovery, once, of those that this gateway has reported as faulty.
+// publishHealth publishes the health of faulty endpoints, and the recovery, once, of those that this gateway has
+// reported as faulty.
 func (s *Sharer) publishHealth(now time.Duration, m routing.LearnedState) {
 	for _, h := range m.Endpoints {
 		value := healthValue(h, m.At)
@@ -95,16 +96,16 @@
 }
 
 const (
-	// ejectionStep is the granularity of published ejection times: the remaining time is rounded to it and increased by one step, so
-	// that it is never too short. maxPublishedEjection is the longest time published.
+	// ejectionStep is the granularity of published ejection times: the remaining time is rounded to it and increased by
+	// one step, so that it is never too short. maxPublishedEjection is the longest time published.
 	ejectionStep         = 5 * time.Second
 	maxPublishedEjection = time.Minute
 	// shareSteps is the number of steps between 0 and 1 to which shares are rounded.
 	shareSteps = 10
 )
 
-// healthValue returns the health of an endpoint in the form that is published. Its numbers are rounded, so that small changes are not
-// published again. at is the director's clock now.
+// healthValue returns the health of an endpoint in the form that is published. Its numbers are rounded, so that small
+// changes are not published again. at is the director's clock now.
 func healthValue(h routing.EndpointHealth, at time.Duration) replication.HealthValue {
 	v := replication.HealthValue{BootMs: incarnationMs(h.Incarnation), ErrorRate: roundShare(h.ErrorRate), LateShare: roundShare(h.LateShare)}
 	if h.EjectedUntil > at {
@@ -124,7 +125,8 @@
 // listingRepeatAfter is the age from which on an unchanged listing of an object is published again.
 const listingRepeatAfter = 20 * time.Second
 
-// publishListings publishes listings that are new, changed or old, those with the most requests first, until the budget is spent.
+// publishListings publishes listings that are new, changed or old, those with the most requests first, until the budget
+// is spent.
 func (s *Sharer) publishListings(now time.Duration, m routing.LearnedState) {
 	byRequests := slices.Clone(m.Listings)
 	slices.SortFunc(byRequests, func(a, b routing.Listing) int {
--- a/warmstart/save_schedule.go
+++ b/warmstart/save_schedule.go
@@ -11,9 +11,9 @@
 	hangTimeout = 30 * time.Second
 )
 
-// SaveSchedule decides when snapshots are written: at a regular interval while writes succeed, with an exponential backoff while they
-// fail, and never while a write is in progress. With the zero value the first write is due at once. All times are on one
-// monotonic clock of the caller's choice.
+// SaveSchedule decides when snapshots are written: at a regular interval while writes succeed, with an exponential
+// backoff while they fail, and never while a write is in progress. With the zero value the first write is due at once.
+// All times are on one monotonic clock of the caller's choice.
 type SaveSchedule struct {
 	Interval time.Duration // time between the starts of writes; 0: DefaultSaveInterval
 
--- a/warmstart/save_schedule_test.go
+++ b/warmstart/save_schedule_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Writes are due at a regular interval while they succeed, with a growing backoff while they fail, and never while one is in progress.
+// Writes are due at a regular interval while they succeed, with a growing backoff while they fail, and never while one
+// is in progress.
 func TestSaveSchedule(t *testing.T) {
 	s := SaveSchedule{Interval: time.Second}
 	now, started := time.Duration(0), 0
--- a/warmstart/sharer_test.go
+++ b/warmstart/sharer_test.go
@@ -54,7 +54,8 @@
 	}
 }
 
-// endpointList returns a list of eight endpoints, b0 to b7, that started at boot. All are up but b0, which is in the given phase.
+// endpointList returns a list of eight endpoints, b0 to b7, that started at boot. All are up but b0, which is in the
+// given phase.
 func endpointList(phase routing.Phase, boot time.Duration) map[string]routing.Endpoint {
 	l := map[string]routing.Endpoint{}
 	for i := range 8 {
@@ -150,8 +151,8 @@
 	}
 }
 
-// An object is purged twice, sometimes before other gateways have received the first purge. Another gateway must date the purge no
-// earlier than the second one, and must not publish it again.
+// An object is purged twice, sometimes before other gateways have received the first purge. Another gateway must date
+// the purge no earlier than the second one, and must not publish it again.
 func TestRepeatedPurgesAreCovered(t *testing.T) {
 	const ms = time.Millisecond
 	for _, gap := range []time.Duration{30 * ms, 99 * ms, 130 * ms, 495 * ms, 2000 * ms} {
@@ -175,8 +176,8 @@
 	}
 }
 
-// A drain published by another gateway applies to the endpoint in the own list, but only in the same incarnation, up to the maximum
-// age, and to few endpoints. A gateway ignores its own publications.
+// A drain published by another gateway applies to the endpoint in the own list, but only in the same incarnation, up to
+// the maximum age, and to few endpoints. A gateway ignores its own publications.
 func TestPeerDrainedEndpoints(t *testing.T) {
 	p := newGateways(t, "a", "b")
 	p.sharers["a"].Publish(p.now, routing.LearnedState{At: directorTime}, endpointList(routing.Up, time.Hour))
--- a/warmstart/snapshot.go
+++ b/warmstart/snapshot.go
@@ -29,8 +29,8 @@
 	ErrExpired       = errors.New("snapshot is older than 24h")
 )
 
-// Validate returns nil if the snapshot may be used by the named gateway under the settings with the given fingerprint, or an error that
-// wraps one of the errors above. now is Unix time.
+// Validate returns nil if the snapshot may be used by the named gateway under the settings with the given fingerprint,
+// or an error that wraps one of the errors above. now is Unix time.
 func (s *Snapshot) Validate(now time.Duration, gateway, settings string) error {
 	age := now - s.CreatedAt
 	switch {
@@ -53,8 +53,9 @@
 	routing.ImportCounts       // numbers of items imported, and of items dropped for each reason
 }
 
-// Import validates the snapshot and imports its learned state into the directors, given by the names of their zones. State of a zone
-// without a director is counted as invalid. now is Unix time. Import must be called on the goroutine of the directors.
+// Import validates the snapshot and imports its learned state into the directors, given by the names of their zones.
+// State of a zone without a director is counted as invalid. now is Unix time. Import must be called on the goroutine of
+// the directors.
 func (s *Snapshot) Import(now time.Duration, gateway, settings string, directors map[string]*routing.Director) ImportReport {
 	r := ImportReport{Age: now - s.CreatedAt, ValidationErr: s.Validate(now, gateway, settings)}
 	if r.ValidationErr != nil {
--- a/warmstart/snapshot_test.go
+++ b/warmstart/snapshot_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A snapshot is only valid for its own gateway and settings, up to its maximum age, and if it is not dated in the future by more than
-// the clock skew.
+// A snapshot is only valid for its own gateway and settings, up to its maximum age, and if it is not dated in the
+// future by more than the clock skew.
 func TestValidate(t *testing.T) {
 	s := Snapshot{CreatedAt: time.Hour * 1000, Gateway: "n1", SettingsFingerprint: "x"}
 	for _, c := range []struct {
