--- a/replication/replica.go
+++ b/replication/replica.go
@@ -17,9 +17,9 @@
 // young as possible. A slot older than the maximum age of its kind is dropped, and not accepted from peers. A tombstone
 // therefore only has to outlive the slots that it covers, however long a member was disconnected.
 //
-// Replica contains the state, Node exchanges it with the peers. The package does no I/O, reads no clock and starts no
-// goroutine. Its caller passes events to [Node.Handle], one at a time, and carries out the returned actions. The same
-// sequence of events yields the same actions.
+// Replica contains the state, Node exchanges it with the peers. The package does no I/O, reads no clock but
+// [Config.WallClock] and starts no goroutine. Its caller passes events to [Node.Handle], one at a time, and carries out
+// the returned actions. The same sequence of events and clock readings yields the same actions.
 package replication
 
 import (
