--- a/replication/divergence.go
+++ b/replication/divergence.go
@@ -63,7 +63,7 @@
 	}
 	n.mismatches[from] = 0
 	n.recordDivergence(Divergence{Peer: from, Writer: m.Checksum.Incarnation, From: m.Checksum.From, To: m.Checksum.To, At: n.now,
-		Cause: "slots with the same numbers differ: the writer writes them again, other gateways pull them again"})
+		Cause: "the same numbers, other slots: they are asked for anew, or said anew by who wrote them"})
 	if m.Checksum.Incarnation == n.cfg.Self {
 		n.Rewrite(n.now, *m.Checksum)
 	} else {
--- a/warmstart/sharer.go
+++ b/warmstart/sharer.go
@@ -90,13 +90,13 @@
 	k, ok := replication.ParseKind(kind)
 	switch {
 	case !ok || k == replication.Tombstone:
-		return "", nil, fmt.Errorf("kind: %q is unknown or can't be forgotten", kind)
+		return "", nil, fmt.Errorf("kind: %q is none that can be forgotten", kind)
 	case k < replication.FirstBulk:
-		return "", nil, fmt.Errorf("kind: %q is a safety kind, which can't be forgotten and expires by itself", kind)
+		return "", nil, fmt.Errorf("kind: %q is a matter of safety, and goes by itself once it has settled", kind)
 	case key == "" || len(key) > maxForgetKey:
-		return "", nil, fmt.Errorf("key: %d bytes, want 1 to %d", len(key), maxForgetKey)
+		return "", nil, fmt.Errorf("key: %d characters, 1 to %d are allowed", len(key), maxForgetKey)
 	case len(why) > maxForgetReason:
-		return "", nil, fmt.Errorf("why: %d bytes, want at most %d", len(why), maxForgetReason)
+		return "", nil, fmt.Errorf("why: %d characters, %d are allowed", len(why), maxForgetReason)
 	}
 	return replication.TombstoneKey(k, key), replication.Encode(why), nil
 }
