--- a/internal/net/transport/accept.go
+++ b/internal/net/transport/accept.go
@@ -17,21 +17,23 @@
 )
 
 const (
-	// The backoff after an accept that failed doubles up to its maximum, which is also the longest that a connection waits
-	// once accepts succeed again.
+	// The backoff after failed accepts doubles from the minimum up to the maximum. The maximum is also the longest
+	// time that a connection waits once accepts succeed again.
 	minAcceptBackoff = time.Millisecond
 	maxAcceptBackoff = 20 * time.Millisecond
-	// acceptLogInterval is the least time between two lines about accepts that failed, on all listeners.
+	// acceptLogInterval is the minimum time between two log lines about failed accepts, over all listeners of an
+	// engine.
 	acceptLogInterval = time.Second
-	// maxQueuedAcceptFailures bounds the accepts that fail in a row while a queue is emptied: less than half a second.
+	// maxQueuedAcceptFailures limits the consecutive failures while the accept queue is drained. With the backoff
+	// between them this takes less than half a second.
 	maxQueuedAcceptFailures = 25
 )
 
-// otherError is what an error without an errno is counted as.
+// otherError is the name under which errors without an errno are counted.
 const otherError = "other"
 
-// run accepts until the listener is closed or yields. No error but these ends it: accept(2) also reports what befell single
-// connections, and shortages that pass.
+// run accepts connections until the listener is closed or drains its queue. No other error ends it: accept(2) also
+// reports errors of single connections and temporary shortages of resources.
 func (l *Listener) run() {
 	var backoff acceptBackoff
 	for {
@@ -39,8 +41,8 @@
 		switch {
 		case err == nil:
 			backoff.reset()
-			l.take(conn)
-		case l.isClosing():
+			l.serveOrReject(conn)
+		case l.isDraining():
 			l.acceptQueued()
 			l.Close()
 			return
@@ -48,22 +50,23 @@
 			return
 		default:
 			l.engine.acceptFailures.record(l.engine.log, l.Addr().String(), err)
-			l.wait(backoff.next())
+			l.sleep(backoff.next())
 		}
 	}
 }
 
-// wait waits for a time, or until the listener yields.
-func (l *Listener) wait(d time.Duration) {
+// sleep waits for d, or until CloseAfterQueued is called.
+func (l *Listener) sleep(d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-l.closing:
+	case <-l.draining:
 	}
 }
 
-// acceptQueued takes what the kernel has accepted for this listener and run has not. Nothing else accepts meanwhile.
+// acceptQueued accepts the connections in the kernel's accept queue, closes the listening socket and then serves
+// them. It runs on the listener's goroutine, so no other accept runs meanwhile.
 func (l *Listener) acceptQueued() {
 	raw, err := l.tcp.SyscallConn()
 	if err != nil {
@@ -71,7 +74,7 @@
 	}
 	var queued []int
 	_ = raw.Control(func(listening uintptr) { queued = l.emptyQueue(int(listening)) })
-	l.Close() // before anything else is done: what comes from now on is another listener's
+	l.Close() // first, so that new connections go to the other process that listens on the address
 	for _, fd := range queued {
 		file := os.NewFile(uintptr(fd), "queued connection")
 		conn, err := net.FileConn(file)
@@ -80,11 +83,12 @@
 			l.engine.log.WithError(err).Warn(logfields.ConnTakeoverFailed)
 			continue
 		}
-		l.take(conn)
+		l.serveOrReject(conn)
 	}
 }
 
-// emptyQueue accepts from a listening socket until its queue is empty, or too many accepts in a row have failed.
+// emptyQueue accepts connections from a listening socket until its queue is empty or maxQueuedAcceptFailures accepts
+// in a row have failed. It returns the descriptors.
 func (l *Listener) emptyQueue(listening int) (queued []int) {
 	var backoff acceptBackoff
 	for failures := 0; failures < maxQueuedAcceptFailures; {
@@ -106,13 +110,14 @@
 	return queued
 }
 
-// acceptDescriptor accepts one connection from a listening socket.
+// acceptDescriptor accepts one connection from the listening descriptor and returns its descriptor, which is
+// non-blocking.
 func acceptDescriptor(listening int) (int, error) {
 	fd, _, err := unix.Accept4(listening, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	return fd, err
 }
 
-// acceptBackoff is the wait after accepts that failed in a row.
+// acceptBackoff computes the wait after consecutive failed accepts. The zero value is ready for use.
 type acceptBackoff struct{ latest time.Duration }
 
 func (b *acceptBackoff) next() time.Duration {
@@ -122,15 +127,16 @@
 
 func (b *acceptBackoff) reset() { b.latest = 0 }
 
-// acceptFailures counts and logs accepts that failed. It is safe for concurrent use.
+// acceptFailures counts and logs failed accepts. It is safe for concurrent use.
 type acceptFailures struct {
 	mu         sync.Mutex
 	byErrno    map[string]uint64
-	loggedAt   time.Time // zero: nothing was logged
-	suppressed int       // lines since then
+	loggedAt   time.Time // time of the latest log line; zero: none was written
+	suppressed int       // failures since loggedAt that were counted and not logged
 }
 
-// record counts a failure, and logs it unless a line was just written.
+// record counts a failure by its errno. It logs the failure unless a line was written less than acceptLogInterval
+// ago.
 func (f *acceptFailures) record(log logrus.FieldLogger, addr string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -147,19 +153,19 @@
 	f.loggedAt, f.suppressed = now, 0
 }
 
-// errnoName is the name of an error's errno, such as ENOBUFS.
+// errnoName returns the name of an error's errno, such as ENOBUFS, or otherError.
 func errnoName(err error) string {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
 		return otherError
 	}
-	if errno == unix.EOPNOTSUPP { // accept(2)'s name of it; unix says ENOTSUP
+	if errno == unix.EOPNOTSUPP { // the name in accept(2); unix.ErrnoName returns ENOTSUP for the same number
 		return "EOPNOTSUPP"
 	}
 	return cmp.Or(unix.ErrnoName(errno), otherError)
 }
 
-// AcceptFailures is how many accepts have failed, by the name of the errno.
+// AcceptFailures returns the number of failed accepts by the name of the errno. It may be called from any goroutine.
 func (e *Engine) AcceptFailures() map[string]uint64 {
 	f := &e.acceptFailures
 	f.mu.Lock()
--- a/internal/net/transport/barrier.go
+++ b/internal/net/transport/barrier.go
@@ -13,19 +13,20 @@
 	"larchusher/internal/logfields"
 )
 
-// firstBarrierTimeout is how long the first barrier may take, at the start, before the poller counts as not running.
+// firstBarrierTimeout limits the time of the first barrier, after which New reports that the poller does not run.
 const firstBarrierTimeout = 10 * time.Second
 
-// barrier is an eventfd that the poller reads: once it was written to, the poller comes to it after all connections that
-// were ready before. It is no pair of Unix sockets: where the system serves TCP and UDP alone, those have no name, and the
-// start would fail.
+// barrier is an eventfd registered with the poller. After a write to it, the poller reaches it only after all
+// connections that were ready before. It is not a pair of Unix sockets: on systems that provide only TCP and UDP
+// sockets these have no address, and the start would fail.
 type barrier struct {
 	mu        sync.Mutex
-	nc        *nbio.Conn // the poller's descriptor of it
-	fd        int        // the program's own
+	nc        *nbio.Conn // nbio's wrapper of a duplicate of fd
+	fd        int        // the eventfd that Barrier writes
 	callbacks []func()
 }
 
+// open creates the eventfd and registers it with the poller.
 func (e *barrier) open(engine *nbio.Engine) error {
 	fd, err := unix.Eventfd(0, unix.EFD_CLOEXEC|unix.EFD_NONBLOCK)
 	if err != nil {
@@ -34,27 +35,27 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fd = fd
-	if e.nc, err = nbio.NBConn(descriptor{fd: fd}); err == nil {
+	if e.nc, err = nbio.NBConn(descriptorConn{fd: fd}); err == nil {
 		_, err = engine.AddConn(e.nc)
 	}
 	return err
 }
 
-// close closes the descriptors, once the engine has stopped. nbio closes only those that it knows as sockets.
+// close closes both descriptors, after the engine has stopped. nbio closes only descriptors that it knows as sockets.
 func (e *barrier) close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	_ = unix.Close(e.nc.Hash()) // that is the descriptor
+	_ = unix.Close(e.nc.Hash()) // nbio's Hash returns the descriptor
 	_ = unix.Close(e.fd)
 }
 
-// Barrier calls f on the poller, once it has read what had come on all connections by now. f must not block. It may be
-// called from any goroutine.
+// Barrier calls f on the poller goroutine after the poller has read what had arrived on all connections before this
+// call. f must not block. Barrier may be called from any goroutine.
 func (e *Engine) Barrier(f func()) {
 	e.barrier.mu.Lock()
 	defer e.barrier.mu.Unlock()
 	e.barrier.callbacks = append(e.barrier.callbacks, f)
-	if len(e.barrier.callbacks) > 1 { // it has been written to
+	if len(e.barrier.callbacks) > 1 { // the eventfd has been written and not been read yet
 		return
 	}
 	if _, err := unix.Write(e.barrier.fd, binary.NativeEndian.AppendUint64(nil, 1)); err != nil {
@@ -62,42 +63,47 @@
 	}
 }
 
-// passed calls the callbacks, on the poller.
-func (e *barrier) passed() {
+// runCallbacks resets the eventfd and runs the pending callbacks. It runs on the poller goroutine.
+func (e *barrier) runCallbacks() {
 	e.mu.Lock()
 	var count [8]byte
-	_, _ = unix.Read(e.fd, count[:]) // before the callbacks are taken: one that comes later writes again
-	want := e.callbacks
+	_, _ = unix.Read(e.fd, count[:]) // before the callbacks are taken, so that a later Barrier call writes again
+	callbacks := e.callbacks
 	e.callbacks = nil
 	e.mu.Unlock()
-	for _, f := range want {
+	for _, f := range callbacks {
 		f()
 	}
 }
 
-// descriptor shows a descriptor to nbio as a connection, which takes a duplicate of it. Nothing else of it is called.
-type descriptor struct {
+// descriptorConn presents a descriptor to nbio as a net.Conn. nbio duplicates the descriptor and calls only the
+// methods below.
+type descriptorConn struct {
 	net.Conn
 	fd int
 }
 
-func (d descriptor) SyscallConn() (syscall.RawConn, error) { return raw{fd: uintptr(d.fd)}, nil }
-func (descriptor) LocalAddr() net.Addr                     { return nil }
-func (descriptor) RemoteAddr() net.Addr                    { return nil }
-func (descriptor) Close() error                            { return nil }
+func (d descriptorConn) SyscallConn() (syscall.RawConn, error) {
+	return rawDescriptor{fd: uintptr(d.fd)}, nil
+}
+func (descriptorConn) LocalAddr() net.Addr  { return nil }
+func (descriptorConn) RemoteAddr() net.Addr { return nil }
+func (descriptorConn) Close() error         { return nil }
 
-type raw struct {
+// rawDescriptor implements the Control method of syscall.RawConn for a descriptor.
+type rawDescriptor struct {
 	syscall.RawConn
 	fd uintptr
 }
 
-func (r raw) Control(f func(fd uintptr)) error {
+func (r rawDescriptor) Control(f func(fd uintptr)) error {
 	f(r.fd)
 	return nil
 }
 
-// limitKernelUnsent limits what the kernel takes of a connection's answers before they can be sent (TCP_NOTSENT_LOWAT,
-// tcp(7)). Its buffers count as the program's memory, and would hide that a client does not read.
+// limitKernelUnsent sets TCP_NOTSENT_LOWAT (tcp(7)), which limits how many unsent bytes the kernel buffers for a
+// connection. The kernel's buffers count towards the process's memory, and large ones would hide that a client does
+// not read.
 func limitKernelUnsent(conn net.Conn) {
 	t, ok := conn.(*net.TCPConn)
 	if !ok {
--- a/internal/net/transport/conn.go
+++ b/internal/net/transport/conn.go
@@ -10,53 +10,53 @@
 	"golang.org/x/sys/unix"
 )
 
-// Memory that what has come may take until the loop has handled it, in bytes.
+// Limits of the memory reserved with ReserveInput, in bytes.
 const (
 	maxReservedPerConn  = 2 << 20
-	fairReservedPerConn = 64 << 10 // that each connection may take however much all do
+	fairReservedPerConn = 64 << 10 // allowed for each connection even if all connections together are over their limit
 )
 
-// An ended connection may still hold its descriptor for this long. Clients send again what crosses an end within 50 ms, so
-// that it is read and discarded for longer than that.
+// How long a connection that was shut down may keep its descriptor. Clients resend a request that crosses the
+// shutdown within 50 ms, so input is read and discarded for longer than that.
 const (
-	// LingerTime is for a connection that ends in order.
+	// LingerTime applies to connections that end in order.
 	LingerTime = 500 * time.Millisecond
-	// shortLinger is for one whose place is needed, or that sent what is at fault.
+	// shortLinger applies to connections whose slot is needed, or which sent invalid input.
 	shortLinger = 60 * time.Millisecond
-	// maxDiscardedBytes closes one that goes on sending.
+	// maxDiscardedBytes is the number of discarded bytes after which the connection is closed at once.
 	maxDiscardedBytes = 1 << 20
 )
 
-// Conn is one connection. Its methods may be called from any goroutine.
+// Conn is one TCP connection. Its methods may be called from any goroutine.
 type Conn struct {
 	Remote string // address of the other end
 
 	engine           *Engine
 	nc               *nbio.Conn
 	handler          Handler
-	onDescriptorFree func()       // called once the connection holds no descriptor any more; nil: nobody waits for that
-	unwritten        atomic.Int64 // bytes that wait to be written
-	reservedInput    atomic.Int64 // bytes (see ReserveInput)
+	onDescriptorFree func()       // called once the descriptor is closed; may be nil
+	unwritten        atomic.Int64 // bytes waiting to be written
+	reservedInput    atomic.Int64 // bytes reserved by ReserveInput
 
-	ended      atomic.Bool // by this side: nothing more is taken in or written
+	ended      atomic.Bool // shut down by this side: input is discarded, writes fail
 	closed     atomic.Bool // the descriptor is closed
-	reading    atomic.Bool // what has come is being handed to the handler
-	stopped    atomic.Bool // nothing more is read (see StopReading)
-	notifyOnce sync.Once   // of OnClosed
+	reading    atomic.Bool // the poller is passing input to the handler
+	stopped    atomic.Bool // no more input is read, see StopReading
+	notifyOnce sync.Once   // makes OnClosed run once
 
-	discardedBytes int // the poller's: bytes that came after the end
+	discardedBytes int // bytes received after the shutdown; used by the poller only
 }
 
-// notifyClosed calls the handler's OnClosed, once.
+// notifyClosed calls the handler's OnClosed, if it has not been called before.
 func (c *Conn) notifyClosed(err error) { c.notifyOnce.Do(func() { c.handler.OnClosed(c, err) }) }
 
-// PeerClosed reports whether the other end has closed the connection, as the kernel has it at this moment: what came
-// before that may not have been read yet.
+// PeerClosed reports whether the kernel has seen the peer close the connection. Input from before that may still be
+// unread.
 func (c *Conn) PeerClosed() bool {
 	if c.closed.Load() {
 		return true
 	}
-	c.nc.Lock() // while it is held, the descriptor is the connection's own
+	c.nc.Lock() // while it is locked, the descriptor cannot be closed and reused
 	defer c.nc.Unlock()
 	if closed, _ := c.nc.IsClosed(); closed {
 		return true
@@ -67,10 +67,10 @@
 	return err == nil && n > 0 && fds[0].Revents&hungUp != 0
 }
 
-// CloseGracefully ends the connection for its handler at once, and lets its other end take everything that was written: the
-// sending side is shut down behind that, what still comes is discarded, and the descriptor is closed once the other end has
-// closed, too, or after linger. A close over unread bytes would send a reset, which takes away what the other end has not
-// read.
+// CloseGracefully closes the connection without losing written bytes. The handler's OnClosed is called at once. The
+// sending side is shut down after the last written byte, further input is discarded, and the descriptor is closed
+// once the peer has closed, too, or after linger. A plain close with unread input would send a reset, which drops
+// whatever the peer has not read yet. It does nothing on a connection that is already closed or closing.
 func (c *Conn) CloseGracefully(err error, linger time.Duration) {
 	c.nc.Lock()
 	closed, _ := c.nc.IsClosed()
@@ -87,18 +87,18 @@
 	time.AfterFunc(linger, func() { c.Close(err) })
 }
 
-// InputDrained reports whether nothing that the other end has sent lies unread in the kernel, nor is being handed to the
-// handler at this moment.
+// InputDrained reports whether the kernel has no unread input of the connection and the poller is not passing any to
+// the handler at this moment.
 func (c *Conn) InputDrained() bool {
 	if c.closed.Load() {
 		return true
 	}
-	return c.unread() == 0 && !c.reading.Load() // in this order: what is read meanwhile is being handed over, or has been
+	return c.unread() == 0 && !c.reading.Load() // in this order: input that leaves the kernel in between sets reading, or was handled already
 }
 
-// unread is how many bytes lie unread in the kernel; 0 if that cannot be known.
+// unread returns the number of bytes that the kernel holds unread; 0 if it cannot be determined.
 func (c *Conn) unread() int {
-	c.nc.Lock() // while it is held, the descriptor is the connection's own
+	c.nc.Lock() // while it is locked, the descriptor cannot be closed and reused
 	defer c.nc.Unlock()
 	if closed, _ := c.nc.IsClosed(); closed {
 		return 0
@@ -110,31 +110,32 @@
 	return n
 }
 
-// Closing reports whether CloseGracefully was called.
+// Closing reports whether CloseGracefully has shut down the connection.
 func (c *Conn) Closing() bool { return c.ended.Load() }
 
-// shutdownWrite shuts the sending side down. nbio's lock is held.
-func (c *Conn) shutdownWrite() { _ = unix.Shutdown(c.nc.Hash(), unix.SHUT_WR) } // it fails if the other end has reset
+// shutdownWrite shuts down the sending side. The caller holds nbio's lock of the connection.
+func (c *Conn) shutdownWrite() { _ = unix.Shutdown(c.nc.Hash(), unix.SHUT_WR) } // fails if the peer has reset the connection
 
-// ReserveInput counts bytes of memory that what has come on the connection takes until the loop has handled it. An error
-// says that this is too much: a client sends more than is answered, and it piles up between the poller and the loop.
+// ReserveInput reserves n bytes of memory for input until the loop has handled it. It returns an error if the
+// connection, or all connections together, reserve too much: the client sends more than is answered, and the input
+// piles up between the poller and the loop. The bytes are reserved even with an error.
 func (c *Conn) ReserveInput(n int) error {
 	e, own := c.engine, c.reservedInput.Add(int64(n))
 	all := e.reservedInput.Add(int64(n))
 	if own > min(maxReservedPerConn, e.maxUnwritten/4) || all > e.maxUnwritten/2 && own > fairReservedPerConn {
-		return fmt.Errorf("%d bytes have come and wait, and %d on all connections", own, all)
+		return fmt.Errorf("too much unhandled input: %d bytes on this connection, %d bytes on all connections", own, all)
 	}
 	return nil
 }
 
-// ReleaseInput gives back what was reserved, also with an error.
+// ReleaseInput releases n bytes that ReserveInput reserved, also if that returned an error.
 func (c *Conn) ReleaseInput(n int) {
 	c.reservedInput.Add(int64(-n))
 	c.engine.reservedInput.Add(int64(-n))
 }
 
-// UnsentBytes is the number of bytes that wait to be written.
+// UnsentBytes returns the number of bytes waiting to be written.
 func (c *Conn) UnsentBytes() int64 { return c.unwritten.Load() }
 
-// Close closes the connection at once; OnClosed follows, with err.
-func (c *Conn) Close(err error) { _ = c.nc.CloseWithError(err) } // it fails if the connection is closed
+// Close closes the connection at once. OnClosed is called with err unless it has been called before.
+func (c *Conn) Close(err error) { _ = c.nc.CloseWithError(err) } // fails if the connection is closed already
--- a/internal/net/transport/listener.go
+++ b/internal/net/transport/listener.go
@@ -16,7 +16,7 @@
 	"larchusher/internal/logfields"
 )
 
-// slotTimeout is how long a connection beyond the limit waits for a slot.
+// slotTimeout is how long a new connection above the limit waits for a slot before it is closed.
 const slotTimeout = 100 * time.Millisecond
 
 // Listener accepts connections on one address.
@@ -27,31 +27,31 @@
 	onFull     func()
 	newHandler func() Handler
 
-	accept           func() (net.Conn, error) // tests make it fail
+	accept           func() (net.Conn, error) // replaced in tests to make accepts fail
 	acceptDescriptor func(listening int) (int, error)
 
 	once      sync.Once
-	closeOnce sync.Once
-	closing   chan struct{} // closed by Yield
+	drainOnce sync.Once
+	draining  chan struct{} // closed by CloseAfterQueued
 }
 
-// Listen accepts connections on addr, with a handler of newHandler for each. At most maxConns are open at once. For one
-// beyond that onFull is called, which may close others, and it waits a moment for a slot; it is closed if none comes free.
-// Both functions run on the listener's goroutine.
+// Listen accepts connections on addr and creates a handler with newHandler for each. At most maxConns are open at
+// once. For a connection above the limit, onFull (which may be nil) is called so that it can close others; the
+// connection is closed if no slot becomes free within slotTimeout. Both functions run on the listener's goroutine.
 //
-// Other processes of the same user may listen on the address by this function, too: the kernel gives each new connection to
-// one of them.
+// Other processes of the same user may listen on the same address through this function: the kernel gives each new
+// connection to one of them (SO_REUSEPORT).
 func (e *Engine) Listen(addr string, maxConns int, onFull func(), newHandler func() Handler) (*Listener, error) {
 	tcp, err := e.open(addr)
 	if err != nil {
 		return nil, fmt.Errorf("listening on %s: %w", addr, err)
 	}
 	l := e.newListener(tcp, maxConns, onFull, newHandler)
-	go l.run() // one for the listener: nbio's own ends with the engine only
+	go l.run() // its own accept loop: nbio's can be stopped only together with the engine
 	return l, nil
 }
 
-// newListener returns a listener on an open socket that does not accept yet.
+// newListener returns a listener on an open socket. The caller starts its accept loop.
 func (e *Engine) newListener(tcp *net.TCPListener, maxConns int, onFull func(), newHandler func() Handler) *Listener {
 	return &Listener{
 		engine:           e,
@@ -61,12 +61,12 @@
 		newHandler:       newHandler,
 		accept:           tcp.Accept,
 		acceptDescriptor: acceptDescriptor,
-		closing:          make(chan struct{}),
+		draining:         make(chan struct{}),
 	}
 }
 
-// Inherit has Listen use the listening sockets of a former process, by their addresses. closeRest closes those that were not
-// used.
+// Inherit makes Listen use the listening sockets of a predecessor process, keyed by address. closeRest closes those
+// that Listen has not used. Inherit must be called before Listen.
 func (e *Engine) Inherit(sockets map[string]*os.File) (closeRest func()) {
 	e.inherited = sockets
 	return func() {
@@ -77,7 +77,7 @@
 	}
 }
 
-// open returns the socket for an address: that of a former process, or a new one.
+// open returns the listening socket for an address: the inherited one, or a new one.
 func (e *Engine) open(addr string) (*net.TCPListener, error) {
 	if file := e.inherited[addr]; file != nil {
 		delete(e.inherited, addr)
@@ -99,25 +99,26 @@
 	return open.(*net.TCPListener), nil
 }
 
-// RawConn gives access to the listening socket.
+// RawConn returns access to the listening socket.
 func (l *Listener) RawConn() (syscall.RawConn, error) { return l.tcp.SyscallConn() }
 
-// SharePort lets other processes of the same user bind the address of a socket, too. It is a net.ListenConfig's Control.
+// SharePort lets other processes of the same user bind the same address (SO_REUSEPORT). It is meant as the Control
+// function of a net.ListenConfig.
 func SharePort(_, _ string, c syscall.RawConn) error {
-	var failed error
+	var setErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+		setErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, setErr)
 }
 
-// take has a connection served, if there is a slot for it.
-func (l *Listener) take(conn net.Conn) {
-	if !l.slots.take(0) {
+// serveOrReject serves a connection if a slot is free or becomes free within slotTimeout, and closes it otherwise.
+func (l *Listener) serveOrReject(conn net.Conn) {
+	if !l.slots.acquire(0) {
 		if l.onFull != nil {
 			l.onFull()
 		}
-		if !l.slots.take(slotTimeout) {
+		if !l.slots.acquire(slotTimeout) {
 			l.engine.RejectedConns.Add(1)
 			_ = conn.Close()
 			return
@@ -126,39 +127,39 @@
 	l.serve(conn, nil)
 }
 
-// ReceivedChunk is what has come on a connection at a time.
+// ReceivedChunk is input that was read from a connection at one time.
 type ReceivedChunk struct {
 	Data []byte
 	At   time.Time
 }
 
-// Adopt serves a connection of a former process, on which chunks have come before, as if it had been accepted here. It takes
-// a slot even if there is none.
-func (l *Listener) Adopt(conn net.Conn, pieces []ReceivedChunk) {
-	if !l.slots.take(0) {
-		l.slots.takeBeyondLimit()
+// Adopt serves a connection that was migrated from another process. chunks are input that process has read without
+// handling it; they are passed to the handler first. The connection takes a slot even if the limit is reached.
+func (l *Listener) Adopt(conn net.Conn, chunks []ReceivedChunk) {
+	if !l.slots.acquire(0) {
+		l.slots.acquireBeyondLimit()
 	}
-	l.serve(conn, pieces)
+	l.serve(conn, chunks)
 }
 
-// serve has a connection, which has its slot, read and answered.
-func (l *Listener) serve(conn net.Conn, pieces []ReceivedChunk) {
+// serve registers a connection, which already has a slot, with a new handler and passes it the chunks.
+func (l *Listener) serve(conn net.Conn, chunks []ReceivedChunk) {
 	limitKernelUnsent(conn)
 	nc, err := nbio.NBConn(conn)
 	if err != nil {
 		_ = conn.Close()
-		l.slots.free()
+		l.slots.release()
 		l.engine.log.WithError(err).Warn(logfields.ConnTakeoverFailed)
 		return
 	}
 	h := l.newHandler()
-	c := l.engine.wrap(nc, h, l.slots.free)
+	c := l.engine.wrap(nc, h, l.slots.release)
 	if o, ok := h.(OpenHandler); ok {
 		o.OnOpened(c)
 	}
-	c.stopped.Store(len(pieces) > 0) // nothing is read before these
+	c.stopped.Store(len(chunks) > 0) // nothing is read from the socket before the chunks are handled
 	l.engine.add(c)
-	for _, p := range pieces {
+	for _, p := range chunks {
 		if err := h.OnBytes(c, p.Data, p.At); err != nil {
 			c.CloseGracefully(err, shortLinger)
 			break
@@ -170,69 +171,69 @@
 	}
 }
 
-// Addr is the address that is listened on.
+// Addr returns the address of the listening socket.
 func (l *Listener) Addr() net.Addr { return l.tcp.Addr() }
 
-// Close stops accepting; open connections stay. The kernel resets connections that wait to be accepted.
+// Close stops accepting. Open connections stay open; the kernel resets connections in the accept queue.
 func (l *Listener) Close() { l.once.Do(func() { _ = l.tcp.Close() }) }
 
-// CloseAfterQueued stops accepting in favour of another process that listens on the same address: all connections that wait to be
-// accepted are taken first.
+// CloseAfterQueued stops accepting in favor of another process that listens on the same address. Connections in the
+// accept queue are accepted and served first. It returns without waiting for that.
 func (l *Listener) CloseAfterQueued() {
-	l.closeOnce.Do(func() {
-		close(l.closing)
-		_ = l.tcp.SetDeadline(time.Unix(1, 0)) // wakes run
+	l.drainOnce.Do(func() {
+		close(l.draining)
+		_ = l.tcp.SetDeadline(time.Unix(1, 0)) // makes the pending accept fail
 	})
 }
 
-func (l *Listener) isClosing() bool {
+func (l *Listener) isDraining() bool {
 	select {
-	case <-l.closing:
+	case <-l.draining:
 		return true
 	default:
 		return false
 	}
 }
 
-// SetMaxConns sets how many connections are open at once. If more are open they stay, and none is accepted until enough have
-// ended.
+// SetMaxConns sets how many connections may be open at once. If more are open they stay open, and new ones are
+// rejected until enough have closed.
 func (l *Listener) SetMaxConns(maxConns int) { l.slots.setLimit(maxConns) }
 
-// slots bounds how many connections are open. It is safe for concurrent use.
+// slots limits how many connections are open. It is safe for concurrent use.
 type slots struct {
-	mu    sync.Mutex
-	limit int
-	used  int
-	freed chan struct{} // has an element if a slot may have come free
+	mu       sync.Mutex
+	limit    int
+	used     int
+	released chan struct{} // has an element if a slot may have become free
 }
 
-func newSlots(most int) *slots {
-	return &slots{limit: max(1, most), freed: make(chan struct{}, 1)}
+func newSlots(limit int) *slots {
+	return &slots{limit: max(1, limit), released: make(chan struct{}, 1)}
 }
 
-// take takes a slot, or reports false if none came free within a time.
-func (s *slots) take(within time.Duration) bool {
-	if s.tryTake() {
+// acquire takes a slot, waiting up to timeout for one. It reports whether it got one.
+func (s *slots) acquire(timeout time.Duration) bool {
+	if s.tryAcquire() {
 		return true
 	}
-	if within <= 0 {
+	if timeout <= 0 {
 		return false
 	}
-	late := time.NewTimer(within)
-	defer late.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	for {
 		select {
-		case <-s.freed:
-			if s.tryTake() {
+		case <-s.released:
+			if s.tryAcquire() {
 				return true
 			}
-		case <-late.C:
-			return s.tryTake()
+		case <-timer.C:
+			return s.tryAcquire()
 		}
 	}
 }
 
-func (s *slots) tryTake() bool {
+func (s *slots) tryAcquire() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.used >= s.limit {
@@ -242,31 +243,31 @@
 	return true
 }
 
-// takeBeyondLimit takes a slot beyond the most, if need be.
-func (s *slots) takeBeyondLimit() {
+// acquireBeyondLimit takes a slot even if the limit is reached.
+func (s *slots) acquireBeyondLimit() {
 	s.mu.Lock()
 	s.used++
 	s.mu.Unlock()
 }
 
-// free gives a slot back.
-func (s *slots) free() {
+// release returns a slot.
+func (s *slots) release() {
 	s.mu.Lock()
 	s.used--
 	s.mu.Unlock()
 	s.wake()
 }
 
-func (s *slots) setLimit(most int) {
+func (s *slots) setLimit(limit int) {
 	s.mu.Lock()
-	s.limit = max(1, most)
+	s.limit = max(1, limit)
 	s.mu.Unlock()
 	s.wake()
 }
 
 func (s *slots) wake() {
 	select {
-	case s.freed <- struct{}{}:
+	case s.released <- struct{}{}:
 	default:
 	}
 }
--- a/internal/net/transport/listener_test.go
+++ b/internal/net/transport/listener_test.go
@@ -9,13 +9,13 @@
 	"github.com/sirupsen/logrus"
 )
 
-// echoes sends back what comes.
-type echoes struct{}
+// echoHandler writes its input back.
+type echoHandler struct{}
 
-func (echoes) OnBytes(c *Conn, b []byte, _ time.Time) error { return c.Write(b) }
-func (echoes) OnClosed(*Conn, error)                        {}
+func (echoHandler) OnBytes(c *Conn, b []byte, _ time.Time) error { return c.Write(b) }
+func (echoHandler) OnClosed(*Conn, error)                        {}
 
-// testEngine is an engine that ends with its test.
+// testEngine starts an engine that is stopped at the end of the test.
 func testEngine(t *testing.T) *Engine {
 	t.Helper()
 	log := logrus.New()
@@ -28,19 +28,19 @@
 	return e
 }
 
-// A listener that yields takes what the kernel has accepted for it: a close would reset that. The connections are forced to
-// wait in the queue, since the one before them is held up.
-func TestAListenerThatYieldsTakesItsQueue(t *testing.T) {
+// CloseAfterQueued serves the connections in the accept queue; closing the socket would reset them. The first
+// connection's handler blocks the accept loop, so the others stay in the queue.
+func TestCloseAfterQueuedServesQueuedConnections(t *testing.T) {
 	e := testEngine(t)
-	held, release := make(chan struct{}), make(chan struct{})
+	blocked, release := make(chan struct{}), make(chan struct{})
 	first := true
 	l, err := e.Listen("127.0.0.1:0", 100, nil, func() Handler {
 		if first {
 			first = false
-			close(held)
+			close(blocked)
 			<-release
 		}
-		return echoes{}
+		return echoHandler{}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -51,13 +51,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = c.Close() }() // nothing more is wanted of it
+		defer func() { _ = c.Close() }() // no further data is expected
 		if _, err := c.Write([]byte("x")); err != nil {
 			t.Fatal(err)
 		}
 		clients = append(clients, c)
 		if i == 0 {
-			<-held
+			<-blocked
 		}
 	}
 	l.CloseAfterQueued()
@@ -65,7 +65,7 @@
 	for i, c := range clients {
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if n, err := c.Read(make([]byte, 1)); n != 1 {
-			t.Errorf("connection %d: %v", i, err)
+			t.Errorf("connection %d got no echo: %v", i, err)
 		}
 	}
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -73,35 +73,35 @@
 		if err != nil {
 			break
 		}
-		_ = c.Close() // nothing was sent on it
+		_ = c.Close() // nothing has been sent on it
 		if time.Now().After(end) {
-			t.Fatal("it still accepts")
+			t.Fatal("the listener still accepts 10 s after CloseAfterQueued")
 		}
 	}
 }
 
-// The most that are open at once can be changed while the listener runs; what is open stays.
-func TestSlotsOfAListener(t *testing.T) {
+// The connection limit can change while the listener runs; open connections stay open.
+func TestSlotLimitCanChange(t *testing.T) {
 	s := newSlots(3)
 	for range 3 {
-		if !s.take(0) {
-			t.Fatal("no slot")
+		if !s.acquire(0) {
+			t.Fatal("no slot below the limit")
 		}
 	}
 	s.setLimit(1)
-	s.free()
-	s.free()
-	if s.take(0) {
-		t.Error("a slot beyond the most")
+	s.release()
+	s.release()
+	if s.acquire(0) {
+		t.Error("got a slot above the lowered limit")
 	}
-	taken := make(chan bool)
-	go func() { taken <- s.take(10 * time.Second) }()
-	s.free()
-	if !<-taken {
-		t.Error("a slot that came free is not taken")
+	acquired := make(chan bool)
+	go func() { acquired <- s.acquire(10 * time.Second) }()
+	s.release()
+	if !<-acquired {
+		t.Error("a waiting acquire did not get the released slot")
 	}
 	s.setLimit(2)
-	if !s.take(0) || s.take(0) {
-		t.Error("one more, and no more than one")
+	if !s.acquire(0) || s.acquire(0) {
+		t.Error("raising the limit by one did not give exactly one more slot")
 	}
 }
--- a/internal/net/transport/tracker.go
+++ b/internal/net/transport/tracker.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// How long a connection may hold its slot.
+// How long a connection may occupy its slot without being useful.
 const (
-	// FirstByteTimeout is for one on which nothing has come.
+	// FirstByteTimeout applies to a connection on which nothing has arrived.
 	FirstByteTimeout = 2 * time.Second
-	// MessageTimeout is for one on which a message has begun to come, until it is complete.
+	// MessageTimeout is the time from the first byte of a message until the message must be complete.
 	MessageTimeout = 2500 * time.Millisecond
-	// idleTimeout is for one on which nothing is open. Usual clients close theirs after 4 s.
+	// idleTimeout applies to a connection without open requests. Typical clients close idle connections after 4 s.
 	idleTimeout = 10 * time.Second
-	// newcomerGrace is for one that has just been accepted, where its slot is needed.
-	newcomerGrace = 200 * time.Millisecond
+	// newConnGrace protects a connection that has just been accepted from eviction.
+	newConnGrace = 200 * time.Millisecond
 )
 
-// reservedShare is the part of the slots, divided by this, that is kept free for connections to come.
+// reservedShare is the fraction of the slots that is kept free for new connections: 1/reservedShare.
 const reservedShare = 8
 
-// Why connections end.
+// Reasons for closing a connection.
 var (
-	errIncomplete = errors.New("a message that does not end")
-	errNeverSpoke = errors.New("it never spoke")
-	errIdle       = errors.New("idle")
-	errSlotNeeded = errors.New("its slot is needed")
+	errIncomplete = errors.New("message not complete in time")
+	errNoMessage  = errors.New("no message received in time")
+	errIdle       = errors.New("connection was idle for too long")
+	errSlotNeeded = errors.New("idle connection evicted: its slot is needed")
 )
 
-// ConnTracker knows the connections of one front and ends those that hold their slots for nothing: that never speak, stop in
-// the middle of a message, or asked once and stay for good. It lives on the front's loop.
+// ConnTracker tracks the connections of one front and closes those that occupy a slot without being useful: clients
+// that never send a message, stop in the middle of one, or stay connected after a single request. Its methods must be
+// called on the front's loop.
 type ConnTracker struct {
 	all      map[*TrackedConn]bool
 	maxConns int
@@ -38,19 +39,19 @@
 // TrackedConn is one connection in a ConnTracker.
 type TrackedConn struct {
 	Conn         *Conn
-	Busy         func() bool // it awaits an answer, or what was read of it was not taken in
-	Messages     int         // that came
-	LastActive   time.Time   // when the latest did
-	PartialSince time.Time   // since when a message is coming; zero: none is
+	Busy         func() bool // reports whether a request is open or input is not handled yet
+	Messages     int         // messages received
+	LastActive   time.Time   // when input or an answer was last noted
+	PartialSince time.Time   // when the first part of an incomplete message arrived; zero: none is incomplete
 }
 
-// NewConnTracker returns a tracker with slots for at most maxConns connections.
+// NewConnTracker returns a tracker for at most maxConns connections.
 func NewConnTracker(maxConns int) *ConnTracker {
 	return &ConnTracker{all: map[*TrackedConn]bool{}, maxConns: maxConns}
 }
 
-// Add tracks a connection. Idle ones are closed for it so that slots stay free for those to come. busy reports whether an
-// answer is owed on it.
+// Add starts tracking a connection and closes idle ones if fewer than 1/reservedShare of the slots would stay free.
+// busy reports whether a request is open on the connection or input of it is not handled yet.
 func (t *ConnTracker) Add(c *Conn, now time.Time, busy func() bool) *TrackedConn {
 	n := &TrackedConn{Conn: c, Busy: busy, LastActive: now}
 	t.all[n] = true
@@ -58,13 +59,13 @@
 	return n
 }
 
-// SetMaxConns sets how many slots there are.
+// SetMaxConns sets the number of slots.
 func (t *ConnTracker) SetMaxConns(maxConns int) { t.maxConns = maxConns }
 
-// Remove ends the tracking of a connection. One that is not tracked, or nil, is left alone.
+// Remove stops tracking a connection. It ignores nil and connections that are not tracked.
 func (t *ConnTracker) Remove(n *TrackedConn) { delete(t.all, n) }
 
-// Received notes that so many messages came on the connection, and whether a part of a further one did.
+// Received records the arrival of complete messages, and whether a part of a further message has arrived.
 func (n *TrackedConn) Received(now time.Time, messages int, partial bool) {
 	n.LastActive = now
 	n.Messages += messages
@@ -75,64 +76,65 @@
 	}
 }
 
-// idle says whether nothing is owed on the connection and nothing is coming.
+// idle reports whether no request is open, no message is incomplete and no bytes are waiting to be written.
 func (n *TrackedConn) idle() bool {
 	return !n.Busy() && n.PartialSince.IsZero() && n.Conn.UnsentBytes() == 0
 }
 
-// mayEnd says whether nothing is owed on the connection and nothing has come that was not taken in. A request that lies in the
-// kernel was taken from its client: it would get no answer.
-func (n *TrackedConn) mayEnd() bool { return n.idle() && n.Conn.InputDrained() }
+// canEvict reports whether the connection is idle and has no unhandled input. A request in the kernel's buffer has
+// been acknowledged to its client, and would get no answer if the connection were closed.
+func (n *TrackedConn) canEvict() bool { return n.idle() && n.Conn.InputDrained() }
 
-// Sweep ends connections that have held their slots for too long. One whose message does not come whole is handed to
-// `partial`, if that is set.
-func (t *ConnTracker) Sweep(now time.Time, partial func(*TrackedConn)) {
+// Sweep closes connections that have occupied their slots for too long. A connection whose message is not complete in
+// time is passed to onIncomplete instead, if that is not nil.
+func (t *ConnTracker) Sweep(now time.Time, onIncomplete func(*TrackedConn)) {
 	for n := range t.all {
-		busy := n.Busy() // may hear of what came
-		quiet := now.Sub(n.LastActive)
+		busy := n.Busy() // may update LastActive
+		inactive := now.Sub(n.LastActive)
 		switch {
 		case !n.PartialSince.IsZero() && now.Sub(n.PartialSince) > MessageTimeout && !busy:
-			if partial != nil {
-				partial(n)
+			if onIncomplete != nil {
+				onIncomplete(n)
 			} else {
 				n.Conn.CloseGracefully(errIncomplete, LingerTime)
 			}
 		case !n.idle():
-		case n.Messages == 0 && quiet > FirstByteTimeout && n.mayEnd():
-			n.Conn.CloseGracefully(errNeverSpoke, LingerTime)
-		case quiet > idleTimeout && n.mayEnd():
+		case n.Messages == 0 && inactive > FirstByteTimeout && n.canEvict():
+			n.Conn.CloseGracefully(errNoMessage, LingerTime)
+		case inactive > idleTimeout && n.canEvict():
 			n.Conn.CloseGracefully(errIdle, LingerTime)
 		}
 	}
 }
 
-// EvictIdle ends so many idle connections, those first that have been idle longest. The time of one that has
-// asked at most once counts twice; one that has only just come is let speak first. Each is looked for by itself:
-// it is hardly ever more than one, and sorting them all for each newcomer took a fifth of the program's time.
-func (t *ConnTracker) EvictIdle(now time.Time, slots int) {
-	for ; slots > 0; slots-- {
+// EvictIdle closes up to count idle connections, those idle for the longest time first. The idle time of a connection
+// with at most one message counts twice; a connection without any message is spared for newConnGrace. Each search
+// goes over all connections: count is rarely more than one, and sorting all connections for each new one took a fifth
+// of the process's CPU time.
+func (t *ConnTracker) EvictIdle(now time.Time, count int) {
+	for ; count > 0; count-- {
 		longest := t.longestIdle(now)
 		if longest == nil {
 			return
 		}
-		t.Remove(longest) // it is on its way out
+		t.Remove(longest) // so that the next search skips it
 		longest.Conn.CloseGracefully(errSlotNeeded, shortLinger)
 	}
 }
 
-// longestIdle finds the connection to end first; nil: none is idle.
+// longestIdle returns the connection to evict first, or nil if none can be evicted.
 func (t *ConnTracker) longestIdle(now time.Time) (longest *TrackedConn) {
 	most := time.Duration(-1)
 	for n := range t.all {
 		n.Busy()
 		quiet := now.Sub(n.LastActive)
-		if n.Messages == 0 && quiet < newcomerGrace {
+		if n.Messages == 0 && quiet < newConnGrace {
 			continue
 		}
 		if n.Messages <= 1 {
 			quiet *= 2
 		}
-		if quiet > most && n.mayEnd() {
+		if quiet > most && n.canEvict() {
 			longest, most = n, quiet
 		}
 	}
--- a/internal/net/transport/transport.go
+++ b/internal/net/transport/transport.go
@@ -1,5 +1,6 @@
-// Package transport runs TCP connections as objects with callbacks, on lesismal/nbio. It reads no protocol. Callbacks run on
-// the one poller goroutine of an Engine and must not block; connections may be written and closed from any goroutine.
+// Package transport runs TCP connections with callbacks on top of lesismal/nbio. It knows no application protocol.
+// Callbacks run on the single poller goroutine of an Engine and must not block. Connections may be written and closed
+// from any goroutine.
 package transport
 
 import (
@@ -21,51 +22,54 @@
 )
 
 const (
-	readBufferSize  = 64 << 10  // bytes of the one buffer that all connections are read into
-	maxReadsInRow   = 3         // times that one is read before the others have their turn
-	maxKernelUnsent = 128 << 10 // bytes that the kernel takes ahead of what it has sent to a client
+	readBufferSize  = 64 << 10  // bytes of the read buffer that all connections of an engine share
+	maxReadsInRow   = 3         // reads from one connection before the poller goes on to the next
+	maxKernelUnsent = 128 << 10 // bytes that the kernel buffers for a client beyond those already sent
 )
 
 var (
-	errConnEnded       = errors.New("the connection has ended") // of a write
-	errTooMuchAfterEnd = errors.New("it goes on sending behind the end")
+	errConnEnded       = errors.New("write on a connection that has been closed")
+	errTooMuchAfterEnd = errors.New("peer kept sending after the connection was shut down")
 )
 
-// Handler has the callbacks of one connection. OnBytes runs on the engine's poller and must not block; its bytes belong to
-// the engine, and hold until it returns. OnClosed is called once, and nothing after it; it may run on the goroutine that
-// ends the connection.
+// Handler has the callbacks of one connection. OnBytes runs on the engine's poller goroutine and must not block. Its
+// bytes belong to the engine and are valid only until it returns. OnClosed is called exactly once, and no callback
+// follows it. It may run on the goroutine that closes the connection.
 type Handler interface {
 	OnBytes(c *Conn, b []byte, at time.Time) error // an error closes the connection
 	OnClosed(c *Conn, err error)
 }
 
-// OpenHandler is a handler whose OnOpened is called before the first byte comes. It must not write yet.
+// OpenHandler is implemented by handlers that need a call before the first byte arrives. OnOpened must not write to
+// the connection.
 type OpenHandler interface{ OnOpened(c *Conn) }
 
-// WriteReadyHandler is a handler that writes first: OnReady is called once the connection can be written.
+// WriteReadyHandler is implemented by handlers that write first. OnReady is called once the connection can be
+// written.
 type WriteReadyHandler interface{ OnReady(c *Conn) }
 
-// Engine owns the connections of a program.
+// Engine owns the poller and all connections of a process. Its methods may be called from any goroutine.
 type Engine struct {
 	log            logrus.FieldLogger
 	engine         *nbio.Engine
-	maxUnwritten   int64        // bytes that may wait to be written on all connections
-	unwritten      atomic.Int64 // bytes that do
-	reservedInput  atomic.Int64 // bytes (see Conn.ReserveInput), at most half of maxUnwritten
-	lingering      atomic.Int64 // connections that have ended and are not closed
+	maxUnwritten   int64        // limit of the bytes waiting to be written on all connections
+	unwritten      atomic.Int64 // bytes waiting to be written on all connections
+	reservedInput  atomic.Int64 // bytes reserved by Conn.ReserveInput on all connections
+	lingering      atomic.Int64 // connections that were shut down and are not closed yet
 	barrier        barrier
-	inherited      map[string]*os.File // listening sockets of a former process, by address
+	inherited      map[string]*os.File // listening sockets of the predecessor process, by address
 	acceptFailures acceptFailures
 	poller         pollerDescriptor
-	buffer         []byte     // the poller's, for reading
-	connMu         sync.Mutex // makes a Conn visible to the poller completely: nbio hands connections over through the kernel alone
+	buffer         []byte     // read buffer, used by the poller goroutine only
+	connMu         sync.Mutex // orders the setup of a Conn before its first use by the poller: nbio passes connections through the kernel only
 
 	Opened, Closed atomic.Uint64 // connections
-	RejectedConns  atomic.Uint64 // connections closed since there was no place
-	In, Out        atomic.Uint64 // bytes
+	RejectedConns  atomic.Uint64 // connections closed because the connection limit was reached
+	In, Out        atomic.Uint64 // bytes read and written
 }
 
-// New starts an engine with one poller, on which at most maxUnwritten bytes may wait to be written.
+// New starts an engine with one poller. At most maxUnwritten bytes may wait to be written on all of its connections
+// together. It returns an error if the poller does not start or does not run a first callback in time.
 func New(log logrus.FieldLogger, maxUnwritten int) (*Engine, error) {
 	logging.DefaultLogger = nbioLog{log}
 	e := &Engine{log: log, maxUnwritten: int64(maxUnwritten), buffer: make([]byte, readBufferSize)}
@@ -77,23 +81,25 @@
 	if err := e.engine.Start(); err != nil {
 		return nil, fmt.Errorf("starting the poller: %w", err)
 	}
-	// The poller is not stopped where this fails: nbio's Stop waits for ever for one that has not begun to run.
+	// The engine is not stopped on this error: nbio's Stop blocks forever if the poller goroutine has not begun to
+	// run.
 	if err := e.barrier.open(e.engine); err != nil {
 		return nil, fmt.Errorf("opening the barrier: %w", err)
 	}
-	runs := make(chan struct{})
-	e.Barrier(func() { close(runs) })
-	late := time.NewTimer(firstBarrierTimeout)
-	defer late.Stop()
+	running := make(chan struct{})
+	e.Barrier(func() { close(running) })
+	timer := time.NewTimer(firstBarrierTimeout)
+	defer timer.Stop()
 	select {
-	case <-runs:
-	case <-late.C:
-		return nil, fmt.Errorf("the poller has not answered in %v", firstBarrierTimeout)
+	case <-running:
+	case <-timer.C:
+		return nil, fmt.Errorf("the poller did not run the first barrier callback within %v", firstBarrierTimeout)
 	}
 	return e, nil
 }
 
-// written counts bytes that nbio has written.
+// written accounts for n bytes that nbio has written, and shuts down the sending side of a closing connection after
+// its last byte.
 func (e *Engine) written(nc *nbio.Conn, _ []byte, n int) {
 	e.Out.Add(uint64(n))
 	c := e.connOf(nc)
@@ -107,7 +113,8 @@
 	}
 }
 
-// closed settles a connection that nbio has closed.
+// closed handles nbio's report that a connection has been closed: it updates the counters, notifies the handler and
+// releases the connection's slot.
 func (e *Engine) closed(nc *nbio.Conn, err error) {
 	c := e.connOf(nc)
 	if c == nil {
@@ -125,21 +132,22 @@
 	}
 }
 
-// Lingering is the number of connections that have ended, and whose other ends have not closed yet.
+// Lingering returns the number of connections that this side has shut down and that are not closed yet.
 func (e *Engine) Lingering() int64 { return e.lingering.Load() }
 
-// Stop closes every connection.
+// Stop stops the poller and closes all connections.
 func (e *Engine) Stop() {
 	e.engine.Stop()
 	e.barrier.close()
 }
 
-// read reads what has come on a connection, and hands it to its handler. If the other end has closed it reads everything:
-// nbio closes the connection right after, and the end of a long answer would be lost.
+// read reads the available bytes of a connection and passes them to its handler. If the peer has closed the
+// connection, it reads everything that is left: nbio closes the connection right afterwards, and the end of a long
+// answer would be lost.
 func (e *Engine) read(nc *nbio.Conn) {
 	c := e.connOf(nc)
 	if c == nil {
-		e.barrier.passed()
+		e.barrier.runCallbacks()
 		return
 	}
 	c.reading.Store(true)
@@ -166,13 +174,14 @@
 		case err != nil:
 			c.Close(err)
 			return
-		case n < len(e.buffer): // that was all; at the end of the stream nbio closes
+		case n < len(e.buffer): // nothing is left to read; nbio closes the connection at the end of the stream
 			return
 		}
 	}
 }
 
-// discard discards bytes that came behind the end, and reports false once it has closed the connection for them.
+// discard counts n bytes that arrived after the connection was shut down and drops them. It returns false after
+// closing a connection that has sent more than maxDiscardedBytes.
 func (c *Conn) discard(n int) bool {
 	c.discardedBytes += n
 	if c.discardedBytes > maxDiscardedBytes {
@@ -182,7 +191,7 @@
 	return true
 }
 
-// connOf returns the Conn of one of nbio's connections; nil: it has none.
+// connOf returns the Conn of an nbio connection, or nil if it has none (the barrier's descriptor).
 func (e *Engine) connOf(nc *nbio.Conn) *Conn {
 	e.connMu.Lock()
 	defer e.connMu.Unlock()
@@ -190,29 +199,31 @@
 	return c
 }
 
-// wrap makes a Conn. onDescriptorFree is called once it holds no descriptor any more; nil: nobody waits for that.
+// wrap creates the Conn of an nbio connection. onDescriptorFree, which may be nil, is called once the connection's
+// descriptor is closed.
 func (e *Engine) wrap(nc *nbio.Conn, h Handler, onDescriptorFree func()) *Conn {
 	e.connMu.Lock()
 	defer e.connMu.Unlock()
 	c := &Conn{Remote: nc.RemoteAddr().String(), engine: e, nc: nc, handler: h, onDescriptorFree: onDescriptorFree}
 	nc.SetSession(c)
-	_ = nc.SetNoDelay(true) // without it the connection is slower, no more
+	_ = nc.SetNoDelay(true) // on failure the connection only has a higher latency
 	e.Opened.Add(1)
 	return c
 }
 
-// add has the poller read a connection.
+// add registers a connection with the poller.
 func (e *Engine) add(c *Conn) {
-	if _, err := e.engine.AddConn(c.nc); err != nil { // OnClosed has been called
+	if _, err := e.engine.AddConn(c.nc); err != nil { // nbio has closed the connection and OnClosed has been called
 		e.log.WithError(err).Warn(logfields.ConnRegisterFailed)
 	}
 }
 
-// Dial connects to addr without blocking. Either opened is called, and the handler's callbacks follow, or failed is, and the
-// handler is never called. Both run on a goroutine of the dial's own.
+// Dial connects to addr without blocking. On success it calls opened, and the handler's callbacks follow. Otherwise
+// it calls failed, and the handler is never called. Both functions run on a goroutine of this dial. timeout limits
+// the time until the TCP connection is established.
 //
-// It does not use nbio's DialAsync (1.6.8), which connects every IPv4 address as 0.0.0.0, since it takes the first four of
-// the sixteen bytes that net.ResolveTCPAddr returns, and which reports a connection that was rejected as open.
+// It does not use nbio's DialAsync (version 1.6.8): that connects to 0.0.0.0 for every IPv4 address, since it takes
+// the first four of the sixteen bytes that net.ResolveTCPAddr returns, and it reports a rejected connection as open.
 func (e *Engine) Dial(addr string, timeout time.Duration, h Handler, opened func(*Conn), failed func(error)) {
 	go func() {
 		dialer := net.Dialer{Timeout: timeout}
@@ -223,17 +234,18 @@
 		}
 		nc, err := nbio.NBConn(conn)
 		if err != nil {
-			_ = conn.Close() // nothing was written to it
-			failed(fmt.Errorf("taking over the connection to %s: %w", addr, err))
+			_ = conn.Close() // nothing has been written to it
+			failed(fmt.Errorf("registering the connection to %s with the poller library: %w", addr, err))
 			return
 		}
 		c := e.wrap(nc, h, nil)
-		e.add(c) // it cannot be written before
+		e.add(c) // the connection can be written only after this
 		opened(c)
 	}()
 }
 
-// nbioLog hands on what nbio warns of. Its other messages are about single connections, whose handlers hear of them anyway.
+// nbioLog forwards nbio's warnings and errors to the engine's log. It drops nbio's other messages: they concern
+// single connections, whose handlers are notified anyway.
 type nbioLog struct{ log logrus.FieldLogger }
 
 func (nbioLog) SetLevel(int)         {}
--- a/internal/net/transport/transport_test.go
+++ b/internal/net/transport/transport_test.go
@@ -16,19 +16,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// probe hands on what happens on a connection.
-type probe struct {
+// recordingHandler reports the opening and the closing of its connection on channels.
+type recordingHandler struct {
 	opened chan *Conn
 	closed chan error
 }
 
-func (p probe) OnOpened(c *Conn)                     { p.opened <- c }
-func (probe) OnBytes(*Conn, []byte, time.Time) error { return nil }
-func (p probe) OnClosed(_ *Conn, err error)          { p.closed <- err }
+func (p recordingHandler) OnOpened(c *Conn)                     { p.opened <- c }
+func (recordingHandler) OnBytes(*Conn, []byte, time.Time) error { return nil }
+func (p recordingHandler) OnClosed(_ *Conn, err error)          { p.closed <- err }
 
-// What is written on a connection that has closed meanwhile does not count as waiting. It did, for good: in the end
-// any client with an unread answer would have been closed for want of room.
-func TestWritesAfterACloseHoldNoRoom(t *testing.T) {
+// Bytes written to a closed connection do not count as waiting. They once stayed counted for good, until any client
+// with an unread answer was closed because the limit seemed reached.
+func TestWriteAfterCloseIsNotCounted(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	e, err := New(log, 1<<20)
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	defer e.Stop()
-	p := probe{make(chan *Conn, 1), make(chan error, 1)}
+	p := recordingHandler{make(chan *Conn, 1), make(chan error, 1)}
 	l, err := e.Listen("127.0.0.1:0", 4, nil, func() Handler { return p })
 	if err != nil {
 		t.Fatal(err)
@@ -53,15 +53,15 @@
 			t.Fatal(err)
 		}
 		if err := c.Write(make([]byte, 100<<10)); err == nil {
-			t.Error("a closed connection can be written")
+			t.Error("Write on a closed connection returned no error")
 		}
 		if n := e.unwritten.Load(); n != 0 || c.UnsentBytes() != 0 {
-			t.Errorf("%d bytes wait on all connections, %d on a closed one", n, c.UnsentBytes())
+			t.Errorf("after a write to a closed connection %d bytes count as waiting on all connections, %d on the closed one; want 0", n, c.UnsentBytes())
 		}
 	}
 }
 
-// descriptors are the program's, each with what it stands for.
+// descriptors returns the open descriptors of the process with their link targets.
 func descriptors(t *testing.T) map[string]string {
 	t.Helper()
 	all := map[string]string{}
@@ -70,17 +70,17 @@
 		t.Fatal(err)
 	}
 	for _, name := range names {
-		if what, err := os.Readlink(name); err == nil { // the folder's own has gone
+		if what, err := os.Readlink(name); err == nil { // the descriptor of the directory listing is closed by now
 			all[filepath.Base(name)] = what
 		}
 	}
 	return all
 }
 
-// An engine with no connection holds no socket. It held a pair of Unix sockets, which have no name where only TCP and
-// UDP are served: New failed, and then waited for ever for a poller that had not begun to run. All it holds it gives
-// back, and stopping right after the start ends.
-func TestAnEngineStartsWithoutSocketsAndStopsAtOnce(t *testing.T) {
+// An engine without connections opens no sockets. It once opened a pair of Unix sockets, which have no address on
+// systems that provide only TCP and UDP: New failed and then waited forever for a poller that had not begun to run.
+// The test also checks that stopping right after the start works, and that an engine closes all of its descriptors.
+func TestEngineOpensNoSocketsAndFreesDescriptors(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	start := func() *Engine {
@@ -90,41 +90,42 @@
 		}
 		return e
 	}
-	start().Stop() // what the runtime opens once
+	start().Stop() // opens the descriptors that the runtime keeps
 	before := descriptors(t)
 	for range 100 {
 		e := start()
 		for fd, what := range descriptors(t) {
 			if before[fd] == "" && strings.HasPrefix(what, "socket:") {
-				t.Fatalf("descriptor %s is a %s", fd, what)
+				t.Fatalf("the engine opened descriptor %s: %s", fd, what)
 			}
 		}
-		heard := make(chan struct{})
-		e.Barrier(func() { close(heard) })
-		<-heard
+		called := make(chan struct{})
+		e.Barrier(func() { close(called) })
+		<-called
 		e.Stop()
 	}
 	if after := descriptors(t); len(after) != len(before) {
-		t.Errorf("descriptors before: %v, after: %v", before, after)
+		t.Errorf("descriptors before the engines: %v, after them: %v", before, after)
 	}
 }
 
-// taker keeps what comes on its connection.
-type taker struct {
-	probe
-	mu  sync.Mutex
-	got int
+// countingHandler counts the bytes received on its connection.
+type countingHandler struct {
+	recordingHandler
+	mu       sync.Mutex
+	received int
 }
 
-func (k *taker) OnBytes(_ *Conn, b []byte, _ time.Time) error {
+func (k *countingHandler) OnBytes(_ *Conn, b []byte, _ time.Time) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.got += len(b)
+	k.received += len(b)
 	return nil
 }
 
-// pair is an engine with one connection of it, and the other end.
-func pair(t *testing.T, receive int) (*Engine, *Conn, *net.TCPConn, *taker) {
+// newConnPair starts an engine with one accepted connection and returns the connection, its client and its handler.
+// receiveBuffer is the client's SO_RCVBUF in bytes; 0: the default.
+func newConnPair(t *testing.T, receiveBuffer int) (*Engine, *Conn, *net.TCPConn, *countingHandler) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -132,15 +133,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := &taker{probe: probe{make(chan *Conn, 1), make(chan error, 1)}}
+	k := &countingHandler{recordingHandler: recordingHandler{make(chan *Conn, 1), make(chan error, 1)}}
 	l, err := e.Listen("127.0.0.1:0", 4, nil, func() Handler { return k })
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
-			if receive > 0 {
-				_ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, receive)
+			if receiveBuffer > 0 {
+				_ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, receiveBuffer)
 			}
 		})
 	}}
@@ -149,12 +150,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = other.Close() // a test may have closed it
+		_ = other.Close() // fails if the test has closed it
 		l.Close()
 		e.Stop()
 	})
 	c := <-k.opened
-	within(t, "it is read", func() bool { // OnOpened comes before that
+	waitFor(t, "the connection is registered with the engine", func() bool { // OnOpened runs before that
 		e.connMu.Lock()
 		defer e.connMu.Unlock()
 		return c.nc.Session() != nil
@@ -162,87 +163,88 @@
 	return e, c, other.(*net.TCPConn), k
 }
 
-// hold has the poller do nothing until what it returns is called.
-func hold(e *Engine) (free func()) {
-	held, release := make(chan bool), make(chan bool)
-	e.Barrier(func() { close(held); <-release })
-	<-held
+// blockPoller blocks the poller goroutine until the returned function is called.
+func blockPoller(e *Engine) (unblock func()) {
+	blocked, release := make(chan bool), make(chan bool)
+	e.Barrier(func() { close(blocked); <-release })
+	<-blocked
 	return sync.OnceFunc(func() { close(release) })
 }
 
-func within(t *testing.T, what string, ok func() bool) {
+// waitFor fails the test if ok does not return true within 20 s. what names the condition.
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("it never came that %s", what)
+			t.Fatalf("condition not met within 20 s: %s", what)
 		}
 	}
 }
 
-// A connection ends while bytes lie in it that nobody has read, and its other end has not taken all of the answer. A
-// close resets it, and the rest of the answer is lost; after an end the other side reads all, and then the end.
-func TestAnEndTakesNoAnswerAway(t *testing.T) {
-	e, c, other, k := pair(t, 4<<10)
-	e.Barrier(func() {}) // it has been added
-	free := hold(e)
+// CloseGracefully with unread input and an answer that the peer has not read completely. A plain close would reset
+// the connection and lose the rest of the answer; here the peer must read all of it, and then the end of the stream.
+func TestCloseGracefullyDeliversWrittenBytes(t *testing.T) {
+	e, c, other, k := newConnPair(t, 4<<10)
+	e.Barrier(func() {}) // the connection has been registered
+	free := blockPoller(e)
 	defer free()
 	answer := make([]byte, 90<<10)
 	if err := c.Write(answer); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := other.Write([]byte("a request that crosses the end")); err != nil {
+	if _, err := other.Write([]byte("a request that crosses the shutdown")); err != nil {
 		t.Fatal(err)
 	}
 	c.CloseGracefully(io.ErrShortBuffer, LingerTime)
-	if err := <-k.closed; err != io.ErrShortBuffer { //nolint:errorlint // the handler is handed the very error
-		t.Errorf("the handler was told %v", err)
+	if err := <-k.closed; err != io.ErrShortBuffer { //nolint:errorlint // the handler gets the error unwrapped
+		t.Errorf("OnClosed got %v, want io.ErrShortBuffer", err)
 	}
 	free()
 	_ = other.SetReadDeadline(time.Now().Add(20 * time.Second))
 	got, err := io.ReadAll(other)
 	if err != nil || len(got) != len(answer) {
-		t.Errorf("%d of %d bytes, and then %v", len(got), len(answer), err)
+		t.Errorf("the peer read %d of %d bytes, error %v", len(got), len(answer), err)
 	}
 	if c.Write([]byte("x")) == nil {
-		t.Error("an ended connection can be written")
+		t.Error("Write after CloseGracefully returned no error")
 	}
 	if err := other.Close(); err != nil {
 		t.Fatal(err)
 	}
-	within(t, "it is closed", func() bool { return e.Lingering() == 0 })
+	waitFor(t, "the connection is closed", func() bool { return e.Lingering() == 0 })
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.got != 0 {
-		t.Errorf("%d bytes were handed on after the end", k.got)
+	if k.received != 0 {
+		t.Errorf("the handler got %d bytes after CloseGracefully", k.received)
 	}
 }
 
-// One whose other end stays open gives its descriptor back all the same.
-func TestAnEndDoesNotWaitForEver(t *testing.T) {
-	e, c, other, k := pair(t, 0)
+// CloseGracefully frees the descriptor after the linger time even if the peer keeps the connection open.
+func TestCloseGracefullyClosesAfterLinger(t *testing.T) {
+	e, c, other, k := newConnPair(t, 0)
 	c.CloseGracefully(io.EOF, shortLinger)
 	if err, open := <-k.closed; !open {
 		t.Fatal(err)
 	}
-	within(t, "it is closed", func() bool { return e.Lingering() == 0 && e.Closed.Load() == 1 })
+	waitFor(t, "the connection is closed", func() bool { return e.Lingering() == 0 && e.Closed.Load() == 1 })
 	_ = other.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if _, err := other.Read(make([]byte, 1)); err != io.EOF { //nolint:errorlint // io.Reader returns io.EOF itself
-		t.Errorf("the other end sees %v", err)
+		t.Errorf("the peer read %v, want io.EOF", err)
 	}
-	c.CloseGracefully(io.EOF, shortLinger) // a second one changes nothing
+	c.CloseGracefully(io.EOF, shortLinger) // a second call has no effect
 	if e.Lingering() != 0 {
-		t.Error("a closed connection lingers")
+		t.Error("a second CloseGracefully counts the closed connection as lingering")
 	}
 }
 
-// What came before the other end closed is read whole, however much it is: what lay behind three reads was thrown away,
-// the end of an answer of 240 kB, say.
-func TestAllIsReadOfOneThatHasClosed(t *testing.T) {
-	e, c, other, k := pair(t, 0)
+// Input that arrived before the peer closed is read completely, whatever its size. Everything beyond three reads was
+// once lost, such as the end of a 240 kB answer.
+func TestAllInputIsReadAfterPeerCloses(t *testing.T) {
+	e, c, other, k := newConnPair(t, 0)
 	e.Barrier(func() {})
-	free := hold(e)
+	free := blockPoller(e)
 	defer free()
-	if err := c.nc.SetReadBuffer(1 << 20); err != nil { // the kernel must take it all, and the end, too
+	if err := c.nc.SetReadBuffer(1 << 20); err != nil { // room in the kernel for all the input and the end of the stream
 		t.Fatal(err)
 	}
 	const sent = maxReadsInRow*readBufferSize + 8<<10
@@ -250,20 +252,20 @@
 		t.Fatal(err)
 	}
 	if c.PeerClosed() {
-		t.Error("it is said to have left before it has")
+		t.Error("PeerClosed is true before the peer has closed")
 	}
 	if err := other.Close(); err != nil {
 		t.Fatal(err)
 	}
-	within(t, "the kernel says so", c.PeerClosed)
+	waitFor(t, "PeerClosed is true", c.PeerClosed)
 	free()
 	if err, open := <-k.closed; !open {
 		t.Fatal(err)
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.got != sent {
-		t.Errorf("%d of %d bytes were read", k.got, sent)
+	if k.received != sent {
+		t.Errorf("the handler got %d of %d bytes", k.received, sent)
 	}
 }
 
@@ -272,30 +274,30 @@
 	return new(net.Dialer).DialContext(t.Context(), "tcp", addr)
 }
 
-// A connection whose input lies unread is not idle, however long nothing was taken in from it.
-func TestUnreadInputIsNotIdle(t *testing.T) {
-	e, c, other, k := pair(t, 0)
+// A connection with unread input is not idle, however long ago its last handled message arrived.
+func TestConnWithUnreadInputIsNotIdle(t *testing.T) {
+	e, c, other, k := newConnPair(t, 0)
 	tracker := NewConnTracker(4)
 	now := time.Now()
 	tracked := tracker.Add(c, now, func() bool { return false })
 	tracked.Received(now, 1, false)
-	release := sync.OnceFunc(hold(e))
+	release := sync.OnceFunc(blockPoller(e))
 	defer release()
 	if _, err := other.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	within(t, "it has come", func() bool { return c.unread() > 0 })
+	waitFor(t, "the kernel has unread input", func() bool { return c.unread() > 0 })
 	later := now.Add(2 * idleTimeout)
 	tracker.Sweep(later, nil)
 	tracker.EvictIdle(later, 1)
 	if c.Closing() {
-		t.Error("it is closed over what has come")
+		t.Error("a connection with unread input was closed")
 	}
 	release()
-	within(t, "it is read", c.InputDrained)
+	waitFor(t, "the input is handled", c.InputDrained)
 	tracker.Sweep(later, nil)
 	if !c.Closing() {
-		t.Error("an idle connection stays")
+		t.Error("an idle connection was not closed")
 	}
 	if err := <-k.closed; !errors.Is(err, errIdle) {
 		t.Error(err)
