--- a/internal/net/resp/answer.go
+++ b/internal/net/resp/answer.go
@@ -15,17 +15,17 @@
 	"larchusher/routing"
 )
 
-// errNoCopy is of an answer that the client's copy is current, where the client has none.
-var errNoCopy = errors.New(notModified + " without a copy")
+// errUnexpectedNotModified reports a "not modified" answer to a request that did not name a copy of the client's.
+var errUnexpectedNotModified = errors.New(notModified + " in answer to a request without the tag of a copy")
 
-// OnBytes cuts what came into answers.
+// OnBytes parses the input into answers and posts them to the loop. It runs on the poller goroutine.
 func (c *conn) OnBytes(tc *transport.Conn, b []byte, at time.Time) error {
 	var answers [][][]byte
 	err := c.parser.feed(b, func(args [][]byte) error {
 		if len(args) != answerStrings && len(args) != pingAnswerStrings {
-			return fmt.Errorf("an answer of %d strings", len(args))
+			return fmt.Errorf("answer has %d strings, want 2 or 4", len(args))
 		}
-		for _, s := range args { // they are complete: the answer itself holds the memory from now on
+		for _, s := range args { // complete strings are accounted for by the answer from now on
 			if len(s) > maxUnreservedBytes {
 				c.reservedBytes.Add(int64(-len(s)))
 			}
@@ -41,7 +41,8 @@
 	return err
 }
 
-// handleAnswers handles what one read has brought, on the loop. partial: a part of a further answer has come.
+// handleAnswers handles the answers of one read, on the loop. partial means that a part of a further answer has
+// arrived.
 func (c *conn) handleAnswers(tc *transport.Conn, answers [][][]byte, partial bool, at time.Time) {
 	if partial && (!c.partial || len(answers) > 0) {
 		c.partialSince = at
@@ -49,7 +50,7 @@
 	c.lastByte, c.partial = at, partial
 	for i, args := range answers {
 		err := c.handleAnswer(args, at)
-		c.pool.releaseStrings(args) // the body is nil if it has become the answer's
+		c.pool.releaseStrings(args) // the body is nil here if the gateway has taken it
 		if err == nil {
 			continue
 		}
@@ -63,7 +64,8 @@
 	}
 }
 
-// handleAnswer handles one answer, whose last byte came at a time. It takes the body out of args if that is used further.
+// handleAnswer handles one answer, whose last byte arrived at the given time. It sets args[3] to nil if the gateway
+// takes the body. An error means that the connection must be closed.
 func (c *conn) handleAnswer(args [][]byte, at time.Time) error {
 	if c.ended {
 		return nil
@@ -77,15 +79,15 @@
 	}
 	status, ok := statuses[word]
 	if !ok || len(args) != answerStrings {
-		return fmt.Errorf("the answer %.20q", word)
+		return fmt.Errorf("unknown answer status %.20q or wrong number of strings", word)
 	}
 	a := c.inFlight[id]
-	if a == nil { // it was canceled, and its answer crossed that
+	if a == nil { // canceled here while the answer was on its way
 		c.pool.Counters.LateAnswers++
 		return nil
 	}
 	body := args[3]
-	if body == nil { // there was no memory for it
+	if body == nil { // dropped for lack of memory, see reserve
 		c.pool.Counters.AnswersDropped++
 		c.finish(id)
 		c.canceled[id] = c.lastUsed
@@ -97,10 +99,10 @@
 		return err
 	}
 	if res.NotModified && a.Request.IfNoneMatch == "" {
-		return errNoCopy
+		return errUnexpectedNotModified
 	}
 	c.finish(id)
-	if status != routing.OK { // a second answer with the id must not be taken for that of a further attempt
+	if status != routing.OK { // a second answer with this id must not be mistaken for that of a later attempt
 		c.canceled[id] = c.lastUsed
 	}
 	args[3] = nil
@@ -109,13 +111,14 @@
 	return nil
 }
 
-// finish takes an attempt off those in flight.
+// finish removes an attempt from those in flight.
 func (c *conn) finish(id string) {
 	delete(c.inFlight, id)
 	c.lastUsed = c.pool.loop.Now()
 }
 
-// parseFields reads the fields of an answer. What this protocol does not know is ignored.
+// parseFields parses the comma-separated NAME=VALUE fields of an answer into res. Unknown names and unreadable values
+// are ignored; a field without "=" is an error.
 func (c *conn) parseFields(list string, res *gateway.Result) error {
 	if list == "-" || list == "" {
 		return nil
@@ -123,7 +126,7 @@
 	for f := range strings.SplitSeq(list, ",") {
 		name, value, ok := strings.Cut(f, "=")
 		if !ok {
-			return fmt.Errorf("the field %.40q", f)
+			return fmt.Errorf("answer field %.40q has no value", f)
 		}
 		switch name {
 		case "why":
@@ -141,7 +144,8 @@
 	return nil
 }
 
-// parseLoadReport reads a load report into the order of Config.LoadReportFields; NaN: not reported.
+// parseLoadReport parses a load report into the order of Config.LoadReportFields. Values that are not reported are
+// NaN.
 func (c *conn) parseLoadReport(report string) []float64 {
 	load := make([]float64, len(c.pool.cfg.LoadReportFields))
 	for i := range load {
--- a/internal/net/resp/conn.go
+++ b/internal/net/resp/conn.go
@@ -16,61 +16,63 @@
 	"larchusher/routing"
 )
 
-// conn is one connection to an endpoint, or one that is coming up.
+// conn is one connection to an endpoint, open or still connecting.
 type conn struct {
 	pool     *Pool
 	endpoint *endpoint
 
-	parser        parser       // the poller's
-	reservedBytes atomic.Int64 // for strings of an answer that is not complete
+	parser        parser       // used by the poller only
+	reservedBytes atomic.Int64 // memory reserved for the strings of an incomplete answer
 	closed        atomic.Bool  // the socket is closed
 
-	// The loop's.
-	tc           *transport.Conn             // nil: it is coming up
-	timer        *gateway.Timer              // of the connect time-out
-	pending      []*gateway.Attempt          // until it is open
-	inFlight     map[string]*gateway.Attempt // by the ids of their requests
-	canceled     map[string]time.Time        // ids of requests whose attempts were canceled here, and when
-	lastByte     time.Time                   // when the latest byte came, or attempts were first in flight
-	partial      bool                        // a part of an answer has come,
-	partialSince time.Time                   // and since when
+	// The fields below are used by the loop only.
+	tc           *transport.Conn             // nil while connecting
+	timer        *gateway.Timer              // fires when connecting takes too long
+	pending      []*gateway.Attempt          // attempts to write once the connection is open
+	inFlight     map[string]*gateway.Attempt // by request ID
+	canceled     map[string]time.Time        // when attempts were canceled on this connection, by request ID
+	lastByte     time.Time                   // when the latest byte arrived, or the first attempt in flight was written
+	partial      bool                        // an answer is incomplete
+	partialSince time.Time                   // when its first part arrived
 	lastUsed     time.Time
-	pingID       string // of the ping that is not answered; empty: none is
+	pingID       string // ID of the unanswered ping; empty: none
 	pingedAt     time.Time
-	retired      bool // it takes no further attempt
+	retired      bool // no further attempts are sent on it
 	ended        bool
 }
 
-// streams is the number of attempts on the connection.
+// streams returns the number of attempts that are pending or in flight on the connection.
 func (c *conn) streams() int { return len(c.inFlight) + len(c.pending) }
 
-// canTake reports whether the connection can take one more attempt of the request with an id.
-func (c *conn) canTake(id string, maxStreams int) bool {
+// hasRoomFor reports whether one more attempt of the request with this ID may be sent on the connection, which
+// carries at most maxStreams attempts.
+func (c *conn) hasRoomFor(id string, maxStreams int) bool {
 	if c.retired || c.ended || c.pingID != "" || c.streams() >= maxStreams {
 		return false
 	}
-	return !c.knows(id)
+	return !c.isIDUsed(id)
 }
 
-// knows reports whether an attempt of the request with an id is on the connection, or was canceled there: a late answer
-// would be taken for that to a further attempt.
-func (c *conn) knows(id string) bool {
+// isIDUsed reports whether an attempt of the request with this ID is on the connection, or was canceled there
+// recently: the late answer to it would be mistaken for the answer to a new attempt.
+func (c *conn) isIDUsed(id string) bool {
 	if _, canceled := c.canceled[id]; canceled || c.inFlight[id] != nil {
 		return true
 	}
 	return slices.ContainsFunc(c.pending, func(a *gateway.Attempt) bool { return a.Request.ID == id })
 }
 
-// betterThan reports whether a further attempt should go to c rather than to other: an open connection goes first, then
-// the one with fewer attempts.
-func (c *conn) betterThan(other *conn) bool {
+// preferredOver reports whether a new attempt should go to c rather than to other: open connections are preferred,
+// then those with fewer attempts.
+func (c *conn) preferredOver(other *conn) bool {
 	if open, otherOpen := c.tc != nil, other.tc != nil; open != otherOpen {
 		return open
 	}
 	return c.streams() < other.streams()
 }
 
-// sweep closes the connection if it is idle, stalled or silent, and pings it if it may be silent.
+// sweep closes the connection if it is idle, stalled or unresponsive, and pings it if it has been silent with
+// attempts in flight. It also forgets canceled IDs after canceledIDLifetime.
 func (c *conn) sweep(now time.Time) {
 	for id, at := range c.canceled {
 		if now.Sub(at) > canceledIDLifetime {
@@ -80,9 +82,9 @@
 	switch {
 	case c.partial && now.Sub(c.lastByte) > stallTimeout:
 		c.end(errAnswerStalled)
-	case c.answerTooSlow(now): // the attempts that share the connection would wait for ever
+	case c.answerTooSlow(now): // the other attempts on the connection would wait forever
 		c.end(errAnswerTimeout)
-	case c.pingID != "" && c.lastByte.After(c.pingedAt): // any byte will do
+	case c.pingID != "" && c.lastByte.After(c.pingedAt): // any byte shows that the connection works
 		c.pingID = ""
 	case c.pingID != "" && now.Sub(c.pingedAt) > pingTimeout:
 		c.end(errSilent)
@@ -93,13 +95,14 @@
 	}
 }
 
-// answerTooSlow reports whether an answer has begun and is not complete within the limit.
+// answerTooSlow reports whether an answer has been incomplete for longer than Config.AnswerTimeout.
 func (c *conn) answerTooSlow(now time.Time) bool {
 	limit := c.pool.cfg.AnswerTimeout
 	return c.partial && limit > 0 && now.Sub(c.partialSince) > limit
 }
 
-// idleTooLong reports whether the connection is of no further use.
+// idleTooLong reports whether the connection has no attempts in flight and is retired or close to the endpoint's
+// keep-alive limit.
 func (c *conn) idleTooLong(now time.Time) bool {
 	if len(c.inFlight) > 0 {
 		return false
@@ -108,7 +111,7 @@
 	return c.retired || now.Sub(c.lastUsed) > limit
 }
 
-// ping asks for any answer.
+// ping sends a health check, to which any answer or other byte counts as a reply.
 func (c *conn) ping(now time.Time) {
 	p := c.pool
 	p.pings++
@@ -117,17 +120,18 @@
 	c.writeCommand("NOOP", c.pingID)
 }
 
-// writeCommand writes a command, or ends the connection.
+// writeCommand writes a command. If that fails, it ends the connection.
 func (c *conn) writeCommand(args ...string) {
 	if err := c.tc.Write(appendCommand(nil, args...)); err != nil {
 		c.end(err)
 	}
 }
 
-// opened writes the attempts that waited for the connection.
+// opened is called when the connection is established, and writes the pending attempts. It closes the connection if
+// it was abandoned meanwhile.
 func (c *conn) opened(tc *transport.Conn) {
 	if c.ended {
-		tc.Close(errGivenUp)
+		tc.Close(errAbandoned)
 		return
 	}
 	c.timer.Stop()
@@ -143,7 +147,7 @@
 	}
 }
 
-// OnClosed ends the attempts on the connection.
+// OnClosed releases reserved memory and ends the attempts on the connection.
 func (c *conn) OnClosed(_ *transport.Conn, err error) {
 	if err == nil {
 		err = errClosed
@@ -153,7 +157,8 @@
 	c.pool.loop.Post(func() { c.end(err) })
 }
 
-// end drops the connection. What was written may have run; what was not, has not.
+// end closes the connection and removes it from the pool. Attempts in flight end with routing.Reset, since they may
+// have been executed; pending ones end with routing.ConnectFailed.
 func (c *conn) end(err error) {
 	if c.ended {
 		return
@@ -173,7 +178,7 @@
 	}
 	lost := slices.SortedFunc(maps.Values(c.inFlight), func(a, b *gateway.Attempt) int { return strings.Compare(a.Request.ID, b.Request.ID) })
 	c.inFlight = nil
-	// That the connection broke counts against the endpoint once, not for each attempt.
+	// A lost connection counts against the endpoint once, not once per attempt.
 	for i, a := range lost {
 		p.Gateway.AttemptEnded(a, gateway.Result{Status: routing.Reset, CollateralReset: i > 0})
 	}
@@ -184,7 +189,8 @@
 	}
 }
 
-// leavePool takes the connection off the pool, and its endpoint too if that is not on the list any more.
+// leavePool removes the connection from the pool, and also its endpoint if that is no longer on the endpoint list and
+// this was its last connection.
 func (c *conn) leavePool() {
 	p, s := c.pool, c.endpoint
 	p.connCount--
--- a/internal/net/resp/memory.go
+++ b/internal/net/resp/memory.go
@@ -2,12 +2,12 @@
 
 import pool "github.com/libp2p/go-buffer-pool"
 
-// reserve reports whether a string of an answer may be held, and counts it if so. What was asked of endpoints for slow
-// clients may come all at once, and be longer than expected.
+// reserve reserves n bytes for a string of an answer, and returns false if Config.MaxAnswerBytes would be exceeded.
+// Answers for slow clients may arrive all at once, and be longer than expected. It runs on the poller goroutine.
 func (c *conn) reserve(n int) bool {
 	p := c.pool
-	held := p.answerBytes.Add(int64(n))
-	if p.cfg.MaxAnswerBytes > 0 && held > p.cfg.MaxAnswerBytes {
+	total := p.answerBytes.Add(int64(n))
+	if p.cfg.MaxAnswerBytes > 0 && total > p.cfg.MaxAnswerBytes {
 		p.answerBytes.Add(int64(-n))
 		return false
 	}
@@ -15,18 +15,19 @@
 	return true
 }
 
-// releaseReserved gives back what is reserved for an answer that will not be completed. It may run beside OnBytes: each
-// calls it once the connection has ended, and what the other has reserved meanwhile evens out.
+// releaseReserved releases the memory reserved for an answer that will not be completed. It may run concurrently with
+// OnBytes: both call it after the connection has ended, so that whatever OnBytes reserved in between is released,
+// too.
 func (c *conn) releaseReserved() { c.pool.answerBytes.Add(-c.reservedBytes.Swap(0)) }
 
-// releaseStrings gives the memory of strings back.
+// releaseStrings releases the memory of an answer's strings.
 func (p *Pool) releaseStrings(strings [][]byte) {
 	for _, s := range strings {
 		p.releaseBody(s)
 	}
 }
 
-// releaseBody gives the memory of a string back. nil is none.
+// releaseBody releases the memory of one string, which may be nil.
 func (p *Pool) releaseBody(body []byte) {
 	if len(body) > maxUnreservedBytes {
 		p.answerBytes.Add(int64(-len(body)))
--- a/internal/net/resp/parser.go
+++ b/internal/net/resp/parser.go
@@ -1,5 +1,6 @@
-// Package resp carries attempts to endpoints: RESP arrays of bulk strings, many attempts on one connection. Its Pool lives on
-// the gateway's loop; what comes on connections is parsed on the poller.
+// Package resp sends attempts to endpoints over RESP: commands and answers are arrays of bulk strings, with many
+// attempts in flight on one connection. A Pool is used on the gateway's loop; input is parsed on the poller
+// goroutine.
 package resp
 
 import (
@@ -12,38 +13,39 @@
 )
 
 const (
-	maxStringBytes = 256 << 10 // bytes of one string; objects go up to 240,000
-	maxStrings     = 8
-	maxLineBytes   = 32
+	maxStringBytes = 256 << 10 // maximum bytes of one string; objects have up to 240,000
+	maxStrings     = 8         // in one array
+	maxLineBytes   = 32        // of a line with a length
 
-	maxUnreservedBytes = 4 << 10 // a string no longer than this is always held
+	maxUnreservedBytes = 4 << 10 // strings up to this length need no reservation
 )
 
-// lineEnd ends lines and strings.
+// lineEnd terminates lines and strings.
 const lineEnd = "\r\n"
 
 var (
-	errStringEnd   = errors.New("a string does not end where it should")
-	errLineTooLong = errors.New("a length's line is too long")
+	errStringEnd   = errors.New("bulk string is not followed by CR LF")
+	errLineTooLong = errors.New("line with a length is too long")
 )
 
-// parser cuts a stream into arrays of bulk strings. The zero value is ready for use.
+// parser splits a byte stream into arrays of bulk strings. The zero value is ready for use.
 type parser struct {
-	reserve func(n int) bool // whether so long a string may be held; nil: any may
-
-	skipBytes   int      // bytes that are still to be passed over, of a string for which there was no room
-	line        []byte   // of a line that has not come whole
-	args        [][]byte // of the array that is read
-	stringsLeft int      // strings of it that are still to come
-	current     []byte   // the string that is read, with its closing CR LF; of the pool
-	received    int      // bytes of it
+	reserve func(n int) bool // reports whether n bytes of memory are available; nil: always
+
+	skipBytes   int      // bytes left to skip, of a string for which there was no memory
+	line        []byte   // incomplete line
+	args        [][]byte // complete strings of the current array
+	stringsLeft int      // strings of the current array that are incomplete
+	current     []byte   // the current string with its closing CR LF; from the buffer pool
+	received    int      // bytes of current that have arrived
 }
 
-// partial reports whether an answer has begun and is not complete.
+// partial reports whether the stream so far ends within an array.
 func (p *parser) partial() bool { return p.stringsLeft > 0 || len(p.line) > 0 || p.skipBytes > 0 }
 
-// feed takes the next bytes and calls emit with each complete array. Its strings are emit's, to be given back to the pool;
-// one that there was no memory for is nil.
+// feed parses the next bytes and calls emit with each complete array. emit owns the strings and must return them to
+// the buffer pool. A string for which there was no memory is nil. feed returns the first error of the stream or of
+// emit; the parser must not be used after that.
 func (p *parser) feed(b []byte, emit func(args [][]byte) error) error {
 	for len(b) > 0 {
 		var err error
@@ -62,7 +64,7 @@
 	return nil
 }
 
-// feedSkipped passes over bytes of a string that there was no memory for, and returns what follows.
+// feedSkipped skips bytes of a string for which there was no memory, and returns the bytes after it.
 func (p *parser) feedSkipped(b []byte, emit func(args [][]byte) error) (rest []byte, err error) {
 	n := min(p.skipBytes, len(b))
 	p.skipBytes -= n
@@ -72,7 +74,7 @@
 	return b[n:], err
 }
 
-// feedString adds bytes to the string that is read, and returns what follows.
+// feedString adds bytes to the current string and returns the bytes after it.
 func (p *parser) feedString(b []byte, emit func(args [][]byte) error) (rest []byte, err error) {
 	n := copy(p.current[p.received:], b)
 	p.received, b = p.received+n, b[n:]
@@ -88,7 +90,7 @@
 	return b, p.addString(s, emit)
 }
 
-// feedLine adds bytes to the line that is read, and returns what follows it.
+// feedLine adds bytes to the current line and returns the bytes after it.
 func (p *parser) feedLine(b []byte) (rest []byte, err error) {
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 && len(p.line)+len(b) <= maxLineBytes {
@@ -103,7 +105,7 @@
 	return b[i+1:], p.parseLength(line)
 }
 
-// addString takes a complete string, and emits the array if that is complete, too.
+// addString adds a complete string to the current array, and emits the array if it is complete.
 func (p *parser) addString(s []byte, emit func(args [][]byte) error) error {
 	p.args = append(p.args, s)
 	p.stringsLeft--
@@ -115,18 +117,18 @@
 	return emit(args)
 }
 
-// parseLength takes the line that begins an array or a string.
+// parseLength parses the line with the length of an array or of a string.
 func (p *parser) parseLength(line []byte) error {
-	kind, most := byte('*'), maxStrings
+	kind, limit := byte('*'), maxStrings
 	if p.stringsLeft > 0 {
-		kind, most = '$', maxStringBytes
+		kind, limit = '$', maxStringBytes
 	}
 	if len(line) < 3 || line[0] != kind || line[len(line)-1] != '\r' {
-		return fmt.Errorf("%q where a length %c was due", line, kind)
+		return fmt.Errorf("line %q is not a length that begins with %c", line, kind)
 	}
 	n, err := strconv.ParseUint(string(line[1:len(line)-1]), 10, 31)
-	if err != nil || int(n) > most || kind == '*' && n == 0 {
-		return fmt.Errorf("length %q", line)
+	if err != nil || int(n) > limit || kind == '*' && n == 0 {
+		return fmt.Errorf("length %q is invalid or too large", line)
 	}
 	if kind == '*' {
 		p.stringsLeft, p.args = int(n), make([][]byte, 0, n)
@@ -140,7 +142,7 @@
 	return nil
 }
 
-// appendCommand writes one array.
+// appendCommand appends args as an array of bulk strings.
 func appendCommand(b []byte, args ...string) []byte {
 	b = append(strconv.AppendInt(append(b, '*'), int64(len(args)), 10), "\r\n"...)
 	for _, a := range args {
@@ -150,6 +152,7 @@
 	return b
 }
 
+// appendLength appends the line with the length of a bulk string.
 func appendLength(b []byte, n int) []byte {
 	return append(strconv.AppendInt(append(b, '$'), int64(n), 10), "\r\n"...)
 }
--- a/internal/net/resp/parser_test.go
+++ b/internal/net/resp/parser_test.go
@@ -8,23 +8,24 @@
 	"pgregory.net/rapid"
 )
 
-// checkArray checks the strings of one array; without room, long ones are nil.
-func checkArray(t *rapid.T, args [][]byte, want []string, room bool) {
+// checkArray checks the strings of one array. Without available memory, strings longer than maxUnreservedBytes must
+// be nil.
+func checkArray(t *rapid.T, args [][]byte, want []string, memoryAvailable bool) {
 	for i, w := range want {
 		switch {
-		case !room && len(w) > maxUnreservedBytes:
+		case !memoryAvailable && len(w) > maxUnreservedBytes:
 			if args[i] != nil {
-				t.Fatal("held without room")
+				t.Fatal("a long string was kept without memory for it")
 			}
 		case args[i] == nil || !bytes.Equal(args[i], []byte(w)):
-			t.Fatalf("string %d: %.20q", i, args[i])
+			t.Fatalf("string %d is %.20q", i, args[i])
 		}
 	}
 }
 
-// However a stream is cut, the same arrays come out; strings that there is no room for come out as nil, and nothing
-// else is lost with them.
-func TestParserPassesOverWhatHasNoRoom(t *testing.T) {
+// The parser emits the same arrays however the stream is split. Strings for which there is no memory are nil, and
+// nothing else is lost with them.
+func TestParserDropsStringsWithoutMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stream []byte
 		var want [][]string
@@ -33,13 +34,13 @@
 			args := []string{"id", "DONE", "why=warm", body}
 			stream, want = appendCommand(stream, args...), append(want, args)
 		}
-		room := rapid.Bool().Draw(t, "room")
-		p := parser{reserve: func(int) bool { return room }}
+		memoryAvailable := rapid.Bool().Draw(t, "room")
+		p := parser{reserve: func(int) bool { return memoryAvailable }}
 		n := 0
 		for len(stream) > 0 {
 			cut := rapid.IntRange(1, min(len(stream), 30000)).Draw(t, "cut")
 			err := p.feed(stream[:cut], func(args [][]byte) error {
-				checkArray(t, args, want[n], room)
+				checkArray(t, args, want[n], memoryAvailable)
 				n++
 				return nil
 			})
@@ -49,13 +50,13 @@
 			stream = stream[cut:]
 		}
 		if n != len(want) || p.partial() {
-			t.Fatalf("%d of %d arrays", n, len(want))
+			t.Fatalf("got %d of %d arrays, or the parser expects more input", n, len(want))
 		}
 	})
 }
 
-// What is counted for answers comes back, however they end: whole, passed over, or cut off.
-func TestHeldAnswersComeBack(t *testing.T) {
+// Memory reserved for answers is released however they end: complete, skipped for lack of memory, or cut off.
+func TestReservedMemoryIsReleased(t *testing.T) {
 	p := &Pool{cfg: Config{MaxAnswerBytes: 100_000}}
 	answer := appendCommand(nil, "id", "DONE", "-", strings.Repeat("x", 60_000))
 	feed := func(c *conn, b []byte) (got [][]byte) {
@@ -71,18 +72,18 @@
 	}
 	a, b := &conn{pool: p}, &conn{pool: p}
 	a.parser.reserve, b.parser.reserve = a.reserve, b.reserve
-	feed(a, answer[:1000]) // cut off there
+	feed(a, answer[:1000]) // the rest never arrives
 	if got := feed(b, answer); len(got) != 1 || got[0] != nil {
-		t.Error("an answer is held beyond the bound")
+		t.Error("an answer above MaxAnswerBytes was kept")
 	}
 	a.releaseReserved()
 	got := feed(b, answer)
 	if len(got) != 1 || got[0] == nil || p.answerBytes.Load() != 60_000 {
-		t.Errorf("%d answers, %d bytes held", len(got), p.answerBytes.Load())
+		t.Errorf("got %d answers with %d bytes reserved, want one answer with 60000", len(got), p.answerBytes.Load())
 	}
 	p.releaseBody(got[0])
 	b.releaseReserved()
 	if n := p.answerBytes.Load(); n != 0 {
-		t.Errorf("%d bytes are held for nothing", n)
+		t.Errorf("%d bytes are still reserved at the end, want 0", n)
 	}
 }
--- a/internal/net/resp/pool.go
+++ b/internal/net/resp/pool.go
@@ -13,69 +13,73 @@
 	"larchusher/routing"
 )
 
-// When a connection is given up. An endpoint that is cut off leaves its connections open without a word.
+// Intervals and timeouts of connections. An unreachable endpoint leaves its connections open without sending
+// anything.
 const (
-	sweepInterval      = 100 * time.Millisecond // between two looks at all connections
-	pingAfterSilence   = 700 * time.Millisecond // without a byte while attempts are in flight, a connection is pinged;
-	pingTimeout        = time.Second            // without a byte for that long after it, it is closed
-	stallTimeout       = 600 * time.Millisecond // without a byte in the middle of an answer, it is closed
-	idleKeepAliveShare = 0.8                    // share of the keep-alive time after which an idle connection is closed
+	sweepInterval      = 100 * time.Millisecond // interval between checks of all connections
+	pingAfterSilence   = 700 * time.Millisecond // silence with attempts in flight after which a connection is pinged
+	pingTimeout        = time.Second            // silence after a ping until the connection is closed
+	stallTimeout       = 600 * time.Millisecond // silence within an answer until the connection is closed
+	idleKeepAliveShare = 0.8                    // fraction of Config.KeepAlive after which an idle connection is closed
 )
 
 const (
-	// preferredStreams is how many attempts share a connection while there are descriptors for others: one spoilt answer
-	// takes all of them down.
+	// preferredStreams is how many attempts share a connection while more connections may be opened: one faulty answer
+	// ends all attempts on its connection.
 	preferredStreams = 4
-	// canceledIDLifetime is how long an id that was canceled on a connection is not used there again.
+	// canceledIDLifetime is how long the ID of a canceled request is not used again on the same connection.
 	canceledIDLifetime = 10 * time.Second
-	// maxFillWaitMs is how long a fill can have waited, in ms; a longer wait is taken for a fault of the endpoint's.
+	// maxFillWaitMs limits the reported wait for a fill, in ms; a longer one is treated as a fault of the endpoint and
+	// ignored.
 	maxFillWaitMs = 60_000
 )
 
-// Config says how endpoints are spoken to.
+// Config holds the settings of a Pool.
 type Config struct {
-	StreamsPerConn   int // attempts on one connection at once
+	StreamsPerConn   int // maximum attempts in flight on one connection
 	ConnectTimeout   time.Duration
-	KeepAlive        time.Duration // after which endpoints close idle connections
-	MaxConns         int           // connections held at once
-	LoadReportFields []string      // order of the values of gateway.Result.LoadReport
-	MaxAnswerBytes   int64         // bytes of answers that may be held until they are written to clients; 0: no limit
-	AnswerTimeout    time.Duration // from the first to the last byte of an answer, else its connection is closed; 0: no limit
+	KeepAlive        time.Duration // time after which endpoints close idle connections
+	MaxConns         int           // maximum open connections to all endpoints
+	LoadReportFields []string      // names of the values in gateway.Result.LoadReport, in order
+	MaxAnswerBytes   int64         // limit of the answers in memory until they are written to clients, in bytes; 0: none
+	AnswerTimeout    time.Duration // limit from the first to the last byte of an answer, else its connection is closed; 0: none
 }
 
-// Counters count what happened with endpoints.
+// Counters are a Pool's event counts since the start of the process.
 type Counters struct {
 	ConnectsStarted uint64
 	ConnectsFailed  uint64
 	ConnsLost       uint64 // connections that ended with attempts in flight
-	Written         uint64 // attempts
-	Canceled        uint64 // attempts, after they were written
-	LateAnswers     uint64 // answers to attempts that were over
-	Pings           uint64 // of silent connections
-	AnswersDropped  uint64 // for want of memory
+	Written         uint64 // attempts written to connections
+	Canceled        uint64 // attempts canceled after they were written
+	LateAnswers     uint64 // answers to attempts that had ended before
+	Pings           uint64 // pings sent on silent connections
+	AnswersDropped  uint64 // answers whose body was dropped for lack of memory
 }
 
-// Why connections end.
+// Reasons for closing a connection.
 var (
-	errConnectTimeout   = errors.New("no connection in time")
-	errClosedByEndpoint = errors.New("closed by the endpoint")
+	errConnectTimeout   = errors.New("connect timeout")
+	errClosedByEndpoint = errors.New("connection closed by the endpoint")
 	errClosed           = errors.New("closed")
-	errGivenUp          = errors.New("given up")
-	errAnswerStalled    = errors.New("an answer stops short")
-	errAnswerTimeout    = errors.New("an answer does not end")
+	errAbandoned        = errors.New("connection no longer needed")
+	errAnswerStalled    = errors.New("answer stalled before its end")
+	errAnswerTimeout    = errors.New("answer not complete in time")
 	errSilent           = errors.New("silent")
 	errIdle             = errors.New("idle")
 )
 
-// Gateway is what the pool needs of its gateway.
+// Gateway is the part of the gateway that the pool calls, on the loop. PrepareWrite reports whether an attempt may
+// still be written; AttemptEnded receives each attempt's result.
 type Gateway interface {
 	PrepareWrite(*gateway.Attempt) bool
 	AttemptEnded(*gateway.Attempt, gateway.Result)
 }
 
-// Pool holds the connections to all endpoints. It lives on the loop. It is a [gateway.Backend].
+// Pool manages the connections to all endpoints and implements [gateway.Backend]. Its methods must be called on the
+// loop.
 type Pool struct {
-	Gateway  Gateway // to be set before anything is sent
+	Gateway  Gateway // must be set before the first Send
 	Counters Counters
 
 	cfg         Config
@@ -95,34 +99,36 @@
 	return p
 }
 
-// SetMaxConns sets how many connections are held at once. More that are open stay until they are idle.
+// SetMaxConns sets the maximum number of open connections. Connections above it stay open until they are idle.
 func (p *Pool) SetMaxConns(maxConns int) { p.cfg.MaxConns = maxConns }
 
 // SetAnswerTimeout sets Config.AnswerTimeout.
 func (p *Pool) SetAnswerTimeout(d time.Duration) { p.cfg.AnswerTimeout = d }
 
-// endpoint is one of the endpoint list. Connections belong to it, not to its address: addresses are reused.
+// endpoint is an endpoint of the endpoint list. Connections are kept per endpoint, not per address, because addresses
+// are reused.
 type endpoint struct {
 	id, addr    string
 	startedAtMs int64
 	conns       []*conn
 }
 
-// SetAddress says where an endpoint listens and since when it runs, as the endpoint list has it.
-func (p *Pool) SetAddress(id, addr string, since int64) {
+// SetAddress sets an endpoint's address and start time (Unix ms) from the endpoint list. If either changes, no
+// further attempts are sent on its existing connections.
+func (p *Pool) SetAddress(id, addr string, startedAtMs int64) {
 	s := p.endpoints[id]
 	if s == nil {
 		s = &endpoint{id: id}
 		p.endpoints[id] = s
 	}
-	// Connections to what ran there before may be open without a word, if it vanished.
-	if s.addr != addr || s.startedAtMs != since {
+	// Connections to the previous instance may still look open if it vanished without closing them.
+	if s.addr != addr || s.startedAtMs != startedAtMs {
 		s.retire()
-		s.addr, s.startedAtMs = addr, since
+		s.addr, s.startedAtMs = addr, startedAtMs
 	}
 }
 
-// RemoveEndpoint says that an endpoint is not on the list any more. Attempts that are in flight there go on.
+// RemoveEndpoint handles the removal of an endpoint from the endpoint list. Attempts in flight there continue.
 func (p *Pool) RemoveEndpoint(id string) {
 	if s := p.endpoints[id]; s != nil {
 		s.addr = ""
@@ -133,17 +139,18 @@
 	}
 }
 
-// retire has the endpoint's connections take no further attempt.
+// retire stops sending further attempts on the endpoint's connections.
 func (s *endpoint) retire() {
 	for _, c := range s.conns {
 		c.retired = true
 	}
 }
 
-// Send writes an attempt on a connection to its endpoint, or has it wait for one that is coming up.
+// Send writes an attempt on a connection to its endpoint, or queues it until a new connection is established. If the
+// endpoint is unknown or the connection limit is reached, the attempt ends with routing.ConnectFailed.
 func (p *Pool) Send(a *gateway.Attempt) {
 	s := p.endpoints[a.Endpoint]
-	if s == nil || s.addr == "" { // only what the endpoint list names is connected to
+	if s == nil || s.addr == "" { // only endpoints on the endpoint list are connected to
 		p.Gateway.AttemptEnded(a, gateway.Result{Status: routing.ConnectFailed})
 		return
 	}
@@ -160,13 +167,13 @@
 	c.writeAttempt(a)
 }
 
-// chooseOpenConn is chooseConn without connections that the endpoint has closed, which nobody has read yet: an attempt that
-// is written there would look as if it might have run.
+// chooseOpenConn is chooseConn without connections that the endpoint has closed and whose end has not been read yet:
+// an attempt written there would look as if it might have been executed.
 func (p *Pool) chooseOpenConn(s *endpoint, id string) *conn {
 	c := p.chooseConn(s, id)
 	for c != nil && c.tc != nil && c.tc.PeerClosed() {
 		c.retired = true
-		if len(c.inFlight) == 0 { // else answers may have come, and wait to be read
+		if len(c.inFlight) == 0 { // otherwise unread answers may have arrived
 			c.end(errClosedByEndpoint)
 		}
 		c = p.chooseConn(s, id)
@@ -174,8 +181,8 @@
 	return c
 }
 
-// chooseConn returns a connection for the next attempt of the request with an id, a new one if need be; nil: there is none
-// to be had.
+// chooseConn returns a connection for the next attempt of the request with this ID, dialing a new one if needed. It
+// returns nil if all connections are full and no more may be opened.
 func (p *Pool) chooseConn(s *endpoint, id string) *conn {
 	c := s.leastBusyConn(id, min(preferredStreams, p.cfg.StreamsPerConn))
 	if c == nil && p.connCount < p.cfg.MaxConns/2 {
@@ -190,26 +197,26 @@
 	return c
 }
 
-// leastBusyConn returns the connection with the fewest attempts that can take one more of the request with an id, one that
-// is open before one that is coming up; nil: none can.
+// leastBusyConn returns the connection with the fewest attempts that has room for one more of the request with this
+// ID, preferring open connections over connecting ones; nil if there is none.
 func (s *endpoint) leastBusyConn(id string, maxStreams int) *conn {
 	var best *conn
 	for _, c := range s.conns {
-		if c.canTake(id, maxStreams) && (best == nil || c.betterThan(best)) {
+		if c.hasRoomFor(id, maxStreams) && (best == nil || c.preferredOver(best)) {
 			best = c
 		}
 	}
 	return best
 }
 
-// dial begins a connection.
+// dial starts connecting to an endpoint.
 func (p *Pool) dial(s *endpoint) *conn {
 	c := &conn{pool: p, endpoint: s, inFlight: map[string]*gateway.Attempt{}, canceled: map[string]time.Time{}, lastUsed: p.loop.Now()}
 	c.parser.reserve = c.reserve
 	s.conns = append(s.conns, c)
 	p.connCount++
 	p.Counters.ConnectsStarted++
-	// An endpoint that is cut off does not answer at all, so the time-out is ours.
+	// An unreachable endpoint does not answer at all, so the pool has its own timeout.
 	c.timer = p.loop.After(p.cfg.ConnectTimeout, func() { c.end(errConnectTimeout) })
 	p.engine.Dial(s.addr, p.cfg.ConnectTimeout+sweepInterval, c,
 		func(tc *transport.Conn) { p.loop.Post(func() { c.opened(tc) }) },
@@ -217,7 +224,7 @@
 	return c
 }
 
-// Cancel cancels an attempt. The endpoint is told so if it was written.
+// Cancel cancels an attempt. If the attempt has been written, the endpoint is sent a cancel command.
 func (p *Pool) Cancel(a *gateway.Attempt) {
 	c, _ := a.BackendState.(*conn)
 	if c == nil || c.ended {
@@ -237,11 +244,11 @@
 	c.writeCommand("QUIT", id)
 }
 
-// sweep looks at all connections.
+// sweep checks all open connections, every sweepInterval.
 func (p *Pool) sweep() {
 	now := p.loop.Now()
 	for _, s := range p.endpoints {
-		for _, c := range slices.Clone(s.conns) { // some are closed, and leave the list
+		for _, c := range slices.Clone(s.conns) { // closing a connection removes it from the list
 			if c.tc != nil && !c.ended {
 				c.sweep(now)
 			}
--- a/internal/net/resp/request.go
+++ b/internal/net/resp/request.go
@@ -8,7 +8,7 @@
 	"larchusher/gateway"
 )
 
-// writeAttempt writes one attempt, if it may still be sent.
+// writeAttempt writes an attempt to the connection, unless the gateway withdraws it.
 func (c *conn) writeAttempt(a *gateway.Attempt) {
 	if !c.pool.Gateway.PrepareWrite(a) {
 		return
@@ -30,7 +30,7 @@
 	}
 }
 
-// encodeFields words the fields of an attempt: here alone the names of the wire stand.
+// encodeFields encodes the fields of an attempt. The field names of the protocol appear only here.
 func encodeFields(a *gateway.Attempt, now time.Time) string {
 	r := a.Request
 	b := make([]byte, 0, 192)
@@ -65,7 +65,7 @@
 	return string(b)
 }
 
-// encodeHints words the options of an attempt.
+// encodeHints encodes the options of an attempt, joined with "+".
 func encodeHints(a *gateway.Attempt) string {
 	var hints []string
 	for _, h := range [...]struct {
--- a/internal/net/resp/wire_test.go
+++ b/internal/net/resp/wire_test.go
@@ -8,14 +8,16 @@
 	"larchusher/routing"
 )
 
-// answers takes in how attempts ended.
-type answers struct{ got []gateway.Result }
+// recordingGateway records the results of attempts.
+type recordingGateway struct{ results []gateway.Result }
 
-func (*answers) PrepareWrite(*gateway.Attempt) bool                  { return true }
-func (a *answers) AttemptEnded(_ *gateway.Attempt, r gateway.Result) { a.got = append(a.got, r) }
+func (*recordingGateway) PrepareWrite(*gateway.Attempt) bool { return true }
+func (a *recordingGateway) AttemptEnded(_ *gateway.Attempt, r gateway.Result) {
+	a.results = append(a.results, r)
+}
 
-// Each status word of an answer stands for one status, and any other breaks the connection.
-func TestStatusesOfAnswers(t *testing.T) {
+// Each status word of an answer maps to one status; an unknown word is an error, which closes the connection.
+func TestAnswerStatusWords(t *testing.T) {
 	for word, want := range map[string]gateway.Result{
 		"DONE":  {Status: routing.OK},
 		"KEEP":  {Status: routing.OK, NotModified: true},
@@ -24,31 +26,31 @@
 		"BROKE": {Status: routing.ServerError},
 		"PAST":  {Status: routing.NotSent},
 	} {
-		ended := &answers{}
+		ended := &recordingGateway{}
 		a := &gateway.Attempt{Request: &gateway.Request{ID: "r", IfNoneMatch: "tag"}}
 		c := &conn{pool: &Pool{Gateway: ended, loop: gateway.NewLoop()}, inFlight: map[string]*gateway.Attempt{"r": a}, canceled: map[string]time.Time{}}
 		err := c.handleAnswer([][]byte{[]byte("r"), []byte(word), []byte("digest=v1"), {}}, time.Time{})
-		if err != nil || len(ended.got) != 1 {
-			t.Fatal(word, err, ended.got)
+		if err != nil || len(ended.results) != 1 {
+			t.Fatal(word, err, ended.results)
 		}
-		if r := ended.got[0]; r.Status != want.Status || r.NotModified != want.NotModified || r.ETag != "v1" {
+		if r := ended.results[0]; r.Status != want.Status || r.NotModified != want.NotModified || r.ETag != "v1" {
 			t.Errorf("%s: %+v", word, r)
 		}
 		if _, blocked := c.canceled["r"]; blocked != (want.Status != routing.OK) {
-			t.Errorf("%s: the id may be used again: %v", word, !blocked)
+			t.Errorf("%s: the ID may be used again on the connection: %v", word, !blocked)
 		}
 	}
 	c := &conn{pool: &Pool{}}
 	if err := c.handleAnswer([][]byte{[]byte("r"), []byte("NOVEL"), []byte("-"), {}}, time.Time{}); err == nil {
-		t.Error("an unknown status is taken")
+		t.Error("an unknown status word was accepted")
 	}
 	if len(statuses) != 6 || len(reasons) != int(routing.ReasonOriginFailed) {
-		t.Errorf("%d statuses and %d reasons are on the wire", len(statuses), len(reasons))
+		t.Errorf("the protocol has %d status words and %d reason words, want 6 and one for each routing reason", len(statuses), len(reasons))
 	}
 }
 
-// Each field of an attempt has one name on the wire.
-func TestFieldsOfAttempts(t *testing.T) {
+// Each field of an attempt has one name in the protocol.
+func TestEncodeFields(t *testing.T) {
 	now := time.Unix(1000, 0)
 	base := gateway.Attempt{Deadline: now.Add(1500 * time.Millisecond)}
 	request := gateway.Request{Class: "images", Object: "o", Part: 3}
@@ -72,7 +74,7 @@
 		a.Request = &r
 		change(&a, &r)
 		if got := encodeFields(&a, now); got != first+want {
-			t.Errorf("%q, not %q", got, first+want)
+			t.Errorf("encoded as %q, want %q", got, first+want)
 		}
 	}
 }
--- a/internal/net/transport/tracker.go
+++ b/internal/net/transport/tracker.go
@@ -24,7 +24,7 @@
 var (
 	errIncomplete = errors.New("message not complete in time")
 	errNoMessage  = errors.New("no message received in time")
-	errIdle       = errors.New("connection was idle for too long")
+	errIdle       = errors.New("idle")
 	errSlotNeeded = errors.New("idle connection evicted: its slot is needed")
 )
 
