--- a/internal/net/msgpackrpc/batch.go
+++ b/internal/net/msgpackrpc/batch.go
@@ -7,75 +7,78 @@
 	"larchusher/internal/net/transport"
 )
 
-// batch is what one read brings to the loop.
+// batch holds the messages of one read on their way from the poller to the loop.
 type batch struct {
 	messages   []clientMessage
-	shed       int    // requests that were rejected right away
-	rejections []byte // that have not been written
-	reserved   int    // bytes that the messages hold until the loop has handled them
-	partial    bool   // a part of a further message has come
-	err        error  // ends the connection
+	shed       int    // requests rejected on the poller
+	rejections []byte // encoded rejections that are not written yet
+	reserved   int    // bytes reserved for the messages until the loop has handled them
+	partial    bool   // the input ends with an incomplete message
+	err        error  // closes the connection
 }
 
-// OnBytes cuts what came into messages. A message that has come completely carries the time at which it did. A request that
-// is to be shed is rejected right here, and costs the loop nothing.
+// OnBytes splits the input into messages and posts them to the loop. A request's time limit counts from at, the time
+// at which its last byte arrived. Requests that are shed are rejected here, on the poller goroutine, and cost the
+// loop nothing.
 func (c *conn) OnBytes(tc *transport.Conn, b []byte, at time.Time) error {
-	if c.front.holding.Load() {
-		return c.holdInput(tc, b, at)
+	if c.front.paused.Load() {
+		return c.bufferInput(tc, b, at)
 	}
 	if len(c.buf) > 0 {
 		c.buf = append(c.buf, b...)
 		b = c.buf
 	}
-	read := &batch{}
-	rest := c.readMessages(tc, b, at, read)
-	read.partial = len(rest) > 0
-	c.keep(rest)
-	if len(read.rejections) > 0 && read.err == nil {
-		read.err = tc.Write(read.rejections)
+	received := &batch{}
+	rest := c.readMessages(tc, b, at, received)
+	received.partial = len(rest) > 0
+	c.saveRemainder(rest)
+	if len(received.rejections) > 0 && received.err == nil {
+		received.err = tc.Write(received.rejections)
 	}
-	if read.onlyShed() && !c.partial {
-		c.shedUncounted.Add(int64(read.shed)) // the loop learns of it when it next looks
+	if received.onlyShed() && !c.partial {
+		c.shedUncounted.Add(int64(received.shed)) // the loop picks the count up in busy
 		return nil
 	}
-	c.partial = read.partial
-	c.post(tc, read)
-	return read.err
+	c.partial = received.partial
+	c.post(tc, received)
+	return received.err
 }
 
-// onlyShed reports whether the loop has nothing to do for a batch.
+// onlyShed reports whether the batch has shed requests and nothing for the loop to do.
 func (b *batch) onlyShed() bool {
 	return b.shed > 0 && len(b.messages) == 0 && !b.partial && b.err == nil
 }
 
-// readMessages reads the messages in b into a batch, and returns what is left of b.
-func (c *conn) readMessages(tc *transport.Conn, b []byte, at time.Time, to *batch) (rest []byte) {
-	for len(b) > 0 && to.err == nil {
+// readMessages parses the messages in b into dst, and returns the rest of b: an incomplete message, or everything
+// from a faulty one on.
+func (c *conn) readMessages(tc *transport.Conn, b []byte, at time.Time, dst *batch) (rest []byte) {
+	for len(b) > 0 && dst.err == nil {
 		m, after, incomplete, err := nextMessage(b)
 		if incomplete {
 			return b
 		}
 		if err != nil {
-			to.err = err
+			dst.err = err
 			return b
 		}
 		b = after
 		if retryAfter, ok := c.admit(&m); !ok {
-			to.reject(tc, m.id, retryAfter)
+			dst.reject(tc, m.id, retryAfter)
 			continue
 		}
 		parsed := c.parseMessage(&m, at)
 		if parsed.kind == cancelMessage {
 			c.pendingCancels.add(parsed.id)
 		}
-		to.messages = append(to.messages, parsed)
-		to.reserved += messageCost + len(m.body)
-		to.err = tc.ReserveInput(messageCost + len(m.body))
+		dst.messages = append(dst.messages, parsed)
+		dst.reserved += messageCost + len(m.body)
+		dst.err = tc.ReserveInput(messageCost + len(m.body))
 	}
 	return b
 }
 
-// admit reports whether a message is admitted: a request may be shed, other messages never are.
+// admit reports whether a message may go to the loop. Only requests can be shed; the retryAfter of a shed one may be
+// 0 for no advice.
 func (c *conn) admit(m *message) (retryAfter time.Duration, ok bool) {
 	if m.kind != typeRequest || m.isAlive() {
 		return 0, true
@@ -83,7 +86,8 @@
 	return c.front.gateway.Admit(gateway.PlatformFront, m.method, m.fields.isRetry(), m.fields.id)
 }
 
-// reject adds a rejection, and writes them if there are many.
+// reject adds the rejection of a request to the batch, and writes the collected rejections if they exceed
+// maxRejectionBatch.
 func (b *batch) reject(tc *transport.Conn, id uint64, retryAfter time.Duration) {
 	b.shed++
 	b.rejections = appendRejection(b.rejections, id, retryAfter)
@@ -93,15 +97,15 @@
 	}
 }
 
-// keep keeps the part of a message that has come.
-func (c *conn) keep(rest []byte) {
-	if len(rest) == 0 && cap(c.buf) > maxIdleBuffer { // many clients send a large body once in a while
+// saveRemainder keeps the incomplete message at the end of a read. It frees a large buffer once it is empty.
+func (c *conn) saveRemainder(rest []byte) {
+	if len(rest) == 0 && cap(c.buf) > maxIdleBuffer { // many clients send a large body only now and then
 		c.buf = nil
 	}
 	c.buf = append(c.buf[:0], rest...)
 }
 
-// post hands a batch to the loop.
+// post passes a batch to the loop.
 func (c *conn) post(tc *transport.Conn, b *batch) {
 	c.postedBatches.Add(1)
 	c.front.loop.Post(func() {
--- a/internal/net/msgpackrpc/cancels.go
+++ b/internal/net/msgpackrpc/cancels.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 )
 
-// pendingCancels are the ids of cancel messages that the poller has read and the loop has not handled. The zero value has
-// none. It is safe for concurrent use.
+// pendingCancels is the set of message IDs whose cancel messages the poller has read and the loop has not handled
+// yet. The zero value is empty. It is safe for concurrent use.
 type pendingCancels struct {
 	n   atomic.Int64
 	mu  sync.Mutex
@@ -32,7 +32,8 @@
 	c.n.Add(-1)
 }
 
-// contains reports whether an id is among them. Where there are none, which is nearly always, it costs one load.
+// contains reports whether a cancel of this ID is pending. If no cancel is pending, which is the usual case, it costs
+// one atomic load.
 func (c *pendingCancels) contains(id uint64) bool {
 	if c.n.Load() == 0 {
 		return false
--- a/internal/net/msgpackrpc/conn.go
+++ b/internal/net/msgpackrpc/conn.go
@@ -8,37 +8,37 @@
 	"larchusher/internal/net/transport"
 )
 
-// conn is one client's connection.
+// conn is one client connection.
 type conn struct {
 	front *Front
 
-	// The poller's.
-	buf          []byte                    // a message that has come in part; held input follows it
-	partial      bool                      // the latest batch ended with a part of a message
-	heldInput    []transport.ReceivedChunk // what came since Front.HoldRequests
-	scannedBytes int                       // of buf, in which cancels have been looked for
+	// Used by the poller only.
+	buf           []byte                    // an incomplete message, then a copy of bufferedInput
+	partial       bool                      // the latest batch ended with an incomplete message
+	bufferedInput []transport.ReceivedChunk // input since Front.HoldRequests, for the successor process
+	scannedBytes  int                       // bytes of buf already searched for cancel messages
 
-	// Shared by both.
-	postedBatches  atomic.Int64 // that the loop has not handled
-	shedUncounted  atomic.Int64 // requests that were shed, and that the loop has not counted
+	// Used by the poller and the loop.
+	postedBatches  atomic.Int64 // batches that the loop has not handled yet
+	shedUncounted  atomic.Int64 // shed requests that the loop has not counted yet
 	pendingCancels pendingCancels
 
-	// The loop's.
+	// Used by the loop only.
 	tc       *transport.Conn
 	client   *gateway.Client
-	open     map[uint64]*gateway.Request // by message id
+	open     map[uint64]*gateway.Request // open requests by message ID
 	tracked  *transport.TrackedConn
-	gone     bool // the connection is closed
-	migrated bool // it has gone over to another process
+	closed   bool // the connection is closed
+	migrated bool // it was migrated to another process
 }
 
-// idle reports whether nothing is owed on the connection.
+// idle reports whether no request is open and all input has been handled.
 func (c *conn) idle() bool {
 	return len(c.open) == 0 && c.tc.InputDrained() && c.postedBatches.Load() == 0 && c.tracked.PartialSince.IsZero()
 }
 
-// busy reports whether requests are open, or may be in what the loop has not handled, and counts those that were shed as
-// activity.
+// busy reports whether requests are open, or may be in batches that the loop has not handled. It also counts the
+// requests shed since the last call as activity.
 func (c *conn) busy() bool {
 	if n := c.shedUncounted.Swap(0); n > 0 && c.tracked != nil {
 		c.tracked.Received(c.front.loop.Now(), int(n), false)
@@ -46,13 +46,13 @@
 	return len(c.open) > 0 || c.postedBatches.Load() > 0
 }
 
-// OnOpened has the connection swept, though it may never send a byte.
+// OnOpened registers the connection with the front, so that it is swept even if it never sends a byte.
 func (c *conn) OnOpened(tc *transport.Conn) {
 	c.front.loop.Post(func() {
 		switch {
-		case c.front.closed: // it was accepted just before the end
+		case c.front.closed: // accepted just before CloseAll
 			tc.CloseGracefully(errEnding, transport.LingerTime)
-		case !c.gone:
+		case !c.closed:
 			c.tc = tc
 			c.tracked = c.front.tracker.Add(tc, c.front.loop.Now(), c.busy)
 			c.front.conns[c] = true
@@ -64,7 +64,7 @@
 // OnClosed abandons the requests that are open on the connection.
 func (c *conn) OnClosed(_ *transport.Conn, _ error) {
 	c.front.loop.Post(func() {
-		c.gone = true
+		c.closed = true
 		delete(c.front.conns, c)
 		c.front.tracker.Remove(c.tracked)
 		for id, r := range c.open {
@@ -75,10 +75,11 @@
 	})
 }
 
-// handleBatch handles what one read has brought, on the loop.
+// handleBatch handles the messages of one read, on the loop.
 func (c *conn) handleBatch(tc *transport.Conn, b *batch) {
-	// What was read before the end and comes after it belongs to nobody: its client asks elsewhere.
-	if c.gone || tc.Closing() {
+	// A batch that was read before the connection closed and is handled after it is dropped: the client repeats its
+	// requests elsewhere.
+	if c.closed || tc.Closing() {
 		return
 	}
 	c.tracked.Received(c.front.loop.Now(), len(b.messages)+b.shed, b.partial)
@@ -111,17 +112,17 @@
 	}
 }
 
-// rejectReusedID closes the connection and reports true if a message id is in use.
+// rejectReusedID reports whether a request with this message ID is open already, and closes the connection if so.
 func (c *conn) rejectReusedID(id uint64) bool {
 	if c.open[id] == nil {
 		return false
 	}
 	c.front.Malformed++
-	c.tc.CloseGracefully(fmt.Errorf("message id %d is open already", id), transport.LingerTime)
+	c.tc.CloseGracefully(fmt.Errorf("message id %d is in use by an open request", id), transport.LingerTime)
 	return true
 }
 
-// submit submits a request to the gateway, or rejects it if too many are open on the connection.
+// submit submits a request to the gateway, or rejects it if maxOpenPerConn requests are open on the connection.
 func (c *conn) submit(m clientMessage) {
 	r := m.request
 	if len(c.open) >= maxOpenPerConn {
@@ -137,11 +138,11 @@
 	c.front.gateway.Submit(r)
 }
 
-// writeAnswer writes the final answer to a request.
+// writeAnswer writes the final answer to a request, unless the connection is closed.
 func (c *conn) writeAnswer(id uint64, a gateway.Answer) {
 	delete(c.open, id)
 	switch {
-	case c.gone:
+	case c.closed:
 	case a.Outcome == gateway.OutcomeServed:
 		c.write(appendServedHead(make([]byte, 0, 16), id, len(a.Body)), a.Body, noFields)
 	case a.Outcome == gateway.OutcomeUnchanged:
@@ -153,5 +154,5 @@
 	}
 }
 
-// write writes to the client. A write that fails has closed the connection, and OnClosed follows.
+// write writes to the client. A failed write has closed the connection, and OnClosed follows.
 func (c *conn) write(pieces ...[]byte) { _ = c.tc.Write(pieces...) }
--- a/internal/net/msgpackrpc/front.go
+++ b/internal/net/msgpackrpc/front.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	maxOpenPerConn    = 32                     // requests open on one connection; others are rejected,
-	sweepInterval     = 250 * time.Millisecond // between two looks for connections that hold their places for nothing
-	maxIdleBuffer     = 16 << 10               // bytes of a connection's buffer, between messages
-	maxRejectionBatch = 32 << 10               // bytes of rejections that are written at once
-	messageCost       = 512                    // bytes of a message beside its body
+	maxOpenPerConn    = 32                     // open requests of one connection; further ones are rejected
+	sweepInterval     = 250 * time.Millisecond // interval between sweeps of useless connections
+	maxIdleBuffer     = 16 << 10               // bytes of a connection's buffer that are kept between messages
+	maxRejectionBatch = 32 << 10               // bytes of rejections that are collected before they are written
+	messageCost       = 512                    // bytes of memory for a message apart from its body
 )
 
-// errEnding ends connections with the program.
-var errEnding = errors.New("the program ends")
+// errEnding closes connections at shutdown.
+var errEnding = errors.New("gateway is shutting down")
 
-// Front takes requests from the platform's clients.
+// Front serves the platform's clients. Its methods must be called on the gateway's loop unless they state otherwise.
 type Front struct {
 	loop    *gateway.Loop
 	gateway *gateway.Gateway
 	log     logrus.FieldLogger
 	conns   map[*conn]bool
 	tracker *transport.ConnTracker
-	closed  bool        // by CloseAll
-	holding atomic.Bool // since HoldRequests
+	closed  bool        // set by CloseAll
+	paused  atomic.Bool // set by HoldRequests
 
-	classes atomic.Pointer[map[string]string] // by their names, so that requests share one string each
+	classes atomic.Pointer[map[string]string] // class names, interned so that requests share the strings
 
-	Malformed   uint64 // connections closed for what they sent
-	TooManyOpen uint64 // requests beyond those that a connection may have open
+	Malformed   uint64 // connections closed because of invalid input
+	TooManyOpen uint64 // requests rejected because their connection had too many open
 }
 
-// New returns a front for at most maxConns connections, whose handlers its NewHandler makes. classes are the names of the
-// classes that are served.
+// New returns a front for at most maxConns connections. NewHandler creates their handlers. classes are the names of
+// the traffic classes that are served.
 func New(loop *gateway.Loop, g *gateway.Gateway, classes []string, maxConns int, log logrus.FieldLogger) *Front {
 	f := &Front{loop: loop, gateway: g, log: log, conns: map[*conn]bool{}, tracker: transport.NewConnTracker(maxConns)}
 	f.SetClasses(classes)
@@ -47,7 +47,7 @@
 	return f
 }
 
-// SetClasses sets the names of the classes that are served. It may be called from any goroutine.
+// SetClasses sets the names of the traffic classes that are served. It may be called from any goroutine.
 func (f *Front) SetClasses(names []string) {
 	classes := make(map[string]string, len(names))
 	for _, name := range names {
@@ -56,12 +56,12 @@
 	f.classes.Store(&classes)
 }
 
-// NewHandler returns the callbacks of a new connection.
+// NewHandler returns the handler of a new connection. It may be called from any goroutine.
 func (f *Front) NewHandler() transport.Handler {
 	return &conn{front: f, open: map[uint64]*gateway.Request{}}
 }
 
-// Idle reports whether no request is open, and every answer has been written.
+// Idle reports whether no request is open and all answers have been written.
 func (f *Front) Idle() bool {
 	for c := range f.conns {
 		if c.tc.UnsentBytes() > 0 || len(c.open) > 0 {
@@ -71,7 +71,8 @@
 	return true
 }
 
-// CloseAll closes all connections, once nothing is open on them. What comes on them from now on is ignored.
+// CloseAll closes all connections gracefully. It is called once no requests are open; input that arrives later is
+// discarded.
 func (f *Front) CloseAll() {
 	f.closed = true
 	for c := range f.conns {
@@ -79,11 +80,11 @@
 	}
 }
 
-// SetMaxConns sets how many connections are held at once.
+// SetMaxConns sets the maximum number of open connections.
 func (f *Front) SetMaxConns(maxConns int) { f.tracker.SetMaxConns(maxConns) }
 
-// CloseIdle closes all connections on which nothing is open and nothing has come that is not answered, and returns how many
-// are left. A request that crosses the close on its way is its client's to send again.
+// CloseIdle closes all connections without open requests or unhandled input, and returns how many connections are
+// left. A request that crosses the close must be resent by its client.
 func (f *Front) CloseIdle() (left int) {
 	for c := range f.conns {
 		switch {
@@ -97,10 +98,10 @@
 	return left
 }
 
-// EvictIdle has an idle connection closed, for one that waits to be accepted. It may be called from any goroutine.
+// EvictIdle closes one idle connection to free its slot for a new one. It may be called from any goroutine.
 func (f *Front) EvictIdle() { f.loop.Post(func() { f.tracker.EvictIdle(f.loop.Now(), 1) }) }
 
-// sweep closes connections that hold their places for nothing.
+// sweep closes connections that occupy their slots without being useful.
 func (f *Front) sweep() {
 	f.tracker.Sweep(f.loop.Now(), nil)
 	f.loop.After(sweepInterval, f.sweep)
--- a/internal/net/msgpackrpc/message.go
+++ b/internal/net/msgpackrpc/message.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// The types of a message.
+// MessagePack-RPC message types.
 const (
 	typeRequest  = 0
 	typeResponse = 1
 	typeNotify   = 2
 )
 
-// The errors of a response.
+// Error words of a response.
 const (
 	errorRejected = "Backoff"
 	errorFailed   = "Lost"
 )
 
-// Codes of values that responses are made of.
+// MessagePack codes used in responses.
 const (
 	codeMap0   = 0x80
 	codeMap1   = 0x81
@@ -31,40 +31,41 @@
 	codeTrue   = 0xc3
 )
 
-// message is one request or notification. All of its bytes belong to the frame.
+// message is one request or notification. Its byte slices point into the input buffer.
 type message struct {
 	kind   uint64
 	id     uint64
 	method []byte
 	fields requestFields
 	body   []byte
-	number uint64 // first parameter of a notification
+	number uint64 // first parameter of a notification, if it is a whole number
 }
 
-// isAlive reports whether the message asks whether the gateway is alive.
+// isAlive reports whether the message is a health check of the gateway.
 func (m *message) isAlive() bool { return string(m.method) == "alive" }
 
-// isCancel reports whether the message cancels the request that its first parameter numbers.
+// isCancel reports whether the message cancels the request whose message ID is its first parameter.
 func (m *message) isCancel() bool { return m.kind == typeNotify && string(m.method) == "cancelRequest" }
 
-// requestFields are the fields of a request, as text.
+// requestFields are the fields of a request as text, not validated.
 type requestFields struct {
 	id             []byte
 	object         []byte
 	idempotencyKey []byte
-	ifNoneMatch    []byte // tag of a copy that the client holds
-	retry          []byte // "1": the request is a retry
-	timeLimit      []byte // ms that the client waits
+	ifNoneMatch    []byte // tag of the client's copy of the object
+	retry          []byte // "1" marks a retry
+	timeLimit      []byte // how long the client waits, in ms
 	part           []byte
 	group          []byte
 	sizeKB         []byte
 }
 
+// isRetry reports whether the client marked the request as a retry.
 func (f *requestFields) isRetry() bool { return string(f.retry) == "1" }
 
-// named is the field that has a name on the wire; nil: the name has no meaning.
-func (f *requestFields) named(name []byte) *[]byte {
-	switch string(name) { // makes no string
+// byName returns the field with the given name in the protocol, or nil if the name is unknown.
+func (f *requestFields) byName(name []byte) *[]byte {
+	switch string(name) { // does not allocate a string
 	case "txn":
 		return &f.id
 	case "item":
@@ -87,11 +88,12 @@
 	return nil
 }
 
-// nextMessage cuts the first message off b, and returns what follows it. incomplete: more bytes are needed.
+// nextMessage parses the first message in b and returns the bytes after it. incomplete means that more bytes are
+// needed, and then rest is b. An error means that no valid message can follow.
 func nextMessage(b []byte) (m message, rest []byte, incomplete bool, err error) {
 	valuesLeft := maxValues
 	rest, err = skipValue(b, 0, &valuesLeft)
-	if errors.Is(err, errShort) && len(b) <= maxFrameBytes {
+	if errors.Is(err, errIncomplete) && len(b) <= maxFrameBytes {
 		return m, b, true, nil
 	}
 	if err == nil {
@@ -103,7 +105,7 @@
 	return m, rest, false, nil
 }
 
-// decode reads a complete frame.
+// decode decodes a complete frame: [0, id, method, [fields, body]] or [2, method, parameters].
 func decode(frame []byte) (m message, err error) {
 	d := decoder{rest: frame}
 	n := d.array()
@@ -113,11 +115,11 @@
 	case m.kind == typeRequest && n == 4:
 		m.id, m.method = d.uint(), d.bytes()
 		if m.id > 1<<32-1 {
-			d.fail("a message id over 32 bits")
+			d.fail("message id exceeds 32 bits")
 		}
 		items := d.array()
 		if items < 1 || items > 2 {
-			d.fail("not the parameters [FIELDS, BODY]")
+			d.fail("request parameters are not [FIELDS] or [FIELDS, BODY]")
 		}
 		d.fields(&m.fields)
 		if items == 2 {
@@ -132,23 +134,25 @@
 			}
 		}
 	default:
-		d.fail("neither a request nor a notification")
+		d.fail("message is neither a request nor a notification")
 	}
 	return m, d.err
 }
 
-// decoder reads values from a frame. The first error sticks.
+// decoder decodes values from a frame. It keeps the first error, after which all values are zero.
 type decoder struct {
 	rest []byte
 	err  error
 }
 
+// fail records an error unless one has occurred before.
 func (d *decoder) fail(text string) {
 	if d.err == nil {
 		d.err = errors.New(text)
 	}
 }
 
+// value decodes the next value.
 func (d *decoder) value() (v value) {
 	if d.err == nil {
 		v, d.rest, d.err = decodeValue(d.rest)
@@ -156,29 +160,31 @@
 	return v
 }
 
-func (d *decoder) of(k kind, name string) value {
+func (d *decoder) expect(k kind, name string) value {
 	v := d.value()
 	if v.kind != k {
-		d.fail("a value that is not " + name)
+		d.fail("unexpected value: not " + name)
 	}
 	return v
 }
 
-func (d *decoder) array() int    { return int(d.of(kindArray, "an array").n) }
-func (d *decoder) uint() uint64  { return d.of(kindUint, "a whole number").n }
-func (d *decoder) bytes() []byte { return d.of(kindBytes, "bytes").bytes }
+func (d *decoder) array() int    { return int(d.expect(kindArray, "an array").n) }
+func (d *decoder) uint() uint64  { return d.expect(kindUint, "a whole number").n }
+func (d *decoder) bytes() []byte { return d.expect(kindBytes, "bytes").bytes }
 
+// fields decodes a map of request fields. Unknown names are skipped.
 func (d *decoder) fields(f *requestFields) {
-	for n := d.of(kindMap, "a map").n; n > 0 && d.err == nil; n-- {
+	for n := d.expect(kindMap, "a map").n; n > 0 && d.err == nil; n-- {
 		name := d.bytes()
 		if value := d.bytes(); d.err == nil {
-			if to := f.named(name); to != nil {
+			if to := f.byName(name); to != nil {
 				*to = value
 			}
 		}
 	}
 }
 
+// appendUint appends n in the shortest form; n must fit into 32 bits.
 func appendUint(b []byte, n uint64) []byte {
 	switch {
 	case n <= 0x7f:
@@ -191,6 +197,7 @@
 	return binary.BigEndian.AppendUint32(append(b, 0xce), uint32(n))
 }
 
+// appendText appends a string of at most 255 bytes.
 func appendText(b []byte, s string) []byte {
 	if len(s) < 32 {
 		b = append(b, 0xa0|byte(len(s)))
@@ -200,7 +207,7 @@
 	return append(b, s...)
 }
 
-// appendBinHead begins a bin of n bytes.
+// appendBinHead appends the header of a binary value of n bytes.
 func appendBinHead(b []byte, n int) []byte {
 	switch {
 	case n <= 0xff:
@@ -211,7 +218,7 @@
 	return binary.BigEndian.AppendUint32(append(b, 0xc6), uint32(n))
 }
 
-// appendFields writes one field, or none if its name is empty.
+// appendFields appends a map with one field, or an empty map if name is empty.
 func appendFields(b []byte, name, value string) []byte {
 	if name == "" {
 		return append(b, codeMap0)
@@ -219,13 +226,13 @@
 	return appendText(appendText(append(b, codeMap1), name), value)
 }
 
-// appendError words an error with at most one field.
+// appendError appends an error response with at most one field.
 func appendError(b []byte, id uint64, word, name, value string) []byte {
 	b = appendText(append(appendResponse(b, id), codeArray2), word)
 	return append(appendFields(b, name, value), codeNil)
 }
 
-// appendRejection words a rejection. retryAfter is when to come back; 0: no advice.
+// appendRejection appends the response that rejects a request. retryAfter is when the client may retry; 0: no advice.
 func appendRejection(b []byte, id uint64, retryAfter time.Duration) []byte {
 	name, value := "", ""
 	if ms := retryAfter.Milliseconds(); ms > 0 {
@@ -234,27 +241,28 @@
 	return appendError(b, id, errorRejected, name, value)
 }
 
-// appendServedHead words the response that serves an object, up to its body of a size. noFields follow the body.
+// appendServedHead appends a response that serves an object, up to and excluding its body of size bytes. The body and
+// noFields must follow.
 func appendServedHead(b []byte, id uint64, size int) []byte {
 	return appendBinHead(append(appendResponse(b, id), codeNil, codeArray2), size)
 }
 
-// noFields ends a response without fields.
+// noFields is the empty map that ends a response without fields.
 var noFields = []byte{codeMap0}
 
-// appendNotModified words the response to a client whose copy is current.
+// appendNotModified appends the response that the client's copy is current.
 func appendNotModified(b []byte, id uint64) []byte {
 	b = appendBinHead(append(appendResponse(b, id), codeNil, codeArray2), 0)
 	return appendFields(b, "still", "1")
 }
 
-// appendAlive words the response that the gateway is alive.
+// appendAlive appends the response to a health check.
 func appendAlive(b []byte, id uint64) []byte {
 	b = append(appendResponse(b, id), codeNil, codeArray2, codeTrue)
 	return appendFields(b, "", "")
 }
 
-// appendResponse begins a response: its type and id.
+// appendResponse appends the beginning of a response: its type and message ID.
 func appendResponse(b []byte, id uint64) []byte {
 	return appendUint(append(b, codeArray4, typeResponse), id)
 }
--- a/internal/net/msgpackrpc/message_test.go
+++ b/internal/net/msgpackrpc/message_test.go
@@ -10,7 +10,7 @@
 	"larchusher/gateway"
 )
 
-// requestFrame words a request of class images as a client does.
+// requestFrame encodes a request of the class images with message ID 7, as a client does.
 func requestFrame(fields [][2]string, body string) []byte {
 	b := appendUint([]byte{codeArray4, typeRequest}, 7)
 	b = appendText(b, "images")
@@ -21,6 +21,7 @@
 	return append(appendBinHead(b, len(body)), body...)
 }
 
+// parseOne parses a frame that holds exactly one message, received at the given time.
 func parseOne(t *testing.T, frame []byte, at time.Time) clientMessage {
 	t.Helper()
 	m, rest, incomplete, err := nextMessage(frame)
@@ -34,8 +35,8 @@
 	return c.parseMessage(&m, at)
 }
 
-// Each field of the wire stands for one field of a request, and an unknown one for none.
-func TestFieldsOfTheWire(t *testing.T) {
+// Each field name of the protocol sets one field of the request; unknown names are ignored.
+func TestRequestFields(t *testing.T) {
 	base := [][2]string{{"txn", "0123456789abcdef"}, {"item", "fedcba9876543210"}, {"limit", "1500"}}
 	at := time.Unix(1000, 0)
 	for name, c := range map[string]struct {
@@ -62,13 +63,14 @@
 				t.Errorf("%+v", r)
 			}
 			if !c.want(r) || name != "unknown" && c.want(without.request) {
-				t.Errorf("%s does not stand for its field: %+v", name, r)
+				t.Errorf("field %s does not set its request field: %+v", name, r)
 			}
 		})
 	}
 }
 
-// A request with a field that cannot be passed on is not taken in.
+// A request with a missing field, or one that cannot be passed on to endpoints, is reported as unreadable with its
+// class.
 func TestUnreadableRequests(t *testing.T) {
 	for name, fields := range map[string][][2]string{
 		"no id":             {{"item", "fedcba9876543210"}, {"limit", "1500"}},
@@ -80,26 +82,26 @@
 		"part not a number": {{"txn", "0123456789abcdef"}, {"item", "fedcba9876543210"}, {"limit", "1"}, {"n", "two"}},
 	} {
 		if m := parseOne(t, requestFrame(fields, ""), time.Unix(1000, 0)); m.kind != unreadableMessage || m.class != "images" {
-			t.Errorf("%s: %+v", name, m)
+			t.Errorf("%s: parsed as %+v, want an unreadable message of class images", name, m)
 		}
 	}
 }
 
-// What is incomplete waits for more; what cannot become a message is an error at once.
+// An incomplete message asks for more bytes; bytes that cannot become a message are an error at once.
 func TestNextMessage(t *testing.T) {
 	frame := requestFrame([][2]string{{"txn", "0123456789abcdef"}}, "body")
 	for n := range len(frame) {
 		if _, rest, incomplete, err := nextMessage(frame[:n]); !incomplete || err != nil || len(rest) != n {
-			t.Fatalf("%d of %d bytes: %v, %v", n, len(frame), incomplete, err)
+			t.Fatalf("%d of %d bytes: incomplete %v, error %v", n, len(frame), incomplete, err)
 		}
 	}
 	two := append(append([]byte(nil), frame...), frame...)
 	if _, rest, incomplete, err := nextMessage(two); incomplete || err != nil || len(rest) != len(frame) {
-		t.Errorf("%d left, %v, %v", len(rest), incomplete, err)
+		t.Errorf("two messages: %d bytes left after the first, incomplete %v, error %v", len(rest), incomplete, err)
 	}
 	for _, bad := range [][]byte{{0xc1}, {0x07}, {codeArray2, typeResponse, 1}, make([]byte, maxFrameBytes+1)} {
 		if _, _, incomplete, err := nextMessage(bad); incomplete || err == nil {
-			t.Errorf("%x... is taken", bad[:1])
+			t.Errorf("invalid bytes %x... were accepted", bad[:1])
 		}
 	}
 }
--- a/internal/net/msgpackrpc/move.go
+++ b/internal/net/msgpackrpc/move.go
@@ -7,17 +7,19 @@
 	"larchusher/internal/net/transport"
 )
 
-// A connection migrates to another process once nothing is open on it. From HoldRequests on no request is taken in any more,
-// so that this moment comes: what arrives is held, and goes over with the connection. Cancel messages take effect all the same.
+// A connection migrates to another process once no request is open on it. After HoldRequests the front handles no new
+// requests, so that this becomes possible: further input is buffered and migrates with the connection. Cancel
+// messages in it still take effect.
 
-// maxHeldBytes is how many bytes of requests are held on one connection; what comes beyond stays in the kernel.
-const maxHeldBytes = 64 << 10
+// maxBufferedBytes limits the input buffered for the other process on one connection; more input stays in the kernel.
+const maxBufferedBytes = 64 << 10
 
-// HoldRequests has no further request taken in. It may be called from any goroutine.
-func (f *Front) HoldRequests() { f.holding.Store(true) }
+// HoldRequests stops the handling of new requests. Their input is buffered until the connection migrates. It may be
+// called from any goroutine.
+func (f *Front) HoldRequests() { f.paused.Store(true) }
 
-// MigrateIdle hands all idle connections to migrate, with what has arrived on them and was not taken in, and returns how
-// many are left. One that migrate fails for is closed.
+// MigrateIdle passes each connection without open requests to migrate, together with its unhandled input, and returns
+// how many connections are left. A connection that migrate fails for is closed.
 func (f *Front) MigrateIdle(migrate func(tc *transport.Conn, received []transport.ReceivedChunk) error) (left int) {
 	for c := range f.conns {
 		if c.tc.Closing() || c.migrated {
@@ -41,50 +43,53 @@
 	return left
 }
 
-// prepareMigration stops reading from an idle connection, and reports whether it can migrate now.
+// prepareMigration stops reading from a connection without open requests and reports whether it can migrate now. If
+// not, it must be called again.
 func (c *conn) prepareMigration() (ready bool, err error) {
 	if len(c.open) > 0 || c.postedBatches.Load() > 0 || c.tc.UnsentBytes() > 0 {
 		return false, nil
 	}
 	stopped, err := c.tc.StopReading()
-	// Of what was being read meanwhile, a batch may have been posted.
+	// The poller may have posted a batch from a read that was in progress.
 	return stopped && c.postedBatches.Load() == 0, err
 }
 
-// unhandledInput is what has arrived and was not taken in. Nothing is read from the connection any more.
+// unhandledInput returns the input that has been read and not handled. Reading must have stopped.
 func (c *conn) unhandledInput() (all []transport.ReceivedChunk) {
-	before := c.buf[:len(c.buf)-c.heldBytes()]
+	before := c.buf[:len(c.buf)-c.bufferedBytes()]
 	if len(before) > 0 {
-		// The beginning of a message. Its time does not count: a request's runs from its last byte.
+		// The beginning of a message. Its arrival time does not matter: a request's time limit counts from its last
+		// byte.
 		all = append(all, transport.ReceivedChunk{Data: before, At: c.front.loop.Now()})
 	}
-	return append(all, c.heldInput...)
+	return append(all, c.bufferedInput...)
 }
 
-// heldBytes is how many bytes are held.
-func (c *conn) heldBytes() (n int) {
-	for _, p := range c.heldInput {
+// bufferedBytes returns the size of bufferedInput in bytes.
+func (c *conn) bufferedBytes() (n int) {
+	for _, p := range c.bufferedInput {
 		n += len(p.Data)
 	}
 	return n
 }
 
-// holdInput holds what came for another process, and has the cancel messages in it take effect. It runs on the poller.
-func (c *conn) holdInput(tc *transport.Conn, b []byte, at time.Time) error {
-	c.heldInput = append(c.heldInput, transport.ReceivedChunk{Data: append([]byte(nil), b...), At: at})
+// bufferInput buffers input for the other process and executes the cancel messages in it. It runs on the poller
+// goroutine.
+func (c *conn) bufferInput(tc *transport.Conn, b []byte, at time.Time) error {
+	c.bufferedInput = append(c.bufferedInput, transport.ReceivedChunk{Data: append([]byte(nil), b...), At: at})
 	c.buf = append(c.buf, b...)
 	if cancels := c.scanCancels(); len(cancels) > 0 {
 		c.post(tc, &batch{messages: cancels})
 	}
-	if len(c.buf) > maxHeldBytes {
+	if len(c.buf) > maxBufferedBytes {
 		_, err := tc.StopReading()
 		return err
 	}
 	return nil
 }
 
-// scanCancels finds the cancel messages in what is held. A message that is incomplete, or cannot be read, is left to the
-// process that takes it in next.
+// scanCancels returns the cancel messages in the buffered input that it has not searched yet. Incomplete and
+// malformed messages are left to the process that the connection migrates to.
 func (c *conn) scanCancels() (cancels []clientMessage) {
 	for rest := c.buf[c.scannedBytes:]; len(rest) > 0; {
 		m, after, incomplete, err := nextMessage(rest)
--- a/internal/net/msgpackrpc/parse.go
+++ b/internal/net/msgpackrpc/parse.go
@@ -12,44 +12,45 @@
 	"larchusher/internal/logfields"
 )
 
-// Limits of a request's fields. What they allow can be passed on to any endpoint.
+// Limits of a request's fields. Values within them can be passed on to any endpoint.
 const (
 	maxBodyBytes  = 48000
-	maxPart       = 1 << 20     // of one object
-	maxGroup      = 255         // the last group
-	maxSizeKB     = 1 << 20     // of a part
-	maxTimeLimit  = time.Minute // that a client may wait
+	maxPart       = 1 << 20     // parts of one object
+	maxGroup      = 255         // highest group number
+	maxSizeKB     = 1 << 20     // size of a part, in kB
+	maxTimeLimit  = time.Minute // longest time that a client may wait
 	maxFieldBytes = 128
-	idDigits      = 16 // of the ids of requests and objects
+	idDigits      = 16 // hex digits of request and object IDs
 )
 
-// Errors of a request that cannot be read.
+// Errors of an unreadable request.
 var (
-	errIDs       = fmt.Errorf("txn and item have %d hex digits", idDigits)
-	errNotPlain  = errors.New("unique or mine has a character that cannot be passed on, or is too long")
-	errBodyBytes = fmt.Errorf("the body has more than %d bytes", maxBodyBytes)
+	errMalformedID = fmt.Errorf("txn or item is not an id of %d lower-case hex digits", idDigits)
+	errUnsafeText  = errors.New("unique or mine is too long, or has a character other than letters, digits, - _ and .")
+	errBodyTooLong = fmt.Errorf("body exceeds %d bytes", maxBodyBytes)
 )
 
-// clientMessage is one message on its way to the loop.
+// clientMessage is one message on its way from the poller to the loop.
 type clientMessage struct {
 	kind    clientMessageKind
 	id      uint64
 	request *gateway.Request
-	class   string // of a request that cannot be read
+	class   string // of an unreadable request
 }
 
+// clientMessageKind is the kind of a clientMessage.
 type clientMessageKind byte
 
 const (
 	requestMessage    clientMessageKind = iota
-	unreadableMessage                   // a request that cannot be read
+	unreadableMessage                   // a request with a missing or invalid field
 	cancelMessage
 	aliveMessage
-	ignoredMessage // a notification that means nothing here
+	ignoredMessage // an unknown notification
 )
 
-// parseMessage reads a message; the frame's memory is used again afterwards. A request counts its time from when its last
-// byte came.
+// parseMessage converts a message, copying what it needs from the frame, whose memory is reused afterwards. at is
+// when the message's last byte arrived; a request's time limit counts from then.
 func (c *conn) parseMessage(m *message, at time.Time) clientMessage {
 	switch {
 	case m.isCancel():
@@ -72,11 +73,11 @@
 	return clientMessage{kind: requestMessage, id: m.id, request: r}
 }
 
-// parseRequest reads all of a request but its class. What it cannot pass on is an error: an endpoint would close the
-// connection that other requests share.
+// parseRequest parses a request except for its class. A field that cannot be passed on is an error: an endpoint would
+// close the connection, which other requests share.
 func parseRequest(m *message, at time.Time) (*gateway.Request, error) {
 	f := &m.fields
-	all := string(slices.Concat(f.id, f.object, f.idempotencyKey, f.ifNoneMatch)) // one string that all are parts of
+	all := string(slices.Concat(f.id, f.object, f.idempotencyKey, f.ifNoneMatch)) // one allocation for all strings
 	cut := func(b []byte) (s string) {
 		s, all = all[:len(b)], all[len(b):]
 		return s
@@ -88,7 +89,7 @@
 		IfNoneMatch:    cut(f.ifNoneMatch),
 		Retry:          f.isRetry(),
 		Body:           bytes.Clone(m.body),
-		ArrivedAt:      time.Now(), // at may be long ago, if another process has held the connection
+		ArrivedAt:      time.Now(), // not at, which may be long ago if another process buffered the input
 		Front:          gateway.PlatformFront,
 		Admitted:       true,
 	}
@@ -98,15 +99,15 @@
 	r.Group = int(numbers.optional("shard", f.group, maxGroup))
 	switch {
 	case !isHexID(r.ID) || !isHexID(r.Object):
-		return nil, errIDs
-	case !isPlainOrEmpty(r.IdempotencyKey) || !isPlainOrEmpty(r.IfNoneMatch):
-		return nil, errNotPlain
+		return nil, errMalformedID
+	case !isSafeOrEmpty(r.IdempotencyKey) || !isSafeOrEmpty(r.IfNoneMatch):
+		return nil, errUnsafeText
 	case len(r.Body) > maxBodyBytes:
-		return nil, errBodyBytes
+		return nil, errBodyTooLong
 	case numbers.err != nil:
 		return nil, numbers.err
 	}
-	// A size helps to decide and reaches no endpoint: one that cannot be read counts as not stated.
+	// The size only informs decisions and is not sent to endpoints: an unreadable one counts as absent.
 	if kb, err := strconv.ParseFloat(string(f.sizeKB), 64); err == nil && kb > 0 && kb <= maxSizeKB {
 		r.SizeKB = kb
 	}
@@ -114,10 +115,10 @@
 	return r, nil
 }
 
-// numberParser reads whole numbers. The first error sticks.
+// numberParser parses whole numbers and keeps the first error.
 type numberParser struct{ err error }
 
-// optional reads a number up to a limit; 0 if it is absent.
+// optional parses a number of at most limit, and returns 0 if the field is absent.
 func (p *numberParser) optional(field string, text []byte, limit uint64) uint64 {
 	if len(text) == 0 {
 		return 0
@@ -125,7 +126,7 @@
 	return p.required(field, text, limit)
 }
 
-// required reads a number up to a limit.
+// required parses a number of at most limit.
 func (p *numberParser) required(field string, text []byte, limit uint64) uint64 {
 	if p.err != nil {
 		return 0
@@ -136,12 +137,12 @@
 	case err != nil:
 		p.err = fmt.Errorf("%s: %w", field, err)
 	case n > limit:
-		p.err = fmt.Errorf("%s: %d is out of range", field, n)
+		p.err = fmt.Errorf("%s: %d exceeds its limit", field, n)
 	}
 	return n
 }
 
-// isHexID reports whether s is an id: lower-case hex digits.
+// isHexID reports whether s is an ID: idDigits lower-case hex digits.
 func isHexID(s string) bool {
 	for i := range len(s) {
 		if !isDigit(s[i]) && (s[i] < 'a' || s[i] > 'f') {
@@ -151,17 +152,17 @@
 	return len(s) == idDigits
 }
 
-// isPlainOrEmpty reports whether s is empty, or can stand in a field of any protocol that it is passed on to.
-func isPlainOrEmpty(s string) bool {
+// isSafeOrEmpty reports whether s is empty or can be passed on in a field of any of the endpoint protocols.
+func isSafeOrEmpty(s string) bool {
 	for i := range len(s) {
-		if !isPlain(s[i]) {
+		if !isSafeChar(s[i]) {
 			return false
 		}
 	}
 	return len(s) <= maxFieldBytes
 }
 
-func isPlain(c byte) bool {
+func isSafeChar(c byte) bool {
 	letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
 	return letter || isDigit(c) || c == '-' || c == '_' || c == '.'
 }
--- a/internal/net/msgpackrpc/value.go
+++ b/internal/net/msgpackrpc/value.go
@@ -1,4 +1,5 @@
-// Package msgpackrpc is the platform's front: MessagePack-RPC over TCP.
+// Package msgpackrpc is the front for the platform's clients: MessagePack-RPC over TCP. Input is parsed on the poller
+// goroutine and handled on the gateway's loop.
 package msgpackrpc
 
 import (
@@ -7,17 +8,17 @@
 	"fmt"
 )
 
-// errShort says that more bytes are needed.
-var errShort = errors.New("incomplete")
+// errIncomplete reports that more bytes are needed.
+var errIncomplete = errors.New("incomplete")
 
 const (
-	maxFrameBytes = 96 << 10 // bytes of one message; bodies go up to 48,000
-	maxDepth      = 5
-	maxItems      = 64  // of one array or map
-	maxValues     = 256 // values in one message: what has not come whole is looked at again with each further byte
+	maxFrameBytes = 96 << 10 // bytes of one message; bodies have up to 48,000
+	maxDepth      = 5        // nesting of arrays and maps
+	maxItems      = 64       // items of one array or map
+	maxValues     = 256      // values in one message: an incomplete message is parsed again on each read
 )
 
-// kind is the family of a MessagePack value.
+// kind is the type of a MessagePack value.
 type kind byte
 
 const (
@@ -32,24 +33,24 @@
 	kindExt
 )
 
-// value is one decoded value. Bytes are those of the frame, not a copy.
+// value is one decoded value. Its bytes point into the frame.
 type value struct {
 	kind  kind
-	n     uint64 // a number, a truth, or how many items follow
+	n     uint64 // a number, a boolean, or the number of items that follow
 	bytes []byte
 }
 
-// decodeValue decodes the value at the start of b and returns what follows it. The items of an array or a map are
-// values of their own.
+// decodeValue decodes the value at the start of b and returns the bytes after it. For an array or a map these begin
+// with its items. It returns errIncomplete if more bytes are needed.
 func decodeValue(b []byte) (v value, rest []byte, err error) {
 	if len(b) == 0 {
-		return v, nil, errShort
+		return v, nil, errIncomplete
 	}
 	c := b[0]
 	b = b[1:]
-	fixed := func(width int) (n uint64) {
+	readUint := func(width int) (n uint64) {
 		if len(b) < width {
-			err = errShort
+			err = errIncomplete
 			return 0
 		}
 		var wide [8]byte
@@ -57,14 +58,14 @@
 		b = b[width:]
 		return binary.BigEndian.Uint64(wide[:])
 	}
-	body := func(k kind, n uint64) {
+	readBytes := func(k kind, n uint64) {
 		if v.kind = k; err != nil {
 			return
 		}
 		if n > maxFrameBytes {
-			err = fmt.Errorf("a value of %d bytes", n)
+			err = fmt.Errorf("value of %d bytes is too long", n)
 		} else if uint64(len(b)) < n {
-			err = errShort
+			err = errIncomplete
 		} else {
 			v.bytes, b = b[:n], b[n:]
 		}
@@ -77,54 +78,55 @@
 	case c <= 0x9f:
 		v = value{kind: kindArray, n: uint64(c & 0x0f)}
 	case c <= 0xbf:
-		body(kindBytes, uint64(c&0x1f))
+		readBytes(kindBytes, uint64(c&0x1f))
 	case c == 0xc0:
 		v.kind = kindNil
 	case c == 0xc2 || c == 0xc3:
 		v = value{kind: kindBool, n: uint64(c & 1)}
 	case c >= 0xc4 && c <= 0xc6: // bin
-		body(kindBytes, fixed(1<<(c-0xc4)))
-	case c >= 0xc7 && c <= 0xc9: // ext: a type goes before the bytes
-		n := fixed(1 << (c - 0xc7))
-		body(kindExt, n+1)
+		readBytes(kindBytes, readUint(1<<(c-0xc4)))
+	case c >= 0xc7 && c <= 0xc9: // ext: a type byte precedes the data
+		n := readUint(1 << (c - 0xc7))
+		readBytes(kindExt, n+1)
 	case c == 0xca || c == 0xcb:
-		v = value{kind: kindFloat, n: fixed(4 << (c - 0xca))}
+		v = value{kind: kindFloat, n: readUint(4 << (c - 0xca))}
 	case c >= 0xcc && c <= 0xcf:
-		v = value{kind: kindUint, n: fixed(1 << (c - 0xcc))}
+		v = value{kind: kindUint, n: readUint(1 << (c - 0xcc))}
 	case c >= 0xd0 && c <= 0xd3:
 		width := 1 << (c - 0xd0)
-		n := fixed(width)
+		n := readUint(width)
 		v = value{kind: kindUint, n: n}
 		if n>>(8*width-1)&1 == 1 {
 			v.kind = kindInt
 		}
 	case c >= 0xd4 && c <= 0xd8:
-		body(kindExt, 1+1<<(c-0xd4))
+		readBytes(kindExt, 1+1<<(c-0xd4))
 	case c >= 0xd9 && c <= 0xdb: // str
-		body(kindBytes, fixed(1<<(c-0xd9)))
+		readBytes(kindBytes, readUint(1<<(c-0xd9)))
 	case c == 0xdc || c == 0xdd:
-		v = value{kind: kindArray, n: fixed(2 << (c - 0xdc))}
+		v = value{kind: kindArray, n: readUint(2 << (c - 0xdc))}
 	case c == 0xde || c == 0xdf:
-		v = value{kind: kindMap, n: fixed(2 << (c - 0xde))}
+		v = value{kind: kindMap, n: readUint(2 << (c - 0xde))}
 	case c >= 0xe0:
 		v = value{kind: kindInt, n: uint64(int64(int8(c)))}
 	default:
-		err = fmt.Errorf("byte %#x begins no value", c)
+		err = fmt.Errorf("byte %#x does not begin a MessagePack value", c)
 	}
 	if (v.kind == kindArray || v.kind == kindMap) && err == nil && v.n > maxItems {
-		err = fmt.Errorf("a value of %d items", v.n)
+		err = fmt.Errorf("value has too many items: %d", v.n)
 	}
 	return v, b, err
 }
 
-// skipValue passes over the value at the start of b, items and all, if it has no more values than are left.
+// skipValue skips the value at the start of b including its items, and returns the bytes after it. It is an error if
+// the value is nested too deeply or has more values than *valuesLeft, from which it subtracts them.
 func skipValue(b []byte, depth int, valuesLeft *int) (rest []byte, err error) {
 	if depth > maxDepth {
-		return nil, errors.New("values nested too deeply")
+		return nil, errors.New("values are nested too deeply")
 	}
 	*valuesLeft--
 	if *valuesLeft < 0 {
-		return nil, errors.New("too many values")
+		return nil, errors.New("message has too many values")
 	}
 	v, rest, err := decodeValue(b)
 	items := uint64(0)
@@ -132,8 +134,8 @@
 	case kindArray:
 		items = v.n
 	case kindMap:
-		items = 2 * v.n // names and values
-	default: // it has none
+		items = 2 * v.n // keys and values
+	default: // no items
 	}
 	for ; err == nil && items > 0; items-- {
 		rest, err = skipValue(rest, depth+1, valuesLeft)
