--- a/internal/net/discovery/client.go
+++ b/internal/net/discovery/client.go
@@ -13,43 +13,45 @@
 )
 
 const (
-	connectTimeout       = 500 * time.Millisecond  // after which another connection is tried beside it
-	maxConnectTime       = 5 * time.Second         // a slow one may still come up until then
-	silenceTimeout       = 2500 * time.Millisecond // the service sends a comment each second
+	connectTimeout       = 500 * time.Millisecond  // after which another connection is started in parallel
+	maxConnectTime       = 5 * time.Second         // until then a slow connection may still be established
+	silenceTimeout       = 2500 * time.Millisecond // the service sends a comment every second
 	silenceCheckInterval = connectTimeout / 5
 	minBackoff           = 50 * time.Millisecond
-	maxBackoff           = 500 * time.Millisecond // what the service holds counts as known to gateways after 7 s
+	maxBackoff           = 500 * time.Millisecond // the service assumes that gateways have seen an event after 7 s
 )
 
-// Why a connection ends.
+// Reasons for closing a connection.
 var (
-	errMoved    = errors.New("the service has another address")
-	errReplaced = errors.New("another connection has taken its place")
-	errSilent   = errors.New("silent")
-	errClosed   = errors.New("closed")
+	errAddressChanged = errors.New("address of the discovery service changed")
+	errSuperseded     = errors.New("another connection is in use")
+	errSilent         = errors.New("silent")
+	errClosed         = errors.New("closed")
 )
 
-// Client watches the service, and reconnects with backoff when a connection ends or falls silent. It lives on the loop.
+// Client watches the discovery service. When a connection fails or falls silent it reconnects with backoff. Its
+// methods must be called on the gateway's loop.
 type Client struct {
 	loop    *gateway.Loop
 	log     logrus.FieldLogger
-	dial    dialFunc // tests make it slow
+	dial    dialFunc // replaced in tests by a slow one
 	addr    string
 	applier *EventApplier
 
-	position       int64   // the latest event taken in
-	current        *stream // nil: none, or only slow ones that are coming up still
+	position       int64   // position of the latest event received; 0: none
+	current        *stream // nil: no connection, except slow ones that are still connecting
 	lastByte       time.Time
 	backoff        time.Duration
-	reconnectTimer *gateway.Timer // of the next try, while there is no connection
+	reconnectTimer *gateway.Timer // starts the next connection after the backoff
 
-	Connects, Events, Dropped uint64
+	Connects, Events, Dropped uint64 // connections started, events received, unusable events
 }
 
-// dialFunc connects as transport.Engine.Dial does.
+// dialFunc has the signature and the behavior of transport.Engine.Dial.
 type dialFunc func(addr string, timeout time.Duration, h transport.Handler, opened func(*transport.Conn), failed func(error))
 
-// Watch begins to watch the service at addr behind the event at a position, and gives its events to an applier.
+// Watch starts watching the service at addr and passes the events after the given position to an applier. It must be
+// called on the loop.
 func Watch(loop *gateway.Loop, engine *transport.Engine, log logrus.FieldLogger, addr string, applier *EventApplier,
 	position int64) *Client {
 	c := &Client{loop: loop, dial: engine.Dial, log: log, addr: addr, applier: applier, position: position, backoff: minBackoff}
@@ -57,12 +59,14 @@
 	return c
 }
 
+// start starts the first connection and the periodic check for silence.
 func (c *Client) start() {
 	c.connect()
 	c.checkSilence()
 }
 
-// SetAddress goes on at another address, behind the latest event taken in. The connection to the old one ends at once.
+// SetAddress moves the watch to another address, where it continues after the latest event received. The connection
+// to the old address is closed at once.
 func (c *Client) SetAddress(addr string) {
 	if addr == c.addr {
 		return
@@ -73,14 +77,15 @@
 	old := c.current
 	c.connect()
 	if old != nil && old.tc != nil {
-		old.tc.Close(errMoved)
+		old.tc.Close(errAddressChanged)
 	}
 }
 
-// Connected reports whether there is a connection to the service.
+// Connected reports whether a connection to the service is established.
 func (c *Client) Connected() bool { return c.current != nil && c.current.tc != nil }
 
-// connect begins a connection. Those that were begun before and are coming up still may take its place.
+// connect starts a connection. Earlier connections that are still being established may be used instead, if they are
+// faster.
 func (c *Client) connect() {
 	s := &stream{client: c, addr: c.addr}
 	c.current, c.lastByte = s, c.loop.Now()
@@ -90,10 +95,11 @@
 		func(err error) { c.loop.Post(func() { c.reconnect(s, err) }) })
 }
 
-// connected asks for the events on a connection that came up: the first one does, whichever was begun first.
+// connected is called when a connection is established. It requests the events on it, or closes it if another
+// connection is in use or the address has changed.
 func (c *Client) connected(s *stream, tc *transport.Conn) {
 	if c.Connected() || s.addr != c.addr || s.closed {
-		tc.Close(errReplaced)
+		tc.Close(errSuperseded)
 		return
 	}
 	c.reconnectTimer.Stop()
@@ -104,19 +110,21 @@
 		strconv.FormatInt(c.position, 10) + "\r\n\r\n"))
 }
 
-// checkSilence gives up a connection that did not come up or has fallen silent, again and again.
+// checkSilence replaces a connection that is not established in time or has fallen silent. It runs every
+// silenceCheckInterval.
 func (c *Client) checkSilence() {
 	if s := c.current; s != nil {
-		quiet := c.loop.Now().Sub(c.lastByte)
+		silence := c.loop.Now().Sub(c.lastByte)
 		connecting := s.tc == nil
-		if connecting && quiet > connectTimeout || quiet > silenceTimeout {
+		if connecting && silence > connectTimeout || silence > silenceTimeout {
 			c.reconnect(s, errSilent)
 		}
 	}
 	c.loop.After(silenceCheckInterval, c.checkSilence)
 }
 
-// reconnect drops a connection and begins another one after the backoff.
+// reconnect closes a connection and schedules another one after the backoff. It ignores connections that are no
+// longer current.
 func (c *Client) reconnect(s *stream, err error) {
 	if c.current != s {
 		return
@@ -125,12 +133,12 @@
 	if s.tc != nil {
 		s.tc.Close(err)
 	}
-	if s.tc != nil || c.backoff == minBackoff { // once a loss, not once an attempt to connect
+	if s.tc != nil || c.backoff == minBackoff { // logged once per lost connection, not for each failed attempt to connect
 		c.log.WithError(err).Warn(logfields.DiscoveryLost)
 	}
 	c.reconnectTimer = c.loop.After(c.backoff, c.connect)
 	c.backoff = min(2*c.backoff, maxBackoff)
 }
 
-// Position is the number of the latest event that was taken in; 0: none was.
+// Position returns the position of the latest event received; 0: none.
 func (c *Client) Position() int64 { return c.position }
--- a/internal/net/discovery/events.go
+++ b/internal/net/discovery/events.go
@@ -1,5 +1,6 @@
-// Package discovery watches the service that pushes the endpoint list and purges as server-sent events. The wire calls it
-// the journal. A Client reads the events, an EventApplier applies them; both live on the gateway's loop and never block.
+// Package discovery watches the service that pushes the endpoint list and purges as server-sent events, at the path
+// /journal. A Client receives the events and an EventApplier applies them. Both are used on the gateway's loop and
+// never block.
 package discovery
 
 import (
@@ -12,7 +13,7 @@
 	"larchusher/routing"
 )
 
-// EndpointEntry is an endpoint as the wire has it.
+// EndpointEntry is an endpoint in the service's JSON.
 type EndpointEntry struct {
 	Name        string  `json:"name"`
 	Address     string  `json:"address"`
@@ -24,63 +25,64 @@
 	StartedAtMs int64   `json:"since_ms"`
 }
 
-// EndpointListEvent is a complete endpoint list, or changes to it.
+// EndpointListEvent is a complete endpoint list (Snapshot), or changes to it.
 type EndpointListEvent struct {
 	Index     int64           `json:"index"`
 	Snapshot  bool            `json:"snapshot"`
 	Endpoints []EndpointEntry `json:"endpoints"`
 }
 
-// PurgeEvent is a purge of an object, or of a group.
+// PurgeEvent is a purge of an object, or of a group of objects.
 type PurgeEvent struct {
 	Object     string `json:"name"`
 	Group      *int   `json:"set"`
 	IssuedAtMs int64  `json:"stamp"`
 }
 
-// Event is one event of the service.
+// Event is one event of the service. Both contents may be nil.
 type Event struct {
 	Position     int64              `json:"pos"`
 	EndpointList *EndpointListEvent `json:"hosts"`
 	Purge        *PurgeEvent        `json:"expire"`
 }
 
-// InitialState is what a gateway is given at its start of the events so far.
+// InitialState is the state with which a gateway starts: the events up to a position.
 type InitialState struct {
 	Position int64   `json:"pos"`
 	Entries  []Event `json:"entries"`
 }
 
+// phases maps the status words of endpoints to phases.
 var phases = map[string]routing.Phase{"SERVING": routing.Up, "DRAINING": routing.Draining,
 	"DELETED": routing.Removed}
 
-// validate is why an event cannot be used; nil: it can.
+// validate returns an error if the event cannot be used.
 func (e Event) validate() error {
 	if e.EndpointList != nil {
 		for _, h := range e.EndpointList.Endpoints {
 			if h.Name == "" {
-				return fmt.Errorf("event %d: a store without a name", e.Position)
+				return fmt.Errorf("event %d: endpoint without a name", e.Position)
 			}
 			if _, ok := phases[h.Status]; !ok {
-				return fmt.Errorf("event %d: store %s: unknown status %q", e.Position, h.Name, h.Status)
+				return fmt.Errorf("event %d: endpoint %s: unknown status %q", e.Position, h.Name, h.Status)
 			}
 		}
 	}
 	if e.Purge != nil && e.Purge.Object == "" && e.Purge.Group == nil {
-		return fmt.Errorf("event %d: a purge of nothing", e.Position)
+		return fmt.Errorf("event %d: purge names neither an object nor a group", e.Position)
 	}
 	return nil
 }
 
-// parseEvent reads the data of one event. With an error, the event is not to be used.
+// parseEvent parses and validates the data of one event. After an error the event must not be applied.
 func parseEvent(data []byte) (e Event, err error) {
 	if err = json.Unmarshal(data, &e); err != nil {
-		return e, fmt.Errorf("not an event: %w", err)
+		return e, fmt.Errorf("event data is not a JSON event: %w", err)
 	}
 	return e, e.validate()
 }
 
-// Sink takes in what events say. Its methods are called on the loop.
+// Sink receives the updates that follow from events. Its methods are called on the loop.
 type Sink interface {
 	UpdateEndpoints(routing.EndpointUpdate)
 	Purge(routing.Purge)
@@ -88,26 +90,27 @@
 	RemoveEndpoint(id string)
 }
 
-// EventApplier turns events into updates for directors and for the pool of connections.
+// EventApplier converts events into updates for directors and for the connection pool. It must be used on the loop.
 type EventApplier struct {
 	Sink  Sink
-	Clock func(time.Time) time.Duration // converts to the directors' clock
+	Clock func(time.Time) time.Duration // converts to the directors' clock, in time since its zero
 
 	incarnations map[string]incarnation
-	listed       map[string]EndpointEntry // endpoints on the list, by name
+	listed       map[string]EndpointEntry // current endpoints by name
 }
 
-// incarnation is when an endpoint started, on the service's clock and on the directors'. It is converted once: a start whose
-// time moves would look like another start.
+// incarnation is an endpoint's start time on the service's clock (Unix ms) and on the directors' clock. The
+// conversion is done only once: if the converted time changed, it would look like a restart of the endpoint.
 type incarnation struct {
 	startedAtMs  int64
 	directorTime time.Duration
 }
 
-// ApplyInitial applies what is known at the start, as one stale list.
+// ApplyInitial applies the state at startup: its lists are merged into one update, marked as stale, and its purges
+// follow. It returns an error, and applies nothing, if an event is invalid.
 func (b *EventApplier) ApplyInitial(now time.Time, k InitialState) error {
 	b.incarnations, b.listed = map[string]incarnation{}, map[string]EndpointEntry{}
-	hosts := map[string]EndpointEntry{}
+	endpoints := map[string]EndpointEntry{}
 	var order []string
 	for _, e := range k.Entries {
 		if err := e.validate(); err != nil {
@@ -117,19 +120,19 @@
 			continue
 		}
 		if e.EndpointList.Snapshot {
-			clear(hosts)
+			clear(endpoints)
 			order = order[:0]
 		}
 		for _, h := range e.EndpointList.Endpoints {
-			if _, ok := hosts[h.Name]; !ok {
+			if _, ok := endpoints[h.Name]; !ok {
 				order = append(order, h.Name)
 			}
-			hosts[h.Name] = h
+			endpoints[h.Name] = h
 		}
 	}
 	all := make([]EndpointEntry, 0, len(order))
 	for _, name := range order {
-		all = append(all, hosts[name])
+		all = append(all, endpoints[name])
 	}
 	b.applyList(now, routing.StaleList, all)
 	for _, e := range k.Entries {
@@ -140,7 +143,8 @@
 	return nil
 }
 
-// CurrentState is the present endpoint list, behind the event at a position, as another process could start with it.
+// CurrentState returns the current endpoint list as of the event at pos, in the form with which another process can
+// start. Purges are not included.
 func (b *EventApplier) CurrentState(pos int64) InitialState {
 	list := &EndpointListEvent{Snapshot: true}
 	for _, name := range slices.Sorted(maps.Keys(b.listed)) {
@@ -149,7 +153,7 @@
 	return InitialState{Position: pos, Entries: []Event{{Position: pos, EndpointList: list}}}
 }
 
-// Apply applies one further event.
+// Apply applies one later event.
 func (b *EventApplier) Apply(now time.Time, e Event) {
 	if e.EndpointList != nil {
 		kind := routing.DeltaList
@@ -163,10 +167,10 @@
 	}
 }
 
-// applyList applies a list of endpoints, or of changes to one.
+// applyList applies a complete endpoint list, or changes to it.
 func (b *EventApplier) applyList(now time.Time, kind routing.UpdateKind, entries []EndpointEntry) {
 	update := routing.EndpointUpdate{Kind: kind}
-	named := map[string]bool{}
+	inUpdate := map[string]bool{}
 	for _, e := range entries {
 		phase := phases[e.Status]
 		update.Endpoints = append(update.Endpoints, routing.Endpoint{
@@ -182,12 +186,12 @@
 			b.remove(e.Name)
 			continue
 		}
-		named[e.Name], b.listed[e.Name] = true, e
+		inUpdate[e.Name], b.listed[e.Name] = true, e
 		b.Sink.SetAddress(e.Name, e.Address, e.StartedAtMs)
 	}
-	if kind != routing.DeltaList { // what a complete list does not name is gone
+	if kind != routing.DeltaList { // endpoints missing from a complete list are removed
 		for name := range b.listed {
-			if !named[name] {
+			if !inUpdate[name] {
 				b.remove(name)
 			}
 		}
@@ -195,27 +199,28 @@
 	b.Sink.UpdateEndpoints(update)
 }
 
-// remove forgets an endpoint. Names come and go all day, so that nothing of it is kept.
+// remove removes an endpoint and all that is known about it: names come and go all day, so nothing may be kept for
+// removed ones.
 func (b *EventApplier) remove(name string) {
 	b.Sink.RemoveEndpoint(name)
 	delete(b.listed, name)
 	delete(b.incarnations, name)
 }
 
-// incarnationOf is when an endpoint started, on the directors' clock; 0: long ago.
+// incarnationOf returns an endpoint's start time on the directors' clock; 0 if the service does not state one.
 func (b *EventApplier) incarnationOf(now time.Time, e EndpointEntry) time.Duration {
-	known := b.incarnations[e.Name]
-	if known.startedAtMs != e.StartedAtMs {
-		known = incarnation{startedAtMs: e.StartedAtMs}
+	current := b.incarnations[e.Name]
+	if current.startedAtMs != e.StartedAtMs {
+		current = incarnation{startedAtMs: e.StartedAtMs}
 		if e.StartedAtMs > 0 {
-			known.directorTime = b.Clock(now) - now.Sub(time.UnixMilli(e.StartedAtMs))
+			current.directorTime = b.Clock(now) - now.Sub(time.UnixMilli(e.StartedAtMs))
 		}
-		b.incarnations[e.Name] = known
+		b.incarnations[e.Name] = current
 	}
-	return known.directorTime
+	return current.directorTime
 }
 
-// applyPurge applies a purge.
+// applyPurge passes a purge to the sink, with its age. The object takes precedence over the group.
 func (b *EventApplier) applyPurge(now time.Time, x PurgeEvent) {
 	p := routing.Purge{Object: x.Object, Age: max(0, now.Sub(time.UnixMilli(x.IssuedAtMs)))}
 	if x.Group != nil && x.Object == "" {
--- a/internal/net/discovery/sse.go
+++ b/internal/net/discovery/sse.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Limits of what the service may send.
+// Limits of the service's response, in bytes.
 const (
 	maxHeadBytes  = 16 << 10
 	maxChunkLine  = 1024
@@ -21,13 +21,13 @@
 )
 
 var (
-	errHeadTooLong      = errors.New("a response head that does not end")
-	errChunkLineTooLong = errors.New("a chunk's length that does not end")
-	errEventTooLong     = errors.New("an event that does not end")
-	errEnded            = errors.New("the journal ended")
+	errHeadTooLong      = errors.New("response head is too long")
+	errChunkLineTooLong = errors.New("line with a chunk's length is too long")
+	errEventTooLong     = errors.New("event is too long")
+	errEnded            = errors.New("event stream ended")
 )
 
-// responseState is what of a response comes next.
+// responseState is the part of the response that comes next.
 type responseState int
 
 const (
@@ -38,15 +38,17 @@
 	atEnd
 )
 
-// responseParser reads an HTTP/1.1 response with server-sent events, chunked or not. The zero value is ready for use.
+// responseParser parses an HTTP/1.1 response with server-sent events, chunked or not. The zero value is ready for
+// use.
 type responseParser struct {
 	buf            []byte
 	state          responseState
-	chunkBytesLeft int64 // of the present chunk, with the line end behind it
+	chunkBytesLeft int64 // of the current chunk, including the line end after it
 	events         eventParser
 }
 
-// feed takes the next bytes of a response and calls emit with the data and the id of each complete event.
+// feed parses the next bytes of a response and calls emit with the data and the ID of each complete event. The parser
+// must not be used after an error.
 func (p *responseParser) feed(b []byte, emit func(data []byte, id string)) error {
 	p.buf = append(p.buf, b...)
 	for len(p.buf) > 0 {
@@ -58,7 +60,7 @@
 	return nil
 }
 
-// step reads the next part of the response. incomplete: more bytes are needed.
+// step parses the next part of the response. incomplete means that more bytes are needed.
 func (p *responseParser) step(emit func(data []byte, id string)) (incomplete bool, err error) {
 	switch p.state {
 	case inHead:
@@ -76,7 +78,7 @@
 	}
 }
 
-// readHead reads the status line and the fields.
+// readHead parses the status line and the header fields.
 func (p *responseParser) readHead() (incomplete bool, err error) {
 	i := bytes.Index(p.buf, []byte(headEnd))
 	if i < 0 {
@@ -90,7 +92,7 @@
 	lines := strings.Split(head, lineEnd)
 	words := strings.SplitN(lines[0], " ", 3)
 	if len(words) < 2 || !strings.HasPrefix(words[0], "HTTP/1.") || words[1] != "200" {
-		return false, fmt.Errorf("the answer %.60q", lines[0])
+		return false, fmt.Errorf("unexpected response %.60q, want HTTP status 200", lines[0])
 	}
 	p.state = inBody
 	for _, l := range lines[1:] {
@@ -102,7 +104,7 @@
 	return false, nil
 }
 
-// readChunkLine reads the line with a chunk's length; a length of 0 ends the response.
+// readChunkLine parses the line with a chunk's length; a length of 0 ends the response.
 func (p *responseParser) readChunkLine() (incomplete bool, err error) {
 	i := bytes.IndexByte(p.buf, '\n')
 	if i < 0 {
@@ -114,7 +116,7 @@
 	length, _, _ := strings.Cut(strings.TrimSpace(string(p.buf[:i])), ";")
 	n, err := strconv.ParseUint(strings.TrimSpace(length), 16, 31)
 	if err != nil {
-		return false, fmt.Errorf("the chunk's length %.20q", length)
+		return false, fmt.Errorf("invalid chunk length %.20q", length)
 	}
 	p.buf = p.buf[i+1:]
 	p.chunkBytesLeft = int64(n) + int64(len(lineEnd))
@@ -125,7 +127,7 @@
 	return false, nil
 }
 
-// readChunk reads what has come of a chunk.
+// readChunk parses the available bytes of a chunk.
 func (p *responseParser) readChunk(emit func(data []byte, id string)) error {
 	n := min(p.chunkBytesLeft, int64(len(p.buf)))
 	body := min(n, max(0, p.chunkBytesLeft-int64(len(lineEnd))))
@@ -140,14 +142,14 @@
 	return nil
 }
 
-// eventParser reads the lines of server-sent events. The zero value is ready for use.
+// eventParser parses server-sent events. The zero value is ready for use.
 type eventParser struct {
-	buf  []byte // a line that is not complete
-	data []byte // of the event that is read
-	id   string // of the latest event that had one
+	buf  []byte // an incomplete line
+	data []byte // of the current event
+	id   string // latest ID received
 }
 
-// feed takes the next bytes and calls emit with the data and the id of each complete event.
+// feed parses the next bytes and calls emit with the data and the ID of each complete event.
 func (p *eventParser) feed(b []byte, emit func(data []byte, id string)) error {
 	p.buf = append(p.buf, b...)
 	for {
@@ -157,7 +159,7 @@
 		}
 		line := bytes.TrimSuffix(p.buf[:i], []byte("\r"))
 		p.buf = p.buf[i+1:]
-		p.takeLine(line, emit)
+		p.handleLine(line, emit)
 	}
 	if len(p.buf)+len(p.data) > maxEventBytes {
 		return errEventTooLong
@@ -165,8 +167,8 @@
 	return nil
 }
 
-// takeLine takes one line: a field, a comment, or the empty line that ends an event.
-func (p *eventParser) takeLine(line []byte, emit func(data []byte, id string)) {
+// handleLine handles one line: a field, a comment, or the empty line that ends an event.
+func (p *eventParser) handleLine(line []byte, emit func(data []byte, id string)) {
 	if len(line) == 0 {
 		if len(p.data) > 0 {
 			emit(p.data, p.id)
--- a/internal/net/discovery/sse_test.go
+++ b/internal/net/discovery/sse_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A response gives the same events however it is cut, chunked or not.
-func TestEventsOfAResponse(t *testing.T) {
+// A response yields the same events however it is split, chunked or not.
+func TestParseResponse(t *testing.T) {
 	const body = ": hello\n\nid: 3\ndata: {\"a\":1}\r\n\r\ndata: two\ndata:lines\n\nid: 5\n\n"
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n" +
 		"a;x=y\r\n" + body[:10] + "\r\n" + "2\r\n" + body[10:12] + "\r\n" + "31\r\n" + body[12:] + "\r\n"
@@ -23,19 +23,19 @@
 			for rest := response; rest != ""; {
 				n := min(size, len(rest))
 				if err := p.feed([]byte(rest[:n]), func(data []byte, id string) { got = append(got, id+" "+string(data)) }); err != nil {
-					t.Fatalf("%s in pieces of %d: %v", name, size, err)
+					t.Fatalf("%s, fed %d bytes at a time: %v", name, size, err)
 				}
 				rest = rest[n:]
 			}
 			if !slices.Equal(got, want) {
-				t.Fatalf("%s in pieces of %d: %q", name, size, got)
+				t.Fatalf("%s, fed %d bytes at a time: events %q", name, size, got)
 			}
 		}
 	}
 }
 
-// What is no response with events, or does not end, is an error.
-func TestFaultyResponses(t *testing.T) {
+// A response that is not an event stream, or has a part that exceeds its limit, is an error.
+func TestInvalidResponses(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for response, want := range map[string]error{
 		strings.Repeat("x", maxHeadBytes+1):                              errHeadTooLong,
@@ -47,9 +47,9 @@
 		"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", maxEventBytes+1): errEventTooLong,
 	} {
 		var p responseParser
-		err := p.feed([]byte(response), func([]byte, string) { t.Errorf("%.60q has an event", response) })
+		err := p.feed([]byte(response), func([]byte, string) { t.Errorf("invalid response %.60q yielded an event", response) })
 		if err == nil || want != nil && !errors.Is(err, want) {
-			t.Errorf("%.60q: %v", response, err)
+			t.Errorf("response %.60q: error %v", response, err)
 		}
 	}
 }
--- a/internal/net/discovery/stored_test.go
+++ b/internal/net/discovery/stored_test.go
@@ -6,8 +6,9 @@
 	"larchusher/lab/golden"
 )
 
-// The list of stores that goes to the next process at an upgrade. The file was written by 1a818d3.
-func TestEncodedFormsAreThoseOf1a818d3(t *testing.T) {
+// The endpoint list that is handed to the successor process in a hot restart: the file written by version 1a818d3
+// must still be read and written the same.
+func TestInitialStateReadsFileOf1a818d3(t *testing.T) {
 	golden.JSON(t, "testdata/1a818d3/known.json", &InitialState{})
 }
 
--- a/internal/net/discovery/stream.go
+++ b/internal/net/discovery/stream.go
@@ -11,13 +11,13 @@
 // stream is one connection to the service.
 type stream struct {
 	client *Client
-	addr   string          // of the service
-	tc     *transport.Conn // the loop's; nil: it is coming up
-	closed bool            // the loop's
-	parser responseParser  // the poller's
+	addr   string          // the address that it connects to
+	tc     *transport.Conn // used by the loop only; nil while connecting
+	closed bool            // used by the loop only
+	parser responseParser  // used by the poller only
 }
 
-// OnBytes reads the response and its events.
+// OnBytes parses the response and posts its events to the loop. It runs on the poller goroutine.
 func (s *stream) OnBytes(_ *transport.Conn, b []byte, at time.Time) error {
 	var events []Event
 	var dropped uint64
@@ -26,7 +26,7 @@
 		if n, err := strconv.ParseInt(id, 10, 64); err == nil {
 			e.Position = n
 		}
-		if unusable != nil { // the position counts all the same
+		if unusable != nil { // skipped, but its position still advances the client's
 			s.client.log.WithError(unusable).Warn(logfields.DiscoveryEventFaulty)
 			dropped++
 			e = Event{Position: e.Position}
@@ -37,7 +37,7 @@
 	return err
 }
 
-// OnClosed has the client reconnect.
+// OnClosed makes the client reconnect.
 func (s *stream) OnClosed(_ *transport.Conn, err error) {
 	if err == nil {
 		err = errClosed
@@ -48,7 +48,7 @@
 	})
 }
 
-// handleEvents takes in what a connection has brought at a time, unless another one has taken its place.
+// handleEvents applies the events of one read, unless the connection is no longer the current one.
 func (c *Client) handleEvents(s *stream, events []Event, dropped uint64, at time.Time) {
 	c.Dropped += dropped
 	if c.current != s {
@@ -56,7 +56,7 @@
 	}
 	c.lastByte, c.backoff = at, minBackoff
 	for _, e := range events {
-		if e.Position != 0 && e.Position <= c.position { // sent again after a reconnect
+		if e.Position != 0 && e.Position <= c.position { // already received before a reconnect
 			continue
 		}
 		c.position = max(c.position, e.Position)
