--- a/internal/net/signedfront/conn.go
+++ b/internal/net/signedfront/conn.go
@@ -12,30 +12,30 @@
 	"larchusher/internal/net/transport"
 )
 
-// conn is one client's connection. All of it but postedInputs lives on the loop.
+// conn is one client connection. Its fields are used on the loop only, except for postedInputs.
 type conn struct {
 	front        *Front
-	postedInputs atomic.Int64 // pieces of input that the loop has not taken in
+	postedInputs atomic.Int64 // reads whose input the loop has not handled yet
 	tc           *transport.Conn
 	client       *gateway.Client
 	buf          []byte
 	lastByte     time.Time
 	tracked      *transport.TrackedConn
-	current      *httpapi.AdmittedRequest // the request in work
-	queued       gateway.QueuedWork       // of checking the next request
-	checking     bool                     // it waits for that
-	sentContinue bool                     // 100 Continue was sent for the request that is coming
-	closing      bool                     // nothing is read after the present answer
-	gone         bool
+	current      *httpapi.AdmittedRequest // the open request; nil: none
+	queuedCheck  gateway.QueuedWork       // queued check of the next request
+	checking     bool                     // a check is queued or running
+	sentContinue bool                     // 100 Continue was sent for the incomplete request
+	closing      bool                     // the connection closes after the current answer
+	closed       bool
 }
 
-// OnOpened has the connection swept, though it may never send a byte.
+// OnOpened registers the connection with the front, so that it is swept even if it never sends a byte.
 func (c *conn) OnOpened(tc *transport.Conn) {
 	c.front.loop.Post(func() {
 		switch {
-		case c.front.closed: // it was accepted just before the end
+		case c.front.closed: // accepted just before CloseAll or Retire
 			tc.CloseGracefully(errEnding, transport.LingerTime)
-		case !c.gone:
+		case !c.closed:
 			c.tc = tc
 			c.tracked = c.front.tracker.Add(tc, c.front.loop.Now(), c.busy)
 			c.front.conns[c] = true
@@ -44,13 +44,14 @@
 	})
 }
 
-// busy reports whether a request is open or waits for the one before it, or may be in what the loop has not taken in.
+// busy reports whether a request is open or waits behind another one, or input is not handled yet.
 func (c *conn) busy() bool {
 	isOpen := c.current != nil || c.checking
 	return isOpen || c.postedInputs.Load() > 0 || len(c.buf) > 0 && c.tracked.PartialSince.IsZero()
 }
 
-// OnBytes hands on what came.
+// OnBytes copies the input and posts it to the loop. It runs on the poller goroutine. It returns an error if too much
+// input is unhandled or the loop has ended.
 func (c *conn) OnBytes(tc *transport.Conn, b []byte, at time.Time) error {
 	if err := tc.ReserveInput(len(b)); err != nil {
 		tc.ReleaseInput(len(b))
@@ -58,24 +59,24 @@
 	}
 	b = append([]byte(nil), b...)
 	c.postedInputs.Add(1)
-	taken := c.front.loop.Post(func() {
+	posted := c.front.loop.Post(func() {
 		c.postedInputs.Add(-1)
 		c.receive(tc, b, at)
 		tc.ReleaseInput(len(b))
 	})
-	if !taken {
+	if !posted {
 		return errEnding
 	}
 	return nil
 }
 
-// OnClosed abandons the request that is open on the connection.
+// OnClosed abandons the open request and cancels the queued check.
 func (c *conn) OnClosed(_ *transport.Conn, _ error) {
 	c.front.loop.Post(func() {
-		c.gone = true
+		c.closed = true
 		delete(c.front.conns, c)
 		c.front.tracker.Remove(c.tracked)
-		c.front.gateway.CancelQueued(&c.queued)
+		c.front.gateway.CancelQueued(&c.queuedCheck)
 		if c.current != nil {
 			ad := c.current
 			c.current = nil
@@ -85,26 +86,26 @@
 	})
 }
 
-// receive takes in what came, on the loop.
+// receive handles the input of one read, on the loop.
 func (c *conn) receive(tc *transport.Conn, b []byte, at time.Time) {
-	if c.gone || c.closing || tc.Closing() {
+	if c.closed || c.closing || tc.Closing() {
 		return
 	}
 	c.lastByte = at
 	if len(c.buf)+len(b) > maxPipelinedBytes {
 		c.closing = true
-		tc.CloseGracefully(fmt.Errorf("more than %d bytes ahead of an answer", maxPipelinedBytes), transport.LingerTime)
+		tc.CloseGracefully(fmt.Errorf("client sent more than %d bytes before an answer", maxPipelinedBytes), transport.LingerTime)
 		return
 	}
 	c.buf = append(c.buf, b...)
 	c.startNext()
 }
 
-// startNext starts the next request, once it is complete.
+// startNext starts the next request once it has arrived completely.
 func (c *conn) startNext() {
-	for c.ready() && len(c.buf) > 0 {
+	for c.canStartNext() && len(c.buf) > 0 {
 		h, size, p := parseHead(c.buf)
-		if p != nil { // where the next request begins cannot be known
+		if p != nil { // the start of the next request is unknown, so the connection must close
 			c.closing = true
 			c.respondProblem(p)
 			return
@@ -121,12 +122,13 @@
 	}
 }
 
-// ready reports whether the next request may start.
-func (c *conn) ready() bool {
-	return c.current == nil && !c.checking && !c.closing && !c.gone
+// canStartNext reports whether the next request may start.
+func (c *conn) canStartNext() bool {
+	return c.current == nil && !c.checking && !c.closing && !c.closed
 }
 
-// awaitRest waits for the rest of a request; h is nil while the head is incomplete.
+// awaitRest records that a request is incomplete and sends 100 Continue if the client waits for it. h is nil while
+// the head is incomplete.
 func (c *conn) awaitRest(h *head) {
 	c.tracked.Received(c.front.loop.Now(), 0, true)
 	if h != nil && h.expectContinue && !c.sentContinue {
@@ -135,11 +137,12 @@
 	}
 }
 
-// write writes to the client, and reports whether it could. A write that fails has closed the connection.
+// write writes to the client and reports whether that succeeded. A failed write has closed the connection.
 func (c *conn) write(pieces ...[]byte) bool { return c.tc.Write(pieces...) == nil }
 
-// enqueueCheck has a request checked when its turn comes. Checking tokens takes longer than everything else that the loop
-// does for a request before its turn, and would hold up the platform's clients.
+// enqueueCheck queues a request for the check of its token. Checking a token takes longer than everything else that
+// the loop does for a request before its turn, and would delay the platform's clients. Requests that admission
+// control sheds are queued separately, as rejections.
 func (c *conn) enqueueCheck(h *head, body []byte, at time.Time) {
 	f := c.front
 	class := f.api.Class(h.target)
@@ -153,17 +156,17 @@
 	}
 	c.checking = true
 	if !admitted {
-		f.gateway.EnqueueRejection(&c.queued, gateway.SignedFront, func() { run(true) })
+		f.gateway.EnqueueRejection(&c.queuedCheck, gateway.SignedFront, func() { run(true) })
 		return
 	}
-	f.gateway.Enqueue(&c.queued, gateway.SignedFront, class, at, run)
+	f.gateway.Enqueue(&c.queuedCheck, gateway.SignedFront, class, at, run)
 }
 
-// checkAndSubmit checks a request's token and submits it, or rejects it if it is to be shed: only a client with a good token
-// learns which.
+// checkAndSubmit checks a request's token and submits the request, or rejects it if it is shed: only a client with a
+// valid token learns that the gateway is overloaded.
 func (c *conn) checkAndSubmit(h *head, body []byte, at time.Time, shed bool) {
 	f := c.front
-	if f.closed { // its turn came after the end, when the keys may not be valid any more
+	if f.closed { // after CloseAll or Retire the keys may no longer be valid
 		c.closing = true
 		c.respondProblem(httpapi.Overloaded(f.gateway.RetryAfter(h.target)))
 		return
@@ -183,7 +186,7 @@
 	r.ArrivedAt, r.Front, r.Client, r.Admitted = at, gateway.SignedFront, c.client, true
 	r.ClientConnected = func() bool { return !c.tc.Closing() && !c.tc.PeerClosed() }
 	r.Answer = func(a gateway.Answer) {
-		if c.current != ad { // the client has left
+		if c.current != ad { // the client has closed the connection
 			return
 		}
 		c.current = nil
@@ -195,13 +198,13 @@
 	f.gateway.Submit(r)
 }
 
-// respondProblem answers without a request to the gateway.
+// respondProblem writes an answer that the front gives without the gateway.
 func (c *conn) respondProblem(p *httpapi.Problem) {
 	c.front.ProblemsByReason[p.Reason]++
 	c.respond(p.Response(), false)
 }
 
-// respond writes one answer.
+// respond writes one answer, without its body if headOnly, and closes the connection afterwards if it is closing.
 func (c *conn) respond(r httpapi.Response, headOnly bool) {
 	c.front.AnswersByStatus[r.Status]++
 	c.tracked.LastActive = c.front.loop.Now()
@@ -226,9 +229,9 @@
 	}
 }
 
-// closeWhenFlushed closes the connection once its last answer has left.
+// closeWhenFlushed closes the connection once its last answer has been written.
 func (c *conn) closeWhenFlushed() {
-	if c.gone {
+	if c.closed {
 		return
 	}
 	if c.tc.UnsentBytes() == 0 {
--- a/internal/net/signedfront/front.go
+++ b/internal/net/signedfront/front.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	sweepInterval     = 250 * time.Millisecond
-	maxPipelinedBytes = maxHeadBytes + httpapi.MaxBodyBytes + len(headEnd) // that may come ahead of an answer
-	flushPollInterval = 5 * time.Millisecond                               // between two looks whether the last answer has been written
+	sweepInterval     = 250 * time.Millisecond                             // interval between sweeps of useless connections
+	maxPipelinedBytes = maxHeadBytes + httpapi.MaxBodyBytes + len(headEnd) // bytes that a client may send before an answer
+	flushPollInterval = 5 * time.Millisecond                               // interval between checks whether the last answer has been written
 )
 
 var (
-	errEnding  = errors.New("the program ends")
-	errRetired = errors.New("the front was taken out of service")
+	errEnding  = errors.New("gateway is shutting down")
+	errRetired = errors.New("signed front was closed")
 
-	errAnswered = errors.New("its last answer has been written")
+	errAnswered = errors.New("last answer has been written")
 )
 
-// Front takes signed requests over HTTP/1.1. One request of a connection is open at a time, and others that have come wait,
-// so that answers leave in order.
+// Front serves signed requests over HTTP/1.1. At most one request of a connection is open at a time; pipelined ones
+// wait, so that answers leave in order. Its methods must be called on the gateway's loop unless they state otherwise.
 type Front struct {
 	loop             *gateway.Loop
 	gateway          *gateway.Gateway
@@ -38,14 +38,14 @@
 	requestNumber    uint64
 	seed             uint64
 	closeAfterAnswer bool
-	closed           bool // by CloseAll or Retire
+	closed           bool // set by CloseAll or Retire
 
-	Admitted         uint64
-	ProblemsByReason map[string]uint64 // by reason
-	AnswersByStatus  map[int]uint64
+	Admitted         uint64            // requests submitted to the gateway
+	ProblemsByReason map[string]uint64 // answers without the gateway, by reason
+	AnswersByStatus  map[int]uint64    // all answers, by HTTP status
 }
 
-// New returns a front for at most maxConns connections, whose handlers its NewHandler makes. seed makes the ids of its
+// New returns a front for at most maxConns connections. NewHandler creates their handlers. seed makes the IDs of its
 // requests differ from those of other gateways.
 func New(loop *gateway.Loop, g *gateway.Gateway, api *httpapi.API, maxConns int, seed uint64, log logrus.FieldLogger) *Front {
 	f := &Front{loop: loop, gateway: g, api: api, log: log, conns: map[*conn]bool{}, seed: seed,
@@ -54,13 +54,13 @@
 	return f
 }
 
-// SetAPI has requests checked by another API from now on, after a change of keys for instance.
+// SetAPI sets the API that checks requests from now on, for instance after a change of keys.
 func (f *Front) SetAPI(api *httpapi.API) { f.api = api }
 
-// NewHandler returns the callbacks of a new connection.
+// NewHandler returns the handler of a new connection. It may be called from any goroutine.
 func (f *Front) NewHandler() transport.Handler { return &conn{front: f} }
 
-// Idle reports whether no request is open, and every answer has been written.
+// Idle reports whether no request is open or being checked, and all answers have been written.
 func (f *Front) Idle() bool {
 	for c := range f.conns {
 		if c.tc.UnsentBytes() > 0 || c.current != nil || c.checking {
@@ -70,10 +70,10 @@
 	return true
 }
 
-// CloseAfterAnswers has each connection close behind its next answer.
+// CloseAfterAnswers makes each connection close after its next answer.
 func (f *Front) CloseAfterAnswers() { f.closeAfterAnswer = true }
 
-// CloseAll closes all connections, once nothing is open on them.
+// CloseAll closes all connections gracefully. It is called once no requests are open.
 func (f *Front) CloseAll() {
 	f.closed = true
 	for c := range f.conns {
@@ -81,8 +81,8 @@
 	}
 }
 
-// Retire ends the front while the program goes on: no request is admitted any more, admitted ones are answered, and each
-// connection closes behind its last answer.
+// Retire closes the front while the process continues: no more requests are admitted, admitted ones are answered, and
+// each connection closes after its last answer.
 func (f *Front) Retire() {
 	f.closed, f.closeAfterAnswer = true, true
 	for c := range f.conns {
@@ -93,13 +93,14 @@
 	}
 }
 
-// SetMaxConns sets how many connections are held at once.
+// SetMaxConns sets the maximum number of open connections.
 func (f *Front) SetMaxConns(maxConns int) { f.tracker.SetMaxConns(maxConns) }
 
-// EvictIdle has an idle connection closed, for one that waits to be accepted. It may be called from any goroutine.
+// EvictIdle closes one idle connection to free its slot for a new one. It may be called from any goroutine.
 func (f *Front) EvictIdle() { f.loop.Post(func() { f.tracker.EvictIdle(f.loop.Now(), 1) }) }
 
-// sweep closes connections that hold their places for nothing. One whose request is not completed in time is told so.
+// sweep closes connections that occupy their slots without being useful. A client whose request is not complete in
+// time gets status 408.
 func (f *Front) sweep() {
 	f.tracker.Sweep(f.loop.Now(), func(n *transport.TrackedConn) {
 		for c := range f.conns {
@@ -112,7 +113,7 @@
 	f.loop.After(sweepInterval, f.sweep)
 }
 
-// newRequestID makes the id of a request, which is unique in this front. Its first bit is always set.
+// newRequestID returns an ID that is unique in this front: 16 hex digits, the first bit always set.
 func (f *Front) newRequestID() string {
 	const (
 		spread   = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio: consecutive numbers differ in many bits
--- a/internal/net/signedfront/parser.go
+++ b/internal/net/signedfront/parser.go
@@ -1,4 +1,5 @@
-// Package signedfront is the front for signed URLs: HTTP/1.1 with tokens as content networks use them.
+// Package signedfront is the front for signed URLs: HTTP/1.1 with the tokens of content delivery networks. It is used
+// on the gateway's loop.
 package signedfront
 
 import (
@@ -11,30 +12,30 @@
 )
 
 const (
-	maxHeadBytes = 16 << 10
-	maxFields    = 64
+	maxHeadBytes = 16 << 10 // of the request line and the header fields
+	maxFields    = 64       // header fields of a request
 
 	headEnd = "\r\n\r\n"
 	http10  = "HTTP/1.0"
 	http11  = "HTTP/1.1"
 )
 
-// head is the head of a request.
+// head is a request line with header fields.
 type head struct {
 	method, target string
 	version        string              // http10 or http11
 	fields         map[string][]string // by lower-case name
-	bodyLength     int                 // of the body
-	keepAlive      bool                // the connection stays open afterwards
+	bodyLength     int                 // bytes of the body
+	keepAlive      bool                // the connection stays open after the answer
 	expectContinue bool                // the client waits for 100 Continue
 }
 
-// get returns the values of a field, by its name in any case.
+// get returns the values of a header field; the name may be in any case.
 func (h *head) get(name string) []string { return h.fields[strings.ToLower(name)] }
 
-// parseHead reads a request's head from the start of b, and returns its size in bytes. It returns nil and no problem while
-// the head is incomplete. What it cannot read for certain it rejects: whatever stands before the gateway might read it
-// otherwise.
+// parseHead parses the head of a request at the start of b and returns its size in bytes. While the head is
+// incomplete it returns nil and no problem. It rejects whatever is ambiguous: a proxy in front of the gateway might
+// read it differently.
 func parseHead(b []byte) (h *head, size int, p *httpapi.Problem) {
 	end := bytes.Index(b, []byte(headEnd))
 	if end > maxHeadBytes || end < 0 && len(b) > maxHeadBytes {
@@ -57,11 +58,12 @@
 	return h, end + len(headEnd), nil
 }
 
+// problem returns a problem without header fields.
 func problem(status int, reason string) *httpapi.Problem {
 	return &httpapi.Problem{Status: status, Reason: reason}
 }
 
-// parseRequestLine reads the first line of a head.
+// parseRequestLine parses the first line of a head.
 func parseRequestLine(line string) (*head, *httpapi.Problem) {
 	words := strings.Split(line, " ")
 	if len(words) != 3 || words[0] == "" || !isToken(words[0]) {
@@ -74,7 +76,7 @@
 	return h, nil
 }
 
-// parseFields reads the lines after the first.
+// parseFields parses the header field lines.
 func (h *head) parseFields(lines []string) *httpapi.Problem {
 	if len(lines) > maxFields {
 		return problem(http.StatusRequestHeaderFieldsTooLarge, "too many fields")
@@ -90,7 +92,7 @@
 	return nil
 }
 
-// interpret reads what the fields say of the connection and the body.
+// interpret evaluates the header fields about the connection and the body.
 func (h *head) interpret() *httpapi.Problem {
 	if h.version == http11 && len(h.fields["host"]) != 1 {
 		return problem(http.StatusBadRequest, "one Host is needed")
@@ -111,7 +113,7 @@
 	return nil
 }
 
-// interpretContentLength reads the length of the body.
+// interpretContentLength sets the length of the body.
 func (h *head) interpretContentLength() *httpapi.Problem {
 	lengths := h.fields["content-length"]
 	if len(lengths) == 0 {
@@ -129,7 +131,8 @@
 	return nil
 }
 
-// interpretConnection reads whether the connection stays open: by default it does in HTTP/1.1, and not in HTTP/1.0.
+// interpretConnection determines whether the connection stays open: by default it does in HTTP/1.1, and does not in
+// HTTP/1.0.
 func (h *head) interpretConnection() {
 	h.keepAlive = h.version == http11
 	for _, v := range h.fields["connection"] {
@@ -144,7 +147,7 @@
 	}
 }
 
-// isControl reports whether a field's value may not have a character.
+// isControl reports whether r is a control character that a field value must not contain.
 func isControl(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
 
 // isToken reports whether s has only characters of a token (RFC 9110, 5.6.2).
