--- a/internal/net/gossip/gossip.go
+++ b/internal/net/gossip/gossip.go
@@ -1,5 +1,5 @@
-// Package gossip carries datagrams between gateways. A Link sends from the gateway's loop, and receives on a goroutine of its
-// own.
+// Package gossip exchanges UDP datagrams between gateways. A Link sends on the gateway's loop and receives on a
+// goroutine of its own.
 package gossip
 
 import (
@@ -16,11 +16,11 @@
 	"larchusher/routing"
 )
 
-// maxDatagramBytes is the longest datagram that the platform allows.
+// maxDatagramBytes is the longest datagram that the platform allows, in bytes.
 const maxDatagramBytes = 256
 
-// Link is the one UDP socket for all gateways. It is the standard library's: nbio gives each remote end a connection of its
-// own, and none to one that has not sent first.
+// Link is the UDP socket for all gateways. It is one of package net, not of nbio: nbio creates a connection for each
+// remote address, and cannot send to an address from which nothing has arrived.
 type Link struct {
 	conn        *net.UDPConn
 	broadcast   netip.AddrPort
@@ -28,11 +28,11 @@
 	indexByAddr map[netip.AddrPort]int
 	log         logrus.FieldLogger
 
-	Sent, Received, Dropped uint64 // datagrams; the loop's
+	Sent, Received, Dropped uint64 // datagrams; used on the loop only
 }
 
-// Listen listens on addr. Gateways are known by their index in peers; broadcast reaches all of them, empty: there is no such
-// address. Errors name the configuration's key.
+// Listen opens a socket on addr. peers are the addresses of all gateways, which are identified by their index;
+// broadcast is an address that reaches all of them, or empty if there is none. Errors name the configuration key.
 func Listen(addr string, peers []string, broadcast string, log logrus.FieldLogger) (*Link, error) {
 	l := &Link{indexByAddr: map[netip.AddrPort]int{}, log: log}
 	for i, s := range peers {
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	// The address is shared with a successor of this process; each receives a part of the messages meanwhile.
+	// A successor process shares the address during a hot restart; each of the two then receives some of the messages.
 	cfg := net.ListenConfig{Control: transport.SharePort}
 	conn, err := cfg.ListenPacket(context.Background(), "udp", a.String())
 	if err != nil {
@@ -64,7 +64,8 @@
 	return l, nil
 }
 
-// ReadLoop has each message received on the loop, and returns once the link is closed. Messages of other senders are dropped.
+// ReadLoop calls receive on the loop for each message, until the link is closed. It drops messages of unknown senders
+// and ones that are too long. It blocks, and needs a goroutine of its own.
 func (l *Link) ReadLoop(loop *gateway.Loop, receive func(from int, data string)) {
 	buf := make([]byte, maxDatagramBytes+1)
 	for {
@@ -72,7 +73,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // of one datagram: a peer's port was closed, for instance
+		if err != nil { // concerns one datagram only, such as one sent to a closed port
 			continue
 		}
 		from, known := l.indexByAddr[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
@@ -88,7 +89,8 @@
 	}
 }
 
-// SendGossip sends a message to the gateway at an index, or to all of them (routing.AllDirectors). It may get lost.
+// SendGossip sends a message to the gateway with the index to, or to all gateways (routing.AllDirectors). Messages
+// may get lost. It must be called on the loop.
 func (l *Link) SendGossip(to int, data string) {
 	addr := l.broadcast
 	if to != routing.AllDirectors {
@@ -108,5 +110,5 @@
 	l.Sent++
 }
 
-// Close closes the link. ReadLoop returns.
-func (l *Link) Close() { _ = l.conn.Close() } // it fails if it is closed already
+// Close closes the socket and makes ReadLoop return.
+func (l *Link) Close() { _ = l.conn.Close() } // fails if the link is closed already
