--- a/internal/net/admin/admin.go
+++ b/internal/net/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin answers operators at an address of their own: a connection carries one line with the name of a call and gets
-// one reply. What it replies is handed in by Config. Servers live on the gateway's loop.
+// Package admin serves operators on an address of its own: a connection carries one line with the name of a call and
+// gets one reply. Config supplies the contents of the replies. A Server is used on the gateway's loop.
 package admin
 
 import (
@@ -15,8 +15,8 @@
 
 const (
 	maxCallBytes  = 256
-	sweepInterval = 250 * time.Millisecond // between two looks for callers that complete no call
-	metricPrefix  = "balancer"             // of the figures
+	sweepInterval = 250 * time.Millisecond // interval between sweeps of callers that do not complete a call
+	metricPrefix  = "balancer"             // prefix of the StatsD metric names
 )
 
 // Names of the calls.
@@ -27,18 +27,18 @@
 
 var (
 	errAnswered = errors.New("answered")
-	errNoLine   = errors.New("a call that does not end")
+	errNoLine   = errors.New("call exceeds its maximum length")
 )
 
-// Config says what a Server replies. Its functions run on the loop.
+// Config holds the settings of a Server. Its functions run on the loop.
 type Config struct {
 	Loop     *gateway.Loop
-	Ready    func() error           // nil: this process accepts clients; else why it does not
-	Stats    func() []metrics.Value // the present figures
-	MaxConns int                    // callers at once; for one more, the one that was silent longest is closed
+	Ready    func() error           // returns nil if this process accepts clients, otherwise the reason why not
+	Stats    func() []metrics.Value // returns the current metrics
+	MaxConns int                    // maximum open connections; for a further one, the longest idle one is closed
 }
 
-// Server answers calls. Its methods, but for Listen, run on the loop.
+// Server answers calls. Its methods must be called on the loop, except Listen.
 type Server struct {
 	cfg     Config
 	callers *transport.ConnTracker
@@ -51,19 +51,19 @@
 	return s
 }
 
-// Listen takes calls at an address.
+// Listen accepts calls on addr. It need not be called on the loop.
 func (s *Server) Listen(engine *transport.Engine, addr string) (*transport.Listener, error) {
 	evictIdle := func() { s.cfg.Loop.Post(func() { s.callers.EvictIdle(s.cfg.Loop.Now(), 1) }) }
 	return engine.Listen(addr, s.cfg.MaxConns, evictIdle, func() transport.Handler { return &caller{server: s} })
 }
 
-// sweep closes callers that complete no call.
+// sweep closes callers that do not complete a call in time.
 func (s *Server) sweep() {
 	s.callers.Sweep(s.cfg.Loop.Now(), nil)
 	s.cfg.Loop.After(sweepInterval, s.sweep)
 }
 
-// reply words the reply to a call.
+// reply returns the reply to a call.
 func (s *Server) reply(call string) []byte {
 	switch call {
 	case callReady:
@@ -77,26 +77,26 @@
 	return fmt.Appendf(nil, "fail unknown call %.40q: %s or %s\n", call, callReady, callStats)
 }
 
-// caller is one connection.
+// caller is the handler of one connection.
 type caller struct {
 	server   *Server
-	line     []byte // the poller's: what has come of the call
-	answered bool   // the poller's: it is complete
+	line     []byte // the incomplete call; used by the poller only
+	answered bool   // the call is complete; used by the poller only
 
-	slot *transport.TrackedConn // loop
-	gone bool                   // loop
+	tracked *transport.TrackedConn // used by the loop only
+	closed  bool                   // the connection is closed; used by the loop only
 }
 
-// OnOpened takes a slot.
+// OnOpened starts the tracking of the connection, which bounds its time.
 func (c *caller) OnOpened(tc *transport.Conn) {
 	c.server.cfg.Loop.Post(func() {
-		if !c.gone {
-			c.slot = c.server.callers.Add(tc, c.server.cfg.Loop.Now(), func() bool { return false })
+		if !c.closed {
+			c.tracked = c.server.callers.Add(tc, c.server.cfg.Loop.Now(), func() bool { return false })
 		}
 	})
 }
 
-// OnBytes answers once the line is complete. What follows it is ignored.
+// OnBytes answers the call once its line is complete. It ignores whatever follows the line.
 func (c *caller) OnBytes(tc *transport.Conn, b []byte, _ time.Time) error {
 	if c.answered {
 		return nil
@@ -112,16 +112,16 @@
 	}
 	call := string(bytes.TrimSpace(line))
 	c.server.cfg.Loop.Post(func() {
-		_ = tc.Write(c.server.reply(call)) // one that fails has closed the connection
+		_ = tc.Write(c.server.reply(call)) // a failed write has closed the connection
 		tc.CloseGracefully(errAnswered, transport.LingerTime)
 	})
 	return nil
 }
 
-// OnClosed gives the slot back.
+// OnClosed stops the tracking of the connection.
 func (c *caller) OnClosed(*transport.Conn, error) {
 	c.server.cfg.Loop.Post(func() {
-		c.gone = true
-		c.server.callers.Remove(c.slot)
+		c.closed = true
+		c.server.callers.Remove(c.tracked)
 	})
 }
