--- a/internal/net/agentcheck/agentcheck.go
+++ b/internal/net/agentcheck/agentcheck.go
@@ -1,5 +1,5 @@
-// Package agentcheck answers the checks of common load balancers, HAProxy's agent-check and health over HTTP, and scrapes of
-// metrics. A Checker lives on the gateway's loop.
+// Package agentcheck answers the checks of common load balancers (HAProxy's agent-check and health checks over HTTP)
+// and scrapes of metrics. A Checker is used on the gateway's loop.
 package agentcheck
 
 import (
@@ -13,10 +13,10 @@
 	"larchusher/internal/net/transport"
 )
 
-// maxHeadBytes is the longest head of a health request.
+// maxHeadBytes is the longest head of an HTTP request, in bytes.
 const maxHeadBytes = 8 << 10
 
-// Parts of HTTP answers.
+// Content types and status lines of HTTP answers.
 const (
 	plainText         = "text/plain"
 	prometheusText    = "text/plain; version=0.0.4; charset=utf-8"
@@ -25,37 +25,37 @@
 	statusInternal    = "500 Internal Server Error"
 )
 
-// Why connections end.
+// Reasons for closing a connection.
 var (
-	errTooLong  = errors.New("it takes too long")
-	errAnswered = errors.New("answered")
-	errHead     = errors.New("a head that does not end")
+	errTimeout     = errors.New("check not finished in time")
+	errAnswered    = errors.New("answered")
+	errHeadTooLong = errors.New("request head is too long")
 )
 
-// flushPollInterval is between two looks whether an answer has been written.
+// flushPollInterval is the interval between checks whether an answer has been written.
 const flushPollInterval = time.Millisecond
 
-// State is what a load balancer is told.
+// State is the state of the gateway that load balancers are informed of.
 type State struct {
 	Ready    bool
 	Draining bool
-	Reason   string // why it is not ready; empty: not stated
-	Weight   int    // in percent, of the gateway's usual share of requests
+	Reason   string // why the gateway is not ready; empty: not stated
+	Weight   int    // percentage of the gateway's usual share of requests
 }
 
-// Checker answers checks. Its methods run on the loop.
+// Checker answers checks. Its functions and unexported methods run on the loop; the Listen methods need not.
 type Checker struct {
 	Loop    *gateway.Loop
 	State   func() State
-	Metrics func() ([]byte, error) // nil: none
+	Metrics func() ([]byte, error) // returns the metrics in Prometheus's text format; nil if ListenMetrics is not used
 }
 
-// agentReply words a state for HAProxy. The weight falls as the gateway sheds load.
+// agentReply returns HAProxy's agent-check reply for a state. The weight falls as the gateway sheds load.
 func (s State) agentReply() string {
 	switch {
 	case s.Draining:
 		return "drain\n"
-	case !s.Ready && s.Reason != "": // what follows a number sign is for people
+	case !s.Ready && s.Reason != "": // HAProxy shows the text after the number sign to operators
 		return "down #" + s.Reason + "\n"
 	case !s.Ready:
 		return "down\n"
@@ -63,20 +63,21 @@
 	return fmt.Sprintf("ready up %d%%\n", s.Weight)
 }
 
-// ListenAgent listens for agent checks. A client may send a line first, or nothing: the answer goes out at once, and the
-// connection ends.
-func (c *Checker) ListenAgent(engine *transport.Engine, addr string, most int) (*transport.Listener, error) {
-	return engine.Listen(addr, most, nil, func() transport.Handler { return agent{c} })
+// ListenAgent listens for agent checks on addr, with at most maxConns connections. It answers without waiting for
+// input, which clients may send, and closes the connection.
+func (c *Checker) ListenAgent(engine *transport.Engine, addr string, maxConns int) (*transport.Listener, error) {
+	return engine.Listen(addr, maxConns, nil, func() transport.Handler { return agent{c} })
 }
 
-// limitTime closes a connection that is still open after a while: silent ones would take the few places that there are.
-func (c *Checker) limitTime(tc *transport.Conn) {
+// closeAfterTimeout closes a connection that is still open after transport.FirstByteTimeout: idle ones would use up
+// the few slots.
+func (c *Checker) closeAfterTimeout(tc *transport.Conn) {
 	c.Loop.Post(func() {
-		c.Loop.After(transport.FirstByteTimeout, func() { tc.Close(errTooLong) })
+		c.Loop.After(transport.FirstByteTimeout, func() { tc.Close(errTimeout) })
 	})
 }
 
-// closeWhenWritten ends a connection once its answer has left.
+// closeWhenWritten closes a connection once its answer has been written.
 func (c *Checker) closeWhenWritten(tc *transport.Conn) {
 	if tc.UnsentBytes() > 0 {
 		c.Loop.After(flushPollInterval, func() { c.closeWhenWritten(tc) })
@@ -85,16 +86,16 @@
 	tc.CloseGracefully(errAnswered, transport.LingerTime)
 }
 
-// agent is one agent-check connection.
+// agent is the handler of one agent-check connection.
 type agent struct{ checker *Checker }
 
-// OnOpened bounds the connection's time.
-func (a agent) OnOpened(tc *transport.Conn) { a.checker.limitTime(tc) }
+// OnOpened limits the lifetime of the connection.
+func (a agent) OnOpened(tc *transport.Conn) { a.checker.closeAfterTimeout(tc) }
 
-// OnReady answers at once.
+// OnReady sends the reply at once.
 func (a agent) OnReady(tc *transport.Conn) {
 	a.checker.Loop.Post(func() {
-		_ = tc.Write([]byte(a.checker.State().agentReply())) // one that fails has closed the connection
+		_ = tc.Write([]byte(a.checker.State().agentReply())) // a failed write has closed the connection
 		a.checker.closeWhenWritten(tc)
 	})
 }
@@ -102,17 +103,19 @@
 func (agent) OnBytes(*transport.Conn, []byte, time.Time) error { return nil }
 func (agent) OnClosed(*transport.Conn, error)                  {}
 
-// ListenHealth listens for GET /healthz: 200 while requests are accepted, else 503.
-func (c *Checker) ListenHealth(engine *transport.Engine, addr string, most int) (*transport.Listener, error) {
-	return engine.Listen(addr, most, nil, func() transport.Handler { return &health{checker: c} })
+// ListenHealth listens for GET /healthz on addr, with at most maxConns connections. The status is 200 while requests
+// are accepted, else 503.
+func (c *Checker) ListenHealth(engine *transport.Engine, addr string, maxConns int) (*transport.Listener, error) {
+	return engine.Listen(addr, maxConns, nil, func() transport.Handler { return &health{checker: c} })
 }
 
-// ListenMetrics listens for GET /metrics: all counters in Prometheus's text format.
-func (c *Checker) ListenMetrics(engine *transport.Engine, addr string, most int) (*transport.Listener, error) {
-	return engine.Listen(addr, most, nil, func() transport.Handler { return &health{checker: c, metrics: true} })
+// ListenMetrics listens for GET /metrics on addr, with at most maxConns connections. The answer has all metrics in
+// Prometheus's text format.
+func (c *Checker) ListenMetrics(engine *transport.Engine, addr string, maxConns int) (*transport.Listener, error) {
+	return engine.Listen(addr, maxConns, nil, func() transport.Handler { return &health{checker: c, metrics: true} })
 }
 
-// health is one connection, for one request.
+// health is the handler of one HTTP connection, which serves one request.
 type health struct {
 	checker *Checker
 	metrics bool
@@ -120,16 +123,17 @@
 	done    bool
 }
 
-// OnOpened bounds the connection's time.
-func (h *health) OnOpened(tc *transport.Conn) { h.checker.limitTime(tc) }
+// OnOpened limits the lifetime of the connection.
+func (h *health) OnOpened(tc *transport.Conn) { h.checker.closeAfterTimeout(tc) }
 
+// OnBytes answers the request once its head is complete. It ignores whatever follows.
 func (h *health) OnBytes(tc *transport.Conn, b []byte, _ time.Time) error {
 	if h.done {
 		return nil
 	}
 	h.buf = append(h.buf, b...)
 	if len(h.buf) > maxHeadBytes {
-		return errHead
+		return errHeadTooLong
 	}
 	if !bytes.Contains(h.buf, []byte("\r\n\r\n")) {
 		return nil
@@ -137,39 +141,39 @@
 	h.done = true
 	line, _, _ := bytes.Cut(h.buf, []byte("\r\n"))
 	h.checker.Loop.Post(func() {
-		status, kind, text := h.answer(line)
+		status, contentType, text := h.answer(line)
 		body := text
 		if bytes.HasPrefix(line, []byte("HEAD")) {
 			body = ""
 		}
 		_ = tc.Write(fmt.Appendf(nil, "HTTP/1.1 %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n"+
-			"Cache-Control: no-store\r\nConnection: close\r\n\r\n%s", status, kind, len(text), body)) // one that fails has closed the connection
+			"Cache-Control: no-store\r\nConnection: close\r\n\r\n%s", status, contentType, len(text), body)) // a failed write has closed the connection
 		h.checker.closeWhenWritten(tc)
 	})
 	return nil
 }
 
-// answer is the answer to a request line: the status, the content type and the body.
-func (h *health) answer(line []byte) (status, kind, text string) {
+// answer returns the status, the content type and the body for a request line.
+func (h *health) answer(line []byte) (status, contentType, text string) {
 	if h.metrics {
 		return h.metricsAnswer(line)
 	}
-	status, kind, text = "200 OK", plainText, "up\n"
+	status, contentType, text = "200 OK", plainText, "up\n"
 	s := h.checker.State()
 	switch {
-	case !asksFor(line, "/healthz"):
+	case !requestsPath(line, "/healthz"):
 		status, text = statusNotFound, "GET /healthz\n"
 	case s.Draining:
 		status, text = statusUnavailable, "draining\n"
 	case !s.Ready:
 		status, text = statusUnavailable, cmp.Or(s.Reason, "down")+"\n"
 	}
-	return status, kind, text
+	return status, contentType, text
 }
 
-// metricsAnswer is the answer of the listener for metrics.
-func (h *health) metricsAnswer(line []byte) (status, kind, text string) {
-	if !asksFor(line, "/metrics") {
+// metricsAnswer is answer for the metrics listener.
+func (h *health) metricsAnswer(line []byte) (status, contentType, text string) {
+	if !requestsPath(line, "/metrics") {
 		return statusNotFound, plainText, "GET /metrics\n"
 	}
 	b, err := h.checker.Metrics()
@@ -179,10 +183,10 @@
 	return "200 OK", prometheusText, string(b)
 }
 
-// asksFor reports whether a request line reads a path.
-func asksFor(line []byte, path string) bool {
+// requestsPath reports whether a request line is a GET or HEAD of the path.
+func requestsPath(line []byte, path string) bool {
 	return bytes.HasPrefix(line, []byte("GET "+path+" ")) || bytes.HasPrefix(line, []byte("HEAD "+path+" "))
 }
 
-// OnClosed does nothing: nothing waits for a check's end.
+// OnClosed does nothing: no state outlives a check.
 func (h *health) OnClosed(*transport.Conn, error) {}
