--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -1,7 +1,8 @@
-// Package httpapi says how requests and answers look in HTTP, for the signed front and the middleware alike. It does no I/O.
+// Package httpapi maps HTTP requests and responses to requests and answers of the gateway, for the signed front and the
+// middleware. It does no I/O.
 //
 //	GET  /CLASS/OBJECT/PART?shard=GROUP    a part of an object
-//	POST /CLASS/OBJECT/PART?shard=GROUP    in keyed classes, with an Idempotency-Key
+//	POST /CLASS/OBJECT/PART?shard=GROUP    in classes that are not idempotent, with an Idempotency-Key
 package httpapi
 
 import (
@@ -16,38 +17,40 @@
 	"larchusher/signedurl"
 )
 
-// MaxBodyBytes is the longest body of a request.
+// MaxBodyBytes is the longest body of a request, in bytes.
 const MaxBodyBytes = 48000
 
-// Limits of what a request may name.
+// Limits of a request's parts.
 const (
-	maxPart       = 1 << 20 // of an object
-	maxGroup      = 255
-	objectDigits  = 16
-	maxFieldBytes = 128 // of a key or a tag
+	maxPart       = 1 << 20 // parts of an object
+	maxGroup      = 255     // highest group number
+	objectDigits  = 16      // hex digits of an object's name
+	maxFieldBytes = 128     // bytes of a key or a tag
 )
 
-// Problem is a final answer that no endpoint had a part in.
+// Problem is a final answer in which no endpoint was involved. Reason is sent to the client as the body.
 type Problem struct {
 	Status int
 	Reason string
 	Header [][2]string
 }
 
+// Error returns the status and the reason.
 func (p *Problem) Error() string { return strconv.Itoa(p.Status) + " " + p.Reason }
 
 func newProblem(status int, reason string, header ...[2]string) *Problem {
 	return &Problem{Status: status, Reason: reason, Header: header}
 }
 
-// API converts HTTP requests and answers to the gateway's and back. It is safe for concurrent use.
+// API converts HTTP requests to gateway requests, and gateway answers to HTTP responses. It is safe for concurrent
+// use.
 type API struct {
 	classes  map[string]routing.Class
 	verifier *signedurl.Verifier
 	issuer   *signedurl.Issuer // nil: tokens are not renewed
 }
 
-// New returns the API of a gateway with these settings. The issuer may be nil.
+// New returns the API of a gateway with these settings. Without an issuer (nil), tokens are not renewed.
 func New(s routing.Settings, v *signedurl.Verifier, i *signedurl.Issuer) *API {
 	a := &API{classes: map[string]routing.Class{}, verifier: v, issuer: i}
 	for _, c := range s.Classes {
@@ -56,23 +59,24 @@
 	return a
 }
 
-// HasClass reports whether a target names a class of the gateway.
+// HasClass reports whether a request target names a class of the gateway.
 func (a *API) HasClass(target string) bool {
 	return a.Class(target) != ""
 }
 
-// Class is the name of the class that a target names; empty: none of the gateway's.
+// Class returns the class that a request target names; empty: no class of the gateway.
 func (a *API) Class(target string) string {
 	class, _, _ := strings.Cut(strings.TrimPrefix(target, "/"), "/")
 	return a.classes[class].Name
 }
 
-// Overloaded is the answer to a request with a good token that is shed for load.
-func Overloaded(retryAfterTime time.Duration) *Problem {
-	return newProblem(http.StatusServiceUnavailable, "refused: trying again is harmless", retryAfter(retryAfterTime)...)
+// Overloaded returns the answer to a request with a valid token that is shed. backoff is when the client may
+// retry; 0: no advice.
+func Overloaded(backoff time.Duration) *Problem {
+	return newProblem(http.StatusServiceUnavailable, "refused: trying again is harmless", retryAfter(backoff)...)
 }
 
-// retryAfter words a Retry-After: whole seconds (RFC 9110, 10.2.3), rounded up; 0: none is sent.
+// retryAfter returns a Retry-After field in whole seconds (RFC 9110, 10.2.3), rounded up, or none if d is 0.
 func retryAfter(d time.Duration) [][2]string {
 	if d <= 0 {
 		return nil
@@ -80,7 +84,7 @@
 	return [][2]string{{"Retry-After", strconv.FormatInt(int64((d+time.Second-1)/time.Second), 10)}}
 }
 
-// IsRetry reports whether a request is marked as a client's retry, as package client marks them.
+// IsRetry reports whether the client has marked a request as a retry, as package client does.
 func IsRetry(header func(name string) []string) bool {
 	v := header("Larchusher-Retry")
 	return len(v) == 1 && v[0] == "1"
@@ -89,20 +93,20 @@
 // Request is a complete HTTP request.
 type Request struct {
 	Method     string
-	Target     string                     // as sent
-	Header     func(name string) []string // the values of a field
+	Target     string                     // request target as sent
+	Header     func(name string) []string // returns the values of a header field
 	Body       []byte
-	ReceivedAt time.Time // when its last byte came
+	ReceivedAt time.Time // when its last byte arrived
 }
 
-// AdmittedRequest is a request whose token has been checked.
+// AdmittedRequest is a request whose token is valid.
 type AdmittedRequest struct {
-	Request  *gateway.Request // all but Ref and Answer
+	Request  *gateway.Request // without the fields that its front sets, such as ID and Answer
 	Grant    signedurl.Grant
-	HeadOnly bool
+	HeadOnly bool // a HEAD request: the response has no body
 }
 
-// Authorize checks the token of a request and then the request itself. Nothing has reached an endpoint by then.
+// Authorize checks the token of a request and then the request itself. It does not contact endpoints.
 func (a *API) Authorize(c Request) (*AdmittedRequest, *Problem) {
 	grant, err := a.verifier.Verify(c.Target, strings.Join(c.Header("Cookie"), "; "), c.ReceivedAt)
 	if err != nil {
@@ -125,7 +129,7 @@
 	}
 	if class.Effect != routing.Idempotent {
 		keys := c.Header("Idempotency-Key")
-		if len(keys) != 1 || !isPlainField(unquoted(keys[0])) {
+		if len(keys) != 1 || !isSafeField(unquoted(keys[0])) {
 			return nil, newProblem(http.StatusBadRequest, "one Idempotency-Key of letters, digits, - and _ is needed")
 		}
 		r.IdempotencyKey = unquoted(keys[0])
@@ -135,7 +139,7 @@
 	return &AdmittedRequest{Request: r, Grant: grant, HeadOnly: c.Method == http.MethodHead}, nil
 }
 
-// parseTarget reads the path and the query: /CLASS/OBJECT/PART?shard=GROUP.
+// parseTarget parses the path and the query: /CLASS/OBJECT/PART?shard=GROUP.
 func (a *API) parseTarget(c Request) (*gateway.Request, routing.Class, *Problem) {
 	path, query, _ := strings.Cut(c.Target, "?")
 	parts := strings.Split(path[1:], "/")
@@ -154,8 +158,8 @@
 		return nil, class, newProblem(http.StatusNotFound, "no such part")
 	}
 	for q := range strings.SplitSeq(query, "&") {
-		group, is := strings.CutPrefix(q, "shard=")
-		if !is {
+		group, found := strings.CutPrefix(q, "shard=")
+		if !found {
 			continue
 		}
 		if r.Group, ok = parseNumber(group, maxGroup); !ok {
@@ -165,7 +169,8 @@
 	return r, class, nil
 }
 
-// checkMethod checks that the method goes with the class: only idempotent requests may be sent with GET.
+// checkMethod checks that the method is allowed for the class: GET and HEAD for idempotent classes, POST for the
+// others.
 func checkMethod(c Request, class routing.Class) *Problem {
 	reads := c.Method == http.MethodGet || c.Method == http.MethodHead
 	switch {
@@ -177,7 +182,7 @@
 	return nil
 }
 
-// isObjectName reports whether s names an object: lower-case hex digits.
+// isObjectName reports whether s is an object name: objectDigits lower-case hex digits.
 func isObjectName(s string) bool {
 	for i := range len(s) {
 		if !isDigit(s[i]) && (s[i] < 'a' || s[i] > 'f') {
@@ -187,14 +192,15 @@
 	return len(s) == objectDigits
 }
 
-// parseNumber reads a number up to a limit, without sign or leading zeros, which would give one part two names.
+// parseNumber parses a number of at most limit. Signs and leading zeros are invalid, since they would give one part
+// several names.
 func parseNumber(s string, limit int) (int, bool) {
 	const bits = 31
 	n, err := strconv.ParseUint(s, 10, bits)
 	return int(n), err == nil && int(n) <= limit && strconv.FormatUint(n, 10) == s
 }
 
-// unquoted is s without the quotes around it, if there are any.
+// unquoted returns s without surrounding quotes, if it has any.
 func unquoted(s string) string {
 	if len(s) >= 2 && s[0] == '"' && s[len(s)-1] == '"' {
 		return s[1 : len(s)-1]
@@ -202,44 +208,44 @@
 	return s
 }
 
-// isPlainField reports whether s can be passed on to an endpoint.
-func isPlainField(s string) bool {
+// isSafeField reports whether s is not empty and can be passed on to an endpoint.
+func isSafeField(s string) bool {
 	for i := range len(s) {
-		if !isPlain(s[i]) {
+		if !isSafeChar(s[i]) {
 			return false
 		}
 	}
 	return s != "" && len(s) <= maxFieldBytes
 }
 
-func isPlain(c byte) bool {
+func isSafeChar(c byte) bool {
 	letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
 	return letter || isDigit(c) || c == '-' || c == '_'
 }
 
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
-// singleTag returns the tag in If-None-Match, if there is just one and it can be passed on. Of several none is passed on:
-// the answer is then complete, which is always right.
+// singleTag returns the tag in If-None-Match if there is exactly one and it can be passed on. With several tags it
+// returns none: the client then gets a complete response, which is always correct.
 func singleTag(values []string) string {
 	if len(values) != 1 {
 		return ""
 	}
 	tag := unquoted(strings.TrimPrefix(values[0], "W/"))
-	if tag == values[0] || !isPlainField(tag) { // a tag has quotes
+	if tag == values[0] || !isSafeField(tag) { // a tag has quotes
 		return ""
 	}
 	return tag
 }
 
-// Response is an HTTP answer.
+// Response is an HTTP response.
 type Response struct {
 	Status int
 	Header [][2]string
 	Body   []byte
 }
 
-// Respond words a final answer. now is the time from which a renewed token counts.
+// Respond converts a final answer to an HTTP response. now is when a renewed token becomes valid.
 func (a *API) Respond(ad *AdmittedRequest, ans gateway.Answer, now time.Time) Response {
 	var r Response
 	add := func(name, value string) { r.Header = append(r.Header, [2]string{name, value}) }
@@ -277,7 +283,8 @@
 	return r
 }
 
-// renewalCookie is the cookie with the fresh token that a grant asks for; empty: none, or it cannot be issued.
+// renewalCookie returns the cookie with a renewed token if the grant asks for one; empty if not, or if the token
+// cannot be issued.
 func (a *API) renewalCookie(ad *AdmittedRequest, now time.Time) string {
 	if a.issuer == nil || !ad.Grant.Renewal.Cookie {
 		return ""
@@ -290,7 +297,7 @@
 		strconv.FormatInt(int64(ad.Grant.Renewal.Span/time.Second), 10) + "; Secure; HttpOnly"
 }
 
-// Response words the problem.
+// Response converts the problem to an HTTP response.
 func (p *Problem) Response() Response {
 	return Response{Status: p.Status, Body: []byte(p.Reason + "\n"), Header: append(p.Header,
 		[2]string{"Content-Type", "text/plain; charset=utf-8"}, [2]string{"Cache-Control", "no-store"})}
