--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,5 +1,6 @@
-// Command simulator-adapter hosts directors and speaks the simulator's protocol (package simprotocol) on standard input and
-// output. It ends with status 1 on a line that it cannot read.
+// Command simulator-adapter runs directors for the simulator, with which it exchanges JSON lines (package
+// simprotocol) on standard input and output. It exits with status 1 on an input line that it cannot decode, and on an
+// error of reading or writing.
 package main
 
 import (
@@ -21,14 +22,15 @@
 	}
 }
 
-// run answers each line of in with one line on out, until in ends.
-func run(in io.Reader, out, notes io.Writer) error {
+// run answers each line of in with one line on out, until in ends. It writes warnings about unknown events to
+// warnings, once per event name.
+func run(in io.Reader, out, warnings io.Writer) error {
 	h := host{directors: map[string]*routing.Director{}}
-	noted := map[string]bool{}
+	reported := map[string]bool{}
 	h.decoder.Unknown = func(name string) {
-		if !noted[name] {
-			noted[name] = true
-			_, _ = fmt.Fprintf(notes, "adapter: passing over unknown event %q\n", name) // a note that is lost changes nothing
+		if !reported[name] {
+			reported[name] = true
+			_, _ = fmt.Fprintf(warnings, "adapter: ignoring unknown event %q\n", name) // a lost warning has no consequences
 		}
 	}
 	r := bufio.NewReaderSize(in, 1<<20)
@@ -38,7 +40,7 @@
 			return fmt.Errorf("reading line %d: %w", n, err)
 		}
 		if len(bytes.TrimSpace(line)) > 0 {
-			reply, bad := h.batch(line)
+			reply, bad := h.handleBatch(line)
 			if bad != nil {
 				return fmt.Errorf("line %d: %w", n, bad)
 			}
@@ -52,22 +54,23 @@
 	}
 }
 
-// host holds the directors of this process. They share nothing.
+// host holds the directors of this process, by the simulator's name for them. They share no state.
 type host struct {
 	decoder   simprotocol.Decoder
 	directors map[string]*routing.Director
 	actions   []routing.Action
 }
 
-// batch handles one line of input and returns the reply.
-func (h *host) batch(line []byte) ([]byte, error) {
+// handleBatch handles one line of input and returns the reply. A director that fails is reported in the reply and
+// dropped.
+func (h *host) handleBatch(line []byte) ([]byte, error) {
 	b, err := h.decoder.Decode(line)
 	if err != nil {
 		return nil, err
 	}
 	var reply simprotocol.Reply
 	for _, item := range b.Items {
-		if err := h.item(b, item, &reply); err != nil {
+		if err := h.handleItem(b, item, &reply); err != nil {
 			delete(h.directors, item.Director)
 			reply.AddFault(item.Director, err.Error())
 		}
@@ -75,8 +78,8 @@
 	return reply.Line(), nil
 }
 
-// item handles one item of a batch. After an error its director is not used any more.
-func (h *host) item(b simprotocol.Batch, item simprotocol.Item, reply *simprotocol.Reply) error {
+// handleItem handles one item of a batch. After an error the director must not be used any more.
+func (h *host) handleItem(b simprotocol.Batch, item simprotocol.Item, reply *simprotocol.Reply) error {
 	switch item.Kind {
 	case simprotocol.ItemStop:
 		delete(h.directors, item.Director)
@@ -87,15 +90,16 @@
 		}
 		h.directors[item.Director] = d
 	case simprotocol.ItemEvent:
-		if d := h.directors[item.Director]; d != nil { // else it was stopped, or never started
-			return h.handle(d, b, item, reply)
+		if d := h.directors[item.Director]; d != nil { // otherwise it was stopped, or never started
+			return h.runDirector(d, b, item, reply)
 		}
 	}
 	return nil
 }
 
-// handle gives one event to its director. A panic in its decisions comes back as an error.
-func (h *host) handle(d *routing.Director, b simprotocol.Batch, it simprotocol.Item, reply *simprotocol.Reply) (err error) {
+// runDirector passes one event to its director and encodes the actions. A panic of the director is returned as an
+// error.
+func (h *host) runDirector(d *routing.Director, b simprotocol.Batch, it simprotocol.Item, reply *simprotocol.Reply) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic in the decision module: %v", p)
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -1,7 +1,8 @@
-// Package simprotocol reads and writes the adapter protocol: one JSON batch a line in, one JSON reply a line out.
+// Package simprotocol encodes and decodes the simulator's adapter protocol: each input line is a JSON batch of
+// events, each output line the JSON reply with the actions.
 //
-// It translates between the protocol's words and the types of package routing, and decides nothing. It knows no clock and no
-// goroutine, and does not block.
+// It translates between the names of the protocol and the types of package routing, and makes no decisions. It uses
+// no clock and no goroutines, and does not block.
 package simprotocol
 
 import (
@@ -15,17 +16,17 @@
 	"larchusher/routing"
 )
 
-// ItemKind says what an Item is.
+// ItemKind is the kind of an Item.
 type ItemKind int
 
 // Kinds of item.
 const (
 	ItemEvent ItemKind = iota // an event for a running director
-	ItemStart                 // a director starts, with Seed and Settings
-	ItemStop                  // a director was killed
+	ItemStart                 // a director starts, with Seed and Settings set
+	ItemStop                  // a director is stopped
 )
 
-// Item is one thing that a batch says to one director.
+// Item is one entry of a batch for one director.
 type Item struct {
 	Kind     ItemKind
 	Director string
@@ -34,23 +35,24 @@
 	Settings routing.Settings
 }
 
-// Batch is one line of input.
+// Batch is one line of input. Now is the simulation time of all of its items.
 type Batch struct {
 	Now   time.Duration
 	Items []Item
 }
 
-// Decoder reads batches. It holds the numbered lists between them; they belong to the process, not to a
-// director. The zero value is ready for use.
+// Decoder decodes batches. It keeps the numbered endpoint lists between them, which all directors of the process
+// share. The zero value is ready for use. It must not be used concurrently.
 type Decoder struct {
-	// Unknown, if set, is called with the name of each event that the decoder does not know.
+	// Unknown, if not nil, is called with the name of each event that the decoder does not know. Such events are
+	// skipped.
 	Unknown func(name string)
 
-	lists [maxListNumber + 1][]routing.Endpoint
-	known [maxListNumber + 1]bool
+	lists   [maxListNumber + 1][]routing.Endpoint // by number
+	defined [maxListNumber + 1]bool
 }
 
-// Decode reads one line. An error names the event and the field that was wrong.
+// Decode decodes one line. Errors name the event and its invalid field.
 func (d *Decoder) Decode(line []byte) (Batch, error) {
 	var raw struct {
 		Now   *float64           `json:"tMs"`
@@ -89,10 +91,11 @@
 	return b, nil
 }
 
-// event decodes the event called name. It reports false for what is for no director.
+// event decodes the event called name. It returns false if the event is not for a director: it defines a list, or is
+// unknown.
 func (d *Decoder) event(name string, f *fields) (Item, bool) {
 	if name == eventDefineList {
-		d.define(f)
+		d.defineList(f)
 		return Item{}, false
 	}
 	decode, ok := decoders[name]
@@ -111,14 +114,15 @@
 	case eventStop:
 		item.Kind = ItemStop
 	case eventEndpointUpdate:
-		item.Event = d.sync(f)
+		item.Event = d.endpointUpdate(f)
 	default:
 		item.Event = decode(f)
 	}
 	return item, true
 }
 
-func (d *Decoder) sync(f *fields) routing.Event {
+// endpointUpdate decodes an update of the endpoint list. It returns nil after an error.
+func (d *Decoder) endpointUpdate(f *fields) routing.Event {
 	how := f.text(3, "how")
 	kind, ok := updateKinds[how]
 	if !ok {
@@ -129,14 +133,15 @@
 		return routing.EndpointUpdate{Kind: kind}
 	}
 	n := f.integer(2, "list")
-	if n < 0 || n > maxListNumber || !d.known[n] {
+	if n < 0 || n > maxListNumber || !d.defined[n] {
 		f.fail("list", fmt.Errorf("list %d was not defined", n))
 		return nil
 	}
 	return routing.EndpointUpdate{Kind: kind, Endpoints: d.lists[n]}
 }
 
-func (d *Decoder) define(f *fields) {
+// defineList stores a numbered list of endpoints for later updates.
+func (d *Decoder) defineList(f *fields) {
 	n := f.integer(1, "list")
 	if f.err == nil && (n < 0 || n > maxListNumber) {
 		f.fail("list", fmt.Errorf("%d is not from 0 to %d", n, maxListNumber))
@@ -146,7 +151,7 @@
 	if f.err != nil {
 		return
 	}
-	members := make([]routing.Endpoint, 0, len(rows))
+	endpoints := make([]routing.Endpoint, 0, len(rows))
 	for i, row := range rows {
 		e := fields{values: row}
 		m := routing.Endpoint{
@@ -167,11 +172,12 @@
 			f.fail("records", fmt.Errorf("entry %d: %w", i, e.err))
 			return
 		}
-		members = append(members, m)
+		endpoints = append(endpoints, m)
 	}
-	d.lists[n], d.known[n] = members, true
+	d.lists[n], d.defined[n] = endpoints, true
 }
 
+// status reads the code of an attempt's status.
 func (f *fields) status(i int, name string) routing.Status {
 	n := f.integer(i, name)
 	s, ok := statuses[n]
@@ -181,11 +187,13 @@
 	return s
 }
 
+// decoders decode the events for a running director, except updates of the endpoint list, by event name. Numbers are the
+// positions of fields in the event; names are for errors.
 var decoders = map[string]func(*fields) routing.Event{
 	eventRequest: func(f *fields) routing.Event {
 		marks := int(f.optional(10, "marks"))
 		return routing.Request{
-			ID: f.text(2, "job"), Class: f.text(3, "profile"), Tenant: f.name(4, "team"),
+			ID: f.text(2, "job"), Class: f.text(3, "profile"), Tenant: f.tenantName(4, "team"),
 			Object: f.optionalText(5, "asset"), Deadline: duration(f.number(6, "deadlineMs")),
 			SizeKB: f.optional(7, "bytesK"), Group: int(f.optional(8, "tag")),
 			Part: int(f.optional(9, "chunk")), Retry: marks&markRetry != 0, Write: marks&markWrite != 0,
@@ -196,14 +204,14 @@
 			Endpoint: f.optionalText(5, "node")}
 	},
 	eventAttemptResult: func(f *fields) routing.Event {
-		note := f.optional(7, "info")
-		if note < 0 || note > float64(routing.ReasonOriginFailed) {
-			note = 0
+		reason := f.optional(7, "info")
+		if reason < 0 || reason > float64(routing.ReasonOriginFailed) {
+			reason = 0
 		}
 		return routing.AttemptResult{
 			ID: f.text(2, "job"), FillWait: duration(f.optional(3, "fillWaitMs")),
 			Attempt: f.integer(4, "copy"), Endpoint: f.text(5, "node"), Status: f.status(6, "ending"),
-			Reason: routing.Reason(note), Final: f.flag(8, "complete"),
+			Reason: routing.Reason(reason), Final: f.flag(8, "complete"),
 			Latency: duration(f.optional(9, "latencyMs")), LoadReport: f.numbers(10, "feedback"),
 		}
 	},
@@ -226,22 +234,23 @@
 	},
 }
 
-// fields are the values of one event, by their places. The first error sticks.
+// fields are the values of one event by position. The first error is kept, and later reads may return zero values.
 type fields struct {
 	values []json.RawMessage
 	err    error
 }
 
+// fail records an error for the named field unless one was recorded before.
 func (f *fields) fail(name string, err error) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: %w", name, err)
 	}
 }
 
-// value reads value i into v and reports whether it was there.
-func (f *fields) value(i int, name string, v any, needed bool) bool {
+// value decodes value i into v and reports whether it was present. If required, its absence is an error.
+func (f *fields) value(i int, name string, v any, required bool) bool {
 	if i >= len(f.values) || bytes.Equal(f.values[i], []byte("null")) {
-		if needed {
+		if required {
 			f.fail(name, errors.New("missing"))
 		}
 		return false
@@ -253,44 +262,51 @@
 	return true
 }
 
+// text reads a required string.
 func (f *fields) text(i int, name string) (s string) {
 	f.value(i, name, &s, true)
 	return s
 }
 
+// optionalText reads a string; empty if absent or null.
 func (f *fields) optionalText(i int, name string) (s string) {
 	f.value(i, name, &s, false)
 	return s
 }
 
-// name reads a name that is absent, null or 0 where there is none.
-func (f *fields) name(i int, name string) string {
+// tenantName reads the name of a tenant; empty if it is absent, null or 0.
+func (f *fields) tenantName(i int, name string) string {
 	if i < len(f.values) && bytes.Equal(f.values[i], []byte("0")) {
 		return ""
 	}
 	return f.optionalText(i, name)
 }
 
+// number reads a required number.
 func (f *fields) number(i int, name string) (x float64) {
 	f.value(i, name, &x, true)
 	return x
 }
 
+// optional reads a number; 0 if absent or null.
 func (f *fields) optional(i int, name string) (x float64) {
 	f.value(i, name, &x, false)
 	return x
 }
 
+// integer reads a required whole number.
 func (f *fields) integer(i int, name string) (n int) {
 	f.value(i, name, &n, true)
 	return n
 }
 
+// flag reads a boolean; false if absent or null.
 func (f *fields) flag(i int, name string) (b bool) {
 	f.value(i, name, &b, false)
 	return b
 }
 
+// numbers reads an array of numbers; nil if absent or null. Null elements become NaN.
 func (f *fields) numbers(i int, name string) (x []float64) {
 	var p []*float64
 	if !f.value(i, name, &p, false) {
@@ -306,7 +322,7 @@
 	return x
 }
 
-// seed reads a whole number of either sign.
+// seed reads a required whole number of either sign and returns its 64 bits.
 func (f *fields) seed(i int, name string) uint64 {
 	var u uint64
 	if i < len(f.values) && len(f.values[i]) > 0 && f.values[i][0] == '-' {
@@ -318,7 +334,8 @@
 	return u
 }
 
-// duration turns the wire's milliseconds into a Duration; the wire counts in microseconds.
+// duration converts the protocol's milliseconds to a Duration, rounded to microseconds and limited to what a Duration
+// can hold. NaN becomes the upper limit.
 func duration(ms float64) time.Duration {
 	const limit = float64(math.MaxInt64 / int64(time.Microsecond) / 4)
 	us := math.Round(ms * 1000)
--- a/internal/simprotocol/encode.go
+++ b/internal/simprotocol/encode.go
@@ -9,11 +9,12 @@
 	"larchusher/routing"
 )
 
-// Reply collects the actions of one batch. The zero value is an empty reply.
+// Reply collects the actions that answer one batch. The zero value is an empty reply.
 type Reply struct {
-	buf []byte
+	buf []byte // the encoded actions, separated by commas
 }
 
+// open begins an action of a director.
 func (r *Reply) open(name, director string) {
 	if len(r.buf) > 0 {
 		r.buf = append(r.buf, ',')
@@ -26,6 +27,7 @@
 func (r *Reply) close()        { r.buf = append(r.buf, ']') }
 func (r *Reply) text(s string) { r.buf = quote(append(r.buf, ','), s) }
 
+// time appends a duration in milliseconds.
 func (r *Reply) time(d time.Duration) {
 	r.buf = strconv.AppendFloat(append(r.buf, ','), ms(d), 'f', -1, 64)
 }
@@ -37,13 +39,13 @@
 // quote appends s as a JSON string.
 func quote(b []byte, s string) []byte {
 	q, err := json.Marshal(s)
-	if err != nil { // cannot happen for a string
+	if err != nil { // cannot happen: every string can be encoded
 		panic(err)
 	}
 	return append(b, q...)
 }
 
-// AddAction appends one action of a director.
+// AddAction appends one action of a director. It returns an error for an action that the protocol does not have.
 func (r *Reply) AddAction(director string, a routing.Action) error {
 	switch a := a.(type) {
 	case routing.ForwardAttempt:
@@ -103,14 +105,14 @@
 	return nil
 }
 
-// AddFault appends the report that a director's decision code has failed.
+// AddFault appends the report that a director has failed, with the error text.
 func (r *Reply) AddFault(director, text string) {
 	r.open(actionFault, director)
 	r.text(text)
 	r.close()
 }
 
-// Line returns the reply as one line, newline included.
+// Line returns the reply as one line, including the newline.
 func (r *Reply) Line() []byte {
 	line := make([]byte, 0, len(r.buf)+16)
 	line = append(line, `{"cmds":[`...)
--- a/internal/simprotocol/names.go
+++ b/internal/simprotocol/names.go
@@ -2,10 +2,10 @@
 
 import "larchusher/routing"
 
-// The words of the wire, mapped to the terms of package routing here and nowhere else. Names of fields stand beside their
-// places in decode.go, and as tags in settings.go.
+// The names of the simulator's protocol and the terms of package routing that they stand for. Field names are given
+// next to the fields in decode.go, and as tags in settings.go.
 
-// Events of the wire that are not for a director, or begin and end one.
+// Events that define an endpoint list, start or stop a director, or update a director's endpoint list.
 const (
 	eventDefineList     = "defineList"
 	eventStart          = "enlist"
@@ -13,7 +13,7 @@
 	eventEndpointUpdate = "sync"
 )
 
-// Events of the wire, by what they are to a director.
+// Events for a running director.
 const (
 	eventRequest           = "demand"
 	eventFirstByte         = "firstByte"
@@ -25,7 +25,7 @@
 	eventTimerFired        = "alarm"
 )
 
-// Actions of the wire, by what a director calls them.
+// Actions of a director.
 const (
 	actionForwardAttempt   = "answerFrom"
 	actionReject           = "decline"
@@ -39,16 +39,16 @@
 	actionFault            = "bug"
 )
 
-// maxListNumber is the highest number that a list may bear.
+// maxListNumber is the highest number of an endpoint list.
 const maxListNumber = 15
 
-// The bits of a request's marks.
+// Bits of the field marks of a request.
 const (
 	markRetry = 2
 	markWrite = 4
 )
 
-// The bits of an attempt's `how`.
+// Bits of the options of a forwarded attempt.
 const (
 	howCoalesce     = 1
 	howOnlyIfCached = 2
@@ -56,22 +56,22 @@
 	howRefreshAhead = 8
 )
 
-// updateKinds are the kinds of an update of the endpoint list.
+// updateKinds maps the kinds of endpoint list updates.
 var updateKinds = map[string]routing.UpdateKind{
 	"total": routing.FullList, "incr": routing.DeltaList, "warm_copy": routing.StaleList, "lost": routing.WatchLost,
 }
 
-// phases are those of an endpoint.
+// phases maps the phases of endpoints.
 var phases = map[string]routing.Phase{"U": routing.Up, "L": routing.Draining, "D": routing.Removed}
 
-// statuses are the ways in which attempts and health checks end.
+// statuses maps the codes with which attempts and health checks end.
 var statuses = map[int]routing.Status{
 	200: routing.OK, 500: routing.ServerError, 503: routing.Rejected, 504: routing.TimedOut,
 	502: routing.ConnectFailed, 598: routing.Reset, 499: routing.Canceled, 410: routing.NotSent,
 	404: routing.Miss,
 }
 
-// Words of the settings. An empty one is the default.
+// Values of the settings. An empty string is the default.
 var (
 	effects = map[string]routing.Effect{
 		"": routing.Idempotent, "repeatable": routing.Idempotent, "by_key": routing.IdempotentWithKey, "once": routing.NonIdempotent}
--- a/internal/simprotocol/names_test.go
+++ b/internal/simprotocol/names_test.go
@@ -13,8 +13,9 @@
 	"larchusher/routing"
 )
 
-// checkWords checks that each of the values 0 to n-1 has one word, but for the default, which may have an empty one, too.
-func checkWords[W comparable, T ~int](t *testing.T, name string, words map[W]T, n int) {
+// checkOneToOne checks that each of the values 0 to n-1 has exactly one word; the default may also have the empty
+// word.
+func checkOneToOne[W comparable, T ~int](t *testing.T, name string, words map[W]T, n int) {
 	t.Helper()
 	var empty W
 	count := map[T]int{}
@@ -25,37 +26,37 @@
 	}
 	for v := range n {
 		if count[T(v)] != 1 {
-			t.Errorf("%s: value %d has %d words", name, v, count[T(v)])
+			t.Errorf("%s: value %d has %d words, want 1", name, v, count[T(v)])
 		}
 	}
 	if len(count) != n {
-		t.Errorf("%s: %d values, not %d", name, len(count), n)
+		t.Errorf("%s: %d values have words, want %d", name, len(count), n)
 	}
 }
 
-// Each term of routing has one word on the wire, and the other way round.
-func TestWordsAreMappedOneToOne(t *testing.T) {
-	checkWords(t, "statuses", statuses, int(routing.Miss)+1)
-	checkWords(t, "phases", phases, int(routing.Removed)+1)
-	checkWords(t, "kinds of update", updateKinds, int(routing.WatchLost)+1)
-	checkWords(t, "effects", effects, int(routing.NonIdempotent)+1)
-	checkWords(t, "dedup scopes", scopes, int(routing.ScopeCell)+1)
-	checkWords(t, "answer details", answerDetails, int(routing.DetailAll)+1)
-	checkWords(t, "sibling modes", siblingModes, int(routing.SiblingsAnywhere)+1)
+// Each value of package routing has one word in the protocol, and vice versa.
+func TestWireWordsMapOneToOne(t *testing.T) {
+	checkOneToOne(t, "statuses", statuses, int(routing.Miss)+1)
+	checkOneToOne(t, "phases", phases, int(routing.Removed)+1)
+	checkOneToOne(t, "kinds of update", updateKinds, int(routing.WatchLost)+1)
+	checkOneToOne(t, "effects", effects, int(routing.NonIdempotent)+1)
+	checkOneToOne(t, "dedup scopes", scopes, int(routing.ScopeCell)+1)
+	checkOneToOne(t, "answer details", answerDetails, int(routing.DetailAll)+1)
+	checkOneToOne(t, "sibling modes", siblingModes, int(routing.SiblingsAnywhere)+1)
 	for n := range int(routing.ReasonOriginFailed) + 1 {
 		in := `["ended","d/1","id",0,0,"n",200,` + strconv.Itoa(n) + `,false]`
 		if r := decodeOne(t, in).Event.(routing.AttemptResult).Reason; int(r) != n {
-			t.Errorf("reason %d is read as %d", n, r)
+			t.Errorf("reason %d is decoded as %d", n, r)
 		}
 	}
 	for _, unknown := range []string{"11", "-1", "99"} {
 		if r := decodeOne(t, `["ended","d/1","id",0,0,"n",200,`+unknown+`,false]`).Event.(routing.AttemptResult).Reason; r != routing.ReasonNone {
-			t.Errorf("the unknown reason %s is read as %d", unknown, r)
+			t.Errorf("the unknown reason %s is decoded as %d, want ReasonNone", unknown, r)
 		}
 	}
 }
 
-// settingsMapping is which field each key of the settings sets, with a value that is no default.
+// settingsMapping lists the field that each key of the settings sets, with a value other than the default.
 var settingsMapping = []struct{ key, value, field string }{
 	{"balancers", `3`, "Settings.Directors"},
 	{"dcs", `["a"]`, "Settings.Zones"},
@@ -120,7 +121,7 @@
 	{"novel", `{"key":1}`, ""},
 }
 
-// baseSettings are settings in which each key of the mapping can be changed by itself.
+// baseSettings returns settings in which each key of settingsMapping can be changed on its own.
 func baseSettings() map[string]any {
 	return map[string]any{
 		"classes":    []any{map[string]any{"name": "page"}},
@@ -131,7 +132,7 @@
 	}
 }
 
-// setKey sets a key such as limits.sendCap; that of classes is of the first one.
+// setKey sets a key such as limits.sendCap. Keys under classes are set in the first class.
 func setKey(settings map[string]any, key, value string) {
 	object := settings
 	part, name, nested := strings.Cut(key, ".")
@@ -146,8 +147,8 @@
 	object[name] = json.RawMessage(value)
 }
 
-// parsed reads settings, and returns what was read by the names of fields.
-func parsed(t *testing.T, settings map[string]any) map[string]any {
+// parseToFields parses settings and returns the values by TYPE.FIELD.
+func parseToFields(t *testing.T, settings map[string]any) map[string]any {
 	t.Helper()
 	text, err := json.Marshal(settings)
 	if err != nil {
@@ -170,23 +171,23 @@
 	return fields
 }
 
-// Each key of the settings sets the field that the mapping names and no other, and each field has a key.
-func TestEveryKeyOfTheSettingsIsMappedOnce(t *testing.T) {
-	base := parsed(t, baseSettings())
+// Each key of the settings sets the field in settingsMapping and no other, and each field has a key.
+func TestEachSettingsKeySetsOneField(t *testing.T) {
+	base := parseToFields(t, baseSettings())
 	mapped := map[string]bool{"Settings.Classes": true}
 	keys := map[string]bool{}
 	for _, m := range settingsMapping {
 		settings := baseSettings()
 		setKey(settings, m.key, m.value)
 		var changed []string
-		for field, v := range parsed(t, settings) {
+		for field, v := range parseToFields(t, settings) {
 			if !reflect.DeepEqual(v, base[field]) {
 				changed = append(changed, field)
 			}
 		}
 		slices.Sort(changed)
 		if got := strings.Join(changed, " "); got != m.field {
-			t.Errorf("%s sets %q, not %q", m.key, got, m.field)
+			t.Errorf("key %s sets the fields %q, want %q", m.key, got, m.field)
 		}
 		for _, f := range strings.Fields(m.field) {
 			mapped[f] = true
@@ -195,17 +196,17 @@
 	}
 	for _, field := range slices.Sorted(maps.Keys(base)) {
 		if !mapped[field] {
-			t.Errorf("no key sets %s", field)
+			t.Errorf("no key in settingsMapping sets the field %s", field)
 		}
 	}
 	for _, key := range leafKeys(reflect.TypeFor[wireSettings](), "") {
 		if !keys[key] {
-			t.Errorf("the mapping lacks the key %s", key)
+			t.Errorf("settingsMapping lacks the key %s", key)
 		}
 	}
 }
 
-// leafKeys are the keys of a type that JSON is read into; those within lists are of their elements.
+// leafKeys returns the JSON keys of a struct type, recursively. The keys of classes are those of a list element.
 func leafKeys(typ reflect.Type, path string) (keys []string) {
 	for i := range typ.NumField() {
 		f := typ.Field(i)
@@ -222,8 +223,8 @@
 	return keys
 }
 
-// Events that TestDecodeEvents does not have.
-func TestFirstBytesAndHealthChecks(t *testing.T) {
+// Events that are not in TestDecodeEvents.
+func TestDecodeFirstByteAndHealthCheck(t *testing.T) {
 	for in, want := range map[string]routing.Event{
 		`["firstByte","d/1","id",2,null,"n"]`:           routing.FirstByte{ID: "id", Attempt: 2, Endpoint: "n"},
 		`["healthResult","d/1",503,"n",1.5,[0.5]]`:      routing.HealthCheckResult{Status: routing.Rejected, Endpoint: "n", Latency: 1500 * time.Microsecond, LoadReport: []float64{0.5}},
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -9,7 +9,7 @@
 	"larchusher/routing"
 )
 
-// wireSettings is the settings object of the wire.
+// wireSettings is the protocol's settings object.
 type wireSettings struct {
 	Balancers int `json:"balancers"`
 	Classes   []struct {
@@ -85,33 +85,33 @@
 	Zone         string `json:"zone"`
 }
 
-// lookup looks up one of the wire's words.
+// lookup returns the value that the word w stands for in a table. An unknown word is recorded as an error of the
+// named setting.
 func lookup[T any](f *fields, table map[string]T, name, w string) T {
 	v, ok := table[w]
 	if !ok {
-		f.fail(name, fmt.Errorf("unknown word %q", w))
+		f.fail(name, fmt.Errorf("unknown value %q", w))
 	}
 	return v
 }
 
-// at returns element i of s, or the zero value where the list is short.
-func at[T any](s []T, i int) (v T) {
+// elementOrZero returns element i of s, or the zero value if s is too short.
+func elementOrZero[T any](s []T, i int) (v T) {
 	if i < len(s) {
 		v = s[i]
 	}
 	return v
 }
 
-// Sockets are the settings that only a gateway on real sockets needs.
+// Sockets are the settings of network connections. Only a gateway needs them, not a simulated director.
 type Sockets struct {
-	ConnectTimeout  time.Duration
-	KeepAlive       time.Duration
-	MaxOpenRequests int // requests open at once
-	StreamsPerConn  int // attempts on one connection at once
+	ConnectTimeout  time.Duration // limit of connecting to an endpoint
+	KeepAlive       time.Duration // time after which endpoints close idle connections
+	MaxOpenRequests int           // maximum open requests of the gateway
+	StreamsPerConn  int           // maximum attempts in flight on one connection to an endpoint
 }
 
-// ParseSettings reads a settings object by itself, as a real gateway's configuration holds it. An error names
-// the key that was wrong.
+// ParseSettings parses a settings object on its own, as in a gateway's configuration. Errors name the invalid key.
 func ParseSettings(object []byte) (routing.Settings, Sockets, error) {
 	f := fields{values: []json.RawMessage{object}}
 	var e wireSettings
@@ -122,14 +122,14 @@
 		StreamsPerConn: e.Limits.StreamsPerConn}, f.err
 }
 
-// settings reads the settings at an index.
+// settings reads the settings at position i of an event.
 func (f *fields) settings(i int, name string) routing.Settings {
 	var e wireSettings
 	f.value(i, name, &e, true)
 	return e.settings(f)
 }
 
-// settings converts the settings. The first error goes to f.
+// settings converts the settings object. An error is recorded in f.
 func (e *wireSettings) settings(f *fields) routing.Settings {
 	if f.err != nil {
 		return routing.Settings{}
@@ -159,7 +159,7 @@
 	return s
 }
 
-// scalarSettings are the settings that follow from one key each.
+// scalarSettings returns the settings that each follow from one key.
 func (e *wireSettings) scalarSettings(f *fields) routing.Settings {
 	fi := &e.FamilyInfo
 	return routing.Settings{
@@ -202,7 +202,7 @@
 	}
 }
 
-// class is the class at an index.
+// class returns the settings of the class at index i.
 func (e *wireSettings) class(f *fields, i int) routing.Class {
 	c, fi := &e.Classes[i], &e.FamilyInfo
 	return routing.Class{
@@ -216,13 +216,13 @@
 		DedupScope:       lookup(f, scopes, "classes.dedupScope", c.DedupScope),
 		DedupWindow:      duration(c.RepeatWindowMs),
 		Stream:           c.Streaming,
-		FreshFor:         duration(at(fi.LifetimeByClassMs, i)),
-		StaleGrace:       duration(at(fi.StaleForMs, i)),
-		StaleWeight:      at(fi.OldCopyWorth, i),
-		Parts:            at(fi.InPieces, i),
-		Uncacheable:      at(fi.NeverKept, i),
+		FreshFor:         duration(elementOrZero(fi.LifetimeByClassMs, i)),
+		StaleGrace:       duration(elementOrZero(fi.StaleForMs, i)),
+		StaleWeight:      elementOrZero(fi.OldCopyWorth, i),
+		Parts:            elementOrZero(fi.InPieces, i),
+		Uncacheable:      elementOrZero(fi.NeverKept, i),
 	}
 }
 
-// ms turns a Duration into the wire's milliseconds.
+// ms converts a Duration to the protocol's milliseconds, cut to whole microseconds.
 func ms(d time.Duration) float64 { return float64(d/time.Microsecond) / 1000 }
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -14,6 +14,7 @@
 	`"familyInfo":{"rootKind":1,"shieldKind":-1,"says":"hit","neighbours":"any","lifetimeByClassMs":[8000]},` +
 	`"loadInfo":{"how":"off","fields":["x0"]},"unheard":{"of":true},"discovery":"ask","weightSource":"nominal"}`
 
+// decodeOne decodes a batch that has one event, at 1.5 ms.
 func decodeOne(t *testing.T, event string) Item {
 	t.Helper()
 	var d Decoder
@@ -64,7 +65,7 @@
 	}
 }
 
-func TestListsAreReusedInOrder(t *testing.T) {
+func TestRedefinedListAppliesToLaterEvents(t *testing.T) {
 	var d Decoder
 	b, err := d.Decode([]byte(`{"tMs":0,"input":[["defineList",0,[[3,null,"box","here","U",1,"a"]]],` +
 		`["sync","d/1",0,"total",1],["defineList",0,[[3,7,"box","here","L",null,"b"]]],["sync","d/1",0,"incr",2]]}`))
@@ -78,7 +79,7 @@
 	}
 }
 
-func TestErrorsNameWhatIsWrong(t *testing.T) {
+func TestDecodeErrorsNameEventAndField(t *testing.T) {
 	for in, want := range map[string]string{
 		`nonsense`:                                               "not a batch",
 		`{"input":[]}`:                                           "tMs",
@@ -102,7 +103,7 @@
 	}
 }
 
-func TestUnknownEventsArePassedOver(t *testing.T) {
+func TestUnknownEventsAreIgnored(t *testing.T) {
 	var names []string
 	d := Decoder{Unknown: func(n string) { names = append(names, n) }}
 	b, err := d.Decode([]byte(`{"tMs":1,"input":[["novel","d",{}]]}`))
@@ -152,11 +153,11 @@
 		var d Decoder
 		b, err := d.Decode(line)
 		if err != nil && len(b.Items) > 0 {
-			t.Error("items beside an error")
+			t.Error("Decode returned items together with an error")
 		}
 		for _, it := range b.Items {
 			if it.Kind == ItemEvent && it.Event == nil {
-				t.Error("an event without content")
+				t.Error("Decode returned an event item without an event")
 			}
 		}
 	})
