--- a/internal/net/transport/transport.go
+++ b/internal/net/transport/transport.go
@@ -48,7 +48,8 @@
 // written.
 type WriteReadyHandler interface{ OnReady(c *Conn) }
 
-// Engine owns the poller and all connections of a process. Its methods may be called from any goroutine.
+// Engine owns the poller and all connections of a process. Its methods may be called from any goroutine, except that
+// calls of Inherit and Listen must not run concurrently.
 type Engine struct {
 	log            logrus.FieldLogger
 	engine         *nbio.Engine
