--- a/cmd/larchusher/predecessor.go
+++ b/cmd/larchusher/predecessor.go
@@ -88,7 +88,7 @@
 	}
 	var left int
 	if p.successor != nil { // the link may have come up a moment ago
-		p.front.HoldRequests()
+		p.front.BufferRequests()
 		left = p.front.MigrateIdle(p.migrateConn)
 	} else {
 		left = p.front.CloseIdle()
--- a/internal/net/msgpackrpc/conn.go
+++ b/internal/net/msgpackrpc/conn.go
@@ -15,7 +15,7 @@
 	// Used by the poller only.
 	buf           []byte                    // an incomplete message, then a copy of bufferedInput
 	partial       bool                      // the latest batch ended with an incomplete message
-	bufferedInput []transport.ReceivedChunk // input since Front.HoldRequests, for the successor process
+	bufferedInput []transport.ReceivedChunk // input since Front.BufferRequests, for the successor process
 	scannedBytes  int                       // bytes of buf already searched for cancel messages
 
 	// Used by the poller and the loop.
--- a/internal/net/msgpackrpc/front.go
+++ b/internal/net/msgpackrpc/front.go
@@ -30,7 +30,7 @@
 	conns   map[*conn]bool
 	tracker *transport.ConnTracker
 	closed  bool        // set by CloseAll
-	paused  atomic.Bool // set by HoldRequests
+	paused  atomic.Bool // set by BufferRequests
 
 	classes atomic.Pointer[map[string]string] // class names, interned so that requests share the strings
 
--- a/internal/net/msgpackrpc/move.go
+++ b/internal/net/msgpackrpc/move.go
@@ -7,16 +7,16 @@
 	"larchusher/internal/net/transport"
 )
 
-// A connection migrates to another process once no request is open on it. After HoldRequests the front handles no new
+// A connection migrates to another process once no request is open on it. After BufferRequests the front handles no new
 // requests, so that this becomes possible: further input is buffered and migrates with the connection. Cancel
 // messages in it still take effect.
 
 // maxBufferedBytes limits the input buffered for the other process on one connection; more input stays in the kernel.
 const maxBufferedBytes = 64 << 10
 
-// HoldRequests stops the handling of new requests. Their input is buffered until the connection migrates. It may be
+// BufferRequests stops the handling of new requests. Their input is buffered until the connection migrates. It may be
 // called from any goroutine.
-func (f *Front) HoldRequests() { f.paused.Store(true) }
+func (f *Front) BufferRequests() { f.paused.Store(true) }
 
 // MigrateIdle passes each connection without open requests to migrate, together with its unhandled input, and returns
 // how many connections are left. A connection that migrate fails for is closed.
