--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -27,7 +27,7 @@
 func run(in io.Reader, out, warnings io.Writer) error {
 	h := host{directors: map[string]*routing.Director{}}
 	reported := map[string]bool{}
-	h.decoder.Unknown = func(name string) {
+	h.decoder.OnUnknown = func(name string) {
 		if !reported[name] {
 			reported[name] = true
 			_, _ = fmt.Fprintf(warnings, "adapter: ignoring unknown event %q\n", name) // a lost warning has no consequences
@@ -40,12 +40,12 @@
 			return fmt.Errorf("reading line %d: %w", n, err)
 		}
 		if len(bytes.TrimSpace(line)) > 0 {
-			reply, bad := h.handleBatch(line)
-			if bad != nil {
-				return fmt.Errorf("line %d: %w", n, bad)
+			reply, batchErr := h.handleBatch(line)
+			if batchErr != nil {
+				return fmt.Errorf("line %d: %w", n, batchErr)
 			}
-			if _, bad := out.Write(reply); bad != nil {
-				return fmt.Errorf("writing reply %d: %w", n, bad)
+			if _, writeErr := out.Write(reply); writeErr != nil {
+				return fmt.Errorf("writing reply %d: %w", n, writeErr)
 			}
 		}
 		if err != nil {
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -23,14 +23,14 @@
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	if err != nil || len(lines) != 2 || lines[0] != `{"cmds":[]}` ||
 		!strings.Contains(lines[1], `["answerFrom","d/1","j",898,0,"n",0,2,"n"]`) {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("error %v, output:\n%s", err, out)
 	}
 }
 
 func TestInvalidSettingsAreReported(t *testing.T) {
 	out, _, err := runAdapter(`{"tMs":2,"input":[["enlist","d/1",1,` + strings.Replace(settings, `"here",`, `"gone",`, 1) + `]]}`)
 	if err != nil || !strings.Contains(out, `["bug","d/1","settings: Zone`) {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("error %v, output:\n%s", err, out)
 	}
 }
 
@@ -42,9 +42,9 @@
 }
 
 func TestUnknownEventIsReportedOnce(t *testing.T) {
-	_, notes, err := runAdapter(`{"tMs":1,"input":[["novel"],["novel"]]}`)
-	if err != nil || strings.Count(notes, "novel") != 1 {
-		t.Error(err, notes)
+	_, warnings, err := runAdapter(`{"tMs":1,"input":[["novel"],["novel"]]}`)
+	if err != nil || strings.Count(warnings, "novel") != 1 {
+		t.Error(err, warnings)
 	}
 }
 
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -22,7 +22,7 @@
 
 // Limits of a request's parts.
 const (
-	maxPart       = 1 << 20 // parts of an object
+	maxPart       = 1 << 20 // highest part number of an object
 	maxGroup      = 255     // highest group number
 	objectDigits  = 16      // hex digits of an object's name
 	maxFieldBytes = 128     // bytes of a key or a tag
@@ -70,8 +70,8 @@
 	return a.classes[class].Name
 }
 
-// Overloaded returns the answer to a request with a valid token that is shed. backoff is when the client may
-// retry; 0: no advice.
+// Overloaded returns the answer to a request with a valid token that is shed. backoff is the time after which the
+// client may retry; 0: no advice.
 func Overloaded(backoff time.Duration) *Problem {
 	return newProblem(http.StatusServiceUnavailable, "refused: trying again is harmless", retryAfter(backoff)...)
 }
@@ -246,7 +246,7 @@
 }
 
 // Respond converts a final answer to an HTTP response. now is when a renewed token becomes valid.
-func (a *API) Respond(ad *AdmittedRequest, ans gateway.Answer, now time.Time) Response {
+func (a *API) Respond(admitted *AdmittedRequest, ans gateway.Answer, now time.Time) Response {
 	var r Response
 	add := func(name, value string) { r.Header = append(r.Header, [2]string{name, value}) }
 	switch ans.Outcome {
@@ -262,7 +262,7 @@
 			add("ETag", `"`+ans.ETag+`"`)
 		}
 		add("Cache-Control", "private")
-		if cookie := a.renewalCookie(ad, now); cookie != "" {
+		if cookie := a.renewalCookie(admitted, now); cookie != "" {
 			add("Set-Cookie", cookie)
 		}
 	case gateway.OutcomeRejected:
@@ -285,16 +285,16 @@
 
 // renewalCookie returns the cookie with a renewed token if the grant asks for one; empty if not, or if the token
 // cannot be issued.
-func (a *API) renewalCookie(ad *AdmittedRequest, now time.Time) string {
-	if a.issuer == nil || !ad.Grant.Renewal.Cookie {
+func (a *API) renewalCookie(admitted *AdmittedRequest, now time.Time) string {
+	if a.issuer == nil || !admitted.Grant.Renewal.Cookie {
 		return ""
 	}
-	token, err := a.issuer.Renew(ad.Grant, now)
+	token, err := a.issuer.Renew(admitted.Grant, now)
 	if err != nil || token == "" {
 		return ""
 	}
 	return signedurl.URISigningPackage + "=" + token + "; Path=/; Max-Age=" +
-		strconv.FormatInt(int64(ad.Grant.Renewal.Span/time.Second), 10) + "; Secure; HttpOnly"
+		strconv.FormatInt(int64(admitted.Grant.Renewal.Span/time.Second), 10) + "; Secure; HttpOnly"
 }
 
 // Response converts the problem to an HTTP response.
--- a/internal/httpapi/httpapi_test.go
+++ b/internal/httpapi/httpapi_test.go
@@ -19,7 +19,7 @@
 				}
 			}
 			if got != want {
-				t.Errorf("%s, %v: %q, want %q", name, backoff, got, want)
+				t.Errorf("%s with backoff %v: Retry-After is %q, want %q", name, backoff, got, want)
 			}
 		}
 	}
--- a/internal/net/admin/admin.go
+++ b/internal/net/admin/admin.go
@@ -26,8 +26,8 @@
 )
 
 var (
-	errAnswered = errors.New("answered")
-	errNoLine   = errors.New("call exceeds its maximum length")
+	errAnswered    = errors.New("answered")
+	errCallTooLong = errors.New("call exceeds its maximum length")
 )
 
 // Config holds the settings of a Server. Its functions run on the loop.
@@ -104,7 +104,7 @@
 	line, _, complete := bytes.Cut(append(c.line, b...), []byte("\n"))
 	c.line = line
 	if len(line) > maxCallBytes {
-		return errNoLine
+		return errCallTooLong
 	}
 	c.answered = complete
 	if !complete {
--- a/internal/net/discovery/client.go
+++ b/internal/net/discovery/client.go
@@ -14,7 +14,7 @@
 
 const (
 	connectTimeout       = 500 * time.Millisecond  // after which another connection is started in parallel
-	maxConnectTime       = 5 * time.Second         // until then a slow connection may still be established
+	maxConnectTime       = 5 * time.Second         // limit of one attempt to connect
 	silenceTimeout       = 2500 * time.Millisecond // the service sends a comment every second
 	silenceCheckInterval = connectTimeout / 5
 	minBackoff           = 50 * time.Millisecond
@@ -84,8 +84,7 @@
 // Connected reports whether a connection to the service is established.
 func (c *Client) Connected() bool { return c.current != nil && c.current.tc != nil }
 
-// connect starts a connection. Earlier connections that are still being established may be used instead, if they are
-// faster.
+// connect starts a connection. Earlier ones that are still being established may be used instead, if they are faster.
 func (c *Client) connect() {
 	s := &stream{client: c, addr: c.addr}
 	c.current, c.lastByte = s, c.loop.Now()
--- a/internal/net/discovery/events.go
+++ b/internal/net/discovery/events.go
@@ -93,7 +93,7 @@
 // EventApplier converts events into updates for directors and for the connection pool. It must be used on the loop.
 type EventApplier struct {
 	Sink  Sink
-	Clock func(time.Time) time.Duration // converts to the directors' clock, in time since its zero
+	Clock func(time.Time) time.Duration // converts a time to the directors' clock: the time since its zero
 
 	incarnations map[string]incarnation
 	listed       map[string]EndpointEntry // current endpoints by name
@@ -199,8 +199,7 @@
 	b.Sink.UpdateEndpoints(update)
 }
 
-// remove removes an endpoint and all that is known about it: names come and go all day, so nothing may be kept for
-// removed ones.
+// remove removes an endpoint and everything that is stored about it, since endpoint names come and go all day.
 func (b *EventApplier) remove(name string) {
 	b.Sink.RemoveEndpoint(name)
 	delete(b.listed, name)
--- a/internal/net/discovery/stream.go
+++ b/internal/net/discovery/stream.go
@@ -22,12 +22,12 @@
 	var events []Event
 	var dropped uint64
 	err := s.parser.feed(b, func(data []byte, id string) {
-		e, unusable := parseEvent(data)
+		e, parseErr := parseEvent(data)
 		if n, err := strconv.ParseInt(id, 10, 64); err == nil {
 			e.Position = n
 		}
-		if unusable != nil { // skipped, but its position still advances the client's
-			s.client.log.WithError(unusable).Warn(logfields.DiscoveryEventFaulty)
+		if parseErr != nil { // skipped, but its position still advances the client's
+			s.client.log.WithError(parseErr).Warn(logfields.DiscoveryEventFaulty)
 			dropped++
 			e = Event{Position: e.Position}
 		}
--- a/internal/net/msgpackrpc/batch.go
+++ b/internal/net/msgpackrpc/batch.go
@@ -21,7 +21,7 @@
 // at which its last byte arrived. Requests that are shed are rejected here, on the poller goroutine, and cost the
 // loop nothing.
 func (c *conn) OnBytes(tc *transport.Conn, b []byte, at time.Time) error {
-	if c.front.paused.Load() {
+	if c.front.buffering.Load() {
 		return c.bufferInput(tc, b, at)
 	}
 	if len(c.buf) > 0 {
--- a/internal/net/msgpackrpc/conn.go
+++ b/internal/net/msgpackrpc/conn.go
@@ -13,7 +13,7 @@
 	front *Front
 
 	// Used by the poller only.
-	buf           []byte                    // an incomplete message, then a copy of bufferedInput
+	buf           []byte                    // an incomplete message, followed by a copy of bufferedInput
 	partial       bool                      // the latest batch ended with an incomplete message
 	bufferedInput []transport.ReceivedChunk // input since Front.BufferRequests, for the successor process
 	scannedBytes  int                       // bytes of buf already searched for cancel messages
@@ -46,7 +46,7 @@
 	return len(c.open) > 0 || c.postedBatches.Load() > 0
 }
 
-// OnOpened registers the connection with the front, so that it is swept even if it never sends a byte.
+// OnOpened registers the connection with the front, so that it is closed if it never sends a byte.
 func (c *conn) OnOpened(tc *transport.Conn) {
 	c.front.loop.Post(func() {
 		switch {
--- a/internal/net/msgpackrpc/front.go
+++ b/internal/net/msgpackrpc/front.go
@@ -13,7 +13,7 @@
 
 const (
 	maxOpenPerConn    = 32                     // open requests of one connection; further ones are rejected
-	sweepInterval     = 250 * time.Millisecond // interval between sweeps of useless connections
+	sweepInterval     = 250 * time.Millisecond // interval between checks for idle and stalled connections
 	maxIdleBuffer     = 16 << 10               // bytes of a connection's buffer that are kept between messages
 	maxRejectionBatch = 32 << 10               // bytes of rejections that are collected before they are written
 	messageCost       = 512                    // bytes of memory for a message apart from its body
@@ -24,13 +24,13 @@
 
 // Front serves the platform's clients. Its methods must be called on the gateway's loop unless they state otherwise.
 type Front struct {
-	loop    *gateway.Loop
-	gateway *gateway.Gateway
-	log     logrus.FieldLogger
-	conns   map[*conn]bool
-	tracker *transport.ConnTracker
-	closed  bool        // set by CloseAll
-	paused  atomic.Bool // set by BufferRequests
+	loop      *gateway.Loop
+	gateway   *gateway.Gateway
+	log       logrus.FieldLogger
+	conns     map[*conn]bool
+	tracker   *transport.ConnTracker
+	closed    bool        // set by CloseAll
+	buffering atomic.Bool // set by BufferRequests
 
 	classes atomic.Pointer[map[string]string] // class names, interned so that requests share the strings
 
@@ -101,7 +101,7 @@
 // EvictIdle closes one idle connection to free its slot for a new one. It may be called from any goroutine.
 func (f *Front) EvictIdle() { f.loop.Post(func() { f.tracker.EvictIdle(f.loop.Now(), 1) }) }
 
-// sweep closes connections that occupy their slots without being useful.
+// sweep closes connections that are idle for too long or whose message is not complete in time.
 func (f *Front) sweep() {
 	f.tracker.Sweep(f.loop.Now(), nil)
 	f.loop.After(sweepInterval, f.sweep)
--- a/internal/net/msgpackrpc/message_test.go
+++ b/internal/net/msgpackrpc/message_test.go
@@ -55,12 +55,12 @@
 			without := parseOne(t, requestFrame(base, "body"), at)
 			m := parseOne(t, requestFrame(append(base[:3:3], [2]string{name, c.value}), "body"), at)
 			if m.kind != requestMessage || m.id != 7 {
-				t.Fatalf("%+v", m)
+				t.Fatalf("parsed as %+v, want a request with message ID 7", m)
 			}
 			r := m.request
 			if r.ID != "0123456789abcdef" || r.Object != "fedcba9876543210" || r.Class != "images" || string(r.Body) != "body" ||
 				!r.Deadline.Equal(at.Add(1500*time.Millisecond)) {
-				t.Errorf("%+v", r)
+				t.Errorf("common fields are wrong in request %+v", r)
 			}
 			if !c.want(r) || name != "unknown" && c.want(without.request) {
 				t.Errorf("field %s does not set its request field: %+v", name, r)
--- a/internal/net/msgpackrpc/move.go
+++ b/internal/net/msgpackrpc/move.go
@@ -16,7 +16,7 @@
 
 // BufferRequests stops the handling of new requests. Their input is buffered until the connection migrates. It may be
 // called from any goroutine.
-func (f *Front) BufferRequests() { f.paused.Store(true) }
+func (f *Front) BufferRequests() { f.buffering.Store(true) }
 
 // MigrateIdle passes each connection without open requests to migrate, together with its unhandled input, and returns
 // how many connections are left. A connection that migrate fails for is closed.
--- a/internal/net/msgpackrpc/parse.go
+++ b/internal/net/msgpackrpc/parse.go
@@ -15,10 +15,10 @@
 // Limits of a request's fields. Values within them can be passed on to any endpoint.
 const (
 	maxBodyBytes  = 48000
-	maxPart       = 1 << 20     // parts of one object
+	maxPart       = 1 << 20     // highest part number of an object
 	maxGroup      = 255         // highest group number
 	maxSizeKB     = 1 << 20     // size of a part, in kB
-	maxTimeLimit  = time.Minute // longest time that a client may wait
+	maxTimeLimit  = time.Minute // longer time limits of clients are cut to this
 	maxFieldBytes = 128
 	idDigits      = 16 // hex digits of request and object IDs
 )
@@ -60,7 +60,7 @@
 	case m.isAlive():
 		return clientMessage{kind: aliveMessage, id: m.id}
 	}
-	class, ok := (*c.front.classes.Load())[string(m.method)] // makes no string
+	class, ok := (*c.front.classes.Load())[string(m.method)] // does not allocate a string
 	if !ok {
 		class = string(m.method)
 	}
--- a/internal/net/resp/answer.go
+++ b/internal/net/resp/answer.go
@@ -25,7 +25,7 @@
 		if len(args) != answerStrings && len(args) != pingAnswerStrings {
 			return fmt.Errorf("answer has %d strings, want 2 or 4", len(args))
 		}
-		for _, s := range args { // complete strings are accounted for by the answer from now on
+		for _, s := range args { // the memory of complete strings now belongs to the answer, not to the connection
 			if len(s) > maxUnreservedBytes {
 				c.reservedBytes.Add(int64(-len(s)))
 			}
@@ -126,7 +126,7 @@
 	for f := range strings.SplitSeq(list, ",") {
 		name, value, ok := strings.Cut(f, "=")
 		if !ok {
-			return fmt.Errorf("answer field %.40q has no value", f)
+			return fmt.Errorf("answer field %.40q is not NAME=VALUE", f)
 		}
 		switch name {
 		case "why":
--- a/internal/net/resp/conn.go
+++ b/internal/net/resp/conn.go
@@ -45,7 +45,7 @@
 func (c *conn) streams() int { return len(c.inFlight) + len(c.pending) }
 
 // hasRoomFor reports whether one more attempt of the request with this ID may be sent on the connection, which
-// carries at most maxStreams attempts.
+// carries at most maxStreams attempts. It returns false while a ping is unanswered.
 func (c *conn) hasRoomFor(id string, maxStreams int) bool {
 	if c.retired || c.ended || c.pingID != "" || c.streams() >= maxStreams {
 		return false
--- a/internal/net/resp/pool.go
+++ b/internal/net/resp/pool.go
@@ -89,7 +89,7 @@
 	endpoints   map[string]*endpoint
 	connCount   int
 	pings       uint64
-	answerBytes atomic.Int64 // bytes of answers
+	answerBytes atomic.Int64 // bytes of answers in memory
 }
 
 // New returns an empty pool.
--- a/internal/net/resp/wire_test.go
+++ b/internal/net/resp/wire_test.go
@@ -34,7 +34,7 @@
 			t.Fatal(word, err, ended.results)
 		}
 		if r := ended.results[0]; r.Status != want.Status || r.NotModified != want.NotModified || r.ETag != "v1" {
-			t.Errorf("%s: %+v", word, r)
+			t.Errorf("answer %s: result %+v", word, r)
 		}
 		if _, blocked := c.canceled["r"]; blocked != (want.Status != routing.OK) {
 			t.Errorf("%s: the ID may be used again on the connection: %v", word, !blocked)
--- a/internal/net/signedfront/conn.go
+++ b/internal/net/signedfront/conn.go
@@ -29,7 +29,7 @@
 	closed       bool
 }
 
-// OnOpened registers the connection with the front, so that it is swept even if it never sends a byte.
+// OnOpened registers the connection with the front, so that it is closed if it never sends a byte.
 func (c *conn) OnOpened(tc *transport.Conn) {
 	c.front.loop.Post(func() {
 		switch {
@@ -78,9 +78,9 @@
 		c.front.tracker.Remove(c.tracked)
 		c.front.gateway.CancelQueued(&c.queuedCheck)
 		if c.current != nil {
-			ad := c.current
+			abandoned := c.current
 			c.current = nil
-			c.front.gateway.Abandon(ad.Request)
+			c.front.gateway.Abandon(abandoned.Request)
 		}
 		c.front.gateway.RemoveClient(c.client)
 	})
@@ -162,8 +162,8 @@
 	f.gateway.Enqueue(&c.queuedCheck, gateway.SignedFront, class, at, run)
 }
 
-// checkAndSubmit checks a request's token and submits the request, or rejects it if it is shed: only a client with a
-// valid token learns that the gateway is overloaded.
+// checkAndSubmit checks a request's token and submits the request to the gateway, or rejects it if it is shed: only a
+// client with a valid token learns that the gateway is overloaded.
 func (c *conn) checkAndSubmit(h *head, body []byte, at time.Time, shed bool) {
 	f := c.front
 	if f.closed { // after CloseAll or Retire the keys may no longer be valid
@@ -171,7 +171,7 @@
 		c.respondProblem(httpapi.Overloaded(f.gateway.RetryAfter(h.target)))
 		return
 	}
-	ad, p := f.api.Authorize(httpapi.Request{Method: h.method, Target: h.target, Header: h.get, Body: body, ReceivedAt: at})
+	authorized, p := f.api.Authorize(httpapi.Request{Method: h.method, Target: h.target, Header: h.get, Body: body, ReceivedAt: at})
 	if p == nil && shed {
 		p = httpapi.Overloaded(f.gateway.RetryAfter(h.target))
 	}
@@ -180,17 +180,17 @@
 		return
 	}
 	f.Admitted++
-	ad.Request.ID = f.newRequestID()
-	c.current = ad
-	r := ad.Request
+	authorized.Request.ID = f.newRequestID()
+	c.current = authorized
+	r := authorized.Request
 	r.ArrivedAt, r.Front, r.Client, r.Admitted = at, gateway.SignedFront, c.client, true
 	r.ClientConnected = func() bool { return !c.tc.Closing() && !c.tc.PeerClosed() }
 	r.Answer = func(a gateway.Answer) {
-		if c.current != ad { // the client has closed the connection
+		if c.current != authorized { // the client has closed the connection
 			return
 		}
 		c.current = nil
-		c.respond(f.api.Respond(ad, a, time.Now()), ad.HeadOnly)
+		c.respond(f.api.Respond(authorized, a, time.Now()), authorized.HeadOnly)
 		if !c.closing {
 			f.loop.Post(c.startNext)
 		}
--- a/internal/net/signedfront/front.go
+++ b/internal/net/signedfront/front.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	sweepInterval     = 250 * time.Millisecond                             // interval between sweeps of useless connections
+	sweepInterval     = 250 * time.Millisecond                             // interval between checks for idle and stalled connections
 	maxPipelinedBytes = maxHeadBytes + httpapi.MaxBodyBytes + len(headEnd) // bytes that a client may send before an answer
 	flushPollInterval = 5 * time.Millisecond                               // interval between checks whether the last answer has been written
 )
@@ -99,8 +99,8 @@
 // EvictIdle closes one idle connection to free its slot for a new one. It may be called from any goroutine.
 func (f *Front) EvictIdle() { f.loop.Post(func() { f.tracker.EvictIdle(f.loop.Now(), 1) }) }
 
-// sweep closes connections that occupy their slots without being useful. A client whose request is not complete in
-// time gets status 408.
+// sweep closes connections that are idle for too long. A client whose request is not complete in time gets status
+// 408.
 func (f *Front) sweep() {
 	f.tracker.Sweep(f.loop.Now(), func(n *transport.TrackedConn) {
 		for c := range f.conns {
--- a/internal/net/transport/accept.go
+++ b/internal/net/transport/accept.go
@@ -32,8 +32,9 @@
 // otherError is the name under which errors without an errno are counted.
 const otherError = "other"
 
-// run accepts connections until the listener is closed or drains its queue. No other error ends it: accept(2) also
-// reports errors of single connections and temporary shortages of resources.
+// run accepts connections until the listener is closed, or until CloseAfterQueued is called and the accept queue is
+// drained. No other error ends it: accept(2) also reports errors of single connections and temporary shortages of
+// resources.
 func (l *Listener) run() {
 	var backoff acceptBackoff
 	for {
--- a/internal/net/transport/tracker.go
+++ b/internal/net/transport/tracker.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// How long a connection may occupy its slot without being useful.
+// Time limits of connections that occupy a slot.
 const (
 	// FirstByteTimeout applies to a connection on which nothing has arrived.
 	FirstByteTimeout = 2 * time.Second
@@ -17,7 +17,7 @@
 	newConnGrace = 200 * time.Millisecond
 )
 
-// reservedShare is the fraction of the slots that is kept free for new connections: 1/reservedShare.
+// reservedShare sets the share of slots that is kept free for new connections: 1/reservedShare.
 const reservedShare = 8
 
 // Reasons for closing a connection.
@@ -28,9 +28,9 @@
 	errSlotNeeded = errors.New("idle connection evicted: its slot is needed")
 )
 
-// ConnTracker tracks the connections of one front and closes those that occupy a slot without being useful: clients
-// that never send a message, stop in the middle of one, or stay connected after a single request. Its methods must be
-// called on the front's loop.
+// ConnTracker tracks the connections of one front and closes those that waste a slot: clients that never send a
+// message, stop in the middle of one, or stay connected after a single request. Its methods must be called on the
+// front's loop.
 type ConnTracker struct {
 	all      map[*TrackedConn]bool
 	maxConns int
@@ -41,7 +41,7 @@
 	Conn         *Conn
 	Busy         func() bool // reports whether a request is open or input is not handled yet
 	Messages     int         // messages received
-	LastActive   time.Time   // when input or an answer was last noted
+	LastActive   time.Time   // when input last arrived or an answer was last written
 	PartialSince time.Time   // when the first part of an incomplete message arrived; zero: none is incomplete
 }
 
--- a/internal/net/transport/transport.go
+++ b/internal/net/transport/transport.go
@@ -1,6 +1,6 @@
 // Package transport runs TCP connections with callbacks on top of lesismal/nbio. It knows no application protocol.
-// Callbacks run on the single poller goroutine of an Engine and must not block. Connections may be written and closed
-// from any goroutine.
+// Input is passed to callbacks on the single poller goroutine of an Engine, so callbacks must not block. Connections
+// may be written and closed from any goroutine.
 package transport
 
 import (
@@ -32,9 +32,10 @@
 	errTooMuchAfterEnd = errors.New("peer kept sending after the connection was shut down")
 )
 
-// Handler has the callbacks of one connection. OnBytes runs on the engine's poller goroutine and must not block. Its
-// bytes belong to the engine and are valid only until it returns. OnClosed is called exactly once, and no callback
-// follows it. It may run on the goroutine that closes the connection.
+// Handler has the callbacks of one connection. OnBytes must not block. It runs on the engine's poller goroutine, and
+// in Listener.Adopt for input that another process has read. Its bytes belong to the caller and are valid only until
+// it returns. OnClosed is called exactly once, and no callback follows it. It may run on the goroutine that closes
+// the connection.
 type Handler interface {
 	OnBytes(c *Conn, b []byte, at time.Time) error // an error closes the connection
 	OnClosed(c *Conn, err error)
@@ -44,8 +45,8 @@
 // the connection.
 type OpenHandler interface{ OnOpened(c *Conn) }
 
-// WriteReadyHandler is implemented by handlers that write first. OnReady is called once the connection can be
-// written.
+// WriteReadyHandler is implemented by handlers that send before the client does. OnReady is called once the
+// connection can be written.
 type WriteReadyHandler interface{ OnReady(c *Conn) }
 
 // Engine owns the poller and all connections of a process. Its methods may be called from any goroutine, except that
@@ -64,7 +65,7 @@
 	buffer         []byte     // read buffer, used by the poller goroutine only
 	connMu         sync.Mutex // orders the setup of a Conn before its first use by the poller: nbio passes connections through the kernel only
 
-	Opened, Closed atomic.Uint64 // connections
+	Opened, Closed atomic.Uint64 // connections since the start
 	RejectedConns  atomic.Uint64 // connections closed because the connection limit was reached
 	In, Out        atomic.Uint64 // bytes read and written
 }
--- a/internal/net/transport/transport_test.go
+++ b/internal/net/transport/transport_test.go
@@ -145,12 +145,12 @@
 			}
 		})
 	}}
-	other, err := d.Dial("tcp", l.Addr().String())
+	peer, err := d.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = other.Close() // fails if the test has closed it
+		_ = peer.Close() // fails if the test has closed it
 		l.Close()
 		e.Stop()
 	})
@@ -160,7 +160,7 @@
 		defer e.connMu.Unlock()
 		return c.nc.Session() != nil
 	})
-	return e, c, other.(*net.TCPConn), k
+	return e, c, peer.(*net.TCPConn), k
 }
 
 // blockPoller blocks the poller goroutine until the returned function is called.
@@ -184,7 +184,7 @@
 // CloseGracefully with unread input and an answer that the peer has not read completely. A plain close would reset
 // the connection and lose the rest of the answer; here the peer must read all of it, and then the end of the stream.
 func TestCloseGracefullyDeliversWrittenBytes(t *testing.T) {
-	e, c, other, k := newConnPair(t, 4<<10)
+	e, c, peer, handler := newConnPair(t, 4<<10)
 	e.Barrier(func() {}) // the connection has been registered
 	free := blockPoller(e)
 	defer free()
@@ -192,43 +192,43 @@
 	if err := c.Write(answer); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := other.Write([]byte("a request that crosses the shutdown")); err != nil {
+	if _, err := peer.Write([]byte("a request that crosses the shutdown")); err != nil {
 		t.Fatal(err)
 	}
 	c.CloseGracefully(io.ErrShortBuffer, LingerTime)
-	if err := <-k.closed; err != io.ErrShortBuffer { //nolint:errorlint // the handler gets the error unwrapped
+	if err := <-handler.closed; err != io.ErrShortBuffer { //nolint:errorlint // the handler gets the error unwrapped
 		t.Errorf("OnClosed got %v, want io.ErrShortBuffer", err)
 	}
 	free()
-	_ = other.SetReadDeadline(time.Now().Add(20 * time.Second))
-	got, err := io.ReadAll(other)
+	_ = peer.SetReadDeadline(time.Now().Add(20 * time.Second))
+	got, err := io.ReadAll(peer)
 	if err != nil || len(got) != len(answer) {
 		t.Errorf("the peer read %d of %d bytes, error %v", len(got), len(answer), err)
 	}
 	if c.Write([]byte("x")) == nil {
 		t.Error("Write after CloseGracefully returned no error")
 	}
-	if err := other.Close(); err != nil {
+	if err := peer.Close(); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "the connection is closed", func() bool { return e.Lingering() == 0 })
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.received != 0 {
-		t.Errorf("the handler got %d bytes after CloseGracefully", k.received)
+	handler.mu.Lock()
+	defer handler.mu.Unlock()
+	if handler.received != 0 {
+		t.Errorf("the handler got %d bytes after CloseGracefully", handler.received)
 	}
 }
 
 // CloseGracefully frees the descriptor after the linger time even if the peer keeps the connection open.
 func TestCloseGracefullyClosesAfterLinger(t *testing.T) {
-	e, c, other, k := newConnPair(t, 0)
+	e, c, peer, handler := newConnPair(t, 0)
 	c.CloseGracefully(io.EOF, shortLinger)
-	if err, open := <-k.closed; !open {
+	if err, open := <-handler.closed; !open {
 		t.Fatal(err)
 	}
 	waitFor(t, "the connection is closed", func() bool { return e.Lingering() == 0 && e.Closed.Load() == 1 })
-	_ = other.SetReadDeadline(time.Now().Add(20 * time.Second))
-	if _, err := other.Read(make([]byte, 1)); err != io.EOF { //nolint:errorlint // io.Reader returns io.EOF itself
+	_ = peer.SetReadDeadline(time.Now().Add(20 * time.Second))
+	if _, err := peer.Read(make([]byte, 1)); err != io.EOF { //nolint:errorlint // io.Reader returns io.EOF itself
 		t.Errorf("the peer read %v, want io.EOF", err)
 	}
 	c.CloseGracefully(io.EOF, shortLinger) // a second call has no effect
@@ -240,7 +240,7 @@
 // Input that arrived before the peer closed is read completely, whatever its size. Everything beyond three reads was
 // once lost, such as the end of a 240 kB answer.
 func TestAllInputIsReadAfterPeerCloses(t *testing.T) {
-	e, c, other, k := newConnPair(t, 0)
+	e, c, peer, handler := newConnPair(t, 0)
 	e.Barrier(func() {})
 	free := blockPoller(e)
 	defer free()
@@ -248,24 +248,24 @@
 		t.Fatal(err)
 	}
 	const sent = maxReadsInRow*readBufferSize + 8<<10
-	if _, err := other.Write(make([]byte, sent)); err != nil {
+	if _, err := peer.Write(make([]byte, sent)); err != nil {
 		t.Fatal(err)
 	}
 	if c.PeerClosed() {
 		t.Error("PeerClosed is true before the peer has closed")
 	}
-	if err := other.Close(); err != nil {
+	if err := peer.Close(); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "PeerClosed is true", c.PeerClosed)
 	free()
-	if err, open := <-k.closed; !open {
+	if err, open := <-handler.closed; !open {
 		t.Fatal(err)
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.received != sent {
-		t.Errorf("the handler got %d of %d bytes", k.received, sent)
+	handler.mu.Lock()
+	defer handler.mu.Unlock()
+	if handler.received != sent {
+		t.Errorf("the handler got %d of %d bytes", handler.received, sent)
 	}
 }
 
@@ -276,14 +276,14 @@
 
 // A connection with unread input is not idle, however long ago its last handled message arrived.
 func TestConnWithUnreadInputIsNotIdle(t *testing.T) {
-	e, c, other, k := newConnPair(t, 0)
+	e, c, peer, handler := newConnPair(t, 0)
 	tracker := NewConnTracker(4)
 	now := time.Now()
 	tracked := tracker.Add(c, now, func() bool { return false })
 	tracked.Received(now, 1, false)
 	release := sync.OnceFunc(blockPoller(e))
 	defer release()
-	if _, err := other.Write([]byte("x")); err != nil {
+	if _, err := peer.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "the kernel has unread input", func() bool { return c.unread() > 0 })
@@ -299,7 +299,7 @@
 	if !c.Closing() {
 		t.Error("an idle connection was not closed")
 	}
-	if err := <-k.closed; !errors.Is(err, errIdle) {
+	if err := <-handler.closed; !errors.Is(err, errIdle) {
 		t.Error(err)
 	}
 }
--- a/internal/simprotocol/decode.go
+++ b/internal/simprotocol/decode.go
@@ -44,9 +44,9 @@
 // Decoder decodes batches. It keeps the numbered endpoint lists between them, which all directors of the process
 // share. The zero value is ready for use. It must not be used concurrently.
 type Decoder struct {
-	// Unknown, if not nil, is called with the name of each event that the decoder does not know. Such events are
+	// OnUnknown, if not nil, is called with the name of each event that the decoder does not know. Such events are
 	// skipped.
-	Unknown func(name string)
+	OnUnknown func(name string)
 
 	lists   [maxListNumber + 1][]routing.Endpoint // by number
 	defined [maxListNumber + 1]bool
@@ -100,8 +100,8 @@
 	}
 	decode, ok := decoders[name]
 	if !ok && name != eventStart && name != eventStop && name != eventEndpointUpdate {
-		if d.Unknown != nil {
-			d.Unknown(name)
+		if d.OnUnknown != nil {
+			d.OnUnknown(name)
 		}
 		return Item{}, false
 	}
@@ -177,7 +177,7 @@
 	d.lists[n], d.defined[n] = endpoints, true
 }
 
-// status reads the code of an attempt's status.
+// status reads the code with which an attempt or a health check ended.
 func (f *fields) status(i int, name string) routing.Status {
 	n := f.integer(i, name)
 	s, ok := statuses[n]
@@ -187,8 +187,8 @@
 	return s
 }
 
-// decoders decode the events for a running director, except updates of the endpoint list, by event name. Numbers are the
-// positions of fields in the event; names are for errors.
+// decoders decode the events for a running director, except updates of the endpoint list, by event name. Numbers are
+// the positions of fields in the event; names are for errors.
 var decoders = map[string]func(*fields) routing.Event{
 	eventRequest: func(f *fields) routing.Event {
 		marks := int(f.optional(10, "marks"))
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -20,10 +20,10 @@
 	var d Decoder
 	b, err := d.Decode([]byte(`{"tMs":1.5,"input":[` + event + `]}`))
 	if err != nil {
-		t.Fatalf("%s: %v", event, err)
+		t.Fatalf("decoding %s: %v", event, err)
 	}
 	if b.Now != 1500*time.Microsecond || len(b.Items) != 1 {
-		t.Fatalf("%s: %+v", event, b)
+		t.Fatalf("%s decoded as %+v, want one item at 1.5 ms", event, b)
 	}
 	return b.Items[0]
 }
@@ -61,7 +61,7 @@
 		!s.WeightsKnown || s.LoadReportFields != nil || s.Siblings != routing.SiblingsAnywhere ||
 		s.Classes[0].Effect != routing.IdempotentWithKey || s.Classes[0].DedupScope != routing.ScopeCell ||
 		s.Classes[0].FreshFor != 8*time.Second {
-		t.Errorf("%+v", it)
+		t.Errorf("wrong settings or seed: %+v", it)
 	}
 }
 
@@ -75,7 +75,7 @@
 	one, two := b.Items[0].Event.(routing.EndpointUpdate), b.Items[1].Event.(routing.EndpointUpdate)
 	if one.Endpoints[0].ID != "a" || two.Endpoints[0].ID != "b" || two.Endpoints[0].Phase != routing.Draining ||
 		two.Endpoints[0].Incarnation != 7*time.Millisecond || two.Kind != routing.DeltaList {
-		t.Errorf("%+v %+v", one, two)
+		t.Errorf("wrong first update %+v or second update %+v", one, two)
 	}
 }
 
@@ -105,7 +105,7 @@
 
 func TestUnknownEventsAreIgnored(t *testing.T) {
 	var names []string
-	d := Decoder{Unknown: func(n string) { names = append(names, n) }}
+	d := Decoder{OnUnknown: func(n string) { names = append(names, n) }}
 	b, err := d.Decode([]byte(`{"tMs":1,"input":[["novel","d",{}]]}`))
 	if err != nil || len(b.Items) != 0 || len(names) != 1 || names[0] != "novel" {
 		t.Error(b, err, names)
@@ -135,7 +135,7 @@
 			t.Fatal(err)
 		}
 		if got, want := string(r.Line()), `{"cmds":[`+c.want+"]}\n"; got != want {
-			t.Errorf("got %s want %s", got, want)
+			t.Errorf("encoded as %s, want %s", got, want)
 		}
 	}
 	var r Reply
