--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -1,5 +1,5 @@
-// Package httpapi maps HTTP requests and responses to requests and answers of the gateway, for the signed front and the
-// middleware. It does no I/O.
+// Package httpapi converts HTTP requests and responses to requests and answers of the gateway, for the signed front
+// and the middleware. It does no I/O.
 //
 //	GET  /CLASS/OBJECT/PART?shard=GROUP    a part of an object
 //	POST /CLASS/OBJECT/PART?shard=GROUP    in classes that are not idempotent, with an Idempotency-Key
--- a/internal/net/discovery/events.go
+++ b/internal/net/discovery/events.go
@@ -52,7 +52,7 @@
 	Entries  []Event `json:"entries"`
 }
 
-// phases maps the status words of endpoints to phases.
+// phases are the phases of endpoints by status word.
 var phases = map[string]routing.Phase{"SERVING": routing.Up, "DRAINING": routing.Draining,
 	"DELETED": routing.Removed}
 
--- a/internal/net/msgpackrpc/value.go
+++ b/internal/net/msgpackrpc/value.go
@@ -13,7 +13,7 @@
 
 const (
 	maxFrameBytes = 96 << 10 // bytes of one message; bodies have up to 48,000
-	maxDepth      = 5        // nesting of arrays and maps
+	maxDepth      = 5        // nesting of arrays and map values
 	maxItems      = 64       // items of one array or map
 	maxValues     = 256      // values in one message: an incomplete message is parsed again on each read
 )
--- a/internal/net/resp/wire.go
+++ b/internal/net/resp/wire.go
@@ -16,12 +16,12 @@
 // notModified is the status word of an answer that says that the client's copy is current.
 const notModified = "KEEP"
 
-// statuses maps the status words of answers to statuses of attempts.
+// statuses are the statuses of attempts by the status words of answers.
 var statuses = map[string]routing.Status{"DONE": routing.OK, notModified: routing.OK, "LACK": routing.Miss,
 	"WAIT": routing.Rejected, "BROKE": routing.ServerError, "PAST": routing.NotSent}
 
-// reasons maps the words with which endpoints explain how they served a request, or why they did not. Other words are
-// ignored.
+// reasons are the reasons of results by the words with which endpoints explain how they served a request, or why they
+// did not. Other words are ignored.
 var reasons = map[string]routing.Reason{"warm": routing.ReasonHit, "fill": routing.ReasonFilled,
 	"deep_fill": routing.ReasonFilledByOrigin, "piggy": routing.ReasonCoalesced, "aged": routing.ReasonStale,
 	"bounced": routing.ReasonSourceRejected, "dropped": routing.ReasonSourceLost, "lacking": routing.ReasonSourceMiss,
@@ -31,8 +31,8 @@
 // say about the endpoint's health.
 func isPingAnswer(status string) bool { return status == "FIT" || status == "UNFIT" }
 
-// loadFieldAliases maps the simulator's names of load report fields to this protocol's names, and vice versa: the
-// settings may use either names, independent of what endpoints send.
+// loadFieldAliases has the protocol's name for each of the simulator's names of load report fields, and vice versa:
+// the settings may use either names, independent of what endpoints send.
 var loadFieldAliases = func() map[string]string {
 	aliases := map[string]string{
 		"inflight":   "busy_reqs",
--- a/internal/simprotocol/names.go
+++ b/internal/simprotocol/names.go
@@ -56,15 +56,15 @@
 	howRefreshAhead = 8
 )
 
-// updateKinds maps the kinds of endpoint list updates.
+// updateKinds are the kinds of endpoint list updates by their words.
 var updateKinds = map[string]routing.UpdateKind{
 	"total": routing.FullList, "incr": routing.DeltaList, "warm_copy": routing.StaleList, "lost": routing.WatchLost,
 }
 
-// phases maps the phases of endpoints.
+// phases are the phases of endpoints by their words.
 var phases = map[string]routing.Phase{"U": routing.Up, "L": routing.Draining, "D": routing.Removed}
 
-// statuses maps the codes with which attempts and health checks end.
+// statuses are the statuses of attempts and health checks by their codes.
 var statuses = map[int]routing.Status{
 	200: routing.OK, 500: routing.ServerError, 503: routing.Rejected, 504: routing.TimedOut,
 	502: routing.ConnectFailed, 598: routing.Reset, 499: routing.Canceled, 410: routing.NotSent,
