--- a/internal/net/transport/transport_test.go
+++ b/internal/net/transport/transport_test.go
@@ -181,7 +181,7 @@
 	}
 }
 
-// CloseGracefully with unread input and an answer that the peer has not read completely. A plain close would reset
+// Checks CloseGracefully with unread input and an answer that the peer has not read completely. A plain close would reset
 // the connection and lose the rest of the answer; here the peer must read all of it, and then the end of the stream.
 func TestCloseGracefullyDeliversWrittenBytes(t *testing.T) {
 	e, c, peer, handler := newConnPair(t, 4<<10)
@@ -219,7 +219,7 @@
 	}
 }
 
-// CloseGracefully frees the descriptor after the linger time even if the peer keeps the connection open.
+// Checks that CloseGracefully frees the descriptor after the linger time even if the peer keeps the connection open.
 func TestCloseGracefullyClosesAfterLinger(t *testing.T) {
 	e, c, peer, handler := newConnPair(t, 0)
 	c.CloseGracefully(io.EOF, shortLinger)
