--- a/cmd/larchusher/listeners.go
+++ b/cmd/larchusher/listeners.go
@@ -17,7 +17,7 @@
 // connQuotas divides the descriptors among listeners and endpoints.
 func (p *program) connQuotas() config.ConnQuotas {
 	checks := p.operator.AgentListen != "" || p.operator.HTTPListen != "" || p.operator.MetricsListen != ""
-	return p.cfg.ConnQuotas(p.operator.Signed != nil, checks)
+	return p.cfg.ConnQuotas(p.operator.SignedFront != nil, checks)
 }
 
 // openFronts opens the platform's front, and what the operator's file asks for.
@@ -37,16 +37,16 @@
 
 // openSignedFront opens the front for signed URLs, if the operator's file has one.
 func (p *program) openSignedFront() error {
-	if p.operator.Signed == nil {
+	if p.operator.SignedFront == nil {
 		return nil
 	}
-	api, err := newSignedAPI(p.operator.Signed, p.cfg.Settings)
+	api, err := newSignedAPI(p.operator.SignedFront, p.cfg.Settings)
 	if err != nil {
 		return err
 	}
 	quota := p.connQuotas().Signed
 	p.signedFront = signedfront.New(p.loop, p.gateway, api, quota, p.cfg.Seed, p.log)
-	l, err := p.engine.Listen(p.operator.Signed.Listen, quota, p.signedFront.EvictIdle, p.signedFront.NewHandler)
+	l, err := p.engine.Listen(p.operator.SignedFront.Listen, quota, p.signedFront.EvictIdle, p.signedFront.NewHandler)
 	if err != nil {
 		return p.operatorError(fmt.Errorf("signed_front.listen: %w", err))
 	}
--- a/cmd/larchusher/main.go
+++ b/cmd/larchusher/main.go
@@ -78,10 +78,10 @@
 	if err != nil {
 		return err
 	}
-	if op.Signed == nil {
+	if op.SignedFront == nil {
 		return errors.New("sign: the operator's file (--operator) has no signed_front")
 	}
-	issuer, err := signedurl.NewIssuer(op.Signed.URLs, s.Key)
+	issuer, err := signedurl.NewIssuer(op.SignedFront.URLs, s.Key)
 	if err != nil {
 		return fmt.Errorf("--key: %w", err)
 	}
--- a/cmd/larchusher/reload.go
+++ b/cmd/larchusher/reload.go
@@ -44,8 +44,8 @@
 	if err := p.cfg.CheckReload(cfg); err != nil {
 		return err
 	}
-	if op.Signed != nil {
-		if _, err := newSignedAPI(op.Signed, cfg.Settings); err != nil {
+	if op.SignedFront != nil {
+		if _, err := newSignedAPI(op.SignedFront, cfg.Settings); err != nil {
 			return err
 		}
 	}
@@ -66,7 +66,7 @@
 	p.front.SetClasses(classNames(p.gateway.Classes()))
 	p.pool.SetAnswerTimeout(p.longestDeadline())
 	p.discovery.SetAddress(cfg.Journal)
-	p.reloadSignedFront(op.Signed)
+	p.reloadSignedFront(op.SignedFront)
 	if p.cluster != nil {
 		p.cluster.ReconfigureClasses(cfg.Settings.Classes)
 	}
@@ -87,14 +87,14 @@
 
 // reloadSignedFront has the signed front go by what a newer file says. One that the file has no more ends, for good: its keys may be
 // somebody's who is not served here any longer.
-func (p *program) reloadSignedFront(signed *config.Signed) {
+func (p *program) reloadSignedFront(signed *config.SignedFront) {
 	switch {
 	case p.signedFront == nil:
 	case signed == nil && !p.signedFrontClosed:
 		p.signedFrontClosed = true
 		p.signedListener.Close()
 		p.signedFront.Retire()
-		p.log.Warn(logfields.ReloadSignedFrontDone)
+		p.log.Warn(logfields.ReloadSignedFrontClosed)
 	case signed != nil && p.signedFrontClosed:
 		p.log.WithField(logfields.Keys, "signed_front").Warn(logfields.ReloadNeedsRestart)
 	case signed != nil:
@@ -110,7 +110,7 @@
 }
 
 // newSignedAPI has the keys of the signed front's file.
-func newSignedAPI(s *config.Signed, settings routing.Settings) (*httpapi.API, error) {
+func newSignedAPI(s *config.SignedFront, settings routing.Settings) (*httpapi.API, error) {
 	verifier, err := signedurl.NewVerifier(s.URLs)
 	if err != nil {
 		return nil, err
--- a/cmd/larchusher/successor.go
+++ b/cmd/larchusher/successor.go
@@ -97,7 +97,7 @@
 		p.log.WithError(err).Warn(logfields.UpgradeStateMissing)
 		return known, nil
 	case state.Format != stateFormat:
-		p.log.WithField(logfields.Format, state.Format).Warn(logfields.UpgradeStateUnknown)
+		p.log.WithField(logfields.Format, state.Format).Warn(logfields.UpgradeStateFormatUnknown)
 		return known, nil
 	case state.Since == eventsID(p.cfg.InitialState) && state.Known.Position >= known.Position:
 		known = state.Known
@@ -121,7 +121,7 @@
 		p.takeSlowStartBudget(learned != nil)
 		p.process.OnPredecessorExit(func() {
 			p.loop.Post(func() {
-				p.log.Info(logfields.UpgradePredecessorGone)
+				p.log.Info(logfields.UpgradePredecessorExited)
 				p.useResourceShare(1)
 				if learned == nil {
 					p.takeSlowStartBudget(true)
@@ -133,7 +133,7 @@
 		p.loop.Post(func() { p.handOver(answer) })
 	}, func() {
 		p.loop.Post(func() {
-			p.log.Warn(logfields.UpgradeSuccessorGone)
+			p.log.Warn(logfields.UpgradeSuccessorExited)
 			p.useResourceShare(1)
 			p.takeSlowStartBudget(true)
 		})
@@ -208,12 +208,12 @@
 	conn, err := net.FileConn(migrated.File)
 	_ = migrated.File.Close() // conn has a descriptor of its own
 	if err != nil {
-		p.log.WithError(err).Warn(logfields.UpgradeConnFaulty)
+		p.log.WithError(err).Warn(logfields.UpgradeConnUnusable)
 		return
 	}
 	at := slices.IndexFunc(p.listeners, func(l *transport.Listener) bool { return l.Addr().String() == migrated.Addr })
 	if at < 0 {
-		p.log.WithField(logfields.Address, migrated.Addr).Warn(logfields.UpgradeConnAddress)
+		p.log.WithField(logfields.Address, migrated.Addr).Warn(logfields.UpgradeConnUnknownAddress)
 		_ = conn.Close() // nothing was written to it
 		return
 	}
--- a/gateway/failures.go
+++ b/gateway/failures.go
@@ -39,12 +39,12 @@
 		return
 	}
 	fields := logrus.Fields{
-		logfields.RequestID: r.ID,
-		logfields.Class:     r.Class,
-		logfields.Outcome:   a.Outcome.String(),
-		logfields.Reason:    string(a.cause),
-		logfields.Attempts:  len(r.attempts),
-		logfields.Suppress:  f.suppressed,
+		logfields.RequestID:  r.ID,
+		logfields.Class:      r.Class,
+		logfields.Outcome:    a.Outcome.String(),
+		logfields.Reason:     string(a.cause),
+		logfields.Attempts:   len(r.attempts),
+		logfields.Suppressed: f.suppressed,
 	}
 	if n := len(r.attempts); n > 0 { // the latest one says most
 		last := r.attempts[n-1]
--- a/gateway/failures_test.go
+++ b/gateway/failures_test.go
@@ -51,7 +51,7 @@
 	fail(h.request("first", "order"))
 	fail(h.request("second", "order"))
 	check(map[string]any{logfields.RequestID: "first", logfields.Class: "order", logfields.Outcome: "failed",
-		logfields.Reason: "no idempotency key", logfields.Attempts: 0, logfields.Suppress: 0})
+		logfields.Reason: "no idempotency key", logfields.Attempts: 0, logfields.Suppressed: 0})
 
 	time.Sleep(1100 * time.Millisecond) // lines come once a second
 	h.on(func() { h.g.Submit(h.request("third", "payment")) })
@@ -61,5 +61,5 @@
 		t.Fatalf("%+v", a)
 	}
 	check(map[string]any{logfields.RequestID: "third", logfields.Outcome: "failed", logfields.Reason: "no further attempt allowed",
-		logfields.Attempts: 1, logfields.Endpoint: attempt.Endpoint, logfields.Status: "reset", logfields.Suppress: 1})
+		logfields.Attempts: 1, logfields.Endpoint: attempt.Endpoint, logfields.Status: "reset", logfields.Suppressed: 1})
 }
--- a/internal/clusternode/replicator.go
+++ b/internal/clusternode/replicator.go
@@ -38,15 +38,15 @@
 		Self:            replication.Incarnation{Name: n.cfg.Name, Number: newIncarnation()},
 		Members:         n.memberNames(),
 		PurgeSettleTime: n.purgeSettleTime,
-		BytesPerSecond:  r.Bytes,
-		CatchUpTimeout:  r.Wait,
+		BytesPerSecond:  r.MaxBytesPerSecond,
+		CatchUpTimeout:  r.CatchUpTimeout,
 		WallClock:       func() time.Duration { return time.Duration(n.wallClockMs()) * time.Millisecond },
 		Seed:            newIncarnation(),
 	})
 	if err != nil {
 		return err
 	}
-	n.replication = &replicator{owner: n, node: node, sharer: warmstart.NewSharer(node, n.zone, r.Listings)}
+	n.replication = &replicator{owner: n, node: node, sharer: warmstart.NewSharer(node, n.zone, r.MaxListings)}
 	return nil
 }
 
@@ -99,7 +99,7 @@
 	}
 	r.publishedAt, r.watchEvents = now, events
 	began := time.Now()
-	for _, learned := range r.owner.gateway.ExportLearned(r.owner.cfg.Replication.Listings)[:1] { // of this gateway's zone
+	for _, learned := range r.owner.gateway.ExportLearned(r.owner.cfg.Replication.MaxListings)[:1] { // of this gateway's zone
 		r.sharer.Publish(r.owner.now(), learned, r.owner.gateway.ListedEndpoints())
 	}
 	r.updateDrains()
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -30,9 +30,9 @@
 
 // Replication says how what gateways know is replicated.
 type Replication struct {
-	Wait     time.Duration // a start waits so long for other gateways
-	Bytes    int           // a second, that are sent to others
-	Listings int           // of the mapping table, that are published
+	CatchUpTimeout    time.Duration // a start waits so long for other gateways
+	MaxBytesPerSecond int           // a second, that are sent to others
+	MaxListings       int           // of the mapping table, that are published
 }
 
 const (
@@ -48,15 +48,15 @@
 	if pb == nil {
 		return nil, nil
 	}
-	r = &Replication{Bytes: cmp.Or(int(pb.GetBytes()), defaultReplicationBytes), Listings: cmp.Or(int(pb.GetListings()), defaultReplicationListings)}
-	if r.Wait, err = parseDuration("fleet.replicate.wait", pb.GetWait(), defaultReplicationWait, 100*time.Millisecond, maxReplicationWait); err != nil {
+	r = &Replication{MaxBytesPerSecond: cmp.Or(int(pb.GetBytes()), defaultReplicationBytes), MaxListings: cmp.Or(int(pb.GetListings()), defaultReplicationListings)}
+	if r.CatchUpTimeout, err = parseDuration("fleet.replicate.wait", pb.GetWait(), defaultReplicationWait, 100*time.Millisecond, maxReplicationWait); err != nil {
 		return nil, err
 	}
-	if r.Bytes < 16<<10 || r.Bytes > 64<<20 {
-		return nil, newKeyError("fleet.replicate.bytes", fmt.Errorf("%d is not from 16384 to 67108864", r.Bytes))
+	if r.MaxBytesPerSecond < 16<<10 || r.MaxBytesPerSecond > 64<<20 {
+		return nil, newKeyError("fleet.replicate.bytes", fmt.Errorf("%d is not from 16384 to 67108864", r.MaxBytesPerSecond))
 	}
-	if r.Listings < 0 || r.Listings > maxReplicationListings {
-		return nil, newKeyError("fleet.replicate.listings", fmt.Errorf("%d is not from 0 to %d", r.Listings, maxReplicationListings))
+	if r.MaxListings < 0 || r.MaxListings > maxReplicationListings {
+		return nil, newKeyError("fleet.replicate.listings", fmt.Errorf("%d is not from 0 to %d", r.MaxListings, maxReplicationListings))
 	}
 	return r, nil
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -16,7 +16,7 @@
 
 // Operator is the operator's own file. The zero value is an empty file, which has everything off.
 type Operator struct {
-	Signed        *Signed         // nil: off
+	SignedFront   *SignedFront    // nil: off
 	AgentListen   string          // address of the HAProxy agent check; empty: off
 	HTTPListen    string          // address of the HTTP health check; empty: off
 	MetricsListen string          // address of the metrics for Prometheus; empty: off
@@ -31,7 +31,7 @@
 // SameRestartSettings reports whether a newer file has the same of everything that is taken in at the start only. A reload
 // takes in the keys of the signed front, that it has ended, and what localities go by, but not which ones there are.
 func (o *Operator) SameRestartSettings(newer *Operator) bool {
-	signedMoved := newer.Signed != nil && (o.Signed == nil || o.Signed.Listen != newer.Signed.Listen)
+	signedMoved := newer.SignedFront != nil && (o.SignedFront == nil || o.SignedFront.Listen != newer.SignedFront.Listen)
 	return !signedMoved && reflect.DeepEqual(o.restartSettings(), newer.restartSettings())
 }
 
@@ -103,7 +103,7 @@
 	}
 	var err error
 	if pb.SignedFront != nil {
-		if o.Signed, err = readSigned(pb.SignedFront, env); err != nil {
+		if o.SignedFront, err = readSigned(pb.SignedFront, env); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -70,14 +70,14 @@
 		t.Fatalf("%+v, %v", o, err)
 	}
 	o, err = ParseOperator([]byte(group+"  replicate { bytes: 20000 }\n}"), env)
-	if err != nil || o.Cluster.Replication == nil || *o.Cluster.Replication != (Replication{Wait: 3 * time.Second, Bytes: 20000, Listings: 512}) {
+	if err != nil || o.Cluster.Replication == nil || *o.Cluster.Replication != (Replication{CatchUpTimeout: 3 * time.Second, MaxBytesPerSecond: 20000, MaxListings: 512}) {
 		t.Errorf("%+v, %v", o.Cluster.Replication, err)
 	}
 }
 
 func TestOperatorsFileAndDefaults(t *testing.T) {
 	o, err := ParseOperator(nil, env)
-	if err != nil || o.Signed != nil || o.AgentListen+o.HTTPListen+o.MetricsListen != "" {
+	if err != nil || o.SignedFront != nil || o.AgentListen+o.HTTPListen+o.MetricsListen != "" {
 		t.Errorf("an empty file: %+v, %v", o, err)
 	}
 	if c := o.Overload; c.MaxWait != 150*time.Millisecond || c.Tick != 20*time.Millisecond || c.ProbeShare != 0.03 || c.RetriesFirst {
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	example, err := ParseOperator(data, env)
-	if err != nil || example.Signed == nil || len(example.Signed.URLs.Keys) != 2 || example.MetricsListen == "" {
+	if err != nil || example.SignedFront == nil || len(example.SignedFront.URLs.Keys) != 2 || example.MetricsListen == "" {
 		t.Errorf("the example: %+v, %v", example, err)
 	}
 	if c, err := example.LocalitiesFor("edge-1", []string{"north", "edge-1", "edge-2"}); o.Localities != nil || err != nil || c != nil {
--- a/internal/config/signed.go
+++ b/internal/config/signed.go
@@ -19,15 +19,15 @@
 const defaultLeeway = 2 * time.Second
 
 // Signed is the configuration of the front for signed URLs.
-type Signed struct {
+type SignedFront struct {
 	Listen    string
 	RenewWith string // id of the key that signs fresh tokens; empty: none are issued
 	URLs      signedurl.Config
 }
 
 // readSigned reads the front for signed URLs, with its keys.
-func readSigned(pb *operatorpb.SignedFront, env func(string) string) (*Signed, error) {
-	s := &Signed{Listen: pb.GetListen(), RenewWith: pb.GetRenewWith(), URLs: signedurl.Config{Base: pb.GetBase()}}
+func readSigned(pb *operatorpb.SignedFront, env func(string) string) (*SignedFront, error) {
+	s := &SignedFront{Listen: pb.GetListen(), RenewWith: pb.GetRenewWith(), URLs: signedurl.Config{Base: pb.GetBase()}}
 	var err error
 	if s.URLs.Leeway, err = parseDuration("signed_front.leeway", pb.GetLeeway(), defaultLeeway, 0, time.Hour); err != nil {
 		return nil, err
--- a/internal/logfields/events.go
+++ b/internal/logfields/events.go
@@ -16,31 +16,31 @@
 
 // Events of a reload, on SIGHUP.
 const (
-	Reloaded              = "reloaded"
-	ReloadRejected        = "reload rejected"
-	ReloadNeedsRestart    = "reload needs restart"
-	ReloadClassesFailed   = "reload of classes failed"
-	ReloadSignedFailed    = "reload of the signed front failed"
-	ReloadSignedFrontDone = "reload closed the signed front"
+	Reloaded                = "reloaded"
+	ReloadRejected          = "reload rejected"
+	ReloadNeedsRestart      = "reload needs restart"
+	ReloadClassesFailed     = "reload of classes failed"
+	ReloadSignedFailed      = "reload of the signed front failed"
+	ReloadSignedFrontClosed = "reload closed the signed front"
 )
 
 // Events of the endpoint list's feed.
 const (
-	DiscoveryMoved       = "discovery: address changed"
-	DiscoveryLost        = "discovery: connection lost"
-	DiscoveryEventFaulty = "discovery: event unusable"
+	DiscoveryAddressChanged = "discovery: address changed"
+	DiscoveryLost           = "discovery: connection lost"
+	DiscoveryEventUnusable  = "discovery: event unusable"
 )
 
 // Events of connections.
 const (
-	AcceptFailed          = "accept failed"
-	EndpointConnLost      = "endpoint connection lost"
-	EndpointAnswerFaulty  = "endpoint answer unreadable"
-	ConnTakeoverFailed    = "connection takeover failed"
-	ConnRegisterFailed    = "connection not registered with the poller"
-	ConnMigrationFailed   = "connection migration failed"
-	PollerBarrierFailed   = "poller barrier failed"
-	PollerLibraryReported = "poller library"
+	AcceptFailed             = "accept failed"
+	EndpointConnLost         = "endpoint connection lost"
+	EndpointAnswerUnreadable = "endpoint answer unreadable"
+	ConnTakeoverFailed       = "connection takeover failed"
+	ConnRegisterFailed       = "connection not registered with the poller"
+	ConnMigrationFailed      = "connection migration failed"
+	PollerBarrierFailed      = "poller barrier failed"
+	PollerLibraryReported    = "poller library"
 )
 
 // Events of learned state.
@@ -56,20 +56,20 @@
 
 // Events of an upgrade, in which a new process takes over from the one that serves.
 const (
-	UpgradeUnavailable      = "upgrade: handover unavailable"
-	UpgradeSocketsMissing   = "upgrade: sockets not handed over"
-	UpgradeStateMissing     = "upgrade: state not handed over"
-	UpgradeStateUnknown     = "upgrade: state of an unknown format"
-	UpgradeTakingOver       = "upgrade: taking over"
-	UpgradeStateImported    = "upgrade: learned state imported"
-	UpgradePredecessorGone  = "upgrade: predecessor has ended"
-	UpgradeSuccessorGone    = "upgrade: successor has ended"
-	UpgradeNotAnnounced     = "upgrade: predecessor not notified"
-	UpgradeConnFaulty       = "upgrade: connection unusable"
-	UpgradeConnAddress      = "upgrade: connection for an unknown address"
-	UpgradeHandingOver      = "upgrade: handing over"
-	UpgradeHandoverFailed   = "upgrade: handover incomplete"
-	UpgradeMigratingClients = "upgrade: migrating clients"
+	UpgradeUnavailable        = "upgrade: handover unavailable"
+	UpgradeSocketsMissing     = "upgrade: sockets not handed over"
+	UpgradeStateMissing       = "upgrade: state not handed over"
+	UpgradeStateFormatUnknown = "upgrade: state of an unknown format"
+	UpgradeTakingOver         = "upgrade: taking over"
+	UpgradeStateImported      = "upgrade: learned state imported"
+	UpgradePredecessorExited  = "upgrade: predecessor has ended"
+	UpgradeSuccessorExited    = "upgrade: successor has ended"
+	UpgradeNotAnnounced       = "upgrade: predecessor not notified"
+	UpgradeConnUnusable       = "upgrade: connection unusable"
+	UpgradeConnUnknownAddress = "upgrade: connection for an unknown address"
+	UpgradeHandingOver        = "upgrade: handing over"
+	UpgradeHandoverFailed     = "upgrade: handover incomplete"
+	UpgradeMigratingClients   = "upgrade: migrating clients"
 )
 
 // Events among the gateways of a cluster.
--- a/internal/logfields/fields.go
+++ b/internal/logfields/fields.go
@@ -31,7 +31,7 @@
 	Self       = "self"        // this gateway, by its name in the cluster
 	Stack      = "stack"       // of a goroutine
 	Status     = "status"      // how an attempt ended
-	Suppress   = "suppressed"  // lines of the same event that were left out since the latest one
+	Suppressed = "suppressed"  // lines of the same event that were left out since the latest one
 	Truncated  = "truncated"   // a file ends early
 	To         = "to"          // where something goes to: an address or a gateway
 )
--- a/internal/net/discovery/client.go
+++ b/internal/net/discovery/client.go
@@ -67,7 +67,7 @@
 	if addr == c.addr {
 		return
 	}
-	c.log.WithFields(logrus.Fields{logfields.From: c.addr, logfields.To: addr, logfields.Position: c.position}).Info(logfields.DiscoveryMoved)
+	c.log.WithFields(logrus.Fields{logfields.From: c.addr, logfields.To: addr, logfields.Position: c.position}).Info(logfields.DiscoveryAddressChanged)
 	c.addr, c.backoff = addr, minBackoff
 	c.reconnectTimer.Stop()
 	old := c.current
--- a/internal/net/discovery/stream.go
+++ b/internal/net/discovery/stream.go
@@ -27,7 +27,7 @@
 			e.Position = n
 		}
 		if unusable != nil { // the position counts all the same
-			s.client.log.WithError(unusable).Warn(logfields.DiscoveryEventFaulty)
+			s.client.log.WithError(unusable).Warn(logfields.DiscoveryEventUnusable)
 			dropped++
 			e = Event{Position: e.Position}
 		}
--- a/internal/net/resp/answer.go
+++ b/internal/net/resp/answer.go
@@ -56,7 +56,7 @@
 		for _, rest := range answers[i+1:] {
 			c.pool.releaseStrings(rest)
 		}
-		c.pool.log.WithError(err).WithField(logfields.Endpoint, c.endpoint.id).Warn(logfields.EndpointAnswerFaulty)
+		c.pool.log.WithError(err).WithField(logfields.Endpoint, c.endpoint.id).Warn(logfields.EndpointAnswerUnreadable)
 		tc.Close(err)
 		c.end(err)
 		return
--- a/internal/net/transport/accept.go
+++ b/internal/net/transport/accept.go
@@ -143,7 +143,7 @@
 		f.suppressed++
 		return
 	}
-	log.WithError(err).WithFields(logrus.Fields{logfields.Address: addr, logfields.Suppress: f.suppressed}).Warn(logfields.AcceptFailed)
+	log.WithError(err).WithFields(logrus.Fields{logfields.Address: addr, logfields.Suppressed: f.suppressed}).Warn(logfields.AcceptFailed)
 	f.loggedAt, f.suppressed = now, 0
 }
 
