--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -13,26 +13,27 @@
 	"larchusher/maintenance"
 )
 
-// Cluster says which gateways an installation has, and what they keep to. The operator's file calls it the fleet.
+// Cluster is the configuration of this gateway as a member of a cluster: the part fleet of the operator's file.
 type Cluster struct {
-	Name    string
-	Listen  string
-	Members []ClusterMember
-	Voters  []string
-	Key     []byte             // that members share
-	Folder  string             // of what must outlive the process; empty: nothing does
-	Limits  maintenance.Limits // of planned maintenance
-	// Replication of what gateways know; nil: it is not replicated.
+	Name    string             // this gateway's name in Members
+	Listen  string             // address and port on which this gateway accepts the other members
+	Members []ClusterMember    // all gateways of the cluster, including this one
+	Voters  []string           // names of the members that vote in consensus
+	Key     []byte             // secret that all members share
+	Folder  string             // folder for the state that must survive a restart; empty: no state survives
+	Limits  maintenance.Limits // limits on planned maintenance
+	// Replication configures the replication of learned state among gateways; nil: learned state is not replicated.
 	Replication *Replication
-	// ClockFile holds the milliseconds by which the wall clock is to be off, for experiments alone; empty: none.
+	// ClockFile is the path of a file with an offset in milliseconds that is added to the wall clock. It is for
+	// experiments only; empty: no offset.
 	ClockFile string
 }
 
-// Replication says how what gateways know is replicated.
+// Replication is the configuration of the replication of learned state among gateways.
 type Replication struct {
-	CatchUpTimeout    time.Duration // a start waits so long for other gateways
-	MaxBytesPerSecond int           // a second, that are sent to others
-	MaxListings       int           // of the mapping table, that are published
+	CatchUpTimeout    time.Duration // how long a start waits at most for the state of other gateways
+	MaxBytesPerSecond int           // bytes that may be sent to other gateways in a second
+	MaxListings       int           // listings of this gateway's mapping table that are published
 }
 
 const (
@@ -43,7 +44,8 @@
 	maxReplicationListings     = 4096
 )
 
-// readReplication reads the part fleet.replicate; nil: off.
+// readReplication checks and converts the part fleet.replicate of the operator's file. It returns nil if the file has no
+// such part, which leaves replication off.
 func readReplication(pb *operatorpb.Replicate) (r *Replication, err error) {
 	if pb == nil {
 		return nil, nil
@@ -53,18 +55,18 @@
 		return nil, err
 	}
 	if r.MaxBytesPerSecond < 16<<10 || r.MaxBytesPerSecond > 64<<20 {
-		return nil, newKeyError("fleet.replicate.bytes", fmt.Errorf("%d is not from 16384 to 67108864", r.MaxBytesPerSecond))
+		return nil, newKeyError("fleet.replicate.bytes", fmt.Errorf("%d is out of range, want 16384 to 67108864", r.MaxBytesPerSecond))
 	}
 	if r.MaxListings < 0 || r.MaxListings > maxReplicationListings {
-		return nil, newKeyError("fleet.replicate.listings", fmt.Errorf("%d is not from 0 to %d", r.MaxListings, maxReplicationListings))
+		return nil, newKeyError("fleet.replicate.listings", fmt.Errorf("%d is out of range, want 0 to %d", r.MaxListings, maxReplicationListings))
 	}
 	return r, nil
 }
 
-// ClusterMember is one gateway.
+// ClusterMember is a gateway of a cluster, with the address and port on which it accepts other members and tools.
 type ClusterMember struct{ Name, Address string }
 
-// Address is where a member listens; empty: there is none of that name.
+// Address returns the address and port of the member with a name, or "" if there is no such member.
 func (c *Cluster) Address(name string) string {
 	for _, m := range c.Members {
 		if m.Name == name {
@@ -75,18 +77,19 @@
 }
 
 const (
-	maxMembers      = 1024
-	maxVoters       = 9
-	maxNameBytes    = 64
-	toolPrefix      = "tool-" // of names that are for tools
-	minKeyBytes     = 32
-	fewVoters       = 3 // of a small cluster that names none,
-	moreVoters      = 5 // and of one with this many members or more
-	longestDuration = 1 << 62
-	clockFileEnv    = "LARCHUSHER_LAB_CLOCK"
+	maxMembers                = 1024
+	maxVoters                 = 9
+	maxNameBytes              = 64
+	toolNamePrefix            = "tool-" // prefix of the names that tools connect under, which no member may have
+	minClusterKeyBytes        = 32
+	defaultVoters             = 3       // voters of a cluster that configures none and has fewer than five members
+	defaultVotersLargeCluster = 5       // voters of a cluster that configures none and has at least this many members
+	unboundedDuration         = 1 << 62 // no upper bound: maintenance.Limits.Check applies its own
+	clockFileEnv              = "LARCHUSHER_LAB_CLOCK"
 )
 
-// readCluster reads who belongs to the cluster; nil: this gateway is alone.
+// readCluster checks and converts the part fleet of the operator's file; env looks up environment variables. It returns nil
+// if the file has no such part, in which case the gateway runs without a cluster.
 func readCluster(pb *operatorpb.Fleet, env func(string) string) (*Cluster, error) {
 	if pb == nil {
 		return nil, nil
@@ -102,7 +105,7 @@
 		c.setDefaultVoters()
 	}
 	var err error
-	if c.Key, err = clusterKey(pb.GetKeyEnv(), env); err != nil {
+	if c.Key, err = loadClusterKey(pb.GetKeyEnv(), env); err != nil {
 		return nil, err
 	}
 	if c.Replication, err = readReplication(pb.GetReplicate()); err != nil {
@@ -114,25 +117,25 @@
 	return c, nil
 }
 
-// readMembers reads the members, and which of them vote.
+// readMembers checks the configured members and sets Members, and Voters to those that are marked as voting.
 func (c *Cluster) readMembers(members []*operatorpb.FleetMember) error {
-	names, addresses := map[string]bool{}, map[string]bool{}
+	seenNames, seenAddresses := map[string]bool{}, map[string]bool{}
 	for i, m := range members {
 		key := fmt.Sprintf("fleet.member[%d]", i)
 		name, address := m.GetName(), m.GetAddress()
-		if name == "" || len(name) > maxNameBytes || strings.HasPrefix(name, toolPrefix) {
-			return newKeyError(key+".name", fmt.Errorf("%q: 1 to %d characters, and %s is for tools", name, maxNameBytes, toolPrefix))
+		if name == "" || len(name) > maxNameBytes || strings.HasPrefix(name, toolNamePrefix) {
+			return newKeyError(key+".name", fmt.Errorf("%q is not a valid member name: want 1 to %d bytes, and the prefix %s is reserved for tools", name, maxNameBytes, toolNamePrefix))
 		}
-		if names[name] {
-			return newKeyError(key+".name", fmt.Errorf("%q stands twice", name))
+		if seenNames[name] {
+			return newKeyError(key+".name", fmt.Errorf("%q is listed twice", name))
 		}
 		if _, err := netip.ParseAddrPort(address); err != nil {
 			return newKeyError(key+".address", err)
 		}
-		if addresses[address] {
-			return newKeyError(key+".address", fmt.Errorf("%q stands twice", address))
+		if seenAddresses[address] {
+			return newKeyError(key+".address", fmt.Errorf("%q is listed twice", address))
 		}
-		names[name], addresses[address] = true, true
+		seenNames[name], seenAddresses[address] = true, true
 		c.Members = append(c.Members, ClusterMember{Name: name, Address: address})
 		if m.GetVotes() {
 			c.Voters = append(c.Voters, name)
@@ -140,39 +143,39 @@
 	}
 	switch {
 	case len(c.Members) == 0:
-		return newKeyError("fleet.member", errors.New("there is none"))
+		return newKeyError("fleet.member", errors.New("no member is listed, want at least one"))
 	case len(c.Members) > maxMembers:
-		return newKeyError("fleet.member", fmt.Errorf("%d, %d may be", len(c.Members), maxMembers))
-	case !names[c.Name]:
-		return newKeyError("fleet.name", fmt.Errorf("%q is none of the members", c.Name))
+		return newKeyError("fleet.member", fmt.Errorf("%d members are listed, want at most %d", len(c.Members), maxMembers))
+	case !seenNames[c.Name]:
+		return newKeyError("fleet.name", fmt.Errorf("%q is not the name of a member", c.Name))
 	case len(c.Voters) > maxVoters:
-		return newKeyError("fleet.member", fmt.Errorf("%d vote, %d may", len(c.Voters), maxVoters))
+		return newKeyError("fleet.member", fmt.Errorf("%d members vote, want at most %d", len(c.Voters), maxVoters))
 	}
 	return nil
 }
 
-// setDefaultVoters has the first members vote.
+// setDefaultVoters makes the first members of the list voters: five in a cluster of five or more, otherwise up to three.
 func (c *Cluster) setDefaultVoters() {
-	n := min(fewVoters, len(c.Members))
-	if len(c.Members) >= moreVoters {
-		n = moreVoters
+	n := min(defaultVoters, len(c.Members))
+	if len(c.Members) >= defaultVotersLargeCluster {
+		n = defaultVotersLargeCluster
 	}
 	for _, m := range c.Members[:n] {
 		c.Voters = append(c.Voters, m.Name)
 	}
 }
 
-// clusterKey reads the key that members share from a variable.
-func clusterKey(variable string, env func(string) string) ([]byte, error) {
-	key, err := hex.DecodeString(env(variable))
-	if variable == "" || err != nil || len(key) < minKeyBytes { // err would show a part of the key
+// loadClusterKey decodes the cluster's key, in hex, from the environment variable with a name.
+func loadClusterKey(variableName string, env func(string) string) ([]byte, error) {
+	key, err := hex.DecodeString(env(variableName))
+	if variableName == "" || err != nil || len(key) < minClusterKeyBytes { // err is not returned: its text would show a part of the key
 		return nil, newKeyError("fleet.key_env",
-			fmt.Errorf("%q is not the name of a variable with %d bytes or more in hex", variable, minKeyBytes))
+			fmt.Errorf("environment variable %q does not contain a key of at least %d bytes in hex", variableName, minClusterKeyBytes))
 	}
 	return key, nil
 }
 
-// readMaintenanceLimits reads what planned maintenance keeps to.
+// readMaintenanceLimits checks and converts the limits on planned maintenance, the part fleet.work of the operator's file.
 func readMaintenanceLimits(w *operatorpb.Work) (l maintenance.Limits, err error) {
 	l = maintenance.Limits{
 		MaxUtilization:    w.GetFull(),
@@ -181,10 +184,10 @@
 		MaxOut:            int(w.GetAtOnce()),
 		MaxTimesOvertaken: int(w.GetPatience()),
 	}
-	if l.Lease, err = parseDuration("fleet.work.lease", w.GetLease(), 0, 0, longestDuration); err != nil {
+	if l.Lease, err = parseDuration("fleet.work.lease", w.GetLease(), 0, 0, unboundedDuration); err != nil {
 		return l, err
 	}
-	if err := l.Check(); err != nil { // it names the key in other letters
+	if err := l.Check(); err != nil { // its text begins with the name of the key and a colon
 		name, rest, _ := strings.Cut(err.Error(), ": ")
 		return l, newKeyError("fleet.work."+keyName(name), errors.New(rest))
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,5 @@
-// Package config is the one place where configuration is read, checked and given defaults.
+// Package config reads and checks the configuration of a gateway, and sets defaults. There are two files: the platform's, in
+// JSON ([Load]), and the operator's, in Protocol Buffers text format ([LoadOperator]).
 package config
 
 import (
@@ -20,140 +21,146 @@
 	"larchusher/routing"
 )
 
-// environmentPrefix begins the names of the variables that Load reads.
-const environmentPrefix = "BALANCER_"
+// envPrefix is the prefix of the environment variables that Load reads.
+const envPrefix = "BALANCER_"
 
-// Defaults for what the configuration leaves out.
+// Defaults of values that the platform's configuration does not set.
 const (
 	defaultMemoryMB        = 192
 	defaultSockets         = 1024
 	defaultCores           = 1
-	defaultStreams         = 32 // attempts on one connection
-	defaultConnect         = 400 * time.Millisecond
+	defaultStreamsPerConn  = 32 // attempts in flight on one connection
+	defaultConnectTimeout  = 400 * time.Millisecond
 	defaultKeepAlive       = 30 * time.Second
 	defaultMaxOpenRequests = 20000
 )
 
-// Limits are what the platform lets the program use.
+// Limits are the resources that the platform lets this process use.
 type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"` // descriptors
+	Cores    float64 `json:"cores"`     // processor cores, which may be a fraction
+	MemoryMB int     `json:"memory_mb"` // memory in MiB
+	Sockets  int     `json:"sockets"`   // open file descriptors
 }
 
-// ConnQuotas are how many connections each side may hold. They add up to less than the limit on descriptors.
+// ConnQuotas are the maximum numbers of open connections by use. Together they are less than the limit on file descriptors.
 type ConnQuotas struct {
-	Endpoints    int // connections to endpoints
-	Clients      int // of the platform's front
-	Signed       int // of the front for signed URLs
-	HealthChecks int // of each listener for checks and metrics
-	Admin        int // of operators
+	Endpoints    int // connections to endpoints: caches, parents and the origin
+	Clients      int // connections of clients to the platform's front
+	SignedFront  int // connections of clients to the front for signed URLs
+	HealthChecks int // connections to each of the listeners for the agent check, the health check and metrics
+	Admin        int // connections to the admin listener
 }
 
-// Parts of the descriptors, which are divided by these.
+// Each use may have the limit on file descriptors divided by its divisor.
 const (
-	endpointsDivisor    = 3
-	signedDivisor       = 8
-	adminDivisor        = 16
-	healthChecksDivisor = 32
-	ownUseDivisor       = 4 // at most; see maxOwnUse
+	endpointsDivisor      = 3
+	signedFrontDivisor    = 8
+	adminDivisor          = 16
+	healthChecksDivisor   = 32
+	ownDescriptorsDivisor = 4 // for the process itself, which has at most maxOwnDescriptors
 )
 
 const (
-	maxOwnUse    = 20 // the program's own: poller, listeners, endpoint list, gossip, standard streams, files
-	maxSideConns = 16 // of operators, and of each listener for checks
-	checkSides   = 3  // listeners for checks and metrics
+	maxOwnDescriptors    = 20 // for the process itself: poller, listeners, discovery, gossip, standard streams, files
+	maxAuxiliaryConns    = 16 // limit for the admin listener, and for each listener for checks or metrics
+	healthCheckListeners = 3  // the agent check, the health check and metrics
 )
 
-// ConnQuotas divides the descriptors. Clients of the platform get what the others leave.
-func (c *Gateway) ConnQuotas(signed, checks bool) ConnQuotas {
+// ConnQuotas divides the limit on file descriptors among the uses of connections. Clients of the platform's front get what
+// remains. signedFront and healthChecks state whether the operator's file enables the front for signed URLs, and any
+// listener for checks or metrics.
+func (c *Gateway) ConnQuotas(signedFront, healthChecks bool) ConnQuotas {
 	n := c.Limits.Sockets
 	q := ConnQuotas{Endpoints: n / endpointsDivisor}
-	q.Clients = n - q.Endpoints - min(maxOwnUse, n/ownUseDivisor)
+	q.Clients = n - q.Endpoints - min(maxOwnDescriptors, n/ownDescriptorsDivisor)
 	if c.AdminListen != "" {
-		q.Admin = min(maxSideConns, n/adminDivisor)
+		q.Admin = min(maxAuxiliaryConns, n/adminDivisor)
 		q.Clients -= q.Admin
 	}
-	if checks {
-		q.HealthChecks = min(maxSideConns, n/healthChecksDivisor)
-		q.Clients -= checkSides * q.HealthChecks
+	if healthChecks {
+		q.HealthChecks = min(maxAuxiliaryConns, n/healthChecksDivisor)
+		q.Clients -= healthCheckListeners * q.HealthChecks
 	}
-	if signed {
-		q.Signed = n / signedDivisor
-		q.Clients -= q.Signed
+	if signedFront {
+		q.SignedFront = n / signedFrontDivisor
+		q.Clients -= q.SignedFront
 	}
 	return q
 }
 
-// Fingerprint tells one deployment's settings from another's: what was learned under other settings is not used.
+// Fingerprint returns a hash of the settings, in hex. Learned state that was saved under another fingerprint is not used.
 func (c *Gateway) Fingerprint() string {
 	b, err := json.Marshal(c.Settings)
-	if err != nil { // of a number that JSON has no form for: the gateway's name must tell them apart
+	if err != nil { // NaN or infinity, which JSON cannot encode: such settings are told apart by the gateway's name only
 		b = []byte(err.Error())
 	}
 	return strconv.FormatUint(xxhash.Sum64(b), 16)
 }
 
-// Gateway is the configuration of one gateway.
+// Gateway is the platform's configuration of one gateway. Addresses have the form IP:port.
 type Gateway struct {
 	Name         string                 `json:"name"`
-	Listen       string                 `json:"listen"`
-	SeedText     string                 `json:"seed"`
-	Limits       Limits                 `json:"limits"`
-	PeerListen   string                 `json:"peer_listen"`
-	Peers        []string               `json:"peers"`
-	PeersAll     string                 `json:"peers_all"`
-	Journal      string                 `json:"journal"`
-	AdminListen  string                 `json:"console"` // address for operators; empty: none
-	InitialState discovery.InitialState `json:"known"`
-	// FlowBytesPerS is the top pace of one answer on these sockets, in bytes a second; 0: settings.familyInfo.streamKbPerS.
+	Listen       string                 `json:"listen"`      // address of the platform's front
+	SeedText     string                 `json:"seed"`        // seed of random draws, in hex; empty: a random seed
+	Limits       Limits                 `json:"limits"`      // resources that this process may use
+	PeerListen   string                 `json:"peer_listen"` // address for gossip; empty: no gossip
+	Peers        []string               `json:"peers"`       // gossip addresses of the gateways
+	PeersAll     string                 `json:"peers_all"`   // address by which gossip reaches all peers at once; empty: none
+	Journal      string                 `json:"journal"`     // address of the journal service, which streams the endpoint list's events
+	AdminListen  string                 `json:"console"`     // address of the admin listener; empty: none
+	InitialState discovery.InitialState `json:"known"`       // endpoint list at the start, and the journal's position that it is of
+	// FlowBytesPerS is the maximum rate of one answer on these sockets, in bytes per second; 0: the rate of the setting
+	// settings.familyInfo.streamKbPerS applies.
 	FlowBytesPerS float64         `json:"flow_bytes_per_s"`
-	RawSettings   json.RawMessage `json:"settings"`
+	RawSettings   json.RawMessage `json:"settings"` // nil once parsed into Settings and Sockets
 
-	// SizeScale is how many KB on these sockets a KB of a size that clients state counts for.
+	// SizeScale is the factor from a size that a client states to the size on these sockets: the ratio of FlowBytesPerS to
+	// the setting streamKbPerS, or 1 if one of them is not set.
 	SizeScale float64 `json:"-"`
 
-	// Warnings are what was corrected while reading, to be logged.
+	// Warnings describe the values that were corrected while parsing. The caller logs them.
 	Warnings []string `json:"-"`
 
-	Seed     uint64              `json:"-"`
+	Seed     uint64              `json:"-"` // parsed from SeedText, or drawn at random
 	Settings routing.Settings    `json:"-"`
 	Sockets  simprotocol.Sockets `json:"-"`
 
 	keys keySet
 }
 
-// Load reads the configuration that the environment names: the file in BALANCER_CONFIG, some of whose values
-// BALANCER_NAME, BALANCER_LISTEN and BALANCER_CONSOLE override. Errors name the file and the key.
+// Load reads the platform's configuration from the file that the environment variable BALANCER_CONFIG names; env looks up
+// variables. BALANCER_NAME, BALANCER_LISTEN and BALANCER_CONSOLE override the keys name, listen and console. Errors name the
+// file and the key.
 func Load(env func(string) string) (*Gateway, error) {
-	path := env(environmentPrefix + "CONFIG")
+	path := env(envPrefix + "CONFIG")
 	if path == "" {
-		return nil, errors.New(environmentPrefix + "CONFIG is not set: it names the configuration file")
+		return nil, errors.New(envPrefix + "CONFIG is not set, want the path of the configuration file")
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("%sCONFIG: %w", environmentPrefix, err)
+		return nil, fmt.Errorf("%sCONFIG: %w", envPrefix, err)
 	}
-	c, err := Parse(data, Overrides{Name: env(environmentPrefix + "NAME"), Listen: env(environmentPrefix + "LISTEN"),
-		AdminListen: env(environmentPrefix + "CONSOLE")})
+	c, err := Parse(data, Overrides{Name: env(envPrefix + "NAME"), Listen: env(envPrefix + "LISTEN"),
+		AdminListen: env(envPrefix + "CONSOLE")})
 	if err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
 	return c, nil
 }
 
-// Overrides are values that go before those of the file, unless they are empty.
+// Overrides are values that replace those of the file; empty ones leave the file's value.
 type Overrides struct{ Name, Listen, AdminListen string }
 
-// Parse reads a configuration.
-func Parse(data []byte, over Overrides) (*Gateway, error) {
+// Parse decodes a configuration in JSON, applies overrides, checks it and sets defaults. Errors name the key, and those of
+// JSON syntax or types the line.
+func Parse(data []byte, overrides Overrides) (*Gateway, error) {
 	var c Gateway
 	if err := json.Unmarshal(data, &c); err != nil {
 		return nil, jsonError(data, err)
 	}
-	c.Name = cmp.Or(over.Name, c.Name)
-	c.Listen = cmp.Or(over.Listen, c.Listen)
-	c.AdminListen = cmp.Or(over.AdminListen, c.AdminListen)
+	c.Name = cmp.Or(overrides.Name, c.Name)
+	c.Listen = cmp.Or(overrides.Listen, c.Listen)
+	c.AdminListen = cmp.Or(overrides.AdminListen, c.AdminListen)
 	if err := c.checkAddresses(); err != nil {
 		return nil, err
 	}
@@ -163,7 +170,7 @@
 	if err := c.parseSettings(); err != nil {
 		return nil, err
 	}
-	keys, err := keysOf(data)
+	keys, err := readKeys(data)
 	if err != nil {
 		return nil, err
 	}
@@ -179,7 +186,7 @@
 	return &c, nil
 }
 
-// checkAddresses checks that what is to be an address is one.
+// checkAddresses checks that each configured address has the form IP:port, and that the required ones are set.
 func (c *Gateway) checkAddresses() error {
 	for _, a := range [...]struct {
 		key, value string
@@ -206,7 +213,8 @@
 	return nil
 }
 
-// parseSeed reads the seed, or draws one: gateways with the same seed would make the same choices at the same moment.
+// parseSeed parses SeedText, or draws a random seed if it is empty. No seed is built in, since gateways with the same seed
+// would make the same random choices at the same time.
 func (c *Gateway) parseSeed() error {
 	if c.SeedText == "" {
 		c.Seed = rand.Uint64()
@@ -220,7 +228,7 @@
 	return nil
 }
 
-// parseSettings reads the settings.
+// parseSettings parses RawSettings into Settings and Sockets, and clears it.
 func (c *Gateway) parseSettings() error {
 	if len(c.RawSettings) == 0 {
 		return errors.New("settings: missing")
@@ -234,7 +242,7 @@
 	return nil
 }
 
-// scaleSizes has flow_bytes_per_s replace the pace of the settings, and sizes that clients state count in its measure.
+// scaleSizes sets the rate of the settings to that of flow_bytes_per_s if it is positive, and SizeScale to the ratio of the two.
 func (c *Gateway) scaleSizes() {
 	c.SizeScale = 1
 	if c.FlowBytesPerS <= 0 {
@@ -246,57 +254,58 @@
 	c.Settings.FlowKBps = c.FlowBytesPerS / 1000
 }
 
-// checkNumbers checks that no limit is negative.
+// checkNumbers checks that flow_bytes_per_s and the limits are not negative.
 func (c *Gateway) checkNumbers() error {
 	switch {
 	case c.FlowBytesPerS < 0:
-		return errors.New("flow_bytes_per_s: negative")
+		return errors.New("flow_bytes_per_s: value is negative, want 0 or more")
 	case c.Limits.Cores < 0:
-		return errors.New("limits.cores: negative")
+		return errors.New("limits.cores: value is negative, want 0 or more")
 	case c.Limits.MemoryMB < 0:
-		return errors.New("limits.memory_mb: negative")
+		return errors.New("limits.memory_mb: value is negative, want 0 or more")
 	case c.Limits.Sockets < 0:
-		return errors.New("limits.sockets: negative")
+		return errors.New("limits.sockets: value is negative, want 0 or more")
 	case c.Sockets.StreamsPerConn < 0:
-		return errors.New("settings.limits.streamsPerConn: negative")
+		return errors.New("settings.limits.streamsPerConn: value is negative, want 0 or more")
 	}
 	return nil
 }
 
-// setDefaults replaces what is not set.
+// setDefaults sets limits and socket settings that are zero to their defaults.
 func (c *Gateway) setDefaults() {
-	orDefault(&c.Limits.Cores, defaultCores)
-	orDefault(&c.Limits.MemoryMB, defaultMemoryMB)
-	orDefault(&c.Limits.Sockets, defaultSockets)
-	orDefault(&c.Sockets.StreamsPerConn, defaultStreams)
-	orDefault(&c.Sockets.ConnectTimeout, defaultConnect)
-	orDefault(&c.Sockets.KeepAlive, defaultKeepAlive)
-	orDefault(&c.Sockets.MaxOpenRequests, defaultMaxOpenRequests)
+	setIfZero(&c.Limits.Cores, defaultCores)
+	setIfZero(&c.Limits.MemoryMB, defaultMemoryMB)
+	setIfZero(&c.Limits.Sockets, defaultSockets)
+	setIfZero(&c.Sockets.StreamsPerConn, defaultStreamsPerConn)
+	setIfZero(&c.Sockets.ConnectTimeout, defaultConnectTimeout)
+	setIfZero(&c.Sockets.KeepAlive, defaultKeepAlive)
+	setIfZero(&c.Sockets.MaxOpenRequests, defaultMaxOpenRequests)
 }
 
-// checkDirectorCount checks how many gateways there are, among which budgets are divided. Where the number disagrees with
-// the list of peers, the zones or the own index, or is missing, the largest one holds: all together spend no more than is
-// allowed.
+// checkDirectorCount reconciles the configured number of gateways (settings.balancers) with the list of peers, the gateways by
+// zone and this gateway's index. Gateways divide shared budgets by this number. If the sources disagree or the number is
+// missing, the largest applies and a warning is added, so that all gateways together do not exceed a budget. A negative
+// number is an error.
 func (c *Gateway) checkDirectorCount() error {
 	s := &c.Settings
-	inZones := 0
+	directorsInZones := 0
 	for _, n := range s.ZoneDirectors {
-		inZones += max(0, n)
+		directorsInZones += max(0, n)
 	}
-	atLeast := max(len(c.Peers), s.Index+1, inZones)
-	unknown := s.Directors == 0 && s.Index == 0 && len(c.Peers)+inZones == 0
+	minDirectors := max(len(c.Peers), s.Index+1, directorsInZones)
+	countUnknown := s.Directors == 0 && s.Index == 0 && len(c.Peers)+directorsInZones == 0
 	switch {
 	case s.Directors < 0:
 		return fmt.Errorf("settings.balancers: %d is negative", s.Directors)
 	case s.Index < 0:
 		return fmt.Errorf("settings.position: %d is negative", s.Index)
-	case unknown: // which does not say that this one is alone
-		c.Warnings = append(c.Warnings, "settings.balancers is missing, and nothing else tells how many gateways there are: budgets are those of one of many")
-	case s.Directors < atLeast:
-		c.Warnings = append(c.Warnings, fmt.Sprintf("settings.balancers is %d: %d is taken, by peers, zones and position", s.Directors, atLeast))
-		s.Directors = atLeast
+	case countUnknown: // other gateways may still exist, so the budget of a lone gateway must not apply
+		c.Warnings = append(c.Warnings, "settings.balancers is missing, and neither peers, zones nor position imply the number of gateways: using the budgets of one gateway of many")
+	case s.Directors < minDirectors:
+		c.Warnings = append(c.Warnings, fmt.Sprintf("settings.balancers is %d, using %d instead: peers, zones and position imply at least that many gateways", s.Directors, minDirectors))
+		s.Directors = minDirectors
 	case len(c.Peers) > 0 && len(c.Peers) != s.Directors:
-		c.Warnings = append(c.Warnings, fmt.Sprintf("settings.balancers is %d, peers names %d: the former is taken", s.Directors, len(c.Peers)))
+		c.Warnings = append(c.Warnings, fmt.Sprintf("settings.balancers is %d, but peers lists %d gateways: using settings.balancers", s.Directors, len(c.Peers)))
 	}
 	for i, n := range s.ZoneDirectors {
 		if n < 0 {
@@ -306,7 +315,7 @@
 	return nil
 }
 
-// jsonError adds the line to an error of JSON, which names the key if it is about one.
+// jsonError adds the line number to a syntax or type error of encoding/json. The message of a type error names the key.
 func jsonError(data []byte, err error) error {
 	offset := int64(-1)
 	var syntax *json.SyntaxError
@@ -322,9 +331,9 @@
 	return fmt.Errorf("line %d: %w", 1+bytes.Count(data[:offset], []byte("\n")), err)
 }
 
-// orDefault replaces a value that is not set.
-func orDefault[T int | float64 | time.Duration](v *T, d T) {
+// setIfZero sets a value to its default if it is zero.
+func setIfZero[T int | float64 | time.Duration](v *T, defaultValue T) {
 	if *v == 0 {
-		*v = d
+		*v = defaultValue
 	}
 }
--- a/internal/config/localityfault_test.go
+++ b/internal/config/localityfault_test.go
@@ -9,16 +9,18 @@
 	"larchusher/locality"
 )
 
-// Each number and duration of locality.Config that can be at fault has a key, so that an operator finds the line.
-func TestEveryLocalityFieldHasAKey(t *testing.T) {
-	unset := map[string]bool{"Bands": true, "Tick": true, "MaxRetryAfter": true, "Seed": true, "Localities": true} // not from the file
+// A validation error of any field of locality.Config that the operator's file sets must name the key of that field, so that
+// the line can be found.
+func TestLocalityErrorsNameTheirKey(t *testing.T) {
+	// These fields are not set by the operator's file, or have no key of their own.
+	notFromFile := map[string]bool{"Bands": true, "Tick": true, "MaxRetryAfter": true, "Seed": true, "Localities": true}
 	fields := reflect.TypeFor[locality.Config]()
 	for i := range fields.NumField() {
 		name := fields.Field(i).Name
-		err := localityFault(&locality.FieldError{Field: name, Reason: "odd"})
+		err := localityKeyError(&locality.FieldError{Field: name, Reason: "odd"})
 		var f *keyError
-		if !errors.As(err, &f) || !unset[name] && (!strings.HasPrefix(f.key, "tiers.") || f.err.Error() != "odd") {
-			t.Errorf("%s: %v", name, err)
+		if !errors.As(err, &f) || !notFromFile[name] && (!strings.HasPrefix(f.key, "tiers.") || f.err.Error() != "odd") {
+			t.Errorf("error for the field %s is %v, want a keyError with a key that starts with tiers. and the reason odd", name, err)
 		}
 	}
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -14,28 +14,31 @@
 	"larchusher/overload"
 )
 
-// Operator is the operator's own file. The zero value is an empty file, which has everything off.
+// Operator is the configuration in the operator's file, which the platform does not write. The zero value has every optional
+// feature off. Addresses have the form IP:port.
 type Operator struct {
-	SignedFront   *SignedFront    // nil: off
+	SignedFront   *SignedFront    // front for signed URLs; nil: off
 	AgentListen   string          // address of the HAProxy agent check; empty: off
 	HTTPListen    string          // address of the HTTP health check; empty: off
-	MetricsListen string          // address of the metrics for Prometheus; empty: off
-	Overload      overload.Config // complete but for what follows from the gateway's settings
-	State         *State          // nil: off
-	Cluster       *Cluster        // nil: off
+	MetricsListen string          // address at which Prometheus scrapes metrics; empty: off
+	Overload      overload.Config // admission control; lacks the values that the gateway's settings determine
+	State         *State          // files of learned state; nil: off
+	Cluster       *Cluster        // cluster of gateways; nil: off
 
-	// Localities, the own one first, whose Name the gateway's settings have (see LocalitiesFor). nil: the own one only.
+	// Localities are this gateway's own locality, first, and those that its requests may spill to. The name of the own one
+	// comes from the gateway's settings (see LocalitiesFor). nil: the own locality only.
 	Localities *locality.Config
 }
 
-// SameRestartSettings reports whether a newer file has the same of everything that is taken in at the start only. A reload
-// takes in the keys of the signed front, that it has ended, and what localities go by, but not which ones there are.
+// SameRestartSettings reports whether a newer file agrees with o in everything that takes effect only at a start. A reload
+// applies changes of the signed front's keys, the removal of the signed front, and changes of the localities' limits; it does
+// not apply a change of the list of localities.
 func (o *Operator) SameRestartSettings(newer *Operator) bool {
-	signedMoved := newer.SignedFront != nil && (o.SignedFront == nil || o.SignedFront.Listen != newer.SignedFront.Listen)
-	return !signedMoved && reflect.DeepEqual(o.restartSettings(), newer.restartSettings())
+	signedListenChanged := newer.SignedFront != nil && (o.SignedFront == nil || o.SignedFront.Listen != newer.SignedFront.Listen)
+	return !signedListenChanged && reflect.DeepEqual(o.restartSettings(), newer.restartSettings())
 }
 
-// restartSettings are what is taken in at the start only, but for the address of the signed front.
+// restartSettings returns the values that take effect only at a start, except the address of the signed front.
 func (o *Operator) restartSettings() []any {
 	var names []string
 	if o.Localities != nil {
@@ -46,7 +49,8 @@
 	return []any{o.AgentListen, o.HTTPListen, o.MetricsListen, o.Overload, names, o.State, o.Cluster}
 }
 
-// LoadOperator reads the operator's file; an empty path is an empty file. Errors name the key and its line.
+// LoadOperator reads the operator's file; an empty path stands for an empty file. env looks up environment variables that
+// contain keys. Errors name the file, and the key and line if one is at fault.
 func LoadOperator(path string, env func(string) string) (*Operator, error) {
 	if path == "" {
 		return &Operator{}, nil
@@ -62,23 +66,24 @@
 	return o, nil
 }
 
-// ParseOperator reads an operator's file. Errors name the key and, if it can be found, its line.
+// ParseOperator parses and checks the contents of an operator's file; env looks up environment variables that contain keys.
+// Errors name the key and, if it can be found, its line.
 func ParseOperator(data []byte, env func(string) string) (*Operator, error) {
 	var pb operatorpb.Operator
-	if err := prototext.Unmarshal(data, &pb); err != nil { // it names the line and the key
+	if err := prototext.Unmarshal(data, &pb); err != nil { // the error names the line and the key
 		return nil, err
 	}
 	o, err := readOperator(&pb, env)
-	var faulty *keyError
-	if errors.As(err, &faulty) {
-		if line := lineOf(data, faulty.key); line > 0 {
+	var keyErr *keyError
+	if errors.As(err, &keyErr) {
+		if line := lineOf(data, keyErr.key); line > 0 {
 			return nil, fmt.Errorf("line %d: %w", line, err)
 		}
 	}
 	return o, err
 }
 
-// readOperator checks and converts a file.
+// readOperator checks and converts a decoded operator's file.
 func readOperator(pb *operatorpb.Operator, env func(string) string) (*Operator, error) {
 	o := &Operator{
 		AgentListen:   pb.GetHealth().GetAgentListen(),
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -9,7 +9,9 @@
 	"time"
 )
 
-func env(name string) string {
+// testEnv looks up environment variables that contain keys in hex: 32 bytes in KEY_LONG, 16 bytes in the others, and nothing in
+// variables whose name does not state a key.
+func testEnv(name string) string {
 	if name == "KEY_LONG" {
 		return strings.Repeat("0011223344556677", 4)
 	}
@@ -19,12 +21,12 @@
 	return ""
 }
 
-const front = "signed_front {\n  listen: \"127.0.0.1:1\"\n  base: \"https://a.example\"\n"
+const signedFrontPart = "signed_front {\n  listen: \"127.0.0.1:1\"\n  base: \"https://a.example\"\n"
 
-const group = "fleet {\n  name: \"a\"\n  listen: \"127.0.0.1:1\"\n  member { name: \"a\" address: \"127.0.0.1:1\" }\n  key_env: \"KEY_LONG\"\n"
+const fleetPart = "fleet {\n  name: \"a\"\n  listen: \"127.0.0.1:1\"\n  member { name: \"a\" address: \"127.0.0.1:1\" }\n  key_env: \"KEY_LONG\"\n"
 
-// A fault is told with its key and its line.
-func TestFaultsOfTheOperatorsFile(t *testing.T) {
+// Errors of the operator's file name the key and the line at fault.
+func TestOperatorFileErrorsNameKeyAndLine(t *testing.T) {
 	for text, want := range map[string][]string{
 		"\noverload { wiat: \"1s\" }":                         {"line 2", "wiat"},
 		"overload {\n  wait: \"soon\"\n}":                     {"line 2", "overload.wait", "soon"},
@@ -36,73 +38,74 @@
 		"health {\n  agent_listen: \"here\"\n}":               {"line 2", "health.agent_listen"},
 		"metrics {\n  listen: \"127.0.0.1\"\n}":               {"line 2", "metrics.listen"},
 		"signed_front {\n  base: \"https://a.example\"\n}":    {"signed_front.listen"},
-		front + "  leeway: \"-1s\"\n}":                        {"line 4", "signed_front.leeway"},
-		front + "  key { id: \"a\" form: \"edge-auth\" secret_env: \"KEY\" }\n  key {\n    id: \"b\"\n    form: \"edge-auth\"\n    secret_env: \"NONE\"\n  }\n}": {"line 8", "signed_front.key[1].secret_env", "NONE"},
-		front + "  key { id: \"a\" form: \"edge-auth\" secret_env: \"KEY\" }\n  renew_with: \"z\"\n}":                                                            {"line 5", "signed_front.renew_with"},
-		front + "  key { id: \"a\" form: \"dance\" secret_env: \"KEY\" }\n}":                                                                                     {"line 1", "signed_front"},
+		signedFrontPart + "  leeway: \"-1s\"\n}":              {"line 4", "signed_front.leeway"},
+		signedFrontPart + "  key { id: \"a\" form: \"edge-auth\" secret_env: \"KEY\" }\n  key {\n    id: \"b\"\n    form: \"edge-auth\"\n    secret_env: \"NONE\"\n  }\n}": {"line 8", "signed_front.key[1].secret_env", "NONE"},
+		signedFrontPart + "  key { id: \"a\" form: \"edge-auth\" secret_env: \"KEY\" }\n  renew_with: \"z\"\n}":                                                            {"line 5", "signed_front.renew_with"},
+		signedFrontPart + "  key { id: \"a\" form: \"dance\" secret_env: \"KEY\" }\n}":                                                                                     {"line 1", "signed_front"},
 		"tiers {\n  spill: 0.2\n}": {"line 1", "tiers.locality"},
 		"tiers {\n  locality { name: \"b\" level: 1 }\n  locality {\n    name: \"b\"\n    level: 2\n  }\n}": {"line 4", "tiers.locality[1].name", "twice"},
 		"tiers {\n  locality {\n    name: \"b\"\n    level: 0\n  }\n}":                                      {"line 4", "tiers.locality[0].level"},
 		"tiers {\n  locality { name: \"b\" level: 1 }\n  back: \"1m\"\n}":                                   {"tiers.back_most", "1m0s"},
 		"tiers {\n  locality { name: \"b\" level: 1 }\n  over: 0.5\n}":                                      {"line 3", "tiers.over", "0.5"},
 		"tiers {\n  locality { name: \"b\" level: 1 }\n  ramp: \"soon\"\n}":                                 {"line 3", "tiers.ramp"},
-		group + "  replicate { wait: \"an hour\" }\n}":                                                      {"line 6", "fleet.replicate.wait"},
-		group + "  replicate {\n    bytes: 100\n  }\n}":                                                     {"line 7", "fleet.replicate.bytes", "100"},
-		group + "  replicate {\n    listings: -1\n  }\n}":                                                   {"line 7", "fleet.replicate.listings", "-1"},
+		fleetPart + "  replicate { wait: \"an hour\" }\n}":                                                  {"line 6", "fleet.replicate.wait"},
+		fleetPart + "  replicate {\n    bytes: 100\n  }\n}":                                                 {"line 7", "fleet.replicate.bytes", "100"},
+		fleetPart + "  replicate {\n    listings: -1\n  }\n}":                                               {"line 7", "fleet.replicate.listings", "-1"},
 		"overload: 7": {"line 1"},
 		"}":           {"line 1"},
 	} {
-		_, err := ParseOperator([]byte(text), env)
+		_, err := ParseOperator([]byte(text), testEnv)
 		for _, w := range want {
 			if err == nil || !strings.Contains(err.Error(), w) {
-				t.Errorf("%s\ngives %v, want %q", text, err, w)
+				t.Errorf("error for the file\n%s\nis %v, want it to contain %q", text, err, w)
 			}
 		}
 	}
-	if _, err := LoadOperator("/nowhere", env); err == nil || !strings.Contains(err.Error(), "/nowhere") {
-		t.Errorf("%v", err)
+	if _, err := LoadOperator("/nowhere", testEnv); err == nil || !strings.Contains(err.Error(), "/nowhere") {
+		t.Errorf("LoadOperator of a missing file returned %v, want an error that contains its path", err)
 	}
 }
 
-func TestReplicateIsOffUnlessAsked(t *testing.T) {
-	o, err := ParseOperator([]byte(group+"}"), env)
+func TestReplicationIsOffByDefault(t *testing.T) {
+	o, err := ParseOperator([]byte(fleetPart+"}"), testEnv)
 	if err != nil || o.Cluster.Replication != nil {
-		t.Fatalf("%+v, %v", o, err)
+		t.Fatalf("file without replicate: %+v, %v, want no replication", o, err)
 	}
-	o, err = ParseOperator([]byte(group+"  replicate { bytes: 20000 }\n}"), env)
+	o, err = ParseOperator([]byte(fleetPart+"  replicate { bytes: 20000 }\n}"), testEnv)
 	if err != nil || o.Cluster.Replication == nil || *o.Cluster.Replication != (Replication{CatchUpTimeout: 3 * time.Second, MaxBytesPerSecond: 20000, MaxListings: 512}) {
-		t.Errorf("%+v, %v", o.Cluster.Replication, err)
+		t.Errorf("replication is %+v, %v, want 20000 bytes per second and defaults for the rest", o.Cluster.Replication, err)
 	}
 }
 
-func TestOperatorsFileAndDefaults(t *testing.T) {
-	o, err := ParseOperator(nil, env)
+func TestOperatorFileDefaults(t *testing.T) {
+	o, err := ParseOperator(nil, testEnv)
 	if err != nil || o.SignedFront != nil || o.AgentListen+o.HTTPListen+o.MetricsListen != "" {
-		t.Errorf("an empty file: %+v, %v", o, err)
+		t.Errorf("empty file: %+v, %v, want everything off", o, err)
 	}
 	if c := o.Overload; c.MaxWait != 150*time.Millisecond || c.Tick != 20*time.Millisecond || c.ProbeShare != 0.03 || c.RetriesFirst {
-		t.Errorf("defaults: %+v", c)
+		t.Errorf("defaults of overload: %+v, want MaxWait 150ms, Tick 20ms, ProbeShare 0.03 and RetriesFirst false", c)
 	}
 	data, err := os.ReadFile("../../deploy/operator.textproto")
 	if err != nil {
 		t.Fatal(err)
 	}
-	example, err := ParseOperator(data, env)
+	example, err := ParseOperator(data, testEnv)
 	if err != nil || example.SignedFront == nil || len(example.SignedFront.URLs.Keys) != 2 || example.MetricsListen == "" {
-		t.Errorf("the example: %+v, %v", example, err)
+		t.Errorf("deploy/operator.textproto: %+v, %v, want a signed front with 2 keys, and a metrics listener", example, err)
 	}
 	if c, err := example.LocalitiesFor("edge-1", []string{"north", "edge-1", "edge-2"}); o.Localities != nil || err != nil || c != nil {
-		t.Errorf("tiers: %+v, %v", c, err)
+		t.Errorf("localities of the example: %+v, %v, want none", c, err)
 	}
-	o.Overload.TargetWait = example.Overload.TargetWait // told there
+	o.Overload.TargetWait = example.Overload.TargetWait // set in the example
 	if example.Overload.MaxWait != o.Overload.MaxWait || example.Overload.MinPause != o.Overload.MinPause ||
 		example.Overload.ProbeShare != o.Overload.ProbeShare {
-		t.Errorf("the example says it has the defaults: %+v", example.Overload)
+		t.Errorf("overload of the example is %+v, want the defaults except for TargetWait", example.Overload)
 	}
 }
 
-// What the platform says of the pace on its sockets goes before what the settings say, and must make sense.
-func TestThePaceOfAnAnswer(t *testing.T) {
+// A positive flow_bytes_per_s replaces the rate of the settings and scales the sizes that clients state; a negative one is an
+// error that names the key.
+func TestFlowBytesPerSOverridesSettings(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/example.json")
 	if err != nil {
 		t.Fatal(err)
@@ -111,16 +114,17 @@
 		c, err := Parse([]byte("{"+flow+strings.TrimPrefix(string(text), "{")), Overrides{})
 		if want == 0 {
 			if err == nil || !strings.Contains(err.Error(), "flow_bytes_per_s") {
-				t.Errorf("%s: %v", flow, err)
+				t.Errorf("error for %s is %v, want one that names flow_bytes_per_s", flow, err)
 			}
 		} else if err != nil || c.Settings.FlowKBps != want || c.SizeScale != want/7200 {
-			t.Errorf("%s: %v, want a pace of %v KB/s, and sizes told in the measure of 7200", flow, err, want)
+			t.Errorf("%s: error %v, want a rate of %v KB/s, and sizes scaled from the settings' 7200 KB/s", flow, err, want)
 		}
 	}
 }
 
-// The number of gateways is a divisor of every budget that they share.
-func TestTheNumberOfGateways(t *testing.T) {
+// Gateways divide shared budgets by their number, so a number that is missing or too small is corrected, and a negative number
+// or position is an error.
+func TestDirectorCountIsReconciled(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/example.json")
 	if err != nil {
 		t.Fatal(err)
@@ -128,7 +132,7 @@
 	for _, c := range []struct {
 		balancers, position, peers int
 		want                       int
-		key                        string // named by the error, or by the note
+		key                        string // named by the error or the warning; empty: no warning
 	}{
 		{3, 0, 3, 3, ""}, {3, 0, 0, 3, ""}, {0, 0, 0, 1, "settings.balancers"}, {0, 0, 4, 4, "settings.balancers"},
 		{2, 0, 4, 4, "settings.balancers"}, {5, 0, 4, 5, "peers"}, {2, 6, 0, 7, "settings.balancers"},
@@ -150,23 +154,23 @@
 			t.Fatal(err)
 		}
 		got, err := Parse(data, Overrides{})
-		said := fmt.Sprint(err)
+		message := fmt.Sprint(err)
 		if err == nil {
-			said = strings.Join(got.Warnings, "; ")
+			message = strings.Join(got.Warnings, "; ")
 		}
-		if (err == nil) != (c.want > 0) || err == nil && got.Settings.Directors != c.want || !strings.Contains(said, c.key) || c.key == "" && said != "" {
-			t.Errorf("%+v: %v, %q", c, got, said)
+		if (err == nil) != (c.want > 0) || err == nil && got.Settings.Directors != c.want || !strings.Contains(message, c.key) || c.key == "" && message != "" {
+			t.Errorf("%+v: got %v with the error or warnings %q", c, got, message)
 		}
 	}
 }
 
-// What each gateway draws by must differ, and a number that is not told is none.
-func TestSeedsAndNumbersThatAreNotTold(t *testing.T) {
+// Without a configured seed two starts must draw different ones, and a missing position must not be taken for the position 0.
+func TestMissingSeedAndPosition(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/example.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	read := func(change func(all, settings map[string]any)) *Gateway {
+	parseChanged := func(change func(all, settings map[string]any)) *Gateway {
 		var all map[string]any
 		if err := json.Unmarshal(text, &all); err != nil {
 			t.Fatal(err)
@@ -182,22 +186,22 @@
 		}
 		return c
 	}
-	untold := func(all, settings map[string]any) {
+	removeSeedAndPosition := func(all, settings map[string]any) {
 		delete(all, "seed")
 		delete(settings, "position")
 	}
-	a, b := read(untold), read(untold)
+	a, b := parseChanged(removeSeedAndPosition), parseChanged(removeSeedAndPosition)
 	if a.Seed == b.Seed {
-		t.Errorf("two starts drew %x", a.Seed)
+		t.Errorf("two starts without a configured seed both drew %x", a.Seed)
 	}
 	if keys := a.ChangedRestartKeys(b); len(keys) > 0 {
-		t.Errorf("a reload says that %q changed", keys)
+		t.Errorf("ChangedRestartKeys is %q for two parses of one file, want none", keys)
 	}
 	if !a.Settings.IndexUnknown {
-		t.Error("a position that is not told is taken for 0")
+		t.Error("IndexUnknown is false without settings.position")
 	}
-	told := read(func(all, settings map[string]any) { all["seed"], settings["position"] = "2a", 0 })
-	if told.Seed != 0x2a || told.Settings.IndexUnknown || told.Settings.Index != 0 {
-		t.Errorf("seed %x, number %d, untold: %v", told.Seed, told.Settings.Index, told.Settings.IndexUnknown)
+	explicit := parseChanged(func(all, settings map[string]any) { all["seed"], settings["position"] = "2a", 0 })
+	if explicit.Seed != 0x2a || explicit.Settings.IndexUnknown || explicit.Settings.Index != 0 {
+		t.Errorf("seed %x, index %d, index unknown: %v; want 2a, 0, false", explicit.Seed, explicit.Settings.Index, explicit.Settings.IndexUnknown)
 	}
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -10,55 +10,55 @@
 	"larchusher/routing"
 )
 
-// keySet is which keys a configuration has. A reload must not lose one: a file that was cut short may still be valid JSON,
-// and what it lacks would silently become a default.
+// keySet is the set of keys that a configuration file contains. A reload must not drop a key: a truncated file may still be
+// valid JSON, and defaults would silently replace the values that it lacks.
 type keySet struct {
-	keys    []string // of objects within objects, as paths with dots between names
-	classes []string // that each element of settings.classes has
+	keys      []string // sorted; the key of a nested object is its path, such as "settings.limits.sendCap"
+	classKeys []string // sorted keys that every element of settings.classes has
 }
 
-// classesKey is the list whose elements come and go.
-const classesKey = "settings.classes"
+// classListKey is the key of the list of classes, whose elements a reload may add or remove.
+const classListKey = "settings.classes"
 
-// keysOf reads which keys a configuration has.
-func keysOf(data []byte) (l keySet, err error) {
+// readKeys returns the keys of a configuration file in JSON.
+func readKeys(data []byte) (set keySet, err error) {
 	var root map[string]any
 	if err := json.Unmarshal(data, &root); err != nil {
-		return l, err
+		return set, err
 	}
-	l.add("", root)
-	slices.Sort(l.keys)
+	set.add("", root)
+	slices.Sort(set.keys)
 	settings, _ := root["settings"].(map[string]any)
 	classes, _ := settings["classes"].([]any)
 	for i, c := range classes {
 		fields, _ := c.(map[string]any)
 		if i == 0 {
 			for name := range fields {
-				l.classes = append(l.classes, name)
+				set.classKeys = append(set.classKeys, name)
 			}
-			slices.Sort(l.classes)
+			slices.Sort(set.classKeys)
 			continue
 		}
-		l.classes = slices.DeleteFunc(l.classes, func(name string) bool { _, has := fields[name]; return !has })
+		set.classKeys = slices.DeleteFunc(set.classKeys, func(name string) bool { _, present := fields[name]; return !present })
 	}
-	return l, nil
+	return set, nil
 }
 
-// add notes the keys of an object.
-func (l *keySet) add(path string, object map[string]any) {
+// add appends the keys of an object and of the objects in it, unsorted. path is the prefix of the object's keys.
+func (s *keySet) add(path string, object map[string]any) {
 	for name, value := range object {
 		key := path + name
-		l.keys = append(l.keys, key)
+		s.keys = append(s.keys, key)
 		if inner, ok := value.(map[string]any); ok {
-			l.add(key+".", inner)
+			s.add(key+".", inner)
 		}
 	}
 }
 
-// missingKey names the first key that a newer configuration lacks; empty: none. The endpoint list may be missing: its feed
-// sends it again.
-func (l keySet) missingKey(newer keySet) string {
-	for _, key := range l.keys {
+// missingKey returns the first key of s that a newer configuration lacks, or "". The endpoint list (key known) may be missing:
+// discovery keeps it current while the program runs.
+func (s keySet) missingKey(newer keySet) string {
+	for _, key := range s.keys {
 		if _, found := slices.BinarySearch(newer.keys, key); !found && key != "known" && !strings.HasPrefix(key, "known.") {
 			return key
 		}
@@ -66,24 +66,26 @@
 	return ""
 }
 
-// missingClassKey is lost for the elements of the list of classes.
-func (l keySet) missingClassKey(newer keySet) string {
-	for _, name := range l.classes {
-		if !slices.Contains(newer.classes, name) {
-			return classesKey + "[]." + name
+// missingClassKey does for the elements of the list of classes what missingKey does for other keys. The key that it returns
+// has the form settings.classes[].NAME.
+func (s keySet) missingClassKey(newer keySet) string {
+	for _, name := range s.classKeys {
+		if !slices.Contains(newer.classKeys, name) {
+			return classListKey + "[]." + name
 		}
 	}
 	return ""
 }
 
-// CheckReload is why a newer configuration must not replace c while the program runs; nil: it may. It is stricter than a
-// start: every key that c has must be there, and the limits of each request must be positive.
+// CheckReload returns an error that names the key if a newer configuration must not replace c while the program runs. It is
+// stricter than Parse: every key of c must be present, the limit on attempts and the deadlines of classes must be
+// positive, and no other number of a class may be negative.
 func (c *Gateway) CheckReload(newer *Gateway) error {
 	if key := c.keys.missingKey(newer.keys); key != "" {
 		return missingKeyError(key)
 	}
 	if newer.Settings.MaxAttempts <= 0 {
-		return fmt.Errorf("settings.limits.sendCap: %d is not positive", newer.Settings.MaxAttempts)
+		return fmt.Errorf("settings.limits.sendCap: %d attempts allowed for a request, want at least 1", newer.Settings.MaxAttempts)
 	}
 	if err := routing.CheckClasses(newer.Settings.Classes); err != nil {
 		return err
@@ -94,21 +96,21 @@
 	for i, k := range newer.Settings.Classes {
 		switch {
 		case k.Deadline <= 0:
-			return fmt.Errorf("settings.classes[%d].hardLimitMs: %v of class %s is not positive", i, k.Deadline, k.Name)
+			return fmt.Errorf("settings.classes[%d].hardLimitMs: deadline %v of class %s is not positive", i, k.Deadline, k.Name)
 		case k.LatencyObjective < 0 || k.ObjectiveStretch < 0 || k.PriorityWeight < 0 || k.DedupWindow < 0:
-			return fmt.Errorf("settings.classes[%d]: a figure of class %s is negative", i, k.Name)
+			return fmt.Errorf("settings.classes[%d]: the latency objective, its stretch, the priority weight or the repeat window of class %s is negative", i, k.Name)
 		}
 	}
 	return nil
 }
 
 func missingKeyError(key string) error {
-	return fmt.Errorf("%s: missing, and the configuration in use has it", key)
+	return fmt.Errorf("%s: key is missing, but the configuration in use has it", key)
 }
 
-// ChangedRestartKeys names the keys in which a newer configuration differs that are taken in at the start only. The address
-// of the endpoint list's feed, the classes and the limit on attempts are taken in by a reload, and the endpoint list itself
-// comes with the feed.
+// ChangedRestartKeys returns the keys whose values differ in a newer configuration and take effect only at a start. It leaves
+// out what a reload applies (the journal's address, the classes and the limit on attempts) and the endpoint list, which
+// discovery keeps current.
 func (c *Gateway) ChangedRestartKeys(newer *Gateway) (keys []string) {
 	for _, k := range [...]struct {
 		key      string
@@ -124,7 +126,7 @@
 	return keys
 }
 
-// restartSettings is the part of the settings that is taken in at the start only.
+// restartSettings returns the settings without those that a reload applies.
 func restartSettings(s routing.Settings) routing.Settings {
 	s.Classes, s.MaxAttempts = nil, 0
 	return s
--- a/internal/config/signed.go
+++ b/internal/config/signed.go
@@ -15,17 +15,18 @@
 	"larchusher/signedurl"
 )
 
-// defaultLeeway is how far clocks of token issuers may be off.
+// defaultLeeway is the tolerated difference between this clock and those of token issuers.
 const defaultLeeway = 2 * time.Second
 
-// Signed is the configuration of the front for signed URLs.
+// SignedFront is the configuration of the front for signed URLs: the part signed_front of the operator's file.
 type SignedFront struct {
-	Listen    string
-	RenewWith string // id of the key that signs fresh tokens; empty: none are issued
-	URLs      signedurl.Config
+	Listen    string           // address, IP:port
+	RenewWith string           // id of the key that signs renewed tokens; empty: tokens are not renewed
+	URLs      signedurl.Config // base, keys and leeway by which signed URLs are verified
 }
 
-// readSigned reads the front for signed URLs, with its keys.
+// readSigned checks and converts the part signed_front of the operator's file, and loads its keys from files and from
+// environment variables, which env looks up.
 func readSigned(pb *operatorpb.SignedFront, env func(string) string) (*SignedFront, error) {
 	s := &SignedFront{Listen: pb.GetListen(), RenewWith: pb.GetRenewWith(), URLs: signedurl.Config{Base: pb.GetBase()}}
 	var err error
@@ -50,7 +51,8 @@
 	return s, nil
 }
 
-// loadKey reads a key from where the file says. With an error, field is what is wrong; neither shows a secret.
+// loadKey loads a key from the environment variable or the files that pb names. With an error, field names the field of pb that
+// is at fault. The error contains no secret.
 func loadKey(k *operatorpb.Key, env func(string) string) (key signedurl.Key, field string, err error) {
 	key = signedurl.Key{ID: k.GetId(), Form: signedurl.Form(k.GetForm()), Algorithm: k.GetAlgorithm()}
 	if key.Secret, field, err = loadSecret(k, env); err != nil {
@@ -69,14 +71,15 @@
 	return key, "", nil
 }
 
-// loadSecret reads the secret of a key from a variable or a file; nil: the key has none.
+// loadSecret decodes the secret of a key, in hex, from an environment variable or a file; nil: the key has no secret. With an
+// error, field names the field that is at fault. The error contains no secret.
 func loadSecret(k *operatorpb.Key, env func(string) string) (secret []byte, field string, err error) {
 	var text string
 	switch {
 	case k.GetSecretEnv() != "":
 		field, text = "secret_env", env(k.GetSecretEnv())
 		if text == "" {
-			return nil, field, fmt.Errorf("%s is not set", k.GetSecretEnv())
+			return nil, field, fmt.Errorf("environment variable %s is not set", k.GetSecretEnv())
 		}
 	case k.GetSecretFile() != "":
 		field = "secret_file"
@@ -90,12 +93,13 @@
 		return nil, "", nil
 	}
 	if secret, err = hex.DecodeString(text); err != nil {
-		return nil, field, errors.New("not hex") // the error itself would show a part of the secret
+		return nil, field, errors.New("secret is not valid hex") // err is not returned: its text would show a part of the secret
 	}
 	return secret, "", nil
 }
 
-// readPEM reads an asymmetric key of the kind that an algorithm uses.
+// readPEM reads a private or public key, of the type that a signature algorithm uses, from a PEM file. The algorithm is one of
+// JWT, such as ES256; one without a key pair is an error.
 func readPEM(path, algorithm string, private bool) (key crypto.PublicKey, err error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -116,7 +120,7 @@
 	case kind == "Ed":
 		key, err = jwt.ParseEdPublicKeyFromPEM(b)
 	default:
-		err = fmt.Errorf("algorithm %q has no key pair", algorithm)
+		err = fmt.Errorf("algorithm %q has no key pair, want one of the families ES, RS, PS or EdDSA", algorithm)
 	}
 	return key, err
 }
--- a/internal/config/sites_test.go
+++ b/internal/config/sites_test.go
@@ -17,21 +17,21 @@
 	"testing"
 )
 
-const root = "../.."
+const repoRoot = "../.."
 
-// The settings that follow from each deployment of deploy/sites are taken whole: each class with its own figures, and
-// none of them a default's.
-func TestSettingsOfOtherDeployments(t *testing.T) {
-	files, err := filepath.Glob(root + "/deploy/sites/*.settings.json")
+// Parse must take every value of the settings of each deployment in deploy/sites as it is in the file, and replace none with a
+// default.
+func TestSettingsOfVariantDeployments(t *testing.T) {
+	files, err := filepath.Glob(repoRoot + "/deploy/sites/*.settings.json")
 	if err != nil || len(files) < 2 {
-		t.Fatalf("%v, %v", files, err)
+		t.Fatalf("settings files of deploy/sites: %v, %v; want at least 2", files, err)
 	}
 	for _, file := range files {
 		raw, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var told struct {
+		var want struct {
 			Balancers int
 			Classes   []struct {
 				Name                      string
@@ -43,7 +43,7 @@
 			Invariants struct{ ColdFrom, OverloadForMs, RampTimeMs, StopSendingWithinMs, TipMultiple float64 }
 			FamilyInfo struct{ NoticeTimeMs float64 }
 		}
-		if err := json.Unmarshal(raw, &told); err != nil {
+		if err := json.Unmarshal(raw, &want); err != nil {
 			t.Fatal(err)
 		}
 		c, err := Parse([]byte(fmt.Sprintf(`{"listen":"127.0.0.1:1","journal":"127.0.0.1:2","settings":%s}`, raw)), Overrides{})
@@ -53,31 +53,31 @@
 		}
 		ms := func(d interface{ Milliseconds() int64 }) float64 { return float64(d.Milliseconds()) }
 		s := c.Settings
-		for i, k := range told.Classes {
+		for i, k := range want.Classes {
 			got := s.Classes[i]
 			effect := map[string]int{"repeatable": 0, "by_key": 1, "once": 2}[k.Effect]
 			if got.Name != k.Name || ms(got.LatencyObjective) != k.AimMs || ms(got.Deadline) != k.HardLimitMs || got.PriorityWeight != k.Value ||
 				int(got.Effect) != effect || ms(got.DedupWindow) != k.RepeatWindowMs {
-				t.Errorf("%s: class %d: %+v of %+v", file, i, got, k)
+				t.Errorf("%s: class %d is %+v, want the values of %+v", file, i, got, k)
 			}
 		}
-		if len(s.Classes) != len(told.Classes) || s.Directors != told.Balancers || s.SlowStartInitialShare != told.Invariants.ColdFrom ||
-			ms(s.OverloadWindow) != told.Invariants.OverloadForMs || ms(s.SlowStartDuration) != told.Invariants.RampTimeMs ||
-			ms(s.DrainGrace) != told.Invariants.StopSendingWithinMs || s.OverloadMultiple != told.Invariants.TipMultiple ||
-			ms(s.PurgeGrace) != told.FamilyInfo.NoticeTimeMs || ms(s.MaxRetryAfter) != told.Limits.MaxRetryAfterMs ||
-			float64(s.MaxAttempts) != told.Limits.SendCap || float64(c.Sockets.StreamsPerConn) != told.Limits.StreamsPerConn ||
-			ms(c.Sockets.ConnectTimeout) != told.Limits.ConnectTimeoutMs || ms(c.Sockets.KeepAlive) != told.Limits.KeepaliveMs {
-			t.Errorf("%s: %+v, %+v of %+v", file, s, c.Sockets, told)
+		if len(s.Classes) != len(want.Classes) || s.Directors != want.Balancers || s.SlowStartInitialShare != want.Invariants.ColdFrom ||
+			ms(s.OverloadWindow) != want.Invariants.OverloadForMs || ms(s.SlowStartDuration) != want.Invariants.RampTimeMs ||
+			ms(s.DrainGrace) != want.Invariants.StopSendingWithinMs || s.OverloadMultiple != want.Invariants.TipMultiple ||
+			ms(s.PurgeGrace) != want.FamilyInfo.NoticeTimeMs || ms(s.MaxRetryAfter) != want.Limits.MaxRetryAfterMs ||
+			float64(s.MaxAttempts) != want.Limits.SendCap || float64(c.Sockets.StreamsPerConn) != want.Limits.StreamsPerConn ||
+			ms(c.Sockets.ConnectTimeout) != want.Limits.ConnectTimeoutMs || ms(c.Sockets.KeepAlive) != want.Limits.KeepaliveMs {
+			t.Errorf("%s: settings are %+v with the sockets %+v, want the values of %+v", file, s, c.Sockets, want)
 		}
 	}
 }
 
-// named are words of deployments: of those that run the program, and of the variants. Of a variant they are read from
-// its settings.
-func named(t *testing.T) (words []string) {
+// deploymentWords returns words that are specific to deployments: a fixed list for those that run the program, and for the
+// variants in deploy/sites the names of the site and of its classes.
+func deploymentWords(t *testing.T) (words []string) {
 	words = []string{"ridge-assets", "cascade ridge", "kvist", "replay-video", "game-assets", "turn-submit", "mms-media",
 		"templates", "send-order", "small-4to7", "small-box", "large-box", "edge-cache", "cache-fleet"}
-	files, err := filepath.Glob(root + "/deploy/sites/*.settings.json")
+	files, err := filepath.Glob(repoRoot + "/deploy/sites/*.settings.json")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,20 +86,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var told struct{ Classes []struct{ Name string } }
-		if err := json.Unmarshal(raw, &told); err != nil {
+		var settings struct{ Classes []struct{ Name string } }
+		if err := json.Unmarshal(raw, &settings); err != nil {
 			t.Fatal(err)
 		}
 		words = append(words, strings.TrimSuffix(filepath.Base(file), ".settings.json"))
-		for _, c := range told.Classes {
+		for _, c := range settings.Classes {
 			words = append(words, c.Name)
 		}
 	}
 	return words
 }
 
-// eachText calls f with each comment and each string of a file, but for imports.
-func eachText(path string, text []byte, f func(found string)) error {
+// forEachText calls f with each comment and each string literal of a Go file, except import paths.
+func forEachText(path string, text []byte, f func(found string)) error {
 	file, err := parser.ParseFile(token.NewFileSet(), path, text, parser.ParseComments)
 	if err != nil {
 		return err
@@ -107,45 +107,45 @@
 	for _, g := range file.Comments {
 		f(g.Text())
 	}
-	var unreadable error
+	var unquoteErr error
 	ast.Inspect(file, func(n ast.Node) bool {
 		if _, ok := n.(*ast.ImportSpec); ok {
 			return false
 		}
 		if l, ok := n.(*ast.BasicLit); ok && l.Kind == token.STRING {
 			s, err := strconv.Unquote(l.Value)
-			unreadable = errors.Join(unreadable, err)
+			unquoteErr = errors.Join(unquoteErr, err)
 			f(s)
 		}
 		return true
 	})
-	return unreadable
+	return unquoteErr
 }
 
-// No class, site or operator of a deployment is named in the deploy file, nor in a string or comment of the code. Tests
-// may.
+// The program must not be tailored to a deployment: neither deploy/balancer.toml nor a comment or string of the code outside
+// tests may name a class, a site or an operator of one.
 func TestNothingIsFittedToADeployment(t *testing.T) {
-	words := named(t)
+	words := deploymentWords(t)
 	for i, w := range words {
 		words[i] = regexp.QuoteMeta(w)
 	}
-	anyName := regexp.MustCompile(`(?i)(^|[^a-z0-9])(` + strings.Join(words, "|") + `)([^a-z0-9]|$)`)
+	deploymentName := regexp.MustCompile(`(?i)(^|[^a-z0-9])(` + strings.Join(words, "|") + `)([^a-z0-9]|$)`)
 	check := func(where, text string) {
-		if m := anyName.FindStringSubmatch(text); m != nil {
-			t.Errorf("%s names %q: %.80q", where, m[2], text)
+		if m := deploymentName.FindStringSubmatch(text); m != nil {
+			t.Errorf("%s contains the name %q of a deployment: %.80q", where, m[2], text)
 		}
 	}
-	deploy, err := os.ReadFile(root + "/deploy/balancer.toml")
+	deploy, err := os.ReadFile(repoRoot + "/deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	check("deploy/balancer.toml", string(deploy))
-	seen := 0
-	err = filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
+	filesRead := 0
+	err = filepath.WalkDir(repoRoot, func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
-		rel, _ := filepath.Rel(root, path)
+		rel, _ := filepath.Rel(repoRoot, path)
 		if d.IsDir() {
 			if slices.Contains([]string{".git", "bin", "journal"}, rel) {
 				return filepath.SkipDir
@@ -159,10 +159,10 @@
 		if err != nil {
 			return err
 		}
-		seen++
-		return eachText(path, text, func(found string) { check(rel, found) })
+		filesRead++
+		return forEachText(path, text, func(found string) { check(rel, found) })
 	})
-	if err != nil || seen < 50 {
-		t.Errorf("%d files were read: %v", seen, err)
+	if err != nil || filesRead < 50 {
+		t.Errorf("%d Go files were checked, want at least 50; error: %v", filesRead, err)
 	}
 }
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -7,18 +7,18 @@
 	"larchusher/routing"
 )
 
-// The fingerprint of the settings is made of their encoded form. If it changed, what the version before had learned would be
-// void. The file was written by 1a818d3.
-func TestSettingsAreFingerprintedAsBy1a818d3(t *testing.T) {
+// The fingerprint is a hash of the settings' encoded form, which must not change: otherwise a new version would reject the state
+// that the previous one has learned. Version 1a818d3 wrote the golden file.
+func TestSettingsFingerprintIsCompatible(t *testing.T) {
 	golden.JSON(t, "testdata/1a818d3/settings.json", &routing.Settings{})
 	var c Gateway
 	golden.Fill(&c.Settings)
 	if got, want := c.Fingerprint(), "af9410ea385c4e06"; got != want {
-		t.Errorf("%s instead of %s", got, want)
+		t.Errorf("fingerprint is %s, want %s as in version 1a818d3", got, want)
 	}
 }
 
-func TestEncodedTypesNameTheirFields(t *testing.T) {
+func TestEncodedFieldsHaveTags(t *testing.T) {
 	golden.Tagged(t, routing.Settings{})
 	golden.Tagged(t, Gateway{})
 }
