--- a/cmd/larchusher/admin.go
+++ b/cmd/larchusher/admin.go
@@ -10,12 +10,13 @@
 	"larchusher/internal/net/admin"
 )
 
+// Reasons for which this process does not accept clients. They are printed to operators.
 var (
 	errStarting = errors.New("starting")
 	errDraining = errors.New("draining")
 )
 
-// openAdmin answers operators, if the configuration names an address for them.
+// openAdmin starts the admin listener for operators if the configuration has an address for it. An error names the key.
 func (p *program) openAdmin() error {
 	if p.cfg.AdminListen == "" {
 		return nil
@@ -30,7 +31,7 @@
 	return nil
 }
 
-// readiness is why this process does not take clients; nil: it does.
+// readiness returns nil if this process accepts clients, or an error that states why not.
 func (p *program) readiness() error {
 	switch {
 	case p.draining:
@@ -41,7 +42,7 @@
 	return nil
 }
 
-// adminStats are the figures that operators ask for.
+// adminStats returns the statistics that the admin listener reports.
 func (p *program) adminStats() (all []metrics.Value) {
 	add := func(kind metrics.Kind, name string, n uint64, labels ...metrics.Label) {
 		all = append(all, metrics.Value{Name: name, Kind: kind, Value: float64(n), Labels: labels})
--- a/cmd/larchusher/counters.go
+++ b/cmd/larchusher/counters.go
@@ -10,7 +10,7 @@
 	"larchusher/internal/net/resp"
 )
 
-// counters returns everything that the program counts, under the names that operators scrape.
+// counters returns the present values of all metrics, under the names that operators scrape. It runs on the loop.
 func (p *program) counters() (all []metrics.Value) {
 	all = append(all, p.connMetrics()...)
 	all = append(all, p.acceptMetrics()...)
@@ -41,7 +41,7 @@
 	return all
 }
 
-// connMetrics are about clients' connections and reloads.
+// connMetrics returns the metrics of all connections, of the platform's front, of the event loop's timers, and of reloads.
 func (p *program) connMetrics() []metrics.Value {
 	return []metrics.Value{
 		count("conns_opened", "Connections that came up.", p.engine.Opened.Load()),
@@ -49,14 +49,14 @@
 		count("conns_crowded", "Connections closed for want of a place.", p.engine.RejectedConns.Load()),
 		count("bytes_in", "Bytes read.", p.engine.In.Load()),
 		count("bytes_out", "Bytes written.", p.engine.Out.Load()),
-		count("malformed", "Connections closed for what they sent.", p.front.Malformed),
-		count("excess", "Requests beyond those that a connection may have open.", p.front.TooManyOpen),
+		count("malformed", "Connections closed for what they sent.", p.platformFront.Malformed),
+		count("excess", "Requests beyond those that a connection may have open.", p.platformFront.TooManyOpen),
 		count("loop_late_timers", "Timers that ran late without a look for a pause.", p.loop.LateTimers),
 		count("reloads", "Configurations taken in while running.", uint64(p.reloads)),
 	}
 }
 
-// acceptMetrics are about accepts that failed, on all listeners.
+// acceptMetrics returns the numbers of failed accept calls on all listeners, by errno.
 func (p *program) acceptMetrics() (all []metrics.Value) {
 	for errno, n := range p.engine.AcceptFailures() {
 		all = append(all, count("accept_failed", "Accepts that failed, by errno.", n, metrics.Label{Name: "errno", Value: errno}))
@@ -64,7 +64,7 @@
 	return all
 }
 
-// discoveryMetrics are about the feed of the endpoint list.
+// discoveryMetrics returns the metrics of the connection to the journal service, which streams the endpoint list's events.
 func (p *program) discoveryMetrics() []metrics.Value {
 	return []metrics.Value{
 		count("journal_connects", "Connections to the journal service.", p.discovery.Connects),
@@ -73,7 +73,7 @@
 	}
 }
 
-// poolMetrics are about connections to endpoints.
+// poolMetrics returns the metrics of connections to endpoints.
 func poolMetrics(c resp.Counters) []metrics.Value {
 	return []metrics.Value{
 		count("store_dialled", "Connections to stores begun.", c.ConnectsStarted),
@@ -87,7 +87,7 @@
 	}
 }
 
-// signedFrontMetrics are about requests with signed URLs.
+// signedFrontMetrics returns the metrics of requests with signed URLs.
 func (p *program) signedFrontMetrics() []metrics.Value {
 	all := []metrics.Value{count("signed_admitted", "Requests whose token was good.", p.signedFront.Admitted)}
 	for reason, n := range p.signedFront.ProblemsByReason {
@@ -99,12 +99,12 @@
 	return all
 }
 
-// count is a counter of whole things.
+// count returns a counter with an integer value.
 func count(name, help string, n uint64, labels ...metrics.Label) metrics.Value {
 	return counter(name, help, float64(n), labels...)
 }
 
-// logCounters writes the counters to the log.
+// logCounters logs the present values of all metrics. It runs on the loop, or after the loop has ended.
 func (p *program) logCounters() {
 	p.log.WithFields(logrus.Fields(metrics.Source(p.counters).Fields())).Info(logfields.Counters)
 }
--- a/cmd/larchusher/gateway_metrics.go
+++ b/cmd/larchusher/gateway_metrics.go
@@ -5,7 +5,8 @@
 	"larchusher/internal/metrics"
 )
 
-// gatewayMetrics are what the gateway counts of load and of localities, under the names that operators scrape.
+// gatewayMetrics returns the gateway's metrics of load, and of localities if they are configured, under the names that operators
+// scrape.
 func gatewayMetrics(gw *gateway.Gateway) []metrics.Value {
 	all := loadMetrics(gw.LoadStats())
 	if s, ok := gw.LocalityStats(); ok {
--- a/cmd/larchusher/gateway_metrics_test.go
+++ b/cmd/larchusher/gateway_metrics_test.go
@@ -18,8 +18,7 @@
 	"larchusher/routing"
 )
 
-// Counters are scraped by their names, so that their names, kinds, labels and order outlive changes of the fields that they
-// are made of.
+// Operators scrape metrics by name, so names, kinds, labels and order must not change when the fields behind them are renamed.
 func TestGatewayMetricsKeepTheirNamesAndOrder(t *testing.T) {
 	loop := gateway.NewLoop()
 	gw, err := gateway.New(gateway.Config{Loop: loop, Log: logrus.New(),
@@ -35,16 +34,16 @@
 		got = append(got, "core "+name)
 	}
 	for _, v := range gatewayMetrics(gw) {
-		got = append(got, describe(v))
+		got = append(got, describeMetric(v))
 	}
 	want := readLines(t, "testdata/gateway-metrics.txt")
 	if !slices.Equal(got, want) {
-		t.Errorf("the gateway's metrics are\n%s\n\nand were\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+		t.Errorf("the gateway's metrics are\n%s\n\nwant those of testdata/gateway-metrics.txt\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
 }
 
-// describe words all of a value but its figure.
-func describe(v metrics.Value) string {
+// describeMetric returns one line with the kind, name, labels and help of a metric, and a summary's quantiles, without its value.
+func describeMetric(v metrics.Value) string {
 	kind := [...]string{metrics.Counter: "counter", metrics.Gauge: "gauge", metrics.Summary: "summary"}[v.Kind]
 	var labels []string
 	for _, l := range v.Labels {
@@ -63,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the file was only read
 	s := bufio.NewScanner(f)
 	for s.Scan() {
 		lines = append(lines, s.Text())
--- a/cmd/larchusher/listeners.go
+++ b/cmd/larchusher/listeners.go
@@ -14,17 +14,18 @@
 	"larchusher/internal/net/transport"
 )
 
-// connQuotas divides the descriptors among listeners and endpoints.
+// connQuotas returns the maximum numbers of connections by use, for the listeners that the operator's file enables.
 func (p *program) connQuotas() config.ConnQuotas {
 	checks := p.operator.AgentListen != "" || p.operator.HTTPListen != "" || p.operator.MetricsListen != ""
 	return p.cfg.ConnQuotas(p.operator.SignedFront != nil, checks)
 }
 
-// openFronts opens the platform's front, and what the operator's file asks for.
+// openFronts starts the listener of the platform's front, and those that the operator's file enables. An error names the key of
+// the address.
 func (p *program) openFronts() error {
 	quota := p.connQuotas().Clients
-	p.front = msgpackrpc.New(p.loop, p.gateway, classNames(p.cfg.Settings.Classes), quota, p.log)
-	l, err := p.engine.Listen(p.cfg.Listen, quota, p.front.EvictIdle, p.front.NewHandler)
+	p.platformFront = msgpackrpc.New(p.loop, p.gateway, classNames(p.cfg.Settings.Classes), quota, p.log)
+	l, err := p.engine.Listen(p.cfg.Listen, quota, p.platformFront.EvictIdle, p.platformFront.NewHandler)
 	if err != nil {
 		return fmt.Errorf("configuration key listen: %w", err)
 	}
@@ -35,7 +36,7 @@
 	return p.openChecks()
 }
 
-// openSignedFront opens the front for signed URLs, if the operator's file has one.
+// openSignedFront starts the listener of the front for signed URLs, if the operator's file enables it.
 func (p *program) openSignedFront() error {
 	if p.operator.SignedFront == nil {
 		return nil
@@ -44,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	quota := p.connQuotas().Signed
+	quota := p.connQuotas().SignedFront
 	p.signedFront = signedfront.New(p.loop, p.gateway, api, quota, p.cfg.Seed, p.log)
 	l, err := p.engine.Listen(p.operator.SignedFront.Listen, quota, p.signedFront.EvictIdle, p.signedFront.NewHandler)
 	if err != nil {
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// openChecks opens what load balancers and metrics collectors ask, if the operator's file has their addresses.
+// openChecks starts the listeners for the agent check, the health check and metrics that the operator's file enables.
 func (p *program) openChecks() error {
 	checker := &agentcheck.Checker{Loop: p.loop, Metrics: metrics.Source(p.counters).Text, State: p.checkState}
 	quota := p.connQuotas().HealthChecks
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// checkState is what load balancers are told.
+// checkState returns the state that health checks report to load balancers.
 func (p *program) checkState() agentcheck.State {
 	s := agentcheck.State{
 		Ready:    p.discovery.Connected() && (p.cluster == nil || p.cluster.Ready()),
@@ -94,7 +95,7 @@
 	return s
 }
 
-// logListening says that a further address is listened on, and what for.
+// logListening logs the address of a new listener, and the listener's purpose.
 func (p *program) logListening(l *transport.Listener, listener string) {
 	p.log.WithFields(logrus.Fields{logfields.Listener: listener, logfields.Address: l.Addr().String()}).Info(logfields.Listening)
 }
--- a/cmd/larchusher/predecessor.go
+++ b/cmd/larchusher/predecessor.go
@@ -9,20 +9,21 @@
 	"larchusher/internal/net/transport"
 )
 
-// The predecessor's part of an upgrade: it hands its state, its listening sockets and its clients' connections to the
-// process that takes over. The successor's part is in successor.go.
+// This file contains the predecessor's part of a hot restart: it hands its state, its listening sockets and its clients'
+// connections over to the successor. The successor's part is in successor.go.
 
-// handOver hands this process's state to its successor. From now on the successor has the slow-start budget.
-func (p *program) handOver(answer hotrestart.AnswerFunc) {
+// handOverState sends this process's state and listening sockets to its successor, without blocking the loop. It also stops
+// sending to endpoints that are warming up, since the successor uses the slow-start budget from now on.
+func (p *program) handOverState(answer hotrestart.AnswerFunc) {
 	p.log.Info(logfields.UpgradeHandingOver)
 	p.gateway.PauseSlowStart(-1)
-	p.useResourceShare(overlapShare)
-	state := handedState{Format: stateFormat, Since: p.initialEventsID, Known: p.endpoints.CurrentState(p.discovery.Position()),
+	p.useResourceShare(overlapResourceShare)
+	state := handedState{Format: stateFormat, Since: p.eventStreamID, Known: p.endpoints.CurrentState(p.discovery.Position()),
 		Learned: p.exportSnapshot(maxHandedListings)}
 	sockets := p.listeningSockets()
-	go func() { // encoding and writing would block the loop
+	go func() { // encoding and writing take too long for the loop
 		data, err := json.Marshal(state)
-		if err != nil { // a figure has no form in JSON: the endpoint list matters more
+		if err != nil { // learned state contains NaN or infinity, which JSON cannot encode: hand over the endpoint list at least
 			state.Learned = nil
 			data, err = json.Marshal(state)
 		}
@@ -37,7 +38,7 @@
 	}()
 }
 
-// listeningSockets are the listening sockets that go over to a successor.
+// listeningSockets returns the listening sockets that are handed over to a successor. The admin listener is not among them.
 func (p *program) listeningSockets() (all []hotrestart.Socket) {
 	for _, l := range p.listeners {
 		if raw, err := l.RawConn(); err == nil {
@@ -47,10 +48,11 @@
 	return all
 }
 
-// hasSuccessor reports whether a successor accepts clients.
+// hasSuccessor reports whether a successor runs and accepts clients.
 func (p *program) hasSuccessor() bool { return p.process != nil && p.process.SuccessorServes() }
 
-// migrateConn hands a client's connection to the successor.
+// migrateConn hands a client's connection over to the successor, together with the bytes that were received on it and not yet
+// processed.
 func (p *program) migrateConn(conn *transport.Conn, received []transport.ReceivedChunk) error {
 	now := time.Now()
 	var buffered []hotrestart.BufferedInput
@@ -61,9 +63,10 @@
 	return conn.Detach(func(descriptor int) error { return p.successor.Migrate(addr, buffered, descriptor) })
 }
 
-// leaveToSuccessor leaves clients to the successor: nothing new is accepted, and each connection goes over as soon as
-// nothing is open on it. Where it cannot go over it is closed in that moment.
-func (p *program) leaveToSuccessor() {
+// migrateToSuccessor shuts down in favour of the successor. This process stops accepting connections. Each connection to the
+// platform's front is handed over once no request is open on it, or closed if it cannot be handed over; each to the signed
+// front closes after its next answer.
+func (p *program) migrateToSuccessor() {
 	p.log.Info(logfields.UpgradeMigratingClients)
 	for _, l := range p.listeners {
 		l.CloseAfterQueued()
@@ -74,24 +77,24 @@
 	if p.signedFront != nil {
 		p.signedFront.CloseAfterAnswers()
 	}
-	began := p.loop.Now()
-	p.migrateIdleConns(began.Add(acceptQueueTime), began.Add(p.answerTimeAfterUpgrade()))
+	start := p.loop.Now()
+	p.migrateIdleConns(start.Add(acceptQueueTime), start.Add(p.answerTimeAfterUpgrade()))
 }
 
-// migrateIdleConns lets idle connections go until none is left, and ends the program then, or at the latest moment with an
-// answer to what is open. It goes on until the earliest moment in any case: connections that the kernel had accepted may
-// still be on their way to the front.
+// migrateIdleConns repeatedly hands over idle connections until no connection or request is left, and then ends the program. It
+// does not end before earliest, since connections that the kernel has accepted may not have reached the front yet. At
+// latest it answers the open requests with a failure and ends the program.
 func (p *program) migrateIdleConns(earliest, latest time.Time) {
 	now := p.loop.Now()
 	if !now.Before(latest) {
 		p.gateway.Close()
 	}
 	var left int
-	if p.successor != nil { // the link may have come up a moment ago
-		p.front.HoldRequests()
-		left = p.front.MigrateIdle(p.migrateConn)
+	if p.successor != nil { // set once the handover has completed, which may have been only after the shutdown began
+		p.platformFront.HoldRequests()
+		left = p.platformFront.MigrateIdle(p.migrateConn)
 	} else {
-		left = p.front.CloseIdle()
+		left = p.platformFront.CloseIdle()
 	}
 	unfinished := left > 0 || p.gateway.OpenRequests() > 0
 	if now.Before(earliest) || now.Before(latest) && unfinished {
--- a/cmd/larchusher/program.go
+++ b/cmd/larchusher/program.go
@@ -16,47 +16,47 @@
 	"larchusher/internal/snapshot"
 )
 
-// program is the daemon: its parts, which start wires together. Its methods run on the loop once that runs, unless their
-// comment says otherwise.
+// program is the daemon with all of its parts, which start creates and connects. Once the loop runs, the methods run on it unless
+// their comment names another goroutine.
 type program struct {
 	log    logrus.FieldLogger
 	loop   *gateway.Loop
 	engine *transport.Engine
 
-	cfg          *config.Gateway  // as read at the start; a reload changes classes and the limit on attempts alone
-	operator     *config.Operator // as read at the start
-	operatorPath string           // of the operator's file; empty: none
+	cfg          *config.Gateway  // as loaded at the start, except that a reload replaces the classes and the limit on attempts
+	operator     *config.Operator // as loaded at the start
+	operatorPath string           // path of the operator's file; empty: none
 
 	gateway   *gateway.Gateway
 	pool      *resp.Pool // connections to endpoints
 	discovery *discovery.Client
 	endpoints *discovery.EventApplier
-	gossip    *gossip.Link      // nil: nothing is exchanged
-	cluster   *clusternode.Node // nil: this gateway is alone
+	gossip    *gossip.Link      // gossip socket; nil: gossip is off
+	cluster   *clusternode.Node // nil: this gateway is not in a cluster
 	snapshots *snapshot.Saver   // nil: learned state is not saved
 
-	front             *msgpackrpc.Front
+	platformFront     *msgpackrpc.Front
 	platformListener  *transport.Listener
-	signedFront       *signedfront.Front // nil: off
+	signedFront       *signedfront.Front // front for signed URLs; nil: off
 	signedListener    *transport.Listener
-	signedFrontClosed bool                  // by a reload
-	listeners         []*transport.Listener // of all fronts and checks, but not of operators
-	adminListener     *transport.Listener   // of operators; nil: there is none
+	signedFrontClosed bool                  // a reload has removed the signed front
+	listeners         []*transport.Listener // of the fronts, the checks and metrics; excludes adminListener
+	adminListener     *transport.Listener   // nil: the configuration has no address for it
 
-	process            *hotrestart.Process  // nil: no other process of this gateway can take over
-	initialEventsID    string               // which start's numbering the endpoint list's events go by
-	migratedConns      *hotrestart.Receiver // of clients' connections of a predecessor; nil: none come
-	closeUnusedSockets func()               // closes sockets of a predecessor that nobody listens on; nil: there are none
-	successor          *hotrestart.Link     // takes clients' connections; nil: there is none
+	process            *hotrestart.Process  // finds predecessors and successors; nil: hot restart is not available
+	eventStreamID      string               // which start's numbering the endpoint list's events go by
+	migratedConns      *hotrestart.Receiver // receives clients' connections from the predecessor; nil: there are none to receive
+	closeUnusedSockets func()               // closes inherited sockets that no listener has taken; nil: no sockets were inherited
+	successor          *hotrestart.Link     // sends clients' connections to the successor; nil: no handover has completed
 
-	accepting       bool   // clients are accepted
+	accepting       bool   // the start has completed, and clients are accepted
 	draining        bool   // graceful shutdown has begun
-	onAnswered      func() // called once everything is answered; nil: nobody waits for that
-	reloads         int
-	rejectedReloads int
+	onAllAnswered   func() // called once all requests are answered, right before the program ends; nil: no callback
+	reloads         int    // reloads that were applied
+	rejectedReloads int    // reloads that failed a check
 }
 
-// endpointSink hands endpoint events to the gateway and to the pool of connections.
+// endpointSink combines the gateway and the pool of connections as the receiver of endpoint events.
 type endpointSink struct {
 	*gateway.Gateway
 	*resp.Pool
--- a/cmd/larchusher/reload.go
+++ b/cmd/larchusher/reload.go
@@ -12,7 +12,8 @@
 	"larchusher/signedurl"
 )
 
-// reload reads the files again and has the loop take them over. It runs beside the loop, which must not wait for files.
+// reload loads both configuration files and posts them to the loop to be applied. It runs on the signal goroutine, because the
+// loop must not block on file reads.
 func (p *program) reload() {
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
@@ -31,15 +32,15 @@
 	})
 }
 
-// rejectReload notes a reload whose files are at fault.
+// rejectReload counts and logs a reload that was not applied because of an error in the files.
 func (p *program) rejectReload(err error) {
 	p.rejectedReloads++
 	p.log.WithError(err).Error(logfields.ReloadRejected)
 }
 
-// applyReload takes over what may change while the program runs: the journal's address, the classes, the limit on attempts, the
-// signed front's keys and the bounds of localities. Requests and connections stay as they are. Both files are checked before
-// anything is used: if one is at fault, all stays as it was.
+// applyReload applies what may change while the program runs: the journal's address, the classes, the limit on attempts, the
+// keys of the signed front and the limits of localities. Open requests and connections are not affected. Both files are checked
+// before any part is applied, so an error leaves everything unchanged.
 func (p *program) applyReload(cfg *config.Gateway, op *config.Operator) error {
 	if err := p.cfg.CheckReload(cfg); err != nil {
 		return err
@@ -49,21 +50,21 @@
 			return err
 		}
 	}
-	tiers, err := op.LocalitiesFor(p.cfg.Settings.Zone, p.cfg.Settings.Zones)
+	localities, err := op.LocalitiesFor(p.cfg.Settings.Zone, p.cfg.Settings.Zones)
 	if err != nil {
 		return err
 	}
-	if p.operator.Localities == nil || !p.operator.SameRestartSettings(op) { // they take effect with the next start
-		tiers = nil
+	if p.operator.Localities == nil || !p.operator.SameRestartSettings(op) { // a change of the localities takes effect at the next start
+		localities = nil
 	}
-	change := gateway.Reconfiguration{Classes: cfg.Settings.Classes, MaxAttempts: cfg.Settings.MaxAttempts, Localities: tiers}
+	change := gateway.Reconfiguration{Classes: cfg.Settings.Classes, MaxAttempts: cfg.Settings.MaxAttempts, Localities: localities}
 	if err := p.gateway.Reconfigure(change); err != nil {
 		return err
 	}
 	p.reloads++
 	p.warnRestartKeys(cfg, op)
 	p.cfg.Settings.Classes, p.cfg.Settings.MaxAttempts = cfg.Settings.Classes, cfg.Settings.MaxAttempts
-	p.front.SetClasses(classNames(p.gateway.Classes()))
+	p.platformFront.SetClasses(classNames(p.gateway.Classes()))
 	p.pool.SetAnswerTimeout(p.longestDeadline())
 	p.discovery.SetAddress(cfg.Journal)
 	p.reloadSignedFront(op.SignedFront)
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// warnRestartKeys names what differs and takes effect with the next start only.
+// warnRestartKeys logs the keys whose changed values take effect only at the next start.
 func (p *program) warnRestartKeys(cfg *config.Gateway, op *config.Operator) {
 	keys := p.cfg.ChangedRestartKeys(cfg)
 	if !p.operator.SameRestartSettings(op) {
@@ -85,8 +86,8 @@
 	}
 }
 
-// reloadSignedFront has the signed front go by what a newer file says. One that the file has no more ends, for good: its keys may be
-// somebody's who is not served here any longer.
+// reloadSignedFront applies a newer configuration of the signed front; nil: the file no longer has one. A front that was removed
+// is closed and does not come back before a restart, since its keys may belong to a customer who is no longer served here.
 func (p *program) reloadSignedFront(signed *config.SignedFront) {
 	switch {
 	case p.signedFront == nil:
@@ -101,7 +102,7 @@
 		settings := p.cfg.Settings
 		settings.Classes = p.gateway.Classes()
 		api, err := newSignedAPI(signed, settings)
-		if err != nil { // it was checked a moment ago
+		if err != nil { // unexpected: applyReload has checked the same configuration
 			p.log.WithError(err).Error(logfields.ReloadSignedFailed)
 			return
 		}
@@ -109,7 +110,8 @@
 	}
 }
 
-// newSignedAPI has the keys of the signed front's file.
+// newSignedAPI returns the HTTP API of the signed front, which verifies tokens with the configured keys and renews them if the
+// configuration names a key for that.
 func newSignedAPI(s *config.SignedFront, settings routing.Settings) (*httpapi.API, error) {
 	verifier, err := signedurl.NewVerifier(s.URLs)
 	if err != nil {
@@ -124,7 +126,7 @@
 	return httpapi.New(settings, verifier, issuer), nil
 }
 
-// classNames are the names of classes.
+// classNames returns the names of classes, in their order.
 func classNames(classes []routing.Class) (names []string) {
 	for _, c := range classes {
 		names = append(names, c.Name)
--- a/cmd/larchusher/serve.go
+++ b/cmd/larchusher/serve.go
@@ -14,28 +14,28 @@
 	"larchusher/internal/logfields"
 )
 
-// Percentages of the heap that may be garbage before it is collected. Garbage may grow where there is memory for it:
-// collecting takes processor time.
+// Bounds and slope of the garbage collector's target percentage (GOGC). A larger memory limit allows more garbage, which saves
+// processor time for collection.
 const (
 	minGCPercent   = 100
 	maxGCPercent   = 400
-	gcPercentPerMB = 2 // of the limit on memory
+	gcPercentPerMB = 2 // per MiB of the memory limit
 )
 
-// minProcessors lets the poller wait in the kernel without holding up the loop's timers. What they may use of a core is
-// the platform's to say.
+// minProcessors is the least GOMAXPROCS: with two, the poller can block in the kernel without delaying the loop's timers. The
+// platform limits the share of a core that both may use.
 const minProcessors = 2
 
-// serve is the sub-command of that name.
-type serve struct{ operatorFile }
+// serveCommand is the sub-command serve, which runs the daemon.
+type serveCommand struct{ operatorFile }
 
-// Run serves until SIGTERM.
-func (s *serve) Run(log *logrus.Logger) error {
-	// Before anything else: a signal during the start would be lost, or end the program at once. The signals that end it
-	// have a channel of their own, which others cannot fill.
-	signals, end := make(chan os.Signal, 4), make(chan os.Signal, 1)
+// Run serves until SIGTERM or SIGINT has completed a graceful shutdown. An error means that the start failed.
+func (s *serveCommand) Run(log *logrus.Logger) error {
+	// Signals are registered first: one that arrives during the start would otherwise be lost, or kill the program. Signals that
+	// end the program have a channel of their own, so that others cannot fill it.
+	signals, termSignals := make(chan os.Signal, 4), make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR1, syscall.SIGHUP)
-	signal.Notify(end, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(termSignals, syscall.SIGTERM, syscall.SIGINT)
 
 	operator, err := config.LoadOperator(s.Operator, os.Getenv)
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 	go p.handleSignals(signals)
 	go func() {
-		<-end // the first one alone counts
+		<-termSignals // further signals are ignored
 		p.loop.Post(p.shutDown)
 	}()
 	p.loop.Run()
@@ -67,7 +67,8 @@
 	return nil
 }
 
-// handleSignals hands signals to the loop. It runs on a goroutine of its own.
+// handleSignals reloads the configuration on SIGHUP and has the loop log the counters on SIGUSR1. It runs on a goroutine of its
+// own.
 func (p *program) handleSignals(signals <-chan os.Signal) {
 	for s := range signals {
 		if s == syscall.SIGHUP {
--- a/cmd/larchusher/shared.go
+++ b/cmd/larchusher/shared.go
@@ -12,21 +12,23 @@
 	"larchusher/replication"
 )
 
+// sharedState queries a gateway's copy of the replicated state: that of the gateway at, or as the flag --at states if at is empty.
+// kind restricts it to slots of one kind; empty: all kinds.
 func (f *clusterFlags) sharedState(at, kind string) (*clusternode.SharedState, error) {
-	one := *f
+	flags := *f
 	if at != "" {
-		one.At = at
+		flags.At = at
 	}
-	m, err := one.query(cluster.Message{Query: "shared", Value: []byte(kind)})
+	m, err := flags.query(cluster.Message{Query: "shared", Value: []byte(kind)})
 	if err == nil && m.Rejected != "" {
-		err = errors.New("state: refused: " + m.Rejected)
+		err = errors.New("state: request rejected by the gateway: " + m.Rejected)
 	}
 	if err != nil {
 		return nil, err
 	}
 	var s clusternode.SharedState
 	if err := json.Unmarshal(m.Value, &s); err != nil {
-		return nil, fmt.Errorf("state: the reply: %w", err)
+		return nil, fmt.Errorf("state: reply of the gateway not readable: %w", err)
 	}
 	return &s, nil
 }
@@ -38,7 +40,7 @@
 	JSON bool   `name:"json" help:"Print JSON."`
 }
 
-// Run shows a gateway's copy.
+// Run prints a gateway's copy of the replicated state, with the divergences that anti-entropy has found.
 func (c *stateShared) Run() error {
 	s, err := c.sharedState("", c.Kind)
 	if err != nil {
@@ -74,7 +76,8 @@
 	Kind string `help:"Of this kind only."`
 }
 
-// Run compares two copies. What one was told a moment ago the other may not have heard yet.
+// Run prints the differences between two gateways' copies of the replicated state, and fails if there are any. A recent write
+// may not have reached both gateways yet, and then shows as a difference.
 func (c *stateDiff) Run() error {
 	a, err := c.sharedState(c.A, c.Kind)
 	if err != nil {
@@ -87,33 +90,33 @@
 	if len(a.Rows) < a.Slots || len(b.Rows) < b.Slots {
 		fmt.Printf("only the first %d of %d and %d slots are compared: name a --kind\n", min(len(a.Rows), len(b.Rows)), a.Slots, b.Slots)
 	}
-	name := func(r replication.Row) string {
+	slotID := func(r replication.Row) string {
 		return fmt.Sprintf("%s %q by %s %x", r.Kind, r.Key, r.Writer, r.Incarnation)
 	}
 	rows := map[string]replication.Row{}
 	for _, r := range a.Rows {
-		rows[name(r)] = r
+		rows[slotID(r)] = r
 	}
-	differ := 0
-	for _, r := range b.Rows {
-		was, ok := rows[name(r)]
-		delete(rows, name(r))
+	differences := 0
+	for _, rowB := range b.Rows {
+		rowA, ok := rows[slotID(rowB)]
+		delete(rows, slotID(rowB))
 		switch {
 		case !ok:
-			fmt.Printf("only at %s: %s %s\n", c.B, name(r), r.Value)
-		case was.Seq != r.Seq || string(was.Value) != string(r.Value):
-			fmt.Printf("%s: number %d, %s at %s; number %d, %s at %s\n", name(r), was.Seq, was.Value, c.A, r.Seq, r.Value, c.B)
+			fmt.Printf("only at %s: %s %s\n", c.B, slotID(rowB), rowB.Value)
+		case rowA.Seq != rowB.Seq || string(rowA.Value) != string(rowB.Value):
+			fmt.Printf("%s: number %d, %s at %s; number %d, %s at %s\n", slotID(rowB), rowA.Seq, rowA.Value, c.A, rowB.Seq, rowB.Value, c.B)
 		default:
 			continue
 		}
-		differ++
+		differences++
 	}
-	for n, r := range rows {
-		differ++
-		fmt.Printf("only at %s: %s %s\n", c.A, n, r.Value)
+	for id, r := range rows {
+		differences++
+		fmt.Printf("only at %s: %s %s\n", c.A, id, r.Value)
 	}
-	if differ > 0 {
-		return fmt.Errorf("state: %d differences", differ)
+	if differences > 0 {
+		return fmt.Errorf("state: the copies of the two gateways have %d differences, want none", differences)
 	}
 	return nil
 }
@@ -126,7 +129,7 @@
 	Why  []string `arg:"" help:"The reason, which is told with it."`
 }
 
-// Run has something forgotten at all gateways.
+// Run makes all gateways forget what they have learned under a key of the replicated state.
 func (c *stateForget) Run() error {
 	value, err := json.Marshal(clusternode.ForgetRequest{Kind: c.Kind, Key: c.Key, Reason: strings.Join(c.Why, " ") + ", " + currentUser()})
 	if err != nil {
@@ -134,7 +137,7 @@
 	}
 	m, err := c.query(cluster.Message{Query: "forget", Value: value})
 	if err == nil && m.Rejected != "" {
-		err = errors.New("state: refused: " + m.Rejected)
+		err = errors.New("state: request rejected by the gateway: " + m.Rejected)
 	}
 	return err
 }
--- a/cmd/larchusher/shutdown.go
+++ b/cmd/larchusher/shutdown.go
@@ -7,23 +7,24 @@
 	"larchusher/internal/net/transport"
 )
 
-// The steps of a graceful shutdown. The platform kills the program 0.7 s behind the longest deadline, or behind 3 s if that
-// is longer.
+// Durations of the steps of a graceful shutdown. The platform kills the program 0.7 s after the longest deadline of a class, or
+// after 3 s (minDrainTime), whichever is longer, counted from SIGTERM.
 const (
-	acceptAfterTerm         = 700 * time.Millisecond // clients go on coming for up to 0.6 s after SIGTERM
+	acceptAfterTerm         = 700 * time.Millisecond // clients may still connect for up to 0.6 s after SIGTERM
 	minDrainTime            = 3 * time.Second
-	answerTimeAfterDeadline = 500 * time.Millisecond // for the last answers, behind the longest deadline
-	flushTime               = 150 * time.Millisecond // for them to be written
-	shutdownNoticeTime      = time.Second            // for the cluster to hear that this gateway has shut down
-	finalSnapshotTimeout    = 30 * time.Millisecond  // for a snapshot that is being written, behind all answers
+	answerTimeAfterDeadline = 500 * time.Millisecond // to send the last answers after the longest deadline
+	flushTime               = 150 * time.Millisecond // to write the last answers to sockets
+	shutdownNoticeTime      = time.Second            // to notify the cluster that this gateway has shut down
+	finalSnapshotTimeout    = 30 * time.Millisecond  // to complete a snapshot in progress, after all answers
 
 	answeredPollInterval = 10 * time.Millisecond
 	closedPollInterval   = 5 * time.Millisecond
 )
 
-// shutDown goes on accepting for as long as clients may still come, answers everything that is open, and ends the program.
+// shutDown begins a graceful shutdown. The program goes on accepting for acceptAfterTerm, answers the open requests, and then ends
+// the loop. If a successor serves, clients are handed over to it instead. Further calls have no effect.
 func (p *program) shutDown() {
-	if p.draining { // for its own maintenance, and then by a signal
+	if p.draining { // a maintenance request for this gateway and a signal may both call this method
 		return
 	}
 	p.log.Info(logfields.Draining)
@@ -32,13 +33,13 @@
 		p.snapshots.SaveNow(p.gateway.DirectorTime(p.loop.Now()))
 	}
 	if p.hasSuccessor() {
-		p.leaveToSuccessor()
+		p.migrateToSuccessor()
 		return
 	}
 	if p.process != nil {
 		p.process.StopServing()
 	}
-	began := p.loop.Now()
+	start := p.loop.Now()
 	p.loop.After(acceptAfterTerm, func() {
 		for _, l := range p.listeners {
 			l.Close()
@@ -46,14 +47,14 @@
 		if p.signedFront != nil {
 			p.signedFront.CloseAfterAnswers()
 		}
-		p.endWhenAnswered(began.Add(p.longestDeadline() + answerTimeAfterDeadline))
+		p.endWhenAnswered(start.Add(p.longestDeadline() + answerTimeAfterDeadline))
 	})
 }
 
-// longestDeadline is how long any client may wait, and minDrainTime at least.
+// longestDeadline returns the longest deadline of a class, but no less than minDrainTime.
 func (p *program) longestDeadline() time.Duration { return max(p.longestClassDeadline(), minDrainTime) }
 
-// longestClassDeadline is the longest deadline of a class.
+// longestClassDeadline returns the longest deadline of a class.
 func (p *program) longestClassDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range p.cfg.Settings.Classes {
@@ -62,56 +63,59 @@
 	return longest
 }
 
-// answerTimeAfterUpgrade is how long after SIGTERM everything must be answered where a successor serves: there the kill
-// counts a longest deadline beyond minDrainTime as minDrainTime.
+// answerTimeAfterUpgrade returns the time after SIGTERM in which all open requests must be answered if a successor serves. In
+// that case the platform caps the deadline from which it counts the time until the kill at minDrainTime.
 func (p *program) answerTimeAfterUpgrade() time.Duration {
 	return min(p.longestClassDeadline(), minDrainTime) + answerTimeAfterDeadline
 }
 
-// endWhenAnswered ends the program once nothing is open any more, or at the last moment with an answer to what is.
-func (p *program) endWhenAnswered(last time.Time) {
+// endWhenAnswered polls until all open requests are answered, or at the deadline answers them with a failure. Then it closes all
+// connections of clients and ends the program.
+func (p *program) endWhenAnswered(deadline time.Time) {
 	now := p.loop.Now()
-	late := !now.Before(last)
-	if late {
+	expired := !now.Before(deadline)
+	if expired {
 		p.gateway.Close()
 	}
-	if !late && !p.allAnswered() {
-		p.loop.After(answeredPollInterval, func() { p.endWhenAnswered(last) })
+	if !expired && !p.allAnswered() {
+		p.loop.After(answeredPollInterval, func() { p.endWhenAnswered(deadline) })
 		return
 	}
-	p.front.CloseAll()
+	p.platformFront.CloseAll()
 	if p.signedFront != nil {
 		p.signedFront.CloseAll()
 	}
-	until := now.Add(transport.LingerTime)
-	if latest := last.Add(flushTime); until.After(latest) {
-		until = latest
+	closeDeadline := now.Add(transport.LingerTime)
+	if flushDeadline := deadline.Add(flushTime); closeDeadline.After(flushDeadline) {
+		closeDeadline = flushDeadline
 	}
-	p.endWhenClosed(until)
+	p.endWhenClosed(closeDeadline)
 }
 
-// allAnswered reports whether no request is open and every answer has been written.
+// allAnswered reports whether no request is open and all answers have been written to sockets.
 func (p *program) allAnswered() bool {
-	return p.gateway.OpenRequests() == 0 && p.front.Idle() && (p.signedFront == nil || p.signedFront.Idle())
+	return p.gateway.OpenRequests() == 0 && p.platformFront.Idle() && (p.signedFront == nil || p.signedFront.Idle())
 }
 
-// endWhenClosed waits until all clients have taken their last answers and closed. Ending with unread bytes would send a
-// reset, which takes away what a client has not read.
-func (p *program) endWhenClosed(until time.Time) {
-	if p.engine.Lingering() > 0 && p.loop.Now().Before(until) {
-		p.loop.After(closedPollInterval, func() { p.endWhenClosed(until) })
+// endWhenClosed polls until all clients have read their last answers and closed their connections, or until the deadline, and
+// ends the program. If the process ended earlier the kernel might reset connections, and a client then loses the bytes that it
+// has not read.
+func (p *program) endWhenClosed(deadline time.Time) {
+	if p.engine.Lingering() > 0 && p.loop.Now().Before(deadline) {
+		p.loop.After(closedPollInterval, func() { p.endWhenClosed(deadline) })
 		return
 	}
 	p.end()
 }
 
-// end ends the program; where the cluster waits for that, it hears of it first.
+// end stops the loop, which ends the program. If the cluster waits for this shutdown it is notified first, and the loop stops after
+// shutdownNoticeTime.
 func (p *program) end() {
-	if p.onAnswered == nil {
+	if p.onAllAnswered == nil {
 		p.loop.Close()
 		return
 	}
-	p.onAnswered()
-	p.onAnswered = nil
+	p.onAllAnswered()
+	p.onAllAnswered = nil
 	p.loop.After(shutdownNoticeTime, p.loop.Close)
 }
--- a/cmd/larchusher/snapshots.go
+++ b/cmd/larchusher/snapshots.go
@@ -8,11 +8,11 @@
 	"larchusher/warmstart"
 )
 
-// snapshotTicks is how often a snapshot's age is looked at between two of them.
-const snapshotTicks = 4
+// ticksPerSnapshot is how many times per snapshot interval the program checks whether a snapshot is due.
+const ticksPerSnapshot = 4
 
-// openSnapshots takes in the learned state of an earlier process, once the endpoint list is known, and has learned state
-// saved from now on. A folder that cannot be used costs its use alone.
+// openSnapshots imports the learned state that an earlier process saved, and starts to save learned state periodically. The
+// endpoint list must be known. If the folder cannot be used, the error is logged and the program goes on without saving.
 func (p *program) openSnapshots() {
 	log := p.log.WithField(logfields.Folder, p.operator.State.Folder)
 	saver, found, err := snapshot.Open(p.operator.State.Folder, p.operator.State.Key, log)
@@ -30,12 +30,12 @@
 	var tick func()
 	tick = func() {
 		saver.Tick(p.gateway.DirectorTime(p.loop.Now()))
-		p.loop.After(min(time.Second, interval/snapshotTicks), tick)
+		p.loop.After(min(time.Second, interval/ticksPerSnapshot), tick)
 	}
 	p.loop.Post(tick)
 }
 
-// exportSnapshot is what the directors have learned, with at most maxListings of the mapping table of each.
+// exportSnapshot returns the learned state of all directors, with at most maxListings listings of each director's mapping table.
 func (p *program) exportSnapshot(maxListings int) *warmstart.Snapshot {
 	return &warmstart.Snapshot{
 		CreatedAt:           p.gateway.DirectorTime(p.loop.Now()),
--- a/cmd/larchusher/start.go
+++ b/cmd/larchusher/start.go
@@ -14,22 +14,23 @@
 	"larchusher/internal/net/transport"
 )
 
-// What waits may take parts of the limit on memory: it is divided by these.
+// Divisors of the memory limit that yield the bounds of queues and buffers.
 const (
-	unwrittenDivisor       = 4 // bytes that wait to be written
-	bodiesDivisor          = 6 // bodies of requests
-	unreadAnswersDivisor   = 5 // answers that clients have not read, unless the operator's file says otherwise
-	endpointAnswersDivisor = 8 // answers on their way from endpoints
+	unwrittenDivisor       = 4 // bytes queued to be written to sockets
+	bodiesDivisor          = 6 // bodies of open requests
+	unreadAnswersDivisor   = 5 // answers that clients have not read; overload.answers_mb of the operator's file overrides it
+	endpointAnswersDivisor = 8 // answers that are being received from endpoints
 )
 
-// start makes the parts of the program in the order in which they need each other. Nothing runs on the loop yet.
+// start creates the parts of the program in the order of their dependencies, and opens all listeners. It is called before the loop
+// runs. An error means that the program cannot serve.
 func (p *program) start() error {
 	for _, w := range p.cfg.Warnings {
 		p.log.WithField(logfields.Detail, w).Warn(logfields.ConfigCorrected)
 	}
 	p.setMemoryLimit(1)
-	p.initialEventsID = eventsID(p.cfg.InitialState)
-	engine, err := transport.New(p.log, p.memoryPart(unwrittenDivisor))
+	p.eventStreamID = hashInitialState(p.cfg.InitialState)
+	engine, err := transport.New(p.log, p.memoryFraction(unwrittenDivisor))
 	if err != nil {
 		return err
 	}
@@ -37,7 +38,7 @@
 	if err := p.joinProcess(); err != nil {
 		return err
 	}
-	known, learned := p.requestState()
+	known, learned := p.requestPredecessorState()
 	if err := p.initGateway(); err != nil {
 		return err
 	}
@@ -47,7 +48,7 @@
 	if err := p.watchEndpoints(known); err != nil {
 		return err
 	}
-	p.loop.Post(func() { p.startHandover(learned) }) // before any request
+	p.loop.Post(func() { p.startHandover(learned) }) // posted first, so that it runs before any request
 	if err := p.startCluster(); err != nil {
 		return err
 	}
@@ -65,7 +66,8 @@
 	return nil
 }
 
-// close ends what other processes may wait for.
+// close leaves the cluster and gives up this process's part in hot restarts, for which other processes may be waiting. It is
+// called after the loop has ended, or if the start failed.
 func (p *program) close() {
 	if p.cluster != nil {
 		p.cluster.Close()
@@ -75,15 +77,15 @@
 	}
 }
 
-// memoryPart is the limit on memory, in bytes, divided.
-func (p *program) memoryPart(divisor int) int { return p.cfg.Limits.MemoryMB << 20 / divisor }
+// memoryFraction returns the memory limit in bytes, divided by divisor.
+func (p *program) memoryFraction(divisor int) int { return p.cfg.Limits.MemoryMB << 20 / divisor }
 
-// operatorError says that something in the operator's file cannot be used.
+// operatorError wraps an error about a value of the operator's file with the path of the file.
 func (p *program) operatorError(err error) error {
 	return fmt.Errorf("operator's file %s: %w", p.operatorPath, err)
 }
 
-// initGateway makes the gateway, the pool of connections to endpoints, and the gossip socket.
+// initGateway creates the gateway, the pool of connections to endpoints, and the gossip socket if gossip is on.
 func (p *program) initGateway() error {
 	p.pool = resp.New(p.poolConfig(), p.loop, p.engine, p.log)
 	c, err := p.gatewayConfig()
@@ -103,6 +105,7 @@
 	return nil
 }
 
+// poolConfig returns the configuration of the pool of connections to endpoints.
 func (p *program) poolConfig() resp.Config {
 	return resp.Config{
 		StreamsPerConn:   p.cfg.Sockets.StreamsPerConn,
@@ -110,12 +113,12 @@
 		KeepAlive:        p.cfg.Sockets.KeepAlive,
 		MaxConns:         p.connQuotas().Endpoints,
 		LoadReportFields: p.cfg.Settings.LoadReportFields,
-		MaxAnswerBytes:   int64(p.memoryPart(endpointAnswersDivisor)),
+		MaxAnswerBytes:   int64(p.memoryFraction(endpointAnswersDivisor)),
 		AnswerTimeout:    p.longestDeadline(),
 	}
 }
 
-// gatewayConfig is the configuration of the gateway, but for its gossip.
+// gatewayConfig returns the configuration of the gateway, without its gossip socket.
 func (p *program) gatewayConfig() (gateway.Config, error) {
 	localities, err := p.operator.LocalitiesFor(p.cfg.Settings.Zone, p.cfg.Settings.Zones)
 	if err != nil {
@@ -132,30 +135,31 @@
 		ReadBarrier:     p.engine.Barrier,
 		SizeScale:       p.cfg.SizeScale,
 		MaxOpenRequests: p.cfg.Sockets.MaxOpenRequests,
-		MaxBodyBytes:    p.memoryPart(bodiesDivisor),
+		MaxBodyBytes:    p.memoryFraction(bodiesDivisor),
 	}
-	c.Overload.MemoryLimit = cmp.Or(c.Overload.MemoryLimit, int64(p.memoryPart(unreadAnswersDivisor)))
-	if p.operator.Cluster != nil { // nothing is forwarded before it is known what maintenance has taken out
+	c.Overload.MemoryLimit = cmp.Or(c.Overload.MemoryLimit, int64(p.memoryFraction(unreadAnswersDivisor)))
+	if p.operator.Cluster != nil { // no endpoint is permitted before the cluster's view of maintenance is known
 		c.EndpointPermitted = func(endpoint string) bool { return p.cluster != nil && p.cluster.EndpointPermitted(endpoint) }
 	}
 	return c, nil
 }
 
-// watchEndpoints takes in the endpoint list that is known at the start, and follows its events from there on.
+// watchEndpoints applies the endpoint list that is known at the start, loads saved state, and subscribes to the list's events from
+// its position on.
 func (p *program) watchEndpoints(known discovery.InitialState) error {
 	p.endpoints = &discovery.EventApplier{Sink: endpointSink{p.gateway, p.pool}, Clock: p.gateway.DirectorTime}
 	if err := p.endpoints.ApplyInitial(time.Now(), known); err != nil {
-		return fmt.Errorf("known: %w", err)
+		return fmt.Errorf("known: endpoint list not valid: %w", err)
 	}
 	if p.operator.State != nil {
 		p.openSnapshots()
 	}
 	p.discovery = discovery.Watch(p.loop, p.engine, p.log, p.cfg.Journal, p.endpoints, known.Position)
-	p.cfg.InitialState = discovery.InitialState{} // all of it has been taken in
+	p.cfg.InitialState = discovery.InitialState{} // applied, and no longer needed
 	return nil
 }
 
-// startCluster receives gossip, and joins the cluster that the operator's file names.
+// startCluster starts to receive gossip if it is on, and joins the cluster if the operator's file configures one.
 func (p *program) startCluster() error {
 	if p.gossip != nil {
 		go p.gossip.ReadLoop(p.loop, p.gateway.ReceiveGossip)
@@ -169,7 +173,7 @@
 	}
 	p.cluster = node
 	node.OnShutDown = func(answered func()) {
-		p.onAnswered = answered
+		p.onAllAnswered = answered
 		p.shutDown()
 	}
 	return nil
--- a/cmd/larchusher/state.go
+++ b/cmd/larchusher/state.go
@@ -12,8 +12,8 @@
 	"larchusher/warmstart"
 )
 
-// state is the sub-command of that name.
-type state struct {
+// stateCommand is the sub-command state.
+type stateCommand struct {
 	Show   stateShow   `cmd:"" help:"Show what is kept."`
 	Verify stateVerify `cmd:"" help:"Read all files, and end with status 1 if the newest is not whole."`
 	Shared stateShared `cmd:"" help:"Show what a gateway knows in common with the others."`
@@ -22,14 +22,16 @@
 	Prune  statePrune  `cmd:"" help:"Remove all but the newest whole file, and what writes left behind that did not end. Only while no gateway runs."`
 }
 
-// stateFolder says which folder.
-type stateFolder struct {
+// snapshotFolderFlags are the flags of the sub-commands that read a folder of snapshots.
+type snapshotFolderFlags struct {
 	operatorFile
 	Folder string `help:"The folder, in place of that of the operator's file." placeholder:"DIR"`
 	JSON   bool   `name:"json" help:"Print JSON, one value a line."`
 }
 
-func (f *stateFolder) open() (*snapshot.Store, string, error) {
+// openStore returns the store of snapshots in the folder of the flag --folder, or else in that of the operator's file, and the
+// folder's path. The key of the MAC comes from the operator's file.
+func (f *snapshotFolderFlags) openStore() (*snapshot.Store, string, error) {
 	folder, key := f.Folder, []byte(nil)
 	if f.Operator != "" {
 		op, err := config.LoadOperator(f.Operator, os.Getenv)
@@ -37,7 +39,7 @@
 			return nil, "", err
 		}
 		if op.State == nil && folder == "" {
-			return nil, "", errors.New("state: the operator's file has no part `state`")
+			return nil, "", errors.New("state: no folder: --folder is not set, and the operator's file has no part `state`")
 		}
 		if op.State != nil {
 			if key = op.State.Key; folder == "" {
@@ -46,36 +48,38 @@
 		}
 	}
 	if folder == "" {
-		return nil, "", errors.New("state: --folder or --operator is needed")
+		return nil, "", errors.New("state: no folder: want --folder or --operator")
 	}
 	return snapshot.NewStore(snapshot.Folder(folder), key), folder, nil
 }
 
-// fileState is one file, as printed.
+// fileState describes a snapshot file, as the sub-commands print it.
 type fileState struct {
-	File     string    `json:"File"`
-	Bytes    int       `json:"Bytes"`
-	Error    string    `json:"Error,omitempty"`
-	Whole    bool      `json:"Whole"`
-	Bad      int       `json:"Bad,omitempty"`
-	Cut      bool      `json:"Cut,omitempty"`
-	Made     time.Time `json:"Made"`
-	AgeS     float64   `json:"AgeS"`
-	Gateway  string    `json:"Gateway"`
-	Settings string    `json:"Settings"`
-	Position int64     `json:"Position"`
-	Places   []place   `json:"Places"`
+	File     string            `json:"File"`
+	Bytes    int               `json:"Bytes"`
+	Error    string            `json:"Error,omitempty"`
+	Whole    bool              `json:"Whole"`
+	Bad      int               `json:"Bad,omitempty"`
+	Cut      bool              `json:"Cut,omitempty"`
+	Made     time.Time         `json:"Made"`
+	AgeS     float64           `json:"AgeS"`
+	Gateway  string            `json:"Gateway"`
+	Settings string            `json:"Settings"`
+	Position int64             `json:"Position"`
+	Places   []localitySummary `json:"Places"`
 }
 
-type place struct {
+// localitySummary describes the learned state of one locality in a snapshot file.
+type localitySummary struct {
 	Zone     string `json:"Zone"`
 	Listings int    `json:"Listings"`
 	Servers  int    `json:"Servers"`
 	Purges   int    `json:"Purges"`
-	Believed int    `json:"Believed"` // listings that would be, by their age now
-	Ill      int    `json:"Ill"`      // servers that fail, or are out of use
+	Believed int    `json:"Believed"` // sum of the listings' confidence at their present age, rounded
+	Ill      int    `json:"Ill"`      // endpoints with an error rate above 0.4, or ejected
 }
 
+// describeFile returns the description of a snapshot file at the time now.
 func describeFile(f snapshot.LoadedFile, now time.Time) fileState {
 	s := fileState{File: f.Name, Bytes: f.Size, Whole: f.Damage.Complete, Bad: f.Damage.BadRecords, Cut: f.Damage.Truncated}
 	if f.Err != nil {
@@ -88,12 +92,12 @@
 	s.AgeS, s.Gateway, s.Settings, s.Position = now.Sub(s.Made).Seconds(), f.Snapshot.Gateway, f.Snapshot.SettingsFingerprint, f.Snapshot.JournalPosition
 	unix := time.Duration(now.UnixNano())
 	for _, d := range f.Snapshot.Directors {
-		p := place{Zone: d.Zone, Listings: len(d.Listings), Servers: len(d.Endpoints), Purges: len(d.Purges)}
-		worth := 0.0
+		p := localitySummary{Zone: d.Zone, Listings: len(d.Listings), Servers: len(d.Endpoints), Purges: len(d.Purges)}
+		confidence := 0.0
 		for _, l := range d.Listings {
-			worth += warmstart.ConfidenceAt(unix - l.LastRequest).Listing
+			confidence += warmstart.ConfidenceAt(unix - l.LastRequest).Listing
 		}
-		p.Believed = int(worth + 0.5)
+		p.Believed = int(confidence + 0.5)
 		for _, h := range d.Endpoints {
 			if h.ErrorRate > 0.4 || h.EjectedUntil > unix {
 				p.Ill++
@@ -104,7 +108,8 @@
 	return s
 }
 
-func (f *stateFolder) print(s fileState) error {
+// printFile prints the description of a snapshot file, as text or as one line of JSON.
+func (f *snapshotFolderFlags) printFile(s fileState) error {
 	if f.JSON {
 		return json.NewEncoder(os.Stdout).Encode(s)
 	}
@@ -124,24 +129,25 @@
 	return nil
 }
 
-// printAll prints all files, and reports whether the newest is complete.
-func (f *stateFolder) printAll() (folder string, n int, whole bool, err error) {
-	store, folder, err := f.open()
+// printAll prints the descriptions of all snapshot files, the newest first. It returns the folder, the number of files, and
+// whether the newest one is readable and complete.
+func (f *snapshotFolderFlags) printAll() (folder string, n int, newestComplete bool, err error) {
+	store, folder, err := f.openStore()
 	if err != nil {
 		return folder, 0, false, err
 	}
 	all, err := store.Inspect()
 	for _, found := range all {
 		if err == nil {
-			err = f.print(describeFile(found, time.Now()))
+			err = f.printFile(describeFile(found, time.Now()))
 		}
 	}
 	return folder, len(all), len(all) > 0 && all[0].Err == nil && all[0].Damage.Complete, err
 }
 
-type stateShow struct{ stateFolder }
+type stateShow struct{ snapshotFolderFlags }
 
-// Run shows what is saved.
+// Run prints descriptions of all snapshot files.
 func (s *stateShow) Run() error {
 	folder, n, _, err := s.printAll()
 	if err == nil && n == 0 && !s.JSON {
@@ -150,22 +156,23 @@
 	return err
 }
 
-type stateVerify struct{ stateFolder }
+type stateVerify struct{ snapshotFolderFlags }
 
-// Run reads all files.
+// Run prints descriptions of all snapshot files, and fails if the newest one is not complete.
 func (s *stateVerify) Run() error {
-	folder, _, whole, err := s.printAll()
-	if err == nil && !whole {
-		err = fmt.Errorf("state: %s: the newest file is not whole, or there is none", folder)
+	folder, _, newestComplete, err := s.printAll()
+	if err == nil && !newestComplete {
+		err = fmt.Errorf("state: %s: the newest snapshot file is not complete, or the folder has none", folder)
 	}
 	return err
 }
 
-type statePrune struct{ stateFolder }
+type statePrune struct{ snapshotFolderFlags }
 
-// Run removes what is not needed.
+// Run removes all snapshot files except the newest complete one, and what interrupted writes have left. It fails if a gateway
+// uses the folder.
 func (s *statePrune) Run() error {
-	store, folder, err := s.open()
+	store, folder, err := s.openStore()
 	if err != nil {
 		return err
 	}
--- a/cmd/larchusher/stored_test.go
+++ b/cmd/larchusher/stored_test.go
@@ -6,14 +6,14 @@
 	"larchusher/lab/golden"
 )
 
-// What one process hands to the next at an upgrade, and what the state sub-commands print, is read by other versions and
-// by scripts. The files were written by 1a818d3.
-func TestEncodedFormsAreThoseOf1a818d3(t *testing.T) {
+// Other versions read the state that a process hands over at a hot restart, and scripts read the output of the state
+// sub-commands, so their encoded forms must not change. Version 1a818d3 wrote the golden files.
+func TestEncodedFormsAreCompatible(t *testing.T) {
 	golden.JSON(t, "testdata/1a818d3/handed-state.json", &handedState{})
 	golden.JSON(t, "testdata/1a818d3/state-show.json", &fileState{})
 }
 
-func TestEncodedTypesNameTheirFields(t *testing.T) {
+func TestEncodedFieldsHaveTags(t *testing.T) {
 	golden.Tagged(t, handedState{})
 	golden.Tagged(t, fileState{})
 }
--- a/cmd/larchusher/successor.go
+++ b/cmd/larchusher/successor.go
@@ -22,45 +22,49 @@
 	"larchusher/warmstart"
 )
 
-// An upgrade: a new process of a gateway, the successor, starts beside the one that serves, takes over its state, and
-// serves beside it until that one, the predecessor, is sent SIGTERM and has answered what is open.
+// In a hot restart (the log calls it an upgrade) a new process of a gateway, the successor, starts while another one serves, takes
+// over its state, and serves alongside it until that one, the predecessor, receives SIGTERM and has answered all open requests.
+// This file contains the successor's part.
 
 const (
-	joinTimeout       = 3 * time.Second       // for which a third process waits until one of the two that run has ended
-	stateTimeout      = 2 * time.Second       // for which a successor waits for the predecessor's state
-	overlapShare      = 0.4                   // of the descriptors and memory, that each process may use while both run
-	maxHandedListings = 20000                 // of each director's mapping table, that are handed over
-	acceptQueueTime   = 50 * time.Millisecond // until connections that the kernel had accepted reach the fronts
-	migrateInterval   = 2 * time.Millisecond  // between two looks for idle connections
-	stateFormat       = 1                     // of handedState; another one is not used
-	softMemoryShare   = 0.6                   // of the limit on memory, from which garbage is collected at once
+	joinTimeout          = 3 * time.Second       // maximum wait of a third process for one of two running ones to end
+	stateTimeout         = 2 * time.Second       // maximum wait of a successor for the predecessor's state
+	overlapResourceShare = 0.4                   // share of the limits on file descriptors and memory for each process while both run
+	maxHandedListings    = 20000                 // listings of each director's mapping table that are handed over at most
+	acceptQueueTime      = 50 * time.Millisecond // time in which connections that the kernel has accepted reach the fronts
+	migrateInterval      = 2 * time.Millisecond  // interval of polling for idle connections
+	stateFormat          = 1                     // version of handedState; a state of another version is ignored
+	softMemoryShare      = 0.6                   // share of the memory limit that is set as the Go runtime's soft limit
 )
 
-// handedState is what a predecessor hands over to its successor, as JSON.
+// handedState is the state that a predecessor hands over to its successor, as JSON. Its fields keep their names, since the two
+// processes may be of different versions.
 type handedState struct {
 	Format  int                    `json:"Format"`
-	Known   discovery.InitialState `json:"Known"`   // the present endpoint list, and the latest event taken in
-	Since   string                 `json:"Since"`   // eventsID of the endpoint list that the predecessor was started with
-	Learned *warmstart.Snapshot    `json:"Learned"` // nil: none
+	Known   discovery.InitialState `json:"Known"`   // the present endpoint list, with the position of the latest event that was applied
+	Since   string                 `json:"Since"`   // hashInitialState of the endpoint list in the predecessor's configuration
+	Learned *warmstart.Snapshot    `json:"Learned"` // learned state; nil: not encodable
 }
 
-// eventsID tells the events of one feed of the endpoint list from those of another: each numbers them from 1.
-func eventsID(known discovery.InitialState) string {
+// hashInitialState returns a hash of a configured endpoint list, which identifies the event stream that the list's position counts
+// in. Each stream numbers its events from 1, so positions of different streams must not be compared.
+func hashInitialState(known discovery.InitialState) string {
 	b, err := json.Marshal(known)
-	if err != nil { // it was read from JSON
+	if err != nil { // cannot happen: it was decoded from JSON
 		return ""
 	}
 	return strconv.FormatUint(xxhash.Sum64(b), 16)
 }
 
-// joinProcess finds out whether another process of this gateway serves. Where the folder cannot be used there will be no
-// handover: a new process starts beside this one without knowing of it.
+// joinProcess determines whether another process of this gateway serves, by a folder that all of its processes share. If the folder
+// cannot be used, hot restart is not available: a process that starts later does not detect this one. It fails if another
+// process serves and this gateway is in a cluster.
 func (p *program) joinProcess() error {
 	addr, err := netip.ParseAddrPort(p.cfg.Listen)
-	if err != nil || addr.Port() == 0 { // with a port that the kernel draws there is no other process
+	if err != nil || addr.Port() == 0 { // the kernel picks the port, so no other process shares the address
 		return nil
 	}
-	// Short, since the path of a Unix socket in it may have 107 bytes.
+	// The name is short because the folder contains a Unix socket, whose path is limited to 107 bytes.
 	name := fmt.Sprintf("larchusher-%012x", xxhash.Sum64String(fmt.Sprintf("%d %s", os.Geteuid(), p.cfg.Listen))>>16)
 	p.process, err = hotrestart.Join(filepath.Join(os.TempDir(), name), joinTimeout)
 	if err != nil {
@@ -70,19 +74,20 @@
 	}
 	if p.process.IsSuccessor() && p.operator.Cluster != nil {
 		p.process.Close()
-		return errors.New("fleet: another process of this gateway runs, and would be the same member: end it first")
+		return errors.New("fleet: another process of this gateway is running, and two processes cannot be the same member: end that process first")
 	}
 	return nil
 }
 
-// requestState takes over the state of the predecessor, if there is one, and returns the endpoint list to start with and
-// what was learned; nil: nothing. The predecessor's listening sockets are left to the engine.
-func (p *program) requestState() (known discovery.InitialState, learned *warmstart.Snapshot) {
+// requestPredecessorState takes over the state and the listening sockets of the predecessor, if there is one. It returns the
+// endpoint list to start with, and the predecessor's learned state; nil: none. The engine uses the sockets when listeners open.
+// Failures are logged, and the process then starts from its own configuration.
+func (p *program) requestPredecessorState() (known discovery.InitialState, learned *warmstart.Snapshot) {
 	known = p.cfg.InitialState
 	if p.process == nil || !p.process.IsSuccessor() {
 		return known, nil
 	}
-	p.setMemoryLimit(overlapShare)
+	p.setMemoryLimit(overlapResourceShare)
 	handed, err := p.process.RequestHandover(stateTimeout)
 	var state handedState
 	if err == nil {
@@ -99,15 +104,15 @@
 	case state.Format != stateFormat:
 		p.log.WithField(logfields.Format, state.Format).Warn(logfields.UpgradeStateFormatUnknown)
 		return known, nil
-	case state.Since == eventsID(p.cfg.InitialState) && state.Known.Position >= known.Position:
+	case state.Since == hashInitialState(p.cfg.InitialState) && state.Known.Position >= known.Position:
 		known = state.Known
 	}
 	p.log.WithField(logfields.Position, known.Position).Info(logfields.UpgradeTakingOver)
 	return known, state.Learned
 }
 
-// startHandover takes in what the predecessor had learned, has this process use all of its resources once it is alone, and
-// answers a successor of its own.
+// startHandover imports the predecessor's learned state, restricts this process to overlapResourceShare until the predecessor has
+// ended, and starts to watch for a successor.
 func (p *program) startHandover(learned *warmstart.Snapshot) {
 	if p.process == nil {
 		return
@@ -117,32 +122,33 @@
 		p.log.WithField(logfields.Detail, report.String()).Info(logfields.UpgradeStateImported)
 	}
 	if p.process.IsSuccessor() {
-		p.useResourceShare(overlapShare)
-		p.takeSlowStartBudget(learned != nil)
+		p.useResourceShare(overlapResourceShare)
+		p.claimSlowStartBudget(learned != nil)
 		p.process.OnPredecessorExit(func() {
 			p.loop.Post(func() {
 				p.log.Info(logfields.UpgradePredecessorExited)
 				p.useResourceShare(1)
 				if learned == nil {
-					p.takeSlowStartBudget(true)
+					p.claimSlowStartBudget(true)
 				}
 			})
 		})
 	}
 	p.process.Watch(func(answer hotrestart.AnswerFunc) {
-		p.loop.Post(func() { p.handOver(answer) })
+		p.loop.Post(func() { p.handOverState(answer) })
 	}, func() {
 		p.loop.Post(func() {
 			p.log.Warn(logfields.UpgradeSuccessorExited)
 			p.useResourceShare(1)
-			p.takeSlowStartBudget(true)
+			p.claimSlowStartBudget(true)
 		})
 	})
 }
 
-// takeSlowStartBudget has this process send to endpoints that are warming up once a complete window has passed since the
-// other process stopped to: it has stopped now, or (false) it does not know of this one and goes on until it ends.
-func (p *program) takeSlowStartBudget(otherStopped bool) {
+// claimSlowStartBudget lets this process send to endpoints that are warming up, once a complete window has passed since the other
+// process stopped doing so. If otherStopped is false, the other process does not know of this one and goes on until it ends, so
+// this process waits for a further call.
+func (p *program) claimSlowStartBudget(otherStopped bool) {
 	if otherStopped {
 		p.gateway.PauseSlowStart(p.cfg.Settings.OverloadWindow)
 	} else {
@@ -150,33 +156,33 @@
 	}
 }
 
-// useResourceShare has this process use a share of the descriptors and the memory that the program may use.
-func (p *program) useResourceShare(part float64) {
-	p.setMemoryLimit(part)
-	p.pool.SetMaxConns(scaled(p.connQuotas().Endpoints, part))
-	p.useConnShare(part)
+// useResourceShare restricts this process to a share, from 0 to 1, of the limits on file descriptors and memory.
+func (p *program) useResourceShare(share float64) {
+	p.setMemoryLimit(share)
+	p.pool.SetMaxConns(scaleQuota(p.connQuotas().Endpoints, share))
+	p.useConnShare(share)
 }
 
-// useConnShare has this process use a share of the descriptors that clients may have.
+// useConnShare restricts this process to a share, from 0 to 1, of the quotas of clients' connections.
 func (p *program) useConnShare(part float64) {
-	share := p.connQuotas()
-	p.front.SetMaxConns(scaled(share.Clients, part))
-	p.platformListener.SetMaxConns(scaled(share.Clients, part))
+	quotas := p.connQuotas()
+	p.platformFront.SetMaxConns(scaleQuota(quotas.Clients, part))
+	p.platformListener.SetMaxConns(scaleQuota(quotas.Clients, part))
 	if p.signedFront != nil {
-		p.signedFront.SetMaxConns(scaled(share.Signed, part))
-		p.signedListener.SetMaxConns(scaled(share.Signed, part))
+		p.signedFront.SetMaxConns(scaleQuota(quotas.SignedFront, part))
+		p.signedListener.SetMaxConns(scaleQuota(quotas.SignedFront, part))
 	}
 }
 
-// scaled is a share of a number of descriptors, and one at least.
-func scaled(n int, part float64) int { return max(1, int(part*float64(n))) }
+// scaleQuota returns a share of a quota of connections, but no less than 1.
+func scaleQuota(n int, share float64) int { return max(1, int(share*float64(n))) }
 
-// setMemoryLimit has this process use a share of the memory that the program may use.
-func (p *program) setMemoryLimit(part float64) {
-	debug.SetMemoryLimit(int64(part * softMemoryShare * float64(p.cfg.Limits.MemoryMB<<20)))
+// setMemoryLimit sets the Go runtime's soft memory limit for a process that may use a share, from 0 to 1, of the memory limit.
+func (p *program) setMemoryLimit(share float64) {
+	debug.SetMemoryLimit(int64(share * softMemoryShare * float64(p.cfg.Limits.MemoryMB<<20)))
 }
 
-// startAccepting says that clients are accepted from now on.
+// startAccepting marks this process as accepting clients, and notifies the predecessor if there is one.
 func (p *program) startAccepting() {
 	p.accepting = true
 	if p.process == nil {
@@ -187,23 +193,23 @@
 	}
 }
 
-// adoptConns serves clients' connections that the predecessor hands over, until it has ended. It runs on a goroutine of
-// its own.
+// adoptConns receives the clients' connections that the predecessor hands over, and serves them, until the predecessor has ended.
+// It runs on a goroutine of its own.
 func (p *program) adoptConns() {
-	for first := true; ; first = false {
+	for isFirst := true; ; isFirst = false {
 		migrated, err := p.migratedConns.Next()
 		if err != nil { // the predecessor has ended
 			p.migratedConns.Close()
 			return
 		}
-		if first { // the predecessor accepts no more
+		if isFirst { // the predecessor has stopped accepting
 			p.loop.Post(func() { p.useConnShare(1) })
 		}
 		p.adoptConn(migrated)
 	}
 }
 
-// adoptConn serves a client's connection that the predecessor has handed over.
+// adoptConn serves a client's connection that the predecessor has handed over. One that cannot be served is logged and closed.
 func (p *program) adoptConn(migrated hotrestart.MigratedConn) {
 	conn, err := net.FileConn(migrated.File)
 	_ = migrated.File.Close() // conn has a descriptor of its own
@@ -211,10 +217,10 @@
 		p.log.WithError(err).Warn(logfields.UpgradeConnUnusable)
 		return
 	}
-	at := slices.IndexFunc(p.listeners, func(l *transport.Listener) bool { return l.Addr().String() == migrated.Addr })
-	if at < 0 {
+	listenerIndex := slices.IndexFunc(p.listeners, func(l *transport.Listener) bool { return l.Addr().String() == migrated.Addr })
+	if listenerIndex < 0 {
 		p.log.WithField(logfields.Address, migrated.Addr).Warn(logfields.UpgradeConnUnknownAddress)
-		_ = conn.Close() // nothing was written to it
+		_ = conn.Close() // nothing was written, so no error matters
 		return
 	}
 	now := time.Now()
@@ -222,5 +228,5 @@
 	for _, input := range migrated.Inputs {
 		received = append(received, transport.ReceivedChunk{Data: input.Data, At: now.Add(-input.Age)})
 	}
-	p.listeners[at].Adopt(conn, received)
+	p.listeners[listenerIndex].Adopt(conn, received)
 }
--- a/cmd/larchusher/table.go
+++ b/cmd/larchusher/table.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// table prints rows in aligned columns. The first error sticks, and flush returns it.
+// table prints rows in aligned columns. It keeps the first write error, which flush returns.
 type table struct {
 	w   *tabwriter.Writer
 	err error
@@ -18,14 +18,14 @@
 	return &table{w: tabwriter.NewWriter(out, 0, 0, padding, ' ', 0)}
 }
 
-// row adds a row, whose cells are separated by tabs.
+// row adds a row, in which tabs separate the cells. After an error it does nothing.
 func (t *table) row(format string, cells ...any) {
 	if t.err == nil {
 		_, t.err = fmt.Fprintf(t.w, format+"\n", cells...)
 	}
 }
 
-// flush writes the table out.
+// flush writes the table to its output.
 func (t *table) flush() error {
 	if t.err != nil {
 		return t.err
--- a/cmd/larchusher/work.go
+++ b/cmd/larchusher/work.go
@@ -12,7 +12,7 @@
 	"larchusher/maintenance"
 )
 
-// stagePollInterval is how often `work wait` looks at a request.
+// stagePollInterval is the interval at which `work wait` queries the stage of a request.
 const stagePollInterval = 500 * time.Millisecond
 
 // workCommand is the sub-command `work`.
@@ -27,6 +27,7 @@
 	Forget   workForget   `cmd:"" help:"Say that a gateway is gone for good: nothing waits for it any more. It must not be running."`
 }
 
+// workAsk is the sub-command `work ask`.
 type workAsk struct {
 	clusterFlags
 	Machine  string        `arg:"" help:"Name of the box, upper cache or gateway."`
@@ -37,18 +38,18 @@
 	Key      string        `help:"Marks tries of one request as the same; drawn without."`
 }
 
-// Run asks.
+// Run submits a maintenance request for a machine, and prints its number.
 func (a *workAsk) Run() error {
 	if a.Key == "" {
 		b := make([]byte, 8)
-		_, _ = rand.Read(b) // it never fails
+		_, _ = rand.Read(b) // crypto/rand.Read never fails
 		a.Key = hex.EncodeToString(b)
 	}
-	q := &maintenance.RequestSpec{Key: a.Key, Machine: a.Machine, DurationMs: a.For.Milliseconds(), Priority: a.Priority, After: a.After}
+	spec := &maintenance.RequestSpec{Key: a.Key, Machine: a.Machine, DurationMs: a.For.Milliseconds(), Priority: a.Priority, After: a.After}
 	if a.By > 0 {
-		q.DeadlineMs = time.Now().Add(a.By).UnixMilli()
+		spec.DeadlineMs = time.Now().Add(a.By).UnixMilli()
 	}
-	r, err := a.execute(&maintenance.Command{Request: q})
+	r, err := a.execute(&maintenance.Command{Request: spec})
 	if err != nil {
 		return err
 	}
@@ -56,12 +57,13 @@
 	return err
 }
 
+// workList is the sub-command `work list`.
 type workList struct {
 	clusterFlags
 	All bool `help:"Those that ended, too."`
 }
 
-// Run lists.
+// Run prints a table of the maintenance requests: the open ones, or all.
 func (l *workList) Run() error {
 	s, err := l.maintenanceState()
 	if err != nil {
@@ -84,12 +86,13 @@
 	return w.flush()
 }
 
+// workShow is the sub-command `work show`.
 type workShow struct {
 	clusterFlags
 	Machine string `arg:"" help:"Name of the machine."`
 }
 
-// Run shows the latest request for a machine.
+// Run prints the history of the latest maintenance request for a machine.
 func (c *workShow) Run() error {
 	s, err := c.maintenanceState()
 	if err != nil {
@@ -103,44 +106,48 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("work: nothing was asked for %q", c.Machine)
+	return fmt.Errorf("work: no maintenance request for the machine %q", c.Machine)
 }
 
+// workWithdraw is the sub-command `work withdraw`.
 type workWithdraw struct {
 	clusterFlags
 	Machine string `arg:"" help:"Name of the machine."`
 	Why     string `help:"Reason, for the history."`
 }
 
-// Run withdraws.
+// Run withdraws a machine's maintenance request.
 func (c *workWithdraw) Run() error {
 	_, err := c.execute(&maintenance.Command{Withdraw: &maintenance.Target{Name: c.Machine, Reason: c.Why}})
 	return err
 }
 
+// workFinish is the sub-command `work finish`.
 type workFinish struct {
 	clusterFlags
 	Machine string `arg:"" help:"Name of the machine."`
 	Why     string `help:"Remark, for the history."`
 }
 
-// Run finishes.
+// Run reports that the maintenance of a machine is done.
 func (c *workFinish) Run() error {
 	_, err := c.execute(&maintenance.Command{Finish: &maintenance.Target{Name: c.Machine, Reason: c.Why}})
 	return err
 }
 
+// workForget is the sub-command `work forget`.
 type workForget struct {
 	clusterFlags
 	Gateway string `arg:"" help:"Name of the gateway."`
 }
 
-// Run forgets a gateway.
+// Run removes a gateway that is gone for good from those that maintenance waits for. The gateway must not be running.
 func (c *workForget) Run() error {
 	_, err := c.execute(&maintenance.Command{Forget: &maintenance.Target{Name: c.Gateway}})
 	return err
 }
 
+// workWait is the sub-command `work wait`.
 type workWait struct {
 	clusterFlags
 	Machine string        `arg:"" help:"Name of the machine."`
@@ -148,7 +155,8 @@
 	Within  time.Duration `help:"How long to wait." default:"1h"`
 }
 
-// Run waits.
+// Run polls until a machine's latest maintenance request is at the wanted stage. It fails if the request ends at another stage, if
+// there is none, or after the time of the flag --within.
 func (c *workWait) Run() error {
 	end := time.Now().Add(c.Within)
 	for {
@@ -166,34 +174,35 @@
 		case string(stage) == c.Until:
 			return nil
 		case stage == "" || stage.Ended():
-			return fmt.Errorf("work: %s is %s", c.Machine, strings.TrimSpace("not on its way "+string(stage)))
+			return fmt.Errorf("work: no maintenance request is in progress for %s (%s)", c.Machine, strings.TrimSpace("latest request: "+string(stage)))
 		case time.Now().After(end):
-			return fmt.Errorf("work: %s is still %s after %v", c.Machine, stage, c.Within)
+			return fmt.Errorf("work: the maintenance request of %s is still at the stage %s after %v", c.Machine, stage, c.Within)
 		}
 		time.Sleep(stagePollInterval)
 	}
 }
 
+// workPlan is the sub-command `work plan`.
 type workPlan struct{ clusterFlags }
 
-// Run plans.
+// Run prints the order in which open maintenance requests would be granted, and the limit that blocks each one now.
 func (c *workPlan) Run() error {
 	m, err := c.sendCommand(nil, "plan")
 	if err != nil {
 		return err
 	}
-	var all []maintenance.PlanEntry
-	if err := json.Unmarshal(m.Value, &all); err != nil {
-		return fmt.Errorf("work: the plan: %w", err)
+	var entries []maintenance.PlanEntry
+	if err := json.Unmarshal(m.Value, &entries); err != nil {
+		return fmt.Errorf("work: plan of the gateway not readable: %w", err)
 	}
 	w := newTable(os.Stdout)
 	w.row("WAVE\tID\tMACHINE\tHELD BACK NOW BY")
-	for _, v := range all {
-		wave := fmt.Sprint(v.Wave)
-		if v.Wave == 0 {
+	for _, entry := range entries {
+		wave := fmt.Sprint(entry.Wave)
+		if entry.Wave == 0 {
 			wave = "-"
 		}
-		w.row("%s\t%d\t%s\t%s", wave, v.Request.ID, v.Request.Machine, v.BlockedBy)
+		w.row("%s\t%d\t%s\t%s", wave, entry.Request.ID, entry.Request.Machine, entry.BlockedBy)
 	}
 	return w.flush()
 }
