--- a/internal/logfields/events.go
+++ b/internal/logfields/events.go
@@ -2,36 +2,36 @@
 
 // Events of serving and of requests.
 const (
-	CommandFailed     = "command failed"     // a sub-command ends with status 1
-	Serving           = "serving"            // clients are accepted
-	Listening         = "listening"          // a further address is listened on
-	Draining          = "draining"           // graceful shutdown has begun
-	Counters          = "counters"           // all counters, asked for by SIGUSR1, or at the end
-	RequestFailed     = "request failed"     // a request got no answer
-	RequestUnreadable = "request unreadable" // a request broke its protocol
-	DirectorPanicked  = "director panicked"  // a decision failed by a fault of the program
-	DirectorNote      = "director note"      // a director has something to say
-	ConfigCorrected   = "configuration corrected"
+	CommandFailed     = "command failed"          // a sub-command failed, and the process exits with status 1
+	Serving           = "serving"                 // the start has completed, and clients are accepted
+	Listening         = "listening"               // a listener besides that of the platform's front has been opened
+	Draining          = "draining"                // a graceful shutdown has begun
+	Counters          = "counters"                // values of all metrics, logged on SIGUSR1 and when the daemon ends
+	RequestFailed     = "request failed"          // a request ended without an answer from an endpoint
+	RequestUnreadable = "request unreadable"      // a request violated the protocol
+	DirectorPanicked  = "director panicked"       // a director panicked while it made a decision: a bug
+	DirectorNote      = "director note"           // a director's message for operators
+	ConfigCorrected   = "configuration corrected" // a configured value was replaced at the start
 )
 
-// Events of a reload, on SIGHUP.
+// Events of a configuration reload, which SIGHUP requests.
 const (
-	Reloaded                = "reloaded"
-	ReloadRejected          = "reload rejected"
-	ReloadNeedsRestart      = "reload needs restart"
-	ReloadClassesFailed     = "reload of classes failed"
-	ReloadSignedFailed      = "reload of the signed front failed"
-	ReloadSignedFrontClosed = "reload closed the signed front"
+	Reloaded                = "reloaded"                          // the new configuration is in use
+	ReloadRejected          = "reload rejected"                   // an error in the files: the old configuration stays
+	ReloadNeedsRestart      = "reload needs restart"              // some changes take effect only at the next start
+	ReloadClassesFailed     = "reload of classes failed"          // new classes could not be applied
+	ReloadSignedFailed      = "reload of the signed front failed" // the signed front keeps its old configuration
+	ReloadSignedFrontClosed = "reload closed the signed front"    // the new file has no signed front
 )
 
-// Events of the endpoint list's feed.
+// Events of endpoint discovery: the connection that streams changes of the endpoint list.
 const (
 	DiscoveryAddressChanged = "discovery: address changed"
 	DiscoveryLost           = "discovery: connection lost"
-	DiscoveryEventUnusable  = "discovery: event unusable"
+	DiscoveryEventUnusable  = "discovery: event unusable" // an event was malformed or could not be applied
 )
 
-// Events of connections.
+// Events of connections to clients and endpoints, and of the poller that reads from them.
 const (
 	AcceptFailed             = "accept failed"
 	EndpointConnLost         = "endpoint connection lost"
@@ -43,7 +43,7 @@
 	PollerLibraryReported    = "poller library"
 )
 
-// Events of learned state.
+// Events of learned state and of the snapshot files in which it is saved.
 const (
 	StateNotSaved = "learned state not saved"
 	StateImported = "learned state imported"
@@ -54,7 +54,7 @@
 	SnapshotWriteFailed = "snapshot write failed"
 )
 
-// Events of an upgrade, in which a new process takes over from the one that serves.
+// Events of a hot restart (upgrade), in which a new process, the successor, takes over from the one that serves, the predecessor.
 const (
 	UpgradeUnavailable        = "upgrade: handover unavailable"
 	UpgradeSocketsMissing     = "upgrade: sockets not handed over"
@@ -72,7 +72,7 @@
 	UpgradeMigratingClients   = "upgrade: migrating clients"
 )
 
-// Events among the gateways of a cluster.
+// Events of a cluster of gateways.
 const (
 	AuditTrail                = "audit"
 	ClusterVoteLost           = "cluster: vote lost"
--- a/internal/logfields/logfields_test.go
+++ b/internal/logfields/logfields_test.go
@@ -14,11 +14,11 @@
 	"testing"
 )
 
-const root = "../.."
+const repoRoot = "../.."
 
-// Whoever reads a log finds each event and field on the operators' page, and nothing else stands there.
-func TestThePageListsWhatIsLogged(t *testing.T) {
-	page, err := os.ReadFile(filepath.Join(root, "docs/operators/logs.md"))
+// The operators' page on logs must list every event and field of this package, and no event that is not defined here.
+func TestLogsPageListsAllEventsAndFields(t *testing.T) {
+	page, err := os.ReadFile(filepath.Join(repoRoot, "docs/operators/logs.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,26 +28,26 @@
 			listed = append(listed, m[1])
 		}
 	}
-	events := constants(t, "events.go")
+	events := constantValues(t, "events.go")
 	for _, e := range events {
 		if !slices.Contains(listed, e) {
-			t.Errorf("the page lacks the event %q", e)
+			t.Errorf("docs/operators/logs.md does not list the event %q", e)
 		}
 	}
 	for _, l := range listed {
 		if !slices.Contains(events, l) {
-			t.Errorf("the page has the event %q, which is not defined", l)
+			t.Errorf("docs/operators/logs.md lists the event %q, which is not defined in events.go", l)
 		}
 	}
-	for _, f := range constants(t, "fields.go") {
+	for _, f := range constantValues(t, "fields.go") {
 		if !strings.Contains(string(page), "`"+f+"`") {
-			t.Errorf("the page lacks the field %q", f)
+			t.Errorf("docs/operators/logs.md does not list the field %q", f)
 		}
 	}
 }
 
-// constants are the values of a file's constants.
-func constants(t *testing.T, file string) (values []string) {
+// constantValues returns the values of the string constants that a Go file of this package defines.
+func constantValues(t *testing.T, file string) (values []string) {
 	t.Helper()
 	f, err := parser.ParseFile(token.NewFileSet(), file, nil, 0)
 	if err != nil {
@@ -68,12 +68,12 @@
 	return values
 }
 
-// Event and field names stand in this package alone: no call of a logger words its own.
-func TestNamesStandInThisPackageAlone(t *testing.T) {
+// Packages that log must take event and field names from this package: no call of a logger may pass a name of its own.
+func TestLoggersUseOnlyTheseConstants(t *testing.T) {
 	for _, dir := range []string{"gateway", "cmd/larchusher", "internal"} {
-		err := filepath.WalkDir(filepath.Join(root, dir), func(path string, _ fs.DirEntry, err error) error {
+		err := filepath.WalkDir(filepath.Join(repoRoot, dir), func(path string, _ fs.DirEntry, err error) error {
 			if err == nil && strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go") {
-				checkFile(t, path)
+				checkLoggerCalls(t, path)
 			}
 			return err
 		})
@@ -83,11 +83,12 @@
 	}
 }
 
-// checkFile reports calls of a logger whose event or field is not one of this package's constants.
-func checkFile(t *testing.T, path string) {
+// checkLoggerCalls fails the test for each call of a logger in a Go file whose event or field is not one of this package's
+// constants.
+func checkLoggerCalls(t *testing.T, path string) {
 	t.Helper()
-	set := token.NewFileSet()
-	f, err := parser.ParseFile(set, path, nil, 0)
+	fileSet := token.NewFileSet()
+	f, err := parser.ParseFile(fileSet, path, nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,40 +98,41 @@
 			return true
 		}
 		method, ok := call.Fun.(*ast.SelectorExpr)
-		if !ok || !onLogger(method.X) {
+		if !ok || !isLogger(method.X) {
 			return true
 		}
 		switch method.Sel.Name {
 		case "Debugf", "Infof", "Warnf", "Errorf":
-			t.Errorf("%v: a message with particulars in it", set.Position(call.Pos()))
+			t.Errorf("%v: formatted log message; want a constant event, with details in fields", fileSet.Position(call.Pos()))
 		case "Debug", "Info", "Warn", "Error", "WithField":
-			if len(call.Args) == 0 || !ours(call.Args[0]) {
-				t.Errorf("%v: %s with a name that is not of internal/logfields", set.Position(call.Pos()), method.Sel.Name)
+			if len(call.Args) == 0 || !isPackageConstant(call.Args[0]) {
+				t.Errorf("%v: first argument of %s is not a constant of internal/logfields", fileSet.Position(call.Pos()), method.Sel.Name)
 			}
 		case "WithFields":
-			checkFields(t, set, call.Args[0])
+			checkFieldNames(t, fileSet, call.Args[0])
 		}
 		return true
 	})
 }
 
-// checkFields reports keys of a literal of fields that are not of this package. One that is made elsewhere is passed over:
-// the counters are.
-func checkFields(t *testing.T, set *token.FileSet, arg ast.Expr) {
+// checkFieldNames fails the test for each key of a literal of fields that is not a constant of this package. Arguments that are not
+// literals are not checked: the fields of the counters' line are computed.
+func checkFieldNames(t *testing.T, set *token.FileSet, arg ast.Expr) {
 	t.Helper()
 	literal, ok := arg.(*ast.CompositeLit)
 	if !ok {
 		return
 	}
 	for _, e := range literal.Elts {
-		if pair, ok := e.(*ast.KeyValueExpr); ok && !ours(pair.Key) {
-			t.Errorf("%v: a field whose name is not of internal/logfields", set.Position(pair.Pos()))
+		if pair, ok := e.(*ast.KeyValueExpr); ok && !isPackageConstant(pair.Key) {
+			t.Errorf("%v: field name is not a constant of internal/logfields", set.Position(pair.Pos()))
 		}
 	}
 }
 
-// onLogger reports whether a call's receiver is a logger: something called log, or what a logger's methods return.
-func onLogger(x ast.Expr) bool {
+// isLogger reports whether a call's receiver is a logger: a variable or field named log, or the result of a logger's method or of
+// a method named detail.
+func isLogger(x ast.Expr) bool {
 	switch x := x.(type) {
 	case *ast.Ident:
 		return x.Name == "log"
@@ -138,13 +140,13 @@
 		return strings.EqualFold(x.Sel.Name, "log")
 	case *ast.CallExpr:
 		method, ok := x.Fun.(*ast.SelectorExpr)
-		return ok && (onLogger(method.X) || method.Sel.Name == "detail")
+		return ok && (isLogger(method.X) || method.Sel.Name == "detail")
 	}
 	return false
 }
 
-// ours reports whether an expression is one of this package's constants.
-func ours(x ast.Expr) bool {
+// isPackageConstant reports whether an expression refers to a name of this package.
+func isPackageConstant(x ast.Expr) bool {
 	s, ok := x.(*ast.SelectorExpr)
 	if !ok {
 		return false
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics words the program's counters for Prometheus, StatsD and the log. Each package keeps its own counters; a
-// Source collects the present values of all.
+// Package metrics formats the program's metrics for Prometheus, StatsD and the log. Each package keeps its own counters; a
+// [Source] returns the present values of all of them.
 package metrics
 
 import (
@@ -11,41 +11,43 @@
 	"github.com/prometheus/common/expfmt"
 )
 
-// Kind is what a value does over time.
+// Kind is the type of a metric.
 type Kind int
 
-// The kinds of a value.
+// Types of metrics.
 const (
-	Counter Kind = iota // only rises
-	Gauge               // rises and falls
-	Summary             // a summary of what was seen since the start, in seconds
+	Counter Kind = iota // a total since the start, which only increases
+	Gauge               // a present value, which may increase and decrease
+	Summary             // the distribution of durations since the start, in seconds
 )
 
-// Value is one value with its name and labels.
+// Value is the present value of one metric, with its name and labels.
 type Value struct {
-	Name      string // without the program's prefix
+	Name      string // without the prefix larchusher_
 	Help      string
 	Kind      Kind
 	Labels    []Label
 	Value     float64
-	Count     uint64              // of a summary,
-	Sum       float64             // its sum,
-	Quantiles map[float64]float64 // and its values, by quantile from 0 to 1
+	Count     uint64              // number of observations of a summary
+	Sum       float64             // sum of a summary's observations, in seconds
+	Quantiles map[float64]float64 // values of a summary in seconds, by quantile from 0 to 1
 }
 
-// Label is one label of a value.
+// Label is a label of a metric.
 type Label struct{ Name, Value string }
 
-// Source returns all present values.
+// Source returns the present values of all metrics. It implements prometheus.Collector, whose methods call it on the caller's
+// goroutine.
 type Source func() []Value
 
 const prefix = "larchusher_"
 
-// Describe sends nothing: which values there are depends on what has happened.
+// Describe implements prometheus.Collector. It sends nothing, which makes the collector unchecked: the set of metrics changes while
+// the program runs.
 func (s Source) Describe(chan<- *prometheus.Desc) {}
 
-// Collect hands the values to Prometheus's library.
-func (s Source) Collect(out chan<- prometheus.Metric) {
+// Collect implements prometheus.Collector: it sends the present values.
+func (s Source) Collect(metricChan chan<- prometheus.Metric) {
 	for _, v := range s() {
 		var names, values []string
 		for _, l := range v.Labels {
@@ -54,36 +56,37 @@
 		d := prometheus.NewDesc(prefix+v.Name, v.Help, names, nil)
 		switch v.Kind {
 		case Summary:
-			out <- prometheus.MustNewConstSummary(d, v.Count, v.Sum, v.Quantiles, values...)
+			metricChan <- prometheus.MustNewConstSummary(d, v.Count, v.Sum, v.Quantiles, values...)
 		case Gauge:
-			out <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v.Value, values...)
+			metricChan <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v.Value, values...)
 		default:
-			out <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, v.Value, values...)
+			metricChan <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, v.Value, values...)
 		}
 	}
 }
 
-// Text words all values in Prometheus's text format.
+// Text returns the present values in Prometheus's text format. It fails if they are inconsistent, for instance if two have the same
+// name and labels.
 func (s Source) Text() ([]byte, error) {
 	registry := prometheus.NewRegistry()
 	if err := registry.Register(s); err != nil {
-		return nil, fmt.Errorf("metrics: %w", err)
+		return nil, fmt.Errorf("metrics: collector not registered: %w", err)
 	}
 	families, err := registry.Gather()
 	if err != nil {
-		return nil, fmt.Errorf("metrics: %w", err)
+		return nil, fmt.Errorf("metrics: values not gathered: %w", err)
 	}
 	var b bytes.Buffer
 	for _, f := range families {
 		if _, err := expfmt.MetricFamilyToText(&b, f); err != nil {
-			return nil, fmt.Errorf("metrics: %w", err)
+			return nil, fmt.Errorf("metrics: text not written: %w", err)
 		}
 	}
 	return b.Bytes(), nil
 }
 
-// Fields are the values by names for the log: labels' values follow the name. A summary gives its quantiles in
-// microseconds.
+// Fields returns the present values as fields for the log. A field's name is the metric's name and the values of its labels, joined
+// by underscores. Each quantile of a summary has a field of its own, NAME_us_pPERCENT, in microseconds.
 func (s Source) Fields() map[string]any {
 	all := map[string]any{}
 	for _, v := range s() {
--- a/internal/metrics/statsd.go
+++ b/internal/metrics/statsd.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// StatsD words values as lines of the StatsD protocol, PREFIX.NAME.LABEL:VALUE|TYPE, where the value of each label follows
-// the name. Counters are totals since the start. Summaries are left out.
+// StatsD formats values as lines of the StatsD protocol, PREFIX.NAME.LABEL:VALUE|TYPE, where LABEL stands for the values of the
+// labels, joined by dots. Counters are sent as totals since the start, not as increments. Summaries are left out.
 func StatsD(prefix string, values []Value) []byte {
 	var b bytes.Buffer
 	for _, v := range values {
