--- a/cmd/larchusher/main.go
+++ b/cmd/larchusher/main.go
@@ -20,7 +20,7 @@
 	"larchusher/signedurl"
 )
 
-// cli is the command line.
+// cli defines the command line: the sub-commands, their arguments and flags.
 type cli struct {
 	Serve serveCommand `cmd:"" default:"withargs" help:"Serve until SIGTERM. This is what a bare start does."`
 	Sign  signCommand  `cmd:"" help:"Sign a path and query with a key of the signed front, and print it."`
--- a/cmd/larchusher/predecessor.go
+++ b/cmd/larchusher/predecessor.go
@@ -83,7 +83,7 @@
 
 // migrateIdleConns repeatedly hands over idle connections until no connection or request is left, and then ends the program. It
 // does not end before earliest, since connections that the kernel has accepted may not have reached the front yet. At
-// latest it answers the open requests with a failure and ends the program.
+// latest it answers the open requests as expired and ends the program.
 func (p *program) migrateIdleConns(earliest, latest time.Time) {
 	now := p.loop.Now()
 	if !now.Before(latest) {
--- a/cmd/larchusher/program.go
+++ b/cmd/larchusher/program.go
@@ -44,7 +44,7 @@
 	adminListener     *transport.Listener   // nil: the configuration has no address for it
 
 	process            *hotrestart.Process  // finds predecessors and successors; nil: hot restart is not available
-	eventStreamID      string               // which start's numbering the endpoint list's events go by
+	eventStreamID      string               // hashInitialState of the configured endpoint list, whose stream of events discovery follows
 	migratedConns      *hotrestart.Receiver // receives clients' connections from the predecessor; nil: there are none to receive
 	closeUnusedSockets func()               // closes inherited sockets that no listener has taken; nil: no sockets were inherited
 	successor          *hotrestart.Link     // sends clients' connections to the successor; nil: no handover has completed
--- a/cmd/larchusher/shutdown.go
+++ b/cmd/larchusher/shutdown.go
@@ -13,7 +13,7 @@
 	acceptAfterTerm         = 700 * time.Millisecond // clients may still connect for up to 0.6 s after SIGTERM
 	minDrainTime            = 3 * time.Second
 	answerTimeAfterDeadline = 500 * time.Millisecond // to send the last answers after the longest deadline
-	flushTime               = 150 * time.Millisecond // to write the last answers to sockets
+	flushTime               = 150 * time.Millisecond // after the deadline, to write the last answers to sockets
 	shutdownNoticeTime      = time.Second            // to notify the cluster that this gateway has shut down
 	finalSnapshotTimeout    = 30 * time.Millisecond  // to complete a snapshot in progress, after all answers
 
@@ -69,7 +69,7 @@
 	return min(p.longestClassDeadline(), minDrainTime) + answerTimeAfterDeadline
 }
 
-// endWhenAnswered polls until all open requests are answered, or at the deadline answers them with a failure. Then it closes all
+// endWhenAnswered polls until all open requests are answered, or at the deadline answers them as expired. Then it closes all
 // connections of clients and ends the program.
 func (p *program) endWhenAnswered(deadline time.Time) {
 	now := p.loop.Now()
--- a/cmd/larchusher/successor.go
+++ b/cmd/larchusher/successor.go
@@ -34,7 +34,7 @@
 	acceptQueueTime      = 50 * time.Millisecond // time in which connections that the kernel has accepted reach the fronts
 	migrateInterval      = 2 * time.Millisecond  // interval of polling for idle connections
 	stateFormat          = 1                     // version of handedState; a state of another version is ignored
-	softMemoryShare      = 0.6                   // share of the memory limit that is set as the Go runtime's soft limit
+	softMemoryShare      = 0.6                   // share of the memory limit that is the Go runtime's soft limit, near which it collects garbage at once
 )
 
 // handedState is the state that a predecessor hands over to its successor, as JSON. Its fields keep their names, since the two
@@ -46,8 +46,8 @@
 	Learned *warmstart.Snapshot    `json:"Learned"` // learned state; nil: not encodable
 }
 
-// hashInitialState returns a hash of a configured endpoint list, which identifies the event stream that the list's position counts
-// in. Each stream numbers its events from 1, so positions of different streams must not be compared.
+// hashInitialState returns a hash of a configured endpoint list, which identifies the stream of events that belongs to that list.
+// Each stream numbers its events from 1, so positions of different streams must not be compared.
 func hashInitialState(known discovery.InitialState) string {
 	b, err := json.Marshal(known)
 	if err != nil { // cannot happen: it was decoded from JSON
@@ -111,8 +111,8 @@
 	return known, state.Learned
 }
 
-// startHandover imports the predecessor's learned state, restricts this process to overlapResourceShare until the predecessor has
-// ended, and starts to watch for a successor.
+// startHandover imports the predecessor's learned state, if there is any, and starts to watch for a successor. If this process is
+// a successor itself, it is restricted to overlapResourceShare until the predecessor has ended.
 func (p *program) startHandover(learned *warmstart.Snapshot) {
 	if p.process == nil {
 		return
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -82,10 +82,10 @@
 	maxNameBytes              = 64
 	toolNamePrefix            = "tool-" // prefix of the names that tools connect under, which no member may have
 	minClusterKeyBytes        = 32
-	defaultVoters             = 3       // voters of a cluster that configures none and has fewer than five members
-	defaultVotersLargeCluster = 5       // voters of a cluster that configures none and has at least this many members
-	unboundedDuration         = 1 << 62 // no upper bound: maintenance.Limits.Check applies its own
-	clockFileEnv              = "LARCHUSHER_LAB_CLOCK"
+	defaultVoters             = 3                      // voters of a cluster that configures none and has fewer than five members
+	defaultVotersLargeCluster = 5                      // voters of a cluster that configures none and has at least this many members
+	unboundedDuration         = 1 << 62                // no upper bound: maintenance.Limits.Check applies its own
+	clockFileEnv              = "LARCHUSHER_LAB_CLOCK" // environment variable with the path of Cluster.ClockFile
 )
 
 // readCluster checks and converts the part fleet of the operator's file; env looks up environment variables. It returns nil
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -104,7 +104,7 @@
 	SeedText     string                 `json:"seed"`        // seed of random draws, in hex; empty: a random seed
 	Limits       Limits                 `json:"limits"`      // resources that this process may use
 	PeerListen   string                 `json:"peer_listen"` // address for gossip; empty: no gossip
-	Peers        []string               `json:"peers"`       // gossip addresses of the gateways
+	Peers        []string               `json:"peers"`       // gossip addresses of all gateways, including this one
 	PeersAll     string                 `json:"peers_all"`   // address by which gossip reaches all peers at once; empty: none
 	Journal      string                 `json:"journal"`     // address of the journal service, which streams the endpoint list's events
 	AdminListen  string                 `json:"console"`     // address of the admin listener; empty: none
@@ -122,10 +122,10 @@
 	Warnings []string `json:"-"`
 
 	Seed     uint64              `json:"-"` // parsed from SeedText, or drawn at random
-	Settings routing.Settings    `json:"-"`
-	Sockets  simprotocol.Sockets `json:"-"`
+	Settings routing.Settings    `json:"-"` // parsed from RawSettings
+	Sockets  simprotocol.Sockets `json:"-"` // parsed from RawSettings: limits and timeouts of connections
 
-	keys keySet
+	keys keySet // keys that the file contains, which CheckReload compares
 }
 
 // Load reads the platform's configuration from the file that the environment variable BALANCER_CONFIG names; env looks up
@@ -231,7 +231,7 @@
 // parseSettings parses RawSettings into Settings and Sockets, and clears it.
 func (c *Gateway) parseSettings() error {
 	if len(c.RawSettings) == 0 {
-		return errors.New("settings: missing")
+		return errors.New("settings: key is missing, want an object of settings")
 	}
 	settings, sockets, err := simprotocol.ParseSettings(c.RawSettings)
 	if err != nil {
@@ -296,9 +296,9 @@
 	countUnknown := s.Directors == 0 && s.Index == 0 && len(c.Peers)+directorsInZones == 0
 	switch {
 	case s.Directors < 0:
-		return fmt.Errorf("settings.balancers: %d is negative", s.Directors)
+		return fmt.Errorf("settings.balancers: %d is negative, want 0 or more", s.Directors)
 	case s.Index < 0:
-		return fmt.Errorf("settings.position: %d is negative", s.Index)
+		return fmt.Errorf("settings.position: %d is negative, want 0 or more", s.Index)
 	case countUnknown: // other gateways may still exist, so the budget of a lone gateway must not apply
 		c.Warnings = append(c.Warnings, "settings.balancers is missing, and neither peers, zones nor position imply the number of gateways: using the budgets of one gateway of many")
 	case s.Directors < minDirectors:
@@ -309,7 +309,7 @@
 	}
 	for i, n := range s.ZoneDirectors {
 		if n < 0 {
-			return fmt.Errorf("settings.familyInfo.countByZone[%d]: %d is negative", i, n)
+			return fmt.Errorf("settings.familyInfo.countByZone[%d]: %d is negative, want 0 or more", i, n)
 		}
 	}
 	return nil
--- a/internal/config/sites_test.go
+++ b/internal/config/sites_test.go
@@ -48,7 +48,7 @@
 		}
 		c, err := Parse([]byte(fmt.Sprintf(`{"listen":"127.0.0.1:1","journal":"127.0.0.1:2","settings":%s}`, raw)), Overrides{})
 		if err != nil {
-			t.Errorf("%s: %v", file, err)
+			t.Errorf("Parse of %s failed: %v", file, err)
 			continue
 		}
 		ms := func(d interface{ Milliseconds() int64 }) float64 { return float64(d.Milliseconds()) }
--- a/internal/logfields/events.go
+++ b/internal/logfields/events.go
@@ -19,71 +19,71 @@
 	Reloaded                = "reloaded"                          // the new configuration is in use
 	ReloadRejected          = "reload rejected"                   // an error in the files: the old configuration stays
 	ReloadNeedsRestart      = "reload needs restart"              // some changes take effect only at the next start
-	ReloadClassesFailed     = "reload of classes failed"          // new classes could not be applied
+	ReloadClassesFailed     = "reload of classes failed"          // classes that a reload removed could not be dropped after their grace time
 	ReloadSignedFailed      = "reload of the signed front failed" // the signed front keeps its old configuration
 	ReloadSignedFrontClosed = "reload closed the signed front"    // the new file has no signed front
 )
 
 // Events of endpoint discovery: the connection that streams changes of the endpoint list.
 const (
-	DiscoveryAddressChanged = "discovery: address changed"
-	DiscoveryLost           = "discovery: connection lost"
-	DiscoveryEventUnusable  = "discovery: event unusable" // an event was malformed or could not be applied
+	DiscoveryAddressChanged = "discovery: address changed" // a reload changed the journal's address: the connection moves there
+	DiscoveryLost           = "discovery: connection lost" // logged once per loss; the client reconnects with backoff
+	DiscoveryEventUnusable  = "discovery: event unusable"  // a malformed event was skipped; its position counts
 )
 
 // Events of connections to clients and endpoints, and of the poller that reads from them.
 const (
-	AcceptFailed             = "accept failed"
-	EndpointConnLost         = "endpoint connection lost"
-	EndpointAnswerUnreadable = "endpoint answer unreadable"
-	ConnTakeoverFailed       = "connection takeover failed"
-	ConnRegisterFailed       = "connection not registered with the poller"
-	ConnMigrationFailed      = "connection migration failed"
-	PollerBarrierFailed      = "poller barrier failed"
-	PollerLibraryReported    = "poller library"
+	AcceptFailed             = "accept failed"                             // accept(2) failed on a listener, which goes on accepting
+	EndpointConnLost         = "endpoint connection lost"                  // a connection with attempts in flight was lost: they fail
+	EndpointAnswerUnreadable = "endpoint answer unreadable"                // an endpoint violated the protocol: its connection is closed
+	ConnTakeoverFailed       = "connection takeover failed"                // an accepted or queued connection could not be served: it is closed
+	ConnRegisterFailed       = "connection not registered with the poller" // the poller did not accept a connection
+	ConnMigrationFailed      = "connection migration failed"               // a connection could not be handed over to the successor: it is closed
+	PollerBarrierFailed      = "poller barrier failed"                     // the poller could not be woken for a barrier
+	PollerLibraryReported    = "poller library"                            // a warning or error of the poller's library
 )
 
 // Events of learned state and of the snapshot files in which it is saved.
 const (
-	StateNotSaved = "learned state not saved"
-	StateImported = "learned state imported"
+	StateNotSaved = "learned state not saved" // the folder cannot be used: the gateway serves without saving
+	StateImported = "learned state imported"  // state from a snapshot file is in use
 
-	SnapshotUnusable    = "snapshot unusable"
-	SnapshotDamaged     = "snapshot damaged"
-	SnapshotWriteHangs  = "snapshot write hangs"
-	SnapshotWriteFailed = "snapshot write failed"
+	SnapshotUnusable    = "snapshot unusable"     // a snapshot file could not be read: it is skipped
+	SnapshotDamaged     = "snapshot damaged"      // a snapshot file is used without its damaged records
+	SnapshotWriteHangs  = "snapshot write hangs"  // a write has not completed in time
+	SnapshotWriteFailed = "snapshot write failed" // logged for the first failure only
 )
 
 // Events of a hot restart (upgrade), in which a new process, the successor, takes over from the one that serves, the predecessor.
 const (
-	UpgradeUnavailable        = "upgrade: handover unavailable"
-	UpgradeSocketsMissing     = "upgrade: sockets not handed over"
-	UpgradeStateMissing       = "upgrade: state not handed over"
-	UpgradeStateFormatUnknown = "upgrade: state of an unknown format"
-	UpgradeTakingOver         = "upgrade: taking over"
-	UpgradeStateImported      = "upgrade: learned state imported"
-	UpgradePredecessorExited  = "upgrade: predecessor has ended"
-	UpgradeSuccessorExited    = "upgrade: successor has ended"
-	UpgradeNotAnnounced       = "upgrade: predecessor not notified"
-	UpgradeConnUnusable       = "upgrade: connection unusable"
-	UpgradeConnUnknownAddress = "upgrade: connection for an unknown address"
-	UpgradeHandingOver        = "upgrade: handing over"
-	UpgradeHandoverFailed     = "upgrade: handover incomplete"
-	UpgradeMigratingClients   = "upgrade: migrating clients"
+	UpgradeUnavailable        = "upgrade: handover unavailable"              // the shared folder cannot be used: no hot restart
+	UpgradeSocketsMissing     = "upgrade: sockets not handed over"           // the successor opens listening sockets of its own
+	UpgradeStateMissing       = "upgrade: state not handed over"             // the successor starts from its configuration
+	UpgradeStateFormatUnknown = "upgrade: state of an unknown format"        // the successor starts from its configuration
+	UpgradeTakingOver         = "upgrade: taking over"                       // the successor has received the predecessor's state
+	UpgradeStateImported      = "upgrade: learned state imported"            // the successor uses the predecessor's learned state
+	UpgradePredecessorExited  = "upgrade: predecessor has ended"             // the successor may now use all of the limits
+	UpgradeSuccessorExited    = "upgrade: successor has ended"               // the predecessor goes on alone, with all of the limits
+	UpgradeNotAnnounced       = "upgrade: predecessor not notified"          // the predecessor does not learn that the successor serves
+	UpgradeConnUnusable       = "upgrade: connection unusable"               // a migrated connection could not be opened: it is closed
+	UpgradeConnUnknownAddress = "upgrade: connection for an unknown address" // no listener has a migrated connection's address: it is closed
+	UpgradeHandingOver        = "upgrade: handing over"                      // the predecessor sends its state to the successor
+	UpgradeHandoverFailed     = "upgrade: handover incomplete"               // the state or the sockets did not reach the successor
+	UpgradeMigratingClients   = "upgrade: migrating clients"                 // the predecessor stops accepting and hands its clients over
 )
 
 // Events of a cluster of gateways.
 const (
-	AuditTrail                = "audit"
-	ClusterVoteLost           = "cluster: vote lost"
-	ClusterViewLost           = "cluster: view lost"
-	ClusterOwnMaintenance     = "cluster: own maintenance"
-	ClusterVoteUnstorable     = "cluster: vote not storable"
-	ClusterWriteFailed        = "cluster: state not written"
-	ClusterCaughtUp           = "cluster: caught up"
-	ClusterPrecautionaryDrain = "cluster: drained by gossip"
-	ClusterMessageUnencodable = "cluster: message not sent"
-	ClusterConnLost           = "cluster: connection lost"
-	ClusterConnRejected       = "cluster: connection rejected"
-	ClusterReplyUnencodable   = "cluster: reply not sent"
+	AuditTrail                = "audit"                        // an entry of the audit trail
+	ClusterVoteLost           = "cluster: vote lost"           // the stored acceptor state is not readable: the gateway starts without it
+	ClusterViewLost           = "cluster: view lost"           // the stored view is not readable: the gateway starts without it
+	ClusterOwnMaintenance     = "cluster: own maintenance"     // this gateway is out for maintenance and shuts down
+	ClusterVoteUnstorable     = "cluster: vote not storable"   // the acceptor state could not be encoded for storage
+	ClusterWriteFailed        = "cluster: state not written"   // a file of the cluster's state could not be written
+	ClusterCaughtUp           = "cluster: caught up"           // the state that peers have learned is in use
+	ClusterPrecautionaryDrain = "cluster: drained by gossip"   // the set of endpoints that drain because of peers' reports has changed
+	ClusterMessageUnencodable = "cluster: message not sent"    // a message could not be encoded: it is dropped
+	ClusterConnLost           = "cluster: connection lost"     // an outgoing connection to a member has ended
+	ClusterConnRejected       = "cluster: connection rejected" // an incoming connection failed authentication or violated the protocol
+	ClusterReplyUnencodable   = "cluster: reply not sent"      // a reply could not be encoded or written: it is dropped
 )
