--- a/cmd/larchusher/listeners.go
+++ b/cmd/larchusher/listeners.go
@@ -33,7 +33,7 @@
 	if err := p.openSignedFront(); err != nil {
 		return err
 	}
-	return p.openChecks()
+	return p.openHealthChecks()
 }
 
 // openSignedFront starts the listener of the front for signed URLs, if the operator's file enables it.
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// openChecks starts the listeners for the agent check, the health check and metrics that the operator's file enables.
-func (p *program) openChecks() error {
+// openHealthChecks starts the listeners for the agent check, the health check and metrics that the operator's file enables.
+func (p *program) openHealthChecks() error {
 	checker := &agentcheck.Checker{Loop: p.loop, Metrics: metrics.Source(p.counters).Text, State: p.checkState}
 	quota := p.connQuotas().HealthChecks
 	for _, c := range []struct {
--- a/cmd/larchusher/program.go
+++ b/cmd/larchusher/program.go
@@ -51,7 +51,7 @@
 
 	accepting       bool   // the start has completed, and clients are accepted
 	draining        bool   // graceful shutdown has begun
-	onAllAnswered   func() // called once all requests are answered, right before the program ends; nil: no callback
+	onAllAnswered   func() // called once all requests are answered, shutdownNoticeTime before the program ends; nil: no callback
 	reloads         int    // reloads that were applied
 	rejectedReloads int    // reloads that failed a check
 }
--- a/cmd/larchusher/serve.go
+++ b/cmd/larchusher/serve.go
@@ -33,8 +33,8 @@
 func (s *serveCommand) Run(log *logrus.Logger) error {
 	// Signals are registered first: one that arrives during the start would otherwise be lost, or kill the program. Signals that
 	// end the program have a channel of their own, so that others cannot fill it.
-	signals, termSignals := make(chan os.Signal, 4), make(chan os.Signal, 1)
-	signal.Notify(signals, syscall.SIGUSR1, syscall.SIGHUP)
+	otherSignals, termSignals := make(chan os.Signal, 4), make(chan os.Signal, 1)
+	signal.Notify(otherSignals, syscall.SIGUSR1, syscall.SIGHUP)
 	signal.Notify(termSignals, syscall.SIGTERM, syscall.SIGINT)
 
 	operator, err := config.LoadOperator(s.Operator, os.Getenv)
@@ -54,7 +54,7 @@
 	if err := p.start(); err != nil {
 		return err
 	}
-	go p.handleSignals(signals)
+	go p.handleSignals(otherSignals)
 	go func() {
 		<-termSignals // further signals are ignored
 		p.loop.Post(p.shutDown)
--- a/cmd/larchusher/shutdown.go
+++ b/cmd/larchusher/shutdown.go
@@ -105,12 +105,12 @@
 		p.loop.After(closedPollInterval, func() { p.endWhenClosed(deadline) })
 		return
 	}
-	p.end()
+	p.endProgram()
 }
 
-// end stops the loop, which ends the program. If the cluster waits for this shutdown it is notified first, and the loop stops after
+// endProgram stops the loop, which ends the program. If the cluster waits for this shutdown it is notified first, and the loop stops after
 // shutdownNoticeTime.
-func (p *program) end() {
+func (p *program) endProgram() {
 	if p.onAllAnswered == nil {
 		p.loop.Close()
 		return
--- a/cmd/larchusher/state.go
+++ b/cmd/larchusher/state.go
@@ -131,7 +131,7 @@
 
 // printAll prints the descriptions of all snapshot files, the newest first. It returns the folder, the number of files, and
 // whether the newest one is readable and complete.
-func (f *snapshotFolderFlags) printAll() (folder string, n int, newestComplete bool, err error) {
+func (f *snapshotFolderFlags) printAll() (folder string, fileCount int, newestComplete bool, err error) {
 	store, folder, err := f.openStore()
 	if err != nil {
 		return folder, 0, false, err
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -37,9 +37,9 @@
 }
 
 const (
-	defaultReplicationWait     = 3 * time.Second
-	maxReplicationWait         = 30 * time.Second
-	defaultReplicationBytes    = 256 << 10
+	defaultCatchUpTimeout      = 3 * time.Second
+	maxCatchUpTimeout          = 30 * time.Second
+	defaultMaxBytesPerSecond   = 256 << 10
 	defaultReplicationListings = 512
 	maxReplicationListings     = 4096
 )
@@ -50,8 +50,8 @@
 	if pb == nil {
 		return nil, nil
 	}
-	r = &Replication{MaxBytesPerSecond: cmp.Or(int(pb.GetBytes()), defaultReplicationBytes), MaxListings: cmp.Or(int(pb.GetListings()), defaultReplicationListings)}
-	if r.CatchUpTimeout, err = parseDuration("fleet.replicate.wait", pb.GetWait(), defaultReplicationWait, 100*time.Millisecond, maxReplicationWait); err != nil {
+	r = &Replication{MaxBytesPerSecond: cmp.Or(int(pb.GetBytes()), defaultMaxBytesPerSecond), MaxListings: cmp.Or(int(pb.GetListings()), defaultReplicationListings)}
+	if r.CatchUpTimeout, err = parseDuration("fleet.replicate.wait", pb.GetWait(), defaultCatchUpTimeout, 100*time.Millisecond, maxCatchUpTimeout); err != nil {
 		return nil, err
 	}
 	if r.MaxBytesPerSecond < 16<<10 || r.MaxBytesPerSecond > 64<<20 {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -108,7 +108,7 @@
 	}
 	var err error
 	if pb.SignedFront != nil {
-		if o.SignedFront, err = readSigned(pb.SignedFront, env); err != nil {
+		if o.SignedFront, err = readSignedFront(pb.SignedFront, env); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -21,8 +21,10 @@
 	return ""
 }
 
+// signedFrontPart is the beginning of a part signed_front, without its closing brace.
 const signedFrontPart = "signed_front {\n  listen: \"127.0.0.1:1\"\n  base: \"https://a.example\"\n"
 
+// fleetPart is the beginning of a valid part fleet, without its closing brace.
 const fleetPart = "fleet {\n  name: \"a\"\n  listen: \"127.0.0.1:1\"\n  member { name: \"a\" address: \"127.0.0.1:1\" }\n  key_env: \"KEY_LONG\"\n"
 
 // Errors of the operator's file name the key and the line at fault.
--- a/internal/config/signed.go
+++ b/internal/config/signed.go
@@ -25,9 +25,9 @@
 	URLs      signedurl.Config // base, keys and leeway by which signed URLs are verified
 }
 
-// readSigned checks and converts the part signed_front of the operator's file, and loads its keys from files and from
+// readSignedFront checks and converts the part signed_front of the operator's file, and loads its keys from files and from
 // environment variables, which env looks up.
-func readSigned(pb *operatorpb.SignedFront, env func(string) string) (*SignedFront, error) {
+func readSignedFront(pb *operatorpb.SignedFront, env func(string) string) (*SignedFront, error) {
 	s := &SignedFront{Listen: pb.GetListen(), RenewWith: pb.GetRenewWith(), URLs: signedurl.Config{Base: pb.GetBase()}}
 	var err error
 	if s.URLs.Leeway, err = parseDuration("signed_front.leeway", pb.GetLeeway(), defaultLeeway, 0, time.Hour); err != nil {
