--- a/cmd/larchusher/gateway_metrics.go
+++ b/cmd/larchusher/gateway_metrics.go
@@ -15,6 +15,7 @@
 	return all
 }
 
+// loadMetrics returns the metrics of the queue, load shedding, memory for answers, pauses and delays.
 func loadMetrics(s gateway.LoadStats) []metrics.Value {
 	all := []metrics.Value{
 		counter("load_overdue", "Requests rejected since they had waited in the queue for too long.", float64(s.QueueTimeouts)),
@@ -38,6 +39,7 @@
 	return all
 }
 
+// localityMetrics returns the metrics of spillover among localities, and of each locality.
 func localityMetrics(s gateway.LocalityStats) []metrics.Value {
 	c := s.Counters
 	all := []metrics.Value{
--- a/cmd/larchusher/reload.go
+++ b/cmd/larchusher/reload.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	if p.operator.Localities == nil || !p.operator.SameRestartSettings(op) { // a change of the localities takes effect at the next start
+	if p.operator.Localities == nil || !p.operator.SameRestartSettings(op) { // changes of the localities wait for the next start
 		localities = nil
 	}
 	change := gateway.Reconfiguration{Classes: cfg.Settings.Classes, MaxAttempts: cfg.Settings.MaxAttempts, Localities: localities}
@@ -79,7 +79,7 @@
 func (p *program) warnRestartKeys(cfg *config.Gateway, op *config.Operator) {
 	keys := p.cfg.ChangedRestartKeys(cfg)
 	if !p.operator.SameRestartSettings(op) {
-		keys = append(keys, "listeners, overload and localities of the operator's file")
+		keys = append(keys, "listeners, overload, localities, state or fleet of the operator's file")
 	}
 	if len(keys) > 0 {
 		p.log.WithField(logfields.Keys, strings.Join(keys, " ")).Warn(logfields.ReloadNeedsRestart)
--- a/cmd/larchusher/serve.go
+++ b/cmd/larchusher/serve.go
@@ -56,7 +56,7 @@
 	}
 	go p.handleSignals(otherSignals)
 	go func() {
-		<-termSignals // further signals are ignored
+		<-termSignals // a further SIGTERM or SIGINT has no effect
 		p.loop.Post(p.shutDown)
 	}()
 	p.loop.Run()
--- a/cmd/larchusher/state.go
+++ b/cmd/larchusher/state.go
@@ -12,7 +12,7 @@
 	"larchusher/warmstart"
 )
 
-// stateCommand is the sub-command state.
+// stateCommand is the sub-command `state`.
 type stateCommand struct {
 	Show   stateShow   `cmd:"" help:"Show what is kept."`
 	Verify stateVerify `cmd:"" help:"Read all files, and end with status 1 if the newest is not whole."`
@@ -145,6 +145,7 @@
 	return folder, len(all), len(all) > 0 && all[0].Err == nil && all[0].Damage.Complete, err
 }
 
+// stateShow is the sub-command `state show`.
 type stateShow struct{ snapshotFolderFlags }
 
 // Run prints descriptions of all snapshot files.
@@ -156,6 +157,7 @@
 	return err
 }
 
+// stateVerify is the sub-command `state verify`.
 type stateVerify struct{ snapshotFolderFlags }
 
 // Run prints descriptions of all snapshot files, and fails if the newest one is not complete.
@@ -167,6 +169,7 @@
 	return err
 }
 
+// statePrune is the sub-command `state prune`.
 type statePrune struct{ snapshotFolderFlags }
 
 // Run removes all snapshot files except the newest complete one, and what interrupted writes have left. It fails if a gateway
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -31,8 +31,8 @@
 }
 
 // SameRestartSettings reports whether a newer file agrees with o in everything that takes effect only at a start. A reload
-// applies changes of the signed front's keys, the removal of the signed front, and changes of the localities' limits; it does
-// not apply a change of the list of localities.
+// applies changes of the signed front, including its removal, but not of its address, and changes of the localities' limits,
+// but not of their names.
 func (o *Operator) SameRestartSettings(newer *Operator) bool {
 	signedListenChanged := newer.SignedFront != nil && (o.SignedFront == nil || o.SignedFront.Listen != newer.SignedFront.Listen)
 	return !signedListenChanged && reflect.DeepEqual(o.restartSettings(), newer.restartSettings())
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -104,6 +104,7 @@
 	return nil
 }
 
+// missingKeyError returns the error of CheckReload about a key that the newer configuration lacks.
 func missingKeyError(key string) error {
 	return fmt.Errorf("%s: key is missing, but the configuration in use has it", key)
 }
--- a/internal/config/signed.go
+++ b/internal/config/signed.go
@@ -51,8 +51,8 @@
 	return s, nil
 }
 
-// loadKey loads a key from the environment variable or the files that pb names. With an error, field names the field of pb that
-// is at fault. The error contains no secret.
+// loadKey loads a key from the environment variable or the files that k names; env looks up variables. With an error, field
+// names the field of k that is at fault. The error contains no secret.
 func loadKey(k *operatorpb.Key, env func(string) string) (key signedurl.Key, field string, err error) {
 	key = signedurl.Key{ID: k.GetId(), Form: signedurl.Form(k.GetForm()), Algorithm: k.GetAlgorithm()}
 	if key.Secret, field, err = loadSecret(k, env); err != nil {
