--- a/gateway/failures_test.go
+++ b/gateway/failures_test.go
@@ -52,7 +52,7 @@
 	fail(h.newRequest("first", "order"))
 	fail(h.newRequest("second", "order"))
 	check(map[string]any{logfields.RequestID: "first", logfields.Class: "order", logfields.Outcome: "failed",
-		logfields.Reason: "no idempotency key", logfields.Attempts: 0, logfields.Suppress: 0})
+		logfields.Reason: "no idempotency key", logfields.Attempts: 0, logfields.Suppressed: 0})
 
 	time.Sleep(1100 * time.Millisecond) // longer than the interval of one second between lines
 	h.onLoop(func() { h.g.Submit(h.newRequest("third", "payment")) })
@@ -62,5 +62,5 @@
 		t.Fatalf("answer %+v after a lost connection to a non-idempotent request, want a failure", a)
 	}
 	check(map[string]any{logfields.RequestID: "third", logfields.Outcome: "failed", logfields.Reason: "no further attempt allowed",
-		logfields.Attempts: 1, logfields.Endpoint: attempt.Endpoint, logfields.Status: "reset", logfields.Suppress: 1})
+		logfields.Attempts: 1, logfields.Endpoint: attempt.Endpoint, logfields.Status: "reset", logfields.Suppressed: 1})
 }
--- a/internal/net/discovery/stream.go
+++ b/internal/net/discovery/stream.go
@@ -27,7 +27,7 @@
 			e.Position = n
 		}
 		if parseErr != nil { // skipped, but its position still advances the client's
-			s.client.log.WithError(parseErr).Warn(logfields.DiscoveryEventFaulty)
+			s.client.log.WithError(parseErr).Warn(logfields.DiscoveryEventUnusable)
 			dropped++
 			e = Event{Position: e.Position}
 		}
