--- a/internal/net/msgpackrpc/parse.go
+++ b/internal/net/msgpackrpc/parse.go
@@ -26,7 +26,7 @@
 // Errors of an unreadable request.
 var (
 	errMalformedID = fmt.Errorf("txn or item is not an id of %d lower-case hex digits", idDigits)
-	errUnsafeText  = errors.New("unique or mine is too long, or has a character other than letters, digits, - _ and .")
+	errUnsafeText  = errors.New("unique or mine is too long, or has characters other than '-', '_', '.', digits and ASCII letters")
 	errBodyTooLong = fmt.Errorf("body exceeds %d bytes", maxBodyBytes)
 )
 
