--- a/cmd/larchusher-lab/deaths.go
+++ b/cmd/larchusher-lab/deaths.go
@@ -30,7 +30,7 @@
 }
 
 // parseDeath reads GATEWAY@WHEN..BACK.
-func parseDeath(s string) (d failover.Death, err error) {
+func parseDeath(s string) (d failover.Outage, err error) {
 	gateway, when, ok := strings.Cut(s, "@")
 	at, back, again := strings.Cut(when, "..")
 	if d.Gateway, err = strconv.Atoi(gateway); !ok || err != nil {
@@ -103,5 +103,5 @@
 	if c.Plot == "" {
 		return nil
 	}
-	return plot.Draw(c.Plot, "Connects in 100 ms to real gateways", "seconds", "connects", lines)
+	return plot.DrawLines(c.Plot, "Connects in 100 ms to real gateways", "seconds", "connects", lines)
 }
--- a/cmd/larchusher-lab/get.go
+++ b/cmd/larchusher-lab/get.go
@@ -24,7 +24,7 @@
 func (g *gateways) open() (*client.Client, error) {
 	cfg := client.Config{Gateways: g.Gateway}
 	known := false
-	for _, c := range loadgen.Site() {
+	for _, c := range loadgen.DeploymentMix() {
 		k := client.Class{Name: c.Name, Worth: c.Worth}
 		if c.Keyed {
 			k.Effect, k.Window = client.Keyed, 3*time.Second
--- a/cmd/larchusher-lab/load.go
+++ b/cmd/larchusher-lab/load.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	f := figures{Rate: rate, Sum: res.Sum(l.Warm, 0)}
+	f := figures{Rate: rate, Sum: res.Summarize(l.Warm, 0)}
 	if w != nil {
 		if err := l.addUsage(ctx, w, before, res.Took, &f); err != nil {
 			return err
@@ -127,19 +127,19 @@
 	spec = loadgen.Spec{Addr: addr, Conns: l.Conns, Open: l.Open, Rate: profile, For: l.For, Seed: l.Seed,
 		Repeat: l.Repeat, Marked: l.Marked}
 	if l.Only != "" {
-		spec.Mix, err = loadgen.Only(l.Only)
+		spec.Mix, err = loadgen.SingleClassMix(l.Only)
 	}
 	return spec, err
 }
 
 // slow starts clients that read slowly, and has the stores answer them with much.
 func (l *load) slow(addr string, w *testbed.Gateway) (stop func() (closed int), err error) {
-	stop, err = loadgen.Slow(loadgen.SlowSpec{Addr: addr, Conns: l.Slow, Pace: l.SlowPace, Ask: l.SlowAsk})
+	stop, err = loadgen.StartSlowReaders(loadgen.SlowReaderSpec{Addr: addr, Conns: l.Slow, Pace: l.SlowPace, Ask: l.SlowAsk})
 	if err != nil || w == nil {
 		return stop, err
 	}
 	for _, s := range w.Stores {
-		s.On(loadgen.SlowContent(l.SlowSize))
+		s.On(loadgen.SlowReaderContent(l.SlowSize))
 	}
 	return stop, nil
 }
--- a/cmd/larchusher-lab/model.go
+++ b/cmd/larchusher-lab/model.go
@@ -34,7 +34,7 @@
 
 // costs are what the modelled gateway's work costs.
 func (m *modelCmd) costs() (model.Costs, error) {
-	costs := model.Measured
+	costs := model.MeasuredCosts
 	if m.Burst < 0 || m.Away < 0 || m.Away > 0 && m.Every <= m.Away {
 		return costs, fmt.Errorf("--away %v of --every %v, --burst %v: a processor that never serves", m.Away, m.Every, m.Burst)
 	}
@@ -46,15 +46,15 @@
 }
 
 // trace reads a recorded run, or draws requests at so many a second.
-func (m *modelCmd) trace(mix []loadgen.Class, rate float64) ([]model.Req, error) {
+func (m *modelCmd) trace(mix []loadgen.Class, rate float64) ([]model.Request, error) {
 	if m.Trace != "" {
-		return model.Read(m.Trace, mix, m.Seed)
+		return model.ReadTrace(m.Trace, mix, m.Seed)
 	}
 	profile, err := loadgen.ParseProfile(m.Profile, rate)
 	if err != nil {
 		return nil, err
 	}
-	return model.Draw(profile, m.For, mix, m.Marked, m.Seed), nil
+	return model.GenerateTrace(profile, m.For, mix, m.Marked, m.Seed), nil
 }
 
 // Run compares ways of overload control.
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	mix := loadgen.Site()
+	mix := loadgen.DeploymentMix()
 	capacity := float64(time.Second) / float64(costs.Serve)
 	names, policies := model.Policies(mix)
 	for _, n := range m.Only {
@@ -110,6 +110,6 @@
 	for _, n := range names {
 		all = append(all, *lines[n])
 	}
-	return plot.Draw(m.Plot, "Worth answered in aim, by way of overload control (model)", "load, in multiples of capacity",
+	return plot.DrawLines(m.Plot, "Worth answered in aim, by way of overload control (model)", "load, in multiples of capacity",
 		"worth in aim a second", all)
 }
--- a/cmd/larchusher-lab/population.go
+++ b/cmd/larchusher-lab/population.go
@@ -53,8 +53,8 @@
 	if p.Plot == "" {
 		return nil
 	}
-	if err := plot.Draw(p.Plot+"-tries.png", "Tries at the living gateways, a third killed at 0 s", "seconds", "over the usual load", tries); err != nil {
+	if err := plot.DrawLines(p.Plot+"-tries.png", "Tries at the living gateways, a third killed at 0 s", "seconds", "over the usual load", tries); err != nil {
 		return err
 	}
-	return plot.Draw(p.Plot+"-connects.png", "Connects in 100 ms, a third of the gateways killed at 0 s", "seconds", "connects", connects)
+	return plot.DrawLines(p.Plot+"-connects.png", "Connects in 100 ms, a third of the gateways killed at 0 s", "seconds", "connects", connects)
 }
--- a/cmd/larchusher-lab/procs.go
+++ b/cmd/larchusher-lab/procs.go
@@ -313,7 +313,7 @@
 	for _, way := range slices.Sorted(maps.Keys(lines)) {
 		all = append(all, lines[way])
 	}
-	return plot.Draw(c.Draw, "A heal of two halves", "gateways", "seconds until all know the same", all)
+	return plot.DrawLines(c.Draw, "A heal of two halves", "gateways", "seconds until all know the same", all)
 }
 
 // measureGrants is how long a grant takes, without and with the first voter killed.
@@ -385,7 +385,7 @@
 	if c.Draw == "" {
 		return nil
 	}
-	return plot.Draw(c.Draw, "Forty machines, load 0.6", "minutes to the end", "worth lost in the worst ten seconds, %", lines)
+	return plot.DrawLines(c.Draw, "Forty machines, load 0.6", "minutes to the end", "worth lost in the worst ten seconds, %", lines)
 }
 
 // orNever words how long something took, that may not have come.
--- a/cmd/larchusher-lab/scene.go
+++ b/cmd/larchusher-lab/scene.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return err
 	}
-	cells, err := f.Play(func(done, all int, c *localitysim.Cell, took time.Duration) {
+	cells, err := f.RunCells(func(done, all int, c *localitysim.Cell, took time.Duration) {
 		fmt.Fprintf(os.Stderr, "%d of %d: %s, %v\n", done, all, c.Name(), took.Round(time.Millisecond))
 	})
 	if err != nil {
@@ -64,7 +64,7 @@
 		}
 		lines = append(lines, l)
 	}
-	return plot.Draw(s.Plot+"-service.png", "Worth answered in aim, all zones", "seconds", "share of what was asked", lines)
+	return plot.DrawLines(s.Plot+"-service.png", "Worth answered in aim, all zones", "seconds", "share of what was asked", lines)
 }
 
 func (s *sceneCmd) heat(f *localitysim.File, cells []*localitysim.Cell) error {
@@ -78,7 +78,7 @@
 			}
 		}
 		name := fmt.Sprintf("%s-heat-%d.png", s.Plot, k)
-		if err := plot.Heat(name, fmt.Sprintf("Worth answered in aim: %s", p), x.Key, y.Key, x.Values, y.Values, z); err != nil {
+		if err := plot.DrawHeatMap(name, fmt.Sprintf("Worth answered in aim: %s", p), x.Key, y.Key, x.Values, y.Values, z); err != nil {
 			return err
 		}
 	}
@@ -104,7 +104,7 @@
 		if x.Kind != localitysim.Dead {
 			return cfg, fmt.Errorf("fault[%d].kind: %s can't be played on sockets", i, x.Kind)
 		}
-		cfg.Deaths = append(cfg.Deaths, fleet.Death{Zone: x.Zone, At: x.At, Back: x.Till})
+		cfg.Deaths = append(cfg.Deaths, fleet.Outage{Zone: x.Zone, At: x.At, Back: x.Till})
 	}
 	return cfg, nil
 }
@@ -162,12 +162,12 @@
 		return err
 	}
 	sc := f.Scene
-	sc.Policy = localitysim.Ours
+	sc.Policy = localitysim.Tiered
 	cfg, err := socketsConfig(program, sc)
 	if err != nil {
 		return err
 	}
-	model, err := localitysim.Directed(sc)
+	model, err := localitysim.RunWithDirectors(sc)
 	if err != nil {
 		return err
 	}
@@ -183,7 +183,7 @@
 	var most float64
 	for at := int(sc.Warm / time.Second); at+step <= int(sc.For/time.Second); at += step {
 		m, r := modelShares(model, at, at+step), socketsShares(sockets, at, at+step)
-		a, b := model.Share(time.Duration(at)*time.Second, time.Duration(at+step)*time.Second), sockets.Share(at, at+step)
+		a, b := model.ServedWorthShare(time.Duration(at)*time.Second, time.Duration(at+step)*time.Second), sockets.ServedWorthShare(at, at+step)
 		most = max(most, a-b, b-a)
 		t.row("%d to %d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t", at, at+step, a, b, m.spilled, r.spilled, m.refused, r.refused)
 	}
--- a/cmd/larchusher-lab/up.go
+++ b/cmd/larchusher-lab/up.go
@@ -119,7 +119,7 @@
 
 func (d *demo) askPlatform(t *table, asked, class, object string, part int) error {
 	began := time.Now()
-	answer, err := loadgen.One(d.world.Addr, class, object, part)
+	answer, err := loadgen.RequestPart(d.world.Addr, class, object, part)
 	if err != nil {
 		return err
 	}
--- a/cmd/larchusher-lab/zones.go
+++ b/cmd/larchusher-lab/zones.go
@@ -89,10 +89,10 @@
 		service = append(service, plot.Line{Name: c.name, XY: c.service})
 		spill = append(spill, plot.Line{Name: c.name, XY: c.spill})
 	}
-	if err := plot.Draw(z.Plot+"-service.png", "Worth answered in aim, all zones", "seconds", "share of what was asked", service); err != nil {
+	if err := plot.DrawLines(z.Plot+"-service.png", "Worth answered in aim, all zones", "seconds", "share of what was asked", service); err != nil {
 		return err
 	}
-	return plot.Draw(z.Plot+"-spill.png", "Attempts at other zones than the clients' own", "seconds", "share of what was asked", spill)
+	return plot.DrawLines(z.Plot+"-spill.png", "Attempts at other zones than the clients' own", "seconds", "share of what was asked", spill)
 }
 
 func (z *zonesCmd) hub(i int) int {
@@ -107,7 +107,7 @@
 	t.head("policy\tworth in aim, all\tworst 5 s\tlast 20 s\trefused: replays\tassets\tfailed\tspill over its bound\tzones that fell\torigin refused\tevents a second\t")
 	run := localitysim.Run
 	if z.Directed {
-		run = localitysim.Directed
+		run = localitysim.RunWithDirectors
 	}
 	for _, p := range z.Policy {
 		if z.Directed && p == string(localitysim.Unbounded) {
@@ -150,7 +150,7 @@
 		c.spill = append(c.spill, [2]float64{float64(i), float64(away) / asked})
 		failed, refusals = failed+s.Failed, refusals+s.OriginRefused
 		if time.Duration(i+5)*time.Second <= z.For {
-			worst = min(worst, r.Share(time.Duration(i)*time.Second, time.Duration(i+5)*time.Second))
+			worst = min(worst, r.ServedWorthShare(time.Duration(i)*time.Second, time.Duration(i+5)*time.Second))
 		}
 		if z.Print {
 			fmt.Printf("%s %d: asked %d in aim %d late %d failed %d refused %d spilled %v at %v fills %d origin %d\n", policy, i, s.Asked, s.InAim, s.Late,
@@ -158,8 +158,8 @@
 		}
 	}
 	part := func(class int) float64 { return 100 * float64(r.Refused[class]) / float64(max(1, r.Asked[class])) }
-	t.row("%s\t%.3f\t%.3f\t%.3f\t%.1f %%\t%.1f %%\t%d\t%.3f\t%v\t%d\t%.0f\t", policy, r.Share(10*time.Second, z.For), worst,
-		r.Share(z.For-20*time.Second, z.For), part(0), part(1), failed, r.Over, r.Falls, refusals, float64(r.Events)/took.Seconds())
+	t.row("%s\t%.3f\t%.3f\t%.3f\t%.1f %%\t%.1f %%\t%d\t%.3f\t%v\t%d\t%.0f\t", policy, r.ServedWorthShare(10*time.Second, z.For), worst,
+		r.ServedWorthShare(z.For-20*time.Second, z.For), part(0), part(1), failed, r.Over, r.Falls, refusals, float64(r.Events)/took.Seconds())
 	return c
 }
 
@@ -201,7 +201,7 @@
 		if f.Kind != localitysim.Dead {
 			return cfg, fmt.Errorf("--fault: %s is played in the model only", f.Kind)
 		}
-		cfg.Deaths = append(cfg.Deaths, fleet.Death{Zone: f.Zone, At: f.At, Back: f.Till})
+		cfg.Deaths = append(cfg.Deaths, fleet.Outage{Zone: f.Zone, At: f.At, Back: f.Till})
 	}
 	return cfg, nil
 }
@@ -228,10 +228,10 @@
 		c.service = append(c.service, [2]float64{float64(i), worth / max(1, offered)})
 		c.spill = append(c.spill, [2]float64{float64(i), float64(away) / float64(max(1, asked))})
 		if i+5 <= n {
-			worst = min(worst, r.Share(i, i+5))
+			worst = min(worst, r.ServedWorthShare(i, i+5))
 		}
 	}
-	t.row("%s\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%d\t%.3f\t%v\t%.2f\t", policy, r.Share(0, n), worst, r.Share(n-10, n), refused, other, r.Silent,
+	t.row("%s\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%d\t%.3f\t%v\t%.2f\t", policy, r.ServedWorthShare(0, n), worst, r.ServedWorthShare(n-10, n), refused, other, r.Silent,
 		r.Second, r.Spoilt, r.Over, r.Fallen, r.Most)
 	return c
 }
--- a/lab/clientsim/clientsim.go
+++ b/lab/clientsim/clientsim.go
@@ -17,14 +17,14 @@
 
 // The kinds.
 const (
-	Planned     Kind = "planned"     // package client/plan
-	AtOnce      Kind = "at once"     // connects and resends at once
-	Fixed       Kind = "fixed wait"  // after a second
-	Exponential Kind = "exponential" // after 100 ms, 200 ms, 400 ms ..., without jitter
+	Planned         Kind = "planned"     // package client/plan
+	NoWait          Kind = "at once"     // connects and resends at once
+	FixedWait       Kind = "fixed wait"  // after a second
+	ExponentialWait Kind = "exponential" // after 100 ms, 200 ms, 400 ms ..., without jitter
 )
 
 // Kinds are all of them.
-func Kinds() []Kind { return []Kind{Planned, AtOnce, Fixed, Exponential} }
+func Kinds() []Kind { return []Kind{Planned, NoWait, FixedWait, ExponentialWait} }
 
 // Config says what is played.
 type Config struct {
@@ -326,9 +326,9 @@
 
 func (n *naive) wait(times int) time.Duration {
 	switch n.kind {
-	case Fixed:
+	case FixedWait:
 		return time.Second
-	case Exponential:
+	case ExponentialWait:
 		return 100 * time.Millisecond << min(times, 10)
 	default: // at once
 		return 0
--- a/lab/failover/failover.go
+++ b/lab/failover/failover.go
@@ -23,7 +23,7 @@
 )
 
 // Death is one gateway's, counted from the beginning.
-type Death struct {
+type Outage struct {
 	Gateway int           // its place
 	At      time.Duration // when it is killed,
 	Back    time.Duration // and when it is started again; 0: never
@@ -37,7 +37,7 @@
 	Clients  int           // 0: 1,000
 	Every    time.Duration // mean time between a client's requests, 0: 1 s
 	Limit    time.Duration // a request's deadline, 0: 5 s
-	Deaths   []Death
+	Deaths   []Outage
 	For      time.Duration
 	Refuse   bool          // stores are full: gateways refuse all
 	Store    time.Duration // stores take so long to answer, so that gateways hold requests
@@ -104,7 +104,7 @@
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	p := &player{cfg: cfg, mix: load.Site(), res: &Result{Kind: cfg.Kind, Ended: map[string]int{}}}
+	p := &player{cfg: cfg, mix: load.DeploymentMix(), res: &Result{Kind: cfg.Kind, Ended: map[string]int{}}}
 	defer p.close()
 	var addrs []string
 	for i := range cfg.Gateways {
@@ -172,7 +172,7 @@
 }
 
 // die kills a gateway in its time, and starts it again if it comes back.
-func (p *player) die(ctx context.Context, d Death) error {
+func (p *player) die(ctx context.Context, d Outage) error {
 	w, r := p.gateways[d.Gateway], p.proxies[d.Gateway]
 	if !p.until(ctx, d.At) {
 		return nil
@@ -385,7 +385,7 @@
 	}
 	c := client.Config{Gateways: addrs, Seed: cfg.Seed<<32 + uint64(n) + 1,
 		Plan: plan.Config{Conns: 1, Clients: cfg.Clients / cfg.Gateways}}
-	for _, k := range load.Site() {
+	for _, k := range load.DeploymentMix() {
 		class := client.Class{Name: k.Name, Worth: k.Worth}
 		if k.Keyed {
 			class.Effect, class.Window = client.Keyed, 3*time.Second
--- a/lab/failover/naive.go
+++ b/lab/failover/naive.go
@@ -48,9 +48,9 @@
 // wait is how long it waits after so many failures.
 func (n *naive) wait(fails int) time.Duration {
 	switch n.kind {
-	case clientsim.Fixed:
+	case clientsim.FixedWait:
 		return time.Second
-	case clientsim.Exponential:
+	case clientsim.ExponentialWait:
 		return 100 * time.Millisecond << min(fails, 6)
 	default: // at once
 		return 0
--- a/lab/faultinjection/spread.go
+++ b/lab/faultinjection/spread.go
@@ -177,18 +177,18 @@
 	if err != nil {
 		return out, err
 	}
-	f.clock.Pass(2 * time.Second)
+	f.clock.Advance(2 * time.Second)
 	for i := range f.members {
 		for k := range min(200, 4000/n) {
 			f.members[i].node.Publish(f.clock.Now, replication.Listing, fmt.Sprintf("z/%x", i*1000+k), replication.Encode(replication.ListingValue{Server: "box-1", Requests: 3}), f.clock.Now)
 		}
 	}
-	f.clock.Pass(20 * time.Second)
+	f.clock.Advance(20 * time.Second)
 	f.bytes = 0
-	f.clock.Pass(5 * time.Second)
+	f.clock.Advance(5 * time.Second)
 	out.Rest = f.bytes / 5 / float64(n)
 	out.Purge, out.All = f.timePurge()
-	f.clock.Pass(time.Second)
+	f.clock.Advance(time.Second)
 	out.Heal, out.Moved = f.timeHeal()
 	return out, nil
 }
@@ -198,7 +198,7 @@
 	n, at := len(f.members), f.clock.Now
 	key := f.purge()
 	for all == 0 && f.clock.Now < at+30*time.Second {
-		f.clock.Pass(5 * time.Millisecond)
+		f.clock.Advance(5 * time.Millisecond)
 		count := f.known(key)
 		if count*10 >= n*9 && most == 0 {
 			most = f.clock.Now - at
@@ -217,12 +217,12 @@
 	var keys []string
 	for range 10 {
 		keys = append(keys, f.purge())
-		f.clock.Pass(500 * time.Millisecond)
+		f.clock.Advance(500 * time.Millisecond)
 	}
 	f.apart, f.bytes = false, 0
 	at := f.clock.Now
 	for took == 0 && f.clock.Now < at+8*time.Second {
-		f.clock.Pass(10 * time.Millisecond)
+		f.clock.Advance(10 * time.Millisecond)
 		if f.known(keys...) == len(f.members) {
 			took = f.clock.Now - at
 		}
@@ -320,7 +320,7 @@
 		f.clock.At(f.clock.Now, tick)
 	}
 	for f.caught == 0 && f.clock.Now < began+100*time.Second {
-		f.clock.Pass(10 * time.Millisecond)
+		f.clock.Advance(10 * time.Millisecond)
 	}
 	out.Took = f.caught - began
 	if n := back.Len(); n > 0 {
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -29,7 +29,7 @@
 }
 
 // Death is a zone that goes dark.
-type Death struct {
+type Outage struct {
 	Zone     int
 	At, Back time.Duration // Back: new boxes, cold and empty; 0: never
 }
@@ -40,7 +40,7 @@
 	Zones   []Zone
 	BoxRate float64 // requests a second of a warm box
 	Objects int     // that a zone's clients ask for, 400 if 0
-	Deaths  []Death
+	Deaths  []Outage
 	Late    time.Duration // of the list
 	For     time.Duration
 	Off     bool   // without further localities
@@ -270,7 +270,7 @@
 }
 
 // death has a zone go dark, and come back. The list tells late.
-func (f *fleet) death(ctx context.Context, d Death, began time.Time) error {
+func (f *fleet) death(ctx context.Context, d Outage, began time.Time) error {
 	wait := func(at time.Duration) bool {
 		t := time.NewTimer(time.Until(began.Add(at)))
 		defer t.Stop()
@@ -350,7 +350,7 @@
 			seconds = append(seconds, sec)
 		}
 		r.Zones = append(r.Zones, seconds)
-		all := res.Sum(0, 0)
+		all := res.Summarize(0, 0)
 		r.Silent, r.Second, r.Spoilt = r.Silent+all.Silent, r.Second+int(all.Second), r.Spoilt+int(all.Spoilt)
 		c, err := f.gateways[i].Counters(ctx)
 		if err != nil {
@@ -368,7 +368,7 @@
 }
 
 // Share is the part of the worth of all zones' clients that was answered in aim between two seconds.
-func (r *Result) Share(from, to int) float64 {
+func (r *Result) ServedWorthShare(from, to int) float64 {
 	got, asked := 0.0, 0.0
 	for _, z := range r.Zones {
 		for i := from; i < to && i < len(z); i++ {
--- a/lab/load/one.go
+++ b/lab/load/one.go
@@ -9,7 +9,7 @@
 )
 
 // One asks for one part, and words the answer.
-func One(addr, class, object string, part int) (string, error) {
+func RequestPart(addr, class, object string, part int) (string, error) {
 	c, err := loopback.Dial(addr)
 	if err != nil {
 		return "", err
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -22,12 +22,12 @@
 
 // The outcomes of a request.
 const (
-	Served   Outcome = iota
-	Rejected         // Backoff, on its last try
-	Failed           // another error
-	Silent           // no answer before the client gave up
-	Cut              // the connection ended
-	Unsent           // no connection had room: the client waited for longer than its limit
+	Served         Outcome = iota
+	Rejected               // Backoff, on its last try
+	Failed                 // another error
+	TimedOut               // no answer before the client gave up
+	ConnectionLost         // the connection ended
+	Unsent                 // no connection had room: the client waited for longer than its limit
 )
 
 var outcomes = [...]string{"served", "refused", "failed", "silent", "cut", "unsent"}
@@ -439,7 +439,7 @@
 		if now.Sub(j.due) > c.s.r.spec.Mix[j.class].Limit+50*time.Millisecond { // the slack that the rules give
 			delete(c.open, id)
 			c.gave[id] = now
-			c.s.book(c.s.r.row(j, Silent, now, 0, 0))
+			c.s.book(c.s.r.row(j, TimedOut, now, 0, 0))
 			_ = c.enc.Cancel(id)
 		}
 	}
@@ -465,7 +465,7 @@
 		c.err = fmt.Errorf("a connection ended with %d requests open: %w", len(c.open), err)
 	}
 	for _, j := range c.open {
-		c.s.book(c.s.r.row(j, Cut, now, 0, 0))
+		c.s.book(c.s.r.row(j, ConnectionLost, now, 0, 0))
 	}
 	c.open = nil
 }
--- a/lab/load/slow.go
+++ b/lab/load/slow.go
@@ -14,7 +14,7 @@
 )
 
 // SlowSpec says which slow readers there are.
-type SlowSpec struct {
+type SlowReaderSpec struct {
 	Addr  string
 	Conns int
 	Pace  int // bytes a second that each reads
@@ -25,7 +25,7 @@
 const slowName = "510b0bb1"
 
 // SlowContent has stores answer slow readers with parts of so many bytes, and others as usual.
-func SlowContent(size int) func(*fakeserver.Request) {
+func SlowReaderContent(size int) func(*fakeserver.Request) {
 	var mu sync.Mutex
 	bodies := map[string]string{}
 	return func(a *fakeserver.Request) {
@@ -46,7 +46,7 @@
 }
 
 // Slow starts slow readers; stop ends them and says how many were closed by the gateway.
-func Slow(spec SlowSpec) (stop func() (closed int), err error) {
+func StartSlowReaders(spec SlowReaderSpec) (stop func() (closed int), err error) {
 	var mu sync.Mutex
 	closed, over := 0, false
 	var conns []net.Conn
--- a/lab/load/spec.go
+++ b/lab/load/spec.go
@@ -23,7 +23,7 @@
 }
 
 // Site is the mix of the deployment.
-func Site() []Class {
+func DeploymentMix() []Class {
 	return []Class{
 		{Name: "films", Share: 0.508, Aim: 500 * time.Millisecond, Limit: 5 * time.Second, Worth: 2},
 		{Name: "images", Share: 0.46, Aim: 400 * time.Millisecond, Limit: 2500 * time.Millisecond, Worth: 1},
@@ -32,8 +32,8 @@
 }
 
 // Only is the mix with just one class, named as in [Site].
-func Only(name string) ([]Class, error) {
-	for _, c := range Site() {
+func SingleClassMix(name string) ([]Class, error) {
+	for _, c := range DeploymentMix() {
 		if c.Name == name {
 			c.Share = 1
 			return []Class{c}, nil
@@ -70,7 +70,7 @@
 		s.Objects = 200
 	}
 	if len(s.Mix) == 0 {
-		s.Mix = Site()
+		s.Mix = DeploymentMix()
 	}
 	if s.Window <= 0 {
 		s.Window = time.Second
--- a/lab/load/summary.go
+++ b/lab/load/summary.go
@@ -12,7 +12,7 @@
 )
 
 // ClassSum is what befell one class.
-type ClassSum struct {
+type ClassSummary struct {
 	Class      string         `json:"Class"`
 	Asked      int            `json:"Asked"`
 	Outcomes   map[string]int `json:"Outcomes"`
@@ -26,28 +26,28 @@
 }
 
 // Share is a part of what was asked, in percent.
-func (c ClassSum) Share(n int) float64 { return 100 * float64(n) / float64(max(1, c.Asked)) }
+func (c ClassSummary) Share(n int) float64 { return 100 * float64(n) / float64(max(1, c.Asked)) }
 
 // Summary is a run in figures.
 type Summary struct {
-	Seconds      float64       `json:"Seconds"`
-	Offered      float64       `json:"Offered"` // requests a second
-	Worth        float64       `json:"Worth"`   // in aim, a second
-	WorthOffered float64       `json:"WorthOffered"`
-	Classes      []ClassSum    `json:"Classes"`
-	P50          time.Duration `json:"P50"`
-	P99          time.Duration `json:"P99"`
-	P999         time.Duration `json:"P999"` // of all that was served
-	Silent       int           `json:"Silent"`
-	Second       uint64        `json:"Second"`
-	Spoilt       uint64        `json:"Spoilt"`
-	Later50      int           `json:"Later50"` // milliseconds, of refusals
-	Lag99        time.Duration `json:"Lag99"`
-	Lag999       time.Duration `json:"Lag999"` // by which the load tool itself was late
+	Seconds      float64        `json:"Seconds"`
+	Offered      float64        `json:"Offered"` // requests a second
+	Worth        float64        `json:"Worth"`   // in aim, a second
+	WorthOffered float64        `json:"WorthOffered"`
+	Classes      []ClassSummary `json:"Classes"`
+	P50          time.Duration  `json:"P50"`
+	P99          time.Duration  `json:"P99"`
+	P999         time.Duration  `json:"P999"` // of all that was served
+	Silent       int            `json:"Silent"`
+	Second       uint64         `json:"Second"`
+	Spoilt       uint64         `json:"Spoilt"`
+	Later50      int            `json:"Later50"` // milliseconds, of refusals
+	Lag99        time.Duration  `json:"Lag99"`
+	Lag999       time.Duration  `json:"Lag999"` // by which the load tool itself was late
 }
 
 // Sum works the figures of a run out, of what was due from a time on and before another (0: all).
-func (r *Result) Sum(from, to time.Duration) Summary {
+func (r *Result) Summarize(from, to time.Duration) Summary {
 	if to <= 0 {
 		to = r.Spec.For
 	}
@@ -56,7 +56,7 @@
 	all, later, lag := hist(), hist(), hist()
 	served, refused := make([]*hdrhistogram.Histogram, len(r.Spec.Mix)), make([]*hdrhistogram.Histogram, len(r.Spec.Mix))
 	for i, c := range r.Spec.Mix {
-		s.Classes = append(s.Classes, ClassSum{Class: c.Name, Outcomes: map[string]int{}})
+		s.Classes = append(s.Classes, ClassSummary{Class: c.Name, Outcomes: map[string]int{}})
 		served[i], refused[i] = hist(), hist()
 	}
 	for i := range r.Rows {
@@ -83,7 +83,7 @@
 		case Rejected:
 			_ = refused[row.class].RecordValue(row.TookUs)
 			_ = later.RecordValue(int64(row.LaterMs))
-		case Silent:
+		case TimedOut:
 			s.Silent++
 		default: // counted by name
 		}
@@ -108,7 +108,7 @@
 // Windows are the figures of a run, a window at a time.
 func (r *Result) Windows() (all []Summary) {
 	for from := time.Duration(0); from < r.Spec.For; from += r.Spec.Window {
-		all = append(all, r.Sum(from, min(from+r.Spec.Window, r.Spec.For)))
+		all = append(all, r.Summarize(from, min(from+r.Spec.Window, r.Spec.For)))
 	}
 	return all
 }
--- a/lab/localitysim/directed.go
+++ b/lab/localitysim/directed.go
@@ -18,14 +18,14 @@
 // slow as [Run], and for scenes of some tens of gateways.
 //
 // What it simplifies beyond that: objects have one part of one size, ranks are not looked at, and gateways do not talk.
-func Directed(sc Scene) (*Result, error) {
+func RunWithDirectors(sc Scene) (*Result, error) {
 	if err := sc.check(); err != nil {
 		return nil, err
 	}
 	if sc.Policy == Unbounded {
 		return nil, fmt.Errorf("scene: Policy: %q has no director", sc.Policy)
 	}
-	d := &directed{sc: sc, rng: rand.New(rand.NewPCG(sc.Seed, 13)), mix: load.Site(), servers: map[string]*server{}}
+	d := &directed{sc: sc, rng: rand.New(rand.NewPCG(sc.Seed, 13)), mix: load.DeploymentMix(), servers: map[string]*server{}}
 	d.zipf = rand.NewZipf(d.rng, sc.Skew, 8, uint64(sc.Objects-1))
 	d.res = &Result{Classes: d.mix, Asked: make([]int, len(d.mix)), InAim: make([]int, len(d.mix)), Refused: make([]int, len(d.mix))}
 	for range int(sc.For/time.Second) + 1 {
@@ -36,7 +36,7 @@
 		return nil, err
 	}
 	d.clock.Run(sc.For)
-	d.res.Events = d.clock.Done
+	d.res.Events = d.clock.Executed
 	d.res.Over = d.over()
 	for _, g := range d.gateways {
 		d.res.Twice += g.twice
--- a/lab/localitysim/directed_build.go
+++ b/lab/localitysim/directed_build.go
@@ -139,7 +139,7 @@
 	set.Index = len(d.gateways)
 	g := &dgateway{set: set, me: len(d.gateways), home: home, zones: []int{home}, reqs: map[string]*request{}, classes: set.Classes}
 	places := []locality.Locality{{Name: d.sc.Zones[home].Name, Weight: float64(d.sc.Zones[home].Boxes)}}
-	if d.sc.Policy == Ours {
+	if d.sc.Policy == Tiered {
 		for level := 1; level <= 2; level++ {
 			for k, o := range d.sc.Zones {
 				if k != home && (o.Hub != d.sc.Zones[home].Hub) == (level == 2) {
--- a/lab/localitysim/directed_faults.go
+++ b/lab/localitysim/directed_faults.go
@@ -78,9 +78,9 @@
 	case f.Kind == Dead && last:
 		d.grow(f.Zone, true)
 		d.tellAll(d.boxes[f.Zone], routing.Up)
-	case f.Kind == Lies && first:
+	case f.Kind == FalseRemoval && first:
 		d.tellAll(d.boxes[f.Zone], routing.Removed)
-	case f.Kind == Lies && last:
+	case f.Kind == FalseRemoval && last:
 		d.tellAll(d.boxes[f.Zone], routing.Up)
 	case f.Kind == Parents && (first || last):
 		for _, s := range d.parents[d.sc.Zones[f.Zone].Hub] {
--- a/lab/localitysim/localitysim.go
+++ b/lab/localitysim/localitysim.go
@@ -30,14 +30,14 @@
 
 // The faults.
 const (
-	Dead    FaultKind = "dead"    // connections are refused; what was open is reset; cold and empty afterwards
-	Silent  FaultKind = "silent"  // it takes work and answers none
-	Slow    FaultKind = "slow"    // it does a fifth of what it can
-	Errors  FaultKind = "errors"  // it answers nothing but errors
-	Parents FaultKind = "parents" // its hub's upper caches are away
-	Cut     FaultKind = "cut"     // its hub is cut off from other hubs: nobody from elsewhere reaches it, nor it others
-	Restart FaultKind = "restart" // its gateways die, and come back with what they have kept; with directors only
-	Lies    FaultKind = "lies"    // the list says that all its boxes are gone, which they are not
+	Dead         FaultKind = "dead"    // connections are refused; what was open is reset; cold and empty afterwards
+	Silent       FaultKind = "silent"  // it takes work and answers none
+	Slow         FaultKind = "slow"    // it does a fifth of what it can
+	Errors       FaultKind = "errors"  // it answers nothing but errors
+	Parents      FaultKind = "parents" // its hub's upper caches are away
+	Cut          FaultKind = "cut"     // its hub is cut off from other hubs: nobody from elsewhere reaches it, nor it others
+	Restart      FaultKind = "restart" // its gateways die, and come back with what they have kept; with directors only
+	FalseRemoval FaultKind = "lies"    // the list says that all its boxes are gone, which they are not
 )
 
 // Fault is a fault in time.
@@ -52,7 +52,7 @@
 
 // The policies.
 const (
-	Ours      Policy = "tiers"     // package locality
+	Tiered    Policy = "tiers"     // package locality
 	NoSpill   Policy = "no spill"  // all stays
 	Unbounded Policy = "unbounded" // what fails here goes to the next zone that the list calls up, all of it, and back at once
 )
@@ -148,7 +148,7 @@
 	if err := sc.check(); err != nil {
 		return nil, err
 	}
-	s := &scene{sc: sc, rng: rand.New(rand.NewPCG(sc.Seed, 11)), mix: load.Site()}
+	s := &scene{sc: sc, rng: rand.New(rand.NewPCG(sc.Seed, 11)), mix: load.DeploymentMix()}
 	s.zipf = rand.NewZipf(s.rng, sc.Skew, 8, uint64(sc.Objects-1))
 	s.res = &Result{Classes: s.mix, Asked: make([]int, len(s.mix)), InAim: make([]int, len(s.mix)), Refused: make([]int, len(s.mix))}
 	for range int(sc.For/time.Second) + 1 {
@@ -185,7 +185,7 @@
 		s.arrive(e)
 	case tick:
 		g := s.gateways[e.gw]
-		if s.sc.Policy == Ours {
+		if s.sc.Policy == Tiered {
 			g.t.Tick(s.now)
 		}
 		s.at(s.now+locality.DefaultTick, event{kind: tick, gw: e.gw})
@@ -204,7 +204,7 @@
 	z := s.zones[f.Zone]
 	if !e.moved { // the list tells
 		up := z.Boxes
-		if z.fallen || z.faults[Dead] > 0 || z.faults[Lies] > 0 {
+		if z.fallen || z.faults[Dead] > 0 || z.faults[FalseRemoval] > 0 {
 			up = 0
 		}
 		for _, g := range s.gateways {
@@ -224,7 +224,7 @@
 			clear(z.held)
 		}
 	}
-	if f.Kind == Dead || f.Kind == Lies {
+	if f.Kind == Dead || f.Kind == FalseRemoval {
 		s.at(s.now+s.sc.List, event{kind: listed, zone: e.zone})
 	}
 }
@@ -255,7 +255,7 @@
 	}
 	where := g.home
 	switch s.sc.Policy {
-	case Ours:
+	case Tiered:
 		object := uint64(e.object+1) * 0x9e3779b97f4a7c15
 		object ^= object >> 29
 		object *= 0xbf58476d1ce4e5b9
@@ -299,7 +299,7 @@
 	}
 	took := s.now - e.due
 	switch {
-	case e.result == locality.ResultFailure && !e.moved && e.zone >= 0 && s.sc.Policy == Ours && took < s.mix[e.class].Aim/2: // its director gave it up, and nothing is out
+	case e.result == locality.ResultFailure && !e.moved && e.zone >= 0 && s.sc.Policy == Tiered && took < s.mix[e.class].Aim/2: // its director gave it up, and nothing is out
 		s.refused(e)
 	case e.result == locality.ResultFailure:
 		sec.Failed++
@@ -318,7 +318,7 @@
 	if e.kind == refused {
 		g.t.AttemptFinished(s.now, g.place[e.zone], locality.ResultRejected, false, false, float64(s.zones[e.zone].busy))
 	}
-	if s.sc.Policy == Ours && !e.moved {
+	if s.sc.Policy == Tiered && !e.moved {
 		k := s.mix[e.class]
 		took := s.now - e.due
 		if n, ok := g.t.HandleRejection(s.now, locality.Rejection{From: g.place[e.zone], Idempotent: true, Elapsed: took, Remaining: k.Limit - took, LatencyObjective: k.Aim}); ok {
@@ -339,7 +339,7 @@
 
 // over finds by how much a zone's gateways spilled beyond their bounds.
 func (s *scene) over() {
-	if s.sc.Policy != Ours {
+	if s.sc.Policy != Tiered {
 		return
 	}
 	bound := s.sc.Tiers.MaxSpillover
@@ -369,7 +369,7 @@
 }
 
 // Share is the part of the worth that was answered in aim between two times.
-func (r *Result) Share(from, to time.Duration) float64 {
+func (r *Result) ServedWorthShare(from, to time.Duration) float64 {
 	got, asked := 0.0, 0.0
 	for i := int(from / time.Second); i < int(to/time.Second) && i < len(r.Seconds); i++ {
 		got, asked = got+r.Seconds[i].Worth, asked+r.Seconds[i].WorthAsked
--- a/lab/localitysim/localitysim_test.go
+++ b/lab/localitysim/localitysim_test.go
@@ -20,7 +20,7 @@
 func three(seed uint64, faults ...Fault) Scene {
 	return Scene{Zones: []Zone{{Name: "a", Hub: 0, Boxes: 5, Gateways: 3, Load: 0.55}, {Name: "b", Hub: 0, Boxes: 2, Gateways: 2, Load: 0.55},
 		{Name: "c", Hub: 1, Boxes: 7, Gateways: 4, Load: 0.55}},
-		BoxRate: 80, Objects: 4000, List: 3 * time.Second, Faults: faults, For: 60 * time.Second, Warm: 10 * time.Second, Policy: Ours, Seed: seed}
+		BoxRate: 80, Objects: 4000, List: 3 * time.Second, Faults: faults, For: 60 * time.Second, Warm: 10 * time.Second, Policy: Tiered, Seed: seed}
 }
 
 func play(t testing.TB, sc Scene) *Result {
@@ -37,14 +37,14 @@
 	sc := three(1, Fault{0, Dead, 20 * time.Second, 30 * time.Second})
 	sc.For = 80 * time.Second
 	r := play(t, sc)
-	before, during, after := r.Share(10*time.Second, 20*time.Second), r.Share(22*time.Second, 30*time.Second), r.Share(60*time.Second, 80*time.Second)
+	before, during, after := r.ServedWorthShare(10*time.Second, 20*time.Second), r.ServedWorthShare(22*time.Second, 30*time.Second), r.ServedWorthShare(60*time.Second, 80*time.Second)
 	t.Logf("in aim %.3f before, %.3f while away, %.3f from 30 s after the return; over the bound by %.3f; falls %v", before, during, after, r.Over, r.Falls)
 	if after < 0.98*before {
 		t.Errorf("30 s after the return service is %.3f, and was %.3f", after, before)
 	}
 	sc.Policy = NoSpill
-	if plain := play(t, sc); during < plain.Share(22*time.Second, 30*time.Second)+0.05 {
-		t.Errorf("while the zone is away %.3f, without spill %.3f", during, plain.Share(22*time.Second, 30*time.Second))
+	if plain := play(t, sc); during < plain.ServedWorthShare(22*time.Second, 30*time.Second)+0.05 {
+		t.Errorf("while the zone is away %.3f, without spill %.3f", during, plain.ServedWorthShare(22*time.Second, 30*time.Second))
 	}
 	if r.Over > 0.02 || len(r.Falls) > 0 {
 		t.Errorf("over the bound by %.3f, falls: %v", r.Over, r.Falls)
@@ -56,16 +56,16 @@
 func TestAZoneDiesUnderDirectors(t *testing.T) {
 	sc := three(2, Fault{0, Dead, 15 * time.Second, 22 * time.Second})
 	sc.For, sc.Objects, sc.List = 45*time.Second, 1000, 2*time.Second
-	r, err := Directed(sc)
+	r, err := RunWithDirectors(sc)
 	if err != nil {
 		t.Fatal(err)
 	}
-	before, during, after := r.Share(10*time.Second, 15*time.Second), r.Share(17*time.Second, 22*time.Second), r.Share(38*time.Second, 45*time.Second)
+	before, during, after := r.ServedWorthShare(10*time.Second, 15*time.Second), r.ServedWorthShare(17*time.Second, 22*time.Second), r.ServedWorthShare(38*time.Second, 45*time.Second)
 	t.Logf("in aim %.3f before, %.3f while away, %.3f from 16 s after the return; over the bound by %.3f; falls %v; twice %d", before, during, after, r.Over, r.Falls, r.Twice)
 	if after < 0.97*before || r.Over > 0.05 || len(r.Falls) > 0 || r.Twice > 0 {
 		t.Errorf("in aim %.3f before, %.3f after; over the bound by %.3f; falls %v; %d answered twice", before, after, r.Over, r.Falls, r.Twice)
 	}
-	again, err := Directed(sc)
+	again, err := RunWithDirectors(sc)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,7 +132,7 @@
 func TestASmallZoneIsNotFlooded(t *testing.T) {
 	sc := Scene{Zones: []Zone{{Name: "big", Boxes: 7, Gateways: 4, Load: 0.6}, {Name: "small", Boxes: 2, Gateways: 2, Load: 0.6},
 		{Name: "mid", Boxes: 6, Gateways: 4, Load: 0.6}}, BoxRate: 80, Objects: 4000, List: 3 * time.Second, For: 60 * time.Second,
-		Warm: 10 * time.Second, Policy: Ours, Seed: 6, Faults: []Fault{{0, Dead, 20 * time.Second, 58 * time.Second}}}
+		Warm: 10 * time.Second, Policy: Tiered, Seed: 6, Faults: []Fault{{0, Dead, 20 * time.Second, 58 * time.Second}}}
 	r := play(t, sc)
 	most := 0
 	for _, s := range r.Seconds[20:58] {
@@ -145,7 +145,7 @@
 
 // No fault plot, however drawn, has a zone fall over by our doing, or spill go beyond its bound.
 func TestNoPlotBreaksABound(t *testing.T) {
-	kinds := []FaultKind{Dead, Silent, Slow, Errors, Parents, Cut, Lies}
+	kinds := []FaultKind{Dead, Silent, Slow, Errors, Parents, Cut, FalseRemoval}
 	rapid.Check(t, func(t *rapid.T) {
 		sc := three(rapid.Uint64Range(1, 1<<30).Draw(t, "seed"))
 		sc.For, sc.Warm = 45*time.Second, 5*time.Second
@@ -197,12 +197,12 @@
 		sc := Scene{Zones: []Zone{{Name: "a", Boxes: 3, Gateways: 2, Load: 0.4 + 0.5*rng.Float64()}, {Name: "b", Boxes: 2, Gateways: 1, Load: 0.4}}, BoxRate: 60,
 			Objects: 500, List: time.Duration(rng.IntN(2000)) * time.Millisecond, For: 28 * time.Second, Warm: 2 * time.Second, Policy: NoSpill, Seed: uint64(i + 1),
 			Faults: []Fault{{0, Dead, at, at + 3*time.Second}, {0, Restart, down, down + time.Duration(500+rng.IntN(3000))*time.Millisecond}}}
-		plain, err := Directed(sc)
+		plain, err := RunWithDirectors(sc)
 		if err != nil {
 			t.Fatal(err)
 		}
 		sc.Memory = true
-		kept, err := Directed(sc)
+		kept, err := RunWithDirectors(sc)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -250,14 +250,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cells, err := f.Play(nil)
+	cells, err := f.RunCells(nil)
 	if err != nil || len(cells) != 8 {
 		t.Fatalf("%d cells, %v", len(cells), err)
 	}
 	for _, c := range cells {
-		alone, err := Directed(c.Scene)
-		if err != nil || alone.Share(c.Scene.Warm, c.Scene.For) != c.Worth() || c.Result.Twice > 0 {
-			t.Errorf("%s: %.3f, and alone %.3f; %d twice; %v", c.Name(), c.Worth(), alone.Share(c.Scene.Warm, c.Scene.For), c.Result.Twice, err)
+		alone, err := RunWithDirectors(c.Scene)
+		if err != nil || alone.ServedWorthShare(c.Scene.Warm, c.Scene.For) != c.Worth() || c.Result.Twice > 0 {
+			t.Errorf("%s: %.3f, and alone %.3f; %d twice; %v", c.Name(), c.Worth(), alone.ServedWorthShare(c.Scene.Warm, c.Scene.For), c.Result.Twice, err)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "rows.parquet")
--- a/lab/localitysim/scene.go
+++ b/lab/localitysim/scene.go
@@ -50,7 +50,7 @@
 	def := func(v, d float64) float64 { return cmp.Or(v, d) }
 	f := &File{Directed: pb.GetDirected(), Scene: Scene{BoxRate: def(pb.GetBoxRate(), 80), Objects: int(cmp.Or(pb.GetObjects(), 4000)),
 		Skew: def(pb.GetSkew(), 1.1), Origin: def(pb.GetOrigin(), 3), Parent: def(pb.GetParent(), 3), Seed: cmp.Or(pb.GetSeed(), 1),
-		Repeat: pb.GetRepeat(), Memory: pb.GetMemory(), Policy: Ours}}
+		Repeat: pb.GetRepeat(), Memory: pb.GetMemory(), Policy: Tiered}}
 	sc := &f.Scene
 	b := pb.GetBounds()
 	sc.Tiers.MaxSpillover, sc.Tiers.SpareCapacityShare, sc.Tiers.FullUtilization, sc.Tiers.SpilloverRise = b.GetSpill(), b.GetSpare(), b.GetFull(), b.GetRise()
@@ -110,7 +110,7 @@
 		f.Policies = append(f.Policies, Policy(p))
 	}
 	if len(f.Policies) == 0 {
-		f.Policies = []Policy{Ours, NoSpill, Unbounded}
+		f.Policies = []Policy{Tiered, NoSpill, Unbounded}
 		if f.Directed {
 			f.Policies = f.Policies[:2]
 		}
--- a/lab/localitysim/scene_build.go
+++ b/lab/localitysim/scene_build.go
@@ -19,7 +19,7 @@
 	}
 	for i, f := range s.Faults {
 		switch f.Kind {
-		case Dead, Silent, Slow, Errors, Parents, Cut, Lies, Restart:
+		case Dead, Silent, Slow, Errors, Parents, Cut, FalseRemoval, Restart:
 		default:
 			return fmt.Errorf("scene: Faults[%d].Kind: %q", i, f.Kind)
 		}
@@ -31,7 +31,7 @@
 		return fmt.Errorf("scene: Repeat: %v", s.Repeat)
 	}
 	switch s.Policy {
-	case Ours, NoSpill, Unbounded:
+	case Tiered, NoSpill, Unbounded:
 	default:
 		return fmt.Errorf("scene: Policy: %q", s.Policy)
 	}
--- a/lab/localitysim/sweep.go
+++ b/lab/localitysim/sweep.go
@@ -49,14 +49,14 @@
 }
 
 // Play runs all cells, on all cores, and tells progress of each that is done; nil: nobody.
-func (f *File) Play(progress func(done, all int, c *Cell, took time.Duration)) ([]*Cell, error) {
+func (f *File) RunCells(progress func(done, all int, c *Cell, took time.Duration)) ([]*Cell, error) {
 	cells, err := f.Cells()
 	if err != nil {
 		return nil, err
 	}
 	run := Run
 	if f.Directed {
-		run = Directed
+		run = RunWithDirectors
 	}
 	next := make(chan *Cell)
 	var mu sync.Mutex
@@ -140,13 +140,13 @@
 }
 
 // Worth is the share of the worth that was answered in aim, over all that is counted.
-func (c *Cell) Worth() float64 { return c.Result.Share(c.Scene.Warm, c.Scene.For) }
+func (c *Cell) Worth() float64 { return c.Result.ServedWorthShare(c.Scene.Warm, c.Scene.For) }
 
 // Worst is the least such share over so many seconds in a row.
 func (c *Cell) Worst(seconds int) float64 {
 	worst := 1.0
 	for i := int(c.Scene.Warm / time.Second); time.Duration(i+seconds)*time.Second <= c.Scene.For; i++ {
-		worst = min(worst, c.Result.Share(time.Duration(i)*time.Second, time.Duration(i+seconds)*time.Second))
+		worst = min(worst, c.Result.ServedWorthShare(time.Duration(i)*time.Second, time.Duration(i+seconds)*time.Second))
 	}
 	return worst
 }
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -16,7 +16,7 @@
 )
 
 // Req is one request of a trace.
-type Req struct {
+type Request struct {
 	Due    time.Duration
 	Class  int // place in the mix
 	Repeat bool
@@ -41,18 +41,18 @@
 }
 
 // Measured are costs as lab load finds them on the machine of docs/measurements/overload.md.
-var Measured = Costs{Serve: 42 * time.Microsecond, Read: 4 * time.Microsecond, Shed: 5 * time.Microsecond, Drop: 8 * time.Microsecond}
+var MeasuredCosts = Costs{Serve: 42 * time.Microsecond, Read: 4 * time.Microsecond, Shed: 5 * time.Microsecond, Drop: 8 * time.Microsecond}
 
 // Policy is a way of overload control.
 type Policy interface {
-	Arrive(now time.Duration, r *Req) bool                      // false: it is shed
-	Next(now time.Duration) (r *Req, dropped int)               // who is served now; nil: nobody waits
-	Done(now time.Duration, r *Req, waited, took time.Duration) // it has been served
+	Arrive(now time.Duration, r *Request) bool                      // false: it is shed
+	Next(now time.Duration) (r *Request, dropped int)               // who is served now; nil: nobody waits
+	Done(now time.Duration, r *Request, waited, took time.Duration) // it has been served
 	Tick(now time.Duration)
 }
 
 // TickEvery is how often policies are ticked.
-const TickEvery = overload.DefaultTick
+const TickInterval = overload.DefaultTick
 
 // Outcome is what came of a run.
 type Outcome struct {
@@ -65,7 +65,7 @@
 
 // run is a trace being played.
 type run struct {
-	trace  []Req
+	trace  []Request
 	mix    []load.Class
 	costs  Costs
 	policy Policy
@@ -85,8 +85,8 @@
 }
 
 // Run plays a trace. What is due before `from` is not counted.
-func Run(trace []Req, mix []load.Class, c Costs, p Policy, from time.Duration) Outcome {
-	r := &run{trace: trace, mix: mix, costs: c, policy: p, from: from, tick: TickEvery, away: c.Every, reading: true,
+func Run(trace []Request, mix []load.Class, c Costs, p Policy, from time.Duration) Outcome {
+	r := &run{trace: trace, mix: mix, costs: c, policy: p, from: from, tick: TickInterval, away: c.Every, reading: true,
 		asked: make([]int, len(mix)), got: make([]int, len(mix))}
 	for {
 		r.pass()
@@ -107,7 +107,7 @@
 	}
 	for r.tick <= r.now {
 		r.policy.Tick(r.tick)
-		r.tick += TickEvery
+		r.tick += TickInterval
 	}
 }
 
@@ -180,7 +180,7 @@
 }
 
 // Draw draws a trace: Poisson arrivals with a profile's rate.
-func Draw(profile load.Profile, long time.Duration, mix []load.Class, marked float64, seed uint64) (trace []Req) {
+func GenerateTrace(profile load.Profile, long time.Duration, mix []load.Class, marked float64, seed uint64) (trace []Request) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for t := time.Duration(0); ; {
 		rate := profile(t)
@@ -200,28 +200,28 @@
 			x -= mix[class].Share
 			class++
 		}
-		trace = append(trace, Req{Due: t, Class: class, Repeat: rng.Float64() < marked, Draw: rng.Uint64()})
+		trace = append(trace, Request{Due: t, Class: class, Repeat: rng.Float64() < marked, Draw: rng.Uint64()})
 	}
 }
 
 // Read reads a trace that lab load recorded.
-func Read(path string, mix []load.Class, seed uint64) ([]Req, error) {
+func ReadTrace(path string, mix []load.Class, seed uint64) ([]Request, error) {
 	rows, err := parquet.ReadFile[load.Row](path)
 	if err != nil {
 		return nil, fmt.Errorf("trace %s: %w", path, err)
 	}
 	rng := rand.New(rand.NewPCG(seed, 1))
-	var trace []Req
+	var trace []Request
 	for n, r := range rows {
 		class := slices.IndexFunc(mix, func(c load.Class) bool { return c.Name == r.Class })
 		if class < 0 {
 			return nil, fmt.Errorf("trace %s: row %d: no class %q", path, n, r.Class)
 		}
-		trace = append(trace, Req{Due: time.Duration(r.DueUs) * time.Microsecond, Class: class, Repeat: r.Marked, Draw: rng.Uint64()})
+		trace = append(trace, Request{Due: time.Duration(r.DueUs) * time.Microsecond, Class: class, Repeat: r.Marked, Draw: rng.Uint64()})
 	}
 	if len(trace) == 0 {
 		return nil, fmt.Errorf("trace %s: empty", path)
 	}
-	slices.SortStableFunc(trace, func(a, b Req) int { return int(a.Due - b.Due) })
+	slices.SortStableFunc(trace, func(a, b Request) int { return int(a.Due - b.Due) })
 	return trace, nil
 }
--- a/lab/model/policies.go
+++ b/lab/model/policies.go
@@ -30,14 +30,14 @@
 }
 
 // fifo serves in the order of arrival, and sheds nothing.
-type fifo struct{ queue []*Req }
+type fifo struct{ queue []*Request }
 
-func (f *fifo) Arrive(_ time.Duration, r *Req) bool {
+func (f *fifo) Arrive(_ time.Duration, r *Request) bool {
 	f.queue = append(f.queue, r)
 	return true
 }
 
-func (f *fifo) pop() *Req {
+func (f *fifo) pop() *Request {
 	if len(f.queue) == 0 {
 		return nil
 	}
@@ -46,9 +46,9 @@
 	return r
 }
 
-func (f *fifo) Next(time.Duration) (*Req, int)                         { return f.pop(), 0 }
-func (f *fifo) Done(time.Duration, *Req, time.Duration, time.Duration) {}
-func (f *fifo) Tick(time.Duration)                                     {}
+func (f *fifo) Next(time.Duration) (*Request, int)                         { return f.pop(), 0 }
+func (f *fifo) Done(time.Duration, *Request, time.Duration, time.Duration) {}
+func (f *fifo) Tick(time.Duration)                                         {}
 
 // codel drops from the head of a fifo by the law of RFC 8289, with its target and interval.
 type codel struct {
@@ -64,7 +64,7 @@
 	codelInterval = 100 * time.Millisecond
 )
 
-func (c *codel) Next(now time.Duration) (*Req, int) {
+func (c *codel) Next(now time.Duration) (*Request, int) {
 	r, ok := c.look(now)
 	dropped := 0
 	if c.dropping {
@@ -99,7 +99,7 @@
 }
 
 // look takes the head, and says whether it may be dropped.
-func (c *codel) look(now time.Duration) (*Req, bool) {
+func (c *codel) look(now time.Duration) (*Request, bool) {
 	r := c.pop()
 	switch {
 	case r == nil || now-r.came < codelTarget:
@@ -122,7 +122,7 @@
 	smoothed float64
 }
 
-func (g *gradient) Arrive(now time.Duration, r *Req) bool {
+func (g *gradient) Arrive(now time.Duration, r *Request) bool {
 	if float64(g.inside) >= g.limit {
 		return false
 	}
@@ -130,7 +130,7 @@
 	return g.fifo.Arrive(now, r)
 }
 
-func (g *gradient) Done(_ time.Duration, _ *Req, _, took time.Duration) {
+func (g *gradient) Done(_ time.Duration, _ *Request, _, took time.Duration) {
 	g.inside--
 	if g.best == 0 || took < g.best {
 		g.best = took
@@ -167,7 +167,7 @@
 	return &dagor{order: o, mix: mix, level: n, counts: make([]int, n)}
 }
 
-func (d *dagor) Arrive(now time.Duration, r *Req) bool {
+func (d *dagor) Arrive(now time.Duration, r *Request) bool {
 	l := d.order.Band(d.mix[r.Class].Name, r.Repeat)*dagorUsers + int(r.Draw%dagorUsers)
 	d.counts[l]++
 	d.all++
@@ -182,7 +182,7 @@
 	return in
 }
 
-func (d *dagor) Done(_ time.Duration, _ *Req, waited, _ time.Duration) {
+func (d *dagor) Done(_ time.Duration, _ *Request, waited, _ time.Duration) {
 	d.waits += waited
 	d.served++
 }
@@ -235,7 +235,7 @@
 		door: overload.NewAdmissionController(order.Bands(), 1), closes: closes}
 }
 
-func (o *ours) Arrive(now time.Duration, r *Req) bool {
+func (o *ours) Arrive(now time.Duration, r *Request) bool {
 	band := o.order.Band(o.mix[r.Class].Name, r.Repeat)
 	if _, ok := o.door.Admit(0, band, r.Draw); !ok {
 		return false
@@ -245,7 +245,7 @@
 	return true
 }
 
-func (o *ours) Next(now time.Duration) (r *Req, dropped int) {
+func (o *ours) Next(now time.Duration) (r *Request, dropped int) {
 	for i := o.queue.PopExpired(now); i != nil; i = o.queue.PopExpired(now) {
 		dropped++
 		o.s.ExpiredCost++
@@ -256,10 +256,10 @@
 	}
 	o.s.StartedCost++
 	o.s.LongestWait = max(o.s.LongestWait, o.queue.Waited(i, now))
-	return i.Value.(*Req), dropped
+	return i.Value.(*Request), dropped
 }
 
-func (o *ours) Done(time.Duration, *Req, time.Duration, time.Duration) {}
+func (o *ours) Done(time.Duration, *Request, time.Duration, time.Duration) {}
 
 func (o *ours) Tick(now time.Duration) {
 	o.s.LongestWait, o.s.Queued = max(o.s.LongestWait, o.queue.LongestWait(now)), o.queue.Queued()
--- a/lab/plot/plot.go
+++ b/lab/plot/plot.go
@@ -18,7 +18,7 @@
 }
 
 // Draw writes a plot to a file, in the format that its ending names (png, svg, pdf).
-func Draw(path, title, x, y string, lines []Line) error {
+func DrawLines(path, title, x, y string, lines []Line) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
 	p.Y.Min = 0
@@ -56,7 +56,7 @@
 func (g grid) Y(r int) float64    { return float64(r) }
 
 // Heat writes a heat map to a file, with each value in its cell: z by y, by x.
-func Heat(path, title, x, y string, xs, ys []float64, z [][]float64) error {
+func DrawHeatMap(path, title, x, y string, xs, ys []float64, z [][]float64) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
 	g := grid{xs, ys, z}
--- a/lab/virtualclock/virtualclock.go
+++ b/lab/virtualclock/virtualclock.go
@@ -9,10 +9,10 @@
 
 // Clock is one. Its zero value stands at 0.
 type Clock struct {
-	Now   time.Duration
-	Done  int // functions that ran
-	queue queue
-	order uint64
+	Now      time.Duration
+	Executed int // functions that ran
+	queue    queue
+	order    uint64
 }
 
 type due struct {
@@ -48,13 +48,13 @@
 	for len(c.queue) > 0 && c.queue[0].at < until { // what is due later stays for the next call
 		d := heap.Pop(&c.queue).(due)
 		c.Now = d.at
-		c.Done++
+		c.Executed++
 		d.run()
 	}
 }
 
 // Pass lets so much time pass, with all that is due within it; Run alone stands at the last of that.
-func (c *Clock) Pass(d time.Duration) {
+func (c *Clock) Advance(d time.Duration) {
 	until := c.Now + d
 	c.Run(until)
 	c.Now = max(c.Now, until)
--- a/replication/simulation_test.go
+++ b/replication/simulation_test.go
@@ -171,7 +171,7 @@
 		if w.converged() {
 			return w.clock.Now - from, true
 		}
-		w.clock.Pass(50 * time.Millisecond)
+		w.clock.Advance(50 * time.Millisecond)
 	}
 	return most, false
 }
@@ -194,10 +194,10 @@
 	w.clock.Run(last + time.Millisecond)
 	for _, m := range w.nodes {
 		if m.node == nil { // those that are down come back within four seconds
-			w.clock.Pass(4 * time.Second)
+			w.clock.Advance(4 * time.Second)
 		}
 	}
-	w.clock.Pass(2 * time.Second)
+	w.clock.Advance(2 * time.Second)
 	if !w.converged() {
 		return w, "two seconds after the last fault: " + w.divergence()
 	}
@@ -286,7 +286,7 @@
 // A node that restarts catches up with what all know; the peer that it pulls from dies half way, and another one continues.
 func TestCatchingUpGoesOnWithAnother(t *testing.T) {
 	w := newSimulation(5, 3)
-	w.clock.Pass(2 * time.Second)
+	w.clock.Advance(2 * time.Second)
 	g0 := w.nodes["g0"]
 	for i := range 3000 {
 		g0.node.bulkBudget = 1e9
@@ -298,7 +298,7 @@
 	back := w.nodes["g2"]
 	w.startNode(back)
 	for back.node.Len() < 1000 {
-		w.clock.Pass(time.Millisecond)
+		w.clock.Advance(time.Millisecond)
 		if back.caughtUp != nil {
 			t.Fatalf("it says that it has caught up with %d", back.node.Len())
 		}
@@ -307,7 +307,7 @@
 	w.nodes[from].run++
 	w.nodes[from].node = nil
 	half := back.node.Counters.Merged
-	w.clock.Pass(6 * time.Second)
+	w.clock.Advance(6 * time.Second)
 	if back.caughtUp == nil || back.caughtUp.From == from || back.node.Count(Listing) < 3000 {
 		t.Fatalf("%+v after %d of 3000", back.caughtUp, back.node.Count(Listing))
 	}
@@ -319,7 +319,7 @@
 // Nobody is there: it goes on without after the stated time; all start at once: none waits for the others.
 func TestCatchingUpNeverWaitsForEver(t *testing.T) {
 	w := newSimulation(6, 3)
-	w.clock.Pass(4 * time.Second)
+	w.clock.Advance(4 * time.Second)
 	for _, m := range w.nodes {
 		if m.caughtUp == nil || m.caughtUp.Took > time.Second {
 			t.Errorf("%s: all began together, and it waited: %+v", m.name, m.caughtUp)
@@ -330,11 +330,11 @@
 		w.severed[[2]string{n, "g1"}] = true
 	}
 	w.startNode(m)
-	w.clock.Pass(DefaultCatchUpTimeout - 100*time.Millisecond)
+	w.clock.Advance(DefaultCatchUpTimeout - 100*time.Millisecond)
 	if m.caughtUp != nil {
 		t.Fatalf("too soon: %+v", m.caughtUp)
 	}
-	w.clock.Pass(300 * time.Millisecond)
+	w.clock.Advance(300 * time.Millisecond)
 	if m.caughtUp == nil || m.caughtUp.From != "" {
 		t.Errorf("it waits for ever: %+v", m.caughtUp)
 	}
@@ -343,13 +343,13 @@
 // A purge is with all others sooner than the bulk that was there before it.
 func TestAPurgeIsNotQueuedBehindListings(t *testing.T) {
 	w := newSimulation(8, 5)
-	w.clock.Pass(2 * time.Second)
+	w.clock.Advance(2 * time.Second)
 	g0 := w.nodes["g0"]
 	for i := range 20000 {
 		g0.node.bulkBudget = 1e9
 		g0.node.Publish(w.localTime(g0), Listing, fmt.Sprintf("o%d", i), Encode(ListingValue{Server: "b1"}), w.localTime(g0))
 	}
-	w.clock.Pass(300 * time.Millisecond)
+	w.clock.Advance(300 * time.Millisecond)
 	w.purge("g0", "x")
 	at := w.clock.Now
 	for w.clock.Now < at+2*time.Second {
@@ -360,7 +360,7 @@
 		if all {
 			break
 		}
-		w.clock.Pass(5 * time.Millisecond)
+		w.clock.Advance(5 * time.Millisecond)
 	}
 	took := w.clock.Now - at
 	if full := w.nodes["g4"].node.Count(Listing); took > 300*time.Millisecond || full >= 16000 {
@@ -372,7 +372,7 @@
 // noted, and all settle on the same.
 func TestWhatDiffersIsFoundAndSettled(t *testing.T) {
 	w := newSimulation(9, 3)
-	w.clock.Pass(time.Second)
+	w.clock.Advance(time.Second)
 	g0, g1 := w.nodes["g0"], w.nodes["g1"]
 	say := func() {
 		for i := range 30 {
--- a/test/client_test.go
+++ b/test/client_test.go
@@ -205,7 +205,7 @@
 // no spike, and what retries there are keep the rules.
 func TestAGatewayAndItsNeighbourDie(t *testing.T) {
 	r := playDeaths(t, failover.Config{Gateways: 3, Clients: 300, Every: 500 * time.Millisecond, Store: 100 * time.Millisecond,
-		Deaths: []failover.Death{{Gateway: 0, At: time.Second, Back: 3 * time.Second}, {Gateway: 1, At: 1500 * time.Millisecond, Back: 3500 * time.Millisecond}},
+		Deaths: []failover.Outage{{Gateway: 0, At: time.Second, Back: 3 * time.Second}, {Gateway: 1, At: 1500 * time.Millisecond, Back: 3500 * time.Millisecond}},
 		For:    5 * time.Second, Seed: 1})
 	if float64(r.Served) < 0.97*float64(r.Due) || r.PeakPart > 0.2 || r.Late > 50*time.Millisecond {
 		t.Errorf("%d of %d were served, %.2f of the connects came in one tenth of a second, the latest ended %v after its deadline: %v",
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -43,7 +43,7 @@
 // sane fails on what must never happen, whatever the load.
 func sane(t *testing.T, res *load.Result) load.Summary {
 	t.Helper()
-	s := res.Sum(0, 0)
+	s := res.Summarize(0, 0)
 	cut := 0
 	for _, c := range s.Classes {
 		cut += c.Outcomes["cut"]
@@ -103,9 +103,9 @@
 	const limit = 64
 	ctx, w := startWorld(t, testbed.Config{MemoryMB: limit, Caches: 2})
 	for _, s := range w.Stores {
-		s.On(load.SlowContent(200_000))
+		s.On(load.SlowReaderContent(200_000))
 	}
-	stop, err := load.Slow(load.SlowSpec{Addr: w.Addr, Conns: 200, Pace: 10_000, Ask: 20})
+	stop, err := load.StartSlowReaders(load.SlowReaderSpec{Addr: w.Addr, Conns: 200, Pace: 10_000, Ask: 20})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -285,7 +285,7 @@
 	if before < 50 {
 		t.Errorf("of the flood %d are served", before)
 	}
-	assets, err := load.Only("images")
+	assets, err := load.SingleClassMix("images")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/test/tiers_test.go
+++ b/test/tiers_test.go
@@ -21,7 +21,7 @@
 	defer cancel()
 	r, err := fleet.Run(ctx, fleet.Config{Program: program, BoxRate: 60, Objects: 100, Late: 2 * time.Second, For: 12 * time.Second, Seed: 1,
 		Zones:  []fleet.Zone{{Name: "a", Boxes: 3, Rate: 90}, {Name: "b", Boxes: 2, Rate: 60}, {Name: "c", Hub: 1, Boxes: 4, Rate: 120}},
-		Deaths: []fleet.Death{{Zone: 0, At: 2 * time.Second, Back: 4 * time.Second}}, Tiers: `ramp: "3s"`})
+		Deaths: []fleet.Outage{{Zone: 0, At: 2 * time.Second, Back: 4 * time.Second}}, Tiers: `ramp: "3s"`})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,7 +31,7 @@
 	if r.Over > 0.1 || len(r.Fallen) > 0 { // in the tool's own seconds; the bound itself is shown on a fake clock in package locality
 		t.Errorf("spill went %.2f over its bound; fallen: %v", r.Over, r.Fallen)
 	}
-	if before, after := r.Share(0, 2), r.Share(10, 12); after < 0.9*before {
+	if before, after := r.ServedWorthShare(0, 2), r.ServedWorthShare(10, 12); after < 0.9*before {
 		t.Errorf("in aim %.2f before and %.2f after", before, after)
 	}
 	if c := r.Counters[0]; c["tier_spilled"] < 20 || c["tier_changes"] < 2 {
