--- a/lab/clientsim/clientsim.go
+++ b/lab/clientsim/clientsim.go
@@ -53,52 +53,52 @@
 }
 
 const (
-	window    = 100 * time.Millisecond
-	way       = 5 * time.Millisecond
-	serveTime = 5 * time.Millisecond
-	queueMost = 100 * time.Millisecond
+	window        = 100 * time.Millisecond
+	oneWayDelay   = 5 * time.Millisecond
+	serviceDelay  = 5 * time.Millisecond
+	maxQueueDelay = 100 * time.Millisecond
 )
 
-type play struct {
+type simulation struct {
 	cfg      Config
 	rng      *rand.Rand
 	clock    virtualclock.Clock
 	gateways []*gateway
 	tries    []float64
 	connects []float64
-	asked    int
+	requests int
 	served   int
 }
 
 type gateway struct {
-	up    bool
-	epoch int
-	free  time.Duration // when its work is done
-	cost  time.Duration
-	conns map[*link]bool
+	up             bool
+	incarnation    int
+	busyUntil      time.Duration // when its work is done
+	workPerRequest time.Duration
+	conns          map[*link]bool
 }
 
 // link is one connection between a client and a gateway.
 type link struct {
-	gateway *gateway
-	epoch   int
-	down    func()
+	gateway     *gateway
+	incarnation int
+	down        func()
 }
 
 // dial connects: up or down follows.
-func (s *play) dial(g *gateway, up func(*link), down func()) {
-	s.clock.At(s.clock.Now+way, func() {
+func (s *simulation) dial(g *gateway, up func(*link), down func()) {
+	s.clock.At(s.clock.Now+oneWayDelay, func() {
 		if i := int(s.clock.Now / window); i < len(s.connects) {
 			s.connects[i]++
 		}
 		if !g.up {
-			s.clock.At(s.clock.Now+way, down)
+			s.clock.At(s.clock.Now+oneWayDelay, down)
 			return
 		}
-		l := &link{gateway: g, epoch: g.epoch, down: down}
+		l := &link{gateway: g, incarnation: g.incarnation, down: down}
 		g.conns[l] = true
-		s.clock.At(s.clock.Now+way, func() {
-			if g.epoch == l.epoch && g.up {
+		s.clock.At(s.clock.Now+oneWayDelay, func() {
+			if g.incarnation == l.incarnation && g.up {
 				up(l)
 			}
 		})
@@ -106,45 +106,45 @@
 }
 
 // ask sends a try: an answer follows, unless the gateway dies.
-func (s *play) ask(l *link, answer func(ok bool, later time.Duration)) {
-	s.clock.At(s.clock.Now+way, func() {
+func (s *simulation) dispatch(l *link, answer func(ok bool, later time.Duration)) {
+	s.clock.At(s.clock.Now+oneWayDelay, func() {
 		g := l.gateway
-		if !g.up || g.epoch != l.epoch {
+		if !g.up || g.incarnation != l.incarnation {
 			return // its death is told
 		}
 		if i := int(s.clock.Now / window); i < len(s.tries) {
 			s.tries[i]++
 		}
-		if g.free < s.clock.Now {
-			g.free = s.clock.Now
+		if g.busyUntil < s.clock.Now {
+			g.busyUntil = s.clock.Now
 		}
 		ok, later := true, time.Duration(0)
-		if g.free-s.clock.Now > queueMost {
-			g.free += g.cost / 8 // a refusal
+		if g.busyUntil-s.clock.Now > maxQueueDelay {
+			g.busyUntil += g.workPerRequest / 8 // a refusal
 			ok, later = false, 500*time.Millisecond+time.Duration(s.rng.Float64()*float64(1500*time.Millisecond))
 		} else {
-			g.free += g.cost
+			g.busyUntil += g.workPerRequest
 		}
-		s.clock.At(g.free+serveTime+way, func() {
-			if g.up && g.epoch == l.epoch {
+		s.clock.At(g.busyUntil+serviceDelay+oneWayDelay, func() {
+			if g.up && g.incarnation == l.incarnation {
 				answer(ok, later)
 			}
 		})
 	})
 }
 
-func (s *play) kill(g *gateway) {
+func (s *simulation) kill(g *gateway) {
 	g.up = false
-	g.epoch++
+	g.incarnation++
 	for l := range g.conns {
-		s.clock.At(s.clock.Now+way+time.Duration(s.rng.Float64()*float64(way)), l.down)
+		s.clock.At(s.clock.Now+oneWayDelay+time.Duration(s.rng.Float64()*float64(oneWayDelay)), l.down)
 	}
 	clear(g.conns)
 }
 
 // actor is one client.
-type actor interface {
-	ask(id uint64, deadline time.Duration, done func(ok bool))
+type simClient interface {
+	dispatch(id uint64, deadline time.Duration, done func(ok bool))
 }
 
 // Run plays a population of one kind.
@@ -155,21 +155,21 @@
 	if cfg.Clients <= 0 || cfg.Gateways < cfg.Known || cfg.For <= cfg.KillAt || cfg.Every <= 0 {
 		return Result{}, fmt.Errorf("population: %d clients, %d gateways, %v", cfg.Clients, cfg.Gateways, cfg.For)
 	}
-	s := &play{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), tries: make([]float64, cfg.For/window), connects: make([]float64, cfg.For/window)}
+	s := &simulation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), tries: make([]float64, cfg.For/window), connects: make([]float64, cfg.For/window)}
 	usual := float64(cfg.Clients) / cfg.Every.Seconds() / float64(cfg.Gateways)
 	for range cfg.Gateways {
 		s.gateways = append(s.gateways, &gateway{up: true, conns: map[*link]bool{},
-			cost: time.Duration(float64(time.Second) / (usual * cfg.Capacity))})
+			workPerRequest: time.Duration(float64(time.Second) / (usual * cfg.Capacity))})
 	}
 	id := uint64(0)
 	for n := range cfg.Clients {
 		known := s.rng.Perm(cfg.Gateways)[:cfg.Known]
-		var a actor
+		var a simClient
 		var err error
 		if kind == Planned {
 			a, err = newPlanned(s, known, uint64(n))
 		} else {
-			a = &naive{s: s, kind: kind, known: known}
+			a = &naiveClient{sim: s, kind: kind, known: known}
 		}
 		if err != nil {
 			return Result{}, err
@@ -179,9 +179,9 @@
 			id++
 			after := s.clock.Now >= cfg.KillAt
 			if after {
-				s.asked++
+				s.requests++
 			}
-			a.ask(id, s.clock.Now+cfg.Limit, func(ok bool) {
+			a.dispatch(id, s.clock.Now+cfg.Limit, func(ok bool) {
 				if ok && after {
 					s.served++
 				}
@@ -198,15 +198,15 @@
 	})
 	s.clock.At(cfg.KillAt+cfg.Back, func() {
 		for _, g := range killed {
-			g.up, g.free = true, s.clock.Now
+			g.up, g.busyUntil = true, s.clock.Now
 		}
 	})
 	s.clock.Run(cfg.For)
 	return s.result(kind), nil
 }
 
-func (s *play) result(kind Kind) Result {
-	r := Result{Kind: kind, Window: window, Connects: s.connects, Served: float64(s.served) / float64(max(1, s.asked))}
+func (s *simulation) result(kind Kind) Result {
+	r := Result{Kind: kind, Window: window, Connects: s.connects, Served: float64(s.served) / float64(max(1, s.requests))}
 	k := int(s.cfg.KillAt / window)
 	mean := 0.0
 	for _, n := range s.tries[k/2 : k] {
@@ -228,67 +228,67 @@
 }
 
 // planned is a client that goes by package plan.
-type planned struct {
-	s     *play
-	p     *plan.Planner
-	known []int
-	links map[uint64]*link
-	done  map[uint64]func(bool)
-	wake  time.Duration
+type plannedClient struct {
+	sim     *simulation
+	planner *plan.Planner
+	known   []int
+	links   map[uint64]*link
+	done    map[uint64]func(bool)
+	wake    time.Duration
 }
 
-func newPlanned(s *play, known []int, seed uint64) (*planned, error) {
+func newPlanned(s *simulation, known []int, seed uint64) (*plannedClient, error) {
 	cfg := plan.Config{Classes: []plan.Class{{Name: "safe", Worth: 1}}, Conns: 1,
 		Clients: s.cfg.Clients * s.cfg.Known / s.cfg.Gateways, SpreadRate: 5000}
 	for _, g := range known {
 		cfg.Gateways = append(cfg.Gateways, fmt.Sprint(g))
 	}
 	p, err := plan.New(cfg, rand.New(rand.NewPCG(s.cfg.Seed, seed+100)))
-	return &planned{s: s, p: p, known: known, links: map[uint64]*link{}, done: map[uint64]func(bool){}, wake: -1}, err
+	return &plannedClient{sim: s, planner: p, known: known, links: map[uint64]*link{}, done: map[uint64]func(bool){}, wake: -1}, err
 }
 
-func (c *planned) ask(id uint64, deadline time.Duration, done func(bool)) {
+func (c *plannedClient) dispatch(id uint64, deadline time.Duration, done func(bool)) {
 	c.done[id] = done
-	c.step(plan.Call{ID: id, Class: "safe", Deadline: deadline})
+	c.handle(plan.Call{ID: id, Class: "safe", Deadline: deadline})
 }
 
-func (c *planned) step(ev plan.Event) {
-	for _, a := range c.p.Handle(c.s.clock.Now, ev, nil) {
-		c.carryOut(a)
+func (c *plannedClient) handle(ev plan.Event) {
+	for _, a := range c.planner.Handle(c.sim.clock.Now, ev, nil) {
+		c.perform(a)
 	}
-	if at, ok := c.p.NextTimer(); ok && (c.wake < c.s.clock.Now || at < c.wake) {
-		c.wake = max(at, c.s.clock.Now+time.Millisecond)
+	if at, ok := c.planner.NextTimer(); ok && (c.wake < c.sim.clock.Now || at < c.wake) {
+		c.wake = max(at, c.sim.clock.Now+time.Millisecond)
 		w := c.wake
-		c.s.clock.At(w, func() {
+		c.sim.clock.At(w, func() {
 			if c.wake == w {
 				c.wake = -1
-				c.step(plan.Timer{})
+				c.handle(plan.Timer{})
 			}
 		})
 	}
 }
 
 // carryOut does what the planner wants.
-func (c *planned) carryOut(a plan.Action) {
+func (c *plannedClient) perform(a plan.Action) {
 	switch a := a.(type) {
 	case plan.Connect:
 		n := 0
 		_, _ = fmt.Sscan(a.Gateway, &n) // newPlanned named them by their numbers
-		c.s.dial(c.s.gateways[n], func(l *link) {
+		c.sim.dial(c.sim.gateways[n], func(l *link) {
 			c.links[a.Conn] = l
-			c.step(plan.Up{Conn: a.Conn})
-		}, func() { c.step(plan.Down{Conn: a.Conn}) })
+			c.handle(plan.Up{Conn: a.Conn})
+		}, func() { c.handle(plan.Down{Conn: a.Conn}) })
 	case plan.Send:
 		if l := c.links[a.Conn]; l != nil {
-			c.s.ask(l, func(ok bool, later time.Duration) {
-				c.step(plan.Answered{Conn: a.Conn, Attempt: a.Attempt, OK: ok, Rejected: !ok, RetryAfter: later})
+			c.sim.dispatch(l, func(ok bool, later time.Duration) {
+				c.handle(plan.Answered{Conn: a.Conn, Attempt: a.Attempt, OK: ok, Rejected: !ok, RetryAfter: later})
 			})
 		}
 	case plan.HealthCheck:
 		if l := c.links[a.Conn]; l != nil {
-			c.s.clock.At(c.s.clock.Now+2*way, func() {
-				if l.gateway.up && l.epoch == l.gateway.epoch {
-					c.step(plan.Received{Conn: a.Conn, Healthy: true})
+			c.sim.clock.At(c.sim.clock.Now+2*oneWayDelay, func() {
+				if l.gateway.up && l.incarnation == l.gateway.incarnation {
+					c.handle(plan.Received{Conn: a.Conn, Healthy: true})
 				}
 			})
 		}
@@ -306,15 +306,15 @@
 }
 
 // naive is a client as one writes it in an hour.
-type naive struct {
-	s     *play
-	kind  Kind
-	known []int
-	turn  int
-	link  *link
-	busy  bool // it connects
-	fails int
-	open  map[uint64]*request
+type naiveClient struct {
+	sim         *simulation
+	kind        Kind
+	known       []int
+	nextGateway int
+	link        *link
+	connecting  bool // it connects
+	failures    int
+	open        map[uint64]*request
 }
 
 type request struct {
@@ -324,7 +324,7 @@
 	done     func(bool)
 }
 
-func (n *naive) wait(times int) time.Duration {
+func (n *naiveClient) retryDelay(times int) time.Duration {
 	switch n.kind {
 	case FixedWait:
 		return time.Second
@@ -335,13 +335,13 @@
 	}
 }
 
-func (n *naive) ask(id uint64, deadline time.Duration, done func(bool)) {
+func (n *naiveClient) dispatch(id uint64, deadline time.Duration, done func(bool)) {
 	if n.open == nil {
 		n.open = map[uint64]*request{}
 	}
 	r := &request{id: id, deadline: deadline, done: done}
 	n.open[id] = r
-	n.s.clock.At(deadline, func() { n.end(r, false) })
+	n.sim.clock.At(deadline, func() { n.end(r, false) })
 	if n.link != nil {
 		n.send(r)
 	} else {
@@ -349,20 +349,20 @@
 	}
 }
 
-func (n *naive) end(r *request, ok bool) {
+func (n *naiveClient) end(r *request, ok bool) {
 	if n.open[r.id] == r {
 		delete(n.open, r.id)
 		r.done(ok)
 	}
 }
 
-func (n *naive) connect() {
-	if n.busy || n.link != nil {
+func (n *naiveClient) connect() {
+	if n.connecting || n.link != nil {
 		return
 	}
-	n.busy = true
-	n.s.dial(n.s.gateways[n.known[n.turn%len(n.known)]], func(l *link) {
-		n.busy, n.link, n.fails = false, l, 0
+	n.connecting = true
+	n.sim.dial(n.sim.gateways[n.known[n.nextGateway%len(n.known)]], func(l *link) {
+		n.connecting, n.link, n.failures = false, l, 0
 		var all []*request
 		for _, r := range n.open {
 			all = append(all, r)
@@ -372,23 +372,23 @@
 			n.send(r)
 		}
 	}, func() { // it did not come up, or its gateway died
-		n.busy, n.link = false, nil
-		n.turn++
-		n.fails++
-		n.s.clock.At(n.s.clock.Now+n.wait(n.fails-1), n.connect)
+		n.connecting, n.link = false, nil
+		n.nextGateway++
+		n.failures++
+		n.sim.clock.At(n.sim.clock.Now+n.retryDelay(n.failures-1), n.connect)
 	})
 }
 
-func (n *naive) send(r *request) {
+func (n *naiveClient) send(r *request) {
 	if n.open[r.id] != r || n.link == nil {
 		return
 	}
 	r.tries++
-	n.s.ask(n.link, func(ok bool, _ time.Duration) {
+	n.sim.dispatch(n.link, func(ok bool, _ time.Duration) {
 		if ok {
 			n.end(r, true)
 			return
 		}
-		n.s.clock.At(n.s.clock.Now+n.wait(r.tries-1), func() { n.send(r) })
+		n.sim.clock.At(n.sim.clock.Now+n.retryDelay(r.tries-1), func() { n.send(r) })
 	})
 }
--- a/lab/failover/failover.go
+++ b/lab/failover/failover.go
@@ -94,8 +94,8 @@
 }
 
 // asker is one client.
-type asker interface {
-	ask(ctx context.Context, class, object string) error
+type testClient interface {
+	dispatch(ctx context.Context, class, object string) error
 	close()
 }
 
@@ -104,7 +104,7 @@
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	p := &player{cfg: cfg, mix: load.DeploymentMix(), res: &Result{Kind: cfg.Kind, Ended: map[string]int{}}}
+	p := &experiment{cfg: cfg, mix: load.DeploymentMix(), res: &Result{Kind: cfg.Kind, Ended: map[string]int{}}}
 	defer p.close()
 	var addrs []string
 	for i := range cfg.Gateways {
@@ -114,28 +114,28 @@
 		}
 		addrs = append(addrs, addr)
 	}
-	p.first = time.Duration(math.MaxInt64)
+	p.firstOutage = time.Duration(math.MaxInt64)
 	for _, d := range cfg.Deaths {
-		p.first = min(p.first, d.At)
+		p.firstOutage = min(p.firstOutage, d.At)
 	}
-	p.began = time.Now()
+	p.start = time.Now()
 	var deaths, clients sync.WaitGroup
 	fail := make(chan error, 2*len(cfg.Deaths)+cfg.Clients)
 	for _, d := range cfg.Deaths {
 		deaths.Go(func() {
-			if err := p.die(ctx, d); err != nil {
+			if err := p.runOutage(ctx, d); err != nil {
 				fail <- err
 			}
 		})
 	}
 	for i := range cfg.Clients {
-		a, err := newAsker(cfg, i, addrs)
+		a, err := newTestClient(cfg, i, addrs)
 		if err != nil {
 			return nil, err
 		}
 		clients.Go(func() {
 			defer a.close()
-			p.play(ctx, i, a)
+			p.runClient(ctx, i, a)
 		})
 	}
 	clients.Wait()
@@ -144,12 +144,12 @@
 	for e := range fail {
 		return nil, e
 	}
-	p.sum()
+	p.summarize()
 	return p.res, ctx.Err()
 }
 
 // addGateway starts a gateway behind a relay, and returns where clients reach it.
-func (p *player) addGateway(ctx context.Context, i int) (addr string, err error) {
+func (p *experiment) addGateway(ctx context.Context, i int) (addr string, err error) {
 	w, err := testbed.Start(ctx, testbed.Config{Program: p.cfg.Program, Caches: 2, Pin: -1, Sockets: 4096, Seed: fmt.Sprintf("%016x", i+1)})
 	if err != nil {
 		return "", err
@@ -172,21 +172,21 @@
 }
 
 // die kills a gateway in its time, and starts it again if it comes back.
-func (p *player) die(ctx context.Context, d Outage) error {
+func (p *experiment) runOutage(ctx context.Context, d Outage) error {
 	w, r := p.gateways[d.Gateway], p.proxies[d.Gateway]
-	if !p.until(ctx, d.At) {
+	if !p.waitUntil(ctx, d.At) {
 		return nil
 	}
 	err := w.Kill()
 	r.Down() // the platform resets what a dead process had open
-	if err == nil && d.Back > 0 && p.until(ctx, d.Back) {
+	if err == nil && d.Back > 0 && p.waitUntil(ctx, d.Back) {
 		err = errors.Join(w.Restart(), r.Up())
 	}
 	return err
 }
 
 // close ends the relays and the gateways.
-func (p *player) close() {
+func (p *experiment) close() {
 	for _, r := range p.proxies {
 		r.Close()
 	}
@@ -195,22 +195,22 @@
 	}
 }
 
-type player struct {
-	cfg      Config
-	mix      []load.Class
-	gateways []*testbed.Gateway
-	proxies  []*faultproxy.Proxy // by gateway
-	began    time.Time
-	first    time.Duration // when the first gateway dies; the largest: none does
+type experiment struct {
+	cfg         Config
+	mix         []load.Class
+	gateways    []*testbed.Gateway
+	proxies     []*faultproxy.Proxy // by gateway
+	start       time.Time
+	firstOutage time.Duration // when the first gateway dies; the largest: none does
 
-	mu   sync.Mutex
-	late []time.Duration
-	res  *Result
+	mu       sync.Mutex
+	overruns []time.Duration
+	res      *Result
 }
 
 // until waits for a time of the play.
-func (p *player) until(ctx context.Context, at time.Duration) bool {
-	t := time.NewTimer(time.Until(p.began.Add(at)))
+func (p *experiment) waitUntil(ctx context.Context, at time.Duration) bool {
+	t := time.NewTimer(time.Until(p.start.Add(at)))
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -221,12 +221,12 @@
 }
 
 // play asks as often as drawn, whether or not earlier calls have ended.
-func (p *player) play(ctx context.Context, n int, a asker) {
+func (p *experiment) runClient(ctx context.Context, n int, a testClient) {
 	rng := rand.New(rand.NewPCG(p.cfg.Seed+1, uint64(n)))
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	at := time.Duration(rng.Float64() * float64(p.cfg.Every))
-	for k := 0; at < p.cfg.For && p.until(ctx, at); k++ {
+	for k := 0; at < p.cfg.For && p.waitUntil(ctx, at); k++ {
 		x, class := rng.Float64(), p.mix[0]
 		for _, c := range p.mix {
 			if class = c; x < c.Share {
@@ -235,24 +235,24 @@
 			x -= c.Share
 		}
 		due, object := at, fmt.Sprintf("%08x%08x", n+1, k)
-		calls.Go(func() { p.one(ctx, a, class, object, due) })
+		calls.Go(func() { p.runCall(ctx, a, class, object, due) })
 		at += time.Duration(rng.ExpFloat64() * float64(p.cfg.Every))
 	}
 }
 
-func (p *player) one(ctx context.Context, a asker, class load.Class, object string, due time.Duration) {
+func (p *experiment) runCall(ctx context.Context, a testClient, class load.Class, object string, due time.Duration) {
 	limit := min(p.cfg.Limit, class.Limit)
 	call, cancel := context.WithTimeout(ctx, limit)
 	began := time.Now()
-	err := a.ask(call, class.Name, object)
+	err := a.dispatch(call, class.Name, object)
 	took := time.Since(began)
 	cancel()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.res.Calls++
-	p.res.Ended[word(err)]++
-	p.late = append(p.late, took-limit)
-	if due >= p.first {
+	p.res.Ended[outcomeName(err)]++
+	p.overruns = append(p.overruns, took-limit)
+	if due >= p.firstOutage {
 		p.res.Due++
 		if err == nil {
 			p.res.Served++
@@ -264,7 +264,7 @@
 }
 
 // word is how a call ended.
-func word(err error) string {
+func outcomeName(err error) string {
 	for _, e := range []error{client.ErrRefused, client.ErrFailed, client.ErrUnknown, client.ErrExpired, client.ErrUnsent, client.ErrClosed} {
 		if errors.Is(err, e) {
 			return strings.SplitN(strings.TrimPrefix(e.Error(), "client: "), ":", 2)[0]
@@ -278,36 +278,36 @@
 
 // attemptKey names an attempt that passed a relay.
 type attemptKey struct {
-	relay, conn int
+	proxy, conn int
 	id          uint64
 }
 
 // sum takes in what the relays saw.
-func (p *player) sum() {
+func (p *experiment) summarize() {
 	r := p.res
 	asked := p.count()
 	for k, one := range p.proxies {
-		r.Early += early(k, one, asked)
+		r.Early += countEarly(k, one, asked)
 	}
 	if p.cfg.Kind == clientsim.Planned {
 		r.Broken = faultproxy.Rules{Tries: 1 + plan.DefaultRetries + 1, Keyed: map[string]time.Duration{"orders": 3 * time.Second}}.Check(p.proxies...)
 	}
-	slices.Sort(p.late)
-	if len(p.late) > 0 {
-		r.Late, r.Late99 = p.late[len(p.late)-1], p.late[len(p.late)*99/100]
+	slices.Sort(p.overruns)
+	if len(p.overruns) > 0 {
+		r.Late, r.Late99 = p.overruns[len(p.overruns)-1], p.overruns[len(p.overruns)*99/100]
 	}
-	if p.first < p.cfg.For {
-		p.sumPeaks()
+	if p.firstOutage < p.cfg.For {
+		p.summarizePeaks()
 	}
 }
 
 // count counts connects and attempts by window, and returns the attempts.
-func (p *player) count() map[attemptKey]faultproxy.Seen {
+func (p *experiment) count() map[attemptKey]faultproxy.Seen {
 	r := p.res
 	n := int(p.cfg.For/Window) + 1
 	r.Connects, r.Sent = make([]int, n), make([]int, n)
 	add := func(to []int, at time.Time) {
-		if i := int(at.Sub(p.began) / Window); i >= 0 && i < n {
+		if i := int(at.Sub(p.start) / Window); i >= 0 && i < n {
 			to[i]++
 		}
 	}
@@ -329,7 +329,7 @@
 }
 
 // early is how many attempts were sent on a connection before the time that a rejection of their class had told on it.
-func early(relay int, one *faultproxy.Proxy, asked map[attemptKey]faultproxy.Seen) (n int) {
+func countEarly(relay int, one *faultproxy.Proxy, asked map[attemptKey]faultproxy.Seen) (n int) {
 	type hold struct {
 		conn  int
 		class string
@@ -354,9 +354,9 @@
 }
 
 // sumPeaks is how much more than before came at once after the first death.
-func (p *player) sumPeaks() {
+func (p *experiment) summarizePeaks() {
 	r := p.res
-	k := int(p.first / Window)
+	k := int(p.firstOutage / Window)
 	mean, connects := 0.0, 0
 	for _, m := range r.Sent[k/2 : k] {
 		mean += float64(m) / float64(max(1, k-k/2))
@@ -376,7 +376,7 @@
 	}
 }
 
-func newAsker(cfg Config, n int, addrs []string) (asker, error) {
+func newTestClient(cfg Config, n int, addrs []string) (testClient, error) {
 	if cfg.Kind != clientsim.Planned {
 		if !slices.Contains(clientsim.Kinds(), cfg.Kind) {
 			return nil, fmt.Errorf("deaths: no kind of client %q", cfg.Kind)
@@ -393,15 +393,15 @@
 		c.Classes = append(c.Classes, class)
 	}
 	l, err := client.New(c)
-	return &library{client: l}, err
+	return &libraryClient{client: l}, err
 }
 
 // library is the client library.
-type library struct{ client *client.Client }
+type libraryClient struct{ client *client.Client }
 
-func (l *library) ask(ctx context.Context, class, object string) error {
+func (l *libraryClient) dispatch(ctx context.Context, class, object string) error {
 	_, err := l.client.Do(ctx, client.Request{Class: class, Object: object})
 	return err
 }
 
-func (l *library) close() { _ = l.client.Close() }
+func (l *libraryClient) close() { _ = l.client.Close() }
--- a/lab/failover/naive.go
+++ b/lab/failover/naive.go
@@ -20,33 +20,33 @@
 	addrs []string
 	rpc   client.RPC
 
-	mu     sync.Mutex
-	turn   int
-	fails  int
-	conn   client.Conn
-	up     bool
-	serial uint64
-	open   map[uint64]*request // by its latest try
-	idle   []*request          // that wait for a connection
-	closed bool
-	all    sync.WaitGroup
+	mu          sync.Mutex
+	nextGateway int
+	failures    int
+	conn        client.Conn
+	up          bool
+	serial      uint64
+	open        map[uint64]*request // by its latest try
+	queued      []*request          // that wait for a connection
+	closed      bool
+	conns       sync.WaitGroup
 }
 
 type request struct {
 	client.Request
-	key   string
-	tries int
-	until time.Time
-	over  bool
-	done  chan struct{}
+	key      string
+	tries    int
+	deadline time.Time
+	ended    bool
+	done     chan struct{}
 }
 
 func newNaive(kind clientsim.Kind, addrs []string, n int) *naive {
-	return &naive{kind: kind, addrs: addrs, turn: n, open: map[uint64]*request{}}
+	return &naive{kind: kind, addrs: addrs, nextGateway: n, open: map[uint64]*request{}}
 }
 
 // wait is how long it waits after so many failures.
-func (n *naive) wait(fails int) time.Duration {
+func (n *naive) retryDelay(fails int) time.Duration {
 	switch n.kind {
 	case clientsim.FixedWait:
 		return time.Second
@@ -57,11 +57,11 @@
 	}
 }
 
-func (n *naive) ask(ctx context.Context, class, object string) error {
+func (n *naive) dispatch(ctx context.Context, class, object string) error {
 	r := &request{Request: client.Request{Class: class, Object: object}, key: object + object, done: make(chan struct{})}
-	r.until, _ = ctx.Deadline()
+	r.deadline, _ = ctx.Deadline()
 	n.mu.Lock()
-	n.put(r)
+	n.send(r)
 	n.mu.Unlock()
 	select {
 	case <-r.done:
@@ -70,10 +70,10 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if r.over {
+	if r.ended {
 		return nil
 	}
-	r.over = true
+	r.ended = true
 	for id, o := range n.open {
 		if o == r {
 			delete(n.open, id)
@@ -86,12 +86,12 @@
 }
 
 // put sends a request, or has it wait for a connection. It is called under the lock, as all below are.
-func (n *naive) put(r *request) {
-	if n.closed || r.over {
+func (n *naive) send(r *request) {
+	if n.closed || r.ended {
 		return
 	}
 	if !n.up {
-		n.idle = append(n.idle, r)
+		n.queued = append(n.queued, r)
 		if n.conn == nil {
 			n.connect()
 		}
@@ -100,7 +100,7 @@
 	n.serial++
 	r.tries++
 	n.open[n.serial] = r
-	t := client.Try{ID: n.serial, Request: &r.Request, Txn: r.Object[:8] + fmt.Sprintf("%08x", n.serial), Limit: time.Until(r.until),
+	t := client.Try{ID: n.serial, Request: &r.Request, Txn: r.Object[:8] + fmt.Sprintf("%08x", n.serial), Limit: time.Until(r.deadline),
 		Second: r.tries > 1}
 	if r.Class == "orders" {
 		t.Key = r.key
@@ -112,8 +112,8 @@
 	if n.closed || n.conn != nil {
 		return
 	}
-	n.all.Add(1)
-	n.conn = n.rpc.Connect(n.addrs[n.turn%len(n.addrs)], time.Second, &naiveEvents{n: n})
+	n.conns.Add(1)
+	n.conn = n.rpc.Connect(n.addrs[n.nextGateway%len(n.addrs)], time.Second, &naiveEvents{n: n})
 }
 
 func (n *naive) close() {
@@ -123,11 +123,11 @@
 		n.conn.Close()
 	}
 	n.mu.Unlock()
-	n.all.Wait()
+	n.conns.Wait()
 }
 
 // later does something after a wait, if there still is a client by then.
-func (n *naive) later(d time.Duration, f func()) {
+func (n *naive) afterDelay(d time.Duration, f func()) {
 	if d <= 0 {
 		f()
 		return
@@ -149,31 +149,31 @@
 	if n.conn == nil {
 		return
 	}
-	n.up, n.fails = true, 0
-	idle := n.idle
-	n.idle = nil
+	n.up, n.failures = true, 0
+	idle := n.queued
+	n.queued = nil
 	for _, r := range idle {
-		n.put(r)
+		n.send(r)
 	}
 }
 
 func (e *naiveEvents) Down(bool) {
 	n := e.n
-	defer n.all.Done()
+	defer n.conns.Done()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.conn, n.up = nil, false
 	for _, r := range n.open {
-		n.idle = append(n.idle, r)
+		n.queued = append(n.queued, r)
 	}
 	clear(n.open)
-	n.turn++
-	n.fails++
-	d := n.wait(n.fails - 1)
-	if d == 0 && n.fails > 1 {
+	n.nextGateway++
+	n.failures++
+	d := n.retryDelay(n.failures - 1)
+	if d == 0 && n.failures > 1 {
 		d = time.Millisecond // or it would do nothing else
 	}
-	n.later(d, n.connect) // it keeps a connection open
+	n.afterDelay(d, n.connect) // it keeps a connection open
 }
 
 func (e *naiveEvents) Heard(bool) {}
@@ -185,11 +185,11 @@
 	r := n.open[try]
 	delete(n.open, try)
 	switch {
-	case r == nil || r.over:
+	case r == nil || r.ended:
 	case a.OK:
-		r.over = true
+		r.ended = true
 		close(r.done)
 	default:
-		n.later(max(time.Millisecond, n.wait(r.tries-1)), func() { n.put(r) })
+		n.afterDelay(max(time.Millisecond, n.retryDelay(r.tries-1)), func() { n.send(r) })
 	}
 }
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -84,7 +84,7 @@
 }
 
 // operator is the operator's file of the gateways of a zone.
-func operator(zones []Zone, own int, more string) string {
+func operatorFile(zones []Zone, own int, more string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "tiers {\n  own_weight: %d\n  %s\n", zones[own].Boxes, more)
 	for i, z := range zones {
@@ -100,58 +100,58 @@
 }
 
 type fleet struct {
-	cfg      Config
-	start    time.Time
-	dir      string
-	others   []*fakeserver.Box   // upper caches and the origin
-	boxes    [][]*fakeserver.Box // by zone, those of now
-	all      []*fakeserver.Box
-	zoneOf   map[*fakeserver.Box]int
-	gateways []*testbed.Gateway
-	pos      int
-	serial   int
-	mu       sync.Mutex
+	cfg        Config
+	start      time.Time
+	dir        string
+	upstreams  []*fakeserver.Box   // upper caches and the origin
+	boxes      [][]*fakeserver.Box // by zone, those of now
+	everyBox   []*fakeserver.Box
+	zoneOf     map[*fakeserver.Box]int
+	gateways   []*testbed.Gateway
+	journalPos int
+	lastBox    int
+	mu         sync.Mutex
 }
 
-func host(name, addr, zone, kind, status string, since int64) string {
+func hostEntry(name, addr, zone, kind, status string, since int64) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":1,"status":%q,"weight":1,"since_ms":%d}`, name, addr, zone, kind, status, since)
 }
 
-func (f *fleet) power(cold bool) fakeserver.Power {
+func (f *fleet) capacityModel(cold bool) fakeserver.Power {
 	return fakeserver.Power{Rate: f.cfg.BoxRate, Cold: cold, From: 0.15, Ramp: 17 * time.Second, Tip: 2.5, TipFor: 2 * time.Second,
 		Fill: 15 * time.Millisecond, Queue: 1500 * time.Millisecond, ReportBy: 400 * time.Millisecond}
 }
 
 // grow makes the boxes of a zone anew.
-func (f *fleet) grow(zone int, cold bool) error {
+func (f *fleet) startBoxes(zone int, cold bool) error {
 	f.boxes[zone] = nil
 	for range f.cfg.Zones[zone].Boxes {
-		f.serial++
-		b, err := fakeserver.NewBox(fmt.Sprintf("b%d", f.serial), "box", fakeserver.Loopback, f.power(cold), f.start)
+		f.lastBox++
+		b, err := fakeserver.NewBox(fmt.Sprintf("b%d", f.lastBox), "box", fakeserver.Loopback, f.capacityModel(cold), f.start)
 		if err != nil {
 			return err
 		}
-		f.boxes[zone], f.all = append(f.boxes[zone], b), append(f.all, b)
+		f.boxes[zone], f.everyBox = append(f.boxes[zone], b), append(f.everyBox, b)
 		f.zoneOf[b] = zone
 	}
 	return nil
 }
 
 // list words boxes of a zone for the journal.
-func (f *fleet) list(zone int, status string, since int64) (hosts []string) {
+func (f *fleet) hostEntries(zone int, status string, since int64) (hosts []string) {
 	for _, b := range f.boxes[zone] {
-		hosts = append(hosts, host(b.Name, b.Addr, f.cfg.Zones[zone].Name, "box", status, since))
+		hosts = append(hosts, hostEntry(b.Name, b.Addr, f.cfg.Zones[zone].Name, "box", status, since))
 	}
 	return hosts
 }
 
 // tell has all gateways' journal services tell of hosts.
-func (f *fleet) tell(hosts []string) {
+func (f *fleet) announce(hosts []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.pos++
+	f.journalPos++
 	for _, g := range f.gateways {
-		g.Journal.Tell(f.pos, fmt.Sprintf(`"hosts":{"index":%d,"snapshot":false,"endpoints":[%s]}`, f.pos, strings.Join(hosts, ",")))
+		g.Journal.Tell(f.journalPos, fmt.Sprintf(`"hosts":{"index":%d,"snapshot":false,"endpoints":[%s]}`, f.journalPos, strings.Join(hosts, ",")))
 	}
 }
 
@@ -159,7 +159,7 @@
 	for _, g := range f.gateways {
 		g.Stop()
 	}
-	for _, b := range append(f.all, f.others...) {
+	for _, b := range append(f.everyBox, f.upstreams...) {
 		b.Close()
 	}
 	_ = os.RemoveAll(f.dir)
@@ -194,7 +194,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	f := &fleet{cfg: cfg, start: time.Now(), dir: dir, boxes: make([][]*fakeserver.Box, len(cfg.Zones)), zoneOf: map[*fakeserver.Box]int{}, pos: 1}
+	f := &fleet{cfg: cfg, start: time.Now(), dir: dir, boxes: make([][]*fakeserver.Box, len(cfg.Zones)), zoneOf: map[*fakeserver.Box]int{}, journalPos: 1}
 	defer f.close()
 	if err := f.build(ctx); err != nil {
 		return nil, err
@@ -205,7 +205,7 @@
 	errs := make(chan error, len(cfg.Deaths)+len(cfg.Zones))
 	for _, d := range cfg.Deaths {
 		all.Go(func() {
-			if err := f.death(ctx, d, began); err != nil {
+			if err := f.runOutage(ctx, d, began); err != nil {
 				errs <- err
 			}
 		})
@@ -229,33 +229,33 @@
 	if err != nil {
 		return nil, err
 	}
-	return f.sum(ctx, results, shift)
+	return f.summarize(ctx, results, shift)
 }
 
 func (f *fleet) build(ctx context.Context) error {
 	var known []string
 	for _, o := range []struct{ name, kind, zone string }{{"pn", "parent", "north"}, {"ps", "parent", "south"}, {"o", "origin", "north"}} {
-		p := f.power(false)
+		p := f.capacityModel(false)
 		p.Rate, p.TipFor = 20000, 0
 		b, err := fakeserver.NewBox(o.name, o.kind, fakeserver.Loopback, p, f.start)
 		if err != nil {
 			return err
 		}
-		f.others = append(f.others, b)
-		known = append(known, host(o.name, b.Addr, o.zone, o.kind, "SERVING", 0))
+		f.upstreams = append(f.upstreams, b)
+		known = append(known, hostEntry(o.name, b.Addr, o.zone, o.kind, "SERVING", 0))
 	}
 	for i := range f.cfg.Zones {
-		if err := f.grow(i, false); err != nil {
+		if err := f.startBoxes(i, false); err != nil {
 			return err
 		}
-		known = append(known, f.list(i, "SERVING", 0)...)
+		known = append(known, f.hostEntries(i, "SERVING", 0)...)
 	}
 	list := json.RawMessage(`{"pos":1,"entries":[{"pos":1,"hosts":{"index":1,"snapshot":true,"endpoints":[` + strings.Join(known, ",") + `]}}]}`)
 	for i, z := range f.cfg.Zones {
 		w := testbed.Config{Program: f.cfg.Program, Pin: -1, Seed: fmt.Sprintf("%016x", f.cfg.Seed+uint64(i)+1)}
 		if !f.cfg.Off {
 			path := filepath.Join(f.dir, z.Name+".textproto")
-			if err := os.WriteFile(path, []byte(operator(f.cfg.Zones, i, f.cfg.Tiers)), 0o600); err != nil {
+			if err := os.WriteFile(path, []byte(operatorFile(f.cfg.Zones, i, f.cfg.Tiers)), 0o600); err != nil {
 				return err
 			}
 			w.Args = []string{"serve", "--operator", path}
@@ -270,7 +270,7 @@
 }
 
 // death has a zone go dark, and come back. The list tells late.
-func (f *fleet) death(ctx context.Context, d Outage, began time.Time) error {
+func (f *fleet) runOutage(ctx context.Context, d Outage, began time.Time) error {
 	wait := func(at time.Duration) bool {
 		t := time.NewTimer(time.Until(began.Add(at)))
 		defer t.Stop()
@@ -287,7 +287,7 @@
 	for _, b := range f.boxes[d.Zone] {
 		b.Close()
 	}
-	gone := f.list(d.Zone, "DELETED", 0)
+	gone := f.hostEntries(d.Zone, "DELETED", 0)
 	told := d.At + f.cfg.Late
 	if d.Back > 0 && d.Back < told {
 		told = d.Back
@@ -295,19 +295,19 @@
 	if !wait(told) {
 		return ctx.Err()
 	}
-	f.tell(gone)
+	f.announce(gone)
 	if d.Back == 0 || !wait(d.Back) {
 		return ctx.Err()
 	}
-	if err := f.grow(d.Zone, true); err != nil {
+	if err := f.startBoxes(d.Zone, true); err != nil {
 		return err
 	}
-	f.tell(f.list(d.Zone, "SERVING", time.Now().UnixMilli()))
+	f.announce(f.hostEntries(d.Zone, "SERVING", time.Now().UnixMilli()))
 	return nil
 }
 
 // second is what clients of a zone got in a window, with what the boxes saw of them in that second; away are their attempts at other zones.
-func (f *fleet) second(s load.Summary, at, zone int) (sec Second, away int) {
+func (f *fleet) summarizeSecond(s load.Summary, at, zone int) (sec Second, away int) {
 	sec = Second{At: make([]int, len(f.cfg.Zones)), Worth: s.Worth * s.Seconds, WorthAsked: s.WorthOffered * s.Seconds}
 	for _, c := range s.Classes {
 		sec.Asked += c.Asked
@@ -315,7 +315,7 @@
 		sec.Refused += c.Outcomes["refused"]
 		sec.Other += c.Asked - c.Outcomes["served"] - c.Outcomes["refused"]
 	}
-	for _, b := range f.all {
+	for _, b := range f.everyBox {
 		seen := b.SeenIn(at, zone)
 		sec.At[f.zoneOf[b]] += seen
 		if f.zoneOf[b] != zone {
@@ -326,7 +326,7 @@
 }
 
 // sum takes in what the boxes saw and what the clients got.
-func (f *fleet) sum(ctx context.Context, results []*load.Result, shift time.Duration) (*Result, error) {
+func (f *fleet) summarize(ctx context.Context, results []*load.Result, shift time.Duration) (*Result, error) {
 	r := &Result{}
 	first := int(shift / time.Second)
 	spill := 0.3
@@ -342,7 +342,7 @@
 			}
 		}
 		for n, s := range res.Windows() {
-			sec, away := f.second(s, first+n, i)
+			sec, away := f.summarizeSecond(s, first+n, i)
 			if !f.cfg.Off && sec.Asked > 0 {
 				// The seconds of the two sides are not quite the same, and requests come by chance.
 				r.Over = max(r.Over, float64(away)/math.Max(float64(sec.Asked), f.cfg.Zones[i].Rate)-spill*float64(len(levels)))
@@ -358,7 +358,7 @@
 		}
 		r.Counters = append(r.Counters, c)
 	}
-	for _, b := range f.all {
+	for _, b := range f.everyBox {
 		r.Most = max(r.Most, b.Most)
 		if b.Fallen {
 			r.Fallen = append(r.Fallen, b.Name)
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -54,17 +54,17 @@
 const FirstObject = 0xa11ce000
 
 // job is one request on its way.
-type job struct {
-	class  int8
-	tries  int8
-	marked bool
-	due    time.Time // of its first try
-	at     time.Time // of this one
-	lag    time.Duration
-	object string
-	part   int
-	key    string
-	want   []byte
+type request struct {
+	class      int8
+	tries      int8
+	marked     bool
+	due        time.Time // of its first try
+	tryAt      time.Time // of this one
+	lag        time.Duration
+	object     string
+	part       int
+	key        string
+	wantPrefix []byte
 }
 
 // Result is what a run brought.
@@ -78,14 +78,14 @@
 }
 
 type runner struct {
-	spec   Spec
-	start  time.Time
-	second atomic.Uint64
-	spoilt atomic.Uint64
-	serial atomic.Uint64
+	spec         Spec
+	start        time.Time
+	unexpected   atomic.Uint64
+	wrongContent atomic.Uint64
+	lastTxn      atomic.Uint64
 }
 
-const shards = 6
+const maxShards = 6
 
 // Run drives the load and waits for its last answers.
 func Run(ctx context.Context, spec Spec) (*Result, error) {
@@ -93,11 +93,11 @@
 		return nil, err
 	}
 	r := &runner{spec: spec}
-	n := min(shards, spec.Conns, max(1, runtime.NumCPU()-2))
+	n := min(maxShards, spec.Conns, max(1, runtime.NumCPU()-2))
 	var all []*shard
 	for i := range n {
-		s := &shard{r: r, rng: rand.New(rand.NewPCG(spec.Seed, uint64(i)+1)), part: float64(n)}
-		for range spec.Conns/n + btoi(i < spec.Conns%n) {
+		s := &shard{r: r, rng: rand.New(rand.NewPCG(spec.Seed, uint64(i)+1)), shardCount: float64(n)}
+		for range spec.Conns/n + boolToInt(i < spec.Conns%n) {
 			c, err := s.dial()
 			if err != nil {
 				return nil, err
@@ -125,11 +125,11 @@
 		}
 		res.Rows = append(res.Rows, s.rows...)
 	}
-	res.Second, res.Spoilt = r.second.Load(), r.spoilt.Load()
+	res.Second, res.Spoilt = r.unexpected.Load(), r.wrongContent.Load()
 	return res, ctx.Err()
 }
 
-func btoi(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -138,32 +138,32 @@
 
 // shard has a part of the connections and of the arrivals.
 type shard struct {
-	r     *runner
-	rng   *rand.Rand
-	part  float64
-	conns []*conn
-	turn  int
-
-	mu    sync.Mutex
-	rows  []Row
-	again jobs // to be tried again
+	r          *runner
+	rng        *rand.Rand
+	shardCount float64
+	conns      []*conn
+	nextConn   int
+
+	mu      sync.Mutex
+	rows    []Row
+	retries retryHeap // to be tried again
 }
 
 // book keeps a row that no connection's reader does.
-func (s *shard) book(r Row) {
+func (s *shard) record(r Row) {
 	s.mu.Lock()
 	s.rows = append(s.rows, r)
 	s.mu.Unlock()
 }
 
 // jobs is a heap by the time of the next try.
-type jobs []*job
+type retryHeap []*request
 
-func (h jobs) Len() int           { return len(h) }
-func (h jobs) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
-func (h jobs) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *jobs) Push(x any)        { *h = append(*h, x.(*job)) }
-func (h *jobs) Pop() any {
+func (h retryHeap) Len() int           { return len(h) }
+func (h retryHeap) Less(i, j int) bool { return h[i].tryAt.Before(h[j].tryAt) }
+func (h retryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *retryHeap) Push(x any)        { *h = append(*h, x.(*request)) }
+func (h *retryHeap) Pop() any {
 	old := *h
 	j := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -174,32 +174,32 @@
 func (s *shard) run(ctx context.Context) {
 	end := s.r.start.Add(s.r.spec.For)
 	next := s.r.start
-	s.advance(&next)
-	var waiting []*job // due, and no connection had room
+	s.drawArrival(&next)
+	var waiting []*request // due, and no connection had room
 	swept := s.r.start
 	for {
 		now := time.Now()
 		if ctx.Err() != nil {
 			return
 		}
-		waiting = s.flush(waiting, now)
+		waiting = s.sendWaiting(waiting, now)
 		for !next.After(now) && next.Before(end) {
-			j := s.draw(next)
+			j := s.newRequest(next)
 			if len(waiting) > 0 || !s.send(j, now) {
 				waiting = append(waiting, j)
 			}
-			s.advance(&next)
+			s.drawArrival(&next)
 		}
-		again, left := s.repeats(now)
+		again, left := s.dueRetries(now)
 		waiting = append(waiting, again...)
 		for _, c := range s.conns {
-			c.kick()
+			c.wakeWriter()
 		}
 		if now.Sub(swept) > 20*time.Millisecond {
 			swept = now
 			open := 0
 			for _, c := range s.conns {
-				open += c.sweep(now)
+				open += c.expire(now)
 			}
 			if !next.Before(end) && open == 0 && left == 0 && len(waiting) == 0 {
 				return
@@ -214,23 +214,23 @@
 }
 
 // repeats takes the repeats that are due, and says how many are not yet.
-func (s *shard) repeats(now time.Time) (due []*job, left int) {
+func (s *shard) dueRetries(now time.Time) (due []*request, left int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for len(s.again) > 0 && !s.again[0].at.After(now) {
-		due = append(due, heap.Pop(&s.again).(*job))
+	for len(s.retries) > 0 && !s.retries[0].tryAt.After(now) {
+		due = append(due, heap.Pop(&s.retries).(*request))
 	}
-	return due, len(s.again)
+	return due, len(s.retries)
 }
 
 // flush sends what waited for room, and drops what waited for too long.
-func (s *shard) flush(waiting []*job, now time.Time) []*job {
+func (s *shard) sendWaiting(waiting []*request, now time.Time) []*request {
 	kept := waiting[:0]
 	full := false
 	for _, j := range waiting {
 		switch {
 		case now.Sub(j.due) > s.r.spec.Mix[j.class].Limit:
-			s.book(s.r.row(j, Unsent, now, 0, 0))
+			s.record(s.r.row(j, Unsent, now, 0, 0))
 		case full || !s.send(j, now):
 			full = true
 			kept = append(kept, j)
@@ -240,9 +240,9 @@
 }
 
 // advance draws the next arrival: a Poisson process with the profile's rate.
-func (s *shard) advance(next *time.Time) {
+func (s *shard) drawArrival(next *time.Time) {
 	for {
-		rate := s.r.spec.Rate(next.Sub(s.r.start)) / s.part
+		rate := s.r.spec.Rate(next.Sub(s.r.start)) / s.shardCount
 		if rate <= 0 {
 			*next = next.Add(time.Millisecond)
 			if next.Sub(s.r.start) > s.r.spec.For {
@@ -255,7 +255,7 @@
 	}
 }
 
-func (s *shard) draw(due time.Time) *job {
+func (s *shard) newRequest(due time.Time) *request {
 	spec := &s.r.spec
 	x := s.rng.Float64()
 	class := 0
@@ -263,20 +263,20 @@
 		x -= spec.Mix[class].Share
 		class++
 	}
-	j := &job{class: int8(class), due: due, at: due, part: s.rng.IntN(4),
+	j := &request{class: int8(class), due: due, tryAt: due, part: s.rng.IntN(4),
 		object: fmt.Sprintf("%016x", FirstObject+spec.First+s.rng.IntN(spec.Objects)), marked: s.rng.Float64() < spec.Marked}
 	if spec.Mix[class].Keyed {
 		j.key = fmt.Sprintf("%016x%016x", s.rng.Uint64(), s.rng.Uint64())
 	}
-	j.want = []byte(j.object + "/" + strconv.Itoa(j.part) + ";")
+	j.wantPrefix = []byte(j.object + "/" + strconv.Itoa(j.part) + ";")
 	return j
 }
 
 // send gives a request to the next connection with room.
-func (s *shard) send(j *job, now time.Time) bool {
+func (s *shard) send(j *request, now time.Time) bool {
 	for range s.conns {
-		c := s.conns[s.turn%len(s.conns)]
-		s.turn++
+		c := s.conns[s.nextConn%len(s.conns)]
+		s.nextConn++
 		if c.send(j, now) {
 			return true
 		}
@@ -285,21 +285,21 @@
 }
 
 // retry puts a refused request back, if its client tries again and can be in time.
-func (s *shard) retry(j *job, later time.Duration, now time.Time) bool {
+func (s *shard) retry(j *request, later time.Duration, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if j.tries >= 3 || s.rng.Float64() >= s.r.spec.Repeat {
 		return false
 	}
-	j.at = now.Add(later + time.Duration(s.rng.Float64()*float64(later)/10))
-	if j.at.Sub(j.due) > s.r.spec.Mix[j.class].Limit {
+	j.tryAt = now.Add(later + time.Duration(s.rng.Float64()*float64(later)/10))
+	if j.tryAt.Sub(j.due) > s.r.spec.Mix[j.class].Limit {
 		return false
 	}
-	heap.Push(&s.again, j)
+	heap.Push(&s.retries, j)
 	return true
 }
 
-func (r *runner) row(j *job, o Outcome, now time.Time, size, later int) Row {
+func (r *runner) row(j *request, o Outcome, now time.Time, size, later int) Row {
 	return Row{DueUs: j.due.Sub(r.start).Microseconds(), TookUs: now.Sub(j.due).Microseconds(),
 		Class: r.spec.Mix[j.class].Name, Outcome: o.String(), Tries: int32(j.tries), Marked: j.marked,
 		Bytes: int32(size), LaterMs: int32(later), LagUs: j.lag.Microseconds(), class: j.class, outcome: o}
@@ -307,19 +307,19 @@
 
 // conn is one client's connection.
 type conn struct {
-	s  *shard
-	nc net.Conn
-
-	mu    sync.Mutex
-	id    uint32
-	open  map[uint32]*job
-	gave  map[uint32]time.Time // given up: an answer that crosses the cancel is no fault
-	out   bytes.Buffer
-	enc   *rpc.Encoder
-	wake  *sync.Cond
-	ended bool
-	err   error
-	rows  []Row
+	shard *shard
+	nc    net.Conn
+
+	mu            sync.Mutex
+	id            uint32
+	open          map[uint32]*request
+	abandoned     map[uint32]time.Time // given up: an answer that crosses the cancel is no fault
+	outgoing      bytes.Buffer
+	enc           *rpc.Encoder
+	outgoingReady *sync.Cond
+	ended         bool
+	err           error
+	rows          []Row
 
 	readDone, writeDone chan struct{}
 }
@@ -329,19 +329,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("load: %w", err)
 	}
-	c := &conn{s: s, nc: nc, open: map[uint32]*job{}, gave: map[uint32]time.Time{}, readDone: make(chan struct{}),
+	c := &conn{shard: s, nc: nc, open: map[uint32]*request{}, abandoned: map[uint32]time.Time{}, readDone: make(chan struct{}),
 		writeDone: make(chan struct{})}
-	c.enc = rpc.NewEncoder(&c.out)
-	c.wake = sync.NewCond(&c.mu)
+	c.enc = rpc.NewEncoder(&c.outgoing)
+	c.outgoingReady = sync.NewCond(&c.mu)
 	go c.write()
 	go c.read()
 	return c, nil
 }
 
-func (c *conn) send(j *job, now time.Time) bool {
+func (c *conn) send(j *request, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	spec := &c.s.r.spec
+	spec := &c.shard.r.spec
 	if c.ended || len(c.open) >= spec.Open {
 		return false
 	}
@@ -350,9 +350,9 @@
 	if j.tries++; j.tries == 1 {
 		j.lag = time.Since(j.due)
 	}
-	j.at = now
+	j.tryAt = now
 	c.open[c.id] = j
-	r := &rpc.Request{ID: c.id, Class: class.Name, Txn: fmt.Sprintf("%016x", c.s.r.serial.Add(1)*0x9e3779b97f4a7c15),
+	r := &rpc.Request{ID: c.id, Class: class.Name, Txn: fmt.Sprintf("%016x", c.shard.r.lastTxn.Add(1)*0x9e3779b97f4a7c15),
 		Limit: class.Limit - now.Sub(j.due), Retry: j.marked || j.tries > 1, Key: j.key, Object: j.object, Part: j.part, Group: 17}
 	if j.key != "" {
 		r.Body = []byte("an order of turn, some hundred bytes of it, as a client would send: move 7,4 to 7,5; attack 8,5; end")
@@ -362,10 +362,10 @@
 }
 
 // kick has what was sent written.
-func (c *conn) kick() {
+func (c *conn) wakeWriter() {
 	c.mu.Lock()
-	if c.out.Len() > 0 {
-		c.wake.Signal()
+	if c.outgoing.Len() > 0 {
+		c.outgoingReady.Signal()
 	}
 	c.mu.Unlock()
 }
@@ -375,18 +375,18 @@
 	var b []byte
 	for {
 		c.mu.Lock()
-		for c.out.Len() == 0 && !c.ended {
-			c.wake.Wait()
+		for c.outgoing.Len() == 0 && !c.ended {
+			c.outgoingReady.Wait()
 		}
 		if c.ended {
 			c.mu.Unlock()
 			return
 		}
-		b = append(b[:0], c.out.Bytes()...)
-		c.out.Reset()
+		b = append(b[:0], c.outgoing.Bytes()...)
+		c.outgoing.Reset()
 		c.mu.Unlock()
 		if _, err := c.nc.Write(b); err != nil {
-			c.end(err)
+			c.handleClose(err)
 			return
 		}
 	}
@@ -400,16 +400,16 @@
 		a, err := r.Next()
 		now := time.Now()
 		if err != nil {
-			c.end(err)
+			c.handleClose(err)
 			return
 		}
 		c.mu.Lock()
 		j := c.open[a.ID]
 		if j == nil {
-			if _, crossed := c.gave[a.ID]; !crossed {
-				c.s.r.second.Add(1)
+			if _, crossed := c.abandoned[a.ID]; !crossed {
+				c.shard.r.unexpected.Add(1)
 			}
-			delete(c.gave, a.ID)
+			delete(c.abandoned, a.ID)
 			c.mu.Unlock()
 			continue
 		}
@@ -418,54 +418,54 @@
 		o := Served
 		switch {
 		case a.Error == rpc.Backoff:
-			if c.s.retry(j, a.RetryAfter, now) {
+			if c.shard.retry(j, a.RetryAfter, now) {
 				continue
 			}
 			o = Rejected
 		case a.Error != "":
 			o = Failed
-		case !bytes.HasPrefix(a.Body, j.want):
-			c.s.r.spoilt.Add(1)
+		case !bytes.HasPrefix(a.Body, j.wantPrefix):
+			c.shard.r.wrongContent.Add(1)
 		}
-		c.rows = append(c.rows, c.s.r.row(j, o, now, len(a.Body), int(a.RetryAfter.Milliseconds())))
+		c.rows = append(c.rows, c.shard.r.row(j, o, now, len(a.Body), int(a.RetryAfter.Milliseconds())))
 	}
 }
 
 // sweep gives up what has taken too long, and returns what is open.
-func (c *conn) sweep(now time.Time) int {
+func (c *conn) expire(now time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, j := range c.open {
-		if now.Sub(j.due) > c.s.r.spec.Mix[j.class].Limit+50*time.Millisecond { // the slack that the rules give
+		if now.Sub(j.due) > c.shard.r.spec.Mix[j.class].Limit+50*time.Millisecond { // the slack that the rules give
 			delete(c.open, id)
-			c.gave[id] = now
-			c.s.book(c.s.r.row(j, TimedOut, now, 0, 0))
+			c.abandoned[id] = now
+			c.shard.record(c.shard.r.row(j, TimedOut, now, 0, 0))
 			_ = c.enc.Cancel(id)
 		}
 	}
-	for id, at := range c.gave {
+	for id, at := range c.abandoned {
 		if now.Sub(at) > time.Second {
-			delete(c.gave, id)
+			delete(c.abandoned, id)
 		}
 	}
 	return len(c.open)
 }
 
 // end books what was open on a connection that ended.
-func (c *conn) end(err error) {
+func (c *conn) handleClose(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ended {
 		return
 	}
 	c.ended = true
-	c.wake.Broadcast()
+	c.outgoingReady.Broadcast()
 	now := time.Now()
 	if len(c.open) > 0 {
 		c.err = fmt.Errorf("a connection ended with %d requests open: %w", len(c.open), err)
 	}
 	for _, j := range c.open {
-		c.s.book(c.s.r.row(j, ConnectionLost, now, 0, 0))
+		c.shard.record(c.shard.r.row(j, ConnectionLost, now, 0, 0))
 	}
 	c.open = nil
 }
--- a/lab/load/slow.go
+++ b/lab/load/slow.go
@@ -22,14 +22,14 @@
 }
 
 // slowName begins the objects that slow readers ask for.
-const slowName = "510b0bb1"
+const slowObjectPrefix = "510b0bb1"
 
 // SlowContent has stores answer slow readers with parts of so many bytes, and others as usual.
 func SlowReaderContent(size int) func(*fakeserver.Request) {
 	var mu sync.Mutex
 	bodies := map[string]string{}
 	return func(a *fakeserver.Request) {
-		if !strings.HasPrefix(a.Fields["name"], slowName) {
+		if !strings.HasPrefix(a.Fields["name"], slowObjectPrefix) {
 			fakeserver.Done(a)
 			return
 		}
@@ -73,7 +73,7 @@
 			enc := rpc.NewEncoder(c)
 			for id := uint32(1); id <= uint32(spec.Ask); id++ {
 				_ = enc.Request(&rpc.Request{ID: id, Class: "films", Txn: fmt.Sprintf("%08x%08x", 0x510b0000+i, id),
-					Limit: 5 * time.Second, Object: fmt.Sprintf("%s%08x", slowName, i%8), Part: int(id) % 4, Group: 3})
+					Limit: 5 * time.Second, Object: fmt.Sprintf("%s%08x", slowObjectPrefix, i%8), Part: int(id) % 4, Group: 3})
 			}
 			tick := time.NewTicker(100 * time.Millisecond)
 			defer tick.Stop()
--- a/lab/localitysim/directed_build.go
+++ b/lab/localitysim/directed_build.go
@@ -14,16 +14,16 @@
 )
 
 // settings are those of the gateways of a zone.
-func (d *directed) settings(home, hubs int) routing.Settings {
-	s := routing.Settings{Directors: 0, Zone: d.sc.Zones[home].Name, Kinds: []string{"box", "parent", "origin"}, ParentKind: 1, OriginKind: 2,
+func (d *directorSim) settings(home, hubs int) routing.Settings {
+	s := routing.Settings{Directors: 0, Zone: d.scene.Zones[home].Name, Kinds: []string{"box", "parent", "origin"}, ParentKind: 1, OriginKind: 2,
 		AllowCoalescing: true, AllowBypass: true, Siblings: routing.SiblingsInLocation, AnswerDetail: routing.DetailHit, LoadReportFields: []string{"busy_reqs", "x1", "x0"},
 		CanCancel: true, HedgedRequests: true, SendRetryAfter: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: 8, ClockStep: time.Millisecond,
-		DrainGrace: 2 * time.Second, SlowStartInitialShare: coldFrom, SlowStartDuration: coldFor, OverloadMultiple: tip, OverloadWindow: tipFor,
+		DrainGrace: 2 * time.Second, SlowStartInitialShare: coldFrom, SlowStartDuration: warmUpTime, OverloadMultiple: tip, OverloadWindow: overloadWindow,
 		ParentSlowStartInitialShare: 0.083, ParentSlowStartDuration: 22 * time.Second, ParentOverloadMultiple: 2, PurgeGrace: time.Second, PurgeSettleTime: 6 * time.Second}
 	for h := range hubs {
 		s.Zones, s.ZoneHub, s.ZoneDirectors = append(s.Zones, "hub"+strconv.Itoa(h)), append(s.ZoneHub, h), append(s.ZoneDirectors, 0)
 	}
-	for _, z := range d.sc.Zones {
+	for _, z := range d.scene.Zones {
 		s.Zones, s.ZoneHub, s.ZoneDirectors = append(s.Zones, z.Name), append(s.ZoneHub, z.Hub), append(s.ZoneDirectors, z.Gateways)
 		s.Directors += z.Gateways
 	}
@@ -37,22 +37,22 @@
 	return s
 }
 
-func (d *directed) add(kind string, zone, hub int, rate float64, cold bool) *server {
-	d.serial++
-	s := &server{id: fmt.Sprintf("%s%03d", kind, d.serial), kind: kind, zone: zone, hub: hub, cost: time.Duration(float64(time.Second) / rate),
-		began: -time.Hour, coldFrom: coldFrom, tip: tip, out: map[*attempt]bool{}}
+func (d *directorSim) addServer(kind string, zone, hub int, rate float64, cold bool) *server {
+	d.lastServer++
+	s := &server{id: fmt.Sprintf("%s%03d", kind, d.lastServer), kind: kind, zone: zone, hub: hub, cost: time.Duration(float64(time.Second) / rate),
+		startedAt: -time.Hour, coldCapacityShare: coldFrom, overloadFactor: tip, attempts: map[*attempt]bool{}}
 	if kind == "box" {
-		s.held = make([]bool, d.sc.Objects)
+		s.cached = make([]bool, d.scene.Objects)
 	}
 	if cold {
-		s.began = d.clock.Now
+		s.startedAt = d.clock.Now
 	}
 	d.servers[s.id] = s
 	return s
 }
 
-func (d *directed) build() error {
-	sc := &d.sc
+func (d *directorSim) build() error {
+	sc := &d.scene
 	hubs, whole := 0, 0.0
 	for _, z := range sc.Zones {
 		hubs = max(hubs, z.Hub+1)
@@ -68,7 +68,7 @@
 		d.bands[0] = append(d.bands[0], order.Band(c.Name, false))
 		d.bands[1] = append(d.bands[1], order.Band(c.Name, true))
 	}
-	d.origin = d.add("origin", -1, 0, sc.Origin*0.1*whole, false)
+	d.origin = d.addServer("origin", -1, 0, sc.Origin*0.1*whole, false)
 	d.parents = make([][]*server, hubs)
 	for h := range hubs {
 		rate := 0.0
@@ -77,106 +77,106 @@
 				rate += sc.Parent * 0.1 * float64(z.Boxes) * sc.BoxRate
 			}
 		}
-		d.parents[h] = []*server{d.add("parent", -1, h, rate/2, false), d.add("parent", -1, h, rate/2, false)}
+		d.parents[h] = []*server{d.addServer("parent", -1, h, rate/2, false), d.addServer("parent", -1, h, rate/2, false)}
 	}
 	for i, z := range sc.Zones {
-		d.boxes = append(d.boxes, nil)
-		d.grow(i, false)
-		for _, b := range d.boxes[i] {
-			for o := range b.held {
-				b.held[o] = o < sc.Objects/2
+		d.caches = append(d.caches, nil)
+		d.replaceCaches(i, false)
+		for _, b := range d.caches[i] {
+			for o := range b.cached {
+				b.cached[o] = o < sc.Objects/2
 			}
 		}
 		d.gaps = append(d.gaps, time.Duration(float64(time.Second)/(float64(z.Boxes)*sc.BoxRate*z.Load+1e-9)*float64(z.Gateways)))
 	}
-	all := d.listing()
+	all := d.endpointList()
 	for home, z := range sc.Zones {
 		for range z.Gateways {
-			if err := d.gateway(home, hubs, order.Bands(), all); err != nil {
+			if err := d.addGateway(home, hubs, order.Bands(), all); err != nil {
 				return err
 			}
 		}
 	}
 	for _, f := range sc.Faults {
-		d.clock.At(f.At, func() { d.fault(f, true) })
-		d.clock.At(f.Till, func() { d.fault(f, false) })
+		d.clock.At(f.At, func() { d.applyFault(f, true) })
+		d.clock.At(f.Till, func() { d.applyFault(f, false) })
 	}
 	return nil
 }
 
 // grow makes the boxes of a zone anew.
-func (d *directed) grow(zone int, cold bool) {
-	d.boxes[zone] = nil
-	for range d.sc.Zones[zone].Boxes {
-		d.boxes[zone] = append(d.boxes[zone], d.add("box", zone, d.sc.Zones[zone].Hub, d.sc.BoxRate, cold))
+func (d *directorSim) replaceCaches(zone int, cold bool) {
+	d.caches[zone] = nil
+	for range d.scene.Zones[zone].Boxes {
+		d.caches[zone] = append(d.caches[zone], d.addServer("box", zone, d.scene.Zones[zone].Hub, d.scene.BoxRate, cold))
 	}
 }
 
-func (d *directed) member(s *server, phase routing.Phase) routing.Endpoint {
+func (d *directorSim) endpoint(s *server, phase routing.Phase) routing.Endpoint {
 	m := routing.Endpoint{ID: s.id, Kind: s.kind, Phase: phase, Weight: 1, Zone: "hub" + strconv.Itoa(s.hub)}
 	if s.zone >= 0 {
-		m.Zone = d.sc.Zones[s.zone].Name
+		m.Zone = d.scene.Zones[s.zone].Name
 	}
-	if s.began > 0 {
-		m.Incarnation = s.began
+	if s.startedAt > 0 {
+		m.Incarnation = s.startedAt
 	}
 	return m
 }
 
 // listing is the whole list.
-func (d *directed) listing() (all []routing.Endpoint) {
+func (d *directorSim) endpointList() (all []routing.Endpoint) {
 	for _, s := range d.servers {
-		if !s.gone || s.kind != "box" {
-			all = append(all, d.member(s, routing.Up))
+		if !s.down || s.kind != "box" {
+			all = append(all, d.endpoint(s, routing.Up))
 		}
 	}
 	slices.SortFunc(all, func(a, b routing.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	return all
 }
 
-func (d *directed) gateway(home, hubs, bands int, list []routing.Endpoint) error {
+func (d *directorSim) addGateway(home, hubs, bands int, list []routing.Endpoint) error {
 	set := d.settings(home, hubs)
 	set.Index = len(d.gateways)
-	g := &dgateway{set: set, me: len(d.gateways), home: home, zones: []int{home}, reqs: map[string]*request{}, classes: set.Classes}
-	places := []locality.Locality{{Name: d.sc.Zones[home].Name, Weight: float64(d.sc.Zones[home].Boxes)}}
-	if d.sc.Policy == Tiered {
+	g := &directorGateway{settings: set, index: len(d.gateways), home: home, zones: []int{home}, requests: map[string]*request{}, classes: set.Classes}
+	places := []locality.Locality{{Name: d.scene.Zones[home].Name, Weight: float64(d.scene.Zones[home].Boxes)}}
+	if d.scene.Policy == Tiered {
 		for level := 1; level <= 2; level++ {
-			for k, o := range d.sc.Zones {
-				if k != home && (o.Hub != d.sc.Zones[home].Hub) == (level == 2) {
+			for k, o := range d.scene.Zones {
+				if k != home && (o.Hub != d.scene.Zones[home].Hub) == (level == 2) {
 					places, g.zones = append(places, locality.Locality{Name: o.Name, Level: level, Weight: float64(o.Boxes)}), append(g.zones, k)
 				}
 			}
 		}
-		cfg := d.sc.Tiers
-		cfg.Localities, cfg.Bands, cfg.Seed = places, bands, d.sc.Seed*1_000_003+uint64(len(d.gateways))
+		cfg := d.scene.Tiers
+		cfg.Localities, cfg.Bands, cfg.Seed = places, bands, d.scene.Seed*1_000_003+uint64(len(d.gateways))
 		var err error
-		if g.t, err = locality.New(cfg); err != nil {
+		if g.selector, err = locality.New(cfg); err != nil {
 			return fmt.Errorf("scene: %w", err)
 		}
-		g.roster = locality.NewEndpointIndex(set, places)
-		d.res.Gateways = append(d.res.Gateways, g.t)
+		g.endpointIndex = locality.NewEndpointIndex(set, places)
+		d.res.Gateways = append(d.res.Gateways, g.selector)
 		var tick func()
 		tick = func() {
-			g.t.Tick(d.clock.Now)
+			g.selector.Tick(d.clock.Now)
 			d.clock.At(d.clock.Now+locality.DefaultTick, tick)
 		}
 		d.clock.At(time.Duration(d.rng.Float64()*float64(locality.DefaultTick)), tick)
 	}
-	g.places = places
-	if err := d.begin(g, list); err != nil {
+	g.localities = places
+	if err := d.startDirectors(g, list); err != nil {
 		return err
 	}
 	d.gateways = append(d.gateways, g)
-	if d.sc.Neighbours {
-		d.share(g)
+	if d.scene.Neighbours {
+		d.startSharing(g)
 	}
-	if d.sc.Memory {
+	if d.scene.Memory {
 		var keep func()
 		keep = func() {
 			if !g.down {
-				g.snap, g.made = nil, d.clock.Now
-				for _, dir := range g.ds {
-					g.snap = append(g.snap, dir.Export(d.clock.Now, 4096))
+				g.learned, g.learnedAt = nil, d.clock.Now
+				for _, dir := range g.directors {
+					g.learned = append(g.learned, dir.Export(d.clock.Now, 4096))
 				}
 			}
 			d.clock.At(d.clock.Now+warmstart.DefaultSaveInterval, keep)
@@ -185,7 +185,7 @@
 	}
 	var next func()
 	next = func() {
-		d.arrive(g)
+		d.handleArrival(g)
 		d.clock.At(d.clock.Now+time.Duration(d.rng.ExpFloat64()*float64(d.gaps[home])), next)
 	}
 	d.clock.At(time.Duration(d.rng.ExpFloat64()*float64(d.gaps[home])), next)
@@ -193,28 +193,28 @@
 }
 
 // begin makes a gateway's directors, and tells them of the list and of what was kept.
-func (d *directed) begin(g *dgateway, list []routing.Endpoint) error {
-	g.ds = nil
-	for i := range g.places {
-		s := g.set
-		if g.t != nil {
+func (d *directorSim) startDirectors(g *directorGateway, list []routing.Endpoint) error {
+	g.directors = nil
+	for i := range g.localities {
+		s := g.settings
+		if g.selector != nil {
 			var err error
-			if s, err = locality.DirectorSettings(g.set, g.places, i); err != nil {
+			if s, err = locality.DirectorSettings(g.settings, g.localities, i); err != nil {
 				return fmt.Errorf("scene: %w", err)
 			}
 		}
-		dir, err := routing.New(s, d.sc.Seed*7919+uint64(1_000_000*g.epoch+100*g.me+i))
+		dir, err := routing.New(s, d.scene.Seed*7919+uint64(1_000_000*g.incarnation+100*g.index+i))
 		if err != nil {
 			return fmt.Errorf("scene: %w", err)
 		}
-		g.ds = append(g.ds, dir)
+		g.directors = append(g.directors, dir)
 	}
-	d.tell(g, routing.EndpointUpdate{Kind: routing.StaleList, Endpoints: list})
-	for i, m := range g.snap {
-		g.ds[i].Import(d.clock.Now, m, warmstart.ConfidenceAt)
+	d.updateEndpoints(g, routing.EndpointUpdate{Kind: routing.StaleList, Endpoints: list})
+	for i, m := range g.learned {
+		g.directors[i].Import(d.clock.Now, m, warmstart.ConfidenceAt)
 	}
-	if d.sc.Neighbours {
-		return d.beginSharing(g)
+	if d.scene.Neighbours {
+		return d.newReplica(g)
 	}
 	return nil
 }
--- a/lab/localitysim/events.go
+++ b/lab/localitysim/events.go
@@ -9,19 +9,19 @@
 type eventKind uint8
 
 type event struct {
-	at     time.Duration
-	order  uint64
-	kind   eventKind
-	result locality.Result
-	hit    bool
-	moved  bool
-	gw     int32
-	zone   int32
-	class  int8
-	object int32
-	load   float32
-	due    time.Duration
-	id     uint64
+	at       time.Duration
+	order    uint64
+	kind     eventKind
+	result   locality.Result
+	hit      bool
+	rerouted bool
+	gateway  int32
+	zone     int32
+	class    int8
+	object   int32
+	load     float32
+	due      time.Duration
+	id       uint64
 }
 
 type events []event
@@ -44,9 +44,9 @@
 }
 
 const (
-	arrive eventKind = iota
-	ended
+	requestArrived eventKind = iota
+	attemptEnded
 	tick
-	listed
-	refused // a locality turned a request away, and its gateway hears of it
+	faultChanged
+	attemptRejected // a locality turned a request away, and its gateway hears of it
 )
--- a/lab/localitysim/localitysim.go
+++ b/lab/localitysim/localitysim.go
@@ -80,17 +80,17 @@
 
 // Figures of a box and of the network, as the deployment's settings give them.
 const (
-	coldFrom  = 0.15
-	coldFor   = 17 * time.Second
-	tip       = 2.5
-	tipFor    = 2 * time.Second
-	near      = 2 * time.Millisecond
-	farther   = 30 * time.Millisecond // to a zone of another hub
-	toParent  = 8 * time.Millisecond
-	toOrigin  = 40 * time.Millisecond
-	reportAge = 400 * time.Millisecond
-	queueMost = 1500 * time.Millisecond // of waiting work at a zone, before it refuses
-	parentGot = 0.6                     // share of fills that an upper cache has
+	coldFrom           = 0.15
+	warmUpTime         = 17 * time.Second
+	tip                = 2.5
+	overloadWindow     = 2 * time.Second
+	sameHubDelay       = 2 * time.Millisecond
+	otherHubDelay      = 30 * time.Millisecond // to a zone of another hub
+	parentFetchTime    = 8 * time.Millisecond
+	originFetchTime    = 40 * time.Millisecond
+	loadReportInterval = 400 * time.Millisecond
+	maxQueueDelay      = 1500 * time.Millisecond // of waiting work at a zone, before it refuses
+	parentHitRatio     = 0.6                     // share of fills that an upper cache has
 )
 
 // Second is what came of one second, in all and by zone.
@@ -120,14 +120,14 @@
 }
 
 type gateway struct {
-	t      *locality.Selector
-	places []int // zones, by its localities
-	place  []int // localities, by zone
-	home   int
+	selector   *locality.Selector
+	zones      []int // zones, by its localities
+	localityOf []int // localities, by zone
+	home       int
 }
 
-type scene struct {
-	sc       Scene
+type simulation struct {
+	scene    Scene
 	rng      *rand.Rand
 	zipf     *rand.Zipf
 	heap     events
@@ -136,8 +136,8 @@
 	zones    []*zone
 	gateways []*gateway
 	gaps     []time.Duration // mean gap between requests, by zone
-	hubs     []bucket
-	origin   bucket
+	hubs     []tokenBucket
+	origin   tokenBucket
 	mix      []load.Class
 	bands    []int
 	res      *Result
@@ -148,7 +148,7 @@
 	if err := sc.check(); err != nil {
 		return nil, err
 	}
-	s := &scene{sc: sc, rng: rand.New(rand.NewPCG(sc.Seed, 11)), mix: load.DeploymentMix()}
+	s := &simulation{scene: sc, rng: rand.New(rand.NewPCG(sc.Seed, 11)), mix: load.DeploymentMix()}
 	s.zipf = rand.NewZipf(s.rng, sc.Skew, 8, uint64(sc.Objects-1))
 	s.res = &Result{Classes: s.mix, Asked: make([]int, len(s.mix)), InAim: make([]int, len(s.mix)), Refused: make([]int, len(s.mix))}
 	for range int(sc.For/time.Second) + 1 {
@@ -165,109 +165,109 @@
 		}
 		s.now = e.at
 		s.res.Events++
-		s.step(e)
+		s.handle(e)
 	}
-	s.over()
+	s.computeExcessSpill()
 	return s.res, nil
 }
 
-func (s *scene) at(t time.Duration, e event) {
+func (s *simulation) schedule(t time.Duration, e event) {
 	s.order++
 	e.at, e.order = t, s.order
 	heap.Push(&s.heap, e)
 }
 
-func (s *scene) second() *Second { return &s.res.Seconds[int(s.now/time.Second)] }
+func (s *simulation) currentSecond() *Second { return &s.res.Seconds[int(s.now/time.Second)] }
 
-func (s *scene) step(e event) {
+func (s *simulation) handle(e event) {
 	switch e.kind {
-	case arrive:
-		s.arrive(e)
+	case requestArrived:
+		s.handleArrival(e)
 	case tick:
-		g := s.gateways[e.gw]
-		if s.sc.Policy == Tiered {
-			g.t.Tick(s.now)
+		g := s.gateways[e.gateway]
+		if s.scene.Policy == Tiered {
+			g.selector.Tick(s.now)
 		}
-		s.at(s.now+locality.DefaultTick, event{kind: tick, gw: e.gw})
-	case ended:
-		s.ended(e)
-	case refused:
-		s.refused(e)
-	case listed:
-		s.fault(e)
+		s.schedule(s.now+locality.DefaultTick, event{kind: tick, gateway: e.gateway})
+	case attemptEnded:
+		s.handleResult(e)
+	case attemptRejected:
+		s.handleRejection(e)
+	case faultChanged:
+		s.handleFault(e)
 	}
 }
 
 // fault begins or ends one, or has the list tell of it.
-func (s *scene) fault(e event) {
-	f := s.sc.Faults[e.zone]
+func (s *simulation) handleFault(e event) {
+	f := s.scene.Faults[e.zone]
 	z := s.zones[f.Zone]
-	if !e.moved { // the list tells
+	if !e.rerouted { // the list tells
 		up := z.Boxes
-		if z.fallen || z.faults[Dead] > 0 || z.faults[FalseRemoval] > 0 {
+		if z.crashed || z.faults[Dead] > 0 || z.faults[FalseRemoval] > 0 {
 			up = 0
 		}
 		for _, g := range s.gateways {
-			g.t.SetCachesUp(g.place[f.Zone], up)
+			g.selector.SetCachesUp(g.localityOf[f.Zone], up)
 		}
 		return
 	}
 	if e.hit {
 		z.faults[f.Kind]++
 		if f.Kind == Dead {
-			z.epoch++
+			z.outages++
 		}
 	} else {
 		z.faults[f.Kind]--
 		if f.Kind == Dead && z.faults[Dead] == 0 { // it comes back cold and empty
-			z.fallen, z.began, z.free, z.pressure, z.done = false, s.now, s.now, 0, 0
-			clear(z.held)
+			z.crashed, z.startedAt, z.busyUntil, z.recentRequests, z.workDone = false, s.now, s.now, 0, 0
+			clear(z.cached)
 		}
 	}
 	if f.Kind == Dead || f.Kind == FalseRemoval {
-		s.at(s.now+s.sc.List, event{kind: listed, zone: e.zone})
+		s.schedule(s.now+s.scene.List, event{kind: faultChanged, zone: e.zone})
 	}
 }
 
-func (s *scene) arrive(e event) {
-	g := s.gateways[e.gw]
-	s.at(s.now+time.Duration(s.rng.ExpFloat64()*float64(s.gaps[g.home])), event{kind: arrive, gw: e.gw})
+func (s *simulation) handleArrival(e event) {
+	g := s.gateways[e.gateway]
+	s.schedule(s.now+time.Duration(s.rng.ExpFloat64()*float64(s.gaps[g.home])), event{kind: requestArrived, gateway: e.gateway})
 	x, class := s.rng.Float64(), 0
 	for class < len(s.mix)-1 && x >= s.mix[class].Share {
 		x -= s.mix[class].Share
 		class++
 	}
 	e.class, e.object, e.due, e.id = int8(class), int32(s.zipf.Uint64()), s.now, s.rng.Uint64()
-	if s.now >= s.sc.Warm {
-		sec := s.second()
+	if s.now >= s.scene.Warm {
+		sec := s.currentSecond()
 		sec.Asked++
 		sec.WorthAsked += s.mix[class].Worth
 		sec.Own[g.home]++
 		s.res.Asked[class]++
 	}
 	if s.mix[class].Keyed { // it goes straight to the origin, which is elsewhere
-		if s.take(g.home) {
-			s.at(s.now+toOrigin, event{kind: ended, gw: e.gw, zone: -1, class: e.class, due: e.due, result: locality.ResultSuccess})
+		if s.fetchFromOrigin(g.home) {
+			s.schedule(s.now+originFetchTime, event{kind: attemptEnded, gateway: e.gateway, zone: -1, class: e.class, due: e.due, result: locality.ResultSuccess})
 		} else {
-			s.refuse(e)
+			s.reject(e)
 		}
 		return
 	}
 	where := g.home
-	switch s.sc.Policy {
+	switch s.scene.Policy {
 	case Tiered:
 		object := uint64(e.object+1) * 0x9e3779b97f4a7c15
 		object ^= object >> 29
 		object *= 0xbf58476d1ce4e5b9
-		n, _, ok := g.t.Pick(s.now, s.bands[class], object, e.id)
+		n, _, ok := g.selector.Pick(s.now, s.bands[class], object, e.id)
 		if !ok {
-			s.refuse(e)
+			s.reject(e)
 			return
 		}
-		where = g.places[n]
+		where = g.zones[n]
 	case Unbounded:
-		for _, k := range g.places {
-			if z := s.zones[k]; z.faults[Dead] == 0 && !z.fallen && z.faults[Errors] == 0 && z.faults[Silent] == 0 {
+		for _, k := range g.zones {
+			if z := s.zones[k]; z.faults[Dead] == 0 && !z.crashed && z.faults[Errors] == 0 && z.faults[Silent] == 0 {
 				where = k // it knows at once, which no real one does
 				break
 			}
@@ -277,20 +277,20 @@
 	s.send(e, where)
 }
 
-func (s *scene) ended(e event) {
-	g := s.gateways[e.gw]
+func (s *simulation) handleResult(e event) {
+	g := s.gateways[e.gateway]
 	if e.zone >= 0 {
 		told := e.result == locality.ResultSuccess || e.result == locality.ResultLate
 		report := -1.0
 		if told {
 			report = float64(e.load)
 		}
-		g.t.AttemptFinished(s.now, g.place[e.zone], e.result, e.hit, told, report)
+		g.selector.AttemptFinished(s.now, g.localityOf[e.zone], e.result, e.hit, told, report)
 	}
-	if e.due < s.sc.Warm {
+	if e.due < s.scene.Warm {
 		return
 	}
-	sec := s.second()
+	sec := s.currentSecond()
 	if e.zone >= 0 && (e.result == locality.ResultSuccess || e.result == locality.ResultLate) {
 		sec.Reads++
 		if e.hit {
@@ -299,8 +299,8 @@
 	}
 	took := s.now - e.due
 	switch {
-	case e.result == locality.ResultFailure && !e.moved && e.zone >= 0 && s.sc.Policy == Tiered && took < s.mix[e.class].Aim/2: // its director gave it up, and nothing is out
-		s.refused(e)
+	case e.result == locality.ResultFailure && !e.rerouted && e.zone >= 0 && s.scene.Policy == Tiered && took < s.mix[e.class].Aim/2: // its director gave it up, and nothing is out
+		s.handleRejection(e)
 	case e.result == locality.ResultFailure:
 		sec.Failed++
 	case took <= s.mix[e.class].Aim:
@@ -313,36 +313,36 @@
 }
 
 // refused moves a request to another zone, once, or ends it.
-func (s *scene) refused(e event) {
-	g := s.gateways[e.gw]
-	if e.kind == refused {
-		g.t.AttemptFinished(s.now, g.place[e.zone], locality.ResultRejected, false, false, float64(s.zones[e.zone].busy))
+func (s *simulation) handleRejection(e event) {
+	g := s.gateways[e.gateway]
+	if e.kind == attemptRejected {
+		g.selector.AttemptFinished(s.now, g.localityOf[e.zone], locality.ResultRejected, false, false, float64(s.zones[e.zone].utilization))
 	}
-	if s.sc.Policy == Tiered && !e.moved {
+	if s.scene.Policy == Tiered && !e.rerouted {
 		k := s.mix[e.class]
 		took := s.now - e.due
-		if n, ok := g.t.HandleRejection(s.now, locality.Rejection{From: g.place[e.zone], Idempotent: true, Elapsed: took, Remaining: k.Limit - took, LatencyObjective: k.Aim}); ok {
-			e.moved = true
-			s.send(e, g.places[n])
+		if n, ok := g.selector.HandleRejection(s.now, locality.Rejection{From: g.localityOf[e.zone], Idempotent: true, Elapsed: took, Remaining: k.Limit - took, LatencyObjective: k.Aim}); ok {
+			e.rerouted = true
+			s.send(e, g.zones[n])
 			return
 		}
 	}
-	s.refuse(e)
+	s.reject(e)
 }
 
-func (s *scene) refuse(e event) {
-	if e.due >= s.sc.Warm {
-		s.second().Refused++
+func (s *simulation) reject(e event) {
+	if e.due >= s.scene.Warm {
+		s.currentSecond().Refused++
 		s.res.Refused[e.class]++
 	}
 }
 
 // over finds by how much a zone's gateways spilled beyond their bounds.
-func (s *scene) over() {
-	if s.sc.Policy != Tiered {
+func (s *simulation) computeExcessSpill() {
+	if s.scene.Policy != Tiered {
 		return
 	}
-	bound := s.sc.Tiers.MaxSpillover
+	bound := s.scene.Tiers.MaxSpillover
 	if bound == 0 {
 		bound = locality.DefaultMaxSpillover
 	}
@@ -350,7 +350,7 @@
 		levels := map[int]bool{}
 		for k, o := range s.zones {
 			if k != home {
-				levels[btoi(o.Hub != z.Hub)] = true
+				levels[boolToInt(o.Hub != z.Hub)] = true
 			}
 		}
 		for _, sec := range s.res.Seconds {
@@ -361,7 +361,7 @@
 	}
 }
 
-func btoi(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/lab/localitysim/localitysim_test.go
+++ b/lab/localitysim/localitysim_test.go
@@ -17,13 +17,13 @@
 )
 
 // three zones of unequal size, two at one hub and one at another.
-func three(seed uint64, faults ...Fault) Scene {
+func threeZones(seed uint64, faults ...Fault) Scene {
 	return Scene{Zones: []Zone{{Name: "a", Hub: 0, Boxes: 5, Gateways: 3, Load: 0.55}, {Name: "b", Hub: 0, Boxes: 2, Gateways: 2, Load: 0.55},
 		{Name: "c", Hub: 1, Boxes: 7, Gateways: 4, Load: 0.55}},
 		BoxRate: 80, Objects: 4000, List: 3 * time.Second, Faults: faults, For: 60 * time.Second, Warm: 10 * time.Second, Policy: Tiered, Seed: seed}
 }
 
-func play(t testing.TB, sc Scene) *Result {
+func mustRun(t testing.TB, sc Scene) *Result {
 	r, err := Run(sc)
 	if err != nil {
 		t.Fatal(err)
@@ -33,17 +33,17 @@
 
 // A zone dies and returns cold: spill stays within its bound in every second, nothing falls, and service is back to what
 // it was within 30 s of the return.
-func TestAZoneDiesAndReturnsCold(t *testing.T) {
-	sc := three(1, Fault{0, Dead, 20 * time.Second, 30 * time.Second})
+func TestZoneOutageAndColdReturn(t *testing.T) {
+	sc := threeZones(1, Fault{0, Dead, 20 * time.Second, 30 * time.Second})
 	sc.For = 80 * time.Second
-	r := play(t, sc)
+	r := mustRun(t, sc)
 	before, during, after := r.ServedWorthShare(10*time.Second, 20*time.Second), r.ServedWorthShare(22*time.Second, 30*time.Second), r.ServedWorthShare(60*time.Second, 80*time.Second)
 	t.Logf("in aim %.3f before, %.3f while away, %.3f from 30 s after the return; over the bound by %.3f; falls %v", before, during, after, r.Over, r.Falls)
 	if after < 0.98*before {
 		t.Errorf("30 s after the return service is %.3f, and was %.3f", after, before)
 	}
 	sc.Policy = NoSpill
-	if plain := play(t, sc); during < plain.ServedWorthShare(22*time.Second, 30*time.Second)+0.05 {
+	if plain := mustRun(t, sc); during < plain.ServedWorthShare(22*time.Second, 30*time.Second)+0.05 {
 		t.Errorf("while the zone is away %.3f, without spill %.3f", during, plain.ServedWorthShare(22*time.Second, 30*time.Second))
 	}
 	if r.Over > 0.02 || len(r.Falls) > 0 {
@@ -53,8 +53,8 @@
 
 // The same with a director in each gateway for each locality, unchanged: one answer each, no box falls over, and service
 // comes back.
-func TestAZoneDiesUnderDirectors(t *testing.T) {
-	sc := three(2, Fault{0, Dead, 15 * time.Second, 22 * time.Second})
+func TestZoneOutageWithDirectors(t *testing.T) {
+	sc := threeZones(2, Fault{0, Dead, 15 * time.Second, 22 * time.Second})
 	sc.For, sc.Objects, sc.List = 45*time.Second, 1000, 2*time.Second
 	r, err := RunWithDirectors(sc)
 	if err != nil {
@@ -76,10 +76,10 @@
 }
 
 // Equal scenes and seeds give equal runs.
-func TestRunsAreEqual(t *testing.T) {
-	sc := three(3, Fault{2, Dead, 12 * time.Second, 15 * time.Second})
+func TestEqualScenesGiveEqualResults(t *testing.T) {
+	sc := threeZones(3, Fault{2, Dead, 12 * time.Second, 15 * time.Second})
 	sc.For = 20 * time.Second
-	a, b := play(t, sc), play(t, sc)
+	a, b := mustRun(t, sc), mustRun(t, sc)
 	a.Gateways, b.Gateways = nil, nil
 	if !reflect.DeepEqual(a, b) {
 		t.Error("two runs of a scene differ")
@@ -87,15 +87,15 @@
 }
 
 // A zone that returns and fails again after 5 s, for a minute, is given ever less of the load to lose.
-func TestFlapsLengthenTheWait(t *testing.T) {
+func TestFlappingZoneGetsLessLoad(t *testing.T) {
 	var faults []Fault
 	for k := range 6 {
 		at := time.Duration(20+10*k) * time.Second
 		faults = append(faults, Fault{0, Dead, at, at + 5*time.Second})
 	}
-	sc := three(4, faults...)
+	sc := threeZones(4, faults...)
 	sc.For = 90 * time.Second
-	r := play(t, sc)
+	r := mustRun(t, sc)
 	lost := func(from, to int) (n int) {
 		for _, s := range r.Seconds[from:to] {
 			n += s.Failed
@@ -111,9 +111,9 @@
 }
 
 // Two zones of three fail: the third does not follow, and what fits nowhere is refused, the least worth first.
-func TestTheThirdZoneDoesNotFollow(t *testing.T) {
-	sc := three(5, Fault{0, Silent, 20 * time.Second, 50 * time.Second}, Fault{2, Dead, 22 * time.Second, 50 * time.Second})
-	r := play(t, sc)
+func TestThirdZoneSurvivesTwoOutages(t *testing.T) {
+	sc := threeZones(5, Fault{0, Silent, 20 * time.Second, 50 * time.Second}, Fault{2, Dead, 22 * time.Second, 50 * time.Second})
+	r := mustRun(t, sc)
 	if r.Over > 0.02 || len(r.Falls) > 0 {
 		t.Errorf("over the bound by %.3f, falls: %v", r.Over, r.Falls)
 	}
@@ -129,11 +129,11 @@
 }
 
 // Unequal zones share what spills by what they have to spare: the small one is not flooded.
-func TestASmallZoneIsNotFlooded(t *testing.T) {
+func TestSmallZoneIsNotOverloadedBySpillover(t *testing.T) {
 	sc := Scene{Zones: []Zone{{Name: "big", Boxes: 7, Gateways: 4, Load: 0.6}, {Name: "small", Boxes: 2, Gateways: 2, Load: 0.6},
 		{Name: "mid", Boxes: 6, Gateways: 4, Load: 0.6}}, BoxRate: 80, Objects: 4000, List: 3 * time.Second, For: 60 * time.Second,
 		Warm: 10 * time.Second, Policy: Tiered, Seed: 6, Faults: []Fault{{0, Dead, 20 * time.Second, 58 * time.Second}}}
-	r := play(t, sc)
+	r := mustRun(t, sc)
 	most := 0
 	for _, s := range r.Seconds[20:58] {
 		most = max(most, s.At[1])
@@ -144,10 +144,10 @@
 }
 
 // No fault plot, however drawn, has a zone fall over by our doing, or spill go beyond its bound.
-func TestNoPlotBreaksABound(t *testing.T) {
+func TestRandomFaultsKeepBounds(t *testing.T) {
 	kinds := []FaultKind{Dead, Silent, Slow, Errors, Parents, Cut, FalseRemoval}
 	rapid.Check(t, func(t *rapid.T) {
-		sc := three(rapid.Uint64Range(1, 1<<30).Draw(t, "seed"))
+		sc := threeZones(rapid.Uint64Range(1, 1<<30).Draw(t, "seed"))
 		sc.For, sc.Warm = 45*time.Second, 5*time.Second
 		for range rapid.IntRange(1, 4).Draw(t, "faults") {
 			at := time.Duration(rapid.IntRange(6000, 30000).Draw(t, "at")) * time.Millisecond
@@ -165,7 +165,7 @@
 }
 
 // Bad scenes are named.
-func TestScenesAreChecked(t *testing.T) {
+func TestInvalidScenesAreRejected(t *testing.T) {
 	for name, spoil := range map[string]func(*Scene){
 		"no zones":     func(s *Scene) { s.Zones = nil },
 		"no boxes":     func(s *Scene) { s.Zones[1].Boxes = 0 },
@@ -174,7 +174,7 @@
 		"no policy":    func(s *Scene) { s.Policy = "" },
 		"tiers":        func(s *Scene) { s.Tiers = locality.Config{MaxSpillover: 2} },
 	} {
-		sc := three(1)
+		sc := threeZones(1)
 		spoil(&sc)
 		if _, err := Run(sc); err == nil {
 			t.Errorf("%s: it is played", name)
@@ -184,7 +184,7 @@
 
 // Over drawn histories of deploys and restarts, gateways that remember send cold boxes no more than a fifth of the fall
 // limit beyond what those send that remember nothing, and none falls over. LARCHUSHER_LONG=7 makes it 105 histories.
-func TestMemorySpendsNothingOnColdBoxes(t *testing.T) {
+func TestRestoredStateDoesNotOverloadColdCaches(t *testing.T) {
 	n := 15
 	if k, err := strconv.Atoi(os.Getenv("LARCHUSHER_LONG")); err == nil {
 		n *= k
@@ -218,7 +218,7 @@
 }
 
 // Scenes' files are read, and faults in them named.
-func TestSceneFiles(t *testing.T) {
+func TestParseSceneFiles(t *testing.T) {
 	for _, name := range []string{"dark", "twice", "small", "bounds"} {
 		f, err := Load("../scenarios/" + name + ".textproto")
 		if err != nil || len(f.Scene.Zones) < 3 || !f.Directed {
@@ -244,7 +244,7 @@
 }
 
 // A sweep plays each cell, whatever the number of cores, and writes its rows.
-func TestSweep(t *testing.T) {
+func TestSweepRunsEveryCell(t *testing.T) {
 	f, err := Parse([]byte(`zone { name: "a" boxes: 2 gateways: 1 } zone { name: "b" boxes: 2 gateways: 1 } for: "8s" warm: "2s" objects: 200 repeat: 0.5
 		fault { zone: "a" kind: "dead" at: "3s" till: "5s" } directed: true sweep { key: "load" value: 0.3 value: 0.6 } sweep { key: "bounds.spill" value: 0.1 value: 0.5 }`))
 	if err != nil {
--- a/lab/localitysim/scene_build.go
+++ b/lab/localitysim/scene_build.go
@@ -50,8 +50,8 @@
 	return nil
 }
 
-func (s *scene) build() error {
-	sc := &s.sc
+func (s *simulation) build() error {
+	sc := &s.scene
 	var classes []overload.Class
 	for _, c := range s.mix {
 		classes = append(classes, overload.Class{Name: c.Name, PriorityWeight: c.Worth})
@@ -65,15 +65,15 @@
 		hubs = max(hubs, z.Hub+1)
 		rate := float64(z.Boxes) * sc.BoxRate
 		whole += rate * z.Load
-		zz := &zone{Zone: z, cost: time.Duration(float64(time.Second) / rate), began: -time.Hour, held: make([]bool, sc.Objects), faults: map[FaultKind]int{}}
-		for i := range zz.held { // what is popular is there
-			zz.held[i] = i < sc.Objects/2
+		zz := &zone{Zone: z, workPerRequest: time.Duration(float64(time.Second) / rate), startedAt: -time.Hour, cached: make([]bool, sc.Objects), faults: map[FaultKind]int{}}
+		for i := range zz.cached { // what is popular is there
+			zz.cached[i] = i < sc.Objects/2
 		}
 		s.zones = append(s.zones, zz)
 		s.gaps = append(s.gaps, time.Duration(float64(time.Second)/(rate*z.Load+1e-9)*float64(z.Gateways)))
 	}
 	misses := 0.1 // of what is asked, while all is well, about
-	s.hubs = make([]bucket, hubs)
+	s.hubs = make([]tokenBucket, hubs)
 	for i := range s.hubs {
 		for _, z := range sc.Zones {
 			if z.Hub == i {
@@ -81,7 +81,7 @@
 			}
 		}
 	}
-	s.origin.rate = sc.Origin * misses * (1 - parentGot) * whole
+	s.origin.rate = sc.Origin * misses * (1 - parentHitRatio) * whole
 	for home, z := range sc.Zones {
 		for range z.Gateways {
 			if err := s.addGateway(home, order.Bands()); err != nil {
@@ -91,37 +91,37 @@
 	}
 	for i := range sc.Faults {
 		f := sc.Faults[i]
-		s.at(f.At, event{kind: listed, zone: int32(i), hit: true, moved: true})
-		s.at(f.Till, event{kind: listed, zone: int32(i), moved: true})
+		s.schedule(f.At, event{kind: faultChanged, zone: int32(i), hit: true, rerouted: true})
+		s.schedule(f.Till, event{kind: faultChanged, zone: int32(i), rerouted: true})
 	}
 	return nil
 }
 
 // addGateway adds a gateway of a zone, which prefers the zones of its own hub to others.
-func (s *scene) addGateway(home int, bands int) error {
-	sc := &s.sc
+func (s *simulation) addGateway(home int, bands int) error {
+	sc := &s.scene
 	z := sc.Zones[home]
-	g := &gateway{home: home, places: []int{home}, place: make([]int, len(sc.Zones))}
+	g := &gateway{home: home, zones: []int{home}, localityOf: make([]int, len(sc.Zones))}
 	cfg := sc.Tiers
 	cfg.Localities = []locality.Locality{{Name: z.Name, Weight: float64(z.Boxes)}}
 	for distance := range 2 {
 		for k, o := range sc.Zones {
 			if k != home && (o.Hub != z.Hub) == (distance == 1) {
 				cfg.Localities = append(cfg.Localities, locality.Locality{Name: o.Name, Level: 1 + distance, Weight: float64(o.Boxes)})
-				g.place[k] = len(g.places)
-				g.places = append(g.places, k)
+				g.localityOf[k] = len(g.zones)
+				g.zones = append(g.zones, k)
 			}
 		}
 	}
 	cfg.Bands, cfg.Seed = bands, sc.Seed*1_000_003+uint64(len(s.gateways))
 	var err error
-	if g.t, err = locality.New(cfg); err != nil {
+	if g.selector, err = locality.New(cfg); err != nil {
 		return fmt.Errorf("scene: %w", err)
 	}
-	s.res.Gateways = append(s.res.Gateways, g.t)
+	s.res.Gateways = append(s.res.Gateways, g.selector)
 	s.gateways = append(s.gateways, g)
 	id := int32(len(s.gateways) - 1)
-	s.at(time.Duration(s.rng.Float64()*float64(locality.DefaultTick)), event{kind: tick, gw: id})
-	s.at(time.Duration(s.rng.ExpFloat64()*float64(s.gaps[home])), event{kind: arrive, gw: id})
+	s.schedule(time.Duration(s.rng.Float64()*float64(locality.DefaultTick)), event{kind: tick, gateway: id})
+	s.schedule(time.Duration(s.rng.ExpFloat64()*float64(s.gaps[home])), event{kind: requestArrived, gateway: id})
 	return nil
 }
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -22,8 +22,8 @@
 	Repeat bool
 	Draw   uint64
 
-	item overload.Item
-	came time.Duration
+	item    overload.Item
+	arrived time.Duration
 }
 
 // Costs are what the processor spends.
@@ -65,32 +65,32 @@
 
 // run is a trace being played.
 type run struct {
-	trace  []Request
-	mix    []load.Class
-	costs  Costs
-	policy Policy
-	from   time.Duration // what is due before is not counted
-
-	now   time.Duration
-	tick  time.Duration // when the policy is ticked next
-	away  time.Duration // when the processor is away next
-	next  int           // of the trace
-	until time.Duration // nothing is read before, unless reading
+	trace     []Request
+	mix       []load.Class
+	costs     Costs
+	policy    Policy
+	countFrom time.Duration // what is due before is not counted
+
+	now         time.Duration
+	nextTick    time.Duration // when the policy is ticked next
+	nextAway    time.Duration // when the processor is away next
+	nextRequest int           // of the trace
+	readAfter   time.Duration // nothing is read before, unless reading
 	// reading says that what has come is read before anything is served.
 	reading bool
 
-	out        Outcome
-	asked, got []int // by class, and of those served in aim
-	took       []time.Duration
+	out             Outcome
+	requests, inAim []int // by class, and of those served in aim
+	latencies       []time.Duration
 }
 
 // Run plays a trace. What is due before `from` is not counted.
 func Run(trace []Request, mix []load.Class, c Costs, p Policy, from time.Duration) Outcome {
-	r := &run{trace: trace, mix: mix, costs: c, policy: p, from: from, tick: TickInterval, away: c.Every, reading: true,
-		asked: make([]int, len(mix)), got: make([]int, len(mix))}
+	r := &run{trace: trace, mix: mix, costs: c, policy: p, countFrom: from, nextTick: TickInterval, nextAway: c.Every, reading: true,
+		requests: make([]int, len(mix)), inAim: make([]int, len(mix))}
 	for {
-		r.pass()
-		if r.mayRead() {
+		r.advance()
+		if r.canRead() {
 			r.read()
 		} else if !r.serve() {
 			break
@@ -100,31 +100,31 @@
 }
 
 // pass has the processor be away, and the policy ticked, in their time.
-func (r *run) pass() {
-	if r.costs.Every > 0 && r.now >= r.away {
+func (r *run) advance() {
+	if r.costs.Every > 0 && r.now >= r.nextAway {
 		r.now += r.costs.Away
-		r.away += r.costs.Every
+		r.nextAway += r.costs.Every
 	}
-	for r.tick <= r.now {
-		r.policy.Tick(r.tick)
-		r.tick += TickInterval
+	for r.nextTick <= r.now {
+		r.policy.Tick(r.nextTick)
+		r.nextTick += TickInterval
 	}
 }
 
 // mayRead says whether a request has come, and is read now.
-func (r *run) mayRead() bool {
-	come := r.next < len(r.trace) && r.trace[r.next].Due <= r.now
-	return come && (r.reading || r.now >= r.until)
+func (r *run) canRead() bool {
+	come := r.nextRequest < len(r.trace) && r.trace[r.nextRequest].Due <= r.now
+	return come && (r.reading || r.now >= r.readAfter)
 }
 
 // read reads one request, which the policy takes or sheds.
 func (r *run) read() {
 	r.reading = true
-	q := &r.trace[r.next]
-	r.next++
-	q.came = r.now
-	if q.Due >= r.from {
-		r.asked[q.Class]++
+	q := &r.trace[r.nextRequest]
+	r.nextRequest++
+	q.arrived = r.now
+	if q.Due >= r.countFrom {
+		r.requests[q.Class]++
 	}
 	if r.policy.Arrive(r.now, q) {
 		r.now += r.costs.Read
@@ -137,27 +137,27 @@
 // serve serves one request, or waits for the next one to come; false: there is none any more.
 func (r *run) serve() bool {
 	if r.reading {
-		r.reading, r.until = false, r.now+r.costs.Burst
+		r.reading, r.readAfter = false, r.now+r.costs.Burst
 	}
 	q, dropped := r.policy.Next(r.now)
 	r.out.Dropped += dropped
 	r.now += time.Duration(dropped) * r.costs.Drop
 	if q == nil {
-		if r.next >= len(r.trace) {
+		if r.nextRequest >= len(r.trace) {
 			return false
 		}
 		r.reading = true
-		r.now = max(r.now, min(r.trace[r.next].Due, r.tick))
+		r.now = max(r.now, min(r.trace[r.nextRequest].Due, r.nextTick))
 		return true
 	}
-	waited := r.now - q.came
+	waited := r.now - q.arrived
 	r.now += r.costs.Serve - r.costs.Read
-	r.policy.Done(r.now, q, waited, r.now-q.came)
+	r.policy.Done(r.now, q, waited, r.now-q.arrived)
 	r.out.Served++
-	if q.Due >= r.from {
-		r.took = append(r.took, r.now-q.Due)
+	if q.Due >= r.countFrom {
+		r.latencies = append(r.latencies, r.now-q.Due)
 		if r.now-q.Due <= r.mix[q.Class].Aim {
-			r.got[q.Class]++
+			r.inAim[q.Class]++
 		}
 	}
 	return true
@@ -166,15 +166,15 @@
 // outcome sums up.
 func (r *run) outcome() Outcome {
 	out := r.out
-	seconds := (r.trace[len(r.trace)-1].Due - r.from).Seconds()
+	seconds := (r.trace[len(r.trace)-1].Due - r.countFrom).Seconds()
 	for k, class := range r.mix {
-		out.Offered += float64(r.asked[k]) * class.Worth / seconds
-		out.Worth += float64(r.got[k]) * class.Worth / seconds
-		out.InAim = append(out.InAim, float64(r.got[k])/float64(max(1, r.asked[k])))
+		out.Offered += float64(r.requests[k]) * class.Worth / seconds
+		out.Worth += float64(r.inAim[k]) * class.Worth / seconds
+		out.InAim = append(out.InAim, float64(r.inAim[k])/float64(max(1, r.requests[k])))
 	}
-	if len(r.took) > 0 {
-		slices.Sort(r.took)
-		out.P99 = r.took[len(r.took)*99/100]
+	if len(r.latencies) > 0 {
+		slices.Sort(r.latencies)
+		out.P99 = r.latencies[len(r.latencies)*99/100]
 	}
 	return out
 }
--- a/lab/model/policies.go
+++ b/lab/model/policies.go
@@ -10,19 +10,19 @@
 
 // Policies are all that are compared, by name, in the order in which they are shown. Ours is the last.
 func Policies(mix []load.Class) (names []string, build map[string]func() Policy) {
-	order := overload.NewOrder(classes(mix), false)
+	order := overload.NewOrder(overloadClasses(mix), false)
 	build = map[string]func() Policy{
 		"none":      func() Policy { return &fifo{} },
 		"codel":     func() Policy { return &codel{} },
 		"gradient":  func() Policy { return &gradient{limit: 20} },
 		"dagor":     func() Policy { return newDagor(order, mix) },
-		"time only": func() Policy { return newOurs(mix, false) },
-		"ours":      func() Policy { return newOurs(mix, true) },
+		"time only": func() Policy { return newGatewayPolicy(mix, false) },
+		"ours":      func() Policy { return newGatewayPolicy(mix, true) },
 	}
 	return []string{"none", "codel", "gradient", "dagor", "time only", "ours"}, build
 }
 
-func classes(mix []load.Class) (all []overload.Class) {
+func overloadClasses(mix []load.Class) (all []overload.Class) {
 	for _, c := range mix {
 		all = append(all, overload.Class{Name: c.Name, PriorityWeight: c.Worth})
 	}
@@ -53,10 +53,10 @@
 // codel drops from the head of a fifo by the law of RFC 8289, with its target and interval.
 type codel struct {
 	fifo
-	above    time.Duration // when the sojourn time will have been above the target for an interval; 0: it is below
-	dropping bool
-	next     time.Duration
-	count    int
+	dropAfter time.Duration // when the sojourn time will have been above the target for an interval; 0: it is below
+	dropping  bool
+	nextDrop  time.Duration
+	drops     int
 }
 
 const (
@@ -65,48 +65,48 @@
 )
 
 func (c *codel) Next(now time.Duration) (*Request, int) {
-	r, ok := c.look(now)
+	r, ok := c.takeHead(now)
 	dropped := 0
 	if c.dropping {
 		if !ok {
 			c.dropping = false
 		}
-		for c.dropping && now >= c.next {
+		for c.dropping && now >= c.nextDrop {
 			dropped++
-			c.count++
-			if r, ok = c.look(now); !ok {
+			c.drops++
+			if r, ok = c.takeHead(now); !ok {
 				c.dropping = false
 			} else {
-				c.next += c.law()
+				c.nextDrop += c.dropInterval()
 			}
 		}
 	} else if ok {
 		dropped++
-		r, _ = c.look(now)
+		r, _ = c.takeHead(now)
 		c.dropping = true
-		if now-c.next < 16*codelInterval && c.count > 2 {
-			c.count -= 2
+		if now-c.nextDrop < 16*codelInterval && c.drops > 2 {
+			c.drops -= 2
 		} else {
-			c.count = 1
+			c.drops = 1
 		}
-		c.next = now + c.law()
+		c.nextDrop = now + c.dropInterval()
 	}
 	return r, dropped
 }
 
-func (c *codel) law() time.Duration {
-	return time.Duration(float64(codelInterval) / math.Sqrt(float64(c.count)))
+func (c *codel) dropInterval() time.Duration {
+	return time.Duration(float64(codelInterval) / math.Sqrt(float64(c.drops)))
 }
 
 // look takes the head, and says whether it may be dropped.
-func (c *codel) look(now time.Duration) (*Request, bool) {
+func (c *codel) takeHead(now time.Duration) (*Request, bool) {
 	r := c.pop()
 	switch {
-	case r == nil || now-r.came < codelTarget:
-		c.above = 0
-	case c.above == 0:
-		c.above = now + codelInterval
-	case now >= c.above:
+	case r == nil || now-r.arrived < codelTarget:
+		c.dropAfter = 0
+	case c.dropAfter == 0:
+		c.dropAfter = now + codelInterval
+	case now >= c.dropAfter:
 		return r, true
 	}
 	return r, false
@@ -117,21 +117,21 @@
 type gradient struct {
 	fifo
 	limit    float64
-	inside   int
+	inFlight int
 	best     time.Duration
 	smoothed float64
 }
 
 func (g *gradient) Arrive(now time.Duration, r *Request) bool {
-	if float64(g.inside) >= g.limit {
+	if float64(g.inFlight) >= g.limit {
 		return false
 	}
-	g.inside++
+	g.inFlight++
 	return g.fifo.Arrive(now, r)
 }
 
 func (g *gradient) Done(_ time.Duration, _ *Request, _, took time.Duration) {
-	g.inside--
+	g.inFlight--
 	if g.best == 0 || took < g.best {
 		g.best = took
 	}
@@ -151,39 +151,39 @@
 	fifo
 	order     *overload.Order
 	mix       []load.Class
-	level     int // requests of a level up to this come in
+	maxLevel  int // requests of a level up to this come in
 	counts    []int
 	admitted  int
-	all       int
-	waits     time.Duration
+	arrivals  int
+	totalWait time.Duration
 	served    int
 	windowEnd time.Duration
 }
 
-const dagorUsers = 128
+const dagorLevelsPerBand = 128
 
 func newDagor(o *overload.Order, mix []load.Class) *dagor {
-	n := o.Bands() * dagorUsers
-	return &dagor{order: o, mix: mix, level: n, counts: make([]int, n)}
+	n := o.Bands() * dagorLevelsPerBand
+	return &dagor{order: o, mix: mix, maxLevel: n, counts: make([]int, n)}
 }
 
 func (d *dagor) Arrive(now time.Duration, r *Request) bool {
-	l := d.order.Band(d.mix[r.Class].Name, r.Repeat)*dagorUsers + int(r.Draw%dagorUsers)
+	l := d.order.Band(d.mix[r.Class].Name, r.Repeat)*dagorLevelsPerBand + int(r.Draw%dagorLevelsPerBand)
 	d.counts[l]++
-	d.all++
-	in := l <= d.level
+	d.arrivals++
+	in := l <= d.maxLevel
 	if in {
 		d.admitted++
 		d.fifo.Arrive(now, r)
 	}
-	if d.all >= 2000 {
+	if d.arrivals >= 2000 {
 		d.adjust(now)
 	}
 	return in
 }
 
 func (d *dagor) Done(_ time.Duration, _ *Request, waited, _ time.Duration) {
-	d.waits += waited
+	d.totalWait += waited
 	d.served++
 }
 
@@ -196,48 +196,48 @@
 func (d *dagor) adjust(now time.Duration) {
 	d.windowEnd = now + time.Second
 	sum := 0
-	for l := 0; l <= min(d.level, len(d.counts)-1); l++ {
+	for l := 0; l <= min(d.maxLevel, len(d.counts)-1); l++ {
 		sum += d.counts[l]
 	}
-	if d.served > 0 && d.waits/time.Duration(d.served) > 20*time.Millisecond {
-		for want := float64(d.admitted) * 0.95; d.level > 0 && float64(sum) > want; d.level-- {
-			if d.level < len(d.counts) {
-				sum -= d.counts[d.level]
+	if d.served > 0 && d.totalWait/time.Duration(d.served) > 20*time.Millisecond {
+		for want := float64(d.admitted) * 0.95; d.maxLevel > 0 && float64(sum) > want; d.maxLevel-- {
+			if d.maxLevel < len(d.counts) {
+				sum -= d.counts[d.maxLevel]
 			}
 		}
 	} else {
-		for want := float64(d.admitted) + 0.01*float64(d.all); d.level < len(d.counts) && float64(sum) < want; d.level++ {
-			sum += d.counts[min(d.level+1, len(d.counts)-1)]
+		for want := float64(d.admitted) + 0.01*float64(d.arrivals); d.maxLevel < len(d.counts) && float64(sum) < want; d.maxLevel++ {
+			sum += d.counts[min(d.maxLevel+1, len(d.counts)-1)]
 		}
 	}
 	clear(d.counts)
-	d.admitted, d.all, d.waits, d.served = 0, 0, 0, 0
+	d.admitted, d.arrivals, d.totalWait, d.served = 0, 0, 0, 0
 }
 
 // ours is package overload, as the gateway uses it; without its door only the queue's bound in time is left.
-type ours struct {
-	mix    []load.Class
-	order  *overload.Order
-	queue  *overload.Queue
-	door   *overload.AdmissionController
-	ctl    *overload.Controller
-	closes bool
-	s      overload.Sample
+type gatewayPolicy struct {
+	mix        []load.Class
+	order      *overload.Order
+	queue      *overload.Queue
+	admission  *overload.AdmissionController
+	controller *overload.Controller
+	shedsLoad  bool
+	sample     overload.Sample
 }
 
-func newOurs(mix []load.Class, closes bool) Policy {
-	order := overload.NewOrder(classes(mix), false)
-	ctl, err := overload.NewController(overload.Config{Classes: classes(mix)}, order)
+func newGatewayPolicy(mix []load.Class, closes bool) Policy {
+	order := overload.NewOrder(overloadClasses(mix), false)
+	ctl, err := overload.NewController(overload.Config{Classes: overloadClasses(mix)}, order)
 	if err != nil {
 		panic(err) // the mixes of package load are right
 	}
-	return &ours{mix: mix, order: order, ctl: ctl, queue: overload.NewQueue(order.Bands(), 1, overload.DefaultMaxWait),
-		door: overload.NewAdmissionController(order.Bands(), 1), closes: closes}
+	return &gatewayPolicy{mix: mix, order: order, controller: ctl, queue: overload.NewQueue(order.Bands(), 1, overload.DefaultMaxWait),
+		admission: overload.NewAdmissionController(order.Bands(), 1), shedsLoad: closes}
 }
 
-func (o *ours) Arrive(now time.Duration, r *Request) bool {
+func (o *gatewayPolicy) Arrive(now time.Duration, r *Request) bool {
 	band := o.order.Band(o.mix[r.Class].Name, r.Repeat)
-	if _, ok := o.door.Admit(0, band, r.Draw); !ok {
+	if _, ok := o.admission.Admit(0, band, r.Draw); !ok {
 		return false
 	}
 	r.item = overload.Item{Value: r}
@@ -245,26 +245,26 @@
 	return true
 }
 
-func (o *ours) Next(now time.Duration) (r *Request, dropped int) {
+func (o *gatewayPolicy) Next(now time.Duration) (r *Request, dropped int) {
 	for i := o.queue.PopExpired(now); i != nil; i = o.queue.PopExpired(now) {
 		dropped++
-		o.s.ExpiredCost++
+		o.sample.ExpiredCost++
 	}
 	i := o.queue.Pop()
 	if i == nil {
 		return nil, dropped
 	}
-	o.s.StartedCost++
-	o.s.LongestWait = max(o.s.LongestWait, o.queue.Waited(i, now))
+	o.sample.StartedCost++
+	o.sample.LongestWait = max(o.sample.LongestWait, o.queue.Waited(i, now))
 	return i.Value.(*Request), dropped
 }
 
-func (o *ours) Done(time.Duration, *Request, time.Duration, time.Duration) {}
+func (o *gatewayPolicy) Done(time.Duration, *Request, time.Duration, time.Duration) {}
 
-func (o *ours) Tick(now time.Duration) {
-	o.s.LongestWait, o.s.Queued = max(o.s.LongestWait, o.queue.LongestWait(now)), o.queue.Queued()
-	if v := o.ctl.Tick(o.s, o.door); o.closes {
-		o.door.SetPolicy(v)
+func (o *gatewayPolicy) Tick(now time.Duration) {
+	o.sample.LongestWait, o.sample.Queued = max(o.sample.LongestWait, o.queue.LongestWait(now)), o.queue.Queued()
+	if v := o.controller.Tick(o.sample, o.admission); o.shedsLoad {
+		o.admission.SetPolicy(v)
 	}
-	o.s = overload.Sample{}
+	o.sample = overload.Sample{}
 }
--- a/lab/virtualclock/virtualclock.go
+++ b/lab/virtualclock/virtualclock.go
@@ -11,42 +11,42 @@
 type Clock struct {
 	Now      time.Duration
 	Executed int // functions that ran
-	queue    queue
-	order    uint64
+	queue    timerHeap
+	lastSeq  uint64
 }
 
-type due struct {
-	at    time.Duration
-	order uint64
-	run   func()
+type timer struct {
+	at  time.Duration
+	seq uint64
+	run func()
 }
 
-type queue []due
+type timerHeap []timer
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+func (q timerHeap) Len() int { return len(q) }
+func (q timerHeap) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(due)) }
-func (q *queue) Pop() any {
+func (q timerHeap) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *timerHeap) Push(x any)   { *q = append(*q, x.(timer)) }
+func (q *timerHeap) Pop() any {
 	old := *q
 	d := old[len(old)-1]
-	old[len(old)-1] = due{}
+	old[len(old)-1] = timer{}
 	*q = old[:len(old)-1]
 	return d
 }
 
 // At has f run at a time, or now if that has passed.
 func (c *Clock) At(t time.Duration, f func()) {
-	c.order++
-	heap.Push(&c.queue, due{max(t, c.Now), c.order, f})
+	c.lastSeq++
+	heap.Push(&c.queue, timer{max(t, c.Now), c.lastSeq, f})
 }
 
 // Run runs all that is due before a time, and what that puts there.
 func (c *Clock) Run(until time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].at < until { // what is due later stays for the next call
-		d := heap.Pop(&c.queue).(due)
+		d := heap.Pop(&c.queue).(timer)
 		c.Now = d.at
 		c.Executed++
 		d.run()
