--- a/lab/load/one.go
+++ b/lab/load/one.go
@@ -8,7 +8,9 @@
 	"larchusher/lab/loopback"
 )
 
-// One asks for one part, and words the answer.
+// RequestPart requests one part of an object from the gateway at addr and returns a one-line description of the
+// answer. It gives up after 10 s. The error is that of the connection or of reading the answer; a rejection or a failure
+// reported by the gateway is part of the description.
 func RequestPart(addr, class, object string, part int) (string, error) {
 	c, err := loopback.Dial(addr)
 	if err != nil {
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -17,49 +17,49 @@
 	"larchusher/lab/loopback"
 )
 
-// Outcome is how a request ended for its client.
+// Outcome is the result of a request as its client sees it, after all attempts.
 type Outcome int8
 
-// The outcomes of a request.
+// Outcomes of a request.
 const (
 	Served         Outcome = iota
-	Rejected               // Backoff, on its last try
-	Failed                 // another error
-	TimedOut               // no answer before the client gave up
-	ConnectionLost         // the connection ended
-	Unsent                 // no connection had room: the client waited for longer than its limit
+	Rejected               // the last attempt was answered with rpc.Backoff
+	Failed                 // the last attempt was answered with another error
+	TimedOut               // no answer until 50 ms after the class's Limit; the client cancelled
+	ConnectionLost         // the connection ended while the request was open on it
+	Unsent                 // all connections had Spec.Open requests open until the class's Limit had passed
 )
 
 var outcomes = [...]string{"served", "refused", "failed", "silent", "cut", "unsent"}
 
 func (o Outcome) String() string { return outcomes[o] }
 
-// Row is what befell one request, all its tries together.
+// Row records one request with all its attempts. Times are in microseconds unless the name ends in Ms.
 type Row struct {
-	DueUs   int64  `parquet:"due_us"` // since the run began
-	TookUs  int64  `parquet:"took_us"`
+	DueUs   int64  `parquet:"due_us"`  // scheduled time of the first attempt, since the start of the run
+	TookUs  int64  `parquet:"took_us"` // from DueUs until the final outcome
 	Class   string `parquet:"class,dict"`
 	Outcome string `parquet:"outcome,dict"`
 	Tries   int32  `parquet:"tries"`
-	Marked  bool   `parquet:"marked"` // its first try was marked as a repeat
-	Bytes   int32  `parquet:"bytes"`
-	LaterMs int32  `parquet:"later_ms"`
-	LagUs   int64  `parquet:"lag_us"` // by which the load tool itself was late with the first try
+	Marked  bool   `parquet:"marked"`   // its first attempt carried the retry flag
+	Bytes   int32  `parquet:"bytes"`    // body size of the final answer
+	LaterMs int32  `parquet:"later_ms"` // Retry-After of the final answer, milliseconds
+	LagUs   int64  `parquet:"lag_us"`   // delay of the first attempt caused by the load generator itself
 
 	class   int8
 	outcome Outcome
 }
 
-// FirstObject is the number of the first object of a load whose Spec.First is 0.
+// FirstObject is the number of the first requested object when Spec.First is 0.
 const FirstObject = 0xa11ce000
 
-// job is one request on its way.
+// request is a request that has no final outcome yet.
 type request struct {
 	class      int8
 	tries      int8
 	marked     bool
-	due        time.Time // of its first try
-	tryAt      time.Time // of this one
+	due        time.Time // when the first attempt was scheduled
+	tryAt      time.Time // when the latest attempt was sent, or when the next one is due
 	lag        time.Duration
 	object     string
 	part       int
@@ -67,12 +67,12 @@
 	wantPrefix []byte
 }
 
-// Result is what a run brought.
+// Result holds the records of a run.
 type Result struct {
 	Spec   Spec
 	Rows   []Row
-	Second uint64 // answers to what had been answered, or was never asked
-	Spoilt uint64 // served with something else
+	Second uint64 // answers to requests that were already answered or never sent; answers that cross a cancellation don't count
+	Spoilt uint64 // successful answers whose body is not that of the requested part
 	Errors []string
 	Took   time.Duration
 }
@@ -87,7 +87,8 @@
 
 const maxShards = 6
 
-// Run drives the load and waits for its last answers.
+// Run opens spec.Conns connections, sends the load and waits until every request has an outcome. It returns an error if
+// spec is invalid or a connection can't be opened. When ctx ends, it returns the rows recorded so far and ctx's error.
 func Run(ctx context.Context, spec Spec) (*Result, error) {
 	if err := spec.defaults(); err != nil {
 		return nil, err
@@ -136,7 +137,8 @@
 	return 0
 }
 
-// shard has a part of the connections and of the arrivals.
+// shard is the part of the connections and of the arrivals that one goroutine drives. At most maxShards shards share a
+// load.
 type shard struct {
 	r          *runner
 	rng        *rand.Rand
@@ -146,17 +148,17 @@
 
 	mu      sync.Mutex
 	rows    []Row
-	retries retryHeap // to be tried again
+	retries retryHeap // rejected requests waiting for their next attempt
 }
 
-// book keeps a row that no connection's reader does.
+// record appends a row. It is called from any goroutine; the read loops of connections keep rows of their own.
 func (s *shard) record(r Row) {
 	s.mu.Lock()
 	s.rows = append(s.rows, r)
 	s.mu.Unlock()
 }
 
-// jobs is a heap by the time of the next try.
+// retryHeap is a min-heap of requests by the time of their next attempt.
 type retryHeap []*request
 
 func (h retryHeap) Len() int           { return len(h) }
@@ -170,12 +172,12 @@
 	return j
 }
 
-// run sends what is due until the time is over, then waits for answers.
+// run sends requests when they are due for the time Spec.For, then waits until none is open. It ends early when ctx ends.
 func (s *shard) run(ctx context.Context) {
 	end := s.r.start.Add(s.r.spec.For)
 	next := s.r.start
 	s.drawArrival(&next)
-	var waiting []*request // due, and no connection had room
+	var waiting []*request // due requests for which no connection had a free slot
 	swept := s.r.start
 	for {
 		now := time.Now()
@@ -213,7 +215,7 @@
 	}
 }
 
-// repeats takes the repeats that are due, and says how many are not yet.
+// dueRetries removes and returns the retries that are due; left is the number of those that are not yet due.
 func (s *shard) dueRetries(now time.Time) (due []*request, left int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,7 +225,8 @@
 	return due, len(s.retries)
 }
 
-// flush sends what waited for room, and drops what waited for too long.
+// sendWaiting sends requests that waited for a free slot, in order, and records those as Unsent that waited for longer
+// than their class's Limit. It returns the requests that still wait, in the array of its argument.
 func (s *shard) sendWaiting(waiting []*request, now time.Time) []*request {
 	kept := waiting[:0]
 	full := false
@@ -239,7 +242,8 @@
 	return kept
 }
 
-// advance draws the next arrival: a Poisson process with the profile's rate.
+// drawArrival advances next to the following arrival of a Poisson process with this shard's share of the profile's rate.
+// While the rate is 0 it advances by steps of 1 ms, at most to just after Spec.For.
 func (s *shard) drawArrival(next *time.Time) {
 	for {
 		rate := s.r.spec.Rate(next.Sub(s.r.start)) / s.shardCount
@@ -272,7 +276,7 @@
 	return j
 }
 
-// send gives a request to the next connection with room.
+// send sends a request on the next connection, in turn, that has a free slot. It returns false if none has.
 func (s *shard) send(j *request, now time.Time) bool {
 	for range s.conns {
 		c := s.conns[s.nextConn%len(s.conns)]
@@ -284,7 +288,9 @@
 	return false
 }
 
-// retry puts a refused request back, if its client tries again and can be in time.
+// retry schedules another attempt of a rejected request after its Retry-After delay, plus up to 10 % of jitter. It returns
+// false if the request has had three attempts, if its client doesn't retry (Spec.Repeat), or if the attempt would come
+// later than the class's Limit.
 func (s *shard) retry(j *request, later time.Duration, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -305,7 +311,8 @@
 		Bytes: int32(size), LaterMs: int32(later), LagUs: j.lag.Microseconds(), class: j.class, outcome: o}
 }
 
-// conn is one client's connection.
+// conn is a connection to the gateway. Its mutex guards the fields from id to err; rows belongs to the read goroutine until
+// readDone is closed.
 type conn struct {
 	shard *shard
 	nc    net.Conn
@@ -313,7 +320,7 @@
 	mu            sync.Mutex
 	id            uint32
 	open          map[uint32]*request
-	abandoned     map[uint32]time.Time // given up: an answer that crosses the cancel is no fault
+	abandoned     map[uint32]time.Time // cancelled requests of the last second: an answer may cross the cancellation
 	outgoing      bytes.Buffer
 	enc           *rpc.Encoder
 	outgoingReady *sync.Cond
@@ -357,11 +364,11 @@
 	if j.key != "" {
 		r.Body = []byte("an order of turn, some hundred bytes of it, as a client would send: move 7,4 to 7,5; attack 8,5; end")
 	}
-	_ = c.enc.Request(r) // a buffer takes it all
+	_ = c.enc.Request(r) // writing to a bytes.Buffer can't fail
 	return true
 }
 
-// kick has what was sent written.
+// wakeWriter wakes the write goroutine if encoded requests wait in the buffer.
 func (c *conn) wakeWriter() {
 	c.mu.Lock()
 	if c.outgoing.Len() > 0 {
@@ -431,12 +438,12 @@
 	}
 }
 
-// sweep gives up what has taken too long, and returns what is open.
+// expire cancels the requests that have had no answer until 50 ms after their Limit and returns the number still open.
 func (c *conn) expire(now time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, j := range c.open {
-		if now.Sub(j.due) > c.shard.r.spec.Mix[j.class].Limit+50*time.Millisecond { // the slack that the rules give
+		if now.Sub(j.due) > c.shard.r.spec.Mix[j.class].Limit+50*time.Millisecond { // tolerance for an answer that is sent at its deadline
 			delete(c.open, id)
 			c.abandoned[id] = now
 			c.shard.record(c.shard.r.row(j, TimedOut, now, 0, 0))
@@ -451,7 +458,7 @@
 	return len(c.open)
 }
 
-// end books what was open on a connection that ended.
+// handleClose records the requests open on a connection that ended as ConnectionLost. Only the first call has an effect.
 func (c *conn) handleClose(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -462,7 +469,7 @@
 	c.outgoingReady.Broadcast()
 	now := time.Now()
 	if len(c.open) > 0 {
-		c.err = fmt.Errorf("a connection ended with %d requests open: %w", len(c.open), err)
+		c.err = fmt.Errorf("connection ended with %d requests open: %w", len(c.open), err)
 	}
 	for _, j := range c.open {
 		c.shard.record(c.shard.r.row(j, ConnectionLost, now, 0, 0))
--- a/lab/load/slow.go
+++ b/lab/load/slow.go
@@ -13,18 +13,19 @@
 	"larchusher/lab/loopback"
 )
 
-// SlowSpec says which slow readers there are.
+// SlowReaderSpec configures clients that read their answers slowly.
 type SlowReaderSpec struct {
 	Addr  string
 	Conns int
-	Pace  int // bytes a second that each reads
-	Ask   int // parts that each asks for at once, and again when they have come
+	Pace  int // bytes per second that each client reads
+	Ask   int // parts that each client requests at its start; it requests none later
 }
 
-// slowName begins the objects that slow readers ask for.
+// slowObjectPrefix is the prefix of the names of objects that slow readers request.
 const slowObjectPrefix = "510b0bb1"
 
-// SlowContent has stores answer slow readers with parts of so many bytes, and others as usual.
+// SlowReaderContent returns a handler for fake servers that answers requests of slow readers with parts of size bytes and
+// all others as usual. The handler keeps at most 100 bodies and may be called from any goroutine.
 func SlowReaderContent(size int) func(*fakeserver.Request) {
 	var mu sync.Mutex
 	bodies := map[string]string{}
@@ -45,7 +46,8 @@
 	}
 }
 
-// Slow starts slow readers; stop ends them and says how many were closed by the gateway.
+// StartSlowReaders connects spec.Conns slow readers and starts one goroutine for each. Calling stop closes their
+// connections and returns the number that had ended before, closed by the gateway. The error is that of connecting.
 func StartSlowReaders(spec SlowReaderSpec) (stop func() (closed int), err error) {
 	var mu sync.Mutex
 	closed, over := 0, false
@@ -63,10 +65,10 @@
 		c, err := loopback.Dial(spec.Addr)
 		if err != nil {
 			stop()
-			return nil, fmt.Errorf("slow reader: %w", err)
+			return nil, fmt.Errorf("slow reader: can't connect: %w", err)
 		}
 		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetReadBuffer(16 << 10) // or the kernel would read for it
+			_ = t.SetReadBuffer(16 << 10) // a larger buffer would let the kernel read ahead of the client
 		}
 		conns = append(conns, c)
 		go func() {
--- a/lab/load/spec.go
+++ b/lab/load/spec.go
@@ -1,6 +1,6 @@
-// Package load drives a gateway as many clients would, over the platform's protocol. The load is open-loop: when a
-// request is due is drawn ahead and does not wait for answers, and its time counts from when it was due, so that a
-// gateway that stands still is not spared the requests of that time (no coordinated omission).
+// Package load generates the load of many clients on a gateway, over the platform's protocol. The load is open-loop:
+// arrival times are drawn in advance and don't depend on answers, and latency counts from the scheduled arrival, so that
+// the requests of a time in which the gateway stalls are measured as well (no coordinated omission).
 package load
 
 import (
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// Class is what clients ask for.
+// Class describes one kind of requests in a mix.
 type Class struct {
 	Name  string
-	Share float64 // of all requests
-	Aim   time.Duration
-	Limit time.Duration // a client waits for so long
-	Worth float64
-	Keyed bool
+	Share float64       // of all requests, 0 to 1
+	Aim   time.Duration // latency objective
+	Limit time.Duration // deadline: how long a client waits for an answer
+	Worth float64       // priority weight
+	Keyed bool          // requests carry an idempotency key
 }
 
-// Site is the mix of the deployment.
+// DeploymentMix returns the classes of the deployment with their shares.
 func DeploymentMix() []Class {
 	return []Class{
 		{Name: "films", Share: 0.508, Aim: 500 * time.Millisecond, Limit: 5 * time.Second, Worth: 2},
@@ -31,7 +31,7 @@
 	}
 }
 
-// Only is the mix with just one class, named as in [Site].
+// SingleClassMix returns a mix that consists only of the named class of [DeploymentMix].
 func SingleClassMix(name string) ([]Class, error) {
 	for _, c := range DeploymentMix() {
 		if c.Name == name {
@@ -39,24 +39,24 @@
 			return []Class{c}, nil
 		}
 	}
-	return nil, fmt.Errorf("mix: no class %q", name)
+	return nil, fmt.Errorf("mix: unknown class %q", name)
 }
 
-// Spec says what load to drive.
+// Spec configures a load.
 type Spec struct {
 	Addr    string
-	Conns   int     // connections, 300 if 0
-	Open    int     // requests open on one, 30 if 0
-	Rate    Profile // requests a second over time
-	For     time.Duration
-	Mix     []Class // Site if empty
-	Objects int     // how many are asked for, 200 if 0,
-	First   int     // and the number of the first
+	Conns   int           // number of connections, 300 if 0
+	Open    int           // most requests open on one connection, 30 if 0
+	Rate    Profile       // requests per second over time
+	For     time.Duration // requests are sent for this long
+	Mix     []Class       // DeploymentMix if empty
+	Objects int           // number of different objects requested, 200 if 0
+	First   int           // number of the first object, relative to FirstObject
 	Seed    uint64
-	Repeat  float64 // share of clients that try again after a refusal, when that says so; twice at most
-	Marked  float64 // share of first tries that are marked as repeats
-	Size    int     // bytes of a part; 0: that of standin.Content
-	Window  time.Duration
+	Repeat  float64       // share of rejected attempts that are retried after the advised delay, at most twice per request
+	Marked  float64       // share of first attempts that carry the retry flag
+	Size    int           // bytes of a part; 0: the size that fakeserver.Content gives
+	Window  time.Duration // length of one Summary of Result.Windows, 1 s if 0
 }
 
 func (s *Spec) defaults() error {
@@ -77,29 +77,29 @@
 	}
 	switch {
 	case s.Addr == "":
-		return errors.New("load: Addr is empty")
+		return errors.New("load: Addr is empty, want the gateway's address")
 	case s.Rate == nil:
-		return errors.New("load: Rate is missing")
+		return errors.New("load: Rate is nil, want a profile")
 	case s.For <= 0:
-		return errors.New("load: For is not positive")
+		return errors.New("load: For is 0 or negative, want more than 0")
 	}
 	return nil
 }
 
-// Profile is a rate over time, in requests a second.
+// Profile returns the rate, in requests per second, at a time since the start of the run.
 type Profile func(t time.Duration) float64
 
-// Constant is the same rate all the time.
+// Constant returns a profile with a fixed rate.
 func Constant(rate float64) Profile { return func(time.Duration) float64 { return rate } }
 
-// ParseProfile reads a profile, scaled by a base rate: "1", "0.3..3@1s+2s" (0.3, and 3 from 1 s on for 2 s), or
-// "0.3/3@1s" (0.3 and 3 by turns, each for 1 s).
+// ParseProfile parses a profile whose levels are multiples of a base rate. The forms are "1" (constant), "0.3..3@1s+2s"
+// (0.3, but 3 from 1 s on for 2 s) and "0.3/3@1s" (alternately 0.3 and 3, each for 1 s). Errors quote the profile.
 func ParseProfile(text string, base float64) (Profile, error) {
 	bad := func(err error) (Profile, error) { return nil, fmt.Errorf("profile %q: %w", text, err) }
 	num := func(s string) (float64, error) {
 		x, err := strconv.ParseFloat(s, 64)
 		if err == nil && (x < 0 || math.IsInf(x, 0) || math.IsNaN(x)) {
-			err = fmt.Errorf("%s is out of range", s)
+			err = fmt.Errorf("%s is negative or not finite", s)
 		}
 		return x * base, err
 	}
--- a/lab/load/summary.go
+++ b/lab/load/summary.go
@@ -11,42 +11,43 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// ClassSum is what befell one class.
+// ClassSummary summarizes the requests of one class.
 type ClassSummary struct {
 	Class      string         `json:"Class"`
 	Asked      int            `json:"Asked"`
 	Outcomes   map[string]int `json:"Outcomes"`
-	InAim      int            `json:"InAim"` // served within the aim
-	Late       int            `json:"Late"`  // served after it
+	InAim      int            `json:"InAim"` // served within the latency objective
+	Late       int            `json:"Late"`  // served after the latency objective
 	P50        time.Duration  `json:"P50"`
 	P99        time.Duration  `json:"P99"`
 	P999       time.Duration  `json:"P999"`
 	RefusedP50 time.Duration  `json:"RefusedP50"`
-	RefP99     time.Duration  `json:"RefP99"` // time until a refusal
+	RefP99     time.Duration  `json:"RefP99"` // 99th percentile of the time until a rejection
 }
 
-// Share is a part of what was asked, in percent.
+// Share returns n as a percentage of the class's requests.
 func (c ClassSummary) Share(n int) float64 { return 100 * float64(n) / float64(max(1, c.Asked)) }
 
-// Summary is a run in figures.
+// Summary holds the figures of a run or of one window of it. Percentiles of latency count from the scheduled arrival.
 type Summary struct {
 	Seconds      float64        `json:"Seconds"`
-	Offered      float64        `json:"Offered"` // requests a second
-	Worth        float64        `json:"Worth"`   // in aim, a second
+	Offered      float64        `json:"Offered"` // requests per second
+	Worth        float64        `json:"Worth"`   // priority weight served within the objective, per second
 	WorthOffered float64        `json:"WorthOffered"`
 	Classes      []ClassSummary `json:"Classes"`
 	P50          time.Duration  `json:"P50"`
 	P99          time.Duration  `json:"P99"`
-	P999         time.Duration  `json:"P999"` // of all that was served
+	P999         time.Duration  `json:"P999"` // of all served requests
 	Silent       int            `json:"Silent"`
 	Second       uint64         `json:"Second"`
 	Spoilt       uint64         `json:"Spoilt"`
-	Later50      int            `json:"Later50"` // milliseconds, of refusals
+	Later50      int            `json:"Later50"` // median Retry-After of rejections, milliseconds
 	Lag99        time.Duration  `json:"Lag99"`
-	Lag999       time.Duration  `json:"Lag999"` // by which the load tool itself was late
+	Lag999       time.Duration  `json:"Lag999"` // 99.9th percentile of the delay caused by the load generator itself
 }
 
-// Sum works the figures of a run out, of what was due from a time on and before another (0: all).
+// Summarize computes the figures of the requests that were due at or after from and before to; to = 0 stands for the end
+// of the run. Second and Spoilt always cover the whole run.
 func (r *Result) Summarize(from, to time.Duration) Summary {
 	if to <= 0 {
 		to = r.Spec.For
@@ -85,7 +86,7 @@
 			_ = later.RecordValue(int64(row.LaterMs))
 		case TimedOut:
 			s.Silent++
-		default: // counted by name
+		default: // Outcomes counts it
 		}
 	}
 	at := func(h *hdrhistogram.Histogram, p float64) time.Duration {
@@ -105,7 +106,7 @@
 	return s
 }
 
-// Windows are the figures of a run, a window at a time.
+// Windows returns a Summary for each window of length Spec.Window.
 func (r *Result) Windows() (all []Summary) {
 	for from := time.Duration(0); from < r.Spec.For; from += r.Spec.Window {
 		all = append(all, r.Summarize(from, min(from+r.Spec.Window, r.Spec.For)))
@@ -113,7 +114,7 @@
 	return all
 }
 
-// Print writes the figures as a table.
+// Print writes the figures as a table. It returns the error of the writer.
 func (s Summary) Print(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "offered %.0f/s, worth in aim %.0f/s of %.0f/s; served p50 %v p99 %v p99.9 %v; silent %d, second %d, spoilt %d; own lag p99 %v p99.9 %v\n",
 		s.Offered, s.Worth, s.WorthOffered, s.P50, s.P99, s.P999, s.Silent, s.Second, s.Spoilt, s.Lag99, s.Lag999); err != nil {
@@ -133,7 +134,7 @@
 	return t.Flush()
 }
 
-// WriteParquet writes the rows of a run to a columnar file.
+// WriteParquet writes the rows of a run to a Parquet file, replacing an existing one.
 func (r *Result) WriteParquet(path string) error {
 	f, err := os.Create(path)
 	if err != nil {
@@ -147,7 +148,7 @@
 		err = e
 	}
 	if err != nil {
-		return fmt.Errorf("writing %s: %w", path, err)
+		return fmt.Errorf("load: can't write %s: %w", path, err)
 	}
 	return nil
 }
