--- a/lab/failover/failover.go
+++ b/lab/failover/failover.go
@@ -1,5 +1,6 @@
-// Package failover kills real gateways under real clients on loopback, and tells what the living ones saw: the client
-// library, and clients as one writes them in an hour beside it, in the same world.
+// Package failover kills and restarts real gateway processes while real clients send requests over loopback, and reports
+// what the clients got and what reached the surviving gateways. It compares the client library with naive clients under
+// the same conditions.
 package failover
 
 import (
@@ -22,25 +23,25 @@
 	"larchusher/lab/testbed"
 )
 
-// Death is one gateway's, counted from the beginning.
+// Outage is one gateway's outage. Times count from the start of the run.
 type Outage struct {
-	Gateway int           // its place
-	At      time.Duration // when it is killed,
-	Back    time.Duration // and when it is started again; 0: never
+	Gateway int           // index, from 0
+	At      time.Duration // when its process is killed
+	Back    time.Duration // when it is started again, 0 for never
 }
 
-// Config says what is played.
+// Config configures a run. Zero values take the defaults given.
 type Config struct {
-	Program  string
+	Program  string // path of the gateway's binary
 	Kind     clientsim.Kind
-	Gateways int           // 0: 3
-	Clients  int           // 0: 1,000
-	Every    time.Duration // mean time between a client's requests, 0: 1 s
-	Limit    time.Duration // a request's deadline, 0: 5 s
-	Deaths   []Outage
-	For      time.Duration
-	Refuse   bool          // stores are full: gateways refuse all
-	Store    time.Duration // stores take so long to answer, so that gateways hold requests
+	Gateways int           // 3 if 0
+	Clients  int           // 1,000 if 0
+	Every    time.Duration // mean time between a client's requests, 1 s if 0
+	Limit    time.Duration // a request's deadline, 5 s if 0; a shorter limit of its class applies
+	Deaths   []Outage      // gateways that are killed
+	For      time.Duration // clients send requests for this long
+	Refuse   bool          // fake servers answer that they are full, so that gateways reject all requests
+	Store    time.Duration // time that fake servers take to answer, so that requests are in flight at gateways
 	Seed     uint64
 }
 
@@ -59,47 +60,49 @@
 		c.Limit = 5 * time.Second
 	}
 	if c.Clients < 0 || c.Gateways < 2 || c.Every < 0 || c.Limit < 0 || c.For <= 0 {
-		return fmt.Errorf("deaths: %d clients, %d gateways, every %v, limit %v, for %v", c.Clients, c.Gateways, c.Every, c.Limit, c.For)
+		return fmt.Errorf("deaths: invalid: %d clients, %d gateways (at least 2), every %v, limit %v, for %v (more than 0)", c.Clients, c.Gateways, c.Every, c.Limit, c.For)
 	}
 	for i, d := range c.Deaths {
 		if d.Gateway < 0 || d.Gateway >= c.Gateways || d.At < 0 || d.At >= c.For || d.Back != 0 && d.Back <= d.At {
-			return fmt.Errorf("deaths: Deaths[%d]: %+v", i, d)
+			return fmt.Errorf("deaths: Deaths[%d]: %+v, want a gateway of the run, At before For and Back after At", i, d)
 		}
 	}
 	return nil
 }
 
-// Window is how finely connects and tries are counted.
+// Window is the interval by which connection attempts and request attempts are counted.
 const Window = 100 * time.Millisecond
 
-// Result is what came of it.
+// Result holds the figures of a run.
 type Result struct {
 	Kind     clientsim.Kind
 	Calls    int
-	Ended    map[string]int // by ending
-	Tries    int            // that passed to gateways
-	Marked   int            // of them, marked as retries
-	Due      int            // calls that came from the first death on,
-	Served   int            // of those, served,
-	InAim    int            // and within their class's aim
-	Connects []int          // to gateways, by window
-	Sent     []int          // tries, by window
-	Late     time.Duration  // most by which a call ended after its deadline
-	Late99   time.Duration  // 99th percentile of that; negative: before it
-	Broken   []string       // rules that were not kept
-	Early    int            // tries sent by a client before the time that a refusal had told it, of the same class and gateway
-	PeakPart float64        // largest part of the connects of the five seconds after the first death that came in one window
-	Spread   int            // windows that had any of them
-	PeakLoad float64        // most tries in a window after the first death, over the mean before
+	Ended    map[string]int // number of calls by ending
+	Tries    int            // attempts that reached the proxies in front of gateways
+	Marked   int            // attempts that carried the retry flag
+	Due      int            // calls due after the first outage began
+	Served   int            // calls of Due that were served
+	InAim    int            // calls of Due that were served within the class's latency objective
+	Connects []int          // connections opened to gateways, by window
+	Sent     []int          // attempts, by window
+	Late     time.Duration  // longest time by which a call ended after its deadline
+	Late99   time.Duration  // 99th percentile of that time; negative if the call ended before its deadline
+	Broken   []string       // violated rules of faultproxy.Rules; checked for the client library only
+	Early    int            // attempts sent before the Retry-After time of a rejection, on the same connection and of the same class
+	PeakPart float64        // largest share, in one window, of the connections opened in the five seconds after the first outage began
+	Spread   int            // number of those windows with at least one connection
+	PeakLoad float64        // most attempts in a window after the first outage began, relative to the mean before
 }
 
-// asker is one client.
+// testClient is a client of the gateways. dispatch may be called from several goroutines and returns nil if the request was
+// served before ctx ended.
 type testClient interface {
 	dispatch(ctx context.Context, class, object string) error
 	close()
 }
 
-// Run plays one kind of client.
+// Run starts the gateways, runs cfg.Clients clients of one kind against them, kills and restarts gateways as configured and
+// returns the figures. It returns an error if cfg is invalid, a gateway can't be started, killed or restarted, or ctx ends.
 func Run(ctx context.Context, cfg Config) (res *Result, err error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -148,7 +151,7 @@
 	return p.res, ctx.Err()
 }
 
-// addGateway starts a gateway behind a relay, and returns where clients reach it.
+// addGateway starts a gateway behind a fault proxy and returns the address of the proxy, which clients use.
 func (p *experiment) addGateway(ctx context.Context, i int) (addr string, err error) {
 	w, err := testbed.Start(ctx, testbed.Config{Program: p.cfg.Program, Caches: 2, Pin: -1, Sockets: 4096, Seed: fmt.Sprintf("%016x", i+1)})
 	if err != nil {
@@ -171,21 +174,21 @@
 	return r.Addr, nil
 }
 
-// die kills a gateway in its time, and starts it again if it comes back.
+// runOutage kills a gateway at its time and restarts it if the outage has an end. It returns nil if ctx ends first.
 func (p *experiment) runOutage(ctx context.Context, d Outage) error {
 	w, r := p.gateways[d.Gateway], p.proxies[d.Gateway]
 	if !p.waitUntil(ctx, d.At) {
 		return nil
 	}
 	err := w.Kill()
-	r.Down() // the platform resets what a dead process had open
+	r.Down() // the platform resets the connections of a dead process
 	if err == nil && d.Back > 0 && p.waitUntil(ctx, d.Back) {
 		err = errors.Join(w.Restart(), r.Up())
 	}
 	return err
 }
 
-// close ends the relays and the gateways.
+// close stops the proxies and the gateways.
 func (p *experiment) close() {
 	for _, r := range p.proxies {
 		r.Close()
@@ -199,16 +202,16 @@
 	cfg         Config
 	mix         []load.Class
 	gateways    []*testbed.Gateway
-	proxies     []*faultproxy.Proxy // by gateway
+	proxies     []*faultproxy.Proxy // one for each gateway
 	start       time.Time
-	firstOutage time.Duration // when the first gateway dies; the largest: none does
+	firstOutage time.Duration // start of the first outage, since start; math.MaxInt64 if there is none
 
 	mu       sync.Mutex
 	overruns []time.Duration
 	res      *Result
 }
 
-// until waits for a time of the play.
+// waitUntil waits until a time since the start of the run. It returns false if ctx ends first.
 func (p *experiment) waitUntil(ctx context.Context, at time.Duration) bool {
 	t := time.NewTimer(time.Until(p.start.Add(at)))
 	defer t.Stop()
@@ -220,7 +223,8 @@
 	}
 }
 
-// play asks as often as drawn, whether or not earlier calls have ended.
+// runClient sends the requests of client n at random intervals, whether or not earlier calls have ended, and returns when
+// all have ended.
 func (p *experiment) runClient(ctx context.Context, n int, a testClient) {
 	rng := rand.New(rand.NewPCG(p.cfg.Seed+1, uint64(n)))
 	var calls sync.WaitGroup
@@ -240,6 +244,7 @@
 	}
 }
 
+// runCall makes one call that was due at a time since the start of the run, and records how it ended.
 func (p *experiment) runCall(ctx context.Context, a testClient, class load.Class, object string, due time.Duration) {
 	limit := min(p.cfg.Limit, class.Limit)
 	call, cancel := context.WithTimeout(ctx, limit)
@@ -263,7 +268,7 @@
 	}
 }
 
-// word is how a call ended.
+// outcomeName returns the name of a call's ending, as a key of Result.Ended.
 func outcomeName(err error) string {
 	for _, e := range []error{client.ErrRefused, client.ErrFailed, client.ErrUnknown, client.ErrExpired, client.ErrUnsent, client.ErrClosed} {
 		if errors.Is(err, e) {
@@ -276,13 +281,13 @@
 	return "served"
 }
 
-// attemptKey names an attempt that passed a relay.
+// attemptKey identifies an attempt by proxy, connection and request id.
 type attemptKey struct {
 	proxy, conn int
 	id          uint64
 }
 
-// sum takes in what the relays saw.
+// summarize adds what the proxies recorded to the result. It is called after all clients have ended.
 func (p *experiment) summarize() {
 	r := p.res
 	asked := p.count()
@@ -301,7 +306,7 @@
 	}
 }
 
-// count counts connects and attempts by window, and returns the attempts.
+// count counts opened connections and attempts by window and returns the attempts.
 func (p *experiment) count() map[attemptKey]faultproxy.Seen {
 	r := p.res
 	n := int(p.cfg.For/Window) + 1
@@ -328,7 +333,8 @@
 	return asked
 }
 
-// early is how many attempts were sent on a connection before the time that a rejection of their class had told on it.
+// countEarly returns the number of attempts that were sent on a connection before the Retry-After time of an earlier
+// rejection of the same class on that connection.
 func countEarly(relay int, one *faultproxy.Proxy, asked map[attemptKey]faultproxy.Seen) (n int) {
 	type hold struct {
 		conn  int
@@ -343,7 +349,7 @@
 	}
 	for _, s := range one.Seen() {
 		if slices.ContainsFunc(until[hold{s.Conn, s.Class}], func(f faultproxy.Rejection) bool {
-			// What was sent while the rejection was on its way knew nothing of it.
+			// An attempt within 100 ms may have been sent before the client received the rejection.
 			since := s.At.Sub(f.At)
 			return since > 100*time.Millisecond && since < f.Later
 		}) {
@@ -353,7 +359,7 @@
 	return n
 }
 
-// sumPeaks is how much more than before came at once after the first death.
+// summarizePeaks compares the load and the connections after the start of the first outage with those before.
 func (p *experiment) summarizePeaks() {
 	r := p.res
 	k := int(p.firstOutage / Window)
@@ -376,10 +382,11 @@
 	}
 }
 
+// newTestClient returns client n of the configured kind. The error names an unknown kind or is that of client.New.
 func newTestClient(cfg Config, n int, addrs []string) (testClient, error) {
 	if cfg.Kind != clientsim.Planned {
 		if !slices.Contains(clientsim.Kinds(), cfg.Kind) {
-			return nil, fmt.Errorf("deaths: no kind of client %q", cfg.Kind)
+			return nil, fmt.Errorf("deaths: unknown kind of client %q", cfg.Kind)
 		}
 		return newNaive(cfg.Kind, addrs, n), nil
 	}
@@ -396,7 +403,7 @@
 	return &libraryClient{client: l}, err
 }
 
-// library is the client library.
+// libraryClient is a testClient that uses the client library.
 type libraryClient struct{ client *client.Client }
 
 func (l *libraryClient) dispatch(ctx context.Context, class, object string) error {
--- a/lab/failover/naive.go
+++ b/lab/failover/naive.go
@@ -11,10 +11,11 @@
 	"larchusher/lab/clientsim"
 )
 
-// naive is a client as one writes it in an hour: one connection, the next gateway when it is lost, all that was open sent
-// again once there is another, and again after a refusal or a failure. Its kind says how long it waits. It marks its
-// repeats and keeps keys, since the gateway would else take them for new ones, but knows no budget, no advice and no
-// spread.
+// naive is a client without overload protection, such as a developer writes in an hour. It has one connection, connects to
+// the next gateway when that is lost, and sends all open requests again on the new one. It also retries after a rejection
+// or a failure. Its kind determines the delays. It sets the retry flag and keeps idempotency keys, since the gateway would
+// otherwise treat retries as new requests, but it has no retry budget, ignores Retry-After and doesn't spread its
+// connections over time. The mutex guards the fields below it.
 type naive struct {
 	kind  clientsim.Kind
 	addrs []string
@@ -26,8 +27,8 @@
 	conn        client.Conn
 	up          bool
 	serial      uint64
-	open        map[uint64]*request // by its latest try
-	queued      []*request          // that wait for a connection
+	open        map[uint64]*request // by the id of the latest attempt
+	queued      []*request          // waiting for a connection
 	closed      bool
 	conns       sync.WaitGroup
 }
@@ -45,14 +46,14 @@
 	return &naive{kind: kind, addrs: addrs, nextGateway: n, open: map[uint64]*request{}}
 }
 
-// wait is how long it waits after so many failures.
+// retryDelay returns the delay before the next attempt after a number of failures.
 func (n *naive) retryDelay(fails int) time.Duration {
 	switch n.kind {
 	case clientsim.FixedWait:
 		return time.Second
 	case clientsim.ExponentialWait:
 		return 100 * time.Millisecond << min(fails, 6)
-	default: // at once
+	default: // NoWait
 		return 0
 	}
 }
@@ -82,10 +83,10 @@
 			}
 		}
 	}
-	return errors.New("no answer in time")
+	return errors.New("no answer before the deadline")
 }
 
-// put sends a request, or has it wait for a connection. It is called under the lock, as all below are.
+// send sends a request, or queues it until a connection is up. The caller holds n.mu.
 func (n *naive) send(r *request) {
 	if n.closed || r.ended {
 		return
@@ -108,6 +109,7 @@
 	n.conn.Send(t)
 }
 
+// connect starts to connect to the next gateway unless a connection exists. The caller holds n.mu.
 func (n *naive) connect() {
 	if n.closed || n.conn != nil {
 		return
@@ -126,7 +128,8 @@
 	n.conns.Wait()
 }
 
-// later does something after a wait, if there still is a client by then.
+// afterDelay calls f under n.mu after a delay, or at once if the delay is 0. The caller holds n.mu. f has to check itself
+// whether the client has been closed.
 func (n *naive) afterDelay(d time.Duration, f func()) {
 	if d <= 0 {
 		f()
@@ -139,7 +142,7 @@
 	})
 }
 
-// naiveEvents are one connection's.
+// naiveEvents receives the events of one connection of a naive client.
 type naiveEvents struct{ n *naive }
 
 func (e *naiveEvents) Up() {
@@ -171,9 +174,9 @@
 	n.failures++
 	d := n.retryDelay(n.failures - 1)
 	if d == 0 && n.failures > 1 {
-		d = time.Millisecond // or it would do nothing else
+		d = time.Millisecond // without a delay, failing connects would use all processor time
 	}
-	n.afterDelay(d, n.connect) // it keeps a connection open
+	n.afterDelay(d, n.connect) // reconnects even without open requests
 }
 
 func (e *naiveEvents) Heard(bool) {}
--- a/lab/load/spec.go
+++ b/lab/load/spec.go
@@ -55,7 +55,7 @@
 	Seed    uint64
 	Repeat  float64       // share of rejected attempts that are retried after the advised delay, at most twice per request
 	Marked  float64       // share of first attempts that carry the retry flag
-	Size    int           // bytes of a part; 0: the size that fakeserver.Content gives
+	Size    int           // bytes of a part, 0 for that of fakeserver.Content; Run doesn't read it
 	Window  time.Duration // length of one Summary of Result.Windows, 1 s if 0
 }
 
