--- a/lab/clientsim/clientsim.go
+++ b/lab/clientsim/clientsim.go
@@ -1,5 +1,5 @@
-// Package clientsim plays tens of thousands of clients against modelled gateways, on a clock of its own: the decisions
-// of package client/plan without a changed line, and naive clients beside them.
+// Package clientsim simulates tens of thousands of clients and modelled gateways on a virtual clock. The clients either run
+// the unchanged package client/plan or are naive, for comparison.
 package clientsim
 
 import (
@@ -12,44 +12,44 @@
 	"larchusher/lab/virtualclock"
 )
 
-// Kind is a kind of client.
+// Kind selects the behaviour of clients. Its text appears in results.
 type Kind string
 
-// The kinds.
+// Kinds of clients.
 const (
-	Planned         Kind = "planned"     // package client/plan
-	NoWait          Kind = "at once"     // connects and resends at once
-	FixedWait       Kind = "fixed wait"  // after a second
-	ExponentialWait Kind = "exponential" // after 100 ms, 200 ms, 400 ms ..., without jitter
+	Planned         Kind = "planned"     // decides by package client/plan
+	NoWait          Kind = "at once"     // naive: reconnects and resends without delay
+	FixedWait       Kind = "fixed wait"  // naive: reconnects and resends after 1 s
+	ExponentialWait Kind = "exponential" // naive: after 100 ms, 200 ms, 400 ms ..., without jitter
 )
 
-// Kinds are all of them.
+// Kinds returns all kinds.
 func Kinds() []Kind { return []Kind{Planned, NoWait, FixedWait, ExponentialWait} }
 
-// Config says what is played.
+// Config configures a run.
 type Config struct {
 	Clients, Gateways int
-	Known             int           // gateways that each client knows, 0: 3
+	Known             int           // number of gateways that each client knows, 3 if 0
 	Every             time.Duration // mean time between a client's requests
 	Limit             time.Duration // a request's deadline
-	Capacity          float64       // requests a second of a gateway, over its usual load
-	Kill              float64       // share of gateways killed,
-	KillAt            time.Duration // at once,
-	Back              time.Duration // and back after so long
-	For               time.Duration
+	Capacity          float64       // capacity of a gateway, as a multiple of its usual load
+	Kill              float64       // share of the gateways that are killed, 0 to 1
+	KillAt            time.Duration // when they are all killed
+	Back              time.Duration // they are restarted this long after the kill
+	For               time.Duration // simulated time of the run
 	Seed              uint64
 }
 
-// Result is what came of it.
+// Result holds the figures of a run.
 type Result struct {
 	Kind       Kind
 	Window     time.Duration
-	Tries      []float64 // at the living gateways, per window, each over the mean before the kill
-	Connects   []float64 // per window, in all
-	Served     float64   // share of the requests due from the kill on
-	PeakTries  float64   // after the kill
-	PeakShare  float64   // largest share of the connects after the kill that came in one window
-	ReConnects int
+	Tries      []float64 // attempts that reached running gateways, by window, relative to the mean before the kill
+	Connects   []float64 // connection attempts, by window
+	Served     float64   // share of the requests due after the kill that were served in time
+	PeakTries  float64   // largest value of Tries after the kill
+	PeakShare  float64   // largest share, in one window, of the connection attempts in the five seconds after the kill
+	ReConnects int       // connection attempts in the five seconds after the kill
 }
 
 const (
@@ -73,19 +73,19 @@
 type gateway struct {
 	up             bool
 	incarnation    int
-	busyUntil      time.Duration // when its work is done
+	busyUntil      time.Duration // when its queue of work will be empty
 	workPerRequest time.Duration
 	conns          map[*link]bool
 }
 
-// link is one connection between a client and a gateway.
+// link is a connection between a client and one incarnation of a gateway.
 type link struct {
 	gateway     *gateway
 	incarnation int
 	down        func()
 }
 
-// dial connects: up or down follows.
+// dial opens a connection to g. It later calls up, if g is running, or else down; down also follows up when g is killed.
 func (s *simulation) dial(g *gateway, up func(*link), down func()) {
 	s.clock.At(s.clock.Now+oneWayDelay, func() {
 		if i := int(s.clock.Now / window); i < len(s.connects) {
@@ -105,12 +105,14 @@
 	})
 }
 
-// ask sends a try: an answer follows, unless the gateway dies.
+// dispatch sends an attempt on a connection. It later calls answer with ok, or with false and the Retry-After delay if the
+// gateway rejected the attempt because its queue is longer than maxQueueDelay. It doesn't call answer if the gateway is
+// killed before.
 func (s *simulation) dispatch(l *link, answer func(ok bool, later time.Duration)) {
 	s.clock.At(s.clock.Now+oneWayDelay, func() {
 		g := l.gateway
 		if !g.up || g.incarnation != l.incarnation {
-			return // its death is told
+			return // the client is notified by link.down
 		}
 		if i := int(s.clock.Now / window); i < len(s.tries) {
 			s.tries[i]++
@@ -120,7 +122,7 @@
 		}
 		ok, later := true, time.Duration(0)
 		if g.busyUntil-s.clock.Now > maxQueueDelay {
-			g.busyUntil += g.workPerRequest / 8 // a refusal
+			g.busyUntil += g.workPerRequest / 8 // a rejection costs an eighth of a served request
 			ok, later = false, 500*time.Millisecond+time.Duration(s.rng.Float64()*float64(1500*time.Millisecond))
 		} else {
 			g.busyUntil += g.workPerRequest
@@ -133,6 +135,7 @@
 	})
 }
 
+// kill stops a gateway and notifies its clients within one to two times oneWayDelay.
 func (s *simulation) kill(g *gateway) {
 	g.up = false
 	g.incarnation++
@@ -142,18 +145,18 @@
 	clear(g.conns)
 }
 
-// actor is one client.
+// simClient is a simulated client. It calls done once, with false if there was no successful answer by the deadline.
 type simClient interface {
 	dispatch(id uint64, deadline time.Duration, done func(ok bool))
 }
 
-// Run plays a population of one kind.
+// Run simulates a population of clients of one kind. The error names invalid values of cfg or is that of plan.New.
 func Run(kind Kind, cfg Config) (Result, error) {
 	if cfg.Known <= 0 {
 		cfg.Known = 3
 	}
 	if cfg.Clients <= 0 || cfg.Gateways < cfg.Known || cfg.For <= cfg.KillAt || cfg.Every <= 0 {
-		return Result{}, fmt.Errorf("population: %d clients, %d gateways, %v", cfg.Clients, cfg.Gateways, cfg.For)
+		return Result{}, fmt.Errorf("population: invalid: %d clients, %d gateways (at least Known), for %v (more than KillAt)", cfg.Clients, cfg.Gateways, cfg.For)
 	}
 	s := &simulation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), tries: make([]float64, cfg.For/window), connects: make([]float64, cfg.For/window)}
 	usual := float64(cfg.Clients) / cfg.Every.Seconds() / float64(cfg.Gateways)
@@ -227,7 +230,7 @@
 	return r
 }
 
-// planned is a client that goes by package plan.
+// plannedClient is a client that carries out the decisions of package plan.
 type plannedClient struct {
 	sim     *simulation
 	planner *plan.Planner
@@ -252,6 +255,7 @@
 	c.handle(plan.Call{ID: id, Class: "safe", Deadline: deadline})
 }
 
+// handle passes an event to the planner, performs its actions and schedules its next timer.
 func (c *plannedClient) handle(ev plan.Event) {
 	for _, a := range c.planner.Handle(c.sim.clock.Now, ev, nil) {
 		c.perform(a)
@@ -268,12 +272,12 @@
 	}
 }
 
-// carryOut does what the planner wants.
+// perform carries out an action of the planner.
 func (c *plannedClient) perform(a plan.Action) {
 	switch a := a.(type) {
 	case plan.Connect:
 		n := 0
-		_, _ = fmt.Sscan(a.Gateway, &n) // newPlanned named them by their numbers
+		_, _ = fmt.Sscan(a.Gateway, &n) // newPlanned names gateways by their indices
 		c.sim.dial(c.sim.gateways[n], func(l *link) {
 			c.links[a.Conn] = l
 			c.handle(plan.Up{Conn: a.Conn})
@@ -305,14 +309,15 @@
 	}
 }
 
-// naive is a client as one writes it in an hour.
+// naiveClient is a client without retry budget, jitter or use of Retry-After, such as a developer writes in an hour. Its
+// kind determines its delays.
 type naiveClient struct {
 	sim         *simulation
 	kind        Kind
 	known       []int
 	nextGateway int
 	link        *link
-	connecting  bool // it connects
+	connecting  bool // a connection attempt is pending
 	failures    int
 	open        map[uint64]*request
 }
@@ -330,7 +335,7 @@
 		return time.Second
 	case ExponentialWait:
 		return 100 * time.Millisecond << min(times, 10)
-	default: // at once
+	default: // NoWait
 		return 0
 	}
 }
@@ -371,7 +376,7 @@
 		for _, r := range all {
 			n.send(r)
 		}
-	}, func() { // it did not come up, or its gateway died
+	}, func() { // the connection attempt failed, or the gateway was killed
 		n.connecting, n.link = false, nil
 		n.nextGateway++
 		n.failures++
--- a/lab/plot/plot.go
+++ b/lab/plot/plot.go
@@ -1,4 +1,4 @@
-// Package plot draws measurements.
+// Package plot draws measurements as line plots and heat maps.
 package plot
 
 import (
@@ -11,13 +11,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Line is one line of a plot.
+// Line is one line of a plot. XY holds its points in the order in which they are connected.
 type Line struct {
 	Name string
 	XY   [][2]float64
 }
 
-// Draw writes a plot to a file, in the format that its ending names (png, svg, pdf).
+// DrawLines writes a line plot to a file, in the format that its extension names (png, svg, pdf). The vertical axis starts at
+// 0. Errors name the file.
 func DrawLines(path, title, x, y string, lines []Line) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -31,7 +32,7 @@
 		}
 		line, points, err := plotter.NewLinePoints(pts)
 		if err != nil {
-			return fmt.Errorf("plot %s: line %s: %w", path, l.Name, err)
+			return fmt.Errorf("plot %s: can't draw line %s: %w", path, l.Name, err)
 		}
 		line.Color, line.Dashes = plotutil.Color(i), plotutil.Dashes(i/6)
 		points.Color, points.Shape = plotutil.Color(i), plotutil.Shape(i)
@@ -39,15 +40,15 @@
 		p.Legend.Add(l.Name, line, points)
 	}
 	if err := p.Save(16*vg.Centimeter, 10*vg.Centimeter, path); err != nil {
-		return fmt.Errorf("plot %s: %w", path, err)
+		return fmt.Errorf("plot %s: can't save: %w", path, err)
 	}
 	return nil
 }
 
-// grid is a table of values for a heat map.
+// grid is a table of values for a heat map; it implements plotter.GridXYZ.
 type grid struct {
 	xs, ys []float64
-	z      [][]float64 // by y, by x
+	z      [][]float64 // indexed by y, then x
 }
 
 func (g grid) Dims() (c, r int)   { return len(g.xs), len(g.ys) }
@@ -55,7 +56,8 @@
 func (g grid) X(c int) float64    { return float64(c) }
 func (g grid) Y(r int) float64    { return float64(r) }
 
-// Heat writes a heat map to a file, with each value in its cell: z by y, by x.
+// DrawHeatMap writes a heat map to a file, with each value printed in its cell. z is indexed by y, then x, and must have
+// len(ys) rows of len(xs) values. Errors name the file.
 func DrawHeatMap(path, title, x, y string, xs, ys []float64, z [][]float64) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -82,11 +84,11 @@
 	}
 	labels, err := plotter.NewLabels(at)
 	if err != nil {
-		return fmt.Errorf("plot %s: %w", path, err)
+		return fmt.Errorf("plot %s: can't draw labels: %w", path, err)
 	}
 	p.Add(labels)
 	if err := p.Save(16*vg.Centimeter, 10*vg.Centimeter, path); err != nil {
-		return fmt.Errorf("plot %s: %w", path, err)
+		return fmt.Errorf("plot %s: can't save: %w", path, err)
 	}
 	return nil
 }
--- a/lab/virtualclock/virtualclock.go
+++ b/lab/virtualclock/virtualclock.go
@@ -1,5 +1,5 @@
-// Package virtualclock is a virtual clock with what is due on it. What is due at the same time runs in the order in which it was
-// put there, so that equal inputs give equal runs.
+// Package virtualclock provides a virtual clock with timers for simulations. Timers that are due at the same time run in the
+// order in which they were added, so that equal inputs give equal runs. A clock is used from one goroutine.
 package virtualclock
 
 import (
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Clock is one. Its zero value stands at 0.
+// Clock is a virtual clock. Its zero value is ready for use and shows the time 0.
 type Clock struct {
-	Now      time.Duration
-	Executed int // functions that ran
+	Now      time.Duration // current virtual time
+	Executed int           // number of timer functions that have run
 	queue    timerHeap
 	lastSeq  uint64
 }
@@ -37,15 +37,16 @@
 	return d
 }
 
-// At has f run at a time, or now if that has passed.
+// At schedules f to run at time t, or at the current time if t has passed. f runs within Run or Advance.
 func (c *Clock) At(t time.Duration, f func()) {
 	c.lastSeq++
 	heap.Push(&c.queue, timer{max(t, c.Now), c.lastSeq, f})
 }
 
-// Run runs all that is due before a time, and what that puts there.
+// Run runs all timers that are due before a time, including those that they add. Now ends at the time of the last timer
+// that ran.
 func (c *Clock) Run(until time.Duration) {
-	for len(c.queue) > 0 && c.queue[0].at < until { // what is due later stays for the next call
+	for len(c.queue) > 0 && c.queue[0].at < until { // later timers stay for the next call
 		d := heap.Pop(&c.queue).(timer)
 		c.Now = d.at
 		c.Executed++
@@ -53,7 +54,7 @@
 	}
 }
 
-// Pass lets so much time pass, with all that is due within it; Run alone stands at the last of that.
+// Advance runs all timers that are due within the next d and then, unlike Run, sets Now to the end of that span.
 func (c *Clock) Advance(d time.Duration) {
 	until := c.Now + d
 	c.Run(until)
