--- a/lab/localitysim/directed_build.go
+++ b/lab/localitysim/directed_build.go
@@ -13,12 +13,12 @@
 	"larchusher/warmstart"
 )
 
-// settings are those of the gateways of a zone.
+// settings returns the routing settings of the gateways of zone home.
 func (d *directorSim) settings(home, hubs int) routing.Settings {
 	s := routing.Settings{Directors: 0, Zone: d.scene.Zones[home].Name, Kinds: []string{"box", "parent", "origin"}, ParentKind: 1, OriginKind: 2,
 		AllowCoalescing: true, AllowBypass: true, Siblings: routing.SiblingsInLocation, AnswerDetail: routing.DetailHit, LoadReportFields: []string{"busy_reqs", "x1", "x0"},
 		CanCancel: true, HedgedRequests: true, SendRetryAfter: true, MaxRetryAfter: 2 * time.Second, MaxAttempts: 8, ClockStep: time.Millisecond,
-		DrainGrace: 2 * time.Second, SlowStartInitialShare: coldFrom, SlowStartDuration: warmUpTime, OverloadMultiple: tip, OverloadWindow: overloadWindow,
+		DrainGrace: 2 * time.Second, SlowStartInitialShare: coldStartShare, SlowStartDuration: warmUpTime, OverloadMultiple: crashFactor, OverloadWindow: overloadWindow,
 		ParentSlowStartInitialShare: 0.083, ParentSlowStartDuration: 22 * time.Second, ParentOverloadMultiple: 2, PurgeGrace: time.Second, PurgeSettleTime: 6 * time.Second}
 	for h := range hubs {
 		s.Zones, s.ZoneHub, s.ZoneDirectors = append(s.Zones, "hub"+strconv.Itoa(h)), append(s.ZoneHub, h), append(s.ZoneDirectors, 0)
@@ -37,10 +37,12 @@
 	return s
 }
 
+// addServer adds a server with a capacity of rate requests per second. zone is -1 for parents and the origin. A cold server
+// starts at the current time.
 func (d *directorSim) addServer(kind string, zone, hub int, rate float64, cold bool) *server {
 	d.lastServer++
 	s := &server{id: fmt.Sprintf("%s%03d", kind, d.lastServer), kind: kind, zone: zone, hub: hub, cost: time.Duration(float64(time.Second) / rate),
-		startedAt: -time.Hour, coldCapacityShare: coldFrom, overloadFactor: tip, attempts: map[*attempt]bool{}}
+		startedAt: -time.Hour, coldCapacityShare: coldStartShare, overloadFactor: crashFactor, attempts: map[*attempt]bool{}}
 	if kind == "box" {
 		s.cached = make([]bool, d.scene.Objects)
 	}
@@ -104,7 +106,7 @@
 	return nil
 }
 
-// grow makes the boxes of a zone anew.
+// replaceCaches replaces the caches of a zone by new, empty ones.
 func (d *directorSim) replaceCaches(zone int, cold bool) {
 	d.caches[zone] = nil
 	for range d.scene.Zones[zone].Boxes {
@@ -112,6 +114,7 @@
 	}
 }
 
+// endpoint returns a server's entry in the endpoint list.
 func (d *directorSim) endpoint(s *server, phase routing.Phase) routing.Endpoint {
 	m := routing.Endpoint{ID: s.id, Kind: s.kind, Phase: phase, Weight: 1, Zone: "hub" + strconv.Itoa(s.hub)}
 	if s.zone >= 0 {
@@ -123,7 +126,7 @@
 	return m
 }
 
-// listing is the whole list.
+// endpointList returns all servers, without caches whose processes are down, in the order of their ids.
 func (d *directorSim) endpointList() (all []routing.Endpoint) {
 	for _, s := range d.servers {
 		if !s.down || s.kind != "box" {
@@ -134,6 +137,8 @@
 	return all
 }
 
+// addGateway adds a gateway of zone home with its timers and its stream of client requests. bands is the number of bands of
+// the priority order.
 func (d *directorSim) addGateway(home, hubs, bands int, list []routing.Endpoint) error {
 	set := d.settings(home, hubs)
 	set.Index = len(d.gateways)
@@ -192,7 +197,8 @@
 	return nil
 }
 
-// begin makes a gateway's directors, and tells them of the list and of what was kept.
+// startDirectors creates a gateway's directors, passes them the endpoint list, marked as stale, and imports the state saved
+// before a restart. With Scene.Neighbours it also starts an empty replica.
 func (d *directorSim) startDirectors(g *directorGateway, list []routing.Endpoint) error {
 	g.directors = nil
 	for i := range g.localities {
--- a/lab/localitysim/directed_faults.go
+++ b/lab/localitysim/directed_faults.go
@@ -8,7 +8,8 @@
 	"larchusher/routing"
 )
 
-// restart has a zone's gateways die, or come back.
+// restartGateways kills a zone's gateways, or starts them again. The requests of a killed gateway fail. With Scene.Oracle the
+// directors keep all their state.
 func (d *directorSim) restartGateways(zone int, dies bool) {
 	for _, g := range d.gateways {
 		if g.home != zone {
@@ -29,11 +30,11 @@
 			d.updateEndpoints(g, routing.EndpointUpdate{Kind: routing.FullList, Endpoints: d.endpointList()})
 			continue
 		}
-		_ = d.startDirectors(g, d.endpointList()) // it has been made before with the same
+		_ = d.startDirectors(g, d.endpointList()) // can't fail: the same settings were accepted at the first start
 	}
 }
 
-// tell gives a list to a gateway.
+// updateEndpoints passes an update of the endpoint list to a gateway's selector and directors.
 func (d *directorSim) updateEndpoints(g *directorGateway, m routing.EndpointUpdate) {
 	if g.selector != nil {
 		for i, up := range g.endpointIndex.Update(m) {
@@ -45,7 +46,7 @@
 	}
 }
 
-// tellAll has the list tell of servers, as late as it is.
+// publishUpdate sends an update about servers to all gateways, delayed by Scene.List.
 func (d *directorSim) publishUpdate(of []*server, phase routing.Phase) {
 	d.clock.At(d.clock.Now+d.scene.List, func() {
 		m := routing.EndpointUpdate{Kind: routing.DeltaList}
@@ -58,6 +59,7 @@
 	})
 }
 
+// applyFault begins or ends a fault. Overlapping faults of one kind in a zone act as one.
 func (d *directorSim) applyFault(f Fault, begins bool) {
 	z := d.faults[f.Zone]
 	if !begins {
@@ -91,7 +93,7 @@
 	}
 }
 
-// reset ends what is out at a server.
+// resetAttempts ends all attempts in flight at a server with a connection reset, in a fixed order.
 func (d *directorSim) resetAttempts(s *server) {
 	var all []*attempt
 	for a := range s.attempts {
--- a/lab/localitysim/directed_requests.go
+++ b/lab/localitysim/directed_requests.go
@@ -9,6 +9,7 @@
 	"larchusher/routing"
 )
 
+// handleArrival draws the class and the object of a new request and submits it.
 func (d *directorSim) handleArrival(g *directorGateway) {
 	x, class := d.rng.Float64(), 0
 	for class < len(d.mix)-1 && x >= d.mix[class].Share {
@@ -25,7 +26,7 @@
 	d.submit(g, r)
 }
 
-// submit has a client make a try.
+// submit sends an attempt of a client to a gateway. If the gateway is down, the request fails without a retry.
 func (d *directorSim) submit(g *directorGateway, r *request) {
 	g.lastRequest++
 	r.id, r.due = strconv.Itoa(g.lastRequest), d.clock.Now
@@ -53,7 +54,7 @@
 	}
 	limit := d.mix[class].Limit
 	d.clock.At(d.clock.Now+limit, func() {
-		if !r.ended && g.requests[r.id] == r { // its director has let it pass
+		if !r.ended && g.requests[r.id] == r { // no answer from its director until the deadline
 			d.answer(g, r, nil, false)
 			d.handle(g, r.locality, routing.ClientGone{ID: r.id})
 		}
@@ -61,12 +62,14 @@
 	d.sendToDirector(g, r)
 }
 
+// sendToDirector passes a request to the director of its locality.
 func (d *directorSim) sendToDirector(g *directorGateway, r *request) {
 	d.handle(g, r.locality, routing.Request{ID: r.id, Class: d.mix[r.class].Name, Object: fmt.Sprintf("%016x", r.object), Group: 17,
 		Deadline: r.due + d.mix[r.class].Limit, Write: d.mix[r.class].Keyed, Retry: r.tries > 0})
 }
 
-// answer gives a request its one final answer.
+// answer records a request's final answer, or counts an extra one if it had an answer before. A client may retry after a
+// rejection; then the outcome of its last attempt counts. a is nil if served is set or the deadline has passed.
 func (d *directorSim) answer(g *directorGateway, r *request, a routing.Action, served bool) {
 	if r.ended {
 		g.extraAnswers++
@@ -78,7 +81,7 @@
 	if refused && r.tries < 2 && d.scene.Repeat > 0 && d.rng.Float64() < d.scene.Repeat {
 		again := &request{owner: g, class: r.class, object: r.object, counted: r.counted, tries: r.tries + 1}
 		d.clock.At(d.clock.Now+max(refusal.RetryAfter, 50*time.Millisecond), func() { d.submit(g, again) })
-		return // how it ends is its last try's to say
+		return // the outcome of the retry counts
 	}
 	if !r.counted {
 		return
@@ -99,6 +102,7 @@
 	}
 }
 
+// handle passes an event to the director of a locality and carries out its actions.
 func (d *directorSim) handle(g *directorGateway, where int, ev routing.Event) {
 	for _, a := range g.directors[where].Handle(d.clock.Now, ev, nil) {
 		switch a := a.(type) {
@@ -127,7 +131,7 @@
 	}
 }
 
-// cancel ends an attempt that a director gives up.
+// cancel ends an attempt that a director cancels.
 func (d *directorSim) cancel(r *request, where, number int) {
 	for _, at := range r.attempts {
 		if at.locality == where && at.number == number && !at.ended {
@@ -136,7 +140,7 @@
 	}
 }
 
-// move is what the gateway does with a refusal.
+// reroute sends a request that a director rejected to another locality, if the selector finds one. It returns false if not.
 func (d *directorSim) reroute(g *directorGateway, r *request) bool {
 	if g.selector == nil || g.classes[r.class].Uncacheable {
 		return false
@@ -152,7 +156,8 @@
 	return true
 }
 
-// end has an attempt end after a time, once, and tells its director.
+// finish ends an attempt after a delay with a result, and passes that to the selector and the director of its gateway. Only
+// the first call for an attempt that is due has an effect.
 func (d *directorSim) finish(a *attempt, after time.Duration, o routing.AttemptResult) {
 	if a.ended {
 		return
@@ -165,7 +170,7 @@
 	delete(a.to.attempts, a)
 	r, g := a.request, a.request.owner
 	if a.incarnation != g.incarnation {
-		return // nobody is there any more to hear of it
+		return // the gateway was killed since it sent the attempt
 	}
 	if !a.uncacheable && g.selector != nil {
 		late := o.Status == routing.OK && d.clock.Now-a.sent > d.mix[r.class].Aim
--- a/lab/localitysim/directed_sharing.go
+++ b/lab/localitysim/directed_sharing.go
@@ -10,7 +10,7 @@
 	"larchusher/warmstart"
 )
 
-// beginSharing begins a gateway's copy of what all know, empty: it catches up with the others.
+// newReplica starts an empty replica for a gateway; it catches up with the other gateways.
 func (d *directorSim) newReplica(g *directorGateway) (err error) {
 	var members []string
 	for _, z := range d.scene.Zones {
@@ -28,11 +28,12 @@
 	return nil
 }
 
-// share has a gateway tell others what it learns, and catch up as it comes back.
+// startSharing ticks a gateway's replica every 100 ms and publishes what its first director has learned every 500 ms, while
+// the gateway is up.
 func (d *directorSim) startSharing(g *directorGateway) {
 	ticks := 0
-	var selectorTick func()
-	selectorTick = func() {
+	var shareTick func()
+	shareTick = func() {
 		if ticks++; !g.down {
 			if ticks%5 == 0 {
 				m := g.directors[0].Export(d.clock.Now, maxSharedListings)
@@ -44,11 +45,13 @@
 			}
 			d.handleReplication(g, replication.Tick{})
 		}
-		d.clock.At(d.clock.Now+100*time.Millisecond, selectorTick)
+		d.clock.At(d.clock.Now+100*time.Millisecond, shareTick)
 	}
-	d.clock.At(time.Duration(d.rng.Float64()*float64(100*time.Millisecond)), selectorTick)
+	d.clock.At(time.Duration(d.rng.Float64()*float64(100*time.Millisecond)), shareTick)
 }
 
+// handleReplication passes an event to a gateway's replica, delivers its messages after 2 ms, and imports the shared state
+// into the directors of its zone once the replica has caught up.
 func (d *directorSim) handleReplication(g *directorGateway, e replication.Event) {
 	for _, a := range g.replica.Handle(d.clock.Now, e, nil) {
 		switch a := a.(type) {
@@ -72,7 +75,7 @@
 	}
 }
 
-// names is the zone of a gateway's director.
+// zoneName returns the zone of a gateway's i-th director.
 func (g *directorGateway) zoneName(i int) string {
 	if len(g.localities) > i {
 		return g.localities[i].Name
@@ -80,5 +83,5 @@
 	return g.settings.Zone
 }
 
-// toldListings is of how many objects a gateway tells the others.
+// maxSharedListings is the largest number of objects whose listings a gateway publishes.
 const maxSharedListings = 4096
--- a/lab/localitysim/directed_stores.go
+++ b/lab/localitysim/directed_stores.go
@@ -8,6 +8,8 @@
 	"larchusher/routing"
 )
 
+// dispatch sends an attempt to a server as a director asked. Attempts at silent zones, and those that cross the cut of a hub,
+// end by the time-out.
 func (d *directorSim) dispatch(g *directorGateway, where int, x routing.ForwardAttempt) {
 	r, to := g.requests[x.ID], d.servers[x.Endpoint]
 	if r == nil || to == nil {
@@ -51,7 +53,8 @@
 	}
 }
 
-// work puts one request on a server's queue: when it is done, or that it is full.
+// enqueue adds one request to a server's queue and returns the time until it is done. It returns false if the server's
+// queue is longer than maxQueueDelay, or if a cold server crashes because the request exceeds its overload limit.
 func (d *directorSim) enqueue(s *server, slow bool) (took time.Duration, ok bool) {
 	able := 1.0
 	if age := d.clock.Now - s.startedAt; age < warmUpTime {
@@ -84,6 +87,7 @@
 	return s.busyUntil - d.clock.Now, true
 }
 
+// serve has a server answer an attempt: a hit, a miss, or after a fill from source.
 func (d *directorSim) serve(a *attempt, way time.Duration, source *server, slow bool) {
 	to, sec := a.to, d.currentSecond()
 	took, ok := d.enqueue(to, slow)
@@ -100,7 +104,7 @@
 	if to.kind == "origin" && a.request.counted {
 		sec.Origin++
 	}
-	if to.kind == "parent" && d.rng.Float64() >= parentHitRatio { // it lacks it, and asks the origin
+	if to.kind == "parent" && d.rng.Float64() >= parentHitRatio { // a miss at the parent: it fetches the part from the origin
 		more, ok := d.enqueue(d.origin, false)
 		if a.request.counted {
 			if sec.Origin++; !ok {
@@ -133,7 +137,7 @@
 	d.finish(a, took+more, routing.AttemptResult{Status: routing.OK, Reason: routing.ReasonFilled, LoadReport: report()})
 }
 
-// fill fetches what a box lacks from a source.
+// fill fetches a missing object for a cache from a fill source. It returns the time taken and whether the object arrived.
 func (d *directorSim) fill(source *server, a *attempt) (took time.Duration, ok bool) {
 	sec := d.currentSecond()
 	if a.request.counted {
@@ -164,7 +168,7 @@
 	return took, true
 }
 
-// over is the most by which a zone's gateways spilled beyond their bounds, in any second.
+// computeExcessSpill sets Result.Over as [simulation.computeExcessSpill] does.
 func (d *directorSim) computeExcessSpill() (most float64) {
 	s := &simulation{scene: d.scene, res: d.res}
 	for _, z := range d.scene.Zones {
--- a/lab/localitysim/events.go
+++ b/lab/localitysim/events.go
@@ -8,6 +8,8 @@
 
 type eventKind uint8
 
+// event is a simulated event. Which fields are set depends on its kind; for faultChanged, zone is the index of the fault,
+// rerouted is true for a change of the fault and false for an update of the endpoint list, and hit marks the fault's start.
 type event struct {
 	at       time.Duration
 	order    uint64
@@ -24,6 +26,7 @@
 	id       uint64
 }
 
+// events is a min-heap by time; events at the same time keep the order in which they were scheduled.
 type events []event
 
 func (h events) Len() int { return len(h) }
@@ -46,7 +49,7 @@
 const (
 	requestArrived eventKind = iota
 	attemptEnded
-	tick
+	tickDue
 	faultChanged
-	attemptRejected // a locality turned a request away, and its gateway hears of it
+	attemptRejected // a zone rejected an attempt and its gateway receives the rejection
 )
--- a/lab/localitysim/localitysim.go
+++ b/lab/localitysim/localitysim.go
@@ -1,10 +1,11 @@
-// Package localitysim is several zones in simulated time: gateways that run package locality without a changed line, zones with
-// boxes, copies and a link, upper caches at hubs, and an origin that refuses beyond a point. It tries faults at sizes that
-// sockets don't reach. Equal scenes and seeds give equal runs.
+// Package localitysim simulates several zones in virtual time: gateways that run the unchanged package locality, zones with
+// caches, parents at hubs, and an origin with limited capacity. It tests faults at sizes that can't be reached with sockets.
+// Equal scenes and seeds give equal runs.
 //
-// What it simplifies: a zone's boxes are one queue, and so are a hub's upper caches and the origin; the director is not in
-// it (an attempt goes to the zone, and a refused one is moved once); every request is for one part, of one size; no copy is
-// dropped, but for those of a cold restart; the list is as late as the scene says, and knows only of processes.
+// [Run] simplifies: the caches of a zone are one queue, and so are the parents of a hub and the origin; there are no directors
+// (an attempt goes to a zone, and a rejected one is rerouted once); every request is for one part, and all parts have one
+// size; caches evict nothing but become empty by a cold restart; the endpoint list is delayed by Scene.List and reflects
+// only whether processes run. [RunWithDirectors] simulates each cache and the directors.
 package localitysim
 
 import (
@@ -16,113 +17,113 @@
 	"larchusher/locality"
 )
 
-// Zone is one location.
+// Zone describes one location.
 type Zone struct {
 	Name     string
-	Hub      int
-	Boxes    int
+	Hub      int // index of the hub whose parents serve the zone, from 0
+	Boxes    int // number of caches
 	Gateways int
-	Load     float64 // of what its boxes can do, while all is well
+	Load     float64 // load by its own clients, as a share of the capacity of its caches
 }
 
-// FaultKind is what befalls a zone.
+// FaultKind is the kind of a zone's fault. Its text is read from scene files.
 type FaultKind string
 
-// The faults.
+// Kinds of faults.
 const (
-	Dead         FaultKind = "dead"    // connections are refused; what was open is reset; cold and empty afterwards
-	Silent       FaultKind = "silent"  // it takes work and answers none
-	Slow         FaultKind = "slow"    // it does a fifth of what it can
-	Errors       FaultKind = "errors"  // it answers nothing but errors
-	Parents      FaultKind = "parents" // its hub's upper caches are away
-	Cut          FaultKind = "cut"     // its hub is cut off from other hubs: nobody from elsewhere reaches it, nor it others
-	Restart      FaultKind = "restart" // its gateways die, and come back with what they have kept; with directors only
-	FalseRemoval FaultKind = "lies"    // the list says that all its boxes are gone, which they are not
+	Dead         FaultKind = "dead"    // connections are refused, open ones are reset; afterwards the caches are cold and empty
+	Silent       FaultKind = "silent"  // the zone accepts requests and answers none
+	Slow         FaultKind = "slow"    // the zone has a fifth of its capacity
+	Errors       FaultKind = "errors"  // the zone answers all requests with errors
+	Parents      FaultKind = "parents" // the parents of the zone's hub are unreachable
+	Cut          FaultKind = "cut"     // no connection between the zone and zones of other hubs, in either direction; in Run none to the origin either
+	Restart      FaultKind = "restart" // the zone's gateways are killed and restarted with the state that they saved; only in RunWithDirectors
+	FalseRemoval FaultKind = "lies"    // the endpoint list says that all caches of the zone are removed although they run
 )
 
-// Fault is a fault in time.
+// Fault is a fault of a zone from At until Till, in virtual time.
 type Fault struct {
 	Zone     int
 	Kind     FaultKind
 	At, Till time.Duration
 }
 
-// Policy is how gateways go by zones.
+// Policy selects how gateways choose zones. Its text is read from scene files and appears in results.
 type Policy string
 
-// The policies.
+// Policies.
 const (
 	Tiered    Policy = "tiers"     // package locality
-	NoSpill   Policy = "no spill"  // all stays
-	Unbounded Policy = "unbounded" // what fails here goes to the next zone that the list calls up, all of it, and back at once
+	NoSpill   Policy = "no spill"  // all requests stay in the gateway's zone
+	Unbounded Policy = "unbounded" // all requests go to the nearest zone that works, without bounds or ramp, and return at once
 )
 
-// Scene is what is played.
+// Scene configures a simulation.
 type Scene struct {
 	Zones      []Zone
-	BoxRate    float64 // requests a second of a warm box
-	Objects    int     // that are asked for
-	Skew       float64 // of how often: Zipf's exponent, over 1
-	Origin     float64 // fills a second that the origin can do, over what is usual; it refuses beyond
-	Parent     float64 // likewise of a hub's upper caches
-	List       time.Duration
+	BoxRate    float64       // capacity of a warm cache, requests per second
+	Objects    int           // number of different objects requested
+	Skew       float64       // exponent of the Zipf distribution of their popularity, more than 1
+	Origin     float64       // capacity of the origin, as a multiple of its usual fills per second; it rejects requests beyond
+	Parent     float64       // capacity of a hub's parents, likewise
+	List       time.Duration // delay of the endpoint list
 	Faults     []Fault
-	For        time.Duration
-	Warm       time.Duration // before that nothing is counted, and zones fill
+	For        time.Duration // virtual time of the run
+	Warm       time.Duration // first part of the run, in which caches fill and nothing is counted
 	Policy     Policy
-	Neighbours bool            // gateways tell each other what they learn, and catch up as they return; with directors only
-	Memory     bool            // gateways keep what they learn through a restart; with directors only
-	Oracle     bool            // they forget nothing at all through one, as no real gateway can
-	Repeat     float64         // share of refused clients that come back when told to, twice at most; with directors only
-	Tiers      locality.Config // further settings; Localities, Bands and Seed are set here
+	Neighbours bool            // gateways replicate learned state to each other and catch up after a restart; only in RunWithDirectors
+	Memory     bool            // gateways save learned state and restore it after a restart; only in RunWithDirectors
+	Oracle     bool            // gateways lose no state by a restart, as an upper bound that real gateways can't reach
+	Repeat     float64         // share of rejected attempts that clients retry after the advised delay, at most twice; only in RunWithDirectors
+	Tiers      locality.Config // settings of package locality; Localities, Bands and Seed are overwritten
 	Seed       uint64
 }
 
-// Figures of a box and of the network, as the deployment's settings give them.
+// Properties of caches and of the network, taken from the deployment's settings.
 const (
-	coldFrom           = 0.15
+	coldStartShare     = 0.15
 	warmUpTime         = 17 * time.Second
-	tip                = 2.5
+	crashFactor        = 2.5
 	overloadWindow     = 2 * time.Second
 	sameHubDelay       = 2 * time.Millisecond
-	otherHubDelay      = 30 * time.Millisecond // to a zone of another hub
+	otherHubDelay      = 30 * time.Millisecond // one way, to a zone of another hub
 	parentFetchTime    = 8 * time.Millisecond
 	originFetchTime    = 40 * time.Millisecond
 	loadReportInterval = 400 * time.Millisecond
-	maxQueueDelay      = 1500 * time.Millisecond // of waiting work at a zone, before it refuses
-	parentHitRatio     = 0.6                     // share of fills that an upper cache has
+	maxQueueDelay      = 1500 * time.Millisecond // queued work beyond which a zone or server rejects requests
+	parentHitRatio     = 0.6                     // share of fills that a parent serves without the origin
 )
 
-// Second is what came of one second, in all and by zone.
+// Second counts one second of a run. Slices are indexed by zone.
 type Second struct {
 	Asked, InAim, Late, Failed, Refused int
 	Worth, WorthAsked                   float64
-	Spilled                             []int // requests of a zone's clients that went elsewhere,
-	Own                                 []int // and all of them, clients' repeats too
-	At                                  []int // attempts that came to a zone
+	Spilled                             []int // attempts of a zone's gateways at other zones
+	Own                                 []int // all requests of a zone's clients, their retries included
+	At                                  []int // attempts at a zone, from any gateway
 	Fills, Origin, OriginRefused        int
 	Hits, Reads                         int
 }
 
-// Result is what came of a scene.
+// Result holds the figures of a run. Falls, Most, Over and Twice show violated bounds.
 type Result struct {
 	Seconds  []Second
 	Classes  []load.Class
-	Asked    []int // by class
-	InAim    []int
-	Refused  []int
-	Falls    []string // zones that fell over, and when
-	Twice    int      // requests that had more than one final answer, or none
-	Events   int
-	Most     float64 // largest part of what a cold server stands that any was sent, over any time; 1: it falls over
-	Over     float64 // most by which a gateway's zone spilled beyond its bounds, in any second, as a share of load
+	Asked    []int    // requests, by class
+	InAim    []int    // requests served within the latency objective, by class
+	Refused  []int    // rejected requests, by class
+	Falls    []string // zones or servers that crashed by overload while cold, and when
+	Twice    int      // final answers beyond the first of a request
+	Events   int      // simulated events
+	Most     float64  // highest load of a cold server, as a share of the load at which it crashes; only in RunWithDirectors
+	Over     float64  // most by which a zone's spillover exceeded its bound in any second, as a share of its requests
 	Gateways []*locality.Selector
 }
 
 type gateway struct {
 	selector   *locality.Selector
-	zones      []int // zones, by its localities
-	localityOf []int // localities, by zone
+	zones      []int // zone of each locality
+	localityOf []int // locality of each zone
 	home       int
 }
 
@@ -143,7 +144,7 @@
 	res      *Result
 }
 
-// Run plays a scene.
+// Run simulates a scene without directors. The error names an invalid value of the scene.
 func Run(sc Scene) (*Result, error) {
 	if err := sc.check(); err != nil {
 		return nil, err
@@ -183,12 +184,12 @@
 	switch e.kind {
 	case requestArrived:
 		s.handleArrival(e)
-	case tick:
+	case tickDue:
 		g := s.gateways[e.gateway]
 		if s.scene.Policy == Tiered {
 			g.selector.Tick(s.now)
 		}
-		s.schedule(s.now+locality.DefaultTick, event{kind: tick, gateway: e.gateway})
+		s.schedule(s.now+locality.DefaultTick, event{kind: tickDue, gateway: e.gateway})
 	case attemptEnded:
 		s.handleResult(e)
 	case attemptRejected:
@@ -198,11 +199,12 @@
 	}
 }
 
-// fault begins or ends one, or has the list tell of it.
+// handleFault begins or ends a fault, or updates the endpoint list. If e.rerouted is set, the fault changes, and e.hit says
+// whether it begins; otherwise the list reports the zone's present state. e.zone is the index of the fault.
 func (s *simulation) handleFault(e event) {
 	f := s.scene.Faults[e.zone]
 	z := s.zones[f.Zone]
-	if !e.rerouted { // the list tells
+	if !e.rerouted { // the endpoint list changes
 		up := z.Boxes
 		if z.crashed || z.faults[Dead] > 0 || z.faults[FalseRemoval] > 0 {
 			up = 0
@@ -219,7 +221,7 @@
 		}
 	} else {
 		z.faults[f.Kind]--
-		if f.Kind == Dead && z.faults[Dead] == 0 { // it comes back cold and empty
+		if f.Kind == Dead && z.faults[Dead] == 0 { // the caches return cold and empty
 			z.crashed, z.startedAt, z.busyUntil, z.recentRequests, z.workDone = false, s.now, s.now, 0, 0
 			clear(z.cached)
 		}
@@ -245,7 +247,7 @@
 		sec.Own[g.home]++
 		s.res.Asked[class]++
 	}
-	if s.mix[class].Keyed { // it goes straight to the origin, which is elsewhere
+	if s.mix[class].Keyed { // goes to the origin directly, bypassing caches
 		if s.fetchFromOrigin(g.home) {
 			s.schedule(s.now+originFetchTime, event{kind: attemptEnded, gateway: e.gateway, zone: -1, class: e.class, due: e.due, result: locality.ResultSuccess})
 		} else {
@@ -268,11 +270,11 @@
 	case Unbounded:
 		for _, k := range g.zones {
 			if z := s.zones[k]; z.faults[Dead] == 0 && !z.crashed && z.faults[Errors] == 0 && z.faults[Silent] == 0 {
-				where = k // it knows at once, which no real one does
+				where = k // an idealized policy: the gateway sees faults without delay
 				break
 			}
 		}
-	default: // the own one
+	default: // NoSpill: the gateway's own zone
 	}
 	s.send(e, where)
 }
@@ -299,7 +301,7 @@
 	}
 	took := s.now - e.due
 	switch {
-	case e.result == locality.ResultFailure && !e.rerouted && e.zone >= 0 && s.scene.Policy == Tiered && took < s.mix[e.class].Aim/2: // its director gave it up, and nothing is out
+	case e.result == locality.ResultFailure && !e.rerouted && e.zone >= 0 && s.scene.Policy == Tiered && took < s.mix[e.class].Aim/2: // failed early and in no zone's queue any more: it can be rerouted
 		s.handleRejection(e)
 	case e.result == locality.ResultFailure:
 		sec.Failed++
@@ -312,7 +314,7 @@
 	}
 }
 
-// refused moves a request to another zone, once, or ends it.
+// handleRejection reroutes a request to another zone, at most once, or rejects it.
 func (s *simulation) handleRejection(e event) {
 	g := s.gateways[e.gateway]
 	if e.kind == attemptRejected {
@@ -337,7 +339,7 @@
 	}
 }
 
-// over finds by how much a zone's gateways spilled beyond their bounds.
+// computeExcessSpill sets Result.Over from the seconds in which a zone's clients made more than 200 requests.
 func (s *simulation) computeExcessSpill() {
 	if s.scene.Policy != Tiered {
 		return
@@ -368,7 +370,8 @@
 	return 0
 }
 
-// Share is the part of the worth that was answered in aim between two times.
+// ServedWorthShare returns the share of the requests' priority weight that was served within the latency objective, over the
+// whole seconds between two times.
 func (r *Result) ServedWorthShare(from, to time.Duration) float64 {
 	got, asked := 0.0, 0.0
 	for i := int(from / time.Second); i < int(to/time.Second) && i < len(r.Seconds); i++ {
--- a/lab/localitysim/localitysim_test.go
+++ b/lab/localitysim/localitysim_test.go
@@ -16,13 +16,14 @@
 	"larchusher/locality"
 )
 
-// three zones of unequal size, two at one hub and one at another.
+// threeZones returns a scene with three zones of unequal size, two at one hub and one at another.
 func threeZones(seed uint64, faults ...Fault) Scene {
 	return Scene{Zones: []Zone{{Name: "a", Hub: 0, Boxes: 5, Gateways: 3, Load: 0.55}, {Name: "b", Hub: 0, Boxes: 2, Gateways: 2, Load: 0.55},
 		{Name: "c", Hub: 1, Boxes: 7, Gateways: 4, Load: 0.55}},
 		BoxRate: 80, Objects: 4000, List: 3 * time.Second, Faults: faults, For: 60 * time.Second, Warm: 10 * time.Second, Policy: Tiered, Seed: seed}
 }
 
+// mustRun runs a scene without directors and fails the test on an error.
 func mustRun(t testing.TB, sc Scene) *Result {
 	r, err := Run(sc)
 	if err != nil {
@@ -31,28 +32,28 @@
 	return r
 }
 
-// A zone dies and returns cold: spill stays within its bound in every second, nothing falls, and service is back to what
-// it was within 30 s of the return.
+// A zone fails and returns with cold caches: spillover stays within its bound in every second, no zone crashes by overload,
+// and the served share is back to its former value within 30 s of the return.
 func TestZoneOutageAndColdReturn(t *testing.T) {
 	sc := threeZones(1, Fault{0, Dead, 20 * time.Second, 30 * time.Second})
 	sc.For = 80 * time.Second
 	r := mustRun(t, sc)
 	before, during, after := r.ServedWorthShare(10*time.Second, 20*time.Second), r.ServedWorthShare(22*time.Second, 30*time.Second), r.ServedWorthShare(60*time.Second, 80*time.Second)
-	t.Logf("in aim %.3f before, %.3f while away, %.3f from 30 s after the return; over the bound by %.3f; falls %v", before, during, after, r.Over, r.Falls)
+	t.Logf("served share %.3f before, %.3f during the outage, %.3f from 30 s after the return; spillover over its bound by %.3f; crashed %v", before, during, after, r.Over, r.Falls)
 	if after < 0.98*before {
-		t.Errorf("30 s after the return service is %.3f, and was %.3f", after, before)
+		t.Errorf("served share 30 s after the return is %.3f, want at least 0.98 of the former %.3f", after, before)
 	}
 	sc.Policy = NoSpill
-	if plain := mustRun(t, sc); during < plain.ServedWorthShare(22*time.Second, 30*time.Second)+0.05 {
-		t.Errorf("while the zone is away %.3f, without spill %.3f", during, plain.ServedWorthShare(22*time.Second, 30*time.Second))
+	if withoutSpill := mustRun(t, sc); during < withoutSpill.ServedWorthShare(22*time.Second, 30*time.Second)+0.05 {
+		t.Errorf("served share during the outage is %.3f with spillover and %.3f without, want a gain of 0.05", during, withoutSpill.ServedWorthShare(22*time.Second, 30*time.Second))
 	}
 	if r.Over > 0.02 || len(r.Falls) > 0 {
-		t.Errorf("over the bound by %.3f, falls: %v", r.Over, r.Falls)
+		t.Errorf("spillover over its bound by %.3f, want at most 0.02; crashed: %v, want none", r.Over, r.Falls)
 	}
 }
 
-// The same with a director in each gateway for each locality, unchanged: one answer each, no box falls over, and service
-// comes back.
+// A zone outage with a director in each gateway for each locality: every request has one final answer, no cache crashes by
+// overload, the served share recovers, and two runs are equal.
 func TestZoneOutageWithDirectors(t *testing.T) {
 	sc := threeZones(2, Fault{0, Dead, 15 * time.Second, 22 * time.Second})
 	sc.For, sc.Objects, sc.List = 45*time.Second, 1000, 2*time.Second
@@ -61,9 +62,9 @@
 		t.Fatal(err)
 	}
 	before, during, after := r.ServedWorthShare(10*time.Second, 15*time.Second), r.ServedWorthShare(17*time.Second, 22*time.Second), r.ServedWorthShare(38*time.Second, 45*time.Second)
-	t.Logf("in aim %.3f before, %.3f while away, %.3f from 16 s after the return; over the bound by %.3f; falls %v; twice %d", before, during, after, r.Over, r.Falls, r.Twice)
+	t.Logf("served share %.3f before, %.3f during the outage, %.3f from 16 s after the return; spillover over its bound by %.3f; crashed %v; extra answers %d", before, during, after, r.Over, r.Falls, r.Twice)
 	if after < 0.97*before || r.Over > 0.05 || len(r.Falls) > 0 || r.Twice > 0 {
-		t.Errorf("in aim %.3f before, %.3f after; over the bound by %.3f; falls %v; %d answered twice", before, after, r.Over, r.Falls, r.Twice)
+		t.Errorf("served share %.3f before, %.3f after; spillover over its bound by %.3f; crashed %v; %d extra answers", before, after, r.Over, r.Falls, r.Twice)
 	}
 	again, err := RunWithDirectors(sc)
 	if err != nil {
@@ -71,22 +72,23 @@
 	}
 	r.Gateways, again.Gateways = nil, nil
 	if !reflect.DeepEqual(r, again) {
-		t.Error("two runs of a scene differ")
+		t.Error("two runs of one scene gave different results")
 	}
 }
 
-// Equal scenes and seeds give equal runs.
+// Equal scenes and seeds give equal results.
 func TestEqualScenesGiveEqualResults(t *testing.T) {
 	sc := threeZones(3, Fault{2, Dead, 12 * time.Second, 15 * time.Second})
 	sc.For = 20 * time.Second
 	a, b := mustRun(t, sc), mustRun(t, sc)
 	a.Gateways, b.Gateways = nil, nil
 	if !reflect.DeepEqual(a, b) {
-		t.Error("two runs of a scene differ")
+		t.Error("two runs of one scene gave different results")
 	}
 }
 
-// A zone that returns and fails again after 5 s, for a minute, is given ever less of the load to lose.
+// A zone that flaps for a minute, 5 s down and 5 s up, receives ever less load: no more requests fail in the last twenty
+// seconds than in the first ten.
 func TestFlappingZoneGetsLessLoad(t *testing.T) {
 	var faults []Fault
 	for k := range 6 {
@@ -103,32 +105,33 @@
 		return n
 	}
 	if first, last := lost(20, 30), lost(60, 80); last > first {
-		t.Errorf("%d requests failed in the first ten seconds, %d in the last twenty", first, last)
+		t.Errorf("%d requests failed in the first ten seconds and %d in the last twenty, want no more in the last", first, last)
 	}
 	if r.Over > 0.02 || len(r.Falls) > 0 {
-		t.Errorf("over the bound by %.3f, falls: %v", r.Over, r.Falls)
+		t.Errorf("spillover over its bound by %.3f, want at most 0.02; crashed: %v, want none", r.Over, r.Falls)
 	}
 }
 
-// Two zones of three fail: the third does not follow, and what fits nowhere is refused, the least worth first.
+// Two zones of three fail: the third doesn't crash by overload, and requests beyond its capacity are rejected, those of the
+// lowest priority weight first.
 func TestThirdZoneSurvivesTwoOutages(t *testing.T) {
 	sc := threeZones(5, Fault{0, Silent, 20 * time.Second, 50 * time.Second}, Fault{2, Dead, 22 * time.Second, 50 * time.Second})
 	r := mustRun(t, sc)
 	if r.Over > 0.02 || len(r.Falls) > 0 {
-		t.Errorf("over the bound by %.3f, falls: %v", r.Over, r.Falls)
+		t.Errorf("spillover over its bound by %.3f, want at most 0.02; crashed: %v, want none", r.Over, r.Falls)
 	}
-	// What comes to b, 2 boxes of 80/s, stays under what it can do.
+	// Zone b has 2 caches of 80/s; 10 % above their capacity is tolerated.
 	for i, s := range r.Seconds[25:50] {
 		if s.At[1] > 176 {
-			t.Errorf("second %d: %d attempts at a zone that can do 160", 25+i, s.At[1])
+			t.Errorf("second %d: %d attempts at a zone with a capacity of 160, want at most 176", 25+i, s.At[1])
 		}
 	}
 	if r.Refused[0] > r.Refused[1]*4/3 {
-		t.Errorf("refused: %v of %v", r.Refused, r.Asked)
+		t.Errorf("rejected by class %v of %v; want the first class at most a third above the second", r.Refused, r.Asked)
 	}
 }
 
-// Unequal zones share what spills by what they have to spare: the small one is not flooded.
+// Spillover is shared between unequal zones by their spare capacity, so that the small one isn't overloaded.
 func TestSmallZoneIsNotOverloadedBySpillover(t *testing.T) {
 	sc := Scene{Zones: []Zone{{Name: "big", Boxes: 7, Gateways: 4, Load: 0.6}, {Name: "small", Boxes: 2, Gateways: 2, Load: 0.6},
 		{Name: "mid", Boxes: 6, Gateways: 4, Load: 0.6}}, BoxRate: 80, Objects: 4000, List: 3 * time.Second, For: 60 * time.Second,
@@ -139,11 +142,11 @@
 		most = max(most, s.At[1])
 	}
 	if most > 165 || r.Over > 0.02 || len(r.Falls) > 0 {
-		t.Errorf("%d attempts in a second at a zone that can do 160; over the bound by %.3f; falls %v", most, r.Over, r.Falls)
+		t.Errorf("%d attempts in one second at a zone with a capacity of 160, want at most 165; spillover over its bound by %.3f; crashed %v", most, r.Over, r.Falls)
 	}
 }
 
-// No fault plot, however drawn, has a zone fall over by our doing, or spill go beyond its bound.
+// Whatever faults are drawn, no zone crashes by overload and spillover stays within its bound.
 func TestRandomFaultsKeepBounds(t *testing.T) {
 	kinds := []FaultKind{Dead, Silent, Slow, Errors, Parents, Cut, FalseRemoval}
 	rapid.Check(t, func(t *rapid.T) {
@@ -159,14 +162,14 @@
 			t.Fatal(err)
 		}
 		if r.Over > 0.02 || len(r.Falls) > 0 {
-			t.Fatalf("over the bound by %.3f, falls: %v", r.Over, r.Falls)
+			t.Fatalf("spillover over its bound by %.3f, want at most 0.02; crashed: %v, want none", r.Over, r.Falls)
 		}
 	})
 }
 
-// Bad scenes are named.
+// Invalid scenes are rejected.
 func TestInvalidScenesAreRejected(t *testing.T) {
-	for name, spoil := range map[string]func(*Scene){
+	for name, makeInvalid := range map[string]func(*Scene){
 		"no zones":     func(s *Scene) { s.Zones = nil },
 		"no boxes":     func(s *Scene) { s.Zones[1].Boxes = 0 },
 		"no such kind": func(s *Scene) { s.Faults = []Fault{{0, "flood", 0, time.Second}} },
@@ -175,15 +178,16 @@
 		"tiers":        func(s *Scene) { s.Tiers = locality.Config{MaxSpillover: 2} },
 	} {
 		sc := threeZones(1)
-		spoil(&sc)
+		makeInvalid(&sc)
 		if _, err := Run(sc); err == nil {
-			t.Errorf("%s: it is played", name)
+			t.Errorf("%s: Run accepted the scene, want an error", name)
 		}
 	}
 }
 
-// Over drawn histories of deploys and restarts, gateways that remember send cold boxes no more than a fifth of the fall
-// limit beyond what those send that remember nothing, and none falls over. LARCHUSHER_LONG=7 makes it 105 histories.
+// Over random sequences of cache deployments and gateway restarts, gateways that restore saved state load cold caches by at
+// most a fifth of their crash limit more than gateways without saved state, and no cache crashes. LARCHUSHER_LONG=7 runs 105
+// sequences.
 func TestRestoredStateDoesNotOverloadColdCaches(t *testing.T) {
 	n := 15
 	if k, err := strconv.Atoi(os.Getenv("LARCHUSHER_LONG")); err == nil {
@@ -197,27 +201,27 @@
 		sc := Scene{Zones: []Zone{{Name: "a", Boxes: 3, Gateways: 2, Load: 0.4 + 0.5*rng.Float64()}, {Name: "b", Boxes: 2, Gateways: 1, Load: 0.4}}, BoxRate: 60,
 			Objects: 500, List: time.Duration(rng.IntN(2000)) * time.Millisecond, For: 28 * time.Second, Warm: 2 * time.Second, Policy: NoSpill, Seed: uint64(i + 1),
 			Faults: []Fault{{0, Dead, at, at + 3*time.Second}, {0, Restart, down, down + time.Duration(500+rng.IntN(3000))*time.Millisecond}}}
-		plain, err := RunWithDirectors(sc)
+		fresh, err := RunWithDirectors(sc)
 		if err != nil {
 			t.Fatal(err)
 		}
 		sc.Memory = true
-		kept, err := RunWithDirectors(sc)
+		restored, err := RunWithDirectors(sc)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(kept.Falls) > 0 || kept.Most > plain.Most+0.2 {
-			t.Errorf("history %d: a cold box was sent %.2f of what it stands, and %.2f by those that remember nothing; falls: %v", i, kept.Most, plain.Most, kept.Falls)
+		if len(restored.Falls) > 0 || restored.Most > fresh.Most+0.2 {
+			t.Errorf("sequence %d: a cold cache had %.2f of its crash limit with saved state and %.2f without, want at most 0.2 more; crashed: %v", i, restored.Most, fresh.Most, restored.Falls)
 		}
-		with, without = with+kept.Most/float64(n), without+plain.Most/float64(n)
+		with, without = with+restored.Most/float64(n), without+fresh.Most/float64(n)
 	}
-	t.Logf("on average %.3f with, %.3f without", with, without)
+	t.Logf("average share of the crash limit: %.3f with saved state, %.3f without", with, without)
 	if with > without+0.05 {
-		t.Errorf("on average %.3f with, %.3f without", with, without)
+		t.Errorf("average share of the crash limit: %.3f with saved state, %.3f without", with, without)
 	}
 }
 
-// Scenes' files are read, and faults in them named.
+// Scene files are parsed, and errors name the invalid key.
 func TestParseSceneFiles(t *testing.T) {
 	for _, name := range []string{"dark", "twice", "small", "bounds"} {
 		f, err := Load("../scenarios/" + name + ".textproto")
@@ -238,12 +242,12 @@
 		zones + "boxrate: 1":                           "boxrate",
 	} {
 		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s gives %v, not %q", text, err, want)
+			t.Errorf("Parse(%s): error %v, want one that contains %q", text, err, want)
 		}
 	}
 }
 
-// A sweep plays each cell, whatever the number of cores, and writes its rows.
+// A sweep gives every cell the result that it has when it is run alone, and WriteParquet writes the rows of all cells.
 func TestSweepRunsEveryCell(t *testing.T) {
 	f, err := Parse([]byte(`zone { name: "a" boxes: 2 gateways: 1 } zone { name: "b" boxes: 2 gateways: 1 } for: "8s" warm: "2s" objects: 200 repeat: 0.5
 		fault { zone: "a" kind: "dead" at: "3s" till: "5s" } directed: true sweep { key: "load" value: 0.3 value: 0.6 } sweep { key: "bounds.spill" value: 0.1 value: 0.5 }`))
@@ -252,12 +256,12 @@
 	}
 	cells, err := f.RunCells(nil)
 	if err != nil || len(cells) != 8 {
-		t.Fatalf("%d cells, %v", len(cells), err)
+		t.Fatalf("%d cells, error %v; want 8", len(cells), err)
 	}
 	for _, c := range cells {
 		alone, err := RunWithDirectors(c.Scene)
 		if err != nil || alone.ServedWorthShare(c.Scene.Warm, c.Scene.For) != c.Worth() || c.Result.Twice > 0 {
-			t.Errorf("%s: %.3f, and alone %.3f; %d twice; %v", c.Name(), c.Worth(), alone.ServedWorthShare(c.Scene.Warm, c.Scene.For), c.Result.Twice, err)
+			t.Errorf("%s: served share %.3f in the sweep, %.3f alone; %d extra answers, want 0; error %v", c.Name(), c.Worth(), alone.ServedWorthShare(c.Scene.Warm, c.Scene.For), c.Result.Twice, err)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "rows.parquet")
@@ -266,6 +270,6 @@
 	}
 	rows, err := parquet.ReadFile[Row](path)
 	if err != nil || len(rows) != 8*6 || rows[0].Asked == 0 {
-		t.Errorf("%d rows, %v", len(rows), err)
+		t.Errorf("%d rows, error %v; want 48, with requests", len(rows), err)
 	}
 }
--- a/lab/localitysim/scene.go
+++ b/lab/localitysim/scene.go
@@ -14,21 +14,21 @@
 	"larchusher/lab/localitysim/scenepb"
 )
 
-// Axis is one key of a sweep with its values.
+// Axis is one axis of a sweep: a key of [Scene.Set] and its values.
 type Axis struct {
 	Key    string
 	Values []float64
 }
 
-// File is what a scene's file holds.
+// File is the content of a scene file.
 type File struct {
-	Scene    Scene // its Policy is one of Policies
+	Scene    Scene // its Policy is not used; runs take those of Policies
 	Policies []Policy
-	Directed bool
+	Directed bool // simulated by RunWithDirectors
 	Sweep    []Axis
 }
 
-// Load reads a scene's file. Errors name the key.
+// Load reads and checks a scene file. Errors name the file and the invalid key.
 func Load(path string) (*File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -41,10 +41,10 @@
 	return f, nil
 }
 
-// Parse reads what a scene's file holds.
+// Parse parses and checks the content of a scene file. Errors name the invalid key.
 func Parse(data []byte) (*File, error) {
 	var pb scenepb.Scene
-	if err := prototext.Unmarshal(data, &pb); err != nil { // it names the line and the key
+	if err := prototext.Unmarshal(data, &pb); err != nil { // the error names the line and the key
 		return nil, err
 	}
 	def := func(v, d float64) float64 { return cmp.Or(v, d) }
@@ -62,7 +62,7 @@
 		{"bounds.ramp", b.GetRamp(), "0s", &sc.Tiers.RampDuration}, {"bounds.silence", b.GetSilence(), "0s", &sc.Tiers.SilenceTimeout}} {
 		d, err := time.ParseDuration(cmp.Or(s.text, s.def))
 		if err != nil || d < 0 {
-			return nil, fmt.Errorf("%s: %q is no span: %w", s.key, s.text, cmp.Or(err, errors.New("negative")))
+			return nil, fmt.Errorf("%s: %q is not a duration of at least 0: %w", s.key, s.text, cmp.Or(err, errors.New("negative")))
 		}
 		*s.to = d
 	}
@@ -78,12 +78,12 @@
 	return f, nil
 }
 
-// addZones takes in the zones and their faults.
+// addZones adds the zones and their faults to the scene.
 func (f *File) addZones(pb *scenepb.Scene) error {
 	sc, names := &f.Scene, map[string]int{}
 	for i, z := range pb.GetZone() {
 		if _, twice := names[z.GetName()]; z.GetName() == "" || twice {
-			return fmt.Errorf("zone[%d].name: %q is empty or stands twice", i, z.GetName())
+			return fmt.Errorf("zone[%d].name: %q is empty or a duplicate", i, z.GetName())
 		}
 		names[z.GetName()] = i
 		sc.Zones = append(sc.Zones, Zone{Name: z.GetName(), Hub: int(z.GetHub()), Boxes: int(z.GetBoxes()),
@@ -92,7 +92,7 @@
 	for i, x := range pb.GetFault() {
 		zone, ok := names[x.GetZone()]
 		if !ok {
-			return fmt.Errorf("fault[%d].zone: there is no %q", i, x.GetZone())
+			return fmt.Errorf("fault[%d].zone: unknown zone %q", i, x.GetZone())
 		}
 		at, err1 := time.ParseDuration(x.GetAt())
 		till, err2 := time.ParseDuration(x.GetTill())
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// addPolicies takes in the policies, all if none is named, and checks the scene with each.
+// addPolicies adds the policies, or all that can run if none is named, and checks the scene with each.
 func (f *File) addPolicies(pb *scenepb.Scene) error {
 	for _, p := range pb.GetPolicy() {
 		f.Policies = append(f.Policies, Policy(p))
@@ -117,7 +117,7 @@
 	}
 	for i, p := range f.Policies {
 		if f.Directed && p == Unbounded {
-			return fmt.Errorf("policy[%d]: %q has no director", i, p)
+			return fmt.Errorf("policy[%d]: %q can't run with directors", i, p)
 		}
 		try := f.Scene
 		try.Policy = p
@@ -128,14 +128,14 @@
 	return nil
 }
 
-// addSweep takes in the axes of a sweep, and tries each of their values.
+// addSweep adds the axes of a sweep and checks each of their values.
 func (f *File) addSweep(pb *scenepb.Scene) error {
 	if len(pb.GetSweep()) > 2 {
-		return fmt.Errorf("sweep: %d axes; one or two", len(pb.GetSweep()))
+		return fmt.Errorf("sweep: %d axes, want at most 2", len(pb.GetSweep()))
 	}
 	for i, a := range pb.GetSweep() {
 		if len(a.GetValue()) == 0 {
-			return fmt.Errorf("sweep[%d].value: there is none", i)
+			return fmt.Errorf("sweep[%d].value: missing, want at least one", i)
 		}
 		try := f.Scene
 		for _, v := range a.GetValue() {
@@ -148,10 +148,11 @@
 	return nil
 }
 
-// Set changes one figure of a scene.
+// Set sets the parameter of a scene that key names to v. The error names an unknown key or a value below 0. For "memory", 1
+// stands for saved state, 2 for Oracle, 3 for replication and 4 for saved state with replication.
 func (s *Scene) Set(key string, v float64) error {
 	if !(v >= 0) {
-		return fmt.Errorf("%s: %v", key, v)
+		return fmt.Errorf("%s: %v, want at least 0", key, v)
 	}
 	switch key {
 	case "load":
@@ -173,14 +174,14 @@
 		to := map[string]*float64{"bounds.spill": &s.Tiers.MaxSpillover, "bounds.spare": &s.Tiers.SpareCapacityShare, "bounds.full": &s.Tiers.FullUtilization,
 			"bounds.rise": &s.Tiers.SpilloverRise, "bounds.start": &s.Tiers.RampStart, "bounds.over": &s.Tiers.OverProvisioning}[key]
 		if to == nil {
-			return fmt.Errorf("key: %q is none that can be swept", key)
+			return fmt.Errorf("key: %q can't be swept", key)
 		}
 		*to = v
 	}
 	return nil
 }
 
-// Name says what a cell of a sweep is.
+// Name returns the cell's axes with their values, followed by its policy.
 func (c *Cell) Name() string {
 	var parts []string
 	for i, a := range c.Axes {
--- a/lab/localitysim/scene_build.go
+++ b/lab/localitysim/scene_build.go
@@ -8,32 +8,33 @@
 	"larchusher/overload"
 )
 
+// check returns an error that names an invalid value, and sets defaults for Objects, Skew, Origin and Parent.
 func (s *Scene) check() error {
 	if len(s.Zones) == 0 || s.BoxRate <= 0 || s.For <= s.Warm {
-		return fmt.Errorf("scene: %d zones, %v requests a second of a box, for %v of which %v to warm up", len(s.Zones), s.BoxRate, s.For, s.Warm)
+		return fmt.Errorf("scene: invalid: %d zones, %v requests/s per cache, for %v of which %v to warm up", len(s.Zones), s.BoxRate, s.For, s.Warm)
 	}
 	for i, z := range s.Zones {
 		if z.Boxes <= 0 || z.Gateways <= 0 || z.Load < 0 || z.Hub < 0 {
-			return fmt.Errorf("scene: Zones[%d]: %+v", i, z)
+			return fmt.Errorf("scene: Zones[%d]: %+v, want Boxes and Gateways over 0, Load and Hub at least 0", i, z)
 		}
 	}
 	for i, f := range s.Faults {
 		switch f.Kind {
 		case Dead, Silent, Slow, Errors, Parents, Cut, FalseRemoval, Restart:
 		default:
-			return fmt.Errorf("scene: Faults[%d].Kind: %q", i, f.Kind)
+			return fmt.Errorf("scene: Faults[%d].Kind: %q is unknown", i, f.Kind)
 		}
 		if f.Zone < 0 || f.Zone >= len(s.Zones) || f.Till <= f.At {
-			return fmt.Errorf("scene: Faults[%d]: %+v", i, f)
+			return fmt.Errorf("scene: Faults[%d]: %+v, want an existing zone and Till after At", i, f)
 		}
 	}
 	if !(s.Repeat >= 0 && s.Repeat <= 1) {
-		return fmt.Errorf("scene: Repeat: %v", s.Repeat)
+		return fmt.Errorf("scene: Repeat: %v, want 0 to 1", s.Repeat)
 	}
 	switch s.Policy {
 	case Tiered, NoSpill, Unbounded:
 	default:
-		return fmt.Errorf("scene: Policy: %q", s.Policy)
+		return fmt.Errorf("scene: Policy: %q is unknown", s.Policy)
 	}
 	if s.Objects <= 0 {
 		s.Objects = 20000
@@ -66,13 +67,13 @@
 		rate := float64(z.Boxes) * sc.BoxRate
 		whole += rate * z.Load
 		zz := &zone{Zone: z, workPerRequest: time.Duration(float64(time.Second) / rate), startedAt: -time.Hour, cached: make([]bool, sc.Objects), faults: map[FaultKind]int{}}
-		for i := range zz.cached { // what is popular is there
+		for i := range zz.cached { // the popular half of the objects is cached
 			zz.cached[i] = i < sc.Objects/2
 		}
 		s.zones = append(s.zones, zz)
 		s.gaps = append(s.gaps, time.Duration(float64(time.Second)/(rate*z.Load+1e-9)*float64(z.Gateways)))
 	}
-	misses := 0.1 // of what is asked, while all is well, about
+	misses := 0.1 // approximate share of requests that miss without faults
 	s.hubs = make([]tokenBucket, hubs)
 	for i := range s.hubs {
 		for _, z := range sc.Zones {
@@ -97,7 +98,7 @@
 	return nil
 }
 
-// addGateway adds a gateway of a zone, which prefers the zones of its own hub to others.
+// addGateway adds a gateway of zone home. The zones of its hub have priority level 1, all others level 2.
 func (s *simulation) addGateway(home int, bands int) error {
 	sc := &s.scene
 	z := sc.Zones[home]
@@ -121,7 +122,7 @@
 	s.res.Gateways = append(s.res.Gateways, g.selector)
 	s.gateways = append(s.gateways, g)
 	id := int32(len(s.gateways) - 1)
-	s.schedule(time.Duration(s.rng.Float64()*float64(locality.DefaultTick)), event{kind: tick, gateway: id})
+	s.schedule(time.Duration(s.rng.Float64()*float64(locality.DefaultTick)), event{kind: tickDue, gateway: id})
 	s.schedule(time.Duration(s.rng.ExpFloat64()*float64(s.gaps[home])), event{kind: requestArrived, gateway: id})
 	return nil
 }
--- a/lab/localitysim/sweep.go
+++ b/lab/localitysim/sweep.go
@@ -10,7 +10,7 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// Cell is one run of a sweep.
+// Cell is one run of a sweep: a policy with one value for each axis.
 type Cell struct {
 	Policy Policy
 	Axes   []string
@@ -19,7 +19,7 @@
 	Result *Result
 }
 
-// Cells are all runs that a file asks for, in order.
+// Cells returns the runs of a file, in order, without results: every policy for every combination of the axes' values.
 func (f *File) Cells() (cells []*Cell, err error) {
 	values := [][]float64{{}}
 	var axes []string
@@ -48,7 +48,8 @@
 	return cells, nil
 }
 
-// Play runs all cells, on all cores, and tells progress of each that is done; nil: nobody.
+// RunCells runs all cells, on up to GOMAXPROCS goroutines, and returns them with their results. After each cell it calls
+// progress, unless that is nil; calls don't overlap. It runs all cells even if some fail, and returns the first error.
 func (f *File) RunCells(progress func(done, all int, c *Cell, took time.Duration)) ([]*Cell, error) {
 	cells, err := f.Cells()
 	if err != nil {
@@ -87,10 +88,10 @@
 	return cells, err
 }
 
-// Row is one second of one run, as it is written to a file.
+// Row is one second of one run, as WriteParquet writes it.
 type Row struct {
 	Policy     string  `parquet:"policy,dict"`
-	X          float64 `parquet:"x"` // the values of the sweep's axes, 0 without
+	X          float64 `parquet:"x"` // value on the sweep's first axis, 0 without one; Y is that of the second
 	Y          float64 `parquet:"y"`
 	Second     int32   `parquet:"second"`
 	Asked      int32   `parquet:"asked"`
@@ -107,7 +108,7 @@
 	WorthAsked float64 `parquet:"worth_asked"`
 }
 
-// WriteParquet writes every counted second of all cells to a file.
+// WriteParquet writes the whole seconds of all cells that lie after Scene.Warm to a Parquet file.
 func WriteParquet(path string, cells []*Cell) (err error) {
 	var rows []Row
 	for _, c := range cells {
@@ -131,18 +132,18 @@
 		}
 	}
 	if err := parquet.WriteFile(path, rows); err != nil {
-		return fmt.Errorf("scene's rows: %w", err)
+		return fmt.Errorf("scene: can't write rows: %w", err)
 	}
 	if _, err := os.Stat(path); err != nil {
-		return fmt.Errorf("scene's rows: %w", err)
+		return fmt.Errorf("scene: can't write rows: %w", err)
 	}
 	return nil
 }
 
-// Worth is the share of the worth that was answered in aim, over all that is counted.
+// Worth returns the share of the priority weight that was served within the latency objective, after Scene.Warm.
 func (c *Cell) Worth() float64 { return c.Result.ServedWorthShare(c.Scene.Warm, c.Scene.For) }
 
-// Worst is the least such share over so many seconds in a row.
+// Worst returns the least such share over any span of a number of consecutive seconds after Scene.Warm.
 func (c *Cell) Worst(seconds int) float64 {
 	worst := 1.0
 	for i := int(c.Scene.Warm / time.Second); time.Duration(i+seconds)*time.Second <= c.Scene.For; i++ {
--- a/lab/localitysim/zones.go
+++ b/lab/localitysim/zones.go
@@ -8,23 +8,24 @@
 	"larchusher/locality"
 )
 
+// zone is the state of a zone in a run without directors.
 type zone struct {
 	Zone
-	workPerRequest time.Duration // of one request, by all its boxes while warm
-	busyUntil      time.Duration // its queue is empty then
-	startedAt      time.Duration // cold since; negative: long warm
-	cached         []bool        // by object
+	workPerRequest time.Duration // for all its caches together, while warm
+	busyUntil      time.Duration // when its queue will be empty
+	startedAt      time.Duration // time of the cold start; negative for a warm zone
+	cached         []bool        // by object: whether the zone's caches have it
 	faults         map[FaultKind]int
 	crashed        bool
-	utilization    float64 // share of the last report's time that it worked
+	utilization    float64 // of the last report's interval; at most 1.5
 	reportedAt     time.Duration
-	workDone       time.Duration // work since
-	recentRequests float64       // requests in the last tipFor
+	workDone       time.Duration // since the last report
+	recentRequests float64       // exponentially decaying count over overloadWindow
 	recentAt       time.Duration
 	outages        int
 }
 
-// bucket is something that does so much a second, and refuses beyond.
+// tokenBucket limits requests to rate per second, with bursts of a quarter of a second's requests.
 type tokenBucket struct {
 	rate     float64
 	tokens   float64
@@ -43,7 +44,8 @@
 	return true
 }
 
-// take asks the origin for a place, by the link of a hub that is not cut off.
+// fetchFromOrigin requests a fetch from the origin for zone home. It returns false if the origin rejects it or the zone is
+// cut off.
 func (s *simulation) fetchFromOrigin(home int) bool {
 	ok := s.zones[home].faults[Cut] == 0 && s.origin.take(s.now)
 	if s.now >= s.scene.Warm {
@@ -56,7 +58,7 @@
 	return ok
 }
 
-// send carries an attempt to a zone.
+// send simulates an attempt at a zone and schedules its result.
 func (s *simulation) send(e event, where int) {
 	g := s.gateways[e.gateway]
 	z := s.zones[where]
@@ -117,7 +119,7 @@
 	back(took, r, hit)
 }
 
-// countAttempt counts an attempt from a zone at another.
+// countAttempt counts an attempt by a gateway of zone home at zone where, unless the run is still warming up.
 func (s *simulation) countAttempt(home, where int) {
 	if s.now < s.scene.Warm {
 		return
@@ -129,7 +131,7 @@
 	}
 }
 
-// faultsBetween says whether an attempt from a zone at another gets no answer, or fails at once.
+// faultsBetween reports whether an attempt by a gateway of zone home at zone where gets no answer or fails at once.
 func (s *simulation) faultsBetween(home, where int) (silent, failed bool) {
 	z, h := s.zones[where], s.zones[home]
 	far := where != home && z.Hub != h.Hub
@@ -143,15 +145,15 @@
 	}
 }
 
-// able is the share of its capacity that a zone has: one that has just begun is warming up.
+// capacityShare returns the share of its capacity that a zone has while its caches are warming up, and 1 afterwards.
 func (z *zone) capacityShare(now time.Duration) float64 {
 	if age := now - z.startedAt; age < warmUpTime {
-		return coldFrom + (1-coldFrom)*float64(age)/float64(warmUpTime)
+		return coldStartShare + (1-coldStartShare)*float64(age)/float64(warmUpTime)
 	}
 	return 1
 }
 
-// work adds a request's work to a zone's queue, and has it report its load when that is due.
+// enqueue adds one request to a zone's queue and updates the zone's load report when loadReportInterval has passed.
 func (z *zone) enqueue(now time.Duration, able float64) {
 	work := time.Duration(float64(z.workPerRequest) / able)
 	z.busyUntil += work
@@ -161,7 +163,8 @@
 	}
 }
 
-// fill fetches what a zone lacks.
+// fill fetches a missing object for a zone from the parents of its hub, or from the origin if they lack it or are
+// unreachable.
 func (s *simulation) fill(z *zone) (ok bool, took time.Duration) {
 	if s.now >= s.scene.Warm {
 		s.currentSecond().Fills++
@@ -184,11 +187,12 @@
 	return s.fetchFromOrigin(home), took + originFetchTime
 }
 
-// press counts what is sent to a zone, which falls over if it is cold and that is too much.
+// countRequest counts a request sent to a zone. A zone whose caches are cold crashes if its recent requests exceed
+// crashFactor times its present capacity.
 func (s *simulation) countRequest(z *zone, able float64) {
 	z.recentRequests = z.recentRequests*math.Exp(-float64(s.now-z.recentAt)/float64(overloadWindow)) + 1
 	z.recentAt = s.now
-	if able < 1 && z.recentRequests > tip*able*overloadWindow.Seconds()*float64(time.Second)/float64(z.workPerRequest) {
+	if able < 1 && z.recentRequests > crashFactor*able*overloadWindow.Seconds()*float64(time.Second)/float64(z.workPerRequest) {
 		z.crashed = true
 		s.res.Falls = append(s.res.Falls, fmt.Sprintf("%s at %v", z.Name, s.now.Round(time.Millisecond)))
 	}
