--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet runs several zones on loopback: real gateways, one or more a zone, before fake caches with capacities,
-// copies and cold starts, upper caches at hubs, and an origin. Zones are killed and come back, and what the boxes saw says
-// what the gateways did.
+// Package fleet runs several zones on loopback: a real gateway in each zone, fake caches with limited capacity, stored
+// objects and cold starts, parents at hubs, and an origin. It ends and restarts the caches of whole zones, and checks the
+// gateways' behaviour by the requests that reach the caches.
 package fleet
 
 import (
@@ -20,56 +20,56 @@
 	"larchusher/lab/testbed"
 )
 
-// Zone is one location.
+// Zone describes one location.
 type Zone struct {
 	Name  string
-	Hub   int // 0 or 1: north or south
-	Boxes int
-	Rate  float64 // requests a second that its clients make
+	Hub   int     // 0 for north, 1 for south
+	Boxes int     // number of caches
+	Rate  float64 // requests per second by its clients
 }
 
-// Death is a zone that goes dark.
+// Outage is the outage of all caches of a zone. Times count from the start of the run.
 type Outage struct {
 	Zone     int
-	At, Back time.Duration // Back: new boxes, cold and empty; 0: never
+	At, Back time.Duration // at Back new, cold and empty caches start; 0 for never
 }
 
-// Config says what is played.
+// Config configures a run.
 type Config struct {
-	Program string
+	Program string // path of the gateway's binary
 	Zones   []Zone
-	BoxRate float64 // requests a second of a warm box
-	Objects int     // that a zone's clients ask for, 400 if 0
+	BoxRate float64 // capacity of a warm cache, requests per second
+	Objects int     // number of different objects that a zone's clients request, 400 if 0
 	Deaths  []Outage
-	Late    time.Duration // of the list
-	For     time.Duration
-	Off     bool   // without further localities
-	Tiers   string // further lines for the part `tiers` of the operator's file
+	Late    time.Duration // delay after which the endpoint list reports an outage
+	For     time.Duration // clients send requests for this long
+	Off     bool          // gateways know no other localities, so there is no spillover
+	Tiers   string        // further lines for the block `tiers` of the operator's file
 	Seed    uint64
 }
 
-// Second is one second of a zone's clients.
+// Second counts the requests of a zone's clients in one second.
 type Second struct {
 	Asked, InAim, Refused, Other int
 	Worth, WorthAsked            float64
-	At                           []int // attempts at boxes, by zone
+	At                           []int // their attempts at caches, by the caches' zone
 }
 
-// Result is what came of it.
+// Result holds the figures of a run.
 type Result struct {
-	Zones    [][]Second // by zone, by second
-	Over     float64    // most by which a zone's clients spilled beyond the bound, in any second, as a share of what they asked
-	Fallen   []string   // boxes that fell over at their start
-	Most     float64    // largest part of its start's budget that any box took
-	Silent   int        // requests without an answer in time
-	Second   int        // answers that came twice
-	Spoilt   int
-	Counters []map[string]float64 // of the gateways, at the end
+	Zones    [][]Second           // by zone, by second
+	Over     float64              // most by which a zone's spillover exceeded its bound in any second, as a share of its requests
+	Fallen   []string             // caches that crashed by overload during their cold start
+	Most     float64              // highest load of a cold cache, as a share of the load at which it crashes
+	Silent   int                  // requests without an answer before their deadline
+	Second   int                  // unexpected answers, for example duplicates
+	Spoilt   int                  // successful answers with wrong content
+	Counters []map[string]float64 // of each gateway, at the end
 }
 
 var hubs = []string{"north", "south"}
 
-// settings are those of the gateways of a zone.
+// settings returns the platform settings of the gateway of zone own.
 func settings(zones []Zone, own int) json.RawMessage {
 	names, homes, counts := []string{`"north"`, `"south"`}, []string{"0", "1"}, []string{"0", "0"}
 	for _, z := range zones {
@@ -83,7 +83,7 @@
 	return json.RawMessage(s)
 }
 
-// operator is the operator's file of the gateways of a zone.
+// operatorFile returns the operator's file of the gateway of zone own, with further lines for its block tiers.
 func operatorFile(zones []Zone, own int, more string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "tiers {\n  own_weight: %d\n  %s\n", zones[own].Boxes, more)
@@ -103,8 +103,8 @@
 	cfg        Config
 	start      time.Time
 	dir        string
-	upstreams  []*fakeserver.Box   // upper caches and the origin
-	boxes      [][]*fakeserver.Box // by zone, those of now
+	upstreams  []*fakeserver.Box   // parents and the origin
+	boxes      [][]*fakeserver.Box // by zone, the running ones
 	everyBox   []*fakeserver.Box
 	zoneOf     map[*fakeserver.Box]int
 	gateways   []*testbed.Gateway
@@ -122,7 +122,7 @@
 		Fill: 15 * time.Millisecond, Queue: 1500 * time.Millisecond, ReportBy: 400 * time.Millisecond}
 }
 
-// grow makes the boxes of a zone anew.
+// startBoxes replaces the caches of a zone by new, empty ones.
 func (f *fleet) startBoxes(zone int, cold bool) error {
 	f.boxes[zone] = nil
 	for range f.cfg.Zones[zone].Boxes {
@@ -137,7 +137,8 @@
 	return nil
 }
 
-// list words boxes of a zone for the journal.
+// hostEntries returns the caches of a zone as entries of the endpoint list. since is their start, in Unix milliseconds; 0 stands
+// for long ago.
 func (f *fleet) hostEntries(zone int, status string, since int64) (hosts []string) {
 	for _, b := range f.boxes[zone] {
 		hosts = append(hosts, hostEntry(b.Name, b.Addr, f.cfg.Zones[zone].Name, "box", status, since))
@@ -145,7 +146,7 @@
 	return hosts
 }
 
-// tell has all gateways' journal services tell of hosts.
+// announce sends an update of the endpoint list to all gateways.
 func (f *fleet) announce(hosts []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -165,18 +166,19 @@
 	_ = os.RemoveAll(f.dir)
 }
 
+// check returns an error that names an invalid value, and sets the default of Objects.
 func (c *Config) check() error {
 	if len(c.Zones) == 0 || c.BoxRate <= 0 || c.For <= 0 {
-		return fmt.Errorf("fleet: %d zones, %v requests a second of a box, for %v", len(c.Zones), c.BoxRate, c.For)
+		return fmt.Errorf("fleet: invalid: %d zones, %v requests/s per cache, for %v; want all over 0", len(c.Zones), c.BoxRate, c.For)
 	}
 	for i, z := range c.Zones {
 		if z.Name == "" || z.Boxes <= 0 || z.Rate <= 0 || z.Hub < 0 || z.Hub >= len(hubs) {
-			return fmt.Errorf("fleet: Zones[%d]: %+v", i, z)
+			return fmt.Errorf("fleet: Zones[%d]: %+v, want a name, Boxes and Rate over 0, and Hub 0 or 1", i, z)
 		}
 	}
 	for i, d := range c.Deaths {
 		if d.Zone < 0 || d.Zone >= len(c.Zones) || d.Back != 0 && d.Back <= d.At {
-			return fmt.Errorf("fleet: Deaths[%d]: %+v", i, d)
+			return fmt.Errorf("fleet: Deaths[%d]: %+v, want an existing zone, and Back 0 or after At", i, d)
 		}
 	}
 	if c.Objects <= 0 {
@@ -185,21 +187,22 @@
 	return nil
 }
 
-// Run plays a scene.
+// Run starts the zones, sends the load, ends and restarts caches as configured and returns the figures. It returns an error
+// if cfg is invalid, something can't be started, or ctx ends.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
 	dir, err := os.MkdirTemp("", "larchusher-fleet")
 	if err != nil {
-		return nil, fmt.Errorf("fleet: %w", err)
+		return nil, fmt.Errorf("fleet: can't create a temporary folder: %w", err)
 	}
 	f := &fleet{cfg: cfg, start: time.Now(), dir: dir, boxes: make([][]*fakeserver.Box, len(cfg.Zones)), zoneOf: map[*fakeserver.Box]int{}, journalPos: 1}
 	defer f.close()
 	if err := f.build(ctx); err != nil {
 		return nil, err
 	}
-	shift := time.Since(f.start) // the play begins
+	shift := time.Since(f.start) // the load starts this long after f.start, from which caches count seconds
 	began := time.Now()
 	var all sync.WaitGroup
 	errs := make(chan error, len(cfg.Deaths)+len(cfg.Zones))
@@ -269,7 +272,8 @@
 	return nil
 }
 
-// death has a zone go dark, and come back. The list tells late.
+// runOutage closes the caches of a zone and starts new ones when the outage ends. The endpoint list reports the outage after
+// Config.Late, or just before the new caches start if that is earlier.
 func (f *fleet) runOutage(ctx context.Context, d Outage, began time.Time) error {
 	wait := func(at time.Duration) bool {
 		t := time.NewTimer(time.Until(began.Add(at)))
@@ -306,7 +310,8 @@
 	return nil
 }
 
-// second is what clients of a zone got in a window, with what the boxes saw of them in that second; away are their attempts at other zones.
+// summarizeSecond returns the figures of a zone's clients in one window and their attempts that the caches counted in second
+// at; away is the number of their attempts at other zones.
 func (f *fleet) summarizeSecond(s load.Summary, at, zone int) (sec Second, away int) {
 	sec = Second{At: make([]int, len(f.cfg.Zones)), Worth: s.Worth * s.Seconds, WorthAsked: s.WorthOffered * s.Seconds}
 	for _, c := range s.Classes {
@@ -325,7 +330,8 @@
 	return sec, away
 }
 
-// sum takes in what the boxes saw and what the clients got.
+// summarize returns the figures of the clients, the caches and the gateways. shift is the time from f.start to the start of the
+// load.
 func (f *fleet) summarize(ctx context.Context, results []*load.Result, shift time.Duration) (*Result, error) {
 	r := &Result{}
 	first := int(shift / time.Second)
@@ -344,7 +350,8 @@
 		for n, s := range res.Windows() {
 			sec, away := f.summarizeSecond(s, first+n, i)
 			if !f.cfg.Off && sec.Asked > 0 {
-				// The seconds of the two sides are not quite the same, and requests come by chance.
+				// Clients and caches count slightly different seconds and arrivals are random, so the spilled requests
+				// are divided by at least the zone's mean rate.
 				r.Over = max(r.Over, float64(away)/math.Max(float64(sec.Asked), f.cfg.Zones[i].Rate)-spill*float64(len(levels)))
 			}
 			seconds = append(seconds, sec)
@@ -367,7 +374,8 @@
 	return r, nil
 }
 
-// Share is the part of the worth of all zones' clients that was answered in aim between two seconds.
+// ServedWorthShare returns the share of the priority weight of all zones' requests that was served within the latency
+// objective, from second from to before second to.
 func (r *Result) ServedWorthShare(from, to int) float64 {
 	got, asked := 0.0, 0.0
 	for _, z := range r.Zones {
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -1,6 +1,6 @@
-// Package model is a gateway in simulated time: one processor that reads requests, sheds some, and serves the others, by
-// a policy of overload control. It tries policies on the same trace, at loads and lengths that sockets don't reach, and
-// drives package overload without a changed line.
+// Package model simulates the overload control of a gateway: one processor reads requests, sheds some and serves the others as
+// a policy decides. It compares policies on the same trace, at rates and durations that can't be reached with sockets. One of
+// the policies is the unchanged package overload.
 package model
 
 import (
@@ -15,76 +15,77 @@
 	"larchusher/overload"
 )
 
-// Req is one request of a trace.
+// Request is one request of a trace.
 type Request struct {
-	Due    time.Duration
-	Class  int // place in the mix
-	Repeat bool
-	Draw   uint64
+	Due    time.Duration // arrival, since the start of the trace
+	Class  int           // index in the mix
+	Repeat bool          // it carries the retry flag
+	Draw   uint64        // random number for decisions by policies
 
 	item    overload.Item
 	arrived time.Duration
 }
 
-// Costs are what the processor spends.
+// Costs is the processor time of each kind of work.
 type Costs struct {
-	Serve time.Duration // on a request that is served, all its attempts and answers
-	Read  time.Duration // of that, on reading it, before it waits for its turn
-	Shed  time.Duration // on one that is shed as it is read
-	Drop  time.Duration // on one that is refused after it waited, beside reading it
+	Serve time.Duration // a served request with all its attempts and answers
+	Read  time.Duration // the part of Serve for reading the request, before it is queued
+	Shed  time.Duration // a request that is shed when it is read
+	Drop  time.Duration // dropping a request from the queue, in addition to reading it
 
-	// Away is how long the processor does something else, and Every how often: hiccups, as a collector or a neighbour
-	// makes them.
+	// The processor does other work for Away, once every Every, as a garbage collector or another process causes it. Every
+	// = 0 stands for never.
 	Away, Every time.Duration
-	// Burst is how long the processor serves before it reads again, as a poller does that shares it with a loop.
+	// Burst is how long the processor serves before it reads again, as if an event loop and a poller shared it.
 	Burst time.Duration
 }
 
-// Measured are costs as lab load finds them on the machine of docs/measurements/overload.md.
+// MeasuredCosts are the costs measured with the load generator on the machine described in docs/measurements/overload.md.
 var MeasuredCosts = Costs{Serve: 42 * time.Microsecond, Read: 4 * time.Microsecond, Shed: 5 * time.Microsecond, Drop: 8 * time.Microsecond}
 
-// Policy is a way of overload control.
+// Policy decides which requests are queued, shed and dropped. Times are since the start of the trace. A policy is used from one
+// goroutine.
 type Policy interface {
-	Arrive(now time.Duration, r *Request) bool                      // false: it is shed
-	Next(now time.Duration) (r *Request, dropped int)               // who is served now; nil: nobody waits
-	Done(now time.Duration, r *Request, waited, took time.Duration) // it has been served
-	Tick(now time.Duration)
+	Arrive(now time.Duration, r *Request) bool                      // queues r, or returns false to shed it
+	Next(now time.Duration) (r *Request, dropped int)               // the request to serve now, nil if none is queued
+	Done(now time.Duration, r *Request, waited, took time.Duration) // r was served; took includes waited
+	Tick(now time.Duration)                                         // called once every TickInterval
 }
 
-// TickEvery is how often policies are ticked.
+// TickInterval is the interval of the calls of Policy.Tick.
 const TickInterval = overload.DefaultTick
 
-// Outcome is what came of a run.
+// Outcome holds the figures of a run.
 type Outcome struct {
-	Offered, Worth float64 // worth a second: asked for, and served in aim
-	InAim          []float64
-	P99            time.Duration // of what was served
+	Offered, Worth float64       // priority weight per second: of all requests, and of those served within the objective
+	InAim          []float64     // share of requests served within the objective, by class
+	P99            time.Duration // latency of served requests
 	Shed, Dropped  int
 	Served         int
 }
 
-// run is a trace being played.
+// run is the state of a simulation.
 type run struct {
 	trace     []Request
 	mix       []load.Class
 	costs     Costs
 	policy    Policy
-	countFrom time.Duration // what is due before is not counted
+	countFrom time.Duration // requests due before are not counted
 
 	now         time.Duration
-	nextTick    time.Duration // when the policy is ticked next
-	nextAway    time.Duration // when the processor is away next
-	nextRequest int           // of the trace
-	readAfter   time.Duration // nothing is read before, unless reading
-	// reading says that what has come is read before anything is served.
+	nextTick    time.Duration // time of the next call of Policy.Tick
+	nextAway    time.Duration // when the processor next does other work
+	nextRequest int           // index in the trace
+	readAfter   time.Duration // no request is read before, unless reading is set
+	// reading is set while all requests that have arrived are read before any is served.
 	reading bool
 
 	out             Outcome
-	requests, inAim []int // by class, and of those served in aim
+	requests, inAim []int // counted requests, and those served within the objective, by class
 	latencies       []time.Duration
 }
 
-// Run plays a trace. What is due before `from` is not counted.
+// Run simulates a trace that is not empty under policy p. Requests that are due before from are simulated but not counted.
 func Run(trace []Request, mix []load.Class, c Costs, p Policy, from time.Duration) Outcome {
 	r := &run{trace: trace, mix: mix, costs: c, policy: p, countFrom: from, nextTick: TickInterval, nextAway: c.Every, reading: true,
 		requests: make([]int, len(mix)), inAim: make([]int, len(mix))}
@@ -99,7 +100,7 @@
 	return r.outcome()
 }
 
-// pass has the processor be away, and the policy ticked, in their time.
+// advance lets the processor do its other work and calls Policy.Tick when these are due.
 func (r *run) advance() {
 	if r.costs.Every > 0 && r.now >= r.nextAway {
 		r.now += r.costs.Away
@@ -111,13 +112,13 @@
 	}
 }
 
-// mayRead says whether a request has come, and is read now.
+// canRead reports whether a request has arrived that may be read now.
 func (r *run) canRead() bool {
 	come := r.nextRequest < len(r.trace) && r.trace[r.nextRequest].Due <= r.now
 	return come && (r.reading || r.now >= r.readAfter)
 }
 
-// read reads one request, which the policy takes or sheds.
+// read reads the next request, which the policy queues or sheds.
 func (r *run) read() {
 	r.reading = true
 	q := &r.trace[r.nextRequest]
@@ -134,7 +135,7 @@
 	}
 }
 
-// serve serves one request, or waits for the next one to come; false: there is none any more.
+// serve serves one queued request, or else advances to the next arrival or tick. It returns false at the end of the trace.
 func (r *run) serve() bool {
 	if r.reading {
 		r.reading, r.readAfter = false, r.now+r.costs.Burst
@@ -163,7 +164,7 @@
 	return true
 }
 
-// outcome sums up.
+// outcome computes the figures of the run.
 func (r *run) outcome() Outcome {
 	out := r.out
 	seconds := (r.trace[len(r.trace)-1].Due - r.countFrom).Seconds()
@@ -179,7 +180,8 @@
 	return out
 }
 
-// Draw draws a trace: Poisson arrivals with a profile's rate.
+// GenerateTrace draws a trace of the given length: Poisson arrivals with a profile's rate. marked is the share of requests that
+// carry the retry flag. Equal arguments give equal traces.
 func GenerateTrace(profile load.Profile, long time.Duration, mix []load.Class, marked float64, seed uint64) (trace []Request) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for t := time.Duration(0); ; {
@@ -204,7 +206,7 @@
 	}
 }
 
-// Read reads a trace that lab load recorded.
+// ReadTrace reads a trace from the rows that load.Result.WriteParquet wrote. Errors name the file and an unknown class's row.
 func ReadTrace(path string, mix []load.Class, seed uint64) ([]Request, error) {
 	rows, err := parquet.ReadFile[load.Row](path)
 	if err != nil {
@@ -215,12 +217,12 @@
 	for n, r := range rows {
 		class := slices.IndexFunc(mix, func(c load.Class) bool { return c.Name == r.Class })
 		if class < 0 {
-			return nil, fmt.Errorf("trace %s: row %d: no class %q", path, n, r.Class)
+			return nil, fmt.Errorf("trace %s: row %d: class %q is not in the mix", path, n, r.Class)
 		}
 		trace = append(trace, Request{Due: time.Duration(r.DueUs) * time.Microsecond, Class: class, Repeat: r.Marked, Draw: rng.Uint64()})
 	}
 	if len(trace) == 0 {
-		return nil, fmt.Errorf("trace %s: empty", path)
+		return nil, fmt.Errorf("trace %s: no rows, want at least one", path)
 	}
 	slices.SortStableFunc(trace, func(a, b Request) int { return int(a.Due - b.Due) })
 	return trace, nil
--- a/lab/model/policies.go
+++ b/lab/model/policies.go
@@ -8,7 +8,8 @@
 	"larchusher/overload"
 )
 
-// Policies are all that are compared, by name, in the order in which they are shown. Ours is the last.
+// Policies returns the names of the compared policies, in the order in which they are shown, and a constructor for each. The
+// gateway's policy is the last.
 func Policies(mix []load.Class) (names []string, build map[string]func() Policy) {
 	order := overload.NewOrder(overloadClasses(mix), false)
 	build = map[string]func() Policy{
@@ -29,7 +30,7 @@
 	return all
 }
 
-// fifo serves in the order of arrival, and sheds nothing.
+// fifo serves requests in the order of arrival and sheds none.
 type fifo struct{ queue []*Request }
 
 func (f *fifo) Arrive(_ time.Duration, r *Request) bool {
@@ -50,10 +51,10 @@
 func (f *fifo) Done(time.Duration, *Request, time.Duration, time.Duration) {}
 func (f *fifo) Tick(time.Duration)                                         {}
 
-// codel drops from the head of a fifo by the law of RFC 8289, with its target and interval.
+// codel drops requests from the head of a FIFO queue by the control law of RFC 8289, with its target and interval.
 type codel struct {
 	fifo
-	dropAfter time.Duration // when the sojourn time will have been above the target for an interval; 0: it is below
+	dropAfter time.Duration // when the sojourn time will have exceeded the target for an interval; 0 while it is below
 	dropping  bool
 	nextDrop  time.Duration
 	drops     int
@@ -98,7 +99,7 @@
 	return time.Duration(float64(codelInterval) / math.Sqrt(float64(c.drops)))
 }
 
-// look takes the head, and says whether it may be dropped.
+// takeHead removes the first request and reports whether it may be dropped.
 func (c *codel) takeHead(now time.Duration) (*Request, bool) {
 	r := c.pop()
 	switch {
@@ -112,8 +113,8 @@
 	return r, false
 }
 
-// gradient limits how many may be in work, by how much longer they take than at best, as adaptive concurrency limits do
-// (the gradient law: limit * best / now + room for a queue).
+// gradient limits the requests in flight by the ratio of the lowest latency to the present one, as adaptive concurrency limits
+// do: limit * lowest / present + allowance for a queue.
 type gradient struct {
 	fifo
 	limit    float64
@@ -144,14 +145,14 @@
 	g.limit = max(4, min(5000, g.limit+0.02*(want-g.limit)))
 }
 
-// dagor moves a threshold of priority, by the mean wait in windows of a second or 2,000 requests (Zhou and others,
-// "Overload control for scaling WeChat microservices", SoCC 2018: 20 ms, down 5 %, up 1 %). Within a class, priority
-// goes by a number drawn for each request.
+// dagor adjusts a priority threshold by the mean queueing time in windows of 1 s or 2,000 requests (Zhou and others,
+// "Overload control for scaling WeChat microservices", SoCC 2018: 20 ms, down 5 %, up 1 %). Within a band of the priority
+// order, the priority is a random number of the request.
 type dagor struct {
 	fifo
 	order     *overload.Order
 	mix       []load.Class
-	maxLevel  int // requests of a level up to this come in
+	maxLevel  int // requests up to this level are admitted
 	counts    []int
 	admitted  int
 	arrivals  int
@@ -214,7 +215,8 @@
 	d.admitted, d.arrivals, d.totalWait, d.served = 0, 0, 0, 0
 }
 
-// ours is package overload, as the gateway uses it; without its door only the queue's bound in time is left.
+// gatewayPolicy is the unchanged package overload. If shedsLoad is not set, the admission controller stays open and only the
+// queue's time limit drops requests.
 type gatewayPolicy struct {
 	mix        []load.Class
 	order      *overload.Order
@@ -229,7 +231,7 @@
 	order := overload.NewOrder(overloadClasses(mix), false)
 	ctl, err := overload.NewController(overload.Config{Classes: overloadClasses(mix)}, order)
 	if err != nil {
-		panic(err) // the mixes of package load are right
+		panic(err) // the classes of package load are valid
 	}
 	return &gatewayPolicy{mix: mix, order: order, controller: ctl, queue: overload.NewQueue(order.Bands(), 1, overload.DefaultMaxWait),
 		admission: overload.NewAdmissionController(order.Bands(), 1), shedsLoad: closes}
