--- a/lab/clientsim/clientsim.go
+++ b/lab/clientsim/clientsim.go
@@ -53,28 +53,30 @@
 }
 
 const (
-	window        = 100 * time.Millisecond
-	oneWayDelay   = 5 * time.Millisecond
-	serviceDelay  = 5 * time.Millisecond
-	maxQueueDelay = 100 * time.Millisecond
+	window        = 100 * time.Millisecond // interval by which attempts and connections are counted
+	oneWayDelay   = 5 * time.Millisecond   // network delay between a client and a gateway
+	serviceDelay  = 5 * time.Millisecond   // time for a request besides the gateway's queue
+	maxQueueDelay = 100 * time.Millisecond // queued work beyond which a gateway rejects requests
 )
 
+// simulation is the state of a run.
 type simulation struct {
 	cfg      Config
 	rng      *rand.Rand
 	clock    virtualclock.Clock
 	gateways []*gateway
-	tries    []float64
-	connects []float64
-	requests int
-	served   int
+	tries    []float64 // attempts by window
+	connects []float64 // connection attempts by window
+	requests int       // requests due after the kill
+	served   int       // of those, served
 }
 
+// gateway is a modelled gateway with one queue of work.
 type gateway struct {
 	up             bool
-	incarnation    int
+	incarnation    int           // number of kills
 	busyUntil      time.Duration // when its queue of work will be empty
-	workPerRequest time.Duration
+	workPerRequest time.Duration // time that a served request occupies the gateway
 	conns          map[*link]bool
 }
 
@@ -82,7 +84,7 @@
 type link struct {
 	gateway     *gateway
 	incarnation int
-	down        func()
+	down        func() // called when the gateway is killed
 }
 
 // dial opens a connection to g. It later calls up, if g is running, or else down; down also follows up when g is killed.
@@ -159,10 +161,10 @@
 		return Result{}, fmt.Errorf("population: invalid: %d clients, %d gateways (at least Known), for %v (more than KillAt)", cfg.Clients, cfg.Gateways, cfg.For)
 	}
 	s := &simulation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), tries: make([]float64, cfg.For/window), connects: make([]float64, cfg.For/window)}
-	usual := float64(cfg.Clients) / cfg.Every.Seconds() / float64(cfg.Gateways)
+	usualRate := float64(cfg.Clients) / cfg.Every.Seconds() / float64(cfg.Gateways)
 	for range cfg.Gateways {
 		s.gateways = append(s.gateways, &gateway{up: true, conns: map[*link]bool{},
-			workPerRequest: time.Duration(float64(time.Second) / (usual * cfg.Capacity))})
+			workPerRequest: time.Duration(float64(time.Second) / (usualRate * cfg.Capacity))})
 	}
 	id := uint64(0)
 	for n := range cfg.Clients {
@@ -180,12 +182,12 @@
 		var next func()
 		next = func() {
 			id++
-			after := s.clock.Now >= cfg.KillAt
-			if after {
+			counted := s.clock.Now >= cfg.KillAt
+			if counted {
 				s.requests++
 			}
 			a.dispatch(id, s.clock.Now+cfg.Limit, func(ok bool) {
-				if ok && after {
+				if ok && counted {
 					s.served++
 				}
 			})
@@ -208,6 +210,7 @@
 	return s.result(kind), nil
 }
 
+// result computes the figures of the run.
 func (s *simulation) result(kind Kind) Result {
 	r := Result{Kind: kind, Window: window, Connects: s.connects, Served: float64(s.served) / float64(max(1, s.requests))}
 	k := int(s.cfg.KillAt / window)
@@ -236,10 +239,11 @@
 	planner *plan.Planner
 	known   []int
 	links   map[uint64]*link
-	done    map[uint64]func(bool)
-	wake    time.Duration
+	done    map[uint64]func(bool) // callbacks of open requests, by id
+	wake    time.Duration         // when the planner's timer event is scheduled, -1 if it is not
 }
 
+// newPlanned returns a client that knows the gateways with the given indices.
 func newPlanned(s *simulation, known []int, seed uint64) (*plannedClient, error) {
 	cfg := plan.Config{Classes: []plan.Class{{Name: "safe", Worth: 1}}, Conns: 1,
 		Clients: s.cfg.Clients * s.cfg.Known / s.cfg.Gateways, SpreadRate: 5000}
@@ -322,6 +326,7 @@
 	open        map[uint64]*request
 }
 
+// request is a request of a naive client.
 type request struct {
 	id       uint64
 	deadline time.Duration
@@ -329,12 +334,13 @@
 	done     func(bool)
 }
 
-func (n *naiveClient) retryDelay(times int) time.Duration {
+// retryDelay returns the delay before the next attempt after a number of failures.
+func (n *naiveClient) retryDelay(failures int) time.Duration {
 	switch n.kind {
 	case FixedWait:
 		return time.Second
 	case ExponentialWait:
-		return 100 * time.Millisecond << min(times, 10)
+		return 100 * time.Millisecond << min(failures, 10)
 	default: // NoWait
 		return 0
 	}
@@ -354,6 +360,7 @@
 	}
 }
 
+// end reports the outcome of a request that is still open.
 func (n *naiveClient) end(r *request, ok bool) {
 	if n.open[r.id] == r {
 		delete(n.open, r.id)
@@ -361,6 +368,8 @@
 	}
 }
 
+// connect starts to connect to the next known gateway unless a connection exists or is pending. Once it is up, all open
+// requests are sent again.
 func (n *naiveClient) connect() {
 	if n.connecting || n.link != nil {
 		return
@@ -384,6 +393,7 @@
 	})
 }
 
+// send sends an attempt of an open request if a connection is up, and repeats it after a rejection.
 func (n *naiveClient) send(r *request) {
 	if n.open[r.id] != r || n.link == nil {
 		return
--- a/lab/failover/failover.go
+++ b/lab/failover/failover.go
@@ -32,19 +32,20 @@
 
 // Config configures a run. Zero values take the defaults given.
 type Config struct {
-	Program  string // path of the gateway's binary
-	Kind     clientsim.Kind
-	Gateways int           // 3 if 0
-	Clients  int           // 1,000 if 0
-	Every    time.Duration // mean time between a client's requests, 1 s if 0
-	Limit    time.Duration // a request's deadline, 5 s if 0; a shorter limit of its class applies
-	Deaths   []Outage      // gateways that are killed
-	For      time.Duration // clients send requests for this long
-	Refuse   bool          // fake servers answer that they are full, so that gateways reject all requests
-	Store    time.Duration // time that fake servers take to answer, so that requests are in flight at gateways
+	Program  string         // path of the gateway's binary
+	Kind     clientsim.Kind // kind of clients
+	Gateways int            // 3 if 0
+	Clients  int            // 1,000 if 0
+	Every    time.Duration  // mean time between a client's requests, 1 s if 0
+	Limit    time.Duration  // a request's deadline, 5 s if 0; a shorter limit of its class applies
+	Deaths   []Outage       // gateways that are killed
+	For      time.Duration  // clients send requests for this long
+	Refuse   bool           // fake servers answer that they are full, so that gateways reject all requests
+	Store    time.Duration  // time that fake servers take to answer, so that requests are in flight at gateways
 	Seed     uint64
 }
 
+// check sets defaults and returns an error that names an invalid value.
 func (c *Config) check() error {
 	def := func(v *int, d int) {
 		if *v == 0 {
@@ -64,7 +65,7 @@
 	}
 	for i, d := range c.Deaths {
 		if d.Gateway < 0 || d.Gateway >= c.Gateways || d.At < 0 || d.At >= c.For || d.Back != 0 && d.Back <= d.At {
-			return fmt.Errorf("deaths: Deaths[%d]: %+v, want a gateway of the run, At before For and Back after At", i, d)
+			return fmt.Errorf("deaths: Deaths[%d]: %+v, want a gateway of the run, At before For, and Back 0 or after At", i, d)
 		}
 	}
 	return nil
@@ -76,11 +77,11 @@
 // Result holds the figures of a run.
 type Result struct {
 	Kind     clientsim.Kind
-	Calls    int
+	Calls    int            // requests made by clients, retries not counted
 	Ended    map[string]int // number of calls by ending
 	Tries    int            // attempts that reached the proxies in front of gateways
 	Marked   int            // attempts that carried the retry flag
-	Due      int            // calls due after the first outage began
+	Due      int            // calls due when the first outage began or later
 	Served   int            // calls of Due that were served
 	InAim    int            // calls of Due that were served within the class's latency objective
 	Connects []int          // connections opened to gateways, by window
@@ -122,12 +123,12 @@
 		p.firstOutage = min(p.firstOutage, d.At)
 	}
 	p.start = time.Now()
-	var deaths, clients sync.WaitGroup
-	fail := make(chan error, 2*len(cfg.Deaths)+cfg.Clients)
+	var outages, clients sync.WaitGroup
+	errs := make(chan error, 2*len(cfg.Deaths)+cfg.Clients)
 	for _, d := range cfg.Deaths {
-		deaths.Go(func() {
+		outages.Go(func() {
 			if err := p.runOutage(ctx, d); err != nil {
-				fail <- err
+				errs <- err
 			}
 		})
 	}
@@ -142,9 +143,9 @@
 		})
 	}
 	clients.Wait()
-	deaths.Wait()
-	close(fail)
-	for e := range fail {
+	outages.Wait()
+	close(errs)
+	for e := range errs {
 		return nil, e
 	}
 	p.summarize()
@@ -198,6 +199,7 @@
 	}
 }
 
+// experiment is the state of a run. The mutex guards the fields below it.
 type experiment struct {
 	cfg         Config
 	mix         []load.Class
@@ -207,7 +209,7 @@
 	firstOutage time.Duration // start of the first outage, since start; math.MaxInt64 if there is none
 
 	mu       sync.Mutex
-	overruns []time.Duration
+	overruns []time.Duration // time by which each call ended after its deadline, negative if before
 	res      *Result
 }
 
@@ -248,9 +250,9 @@
 func (p *experiment) runCall(ctx context.Context, a testClient, class load.Class, object string, due time.Duration) {
 	limit := min(p.cfg.Limit, class.Limit)
 	call, cancel := context.WithTimeout(ctx, limit)
-	began := time.Now()
+	start := time.Now()
 	err := a.dispatch(call, class.Name, object)
-	took := time.Since(began)
+	took := time.Since(start)
 	cancel()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -290,9 +292,9 @@
 // summarize adds what the proxies recorded to the result. It is called after all clients have ended.
 func (p *experiment) summarize() {
 	r := p.res
-	asked := p.count()
+	attempts := p.count()
 	for k, one := range p.proxies {
-		r.Early += countEarly(k, one, asked)
+		r.Early += countEarly(k, one, attempts)
 	}
 	if p.cfg.Kind == clientsim.Planned {
 		r.Broken = faultproxy.Rules{Tries: 1 + plan.DefaultRetries + 1, Keyed: map[string]time.Duration{"orders": 3 * time.Second}}.Check(p.proxies...)
@@ -316,7 +318,7 @@
 			to[i]++
 		}
 	}
-	asked := map[attemptKey]faultproxy.Seen{}
+	attempts := map[attemptKey]faultproxy.Seen{}
 	for k, one := range p.proxies {
 		for _, at := range one.Opened() {
 			add(r.Connects, at)
@@ -327,28 +329,28 @@
 				r.Marked++
 			}
 			add(r.Sent, s.At)
-			asked[attemptKey{k, s.Conn, s.ID}] = s
+			attempts[attemptKey{k, s.Conn, s.ID}] = s
 		}
 	}
-	return asked
+	return attempts
 }
 
 // countEarly returns the number of attempts that were sent on a connection before the Retry-After time of an earlier
 // rejection of the same class on that connection.
-func countEarly(relay int, one *faultproxy.Proxy, asked map[attemptKey]faultproxy.Seen) (n int) {
-	type hold struct {
+func countEarly(index int, proxy *faultproxy.Proxy, attempts map[attemptKey]faultproxy.Seen) (n int) {
+	type connClass struct {
 		conn  int
 		class string
 	}
-	until := map[hold][]faultproxy.Rejection{}
-	for _, f := range one.Rejections() {
-		if s, ok := asked[attemptKey{relay, f.Conn, f.ID}]; ok {
-			h := hold{f.Conn, s.Class}
-			until[h] = append(until[h], f)
+	rejections := map[connClass][]faultproxy.Rejection{}
+	for _, f := range proxy.Rejections() {
+		if s, ok := attempts[attemptKey{index, f.Conn, f.ID}]; ok {
+			h := connClass{f.Conn, s.Class}
+			rejections[h] = append(rejections[h], f)
 		}
 	}
-	for _, s := range one.Seen() {
-		if slices.ContainsFunc(until[hold{s.Conn, s.Class}], func(f faultproxy.Rejection) bool {
+	for _, s := range proxy.Seen() {
+		if slices.ContainsFunc(rejections[connClass{s.Conn, s.Class}], func(f faultproxy.Rejection) bool {
 			// An attempt within 100 ms may have been sent before the client received the rejection.
 			since := s.At.Sub(f.At)
 			return since > 100*time.Millisecond && since < f.Later
--- a/lab/failover/naive.go
+++ b/lab/failover/naive.go
@@ -22,17 +22,18 @@
 	rpc   client.RPC
 
 	mu          sync.Mutex
-	nextGateway int
-	failures    int
+	nextGateway int // index in addrs, modulo its length
+	failures    int // consecutive failed or lost connections
 	conn        client.Conn
 	up          bool
-	serial      uint64
+	serial      uint64              // id of the latest attempt
 	open        map[uint64]*request // by the id of the latest attempt
 	queued      []*request          // waiting for a connection
 	closed      bool
-	conns       sync.WaitGroup
+	conns       sync.WaitGroup // connections whose Down event is outstanding
 }
 
+// request is a request of a naive client.
 type request struct {
 	client.Request
 	key      string
@@ -42,22 +43,24 @@
 	done     chan struct{}
 }
 
+// newNaive returns naive client n. Clients start with different gateways, according to n.
 func newNaive(kind clientsim.Kind, addrs []string, n int) *naive {
 	return &naive{kind: kind, addrs: addrs, nextGateway: n, open: map[uint64]*request{}}
 }
 
 // retryDelay returns the delay before the next attempt after a number of failures.
-func (n *naive) retryDelay(fails int) time.Duration {
+func (n *naive) retryDelay(failures int) time.Duration {
 	switch n.kind {
 	case clientsim.FixedWait:
 		return time.Second
 	case clientsim.ExponentialWait:
-		return 100 * time.Millisecond << min(fails, 6)
+		return 100 * time.Millisecond << min(failures, 6)
 	default: // NoWait
 		return 0
 	}
 }
 
+// dispatch makes a request and waits until it is served or ctx, which must have a deadline, ends.
 func (n *naive) dispatch(ctx context.Context, class, object string) error {
 	r := &request{Request: client.Request{Class: class, Object: object}, key: object + object, done: make(chan struct{})}
 	r.deadline, _ = ctx.Deadline()
@@ -118,6 +121,7 @@
 	n.conn = n.rpc.Connect(n.addrs[n.nextGateway%len(n.addrs)], time.Second, &naiveEvents{n: n})
 }
 
+// close closes the connection and waits for its Down event.
 func (n *naive) close() {
 	n.mu.Lock()
 	n.closed = true
@@ -153,9 +157,9 @@
 		return
 	}
 	n.up, n.failures = true, 0
-	idle := n.queued
+	queued := n.queued
 	n.queued = nil
-	for _, r := range idle {
+	for _, r := range queued {
 		n.send(r)
 	}
 }
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -38,10 +38,10 @@
 type Config struct {
 	Program string // path of the gateway's binary
 	Zones   []Zone
-	BoxRate float64 // capacity of a warm cache, requests per second
-	Objects int     // number of different objects that a zone's clients request, 400 if 0
-	Deaths  []Outage
-	Late    time.Duration // delay after which the endpoint list reports an outage
+	BoxRate float64       // capacity of a warm cache, requests per second
+	Objects int           // number of different objects that a zone's clients request, 400 if 0
+	Deaths  []Outage      // outages of zones
+	Late    time.Duration // delay after which the endpoint list reports an outage that has not ended
 	For     time.Duration // clients send requests for this long
 	Off     bool          // gateways know no other localities, so there is no spillover
 	Tiers   string        // further lines for the block `tiers` of the operator's file
@@ -99,24 +99,27 @@
 	return b.String() + "}\n"
 }
 
+// fleet is the state of a run. The mutex guards journalPos.
 type fleet struct {
 	cfg        Config
 	start      time.Time
 	dir        string
 	upstreams  []*fakeserver.Box   // parents and the origin
 	boxes      [][]*fakeserver.Box // by zone, the running ones
-	everyBox   []*fakeserver.Box
+	everyBox   []*fakeserver.Box   // all caches that were ever started
 	zoneOf     map[*fakeserver.Box]int
 	gateways   []*testbed.Gateway
-	journalPos int
-	lastBox    int
+	journalPos int // position of the latest update of the endpoint list
+	lastBox    int // number of the latest cache
 	mu         sync.Mutex
 }
 
+// hostEntry returns an entry of the endpoint list as JSON. since is the start of the process in Unix milliseconds.
 func hostEntry(name, addr, zone, kind, status string, since int64) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":1,"status":%q,"weight":1,"since_ms":%d}`, name, addr, zone, kind, status, since)
 }
 
+// capacityModel returns the capacity and the cold-start behaviour of a cache.
 func (f *fleet) capacityModel(cold bool) fakeserver.Power {
 	return fakeserver.Power{Rate: f.cfg.BoxRate, Cold: cold, From: 0.15, Ramp: 17 * time.Second, Tip: 2.5, TipFor: 2 * time.Second,
 		Fill: 15 * time.Millisecond, Queue: 1500 * time.Millisecond, ReportBy: 400 * time.Millisecond}
@@ -156,6 +159,7 @@
 	}
 }
 
+// close stops all processes and servers and removes the temporary folder.
 func (f *fleet) close() {
 	for _, g := range f.gateways {
 		g.Stop()
@@ -202,7 +206,7 @@
 	if err := f.build(ctx); err != nil {
 		return nil, err
 	}
-	shift := time.Since(f.start) // the load starts this long after f.start, from which caches count seconds
+	loadStart := time.Since(f.start) // the load starts this long after f.start, from which caches count seconds
 	began := time.Now()
 	var all sync.WaitGroup
 	errs := make(chan error, len(cfg.Deaths)+len(cfg.Zones))
@@ -232,9 +236,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return f.summarize(ctx, results, shift)
+	return f.summarize(ctx, results, loadStart)
 }
 
+// build starts the parents, the origin, the caches and the gateways.
 func (f *fleet) build(ctx context.Context) error {
 	var known []string
 	for _, o := range []struct{ name, kind, zone string }{{"pn", "parent", "north"}, {"ps", "parent", "south"}, {"o", "origin", "north"}} {
@@ -274,9 +279,9 @@
 
 // runOutage closes the caches of a zone and starts new ones when the outage ends. The endpoint list reports the outage after
 // Config.Late, or just before the new caches start if that is earlier.
-func (f *fleet) runOutage(ctx context.Context, d Outage, began time.Time) error {
+func (f *fleet) runOutage(ctx context.Context, d Outage, start time.Time) error {
 	wait := func(at time.Duration) bool {
-		t := time.NewTimer(time.Until(began.Add(at)))
+		t := time.NewTimer(time.Until(start.Add(at)))
 		defer t.Stop()
 		select {
 		case <-t.C:
@@ -291,15 +296,15 @@
 	for _, b := range f.boxes[d.Zone] {
 		b.Close()
 	}
-	gone := f.hostEntries(d.Zone, "DELETED", 0)
-	told := d.At + f.cfg.Late
-	if d.Back > 0 && d.Back < told {
-		told = d.Back
+	removed := f.hostEntries(d.Zone, "DELETED", 0)
+	announceAt := d.At + f.cfg.Late
+	if d.Back > 0 && d.Back < announceAt {
+		announceAt = d.Back
 	}
-	if !wait(told) {
+	if !wait(announceAt) {
 		return ctx.Err()
 	}
-	f.announce(gone)
+	f.announce(removed)
 	if d.Back == 0 || !wait(d.Back) {
 		return ctx.Err()
 	}
@@ -332,9 +337,9 @@
 
 // summarize returns the figures of the clients, the caches and the gateways. shift is the time from f.start to the start of the
 // load.
-func (f *fleet) summarize(ctx context.Context, results []*load.Result, shift time.Duration) (*Result, error) {
+func (f *fleet) summarize(ctx context.Context, results []*load.Result, loadStart time.Duration) (*Result, error) {
 	r := &Result{}
-	first := int(shift / time.Second)
+	first := int(loadStart / time.Second)
 	spill := 0.3
 	for line := range strings.Lines(f.cfg.Tiers) {
 		_, _ = fmt.Sscanf(strings.TrimSpace(line), "spill: %g", &spill)
--- a/lab/load/one.go
+++ b/lab/load/one.go
@@ -8,9 +8,9 @@
 	"larchusher/lab/loopback"
 )
 
-// RequestPart requests one part of an object from the gateway at addr and returns a one-line description of the
-// answer. It gives up after 10 s. The error is that of the connection or of reading the answer; a rejection or a failure
-// reported by the gateway is part of the description.
+// RequestPart requests one part of an object from the gateway at addr and returns a one-line description of the answer.
+// Sending the request and reading the answer may take 10 s. The error is that of the connection or of reading the answer; a
+// rejection or a failure reported by the gateway is part of the description.
 func RequestPart(addr, class, object string, part int) (string, error) {
 	c, err := loopback.Dial(addr)
 	if err != nil {
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -25,9 +25,9 @@
 	Served         Outcome = iota
 	Rejected               // the last attempt was answered with rpc.Backoff
 	Failed                 // the last attempt was answered with another error
-	TimedOut               // no answer until 50 ms after the class's Limit; the client cancelled
+	TimedOut               // no answer within the class's Limit plus 50 ms; the client cancelled
 	ConnectionLost         // the connection ended while the request was open on it
-	Unsent                 // all connections had Spec.Open requests open until the class's Limit had passed
+	Unsent                 // no connection had a free slot within the class's Limit
 )
 
 var outcomes = [...]string{"served", "refused", "failed", "silent", "cut", "unsent"}
@@ -56,27 +56,28 @@
 // request is a request that has no final outcome yet.
 type request struct {
 	class      int8
-	tries      int8
+	tries      int8 // attempts sent
 	marked     bool
-	due        time.Time // when the first attempt was scheduled
-	tryAt      time.Time // when the latest attempt was sent, or when the next one is due
-	lag        time.Duration
+	due        time.Time     // when the first attempt was scheduled
+	tryAt      time.Time     // when the latest attempt was sent, or when the next one is due
+	lag        time.Duration // delay of the first attempt caused by the load generator
 	object     string
 	part       int
 	key        string
-	wantPrefix []byte
+	wantPrefix []byte // start of the right body
 }
 
 // Result holds the records of a run.
 type Result struct {
 	Spec   Spec
-	Rows   []Row
-	Second uint64 // answers to requests that were already answered or never sent; answers that cross a cancellation don't count
-	Spoilt uint64 // successful answers whose body is not that of the requested part
-	Errors []string
-	Took   time.Duration
+	Rows   []Row         // one for each request, in no particular order
+	Second uint64        // answers to requests that were already answered or never sent; answers that cross a cancellation don't count
+	Spoilt uint64        // successful answers whose body is not that of the requested part
+	Errors []string      // of connections that ended with open requests, at most 10
+	Took   time.Duration // from the first request to the last outcome
 }
 
+// runner is the state that the shards of a run share.
 type runner struct {
 	spec         Spec
 	start        time.Time
@@ -85,6 +86,7 @@
 	lastTxn      atomic.Uint64
 }
 
+// maxShards is the largest number of goroutines that send requests.
 const maxShards = 6
 
 // Run opens spec.Conns connections, sends the load and waits until every request has an outcome. It returns an error if
@@ -178,7 +180,7 @@
 	next := s.r.start
 	s.drawArrival(&next)
 	var waiting []*request // due requests for which no connection had a free slot
-	swept := s.r.start
+	lastExpire := s.r.start
 	for {
 		now := time.Now()
 		if ctx.Err() != nil {
@@ -192,18 +194,18 @@
 			}
 			s.drawArrival(&next)
 		}
-		again, left := s.dueRetries(now)
-		waiting = append(waiting, again...)
+		retries, pending := s.dueRetries(now)
+		waiting = append(waiting, retries...)
 		for _, c := range s.conns {
 			c.wakeWriter()
 		}
-		if now.Sub(swept) > 20*time.Millisecond {
-			swept = now
+		if now.Sub(lastExpire) > 20*time.Millisecond {
+			lastExpire = now
 			open := 0
 			for _, c := range s.conns {
 				open += c.expire(now)
 			}
-			if !next.Before(end) && open == 0 && left == 0 && len(waiting) == 0 {
+			if !next.Before(end) && open == 0 && pending == 0 && len(waiting) == 0 {
 				return
 			}
 		}
@@ -228,18 +230,18 @@
 // sendWaiting sends requests that waited for a free slot, in order, and records those as Unsent that waited for longer
 // than their class's Limit. It returns the requests that still wait, in the array of its argument.
 func (s *shard) sendWaiting(waiting []*request, now time.Time) []*request {
-	kept := waiting[:0]
-	full := false
+	remaining := waiting[:0]
+	noSlot := false
 	for _, j := range waiting {
 		switch {
 		case now.Sub(j.due) > s.r.spec.Mix[j.class].Limit:
 			s.record(s.r.row(j, Unsent, now, 0, 0))
-		case full || !s.send(j, now):
-			full = true
-			kept = append(kept, j)
+		case noSlot || !s.send(j, now):
+			noSlot = true
+			remaining = append(remaining, j)
 		}
 	}
-	return kept
+	return remaining
 }
 
 // drawArrival advances next to the following arrival of a Poisson process with this shard's share of the profile's rate.
@@ -259,6 +261,7 @@
 	}
 }
 
+// newRequest draws the class, the object and the part of a request that is due at a time.
 func (s *shard) newRequest(due time.Time) *request {
 	spec := &s.r.spec
 	x := s.rng.Float64()
@@ -305,6 +308,7 @@
 	return true
 }
 
+// row returns the record of a request that ended now. size is in bytes, later the Retry-After in milliseconds.
 func (r *runner) row(j *request, o Outcome, now time.Time, size, later int) Row {
 	return Row{DueUs: j.due.Sub(r.start).Microseconds(), TookUs: now.Sub(j.due).Microseconds(),
 		Class: r.spec.Mix[j.class].Name, Outcome: o.String(), Tries: int32(j.tries), Marked: j.marked,
@@ -331,10 +335,11 @@
 	readDone, writeDone chan struct{}
 }
 
+// dial opens a connection and starts its read and write goroutines.
 func (s *shard) dial() (*conn, error) {
 	nc, err := loopback.Dial(s.r.spec.Addr)
 	if err != nil {
-		return nil, fmt.Errorf("load: %w", err)
+		return nil, fmt.Errorf("load: can't connect: %w", err)
 	}
 	c := &conn{shard: s, nc: nc, open: map[uint32]*request{}, abandoned: map[uint32]time.Time{}, readDone: make(chan struct{}),
 		writeDone: make(chan struct{})}
@@ -345,6 +350,7 @@
 	return c, nil
 }
 
+// send encodes an attempt into the outgoing buffer. It returns false if the connection has ended or has no free slot.
 func (c *conn) send(j *request, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -377,6 +383,7 @@
 	c.mu.Unlock()
 }
 
+// write sends the outgoing buffer whenever wakeWriter signals, until the connection ends.
 func (c *conn) write() {
 	defer close(c.writeDone)
 	var b []byte
@@ -399,6 +406,7 @@
 	}
 }
 
+// read matches answers to open requests and records their outcomes, until the connection ends.
 func (c *conn) read() {
 	defer close(c.readDone)
 	r := rpc.NewReader(c.nc)
@@ -438,7 +446,7 @@
 	}
 }
 
-// expire cancels the requests that have had no answer until 50 ms after their Limit and returns the number still open.
+// expire cancels the requests that have had no answer within their Limit plus 50 ms and returns the number still open.
 func (c *conn) expire(now time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/lab/load/slow.go
+++ b/lab/load/slow.go
@@ -15,10 +15,10 @@
 
 // SlowReaderSpec configures clients that read their answers slowly.
 type SlowReaderSpec struct {
-	Addr  string
-	Conns int
-	Pace  int // bytes per second that each client reads
-	Ask   int // parts that each client requests at its start; it requests none later
+	Addr  string // of the gateway
+	Conns int    // number of clients, each with one connection
+	Pace  int    // bytes per second that each client reads
+	Ask   int    // parts that each client requests at its start; it requests none later
 }
 
 // slowObjectPrefix is the prefix of the names of objects that slow readers request.
@@ -50,12 +50,12 @@
 // connections and returns the number that had ended before, closed by the gateway. The error is that of connecting.
 func StartSlowReaders(spec SlowReaderSpec) (stop func() (closed int), err error) {
 	var mu sync.Mutex
-	closed, over := 0, false
+	closed, stopped := 0, false
 	var conns []net.Conn
 	stop = func() int {
 		mu.Lock()
 		defer mu.Unlock()
-		over = true
+		stopped = true
 		for _, c := range conns {
 			loopback.Close(c)
 		}
@@ -82,7 +82,7 @@
 			for range tick.C {
 				if _, err := io.CopyN(io.Discard, c, int64(spec.Pace/10)); err != nil {
 					mu.Lock()
-					if !over {
+					if !stopped {
 						closed++
 					}
 					mu.Unlock()
--- a/lab/load/spec.go
+++ b/lab/load/spec.go
@@ -44,7 +44,7 @@
 
 // Spec configures a load.
 type Spec struct {
-	Addr    string
+	Addr    string        // of the gateway
 	Conns   int           // number of connections, 300 if 0
 	Open    int           // most requests open on one connection, 30 if 0
 	Rate    Profile       // requests per second over time
--- a/lab/localitysim/directed_build.go
+++ b/lab/localitysim/directed_build.go
@@ -53,12 +53,13 @@
 	return s
 }
 
+// build creates the servers and gateways and schedules arrivals and faults.
 func (d *directorSim) build() error {
 	sc := &d.scene
-	hubs, whole := 0, 0.0
+	hubs, totalRate := 0, 0.0
 	for _, z := range sc.Zones {
 		hubs = max(hubs, z.Hub+1)
-		whole += float64(z.Boxes) * sc.BoxRate
+		totalRate += float64(z.Boxes) * sc.BoxRate
 		d.faults = append(d.faults, map[FaultKind]int{})
 	}
 	var classes []overload.Class
@@ -70,7 +71,7 @@
 		d.bands[0] = append(d.bands[0], order.Band(c.Name, false))
 		d.bands[1] = append(d.bands[1], order.Band(c.Name, true))
 	}
-	d.origin = d.addServer("origin", -1, 0, sc.Origin*0.1*whole, false)
+	d.origin = d.addServer("origin", -1, 0, sc.Origin*0.1*totalRate, false)
 	d.parents = make([][]*server, hubs)
 	for h := range hubs {
 		rate := 0.0
@@ -176,17 +177,17 @@
 		d.startSharing(g)
 	}
 	if d.scene.Memory {
-		var keep func()
-		keep = func() {
+		var save func()
+		save = func() {
 			if !g.down {
 				g.learned, g.learnedAt = nil, d.clock.Now
 				for _, dir := range g.directors {
 					g.learned = append(g.learned, dir.Export(d.clock.Now, 4096))
 				}
 			}
-			d.clock.At(d.clock.Now+warmstart.DefaultSaveInterval, keep)
+			d.clock.At(d.clock.Now+warmstart.DefaultSaveInterval, save)
 		}
-		d.clock.At(time.Duration(d.rng.Float64()*float64(warmstart.DefaultSaveInterval)), keep)
+		d.clock.At(time.Duration(d.rng.Float64()*float64(warmstart.DefaultSaveInterval)), save)
 	}
 	var next func()
 	next = func() {
--- a/lab/localitysim/directed_faults.go
+++ b/lab/localitysim/directed_faults.go
@@ -10,12 +10,12 @@
 
 // restartGateways kills a zone's gateways, or starts them again. The requests of a killed gateway fail. With Scene.Oracle the
 // directors keep all their state.
-func (d *directorSim) restartGateways(zone int, dies bool) {
+func (d *directorSim) restartGateways(zone int, kill bool) {
 	for _, g := range d.gateways {
 		if g.home != zone {
 			continue
 		}
-		if g.down = dies; dies {
+		if g.down = kill; kill {
 			g.incarnation++
 			for _, r := range g.requests {
 				r.ended = true
@@ -47,10 +47,10 @@
 }
 
 // publishUpdate sends an update about servers to all gateways, delayed by Scene.List.
-func (d *directorSim) publishUpdate(of []*server, phase routing.Phase) {
+func (d *directorSim) publishUpdate(servers []*server, phase routing.Phase) {
 	d.clock.At(d.clock.Now+d.scene.List, func() {
 		m := routing.EndpointUpdate{Kind: routing.DeltaList}
-		for _, s := range of {
+		for _, s := range servers {
 			m.Endpoints = append(m.Endpoints, d.endpoint(s, phase))
 		}
 		for _, g := range d.gateways {
--- a/lab/localitysim/directed_requests.go
+++ b/lab/localitysim/directed_requests.go
@@ -45,12 +45,12 @@
 	if g.selector != nil && !g.classes[class].Uncacheable {
 		object := uint64(r.object+1) * 0x9e3779b97f4a7c15
 		object = (object ^ object>>29) * 0xbf58476d1ce4e5b9
-		where, later, ok := g.selector.Pick(d.clock.Now, d.bands[min(1, r.tries)][class], object^object>>32, draw)
+		picked, retryAfter, ok := g.selector.Pick(d.clock.Now, d.bands[min(1, r.tries)][class], object^object>>32, draw)
 		if !ok {
-			d.answer(g, r, routing.Reject{RetryAfter: later}, false)
+			d.answer(g, r, routing.Reject{RetryAfter: retryAfter}, false)
 			return
 		}
-		r.locality = where
+		r.locality = picked
 	}
 	limit := d.mix[class].Limit
 	d.clock.At(d.clock.Now+limit, func() {
@@ -77,10 +77,10 @@
 	}
 	r.ended = true
 	delete(g.requests, r.id)
-	refusal, refused := a.(routing.Reject)
-	if refused && r.tries < 2 && d.scene.Repeat > 0 && d.rng.Float64() < d.scene.Repeat {
-		again := &request{owner: g, class: r.class, object: r.object, counted: r.counted, tries: r.tries + 1}
-		d.clock.At(d.clock.Now+max(refusal.RetryAfter, 50*time.Millisecond), func() { d.submit(g, again) })
+	rejection, rejected := a.(routing.Reject)
+	if rejected && r.tries < 2 && d.scene.Repeat > 0 && d.rng.Float64() < d.scene.Repeat {
+		retry := &request{owner: g, class: r.class, object: r.object, counted: r.counted, tries: r.tries + 1}
+		d.clock.At(d.clock.Now+max(rejection.RetryAfter, 50*time.Millisecond), func() { d.submit(g, retry) })
 		return // the outcome of the retry counts
 	}
 	if !r.counted {
@@ -94,7 +94,7 @@
 		d.res.InAim[r.class]++
 	case served:
 		sec.Late++
-	case refused:
+	case rejected:
 		sec.Refused++
 		d.res.Refused[r.class]++
 	default:
@@ -103,28 +103,28 @@
 }
 
 // handle passes an event to the director of a locality and carries out its actions.
-func (d *directorSim) handle(g *directorGateway, where int, ev routing.Event) {
-	for _, a := range g.directors[where].Handle(d.clock.Now, ev, nil) {
+func (d *directorSim) handle(g *directorGateway, loc int, ev routing.Event) {
+	for _, a := range g.directors[loc].Handle(d.clock.Now, ev, nil) {
 		switch a := a.(type) {
 		case routing.ForwardAttempt:
-			d.dispatch(g, where, a)
+			d.dispatch(g, loc, a)
 		case routing.Reject:
-			if r := g.requests[a.ID]; r != nil && r.locality == where && !d.reroute(g, r) {
+			if r := g.requests[a.ID]; r != nil && r.locality == loc && !d.reroute(g, r) {
 				d.answer(g, r, a, false)
 			}
 		case routing.Fail:
-			if r := g.requests[a.ID]; r != nil && r.locality == where {
+			if r := g.requests[a.ID]; r != nil && r.locality == loc {
 				d.answer(g, r, a, false)
 			}
 		case routing.CancelAttempt:
 			if r := g.requests[a.ID]; r != nil {
-				d.cancel(r, where, a.Attempt)
+				d.cancel(r, loc, a.Attempt)
 			}
 		case routing.SetTimer:
-			dir := g.directors[where]
+			dir := g.directors[loc]
 			d.clock.At(a.At, func() {
-				if g.directors[where] == dir {
-					d.handle(g, where, routing.TimerFired{Token: a.Token})
+				if g.directors[loc] == dir {
+					d.handle(g, loc, routing.TimerFired{Token: a.Token})
 				}
 			})
 		}
@@ -132,9 +132,9 @@
 }
 
 // cancel ends an attempt that a director cancels.
-func (d *directorSim) cancel(r *request, where, number int) {
+func (d *directorSim) cancel(r *request, loc, number int) {
 	for _, at := range r.attempts {
-		if at.locality == where && at.number == number && !at.ended {
+		if at.locality == loc && at.number == number && !at.ended {
 			d.finish(at, 0, routing.AttemptResult{Status: routing.Canceled})
 		}
 	}
@@ -179,11 +179,11 @@
 		if len(o.LoadReport) > 1 && cache {
 			report = o.LoadReport[1]
 		}
-		told := cache && o.Status == routing.OK
+		hitKnown := cache && o.Status == routing.OK
 		if !cache && a.locality == 0 {
 			g.selector.BypassFinished(d.clock.Now, locality.ClassifyResult(o.Status, true, late, false))
 		}
-		g.selector.AttemptFinished(d.clock.Now, a.locality, locality.ClassifyResult(o.Status, cache, late, false), o.Reason == routing.ReasonHit, told, report)
+		g.selector.AttemptFinished(d.clock.Now, a.locality, locality.ClassifyResult(o.Status, cache, late, false), o.Reason == routing.ReasonHit, hitKnown, report)
 	}
 	if o.Status == routing.OK && !r.ended {
 		if r.counted && a.to.kind == "box" {
--- a/lab/localitysim/directed_stores.go
+++ b/lab/localitysim/directed_stores.go
@@ -9,13 +9,13 @@
 )
 
 // dispatch sends an attempt to a server as a director asked. Attempts at silent zones, and those that cross the cut of a hub,
-// end by the time-out.
-func (d *directorSim) dispatch(g *directorGateway, where int, x routing.ForwardAttempt) {
+// end by time-out.
+func (d *directorSim) dispatch(g *directorGateway, loc int, x routing.ForwardAttempt) {
 	r, to := g.requests[x.ID], d.servers[x.Endpoint]
 	if r == nil || to == nil {
 		return
 	}
-	a := &attempt{request: r, incarnation: g.incarnation, locality: where, number: len(r.attempts) - r.firstAttempt, to: to, sent: d.clock.Now, uncacheable: g.classes[r.class].Uncacheable}
+	a := &attempt{request: r, incarnation: g.incarnation, locality: loc, number: len(r.attempts) - r.firstAttempt, to: to, sent: d.clock.Now, uncacheable: g.classes[r.class].Uncacheable}
 	r.attempts = append(r.attempts, a)
 	to.attempts[a] = true
 	home := d.scene.Zones[g.home]
@@ -27,11 +27,11 @@
 		}
 	}
 	if !a.uncacheable && g.selector != nil {
-		g.selector.AttemptStarted(d.clock.Now, where)
+		g.selector.AttemptStarted(d.clock.Now, loc)
 	}
-	way := sameHubDelay
+	delay := sameHubDelay
 	if to.hub != home.Hub {
-		way = otherHubDelay
+		delay = otherHubDelay
 	}
 	limit := r.due + d.mix[r.class].Limit - d.clock.Now
 	if x.Timeout > 0 {
@@ -44,41 +44,41 @@
 	}
 	switch {
 	case to.down || to.crashed:
-		d.finish(a, 2*way, routing.AttemptResult{Status: routing.ConnectFailed})
+		d.finish(a, 2*delay, routing.AttemptResult{Status: routing.ConnectFailed})
 	case faults[Silent] > 0, to.hub != home.Hub && (d.faults[g.home][Cut] > 0 || faults[Cut] > 0):
 	case faults[Errors] > 0:
-		d.finish(a, 2*way, routing.AttemptResult{Status: routing.ServerError})
+		d.finish(a, 2*delay, routing.AttemptResult{Status: routing.ServerError})
 	default:
-		d.serve(a, way, d.servers[x.FillSource], faults[Slow] > 0)
+		d.serve(a, delay, d.servers[x.FillSource], faults[Slow] > 0)
 	}
 }
 
 // enqueue adds one request to a server's queue and returns the time until it is done. It returns false if the server's
 // queue is longer than maxQueueDelay, or if a cold server crashes because the request exceeds its overload limit.
 func (d *directorSim) enqueue(s *server, slow bool) (took time.Duration, ok bool) {
-	able := 1.0
+	capacityShare := 1.0
 	if age := d.clock.Now - s.startedAt; age < warmUpTime {
-		able = s.coldCapacityShare + (1-s.coldCapacityShare)*float64(age)/float64(warmUpTime)
+		capacityShare = s.coldCapacityShare + (1-s.coldCapacityShare)*float64(age)/float64(warmUpTime)
 	}
 	s.recentRequests = s.recentRequests*math.Exp(-float64(d.clock.Now-s.recentAt)/float64(overloadWindow)) + 1
 	s.recentAt = d.clock.Now
-	part := s.recentRequests / (s.overloadFactor * able * overloadWindow.Seconds() * float64(time.Second) / float64(s.cost))
-	if able < 1 {
-		d.res.Most = max(d.res.Most, part)
+	loadShare := s.recentRequests / (s.overloadFactor * capacityShare * overloadWindow.Seconds() * float64(time.Second) / float64(s.cost))
+	if capacityShare < 1 {
+		d.res.Most = max(d.res.Most, loadShare)
 	}
-	if able < 1 && part > 1 {
+	if capacityShare < 1 && loadShare > 1 {
 		s.crashed = true
 		d.res.Falls = append(d.res.Falls, fmt.Sprintf("%s at %v", s.id, d.clock.Now.Round(time.Millisecond)))
 		return 0, false
 	}
 	if slow {
-		able /= 5
+		capacityShare /= 5
 	}
 	s.busyUntil = max(s.busyUntil, d.clock.Now)
 	if s.busyUntil-d.clock.Now > maxQueueDelay {
 		return 0, false
 	}
-	cost := time.Duration(float64(s.cost) / able)
+	cost := time.Duration(float64(s.cost) / capacityShare)
 	s.busyUntil += cost
 	s.workDone += cost
 	if since := d.clock.Now - s.reportedAt; since >= loadReportInterval {
@@ -87,8 +87,9 @@
 	return s.busyUntil - d.clock.Now, true
 }
 
-// serve has a server answer an attempt: a hit, a miss, or after a fill from source.
-func (d *directorSim) serve(a *attempt, way time.Duration, source *server, slow bool) {
+// serve simulates a server's answer to an attempt. A cache answers with a hit, fetches the object from source first, or reports
+// a miss if it has no other source. delay is one way.
+func (d *directorSim) serve(a *attempt, delay time.Duration, source *server, slow bool) {
 	to, sec := a.to, d.currentSecond()
 	took, ok := d.enqueue(to, slow)
 	report := func() []float64 { return []float64{float64(len(to.attempts)), to.utilization, 0.9} }
@@ -97,10 +98,10 @@
 		if to.kind == "origin" && a.request.counted {
 			sec.OriginRefused++
 		}
-		d.finish(a, 2*way, routing.AttemptResult{Status: status, LoadReport: report()})
+		d.finish(a, 2*delay, routing.AttemptResult{Status: status, LoadReport: report()})
 		return
 	}
-	took += 2*way + 20*time.Millisecond
+	took += 2*delay + 20*time.Millisecond
 	if to.kind == "origin" && a.request.counted {
 		sec.Origin++
 	}
@@ -125,7 +126,7 @@
 		return
 	}
 	if source == nil || source == to {
-		d.finish(a, 2*way, routing.AttemptResult{Status: routing.Miss, LoadReport: report()})
+		d.finish(a, 2*delay, routing.AttemptResult{Status: routing.Miss, LoadReport: report()})
 		return
 	}
 	more, ok := d.fill(source, a)
--- a/lab/localitysim/localitysim.go
+++ b/lab/localitysim/localitysim.go
@@ -20,9 +20,9 @@
 // Zone describes one location.
 type Zone struct {
 	Name     string
-	Hub      int // index of the hub whose parents serve the zone, from 0
-	Boxes    int // number of caches
-	Gateways int
+	Hub      int     // index of the hub whose parents serve the zone, from 0
+	Boxes    int     // number of caches
+	Gateways int     // number of gateways
 	Load     float64 // load by its own clients, as a share of the capacity of its caches
 }
 
@@ -36,7 +36,7 @@
 	Slow         FaultKind = "slow"    // the zone has a fifth of its capacity
 	Errors       FaultKind = "errors"  // the zone answers all requests with errors
 	Parents      FaultKind = "parents" // the parents of the zone's hub are unreachable
-	Cut          FaultKind = "cut"     // no connection between the zone and zones of other hubs, in either direction; in Run none to the origin either
+	Cut          FaultKind = "cut"     // no connection between the zone and zones of other hubs, in either direction; with Run none to the origin
 	Restart      FaultKind = "restart" // the zone's gateways are killed and restarted with the state that they saved; only in RunWithDirectors
 	FalseRemoval FaultKind = "lies"    // the endpoint list says that all caches of the zone are removed although they run
 )
@@ -81,45 +81,46 @@
 
 // Properties of caches and of the network, taken from the deployment's settings.
 const (
-	coldStartShare     = 0.15
-	warmUpTime         = 17 * time.Second
-	crashFactor        = 2.5
-	overloadWindow     = 2 * time.Second
-	sameHubDelay       = 2 * time.Millisecond
-	otherHubDelay      = 30 * time.Millisecond // one way, to a zone of another hub
-	parentFetchTime    = 8 * time.Millisecond
-	originFetchTime    = 40 * time.Millisecond
-	loadReportInterval = 400 * time.Millisecond
+	coldStartShare     = 0.15                    // share of its capacity that a cache has at a cold start
+	warmUpTime         = 17 * time.Second        // time until a cold cache has its whole capacity
+	crashFactor        = 2.5                     // a cold cache crashes at more than this multiple of its present capacity
+	overloadWindow     = 2 * time.Second         // time constant of the request rate that is compared with crashFactor
+	sameHubDelay       = 2 * time.Millisecond    // one way, within a hub
+	otherHubDelay      = 30 * time.Millisecond   // one way, to a zone of another hub
+	parentFetchTime    = 8 * time.Millisecond    // round trip of a fill from a parent
+	originFetchTime    = 40 * time.Millisecond   // round trip of a fetch from the origin
+	loadReportInterval = 400 * time.Millisecond  // least time between updates of a load report
 	maxQueueDelay      = 1500 * time.Millisecond // queued work beyond which a zone or server rejects requests
 	parentHitRatio     = 0.6                     // share of fills that a parent serves without the origin
 )
 
 // Second counts one second of a run. Slices are indexed by zone.
 type Second struct {
-	Asked, InAim, Late, Failed, Refused int
-	Worth, WorthAsked                   float64
-	Spilled                             []int // attempts of a zone's gateways at other zones
-	Own                                 []int // all requests of a zone's clients, their retries included
-	At                                  []int // attempts at a zone, from any gateway
-	Fills, Origin, OriginRefused        int
-	Hits, Reads                         int
+	Asked, InAim, Late, Failed, Refused int     // requests, by outcome
+	Worth, WorthAsked                   float64 // priority weight served within the objective, and of all requests
+	Spilled                             []int   // attempts of a zone's gateways at other zones
+	Own                                 []int   // all requests of a zone's clients, their retries included
+	At                                  []int   // attempts at a zone, from any gateway
+	Fills, Origin, OriginRefused        int     // cache fills, requests at the origin, and those of them that it rejected
+	Hits, Reads                         int     // hits in caches, and all answers from caches
 }
 
 // Result holds the figures of a run. Falls, Most, Over and Twice show violated bounds.
 type Result struct {
 	Seconds  []Second
 	Classes  []load.Class
-	Asked    []int    // requests, by class
-	InAim    []int    // requests served within the latency objective, by class
-	Refused  []int    // rejected requests, by class
-	Falls    []string // zones or servers that crashed by overload while cold, and when
-	Twice    int      // final answers beyond the first of a request
-	Events   int      // simulated events
-	Most     float64  // highest load of a cold server, as a share of the load at which it crashes; only in RunWithDirectors
-	Over     float64  // most by which a zone's spillover exceeded its bound in any second, as a share of its requests
-	Gateways []*locality.Selector
+	Asked    []int                // requests, by class
+	InAim    []int                // requests served within the latency objective, by class
+	Refused  []int                // rejected requests, by class
+	Falls    []string             // zones or servers that crashed by overload while cold, and when
+	Twice    int                  // final answers beyond the first of a request
+	Events   int                  // simulated events
+	Most     float64              // highest load of a cold server, as a share of the load at which it crashes; only in RunWithDirectors
+	Over     float64              // most by which a zone's spillover exceeded its bound in any second, as a share of its requests
+	Gateways []*locality.Selector // selectors of the gateways, in order; none under NoSpill with directors
 }
 
+// gateway is a gateway with its locality selector.
 type gateway struct {
 	selector   *locality.Selector
 	zones      []int // zone of each locality
@@ -127,6 +128,7 @@
 	home       int
 }
 
+// simulation is the state of one run of Run.
 type simulation struct {
 	scene    Scene
 	rng      *rand.Rand
@@ -172,6 +174,7 @@
 	return s.res, nil
 }
 
+// schedule adds an event at a time.
 func (s *simulation) schedule(t time.Duration, e event) {
 	s.order++
 	e.at, e.order = t, s.order
@@ -231,6 +234,7 @@
 	}
 }
 
+// handleArrival draws a request, sends it to the origin or to a zone that the policy selects, and schedules the next arrival.
 func (s *simulation) handleArrival(e event) {
 	g := s.gateways[e.gateway]
 	s.schedule(s.now+time.Duration(s.rng.ExpFloat64()*float64(s.gaps[g.home])), event{kind: requestArrived, gateway: e.gateway})
@@ -255,7 +259,7 @@
 		}
 		return
 	}
-	where := g.home
+	target := g.home
 	switch s.scene.Policy {
 	case Tiered:
 		object := uint64(e.object+1) * 0x9e3779b97f4a7c15
@@ -266,28 +270,29 @@
 			s.reject(e)
 			return
 		}
-		where = g.zones[n]
+		target = g.zones[n]
 	case Unbounded:
 		for _, k := range g.zones {
 			if z := s.zones[k]; z.faults[Dead] == 0 && !z.crashed && z.faults[Errors] == 0 && z.faults[Silent] == 0 {
-				where = k // an idealized policy: the gateway sees faults without delay
+				target = k // an idealized policy: the gateway sees faults without delay
 				break
 			}
 		}
 	default: // NoSpill: the gateway's own zone
 	}
-	s.send(e, where)
+	s.send(e, target)
 }
 
+// handleResult reports the result of an attempt to the gateway's selector and counts the request, or reroutes it.
 func (s *simulation) handleResult(e event) {
 	g := s.gateways[e.gateway]
 	if e.zone >= 0 {
-		told := e.result == locality.ResultSuccess || e.result == locality.ResultLate
+		hitKnown := e.result == locality.ResultSuccess || e.result == locality.ResultLate
 		report := -1.0
-		if told {
+		if hitKnown {
 			report = float64(e.load)
 		}
-		g.selector.AttemptFinished(s.now, g.localityOf[e.zone], e.result, e.hit, told, report)
+		g.selector.AttemptFinished(s.now, g.localityOf[e.zone], e.result, e.hit, hitKnown, report)
 	}
 	if e.due < s.scene.Warm {
 		return
@@ -332,6 +337,7 @@
 	s.reject(e)
 }
 
+// reject counts a request as rejected.
 func (s *simulation) reject(e event) {
 	if e.due >= s.scene.Warm {
 		s.currentSecond().Refused++
--- a/lab/localitysim/scene_build.go
+++ b/lab/localitysim/scene_build.go
@@ -51,6 +51,7 @@
 	return nil
 }
 
+// build creates the zones, parents, origin and gateways and schedules arrivals and faults.
 func (s *simulation) build() error {
 	sc := &s.scene
 	var classes []overload.Class
@@ -61,28 +62,28 @@
 	for _, c := range s.mix {
 		s.bands = append(s.bands, order.Band(c.Name, false))
 	}
-	hubs, whole := 0, 0.0
+	hubs, totalRate := 0, 0.0
 	for _, z := range sc.Zones {
 		hubs = max(hubs, z.Hub+1)
 		rate := float64(z.Boxes) * sc.BoxRate
-		whole += rate * z.Load
-		zz := &zone{Zone: z, workPerRequest: time.Duration(float64(time.Second) / rate), startedAt: -time.Hour, cached: make([]bool, sc.Objects), faults: map[FaultKind]int{}}
-		for i := range zz.cached { // the popular half of the objects is cached
-			zz.cached[i] = i < sc.Objects/2
+		totalRate += rate * z.Load
+		state := &zone{Zone: z, workPerRequest: time.Duration(float64(time.Second) / rate), startedAt: -time.Hour, cached: make([]bool, sc.Objects), faults: map[FaultKind]int{}}
+		for i := range state.cached { // the popular half of the objects is cached
+			state.cached[i] = i < sc.Objects/2
 		}
-		s.zones = append(s.zones, zz)
+		s.zones = append(s.zones, state)
 		s.gaps = append(s.gaps, time.Duration(float64(time.Second)/(rate*z.Load+1e-9)*float64(z.Gateways)))
 	}
-	misses := 0.1 // approximate share of requests that miss without faults
+	missShare := 0.1 // approximate share of requests that miss without faults
 	s.hubs = make([]tokenBucket, hubs)
 	for i := range s.hubs {
 		for _, z := range sc.Zones {
 			if z.Hub == i {
-				s.hubs[i].rate += sc.Parent * misses * float64(z.Boxes) * sc.BoxRate
+				s.hubs[i].rate += sc.Parent * missShare * float64(z.Boxes) * sc.BoxRate
 			}
 		}
 	}
-	s.origin.rate = sc.Origin * misses * (1 - parentHitRatio) * whole
+	s.origin.rate = sc.Origin * missShare * (1 - parentHitRatio) * totalRate
 	for home, z := range sc.Zones {
 		for range z.Gateways {
 			if err := s.addGateway(home, order.Bands()); err != nil {
--- a/lab/localitysim/zones.go
+++ b/lab/localitysim/zones.go
@@ -22,17 +22,18 @@
 	workDone       time.Duration // since the last report
 	recentRequests float64       // exponentially decaying count over overloadWindow
 	recentAt       time.Duration
-	outages        int
+	outages        int // number of faults of kind Dead
 }
 
 // tokenBucket limits requests to rate per second, with bursts of a quarter of a second's requests.
 type tokenBucket struct {
 	rate     float64
-	tokens   float64
+	tokens   float64 // as of filledAt
 	filledAt time.Duration
 	requests int
 }
 
+// take uses up a token. It returns false if there is none.
 func (b *tokenBucket) take(now time.Duration) bool {
 	b.tokens = min(b.rate/4, b.tokens+b.rate*(now-b.filledAt).Seconds())
 	b.filledAt = now
@@ -59,51 +60,51 @@
 }
 
 // send simulates an attempt at a zone and schedules its result.
-func (s *simulation) send(e event, where int) {
+func (s *simulation) send(e event, target int) {
 	g := s.gateways[e.gateway]
-	z := s.zones[where]
-	s.countAttempt(g.home, where)
-	g.selector.AttemptStarted(s.now, g.localityOf[where])
-	e.zone = int32(where)
-	way := sameHubDelay
+	z := s.zones[target]
+	s.countAttempt(g.home, target)
+	g.selector.AttemptStarted(s.now, g.localityOf[target])
+	e.zone = int32(target)
+	delay := sameHubDelay
 	if z.Hub != s.zones[g.home].Hub {
-		way = otherHubDelay
+		delay = otherHubDelay
 	}
-	back := func(after time.Duration, r locality.Result, hit bool) {
+	end := func(after time.Duration, r locality.Result, hit bool) {
 		e.kind, e.result, e.hit, e.load = attemptEnded, r, hit, float32(z.utilization)
 		s.schedule(s.now+after, e)
 	}
 	deadline := s.mix[e.class].Limit
-	if silent, failed := s.faultsBetween(g.home, where); silent {
-		back(deadline, locality.ResultFailure, false)
+	if silent, failed := s.faultsBetween(g.home, target); silent {
+		end(deadline, locality.ResultFailure, false)
 		return
 	} else if failed {
-		back(2*way, locality.ResultFailure, false)
+		end(2*delay, locality.ResultFailure, false)
 		return
 	}
-	able := z.capacityShare(s.now)
-	s.countRequest(z, able)
+	capacity := z.capacityShare(s.now)
+	s.countRequest(z, capacity)
 	if z.crashed {
-		back(2*way, locality.ResultFailure, false)
+		end(2*delay, locality.ResultFailure, false)
 		return
 	}
 	if z.faults[Slow] > 0 {
-		able /= 5
+		capacity /= 5
 	}
 	z.busyUntil = max(z.busyUntil, s.now)
 	if z.busyUntil-s.now > maxQueueDelay {
 		e.kind = attemptRejected
-		s.schedule(s.now+2*way, e)
+		s.schedule(s.now+2*delay, e)
 		return
 	}
-	z.enqueue(s.now, able)
-	took := z.busyUntil - s.now + 2*way + 20*time.Millisecond
+	z.enqueue(s.now, capacity)
+	took := z.busyUntil - s.now + 2*delay + 20*time.Millisecond
 	hit := z.cached[e.object]
 	if !hit {
 		ok, more := s.fill(z)
 		took += more
 		if !ok {
-			back(took, locality.ResultFailure, false)
+			end(took, locality.ResultFailure, false)
 			return
 		}
 		z.cached[e.object] = true
@@ -113,32 +114,32 @@
 		r = locality.ResultLate
 	}
 	if took > deadline {
-		back(deadline, locality.ResultFailure, false)
+		end(deadline, locality.ResultFailure, false)
 		return
 	}
-	back(took, r, hit)
+	end(took, r, hit)
 }
 
 // countAttempt counts an attempt by a gateway of zone home at zone where, unless the run is still warming up.
-func (s *simulation) countAttempt(home, where int) {
+func (s *simulation) countAttempt(home, target int) {
 	if s.now < s.scene.Warm {
 		return
 	}
 	sec := s.currentSecond()
-	sec.At[where]++
-	if where != home {
+	sec.At[target]++
+	if target != home {
 		sec.Spilled[home]++
 	}
 }
 
 // faultsBetween reports whether an attempt by a gateway of zone home at zone where gets no answer or fails at once.
-func (s *simulation) faultsBetween(home, where int) (silent, failed bool) {
-	z, h := s.zones[where], s.zones[home]
-	far := where != home && z.Hub != h.Hub
+func (s *simulation) faultsBetween(home, target int) (silent, failed bool) {
+	z, h := s.zones[target], s.zones[home]
+	otherHub := target != home && z.Hub != h.Hub
 	switch {
 	case z.faults[Dead] > 0 || z.crashed:
 		return false, true
-	case z.faults[Silent] > 0 || far && (z.faults[Cut] > 0 || h.faults[Cut] > 0):
+	case z.faults[Silent] > 0 || otherHub && (z.faults[Cut] > 0 || h.faults[Cut] > 0):
 		return true, false
 	default:
 		return false, z.faults[Errors] > 0
@@ -154,8 +155,8 @@
 }
 
 // enqueue adds one request to a zone's queue and updates the zone's load report when loadReportInterval has passed.
-func (z *zone) enqueue(now time.Duration, able float64) {
-	work := time.Duration(float64(z.workPerRequest) / able)
+func (z *zone) enqueue(now time.Duration, capacity float64) {
+	work := time.Duration(float64(z.workPerRequest) / capacity)
 	z.busyUntil += work
 	z.workDone += work
 	if since := now - z.reportedAt; since >= loadReportInterval {
@@ -189,10 +190,10 @@
 
 // countRequest counts a request sent to a zone. A zone whose caches are cold crashes if its recent requests exceed
 // crashFactor times its present capacity.
-func (s *simulation) countRequest(z *zone, able float64) {
+func (s *simulation) countRequest(z *zone, capacity float64) {
 	z.recentRequests = z.recentRequests*math.Exp(-float64(s.now-z.recentAt)/float64(overloadWindow)) + 1
 	z.recentAt = s.now
-	if able < 1 && z.recentRequests > crashFactor*able*overloadWindow.Seconds()*float64(time.Second)/float64(z.workPerRequest) {
+	if capacity < 1 && z.recentRequests > crashFactor*capacity*overloadWindow.Seconds()*float64(time.Second)/float64(z.workPerRequest) {
 		z.crashed = true
 		s.res.Falls = append(s.res.Falls, fmt.Sprintf("%s at %v", z.Name, s.now.Round(time.Millisecond)))
 	}
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -23,7 +23,7 @@
 	Draw   uint64        // random number for decisions by policies
 
 	item    overload.Item
-	arrived time.Duration
+	arrived time.Duration // when the gateway read it
 }
 
 // Costs is the processor time of each kind of work.
@@ -60,8 +60,8 @@
 	Offered, Worth float64       // priority weight per second: of all requests, and of those served within the objective
 	InAim          []float64     // share of requests served within the objective, by class
 	P99            time.Duration // latency of served requests
-	Shed, Dropped  int
-	Served         int
+	Shed, Dropped  int           // requests
+	Served         int           // requests
 }
 
 // run is the state of a simulation.
@@ -81,8 +81,8 @@
 	reading bool
 
 	out             Outcome
-	requests, inAim []int // counted requests, and those served within the objective, by class
-	latencies       []time.Duration
+	requests, inAim []int           // counted requests, and those served within the objective, by class
+	latencies       []time.Duration // of counted requests that were served
 }
 
 // Run simulates a trace that is not empty under policy p. Requests that are due before from are simulated but not counted.
@@ -114,8 +114,8 @@
 
 // canRead reports whether a request has arrived that may be read now.
 func (r *run) canRead() bool {
-	come := r.nextRequest < len(r.trace) && r.trace[r.nextRequest].Due <= r.now
-	return come && (r.reading || r.now >= r.readAfter)
+	arrived := r.nextRequest < len(r.trace) && r.trace[r.nextRequest].Due <= r.now
+	return arrived && (r.reading || r.now >= r.readAfter)
 }
 
 // read reads the next request, which the policy queues or sheds.
@@ -182,7 +182,7 @@
 
 // GenerateTrace draws a trace of the given length: Poisson arrivals with a profile's rate. marked is the share of requests that
 // carry the retry flag. Equal arguments give equal traces.
-func GenerateTrace(profile load.Profile, long time.Duration, mix []load.Class, marked float64, seed uint64) (trace []Request) {
+func GenerateTrace(profile load.Profile, length time.Duration, mix []load.Class, marked float64, seed uint64) (trace []Request) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for t := time.Duration(0); ; {
 		rate := profile(t)
@@ -191,7 +191,7 @@
 		} else {
 			t += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 		}
-		if t >= long {
+		if t >= length {
 			return trace
 		}
 		if rate <= 0 {
--- a/lab/model/policies.go
+++ b/lab/model/policies.go
@@ -23,6 +23,7 @@
 	return []string{"none", "codel", "gradient", "dagor", "time only", "ours"}, build
 }
 
+// overloadClasses returns the classes of a mix as package overload takes them.
 func overloadClasses(mix []load.Class) (all []overload.Class) {
 	for _, c := range mix {
 		all = append(all, overload.Class{Name: c.Name, PriorityWeight: c.Worth})
@@ -56,8 +57,8 @@
 	fifo
 	dropAfter time.Duration // when the sojourn time will have exceeded the target for an interval; 0 while it is below
 	dropping  bool
-	nextDrop  time.Duration
-	drops     int
+	nextDrop  time.Duration // when the next request is dropped
+	drops     int           // requests dropped since dropping began
 }
 
 const (
@@ -95,6 +96,7 @@
 	return r, dropped
 }
 
+// dropInterval returns the time until the next drop; it shrinks with the square root of the number of drops.
 func (c *codel) dropInterval() time.Duration {
 	return time.Duration(float64(codelInterval) / math.Sqrt(float64(c.drops)))
 }
@@ -117,10 +119,10 @@
 // do: limit * lowest / present + allowance for a queue.
 type gradient struct {
 	fifo
-	limit    float64
+	limit    float64 // of requests in flight
 	inFlight int
-	best     time.Duration
-	smoothed float64
+	best     time.Duration // lowest latency so far
+	smoothed float64       // moving average of the latency, nanoseconds
 }
 
 func (g *gradient) Arrive(now time.Duration, r *Request) bool {
@@ -152,8 +154,8 @@
 	fifo
 	order     *overload.Order
 	mix       []load.Class
-	maxLevel  int // requests up to this level are admitted
-	counts    []int
+	maxLevel  int   // requests up to this level are admitted
+	counts    []int // arrivals by level
 	admitted  int
 	arrivals  int
 	totalWait time.Duration
@@ -161,6 +163,7 @@
 	windowEnd time.Duration
 }
 
+// dagorLevelsPerBand is the number of priority levels within a band.
 const dagorLevelsPerBand = 128
 
 func newDagor(o *overload.Order, mix []load.Class) *dagor {
@@ -194,6 +197,7 @@
 	}
 }
 
+// adjust moves maxLevel by the mean queueing time of the past window and begins a new window.
 func (d *dagor) adjust(now time.Duration) {
 	d.windowEnd = now + time.Second
 	sum := 0
@@ -227,6 +231,7 @@
 	sample     overload.Sample
 }
 
+// newGatewayPolicy returns the policy of the gateway for a mix.
 func newGatewayPolicy(mix []load.Class, closes bool) Policy {
 	order := overload.NewOrder(overloadClasses(mix), false)
 	ctl, err := overload.NewController(overload.Config{Classes: overloadClasses(mix)}, order)
--- a/lab/virtualclock/virtualclock.go
+++ b/lab/virtualclock/virtualclock.go
@@ -15,12 +15,14 @@
 	lastSeq  uint64
 }
 
+// timer is a function that runs at a time. seq orders timers of the same time.
 type timer struct {
 	at  time.Duration
 	seq uint64
 	run func()
 }
 
+// timerHeap is a min-heap of timers by time, then by seq.
 type timerHeap []timer
 
 func (q timerHeap) Len() int { return len(q) }
