--- a/lab/clientsim/clientsim.go
+++ b/lab/clientsim/clientsim.go
@@ -158,7 +158,7 @@
 		cfg.Known = 3
 	}
 	if cfg.Clients <= 0 || cfg.Gateways < cfg.Known || cfg.For <= cfg.KillAt || cfg.Every <= 0 {
-		return Result{}, fmt.Errorf("population: invalid: %d clients, %d gateways (at least Known), for %v (more than KillAt)", cfg.Clients, cfg.Gateways, cfg.For)
+		return Result{}, fmt.Errorf("population: %d clients (want over 0), %d gateways (want at least Known), for %v (want over KillAt); Every must be over 0", cfg.Clients, cfg.Gateways, cfg.For)
 	}
 	s := &simulation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), tries: make([]float64, cfg.For/window), connects: make([]float64, cfg.For/window)}
 	usualRate := float64(cfg.Clients) / cfg.Every.Seconds() / float64(cfg.Gateways)
--- a/lab/failover/failover.go
+++ b/lab/failover/failover.go
@@ -61,7 +61,7 @@
 		c.Limit = 5 * time.Second
 	}
 	if c.Clients < 0 || c.Gateways < 2 || c.Every < 0 || c.Limit < 0 || c.For <= 0 {
-		return fmt.Errorf("deaths: invalid: %d clients, %d gateways (at least 2), every %v, limit %v, for %v (more than 0)", c.Clients, c.Gateways, c.Every, c.Limit, c.For)
+		return fmt.Errorf("deaths: %d clients, %d gateways (want at least 2), every %v, limit %v, for %v (want all over 0)", c.Clients, c.Gateways, c.Every, c.Limit, c.For)
 	}
 	for i, d := range c.Deaths {
 		if d.Gateway < 0 || d.Gateway >= c.Gateways || d.At < 0 || d.At >= c.For || d.Back != 0 && d.Back <= d.At {
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -173,7 +173,7 @@
 // check returns an error that names an invalid value, and sets the default of Objects.
 func (c *Config) check() error {
 	if len(c.Zones) == 0 || c.BoxRate <= 0 || c.For <= 0 {
-		return fmt.Errorf("fleet: invalid: %d zones, %v requests/s per cache, for %v; want all over 0", len(c.Zones), c.BoxRate, c.For)
+		return fmt.Errorf("fleet: %d zones, %v requests/s per cache, for %v; want all over 0", len(c.Zones), c.BoxRate, c.For)
 	}
 	for i, z := range c.Zones {
 		if z.Name == "" || z.Boxes <= 0 || z.Rate <= 0 || z.Hub < 0 || z.Hub >= len(hubs) {
@@ -335,8 +335,8 @@
 	return sec, away
 }
 
-// summarize returns the figures of the clients, the caches and the gateways. shift is the time from f.start to the start of the
-// load.
+// summarize returns the figures of the clients, the caches and the gateways. loadStart is the time from f.start to the start of
+// the load.
 func (f *fleet) summarize(ctx context.Context, results []*load.Result, loadStart time.Duration) (*Result, error) {
 	r := &Result{}
 	first := int(loadStart / time.Second)
--- a/lab/localitysim/directed_build.go
+++ b/lab/localitysim/directed_build.go
@@ -157,7 +157,7 @@
 		cfg.Localities, cfg.Bands, cfg.Seed = places, bands, d.scene.Seed*1_000_003+uint64(len(d.gateways))
 		var err error
 		if g.selector, err = locality.New(cfg); err != nil {
-			return fmt.Errorf("scene: %w", err)
+			return fmt.Errorf("scene: can't create a locality selector: %w", err)
 		}
 		g.endpointIndex = locality.NewEndpointIndex(set, places)
 		d.res.Gateways = append(d.res.Gateways, g.selector)
@@ -207,12 +207,12 @@
 		if g.selector != nil {
 			var err error
 			if s, err = locality.DirectorSettings(g.settings, g.localities, i); err != nil {
-				return fmt.Errorf("scene: %w", err)
+				return fmt.Errorf("scene: can't derive a director's settings: %w", err)
 			}
 		}
 		dir, err := routing.New(s, d.scene.Seed*7919+uint64(1_000_000*g.incarnation+100*g.index+i))
 		if err != nil {
-			return fmt.Errorf("scene: %w", err)
+			return fmt.Errorf("scene: can't create a director: %w", err)
 		}
 		g.directors = append(g.directors, dir)
 	}
--- a/lab/localitysim/directed_sharing.go
+++ b/lab/localitysim/directed_sharing.go
@@ -22,7 +22,7 @@
 	g.replica, err = replication.NewNode(replication.Config{Self: replication.Incarnation{Name: strconv.Itoa(g.index), Number: d.lastReplica}, Members: members, PurgeSettleTime: g.settings.PurgeSettleTime,
 		WallClock: func() time.Duration { return d.clock.Now }, Seed: d.lastReplica})
 	if err != nil {
-		return fmt.Errorf("scene: %w", err)
+		return fmt.Errorf("scene: can't create a replica: %w", err)
 	}
 	g.sharer = warmstart.NewSharer(g.replica, d.scene.Zones[g.home].Name, maxSharedListings)
 	return nil
--- a/lab/localitysim/localitysim_test.go
+++ b/lab/localitysim/localitysim_test.go
@@ -64,7 +64,7 @@
 	before, during, after := r.ServedWorthShare(10*time.Second, 15*time.Second), r.ServedWorthShare(17*time.Second, 22*time.Second), r.ServedWorthShare(38*time.Second, 45*time.Second)
 	t.Logf("served share %.3f before, %.3f during the outage, %.3f from 16 s after the return; spillover over its bound by %.3f; crashed %v; extra answers %d", before, during, after, r.Over, r.Falls, r.Twice)
 	if after < 0.97*before || r.Over > 0.05 || len(r.Falls) > 0 || r.Twice > 0 {
-		t.Errorf("served share %.3f before, %.3f after; spillover over its bound by %.3f; crashed %v; %d extra answers", before, after, r.Over, r.Falls, r.Twice)
+		t.Errorf("served share %.3f before, %.3f after, want at least 0.97 of it; spillover over its bound by %.3f, want at most 0.05; crashed %v, want none; %d extra answers, want 0", before, after, r.Over, r.Falls, r.Twice)
 	}
 	again, err := RunWithDirectors(sc)
 	if err != nil {
@@ -142,7 +142,7 @@
 		most = max(most, s.At[1])
 	}
 	if most > 165 || r.Over > 0.02 || len(r.Falls) > 0 {
-		t.Errorf("%d attempts in one second at a zone with a capacity of 160, want at most 165; spillover over its bound by %.3f; crashed %v", most, r.Over, r.Falls)
+		t.Errorf("%d attempts in one second at a zone with a capacity of 160, want at most 165; spillover over its bound by %.3f, want at most 0.02; crashed %v, want none", most, r.Over, r.Falls)
 	}
 }
 
@@ -170,12 +170,12 @@
 // Invalid scenes are rejected.
 func TestInvalidScenesAreRejected(t *testing.T) {
 	for name, makeInvalid := range map[string]func(*Scene){
-		"no zones":     func(s *Scene) { s.Zones = nil },
-		"no boxes":     func(s *Scene) { s.Zones[1].Boxes = 0 },
-		"no such kind": func(s *Scene) { s.Faults = []Fault{{0, "flood", 0, time.Second}} },
-		"no end":       func(s *Scene) { s.Faults = []Fault{{0, Dead, time.Second, 0}} },
-		"no policy":    func(s *Scene) { s.Policy = "" },
-		"tiers":        func(s *Scene) { s.Tiers = locality.Config{MaxSpillover: 2} },
+		"no zones":                    func(s *Scene) { s.Zones = nil },
+		"no boxes":                    func(s *Scene) { s.Zones[1].Boxes = 0 },
+		"unknown fault kind":          func(s *Scene) { s.Faults = []Fault{{0, "flood", 0, time.Second}} },
+		"fault ends before it begins": func(s *Scene) { s.Faults = []Fault{{0, Dead, time.Second, 0}} },
+		"no policy":                   func(s *Scene) { s.Policy = "" },
+		"spillover over 1":            func(s *Scene) { s.Tiers = locality.Config{MaxSpillover: 2} },
 	} {
 		sc := threeZones(1)
 		makeInvalid(&sc)
@@ -211,13 +211,13 @@
 			t.Fatal(err)
 		}
 		if len(restored.Falls) > 0 || restored.Most > fresh.Most+0.2 {
-			t.Errorf("sequence %d: a cold cache had %.2f of its crash limit with saved state and %.2f without, want at most 0.2 more; crashed: %v", i, restored.Most, fresh.Most, restored.Falls)
+			t.Errorf("sequence %d: a cold cache had %.2f of its crash limit with saved state and %.2f without, want at most 0.2 more; crashed: %v, want none", i, restored.Most, fresh.Most, restored.Falls)
 		}
 		with, without = with+restored.Most/float64(n), without+fresh.Most/float64(n)
 	}
 	t.Logf("average share of the crash limit: %.3f with saved state, %.3f without", with, without)
 	if with > without+0.05 {
-		t.Errorf("average share of the crash limit: %.3f with saved state, %.3f without", with, without)
+		t.Errorf("average share of the crash limit: %.3f with saved state, %.3f without, want at most 0.05 more", with, without)
 	}
 }
 
@@ -226,7 +226,7 @@
 	for _, name := range []string{"dark", "twice", "small", "bounds"} {
 		f, err := Load("../scenarios/" + name + ".textproto")
 		if err != nil || len(f.Scene.Zones) < 3 || !f.Directed {
-			t.Errorf("%s: %+v, %v", name, f, err)
+			t.Errorf("Load(%s): %+v, error %v; want a scene with directors and at least 3 zones", name, f, err)
 		}
 	}
 	const zones = "zone { name: \"a\" boxes: 1 } "
--- a/lab/localitysim/scene_build.go
+++ b/lab/localitysim/scene_build.go
@@ -11,7 +11,7 @@
 // check returns an error that names an invalid value, and sets defaults for Objects, Skew, Origin and Parent.
 func (s *Scene) check() error {
 	if len(s.Zones) == 0 || s.BoxRate <= 0 || s.For <= s.Warm {
-		return fmt.Errorf("scene: invalid: %d zones, %v requests/s per cache, for %v of which %v to warm up", len(s.Zones), s.BoxRate, s.For, s.Warm)
+		return fmt.Errorf("scene: %d zones, %v requests/s per cache, want both over 0; or For %v is not longer than Warm %v", len(s.Zones), s.BoxRate, s.For, s.Warm)
 	}
 	for i, z := range s.Zones {
 		if z.Boxes <= 0 || z.Gateways <= 0 || z.Load < 0 || z.Hub < 0 {
@@ -118,7 +118,7 @@
 	cfg.Bands, cfg.Seed = bands, sc.Seed*1_000_003+uint64(len(s.gateways))
 	var err error
 	if g.selector, err = locality.New(cfg); err != nil {
-		return fmt.Errorf("scene: %w", err)
+		return fmt.Errorf("scene: can't create a locality selector: %w", err)
 	}
 	s.res.Gateways = append(s.res.Gateways, g.selector)
 	s.gateways = append(s.gateways, g)
--- a/lab/model/policies.go
+++ b/lab/model/policies.go
@@ -9,7 +9,7 @@
 )
 
 // Policies returns the names of the compared policies, in the order in which they are shown, and a constructor for each. The
-// gateway's policy is the last.
+// gateway's policy is the last; "time only" is the same without load shedding.
 func Policies(mix []load.Class) (names []string, build map[string]func() Policy) {
 	order := overload.NewOrder(overloadClasses(mix), false)
 	build = map[string]func() Policy{
