--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -43,11 +43,11 @@
 // MeasuredCosts are the costs measured with the load generator on the machine described in docs/measurements/overload.md.
 var MeasuredCosts = Costs{Serve: 42 * time.Microsecond, Read: 4 * time.Microsecond, Shed: 5 * time.Microsecond, Drop: 8 * time.Microsecond}
 
-// Policy decides which requests are queued, shed and dropped. Times are since the start of the trace. A policy is used from one
-// goroutine.
+// Policy decides which requests are queued, shed and dropped. Now is the time since the start of the trace. A policy is used
+// from one goroutine.
 type Policy interface {
 	Arrive(now time.Duration, r *Request) bool                      // queues r, or returns false to shed it
-	Next(now time.Duration) (r *Request, dropped int)               // the request to serve now, nil if none is queued
+	Next(now time.Duration) (r *Request, dropped int)               // the request to serve now, nil if none is queued, and the number dropped before it
 	Done(now time.Duration, r *Request, waited, took time.Duration) // r was served; took includes waited
 	Tick(now time.Duration)                                         // called once every TickInterval
 }
--- a/lab/model/policies.go
+++ b/lab/model/policies.go
@@ -58,7 +58,7 @@
 	dropAfter time.Duration // when the sojourn time will have exceeded the target for an interval; 0 while it is below
 	dropping  bool
 	nextDrop  time.Duration // when the next request is dropped
-	drops     int           // requests dropped since dropping began
+	drops     int           // number of drops from which dropInterval is computed
 }
 
 const (
@@ -115,8 +115,9 @@
 	return r, false
 }
 
-// gradient limits the requests in flight by the ratio of the lowest latency to the present one, as adaptive concurrency limits
-// do: limit * lowest / present + allowance for a queue.
+// gradient limits the requests in flight by the ratio of the lowest latency to the smoothed one, as adaptive concurrency limits
+// do. The limit approaches limit * ratio + sqrt(limit), an allowance for a queue, where ratio is 2 * lowest / smoothed, bounded
+// to 0.5 and 1. It stays between 4 and 5,000.
 type gradient struct {
 	fifo
 	limit    float64 // of requests in flight
