--- a/lab/clientsim/clientsim.go
+++ b/lab/clientsim/clientsim.go
@@ -1,5 +1,5 @@
-// Package clientsim plays tens of thousands of clients against modelled gateways, on a clock of its own: the decisions
-// of package client/plan without a changed line, and naive clients beside them.
+// Package clientsim simulates tens of thousands of clients and modelled gateways on a virtual clock. The clients either run
+// the unchanged package client/plan or are naive, for comparison.
 package clientsim
 
 import (
@@ -12,164 +12,169 @@
 	"larchusher/lab/virtualclock"
 )
 
-// Kind is a kind of client.
+// Kind selects the behaviour of clients. Its text appears in results.
 type Kind string
 
-// The kinds.
+// Kinds of clients.
 const (
-	Planned     Kind = "planned"     // package client/plan
-	AtOnce      Kind = "at once"     // connects and resends at once
-	Fixed       Kind = "fixed wait"  // after a second
-	Exponential Kind = "exponential" // after 100 ms, 200 ms, 400 ms ..., without jitter
+	Planned         Kind = "planned"     // decides by package client/plan
+	NoWait          Kind = "at once"     // naive: reconnects and resends without delay
+	FixedWait       Kind = "fixed wait"  // naive: reconnects and resends after 1 s
+	ExponentialWait Kind = "exponential" // naive: after 100 ms, 200 ms, 400 ms ..., without jitter
 )
 
-// Kinds are all of them.
-func Kinds() []Kind { return []Kind{Planned, AtOnce, Fixed, Exponential} }
+// Kinds returns all kinds.
+func Kinds() []Kind { return []Kind{Planned, NoWait, FixedWait, ExponentialWait} }
 
-// Config says what is played.
+// Config configures a run.
 type Config struct {
 	Clients, Gateways int
-	Known             int           // gateways that each client knows, 0: 3
+	Known             int           // number of gateways that each client knows, 3 if 0
 	Every             time.Duration // mean time between a client's requests
 	Limit             time.Duration // a request's deadline
-	Capacity          float64       // requests a second of a gateway, over its usual load
-	Kill              float64       // share of gateways killed,
-	KillAt            time.Duration // at once,
-	Back              time.Duration // and back after so long
-	For               time.Duration
+	Capacity          float64       // capacity of a gateway, as a multiple of its usual load
+	Kill              float64       // share of the gateways that are killed, 0 to 1
+	KillAt            time.Duration // when they are all killed
+	Back              time.Duration // they are restarted this long after the kill
+	For               time.Duration // simulated time of the run
 	Seed              uint64
 }
 
-// Result is what came of it.
+// Result holds the figures of a run.
 type Result struct {
 	Kind       Kind
 	Window     time.Duration
-	Tries      []float64 // at the living gateways, per window, each over the mean before the kill
-	Connects   []float64 // per window, in all
-	Served     float64   // share of the requests due from the kill on
-	PeakTries  float64   // after the kill
-	PeakShare  float64   // largest share of the connects after the kill that came in one window
-	ReConnects int
+	Tries      []float64 // attempts that reached running gateways, by window, relative to the mean before the kill
+	Connects   []float64 // connection attempts, by window
+	Served     float64   // share of the requests due after the kill that were served in time
+	PeakTries  float64   // largest value of Tries after the kill
+	PeakShare  float64   // largest share, in one window, of the connection attempts in the five seconds after the kill
+	ReConnects int       // connection attempts in the five seconds after the kill
 }
 
 const (
-	window    = 100 * time.Millisecond
-	way       = 5 * time.Millisecond
-	serveTime = 5 * time.Millisecond
-	queueMost = 100 * time.Millisecond
+	window        = 100 * time.Millisecond // interval by which attempts and connections are counted
+	oneWayDelay   = 5 * time.Millisecond   // network delay between a client and a gateway
+	serviceDelay  = 5 * time.Millisecond   // time for a request besides the gateway's queue
+	maxQueueDelay = 100 * time.Millisecond // queued work beyond which a gateway rejects requests
 )
 
-type play struct {
+// simulation is the state of a run.
+type simulation struct {
 	cfg      Config
 	rng      *rand.Rand
 	clock    virtualclock.Clock
 	gateways []*gateway
-	tries    []float64
-	connects []float64
-	asked    int
-	served   int
+	tries    []float64 // attempts by window
+	connects []float64 // connection attempts by window
+	requests int       // requests due after the kill
+	served   int       // of those, served
 }
 
+// gateway is a modelled gateway with one queue of work.
 type gateway struct {
-	up    bool
-	epoch int
-	free  time.Duration // when its work is done
-	cost  time.Duration
-	conns map[*link]bool
+	up             bool
+	incarnation    int           // number of kills
+	busyUntil      time.Duration // when its queue of work will be empty
+	workPerRequest time.Duration // time that a served request occupies the gateway
+	conns          map[*link]bool
 }
 
-// link is one connection between a client and a gateway.
+// link is a connection between a client and one incarnation of a gateway.
 type link struct {
-	gateway *gateway
-	epoch   int
-	down    func()
+	gateway     *gateway
+	incarnation int
+	down        func() // called when the gateway is killed
 }
 
-// dial connects: up or down follows.
-func (s *play) dial(g *gateway, up func(*link), down func()) {
-	s.clock.At(s.clock.Now+way, func() {
+// dial opens a connection to g. It later calls up, if g is running, or else down; down also follows up when g is killed.
+func (s *simulation) dial(g *gateway, up func(*link), down func()) {
+	s.clock.At(s.clock.Now+oneWayDelay, func() {
 		if i := int(s.clock.Now / window); i < len(s.connects) {
 			s.connects[i]++
 		}
 		if !g.up {
-			s.clock.At(s.clock.Now+way, down)
+			s.clock.At(s.clock.Now+oneWayDelay, down)
 			return
 		}
-		l := &link{gateway: g, epoch: g.epoch, down: down}
+		l := &link{gateway: g, incarnation: g.incarnation, down: down}
 		g.conns[l] = true
-		s.clock.At(s.clock.Now+way, func() {
-			if g.epoch == l.epoch && g.up {
+		s.clock.At(s.clock.Now+oneWayDelay, func() {
+			if g.incarnation == l.incarnation && g.up {
 				up(l)
 			}
 		})
 	})
 }
 
-// ask sends a try: an answer follows, unless the gateway dies.
-func (s *play) ask(l *link, answer func(ok bool, later time.Duration)) {
-	s.clock.At(s.clock.Now+way, func() {
+// dispatch sends an attempt on a connection. It later calls answer with ok, or with false and the Retry-After delay if the
+// gateway rejected the attempt because its queue is longer than maxQueueDelay. It doesn't call answer if the gateway is
+// killed before.
+func (s *simulation) dispatch(l *link, answer func(ok bool, later time.Duration)) {
+	s.clock.At(s.clock.Now+oneWayDelay, func() {
 		g := l.gateway
-		if !g.up || g.epoch != l.epoch {
-			return // its death is told
+		if !g.up || g.incarnation != l.incarnation {
+			return // the client is notified by link.down
 		}
 		if i := int(s.clock.Now / window); i < len(s.tries) {
 			s.tries[i]++
 		}
-		if g.free < s.clock.Now {
-			g.free = s.clock.Now
+		if g.busyUntil < s.clock.Now {
+			g.busyUntil = s.clock.Now
 		}
 		ok, later := true, time.Duration(0)
-		if g.free-s.clock.Now > queueMost {
-			g.free += g.cost / 8 // a refusal
+		if g.busyUntil-s.clock.Now > maxQueueDelay {
+			g.busyUntil += g.workPerRequest / 8 // a rejection costs an eighth of a served request
 			ok, later = false, 500*time.Millisecond+time.Duration(s.rng.Float64()*float64(1500*time.Millisecond))
 		} else {
-			g.free += g.cost
+			g.busyUntil += g.workPerRequest
 		}
-		s.clock.At(g.free+serveTime+way, func() {
-			if g.up && g.epoch == l.epoch {
+		s.clock.At(g.busyUntil+serviceDelay+oneWayDelay, func() {
+			if g.up && g.incarnation == l.incarnation {
 				answer(ok, later)
 			}
 		})
 	})
 }
 
-func (s *play) kill(g *gateway) {
+// kill stops a gateway and notifies its clients within one to two times oneWayDelay.
+func (s *simulation) kill(g *gateway) {
 	g.up = false
-	g.epoch++
+	g.incarnation++
 	for l := range g.conns {
-		s.clock.At(s.clock.Now+way+time.Duration(s.rng.Float64()*float64(way)), l.down)
+		s.clock.At(s.clock.Now+oneWayDelay+time.Duration(s.rng.Float64()*float64(oneWayDelay)), l.down)
 	}
 	clear(g.conns)
 }
 
-// actor is one client.
-type actor interface {
-	ask(id uint64, deadline time.Duration, done func(ok bool))
+// simClient is a simulated client. It calls done once, with false if there was no successful answer by the deadline.
+type simClient interface {
+	dispatch(id uint64, deadline time.Duration, done func(ok bool))
 }
 
-// Run plays a population of one kind.
+// Run simulates a population of clients of one kind. The error names invalid values of cfg or is that of plan.New.
 func Run(kind Kind, cfg Config) (Result, error) {
 	if cfg.Known <= 0 {
 		cfg.Known = 3
 	}
 	if cfg.Clients <= 0 || cfg.Gateways < cfg.Known || cfg.For <= cfg.KillAt || cfg.Every <= 0 {
-		return Result{}, fmt.Errorf("population: %d clients, %d gateways, %v", cfg.Clients, cfg.Gateways, cfg.For)
+		return Result{}, fmt.Errorf("population: %d clients (want over 0), %d gateways (want at least Known), for %v (want over KillAt); Every must be over 0", cfg.Clients, cfg.Gateways, cfg.For)
 	}
-	s := &play{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), tries: make([]float64, cfg.For/window), connects: make([]float64, cfg.For/window)}
-	usual := float64(cfg.Clients) / cfg.Every.Seconds() / float64(cfg.Gateways)
+	s := &simulation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), tries: make([]float64, cfg.For/window), connects: make([]float64, cfg.For/window)}
+	usualRate := float64(cfg.Clients) / cfg.Every.Seconds() / float64(cfg.Gateways)
 	for range cfg.Gateways {
 		s.gateways = append(s.gateways, &gateway{up: true, conns: map[*link]bool{},
-			cost: time.Duration(float64(time.Second) / (usual * cfg.Capacity))})
+			workPerRequest: time.Duration(float64(time.Second) / (usualRate * cfg.Capacity))})
 	}
 	id := uint64(0)
 	for n := range cfg.Clients {
 		known := s.rng.Perm(cfg.Gateways)[:cfg.Known]
-		var a actor
+		var a simClient
 		var err error
 		if kind == Planned {
 			a, err = newPlanned(s, known, uint64(n))
 		} else {
-			a = &naive{s: s, kind: kind, known: known}
+			a = &naiveClient{sim: s, kind: kind, known: known}
 		}
 		if err != nil {
 			return Result{}, err
@@ -177,12 +182,12 @@
 		var next func()
 		next = func() {
 			id++
-			after := s.clock.Now >= cfg.KillAt
-			if after {
-				s.asked++
+			counted := s.clock.Now >= cfg.KillAt
+			if counted {
+				s.requests++
 			}
-			a.ask(id, s.clock.Now+cfg.Limit, func(ok bool) {
-				if ok && after {
+			a.dispatch(id, s.clock.Now+cfg.Limit, func(ok bool) {
+				if ok && counted {
 					s.served++
 				}
 			})
@@ -198,15 +203,16 @@
 	})
 	s.clock.At(cfg.KillAt+cfg.Back, func() {
 		for _, g := range killed {
-			g.up, g.free = true, s.clock.Now
+			g.up, g.busyUntil = true, s.clock.Now
 		}
 	})
 	s.clock.Run(cfg.For)
 	return s.result(kind), nil
 }
 
-func (s *play) result(kind Kind) Result {
-	r := Result{Kind: kind, Window: window, Connects: s.connects, Served: float64(s.served) / float64(max(1, s.asked))}
+// result computes the figures of the run.
+func (s *simulation) result(kind Kind) Result {
+	r := Result{Kind: kind, Window: window, Connects: s.connects, Served: float64(s.served) / float64(max(1, s.requests))}
 	k := int(s.cfg.KillAt / window)
 	mean := 0.0
 	for _, n := range s.tries[k/2 : k] {
@@ -227,68 +233,70 @@
 	return r
 }
 
-// planned is a client that goes by package plan.
-type planned struct {
-	s     *play
-	p     *plan.Planner
-	known []int
-	links map[uint64]*link
-	done  map[uint64]func(bool)
-	wake  time.Duration
+// plannedClient is a client that carries out the decisions of package plan.
+type plannedClient struct {
+	sim     *simulation
+	planner *plan.Planner
+	known   []int
+	links   map[uint64]*link
+	done    map[uint64]func(bool) // callbacks of open requests, by id
+	wake    time.Duration         // when the planner's timer event is scheduled, -1 if it is not
 }
 
-func newPlanned(s *play, known []int, seed uint64) (*planned, error) {
+// newPlanned returns a client that knows the gateways with the given indices.
+func newPlanned(s *simulation, known []int, seed uint64) (*plannedClient, error) {
 	cfg := plan.Config{Classes: []plan.Class{{Name: "safe", Worth: 1}}, Conns: 1,
 		Clients: s.cfg.Clients * s.cfg.Known / s.cfg.Gateways, SpreadRate: 5000}
 	for _, g := range known {
 		cfg.Gateways = append(cfg.Gateways, fmt.Sprint(g))
 	}
 	p, err := plan.New(cfg, rand.New(rand.NewPCG(s.cfg.Seed, seed+100)))
-	return &planned{s: s, p: p, known: known, links: map[uint64]*link{}, done: map[uint64]func(bool){}, wake: -1}, err
+	return &plannedClient{sim: s, planner: p, known: known, links: map[uint64]*link{}, done: map[uint64]func(bool){}, wake: -1}, err
 }
 
-func (c *planned) ask(id uint64, deadline time.Duration, done func(bool)) {
+func (c *plannedClient) dispatch(id uint64, deadline time.Duration, done func(bool)) {
 	c.done[id] = done
-	c.step(plan.Call{ID: id, Class: "safe", Deadline: deadline})
+	c.handle(plan.Call{ID: id, Class: "safe", Deadline: deadline})
 }
 
-func (c *planned) step(ev plan.Event) {
-	for _, a := range c.p.Handle(c.s.clock.Now, ev, nil) {
-		c.carryOut(a)
+// handle passes an event to the planner, performs its actions and schedules its next timer.
+func (c *plannedClient) handle(ev plan.Event) {
+	for _, a := range c.planner.Handle(c.sim.clock.Now, ev, nil) {
+		c.perform(a)
 	}
-	if at, ok := c.p.NextTimer(); ok && (c.wake < c.s.clock.Now || at < c.wake) {
-		c.wake = max(at, c.s.clock.Now+time.Millisecond)
+	if at, ok := c.planner.NextTimer(); ok && (c.wake < c.sim.clock.Now || at < c.wake) {
+		c.wake = max(at, c.sim.clock.Now+time.Millisecond)
 		w := c.wake
-		c.s.clock.At(w, func() {
+		c.sim.clock.At(w, func() {
 			if c.wake == w {
 				c.wake = -1
-				c.step(plan.Timer{})
+				c.handle(plan.Timer{})
 			}
 		})
 	}
 }
 
-// carryOut does what the planner wants.
-func (c *planned) carryOut(a plan.Action) {
+// perform carries out an action of the planner.
+func (c *plannedClient) perform(a plan.Action) {
 	switch a := a.(type) {
 	case plan.Connect:
 		n := 0
-		_, _ = fmt.Sscan(a.Gateway, &n) // newPlanned named them by their numbers
-		c.s.dial(c.s.gateways[n], func(l *link) {
+		_, _ = fmt.Sscan(a.Gateway, &n) // newPlanned names gateways by their indices
+		c.sim.dial(c.sim.gateways[n], func(l *link) {
 			c.links[a.Conn] = l
-			c.step(plan.Up{Conn: a.Conn})
-		}, func() { c.step(plan.Down{Conn: a.Conn}) })
+			c.handle(plan.Up{Conn: a.Conn})
+		}, func() { c.handle(plan.Down{Conn: a.Conn}) })
 	case plan.Send:
 		if l := c.links[a.Conn]; l != nil {
-			c.s.ask(l, func(ok bool, later time.Duration) {
-				c.step(plan.Answered{Conn: a.Conn, Attempt: a.Attempt, OK: ok, Rejected: !ok, RetryAfter: later})
+			c.sim.dispatch(l, func(ok bool, later time.Duration) {
+				c.handle(plan.Answered{Conn: a.Conn, Attempt: a.Attempt, OK: ok, Rejected: !ok, RetryAfter: later})
 			})
 		}
 	case plan.HealthCheck:
 		if l := c.links[a.Conn]; l != nil {
-			c.s.clock.At(c.s.clock.Now+2*way, func() {
-				if l.gateway.up && l.epoch == l.gateway.epoch {
-					c.step(plan.Received{Conn: a.Conn, Healthy: true})
+			c.sim.clock.At(c.sim.clock.Now+2*oneWayDelay, func() {
+				if l.gateway.up && l.incarnation == l.gateway.incarnation {
+					c.handle(plan.Received{Conn: a.Conn, Healthy: true})
 				}
 			})
 		}
@@ -305,18 +313,20 @@
 	}
 }
 
-// naive is a client as one writes it in an hour.
-type naive struct {
-	s     *play
-	kind  Kind
-	known []int
-	turn  int
-	link  *link
-	busy  bool // it connects
-	fails int
-	open  map[uint64]*request
+// naiveClient is a client without retry budget, jitter or use of Retry-After, such as a developer writes in an hour. Its
+// kind determines its delays.
+type naiveClient struct {
+	sim         *simulation
+	kind        Kind
+	known       []int
+	nextGateway int
+	link        *link
+	connecting  bool // a connection attempt is pending
+	failures    int
+	open        map[uint64]*request
 }
 
+// request is a request of a naive client.
 type request struct {
 	id       uint64
 	deadline time.Duration
@@ -324,24 +334,25 @@
 	done     func(bool)
 }
 
-func (n *naive) wait(times int) time.Duration {
+// retryDelay returns the delay before the next attempt after a number of failures.
+func (n *naiveClient) retryDelay(failures int) time.Duration {
 	switch n.kind {
-	case Fixed:
+	case FixedWait:
 		return time.Second
-	case Exponential:
-		return 100 * time.Millisecond << min(times, 10)
-	default: // at once
+	case ExponentialWait:
+		return 100 * time.Millisecond << min(failures, 10)
+	default: // NoWait
 		return 0
 	}
 }
 
-func (n *naive) ask(id uint64, deadline time.Duration, done func(bool)) {
+func (n *naiveClient) dispatch(id uint64, deadline time.Duration, done func(bool)) {
 	if n.open == nil {
 		n.open = map[uint64]*request{}
 	}
 	r := &request{id: id, deadline: deadline, done: done}
 	n.open[id] = r
-	n.s.clock.At(deadline, func() { n.end(r, false) })
+	n.sim.clock.At(deadline, func() { n.end(r, false) })
 	if n.link != nil {
 		n.send(r)
 	} else {
@@ -349,20 +360,23 @@
 	}
 }
 
-func (n *naive) end(r *request, ok bool) {
+// end reports the outcome of a request that is still open.
+func (n *naiveClient) end(r *request, ok bool) {
 	if n.open[r.id] == r {
 		delete(n.open, r.id)
 		r.done(ok)
 	}
 }
 
-func (n *naive) connect() {
-	if n.busy || n.link != nil {
+// connect starts to connect to the next known gateway unless a connection exists or is pending. Once it is up, all open
+// requests are sent again.
+func (n *naiveClient) connect() {
+	if n.connecting || n.link != nil {
 		return
 	}
-	n.busy = true
-	n.s.dial(n.s.gateways[n.known[n.turn%len(n.known)]], func(l *link) {
-		n.busy, n.link, n.fails = false, l, 0
+	n.connecting = true
+	n.sim.dial(n.sim.gateways[n.known[n.nextGateway%len(n.known)]], func(l *link) {
+		n.connecting, n.link, n.failures = false, l, 0
 		var all []*request
 		for _, r := range n.open {
 			all = append(all, r)
@@ -371,24 +385,25 @@
 		for _, r := range all {
 			n.send(r)
 		}
-	}, func() { // it did not come up, or its gateway died
-		n.busy, n.link = false, nil
-		n.turn++
-		n.fails++
-		n.s.clock.At(n.s.clock.Now+n.wait(n.fails-1), n.connect)
+	}, func() { // the connection attempt failed, or the gateway was killed
+		n.connecting, n.link = false, nil
+		n.nextGateway++
+		n.failures++
+		n.sim.clock.At(n.sim.clock.Now+n.retryDelay(n.failures-1), n.connect)
 	})
 }
 
-func (n *naive) send(r *request) {
+// send sends an attempt of an open request if a connection is up, and repeats it after a rejection.
+func (n *naiveClient) send(r *request) {
 	if n.open[r.id] != r || n.link == nil {
 		return
 	}
 	r.tries++
-	n.s.ask(n.link, func(ok bool, _ time.Duration) {
+	n.sim.dispatch(n.link, func(ok bool, _ time.Duration) {
 		if ok {
 			n.end(r, true)
 			return
 		}
-		n.s.clock.At(n.s.clock.Now+n.wait(r.tries-1), func() { n.send(r) })
+		n.sim.clock.At(n.sim.clock.Now+n.retryDelay(r.tries-1), func() { n.send(r) })
 	})
 }
--- a/lab/failover/naive.go
+++ b/lab/failover/naive.go
@@ -11,57 +11,61 @@
 	"larchusher/lab/clientsim"
 )
 
-// naive is a client as one writes it in an hour: one connection, the next gateway when it is lost, all that was open sent
-// again once there is another, and again after a refusal or a failure. Its kind says how long it waits. It marks its
-// repeats and keeps keys, since the gateway would else take them for new ones, but knows no budget, no advice and no
-// spread.
+// naive is a client without overload protection, such as a developer writes in an hour. It has one connection, connects to
+// the next gateway when that is lost, and sends all open requests again on the new one. It also retries after a rejection
+// or a failure. Its kind determines the delays. It sets the retry flag and keeps idempotency keys, since the gateway would
+// otherwise treat retries as new requests, but it has no retry budget, ignores Retry-After and doesn't spread its
+// connections over time. The mutex guards the fields below it.
 type naive struct {
 	kind  clientsim.Kind
 	addrs []string
 	rpc   client.RPC
 
-	mu     sync.Mutex
-	turn   int
-	fails  int
-	conn   client.Conn
-	up     bool
-	serial uint64
-	open   map[uint64]*request // by its latest try
-	idle   []*request          // that wait for a connection
-	closed bool
-	all    sync.WaitGroup
+	mu          sync.Mutex
+	nextGateway int // index in addrs, modulo its length
+	failures    int // consecutive failed or lost connections
+	conn        client.Conn
+	up          bool
+	serial      uint64              // id of the latest attempt
+	open        map[uint64]*request // by the id of the latest attempt
+	queued      []*request          // waiting for a connection
+	closed      bool
+	conns       sync.WaitGroup // connections whose Down event is outstanding
 }
 
+// request is a request of a naive client.
 type request struct {
 	client.Request
-	key   string
-	tries int
-	until time.Time
-	over  bool
-	done  chan struct{}
+	key      string
+	tries    int
+	deadline time.Time
+	ended    bool
+	done     chan struct{}
 }
 
+// newNaive returns naive client n. Clients start with different gateways, according to n.
 func newNaive(kind clientsim.Kind, addrs []string, n int) *naive {
-	return &naive{kind: kind, addrs: addrs, turn: n, open: map[uint64]*request{}}
+	return &naive{kind: kind, addrs: addrs, nextGateway: n, open: map[uint64]*request{}}
 }
 
-// wait is how long it waits after so many failures.
-func (n *naive) wait(fails int) time.Duration {
+// retryDelay returns the delay before the next attempt after a number of failures.
+func (n *naive) retryDelay(failures int) time.Duration {
 	switch n.kind {
-	case clientsim.Fixed:
+	case clientsim.FixedWait:
 		return time.Second
-	case clientsim.Exponential:
-		return 100 * time.Millisecond << min(fails, 6)
-	default: // at once
+	case clientsim.ExponentialWait:
+		return 100 * time.Millisecond << min(failures, 6)
+	default: // NoWait
 		return 0
 	}
 }
 
-func (n *naive) ask(ctx context.Context, class, object string) error {
+// dispatch makes a request and waits until it is served or ctx, which must have a deadline, ends.
+func (n *naive) dispatch(ctx context.Context, class, object string) error {
 	r := &request{Request: client.Request{Class: class, Object: object}, key: object + object, done: make(chan struct{})}
-	r.until, _ = ctx.Deadline()
+	r.deadline, _ = ctx.Deadline()
 	n.mu.Lock()
-	n.put(r)
+	n.send(r)
 	n.mu.Unlock()
 	select {
 	case <-r.done:
@@ -70,10 +74,10 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if r.over {
+	if r.ended {
 		return nil
 	}
-	r.over = true
+	r.ended = true
 	for id, o := range n.open {
 		if o == r {
 			delete(n.open, id)
@@ -82,16 +86,16 @@
 			}
 		}
 	}
-	return errors.New("no answer in time")
+	return errors.New("no answer before the deadline")
 }
 
-// put sends a request, or has it wait for a connection. It is called under the lock, as all below are.
-func (n *naive) put(r *request) {
-	if n.closed || r.over {
+// send sends a request, or queues it until a connection is up. The caller holds n.mu.
+func (n *naive) send(r *request) {
+	if n.closed || r.ended {
 		return
 	}
 	if !n.up {
-		n.idle = append(n.idle, r)
+		n.queued = append(n.queued, r)
 		if n.conn == nil {
 			n.connect()
 		}
@@ -100,7 +104,7 @@
 	n.serial++
 	r.tries++
 	n.open[n.serial] = r
-	t := client.Try{ID: n.serial, Request: &r.Request, Txn: r.Object[:8] + fmt.Sprintf("%08x", n.serial), Limit: time.Until(r.until),
+	t := client.Try{ID: n.serial, Request: &r.Request, Txn: r.Object[:8] + fmt.Sprintf("%08x", n.serial), Limit: time.Until(r.deadline),
 		Second: r.tries > 1}
 	if r.Class == "orders" {
 		t.Key = r.key
@@ -108,14 +112,16 @@
 	n.conn.Send(t)
 }
 
+// connect starts to connect to the next gateway unless a connection exists. The caller holds n.mu.
 func (n *naive) connect() {
 	if n.closed || n.conn != nil {
 		return
 	}
-	n.all.Add(1)
-	n.conn = n.rpc.Connect(n.addrs[n.turn%len(n.addrs)], time.Second, &naiveEvents{n: n})
+	n.conns.Add(1)
+	n.conn = n.rpc.Connect(n.addrs[n.nextGateway%len(n.addrs)], time.Second, &naiveEvents{n: n})
 }
 
+// close closes the connection and waits for its Down event.
 func (n *naive) close() {
 	n.mu.Lock()
 	n.closed = true
@@ -123,11 +129,12 @@
 		n.conn.Close()
 	}
 	n.mu.Unlock()
-	n.all.Wait()
+	n.conns.Wait()
 }
 
-// later does something after a wait, if there still is a client by then.
-func (n *naive) later(d time.Duration, f func()) {
+// afterDelay calls f under n.mu after a delay, or at once if the delay is 0. The caller holds n.mu. f has to check itself
+// whether the client has been closed.
+func (n *naive) afterDelay(d time.Duration, f func()) {
 	if d <= 0 {
 		f()
 		return
@@ -139,7 +146,7 @@
 	})
 }
 
-// naiveEvents are one connection's.
+// naiveEvents receives the events of one connection of a naive client.
 type naiveEvents struct{ n *naive }
 
 func (e *naiveEvents) Up() {
@@ -149,31 +156,31 @@
 	if n.conn == nil {
 		return
 	}
-	n.up, n.fails = true, 0
-	idle := n.idle
-	n.idle = nil
-	for _, r := range idle {
-		n.put(r)
+	n.up, n.failures = true, 0
+	queued := n.queued
+	n.queued = nil
+	for _, r := range queued {
+		n.send(r)
 	}
 }
 
 func (e *naiveEvents) Down(bool) {
 	n := e.n
-	defer n.all.Done()
+	defer n.conns.Done()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.conn, n.up = nil, false
 	for _, r := range n.open {
-		n.idle = append(n.idle, r)
+		n.queued = append(n.queued, r)
 	}
 	clear(n.open)
-	n.turn++
-	n.fails++
-	d := n.wait(n.fails - 1)
-	if d == 0 && n.fails > 1 {
-		d = time.Millisecond // or it would do nothing else
+	n.nextGateway++
+	n.failures++
+	d := n.retryDelay(n.failures - 1)
+	if d == 0 && n.failures > 1 {
+		d = time.Millisecond // without a delay, failing connects would use all processor time
 	}
-	n.later(d, n.connect) // it keeps a connection open
+	n.afterDelay(d, n.connect) // reconnects even without open requests
 }
 
 func (e *naiveEvents) Heard(bool) {}
@@ -185,11 +192,11 @@
 	r := n.open[try]
 	delete(n.open, try)
 	switch {
-	case r == nil || r.over:
+	case r == nil || r.ended:
 	case a.OK:
-		r.over = true
+		r.ended = true
 		close(r.done)
 	default:
-		n.later(max(time.Millisecond, n.wait(r.tries-1)), func() { n.put(r) })
+		n.afterDelay(max(time.Millisecond, n.retryDelay(r.tries-1)), func() { n.send(r) })
 	}
 }
--- a/lab/localitysim/events.go
+++ b/lab/localitysim/events.go
@@ -8,22 +8,25 @@
 
 type eventKind uint8
 
+// event is a simulated event. Which fields are set depends on its kind; for faultChanged, zone is the index of the fault,
+// rerouted is true for a change of the fault and false for an update of the endpoint list, and hit marks the fault's start.
 type event struct {
-	at     time.Duration
-	order  uint64
-	kind   eventKind
-	result locality.Result
-	hit    bool
-	moved  bool
-	gw     int32
-	zone   int32
-	class  int8
-	object int32
-	load   float32
-	due    time.Duration
-	id     uint64
+	at       time.Duration
+	order    uint64
+	kind     eventKind
+	result   locality.Result
+	hit      bool
+	rerouted bool
+	gateway  int32
+	zone     int32
+	class    int8
+	object   int32
+	load     float32
+	due      time.Duration
+	id       uint64
 }
 
+// events is a min-heap by time; events at the same time keep the order in which they were scheduled.
 type events []event
 
 func (h events) Len() int { return len(h) }
@@ -44,9 +47,9 @@
 }
 
 const (
-	arrive eventKind = iota
-	ended
-	tick
-	listed
-	refused // a locality turned a request away, and its gateway hears of it
+	requestArrived eventKind = iota
+	attemptEnded
+	tickDue
+	faultChanged
+	attemptRejected // a zone rejected an attempt and its gateway receives the rejection
 )
--- a/lab/localitysim/localitysim.go
+++ b/lab/localitysim/localitysim.go
@@ -1,10 +1,11 @@
-// Package localitysim is several zones in simulated time: gateways that run package locality without a changed line, zones with
-// boxes, copies and a link, upper caches at hubs, and an origin that refuses beyond a point. It tries faults at sizes that
-// sockets don't reach. Equal scenes and seeds give equal runs.
+// Package localitysim simulates several zones in virtual time: gateways that run the unchanged package locality, zones with
+// caches, parents at hubs, and an origin with limited capacity. It tests faults at sizes that can't be reached with sockets.
+// Equal scenes and seeds give equal runs.
 //
-// What it simplifies: a zone's boxes are one queue, and so are a hub's upper caches and the origin; the director is not in
-// it (an attempt goes to the zone, and a refused one is moved once); every request is for one part, of one size; no copy is
-// dropped, but for those of a cold restart; the list is as late as the scene says, and knows only of processes.
+// [Run] simplifies: the caches of a zone are one queue, and so are the parents of a hub and the origin; there are no directors
+// (an attempt goes to a zone, and a rejected one is rerouted once); every request is for one part, and all parts have one
+// size; caches evict nothing but become empty by a cold restart; the endpoint list is delayed by Scene.List and reflects
+// only whether processes run. [RunWithDirectors] simulates each cache and the directors.
 package localitysim
 
 import (
@@ -16,118 +17,120 @@
 	"larchusher/locality"
 )
 
-// Zone is one location.
+// Zone describes one location.
 type Zone struct {
 	Name     string
-	Hub      int
-	Boxes    int
-	Gateways int
-	Load     float64 // of what its boxes can do, while all is well
+	Hub      int     // index of the hub whose parents serve the zone, from 0
+	Boxes    int     // number of caches
+	Gateways int     // number of gateways
+	Load     float64 // load by its own clients, as a share of the capacity of its caches
 }
 
-// FaultKind is what befalls a zone.
+// FaultKind is the kind of a zone's fault. Its text is read from scene files.
 type FaultKind string
 
-// The faults.
+// Kinds of faults.
 const (
-	Dead    FaultKind = "dead"    // connections are refused; what was open is reset; cold and empty afterwards
-	Silent  FaultKind = "silent"  // it takes work and answers none
-	Slow    FaultKind = "slow"    // it does a fifth of what it can
-	Errors  FaultKind = "errors"  // it answers nothing but errors
-	Parents FaultKind = "parents" // its hub's upper caches are away
-	Cut     FaultKind = "cut"     // its hub is cut off from other hubs: nobody from elsewhere reaches it, nor it others
-	Restart FaultKind = "restart" // its gateways die, and come back with what they have kept; with directors only
-	Lies    FaultKind = "lies"    // the list says that all its boxes are gone, which they are not
+	Dead         FaultKind = "dead"    // connections are refused, open ones are reset; afterwards the caches are cold and empty
+	Silent       FaultKind = "silent"  // the zone accepts requests and answers none
+	Slow         FaultKind = "slow"    // the zone has a fifth of its capacity
+	Errors       FaultKind = "errors"  // the zone answers all requests with errors
+	Parents      FaultKind = "parents" // the parents of the zone's hub are unreachable
+	Cut          FaultKind = "cut"     // no connection between the zone and zones of other hubs, in either direction; with Run none to the origin
+	Restart      FaultKind = "restart" // the zone's gateways are killed and restarted with the state that they saved; only in RunWithDirectors
+	FalseRemoval FaultKind = "lies"    // the endpoint list says that all caches of the zone are removed although they run
 )
 
-// Fault is a fault in time.
+// Fault is a fault of a zone from At until Till, in virtual time.
 type Fault struct {
 	Zone     int
 	Kind     FaultKind
 	At, Till time.Duration
 }
 
-// Policy is how gateways go by zones.
+// Policy selects how gateways choose zones. Its text is read from scene files and appears in results.
 type Policy string
 
-// The policies.
+// Policies.
 const (
-	Ours      Policy = "tiers"     // package locality
-	NoSpill   Policy = "no spill"  // all stays
-	Unbounded Policy = "unbounded" // what fails here goes to the next zone that the list calls up, all of it, and back at once
+	Tiered    Policy = "tiers"     // package locality
+	NoSpill   Policy = "no spill"  // all requests stay in the gateway's zone
+	Unbounded Policy = "unbounded" // all requests go to the nearest zone that works, without bounds or ramp, and return at once
 )
 
-// Scene is what is played.
+// Scene configures a simulation.
 type Scene struct {
 	Zones      []Zone
-	BoxRate    float64 // requests a second of a warm box
-	Objects    int     // that are asked for
-	Skew       float64 // of how often: Zipf's exponent, over 1
-	Origin     float64 // fills a second that the origin can do, over what is usual; it refuses beyond
-	Parent     float64 // likewise of a hub's upper caches
-	List       time.Duration
+	BoxRate    float64       // capacity of a warm cache, requests per second
+	Objects    int           // number of different objects requested
+	Skew       float64       // exponent of the Zipf distribution of their popularity, more than 1
+	Origin     float64       // capacity of the origin, as a multiple of its usual fills per second; it rejects requests beyond
+	Parent     float64       // capacity of a hub's parents, likewise
+	List       time.Duration // delay of the endpoint list
 	Faults     []Fault
-	For        time.Duration
-	Warm       time.Duration // before that nothing is counted, and zones fill
+	For        time.Duration // virtual time of the run
+	Warm       time.Duration // first part of the run, in which caches fill and nothing is counted
 	Policy     Policy
-	Neighbours bool            // gateways tell each other what they learn, and catch up as they return; with directors only
-	Memory     bool            // gateways keep what they learn through a restart; with directors only
-	Oracle     bool            // they forget nothing at all through one, as no real gateway can
-	Repeat     float64         // share of refused clients that come back when told to, twice at most; with directors only
-	Tiers      locality.Config // further settings; Localities, Bands and Seed are set here
+	Neighbours bool            // gateways replicate learned state to each other and catch up after a restart; only in RunWithDirectors
+	Memory     bool            // gateways save learned state and restore it after a restart; only in RunWithDirectors
+	Oracle     bool            // gateways lose no state by a restart, as an upper bound that real gateways can't reach
+	Repeat     float64         // share of rejected attempts that clients retry after the advised delay, at most twice; only in RunWithDirectors
+	Tiers      locality.Config // settings of package locality; Localities, Bands and Seed are overwritten
 	Seed       uint64
 }
 
-// Figures of a box and of the network, as the deployment's settings give them.
+// Properties of caches and of the network, taken from the deployment's settings.
 const (
-	coldFrom  = 0.15
-	coldFor   = 17 * time.Second
-	tip       = 2.5
-	tipFor    = 2 * time.Second
-	near      = 2 * time.Millisecond
-	farther   = 30 * time.Millisecond // to a zone of another hub
-	toParent  = 8 * time.Millisecond
-	toOrigin  = 40 * time.Millisecond
-	reportAge = 400 * time.Millisecond
-	queueMost = 1500 * time.Millisecond // of waiting work at a zone, before it refuses
-	parentGot = 0.6                     // share of fills that an upper cache has
+	coldStartShare     = 0.15                    // share of its capacity that a cache has at a cold start
+	warmUpTime         = 17 * time.Second        // time until a cold cache has its whole capacity
+	crashFactor        = 2.5                     // a cold cache crashes at more than this multiple of its present capacity
+	overloadWindow     = 2 * time.Second         // time constant of the request rate that is compared with crashFactor
+	sameHubDelay       = 2 * time.Millisecond    // one way, within a hub
+	otherHubDelay      = 30 * time.Millisecond   // one way, to a zone of another hub
+	parentFetchTime    = 8 * time.Millisecond    // round trip of a fill from a parent
+	originFetchTime    = 40 * time.Millisecond   // round trip of a fetch from the origin
+	loadReportInterval = 400 * time.Millisecond  // least time between updates of a load report
+	maxQueueDelay      = 1500 * time.Millisecond // queued work beyond which a zone or server rejects requests
+	parentHitRatio     = 0.6                     // share of fills that a parent serves without the origin
 )
 
-// Second is what came of one second, in all and by zone.
+// Second counts one second of a run. Slices are indexed by zone.
 type Second struct {
-	Asked, InAim, Late, Failed, Refused int
-	Worth, WorthAsked                   float64
-	Spilled                             []int // requests of a zone's clients that went elsewhere,
-	Own                                 []int // and all of them, clients' repeats too
-	At                                  []int // attempts that came to a zone
-	Fills, Origin, OriginRefused        int
-	Hits, Reads                         int
+	Asked, InAim, Late, Failed, Refused int     // requests, by outcome
+	Worth, WorthAsked                   float64 // priority weight served within the objective, and of all requests
+	Spilled                             []int   // attempts of a zone's gateways at other zones
+	Own                                 []int   // all requests of a zone's clients, their retries included
+	At                                  []int   // attempts at a zone, from any gateway
+	Fills, Origin, OriginRefused        int     // cache fills, requests at the origin, and those of them that it rejected
+	Hits, Reads                         int     // hits in caches, and all answers from caches
 }
 
-// Result is what came of a scene.
+// Result holds the figures of a run. Falls, Most, Over and Twice show violated bounds.
 type Result struct {
 	Seconds  []Second
 	Classes  []load.Class
-	Asked    []int // by class
-	InAim    []int
-	Refused  []int
-	Falls    []string // zones that fell over, and when
-	Twice    int      // requests that had more than one final answer, or none
-	Events   int
-	Most     float64 // largest part of what a cold server stands that any was sent, over any time; 1: it falls over
-	Over     float64 // most by which a gateway's zone spilled beyond its bounds, in any second, as a share of load
-	Gateways []*locality.Selector
+	Asked    []int                // requests, by class
+	InAim    []int                // requests served within the latency objective, by class
+	Refused  []int                // rejected requests, by class
+	Falls    []string             // zones or servers that crashed by overload while cold, and when
+	Twice    int                  // final answers beyond the first of a request
+	Events   int                  // simulated events
+	Most     float64              // highest load of a cold server, as a share of the load at which it crashes; only in RunWithDirectors
+	Over     float64              // most by which a zone's spillover exceeded its bound in any second, as a share of its requests
+	Gateways []*locality.Selector // selectors of the gateways, in order; none under NoSpill with directors
 }
 
+// gateway is a gateway with its locality selector.
 type gateway struct {
-	t      *locality.Selector
-	places []int // zones, by its localities
-	place  []int // localities, by zone
-	home   int
+	selector   *locality.Selector
+	zones      []int // zone of each locality
+	localityOf []int // locality of each zone
+	home       int
 }
 
-type scene struct {
-	sc       Scene
+// simulation is the state of one run of Run.
+type simulation struct {
+	scene    Scene
 	rng      *rand.Rand
 	zipf     *rand.Zipf
 	heap     events
@@ -136,19 +139,19 @@
 	zones    []*zone
 	gateways []*gateway
 	gaps     []time.Duration // mean gap between requests, by zone
-	hubs     []bucket
-	origin   bucket
+	hubs     []tokenBucket
+	origin   tokenBucket
 	mix      []load.Class
 	bands    []int
 	res      *Result
 }
 
-// Run plays a scene.
+// Run simulates a scene without directors. The error names an invalid value of the scene.
 func Run(sc Scene) (*Result, error) {
 	if err := sc.check(); err != nil {
 		return nil, err
 	}
-	s := &scene{sc: sc, rng: rand.New(rand.NewPCG(sc.Seed, 11)), mix: load.Site()}
+	s := &simulation{scene: sc, rng: rand.New(rand.NewPCG(sc.Seed, 11)), mix: load.DeploymentMix()}
 	s.zipf = rand.NewZipf(s.rng, sc.Skew, 8, uint64(sc.Objects-1))
 	s.res = &Result{Classes: s.mix, Asked: make([]int, len(s.mix)), InAim: make([]int, len(s.mix)), Refused: make([]int, len(s.mix))}
 	for range int(sc.For/time.Second) + 1 {
@@ -165,132 +168,136 @@
 		}
 		s.now = e.at
 		s.res.Events++
-		s.step(e)
+		s.handle(e)
 	}
-	s.over()
+	s.computeExcessSpill()
 	return s.res, nil
 }
 
-func (s *scene) at(t time.Duration, e event) {
+// schedule adds an event at a time.
+func (s *simulation) schedule(t time.Duration, e event) {
 	s.order++
 	e.at, e.order = t, s.order
 	heap.Push(&s.heap, e)
 }
 
-func (s *scene) second() *Second { return &s.res.Seconds[int(s.now/time.Second)] }
+func (s *simulation) currentSecond() *Second { return &s.res.Seconds[int(s.now/time.Second)] }
 
-func (s *scene) step(e event) {
+func (s *simulation) handle(e event) {
 	switch e.kind {
-	case arrive:
-		s.arrive(e)
-	case tick:
-		g := s.gateways[e.gw]
-		if s.sc.Policy == Ours {
-			g.t.Tick(s.now)
+	case requestArrived:
+		s.handleArrival(e)
+	case tickDue:
+		g := s.gateways[e.gateway]
+		if s.scene.Policy == Tiered {
+			g.selector.Tick(s.now)
 		}
-		s.at(s.now+locality.DefaultTick, event{kind: tick, gw: e.gw})
-	case ended:
-		s.ended(e)
-	case refused:
-		s.refused(e)
-	case listed:
-		s.fault(e)
+		s.schedule(s.now+locality.DefaultTick, event{kind: tickDue, gateway: e.gateway})
+	case attemptEnded:
+		s.handleResult(e)
+	case attemptRejected:
+		s.handleRejection(e)
+	case faultChanged:
+		s.handleFault(e)
 	}
 }
 
-// fault begins or ends one, or has the list tell of it.
-func (s *scene) fault(e event) {
-	f := s.sc.Faults[e.zone]
+// handleFault begins or ends a fault, or updates the endpoint list. If e.rerouted is set, the fault changes, and e.hit says
+// whether it begins; otherwise the list reports the zone's present state. e.zone is the index of the fault.
+func (s *simulation) handleFault(e event) {
+	f := s.scene.Faults[e.zone]
 	z := s.zones[f.Zone]
-	if !e.moved { // the list tells
+	if !e.rerouted { // the endpoint list changes
 		up := z.Boxes
-		if z.fallen || z.faults[Dead] > 0 || z.faults[Lies] > 0 {
+		if z.crashed || z.faults[Dead] > 0 || z.faults[FalseRemoval] > 0 {
 			up = 0
 		}
 		for _, g := range s.gateways {
-			g.t.SetCachesUp(g.place[f.Zone], up)
+			g.selector.SetCachesUp(g.localityOf[f.Zone], up)
 		}
 		return
 	}
 	if e.hit {
 		z.faults[f.Kind]++
 		if f.Kind == Dead {
-			z.epoch++
+			z.outages++
 		}
 	} else {
 		z.faults[f.Kind]--
-		if f.Kind == Dead && z.faults[Dead] == 0 { // it comes back cold and empty
-			z.fallen, z.began, z.free, z.pressure, z.done = false, s.now, s.now, 0, 0
-			clear(z.held)
+		if f.Kind == Dead && z.faults[Dead] == 0 { // the caches return cold and empty
+			z.crashed, z.startedAt, z.busyUntil, z.recentRequests, z.workDone = false, s.now, s.now, 0, 0
+			clear(z.cached)
 		}
 	}
-	if f.Kind == Dead || f.Kind == Lies {
-		s.at(s.now+s.sc.List, event{kind: listed, zone: e.zone})
+	if f.Kind == Dead || f.Kind == FalseRemoval {
+		s.schedule(s.now+s.scene.List, event{kind: faultChanged, zone: e.zone})
 	}
 }
 
-func (s *scene) arrive(e event) {
-	g := s.gateways[e.gw]
-	s.at(s.now+time.Duration(s.rng.ExpFloat64()*float64(s.gaps[g.home])), event{kind: arrive, gw: e.gw})
+// handleArrival draws a request, sends it to the origin or to a zone that the policy selects, and schedules the next arrival.
+func (s *simulation) handleArrival(e event) {
+	g := s.gateways[e.gateway]
+	s.schedule(s.now+time.Duration(s.rng.ExpFloat64()*float64(s.gaps[g.home])), event{kind: requestArrived, gateway: e.gateway})
 	x, class := s.rng.Float64(), 0
 	for class < len(s.mix)-1 && x >= s.mix[class].Share {
 		x -= s.mix[class].Share
 		class++
 	}
 	e.class, e.object, e.due, e.id = int8(class), int32(s.zipf.Uint64()), s.now, s.rng.Uint64()
-	if s.now >= s.sc.Warm {
-		sec := s.second()
+	if s.now >= s.scene.Warm {
+		sec := s.currentSecond()
 		sec.Asked++
 		sec.WorthAsked += s.mix[class].Worth
 		sec.Own[g.home]++
 		s.res.Asked[class]++
 	}
-	if s.mix[class].Keyed { // it goes straight to the origin, which is elsewhere
-		if s.take(g.home) {
-			s.at(s.now+toOrigin, event{kind: ended, gw: e.gw, zone: -1, class: e.class, due: e.due, result: locality.ResultSuccess})
+	if s.mix[class].Keyed { // goes to the origin directly, bypassing caches
+		if s.fetchFromOrigin(g.home) {
+			s.schedule(s.now+originFetchTime, event{kind: attemptEnded, gateway: e.gateway, zone: -1, class: e.class, due: e.due, result: locality.ResultSuccess})
 		} else {
-			s.refuse(e)
+			s.reject(e)
 		}
 		return
 	}
-	where := g.home
-	switch s.sc.Policy {
-	case Ours:
+	target := g.home
+	switch s.scene.Policy {
+	case Tiered:
 		object := uint64(e.object+1) * 0x9e3779b97f4a7c15
 		object ^= object >> 29
 		object *= 0xbf58476d1ce4e5b9
-		n, _, ok := g.t.Pick(s.now, s.bands[class], object, e.id)
+		n, _, ok := g.selector.Pick(s.now, s.bands[class], object, e.id)
 		if !ok {
-			s.refuse(e)
+			s.reject(e)
 			return
 		}
-		where = g.places[n]
+		target = g.zones[n]
 	case Unbounded:
-		for _, k := range g.places {
-			if z := s.zones[k]; z.faults[Dead] == 0 && !z.fallen && z.faults[Errors] == 0 && z.faults[Silent] == 0 {
-				where = k // it knows at once, which no real one does
+		for _, k := range g.zones {
+			if z := s.zones[k]; z.faults[Dead] == 0 && !z.crashed && z.faults[Errors] == 0 && z.faults[Silent] == 0 {
+				target = k // an idealized policy: the gateway sees faults without delay
 				break
 			}
 		}
-	default: // the own one
+	default: // NoSpill: the gateway's own zone
 	}
-	s.send(e, where)
+	s.send(e, target)
 }
 
-func (s *scene) ended(e event) {
-	g := s.gateways[e.gw]
+// handleResult reports the result of an attempt to the gateway's selector and counts the request, or reroutes it.
+func (s *simulation) handleResult(e event) {
+	g := s.gateways[e.gateway]
 	if e.zone >= 0 {
-		told := e.result == locality.ResultSuccess || e.result == locality.ResultLate
+		hitKnown := e.result == locality.ResultSuccess || e.result == locality.ResultLate
 		report := -1.0
-		if told {
+		if hitKnown {
 			report = float64(e.load)
 		}
-		g.t.AttemptFinished(s.now, g.place[e.zone], e.result, e.hit, told, report)
+		g.selector.AttemptFinished(s.now, g.localityOf[e.zone], e.result, e.hit, hitKnown, report)
 	}
-	if e.due < s.sc.Warm {
+	if e.due < s.scene.Warm {
 		return
 	}
-	sec := s.second()
+	sec := s.currentSecond()
 	if e.zone >= 0 && (e.result == locality.ResultSuccess || e.result == locality.ResultLate) {
 		sec.Reads++
 		if e.hit {
@@ -299,8 +306,8 @@
 	}
 	took := s.now - e.due
 	switch {
-	case e.result == locality.ResultFailure && !e.moved && e.zone >= 0 && s.sc.Policy == Ours && took < s.mix[e.class].Aim/2: // its director gave it up, and nothing is out
-		s.refused(e)
+	case e.result == locality.ResultFailure && !e.rerouted && e.zone >= 0 && s.scene.Policy == Tiered && took < s.mix[e.class].Aim/2: // failed early and in no zone's queue any more: it can be rerouted
+		s.handleRejection(e)
 	case e.result == locality.ResultFailure:
 		sec.Failed++
 	case took <= s.mix[e.class].Aim:
@@ -312,37 +319,38 @@
 	}
 }
 
-// refused moves a request to another zone, once, or ends it.
-func (s *scene) refused(e event) {
-	g := s.gateways[e.gw]
-	if e.kind == refused {
-		g.t.AttemptFinished(s.now, g.place[e.zone], locality.ResultRejected, false, false, float64(s.zones[e.zone].busy))
+// handleRejection reroutes a request to another zone, at most once, or rejects it.
+func (s *simulation) handleRejection(e event) {
+	g := s.gateways[e.gateway]
+	if e.kind == attemptRejected {
+		g.selector.AttemptFinished(s.now, g.localityOf[e.zone], locality.ResultRejected, false, false, float64(s.zones[e.zone].utilization))
 	}
-	if s.sc.Policy == Ours && !e.moved {
+	if s.scene.Policy == Tiered && !e.rerouted {
 		k := s.mix[e.class]
 		took := s.now - e.due
-		if n, ok := g.t.HandleRejection(s.now, locality.Rejection{From: g.place[e.zone], Idempotent: true, Elapsed: took, Remaining: k.Limit - took, LatencyObjective: k.Aim}); ok {
-			e.moved = true
-			s.send(e, g.places[n])
+		if n, ok := g.selector.HandleRejection(s.now, locality.Rejection{From: g.localityOf[e.zone], Idempotent: true, Elapsed: took, Remaining: k.Limit - took, LatencyObjective: k.Aim}); ok {
+			e.rerouted = true
+			s.send(e, g.zones[n])
 			return
 		}
 	}
-	s.refuse(e)
+	s.reject(e)
 }
 
-func (s *scene) refuse(e event) {
-	if e.due >= s.sc.Warm {
-		s.second().Refused++
+// reject counts a request as rejected.
+func (s *simulation) reject(e event) {
+	if e.due >= s.scene.Warm {
+		s.currentSecond().Refused++
 		s.res.Refused[e.class]++
 	}
 }
 
-// over finds by how much a zone's gateways spilled beyond their bounds.
-func (s *scene) over() {
-	if s.sc.Policy != Ours {
+// computeExcessSpill sets Result.Over from the seconds in which a zone's clients made more than 200 requests.
+func (s *simulation) computeExcessSpill() {
+	if s.scene.Policy != Tiered {
 		return
 	}
-	bound := s.sc.Tiers.MaxSpillover
+	bound := s.scene.Tiers.MaxSpillover
 	if bound == 0 {
 		bound = locality.DefaultMaxSpillover
 	}
@@ -350,7 +358,7 @@
 		levels := map[int]bool{}
 		for k, o := range s.zones {
 			if k != home {
-				levels[btoi(o.Hub != z.Hub)] = true
+				levels[boolToInt(o.Hub != z.Hub)] = true
 			}
 		}
 		for _, sec := range s.res.Seconds {
@@ -361,15 +369,16 @@
 	}
 }
 
-func btoi(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// Share is the part of the worth that was answered in aim between two times.
-func (r *Result) Share(from, to time.Duration) float64 {
+// ServedWorthShare returns the share of the requests' priority weight that was served within the latency objective, over the
+// whole seconds between two times.
+func (r *Result) ServedWorthShare(from, to time.Duration) float64 {
 	got, asked := 0.0, 0.0
 	for i := int(from / time.Second); i < int(to/time.Second) && i < len(r.Seconds); i++ {
 		got, asked = got+r.Seconds[i].Worth, asked+r.Seconds[i].WorthAsked
--- a/lab/localitysim/zones.go
+++ b/lab/localitysim/zones.go
@@ -8,46 +8,49 @@
 	"larchusher/locality"
 )
 
+// zone is the state of a zone in a run without directors.
 type zone struct {
 	Zone
-	cost     time.Duration // of one request, by all its boxes while warm
-	free     time.Duration // its queue is empty then
-	began    time.Duration // cold since; negative: long warm
-	held     []bool        // by object
-	faults   map[FaultKind]int
-	fallen   bool
-	busy     float64 // share of the last report's time that it worked
-	reported time.Duration
-	done     time.Duration // work since
-	pressure float64       // requests in the last tipFor
-	pressAt  time.Duration
-	epoch    int
+	workPerRequest time.Duration // for all its caches together, while warm
+	busyUntil      time.Duration // when its queue will be empty
+	startedAt      time.Duration // time of the cold start; negative for a warm zone
+	cached         []bool        // by object: whether the zone's caches have it
+	faults         map[FaultKind]int
+	crashed        bool
+	utilization    float64 // of the last report's interval; at most 1.5
+	reportedAt     time.Duration
+	workDone       time.Duration // since the last report
+	recentRequests float64       // exponentially decaying count over overloadWindow
+	recentAt       time.Duration
+	outages        int // number of faults of kind Dead
 }
 
-// bucket is something that does so much a second, and refuses beyond.
-type bucket struct {
-	rate float64
-	have float64
-	at   time.Duration
-	all  int
+// tokenBucket limits requests to rate per second, with bursts of a quarter of a second's requests.
+type tokenBucket struct {
+	rate     float64
+	tokens   float64 // as of filledAt
+	filledAt time.Duration
+	requests int
 }
 
-func (b *bucket) take(now time.Duration) bool {
-	b.have = min(b.rate/4, b.have+b.rate*(now-b.at).Seconds())
-	b.at = now
-	b.all++
-	if b.have < 1 {
+// take uses up a token. It returns false if there is none.
+func (b *tokenBucket) take(now time.Duration) bool {
+	b.tokens = min(b.rate/4, b.tokens+b.rate*(now-b.filledAt).Seconds())
+	b.filledAt = now
+	b.requests++
+	if b.tokens < 1 {
 		return false
 	}
-	b.have--
+	b.tokens--
 	return true
 }
 
-// take asks the origin for a place, by the link of a hub that is not cut off.
-func (s *scene) take(home int) bool {
+// fetchFromOrigin requests a fetch from the origin for zone home. It returns false if the origin rejects it or the zone is
+// cut off.
+func (s *simulation) fetchFromOrigin(home int) bool {
 	ok := s.zones[home].faults[Cut] == 0 && s.origin.take(s.now)
-	if s.now >= s.sc.Warm {
-		sec := s.second()
+	if s.now >= s.scene.Warm {
+		sec := s.currentSecond()
 		sec.Origin++
 		if !ok {
 			sec.OriginRefused++
@@ -56,122 +59,123 @@
 	return ok
 }
 
-// send carries an attempt to a zone.
-func (s *scene) send(e event, where int) {
-	g := s.gateways[e.gw]
-	z := s.zones[where]
-	s.countAttempt(g.home, where)
-	g.t.AttemptStarted(s.now, g.place[where])
-	e.zone = int32(where)
-	way := near
+// send simulates an attempt at a zone and schedules its result.
+func (s *simulation) send(e event, target int) {
+	g := s.gateways[e.gateway]
+	z := s.zones[target]
+	s.countAttempt(g.home, target)
+	g.selector.AttemptStarted(s.now, g.localityOf[target])
+	e.zone = int32(target)
+	delay := sameHubDelay
 	if z.Hub != s.zones[g.home].Hub {
-		way = farther
+		delay = otherHubDelay
 	}
-	back := func(after time.Duration, r locality.Result, hit bool) {
-		e.kind, e.result, e.hit, e.load = ended, r, hit, float32(z.busy)
-		s.at(s.now+after, e)
+	end := func(after time.Duration, r locality.Result, hit bool) {
+		e.kind, e.result, e.hit, e.load = attemptEnded, r, hit, float32(z.utilization)
+		s.schedule(s.now+after, e)
 	}
 	deadline := s.mix[e.class].Limit
-	if silent, failed := s.faultsBetween(g.home, where); silent {
-		back(deadline, locality.ResultFailure, false)
+	if silent, failed := s.faultsBetween(g.home, target); silent {
+		end(deadline, locality.ResultFailure, false)
 		return
 	} else if failed {
-		back(2*way, locality.ResultFailure, false)
+		end(2*delay, locality.ResultFailure, false)
 		return
 	}
-	able := z.able(s.now)
-	s.press(z, able)
-	if z.fallen {
-		back(2*way, locality.ResultFailure, false)
+	capacity := z.capacityShare(s.now)
+	s.countRequest(z, capacity)
+	if z.crashed {
+		end(2*delay, locality.ResultFailure, false)
 		return
 	}
 	if z.faults[Slow] > 0 {
-		able /= 5
+		capacity /= 5
 	}
-	z.free = max(z.free, s.now)
-	if z.free-s.now > queueMost {
-		e.kind = refused
-		s.at(s.now+2*way, e)
+	z.busyUntil = max(z.busyUntil, s.now)
+	if z.busyUntil-s.now > maxQueueDelay {
+		e.kind = attemptRejected
+		s.schedule(s.now+2*delay, e)
 		return
 	}
-	z.work(s.now, able)
-	took := z.free - s.now + 2*way + 20*time.Millisecond
-	hit := z.held[e.object]
+	z.enqueue(s.now, capacity)
+	took := z.busyUntil - s.now + 2*delay + 20*time.Millisecond
+	hit := z.cached[e.object]
 	if !hit {
 		ok, more := s.fill(z)
 		took += more
 		if !ok {
-			back(took, locality.ResultFailure, false)
+			end(took, locality.ResultFailure, false)
 			return
 		}
-		z.held[e.object] = true
+		z.cached[e.object] = true
 	}
 	r := locality.ResultSuccess
 	if took > s.mix[e.class].Aim {
 		r = locality.ResultLate
 	}
 	if took > deadline {
-		back(deadline, locality.ResultFailure, false)
+		end(deadline, locality.ResultFailure, false)
 		return
 	}
-	back(took, r, hit)
+	end(took, r, hit)
 }
 
-// countAttempt counts an attempt from a zone at another.
-func (s *scene) countAttempt(home, where int) {
-	if s.now < s.sc.Warm {
+// countAttempt counts an attempt by a gateway of zone home at zone where, unless the run is still warming up.
+func (s *simulation) countAttempt(home, target int) {
+	if s.now < s.scene.Warm {
 		return
 	}
-	sec := s.second()
-	sec.At[where]++
-	if where != home {
+	sec := s.currentSecond()
+	sec.At[target]++
+	if target != home {
 		sec.Spilled[home]++
 	}
 }
 
-// faultsBetween says whether an attempt from a zone at another gets no answer, or fails at once.
-func (s *scene) faultsBetween(home, where int) (silent, failed bool) {
-	z, h := s.zones[where], s.zones[home]
-	far := where != home && z.Hub != h.Hub
+// faultsBetween reports whether an attempt by a gateway of zone home at zone where gets no answer or fails at once.
+func (s *simulation) faultsBetween(home, target int) (silent, failed bool) {
+	z, h := s.zones[target], s.zones[home]
+	otherHub := target != home && z.Hub != h.Hub
 	switch {
-	case z.faults[Dead] > 0 || z.fallen:
+	case z.faults[Dead] > 0 || z.crashed:
 		return false, true
-	case z.faults[Silent] > 0 || far && (z.faults[Cut] > 0 || h.faults[Cut] > 0):
+	case z.faults[Silent] > 0 || otherHub && (z.faults[Cut] > 0 || h.faults[Cut] > 0):
 		return true, false
 	default:
 		return false, z.faults[Errors] > 0
 	}
 }
 
-// able is the share of its capacity that a zone has: one that has just begun is warming up.
-func (z *zone) able(now time.Duration) float64 {
-	if age := now - z.began; age < coldFor {
-		return coldFrom + (1-coldFrom)*float64(age)/float64(coldFor)
+// capacityShare returns the share of its capacity that a zone has while its caches are warming up, and 1 afterwards.
+func (z *zone) capacityShare(now time.Duration) float64 {
+	if age := now - z.startedAt; age < warmUpTime {
+		return coldStartShare + (1-coldStartShare)*float64(age)/float64(warmUpTime)
 	}
 	return 1
 }
 
-// work adds a request's work to a zone's queue, and has it report its load when that is due.
-func (z *zone) work(now time.Duration, able float64) {
-	work := time.Duration(float64(z.cost) / able)
-	z.free += work
-	z.done += work
-	if since := now - z.reported; since >= reportAge {
-		z.busy, z.done, z.reported = min(1.5, float64(z.done)/float64(since)), 0, now
+// enqueue adds one request to a zone's queue and updates the zone's load report when loadReportInterval has passed.
+func (z *zone) enqueue(now time.Duration, capacity float64) {
+	work := time.Duration(float64(z.workPerRequest) / capacity)
+	z.busyUntil += work
+	z.workDone += work
+	if since := now - z.reportedAt; since >= loadReportInterval {
+		z.utilization, z.workDone, z.reportedAt = min(1.5, float64(z.workDone)/float64(since)), 0, now
 	}
 }
 
-// fill fetches what a zone lacks.
-func (s *scene) fill(z *zone) (ok bool, took time.Duration) {
-	if s.now >= s.sc.Warm {
-		s.second().Fills++
+// fill fetches a missing object for a zone from the parents of its hub, or from the origin if they lack it or are
+// unreachable.
+func (s *simulation) fill(z *zone) (ok bool, took time.Duration) {
+	if s.now >= s.scene.Warm {
+		s.currentSecond().Fills++
 	}
-	took = toParent
+	took = parentFetchTime
 	if z.faults[Parents] == 0 {
 		if !s.hubs[z.Hub].take(s.now) {
 			return false, took
 		}
-		if s.rng.Float64() < parentGot {
+		if s.rng.Float64() < parentHitRatio {
 			return true, took
 		}
 	}
@@ -181,15 +185,16 @@
 			home = i
 		}
 	}
-	return s.take(home), took + toOrigin
+	return s.fetchFromOrigin(home), took + originFetchTime
 }
 
-// press counts what is sent to a zone, which falls over if it is cold and that is too much.
-func (s *scene) press(z *zone, able float64) {
-	z.pressure = z.pressure*math.Exp(-float64(s.now-z.pressAt)/float64(tipFor)) + 1
-	z.pressAt = s.now
-	if able < 1 && z.pressure > tip*able*tipFor.Seconds()*float64(time.Second)/float64(z.cost) {
-		z.fallen = true
+// countRequest counts a request sent to a zone. A zone whose caches are cold crashes if its recent requests exceed
+// crashFactor times its present capacity.
+func (s *simulation) countRequest(z *zone, capacity float64) {
+	z.recentRequests = z.recentRequests*math.Exp(-float64(s.now-z.recentAt)/float64(overloadWindow)) + 1
+	z.recentAt = s.now
+	if capacity < 1 && z.recentRequests > crashFactor*capacity*overloadWindow.Seconds()*float64(time.Second)/float64(z.workPerRequest) {
+		z.crashed = true
 		s.res.Falls = append(s.res.Falls, fmt.Sprintf("%s at %v", z.Name, s.now.Round(time.Millisecond)))
 	}
 }
--- a/replication/simulation_test.go
+++ b/replication/simulation_test.go
@@ -181,7 +181,7 @@
 		if w.converged() {
 			return w.clock.Now - start, true
 		}
-		w.clock.Pass(50 * time.Millisecond)
+		w.clock.Advance(50 * time.Millisecond)
 	}
 	return limit, false
 }
@@ -204,10 +204,10 @@
 	w.clock.Run(faultsEnd + time.Millisecond)
 	for _, m := range w.nodes {
 		if m.node == nil { // killed nodes restart within four seconds
-			w.clock.Pass(4 * time.Second)
+			w.clock.Advance(4 * time.Second)
 		}
 	}
-	w.clock.Pass(2 * time.Second)
+	w.clock.Advance(2 * time.Second)
 	if !w.converged() {
 		return w, "not converged two seconds after the last fault: " + w.divergence()
 	}
@@ -297,7 +297,7 @@
 // receiving the first half again.
 func TestCatchUpContinuesWithAnotherPeer(t *testing.T) {
 	w := newSimulation(5, 3)
-	w.clock.Pass(2 * time.Second)
+	w.clock.Advance(2 * time.Second)
 	g0 := w.nodes["g0"]
 	for i := range 3000 {
 		g0.node.bulkBudget = 1e9
@@ -309,7 +309,7 @@
 	restarted := w.nodes["g2"]
 	w.startNode(restarted)
 	for restarted.node.Len() < 1000 {
-		w.clock.Pass(time.Millisecond)
+		w.clock.Advance(time.Millisecond)
 		if restarted.caughtUp != nil {
 			t.Fatalf("the node reports that it has caught up with %d of 3000 slots", restarted.node.Len())
 		}
@@ -318,7 +318,7 @@
 	w.nodes[killedPeer].run++
 	w.nodes[killedPeer].node = nil
 	mergedBefore := restarted.node.Counters.Merged
-	w.clock.Pass(6 * time.Second)
+	w.clock.Advance(6 * time.Second)
 	if restarted.caughtUp == nil || restarted.caughtUp.From == killedPeer || restarted.node.Count(Listing) < 3000 {
 		t.Fatalf("caught up: %+v with %d of 3000 listings, want all of them, from the surviving peer", restarted.caughtUp, restarted.node.Count(Listing))
 	}
@@ -331,7 +331,7 @@
 // waits for the timeout.
 func TestCatchUpTimeIsBounded(t *testing.T) {
 	w := newSimulation(6, 3)
-	w.clock.Pass(4 * time.Second)
+	w.clock.Advance(4 * time.Second)
 	for _, m := range w.nodes {
 		if m.caughtUp == nil || m.caughtUp.Took > time.Second {
 			t.Errorf("%s: caught up: %+v, want within 1 s, since all nodes started together", m.name, m.caughtUp)
@@ -342,11 +342,11 @@
 		w.severed[[2]string{n, "g1"}] = true
 	}
 	w.startNode(m)
-	w.clock.Pass(DefaultCatchUpTimeout - 100*time.Millisecond)
+	w.clock.Advance(DefaultCatchUpTimeout - 100*time.Millisecond)
 	if m.caughtUp != nil {
 		t.Fatalf("caught up before the timeout, with no peer reachable: %+v", m.caughtUp)
 	}
-	w.clock.Pass(300 * time.Millisecond)
+	w.clock.Advance(300 * time.Millisecond)
 	if m.caughtUp == nil || m.caughtUp.From != "" {
 		t.Errorf("after the timeout: caught up: %+v, want without a peer", m.caughtUp)
 	}
@@ -355,13 +355,13 @@
 // A purge reaches all nodes before the bulk slots that were published earlier.
 func TestPurgeOvertakesListings(t *testing.T) {
 	w := newSimulation(8, 5)
-	w.clock.Pass(2 * time.Second)
+	w.clock.Advance(2 * time.Second)
 	g0 := w.nodes["g0"]
 	for i := range 20000 {
 		g0.node.bulkBudget = 1e9
 		g0.node.Publish(w.localTime(g0), Listing, fmt.Sprintf("o%d", i), Encode(ListingValue{Server: "b1"}), w.localTime(g0))
 	}
-	w.clock.Pass(300 * time.Millisecond)
+	w.clock.Advance(300 * time.Millisecond)
 	w.purge("g0", "x")
 	at := w.clock.Now
 	for w.clock.Now < at+2*time.Second {
@@ -372,7 +372,7 @@
 		if all {
 			break
 		}
-		w.clock.Pass(5 * time.Millisecond)
+		w.clock.Advance(5 * time.Millisecond)
 	}
 	took := w.clock.Now - at
 	if listings := w.nodes["g4"].node.Count(Listing); took > 300*time.Millisecond || listings >= 16000 {
@@ -384,7 +384,7 @@
 // this, the divergence must be recorded, and the replicas must converge again.
 func TestDivergenceIsDetectedAndRepaired(t *testing.T) {
 	w := newSimulation(9, 3)
-	w.clock.Pass(time.Second)
+	w.clock.Advance(time.Second)
 	g0, g1 := w.nodes["g0"], w.nodes["g1"]
 	publish := func() {
 		for i := range 30 {
