--- a/cmd/larchusher-lab/deaths.go
+++ b/cmd/larchusher-lab/deaths.go
@@ -32,14 +32,14 @@
 // parseDeath reads GATEWAY@WHEN..BACK.
 func parseDeath(s string) (d failover.Death, err error) {
 	gateway, when, ok := strings.Cut(s, "@")
-	at, back, again := strings.Cut(when, "..")
+	at, back, restarts := strings.Cut(when, "..")
 	if d.Gateway, err = strconv.Atoi(gateway); !ok || err != nil {
 		return d, fmt.Errorf("--kill %q: not GATEWAY@WHEN", s)
 	}
 	if d.At, err = time.ParseDuration(at); err != nil {
 		return d, fmt.Errorf("--kill %q: %w", s, err)
 	}
-	if again {
+	if restarts {
 		if d.Back, err = time.ParseDuration(back); err != nil {
 			return d, fmt.Errorf("--kill %q: %w", s, err)
 		}
@@ -73,7 +73,7 @@
 		}
 	}
 	t := newTable()
-	t.head("clients\tcalls\ttries a call\tserved from the death on\tin aim\tmost connects in 100 ms\tin tenths\tpeak of tries\tlater than the deadline p99\tmost\ttoo early\trules broken\t")
+	t.header("clients\tcalls\ttries a call\tserved from the death on\tin aim\tmost connects in 100 ms\tin tenths\tpeak of tries\tlater than the deadline p99\tmost\ttoo early\trules broken\t")
 	var lines []plot.Line
 	for _, kind := range kinds {
 		cfg.Kind = kind
--- a/cmd/larchusher-lab/get.go
+++ b/cmd/larchusher-lab/get.go
@@ -14,14 +14,14 @@
 )
 
 // gateways are the flags of the sub-commands that are clients.
-type gateways struct {
+type clientFlags struct {
 	Gateway []string      `help:"Address of a gateway; several are chosen among." required:""`
 	Class   string        `default:"images"`
 	Limit   time.Duration `help:"Deadline of a part, over all tries." default:"2.5s"`
 	Group   int           `help:"Group of the object, 0 to 255."`
 }
 
-func (g *gateways) open() (*client.Client, error) {
+func (g *clientFlags) open() (*client.Client, error) {
 	cfg := client.Config{Gateways: g.Gateway}
 	known := false
 	for _, c := range loadgen.Site() {
@@ -40,7 +40,7 @@
 
 // getCmd is the sub-command get.
 type getCmd struct {
-	gateways
+	clientFlags
 	Object string `arg:"" help:"16 hex digits."`
 	Parts  int    `help:"Read parts 0 to N-1." default:"1"`
 }
@@ -63,7 +63,7 @@
 
 // pingCmd is the sub-command ping.
 type pingCmd struct {
-	gateways
+	clientFlags
 	Object string        `help:"What is asked for, 16 hex digits." default:"7f3a9c21e0b4d655"`
 	Count  int           `default:"4"`
 	Every  time.Duration `default:"1s"`
--- a/cmd/larchusher-lab/load.go
+++ b/cmd/larchusher-lab/load.go
@@ -15,7 +15,7 @@
 )
 
 // load is the sub-command of that name.
-type load struct {
+type loadCmd struct {
 	Addr     string        `help:"A gateway that runs already, at a loopback address; without it one is started with fake servers."`
 	Program  string        `help:"The gateway's program." default:"" placeholder:"PATH"`
 	Arg      []string      `help:"An argument of the gateway's program."`
@@ -48,13 +48,13 @@
 }
 
 // Run runs the loads.
-func (l *load) Run() error {
+func (l *loadCmd) Run() error {
 	var err error
 	if l.Program, err = programPath(l.Program); err != nil {
 		return err
 	}
 	for _, rate := range l.Rate {
-		if err := l.one(rate); err != nil {
+		if err := l.runOnce(rate); err != nil {
 			return err
 		}
 	}
@@ -70,38 +70,38 @@
 	Counters map[string]float64 `json:"Counters,omitempty"`
 }
 
-func (l *load) one(rate float64) error {
+func (l *loadCmd) runOnce(rate float64) error {
 	ctx, cancel := context.WithTimeout(context.Background(), l.For+time.Minute)
 	defer cancel()
 	addr := l.Addr
-	var w *testbed.Gateway
+	var bed *testbed.Gateway
 	if addr == "" {
 		var err error
-		w, err = testbed.Start(ctx, testbed.Config{Program: l.Program, Args: l.Arg, Caches: l.Caches, Cores: l.Cores,
+		bed, err = testbed.Start(ctx, testbed.Config{Program: l.Program, Args: l.Arg, Caches: l.Caches, Cores: l.Cores,
 			MemoryMB: l.MemoryMB, Sockets: l.Sockets, Pin: l.Pin})
 		if err != nil {
 			return err
 		}
-		defer w.Stop()
-		addr = w.Addr
+		defer bed.Stop()
+		addr = bed.Addr
 	}
 	spec, err := l.spec(addr, rate)
 	if err != nil {
 		return err
 	}
 	if l.Slow > 0 {
-		stop, err := l.slow(addr, w)
+		stop, err := l.startSlowReaders(addr, bed)
 		if err != nil {
 			return err
 		}
 		defer stop()
 	}
 	var before testbed.Usage
-	if w != nil {
-		if err := l.injectPauses(ctx, w); err != nil {
+	if bed != nil {
+		if err := l.injectPauses(ctx, bed); err != nil {
 			return err
 		}
-		if before, err = w.Usage(); err != nil {
+		if before, err = bed.Usage(); err != nil {
 			return err
 		}
 	}
@@ -110,8 +110,8 @@
 		return err
 	}
 	f := figures{Rate: rate, Sum: res.Sum(l.Warm, 0)}
-	if w != nil {
-		if err := l.addUsage(ctx, w, before, res.Took, &f); err != nil {
+	if bed != nil {
+		if err := l.addUsage(ctx, bed, before, res.Took, &f); err != nil {
 			return err
 		}
 	}
@@ -119,7 +119,7 @@
 }
 
 // spec is what is asked of the gateway.
-func (l *load) spec(addr string, rate float64) (spec loadgen.Spec, err error) {
+func (l *loadCmd) spec(addr string, rate float64) (spec loadgen.Spec, err error) {
 	profile, err := loadgen.ParseProfile(l.Profile, rate)
 	if err != nil {
 		return spec, err
@@ -133,28 +133,28 @@
 }
 
 // slow starts clients that read slowly, and has the stores answer them with much.
-func (l *load) slow(addr string, w *testbed.Gateway) (stop func() (closed int), err error) {
+func (l *loadCmd) startSlowReaders(addr string, bed *testbed.Gateway) (stop func() (closed int), err error) {
 	stop, err = loadgen.Slow(loadgen.SlowSpec{Addr: addr, Conns: l.Slow, Pace: l.SlowPace, Ask: l.SlowAsk})
-	if err != nil || w == nil {
+	if err != nil || bed == nil {
 		return stop, err
 	}
-	for _, s := range w.Stores {
+	for _, s := range bed.Stores {
 		s.On(loadgen.SlowContent(l.SlowSize))
 	}
 	return stop, nil
 }
 
 // addUsage takes in what the gateway used, and its counters.
-func (l *load) addUsage(ctx context.Context, w *testbed.Gateway, before testbed.Usage, took time.Duration, f *figures) error {
-	u, err := w.Usage()
+func (l *loadCmd) addUsage(ctx context.Context, bed *testbed.Gateway, before testbed.Usage, took time.Duration, f *figures) error {
+	u, err := bed.Usage()
 	if err != nil {
-		return fmt.Errorf("the gateway is gone: %w\n%s", err, w.Log.String())
+		return fmt.Errorf("the gateway is gone: %w\n%s", err, bed.Log.String())
 	}
 	f.PeakMB, f.CPU = float64(u.PeakKB)/1024, (u.CPU-before.CPU).Seconds()/took.Seconds()
 	if len(l.Counters) == 0 {
 		return nil
 	}
-	all, err := w.Counters(ctx)
+	all, err := bed.Counters(ctx)
 	if err != nil {
 		return err
 	}
@@ -168,7 +168,7 @@
 }
 
 // report writes the rows if asked to, and prints the figures.
-func (l *load) report(res *loadgen.Result, f figures) error {
+func (l *loadCmd) report(res *loadgen.Result, f figures) error {
 	rate := f.Rate
 	if l.Out != "" {
 		if err := res.WriteParquet(fmt.Sprintf("%s-%.0f.parquet", l.Out, rate)); err != nil {
@@ -201,16 +201,16 @@
 }
 
 // injectPauses stalls the gateway as asked, beside the load.
-func (l *load) injectPauses(ctx context.Context, w *testbed.Gateway) error {
+func (l *loadCmd) injectPauses(ctx context.Context, bed *testbed.Gateway) error {
 	if l.Duty != "" {
-		on, of, ok := strings.Cut(l.Duty, "/")
-		run, err1 := time.ParseDuration(on)
-		whole, err2 := time.ParseDuration(of)
-		if !ok || err1 != nil || err2 != nil || run <= 0 || run >= whole {
+		runText, periodText, ok := strings.Cut(l.Duty, "/")
+		run, err1 := time.ParseDuration(runText)
+		period, err2 := time.ParseDuration(periodText)
+		if !ok || err1 != nil || err2 != nil || run <= 0 || run >= period {
 			return fmt.Errorf("duty %q: not RUN/OF", l.Duty)
 		}
 		go func() {
-			for ctx.Err() == nil && w.Pause(whole-run) == nil {
+			for ctx.Err() == nil && bed.Pause(period-run) == nil {
 				time.Sleep(run)
 			}
 		}()
@@ -219,7 +219,7 @@
 		go func() {
 			for range l.Stalls {
 				time.Sleep(l.For / time.Duration(l.Stalls+1))
-				if w.Pause(l.StallFor) != nil {
+				if bed.Pause(l.StallFor) != nil {
 					return
 				}
 			}
--- a/cmd/larchusher-lab/main.go
+++ b/cmd/larchusher-lab/main.go
@@ -9,8 +9,8 @@
 )
 
 type cli struct {
-	Up    up       `cmd:"" help:"Start a gateway with fake servers, ask for some objects, and show what came from where."`
-	Load  load     `cmd:"" help:"Drive an open-loop load against a gateway, and print what came of it."`
+	Up    upCmd    `cmd:"" help:"Start a gateway with fake servers, ask for some objects, and show what came from where."`
+	Load  loadCmd  `cmd:"" help:"Drive an open-loop load against a gateway, and print what came of it."`
 	Model modelCmd `cmd:"" help:"Compare ways of overload control in simulated time."`
 
 	Get  getCmd  `cmd:"" help:"Read an object from gateways to standard output."`
--- a/cmd/larchusher-lab/model.go
+++ b/cmd/larchusher-lab/model.go
@@ -75,7 +75,7 @@
 		names = m.Only
 	}
 	t := newTable()
-	t.head("load\tpolicy\tworth in aim/s\tof best\treplays %\tassets %\tturns %\tp99\tshed\tdropped\t")
+	t.header("load\tpolicy\tworth in aim/s\tof best\treplays %\tassets %\tturns %\tp99\tshed\tdropped\t")
 	best, lines := 0.0, map[string]*plot.Line{}
 	if m.Trace != "" {
 		m.Times = []float64{0}
--- a/cmd/larchusher-lab/population.go
+++ b/cmd/larchusher-lab/population.go
@@ -25,7 +25,7 @@
 func (p *populationCmd) Run() error {
 	const killAt = 8 * time.Second
 	t := newTable()
-	t.head("clients\tserved from the kill on\tpeak of tries, over usual\tconnects within 5 s\tmost of them in 100 ms\tplayed in\t")
+	t.header("clients\tserved from the kill on\tpeak of tries, over usual\tconnects within 5 s\tmost of them in 100 ms\tplayed in\t")
 	var tries, connects []plot.Line
 	for _, kind := range clientsim.Kinds() {
 		began := time.Now()
--- a/cmd/larchusher-lab/procs.go
+++ b/cmd/larchusher-lab/procs.go
@@ -49,11 +49,11 @@
 	}
 	switch {
 	case c.Plan > 0:
-		return c.plan()
+		return c.comparePlans()
 	case len(c.Rest)+len(c.Grants)+len(c.Spread)+len(c.CatchUp) > 0:
 		return c.measure()
 	case c.Mutants != "":
-		return c.mutate()
+		return c.runMutants()
 	}
 	plots, err := c.plots()
 	if err != nil {
@@ -68,8 +68,8 @@
 	var s plotSummary
 	c.playAll(plots, &s)
 	s.print(len(plots))
-	if s.bad > 0 {
-		return fmt.Errorf("%d of %d plots broke a rule", s.bad, len(plots))
+	if s.failed > 0 {
+		return fmt.Errorf("%d of %d plots broke a rule", s.failed, len(plots))
 	}
 	return nil
 }
@@ -78,7 +78,7 @@
 func (c *procsCmd) plots() ([]*faultinjection.Plot, error) {
 	switch {
 	case len(c.Named) > 0:
-		return c.namedPlots()
+		return c.selectNamedPlots()
 	case c.Plot != "":
 		text, err := os.ReadFile(c.Plot)
 		if err != nil {
@@ -92,20 +92,20 @@
 	}
 	var plots []*faultinjection.Plot
 	for i := range c.Plots {
-		p := faultinjection.Draw(c.Seed + uint64(i))
+		p := faultinjection.Generate(c.Seed + uint64(i))
 		if c.Shared != "" {
-			p = faultinjection.DrawShared(c.Seed + uint64(i))
+			p = faultinjection.GenerateReplication(c.Seed + uint64(i))
 		}
 		if c.Shared == "off" {
-			p.Events[0].What = "apart"
+			p.Events[0].Kind = "apart"
 		}
 		plots = append(plots, p)
 	}
 	return plots, nil
 }
 
-func (c *procsCmd) namedPlots() (plots []*faultinjection.Plot, err error) {
-	named, err := faultinjection.Named()
+func (c *procsCmd) selectNamedPlots() (plots []*faultinjection.Plot, err error) {
+	named, err := faultinjection.NamedPlots()
 	if err != nil {
 		return nil, err
 	}
@@ -132,7 +132,7 @@
 		})
 	}
 	for _, p := range plots {
-		p.Former = c.Former
+		p.FormerProgram = c.Former
 		next <- p
 	}
 	close(next)
@@ -141,13 +141,13 @@
 
 // plotSummary is what came of several plots.
 type plotSummary struct {
-	mu            sync.Mutex
-	bad, done     int
-	asked, served int
-	took          []time.Duration // from asking to granted
-	equal         []time.Duration // from the last fault until all knew the same
-	stale, drain  int
-	told          int
+	mu                             sync.Mutex
+	failed, completed              int
+	asked, served                  int
+	grantLatencies                 []time.Duration // from asking to granted
+	convergence                    []time.Duration // from the last fault until all knew the same
+	staleRequests, drainedRequests int
+	purges                         int
 }
 
 // add takes in what came of a plot, and prints it.
@@ -156,60 +156,60 @@
 	defer s.mu.Unlock()
 	switch {
 	case err != nil:
-		s.bad++
+		s.failed++
 		fmt.Printf("seed %d: %v\n%s", p.Seed, err, p)
-	case len(v.Faults) > 0:
-		s.bad++
+	case len(v.Violations) > 0:
+		s.failed++
 		fmt.Printf("seed %d:\n", p.Seed)
-		for _, f := range v.Faults {
+		for _, f := range v.Violations {
 			fmt.Println("  ", f)
 		}
 		fmt.Print(p)
 	default:
 		fmt.Printf("seed %d: %d gateways, %d of %d works done after %v; clients asked %d, served %d, refused %d, failed %d, lost with a gateway %d; withheld %.0f\n", p.Seed,
-			p.Gateways, v.Done, v.Asked, v.Ended.Round(100*time.Millisecond), v.Client.Asked, v.Client.Served, v.Client.Refused, v.Client.Failed, v.Client.Excused, v.Held)
+			p.Gateways, v.Completed, v.Requested, v.EndedAfter.Round(100*time.Millisecond), v.Clients.Sent, v.Clients.Served, v.Clients.Rejected, v.Clients.Failed, v.Clients.LostWithGateway, v.Withheld)
 	}
 	if v == nil {
 		return
 	}
-	s.stale, s.drain, s.told = s.stale+v.Stale, s.drain+v.Drained, s.told+v.Told
-	if v.Equal > 0 {
-		s.equal = append(s.equal, v.Equal)
+	s.staleRequests, s.drainedRequests, s.purges = s.staleRequests+v.StaleRequests, s.drainedRequests+v.DrainedRequests, s.purges+v.Purges
+	if v.ConvergedAfter > 0 {
+		s.convergence = append(s.convergence, v.ConvergedAfter)
 	}
-	s.done += v.Done
-	s.asked += v.Client.Asked
-	s.served += v.Client.Served
-	for _, d := range v.Took {
-		s.took = append(s.took, d)
+	s.completed += v.Completed
+	s.asked += v.Clients.Sent
+	s.served += v.Clients.Served
+	for _, d := range v.GrantLatency {
+		s.grantLatencies = append(s.grantLatencies, d)
 	}
 }
 
 func (s *plotSummary) print(plots int) {
-	slices.Sort(s.took)
-	if n := len(s.took); n > 0 {
-		fmt.Printf("from asking to granted, faults and bounds included: median %v, p99 %v\n", s.took[n/2].Round(time.Millisecond), s.took[n*99/100].Round(time.Millisecond))
-	}
-	if s.told > 0 {
-		slices.Sort(s.equal)
-		fmt.Printf("%d purges told; %d asks would have taken what others knew to be purged, %d went where others knew of a drain", s.told, s.stale, s.drain)
-		if n := len(s.equal); n > 0 {
-			fmt.Printf("; all knew the same after the last fault: median %v, most %v", s.equal[n/2].Round(time.Millisecond), s.equal[n-1].Round(time.Millisecond))
+	slices.Sort(s.grantLatencies)
+	if n := len(s.grantLatencies); n > 0 {
+		fmt.Printf("from asking to granted, faults and bounds included: median %v, p99 %v\n", s.grantLatencies[n/2].Round(time.Millisecond), s.grantLatencies[n*99/100].Round(time.Millisecond))
+	}
+	if s.purges > 0 {
+		slices.Sort(s.convergence)
+		fmt.Printf("%d purges told; %d asks would have taken what others knew to be purged, %d went where others knew of a drain", s.purges, s.staleRequests, s.drainedRequests)
+		if n := len(s.convergence); n > 0 {
+			fmt.Printf("; all knew the same after the last fault: median %v, most %v", s.convergence[n/2].Round(time.Millisecond), s.convergence[n-1].Round(time.Millisecond))
 		}
 		fmt.Println()
 	}
-	fmt.Printf("%d plots, %d with a fault; %d works done; of %d requests %d were served\n", plots, s.bad, s.done, s.asked, s.served)
+	fmt.Printf("%d plots, %d with a fault; %d works done; of %d requests %d were served\n", plots, s.failed, s.completed, s.asked, s.served)
 }
 
 // mutate has the plots find rules that were taken out.
-func (c *procsCmd) mutate() error {
-	escaped, fail := 0, []error(nil)
+func (c *procsCmd) runMutants() error {
+	escaped, errs := 0, []error(nil)
 	for _, m := range faultinjection.Mutants {
 		if !strings.Contains(m.Name, c.Only) {
 			continue
 		}
 		found, err := c.catch(m)
 		if err != nil {
-			fail = append(fail, err)
+			errs = append(errs, err)
 			continue
 		}
 		if found == "" {
@@ -219,9 +219,9 @@
 		fmt.Printf("%s: %s\n", m.Name, found)
 	}
 	if escaped > 0 {
-		fail = append(fail, fmt.Errorf("%d of %d mutants escaped", escaped, len(faultinjection.Mutants)))
+		errs = append(errs, fmt.Errorf("%d of %d mutants escaped", escaped, len(faultinjection.Mutants)))
 	}
-	return errors.Join(fail...)
+	return errors.Join(errs...)
 }
 
 // catch plays plots until one finds the mutant, and says how; empty: none did.
@@ -246,8 +246,8 @@
 		if err != nil {
 			return "", fmt.Errorf("mutant %q: %w", m.Name, err)
 		}
-		if len(v.Faults) > 0 {
-			line, _, _ := strings.Cut(v.Faults[0], "\n")
+		if len(v.Violations) > 0 {
+			line, _, _ := strings.Cut(v.Violations[0], "\n")
 			return fmt.Sprintf("found by plot %d (seed %d): %.160s", i+1, p.Seed, line), nil
 		}
 	}
@@ -257,17 +257,17 @@
 // measure measures without faults.
 func (c *procsCmd) measure() error {
 	for _, n := range c.Rest {
-		r, err := faultinjection.Rest(n, c.Seed)
+		r, err := faultinjection.MeasureIdle(n, c.Seed)
 		if err != nil {
 			return err
 		}
 		fmt.Printf("%d gateways: one that does not vote %.1f messages and %.0f bytes a second, the busiest voter %.0f and %.0f; %.1f writes a second of all; all ready after %v, granted after %v, out after %v\n", n,
-			r.Messages, r.Bytes, r.VoterMessages, r.VoterBytes, r.Writes, r.Formed, r.Granted, r.Drained)
+			r.Messages, r.Bytes, r.VoterMessages, r.VoterBytes, r.Writes, r.ReadyAfter, r.GrantedAfter, r.OutAfter)
 	}
 	if err := c.measureCatchUp(); err != nil {
 		return err
 	}
-	if err := c.measureSpread(); err != nil {
+	if err := c.measureReplication(); err != nil {
 		return err
 	}
 	return c.measureGrants()
@@ -277,32 +277,32 @@
 func (c *procsCmd) measureCatchUp() error {
 	for _, n := range c.CatchUp {
 		for _, bytes := range []int{256 << 10, 16 << 20} {
-			r, err := faultinjection.CatchUp(n, bytes, c.Seed)
+			r, err := faultinjection.MeasureCatchUp(n, bytes, c.Seed)
 			if err != nil {
 				return err
 			}
-			fmt.Printf("%d items, %d bytes a second from each: %v, %d bytes, %v the longest held, %d bytes of memory an item\n", n, bytes, r.Took, r.Bytes, r.Held.Round(10*time.Microsecond), r.Size)
+			fmt.Printf("%d items, %d bytes a second from each: %v, %d bytes, %v the longest held, %d bytes of memory an item\n", n, bytes, r.Took, r.Bytes, r.LongestHandle.Round(10*time.Microsecond), r.BytesPerSlot)
 		}
 	}
 	return nil
 }
 
 // measureSpread is how fleets of so many gateways come to know the same, by several ways.
-func (c *procsCmd) measureSpread() error {
+func (c *procsCmd) measureReplication() error {
 	lines := map[string]plot.Line{}
 	for _, n := range c.Spread {
-		for _, way := range []string{faultinjection.WayOurs, faultinjection.WayPull, faultinjection.WayFull, faultinjection.WayPush} {
-			if way == faultinjection.WayFull && n > 100 {
+		for _, variant := range []string{faultinjection.VariantStreamsHints, faultinjection.VariantStreams, faultinjection.VariantFullCopies, faultinjection.VariantPush} {
+			if variant == faultinjection.VariantFullCopies && n > 100 {
 				continue // it is what grows with the square of the fleet
 			}
-			r, err := faultinjection.Spread(way, n, c.Seed)
+			r, err := faultinjection.MeasureSpread(variant, n, c.Seed)
 			if err != nil {
 				return err
 			}
-			fmt.Printf("%d gateways, %s: a purge at nine in ten after %s, at all after %s; after a heal all after %s, with %.0f bytes of each; %.0f bytes a second at rest\n", n, way, orNever(r.Purge), orNever(r.All), orNever(r.Heal), r.Moved, r.Rest)
-			if l := lines[way]; r.Heal > 0 {
-				l.Name, l.XY = way, append(l.XY, [2]float64{float64(n), r.Heal.Seconds()})
-				lines[way] = l
+			fmt.Printf("%d gateways, %s: a purge at nine in ten after %s, at all after %s; after a heal all after %s, with %.0f bytes of each; %.0f bytes a second at rest\n", n, variant, durationOrNever(r.PurgeNinetyPercent), durationOrNever(r.PurgeAll), durationOrNever(r.HealAll), r.HealBytes, r.IdleBytesPerSecond)
+			if l := lines[variant]; r.HealAll > 0 {
+				l.Name, l.XY = variant, append(l.XY, [2]float64{float64(n), r.HealAll.Seconds()})
+				lines[variant] = l
 			}
 		}
 	}
@@ -321,7 +321,7 @@
 	for _, n := range c.Grants {
 		for _, kill := range []bool{false, true} {
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Minute)
-			all, err := faultinjection.Grants(ctx, c.Program, n, c.Times, kill)
+			all, err := faultinjection.MeasureGrants(ctx, c.Program, n, c.Times, kill)
 			cancel()
 			if err != nil {
 				return err
@@ -333,31 +333,33 @@
 }
 
 // plan compares ways of settling work on forty machines.
-func (c *procsCmd) plan() error {
-	type way struct {
-		name string
-		play func(seed uint64) (faultinjection.Planned, error)
+func (c *procsCmd) comparePlans() error {
+	type method struct {
+		name     string
+		simulate func(seed uint64) (faultinjection.PlanResult, error)
 	}
-	var ways []way
+	var methods []method
 	for _, slot := range []time.Duration{40 * time.Second, 50 * time.Second, 60 * time.Second, 80 * time.Second, 110 * time.Second, 150 * time.Second} {
-		ways = append(ways, way{"timetable " + slot.String(), func(seed uint64) (faultinjection.Planned, error) { return faultinjection.Timetable(seed, slot), nil }})
+		methods = append(methods, method{"timetable " + slot.String(), func(seed uint64) (faultinjection.PlanResult, error) {
+			return faultinjection.RunTimetable(seed, slot), nil
+		}})
 	}
 	for _, n := range []int{2, 4, 6, 9} {
-		ways = append(ways, way{fmt.Sprint("settled, at_once ", n), func(seed uint64) (faultinjection.Planned, error) {
-			return faultinjection.Settled(seed, maintenance.Limits{MaxOut: n})
+		methods = append(methods, method{fmt.Sprint("settled, at_once ", n), func(seed uint64) (faultinjection.PlanResult, error) {
+			return faultinjection.RunCoordinated(seed, maintenance.Limits{MaxOut: n})
 		}})
 	}
 	lines := []plot.Line{{Name: "fixed timetables"}, {Name: "settled by gateways"}}
-	for i, w := range ways {
-		var sum faultinjection.Planned
+	for i, m := range methods {
+		var sum faultinjection.PlanResult
 		worst := 1.0
-		all, errs := make([]faultinjection.Planned, c.Plan), make([]error, c.Plan)
+		all, errs := make([]faultinjection.PlanResult, c.Plan), make([]error, c.Plan)
 		var wait sync.WaitGroup
 		next := make(chan int)
 		for range max(1, c.Jobs) {
 			wait.Go(func() {
 				for n := range next {
-					all[n], errs[n] = w.play(c.Seed + uint64(n))
+					all[n], errs[n] = m.simulate(c.Seed + uint64(n))
 				}
 			})
 		}
@@ -370,17 +372,17 @@
 			return err
 		}
 		for _, p := range all {
-			sum.Served, sum.Worst, sum.Ended, sum.Over = sum.Served+p.Served, sum.Worst+p.Worst, sum.Ended+p.Ended, sum.Over+p.Over
-			worst = min(worst, p.Worst)
+			sum.Served, sum.WorstWindow, sum.EndedAfter, sum.OverloadedSeconds = sum.Served+p.Served, sum.WorstWindow+p.WorstWindow, sum.EndedAfter+p.EndedAfter, sum.OverloadedSeconds+p.OverloadedSeconds
+			worst = min(worst, p.WorstWindow)
 		}
 		k := float64(c.Plan)
-		fmt.Printf("%s: served in aim %.4f, worst ten seconds %.3f in the mean and %.3f at the least, %v to the end, %.1f s with no room in a zone\n", w.name, sum.Served/k, sum.Worst/k, worst,
-			(sum.Ended / time.Duration(c.Plan)).Round(time.Second), float64(sum.Over)/k)
+		fmt.Printf("%s: served in aim %.4f, worst ten seconds %.3f in the mean and %.3f at the least, %v to the end, %.1f s with no room in a zone\n", m.name, sum.Served/k, sum.WorstWindow/k, worst,
+			(sum.EndedAfter / time.Duration(c.Plan)).Round(time.Second), float64(sum.OverloadedSeconds)/k)
 		l := &lines[0]
-		if i >= len(ways)-4 {
+		if i >= len(methods)-4 {
 			l = &lines[1]
 		}
-		l.XY = append(l.XY, [2]float64{(sum.Ended / time.Duration(c.Plan)).Minutes(), 100 * (1 - sum.Worst/k)})
+		l.XY = append(l.XY, [2]float64{(sum.EndedAfter / time.Duration(c.Plan)).Minutes(), 100 * (1 - sum.WorstWindow/k)})
 	}
 	if c.Draw == "" {
 		return nil
@@ -389,7 +391,7 @@
 }
 
 // orNever words how long something took, that may not have come.
-func orNever(d time.Duration) string {
+func durationOrNever(d time.Duration) string {
 	if d == 0 {
 		return "(not within its time)"
 	}
--- a/cmd/larchusher-lab/scene.go
+++ b/cmd/larchusher-lab/scene.go
@@ -31,7 +31,7 @@
 		return err
 	}
 	t := newTable()
-	t.head("run\tworth in aim\tworst 5 s\tspill over its bound\tfalls\tanswered twice\thits %\tfills\torigin\t")
+	t.header("run\tworth in aim\tworst 5 s\tspill over its bound\tfalls\tanswered twice\thits %\tfills\torigin\t")
 	for _, c := range cells {
 		hits, reads, fills, origin := 0, 0, 0, 0
 		for _, sec := range c.Result.Seconds {
@@ -52,7 +52,7 @@
 	case s.Plot == "":
 		return nil
 	case len(f.Sweep) == 2:
-		return s.heat(f, cells)
+		return s.drawHeatMaps(f, cells)
 	}
 	var lines []plot.Line
 	for _, c := range cells {
@@ -67,7 +67,7 @@
 	return plot.Draw(s.Plot+"-service.png", "Worth answered in aim, all zones", "seconds", "share of what was asked", lines)
 }
 
-func (s *sceneCmd) heat(f *localitysim.File, cells []*localitysim.Cell) error {
+func (s *sceneCmd) drawHeatMaps(f *localitysim.File, cells []*localitysim.Cell) error {
 	x, y := f.Sweep[0], f.Sweep[1]
 	for k, p := range f.Policies {
 		z := make([][]float64, len(y.Values))
@@ -92,7 +92,7 @@
 }
 
 // socketsConfig is a scene for real gateways.
-func socketsConfig(program string, sc localitysim.Scene) (fleet.Config, error) {
+func gatewaysConfig(program string, sc localitysim.Scene) (fleet.Config, error) {
 	cfg := fleet.Config{Program: program, BoxRate: sc.BoxRate, Objects: sc.Objects, Late: sc.List, For: sc.For, Seed: sc.Seed}
 	for i, z := range sc.Zones {
 		if z.Gateways != 1 || z.Hub > 1 {
@@ -112,12 +112,12 @@
 // shares are parts of what was asked in a span.
 type shares struct{ spilled, refused float64 }
 
-func sharesOf(spilled, refused, asked float64) shares {
+func newShares(spilled, refused, asked float64) shares {
 	return shares{spilled: spilled / max(1, asked), refused: refused / max(1, asked)}
 }
 
 // modelShares are those of the model between two seconds.
-func modelShares(r *localitysim.Result, from, to int) shares {
+func simulatedShares(r *localitysim.Result, from, to int) shares {
 	var asked, spilled, refused float64
 	for _, s := range r.Seconds[from:to] {
 		asked, refused = asked+float64(s.Asked), refused+float64(s.Refused)
@@ -125,23 +125,23 @@
 			spilled += float64(n)
 		}
 	}
-	return sharesOf(spilled, refused, asked)
+	return newShares(spilled, refused, asked)
 }
 
 // socketsShares are those of real gateways between two seconds.
-func socketsShares(r *fleet.Result, from, to int) shares {
+func measuredShares(r *fleet.Result, from, to int) shares {
 	var asked, spilled, refused float64
 	for k, zone := range r.Zones {
 		for _, s := range zone[min(from, len(zone)):min(to, len(zone))] {
 			asked, refused = asked+float64(s.Asked), refused+float64(s.Refused)
-			spilled += float64(awayFrom(k, s.At))
+			spilled += float64(spilledAttempts(k, s.At))
 		}
 	}
-	return sharesOf(spilled, refused, asked)
+	return newShares(spilled, refused, asked)
 }
 
 // awayFrom is how many of the attempts at zones were at others than the own one.
-func awayFrom(own int, at []int) (away int) {
+func spilledAttempts(own int, at []int) (away int) {
 	for zone, n := range at {
 		if zone != own {
 			away += n
@@ -163,34 +163,34 @@
 	}
 	sc := f.Scene
 	sc.Policy = localitysim.Ours
-	cfg, err := socketsConfig(program, sc)
+	cfg, err := gatewaysConfig(program, sc)
 	if err != nil {
 		return err
 	}
-	model, err := localitysim.Directed(sc)
+	simulated, err := localitysim.Directed(sc)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), sc.For+time.Minute)
 	defer cancel()
-	sockets, err := fleet.Run(ctx, cfg)
+	measured, err := fleet.Run(ctx, cfg)
 	if err != nil {
 		return err
 	}
 	t := newTable()
-	t.head("seconds\tin aim: model\tsockets\tspill: model\tsockets\trefused: model\tsockets\t")
+	t.header("seconds\tin aim: model\tsockets\tspill: model\tsockets\trefused: model\tsockets\t")
 	const step = 5
-	var most float64
+	var maxDifference float64
 	for at := int(sc.Warm / time.Second); at+step <= int(sc.For/time.Second); at += step {
-		m, r := modelShares(model, at, at+step), socketsShares(sockets, at, at+step)
-		a, b := model.Share(time.Duration(at)*time.Second, time.Duration(at+step)*time.Second), sockets.Share(at, at+step)
-		most = max(most, a-b, b-a)
+		m, r := simulatedShares(simulated, at, at+step), measuredShares(measured, at, at+step)
+		a, b := simulated.Share(time.Duration(at)*time.Second, time.Duration(at+step)*time.Second), measured.Share(at, at+step)
+		maxDifference = max(maxDifference, a-b, b-a)
 		t.row("%d to %d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t", at, at+step, a, b, m.spilled, r.spilled, m.refused, r.refused)
 	}
 	if err := t.flush(); err != nil {
 		return err
 	}
-	fmt.Printf("the most that they differ in aim: %.3f; model: falls %v; sockets: fallen %v, silent %d, twice %d\n", most, model.Falls, sockets.Fallen,
-		sockets.Silent, sockets.Second)
+	fmt.Printf("the most that they differ in aim: %.3f; model: falls %v; sockets: fallen %v, silent %d, twice %d\n", maxDifference, simulated.Falls, measured.Fallen,
+		measured.Silent, measured.Second)
 	return nil
 }
--- a/cmd/larchusher-lab/table.go
+++ b/cmd/larchusher-lab/table.go
@@ -25,19 +25,19 @@
 // row adds a line; tabs stand between its cells.
 func (t *table) row(format string, args ...any) {
 	_, err := fmt.Fprintf(t.w, format+"\n", args...)
-	t.keep(err)
+	t.keepError(err)
 }
 
 // head adds a line that is taken as it is.
-func (t *table) head(line string) { t.row("%s", line) }
+func (t *table) header(line string) { t.row("%s", line) }
 
 // flush prints what was added, and returns the first error of all.
 func (t *table) flush() error {
-	t.keep(t.w.Flush())
+	t.keepError(t.w.Flush())
 	return t.err
 }
 
-func (t *table) keep(err error) {
+func (t *table) keepError(err error) {
 	if t.err == nil {
 		t.err = err
 	}
--- a/cmd/larchusher-lab/zones.go
+++ b/cmd/larchusher-lab/zones.go
@@ -52,7 +52,7 @@
 }
 
 // curve is one policy's run.
-type curve struct {
+type policyCurve struct {
 	name           string
 	service, spill [][2]float64
 }
@@ -68,12 +68,12 @@
 		faults = append(faults, f)
 	}
 	t := newTable()
-	var curves []curve
+	var curves []policyCurve
 	var err error
 	if z.Sockets {
-		curves, err = z.sockets(t, faults)
+		curves, err = z.runGateways(t, faults)
 	} else {
-		curves, err = z.model(t, faults)
+		curves, err = z.runModel(t, faults)
 	}
 	if err != nil {
 		return err
@@ -103,8 +103,8 @@
 }
 
 // model plays zones in simulated time, by each policy.
-func (z *zonesCmd) model(t *table, faults []localitysim.Fault) (curves []curve, err error) {
-	t.head("policy\tworth in aim, all\tworst 5 s\tlast 20 s\trefused: replays\tassets\tfailed\tspill over its bound\tzones that fell\torigin refused\tevents a second\t")
+func (z *zonesCmd) runModel(t *table, faults []localitysim.Fault) (curves []policyCurve, err error) {
+	t.header("policy\tworth in aim, all\tworst 5 s\tlast 20 s\trefused: replays\tassets\tfailed\tspill over its bound\tzones that fell\torigin refused\tevents a second\t")
 	run := localitysim.Run
 	if z.Directed {
 		run = localitysim.Directed
@@ -114,17 +114,17 @@
 			continue
 		}
 		began := time.Now()
-		r, err := run(z.scene(p, faults))
+		r, err := run(z.modelScene(p, faults))
 		if err != nil {
 			return nil, err
 		}
-		curves = append(curves, z.modelCurve(t, p, r, time.Since(began)))
+		curves = append(curves, z.addModelRow(t, p, r, time.Since(began)))
 	}
 	return curves, nil
 }
 
 // scene is what the model plays by a policy.
-func (z *zonesCmd) scene(policy string, faults []localitysim.Fault) localitysim.Scene {
+func (z *zonesCmd) modelScene(policy string, faults []localitysim.Fault) localitysim.Scene {
 	sc := localitysim.Scene{BoxRate: z.BoxRate, Objects: z.Objects, Parent: z.Parent, Origin: z.Origin, Faults: faults, List: z.Late, For: z.For, Warm: 10 * time.Second,
 		Policy: localitysim.Policy(policy), Seed: z.Seed}
 	for i, b := range z.Boxes {
@@ -134,20 +134,20 @@
 }
 
 // modelCurve adds a policy's row, and returns its curve.
-func (z *zonesCmd) modelCurve(t *table, policy string, r *localitysim.Result, took time.Duration) curve {
-	c := curve{name: policy}
+func (z *zonesCmd) addModelRow(t *table, policy string, r *localitysim.Result, took time.Duration) policyCurve {
+	c := policyCurve{name: policy}
 	failed, refusals, worst := 0, 0, 1.0
 	for i, s := range r.Seconds {
 		if i < 10 || time.Duration(i+1)*time.Second > z.For {
 			continue
 		}
-		away := 0
+		spilled := 0
 		for _, n := range s.Spilled {
-			away += n
+			spilled += n
 		}
 		asked := float64(max(1, s.Asked))
 		c.service = append(c.service, [2]float64{float64(i), s.Worth / max(1, s.WorthAsked)})
-		c.spill = append(c.spill, [2]float64{float64(i), float64(away) / asked})
+		c.spill = append(c.spill, [2]float64{float64(i), float64(spilled) / asked})
 		failed, refusals = failed+s.Failed, refusals+s.OriginRefused
 		if time.Duration(i+5)*time.Second <= z.For {
 			worst = min(worst, r.Share(time.Duration(i)*time.Second, time.Duration(i+5)*time.Second))
@@ -157,23 +157,23 @@
 				s.Failed, s.Refused, s.Spilled, s.At, s.Fills, s.Origin)
 		}
 	}
-	part := func(class int) float64 { return 100 * float64(r.Refused[class]) / float64(max(1, r.Asked[class])) }
+	refusedPercent := func(class int) float64 { return 100 * float64(r.Refused[class]) / float64(max(1, r.Asked[class])) }
 	t.row("%s\t%.3f\t%.3f\t%.3f\t%.1f %%\t%.1f %%\t%d\t%.3f\t%v\t%d\t%.0f\t", policy, r.Share(10*time.Second, z.For), worst,
-		r.Share(z.For-20*time.Second, z.For), part(0), part(1), failed, r.Over, r.Falls, refusals, float64(r.Events)/took.Seconds())
+		r.Share(z.For-20*time.Second, z.For), refusedPercent(0), refusedPercent(1), failed, r.Over, r.Falls, refusals, float64(r.Events)/took.Seconds())
 	return c
 }
 
 // sockets plays zones with real gateways, by each policy that they have.
-func (z *zonesCmd) sockets(t *table, faults []localitysim.Fault) (curves []curve, err error) {
+func (z *zonesCmd) runGateways(t *table, faults []localitysim.Fault) (curves []policyCurve, err error) {
 	if z.Program, err = programPath(z.Program); err != nil {
 		return nil, err
 	}
-	t.head("policy\tworth in aim, all\tworst 5 s\tlast 10 s\trefused\tneither\tsilent\ttwice\tspoilt\tspill over its bound\tboxes that fell\tmost of a start's budget\t")
+	t.header("policy\tworth in aim, all\tworst 5 s\tlast 10 s\trefused\tneither\tsilent\ttwice\tspoilt\tspill over its bound\tboxes that fell\tmost of a start's budget\t")
 	for _, p := range z.Policy {
 		if p == "unbounded" {
 			continue
 		}
-		cfg, err := z.fleet(p, faults)
+		cfg, err := z.gatewaysConfig(p, faults)
 		if err != nil {
 			return nil, err
 		}
@@ -183,7 +183,7 @@
 		if err != nil {
 			return nil, err
 		}
-		curves = append(curves, z.socketsCurve(t, p, r))
+		curves = append(curves, z.addGatewaysRow(t, p, r))
 		if z.Print {
 			printCounters(p, r)
 		}
@@ -192,7 +192,7 @@
 }
 
 // fleet is what real gateways play by a policy.
-func (z *zonesCmd) fleet(policy string, faults []localitysim.Fault) (fleet.Config, error) {
+func (z *zonesCmd) gatewaysConfig(policy string, faults []localitysim.Fault) (fleet.Config, error) {
 	cfg := fleet.Config{Program: z.Program, BoxRate: z.BoxRate, Objects: z.Objects, Late: z.Late, For: z.For, Off: policy != "tiers", Seed: z.Seed}
 	for i, b := range z.Boxes {
 		cfg.Zones = append(cfg.Zones, fleet.Zone{Name: fmt.Sprintf("z%d", i), Hub: z.hub(i), Boxes: b, Rate: z.Load * z.BoxRate * float64(b)})
@@ -207,12 +207,12 @@
 }
 
 // socketsCurve adds a policy's row, and returns its curve.
-func (z *zonesCmd) socketsCurve(t *table, policy string, r *fleet.Result) curve {
-	c := curve{name: policy}
+func (z *zonesCmd) addGatewaysRow(t *table, policy string, r *fleet.Result) policyCurve {
+	c := policyCurve{name: policy}
 	refused, other, worst := 0, 0, 1.0
 	n := int(z.For / time.Second)
 	for i := range n {
-		asked, away, worth, offered := 0, 0, 0.0, 0.0
+		asked, spilled, worth, offered := 0, 0, 0.0, 0.0
 		for k, zone := range r.Zones {
 			if i >= len(zone) {
 				continue
@@ -220,13 +220,13 @@
 			s := zone[i]
 			asked, worth, offered = asked+s.Asked, worth+s.Worth, offered+s.WorthAsked
 			refused, other = refused+s.Refused, other+s.Other
-			away += awayFrom(k, s.At)
+			spilled += spilledAttempts(k, s.At)
 			if z.Print {
 				fmt.Printf("%s %d: z%d asked %d in aim %d refused %d other %d at %v\n", policy, i, k, s.Asked, s.InAim, s.Refused, s.Other, s.At)
 			}
 		}
 		c.service = append(c.service, [2]float64{float64(i), worth / max(1, offered)})
-		c.spill = append(c.spill, [2]float64{float64(i), float64(away) / float64(max(1, asked))})
+		c.spill = append(c.spill, [2]float64{float64(i), float64(spilled) / float64(max(1, asked))})
 		if i+5 <= n {
 			worst = min(worst, r.Share(i, i+5))
 		}
--- a/lab/faultinjection/clients.go
+++ b/lab/faultinjection/clients.go
@@ -11,30 +11,30 @@
 )
 
 // clients ask one gateway, at a steady pace, over one connection at a time.
-type clients struct {
-	addr  string
-	every time.Duration
-	class string
-
-	mu       sync.Mutex
-	resting  bool // they ask nothing
-	excused  bool // the gateway was killed or stopped: what it leaves open is no fault
-	Asked    int
-	Served   int
-	Refused  int
-	Failed   int
-	Twice    int
-	Lost     int // the connection ended, or nothing came in time, though the gateway ran
-	Excused  int
-	open     map[uint32]time.Time
-	answered map[uint32]bool
-	conn     net.Conn
+type clientLoad struct {
+	addr     string
+	interval time.Duration
+	class    string
+
+	mu              sync.Mutex
+	paused          bool // they ask nothing
+	gatewayDown     bool // the gateway was killed or stopped: what it leaves open is no fault
+	Sent            int
+	Served          int
+	Rejected        int
+	Failed          int
+	Duplicates      int
+	Unanswered      int // the connection ended, or nothing came in time, though the gateway ran
+	LostWithGateway int
+	open            map[uint32]time.Time
+	answered        map[uint32]bool
+	conn            net.Conn
 }
 
-const clientWaits = 1500 * time.Millisecond
+const clientDeadline = 1500 * time.Millisecond
 
 // run asks until the time is over, on a new connection where one ends.
-func (c *clients) run(until time.Time, first int) {
+func (c *clientLoad) run(until time.Time, first int) {
 	n := 0
 	for time.Now().Before(until) {
 		conn, err := loopback.DialTimeout(c.addr, 300*time.Millisecond)
@@ -46,21 +46,21 @@
 		c.conn, c.open, c.answered = conn, map[uint32]time.Time{}, map[uint32]bool{}
 		c.mu.Unlock()
 		ended := make(chan struct{})
-		go c.read(conn, ended)
-		n = c.ask(conn, ended, until, first, n)
+		go c.readAnswers(conn, ended)
+		n = c.sendRequests(conn, ended, until, first, n)
 		if !time.Now().Before(until) { // the last answers
-			endedWithin(ended, clientWaits+300*time.Millisecond)
+			closedWithin(ended, clientDeadline+300*time.Millisecond)
 		}
 		loopback.Close(conn)
 		<-ended
 		c.mu.Lock()
-		c.sweepAll()
+		c.countAllLost()
 		c.mu.Unlock()
 	}
 }
 
 // read takes answers until the connection ends.
-func (c *clients) read(conn net.Conn, ended chan<- struct{}) {
+func (c *clientLoad) readAnswers(conn net.Conn, ended chan<- struct{}) {
 	defer close(ended)
 	r := rpc.NewReader(conn)
 	for {
@@ -68,28 +68,28 @@
 		if err != nil {
 			return
 		}
-		c.answer(a)
+		c.recordAnswer(a)
 	}
 }
 
 // ask sends requests on a connection until it ends or the time is over, n having been sent before, and returns how many were sent.
-func (c *clients) ask(conn net.Conn, ended <-chan struct{}, until time.Time, first, n int) int {
+func (c *clientLoad) sendRequests(conn net.Conn, ended <-chan struct{}, until time.Time, first, n int) int {
 	e := rpc.NewEncoder(conn)
 	for id := uint32(1); time.Now().Before(until); {
-		if !c.rests() {
+		if !c.isPaused() {
 			n++
 			c.mu.Lock()
-			c.Asked++
+			c.Sent++
 			c.open[id] = time.Now()
-			c.sweep()
+			c.countOverdue()
 			c.mu.Unlock()
-			if err := e.Request(&rpc.Request{ID: id, Class: c.class, Txn: fmt.Sprintf("%016x", first<<32+n), Limit: clientWaits,
-				Object: fmt.Sprintf("%016x", first<<16+n%objects), Group: n % objects % groups}); err != nil {
+			if err := e.Request(&rpc.Request{ID: id, Class: c.class, Txn: fmt.Sprintf("%016x", first<<32+n), Limit: clientDeadline,
+				Object: fmt.Sprintf("%016x", first<<16+n%objectsPerGateway), Group: n % objectsPerGateway % groupCount}); err != nil {
 				return n
 			}
 			id++
 		}
-		if endedWithin(ended, c.every) {
+		if closedWithin(ended, c.interval) {
 			return n
 		}
 	}
@@ -97,7 +97,7 @@
 }
 
 // endedWithin waits for the end of a connection, and says whether it came within a time.
-func endedWithin(ended <-chan struct{}, within time.Duration) bool {
+func closedWithin(ended <-chan struct{}, within time.Duration) bool {
 	select {
 	case <-ended:
 		return true
@@ -106,11 +106,11 @@
 	}
 }
 
-func (c *clients) answer(a rpc.Response) {
+func (c *clientLoad) recordAnswer(a rpc.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.answered[a.ID] {
-		c.Twice++
+		c.Duplicates++
 		return
 	}
 	if _, ok := c.open[a.ID]; !ok {
@@ -122,56 +122,56 @@
 	case "":
 		c.Served++
 	case rpc.Backoff:
-		c.Refused++
+		c.Rejected++
 	default:
 		c.Failed++
 	}
 }
 
 // sweep counts what was not answered in time.
-func (c *clients) sweep() {
+func (c *clientLoad) countOverdue() {
 	for id, at := range c.open {
-		if time.Since(at) > clientWaits+500*time.Millisecond {
-			c.lose(id)
+		if time.Since(at) > clientDeadline+500*time.Millisecond {
+			c.countLost(id)
 		}
 	}
 }
 
-func (c *clients) sweepAll() {
+func (c *clientLoad) countAllLost() {
 	for id := range c.open {
-		c.lose(id)
+		c.countLost(id)
 	}
 }
 
-func (c *clients) lose(id uint32) {
+func (c *clientLoad) countLost(id uint32) {
 	delete(c.open, id)
-	if c.excused {
-		c.Excused++
+	if c.gatewayDown {
+		c.LostWithGateway++
 	} else {
-		c.Lost++
+		c.Unanswered++
 	}
 }
 
 // rest has them ask nothing for a while; what is open is to be answered.
-func (c *clients) rest(yes bool) {
+func (c *clientLoad) setPaused(yes bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.resting = yes
+	c.paused = yes
 }
 
-func (c *clients) rests() bool {
+func (c *clientLoad) isPaused() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.resting
+	return c.paused
 }
 
 // excuse says whether what is lost from now on is the plot's doing.
-func (c *clients) excuse(yes bool) {
+func (c *clientLoad) setGatewayDown(yes bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sweep()
+	c.countOverdue()
 	if !yes {
-		c.sweepAll() // what was open while it was away
+		c.countAllLost() // what was open while it was away
 	}
-	c.excused = yes
+	c.gatewayDown = yes
 }
--- a/lab/faultinjection/faultinjection.go
+++ b/lab/faultinjection/faultinjection.go
@@ -14,44 +14,44 @@
 )
 
 const (
-	lease     = time.Second
-	atOnce    = 3
-	ramp      = 1500 * time.Millisecond
-	watchFor  = 60 * time.Millisecond
-	endWithin = 40 * time.Second // after the last event
-	listLate  = 1200             // milliseconds by which lists of gateways disagree, at most
+	lease             = time.Second
+	maxOut            = 3
+	slowStart         = 1500 * time.Millisecond
+	pollInterval      = 60 * time.Millisecond
+	completionTimeout = 40 * time.Second // after the last event
+	maxListDelayMs    = 1200             // milliseconds by which lists of gateways disagree, at most
 )
 
-var key = []byte("an installation's key of 32 bytes")
+var clusterKey = []byte("an installation's key of 32 bytes")
 
 // play is a running plot.
-type play struct {
-	plot     *Plot
-	dir      string
-	program  string
-	began    time.Time
-	faults   *faults
-	machines map[string]*machine
-	names    []string
-	gateways []*process
-	relays   map[string]*relay
-	rng      *rand.Rand
+type plotRun struct {
+	plot         *Plot
+	dir          string
+	program      string
+	startedAt    time.Time
+	violations   *violationLog
+	machines     map[string]*machine
+	machineNames []string
+	gateways     []*gatewayProcess
+	relays       map[string]*relay
+	rng          *rand.Rand
 
-	takes atomic.Int64 // nanoseconds that a store takes over an answer
+	responseDelay atomic.Int64 // nanoseconds that a store takes over an answer
 
-	mu     sync.Mutex
-	asked  map[string]time.Time
-	acked  map[string]string // by machine: who took the request, and when
-	seen   map[string]maintenance.Stage
-	took   map[string]time.Duration
-	ledger ledger
-	texts  map[uint64]string // by revision, the state as somebody told it
-	state  *maintenance.State
-	rev    uint64
-	wg     sync.WaitGroup
+	mu            sync.Mutex
+	requestedAt   map[string]time.Time
+	acceptedBy    map[string]string // by machine: who took the request, and when
+	stages        map[string]maintenance.Stage
+	grantLatency  map[string]time.Duration
+	notices       noticeLog
+	encodedStates map[uint64]string // by revision, the state as somebody told it
+	state         *maintenance.State
+	revision      uint64
+	wg            sync.WaitGroup
 }
 
-func (p *play) draw(n int) int {
+func (p *plotRun) randomInt(n int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rng.IntN(n)
@@ -64,24 +64,24 @@
 		return nil, err
 	}
 	defer p.close()
-	end := p.began.Add(plot.For)
+	end := p.startedAt.Add(plot.For)
 	for i, g := range p.gateways {
 		p.wg.Go(func() { g.clients.run(end, i+1) })
 	}
 	watched := make(chan time.Duration, 1)
-	go func() { watched <- p.watch(ctx, end) }()
+	go func() { watched <- p.watchRequests(ctx, end) }()
 	for _, e := range plot.Events {
-		if err := wait(ctx, p.began.Add(e.At)); err != nil {
+		if err := waitUntil(ctx, p.startedAt.Add(e.At)); err != nil {
 			return nil, err
 		}
-		if err := p.do(ctx, e); err != nil {
-			return nil, fmt.Errorf("procs: at %v %s: %w", e.At, e.What, err)
+		if err := p.inject(ctx, e); err != nil {
+			return nil, fmt.Errorf("procs: at %v %s: %w", e.At, e.Kind, err)
 		}
 	}
 	var missing string
-	if p.ledger.shared {
-		if p.ledger.equal, missing = p.alike(ctx); missing != "" {
-			p.faults.add("%v after the last fault gateways do not know the same: %s", p.ledger.equal.Round(time.Millisecond), missing)
+	if p.notices.replicated {
+		if p.notices.convergedAfter, missing = p.waitConverged(ctx); missing != "" {
+			p.violations.add("%v after the last fault gateways do not know the same: %s", p.notices.convergedAfter.Round(time.Millisecond), missing)
 		}
 	}
 	ended := <-watched
@@ -93,24 +93,24 @@
 }
 
 // start starts the processes of a plot.
-func start(ctx context.Context, program string, plot *Plot) (*play, error) {
+func start(ctx context.Context, program string, plot *Plot) (*plotRun, error) {
 	dir, err := os.MkdirTemp("", "larchusher-procs")
 	if err != nil {
 		return nil, fmt.Errorf("procs: %w", err)
 	}
-	p := &play{plot: plot, dir: dir, program: program, faults: &faults{}, machines: map[string]*machine{}, relays: map[string]*relay{},
-		rng: rand.New(rand.NewPCG(plot.Seed, 99)), asked: map[string]time.Time{}, acked: map[string]string{}, seen: map[string]maintenance.Stage{}, took: map[string]time.Duration{}, texts: map[uint64]string{}}
-	p.takes.Store(int64(2 * time.Millisecond))
-	p.ledger.shared = slices.ContainsFunc(plot.Events, func(e Event) bool { return e.What == "share" })
-	if err := p.build(ctx); err != nil {
+	p := &plotRun{plot: plot, dir: dir, program: program, violations: &violationLog{}, machines: map[string]*machine{}, relays: map[string]*relay{},
+		rng: rand.New(rand.NewPCG(plot.Seed, 99)), requestedAt: map[string]time.Time{}, acceptedBy: map[string]string{}, stages: map[string]maintenance.Stage{}, grantLatency: map[string]time.Duration{}, encodedStates: map[uint64]string{}}
+	p.responseDelay.Store(int64(2 * time.Millisecond))
+	p.notices.replicated = slices.ContainsFunc(plot.Events, func(e Event) bool { return e.Kind == "share" })
+	if err := p.startAll(ctx); err != nil {
 		p.close()
 		return nil, err
 	}
-	p.began = time.Now()
+	p.startedAt = time.Now()
 	return p, nil
 }
 
-func wait(ctx context.Context, at time.Time) error {
+func waitUntil(ctx context.Context, at time.Time) error {
 	t := time.NewTimer(time.Until(at))
 	defer t.Stop()
 	select {
@@ -121,14 +121,14 @@
 	}
 }
 
-func (p *play) close() {
+func (p *plotRun) close() {
 	p.wg.Wait()
 	for _, g := range p.gateways {
-		if g.news != nil {
-			close(g.news)
+		if g.updates != nil {
+			close(g.updates)
 		}
-		if g.world != nil {
-			g.world.Stop()
+		if g.testbed != nil {
+			g.testbed.Stop()
 		}
 	}
 	for _, r := range p.relays {
--- a/lab/faultinjection/mutants.go
+++ b/lab/faultinjection/mutants.go
@@ -22,14 +22,14 @@
 }
 
 // cutBefore has one gateway cut off from the others before two machines are asked out.
-const cutBefore = `plot seed 401 gateways 3 boxes 4 for 12s
+const cutBeforeRequests = `plot seed 401 gateways 3 boxes 4 for 12s
 at 1.5s cut g2>g0 g2>g1 g0>g2 g1>g2
 at 1.7s ask b0-0 g0
 at 1.8s ask b1-0 g1
 at 8s heal`
 
 // crowded asks for more than may be out at once.
-const crowded = `plot seed 402 gateways 3 boxes 12 for 12s
+const tooManyRequests = `plot seed 402 gateways 3 boxes 12 for 12s
 at 1s ask b0-0 g0
 at 1s ask b0-1 g1
 at 1s ask b0-2 g2
@@ -41,7 +41,7 @@
 at 9s heal`
 
 // parting cuts the voters into one and two, and back, while both sides are asked.
-const parting = `plot seed 403 gateways 3 boxes 8 for 12s
+const splitVoters = `plot seed 403 gateways 3 boxes 8 for 12s
 at 1.5s cut g0>g1 g0>g2 g1>g0 g2>g0
 at 1.6s ask b0-0 g0
 at 1.7s ask b1-0 g1
@@ -53,19 +53,19 @@
 // Mutants are the rules whose loss the plots must find. That one upper cache has to stay is not among them: the share of a zone
 // and the load of the upper caches hold it by themselves.
 var Mutants = []Mutant{
-	{Name: "a drain begins though a gateway has not heard of the grant", File: "maintenance/advance.go", Old: "if g.NotifiedEpoch < grantEpoch {", New: "if false && g.NotifiedEpoch < grantEpoch {", Text: cutBefore},
-	{Name: "a machine is called out though a gateway has not stopped", File: "maintenance/advance.go", Old: "} else if !elapsed.LeasesExpired && !s.allStopped(r.DrainEpoch) {", New: "} else if false {", Text: slowStores},
-	{Name: "what is held is sent to all the same", File: "maintenance/state.go", Old: "excluded[r.Machine] = true\n\t\t}\n\t}\n\treturn excluded", New: "_ = excluded\n\t\t}\n\t}\n\treturn excluded", Text: crowded},
-	{Name: "any number is out at once", File: "maintenance/budget.go", Old: "if out >= l.MaxOut {", New: "if false {", Text: crowded},
-	{Name: "any share of a zone is out", File: "maintenance/budget.go", Old: "if g.unavailable > 0 && g.unavailable+1 >", New: "if false && g.unavailable+1 >", Text: crowded},
-	{Name: "half of the voters are a majority", File: "consensus/proposer.go", Old: "return n > len(v.cfg.Voters)/2", New: "return n >= len(v.cfg.Voters)/2", Text: parting},
-	{Name: "a lease never runs out", File: "cluster/lease.go", Old: "n.leaseUntil = max(n.leaseUntil, sentAt+n.cfg.Limits.Lease)", New: "n.leaseUntil = max(n.leaseUntil, sentAt+time.Hour)", Text: unheard},
-	{Name: "a gateway is idle while work is out at what it holds", File: "gateway/drain.go", Old: "if !a.ended && (stores", New: "if false && (stores", Text: slowStores},
-	{Name: "a start forgets what was granted", File: "internal/clusternode/storage.go", Old: "view, err := readFile(dir, viewFile, n.cfg.Key)", New: "view, err := []byte(\"{}\"), error(nil)", Text: forgetful},
+	{Name: "a drain begins though a gateway has not heard of the grant", File: "maintenance/advance.go", Old: "if g.NotifiedEpoch < grantEpoch {", New: "if false && g.NotifiedEpoch < grantEpoch {", Text: cutBeforeRequests},
+	{Name: "a machine is called out though a gateway has not stopped", File: "maintenance/advance.go", Old: "} else if !elapsed.LeasesExpired && !s.allStopped(r.DrainEpoch) {", New: "} else if false {", Text: slowStoresPlot},
+	{Name: "what is held is sent to all the same", File: "maintenance/state.go", Old: "excluded[r.Machine] = true\n\t\t}\n\t}\n\treturn excluded", New: "_ = excluded\n\t\t}\n\t}\n\treturn excluded", Text: tooManyRequests},
+	{Name: "any number is out at once", File: "maintenance/budget.go", Old: "if out >= l.MaxOut {", New: "if false {", Text: tooManyRequests},
+	{Name: "any share of a zone is out", File: "maintenance/budget.go", Old: "if g.unavailable > 0 && g.unavailable+1 >", New: "if false && g.unavailable+1 >", Text: tooManyRequests},
+	{Name: "half of the voters are a majority", File: "consensus/proposer.go", Old: "return n > len(v.cfg.Voters)/2", New: "return n >= len(v.cfg.Voters)/2", Text: splitVoters},
+	{Name: "a lease never runs out", File: "cluster/lease.go", Old: "n.leaseUntil = max(n.leaseUntil, sentAt+n.cfg.Limits.Lease)", New: "n.leaseUntil = max(n.leaseUntil, sentAt+time.Hour)", Text: cutAfterGrant},
+	{Name: "a gateway is idle while work is out at what it holds", File: "gateway/drain.go", Old: "if !a.ended && (stores", New: "if false && (stores", Text: slowStoresPlot},
+	{Name: "a start forgets what was granted", File: "internal/clusternode/storage.go", Old: "view, err := readFile(dir, viewFile, n.cfg.Key)", New: "view, err := []byte(\"{}\"), error(nil)", Text: restartAfterGrant},
 }
 
 // slowStores has machines go out right after their answers have begun to take long.
-const slowStores = `plot seed 404 gateways 3 boxes 4 for 12s
+const slowStoresPlot = `plot seed 404 gateways 3 boxes 4 for 12s
 at 1450ms slowly 1200ms
 at 1.5s ask b0-0 g0
 at 1.5s ask b1-0 g1
@@ -77,7 +77,7 @@
 at 9s heal`
 
 // forgetful kills a gateway that has heard of a grant, cuts it off, and starts it again.
-const forgetful = `plot seed 405 gateways 3 boxes 4 for 14s
+const restartAfterGrant = `plot seed 405 gateways 3 boxes 4 for 14s
 at 1.5s ask b0-0 g0
 at 1.5s ask b1-0 g1
 at 2.1s cut g2>g0 g2>g1 g0>g2 g1>g2
@@ -92,7 +92,7 @@
 at 9.5s heal`
 
 // unheard cuts a gateway off that has heard of grants, before it hears of the drains.
-const unheard = `plot seed 406 gateways 3 boxes 6 for 12s
+const cutAfterGrant = `plot seed 406 gateways 3 boxes 6 for 12s
 at 1.5s ask b0-0 g0
 at 1.7s ask b1-0 g1
 at 1.9s ask b0-1 g0
@@ -143,7 +143,7 @@
 		}
 		all = append(all, p)
 	case m.Plot != "":
-		named, err := Named()
+		named, err := NamedPlots()
 		if err != nil {
 			return nil, err
 		}
@@ -153,7 +153,7 @@
 		all = append(all, named[m.Plot])
 	}
 	for i := range drawn {
-		all = append(all, Draw(uint64(1+i)))
+		all = append(all, Generate(uint64(1+i)))
 	}
 	return all, nil
 }
--- a/lab/faultinjection/plot_test.go
+++ b/lab/faultinjection/plot_test.go
@@ -8,7 +8,7 @@
 // A plot's text says all of it.
 func TestPlotsAreReadAsTheyAreWritten(t *testing.T) {
 	for seed := range uint64(300) {
-		p := Draw(seed)
+		p := Generate(seed)
 		again, err := Parse(p.String())
 		if err != nil {
 			t.Fatalf("seed %d: %v\n%s", seed, err, p)
@@ -16,7 +16,7 @@
 		if again.String() != p.String() {
 			t.Fatalf("seed %d:\n%s\n%s", seed, p, again)
 		}
-		if p.String() != Draw(seed).String() {
+		if p.String() != Generate(seed).String() {
 			t.Fatalf("seed %d gives two plots", seed)
 		}
 	}
--- a/lab/faultinjection/processes.go
+++ b/lab/faultinjection/processes.go
@@ -18,78 +18,78 @@
 	"larchusher/lab/testbed"
 )
 
-type process struct {
-	name    string
-	zone    string
-	host    string
-	link    string
-	folder  string
-	clock   string
-	world   *testbed.Gateway
-	clients *clients
-	news    chan piece
-	mu      sync.Mutex
-	pos     int  // of the latest thing that its journal service told
-	up      bool // it runs, and is not stopped
+type gatewayProcess struct {
+	name            string
+	zone            string
+	host            string
+	clusterAddr     string
+	folder          string
+	clockFile       string
+	testbed         *testbed.Gateway
+	clients         *clientLoad
+	updates         chan listUpdate
+	mu              sync.Mutex
+	journalPosition int  // of the latest thing that its journal service told
+	up              bool // it runs, and is not stopped
 }
 
-func (g *process) is() bool {
+func (g *gatewayProcess) isUp() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.up
 }
 
-func (g *process) set(up bool) {
+func (g *gatewayProcess) setUp(up bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.up = up
 }
 
 // settings are those of a small installation with two zones at one hub.
-func settings(zone string, n, me int) json.RawMessage {
+func gatewaySettings(zone string, n, me int) json.RawMessage {
 	counts := []int{0, (n + 1) / 2, n / 2}
 	s := strings.NewReplacer(`"balancers":2,"position":0`, fmt.Sprintf(`"balancers":%d,"position":%d`, n, me),
 		`"dcs":["north","edge-1"],"zone":"edge-1"`, fmt.Sprintf(`"dcs":["north","edge-0","edge-1"],"zone":%q`, zone),
 		`"countByZone":[0,2],"homeHub":[0,0]`, fmt.Sprintf(`"countByZone":[%d,%d,%d],"homeHub":[0,0,0]`, counts[0], counts[1], counts[2]),
 		`"hardLimitMs":5000`, `"hardLimitMs":1500`, `"hardLimitMs":2500`, `"hardLimitMs":1500`, `"hardLimitMs":3000`, `"hardLimitMs":1500`,
-		`"weightSource":"off"`, `"weightSource":"nominal"`, `"rampTimeMs":17000`, fmt.Sprintf(`"rampTimeMs":%d`, ramp.Milliseconds()),
-		`"parentColdMs":22000`, fmt.Sprintf(`"parentColdMs":%d`, ramp.Milliseconds()), `"stopSendingWithinMs":2000`, `"stopSendingWithinMs":500`,
+		`"weightSource":"off"`, `"weightSource":"nominal"`, `"rampTimeMs":17000`, fmt.Sprintf(`"rampTimeMs":%d`, slowStart.Milliseconds()),
+		`"parentColdMs":22000`, fmt.Sprintf(`"parentColdMs":%d`, slowStart.Milliseconds()), `"stopSendingWithinMs":2000`, `"stopSendingWithinMs":500`,
 		`"fields":["busy_reqs","x1","x0"]`, `"fields":["cpu_share","x1","x0"]`, `"peerMessages":true`, `"peerMessages":false`).Replace(testbed.Settings)
 	return json.RawMessage(s)
 }
 
 // piece is what a journal service is to tell of the list at a time.
-type piece struct {
-	at   time.Time
-	host string
+type listUpdate struct {
+	at       time.Time
+	endpoint string
 }
 
 // journal tells a gateway's journal service what there is of the list, in order.
-func (g *process) journal() {
-	for n := range g.news {
+func (g *gatewayProcess) publishUpdates() {
+	for n := range g.updates {
 		time.Sleep(time.Until(n.at))
-		g.tell(func(pos int) string {
-			return fmt.Sprintf(`"hosts":{"index":%d,"snapshot":false,"endpoints":[%s]}`, pos, n.host)
+		g.publish(func(pos int) string {
+			return fmt.Sprintf(`"hosts":{"index":%d,"snapshot":false,"endpoints":[%s]}`, pos, n.endpoint)
 		})
 	}
 }
 
 // tell has the journal service tell something now.
-func (g *process) tell(text func(pos int) string) {
+func (g *gatewayProcess) publish(text func(pos int) string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pos = max(2, g.pos+1)
-	g.world.Journal.Tell(g.pos, text(g.pos))
+	g.journalPosition = max(2, g.journalPosition+1)
+	g.testbed.Journal.Tell(g.journalPosition, text(g.journalPosition))
 }
 
 // build makes the machines, the processes and the relays between them, and starts the processes.
-func (p *play) build(ctx context.Context) error {
+func (p *plotRun) startAll(ctx context.Context) error {
 	if err := p.buildMachines(); err != nil {
 		return err
 	}
 	var hosts []string
-	for _, name := range p.names {
-		hosts = append(hosts, p.machines[name].host("SERVING"))
+	for _, name := range p.machineNames {
+		hosts = append(hosts, p.machines[name].endpointJSON("SERVING"))
 	}
 	known := json.RawMessage(`{"pos":1,"entries":[{"pos":1,"hosts":{"index":1,"snapshot":true,"endpoints":[` + strings.Join(hosts, ",") + `]}}]}`)
 	for i := range p.plot.Gateways {
@@ -98,8 +98,8 @@
 		if err != nil {
 			return err
 		}
-		name := gateway(i)
-		p.gateways = append(p.gateways, &process{name: name, host: host, zone: "edge-" + strconv.Itoa(i%2), link: link, folder: filepath.Join(p.dir, name), clock: filepath.Join(p.dir, name+".clock")})
+		name := gatewayName(i)
+		p.gateways = append(p.gateways, &gatewayProcess{name: name, host: host, zone: "edge-" + strconv.Itoa(i%2), clusterAddr: link, folder: filepath.Join(p.dir, name), clockFile: filepath.Join(p.dir, name+".clock")})
 	}
 	if err := p.buildRelays(); err != nil {
 		return err
@@ -107,22 +107,22 @@
 	var all sync.WaitGroup
 	errs := make([]error, len(p.gateways))
 	for i, g := range p.gateways {
-		all.Go(func() { errs[i] = p.launch(ctx, i, g, known) })
+		all.Go(func() { errs[i] = p.startGateway(ctx, i, g, known) })
 	}
 	all.Wait()
 	return errors.Join(errs...)
 }
 
 // address is one of the plot's own on loopback: at 127.0.0.1 the system gives the port of a store that is down to a connection that goes out.
-func (p *play) address(last int) string {
+func (p *plotRun) address(last int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%100, p.plot.Seed%250, last)
 }
 
 // buildMachines starts the boxes of two zones, two parents and the origin.
-func (p *play) buildMachines() error {
+func (p *plotRun) buildMachines() error {
 	for z := range 2 {
-		for i := range p.plot.Boxes {
-			if err := p.addMachine(box(z, i), "box", "edge-"+strconv.Itoa(z)); err != nil {
+		for i := range p.plot.CachesPerZone {
+			if err := p.addMachine(cacheName(z, i), "box", "edge-"+strconv.Itoa(z)); err != nil {
 				return err
 			}
 		}
@@ -135,27 +135,27 @@
 	return nil
 }
 
-func (p *play) addMachine(name, kind, zone string) error {
+func (p *plotRun) addMachine(name, kind, zone string) error {
 	s, err := fakeserver.NewStore(name, kind, p.address(200)+":0")
 	if err != nil {
 		return err
 	}
 	s.Forget = true
-	m := &machine{name: name, kind: kind, zone: zone, addr: s.Addr, store: s, faults: p.faults}
-	s.On(func(a *fakeserver.Request) { p.answer(m, a) })
+	m := &machine{name: name, kind: kind, zone: zone, addr: s.Addr, store: s, faults: p.violations}
+	s.On(func(a *fakeserver.Request) { p.serve(m, a) })
 	p.machines[name] = m
-	p.names = append(p.names, name)
+	p.machineNames = append(p.machineNames, name)
 	return nil
 }
 
 // buildRelays puts a relay between any two gateways, one for each way.
-func (p *play) buildRelays() error {
+func (p *plotRun) buildRelays() error {
 	for _, a := range p.gateways {
 		for _, b := range p.gateways {
 			if a == b {
 				continue
 			}
-			r, err := newRelay(b.link, p.plot.Seed)
+			r, err := newRelay(b.clusterAddr, p.plot.Seed)
 			if err != nil {
 				return err
 			}
@@ -166,46 +166,46 @@
 }
 
 // operator is the operator's file of a gateway.
-func (p *play) operator(g *process) string {
+func (p *plotRun) operatorFile(g *gatewayProcess) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "fleet {\n  name: %q listen: %q key_env: \"FLEET_KEY\" folder: %q\n", g.name, g.link, g.folder)
+	fmt.Fprintf(&b, "fleet {\n  name: %q listen: %q key_env: \"FLEET_KEY\" folder: %q\n", g.name, g.clusterAddr, g.folder)
 	for _, m := range p.gateways {
-		addr := m.link
+		addr := m.clusterAddr
 		if m != g {
 			addr = p.relays[g.name+">"+m.name].addr
 		}
 		fmt.Fprintf(&b, "  member { name: %q address: %q }\n", m.name, addr)
 	}
-	if p.ledger.shared && !p.former(g) {
+	if p.notices.replicated && !p.runsFormer(g) {
 		b.WriteString("  replicate {}\n")
 	}
-	fmt.Fprintf(&b, "  work { lease: %q at_once: %d }\n}\n", lease, atOnce)
+	fmt.Fprintf(&b, "  work { lease: %q at_once: %d }\n}\n", lease, maxOut)
 	return b.String()
 }
 
 // former says that a gateway is of the former version.
-func (p *play) former(g *process) bool {
-	return p.plot.Former != "" && slices.Index(p.gateways, g)%2 == 1
+func (p *plotRun) runsFormer(g *gatewayProcess) bool {
+	return p.plot.FormerProgram != "" && slices.Index(p.gateways, g)%2 == 1
 }
 
-func (p *play) launch(ctx context.Context, i int, g *process, known json.RawMessage) (err error) {
+func (p *plotRun) startGateway(ctx context.Context, i int, g *gatewayProcess, known json.RawMessage) (err error) {
 	path := filepath.Join(p.dir, g.name+".textproto")
-	if err := os.WriteFile(path, []byte(p.operator(g)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(p.operatorFile(g)), 0o600); err != nil {
 		return err
 	}
 	program := p.program
-	if p.former(g) {
-		program = p.plot.Former
+	if p.runsFormer(g) {
+		program = p.plot.FormerProgram
 	}
-	g.world, err = testbed.StartIn(ctx, testbed.Config{Program: program, Pin: -1, Seed: fmt.Sprintf("%016x", p.plot.Seed<<8+uint64(i)+1), Replay: true, Host: g.host,
+	g.testbed, err = testbed.StartIn(ctx, testbed.Config{Program: program, Pin: -1, Seed: fmt.Sprintf("%016x", p.plot.Seed<<8+uint64(i)+1), Replay: true, Host: g.host,
 		Args: []string{"serve", "--operator", path},
-		Env:  []string{"FLEET_KEY=" + hex.EncodeToString(key), "LARCHUSHER_LAB_CLOCK=" + g.clock, "GOMAXPROCS=2"}}, settings(g.zone, len(p.gateways), i), known)
+		Env:  []string{"FLEET_KEY=" + hex.EncodeToString(clusterKey), "LARCHUSHER_LAB_CLOCK=" + g.clockFile, "GOMAXPROCS=2"}}, gatewaySettings(g.zone, len(p.gateways), i), known)
 	if err != nil {
 		return err
 	}
 	g.up = true
-	g.news = make(chan piece, 256)
-	go g.journal()
-	g.clients = &clients{addr: g.world.Addr, every: 12 * time.Millisecond, class: "images"}
+	g.updates = make(chan listUpdate, 256)
+	go g.publishUpdates()
+	g.clients = &clientLoad{addr: g.testbed.Addr, interval: 12 * time.Millisecond, class: "images"}
 	return nil
 }
--- a/lab/faultinjection/shared.go
+++ b/lab/faultinjection/shared.go
@@ -18,38 +18,38 @@
 // the others' journals late. The stores record what each gateway would have taken.
 
 const (
-	purgeGrace  = time.Second             // of the settings
-	purgeSettle = 5500 * time.Millisecond // after that older copies are gone, less some slack
-	drainGrace  = 500 * time.Millisecond  // of the settings here
-	looseness   = 150 * time.Millisecond  // of clocks and scheduling
-	byOthers    = 300 * time.Millisecond  // on its way through the fleet
-	equalWithin = 3 * time.Second         // after the last fault
-	bulkWithin  = 10 * time.Second        // of nine tenths of the bulk
-	objects     = 40                      // of each gateway's clients
-	groups      = 7
+	purgeGrace        = time.Second             // of the settings
+	purgeWindow       = 5500 * time.Millisecond // after that older copies are gone, less some slack
+	drainGrace        = 500 * time.Millisecond  // of the settings here
+	tolerance         = 150 * time.Millisecond  // of clocks and scheduling
+	gossipDelay       = 300 * time.Millisecond  // on its way through the fleet
+	safetyTimeout     = 3 * time.Second         // after the last fault
+	bulkTimeout       = 10 * time.Second        // of nine tenths of the bulk
+	objectsPerGateway = 40                      // of each gateway's clients
+	groupCount        = 7
 )
 
 // notice is something that gateways are told at different times.
 type notice struct {
-	what  string // group or store
-	made  time.Time
-	first time.Time            // when anybody was told
-	told  map[string]time.Time // by gateway; missing: not yet
+	subject         string // group or store
+	made            time.Time
+	firstNotifiedAt time.Time            // when anybody was told
+	notifiedAt      map[string]time.Time // by gateway; missing: not yet
 }
 
 // ledger is what is to be heeded, with what was seen.
-type ledger struct {
-	shared  bool
-	purges  []*notice
-	drains  []*notice
-	stale   int // asks that would have taken a copy older than a purge which some gateway had been told of for over a second
-	drained int // asks to a store of whose drain some gateway had been told for longer than the grace
-	equal   time.Duration
+type noticeLog struct {
+	replicated      bool
+	purges          []*notice
+	drains          []*notice
+	staleRequests   int // asks that would have taken a copy older than a purge which some gateway had been told of for over a second
+	drainedRequests int // asks to a store of whose drain some gateway had been told for longer than the grace
+	convergedAfter  time.Duration
 }
 
 // tellLate has the journal of one gateway tell something at once, and those of the others so much later.
-func (p *play) tellLate(n *notice, first string, late time.Duration, text func(pos int) string) {
-	n.first = time.Now()
+func (p *plotRun) notifyStaggered(n *notice, first string, late time.Duration, text func(pos int) string) {
+	n.firstNotifiedAt = time.Now()
 	for _, g := range p.gateways {
 		wait := late
 		if g.name == first {
@@ -57,52 +57,52 @@
 		}
 		p.wg.Go(func() {
 			time.Sleep(wait)
-			g.tell(text)
+			g.publish(text)
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			n.told[g.name] = time.Now()
+			n.notifiedAt[g.name] = time.Now()
 		})
 	}
 }
 
 // purge purges a group.
-func (p *play) purge(args []string) error {
+func (p *plotRun) purge(args []string) error {
 	group, err := strconv.Atoi(args[0])
 	late, err2 := time.ParseDuration(args[2])
 	if err != nil || err2 != nil {
 		return fmt.Errorf("purge %v: a group and a duration are wanted", args)
 	}
-	n := &notice{what: args[0], made: time.Now(), told: map[string]time.Time{}}
+	n := &notice{subject: args[0], made: time.Now(), notifiedAt: map[string]time.Time{}}
 	p.mu.Lock()
-	p.ledger.purges = append(p.ledger.purges, n)
+	p.notices.purges = append(p.notices.purges, n)
 	p.mu.Unlock()
 	stamp := n.made.UnixMilli()
-	p.tellLate(n, args[1], late, func(int) string { return fmt.Sprintf(`"expire":{"set":%d,"stamp":%d}`, group, stamp) })
+	p.notifyStaggered(n, args[1], late, func(int) string { return fmt.Sprintf(`"expire":{"set":%d,"stamp":%d}`, group, stamp) })
 	return nil
 }
 
 // drain has a store drain, by the list.
-func (p *play) drain(args []string) error {
+func (p *plotRun) drain(args []string) error {
 	m := p.machines[args[0]]
 	late, err := time.ParseDuration(args[2])
 	if err != nil || m == nil {
 		return fmt.Errorf("drain %v: a store and a duration are wanted", args)
 	}
-	n := &notice{what: m.name, made: time.Now(), told: map[string]time.Time{}}
+	n := &notice{subject: m.name, made: time.Now(), notifiedAt: map[string]time.Time{}}
 	p.mu.Lock()
-	p.ledger.drains = append(p.ledger.drains, n)
+	p.notices.drains = append(p.notices.drains, n)
 	p.mu.Unlock()
 	m.mu.Lock()
-	host := m.host("DRAINING")
+	host := m.endpointJSON("DRAINING")
 	m.mu.Unlock()
-	p.tellLate(n, args[1], late, func(pos int) string {
+	p.notifyStaggered(n, args[1], late, func(pos int) string {
 		return fmt.Sprintf(`"hosts":{"index":%d,"snapshot":false,"endpoints":[%s]}`, pos, host)
 	})
 	return nil
 }
 
 // heed holds an ask against what its gateway, and any other, had been told. The objects say whose clients asked.
-func (p *play) heed(m *machine, a *fakeserver.Request) {
+func (p *plotRun) checkRequest(m *machine, a *fakeserver.Request) {
 	if m.kind == "origin" {
 		return
 	}
@@ -110,7 +110,7 @@
 	if err != nil {
 		return
 	}
-	by, group := int(number>>16)-1, strconv.Itoa(int(number&0xffff)%groups)
+	by, group := int(number>>16)-1, strconv.Itoa(int(number&0xffff)%groupCount)
 	if by < 0 || by >= len(p.gateways) {
 		return
 	}
@@ -118,14 +118,14 @@
 	accept, _ := strconv.Atoi(a.Fields["accept"])
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, n := range p.ledger.purges {
-		if n.what == group && n.forbids(now, accept) {
-			p.heedPurge(n, g, m, now, accept)
+	for _, n := range p.notices.purges {
+		if n.subject == group && n.forbids(now, accept) {
+			p.checkPurge(n, g, m, now, accept)
 		}
 	}
-	for _, n := range p.ledger.drains {
-		if n.what == m.name {
-			p.heedDrain(n, g, m, now)
+	for _, n := range p.notices.drains {
+		if n.subject == m.name {
+			p.checkDrain(n, g, m, now)
 		}
 	}
 }
@@ -133,64 +133,64 @@
 // forbids says that a purge that has not settled forbids the copies that an ask would take: any, or with accept those that are no
 // older than so many milliseconds.
 func (n *notice) forbids(now time.Time, accept int) bool {
-	if now.Sub(n.made) > purgeSettle {
+	if now.Sub(n.made) > purgeWindow {
 		return false
 	}
 	if accept == 0 {
 		return true
 	}
 	oldest := now.Add(-time.Duration(accept) * time.Millisecond)
-	return oldest.Add(looseness).Before(n.made)
+	return oldest.Add(tolerance).Before(n.made)
 }
 
 // heedPurge holds an ask that a purge forbids against when its gateway, and any other, was told of it.
-func (p *play) heedPurge(n *notice, g *process, m *machine, now time.Time, accept int) {
-	if told, ok := n.told[g.name]; ok && now.Sub(told) > purgeGrace+looseness {
-		p.faults.add("%v: %s was told %v ago of the purge of %s, and would take an older copy from %s (accept %d)", now.Sub(p.began).Round(time.Millisecond), g.name,
-			now.Sub(told).Round(time.Millisecond), n.what, m.name, accept)
+func (p *plotRun) checkPurge(n *notice, g *gatewayProcess, m *machine, now time.Time, accept int) {
+	if told, ok := n.notifiedAt[g.name]; ok && now.Sub(told) > purgeGrace+tolerance {
+		p.violations.add("%v: %s was told %v ago of the purge of %s, and would take an older copy from %s (accept %d)", now.Sub(p.startedAt).Round(time.Millisecond), g.name,
+			now.Sub(told).Round(time.Millisecond), n.subject, m.name, accept)
 	}
-	if now.Sub(n.first) > purgeGrace+byOthers+looseness {
-		p.ledger.stale++
-		if p.ledger.shared && p.plot.calm() {
-			p.faults.add("%v: others were told %v ago of the purge of %s, and %s would take an older copy", now.Sub(p.began).Round(time.Millisecond), now.Sub(n.first).Round(time.Millisecond), n.what, g.name)
+	if now.Sub(n.firstNotifiedAt) > purgeGrace+gossipDelay+tolerance {
+		p.notices.staleRequests++
+		if p.notices.replicated && p.plot.keepsGatewaysConnected() {
+			p.violations.add("%v: others were told %v ago of the purge of %s, and %s would take an older copy", now.Sub(p.startedAt).Round(time.Millisecond), now.Sub(n.firstNotifiedAt).Round(time.Millisecond), n.subject, g.name)
 		}
 	}
 }
 
 // heedDrain holds an ask of a machine that drains against when its gateway, and any other, was told of that.
-func (p *play) heedDrain(n *notice, g *process, m *machine, now time.Time) {
-	if told, ok := n.told[g.name]; ok && now.Sub(told) > drainGrace+looseness {
-		p.faults.add("%v: %s was told %v ago that %s drains, and sends to it", now.Sub(p.began).Round(time.Millisecond), g.name, now.Sub(told).Round(time.Millisecond), m.name)
+func (p *plotRun) checkDrain(n *notice, g *gatewayProcess, m *machine, now time.Time) {
+	if told, ok := n.notifiedAt[g.name]; ok && now.Sub(told) > drainGrace+tolerance {
+		p.violations.add("%v: %s was told %v ago that %s drains, and sends to it", now.Sub(p.startedAt).Round(time.Millisecond), g.name, now.Sub(told).Round(time.Millisecond), m.name)
 	}
-	if now.Sub(n.first) > drainGrace+byOthers+looseness {
-		p.ledger.drained++
-		if p.ledger.shared && p.plot.calm() {
-			p.faults.add("%v: others were told %v ago that %s drains, and %s sends to it", now.Sub(p.began).Round(time.Millisecond), now.Sub(n.first).Round(time.Millisecond), m.name, g.name)
+	if now.Sub(n.firstNotifiedAt) > drainGrace+gossipDelay+tolerance {
+		p.notices.drainedRequests++
+		if p.notices.replicated && p.plot.keepsGatewaysConnected() {
+			p.violations.add("%v: others were told %v ago that %s drains, and %s sends to it", now.Sub(p.startedAt).Round(time.Millisecond), now.Sub(n.firstNotifiedAt).Round(time.Millisecond), m.name, g.name)
 		}
 	}
 }
 
 // calm says that nothing keeps gateways from hearing each other in a plot.
-func (p *Plot) calm() bool {
+func (p *Plot) keepsGatewaysConnected() bool {
 	return !slices.ContainsFunc(p.Events, func(e Event) bool {
-		return slices.Contains([]string{"kill", "stop", "cut", "bad", "slow", "roll"}, e.What)
+		return slices.Contains([]string{"kill", "stop", "cut", "bad", "slow", "roll"}, e.Kind)
 	})
 }
 
 // forgotten says that what a gateway was told is told to its next life anew.
-func (p *play) forgotten(g *process, again time.Time) {
+func (p *plotRun) resetNotified(g *gatewayProcess, renotifiedAt time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, n := range append(slices.Clone(p.ledger.purges), p.ledger.drains...) {
-		if _, ok := n.told[g.name]; ok {
-			n.told[g.name] = again
+	for _, n := range append(slices.Clone(p.notices.purges), p.notices.drains...) {
+		if _, ok := n.notifiedAt[g.name]; ok {
+			n.notifiedAt[g.name] = renotifiedAt
 		}
 	}
 }
 
 // rows asks a gateway for what it knows in common with others.
-func (p *play) rows(ctx context.Context, g *process) (rows []replication.Row, err error) {
-	m, err := p.order(ctx, g, cluster.Message{Query: "shared"})
+func (p *plotRun) queryReplicated(ctx context.Context, g *gatewayProcess) (rows []replication.Row, err error) {
+	m, err := p.sendRequest(ctx, g, cluster.Message{Query: "shared"})
 	if err != nil {
 		return nil, err
 	}
@@ -201,27 +201,27 @@
 }
 
 // alike waits until all gateways hold the same, by what is neither just said nor about to run out, and says how long that took.
-func (p *play) alike(ctx context.Context) (took time.Duration, missing string) {
+func (p *plotRun) waitConverged(ctx context.Context) (took time.Duration, missing string) {
 	from := time.Now()
 	for {
-		safety, bulk := p.lacking(ctx)
+		safety, bulk := p.findMissing(ctx)
 		took = time.Since(from)
 		switch {
 		case safety == "" && bulk == "" || ctx.Err() != nil:
 			return took, ""
-		case safety != "" && took > equalWithin:
+		case safety != "" && took > safetyTimeout:
 			return took, safety
-		case bulk != "" && took > bulkWithin:
+		case bulk != "" && took > bulkTimeout:
 			return took, bulk
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-func (p *play) lacking(ctx context.Context) (safety, bulk string) {
+func (p *plotRun) findMissing(ctx context.Context) (safety, bulk string) {
 	all := map[string]map[string]replication.Row{}
 	for _, g := range p.gateways {
-		rows, err := p.rows(ctx, g)
+		rows, err := p.queryReplicated(ctx, g)
 		if err != nil {
 			return fmt.Sprintf("%s tells nothing: %v", g.name, err), ""
 		}
@@ -234,12 +234,12 @@
 	names := slices.Sorted(maps.Keys(all))
 	for _, a := range names {
 		for _, b := range names {
-			safety, lacksBulk := lackingOf(a, b, all[a], all[b])
+			safety, missingBulk := missingSlots(a, b, all[a], all[b])
 			if safety != "" {
 				return safety, ""
 			}
-			if lacksBulk != "" {
-				bulk = lacksBulk
+			if missingBulk != "" {
+				bulk = missingBulk
 			}
 		}
 	}
@@ -248,22 +248,22 @@
 
 // lackingOf says what gateway b lacks of what a has: a slot of safety, or more than a tenth of the bulk. What was just seen, or is
 // about to run out, does not count.
-func lackingOf(a, b string, ofA, ofB map[string]replication.Row) (safety, bulk string) {
+func missingSlots(a, b string, slotsA, slotsB map[string]replication.Row) (safety, bulk string) {
 	missing := 0
-	for name, r := range ofA {
+	for name, r := range slotsA {
 		low, high := int64(1000), int64(20_000)
 		if r.Kind == "purge" {
 			high = 3500
 		}
-		got, ok := ofB[name]
+		got, ok := slotsB[name]
 		isBulk := r.Kind == "listing" || r.Kind == "health"
 		switch {
 		case r.AgeMs < low || r.AgeMs > high || ok && (got.Seq >= r.Seq || isBulk):
 		case !isBulk:
 			return fmt.Sprintf("%s lacks %s, number %d, which %s has for %d ms", b, name, r.Seq, a, r.AgeMs), ""
 		default:
-			if missing++; missing > len(ofA)/10 {
-				bulk = fmt.Sprintf("%s lacks a tenth of the %d slots of %s, %s among them", b, len(ofA), a, name)
+			if missing++; missing > len(slotsA)/10 {
+				bulk = fmt.Sprintf("%s lacks a tenth of the %d slots of %s, %s among them", b, len(slotsA), a, name)
 			}
 		}
 	}
@@ -271,14 +271,14 @@
 }
 
 // DrawShared draws a plot in which purges and drains are told late, with kills, stops, cuts and bad links.
-func DrawShared(seed uint64) *Plot {
-	p := Draw(seed)
+func GenerateReplication(seed uint64) *Plot {
+	p := Generate(seed)
 	p.Gateways = max(5, p.Gateways)
 	rng := newRand(seed, 22)
 	var keep []Event
 	drained := map[string]bool{}
 	for _, e := range p.Events {
-		switch e.What {
+		switch e.Kind {
 		case "ask", "crash", "revive": // no work on machines meanwhile: what stores record is to be of one cause
 		default:
 			keep = append(keep, e)
@@ -287,14 +287,14 @@
 	keep = append(keep, Event{0, "share", nil})
 	for range 6 + rng.IntN(6) {
 		late := time.Duration(2000+rng.IntN(2500)) * time.Millisecond
-		keep = append(keep, Event{time.Duration(900+rng.IntN(9000)) * time.Millisecond, "purge", []string{strconv.Itoa(rng.IntN(groups)), gateway(rng.IntN(p.Gateways)), late.String()}})
+		keep = append(keep, Event{time.Duration(900+rng.IntN(9000)) * time.Millisecond, "purge", []string{strconv.Itoa(rng.IntN(groupCount)), gatewayName(rng.IntN(p.Gateways)), late.String()}})
 	}
 	for range 2 {
-		b := box(rng.IntN(2), rng.IntN(p.Boxes))
+		b := cacheName(rng.IntN(2), rng.IntN(p.CachesPerZone))
 		if !drained[b] {
 			drained[b] = true
 			late := time.Duration(2000+rng.IntN(2500)) * time.Millisecond
-			keep = append(keep, Event{time.Duration(1500+rng.IntN(6000)) * time.Millisecond, "drain", []string{b, gateway(rng.IntN(p.Gateways)), late.String()}})
+			keep = append(keep, Event{time.Duration(1500+rng.IntN(6000)) * time.Millisecond, "drain", []string{b, gatewayName(rng.IntN(p.Gateways)), late.String()}})
 		}
 	}
 	slices.SortStableFunc(keep, func(a, b Event) int { return int(a.At - b.At) })
--- a/lab/faultinjection/timetable.go
+++ b/lab/faultinjection/timetable.go
@@ -15,130 +15,130 @@
 // the same load and the same mishaps.
 
 const (
-	planZones   = 3
-	planBoxes   = 12 // in each zone
-	planParents = 4
-	planLoad    = 0.6 // of what a zone's boxes can do
-	planMisses  = 0.25
-	planSaid    = 30 * time.Second // that a machine is said to be out
-	planRamp    = 20 * time.Second // until one that came back is warm
-	planCold    = 0.15             // of its capacity, at which it begins
-	planStep    = 250 * time.Millisecond
-	planMost    = time.Hour
-	planRoom    = 1.9 // of the upper caches over what boxes ask of them at planLoad
+	planZones          = 3
+	planCachesPerZone  = 12 // in each zone
+	planParents        = 4
+	planLoad           = 0.6 // of what a zone's boxes can do
+	planMissShare      = 0.25
+	planAnnouncedWork  = 30 * time.Second // that a machine is said to be out
+	planSlowStart      = 20 * time.Second // until one that came back is warm
+	planStartShare     = 0.15             // of its capacity, at which it begins
+	planStep           = 250 * time.Millisecond
+	planTimeout        = time.Hour
+	planParentHeadroom = 1.9 // of the upper caches over what boxes ask of them at planLoad
 )
 
 // Planned is what a way of settling came to.
-type Planned struct {
-	Served float64       // share of the requests that were served in aim, while the plan ran
-	Worst  float64       // in its worst ten seconds
-	Ended  time.Duration // all machines were done, and warm
-	Over   int           // seconds in which a zone had no room for its load
+type PlanResult struct {
+	Served            float64       // share of the requests that were served in aim, while the plan ran
+	WorstWindow       float64       // in its worst ten seconds
+	EndedAfter        time.Duration // all machines were done, and warm
+	OverloadedSeconds int           // seconds in which a zone had no room for its load
 }
 
 // planned is one machine.
-type planned struct {
+type plannedMachine struct {
 	name, kind, zone string
-	takes            time.Duration // the work, as it really is
+	workDuration     time.Duration // the work, as it really is
 	down             bool          // for work, or crashed
-	since            time.Duration // of its latest start; negative: long ago
-	boot             int64
+	startedAt        time.Duration // of its latest start; negative: long ago
+	bootMs           int64
 	done             bool
-	ends             time.Duration // of its work
+	workEndsAt       time.Duration // of its work
 }
 
 // plant is the machines with their load.
-type plant struct {
-	rng      *rand.Rand
-	machines []*planned
-	by       map[string]*planned
-	burst    time.Duration // the load is half as much again for a minute from then on
-	crash    map[*planned]time.Duration
-	hub      float64 // share in use of what the upper caches that are there can do
+type site struct {
+	rng               *rand.Rand
+	machines          []*plannedMachine
+	byName            map[string]*plannedMachine
+	burstAt           time.Duration // the load is half as much again for a minute from then on
+	crashAt           map[*plannedMachine]time.Duration
+	parentUtilization float64 // share in use of what the upper caches that are there can do
 }
 
-func newPlant(seed uint64) *plant {
-	p := &plant{rng: rand.New(rand.NewPCG(seed, 40)), by: map[string]*planned{}, crash: map[*planned]time.Duration{}}
+func newSite(seed uint64) *site {
+	p := &site{rng: rand.New(rand.NewPCG(seed, 40)), byName: map[string]*plannedMachine{}, crashAt: map[*plannedMachine]time.Duration{}}
 	add := func(name, kind, zone string) {
-		m := &planned{name: name, kind: kind, zone: zone, since: -time.Hour, takes: time.Duration((0.5 + p.rng.Float64()) * float64(planSaid))}
+		m := &plannedMachine{name: name, kind: kind, zone: zone, startedAt: -time.Hour, workDuration: time.Duration((0.5 + p.rng.Float64()) * float64(planAnnouncedWork))}
 		if p.rng.IntN(10) == 0 {
-			m.takes *= 3 // it does not come back in time
+			m.workDuration *= 3 // it does not come back in time
 		}
 		p.machines = append(p.machines, m)
-		p.by[name] = m
+		p.byName[name] = m
 	}
 	for z := range planZones {
-		for i := range planBoxes {
+		for i := range planCachesPerZone {
 			add(fmt.Sprintf("box-%d-%02d", z, i), maintenance.KindCache, fmt.Sprintf("z%d", z))
 		}
 	}
 	for i := range planParents {
 		add(fmt.Sprintf("upper-%d", i), maintenance.KindParent, "hub")
 	}
-	p.burst = time.Duration(60+p.rng.IntN(600)) * time.Second
+	p.burstAt = time.Duration(60+p.rng.IntN(600)) * time.Second
 	for z := range planZones { // a box crashes in each zone, some time, for a minute
-		p.crash[p.machines[z*planBoxes+p.rng.IntN(planBoxes)]] = time.Duration(30+p.rng.IntN(500)) * time.Second
+		p.crashAt[p.machines[z*planCachesPerZone+p.rng.IntN(planCachesPerZone)]] = time.Duration(30+p.rng.IntN(500)) * time.Second
 	}
 	return p
 }
 
-func (p *plant) load(now time.Duration) float64 {
+func (p *site) load(now time.Duration) float64 {
 	x := planLoad * (1 + 0.1*math.Sin(float64(now)/float64(10*time.Minute)*2*math.Pi))
-	if now >= p.burst && now < p.burst+time.Minute {
+	if now >= p.burstAt && now < p.burstAt+time.Minute {
 		x *= 1.3
 	}
 	return x
 }
 
 // warm is the share of its capacity that a machine has.
-func (m *planned) warm(now time.Duration) float64 {
+func (m *plannedMachine) warmShare(now time.Duration) float64 {
 	if m.down {
 		return 0
 	}
-	return min(1, planCold+(1-planCold)*float64(now-m.since)/float64(planRamp))
+	return min(1, planStartShare+(1-planStartShare)*float64(now-m.startedAt)/float64(planSlowStart))
 }
 
 // service is what is served in a step, of what is asked for, and in how many zones there was no room. Boxes that are not warm miss more.
-func (p *plant) service(now time.Duration) (asked, served float64, over int) {
-	load := p.load(now) * planBoxes
-	hub, misses := 0.0, 0.0
-	for _, m := range p.machines[planZones*planBoxes:] {
-		hub += m.warm(now)
+func (p *site) service(now time.Duration) (asked, served float64, over int) {
+	load := p.load(now) * planCachesPerZone
+	parentCapacity, misses := 0.0, 0.0
+	for _, m := range p.machines[planZones*planCachesPerZone:] {
+		parentCapacity += m.warmShare(now)
 	}
-	var had [planZones]float64
+	var admitted [planZones]float64
 	for z := range planZones {
 		capacity, warm := 0.0, 0.0
-		for _, m := range p.machines[z*planBoxes : (z+1)*planBoxes] {
-			c := m.warm(now)
+		for _, m := range p.machines[z*planCachesPerZone : (z+1)*planCachesPerZone] {
+			c := m.warmShare(now)
 			capacity += c
 			warm += c * c
 		}
 		got := min(load, capacity)
 		if capacity > 0 {
-			misses += got * (1 - (1-planMisses)*warm/capacity)
+			misses += got * (1 - (1-planMissShare)*warm/capacity)
 		}
 		if got < load {
 			over++
 		}
-		had[z] = got
+		admitted[z] = got
 		asked += load
 	}
-	room := hub / planParents * planRoom * planLoad * planBoxes * planZones * planMisses
-	p.hub = min(1, misses/max(0.01, room))
-	lost := max(0, misses-room)
+	parentRoom := parentCapacity / planParents * planParentHeadroom * planLoad * planCachesPerZone * planZones * planMissShare
+	p.parentUtilization = min(1, misses/max(0.01, parentRoom))
+	lost := max(0, misses-parentRoom)
 	for z := range planZones {
-		served += had[z]
+		served += admitted[z]
 	}
 	return asked, served - lost, over
 }
 
 // events has machines crash, and come back from crashes and from work.
-func (p *plant) events(now time.Duration) {
-	for m, at := range p.crash {
+func (p *site) advance(now time.Duration) {
+	for m, at := range p.crashAt {
 		switch {
 		case now >= at+time.Minute:
-			delete(p.crash, m)
-			if m.ends == 0 {
+			delete(p.crashAt, m)
+			if m.workEndsAt == 0 {
 				m.start(now)
 			}
 		case now >= at:
@@ -146,102 +146,102 @@
 		}
 	}
 	for _, m := range p.machines {
-		if m.ends > 0 && now >= m.ends {
-			m.ends, m.done = 0, true
-			if _, crashed := p.crash[m]; !crashed {
+		if m.workEndsAt > 0 && now >= m.workEndsAt {
+			m.workEndsAt, m.done = 0, true
+			if _, crashed := p.crashAt[m]; !crashed {
 				m.start(now)
 			}
 		}
 	}
 }
 
-func (m *planned) start(now time.Duration) {
-	m.down, m.since, m.boot = false, now, int64(now/time.Millisecond)
+func (m *plannedMachine) start(now time.Duration) {
+	m.down, m.startedAt, m.bootMs = false, now, int64(now/time.Millisecond)
 }
 
-func (m *planned) begin(now time.Duration) {
-	if !m.done && m.ends == 0 {
-		m.down, m.ends = true, now+m.takes
+func (m *plannedMachine) begin(now time.Duration) {
+	if !m.done && m.workEndsAt == 0 {
+		m.down, m.workEndsAt = true, now+m.workDuration
 	}
 }
 
 // tally sums service up.
-type tally struct {
-	asked, served float64
-	over          int
-	windows       [][2]float64
-	into          time.Duration
+type serviceTotals struct {
+	asked, served   float64
+	overloadedSteps int
+	windows         [][2]float64
+	windowElapsed   time.Duration
 }
 
-func (t *tally) step(p *plant, now time.Duration) {
+func (t *serviceTotals) add(p *site, now time.Duration) {
 	a, s, over := p.service(now)
 	t.asked, t.served = t.asked+a, t.served+s
 	if over > 0 {
-		t.over++
+		t.overloadedSteps++
 	}
-	if len(t.windows) == 0 || t.into >= 10*time.Second {
-		t.windows, t.into = append(t.windows, [2]float64{}), 0
+	if len(t.windows) == 0 || t.windowElapsed >= 10*time.Second {
+		t.windows, t.windowElapsed = append(t.windows, [2]float64{}), 0
 	}
 	w := &t.windows[len(t.windows)-1]
 	w[0], w[1] = w[0]+a, w[1]+s
-	t.into += planStep
+	t.windowElapsed += planStep
 }
 
-func (t *tally) planned(ended time.Duration) Planned {
-	out := Planned{Served: t.served / t.asked, Worst: 1, Ended: ended, Over: t.over * int(planStep/time.Millisecond) / 1000}
+func (t *serviceTotals) result(ended time.Duration) PlanResult {
+	out := PlanResult{Served: t.served / t.asked, WorstWindow: 1, EndedAfter: ended, OverloadedSeconds: t.overloadedSteps * int(planStep/time.Millisecond) / 1000}
 	for _, w := range t.windows {
-		out.Worst = min(out.Worst, w[1]/w[0])
+		out.WorstWindow = min(out.WorstWindow, w[1]/w[0])
 	}
 	return out
 }
 
-func (p *plant) finished(now time.Duration) bool {
-	return !slices.ContainsFunc(p.machines, func(m *planned) bool {
-		_, crashed := p.crash[m]
-		return !m.done || m.warm(now) < 1 && !crashed
+func (p *site) finished(now time.Duration) bool {
+	return !slices.ContainsFunc(p.machines, func(m *plannedMachine) bool {
+		_, crashed := p.crashAt[m]
+		return !m.done || m.warmShare(now) < 1 && !crashed
 	})
 }
 
 // Timetable takes a machine of each zone, and an upper cache, out in every slot, whatever happens.
-func Timetable(seed uint64, slot time.Duration) Planned {
-	p, t := newPlant(seed), tally{}
+func RunTimetable(seed uint64, slot time.Duration) PlanResult {
+	p, t := newSite(seed), serviceTotals{}
 	for now := time.Duration(0); ; now += planStep {
-		p.events(now)
-		if n := int(now / slot); n < planBoxes {
+		p.advance(now)
+		if n := int(now / slot); n < planCachesPerZone {
 			for z := range planZones {
-				p.machines[z*planBoxes+n].begin(now)
+				p.machines[z*planCachesPerZone+n].begin(now)
 			}
 			if n%3 == 0 {
-				p.machines[planZones*planBoxes+n/3].begin(now)
+				p.machines[planZones*planCachesPerZone+n/3].begin(now)
 			}
 		}
-		t.step(p, now)
-		if p.finished(now) || now > planMost {
-			return t.planned(now)
+		t.add(p, now)
+		if p.finished(now) || now > planTimeout {
+			return t.result(now)
 		}
 	}
 }
 
 // report is what gateways see of the machines at a time.
-func (p *plant) report(at time.Duration) cluster.Report {
+func (p *site) report(at time.Duration) cluster.Report {
 	r := cluster.Report{Machines: map[string]maintenance.Machine{}}
 	for _, m := range p.machines {
-		busy := 0.0
+		utilization := 0.0
 		if !m.down {
-			busy = p.hub // of boxes see below
+			utilization = p.parentUtilization // of boxes see below
 		}
-		r.Machines[m.name] = maintenance.Machine{Kind: m.kind, Zone: m.zone, Up: !m.down, Warm: m.warm(at) >= 1, BootMs: m.boot, Weight: 1, Utilization: busy}
+		r.Machines[m.name] = maintenance.Machine{Kind: m.kind, Zone: m.zone, Up: !m.down, Warm: m.warmShare(at) >= 1, BootMs: m.bootMs, Weight: 1, Utilization: utilization}
 	}
 	// What the boxes of a zone can't take stands at those that are there.
 	for z := range planZones {
 		capacity := 0.0
-		all := p.machines[z*planBoxes : (z+1)*planBoxes]
+		all := p.machines[z*planCachesPerZone : (z+1)*planCachesPerZone]
 		for _, m := range all {
-			capacity += m.warm(at)
+			capacity += m.warmShare(at)
 		}
 		for _, m := range all {
 			if x := r.Machines[m.name]; x.Up {
-				x.Utilization = min(1, p.load(at)*planBoxes/max(0.01, capacity))
+				x.Utilization = min(1, p.load(at)*planCachesPerZone/max(0.01, capacity))
 				r.Machines[m.name] = x
 			}
 		}
@@ -250,24 +250,24 @@
 }
 
 // work begins work on the machines that are called out.
-func (p *plant) work(s *maintenance.State, now time.Duration) {
+func (p *site) beginCalledOut(s *maintenance.State, now time.Duration) {
 	for _, r := range s.Requests {
-		if m := p.by[r.Machine]; m != nil && r.Stage == maintenance.OutOfService {
+		if m := p.byName[r.Machine]; m != nil && r.Stage == maintenance.OutOfService {
 			m.begin(now)
 		}
 	}
 }
 
 // Settled has five gateways settle it, within bounds as in the operators' file.
-func Settled(seed uint64, bounds maintenance.Limits) (Planned, error) {
-	p, t := newPlant(seed), tally{}
-	bounds.SlowStart, bounds.DrainGrace = planRamp, 3*time.Second
-	if err := bounds.Check(); err != nil {
-		return Planned{}, err
+func RunCoordinated(seed uint64, limits maintenance.Limits) (PlanResult, error) {
+	p, t := newSite(seed), serviceTotals{}
+	limits.SlowStart, limits.DrainGrace = planSlowStart, 3*time.Second
+	if err := limits.Check(); err != nil {
+		return PlanResult{}, err
 	}
-	var f *simulated
+	var f *simulatedCluster
 	began := time.Duration(0) // on the fleet's clock; 0: not yet
-	f, err := simulate(5, seed, bounds, func(string) cluster.Report {
+	f, err := newSimulatedCluster(5, seed, limits, func(string) cluster.Report {
 		at := time.Duration(0)
 		if began > 0 {
 			at = f.clock.Now - began
@@ -275,26 +275,26 @@
 		return p.report(at)
 	})
 	if err != nil {
-		return Planned{}, err
+		return PlanResult{}, err
 	}
-	if f.ready() == 0 {
-		return Planned{}, fmt.Errorf("procs: the fleet is not ready after a minute")
+	if f.waitReady() == 0 {
+		return PlanResult{}, fmt.Errorf("procs: the fleet is not ready after a minute")
 	}
 	began = f.clock.Now
 	for i, m := range p.machines {
-		if err := f.order(f.names[i%len(f.names)], maintenance.Command{Request: &maintenance.RequestSpec{Key: m.name, Machine: m.name, DurationMs: planSaid.Milliseconds()}}); err != nil {
-			return Planned{}, err
+		if err := f.sendCommand(f.names[i%len(f.names)], maintenance.Command{Request: &maintenance.RequestSpec{Key: m.name, Machine: m.name, DurationMs: planAnnouncedWork.Milliseconds()}}); err != nil {
+			return PlanResult{}, err
 		}
 	}
 	for at := began; ; at += planStep {
 		f.clock.Run(at)
-		p.events(at - began)
+		p.advance(at - began)
 		if s := f.nodes[f.names[0]].View(); s != nil {
-			p.work(s, at-began)
+			p.beginCalledOut(s, at-began)
 		}
-		t.step(p, at-began)
-		if p.finished(at-began) || at-began > planMost {
-			return t.planned(at - began), nil
+		t.add(p, at-began)
+		if p.finished(at-began) || at-began > planTimeout {
+			return t.result(at - began), nil
 		}
 	}
 }
--- a/test/shared_test.go
+++ b/test/shared_test.go
@@ -14,11 +14,11 @@
 // tell purges and drains seconds late: what a gateway was told it heeds, and after the last fault all know the same. Where nothing is
 // cut off, what one was told all heed. The stores' own records judge. The whole run is in docs/measurements/replication.md.
 func TestWhatGatewaysKnowIsKeptInCommon(t *testing.T) {
-	named, err := faultinjection.Named()
+	named, err := faultinjection.NamedPlots()
 	if err != nil {
 		t.Fatal(err)
 	}
-	plots := []*faultinjection.Plot{named["purge-late"], faultinjection.DrawShared(2001), faultinjection.DrawShared(2006)}
+	plots := []*faultinjection.Plot{named["purge-late"], faultinjection.GenerateReplication(2001), faultinjection.GenerateReplication(2006)}
 	var all sync.WaitGroup
 	for _, plot := range plots {
 		all.Go(func() {
@@ -29,11 +29,11 @@
 				t.Errorf("seed %d: %v\n%s", plot.Seed, err, plot)
 				return
 			}
-			if len(v.Faults) > 0 {
-				t.Errorf("seed %d: %s\n%s", plot.Seed, strings.Join(v.Faults, "\n"), plot)
+			if len(v.Violations) > 0 {
+				t.Errorf("seed %d: %s\n%s", plot.Seed, strings.Join(v.Violations, "\n"), plot)
 			}
-			if v.Told < 4 || v.Client.Served < v.Client.Asked/2 {
-				t.Errorf("seed %d: %d purges were told, %d of %d requests served", plot.Seed, v.Told, v.Client.Served, v.Client.Asked)
+			if v.Purges < 4 || v.Clients.Served < v.Clients.Sent/2 {
+				t.Errorf("seed %d: %d purges were told, %d of %d requests served", plot.Seed, v.Purges, v.Clients.Served, v.Clients.Sent)
 			}
 		})
 	}
--- a/test/work_test.go
+++ b/test/work_test.go
@@ -18,17 +18,17 @@
 		all.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), 100*time.Second)
 			defer cancel()
-			plot := faultinjection.Draw(seed)
+			plot := faultinjection.Generate(seed)
 			v, err := faultinjection.Run(ctx, program, plot)
 			if err != nil {
 				t.Errorf("seed %d: %v\n%s", seed, err, plot)
 				return
 			}
-			if len(v.Faults) > 0 {
-				t.Errorf("seed %d: %s\n%s", seed, strings.Join(v.Faults, "\n"), plot)
+			if len(v.Violations) > 0 {
+				t.Errorf("seed %d: %s\n%s", seed, strings.Join(v.Violations, "\n"), plot)
 			}
-			if v.Done < 2 {
-				t.Errorf("seed %d: %d of %d works were done", seed, v.Done, v.Asked)
+			if v.Completed < 2 {
+				t.Errorf("seed %d: %d of %d works were done", seed, v.Completed, v.Requested)
 			}
 		})
 	}
