--- a/lab/faultinjection/clients.go
+++ b/lab/faultinjection/clients.go
@@ -10,30 +10,34 @@
 	"larchusher/lab/loopback"
 )
 
-// clients ask one gateway, at a steady pace, over one connection at a time.
+// clientLoad sends requests to one gateway at a fixed interval, over one connection at a time, and counts how
+// they end. mu guards every field below it; run and readAnswers use them from two goroutines, and the plot's
+// events from others.
 type clientLoad struct {
 	addr     string
 	interval time.Duration
 	class    string
 
 	mu              sync.Mutex
-	paused          bool // they ask nothing
-	gatewayDown     bool // the gateway was killed or stopped: what it leaves open is no fault
-	Sent            int
+	paused          bool // no new requests are sent; answers are still read
+	gatewayDown     bool // the plot killed or stopped the gateway: requests left unanswered count as LostWithGateway
+	Sent            int  // requests, including those whose write failed
 	Served          int
-	Rejected        int
-	Failed          int
-	Duplicates      int
-	Unanswered      int // the connection ended, or nothing came in time, though the gateway ran
-	LostWithGateway int
-	open            map[uint32]time.Time
-	answered        map[uint32]bool
+	Rejected        int                  // answered with a backoff error
+	Failed          int                  // answered with any other error
+	Duplicates      int                  // answers to a request that had been answered already
+	Unanswered      int                  // no answer before the connection ended or the time was over, while the gateway was running
+	LostWithGateway int                  // the same while the plot had killed or stopped the gateway
+	open            map[uint32]time.Time // by request ID of the current connection, when it was sent
+	answered        map[uint32]bool      // by request ID of the current connection
 	conn            net.Conn
 }
 
+// clientDeadline is the time limit that each request carries.
 const clientDeadline = 1500 * time.Millisecond
 
-// run asks until the time is over, on a new connection where one ends.
+// run sends requests until a point in time, and connects again whenever the connection ends. The number first, one
+// more than the gateway's position in the plot, keeps transaction and object names of different gateways' clients apart.
 func (c *clientLoad) run(until time.Time, first int) {
 	n := 0
 	for time.Now().Before(until) {
@@ -48,7 +52,7 @@
 		ended := make(chan struct{})
 		go c.readAnswers(conn, ended)
 		n = c.sendRequests(conn, ended, until, first, n)
-		if !time.Now().Before(until) { // the last answers
+		if !time.Now().Before(until) { // wait for the last answers
 			closedWithin(ended, clientDeadline+300*time.Millisecond)
 		}
 		loopback.Close(conn)
@@ -59,7 +63,7 @@
 	}
 }
 
-// read takes answers until the connection ends.
+// readAnswers reads and records answers until the connection ends, and then closes ended.
 func (c *clientLoad) readAnswers(conn net.Conn, ended chan<- struct{}) {
 	defer close(ended)
 	r := rpc.NewReader(conn)
@@ -72,7 +76,8 @@
 	}
 }
 
-// ask sends requests on a connection until it ends or the time is over, n having been sent before, and returns how many were sent.
+// sendRequests sends requests on one connection until the connection ends or the time is over. n is how many requests
+// earlier connections carried; the result is the new total.
 func (c *clientLoad) sendRequests(conn net.Conn, ended <-chan struct{}, until time.Time, first, n int) int {
 	e := rpc.NewEncoder(conn)
 	for id := uint32(1); time.Now().Before(until); {
@@ -96,7 +101,7 @@
 	return n
 }
 
-// endedWithin waits for the end of a connection, and says whether it came within a time.
+// closedWithin waits for the channel of an ended connection to close, and reports whether that happened within the given time.
 func closedWithin(ended <-chan struct{}, within time.Duration) bool {
 	select {
 	case <-ended:
@@ -106,6 +111,7 @@
 	}
 }
 
+// recordAnswer counts an answer by its outcome.
 func (c *clientLoad) recordAnswer(a rpc.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,7 +120,7 @@
 		return
 	}
 	if _, ok := c.open[a.ID]; !ok {
-		return // it came after its time, and was counted as lost
+		return // late: already counted as unanswered
 	}
 	delete(c.open, a.ID)
 	c.answered[a.ID] = true
@@ -128,7 +134,7 @@
 	}
 }
 
-// sweep counts what was not answered in time.
+// countOverdue counts the requests that are more than 500 ms past their deadline as lost. The caller holds mu.
 func (c *clientLoad) countOverdue() {
 	for id, at := range c.open {
 		if time.Since(at) > clientDeadline+500*time.Millisecond {
@@ -137,12 +143,14 @@
 	}
 }
 
+// countAllLost counts every request that is still open as lost. The caller holds mu.
 func (c *clientLoad) countAllLost() {
 	for id := range c.open {
 		c.countLost(id)
 	}
 }
 
+// countLost counts one open request as LostWithGateway while the gateway is down, otherwise as Unanswered. The caller holds mu.
 func (c *clientLoad) countLost(id uint32) {
 	delete(c.open, id)
 	if c.gatewayDown {
@@ -152,26 +160,28 @@
 	}
 }
 
-// rest has them ask nothing for a while; what is open is to be answered.
+// setPaused stops or resumes sending. Requests that are open must still be answered.
 func (c *clientLoad) setPaused(yes bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.paused = yes
 }
 
+// isPaused reports whether sending is stopped.
 func (c *clientLoad) isPaused() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.paused
 }
 
-// excuse says whether what is lost from now on is the plot's doing.
+// setGatewayDown records whether the plot has taken the gateway down, which decides how requests lost from now on are
+// counted. When the gateway is back, requests that are still open count as lost with it.
 func (c *clientLoad) setGatewayDown(yes bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.countOverdue()
 	if !yes {
-		c.countAllLost() // what was open while it was away
+		c.countAllLost() // sent before or while the gateway was down
 	}
 	c.gatewayDown = yes
 }
--- a/lab/faultinjection/events.go
+++ b/lab/faultinjection/events.go
@@ -12,7 +12,7 @@
 	"larchusher/lab/loopback"
 )
 
-// do carries out an event.
+// inject carries out one event of the plot. It fails on a malformed argument and on an operation on a process or file that fails.
 func (p *plotRun) inject(ctx context.Context, e Event) error {
 	switch e.Kind {
 	case "ask":
@@ -54,13 +54,13 @@
 	return nil
 }
 
-// find is the gateway of a name, the first one if there is none.
+// gatewayNamed returns the gateway with the given name, or the first gateway if no gateway has it.
 func (p *plotRun) gatewayNamed(name string) *gatewayProcess {
 	i := slices.IndexFunc(p.gateways, func(g *gatewayProcess) bool { return g.name == name })
 	return p.gateways[max(0, i)]
 }
 
-// kill kills a gateway; lose takes its folder as well.
+// kill sends SIGKILL to a gateway. With lose, the folder of its stored state is deleted, too.
 func (p *plotRun) kill(g *gatewayProcess, lose bool) error {
 	g.clients.setGatewayDown(true)
 	g.setUp(false)
@@ -74,14 +74,14 @@
 	return nil
 }
 
-// startAgain starts a gateway that was killed.
+// restart starts a gateway that was killed. It returns at once; another goroutine waits until the gateway serves.
 func (p *plotRun) restart(ctx context.Context, g *gatewayProcess) error {
 	if err := g.testbed.Restart(); err != nil {
 		return err
 	}
 	p.wg.Go(func() {
 		if _, err := g.testbed.WaitForLog(ctx, "msg=serving"); err != nil {
-			p.violations.add("%s does not start again: %v", g.name, err)
+			p.violations.add("gateway %s did not serve after its restart: %v", g.name, err)
 		}
 		p.resetNotified(g, time.Now().Add(500*time.Millisecond))
 		g.clients.setGatewayDown(false)
@@ -90,37 +90,37 @@
 	return nil
 }
 
-// roll ends a gateway by SIGTERM, and starts it again.
+// rollingRestart ends a gateway by SIGTERM and starts it again, in another goroutine. Its clients pause until it has ended.
 func (p *plotRun) rollingRestart(ctx context.Context, g *gatewayProcess) error {
-	g.clients.setPaused(true) // as those do that are told of a drain
+	g.clients.setPaused(true) // as clients do once the gateway has announced its drain
 	g.setUp(false)
 	if err := g.testbed.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
 	p.wg.Go(func() {
 		if err := g.testbed.WaitExit(ctx); err != nil {
-			p.violations.add("%s does not end by SIGTERM: %v", g.name, err)
+			p.violations.add("gateway %s did not exit after SIGTERM: %v", g.name, err)
 			return
 		}
 		g.clients.setPaused(false)
 		if err := g.testbed.Restart(); err != nil {
-			p.violations.add("%s: %v", g.name, err)
+			p.violations.add("gateway %s: restart failed: %v", g.name, err)
 			return
 		}
 		if _, err := g.testbed.WaitForLog(ctx, "msg=serving"); err != nil {
-			p.violations.add("%s does not start again: %v", g.name, err)
+			p.violations.add("gateway %s did not serve after its restart: %v", g.name, err)
 		}
 		g.setUp(true)
 	})
 	return nil
 }
 
-// resume has a gateway that was stopped go on.
+// resume sends SIGCONT to a stopped gateway. Its clients count lost requests as violations again 300 ms later.
 func (p *plotRun) resume(g *gatewayProcess) error {
 	if err := g.testbed.Signal(syscall.SIGCONT); err != nil {
 		return err
 	}
-	p.resetNotified(g, time.Now().Add(time.Second)) // what came meanwhile it hears now
+	p.resetNotified(g, time.Now().Add(time.Second)) // it reads only now what arrived while it was stopped
 	p.wg.Go(func() {
 		time.Sleep(300 * time.Millisecond)
 		g.clients.setGatewayDown(false)
@@ -129,7 +129,8 @@
 	return nil
 }
 
-// spoilLinks cuts some links, heals all, or has all lose, double, delay, break or slow down what they carry.
+// changeLinks carries out the events on links between gateways: cut some; heal all; or make all of them drop,
+// duplicate, delay, truncate or slow down frames. It fails on arguments that are not numbers or durations.
 func (p *plotRun) changeLinks(e Event) error {
 	each := func(change func(r *relay)) {
 		for _, r := range p.relays {
@@ -163,7 +164,9 @@
 	return nil
 }
 
-// forge says to a gateway's link what nobody with the key would.
+// sendForged connects to a gateway's cluster address four times and sends bytes that no holder of the cluster key would:
+// zeros, an HTTP request, a frame length of 4 GiB, and a frame with a wrong MAC. Errors are ignored: the gateway may
+// close the connection at any time.
 func sendForged(addr string) {
 	for _, what := range [][]byte{make([]byte, 100), []byte("GET / HTTP/1.1\r\n\r\n"), {0xff, 0xff, 0xff, 0xff}, append([]byte{0, 0, 0, 40}, make([]byte, 72)...)} {
 		c, err := loopback.DialTimeout(addr, time.Second)
--- a/lab/faultinjection/faultinjection.go
+++ b/lab/faultinjection/faultinjection.go
@@ -18,13 +18,14 @@
 	maxOut            = 3
 	slowStart         = 1500 * time.Millisecond
 	pollInterval      = 60 * time.Millisecond
-	completionTimeout = 40 * time.Second // after the last event
-	maxListDelayMs    = 1200             // milliseconds by which lists of gateways disagree, at most
+	completionTimeout = 40 * time.Second // from the end of the plot until all requests for work must have ended
+	maxListDelayMs    = 1200             // longest delay, in milliseconds, with which a gateway learns of a change of the endpoint list
 )
 
+// clusterKey authenticates the gateways and the test tool to each other.
 var clusterKey = []byte("an installation's key of 32 bytes")
 
-// play is a running plot.
+// plotRun is one run of a plot: the gateways, fake servers and relays, and what was observed so far.
 type plotRun struct {
 	plot         *Plot
 	dir          string
@@ -37,27 +38,29 @@
 	relays       map[string]*relay
 	rng          *rand.Rand
 
-	responseDelay atomic.Int64 // nanoseconds that a store takes over an answer
+	responseDelay atomic.Int64 // nanoseconds that each fake server waits before it answers
 
 	mu            sync.Mutex
 	requestedAt   map[string]time.Time
-	acceptedBy    map[string]string // by machine: who took the request, and when
+	acceptedBy    map[string]string // by machine: which gateway accepted the request, and when; for messages
 	stages        map[string]maintenance.Stage
 	grantLatency  map[string]time.Duration
 	notices       noticeLog
-	encodedStates map[uint64]string // by revision, the state as somebody told it
+	encodedStates map[uint64]string // by revision: the encoded state, as a gateway returned it
 	state         *maintenance.State
 	revision      uint64
 	wg            sync.WaitGroup
 }
 
+// randomInt returns a random number from 0 to n-1. It may be called from any goroutine.
 func (p *plotRun) randomInt(n int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rng.IntN(n)
 }
 
-// Run plays a plot with a program.
+// Run plays a plot with real gateway processes of a program, and returns what was observed; broken rules are in
+// Verdict.Violations. It fails if the processes do not start, an event cannot be carried out, or ctx ends.
 func Run(ctx context.Context, program string, plot *Plot) (*Verdict, error) {
 	p, err := start(ctx, program, plot)
 	if err != nil {
@@ -81,7 +84,7 @@
 	var missing string
 	if p.notices.replicated {
 		if p.notices.convergedAfter, missing = p.waitConverged(ctx); missing != "" {
-			p.violations.add("%v after the last fault gateways do not know the same: %s", p.notices.convergedAfter.Round(time.Millisecond), missing)
+			p.violations.add("%v after the last fault the gateways' replicated slots still differ: %s", p.notices.convergedAfter.Round(time.Millisecond), missing)
 		}
 	}
 	ended := <-watched
@@ -92,7 +95,7 @@
 	return p.verdict(ctx, ended), nil
 }
 
-// start starts the processes of a plot.
+// start starts the fake servers, relays and gateway processes of a plot. The caller closes the run.
 func start(ctx context.Context, program string, plot *Plot) (*plotRun, error) {
 	dir, err := os.MkdirTemp("", "larchusher-procs")
 	if err != nil {
@@ -110,6 +113,7 @@
 	return p, nil
 }
 
+// waitUntil waits until a point in time, and fails if ctx ends before.
 func waitUntil(ctx context.Context, at time.Time) error {
 	t := time.NewTimer(time.Until(at))
 	defer t.Stop()
@@ -121,6 +125,7 @@
 	}
 }
 
+// close waits for the goroutines of the run, stops all processes, relays and fake servers, and deletes the folder.
 func (p *plotRun) close() {
 	p.wg.Wait()
 	for _, g := range p.gateways {
--- a/lab/faultinjection/machines.go
+++ b/lab/faultinjection/machines.go
@@ -9,25 +9,27 @@
 	"larchusher/lab/fakeserver"
 )
 
-// machine is a fake machine with what it recorded.
+// machine is a fake cache, parent or origin together with its state in the plot.
 type machine struct {
 	name, kind, zone string
 	addr             string
 
-	mu           sync.Mutex
+	mu           sync.Mutex // guards the fields below
 	store        *fakeserver.Store
-	outOfService bool // it is being worked on
-	inFlight     int  // answers under way
+	outOfService bool // under maintenance: no gateway may send to it
+	inFlight     int  // requests received and not yet answered
 	coldSince    time.Time
 	faults       *violationLog
 	sinceMs      int64
 }
 
+// endpointJSON returns the machine's entry for the endpoint list, with the given status. The caller holds mu.
 func (m *machine) endpointJSON(status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":1,"status":%q,"weight":10,"since_ms":%d}`, m.name, m.addr, m.zone, m.kind, status, m.sinceMs)
 }
 
-// answer serves what a machine is asked, and records what should not have come.
+// serve answers a request to a fake machine after the response delay, and records a violation if the machine is out of
+// service, or the request names a parent that is.
 func (p *plotRun) serve(m *machine, a *fakeserver.Request) {
 	m.mu.Lock()
 	out, cold := m.outOfService, time.Since(m.coldSince) < slowStart
@@ -36,12 +38,12 @@
 	p.checkRequest(m, a)
 	from := a.Fields["name"]
 	if out {
-		p.violations.add("%v: %s is out for work, and is asked for %s", time.Since(p.startedAt).Round(time.Millisecond), m.name, from)
+		p.violations.add("%v: machine %s is out for maintenance but received a request for object %s", time.Since(p.startedAt).Round(time.Millisecond), m.name, from)
 	}
 	if s := p.machines[a.Fields["parent"]]; s != nil {
 		s.mu.Lock()
 		if s.outOfService {
-			p.violations.add("%v: %s is out for work, and %s is told to fill from it", time.Since(p.startedAt).Round(time.Millisecond), s.name, m.name)
+			p.violations.add("%v: machine %s is out for maintenance but is the fill source in a request to %s", time.Since(p.startedAt).Round(time.Millisecond), s.name, m.name)
 		}
 		s.mu.Unlock()
 	}
@@ -57,7 +59,7 @@
 	})
 }
 
-// tell has all journal services tell of a machine, each in its own time.
+// announce sends a machine's new list entry to every gateway's discovery service, each after its own random delay.
 func (p *plotRun) announce(m *machine, status string) {
 	m.mu.Lock()
 	host := m.endpointJSON(status)
@@ -67,12 +69,13 @@
 	}
 }
 
-// revive has a machine start anew, cold, where it stood.
+// restartMachine starts a machine again at its old address, with a cold cache, and announces it.
 func (p *plotRun) restartMachine(m *machine) error {
 	m.store.Close()
 	s, err := fakeserver.NewStore(m.name, m.kind, m.addr)
 	for tries := 0; err != nil && tries < 50; tries++ {
-		// A process that is being started, of this plot or of another, holds the old listener until it is itself.
+		// A child process being started, for this plot or a concurrent one, holds a copy of the old listener between its
+		// fork and its exec.
 		time.Sleep(20 * time.Millisecond)
 		s, err = fakeserver.NewStore(m.name, m.kind, m.addr)
 	}
@@ -88,20 +91,21 @@
 	return nil
 }
 
-// begin works on a machine that was called out: whoever sends to it from now on is wrong.
+// beginWork starts the work on a machine that the gateways agreed to take out of service. From now on each request to it
+// is a violation. The work takes 300 to 1000 ms; then the machine restarts. The caller holds p.mu.
 func (p *plotRun) beginWork(m *machine) {
 	m.mu.Lock()
 	m.outOfService = true
 	if m.inFlight > 0 && !slices.ContainsFunc(p.plot.Events, func(e Event) bool { return e.Kind == "kill" || e.Kind == "stop" }) {
-		// What a gateway that is gone had sent may still be there.
-		p.violations.add("%s is called out with %d answers under way", m.name, m.inFlight)
+		// Plots with kills or stops are exempt: requests of a gateway that is gone may still be in flight.
+		p.violations.add("machine %s was taken out of service with %d requests in flight", m.name, m.inFlight)
 	}
 	m.mu.Unlock()
-	long := time.Duration(300+p.rng.IntN(700)) * time.Millisecond // the lock is held
+	long := time.Duration(300+p.rng.IntN(700)) * time.Millisecond // p.rng is guarded by p.mu, which the caller holds
 	p.wg.Go(func() {
 		time.Sleep(long)
 		if err := p.restartMachine(m); err != nil {
-			p.violations.add("%s does not come back: %v", m.name, err)
+			p.violations.add("machine %s did not come back from maintenance: %v", m.name, err)
 		}
 	})
 }
--- a/lab/faultinjection/plot.go
+++ b/lab/faultinjection/plot.go
@@ -1,6 +1,7 @@
-// Package faultinjection plays plots of faults over several real gateways: processes of the daemon before fake machines, their link
-// led through a relay for each direction between two of them. Machines are asked out for work meanwhile, and what the machines
-// themselves recorded says whether the gateways kept to their order.
+// Package faultinjection tests several real gateway processes under injected faults. A plot is a timed list of events, such
+// as kills, network partitions and requests for maintenance of machines. The gateways forward to fake servers, and a
+// relay stands in each direction between any two gateways. While a plot runs, the package checks from the requests that the
+// fake servers receive and from the state that the gateways report whether they keep the maintenance rules.
 package faultinjection
 
 import (
@@ -15,51 +16,55 @@
 	"time"
 )
 
-// Plot is what is played. Its text form can be written down and played again.
+// Plot is a timed list of events for a number of gateways and fake servers. Its text form, as String writes and Parse reads it,
+// can be stored and run again.
 type Plot struct {
-	Seed          uint64
+	Seed          uint64 // of the links' random faults, of the gateways and of other random choices
 	Gateways      int
-	CachesPerZone int // in each of two zones
+	CachesPerZone int // in each of the two zones
 	For           time.Duration
 	Events        []Event
 
-	FormerProgram string // a program of a former version, that every second gateway is; not in the text. Empty: all are the same
+	FormerProgram string // path of a former version of the gateway's program, which every second gateway runs; empty: none does. Not part of the text form
 }
 
-// Event is one line of a plot.
+// Event is one line of a plot: something that happens at a time after its start.
 type Event struct {
 	At   time.Duration
-	Kind string   // see kinds
-	Args []string // of which there are as many as the kind wants
+	Kind string   // a key of argCounts
+	Args []string // as many as argCounts demands
 }
 
-// kinds are what can happen, with the number of arguments; -1: any.
+// argCounts lists the kinds of events with the number of their arguments; -1: any number. The comments name the arguments.
 var argCounts = map[string]int{
-	"ask":    2,  // machine, gateway that is asked
-	"kill":   2,  // gateway, "keep" or "lose" its folder: it starts anew with the event "start"
-	"start":  1,  // gateway
-	"roll":   1,  // gateway: SIGTERM; once it has ended it starts anew
+	"ask":    2,  // machine, gateway: request maintenance of the machine, first at this gateway
+	"kill":   2,  // gateway, "keep" or "lose" (its folder of stored state): SIGKILL; "start" starts it again
+	"start":  1,  // gateway that was killed
+	"roll":   1,  // gateway: SIGTERM, and a restart as soon as it has ended
 	"stop":   1,  // gateway: SIGSTOP
 	"cont":   1,  // gateway: SIGCONT
-	"cut":    -1, // pairs a>b: nothing goes that way
-	"heal":   0,  // all cuts and bad links
-	"bad":    4,  // share lost, share doubled, delay up to, "cut" to break off within messages now and then, or "-"
-	"slow":   1,  // bytes a second on every link
-	"slowly": 1,  // how long every store takes over an answer
-	"clock":  2,  // gateway, milliseconds that its wall clock is off
-	"crash":  1,  // box: it dies, and is told to be gone
-	"revive": 1,  // box: it is back, cold
-	"share":  0,  // at 0: what gateways know is kept in common
-	"apart":  0,  // at 0: it is not, and the plot is held against the same rules
-	"purge":  3,  // group, gateway that is told at once, how much later the others' journals tell
-	"drain":  3,  // store, likewise
+	"cut":    -1, // pairs a>b: drop everything that gateway a sends to gateway b
+	"heal":   0,  // ends all cuts and all effects of bad and slow
+	"bad":    4,  // on every link: share of frames dropped, share sent twice, maximum delay, "cut" (some connections end within a frame) or "-"
+	"slow":   1,  // bytes per second on every link
+	"slowly": 1,  // duration that every fake server takes to answer
+	"clock":  2,  // gateway, milliseconds by which its wall clock is off
+	"crash":  1,  // cache: it stops, and the endpoint list removes it
+	"revive": 1,  // cache: it restarts with nothing cached
+	"share":  0,  // at 0: the gateways replicate purges, drains and listings
+	"apart":  0,  // at 0: they do not; the requests are counted for comparison
+	"purge":  3,  // group, gateway that is notified at once, delay until the others are
+	"drain":  3,  // machine, gateway that is notified at once, delay until the others are
 	"forge":  1,  // gateway that is sent forged and malformed bytes
 }
 
+// plotFiles holds the plots that were written by hand.
+//
 //go:embed plots/*.plot
 var plotFiles embed.FS
 
-// Named are the plots that were written for one hard case each, by name.
+// NamedPlots returns the plots written by hand, each for one difficult case, by file name without its extension.
+// It fails if one of them does not parse.
 func NamedPlots() (map[string]*Plot, error) {
 	all := map[string]*Plot{}
 	err := fs.WalkDir(plotFiles, "plots", func(path string, d fs.DirEntry, err error) error {
@@ -80,7 +85,7 @@
 	return all, err
 }
 
-// String is a plot's text form.
+// String returns the plot's text form, without FormerProgram.
 func (p *Plot) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "plot seed %d gateways %d boxes %d for %v\n", p.Seed, p.Gateways, p.CachesPerZone, p.For)
@@ -90,7 +95,7 @@
 	return b.String()
 }
 
-// Parse reads a plot's text form. Errors name the line.
+// Parse reads a plot's text form. Empty lines and lines that begin with # are skipped. Errors name the line, counted from 1.
 func Parse(text string) (*Plot, error) {
 	p := &Plot{}
 	s := bufio.NewScanner(strings.NewReader(text))
@@ -106,15 +111,15 @@
 				p.For, err = time.ParseDuration(f[len(f)-1])
 			}
 			if err == nil && (p.Gateways < 1 || p.Gateways > 9 || p.CachesPerZone < 2 || p.CachesPerZone > 20 || p.For <= 0) {
-				err = fmt.Errorf("out of range: %s", s.Text())
+				err = fmt.Errorf("%s: gateways must be 1 to 9, boxes 2 to 20, and the duration over 0", s.Text())
 			}
 		case f[0] != "at" || len(f) < 3:
-			err = fmt.Errorf("%q is not `at TIME WHAT ...`", s.Text())
+			err = fmt.Errorf("%q does not have the form `at TIME KIND ARGUMENTS...`", s.Text())
 		default:
 			e := Event{Kind: f[2], Args: f[3:]}
 			want, known := argCounts[e.Kind]
 			if e.At, err = time.ParseDuration(f[1]); err == nil && (!known || want >= 0 && len(e.Args) != want) {
-				err = fmt.Errorf("%q with %d arguments", e.Kind, len(e.Args))
+				err = fmt.Errorf("event %q with %d arguments: no such kind of event, or another number of arguments is wanted", e.Kind, len(e.Args))
 			}
 			p.Events = append(p.Events, e)
 		}
@@ -123,18 +128,20 @@
 		}
 	}
 	if p.Gateways == 0 {
-		return nil, fmt.Errorf("plot: empty")
+		return nil, fmt.Errorf("plot: empty text, want a line `plot seed N gateways N boxes N for DURATION`")
 	}
 	return p, nil
 }
 
+// gatewayName and cacheName return the names that plots use, such as g0 for the first gateway and b1-3 for cache 3 of zone 1.
 func gatewayName(i int) string     { return "g" + strconv.Itoa(i) }
 func cacheName(zone, i int) string { return fmt.Sprintf("b%d-%d", zone, i) }
 
+// newRand returns a generator whose numbers depend on the seed and on the stream alone.
 func newRand(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 
-// Draw draws a plot. Whatever it does wrong it puts right before the end, so that every plan can end; and it never takes the
-// votes of a majority away.
+// Generate returns the random plot of a seed. Every fault ends before the plot does, so that all maintenance can
+// complete, and at most one gateway loses its folder, so that a majority of the votes is never lost.
 func Generate(seed uint64) *Plot {
 	rng := newRand(seed, 21)
 	p := &Plot{Seed: seed, Gateways: 3 + rng.IntN(5), CachesPerZone: 4 + rng.IntN(6), For: 14 * time.Second}
@@ -155,7 +162,7 @@
 	for i := range requests {
 		add(at(800, 4000), "ask", machines[i], anyGateway())
 	}
-	if rng.IntN(2) == 0 { // the last two warm upper caches, at one moment at two gateways
+	if rng.IntN(2) == 0 { // both parents at once, each at another gateway, so that only one may be granted
 		t := at(1000, 2500)
 		add(t, "ask", "p0", gatewayName(0))
 		add(t, "ask", "p1", gatewayName(p.Gateways-1))
@@ -169,26 +176,26 @@
 	return p
 }
 
-// drawnFaults draws the faults of a plot.
+// faultGenerator adds random faults to a plot.
 type faultGenerator struct {
 	p          *Plot
 	rng        *rand.Rand
 	at         func(fromMs, toMs int) time.Duration
 	add        func(t time.Duration, what string, args ...string)
-	crashable  []string // that nobody asks work on
+	crashable  []string // machines that none of the first random requests names; the caches among them may crash
 	latestEnd  time.Duration
-	folderLost bool // a gateway has lost its folder: one in a plot may
+	folderLost bool // a gateway has lost its folder; at most one in a plot does
 	faulted    map[string]bool
 }
 
-// until draws when a fault that begins at a time ends.
+// drawEnd returns a random end for a fault that begins at the given time: 300 ms to 5 s later, and within 9 s of the start.
 func (d *faultGenerator) drawEnd(from time.Duration) time.Duration {
 	t := min(from+d.at(300, 5000), 9*time.Second)
 	d.latestEnd = max(d.latestEnd, t)
 	return t
 }
 
-// one draws a fault that begins at a time, of a gateway if it is a gateway's.
+// addFault adds a random fault that begins at the given time. Faults of a gateway affect g.
 func (d *faultGenerator) addFault(t time.Duration, g string) {
 	switch d.rng.IntN(9) {
 	case 0, 1, 2:
@@ -222,7 +229,7 @@
 	}
 }
 
-// kill has a gateway die, and start again; one of a plot may lose its folder.
+// addKill adds a kill and the restart of a gateway, which loses its folder in one of three cases if none has before.
 func (d *faultGenerator) addKill(t time.Duration, g string) {
 	if d.faulted[g] {
 		return
@@ -236,7 +243,7 @@
 	d.add(d.drawEnd(t), "start", g)
 }
 
-// cut draws a partition into two, or one way only.
+// addPartition adds a partition of the gateways into two random sides, in both directions or in one.
 func (d *faultGenerator) addPartition(t time.Duration) {
 	n := d.p.Gateways
 	side := d.rng.Perm(n)[:1+d.rng.IntN(n-1)]
--- a/lab/faultinjection/processes.go
+++ b/lab/faultinjection/processes.go
@@ -18,6 +18,7 @@
 	"larchusher/lab/testbed"
 )
 
+// gatewayProcess is one gateway of the plot, with its clients and its discovery service.
 type gatewayProcess struct {
 	name            string
 	zone            string
@@ -28,24 +29,27 @@
 	testbed         *testbed.Gateway
 	clients         *clientLoad
 	updates         chan listUpdate
-	mu              sync.Mutex
-	journalPosition int  // of the latest thing that its journal service told
-	up              bool // it runs, and is not stopped
+	mu              sync.Mutex // guards journalPosition and up
+	journalPosition int        // position of the latest entry that its journal service sent
+	up              bool       // running, and not stopped by SIGSTOP
 }
 
+// isUp reports whether the gateway is running and not stopped.
 func (g *gatewayProcess) isUp() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.up
 }
 
+// setUp records whether the gateway is running and not stopped.
 func (g *gatewayProcess) setUp(up bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.up = up
 }
 
-// settings are those of a small installation with two zones at one hub.
+// gatewaySettings returns the settings of gateway me of n in a zone, for a small installation with two zones at one
+// hub. Limits and time-outs are shorter than in the testbed's settings.
 func gatewaySettings(zone string, n, me int) json.RawMessage {
 	counts := []int{0, (n + 1) / 2, n / 2}
 	s := strings.NewReplacer(`"balancers":2,"position":0`, fmt.Sprintf(`"balancers":%d,"position":%d`, n, me),
@@ -58,13 +62,14 @@
 	return json.RawMessage(s)
 }
 
-// piece is what a journal service is to tell of the list at a time.
+// listUpdate is an entry of the endpoint list, with the time at which a journal service sends it.
 type listUpdate struct {
 	at       time.Time
 	endpoint string
 }
 
-// journal tells a gateway's journal service what there is of the list, in order.
+// publishUpdates sends the list updates of a gateway in the order they were queued, each at its time or right after the one
+// before. It returns when updates is closed.
 func (g *gatewayProcess) publishUpdates() {
 	for n := range g.updates {
 		time.Sleep(time.Until(n.at))
@@ -74,7 +79,7 @@
 	}
 }
 
-// tell has the journal service tell something now.
+// publish sends an entry, whose text depends on its journal position, to the gateway through its journal service at once.
 func (g *gatewayProcess) publish(text func(pos int) string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -82,7 +87,7 @@
 	g.testbed.Journal.Tell(g.journalPosition, text(g.journalPosition))
 }
 
-// build makes the machines, the processes and the relays between them, and starts the processes.
+// startAll starts the fake servers, the relays and the gateway processes, the latter concurrently.
 func (p *plotRun) startAll(ctx context.Context) error {
 	if err := p.buildMachines(); err != nil {
 		return err
@@ -113,12 +118,13 @@
 	return errors.Join(errs...)
 }
 
-// address is one of the plot's own on loopback: at 127.0.0.1 the system gives the port of a store that is down to a connection that goes out.
+// address returns a loopback address that only this plot uses. On 127.0.0.1 the kernel may give the port of a fake
+// server that is down to an outgoing connection, and the server could not restart.
 func (p *plotRun) address(last int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%100, p.plot.Seed%250, last)
 }
 
-// buildMachines starts the boxes of two zones, two parents and the origin.
+// buildMachines starts the caches of two zones, two parents and the origin.
 func (p *plotRun) buildMachines() error {
 	for z := range 2 {
 		for i := range p.plot.CachesPerZone {
@@ -135,6 +141,7 @@
 	return nil
 }
 
+// addMachine starts a fake server and adds it to the run.
 func (p *plotRun) addMachine(name, kind, zone string) error {
 	s, err := fakeserver.NewStore(name, kind, p.address(200)+":0")
 	if err != nil {
@@ -148,7 +155,7 @@
 	return nil
 }
 
-// buildRelays puts a relay between any two gateways, one for each way.
+// buildRelays starts two relays between any two gateways, one for each direction.
 func (p *plotRun) buildRelays() error {
 	for _, a := range p.gateways {
 		for _, b := range p.gateways {
@@ -165,7 +172,7 @@
 	return nil
 }
 
-// operator is the operator's file of a gateway.
+// operatorFile returns the operator's file of a gateway. The other members' addresses in it are those of relays.
 func (p *plotRun) operatorFile(g *gatewayProcess) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "fleet {\n  name: %q listen: %q key_env: \"FLEET_KEY\" folder: %q\n", g.name, g.clusterAddr, g.folder)
@@ -183,11 +190,12 @@
 	return b.String()
 }
 
-// former says that a gateway is of the former version.
+// runsFormer reports whether a gateway runs the program of the former version.
 func (p *plotRun) runsFormer(g *gatewayProcess) bool {
 	return p.plot.FormerProgram != "" && slices.Index(p.gateways, g)%2 == 1
 }
 
+// startGateway starts the process of the i-th gateway, and the goroutine that sends it list updates.
 func (p *plotRun) startGateway(ctx context.Context, i int, g *gatewayProcess, known json.RawMessage) (err error) {
 	path := filepath.Join(p.dir, g.name+".textproto")
 	if err := os.WriteFile(path, []byte(p.operatorFile(g)), 0o600); err != nil {
--- a/lab/faultinjection/relay.go
+++ b/lab/faultinjection/relay.go
@@ -11,8 +11,8 @@
 	"larchusher/lab/loopback"
 )
 
-// relay leads the link from one gateway to another. It knows frames by their length, so that it can lose, double and delay whole
-// ones, and break off within one; what stands in them it does not read.
+// relay forwards the connections of one gateway to another, in one direction. It reads the length of each frame, so that it
+// can drop, duplicate and delay whole frames and end a connection within one. It does not decode the contents.
 type relay struct {
 	addr     string
 	target   string
@@ -20,20 +20,21 @@
 
 	mu             sync.Mutex
 	rng            *rand.Rand
-	cut            bool
-	lossRate       float64
-	duplicateRate  float64
-	maxDelay       time.Duration
-	truncates      bool
-	bytesPerSecond int // bytes a second; 0: any
+	cut            bool          // frames are dropped, and new connections get no greeting
+	lossRate       float64       // share of frames that are dropped
+	duplicateRate  float64       // share of frames that are sent twice
+	maxDelay       time.Duration // each frame waits for a random time below this
+	truncates      bool          // one frame in 40 is cut in half, and its connection ends
+	bytesPerSecond int           // 0: no limit
 	conns          map[net.Conn]bool
 }
 
 const (
-	greetingLen    = 20 // bytes that the accepting side says first
-	frameHeaderLen = 4 + 32
+	greetingLen    = 20     // bytes that the accepting gateway sends first: magic and challenge
+	frameHeaderLen = 4 + 32 // bytes before the envelope: its length and the HMAC-SHA256
 )
 
+// newRelay starts a relay to the target address. It fails if no loopback port can be opened.
 func newRelay(target string, seed uint64) (*relay, error) {
 	l, err := loopback.Listen("127.0.0.1:0")
 	if err != nil {
@@ -52,13 +53,14 @@
 	return r, nil
 }
 
-// set changes what befalls the link. A cut one swallows what is sent, and lets no connection come up.
+// update calls f with the relay locked, to change its faults. A relay that is cut drops all frames and completes no new connection.
 func (r *relay) update(f func(*relay)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r)
 }
 
+// close ends the listener and all connections.
 func (r *relay) close() {
 	loopback.Close(r.listener)
 	r.update(func(r *relay) {
@@ -68,20 +70,21 @@
 	})
 }
 
+// isCut reports whether the relay is cut.
 func (r *relay) isCut() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.cut
 }
 
-// frameFate is what befalls one frame.
+// frameFault is what the relay does to one frame.
 type frameFault struct {
 	drop, duplicate bool
-	truncate        bool // half of it is carried, then the connection ends
+	truncate        bool // send half of the frame and end the connection
 	delay           time.Duration
 }
 
-// drawFate draws what befalls a frame of so many bytes.
+// drawFault returns the random faults of a frame of the given size; the delay includes the time that the bytes take at the limited rate.
 func (r *relay) drawFault(bytes int) (f frameFault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,10 +100,10 @@
 	return f
 }
 
-// carry carries the frames of one connection to the target.
+// forward forwards the frames of one connection to the target until either side ends.
 func (r *relay) forward(in net.Conn) {
 	defer loopback.Close(in)
-	for r.isCut() { // it comes up, and nobody says a word
+	for r.isCut() { // the connection is accepted, but no greeting arrives
 		time.Sleep(20 * time.Millisecond)
 	}
 	out, err := loopback.DialTimeout(r.target, time.Second)
@@ -117,7 +120,7 @@
 	if _, err := in.Write(hello); err != nil {
 		return
 	}
-	go func() { // the other end closes: so does this one
+	go func() { // closes the incoming connection when the target closes
 		_, _ = out.Read(make([]byte, 1))
 		loopback.Close(in)
 	}()
