--- a/lab/faultinjection/mutants.go
+++ b/lab/faultinjection/mutants.go
@@ -10,25 +10,25 @@
 	"strings"
 )
 
-// Mutant is the program with one rule taken out of it. A plot's checker that has never been seen to fail proves nothing: each
-// mutant has to be caught by some plot.
+// Mutant is a variant of the gateway's program in which one rule is disabled. Mutants test the checks of this package: a check
+// that never fails proves nothing, so each mutant must cause a violation in some plot.
 type Mutant struct {
-	Name string
-	File string // in the repository
-	Old  string // stands there once
-	New  string
-	Plot string // the written plot that is made for it; empty: drawn ones
-	Text string // or this one
+	Name string // the rule as it is broken
+	File string // source file, relative to the repository
+	Old  string // text that must occur exactly once in File
+	New  string // replaces Old
+	Plot string // name of a plot of NamedPlots to run first, if Text is empty; may be empty
+	Text string // text form of a plot to run first; may be empty
 }
 
-// cutBefore has one gateway cut off from the others before two machines are asked out.
+// cutBeforeRequests cuts gateway g2 off from the others before maintenance of two machines is requested.
 const cutBeforeRequests = `plot seed 401 gateways 3 boxes 4 for 12s
 at 1.5s cut g2>g0 g2>g1 g0>g2 g1>g2
 at 1.7s ask b0-0 g0
 at 1.8s ask b1-0 g1
 at 8s heal`
 
-// crowded asks for more than may be out at once.
+// tooManyRequests requests maintenance of more machines than may be out at once.
 const tooManyRequests = `plot seed 402 gateways 3 boxes 12 for 12s
 at 1s ask b0-0 g0
 at 1s ask b0-1 g1
@@ -40,7 +40,7 @@
 at 1s ask b1-3 g1
 at 9s heal`
 
-// parting cuts the voters into one and two, and back, while both sides are asked.
+// splitVoters partitions the three voters into one and two, and heals that, while maintenance is requested on both sides.
 const splitVoters = `plot seed 403 gateways 3 boxes 8 for 12s
 at 1.5s cut g0>g1 g0>g2 g1>g0 g2>g0
 at 1.6s ask b0-0 g0
@@ -50,8 +50,8 @@
 at 5s heal
 at 9s heal`
 
-// Mutants are the rules whose loss the plots must find. That one upper cache has to stay is not among them: the share of a zone
-// and the load of the upper caches hold it by themselves.
+// Mutants lists the rules whose absence the plots must detect. The rule that one parent must stay in service is not among
+// them: the limits on the share of a zone and on the load of the parents enforce it even without that rule.
 var Mutants = []Mutant{
 	{Name: "a drain begins though a gateway has not heard of the grant", File: "maintenance/advance.go", Old: "if g.NotifiedEpoch < grantEpoch {", New: "if false && g.NotifiedEpoch < grantEpoch {", Text: cutBeforeRequests},
 	{Name: "a machine is called out though a gateway has not stopped", File: "maintenance/advance.go", Old: "} else if !elapsed.LeasesExpired && !s.allStopped(r.DrainEpoch) {", New: "} else if false {", Text: slowStoresPlot},
@@ -64,7 +64,7 @@
 	{Name: "a start forgets what was granted", File: "internal/clusternode/storage.go", Old: "view, err := readFile(dir, viewFile, n.cfg.Key)", New: "view, err := []byte(\"{}\"), error(nil)", Text: restartAfterGrant},
 }
 
-// slowStores has machines go out right after their answers have begun to take long.
+// slowStoresPlot takes machines out of service right after the fake servers have begun to answer slowly.
 const slowStoresPlot = `plot seed 404 gateways 3 boxes 4 for 12s
 at 1450ms slowly 1200ms
 at 1.5s ask b0-0 g0
@@ -76,7 +76,7 @@
 at 8.5s slowly 2ms
 at 9s heal`
 
-// forgetful kills a gateway that has heard of a grant, cuts it off, and starts it again.
+// restartAfterGrant cuts off and kills a gateway that has learned of a grant, and starts it again while it is cut off.
 const restartAfterGrant = `plot seed 405 gateways 3 boxes 4 for 14s
 at 1.5s ask b0-0 g0
 at 1.5s ask b1-0 g1
@@ -91,7 +91,7 @@
 at 6.9s start g2
 at 9.5s heal`
 
-// unheard cuts a gateway off that has heard of grants, before it hears of the drains.
+// cutAfterGrant cuts off a gateway that has learned of grants before it learns of the drains.
 const cutAfterGrant = `plot seed 406 gateways 3 boxes 6 for 12s
 at 1.5s ask b0-0 g0
 at 1.7s ask b1-0 g1
@@ -99,7 +99,8 @@
 at 2.2s cut g2>g0 g2>g1 g0>g2 g1>g2
 at 8s heal`
 
-// Build builds the program of a mutant from the repository at root into dir. The tree stays as it is.
+// Build builds the program of a mutant from the repository at root into dir and returns its path. The change is applied by a
+// build overlay, so that the source tree stays unmodified. It fails if Old does not occur exactly once or the build fails.
 func (m Mutant) Build(ctx context.Context, root, dir string) (program string, err error) {
 	path, err := filepath.Abs(filepath.Join(root, m.File))
 	if err != nil {
@@ -110,7 +111,7 @@
 		return "", fmt.Errorf("mutant %q: %w", m.Name, err)
 	}
 	if n := strings.Count(string(text), m.Old); n != 1 {
-		return "", fmt.Errorf("mutant %q: what it changes stands %d times in %s", m.Name, n, m.File)
+		return "", fmt.Errorf("mutant %q: the text to replace occurs %d times in %s, want once", m.Name, n, m.File)
 	}
 	changed, overlay := filepath.Join(dir, "changed.go"), filepath.Join(dir, "overlay.json")
 	if err := os.WriteFile(changed, []byte(strings.Replace(string(text), m.Old, m.New, 1)), 0o600); err != nil {
@@ -132,7 +133,8 @@
 	return program, nil
 }
 
-// Plots are what a mutant is played by, in order, until one catches it.
+// Plots returns the plots to run against a mutant, in order, until one detects it: its own, if it has one, and the given number
+// of random ones. It fails if its own plot does not parse or does not exist.
 func (m Mutant) Plots(drawn int) ([]*Plot, error) {
 	var all []*Plot
 	switch {
--- a/lab/faultinjection/rest.go
+++ b/lab/faultinjection/rest.go
@@ -14,30 +14,33 @@
 	"larchusher/maintenance"
 )
 
-// Resting is what a fleet sends each other in simulated time while nothing happens, a second.
+// IdleResult is the traffic of a cluster in simulated time while nothing changes, per second, and the latency of one
+// request for maintenance.
 type IdleResult struct {
 	Gateways               int
-	Messages, Bytes        float64 // of a gateway that does not vote, sent and heard
-	VoterMessages          float64 // of the voter that sends the most
-	VoterBytes             float64
-	ReadyAfter             time.Duration // from the start of all at once until each has its first view
-	Writes                 float64       // votes and views stored, of all
-	GrantedAfter, OutAfter time.Duration // of one request asked for afterwards: until it is granted, and out
+	Messages, Bytes        float64       // sent and received by the last gateway, which votes in clusters of up to 3 and of 5 only
+	VoterMessages          float64       // sent and received by the gateway with the most bytes: a voter
+	VoterBytes             float64       // likewise
+	ReadyAfter             time.Duration // from the start of all gateways at once until each has its first view; 0: not within a minute
+	Writes                 float64       // acceptor states stored by all gateways together
+	GrantedAfter, OutAfter time.Duration // from one later request until it is granted, and until its machine is out; 0: not within 30 s
 }
 
-// simulated is a fleet in simulated time, over links of a millisecond: the same packages as in the daemon.
+// simulatedCluster runs the cluster nodes of several gateways, in the packages that the daemon uses, in simulated time.
+// Messages take 1 ms. It is used from one goroutine.
 type simulatedCluster struct {
 	clock       virtualclock.Clock
 	nodes       map[string]*cluster.Node
 	names       []string
 	limits      maintenance.Limits
 	report      func(name string) cluster.Report
-	onSend      func(from, to string, bytes int) // nil: nobody counts
-	onStore     func()                           // likewise
-	onToolReply func(m cluster.Message)          // to a tool; nil: nobody reads it
+	onSend      func(from, to string, bytes int) // called for each message that is sent; may be nil
+	onStore     func()                           // called for each stored acceptor state; may be nil
+	onToolReply func(m cluster.Message)          // called for each message to a recipient that is no gateway, such as a tool; may be nil
 }
 
-// simulate starts so many gateways at once. Reports are made every half second.
+// newSimulatedCluster creates n gateways that start at once. With 5 or more gateways the first five vote, else the first
+// three. Each gateway reads its report again every 500 ms. It fails if a node's configuration is not valid.
 func newSimulatedCluster(n int, seed uint64, limits maintenance.Limits, report func(name string) cluster.Report) (*simulatedCluster, error) {
 	f := &simulatedCluster{clock: virtualclock.Clock{Now: time.Second}, nodes: map[string]*cluster.Node{}, limits: limits, report: report}
 	for i := range n {
@@ -70,6 +73,8 @@
 	return f, nil
 }
 
+// handle passes an event to a gateway's node and carries out the actions it returns: messages, writes (2 ms) and drains
+// (50 ms) complete in simulated time.
 func (f *simulatedCluster) handle(name string, e cluster.Event) {
 	for _, a := range f.nodes[name].Handle(f.clock.Now, e, nil) {
 		switch a := a.(type) {
@@ -96,7 +101,7 @@
 	}
 }
 
-// order sends a command to a gateway as a tool does.
+// sendCommand sends a command to a gateway as the operator's tool does, and does not wait for the reply.
 func (f *simulatedCluster) sendCommand(to string, c maintenance.Command) error {
 	value, err := json.Marshal(c)
 	if err != nil {
@@ -106,7 +111,7 @@
 	return nil
 }
 
-// ready runs until all gateways have their first view, and says how long that took.
+// waitReady runs until all gateways have their first view, and returns how long that took; 0: longer than a minute.
 func (f *simulatedCluster) waitReady() time.Duration {
 	from := f.clock.Now
 	for until := from; until < from+time.Minute; {
@@ -119,16 +124,17 @@
 	return 0
 }
 
-// traffic counts what a fleet sends and stores while counting is on.
+// trafficCounter counts the messages and writes of a cluster while on is set.
 type trafficCounter struct {
 	on     bool
 	sent   map[string]gatewayTraffic
 	writes float64
 }
 
-// gatewayTraffic is what one gateway sent and heard.
+// gatewayTraffic is what one gateway sent and received.
 type gatewayTraffic struct{ messages, bytes float64 }
 
+// count adds a message to the counts of its sender and its recipient.
 func (t *trafficCounter) count(from, to string, bytes int) {
 	if !t.on {
 		return
@@ -139,14 +145,15 @@
 	}
 }
 
+// countWrite counts one stored acceptor state.
 func (t *trafficCounter) countWrite() {
 	if t.on {
 		t.writes++
 	}
 }
 
-// Rest drives the same packages as the daemon with so many gateways, over links of a millisecond, with 20 machines in each
-// one's report.
+// MeasureIdle measures the idle traffic of n simulated gateways, whose reports list 20 machines each: 10 s after all
+// are ready, for 20 s. Afterwards it times one request for maintenance.
 func MeasureIdle(n int, seed uint64) (IdleResult, error) {
 	out, counted := IdleResult{Gateways: n}, &trafficCounter{sent: map[string]gatewayTraffic{}}
 	report := cluster.Report{Machines: map[string]maintenance.Machine{}}
@@ -182,8 +189,8 @@
 	return out, nil
 }
 
-// timeOrder is how long the one request that was asked for takes until it is granted, and until its machine is out; 0: longer than half
-// a minute.
+// measureRequest runs until the only request, made at the given time, is granted and its machine is out of service, and
+// returns both times since the request; 0: not within 30 s.
 func (f *simulatedCluster) measureRequest(asked time.Duration) (granted, out time.Duration) {
 	for until := asked; out == 0 && until < asked+30*time.Second; {
 		until += 5 * time.Millisecond
@@ -202,8 +209,9 @@
 	return granted, out
 }
 
-// Grants measures, with real processes and no machine worked on, how long it takes from asking to granted, as a tool sees it: kill has the
-// first voter killed right before every third request and started again after it.
+// MeasureGrants measures, with real processes and no other maintenance, the time from a request until a tool sees it
+// granted. It returns the times in ascending order. With killVoter, the first voter is killed right before every third
+// request and restarted after it, and only those requests are measured.
 func MeasureGrants(ctx context.Context, program string, gateways, times int, killVoter bool) ([]time.Duration, error) {
 	p, err := start(ctx, program, &Plot{Seed: uint64(200 + gateways), Gateways: gateways, CachesPerZone: 6, For: time.Hour})
 	if err != nil {
@@ -233,17 +241,17 @@
 	return all, nil
 }
 
-// stateOf is what a gateway tells of the order of work; nil: nothing.
+// queryState returns the maintenance state as a gateway reports it, or nil if it returns none that can be decoded.
 func (p *plotRun) queryState(ctx context.Context, g *gatewayProcess) *maintenance.State {
 	m, err := p.sendRequest(ctx, g, cluster.Message{Query: "state"})
 	if err != nil || m.Rejected != "" {
 		return nil
 	}
-	s, _ := maintenance.Decode(m.Value) // nil if it can't be read
+	s, _ := maintenance.Decode(m.Value) // nil on an error
 	return s
 }
 
-// timeGrant is how long the n-th request takes from asking to granted; dies has the first voter killed for as long.
+// measureGrant returns the time from the n-th request until its grant. With killVoter, the first voter is down during that time.
 func (p *plotRun) measureGrant(ctx context.Context, at *gatewayProcess, n int, killVoter bool) (time.Duration, error) {
 	request := fmt.Sprint("m", n)
 	value, err := json.Marshal(maintenance.Command{Actor: "measure", Request: &maintenance.RequestSpec{Key: request, Machine: cacheName(0, n%6), DurationMs: 1000}})
@@ -288,9 +296,10 @@
 	return took, nil
 }
 
-// withdraw takes a request back. Its machine may have been called out meanwhile: then its work is over at once.
+// withdraw withdraws the request for a machine, and repeats that until it is accepted or ctx ends. The machine may be out
+// of service by then: its work is reported as finished, too.
 func (p *plotRun) withdraw(ctx context.Context, at *gatewayProcess, machine string) {
-	value, _ := json.Marshal(maintenance.Command{Actor: "measure", Withdraw: &maintenance.Target{Name: machine}}) // it has no field that can fail
+	value, _ := json.Marshal(maintenance.Command{Actor: "measure", Withdraw: &maintenance.Target{Name: machine}}) // no field of a command can fail to encode
 	for {
 		m, err := p.sendRequest(ctx, at, cluster.Message{Value: value})
 		if err == nil && m.Rejected == "" || ctx.Err() != nil {
@@ -298,6 +307,6 @@
 		}
 	}
 	value, _ = json.Marshal(maintenance.Command{Actor: "measure", Finish: &maintenance.Target{Name: machine}})
-	_, _ = p.sendRequest(ctx, at, cluster.Message{Value: value}) // rejected if it was not out
+	_, _ = p.sendRequest(ctx, at, cluster.Message{Value: value}) // rejected if the machine was not out
 	time.Sleep(1200 * time.Millisecond)
 }
--- a/lab/faultinjection/shared.go
+++ b/lab/faultinjection/shared.go
@@ -14,40 +14,42 @@
 	"larchusher/replication"
 )
 
-// What gateways know in common, in plots that begin with "share": purges and drains are told to one gateway at once, and to
-// the others' journals late. The stores record what each gateway would have taken.
+// Checks of plots with purges and drains. One gateway is notified at once and the others late, by their journal services.
+// In plots with the event "share" gateways replicate what they know, so that the others should heed it long before their
+// own notice. The fake servers check each request against the notices.
 
 const (
-	purgeGrace        = time.Second             // of the settings
-	purgeWindow       = 5500 * time.Millisecond // after that older copies are gone, less some slack
-	drainGrace        = 500 * time.Millisecond  // of the settings here
-	tolerance         = 150 * time.Millisecond  // of clocks and scheduling
-	gossipDelay       = 300 * time.Millisecond  // on its way through the fleet
-	safetyTimeout     = 3 * time.Second         // after the last fault
-	bulkTimeout       = 10 * time.Second        // of nine tenths of the bulk
-	objectsPerGateway = 40                      // of each gateway's clients
-	groupCount        = 7
+	purgeGrace        = time.Second             // noticeTimeMs of the gateways' settings: time to heed a purge
+	purgeWindow       = 5500 * time.Millisecond // purgeSettlesMs (6 s), when older copies are gone, less 500 ms of slack
+	drainGrace        = 500 * time.Millisecond  // stopSendingWithinMs of gatewaySettings: time to stop sending to a draining machine
+	tolerance         = 150 * time.Millisecond  // for clock differences and scheduling
+	gossipDelay       = 300 * time.Millisecond  // time that a notice takes to reach all gateways by replication
+	safetyTimeout     = 3 * time.Second         // after the last event, by which all gateways must have the same safety slots,
+	bulkTimeout       = 10 * time.Second        // and nine tenths of the bulk slots (listings, health)
+	objectsPerGateway = 40                      // that the clients of one gateway request
+	groupCount        = 7                       // groups that these objects belong to
 )
 
-// notice is something that gateways are told at different times.
+// notice is a purge or a drain of which the gateways are notified at different times.
 type notice struct {
-	subject         string // group or store
+	subject         string // the purged group, or the draining machine's name
 	made            time.Time
-	firstNotifiedAt time.Time            // when anybody was told
-	notifiedAt      map[string]time.Time // by gateway; missing: not yet
+	firstNotifiedAt time.Time            // when the first gateway was notified
+	notifiedAt      map[string]time.Time // by gateway; absent: not notified yet
 }
 
-// ledger is what is to be heeded, with what was seen.
+// noticeLog holds the notices of a plot and how requests and gateways complied with them. plotRun.mu guards it.
 type noticeLog struct {
-	replicated      bool
+	replicated      bool // the gateways replicate notices
 	purges          []*notice
 	drains          []*notice
-	staleRequests   int // asks that would have taken a copy older than a purge which some gateway had been told of for over a second
-	drainedRequests int // asks to a store of whose drain some gateway had been told for longer than the grace
-	convergedAfter  time.Duration
+	staleRequests   int           // requests accepting a copy older than a purge of which the first gateway was notified over purgeGrace+gossipDelay+tolerance before
+	drainedRequests int           // requests to a machine of whose drain the first gateway was notified over drainGrace+gossipDelay+tolerance before
+	convergedAfter  time.Duration // from the last event until all gateways had the same slots
 }
 
-// tellLate has the journal of one gateway tell something at once, and those of the others so much later.
+// notifyStaggered sends a notice to the gateway named first at once and to the others after the delay late, by their journal
+// services, and records when each was notified.
 func (p *plotRun) notifyStaggered(n *notice, first string, late time.Duration, text func(pos int) string) {
 	n.firstNotifiedAt = time.Now()
 	for _, g := range p.gateways {
@@ -65,12 +67,12 @@
 	}
 }
 
-// purge purges a group.
+// purge carries out the event purge: args are the group, the gateway notified at once, and the delay for the others.
 func (p *plotRun) purge(args []string) error {
 	group, err := strconv.Atoi(args[0])
 	late, err2 := time.ParseDuration(args[2])
 	if err != nil || err2 != nil {
-		return fmt.Errorf("purge %v: a group and a duration are wanted", args)
+		return fmt.Errorf("purge %v: want a group number, a gateway and a duration", args)
 	}
 	n := &notice{subject: args[0], made: time.Now(), notifiedAt: map[string]time.Time{}}
 	p.mu.Lock()
@@ -81,12 +83,13 @@
 	return nil
 }
 
-// drain has a store drain, by the list.
+// drain carries out the event drain, by the endpoint list: args are the machine, the gateway notified at once, and the delay
+// for the others.
 func (p *plotRun) drain(args []string) error {
 	m := p.machines[args[0]]
 	late, err := time.ParseDuration(args[2])
 	if err != nil || m == nil {
-		return fmt.Errorf("drain %v: a store and a duration are wanted", args)
+		return fmt.Errorf("drain %v: want the name of a machine, a gateway and a duration", args)
 	}
 	n := &notice{subject: m.name, made: time.Now(), notifiedAt: map[string]time.Time{}}
 	p.mu.Lock()
@@ -101,7 +104,8 @@
 	return nil
 }
 
-// heed holds an ask against what its gateway, and any other, had been told. The objects say whose clients asked.
+// checkRequest checks a request to a machine against the notices of purges and drains. The upper bits of the object's name
+// identify the gateway whose clients requested it (see clientLoad.sendRequests). Requests to the origin are not checked.
 func (p *plotRun) checkRequest(m *machine, a *fakeserver.Request) {
 	if m.kind == "origin" {
 		return
@@ -130,8 +134,8 @@
 	}
 }
 
-// forbids says that a purge that has not settled forbids the copies that an ask would take: any, or with accept those that are no
-// older than so many milliseconds.
+// forbids reports whether a purge that has not settled forbids a copy that a request would accept. The request accepts copies
+// of any age if accept is 0, otherwise those no older than accept milliseconds.
 func (n *notice) forbids(now time.Time, accept int) bool {
 	if now.Sub(n.made) > purgeWindow {
 		return false
@@ -143,41 +147,44 @@
 	return oldest.Add(tolerance).Before(n.made)
 }
 
-// heedPurge holds an ask that a purge forbids against when its gateway, and any other, was told of it.
+// checkPurge records a violation for a request that a purge forbids if its gateway was notified of the purge long enough ago
+// or, where notices are replicated and all gateways stay connected, if any other was. The caller holds p.mu.
 func (p *plotRun) checkPurge(n *notice, g *gatewayProcess, m *machine, now time.Time, accept int) {
 	if told, ok := n.notifiedAt[g.name]; ok && now.Sub(told) > purgeGrace+tolerance {
-		p.violations.add("%v: %s was told %v ago of the purge of %s, and would take an older copy from %s (accept %d)", now.Sub(p.startedAt).Round(time.Millisecond), g.name,
+		p.violations.add("%v: gateway %s was notified %v ago of the purge of group %s, but accepts an older copy from %s (accept=%d ms)", now.Sub(p.startedAt).Round(time.Millisecond), g.name,
 			now.Sub(told).Round(time.Millisecond), n.subject, m.name, accept)
 	}
 	if now.Sub(n.firstNotifiedAt) > purgeGrace+gossipDelay+tolerance {
 		p.notices.staleRequests++
 		if p.notices.replicated && p.plot.keepsGatewaysConnected() {
-			p.violations.add("%v: others were told %v ago of the purge of %s, and %s would take an older copy", now.Sub(p.startedAt).Round(time.Millisecond), now.Sub(n.firstNotifiedAt).Round(time.Millisecond), n.subject, g.name)
+			p.violations.add("%v: the first gateway was notified %v ago of the purge of group %s, but gateway %s accepts an older copy", now.Sub(p.startedAt).Round(time.Millisecond), now.Sub(n.firstNotifiedAt).Round(time.Millisecond), n.subject, g.name)
 		}
 	}
 }
 
-// heedDrain holds an ask of a machine that drains against when its gateway, and any other, was told of that.
+// checkDrain records a violation for a request to a draining machine if its gateway was notified of the drain long enough
+// ago or, where notices are replicated and all gateways stay connected, if any other was. The caller holds p.mu.
 func (p *plotRun) checkDrain(n *notice, g *gatewayProcess, m *machine, now time.Time) {
 	if told, ok := n.notifiedAt[g.name]; ok && now.Sub(told) > drainGrace+tolerance {
-		p.violations.add("%v: %s was told %v ago that %s drains, and sends to it", now.Sub(p.startedAt).Round(time.Millisecond), g.name, now.Sub(told).Round(time.Millisecond), m.name)
+		p.violations.add("%v: gateway %s was notified %v ago that machine %s drains, but sends to it", now.Sub(p.startedAt).Round(time.Millisecond), g.name, now.Sub(told).Round(time.Millisecond), m.name)
 	}
 	if now.Sub(n.firstNotifiedAt) > drainGrace+gossipDelay+tolerance {
 		p.notices.drainedRequests++
 		if p.notices.replicated && p.plot.keepsGatewaysConnected() {
-			p.violations.add("%v: others were told %v ago that %s drains, and %s sends to it", now.Sub(p.startedAt).Round(time.Millisecond), now.Sub(n.firstNotifiedAt).Round(time.Millisecond), m.name, g.name)
+			p.violations.add("%v: the first gateway was notified %v ago that machine %s drains, but gateway %s sends to it", now.Sub(p.startedAt).Round(time.Millisecond), now.Sub(n.firstNotifiedAt).Round(time.Millisecond), m.name, g.name)
 		}
 	}
 }
 
-// calm says that nothing keeps gateways from hearing each other in a plot.
+// keepsGatewaysConnected reports whether the plot has no event that may keep gateways from replicating to each other in time.
 func (p *Plot) keepsGatewaysConnected() bool {
 	return !slices.ContainsFunc(p.Events, func(e Event) bool {
 		return slices.Contains([]string{"kill", "stop", "cut", "bad", "slow", "roll"}, e.Kind)
 	})
 }
 
-// forgotten says that what a gateway was told is told to its next life anew.
+// resetNotified sets the time of all notices that a gateway has received to renotifiedAt: a process that starts anew has
+// lost them, and its journal service sends them again; one that was stopped reads them only when it resumes.
 func (p *plotRun) resetNotified(g *gatewayProcess, renotifiedAt time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -188,7 +195,7 @@
 	}
 }
 
-// rows asks a gateway for what it knows in common with others.
+// queryReplicated returns the replicated slots that a gateway holds.
 func (p *plotRun) queryReplicated(ctx context.Context, g *gatewayProcess) (rows []replication.Row, err error) {
 	m, err := p.sendRequest(ctx, g, cluster.Message{Query: "shared"})
 	if err != nil {
@@ -200,7 +207,8 @@
 	return s.Rows, json.Unmarshal(m.Value, &s)
 }
 
-// alike waits until all gateways hold the same, by what is neither just said nor about to run out, and says how long that took.
+// waitConverged waits until all gateways hold the same slots, apart from very recent ones and those about to expire, and
+// returns how long that took. If it takes too long, missing names a difference; it is empty otherwise.
 func (p *plotRun) waitConverged(ctx context.Context) (took time.Duration, missing string) {
 	from := time.Now()
 	for {
@@ -218,19 +226,22 @@
 	}
 }
 
+// findMissing compares the slots of all gateways with each other. It returns a description of the first safety slot that a
+// gateway lacks, or of a gateway that lacks too many bulk slots.
 func (p *plotRun) findMissing(ctx context.Context) (safety, bulk string) {
 	all := map[string]map[string]replication.Row{}
 	for _, g := range p.gateways {
 		rows, err := p.queryReplicated(ctx, g)
 		if err != nil {
-			return fmt.Sprintf("%s tells nothing: %v", g.name, err), ""
+			return fmt.Sprintf("gateway %s returned no replicated slots: %v", g.name, err), ""
 		}
 		all[g.name] = map[string]replication.Row{}
 		for _, r := range rows {
 			all[g.name][fmt.Sprintf("%s %q by %s %x", r.Kind, r.Key, r.Writer, r.Incarnation)] = r
 		}
 	}
-	// The bulk is said all the time: what was seen a while ago may have been said just now.
+	// Bulk slots are published all the time: one whose evidence is old may have been published just now, so the numbers of
+	// bulk slots are not compared.
 	names := slices.Sorted(maps.Keys(all))
 	for _, a := range names {
 		for _, b := range names {
@@ -246,8 +257,9 @@
 	return "", bulk
 }
 
-// lackingOf says what gateway b lacks of what a has: a slot of safety, or more than a tenth of the bulk. What was just seen, or is
-// about to run out, does not count.
+// missingSlots describes what gateway b lacks of the slots that gateway a holds: a safety slot, or more than a tenth of the
+// slots as bulk. Slots younger than 1 s, and those older than 20 s (purges: 3.5 s), are ignored: they may
+// not have arrived yet, or expire soon.
 func missingSlots(a, b string, slotsA, slotsB map[string]replication.Row) (safety, bulk string) {
 	missing := 0
 	for name, r := range slotsA {
@@ -260,17 +272,18 @@
 		switch {
 		case r.AgeMs < low || r.AgeMs > high || ok && (got.Seq >= r.Seq || isBulk):
 		case !isBulk:
-			return fmt.Sprintf("%s lacks %s, number %d, which %s has for %d ms", b, name, r.Seq, a, r.AgeMs), ""
+			return fmt.Sprintf("gateway %s lacks slot %s, number %d, which gateway %s holds with an age of %d ms", b, name, r.Seq, a, r.AgeMs), ""
 		default:
 			if missing++; missing > len(slotsA)/10 {
-				bulk = fmt.Sprintf("%s lacks a tenth of the %d slots of %s, %s among them", b, len(slotsA), a, name)
+				bulk = fmt.Sprintf("gateway %s lacks over a tenth of the %d slots of gateway %s, such as %s", b, len(slotsA), a, name)
 			}
 		}
 	}
 	return "", bulk
 }
 
-// DrawShared draws a plot in which purges and drains are told late, with kills, stops, cuts and bad links.
+// GenerateReplication returns the random plot of a seed for replicated notices: purges and drains of which most gateways
+// are notified late, with the kills, stops, partitions and bad links of [Generate], and at least five gateways.
 func GenerateReplication(seed uint64) *Plot {
 	p := Generate(seed)
 	p.Gateways = max(5, p.Gateways)
@@ -279,7 +292,7 @@
 	drained := map[string]bool{}
 	for _, e := range p.Events {
 		switch e.Kind {
-		case "ask", "crash", "revive": // no work on machines meanwhile: what stores record is to be of one cause
+		case "ask", "crash", "revive": // no maintenance and no crashes, so that requests to a machine depend on purges and drains alone
 		default:
 			keep = append(keep, e)
 		}
--- a/lab/faultinjection/spread.go
+++ b/lab/faultinjection/spread.go
@@ -12,49 +12,50 @@
 	"larchusher/replication"
 )
 
-// Spreading is what it takes a fleet in simulated time to know the same: package replication as the daemon drives it, over links of two
-// milliseconds.
+// SpreadResult is how fast, and with how many bytes, the gateways of a simulated cluster come to know the same purges.
+// They run package replication as the daemon does, in simulated time, with messages that take 2 ms.
 type SpreadResult struct {
-	Variant            string
+	Variant            string // one of the constants Variant...
 	Gateways           int
-	PurgeNinetyPercent time.Duration // from one gateway's notice until nine in ten know of a purge,
-	PurgeAll           time.Duration // and all
-	HealAll            time.Duration // from the end of a cut into halves until all know what was said on either side
-	IdleBytesPerSecond float64       // bytes a second that one gateway sends while nothing new is said
-	HealBytes          float64       // bytes that one gateway sent from the heal until all knew, in the mean
+	PurgeNinetyPercent time.Duration // from a purge at one gateway until nine in ten know of it; 0: not within 30 s
+	PurgeAll           time.Duration // likewise, until all do
+	HealAll            time.Duration // from the end of a partition into halves until all know the purges of either side; 0: not within 8 s
+	IdleBytesPerSecond float64       // sent by each gateway, in the mean, while nothing new is published
+	HealBytes          float64       // sent by each gateway, in the mean, from the end of the partition until all know
 }
 
-// The ways that are held against each other.
+// The variants of replication that MeasureSpread compares. Their values are printed.
 const (
-	VariantStreamsHints = "streams and hints"
-	VariantStreams      = "streams alone"     // nobody is told that there is something new
-	VariantFullCopies   = "whole copies"      // every exchange sends all there is
-	VariantPush         = "pushed, no repair" // what is new is sent to three at once, and never again
+	VariantStreamsHints = "streams and hints" // as in the daemon: gateways announce new slots, and pull what they lack
+	VariantStreams      = "streams alone"     // gateways pull periodically, without announcements
+	VariantFullCopies   = "whole copies"      // without announcements; each pull is answered with all slots
+	VariantPush         = "pushed, no repair" // a purge is sent to three random gateways at once, by each that learns of it, and never repaired
 )
 
-// spreadMember is one gateway in it.
+// spreadGateway is one gateway of a spreadCluster.
 type spreadGateway struct {
 	node *replication.Node
-	half int // of the fleet, while the halves are cut off from each other
-	seen map[string]time.Duration
+	half int                      // 0 or 1: which half of the cluster it is in during a partition
+	seen map[string]time.Duration // by purge, when it learned of it
 }
 
-// spreadFleet is a fleet in simulated time, over links of two milliseconds, in which purges spread in one way.
+// spreadCluster is a cluster in simulated time in which purges spread by one variant of replication.
 type spreadCluster struct {
 	variant     string
 	clock       virtualclock.Clock
 	rng         *rand.Rand
 	names       []string
-	indexByName map[string]int // of a name
+	indexByName map[string]int // position in names and gateways
 	gateways    []*spreadGateway
-	partitioned bool    // the halves do not hear each other
-	sentBytes   float64 // sent
+	partitioned bool    // messages between the halves are dropped
+	sentBytes   float64 // by all gateways since it was last set to 0, dropped messages included
 	purgeCount  int
 }
 
+// linkLatency is the time that each simulated message takes.
 const linkLatency = 2 * time.Millisecond
 
-// newSpreadFleet starts so many gateways.
+// newSpreadCluster creates n gateways, which tick every 50 ms from random times on.
 func newSpreadCluster(variant string, n int, seed uint64) (*spreadCluster, error) {
 	f := &spreadCluster{variant: variant, clock: virtualclock.Clock{Now: time.Second}, rng: rand.New(rand.NewPCG(seed, 77)),
 		indexByName: map[string]int{}, gateways: make([]*spreadGateway, n)}
@@ -80,7 +81,7 @@
 	return f, nil
 }
 
-// handle gives a member an event, and carries out what it wants.
+// handle passes an event to gateway i, sends its messages and records the purges that it learns of.
 func (f *spreadCluster) handle(i int, e replication.Event) {
 	m := f.gateways[i]
 	for _, a := range m.node.Handle(f.clock.Now, e, nil) {
@@ -97,7 +98,7 @@
 	}
 }
 
-// send carries a message, if the way has it, and the link is there.
+// send counts a message and delivers it after linkLatency, unless the variant omits its kind or a partition drops it.
 func (f *spreadCluster) send(from int, a replication.Send) {
 	if f.skips(a.Message.Kind) {
 		return
@@ -113,16 +114,17 @@
 	f.clock.At(f.clock.Now+linkLatency, func() { f.handle(to, replication.MessageReceived{From: f.names[from], Message: a.Message}) })
 }
 
-// skips says that a way does without a kind of message.
+// skips reports whether the variant does not use messages of a kind.
 func (f *spreadCluster) skips(kind replication.MessageKind) bool {
 	return f.variant != VariantStreamsHints && kind == replication.Announce || f.variant == VariantPush && kind == replication.Pull
 }
 
+// connected reports whether gateways a and b can reach each other.
 func (f *spreadCluster) connected(a, b int) bool {
 	return !f.partitioned || f.gateways[a].half == f.gateways[b].half
 }
 
-// messageSize is about how many bytes a message takes on the wire.
+// messageSize returns the approximate size of a message on the wire, in bytes.
 func messageSize(m replication.Message) (b int) {
 	b = 64 + 26*len(m.Versions)
 	for _, s := range m.Slots {
@@ -131,7 +133,8 @@
 	return b
 }
 
-// push has a gateway learn of a purge. Where nothing is repaired it tells three others, as epidemics do.
+// learnPurge makes gateway i learn of a purge, which it publishes; in the variant VariantPush it sends it to three random gateways
+// instead, as epidemic protocols do.
 func (f *spreadCluster) learnPurge(i int, key string) {
 	m := f.gateways[i]
 	if _, ok := m.seen[key]; ok {
@@ -151,7 +154,7 @@
 	}
 }
 
-// purge has one gateway, drawn, learn of a new purge.
+// startPurge makes a random gateway learn of a new purge, and returns the purge's key.
 func (f *spreadCluster) startPurge() (key string) {
 	f.purgeCount++
 	key = "o" + strconv.Itoa(f.purgeCount)
@@ -159,7 +162,7 @@
 	return key
 }
 
-// known is how many know of all of some purges.
+// countKnowing returns how many gateways know all of the given purges.
 func (f *spreadCluster) countKnowing(keys ...string) (count int) {
 	for _, m := range f.gateways {
 		if !slices.ContainsFunc(keys, func(k string) bool { _, ok := m.seen[k]; return !ok }) {
@@ -169,8 +172,9 @@
 	return count
 }
 
-// Spread plays one way: 200 listings of each gateway's (fewer in large fleets) stand, purges are said, halves are cut off from each
-// other for ten seconds while purges go on, and healed.
+// MeasureSpread measures one variant of replication with n gateways. Each first publishes 200 listings, fewer in clusters of
+// more than 20 (4000 in all). It then measures the idle traffic, one purge, and ten purges during a partition into halves
+// that lasts 5 s.
 func MeasureSpread(variant string, n int, seed uint64) (SpreadResult, error) {
 	out := SpreadResult{Variant: variant, Gateways: n}
 	f, err := newSpreadCluster(variant, n, seed)
@@ -193,7 +197,7 @@
 	return out, nil
 }
 
-// timePurge is how long a purge takes to nine in ten, and to all; 0: longer than half a minute.
+// measurePurge returns how long a purge takes to reach nine in ten gateways, and all; 0: not within 30 s.
 func (f *spreadCluster) measurePurge() (ninety, all time.Duration) {
 	n, at := len(f.gateways), f.clock.Now
 	key := f.startPurge()
@@ -210,8 +214,9 @@
 	return ninety, all
 }
 
-// timeHeal cuts the halves off from each other while ten purges come, and is how long it takes from the heal until all know of all of
-// them, and how many bytes each sent for it; 0: longer than eight seconds. By then the first have settled, and need not be known.
+// measureHeal partitions the cluster into halves during ten purges. It returns how long after the end of the partition
+// all gateways know all of them, and how many bytes each gateway sent until then, in the mean; took is 0 if that takes
+// over 8 s. By then the first purges have settled and are no longer replicated.
 func (f *spreadCluster) measureHeal() (took time.Duration, bytes float64) {
 	f.partitioned = true
 	var keys []string
@@ -230,24 +235,24 @@
 	return took, f.sentBytes / float64(len(f.gateways))
 }
 
-// CatchingUp is what it takes one that returns to know what its neighbours know.
+// CatchUpResult is how long, and with what load, a gateway that returns learns what its peers know.
 type CatchUpResult struct {
-	Items         int
-	Took          time.Duration // in simulated time, over links of two milliseconds
-	Bytes         int           // that were sent to it
-	LongestHandle time.Duration // the longest that one message held up a real processor, at either end
-	BytesPerSlot  int           // bytes of memory a slot, at the one that has caught up
+	Items         int           // listings that the peers hold
+	Took          time.Duration // in simulated time, with messages that take 2 ms; negative: not within 100 s
+	Bytes         int           // of slots that were sent to it
+	LongestHandle time.Duration // most real time that any gateway took to handle one event, during which its loop does nothing else
+	BytesPerSlot  int           // heap memory of the returning gateway for each slot that it holds, about
 }
 
-// catchUpFleet is a fleet in simulated time in which gateway e catches up.
+// catchUpCluster is a cluster of five gateways in simulated time, in which gateway e catches up with the others.
 type catchUpCluster struct {
 	clock      virtualclock.Clock
 	nodes      map[string]*replication.Node
 	out        *CatchUpResult
-	caughtUpAt time.Duration // when e had caught up; 0: not yet
+	caughtUpAt time.Duration // when gateway e had caught up; 0: not yet
 }
 
-// handle gives a gateway an event, and carries out what it wants.
+// handle passes an event to a gateway, times it, delivers its messages after linkLatency, and records when e has caught up.
 func (f *catchUpCluster) handle(name string, e replication.Event) {
 	began := time.Now()
 	all := f.nodes[name].Handle(f.clock.Now, e, nil)
@@ -269,7 +274,7 @@
 	}
 }
 
-// listings are so many slots of four gateways, and how far each of those got.
+// makeListings returns listings written by the first four gateways in turn, and the last sequence number of each writer.
 func (f *catchUpCluster) makeListings(items int, names []string) (slots []replication.Slot, lastSeq map[replication.Incarnation]uint64) {
 	lastSeq = map[replication.Incarnation]uint64{}
 	for i := range items {
@@ -281,7 +286,8 @@
 	return slots, lastSeq
 }
 
-// CatchUp has one gateway of five return to four that know so many listings, told by two of them.
+// MeasureCatchUp measures how one gateway of five, with no stored state, catches up with four that know the given number of
+// listings. Each peer sends it at most bytesPerSecond.
 func MeasureCatchUp(items, bytesPerSecond int, seed uint64) (CatchUpResult, error) {
 	out := CatchUpResult{Items: items}
 	names := []string{"a", "b", "c", "d", "e"}
@@ -291,7 +297,7 @@
 			CatchUpTimeout: time.Hour, Seed: seed<<8 + incarnation})
 	}
 	slots, lastSeq := f.makeListings(items, names)
-	for i, name := range names[:4] { // these know it all
+	for i, name := range names[:4] { // the four gateways that hold all listings
 		n, err := newNode(name, uint64(i+1))
 		if err != nil {
 			return out, err
@@ -329,7 +335,7 @@
 	return out, nil
 }
 
-// heap is what is in use after a collection.
+// heapInUse returns the bytes of allocated heap objects after a garbage collection.
 func heapInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/lab/faultinjection/verdict.go
+++ b/lab/faultinjection/verdict.go
@@ -10,25 +10,27 @@
 	"larchusher/maintenance"
 )
 
-// Verdict is what came of a plot.
+// Verdict is the outcome of one run of a plot.
 type Verdict struct {
 	Plot                                   *Plot
-	Violations                             []string // broken rules; empty: none
-	Requested                              int      // for work
-	Completed                              int
-	EndedAfter                             time.Duration // when the last request ended
+	Violations                             []string      // rules that were broken, 20 at most; empty: none
+	Requested                              int           // machines for which maintenance was requested
+	Completed                              int           // of them, with completed maintenance
+	EndedAfter                             time.Duration // from the start until watching ended: all maintenance over, or given up
 	Clients                                struct{ Sent, Served, Rejected, Failed, Duplicates, Unanswered, LostWithGateway int }
-	GrantLatency                           map[string]time.Duration // by machine: from asking to granted, as seen from outside
-	StaleRequests, DrainedRequests, Purges int                      // asks that would take what others knew to be purged, or went where others knew of a drain; purges told
-	ConvergedAfter                         time.Duration            // after the last fault, until all knew the same
-	Withheld                               float64                  // attempts that were withheld right before they were written
+	GrantLatency                           map[string]time.Duration // by machine: from the first request until a gateway reported the grant
+	StaleRequests, DrainedRequests, Purges int                      // see noticeLog; number of purges
+	ConvergedAfter                         time.Duration            // from the last event until all gateways had the same replicated slots; 0 without replication
+	Withheld                               float64                  // attempts stopped right before they were written, as their endpoint was out for maintenance (held_out)
 }
 
+// violationLog collects descriptions of broken rules from any goroutine; from the 21st on they are dropped.
 type violationLog struct {
 	mu   sync.Mutex
 	list []string
 }
 
+// add formats and appends a description.
 func (f *violationLog) add(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -37,7 +39,7 @@
 	}
 }
 
-// verdict sums up.
+// verdict checks the final state and sums up the run, which took ended until watching ended.
 func (p *plotRun) verdict(ctx context.Context, ended time.Duration) *Verdict {
 	v := &Verdict{Plot: p.plot, EndedAfter: ended, GrantLatency: p.grantLatency, Requested: len(p.requestedAt), StaleRequests: p.notices.staleRequests, DrainedRequests: p.notices.drainedRequests, ConvergedAfter: p.notices.convergedAfter, Purges: len(p.notices.purges)}
 	for _, s := range p.stages {
@@ -48,11 +50,11 @@
 	for _, g := range p.gateways {
 		p.addClientCounts(v, g.name, g.clients)
 		if all, err := g.testbed.Counters(ctx); err != nil {
-			p.violations.add("%s: %v", g.name, err)
+			p.violations.add("gateway %s: counters not readable: %v", g.name, err)
 		} else {
 			v.Withheld += all["held_out"]
 			if all["panics"] > 0 {
-				p.violations.add("%s: %v panics", g.name, all["panics"])
+				p.violations.add("gateway %s: %v panics, want none", g.name, all["panics"])
 			}
 		}
 	}
@@ -61,7 +63,7 @@
 	return v
 }
 
-// addClients adds what the clients of a gateway saw.
+// addClientCounts adds the counts of a gateway's clients, and records a violation if requests had two answers or none.
 func (p *plotRun) addClientCounts(v *Verdict, gateway string, c *clientLoad) {
 	v.Clients.Sent += c.Sent
 	v.Clients.Served += c.Served
@@ -71,11 +73,12 @@
 	v.Clients.Unanswered += c.Unanswered
 	v.Clients.LostWithGateway += c.LostWithGateway
 	if c.Duplicates > 0 || c.Unanswered > 0 {
-		p.violations.add("%s: %d requests were answered twice, %d never", gateway, c.Duplicates, c.Unanswered)
+		p.violations.add("clients of gateway %s: %d requests were answered twice, %d were not answered", gateway, c.Duplicates, c.Unanswered)
 	}
 }
 
-// checkOneState checks that in the end all tell the same: what still changes between two looks is looked at again.
+// checkStatesAgree checks that in the end all gateways that answer report the same maintenance state. It compares again, up to
+// 30 times, while they differ: the state may change between two queries.
 func (p *plotRun) checkStatesAgree(ctx context.Context) {
 	states := map[string]bool{}
 	for range 30 {
@@ -91,14 +94,14 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	if len(states) > 1 {
-		p.violations.add("in the end gateways tell %d different states", len(states))
+		p.violations.add("after the end gateways still report %d different maintenance states", len(states))
 	}
 	if len(states) == 0 {
-		p.violations.add("in the end nobody tells the state")
+		p.violations.add("after the end no gateway reported its maintenance state")
 	}
 }
 
-// tryState asks a gateway for the state until it tells it, twenty times at most.
+// queryStateWithRetry returns the encoded maintenance state of a gateway, or false if 20 queries failed.
 func (p *plotRun) queryStateWithRetry(ctx context.Context, g *gatewayProcess) (state string, ok bool) {
 	for range 20 {
 		m, err := p.sendRequest(ctx, g, cluster.Message{Query: "state"})
--- a/lab/faultinjection/watch.go
+++ b/lab/faultinjection/watch.go
@@ -14,7 +14,8 @@
 	"larchusher/maintenance"
 )
 
-// ask asks for work on a machine, at one gateway and then at others until one takes it.
+// requestWork requests maintenance of a machine, unless it has been requested before, in another goroutine: first at the given
+// gateway and then at random ones, up to 200 times in all, until one accepts the request.
 func (p *plotRun) requestWork(ctx context.Context, name string, first *gatewayProcess) {
 	m := p.machines[name]
 	if m == nil {
@@ -42,20 +43,22 @@
 				if json.Unmarshal(reply.Value, &r) == nil && r.Rejected == "" {
 					p.mu.Lock()
 					defer p.mu.Unlock()
-					p.acceptedBy[name] = fmt.Sprintf("%s took it as work %d at revision %d, at try %d after %v", target.name, r.ID, reply.Revision, try, time.Since(p.startedAt).Round(time.Millisecond))
+					p.acceptedBy[name] = fmt.Sprintf("gateway %s accepted it as request %d at revision %d, in try %d after %v", target.name, r.ID, reply.Revision, try, time.Since(p.startedAt).Round(time.Millisecond))
 					return
 				}
-				// A gateway that has just started, or whose list is late, may not know the machine.
+				// Rejected: a gateway that has just started, or received an endpoint list late, may not know the machine.
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		p.violations.add("nobody takes the request for %s", name)
+		p.violations.add("no gateway accepted the maintenance request for machine %s", name)
 	})
 }
 
+// sendRequest sends a message of the operator's tool to a gateway and returns the reply. It fails if the gateway is down or does not
+// reply within 1.2 s.
 func (p *plotRun) sendRequest(ctx context.Context, g *gatewayProcess, m cluster.Message) (cluster.Message, error) {
 	if !g.isUp() {
-		return cluster.Message{}, errors.New("it is down")
+		return cluster.Message{}, errors.New("gateway is down")
 	}
 	attempt, cancel := context.WithTimeout(ctx, 1200*time.Millisecond)
 	defer cancel()
@@ -67,8 +70,9 @@
 	return tool.Request(attempt, m)
 }
 
-// watch looks at what is agreed on, and works on machines that are called out. It returns when all that was asked has ended, or it
-// is too late for that.
+// watchRequests polls the maintenance state of random gateways, checks it, and starts the work on machines that are out of
+// service. It returns the time since the start of the plot when, after its end, all requested maintenance is over or
+// completionTimeout has passed, which is a violation. It returns 0 if ctx ends first.
 func (p *plotRun) watchRequests(ctx context.Context, end time.Time) time.Duration {
 	for ctx.Err() == nil {
 		time.Sleep(pollInterval)
@@ -87,10 +91,10 @@
 			return now.Sub(p.startedAt)
 		} else if now.After(end.Add(completionTimeout)) {
 			p.mu.Lock()
-			p.violations.add("the plan does not end: %s", p.encodedStates[p.revision])
+			p.violations.add("requested maintenance does not complete; latest state: %s", p.encodedStates[p.revision])
 			for name, how := range p.acceptedBy {
 				if p.stages[name] == "" {
-					p.violations.add("the request for %s is in no state, though %s", name, how)
+					p.violations.add("the maintenance request for machine %s is in no reported state, though %s", name, how)
 				}
 			}
 			p.mu.Unlock()
@@ -100,21 +104,22 @@
 	return 0
 }
 
-// look holds what one gateway told against what others did, and against the bounds.
+// checkState checks the state that one gateway reported against earlier reports and against the limits of how many machines
+// may be out at once, and starts the work on machines that are newly out of service.
 func (p *plotRun) checkState(g *gatewayProcess, m cluster.Message) {
 	s, err := maintenance.Decode(m.Value)
 	if err != nil {
-		p.violations.add("%s tells a state that can't be read: %v", g.name, err)
+		p.violations.add("gateway %s returned a state that cannot be decoded: %v", g.name, err)
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if previous, ok := p.encodedStates[m.Revision]; ok && previous != string(m.Value) {
-		p.violations.add("revision %d is two things:\n%s\n%s", m.Revision, previous, m.Value)
+		p.violations.add("revision %d has two different states:\n%s\n%s", m.Revision, previous, m.Value)
 	}
 	p.encodedStates[m.Revision] = string(m.Value)
 	if m.Revision < p.revision {
-		p.violations.add("%s tells revision %d after %d was told", g.name, m.Revision, p.revision)
+		p.violations.add("gateway %s reports revision %d after revision %d was reported", g.name, m.Revision, p.revision)
 		return
 	}
 	p.revision, p.state = m.Revision, s
@@ -139,11 +144,11 @@
 		}
 	}
 	if out > maxOut || parents > 1 {
-		p.violations.add("%d machines are away at once, %d of them upper caches", out, parents)
+		p.violations.add("%d machines are out of service or about to be, %d of them parents: over the limit", out, parents)
 	}
 	for z, n := range zones {
 		if strings.HasPrefix(z, "box") && n > max(1, int(0.34*float64(p.plot.CachesPerZone))) {
-			p.violations.add("%d of %d are away in %s", n, p.plot.CachesPerZone, z)
+			p.violations.add("%d of %d machines are out of service or about to be in %s: over the limit", n, p.plot.CachesPerZone, z)
 		}
 	}
 }
