--- a/cmd/larchusher-lab/deaths.go
+++ b/cmd/larchusher-lab/deaths.go
@@ -13,7 +13,7 @@
 	"larchusher/lab/plot"
 )
 
-// deathsCmd is the sub-command deaths.
+// deathsCmd is the sub-command deaths: it kills real gateways under the load of each kind of client.
 type deathsCmd struct {
 	Program  string        `help:"The gateway's program." default:"" placeholder:"PATH"`
 	Kind     []string      `help:"Kinds of clients; all if none is named."`
@@ -29,12 +29,13 @@
 	Plot     string        `help:"Draw connects over time to this file."`
 }
 
-// parseDeath reads GATEWAY@WHEN..BACK.
+// parseDeath parses a value of --kill: a gateway's position, the time of its kill and, optionally, of its restart. Times are
+// durations from the start of the run.
 func parseDeath(s string) (d failover.Death, err error) {
 	gateway, when, ok := strings.Cut(s, "@")
 	at, back, restarts := strings.Cut(when, "..")
 	if d.Gateway, err = strconv.Atoi(gateway); !ok || err != nil {
-		return d, fmt.Errorf("--kill %q: not GATEWAY@WHEN", s)
+		return d, fmt.Errorf("--kill %q: want GATEWAY@WHEN or GATEWAY@WHEN..BACK", s)
 	}
 	if d.At, err = time.ParseDuration(at); err != nil {
 		return d, fmt.Errorf("--kill %q: %w", s, err)
@@ -47,7 +48,9 @@
 	return d, nil
 }
 
-// Run kills gateways under each kind of client.
+// Run kills gateways under each kind of client, prints a row of figures for each, and draws connects over time with --plot. It
+// fails on a malformed --kill or when a run cannot be carried out; rules that were broken are printed to standard error
+// and are no error.
 func (c *deathsCmd) Run() error {
 	var err error
 	if c.Program, err = programPath(c.Program); err != nil {
--- a/cmd/larchusher-lab/get.go
+++ b/cmd/larchusher-lab/get.go
@@ -13,7 +13,7 @@
 	"larchusher/lab/loopback"
 )
 
-// gateways are the flags of the sub-commands that are clients.
+// clientFlags are the flags that get and ping share.
 type clientFlags struct {
 	Gateway []string      `help:"Address of a gateway; several are chosen among." required:""`
 	Class   string        `default:"images"`
@@ -21,6 +21,7 @@
 	Group   int           `help:"Group of the object, 0 to 255."`
 }
 
+// open returns a client of the gateways, which the caller closes. It knows the classes of the load generator's mix, and Class.
 func (g *clientFlags) open() (*client.Client, error) {
 	cfg := client.Config{Gateways: g.Gateway}
 	known := false
@@ -38,14 +39,14 @@
 	return client.New(cfg)
 }
 
-// getCmd is the sub-command get.
+// getCmd is the sub-command get: it reads an object through gateways.
 type getCmd struct {
 	clientFlags
 	Object string `arg:"" help:"16 hex digits."`
 	Parts  int    `help:"Read parts 0 to N-1." default:"1"`
 }
 
-// Run writes an object to standard output.
+// Run writes the parts of an object, in order, to standard output. It fails if a part cannot be read.
 func (g *getCmd) Run() error {
 	c, err := g.open()
 	if err != nil {
@@ -61,7 +62,7 @@
 	return err
 }
 
-// pingCmd is the sub-command ping.
+// pingCmd is the sub-command ping: it requests the same part repeatedly.
 type pingCmd struct {
 	clientFlags
 	Object string        `help:"What is asked for, 16 hex digits." default:"7f3a9c21e0b4d655"`
@@ -69,7 +70,7 @@
 	Every  time.Duration `default:"1s"`
 }
 
-// Run asks for a part again and again, and says how each call ended.
+// Run requests part 0 of an object Count times and prints the outcome of each call. It fails if no call succeeds.
 func (p *pingCmd) Run() error {
 	c, err := p.open()
 	if err != nil {
@@ -94,7 +95,7 @@
 		fmt.Printf("%d: served, %d bytes, %d tries, %v\n", n+1, len(r.Body), r.Tries, took)
 	}
 	if bad == p.Count {
-		return errors.New("ping: nothing was served")
+		return errors.New("ping: no request was served")
 	}
 	return nil
 }
--- a/cmd/larchusher-lab/load.go
+++ b/cmd/larchusher-lab/load.go
@@ -14,7 +14,7 @@
 	"larchusher/lab/testbed"
 )
 
-// load is the sub-command of that name.
+// loadCmd is the sub-command load: it sends an open-loop load to a gateway, whose requests do not wait for earlier answers.
 type loadCmd struct {
 	Addr     string        `help:"A gateway that runs already, at a loopback address; without it one is started with fake servers."`
 	Program  string        `help:"The gateway's program." default:"" placeholder:"PATH"`
@@ -47,7 +47,7 @@
 	Windows  bool          `help:"Print each second by itself, too."`
 }
 
-// Run runs the loads.
+// Run runs the load at each rate, one after another, each with a gateway process of its own unless --addr names one.
 func (l *loadCmd) Run() error {
 	var err error
 	if l.Program, err = programPath(l.Program); err != nil {
@@ -61,15 +61,16 @@
 	return nil
 }
 
-// figures is one run, as printed.
+// figures is what is printed of one run. With --json it is written as one line of JSON.
 type figures struct {
 	Rate     float64            `json:"Rate"`
 	Sum      loadgen.Summary    `json:"Sum"`
 	PeakMB   float64            `json:"PeakMB"`
-	CPU      float64            `json:"CPU"` // seconds used for each second
+	CPU      float64            `json:"CPU"` // seconds of processor time that the gateway used per second; 0 with --addr
 	Counters map[string]float64 `json:"Counters,omitempty"`
 }
 
+// runOnce runs the load at one rate, in requests per second, and prints the result.
 func (l *loadCmd) runOnce(rate float64) error {
 	ctx, cancel := context.WithTimeout(context.Background(), l.For+time.Minute)
 	defer cancel()
@@ -118,7 +119,7 @@
 	return l.report(res, f)
 }
 
-// spec is what is asked of the gateway.
+// spec returns the specification of the load at the given rate. It fails on a malformed profile or an unknown class.
 func (l *loadCmd) spec(addr string, rate float64) (spec loadgen.Spec, err error) {
 	profile, err := loadgen.ParseProfile(l.Profile, rate)
 	if err != nil {
@@ -132,7 +133,9 @@
 	return spec, err
 }
 
-// slow starts clients that read slowly, and has the stores answer them with much.
+// startSlowReaders starts clients that read their answers slowly, and makes the fake servers send them large parts; with
+// --addr (bed is nil) the servers are not changed. stop ends the clients and returns how many of their connections the
+// gateway had closed.
 func (l *loadCmd) startSlowReaders(addr string, bed *testbed.Gateway) (stop func() (closed int), err error) {
 	stop, err = loadgen.Slow(loadgen.SlowSpec{Addr: addr, Conns: l.Slow, Pace: l.SlowPace, Ask: l.SlowAsk})
 	if err != nil || bed == nil {
@@ -144,11 +147,11 @@
 	return stop, nil
 }
 
-// addUsage takes in what the gateway used, and its counters.
+// addUsage adds the gateway's processor and memory use since before, and the counters that --counters selects, to the figures.
 func (l *loadCmd) addUsage(ctx context.Context, bed *testbed.Gateway, before testbed.Usage, took time.Duration, f *figures) error {
 	u, err := bed.Usage()
 	if err != nil {
-		return fmt.Errorf("the gateway is gone: %w\n%s", err, bed.Log.String())
+		return fmt.Errorf("gateway process has ended, its resource use cannot be read: %w\n%s", err, bed.Log.String())
 	}
 	f.PeakMB, f.CPU = float64(u.PeakKB)/1024, (u.CPU-before.CPU).Seconds()/took.Seconds()
 	if len(l.Counters) == 0 {
@@ -167,7 +170,7 @@
 	return nil
 }
 
-// report writes the rows if asked to, and prints the figures.
+// report writes the rows of the run to a Parquet file with --out, and prints the figures.
 func (l *loadCmd) report(res *loadgen.Result, f figures) error {
 	rate := f.Rate
 	if l.Out != "" {
@@ -200,14 +203,15 @@
 	return nil
 }
 
-// injectPauses stalls the gateway as asked, beside the load.
+// injectPauses starts goroutines that pause the gateway process as --duty and --stalls demand while the load runs. It
+// fails on a malformed --duty.
 func (l *loadCmd) injectPauses(ctx context.Context, bed *testbed.Gateway) error {
 	if l.Duty != "" {
 		runText, periodText, ok := strings.Cut(l.Duty, "/")
 		run, err1 := time.ParseDuration(runText)
 		period, err2 := time.ParseDuration(periodText)
 		if !ok || err1 != nil || err2 != nil || run <= 0 || run >= period {
-			return fmt.Errorf("duty %q: not RUN/OF", l.Duty)
+			return fmt.Errorf("duty %q: want RUN/OF with 0 < RUN < OF, such as 25ms/100ms", l.Duty)
 		}
 		go func() {
 			for ctx.Err() == nil && bed.Pause(period-run) == nil {
--- a/cmd/larchusher-lab/main.go
+++ b/cmd/larchusher-lab/main.go
@@ -1,5 +1,5 @@
-// Command larchusher-lab runs the experiments of larchusher: fake servers, load, fault injection, simulations. It is a program of its own, so that
-// what it needs takes none of the gateway's memory; "larchusher lab" runs it.
+// Command larchusher-lab runs experiments with larchusher: fake servers, load, fault injection and simulations. It is a separate
+// program, so that its dependencies use no memory in the gateway; "larchusher lab" executes it.
 package main
 
 import (
@@ -8,6 +8,7 @@
 	"github.com/alecthomas/kong"
 )
 
+// cli lists the sub-commands.
 type cli struct {
 	Up    upCmd    `cmd:"" help:"Start a gateway with fake servers, ask for some objects, and show what came from where."`
 	Load  loadCmd  `cmd:"" help:"Drive an open-loop load against a gateway, and print what came of it."`
@@ -25,7 +26,7 @@
 }
 
 func main() {
-	debug.SetGCPercent(800) // its pauses would look like the gateway's
+	debug.SetGCPercent(800) // fewer collections: their pauses would be measured as latency of the gateway
 	ctx := kong.Parse(&cli{}, kong.Name("larchusher lab"), kong.Description("Experiments on loopback."), kong.UsageOnError())
 	ctx.FatalIfErrorf(ctx.Run())
 }
--- a/cmd/larchusher-lab/model.go
+++ b/cmd/larchusher-lab/model.go
@@ -9,7 +9,7 @@
 	"larchusher/lab/plot"
 )
 
-// modelCmd is the sub-command model.
+// modelCmd is the sub-command model: it compares policies of overload control in simulated time.
 type modelCmd struct {
 	Times   []float64     `help:"Loads, in multiples of capacity." default:"0.5,0.9,1,1.2,1.5,1.85,2,2.5,3,4,5"`
 	Profile string        `help:"The load over time, in multiples of those." default:"1"`
@@ -25,18 +25,19 @@
 	Plot    string        `help:"Draw worth over load to this file."`
 }
 
-// modelRow is what came of a policy under a load.
+// modelRow is the result of one policy under one load, in multiples of the capacity.
 type modelRow struct {
 	load float64
 	name string
 	out  model.Outcome
 }
 
-// costs are what the modelled gateway's work costs.
+// costs returns the processor time that the modelled gateway needs for each kind of work, with the interruptions that the
+// flags set. It fails on flags with which the processor would never serve.
 func (m *modelCmd) costs() (model.Costs, error) {
 	costs := model.Measured
 	if m.Burst < 0 || m.Away < 0 || m.Away > 0 && m.Every <= m.Away {
-		return costs, fmt.Errorf("--away %v of --every %v, --burst %v: a processor that never serves", m.Away, m.Every, m.Burst)
+		return costs, fmt.Errorf("--away %v of --every %v, --burst %v: want none negative, and --away below --every: else the processor never serves", m.Away, m.Every, m.Burst)
 	}
 	costs.Burst = m.Burst
 	if m.Away > 0 {
@@ -45,7 +46,7 @@
 	return costs, nil
 }
 
-// trace reads a recorded run, or draws requests at so many a second.
+// trace returns the requests of the run recorded in --trace, or random ones at the given rate in requests per second.
 func (m *modelCmd) trace(mix []loadgen.Class, rate float64) ([]model.Req, error) {
 	if m.Trace != "" {
 		return model.Read(m.Trace, mix, m.Seed)
@@ -57,7 +58,7 @@
 	return model.Draw(profile, m.For, mix, m.Marked, m.Seed), nil
 }
 
-// Run compares ways of overload control.
+// Run simulates each policy under each load and prints a row for each, and draws them with --plot.
 func (m *modelCmd) Run() error {
 	costs, err := m.costs()
 	if err != nil {
@@ -68,7 +69,7 @@
 	names, policies := model.Policies(mix)
 	for _, n := range m.Only {
 		if policies[n] == nil {
-			return fmt.Errorf("--only %q: there is none; there are %q", n, names)
+			return fmt.Errorf("--only %q: no such policy; want one of %q", n, names)
 		}
 	}
 	if len(m.Only) > 0 {
--- a/cmd/larchusher-lab/population.go
+++ b/cmd/larchusher-lab/population.go
@@ -7,7 +7,7 @@
 	"larchusher/lab/plot"
 )
 
-// populationCmd is the sub-command population.
+// populationCmd is the sub-command population: it simulates many clients while gateways are killed.
 type populationCmd struct {
 	Clients  int           `default:"50000"`
 	Gateways int           `default:"20"`
@@ -21,7 +21,8 @@
 	Plot     string        `help:"Draw load over time to PREFIX-tries.png and PREFIX-connects.png." placeholder:"PREFIX"`
 }
 
-// Run plays the population with each kind of client.
+// Run simulates the clients, once with each kind of client, and prints a row for each. The gateways are killed 8 s after the
+// start; with --plot it draws tries and connects from 2 s before that to 15 s after.
 func (p *populationCmd) Run() error {
 	const killAt = 8 * time.Second
 	t := newTable()
--- a/cmd/larchusher-lab/procs.go
+++ b/cmd/larchusher-lab/procs.go
@@ -17,6 +17,7 @@
 	"larchusher/maintenance"
 )
 
+// procsCmd is the sub-command procs: it runs plots of faults with real gateway processes, or one of several measurements.
 type procsCmd struct {
 	Program string   `help:"The gateway's program; the one beside this without." placeholder:"FILE"`
 	Plot    string   `help:"Play the plot in this file." placeholder:"FILE"`
@@ -38,7 +39,7 @@
 	Jobs    int      `help:"How many are played at once." default:"4"`
 }
 
-// Run plays.
+// Run runs what the flags select, by default random plots. It fails if a plot breaks a rule.
 func (c *procsCmd) Run() error {
 	if c.Program == "" {
 		self, err := os.Executable()
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// plots are those that are named, the one in a file, or drawn ones.
+// plots returns the plots that the flags select: written ones by name, one from a file, or random ones.
 func (c *procsCmd) plots() ([]*faultinjection.Plot, error) {
 	switch {
 	case len(c.Named) > 0:
@@ -104,6 +105,7 @@
 	return plots, nil
 }
 
+// selectNamedPlots returns the written plots that --named selects, in the order of their names.
 func (c *procsCmd) selectNamedPlots() (plots []*faultinjection.Plot, err error) {
 	named, err := faultinjection.NamedPlots()
 	if err != nil {
@@ -117,7 +119,7 @@
 	return plots, nil
 }
 
-// playAll plays plots, several at once.
+// playAll runs plots, Jobs of them concurrently, and adds their outcomes to s.
 func (c *procsCmd) playAll(plots []*faultinjection.Plot, s *plotSummary) {
 	var all sync.WaitGroup
 	next := make(chan *faultinjection.Plot)
@@ -139,18 +141,19 @@
 	all.Wait()
 }
 
-// plotSummary is what came of several plots.
+// plotSummary sums up the outcomes of several plots. add may be called from any goroutine.
 type plotSummary struct {
 	mu                             sync.Mutex
-	failed, completed              int
-	asked, served                  int
-	grantLatencies                 []time.Duration // from asking to granted
-	convergence                    []time.Duration // from the last fault until all knew the same
-	staleRequests, drainedRequests int
-	purges                         int
+	failed, completed              int             // plots that broke a rule or could not run; completed maintenance requests
+	asked, served                  int             // requests of clients
+	grantLatencies                 []time.Duration // from a maintenance request to its grant
+	convergence                    []time.Duration // from the last fault until all gateways held the same replicated slots
+	staleRequests, drainedRequests int             // as in faultinjection.Verdict
+	purges                         int             // sent to gateways
 }
 
-// add takes in what came of a plot, and prints it.
+// add adds the outcome of a plot, or the error that ended it, and prints it. Plots with a fault are printed in full, so that
+// they can be run again.
 func (s *plotSummary) add(p *faultinjection.Plot, v *faultinjection.Verdict, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,6 +187,7 @@
 	}
 }
 
+// print prints the totals over the given number of plots.
 func (s *plotSummary) print(plots int) {
 	slices.Sort(s.grantLatencies)
 	if n := len(s.grantLatencies); n > 0 {
@@ -200,7 +204,8 @@
 	fmt.Printf("%d plots, %d with a fault; %d works done; of %d requests %d were served\n", plots, s.failed, s.completed, s.asked, s.served)
 }
 
-// mutate has the plots find rules that were taken out.
+// runMutants builds a program without one rule after another and prints which plot detects it. It fails if a mutant passes
+// all its plots.
 func (c *procsCmd) runMutants() error {
 	escaped, errs := 0, []error(nil)
 	for _, m := range faultinjection.Mutants {
@@ -224,13 +229,13 @@
 	return errors.Join(errs...)
 }
 
-// catch plays plots until one finds the mutant, and says how; empty: none did.
+// catch runs a mutant's plots until one detects it, and returns a description of that; empty: none did.
 func (c *procsCmd) catch(m faultinjection.Mutant) (string, error) {
 	dir, err := os.MkdirTemp("", "larchusher-mutant")
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder, which the system clears otherwise
+	defer func() { _ = os.RemoveAll(dir) }() // an error leaves files in the temporary folder, which the system cleans up
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Minute)
 	defer cancel()
 	program, err := m.Build(ctx, c.Mutants, dir)
@@ -254,7 +259,7 @@
 	return "", nil
 }
 
-// measure measures without faults.
+// measure runs the measurements without faults that the flags select, and prints a line for each.
 func (c *procsCmd) measure() error {
 	for _, n := range c.Rest {
 		r, err := faultinjection.MeasureIdle(n, c.Seed)
@@ -273,7 +278,7 @@
 	return c.measureGrants()
 }
 
-// measureCatchUp is what it takes one that returns to know so many items.
+// measureCatchUp measures, at two rates of transfer, how long a returning gateway takes to learn so many replicated items.
 func (c *procsCmd) measureCatchUp() error {
 	for _, n := range c.CatchUp {
 		for _, bytes := range []int{256 << 10, 16 << 20} {
@@ -287,13 +292,14 @@
 	return nil
 }
 
-// measureSpread is how fleets of so many gateways come to know the same, by several ways.
+// measureReplication measures how clusters of so many gateways replicate what they know, by several methods, and draws the
+// times after a partition with --draw.
 func (c *procsCmd) measureReplication() error {
 	lines := map[string]plot.Line{}
 	for _, n := range c.Spread {
 		for _, variant := range []string{faultinjection.VariantStreamsHints, faultinjection.VariantStreams, faultinjection.VariantFullCopies, faultinjection.VariantPush} {
 			if variant == faultinjection.VariantFullCopies && n > 100 {
-				continue // it is what grows with the square of the fleet
+				continue // its traffic grows with the square of the number of gateways
 			}
 			r, err := faultinjection.MeasureSpread(variant, n, c.Seed)
 			if err != nil {
@@ -316,7 +322,7 @@
 	return plot.Draw(c.Draw, "A heal of two halves", "gateways", "seconds until all know the same", all)
 }
 
-// measureGrants is how long a grant takes, without and with the first voter killed.
+// measureGrants measures how long maintenance requests take to be granted, without and with the first voter killed.
 func (c *procsCmd) measureGrants() error {
 	for _, n := range c.Grants {
 		for _, kill := range []bool{false, true} {
@@ -332,7 +338,8 @@
 	return nil
 }
 
-// plan compares ways of settling work on forty machines.
+// comparePlans compares, over Plan seeds, the maintenance of forty machines by fixed timetables and by agreement of the gateways,
+// prints a row for each and draws them with --draw.
 func (c *procsCmd) comparePlans() error {
 	type method struct {
 		name     string
@@ -390,7 +397,7 @@
 	return plot.Draw(c.Draw, "Forty machines, load 0.6", "minutes to the end", "worth lost in the worst ten seconds, %", lines)
 }
 
-// orNever words how long something took, that may not have come.
+// durationOrNever returns d as text, or a note for 0: it did not happen within the time of the measurement.
 func durationOrNever(d time.Duration) string {
 	if d == 0 {
 		return "(not within its time)"
--- a/cmd/larchusher-lab/scene.go
+++ b/cmd/larchusher-lab/scene.go
@@ -11,14 +11,15 @@
 	"larchusher/lab/plot"
 )
 
-// sceneCmd is the sub-command scene.
+// sceneCmd is the sub-command scene: it simulates a scene, zones with their load and faults, from a file.
 type sceneCmd struct {
 	File string `arg:"" help:"A scene in protobuf text format, such as lab/scenarios/dark.textproto." type:"existingfile"`
 	Out  string `help:"Write each second of each run to this file, as Parquet." placeholder:"FILE"`
 	Plot string `help:"Draw service over time, or a heat map of a sweep of two keys for each policy, to PREFIX-....png." placeholder:"PREFIX"`
 }
 
-// Run plays a scene, or all of a sweep.
+// Run simulates a scene, or each cell of a sweep over its parameters, and prints a row for each. It writes files with --out and
+// --plot.
 func (s *sceneCmd) Run() error {
 	f, err := localitysim.Load(s.File)
 	if err != nil {
@@ -67,6 +68,7 @@
 	return plot.Draw(s.Plot+"-service.png", "Worth answered in aim, all zones", "seconds", "share of what was asked", lines)
 }
 
+// drawHeatMaps draws, for each policy, the share of the worth answered in aim over the two swept parameters.
 func (s *sceneCmd) drawHeatMaps(f *localitysim.File, cells []*localitysim.Cell) error {
 	x, y := f.Sweep[0], f.Sweep[1]
 	for k, p := range f.Policies {
@@ -85,38 +87,40 @@
 	return nil
 }
 
-// compareCmd is the sub-command compare.
+// compareCmd is the sub-command compare: it runs one scene in the simulation and with real gateways.
 type compareCmd struct {
 	File    string `arg:"" help:"A scene; only deaths of zones, one gateway for each zone." type:"existingfile"`
 	Program string `help:"The gateway's program." default:"" placeholder:"PATH"`
 }
 
-// socketsConfig is a scene for real gateways.
+// gatewaysConfig converts a scene for real gateways. It fails if the scene has something that these cannot run: more than one
+// gateway in a zone, more than two hubs, or faults other than dead zones.
 func gatewaysConfig(program string, sc localitysim.Scene) (fleet.Config, error) {
 	cfg := fleet.Config{Program: program, BoxRate: sc.BoxRate, Objects: sc.Objects, Late: sc.List, For: sc.For, Seed: sc.Seed}
 	for i, z := range sc.Zones {
 		if z.Gateways != 1 || z.Hub > 1 {
-			return cfg, fmt.Errorf("zone[%d]: %d gateways at hub %d; to compare, one gateway and hubs 0 and 1", i, z.Gateways, z.Hub)
+			return cfg, fmt.Errorf("zone[%d]: %d gateways at hub %d: compare wants one gateway in each zone, and hub 0 or 1", i, z.Gateways, z.Hub)
 		}
 		cfg.Zones = append(cfg.Zones, fleet.Zone{Name: z.Name, Hub: z.Hub, Boxes: z.Boxes, Rate: z.Load * sc.BoxRate * float64(z.Boxes)})
 	}
 	for i, x := range sc.Faults {
 		if x.Kind != localitysim.Dead {
-			return cfg, fmt.Errorf("fault[%d].kind: %s can't be played on sockets", i, x.Kind)
+			return cfg, fmt.Errorf("fault[%d].kind: %s: real gateways can run dead zones only", i, x.Kind)
 		}
 		cfg.Deaths = append(cfg.Deaths, fleet.Death{Zone: x.Zone, At: x.At, Back: x.Till})
 	}
 	return cfg, nil
 }
 
-// shares are parts of what was asked in a span.
+// shares are the shares of the requests of a time span that were sent to other zones, or rejected.
 type shares struct{ spilled, refused float64 }
 
+// newShares returns the shares of two counts in the number of requests.
 func newShares(spilled, refused, asked float64) shares {
 	return shares{spilled: spilled / max(1, asked), refused: refused / max(1, asked)}
 }
 
-// modelShares are those of the model between two seconds.
+// simulatedShares returns the shares of a simulation from one second to another, exclusive.
 func simulatedShares(r *localitysim.Result, from, to int) shares {
 	var asked, spilled, refused float64
 	for _, s := range r.Seconds[from:to] {
@@ -128,7 +132,7 @@
 	return newShares(spilled, refused, asked)
 }
 
-// socketsShares are those of real gateways between two seconds.
+// measuredShares returns the shares of a run with real gateways from one second to another, exclusive.
 func measuredShares(r *fleet.Result, from, to int) shares {
 	var asked, spilled, refused float64
 	for k, zone := range r.Zones {
@@ -140,7 +144,7 @@
 	return newShares(spilled, refused, asked)
 }
 
-// awayFrom is how many of the attempts at zones were at others than the own one.
+// spilledAttempts returns how many of the attempts, counted by zone, went to a zone other than own.
 func spilledAttempts(own int, at []int) (away int) {
 	for zone, n := range at {
 		if zone != own {
@@ -150,8 +154,8 @@
 	return away
 }
 
-// Run plays a scene in the model with directors and with real gateways on loopback, and tells both side by side, by spans
-// of five seconds.
+// Run runs a scene in the simulation with directors and with real gateways on loopback, and prints the results of both side
+// by side, for spans of 5 s.
 func (c *compareCmd) Run() error {
 	program, err := programPath(c.Program)
 	if err != nil {
--- a/cmd/larchusher-lab/table.go
+++ b/cmd/larchusher-lab/table.go
@@ -6,37 +6,38 @@
 	"text/tabwriter"
 )
 
-// table prints rows in aligned columns to standard output. The first error of writing is kept for flush.
+// table prints rows in aligned columns to standard output. flush returns the first error of any write.
 type table struct {
 	w   *tabwriter.Writer
 	err error
 }
 
-// newTable begins a table of numbers, which are aligned to the right.
+// newTable returns a table with cells aligned to the right, for numbers.
 func newTable() *table {
 	return &table{w: tabwriter.NewWriter(os.Stdout, 2, 8, 2, ' ', tabwriter.AlignRight)}
 }
 
-// newTextTable begins a table of words, which are aligned to the left.
+// newTextTable returns a table with cells aligned to the left, for text.
 func newTextTable() *table {
 	return &table{w: tabwriter.NewWriter(os.Stdout, 2, 8, 2, ' ', 0)}
 }
 
-// row adds a line; tabs stand between its cells.
+// row formats and adds a line, whose cells are separated by tabs.
 func (t *table) row(format string, args ...any) {
 	_, err := fmt.Fprintf(t.w, format+"\n", args...)
 	t.keepError(err)
 }
 
-// head adds a line that is taken as it is.
+// header adds a line without formatting it; cells are separated by tabs.
 func (t *table) header(line string) { t.row("%s", line) }
 
-// flush prints what was added, and returns the first error of all.
+// flush prints the rows, and returns the first error of any write.
 func (t *table) flush() error {
 	t.keepError(t.w.Flush())
 	return t.err
 }
 
+// keepError records an error if it is the first.
 func (t *table) keepError(err error) {
 	if t.err == nil {
 		t.err = err
--- a/cmd/larchusher-lab/up.go
+++ b/cmd/larchusher-lab/up.go
@@ -19,16 +19,18 @@
 	"larchusher/signedurl"
 )
 
-// up is the sub-command of that name.
+// upCmd is the sub-command up: it starts a gateway with fake servers and requests some objects.
 type upCmd struct {
 	Program string `help:"The gateway's program." placeholder:"PATH"`
 	Caches  int    `help:"Fake caches." default:"2"`
 	Stay    bool   `help:"Go on until SIGINT, so that you can ask yourself."`
 }
 
+// signedBaseURL is the base of the URLs that the signed front accepts; requests go to its loopback address instead.
 const signedBaseURL = "https://assets.ridge.example"
 
-// Run starts a gateway with fake servers, asks for some objects by both fronts, and shows what came from where.
+// Run starts a gateway with fake servers, requests some objects through both fronts, and prints which server answered each. With
+// --stay it then waits for a signal.
 func (u *upCmd) Run() error {
 	program, err := programPath(u.Program)
 	if err != nil {
@@ -44,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder, which the system clears otherwise
+	defer func() { _ = os.RemoveAll(dir) }() // an error leaves files in the temporary folder, which the system cleans up
 	d := &demo{frontAddr: front, secret: []byte("a secret of the lab, not of anyone else")}
 	if err := d.start(ctx, program, dir, u.Caches); err != nil {
 		return err
@@ -59,15 +61,15 @@
 	return nil
 }
 
-// demo is a gateway with fake servers, and what signs for its signed front.
+// demo is a running gateway with fake servers, and the issuer of its signed URLs.
 type demo struct {
-	frontAddr string // the signed front's address
-	secret    []byte // of its key
+	frontAddr string // address of the signed front
+	secret    []byte // of the key for signed URLs
 	bed       *testbed.Gateway
 	issuer    *signedurl.Issuer
 }
 
-// start starts the gateway with an operator's file in a folder, and tells where everything is.
+// start writes an operator's file to dir, starts the gateway with it, and prints the addresses of all parts.
 func (d *demo) start(ctx context.Context, program, dir string, caches int) (err error) {
 	d.issuer, err = signedurl.NewIssuer(signedurl.Config{Base: signedBaseURL, Keys: []signedurl.Key{{ID: "lab",
 		Form: signedurl.URISigning, Algorithm: "HS256", Secret: d.secret}}}, "lab")
@@ -99,7 +101,7 @@
 	return nil
 }
 
-// askAll asks for some objects by both fronts, and prints a row for each answer.
+// requestAll requests some objects through both fronts, and prints a row for each answer.
 func (d *demo) requestAll(ctx context.Context) error {
 	t := newTextTable()
 	t.header("front\tasked\tanswer\tserved by\tfilled from\ttook")
@@ -117,6 +119,7 @@
 	return t.flush()
 }
 
+// requestPlatform requests a part through the platform front, and adds a row to the table.
 func (d *demo) requestPlatform(t *table, asked, class, object string, part int) error {
 	began := time.Now()
 	answer, err := loadgen.One(d.bed.Addr, class, object, part)
@@ -127,6 +130,7 @@
 	return nil
 }
 
+// requestSigned requests part 1 of an object through the signed front, and adds a row to the table.
 func (d *demo) requestSigned(ctx context.Context, t *table, object string) error {
 	uri, err := d.issuer.Sign(signedurl.Order{Target: "/films/" + object + "/1?shard=17", Expiry: time.Now().Add(time.Hour)})
 	if err != nil {
@@ -141,7 +145,7 @@
 	return nil
 }
 
-// show adds a row: what was asked, and which store served it from where.
+// addRow adds a row: what was requested, the answer, which fake server sent it, and from where that had filled.
 func (d *demo) addRow(t *table, front, asked, answer string, took time.Duration) {
 	by, from := "-", "-"
 	if a := takeLatest(d.bed.Stores); a != nil {
@@ -155,7 +159,7 @@
 	t.row("%s\t%s\t%s\t%s\t%s\t%v", front, asked, answer, by, from, took.Round(10*time.Microsecond))
 }
 
-// stay goes on until SIGINT or SIGTERM.
+// waitForSignal prints a command for a request, and returns at SIGINT or SIGTERM.
 func (d *demo) waitForSignal() error {
 	uri, err := d.issuer.Sign(signedurl.Order{Target: "/films/7f3a9c21e0b4d655/1?shard=17", Expiry: time.Now().Add(time.Hour)})
 	if err != nil {
@@ -168,7 +172,7 @@
 	return nil
 }
 
-// latest is what a store was asked last, and forgets it.
+// takeLatest returns the latest request that any fake server received, or nil, and clears the records of all.
 func takeLatest(stores map[string]*fakeserver.Store) (last *fakeserver.Request) {
 	for _, s := range stores {
 		s.Lock()
@@ -183,6 +187,7 @@
 	return last
 }
 
+// get requests a URL and returns the status and the length of the body as text.
 func get(ctx context.Context, url string) (string, error) {
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -192,12 +197,13 @@
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = resp.Body.Close() }() // read to its end
+	defer func() { _ = resp.Body.Close() }() // the body has been read to its end: an error on closing changes nothing
 	b, err := io.ReadAll(resp.Body)
 	return fmt.Sprintf("%s, %d bytes", resp.Status, len(b)), err
 }
 
-// programPath finds the gateway's program, beside this one unless it is named.
+// programPath returns the path of the gateway's program: the named one, or else the one in this program's folder. It fails if
+// that does not exist.
 func programPath(named string) (string, error) {
 	if named != "" {
 		return named, nil
@@ -208,7 +214,7 @@
 	}
 	path := filepath.Join(filepath.Dir(self), "larchusher")
 	if _, err := os.Stat(path); err != nil {
-		return "", fmt.Errorf("build it first, by CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...: %w", err)
+		return "", fmt.Errorf("gateway's program not found; build it by CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...: %w", err)
 	}
 	return path, nil
 }
--- a/cmd/larchusher-lab/zones.go
+++ b/cmd/larchusher-lab/zones.go
@@ -12,7 +12,7 @@
 	"larchusher/lab/plot"
 )
 
-// zonesCmd is the sub-command zones.
+// zonesCmd is the sub-command zones: it runs faults of zones, in simulated time or with real gateways, for each policy.
 type zonesCmd struct {
 	Sockets  bool          `help:"Play it with real gateways on loopback, and not in the model."`
 	Directed bool          `help:"Play it in the model with a director in each gateway: slower."`
@@ -33,13 +33,13 @@
 	Print    bool          `help:"Print each second."`
 }
 
-// parseFault reads ZONE:KIND@WHEN..TILL.
+// parseFault parses a value of --fault, ZONE:KIND@WHEN..TILL; times are durations from the start. The kind is not checked here.
 func parseFault(s string) (f localitysim.Fault, err error) {
 	zone, rest, ok := strings.Cut(s, ":")
 	kind, when, ok2 := strings.Cut(rest, "@")
 	at, till, ok3 := strings.Cut(when, "..")
 	if f.Zone, err = strconv.Atoi(zone); err != nil || !ok || !ok2 || !ok3 {
-		return f, fmt.Errorf("--fault %q: not ZONE:KIND@WHEN..TILL", s)
+		return f, fmt.Errorf("--fault %q: want ZONE:KIND@WHEN..TILL", s)
 	}
 	f.Kind = localitysim.FaultKind(kind)
 	if f.At, err = time.ParseDuration(at); err == nil {
@@ -51,13 +51,13 @@
 	return f, nil
 }
 
-// curve is one policy's run.
+// policyCurve is the result of one policy over time: points of second and share of the requests' worth, or of the requests.
 type policyCurve struct {
 	name           string
 	service, spill [][2]float64
 }
 
-// Run plays zones by each policy.
+// Run runs the zones with each policy and prints a row for each. With --plot it draws service and spill over time.
 func (z *zonesCmd) Run() error {
 	var faults []localitysim.Fault
 	for _, s := range z.Fault {
@@ -95,6 +95,7 @@
 	return plot.Draw(z.Plot+"-spill.png", "Attempts at other zones than the clients' own", "seconds", "share of what was asked", spill)
 }
 
+// hub returns the hub of the i-th zone: 0 for the first half of the zones, 1 for the others.
 func (z *zonesCmd) hub(i int) int {
 	if i >= (len(z.Boxes)+1)/2 {
 		return 1
@@ -102,7 +103,7 @@
 	return 0
 }
 
-// model plays zones in simulated time, by each policy.
+// runModel simulates the zones with each policy. With --directed the policy without bounds is left out.
 func (z *zonesCmd) runModel(t *table, faults []localitysim.Fault) (curves []policyCurve, err error) {
 	t.header("policy\tworth in aim, all\tworst 5 s\tlast 20 s\trefused: replays\tassets\tfailed\tspill over its bound\tzones that fell\torigin refused\tevents a second\t")
 	run := localitysim.Run
@@ -123,7 +124,7 @@
 	return curves, nil
 }
 
-// scene is what the model plays by a policy.
+// modelScene returns the scene to simulate with a policy.
 func (z *zonesCmd) modelScene(policy string, faults []localitysim.Fault) localitysim.Scene {
 	sc := localitysim.Scene{BoxRate: z.BoxRate, Objects: z.Objects, Parent: z.Parent, Origin: z.Origin, Faults: faults, List: z.Late, For: z.For, Warm: 10 * time.Second,
 		Policy: localitysim.Policy(policy), Seed: z.Seed}
@@ -133,7 +134,7 @@
 	return sc
 }
 
-// modelCurve adds a policy's row, and returns its curve.
+// addModelRow adds the row of a simulated policy to the table, and returns its curve. The curve begins at second 10.
 func (z *zonesCmd) addModelRow(t *table, policy string, r *localitysim.Result, took time.Duration) policyCurve {
 	c := policyCurve{name: policy}
 	failed, refusals, worst := 0, 0, 1.0
@@ -163,7 +164,7 @@
 	return c
 }
 
-// sockets plays zones with real gateways, by each policy that they have.
+// runGateways runs the zones with real gateways, with each policy that these have.
 func (z *zonesCmd) runGateways(t *table, faults []localitysim.Fault) (curves []policyCurve, err error) {
 	if z.Program, err = programPath(z.Program); err != nil {
 		return nil, err
@@ -191,7 +192,7 @@
 	return curves, nil
 }
 
-// fleet is what real gateways play by a policy.
+// gatewaysConfig returns the configuration of real gateways for a policy. It fails on faults other than dead zones.
 func (z *zonesCmd) gatewaysConfig(policy string, faults []localitysim.Fault) (fleet.Config, error) {
 	cfg := fleet.Config{Program: z.Program, BoxRate: z.BoxRate, Objects: z.Objects, Late: z.Late, For: z.For, Off: policy != "tiers", Seed: z.Seed}
 	for i, b := range z.Boxes {
@@ -199,14 +200,14 @@
 	}
 	for _, f := range faults {
 		if f.Kind != localitysim.Dead {
-			return cfg, fmt.Errorf("--fault: %s is played in the model only", f.Kind)
+			return cfg, fmt.Errorf("--fault: kind %s: real gateways can run dead zones only; omit --sockets", f.Kind)
 		}
 		cfg.Deaths = append(cfg.Deaths, fleet.Death{Zone: f.Zone, At: f.At, Back: f.Till})
 	}
 	return cfg, nil
 }
 
-// socketsCurve adds a policy's row, and returns its curve.
+// addGatewaysRow adds the row of a policy run by real gateways to the table, and returns its curve.
 func (z *zonesCmd) addGatewaysRow(t *table, policy string, r *fleet.Result) policyCurve {
 	c := policyCurve{name: policy}
 	refused, other, worst := 0, 0, 1.0
@@ -236,7 +237,7 @@
 	return c
 }
 
-// printCounters prints what the gateways counted of localities, answers and attempts.
+// printCounters prints the gateways' counters of localities, answers and attempts, by zone.
 func printCounters(policy string, r *fleet.Result) {
 	for k, c := range r.Counters {
 		for name, v := range c {
