--- a/lab/faultinjection/clients.go
+++ b/lab/faultinjection/clients.go
@@ -30,16 +30,16 @@
 	LostWithGateway int                  // the same while the plot had killed or stopped the gateway
 	open            map[uint32]time.Time // by request ID of the current connection, when it was sent
 	answered        map[uint32]bool      // by request ID of the current connection
-	conn            net.Conn
+	conn            net.Conn             // the current connection, or the latest
 }
 
 // clientDeadline is the time limit that each request carries.
 const clientDeadline = 1500 * time.Millisecond
 
-// run sends requests until a point in time, and connects again whenever the connection ends. The number first, one
-// more than the gateway's position in the plot, keeps transaction and object names of different gateways' clients apart.
-func (c *clientLoad) run(until time.Time, first int) {
-	n := 0
+// run sends requests until a point in time, and connects again whenever the connection ends. clientID, the gateway's position
+// in the plot plus 1, makes transaction IDs and object names unique among the clients of different gateways.
+func (c *clientLoad) run(until time.Time, clientID int) {
+	sent := 0
 	for time.Now().Before(until) {
 		conn, err := loopback.DialTimeout(c.addr, 300*time.Millisecond)
 		if err != nil {
@@ -51,7 +51,7 @@
 		c.mu.Unlock()
 		ended := make(chan struct{})
 		go c.readAnswers(conn, ended)
-		n = c.sendRequests(conn, ended, until, first, n)
+		sent = c.sendRequests(conn, ended, until, clientID, sent)
 		if !time.Now().Before(until) { // wait for the last answers
 			closedWithin(ended, clientDeadline+300*time.Millisecond)
 		}
@@ -76,37 +76,37 @@
 	}
 }
 
-// sendRequests sends requests on one connection until the connection ends or the time is over. n is how many requests
+// sendRequests sends requests on one connection until the connection ends or the time is over. sent is how many requests
 // earlier connections carried; the result is the new total.
-func (c *clientLoad) sendRequests(conn net.Conn, ended <-chan struct{}, until time.Time, first, n int) int {
+func (c *clientLoad) sendRequests(conn net.Conn, ended <-chan struct{}, until time.Time, clientID, sent int) int {
 	e := rpc.NewEncoder(conn)
 	for id := uint32(1); time.Now().Before(until); {
 		if !c.isPaused() {
-			n++
+			sent++
 			c.mu.Lock()
 			c.Sent++
 			c.open[id] = time.Now()
 			c.countOverdue()
 			c.mu.Unlock()
-			if err := e.Request(&rpc.Request{ID: id, Class: c.class, Txn: fmt.Sprintf("%016x", first<<32+n), Limit: clientDeadline,
-				Object: fmt.Sprintf("%016x", first<<16+n%objectsPerGateway), Group: n % objectsPerGateway % groupCount}); err != nil {
-				return n
+			if err := e.Request(&rpc.Request{ID: id, Class: c.class, Txn: fmt.Sprintf("%016x", clientID<<32+sent), Limit: clientDeadline,
+				Object: fmt.Sprintf("%016x", clientID<<16+sent%objectsPerGateway), Group: sent % objectsPerGateway % groupCount}); err != nil {
+				return sent
 			}
 			id++
 		}
 		if closedWithin(ended, c.interval) {
-			return n
+			return sent
 		}
 	}
-	return n
+	return sent
 }
 
 // closedWithin waits for the channel of an ended connection to close, and reports whether that happened within the given time.
-func closedWithin(ended <-chan struct{}, within time.Duration) bool {
+func closedWithin(ended <-chan struct{}, timeout time.Duration) bool {
 	select {
 	case <-ended:
 		return true
-	case <-time.After(within):
+	case <-time.After(timeout):
 		return false
 	}
 }
@@ -161,10 +161,10 @@
 }
 
 // setPaused stops or resumes sending. Requests that are open must still be answered.
-func (c *clientLoad) setPaused(yes bool) {
+func (c *clientLoad) setPaused(paused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.paused = yes
+	c.paused = paused
 }
 
 // isPaused reports whether sending is stopped.
@@ -176,12 +176,12 @@
 
 // setGatewayDown records whether the plot has taken the gateway down, which decides how requests lost from now on are
 // counted. When the gateway is back, requests that are still open count as lost with it.
-func (c *clientLoad) setGatewayDown(yes bool) {
+func (c *clientLoad) setGatewayDown(down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.countOverdue()
-	if !yes {
+	if !down {
 		c.countAllLost() // sent before or while the gateway was down
 	}
-	c.gatewayDown = yes
+	c.gatewayDown = down
 }
--- a/lab/faultinjection/events.go
+++ b/lab/faultinjection/events.go
@@ -64,7 +64,7 @@
 func (p *plotRun) kill(g *gatewayProcess, lose bool) error {
 	g.clients.setGatewayDown(true)
 	g.setUp(false)
-	p.resetNotified(g, time.Now().Add(time.Hour))
+	p.resetNotified(g, time.Now().Add(time.Hour)) // after any plot; restart sets the actual time
 	if err := g.testbed.Kill(); err != nil {
 		return err
 	}
--- a/lab/faultinjection/faultinjection.go
+++ b/lab/faultinjection/faultinjection.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	lease             = time.Second
-	maxOut            = 3
-	slowStart         = 1500 * time.Millisecond
-	pollInterval      = 60 * time.Millisecond
-	completionTimeout = 40 * time.Second // from the end of the plot until all requests for work must have ended
-	maxListDelayMs    = 1200             // longest delay, in milliseconds, with which a gateway learns of a change of the endpoint list
+	lease             = time.Second             // of the maintenance state, in the operator's files of the gateways
+	maxOut            = 3                       // machines that may be out of service at once
+	slowStart         = 1500 * time.Millisecond // until a restarted machine is warm
+	pollInterval      = 60 * time.Millisecond   // between two queries of the maintenance state
+	completionTimeout = 40 * time.Second        // from the end of the plot until all requests for work must have ended
+	maxListDelayMs    = 1200                    // longest delay, in milliseconds, with which a gateway learns of a change of the endpoint list
 )
 
 // clusterKey authenticates the gateways and the test tool to each other.
@@ -28,27 +28,27 @@
 // plotRun is one run of a plot: the gateways, fake servers and relays, and what was observed so far.
 type plotRun struct {
 	plot         *Plot
-	dir          string
-	program      string
+	dir          string // temporary folder of all files of the run
+	program      string // path of the gateway's program
 	startedAt    time.Time
 	violations   *violationLog
 	machines     map[string]*machine
 	machineNames []string
 	gateways     []*gatewayProcess
-	relays       map[string]*relay
-	rng          *rand.Rand
+	relays       map[string]*relay // by direction, such as g0>g1
+	rng          *rand.Rand        // guarded by mu
 
 	responseDelay atomic.Int64 // nanoseconds that each fake server waits before it answers
 
-	mu            sync.Mutex
-	requestedAt   map[string]time.Time
-	acceptedBy    map[string]string // by machine: which gateway accepted the request, and when; for messages
-	stages        map[string]maintenance.Stage
-	grantLatency  map[string]time.Duration
+	mu            sync.Mutex                   // guards the fields below, but not wg
+	requestedAt   map[string]time.Time         // by machine: when its maintenance was first requested
+	acceptedBy    map[string]string            // by machine: which gateway accepted the request, and when; for messages
+	stages        map[string]maintenance.Stage // by machine: the latest reported stage of its request
+	grantLatency  map[string]time.Duration     // by machine: from the first request until the grant was reported
 	notices       noticeLog
-	encodedStates map[uint64]string // by revision: the encoded state, as a gateway returned it
-	state         *maintenance.State
-	revision      uint64
+	encodedStates map[uint64]string  // by revision: the encoded state, as a gateway returned it
+	state         *maintenance.State // the latest reported state; nil: none yet
+	revision      uint64             // of state
 	wg            sync.WaitGroup
 }
 
--- a/lab/faultinjection/machines.go
+++ b/lab/faultinjection/machines.go
@@ -16,11 +16,11 @@
 
 	mu           sync.Mutex // guards the fields below
 	store        *fakeserver.Store
-	outOfService bool // under maintenance: no gateway may send to it
-	inFlight     int  // requests received and not yet answered
-	coldSince    time.Time
+	outOfService bool      // under maintenance: no gateway may send to it
+	inFlight     int       // requests received and not yet answered
+	coldSince    time.Time // latest restart; zero: warm from the start
 	faults       *violationLog
-	sinceMs      int64
+	sinceMs      int64 // start of the process as the endpoint list shows it, in Unix milliseconds; 0: before the plot
 }
 
 // endpointJSON returns the machine's entry for the endpoint list, with the given status. The caller holds mu.
--- a/lab/faultinjection/plot.go
+++ b/lab/faultinjection/plot.go
@@ -140,14 +140,14 @@
 // newRand returns a generator whose numbers depend on the seed and on the stream alone.
 func newRand(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 
-// Generate returns the random plot of a seed. Every fault ends before the plot does, so that all maintenance can
-// complete, and at most one gateway loses its folder, so that a majority of the votes is never lost.
+// Generate returns the random plot of a seed. Every fault except a wrong wall clock ends before the plot does, so that all
+// maintenance can complete. At most one gateway loses its folder, so that the stored votes of a majority are never lost.
 func Generate(seed uint64) *Plot {
 	rng := newRand(seed, 21)
 	p := &Plot{Seed: seed, Gateways: 3 + rng.IntN(5), CachesPerZone: 4 + rng.IntN(6), For: 14 * time.Second}
-	at := func(from, to int) time.Duration { return time.Duration(from+rng.IntN(to-from)) * time.Millisecond }
-	add := func(t time.Duration, what string, args ...string) {
-		p.Events = append(p.Events, Event{t, what, args})
+	randomTime := func(from, to int) time.Duration { return time.Duration(from+rng.IntN(to-from)) * time.Millisecond }
+	addEvent := func(t time.Duration, kind string, args ...string) {
+		p.Events = append(p.Events, Event{t, kind, args})
 	}
 	anyGateway := func() string { return gatewayName(rng.IntN(p.Gateways)) }
 	var machines []string
@@ -160,37 +160,37 @@
 	rng.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
 	requests := 4 + rng.IntN(3)
 	for i := range requests {
-		add(at(800, 4000), "ask", machines[i], anyGateway())
+		addEvent(randomTime(800, 4000), "ask", machines[i], anyGateway())
 	}
 	if rng.IntN(2) == 0 { // both parents at once, each at another gateway, so that only one may be granted
-		t := at(1000, 2500)
-		add(t, "ask", "p0", gatewayName(0))
-		add(t, "ask", "p1", gatewayName(p.Gateways-1))
+		t := randomTime(1000, 2500)
+		addEvent(t, "ask", "p0", gatewayName(0))
+		addEvent(t, "ask", "p1", gatewayName(p.Gateways-1))
 	}
-	faults := &faultGenerator{p: p, rng: rng, at: at, add: add, crashable: machines[requests:], faulted: map[string]bool{}}
+	faults := &faultGenerator{plot: p, rng: rng, randomTime: randomTime, addEvent: addEvent, crashable: machines[requests:], faulted: map[string]bool{}}
 	for range 1 + rng.IntN(4) {
-		faults.addFault(at(1000, 6500), anyGateway())
+		faults.addFault(randomTime(1000, 6500), anyGateway())
 	}
-	add(max(faults.latestEnd, 9*time.Second)+100*time.Millisecond, "heal")
+	addEvent(max(faults.latestEnd, 9*time.Second)+100*time.Millisecond, "heal")
 	slices.SortStableFunc(p.Events, func(a, b Event) int { return int(a.At - b.At) })
 	return p
 }
 
 // faultGenerator adds random faults to a plot.
 type faultGenerator struct {
-	p          *Plot
+	plot       *Plot
 	rng        *rand.Rand
-	at         func(fromMs, toMs int) time.Duration
-	add        func(t time.Duration, what string, args ...string)
-	crashable  []string // machines that none of the first random requests names; the caches among them may crash
-	latestEnd  time.Duration
-	folderLost bool // a gateway has lost its folder; at most one in a plot does
-	faulted    map[string]bool
+	randomTime func(fromMs, toMs int) time.Duration // returns a random duration; toMs is excluded
+	addEvent   func(t time.Duration, what string, args ...string)
+	crashable  []string        // machines that none of the first random requests names; the caches among them may crash
+	latestEnd  time.Duration   // of all faults so far
+	folderLost bool            // a gateway has lost its folder; at most one in a plot does
+	faulted    map[string]bool // gateways killed or stopped and caches crashed in the plot: once each
 }
 
 // drawEnd returns a random end for a fault that begins at the given time: 300 ms to 5 s later, and within 9 s of the start.
 func (d *faultGenerator) drawEnd(from time.Duration) time.Duration {
-	t := min(from+d.at(300, 5000), 9*time.Second)
+	t := min(from+d.randomTime(300, 5000), 9*time.Second)
 	d.latestEnd = max(d.latestEnd, t)
 	return t
 }
@@ -205,8 +205,8 @@
 			return
 		}
 		d.faulted[g] = true
-		d.add(t, "stop", g)
-		d.add(d.drawEnd(t), "cont", g)
+		d.addEvent(t, "stop", g)
+		d.addEvent(d.drawEnd(t), "cont", g)
 	case 4, 5:
 		d.addPartition(t)
 	case 6:
@@ -214,17 +214,17 @@
 		if d.rng.IntN(2) == 0 {
 			truncation = "cut"
 		}
-		d.add(t, "bad", fmt.Sprintf("%.2f", 0.2*d.rng.Float64()), fmt.Sprintf("%.2f", 0.2*d.rng.Float64()), d.at(0, 40).String(), truncation)
-		d.add(d.drawEnd(t), "heal")
+		d.addEvent(t, "bad", fmt.Sprintf("%.2f", 0.2*d.rng.Float64()), fmt.Sprintf("%.2f", 0.2*d.rng.Float64()), d.randomTime(0, 40).String(), truncation)
+		d.addEvent(d.drawEnd(t), "heal")
 	case 7:
-		d.add(t, "clock", g, strconv.Itoa(d.rng.IntN(60000)-30000))
-		d.add(t, "forge", gatewayName(d.rng.IntN(d.p.Gateways)))
+		d.addEvent(t, "clock", g, strconv.Itoa(d.rng.IntN(60000)-30000))
+		d.addEvent(t, "forge", gatewayName(d.rng.IntN(d.plot.Gateways)))
 	case 8:
 		m := d.crashable[d.rng.IntN(len(d.crashable))]
 		if m[0] == 'b' && !d.faulted[m] {
 			d.faulted[m] = true
-			d.add(t, "crash", m)
-			d.add(d.drawEnd(t), "revive", m)
+			d.addEvent(t, "crash", m)
+			d.addEvent(d.drawEnd(t), "revive", m)
 		}
 	}
 }
@@ -239,13 +239,13 @@
 	if !d.folderLost && d.rng.IntN(3) == 0 {
 		folder, d.folderLost = "lose", true
 	}
-	d.add(t, "kill", g, folder)
-	d.add(d.drawEnd(t), "start", g)
+	d.addEvent(t, "kill", g, folder)
+	d.addEvent(d.drawEnd(t), "start", g)
 }
 
 // addPartition adds a partition of the gateways into two random sides, in both directions or in one.
 func (d *faultGenerator) addPartition(t time.Duration) {
-	n := d.p.Gateways
+	n := d.plot.Gateways
 	side := d.rng.Perm(n)[:1+d.rng.IntN(n-1)]
 	oneWay := d.rng.IntN(2) == 0
 	var pairs []string
@@ -256,6 +256,6 @@
 			}
 		}
 	}
-	d.add(t, "cut", pairs...)
-	d.add(d.drawEnd(t), "heal")
+	d.addEvent(t, "cut", pairs...)
+	d.addEvent(d.drawEnd(t), "heal")
 }
--- a/lab/faultinjection/processes.go
+++ b/lab/faultinjection/processes.go
@@ -21,17 +21,17 @@
 // gatewayProcess is one gateway of the plot, with its clients and its discovery service.
 type gatewayProcess struct {
 	name            string
-	zone            string
-	host            string
-	clusterAddr     string
-	folder          string
-	clockFile       string
+	zone            string // edge-0 or edge-1
+	host            string // its loopback address
+	clusterAddr     string // address at which it accepts its peers and tools
+	folder          string // of its stored state
+	clockFile       string // holds the milliseconds by which its wall clock is off
 	testbed         *testbed.Gateway
 	clients         *clientLoad
-	updates         chan listUpdate
-	mu              sync.Mutex // guards journalPosition and up
-	journalPosition int        // position of the latest entry that its journal service sent
-	up              bool       // running, and not stopped by SIGSTOP
+	updates         chan listUpdate // to publishUpdates; closed by plotRun.close
+	mu              sync.Mutex      // guards journalPosition and up
+	journalPosition int             // position of the latest entry that its journal service sent
+	up              bool            // running, and not stopped by SIGSTOP
 }
 
 // isUp reports whether the gateway is running and not stopped.
@@ -65,7 +65,7 @@
 // listUpdate is an entry of the endpoint list, with the time at which a journal service sends it.
 type listUpdate struct {
 	at       time.Time
-	endpoint string
+	endpoint string // as endpointJSON returns it
 }
 
 // publishUpdates sends the list updates of a gateway in the order they were queued, each at its time or right after the one
--- a/lab/faultinjection/relay.go
+++ b/lab/faultinjection/relay.go
@@ -14,19 +14,19 @@
 // relay forwards the connections of one gateway to another, in one direction. It reads the length of each frame, so that it
 // can drop, duplicate and delay whole frames and end a connection within one. It does not decode the contents.
 type relay struct {
-	addr     string
-	target   string
+	addr     string // where it listens, on loopback
+	target   string // where it connects to
 	listener net.Listener
 
-	mu             sync.Mutex
+	mu             sync.Mutex // guards the fields below
 	rng            *rand.Rand
-	cut            bool          // frames are dropped, and new connections get no greeting
-	lossRate       float64       // share of frames that are dropped
-	duplicateRate  float64       // share of frames that are sent twice
-	maxDelay       time.Duration // each frame waits for a random time below this
-	truncates      bool          // one frame in 40 is cut in half, and its connection ends
-	bytesPerSecond int           // 0: no limit
-	conns          map[net.Conn]bool
+	cut            bool              // frames are dropped, and new connections get no greeting
+	lossRate       float64           // share of frames that are dropped
+	duplicateRate  float64           // share of frames that are sent twice
+	maxDelay       time.Duration     // each frame waits for a random time below this
+	truncates      bool              // one frame in 40 is cut in half, and its connection ends
+	bytesPerSecond int               // 0: no limit
+	conns          map[net.Conn]bool // both sides of all open connections
 }
 
 const (
@@ -84,7 +84,8 @@
 	delay           time.Duration
 }
 
-// drawFault returns the random faults of a frame of the given size; the delay includes the time that the bytes take at the limited rate.
+// drawFault returns the random faults of a frame of the given size in bytes. The delay includes the time that the frame takes
+// at a limited rate.
 func (r *relay) drawFault(bytes int) (f frameFault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/faultinjection/rest.go
+++ b/lab/faultinjection/rest.go
@@ -31,9 +31,9 @@
 type simulatedCluster struct {
 	clock       virtualclock.Clock
 	nodes       map[string]*cluster.Node
-	names       []string
+	names       []string // of the gateways, voters first
 	limits      maintenance.Limits
-	report      func(name string) cluster.Report
+	report      func(name string) cluster.Report // what the named gateway observes of the machines now
 	onSend      func(from, to string, bytes int) // called for each message that is sent; may be nil
 	onStore     func()                           // called for each stored acceptor state; may be nil
 	onToolReply func(m cluster.Message)          // called for each message to a recipient that is no gateway, such as a tool; may be nil
@@ -51,9 +51,9 @@
 		voters = f.names[:min(n, 3)]
 	}
 	for i, name := range f.names {
-		life := seed<<16 + uint64(i) + 1
-		node, err := cluster.New(cluster.Config{Self: name, Incarnation: life, Members: f.names, Voters: voters, Acceptor: consensus.AcceptorState{Incarnation: life}, Durable: true, Limits: limits,
-			WallClockMs: func() int64 { return int64(f.clock.Now / time.Millisecond) }, ReadInterval: 40 * time.Millisecond, Seed: life})
+		incarnation := seed<<16 + uint64(i) + 1
+		node, err := cluster.New(cluster.Config{Self: name, Incarnation: incarnation, Members: f.names, Voters: voters, Acceptor: consensus.AcceptorState{Incarnation: incarnation}, Durable: true, Limits: limits,
+			WallClockMs: func() int64 { return int64(f.clock.Now / time.Millisecond) }, ReadInterval: 40 * time.Millisecond, Seed: incarnation})
 		if err != nil {
 			return nil, err
 		}
@@ -127,8 +127,8 @@
 // trafficCounter counts the messages and writes of a cluster while on is set.
 type trafficCounter struct {
 	on     bool
-	sent   map[string]gatewayTraffic
-	writes float64
+	sent   map[string]gatewayTraffic // by gateway
+	writes float64                   // stored acceptor states
 }
 
 // gatewayTraffic is what one gateway sent and received.
@@ -155,7 +155,7 @@
 // MeasureIdle measures the idle traffic of n simulated gateways, whose reports list 20 machines each: 10 s after all
 // are ready, for 20 s. Afterwards it times one request for maintenance.
 func MeasureIdle(n int, seed uint64) (IdleResult, error) {
-	out, counted := IdleResult{Gateways: n}, &trafficCounter{sent: map[string]gatewayTraffic{}}
+	out, traffic := IdleResult{Gateways: n}, &trafficCounter{sent: map[string]gatewayTraffic{}}
 	report := cluster.Report{Machines: map[string]maintenance.Machine{}}
 	for i := range 20 {
 		report.Machines[fmt.Sprintf("box-%02d", i)] = maintenance.Machine{Kind: maintenance.KindCache, Zone: "z", Up: true, Warm: true, Weight: 10, Utilization: 0.3}
@@ -164,15 +164,15 @@
 	if err != nil {
 		return out, err
 	}
-	f.onSend, f.onStore = counted.count, counted.countWrite
+	f.onSend, f.onStore = traffic.count, traffic.countWrite
 	out.ReadyAfter = f.waitReady()
 	f.clock.Run(f.clock.Now + 10*time.Second)
-	counted.on = true
+	traffic.on = true
 	const seconds = 20
 	f.clock.Run(f.clock.Now + seconds*time.Second)
-	counted.on = false
+	traffic.on = false
 	for i, name := range f.names {
-		s := counted.sent[name]
+		s := traffic.sent[name]
 		if i == n-1 {
 			out.Messages, out.Bytes = s.messages/seconds, s.bytes/seconds
 		}
@@ -180,19 +180,19 @@
 			out.VoterMessages, out.VoterBytes = s.messages/seconds, s.bytes/seconds
 		}
 	}
-	out.Writes = counted.writes / seconds
-	asked := f.clock.Now
+	out.Writes = traffic.writes / seconds
+	requestedAt := f.clock.Now
 	if err := f.sendCommand(f.names[n-1], maintenance.Command{Request: &maintenance.RequestSpec{Key: "k", Machine: "box-01", DurationMs: 1000}}); err != nil {
 		return out, err
 	}
-	out.GrantedAfter, out.OutAfter = f.measureRequest(asked)
+	out.GrantedAfter, out.OutAfter = f.measureRequest(requestedAt)
 	return out, nil
 }
 
 // measureRequest runs until the only request, made at the given time, is granted and its machine is out of service, and
 // returns both times since the request; 0: not within 30 s.
-func (f *simulatedCluster) measureRequest(asked time.Duration) (granted, out time.Duration) {
-	for until := asked; out == 0 && until < asked+30*time.Second; {
+func (f *simulatedCluster) measureRequest(requestedAt time.Duration) (granted, out time.Duration) {
+	for until := requestedAt; out == 0 && until < requestedAt+30*time.Second; {
 		until += 5 * time.Millisecond
 		f.clock.Run(until)
 		s := f.nodes[f.names[0]].View()
@@ -200,16 +200,16 @@
 			continue
 		}
 		if granted == 0 {
-			granted = until - asked
+			granted = until - requestedAt
 		}
 		if s.Requests[0].Stage == maintenance.OutOfService {
-			out = until - asked
+			out = until - requestedAt
 		}
 	}
 	return granted, out
 }
 
-// MeasureGrants measures, with real processes and no other maintenance, the time from a request until a tool sees it
+// MeasureGrants measures, with real gateway processes and no other maintenance, the time from a request until a tool sees it
 // granted. It returns the times in ascending order. With killVoter, the first voter is killed right before every third
 // request and restarted after it, and only those requests are measured.
 func MeasureGrants(ctx context.Context, program string, gateways, times int, killVoter bool) ([]time.Duration, error) {
@@ -252,9 +252,9 @@
 }
 
 // measureGrant returns the time from the n-th request until its grant. With killVoter, the first voter is down during that time.
-func (p *plotRun) measureGrant(ctx context.Context, at *gatewayProcess, n int, killVoter bool) (time.Duration, error) {
-	request := fmt.Sprint("m", n)
-	value, err := json.Marshal(maintenance.Command{Actor: "measure", Request: &maintenance.RequestSpec{Key: request, Machine: cacheName(0, n%6), DurationMs: 1000}})
+func (p *plotRun) measureGrant(ctx context.Context, via *gatewayProcess, n int, killVoter bool) (time.Duration, error) {
+	key := fmt.Sprint("m", n)
+	value, err := json.Marshal(maintenance.Command{Actor: "measure", Request: &maintenance.RequestSpec{Key: key, Machine: cacheName(0, n%6), DurationMs: 1000}})
 	if err != nil {
 		return 0, err
 	}
@@ -266,19 +266,19 @@
 		}
 	}
 	began := time.Now()
-	for taken := false; !taken; {
+	for accepted := false; !accepted; {
 		if ctx.Err() != nil {
 			return 0, ctx.Err()
 		}
-		m, err := p.sendRequest(ctx, at, cluster.Message{Value: value})
-		taken = err == nil && m.Rejected == ""
+		m, err := p.sendRequest(ctx, via, cluster.Message{Value: value})
+		accepted = err == nil && m.Rejected == ""
 	}
 	for granted := false; !granted; {
 		if ctx.Err() != nil {
 			return 0, ctx.Err()
 		}
-		if s := p.queryState(ctx, at); s != nil {
-			granted = slices.ContainsFunc(s.Requests, func(r *maintenance.Request) bool { return r.Key == request && r.Stage != maintenance.Requested })
+		if s := p.queryState(ctx, via); s != nil {
+			granted = slices.ContainsFunc(s.Requests, func(r *maintenance.Request) bool { return r.Key == key && r.Stage != maintenance.Requested })
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -298,15 +298,15 @@
 
 // withdraw withdraws the request for a machine, and repeats that until it is accepted or ctx ends. The machine may be out
 // of service by then: its work is reported as finished, too.
-func (p *plotRun) withdraw(ctx context.Context, at *gatewayProcess, machine string) {
+func (p *plotRun) withdraw(ctx context.Context, via *gatewayProcess, machine string) {
 	value, _ := json.Marshal(maintenance.Command{Actor: "measure", Withdraw: &maintenance.Target{Name: machine}}) // no field of a command can fail to encode
 	for {
-		m, err := p.sendRequest(ctx, at, cluster.Message{Value: value})
+		m, err := p.sendRequest(ctx, via, cluster.Message{Value: value})
 		if err == nil && m.Rejected == "" || ctx.Err() != nil {
 			break
 		}
 	}
 	value, _ = json.Marshal(maintenance.Command{Actor: "measure", Finish: &maintenance.Target{Name: machine}})
-	_, _ = p.sendRequest(ctx, at, cluster.Message{Value: value}) // rejected if the machine was not out
+	_, _ = p.sendRequest(ctx, via, cluster.Message{Value: value}) // rejected if the machine was not out
 	time.Sleep(1200 * time.Millisecond)
 }
--- a/lab/faultinjection/shared.go
+++ b/lab/faultinjection/shared.go
@@ -32,8 +32,8 @@
 
 // notice is a purge or a drain of which the gateways are notified at different times.
 type notice struct {
-	subject         string // the purged group, or the draining machine's name
-	made            time.Time
+	subject         string               // the purged group, or the draining machine's name
+	createdAt       time.Time            // a purge forbids copies older than this
 	firstNotifiedAt time.Time            // when the first gateway was notified
 	notifiedAt      map[string]time.Time // by gateway; absent: not notified yet
 }
@@ -48,12 +48,12 @@
 	convergedAfter  time.Duration // from the last event until all gateways had the same slots
 }
 
-// notifyStaggered sends a notice to the gateway named first at once and to the others after the delay late, by their journal
+// notifyStaggered sends a notice to the gateway named first at once and to the others after the delay, by their journal
 // services, and records when each was notified.
-func (p *plotRun) notifyStaggered(n *notice, first string, late time.Duration, text func(pos int) string) {
+func (p *plotRun) notifyStaggered(n *notice, first string, delay time.Duration, text func(pos int) string) {
 	n.firstNotifiedAt = time.Now()
 	for _, g := range p.gateways {
-		wait := late
+		wait := delay
 		if g.name == first {
 			wait = 0
 		}
@@ -70,16 +70,16 @@
 // purge carries out the event purge: args are the group, the gateway notified at once, and the delay for the others.
 func (p *plotRun) purge(args []string) error {
 	group, err := strconv.Atoi(args[0])
-	late, err2 := time.ParseDuration(args[2])
+	delay, err2 := time.ParseDuration(args[2])
 	if err != nil || err2 != nil {
 		return fmt.Errorf("purge %v: want a group number, a gateway and a duration", args)
 	}
-	n := &notice{subject: args[0], made: time.Now(), notifiedAt: map[string]time.Time{}}
+	n := &notice{subject: args[0], createdAt: time.Now(), notifiedAt: map[string]time.Time{}}
 	p.mu.Lock()
 	p.notices.purges = append(p.notices.purges, n)
 	p.mu.Unlock()
-	stamp := n.made.UnixMilli()
-	p.notifyStaggered(n, args[1], late, func(int) string { return fmt.Sprintf(`"expire":{"set":%d,"stamp":%d}`, group, stamp) })
+	stamp := n.createdAt.UnixMilli()
+	p.notifyStaggered(n, args[1], delay, func(int) string { return fmt.Sprintf(`"expire":{"set":%d,"stamp":%d}`, group, stamp) })
 	return nil
 }
 
@@ -87,18 +87,18 @@
 // for the others.
 func (p *plotRun) drain(args []string) error {
 	m := p.machines[args[0]]
-	late, err := time.ParseDuration(args[2])
+	delay, err := time.ParseDuration(args[2])
 	if err != nil || m == nil {
 		return fmt.Errorf("drain %v: want the name of a machine, a gateway and a duration", args)
 	}
-	n := &notice{subject: m.name, made: time.Now(), notifiedAt: map[string]time.Time{}}
+	n := &notice{subject: m.name, createdAt: time.Now(), notifiedAt: map[string]time.Time{}}
 	p.mu.Lock()
 	p.notices.drains = append(p.notices.drains, n)
 	p.mu.Unlock()
 	m.mu.Lock()
 	host := m.endpointJSON("DRAINING")
 	m.mu.Unlock()
-	p.notifyStaggered(n, args[1], late, func(pos int) string {
+	p.notifyStaggered(n, args[1], delay, func(pos int) string {
 		return fmt.Sprintf(`"hosts":{"index":%d,"snapshot":false,"endpoints":[%s]}`, pos, host)
 	})
 	return nil
@@ -114,17 +114,17 @@
 	if err != nil {
 		return
 	}
-	by, group := int(number>>16)-1, strconv.Itoa(int(number&0xffff)%groupCount)
-	if by < 0 || by >= len(p.gateways) {
+	position, group := int(number>>16)-1, strconv.Itoa(int(number&0xffff)%groupCount)
+	if position < 0 || position >= len(p.gateways) {
 		return
 	}
-	g, now := p.gateways[by], time.Now()
-	accept, _ := strconv.Atoi(a.Fields["accept"])
+	g, now := p.gateways[position], time.Now()
+	acceptMs, _ := strconv.Atoi(a.Fields["accept"])
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, n := range p.notices.purges {
-		if n.subject == group && n.forbids(now, accept) {
-			p.checkPurge(n, g, m, now, accept)
+		if n.subject == group && n.forbids(now, acceptMs) {
+			p.checkPurge(n, g, m, now, acceptMs)
 		}
 	}
 	for _, n := range p.notices.drains {
@@ -135,24 +135,24 @@
 }
 
 // forbids reports whether a purge that has not settled forbids a copy that a request would accept. The request accepts copies
-// of any age if accept is 0, otherwise those no older than accept milliseconds.
-func (n *notice) forbids(now time.Time, accept int) bool {
-	if now.Sub(n.made) > purgeWindow {
+// of any age if acceptMs is 0, otherwise those no older than acceptMs.
+func (n *notice) forbids(now time.Time, acceptMs int) bool {
+	if now.Sub(n.createdAt) > purgeWindow {
 		return false
 	}
-	if accept == 0 {
+	if acceptMs == 0 {
 		return true
 	}
-	oldest := now.Add(-time.Duration(accept) * time.Millisecond)
-	return oldest.Add(tolerance).Before(n.made)
+	oldest := now.Add(-time.Duration(acceptMs) * time.Millisecond)
+	return oldest.Add(tolerance).Before(n.createdAt)
 }
 
 // checkPurge records a violation for a request that a purge forbids if its gateway was notified of the purge long enough ago
 // or, where notices are replicated and all gateways stay connected, if any other was. The caller holds p.mu.
-func (p *plotRun) checkPurge(n *notice, g *gatewayProcess, m *machine, now time.Time, accept int) {
-	if told, ok := n.notifiedAt[g.name]; ok && now.Sub(told) > purgeGrace+tolerance {
+func (p *plotRun) checkPurge(n *notice, g *gatewayProcess, m *machine, now time.Time, acceptMs int) {
+	if notified, ok := n.notifiedAt[g.name]; ok && now.Sub(notified) > purgeGrace+tolerance {
 		p.violations.add("%v: gateway %s was notified %v ago of the purge of group %s, but accepts an older copy from %s (accept=%d ms)", now.Sub(p.startedAt).Round(time.Millisecond), g.name,
-			now.Sub(told).Round(time.Millisecond), n.subject, m.name, accept)
+			now.Sub(notified).Round(time.Millisecond), n.subject, m.name, acceptMs)
 	}
 	if now.Sub(n.firstNotifiedAt) > purgeGrace+gossipDelay+tolerance {
 		p.notices.staleRequests++
@@ -165,8 +165,8 @@
 // checkDrain records a violation for a request to a draining machine if its gateway was notified of the drain long enough
 // ago or, where notices are replicated and all gateways stay connected, if any other was. The caller holds p.mu.
 func (p *plotRun) checkDrain(n *notice, g *gatewayProcess, m *machine, now time.Time) {
-	if told, ok := n.notifiedAt[g.name]; ok && now.Sub(told) > drainGrace+tolerance {
-		p.violations.add("%v: gateway %s was notified %v ago that machine %s drains, but sends to it", now.Sub(p.startedAt).Round(time.Millisecond), g.name, now.Sub(told).Round(time.Millisecond), m.name)
+	if notified, ok := n.notifiedAt[g.name]; ok && now.Sub(notified) > drainGrace+tolerance {
+		p.violations.add("%v: gateway %s was notified %v ago that machine %s drains, but sends to it", now.Sub(p.startedAt).Round(time.Millisecond), g.name, now.Sub(notified).Round(time.Millisecond), m.name)
 	}
 	if now.Sub(n.firstNotifiedAt) > drainGrace+gossipDelay+tolerance {
 		p.notices.drainedRequests++
@@ -257,20 +257,20 @@
 	return "", bulk
 }
 
-// missingSlots describes what gateway b lacks of the slots that gateway a holds: a safety slot, or more than a tenth of the
-// slots as bulk. Slots younger than 1 s, and those older than 20 s (purges: 3.5 s), are ignored: they may
-// not have arrived yet, or expire soon.
+// missingSlots describes what gateway b lacks of the slots that gateway a holds: a safety slot, or so many bulk slots that
+// they are more than a tenth of all slots. Slots younger than 1 s are ignored because they may not have arrived yet, and
+// those older than 20 s (purges: 3.5 s) because they may expire soon.
 func missingSlots(a, b string, slotsA, slotsB map[string]replication.Row) (safety, bulk string) {
 	missing := 0
 	for name, r := range slotsA {
-		low, high := int64(1000), int64(20_000)
+		minAgeMs, maxAgeMs := int64(1000), int64(20_000)
 		if r.Kind == "purge" {
-			high = 3500
+			maxAgeMs = 3500
 		}
 		got, ok := slotsB[name]
 		isBulk := r.Kind == "listing" || r.Kind == "health"
 		switch {
-		case r.AgeMs < low || r.AgeMs > high || ok && (got.Seq >= r.Seq || isBulk):
+		case r.AgeMs < minAgeMs || r.AgeMs > maxAgeMs || ok && (got.Seq >= r.Seq || isBulk):
 		case !isBulk:
 			return fmt.Sprintf("gateway %s lacks slot %s, number %d, which gateway %s holds with an age of %d ms", b, name, r.Seq, a, r.AgeMs), ""
 		default:
@@ -288,29 +288,29 @@
 	p := Generate(seed)
 	p.Gateways = max(5, p.Gateways)
 	rng := newRand(seed, 22)
-	var keep []Event
+	var events []Event
 	drained := map[string]bool{}
 	for _, e := range p.Events {
 		switch e.Kind {
 		case "ask", "crash", "revive": // no maintenance and no crashes, so that requests to a machine depend on purges and drains alone
 		default:
-			keep = append(keep, e)
+			events = append(events, e)
 		}
 	}
-	keep = append(keep, Event{0, "share", nil})
+	events = append(events, Event{0, "share", nil})
 	for range 6 + rng.IntN(6) {
-		late := time.Duration(2000+rng.IntN(2500)) * time.Millisecond
-		keep = append(keep, Event{time.Duration(900+rng.IntN(9000)) * time.Millisecond, "purge", []string{strconv.Itoa(rng.IntN(groupCount)), gatewayName(rng.IntN(p.Gateways)), late.String()}})
+		delay := time.Duration(2000+rng.IntN(2500)) * time.Millisecond
+		events = append(events, Event{time.Duration(900+rng.IntN(9000)) * time.Millisecond, "purge", []string{strconv.Itoa(rng.IntN(groupCount)), gatewayName(rng.IntN(p.Gateways)), delay.String()}})
 	}
 	for range 2 {
 		b := cacheName(rng.IntN(2), rng.IntN(p.CachesPerZone))
 		if !drained[b] {
 			drained[b] = true
-			late := time.Duration(2000+rng.IntN(2500)) * time.Millisecond
-			keep = append(keep, Event{time.Duration(1500+rng.IntN(6000)) * time.Millisecond, "drain", []string{b, gatewayName(rng.IntN(p.Gateways)), late.String()}})
+			delay := time.Duration(2000+rng.IntN(2500)) * time.Millisecond
+			events = append(events, Event{time.Duration(1500+rng.IntN(6000)) * time.Millisecond, "drain", []string{b, gatewayName(rng.IntN(p.Gateways)), delay.String()}})
 		}
 	}
-	slices.SortStableFunc(keep, func(a, b Event) int { return int(a.At - b.At) })
-	p.Events = keep
+	slices.SortStableFunc(events, func(a, b Event) int { return int(a.At - b.At) })
+	p.Events = events
 	return p
 }
--- a/lab/faultinjection/spread.go
+++ b/lab/faultinjection/spread.go
@@ -26,9 +26,9 @@
 
 // The variants of replication that MeasureSpread compares. Their values are printed.
 const (
-	VariantStreamsHints = "streams and hints" // as in the daemon: gateways announce new slots, and pull what they lack
+	VariantStreamsHints = "streams and hints" // as in the daemon: gateways announce new slots to peers, which then pull them; they also pull periodically
 	VariantStreams      = "streams alone"     // gateways pull periodically, without announcements
-	VariantFullCopies   = "whole copies"      // without announcements; each pull is answered with all slots
+	VariantFullCopies   = "whole copies"      // without announcements, and each pull requests all slots
 	VariantPush         = "pushed, no repair" // a purge is sent to three random gateways at once, by each that learns of it, and never repaired
 )
 
@@ -49,7 +49,7 @@
 	gateways    []*spreadGateway
 	partitioned bool    // messages between the halves are dropped
 	sentBytes   float64 // by all gateways since it was last set to 0, dropped messages included
-	purgeCount  int
+	purgeCount  int     // purges so far
 }
 
 // linkLatency is the time that each simulated message takes.
@@ -133,8 +133,8 @@
 	return b
 }
 
-// learnPurge makes gateway i learn of a purge, which it publishes; in the variant VariantPush it sends it to three random gateways
-// instead, as epidemic protocols do.
+// learnPurge makes gateway i learn of a purge and publish it. With VariantPush it is sent to three random gateways instead, as
+// epidemic protocols do.
 func (f *spreadCluster) learnPurge(i int, key string) {
 	m := f.gateways[i]
 	if _, ok := m.seen[key]; ok {
@@ -147,7 +147,7 @@
 	}
 	for range 3 {
 		to := f.rng.IntN(len(f.gateways))
-		f.sentBytes += 112
+		f.sentBytes += 112 // as messageSize counts a message with one slot, without its key
 		if f.connected(i, to) {
 			f.clock.At(f.clock.Now+linkLatency, func() { f.learnPurge(to, key) })
 		}
@@ -247,7 +247,7 @@
 // catchUpCluster is a cluster of five gateways in simulated time, in which gateway e catches up with the others.
 type catchUpCluster struct {
 	clock      virtualclock.Clock
-	nodes      map[string]*replication.Node
+	nodes      map[string]*replication.Node // by name, a to e
 	out        *CatchUpResult
 	caughtUpAt time.Duration // when gateway e had caught up; 0: not yet
 }
--- a/lab/faultinjection/timetable.go
+++ b/lab/faultinjection/timetable.go
@@ -18,14 +18,14 @@
 	planZones          = 3
 	planCachesPerZone  = 12
 	planParents        = 4
-	planLoad           = 0.6              // mean load of a zone, as a share of the capacity of its caches when all are warm
-	planMissShare      = 0.25             // of the requests to a warm cache, which then fills from a parent
-	planAnnouncedWork  = 30 * time.Second // duration that each request for maintenance states
-	planSlowStart      = 20 * time.Second // until a restarted machine is warm
-	planStartShare     = 0.15             // share of its capacity that a restarted machine has at first
-	planStep           = 250 * time.Millisecond
-	planTimeout        = time.Hour // after which a run ends, finished or not
-	planParentHeadroom = 1.9       // capacity of all parents over the fills that warm caches need at planLoad
+	planLoad           = 0.6                    // mean load of a zone, as a share of the capacity of its caches when all are warm
+	planMissShare      = 0.25                   // of the requests to a warm cache, which then fills from a parent
+	planAnnouncedWork  = 30 * time.Second       // duration that each request for maintenance states
+	planSlowStart      = 20 * time.Second       // until a restarted machine is warm
+	planStartShare     = 0.15                   // share of its capacity that a restarted machine has at first
+	planStep           = 250 * time.Millisecond // of the simulation
+	planTimeout        = time.Hour              // after which a run ends, finished or not
+	planParentHeadroom = 1.9                    // capacity of all parents over the fills that warm caches need at planLoad
 )
 
 // PlanResult is the outcome of one way of scheduling.
@@ -50,7 +50,7 @@
 // site is the simulated machines with their load and crashes.
 type site struct {
 	rng               *rand.Rand
-	machines          []*plannedMachine
+	machines          []*plannedMachine // the caches zone by zone, then the parents
 	byName            map[string]*plannedMachine
 	burstAt           time.Duration                     // start of a minute in which the load is 1.3 times as high
 	crashAt           map[*plannedMachine]time.Duration // start of a crash that lasts a minute; removed when it is over
@@ -104,13 +104,13 @@
 
 // service returns the load that is requested and served at a time, in units of one warm cache's capacity, and in how many
 // zones the caches lacked capacity. Caches that are not warm miss more; misses beyond the parents' capacity are not served.
-func (p *site) service(now time.Duration) (asked, served float64, over int) {
+func (p *site) service(now time.Duration) (requested, served float64, overloadedZones int) {
 	load := p.load(now) * planCachesPerZone
 	parentCapacity, misses := 0.0, 0.0
 	for _, m := range p.machines[planZones*planCachesPerZone:] {
 		parentCapacity += m.warmShare(now)
 	}
-	var admitted [planZones]float64
+	var acceptedByZone [planZones]float64
 	for z := range planZones {
 		capacity, warm := 0.0, 0.0
 		for _, m := range p.machines[z*planCachesPerZone : (z+1)*planCachesPerZone] {
@@ -118,26 +118,26 @@
 			capacity += c
 			warm += c * c
 		}
-		got := min(load, capacity)
+		accepted := min(load, capacity)
 		if capacity > 0 {
-			misses += got * (1 - (1-planMissShare)*warm/capacity)
+			misses += accepted * (1 - (1-planMissShare)*warm/capacity)
 		}
-		if got < load {
-			over++
+		if accepted < load {
+			overloadedZones++
 		}
-		admitted[z] = got
-		asked += load
+		acceptedByZone[z] = accepted
+		requested += load
 	}
 	parentRoom := parentCapacity / planParents * planParentHeadroom * planLoad * planCachesPerZone * planZones * planMissShare
 	p.parentUtilization = min(1, misses/max(0.01, parentRoom))
 	lost := max(0, misses-parentRoom)
 	for z := range planZones {
-		served += admitted[z]
+		served += acceptedByZone[z]
 	}
-	return asked, served - lost, over
+	return requested, served - lost, overloadedZones
 }
 
-// advance makes machines crash, and restart after crashes and maintenance, up to the time now.
+// advance makes the crashes that are due by now happen, and restarts machines whose crash or maintenance is over.
 func (p *site) advance(now time.Duration) {
 	for m, at := range p.crashAt {
 		switch {
