--- a/lab/faultinjection/mutants.go
+++ b/lab/faultinjection/mutants.go
@@ -60,7 +60,7 @@
 	{Name: "any share of a zone is out", File: "maintenance/budget.go", Old: "if g.unavailable > 0 && g.unavailable+1 >", New: "if false && g.unavailable+1 >", Text: tooManyRequests},
 	{Name: "half of the voters are a majority", File: "consensus/proposer.go", Old: "return n > len(v.cfg.Voters)/2", New: "return n >= len(v.cfg.Voters)/2", Text: splitVoters},
 	{Name: "a lease never runs out", File: "cluster/lease.go", Old: "n.leaseUntil = max(n.leaseUntil, sentAt+n.cfg.Limits.Lease)", New: "n.leaseUntil = max(n.leaseUntil, sentAt+time.Hour)", Text: cutAfterGrant},
-	{Name: "a gateway is idle while work is out at what it holds", File: "gateway/drain.go", Old: "if !a.ended && (stores", New: "if false && (stores", Text: slowStoresPlot},
+	{Name: "a gateway is idle while work is out at what it holds", File: "gateway/drain.go", Old: "if !a.ended && (endpoints", New: "if false && (endpoints", Text: slowStoresPlot},
 	{Name: "a start forgets what was granted", File: "internal/clusternode/storage.go", Old: "view, err := readFile(dir, viewFile, n.cfg.Key)", New: "view, err := []byte(\"{}\"), error(nil)", Text: restartAfterGrant},
 }
 
