--- a/cmd/larchusher-lab/get.go
+++ b/cmd/larchusher-lab/get.go
@@ -77,7 +77,7 @@
 		return err
 	}
 	defer loopback.Close(c)
-	bad := 0
+	failures := 0
 	for n := range p.Count {
 		if n > 0 {
 			time.Sleep(p.Every)
@@ -88,13 +88,13 @@
 		cancel()
 		took := time.Since(began).Round(10 * time.Microsecond)
 		if err != nil {
-			bad++
+			failures++
 			fmt.Printf("%d: %v, after %v\n", n+1, err, took)
 			continue
 		}
 		fmt.Printf("%d: served, %d bytes, %d tries, %v\n", n+1, len(r.Body), r.Tries, took)
 	}
-	if bad == p.Count {
+	if failures == p.Count {
 		return errors.New("ping: no request was served")
 	}
 	return nil
--- a/cmd/larchusher-lab/load.go
+++ b/cmd/larchusher-lab/load.go
@@ -106,17 +106,17 @@
 			return err
 		}
 	}
-	res, err := loadgen.Run(ctx, spec)
+	result, err := loadgen.Run(ctx, spec)
 	if err != nil {
 		return err
 	}
-	f := figures{Rate: rate, Sum: res.Sum(l.Warm, 0)}
+	f := figures{Rate: rate, Sum: result.Sum(l.Warm, 0)}
 	if bed != nil {
-		if err := l.addUsage(ctx, bed, before, res.Took, &f); err != nil {
+		if err := l.addUsage(ctx, bed, before, result.Took, &f); err != nil {
 			return err
 		}
 	}
-	return l.report(res, f)
+	return l.report(result, f)
 }
 
 // spec returns the specification of the load at the given rate. It fails on a malformed profile or an unknown class.
@@ -171,14 +171,14 @@
 }
 
 // report writes the rows of the run to a Parquet file with --out, and prints the figures.
-func (l *loadCmd) report(res *loadgen.Result, f figures) error {
+func (l *loadCmd) report(result *loadgen.Result, f figures) error {
 	rate := f.Rate
 	if l.Out != "" {
-		if err := res.WriteParquet(fmt.Sprintf("%s-%.0f.parquet", l.Out, rate)); err != nil {
+		if err := result.WriteParquet(fmt.Sprintf("%s-%.0f.parquet", l.Out, rate)); err != nil {
 			return err
 		}
 	}
-	for _, e := range res.Errors {
+	for _, e := range result.Errors {
 		fmt.Fprintln(os.Stderr, "load:", e)
 	}
 	if l.JSON {
@@ -189,7 +189,7 @@
 		return err
 	}
 	if l.Windows {
-		for i, s := range res.Windows() {
+		for i, s := range result.Windows() {
 			fmt.Printf("second %d: ", i)
 			if err := s.Print(os.Stdout); err != nil {
 				return err
--- a/cmd/larchusher-lab/procs.go
+++ b/cmd/larchusher-lab/procs.go
@@ -145,7 +145,7 @@
 type plotSummary struct {
 	mu                             sync.Mutex
 	failed, completed              int             // plots that broke a rule or could not run; completed maintenance requests
-	asked, served                  int             // requests of clients
+	requests, served               int             // requests of clients
 	grantLatencies                 []time.Duration // from a maintenance request to its grant
 	convergence                    []time.Duration // from the last fault until all gateways held the same replicated slots
 	staleRequests, drainedRequests int             // as in faultinjection.Verdict
@@ -180,7 +180,7 @@
 		s.convergence = append(s.convergence, v.ConvergedAfter)
 	}
 	s.completed += v.Completed
-	s.asked += v.Clients.Sent
+	s.requests += v.Clients.Sent
 	s.served += v.Clients.Served
 	for _, d := range v.GrantLatency {
 		s.grantLatencies = append(s.grantLatencies, d)
@@ -201,7 +201,7 @@
 		}
 		fmt.Println()
 	}
-	fmt.Printf("%d plots, %d with a fault; %d works done; of %d requests %d were served\n", plots, s.failed, s.completed, s.asked, s.served)
+	fmt.Printf("%d plots, %d with a fault; %d works done; of %d requests %d were served\n", plots, s.failed, s.completed, s.requests, s.served)
 }
 
 // runMutants builds a program without one rule after another and prints which plot detects it. It fails if a mutant passes
@@ -212,16 +212,16 @@
 		if !strings.Contains(m.Name, c.Only) {
 			continue
 		}
-		found, err := c.catch(m)
+		detection, err := c.detect(m)
 		if err != nil {
 			errs = append(errs, err)
 			continue
 		}
-		if found == "" {
+		if detection == "" {
 			escaped++
-			found = "ESCAPED"
+			detection = "ESCAPED"
 		}
-		fmt.Printf("%s: %s\n", m.Name, found)
+		fmt.Printf("%s: %s\n", m.Name, detection)
 	}
 	if escaped > 0 {
 		errs = append(errs, fmt.Errorf("%d of %d mutants escaped", escaped, len(faultinjection.Mutants)))
@@ -229,8 +229,9 @@
 	return errors.Join(errs...)
 }
 
-// catch runs a mutant's plots until one detects it, and returns a description of that; empty: none did.
-func (c *procsCmd) catch(m faultinjection.Mutant) (string, error) {
+// detect runs a mutant's plots until a violation detects it, and returns a line that names the plot and the violation; empty:
+// no plot detected it.
+func (c *procsCmd) detect(m faultinjection.Mutant) (string, error) {
 	dir, err := os.MkdirTemp("", "larchusher-mutant")
 	if err != nil {
 		return "", err
@@ -359,7 +360,7 @@
 	lines := []plot.Line{{Name: "fixed timetables"}, {Name: "settled by gateways"}}
 	for i, m := range methods {
 		var sum faultinjection.PlanResult
-		worst := 1.0
+		worstOfAll := 1.0
 		all, errs := make([]faultinjection.PlanResult, c.Plan), make([]error, c.Plan)
 		var wait sync.WaitGroup
 		next := make(chan int)
@@ -380,16 +381,16 @@
 		}
 		for _, p := range all {
 			sum.Served, sum.WorstWindow, sum.EndedAfter, sum.OverloadedSeconds = sum.Served+p.Served, sum.WorstWindow+p.WorstWindow, sum.EndedAfter+p.EndedAfter, sum.OverloadedSeconds+p.OverloadedSeconds
-			worst = min(worst, p.WorstWindow)
+			worstOfAll = min(worstOfAll, p.WorstWindow)
 		}
-		k := float64(c.Plan)
-		fmt.Printf("%s: served in aim %.4f, worst ten seconds %.3f in the mean and %.3f at the least, %v to the end, %.1f s with no room in a zone\n", m.name, sum.Served/k, sum.WorstWindow/k, worst,
-			(sum.EndedAfter / time.Duration(c.Plan)).Round(time.Second), float64(sum.OverloadedSeconds)/k)
+		seeds := float64(c.Plan)
+		fmt.Printf("%s: served in aim %.4f, worst ten seconds %.3f in the mean and %.3f at the least, %v to the end, %.1f s with no room in a zone\n", m.name, sum.Served/seeds, sum.WorstWindow/seeds, worstOfAll,
+			(sum.EndedAfter / time.Duration(c.Plan)).Round(time.Second), float64(sum.OverloadedSeconds)/seeds)
 		l := &lines[0]
 		if i >= len(methods)-4 {
 			l = &lines[1]
 		}
-		l.XY = append(l.XY, [2]float64{(sum.EndedAfter / time.Duration(c.Plan)).Minutes(), 100 * (1 - sum.WorstWindow/k)})
+		l.XY = append(l.XY, [2]float64{(sum.EndedAfter / time.Duration(c.Plan)).Minutes(), 100 * (1 - sum.WorstWindow/seeds)})
 	}
 	if c.Draw == "" {
 		return nil
--- a/cmd/larchusher-lab/up.go
+++ b/cmd/larchusher-lab/up.go
@@ -147,16 +147,16 @@
 
 // addRow adds a row: what was requested, the answer, which fake server sent it, and from where that had filled.
 func (d *demo) addRow(t *table, front, asked, answer string, took time.Duration) {
-	by, from := "-", "-"
-	if a := takeLatest(d.bed.Stores); a != nil {
-		by = a.Store.Name
-		if from = "its own copy"; a.Note != "warm" {
-			from = a.Fields["parent"]
-		} else if a.Store.Kind == "origin" || a.Fields["parent"] == a.Store.Name {
-			from = "itself"
+	server, fillSource := "-", "-"
+	if request := takeLatest(d.bed.Stores); request != nil {
+		server = request.Store.Name
+		if fillSource = "its own copy"; request.Note != "warm" {
+			fillSource = request.Fields["parent"]
+		} else if request.Store.Kind == "origin" || request.Fields["parent"] == request.Store.Name {
+			fillSource = "itself"
 		}
 	}
-	t.row("%s\t%s\t%s\t%s\t%s\t%v", front, asked, answer, by, from, took.Round(10*time.Microsecond))
+	t.row("%s\t%s\t%s\t%s\t%s\t%v", front, asked, answer, server, fillSource, took.Round(10*time.Microsecond))
 }
 
 // waitForSignal prints a command for a request, and returns at SIGINT or SIGTERM.
--- a/cmd/larchusher-lab/zones.go
+++ b/cmd/larchusher-lab/zones.go
@@ -210,7 +210,7 @@
 // addGatewaysRow adds the row of a policy run by real gateways to the table, and returns its curve.
 func (z *zonesCmd) addGatewaysRow(t *table, policy string, r *fleet.Result) policyCurve {
 	c := policyCurve{name: policy}
-	refused, other, worst := 0, 0, 1.0
+	refused, neither, worst := 0, 0, 1.0
 	n := int(z.For / time.Second)
 	for i := range n {
 		asked, spilled, worth, offered := 0, 0, 0.0, 0.0
@@ -220,7 +220,7 @@
 			}
 			s := zone[i]
 			asked, worth, offered = asked+s.Asked, worth+s.Worth, offered+s.WorthAsked
-			refused, other = refused+s.Refused, other+s.Other
+			refused, neither = refused+s.Refused, neither+s.Other
 			spilled += spilledAttempts(k, s.At)
 			if z.Print {
 				fmt.Printf("%s %d: z%d asked %d in aim %d refused %d other %d at %v\n", policy, i, k, s.Asked, s.InAim, s.Refused, s.Other, s.At)
@@ -232,7 +232,7 @@
 			worst = min(worst, r.Share(i, i+5))
 		}
 	}
-	t.row("%s\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%d\t%.3f\t%v\t%.2f\t", policy, r.Share(0, n), worst, r.Share(n-10, n), refused, other, r.Silent,
+	t.row("%s\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%d\t%.3f\t%v\t%.2f\t", policy, r.Share(0, n), worst, r.Share(n-10, n), refused, neither, r.Silent,
 		r.Second, r.Spoilt, r.Over, r.Fallen, r.Most)
 	return c
 }
--- a/lab/faultinjection/events.go
+++ b/lab/faultinjection/events.go
@@ -168,14 +168,14 @@
 // zeros, an HTTP request, a frame length of 4 GiB, and a frame with a wrong MAC. Errors are ignored: the gateway may
 // close the connection at any time.
 func sendForged(addr string) {
-	for _, what := range [][]byte{make([]byte, 100), []byte("GET / HTTP/1.1\r\n\r\n"), {0xff, 0xff, 0xff, 0xff}, append([]byte{0, 0, 0, 40}, make([]byte, 72)...)} {
+	for _, data := range [][]byte{make([]byte, 100), []byte("GET / HTTP/1.1\r\n\r\n"), {0xff, 0xff, 0xff, 0xff}, append([]byte{0, 0, 0, 40}, make([]byte, 72)...)} {
 		c, err := loopback.DialTimeout(addr, time.Second)
 		if err != nil {
 			return
 		}
 		_ = c.SetDeadline(time.Now().Add(300 * time.Millisecond))
 		_, _ = c.Read(make([]byte, 64))
-		_, _ = c.Write(what)
+		_, _ = c.Write(data)
 		_, _ = c.Read(make([]byte, 64))
 		loopback.Close(c)
 	}
--- a/lab/faultinjection/machines.go
+++ b/lab/faultinjection/machines.go
@@ -19,7 +19,7 @@
 	outOfService bool      // under maintenance: no gateway may send to it
 	inFlight     int       // requests received and not yet answered
 	coldSince    time.Time // latest restart; zero: warm from the start
-	faults       *violationLog
+	violations   *violationLog
 	sinceMs      int64 // start of the process as the endpoint list shows it, in Unix milliseconds; 0: before the plot
 }
 
@@ -36,36 +36,36 @@
 	m.inFlight++
 	m.mu.Unlock()
 	p.checkRequest(m, a)
-	from := a.Fields["name"]
+	object := a.Fields["name"]
 	if out {
-		p.violations.add("%v: machine %s is out for maintenance but received a request for object %s", time.Since(p.startedAt).Round(time.Millisecond), m.name, from)
+		p.violations.add("%v: machine %s is out for maintenance but received a request for object %s", time.Since(p.startedAt).Round(time.Millisecond), m.name, object)
 	}
-	if s := p.machines[a.Fields["parent"]]; s != nil {
-		s.mu.Lock()
-		if s.outOfService {
-			p.violations.add("%v: machine %s is out for maintenance but is the fill source in a request to %s", time.Since(p.startedAt).Round(time.Millisecond), s.name, m.name)
+	if parent := p.machines[a.Fields["parent"]]; parent != nil {
+		parent.mu.Lock()
+		if parent.outOfService {
+			p.violations.add("%v: machine %s is out for maintenance but is the fill source in a request to %s", time.Since(p.startedAt).Round(time.Millisecond), parent.name, m.name)
 		}
-		s.mu.Unlock()
+		parent.mu.Unlock()
 	}
-	busy := "cpu_share:0.30;x1:0.2;x0:0.9"
+	load := "cpu_share:0.30;x1:0.2;x0:0.9"
 	if cold {
-		busy = "cpu_share:0.50;x1:0.2;x0:0.1"
+		load = "cpu_share:0.50;x1:0.2;x0:0.1"
 	}
 	time.AfterFunc(time.Duration(p.responseDelay.Load()), func() {
 		m.mu.Lock()
 		m.inFlight--
 		m.mu.Unlock()
-		a.ServeWith("warm", busy, fakeserver.Content(from, a.Fields["piece"]))
+		a.ServeWith("warm", load, fakeserver.Content(object, a.Fields["piece"]))
 	})
 }
 
 // announce sends a machine's new list entry to every gateway's discovery service, each after its own random delay.
 func (p *plotRun) announce(m *machine, status string) {
 	m.mu.Lock()
-	host := m.endpointJSON(status)
+	endpoint := m.endpointJSON(status)
 	m.mu.Unlock()
 	for _, g := range p.gateways {
-		g.updates <- listUpdate{at: time.Now().Add(time.Duration(p.randomInt(maxListDelayMs)) * time.Millisecond), endpoint: host}
+		g.updates <- listUpdate{at: time.Now().Add(time.Duration(p.randomInt(maxListDelayMs)) * time.Millisecond), endpoint: endpoint}
 	}
 }
 
@@ -101,9 +101,9 @@
 		p.violations.add("machine %s was taken out of service with %d requests in flight", m.name, m.inFlight)
 	}
 	m.mu.Unlock()
-	long := time.Duration(300+p.rng.IntN(700)) * time.Millisecond // p.rng is guarded by p.mu, which the caller holds
+	duration := time.Duration(300+p.rng.IntN(700)) * time.Millisecond // p.rng is guarded by p.mu, which the caller holds
 	p.wg.Go(func() {
-		time.Sleep(long)
+		time.Sleep(duration)
 		if err := p.restartMachine(m); err != nil {
 			p.violations.add("machine %s did not come back from maintenance: %v", m.name, err)
 		}
--- a/lab/faultinjection/processes.go
+++ b/lab/faultinjection/processes.go
@@ -71,10 +71,10 @@
 // publishUpdates sends the list updates of a gateway in the order they were queued, each at its time or right after the one
 // before. It returns when updates is closed.
 func (g *gatewayProcess) publishUpdates() {
-	for n := range g.updates {
-		time.Sleep(time.Until(n.at))
+	for u := range g.updates {
+		time.Sleep(time.Until(u.at))
 		g.publish(func(pos int) string {
-			return fmt.Sprintf(`"hosts":{"index":%d,"snapshot":false,"endpoints":[%s]}`, pos, n.endpoint)
+			return fmt.Sprintf(`"hosts":{"index":%d,"snapshot":false,"endpoints":[%s]}`, pos, u.endpoint)
 		})
 	}
 }
@@ -92,19 +92,19 @@
 	if err := p.buildMachines(); err != nil {
 		return err
 	}
-	var hosts []string
+	var endpoints []string
 	for _, name := range p.machineNames {
-		hosts = append(hosts, p.machines[name].endpointJSON("SERVING"))
+		endpoints = append(endpoints, p.machines[name].endpointJSON("SERVING"))
 	}
-	known := json.RawMessage(`{"pos":1,"entries":[{"pos":1,"hosts":{"index":1,"snapshot":true,"endpoints":[` + strings.Join(hosts, ",") + `]}}]}`)
+	known := json.RawMessage(`{"pos":1,"entries":[{"pos":1,"hosts":{"index":1,"snapshot":true,"endpoints":[` + strings.Join(endpoints, ",") + `]}}]}`)
 	for i := range p.plot.Gateways {
 		host := p.address(i + 1)
-		link, err := testbed.FreeAt(host)
+		clusterAddr, err := testbed.FreeAt(host)
 		if err != nil {
 			return err
 		}
 		name := gatewayName(i)
-		p.gateways = append(p.gateways, &gatewayProcess{name: name, host: host, zone: "edge-" + strconv.Itoa(i%2), clusterAddr: link, folder: filepath.Join(p.dir, name), clockFile: filepath.Join(p.dir, name+".clock")})
+		p.gateways = append(p.gateways, &gatewayProcess{name: name, host: host, zone: "edge-" + strconv.Itoa(i%2), clusterAddr: clusterAddr, folder: filepath.Join(p.dir, name), clockFile: filepath.Join(p.dir, name+".clock")})
 	}
 	if err := p.buildRelays(); err != nil {
 		return err
@@ -148,7 +148,7 @@
 		return err
 	}
 	s.Forget = true
-	m := &machine{name: name, kind: kind, zone: zone, addr: s.Addr, store: s, faults: p.violations}
+	m := &machine{name: name, kind: kind, zone: zone, addr: s.Addr, store: s, violations: p.violations}
 	s.On(func(a *fakeserver.Request) { p.serve(m, a) })
 	p.machines[name] = m
 	p.machineNames = append(p.machineNames, name)
--- a/lab/faultinjection/relay.go
+++ b/lab/faultinjection/relay.go
@@ -114,24 +114,24 @@
 	defer loopback.Close(out)
 	r.update(func(r *relay) { r.conns[in], r.conns[out] = true, true })
 	defer r.update(func(r *relay) { delete(r.conns, in); delete(r.conns, out) })
-	hello := make([]byte, greetingLen)
-	if _, err := io.ReadFull(out, hello); err != nil {
+	greeting := make([]byte, greetingLen)
+	if _, err := io.ReadFull(out, greeting); err != nil {
 		return
 	}
-	if _, err := in.Write(hello); err != nil {
+	if _, err := in.Write(greeting); err != nil {
 		return
 	}
 	go func() { // closes the incoming connection when the target closes
 		_, _ = out.Read(make([]byte, 1))
 		loopback.Close(in)
 	}()
-	head := make([]byte, frameHeaderLen)
+	header := make([]byte, frameHeaderLen)
 	for {
-		if _, err := io.ReadFull(in, head); err != nil {
+		if _, err := io.ReadFull(in, header); err != nil {
 			return
 		}
-		frame := make([]byte, frameHeaderLen+int(binary.BigEndian.Uint32(head)))
-		copy(frame, head)
+		frame := make([]byte, frameHeaderLen+int(binary.BigEndian.Uint32(header)))
+		copy(frame, header)
 		if _, err := io.ReadFull(in, frame[frameHeaderLen:]); err != nil {
 			return
 		}
--- a/lab/faultinjection/verdict.go
+++ b/lab/faultinjection/verdict.go
@@ -49,12 +49,12 @@
 	}
 	for _, g := range p.gateways {
 		p.addClientCounts(v, g.name, g.clients)
-		if all, err := g.testbed.Counters(ctx); err != nil {
+		if counters, err := g.testbed.Counters(ctx); err != nil {
 			p.violations.add("gateway %s: counters not readable: %v", g.name, err)
 		} else {
-			v.Withheld += all["held_out"]
-			if all["panics"] > 0 {
-				p.violations.add("gateway %s: %v panics, want none", g.name, all["panics"])
+			v.Withheld += counters["held_out"]
+			if counters["panics"] > 0 {
+				p.violations.add("gateway %s: %v panics, want none", g.name, counters["panics"])
 			}
 		}
 	}
--- a/lab/faultinjection/watch.go
+++ b/lab/faultinjection/watch.go
@@ -32,9 +32,9 @@
 	}
 	p.wg.Go(func() {
 		value, _ := json.Marshal(maintenance.Command{Actor: "plot", Request: &maintenance.RequestSpec{Key: "plot-" + name, Machine: name, DurationMs: 3000}})
-		for try := 0; ctx.Err() == nil && try < 200; try++ {
+		for attempt := 0; ctx.Err() == nil && attempt < 200; attempt++ {
 			target := first
-			if try > 0 {
+			if attempt > 0 {
 				target = p.gateways[p.randomInt(len(p.gateways))]
 			}
 			reply, err := p.sendRequest(ctx, target, cluster.Message{Value: value})
@@ -43,7 +43,7 @@
 				if json.Unmarshal(reply.Value, &r) == nil && r.Rejected == "" {
 					p.mu.Lock()
 					defer p.mu.Unlock()
-					p.acceptedBy[name] = fmt.Sprintf("gateway %s accepted it as request %d at revision %d, in try %d after %v", target.name, r.ID, reply.Revision, try, time.Since(p.startedAt).Round(time.Millisecond))
+					p.acceptedBy[name] = fmt.Sprintf("gateway %s accepted it as request %d at revision %d, in try %d after %v", target.name, r.ID, reply.Revision, attempt, time.Since(p.startedAt).Round(time.Millisecond))
 					return
 				}
 				// Rejected: a gateway that has just started, or received an endpoint list late, may not know the machine.
@@ -114,8 +114,8 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if previous, ok := p.encodedStates[m.Revision]; ok && previous != string(m.Value) {
-		p.violations.add("revision %d has two different states:\n%s\n%s", m.Revision, previous, m.Value)
+	if earlier, ok := p.encodedStates[m.Revision]; ok && earlier != string(m.Value) {
+		p.violations.add("revision %d has two different states:\n%s\n%s", m.Revision, earlier, m.Value)
 	}
 	p.encodedStates[m.Revision] = string(m.Value)
 	if m.Revision < p.revision {
@@ -125,7 +125,7 @@
 	p.revision, p.state = m.Revision, s
 	out, parents, zones := 0, 0, map[string]int{}
 	for _, r := range s.Requests {
-		if was := p.stages[r.Machine]; was != r.Stage {
+		if previous := p.stages[r.Machine]; previous != r.Stage {
 			p.stages[r.Machine] = r.Stage
 			if _, ok := p.grantLatency[r.Machine]; !ok && r.Stage != maintenance.Requested && r.Stage != maintenance.Withdrawn {
 				p.grantLatency[r.Machine] = time.Since(p.requestedAt[r.Machine])
