--- a/cmd/larchusher-lab/load.go
+++ b/cmd/larchusher-lab/load.go
@@ -211,7 +211,7 @@
 		run, err1 := time.ParseDuration(runText)
 		period, err2 := time.ParseDuration(periodText)
 		if !ok || err1 != nil || err2 != nil || run <= 0 || run >= period {
-			return fmt.Errorf("duty %q: want RUN/OF with 0 < RUN < OF, such as 25ms/100ms", l.Duty)
+			return fmt.Errorf("--duty %q: want RUN/OF with 0 < RUN < OF, such as 25ms/100ms", l.Duty)
 		}
 		go func() {
 			for ctx.Err() == nil && bed.Pause(period-run) == nil {
--- a/cmd/larchusher-lab/procs.go
+++ b/cmd/larchusher-lab/procs.go
@@ -39,7 +39,7 @@
 	Jobs    int      `help:"How many are played at once." default:"4"`
 }
 
-// Run runs what the flags select, by default random plots. It fails if a plot breaks a rule.
+// Run runs what the flags select, by default random plots. It fails if a plot breaks a rule or cannot be run.
 func (c *procsCmd) Run() error {
 	if c.Program == "" {
 		self, err := os.Executable()
@@ -70,7 +70,7 @@
 	c.playAll(plots, &s)
 	s.print(len(plots))
 	if s.failed > 0 {
-		return fmt.Errorf("%d of %d plots broke a rule", s.failed, len(plots))
+		return fmt.Errorf("%d of %d plots broke a rule or did not run", s.failed, len(plots))
 	}
 	return nil
 }
@@ -224,7 +224,7 @@
 		fmt.Printf("%s: %s\n", m.Name, detection)
 	}
 	if escaped > 0 {
-		errs = append(errs, fmt.Errorf("%d of %d mutants escaped", escaped, len(faultinjection.Mutants)))
+		errs = append(errs, fmt.Errorf("%d of %d mutants were detected by no plot", escaped, len(faultinjection.Mutants)))
 	}
 	return errors.Join(errs...)
 }
@@ -317,8 +317,8 @@
 		return nil
 	}
 	var all []plot.Line
-	for _, way := range slices.Sorted(maps.Keys(lines)) {
-		all = append(all, lines[way])
+	for _, variant := range slices.Sorted(maps.Keys(lines)) {
+		all = append(all, lines[variant])
 	}
 	return plot.Draw(c.Draw, "A heal of two halves", "gateways", "seconds until all know the same", all)
 }
--- a/cmd/larchusher-lab/scene.go
+++ b/cmd/larchusher-lab/scene.go
@@ -53,7 +53,7 @@
 	case s.Plot == "":
 		return nil
 	case len(f.Sweep) == 2:
-		return s.drawHeatMaps(f, cells)
+		return s.drawHeatMap(f, cells)
 	}
 	var lines []plot.Line
 	for _, c := range cells {
@@ -68,8 +68,9 @@
 	return plot.Draw(s.Plot+"-service.png", "Worth answered in aim, all zones", "seconds", "share of what was asked", lines)
 }
 
-// drawHeatMaps draws, for each policy, the share of the worth answered in aim over the two swept parameters.
-func (s *sceneCmd) drawHeatMaps(f *localitysim.File, cells []*localitysim.Cell) error {
+// drawHeatMap writes a heat map for each policy: the share of the requests' priority weight answered within the latency objective, over
+// the two parameters of the sweep.
+func (s *sceneCmd) drawHeatMap(f *localitysim.File, cells []*localitysim.Cell) error {
 	x, y := f.Sweep[0], f.Sweep[1]
 	for k, p := range f.Policies {
 		z := make([][]float64, len(y.Values))
--- a/cmd/larchusher-lab/zones.go
+++ b/cmd/larchusher-lab/zones.go
@@ -51,7 +51,8 @@
 	return f, nil
 }
 
-// policyCurve is the result of one policy over time: points of second and share of the requests' worth, or of the requests.
+// policyCurve is the result of one policy over time: points of a second and a share: of the priority
+// weight answered within the latency objective (service), or of the attempts sent to other zones (spill).
 type policyCurve struct {
 	name           string
 	service, spill [][2]float64
--- a/lab/faultinjection/rest.go
+++ b/lab/faultinjection/rest.go
@@ -20,7 +20,7 @@
 	Gateways               int
 	Messages, Bytes        float64       // sent and received by the last gateway, which votes in clusters of up to 3 and of 5 only
 	VoterMessages          float64       // sent and received by the gateway with the most bytes: a voter
-	VoterBytes             float64       // likewise
+	VoterBytes             float64       // sent and received by that gateway
 	ReadyAfter             time.Duration // from the start of all gateways at once until each has its first view; 0: not within a minute
 	Writes                 float64       // acceptor states stored by all gateways together
 	GrantedAfter, OutAfter time.Duration // from one later request until it is granted, and until its machine is out; 0: not within 30 s
--- a/lab/faultinjection/shared.go
+++ b/lab/faultinjection/shared.go
@@ -15,13 +15,13 @@
 )
 
 // Checks of plots with purges and drains. One gateway is notified at once and the others late, by their journal services.
-// In plots with the event "share" gateways replicate what they know, so that the others should heed it long before their
-// own notice. The fake servers check each request against the notices.
+// In plots with the event "share" gateways replicate what they know, so that the others should comply with it
+// before their own notice arrives. The fake servers check each request against the notices.
 
 const (
-	purgeGrace        = time.Second             // noticeTimeMs of the gateways' settings: time to heed a purge
+	purgeGrace        = time.Second             // noticeTimeMs of the gateways' settings: time that a gateway has to comply with a purge
 	purgeWindow       = 5500 * time.Millisecond // purgeSettlesMs (6 s), when older copies are gone, less 500 ms of slack
-	drainGrace        = 500 * time.Millisecond  // stopSendingWithinMs of gatewaySettings: time to stop sending to a draining machine
+	drainGrace        = 500 * time.Millisecond  // stopSendingWithinMs of gatewaySettings: time that a gateway has to stop sending to a draining machine
 	tolerance         = 150 * time.Millisecond  // for clock differences and scheduling
 	gossipDelay       = 300 * time.Millisecond  // time that a notice takes to reach all gateways by replication
 	safetyTimeout     = 3 * time.Second         // after the last event, by which all gateways must have the same safety slots,
--- a/lab/faultinjection/spread.go
+++ b/lab/faultinjection/spread.go
@@ -18,7 +18,7 @@
 	Variant            string // one of the constants Variant...
 	Gateways           int
 	PurgeNinetyPercent time.Duration // from a purge at one gateway until nine in ten know of it; 0: not within 30 s
-	PurgeAll           time.Duration // likewise, until all do
+	PurgeAll           time.Duration // from a purge at one gateway until all know of it; 0: not within 30 s
 	HealAll            time.Duration // from the end of a partition into halves until all know the purges of either side; 0: not within 8 s
 	IdleBytesPerSecond float64       // sent by each gateway, in the mean, while nothing new is published
 	HealBytes          float64       // sent by each gateway, in the mean, from the end of the partition until all know
