--- a/cmd/larchusher-lab/zones.go
+++ b/cmd/larchusher-lab/zones.go
@@ -51,8 +51,8 @@
 	return f, nil
 }
 
-// policyCurve is the result of one policy over time: points of a second and a share: of the priority
-// weight answered within the latency objective (service), or of the attempts sent to other zones (spill).
+// policyCurve is the result of one policy over time: one point for each second. service is the share of
+// the priority weight that was answered within the latency objective, spill the attempts at other zones per request.
 type policyCurve struct {
 	name           string
 	service, spill [][2]float64
