--- a/lab/faultinjection/clients.go
+++ b/lab/faultinjection/clients.go
@@ -10,32 +10,36 @@
 	"larchusher/lab/loopback"
 )
 
-// clients ask one gateway, at a steady pace, over one connection at a time.
-type clients struct {
-	addr  string
-	every time.Duration
-	class string
-
-	mu       sync.Mutex
-	resting  bool // they ask nothing
-	excused  bool // the gateway was killed or stopped: what it leaves open is no fault
-	Asked    int
-	Served   int
-	Refused  int
-	Failed   int
-	Twice    int
-	Lost     int // the connection ended, or nothing came in time, though the gateway ran
-	Excused  int
-	open     map[uint32]time.Time
-	answered map[uint32]bool
-	conn     net.Conn
+// clientLoad sends requests to one gateway at a fixed interval, over one connection at a time, and counts how
+// they end. mu guards every field below it; run and readAnswers use them from two goroutines, and the plot's
+// events from others.
+type clientLoad struct {
+	addr     string
+	interval time.Duration
+	class    string
+
+	mu              sync.Mutex
+	paused          bool // no new requests are sent; answers are still read
+	gatewayDown     bool // the plot killed or stopped the gateway: requests left unanswered count as LostWithGateway
+	Sent            int  // requests, including those whose write failed
+	Served          int
+	Rejected        int                  // answered with a backoff error
+	Failed          int                  // answered with any other error
+	Duplicates      int                  // answers to a request that had been answered already
+	Unanswered      int                  // no answer before the connection ended or the time was over, while the gateway was running
+	LostWithGateway int                  // the same while the plot had killed or stopped the gateway
+	open            map[uint32]time.Time // by request ID of the current connection, when it was sent
+	answered        map[uint32]bool      // by request ID of the current connection
+	conn            net.Conn             // the current connection, or the latest
 }
 
-const clientWaits = 1500 * time.Millisecond
+// clientDeadline is the time limit that each request carries.
+const clientDeadline = 1500 * time.Millisecond
 
-// run asks until the time is over, on a new connection where one ends.
-func (c *clients) run(until time.Time, first int) {
-	n := 0
+// run sends requests until a point in time, and connects again whenever the connection ends. clientID, the gateway's position
+// in the plot plus 1, makes transaction IDs and object names unique among the clients of different gateways.
+func (c *clientLoad) run(until time.Time, clientID int) {
+	sent := 0
 	for time.Now().Before(until) {
 		conn, err := loopback.DialTimeout(c.addr, 300*time.Millisecond)
 		if err != nil {
@@ -46,21 +50,21 @@
 		c.conn, c.open, c.answered = conn, map[uint32]time.Time{}, map[uint32]bool{}
 		c.mu.Unlock()
 		ended := make(chan struct{})
-		go c.read(conn, ended)
-		n = c.ask(conn, ended, until, first, n)
-		if !time.Now().Before(until) { // the last answers
-			endedWithin(ended, clientWaits+300*time.Millisecond)
+		go c.readAnswers(conn, ended)
+		sent = c.sendRequests(conn, ended, until, clientID, sent)
+		if !time.Now().Before(until) { // wait for the last answers
+			closedWithin(ended, clientDeadline+300*time.Millisecond)
 		}
 		loopback.Close(conn)
 		<-ended
 		c.mu.Lock()
-		c.sweepAll()
+		c.countAllLost()
 		c.mu.Unlock()
 	}
 }
 
-// read takes answers until the connection ends.
-func (c *clients) read(conn net.Conn, ended chan<- struct{}) {
+// readAnswers reads and records answers until the connection ends, and then closes ended.
+func (c *clientLoad) readAnswers(conn net.Conn, ended chan<- struct{}) {
 	defer close(ended)
 	r := rpc.NewReader(conn)
 	for {
@@ -68,53 +72,55 @@
 		if err != nil {
 			return
 		}
-		c.answer(a)
+		c.recordAnswer(a)
 	}
 }
 
-// ask sends requests on a connection until it ends or the time is over, n having been sent before, and returns how many were sent.
-func (c *clients) ask(conn net.Conn, ended <-chan struct{}, until time.Time, first, n int) int {
+// sendRequests sends requests on one connection until the connection ends or the time is over. sent is how many requests
+// earlier connections carried; the result is the new total.
+func (c *clientLoad) sendRequests(conn net.Conn, ended <-chan struct{}, until time.Time, clientID, sent int) int {
 	e := rpc.NewEncoder(conn)
 	for id := uint32(1); time.Now().Before(until); {
-		if !c.rests() {
-			n++
+		if !c.isPaused() {
+			sent++
 			c.mu.Lock()
-			c.Asked++
+			c.Sent++
 			c.open[id] = time.Now()
-			c.sweep()
+			c.countOverdue()
 			c.mu.Unlock()
-			if err := e.Request(&rpc.Request{ID: id, Class: c.class, Txn: fmt.Sprintf("%016x", first<<32+n), Limit: clientWaits,
-				Object: fmt.Sprintf("%016x", first<<16+n%objects), Group: n % objects % groups}); err != nil {
-				return n
+			if err := e.Request(&rpc.Request{ID: id, Class: c.class, Txn: fmt.Sprintf("%016x", clientID<<32+sent), Limit: clientDeadline,
+				Object: fmt.Sprintf("%016x", clientID<<16+sent%objectsPerGateway), Group: sent % objectsPerGateway % groupCount}); err != nil {
+				return sent
 			}
 			id++
 		}
-		if endedWithin(ended, c.every) {
-			return n
+		if closedWithin(ended, c.interval) {
+			return sent
 		}
 	}
-	return n
+	return sent
 }
 
-// endedWithin waits for the end of a connection, and says whether it came within a time.
-func endedWithin(ended <-chan struct{}, within time.Duration) bool {
+// closedWithin waits for the channel of an ended connection to close, and reports whether that happened within the given time.
+func closedWithin(ended <-chan struct{}, timeout time.Duration) bool {
 	select {
 	case <-ended:
 		return true
-	case <-time.After(within):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
-func (c *clients) answer(a rpc.Response) {
+// recordAnswer counts an answer by its outcome.
+func (c *clientLoad) recordAnswer(a rpc.Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.answered[a.ID] {
-		c.Twice++
+		c.Duplicates++
 		return
 	}
 	if _, ok := c.open[a.ID]; !ok {
-		return // it came after its time, and was counted as lost
+		return // late: already counted as unanswered
 	}
 	delete(c.open, a.ID)
 	c.answered[a.ID] = true
@@ -122,56 +128,60 @@
 	case "":
 		c.Served++
 	case rpc.Backoff:
-		c.Refused++
+		c.Rejected++
 	default:
 		c.Failed++
 	}
 }
 
-// sweep counts what was not answered in time.
-func (c *clients) sweep() {
+// countOverdue counts the requests that are more than 500 ms past their deadline as lost. The caller holds mu.
+func (c *clientLoad) countOverdue() {
 	for id, at := range c.open {
-		if time.Since(at) > clientWaits+500*time.Millisecond {
-			c.lose(id)
+		if time.Since(at) > clientDeadline+500*time.Millisecond {
+			c.countLost(id)
 		}
 	}
 }
 
-func (c *clients) sweepAll() {
+// countAllLost counts every request that is still open as lost. The caller holds mu.
+func (c *clientLoad) countAllLost() {
 	for id := range c.open {
-		c.lose(id)
+		c.countLost(id)
 	}
 }
 
-func (c *clients) lose(id uint32) {
+// countLost counts one open request as LostWithGateway while the gateway is down, otherwise as Unanswered. The caller holds mu.
+func (c *clientLoad) countLost(id uint32) {
 	delete(c.open, id)
-	if c.excused {
-		c.Excused++
+	if c.gatewayDown {
+		c.LostWithGateway++
 	} else {
-		c.Lost++
+		c.Unanswered++
 	}
 }
 
-// rest has them ask nothing for a while; what is open is to be answered.
-func (c *clients) rest(yes bool) {
+// setPaused stops or resumes sending. Requests that are open must still be answered.
+func (c *clientLoad) setPaused(paused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.resting = yes
+	c.paused = paused
 }
 
-func (c *clients) rests() bool {
+// isPaused reports whether sending is stopped.
+func (c *clientLoad) isPaused() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.resting
+	return c.paused
 }
 
-// excuse says whether what is lost from now on is the plot's doing.
-func (c *clients) excuse(yes bool) {
+// setGatewayDown records whether the plot has taken the gateway down, which decides how requests lost from now on are
+// counted. When the gateway is back, requests that are still open count as lost with it.
+func (c *clientLoad) setGatewayDown(down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sweep()
-	if !yes {
-		c.sweepAll() // what was open while it was away
+	c.countOverdue()
+	if !down {
+		c.countAllLost() // sent before or while the gateway was down
 	}
-	c.excused = yes
+	c.gatewayDown = down
 }
--- a/lab/faultinjection/faultinjection.go
+++ b/lab/faultinjection/faultinjection.go
@@ -14,74 +14,77 @@
 )
 
 const (
-	lease     = time.Second
-	atOnce    = 3
-	ramp      = 1500 * time.Millisecond
-	watchFor  = 60 * time.Millisecond
-	endWithin = 40 * time.Second // after the last event
-	listLate  = 1200             // milliseconds by which lists of gateways disagree, at most
+	lease             = time.Second             // of the maintenance state, in the operator's files of the gateways
+	maxOut            = 3                       // machines that may be out of service at once
+	slowStart         = 1500 * time.Millisecond // until a restarted machine is warm
+	pollInterval      = 60 * time.Millisecond   // between two queries of the maintenance state
+	completionTimeout = 40 * time.Second        // from the end of the plot until all requests for work must have ended
+	maxListDelayMs    = 1200                    // longest delay, in milliseconds, with which a gateway learns of a change of the endpoint list
 )
 
-var key = []byte("an installation's key of 32 bytes")
+// clusterKey authenticates the gateways and the test tool to each other.
+var clusterKey = []byte("an installation's key of 32 bytes")
 
-// play is a running plot.
-type play struct {
-	plot     *Plot
-	dir      string
-	program  string
-	began    time.Time
-	faults   *faults
-	machines map[string]*machine
-	names    []string
-	gateways []*process
-	relays   map[string]*relay
-	rng      *rand.Rand
+// plotRun is one run of a plot: the gateways, fake servers and relays, and what was observed so far.
+type plotRun struct {
+	plot         *Plot
+	dir          string // temporary folder of all files of the run
+	program      string // path of the gateway's program
+	startedAt    time.Time
+	violations   *violationLog
+	machines     map[string]*machine
+	machineNames []string
+	gateways     []*gatewayProcess
+	relays       map[string]*relay // by direction, such as g0>g1
+	rng          *rand.Rand        // guarded by mu
 
-	takes atomic.Int64 // nanoseconds that a store takes over an answer
+	responseDelay atomic.Int64 // nanoseconds that each fake server waits before it answers
 
-	mu     sync.Mutex
-	asked  map[string]time.Time
-	acked  map[string]string // by machine: who took the request, and when
-	seen   map[string]maintenance.Stage
-	took   map[string]time.Duration
-	ledger ledger
-	texts  map[uint64]string // by revision, the state as somebody told it
-	state  *maintenance.State
-	rev    uint64
-	wg     sync.WaitGroup
+	mu            sync.Mutex                   // guards the fields below, but not wg
+	requestedAt   map[string]time.Time         // by machine: when its maintenance was first requested
+	acceptedBy    map[string]string            // by machine: which gateway accepted the request, and when; for messages
+	stages        map[string]maintenance.Stage // by machine: the latest reported stage of its request
+	grantLatency  map[string]time.Duration     // by machine: from the first request until the grant was reported
+	notices       noticeLog
+	encodedStates map[uint64]string  // by revision: the encoded state, as a gateway returned it
+	state         *maintenance.State // the latest reported state; nil: none yet
+	revision      uint64             // of state
+	wg            sync.WaitGroup
 }
 
-func (p *play) draw(n int) int {
+// randomInt returns a random number from 0 to n-1. It may be called from any goroutine.
+func (p *plotRun) randomInt(n int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rng.IntN(n)
 }
 
-// Run plays a plot with a program.
+// Run plays a plot with real gateway processes of a program, and returns what was observed; broken rules are in
+// Verdict.Violations. It fails if the processes do not start, an event cannot be carried out, or ctx ends.
 func Run(ctx context.Context, program string, plot *Plot) (*Verdict, error) {
 	p, err := start(ctx, program, plot)
 	if err != nil {
 		return nil, err
 	}
 	defer p.close()
-	end := p.began.Add(plot.For)
+	end := p.startedAt.Add(plot.For)
 	for i, g := range p.gateways {
 		p.wg.Go(func() { g.clients.run(end, i+1) })
 	}
 	watched := make(chan time.Duration, 1)
-	go func() { watched <- p.watch(ctx, end) }()
+	go func() { watched <- p.watchRequests(ctx, end) }()
 	for _, e := range plot.Events {
-		if err := wait(ctx, p.began.Add(e.At)); err != nil {
+		if err := waitUntil(ctx, p.startedAt.Add(e.At)); err != nil {
 			return nil, err
 		}
-		if err := p.do(ctx, e); err != nil {
-			return nil, fmt.Errorf("procs: at %v %s: %w", e.At, e.What, err)
+		if err := p.inject(ctx, e); err != nil {
+			return nil, fmt.Errorf("procs: at %v %s: %w", e.At, e.Kind, err)
 		}
 	}
 	var missing string
-	if p.ledger.shared {
-		if p.ledger.equal, missing = p.alike(ctx); missing != "" {
-			p.faults.add("%v after the last fault gateways do not know the same: %s", p.ledger.equal.Round(time.Millisecond), missing)
+	if p.notices.replicated {
+		if p.notices.convergedAfter, missing = p.waitConverged(ctx); missing != "" {
+			p.violations.add("%v after the last fault the gateways' replicated slots still differ: %s", p.notices.convergedAfter.Round(time.Millisecond), missing)
 		}
 	}
 	ended := <-watched
@@ -92,25 +95,26 @@
 	return p.verdict(ctx, ended), nil
 }
 
-// start starts the processes of a plot.
-func start(ctx context.Context, program string, plot *Plot) (*play, error) {
+// start starts the fake servers, relays and gateway processes of a plot. The caller closes the run.
+func start(ctx context.Context, program string, plot *Plot) (*plotRun, error) {
 	dir, err := os.MkdirTemp("", "larchusher-procs")
 	if err != nil {
 		return nil, fmt.Errorf("procs: %w", err)
 	}
-	p := &play{plot: plot, dir: dir, program: program, faults: &faults{}, machines: map[string]*machine{}, relays: map[string]*relay{},
-		rng: rand.New(rand.NewPCG(plot.Seed, 99)), asked: map[string]time.Time{}, acked: map[string]string{}, seen: map[string]maintenance.Stage{}, took: map[string]time.Duration{}, texts: map[uint64]string{}}
-	p.takes.Store(int64(2 * time.Millisecond))
-	p.ledger.shared = slices.ContainsFunc(plot.Events, func(e Event) bool { return e.What == "share" })
-	if err := p.build(ctx); err != nil {
+	p := &plotRun{plot: plot, dir: dir, program: program, violations: &violationLog{}, machines: map[string]*machine{}, relays: map[string]*relay{},
+		rng: rand.New(rand.NewPCG(plot.Seed, 99)), requestedAt: map[string]time.Time{}, acceptedBy: map[string]string{}, stages: map[string]maintenance.Stage{}, grantLatency: map[string]time.Duration{}, encodedStates: map[uint64]string{}}
+	p.responseDelay.Store(int64(2 * time.Millisecond))
+	p.notices.replicated = slices.ContainsFunc(plot.Events, func(e Event) bool { return e.Kind == "share" })
+	if err := p.startAll(ctx); err != nil {
 		p.close()
 		return nil, err
 	}
-	p.began = time.Now()
+	p.startedAt = time.Now()
 	return p, nil
 }
 
-func wait(ctx context.Context, at time.Time) error {
+// waitUntil waits until a point in time, and fails if ctx ends before.
+func waitUntil(ctx context.Context, at time.Time) error {
 	t := time.NewTimer(time.Until(at))
 	defer t.Stop()
 	select {
@@ -121,14 +125,15 @@
 	}
 }
 
-func (p *play) close() {
+// close waits for the goroutines of the run, stops all processes, relays and fake servers, and deletes the folder.
+func (p *plotRun) close() {
 	p.wg.Wait()
 	for _, g := range p.gateways {
-		if g.news != nil {
-			close(g.news)
+		if g.updates != nil {
+			close(g.updates)
 		}
-		if g.world != nil {
-			g.world.Stop()
+		if g.testbed != nil {
+			g.testbed.Stop()
 		}
 	}
 	for _, r := range p.relays {
--- a/lab/faultinjection/shared.go
+++ b/lab/faultinjection/shared.go
@@ -14,95 +14,99 @@
 	"larchusher/replication"
 )
 
-// What gateways know in common, in plots that begin with "share": purges and drains are told to one gateway at once, and to
-// the others' journals late. The stores record what each gateway would have taken.
+// Checks of plots with purges and drains. One gateway is notified at once and the others late, by their journal services.
+// In plots with the event "share" gateways replicate what they know, so that the others should comply with it
+// before their own notice arrives. The fake servers check each request against the notices.
 
 const (
-	purgeGrace  = time.Second             // of the settings
-	purgeSettle = 5500 * time.Millisecond // after that older copies are gone, less some slack
-	drainGrace  = 500 * time.Millisecond  // of the settings here
-	looseness   = 150 * time.Millisecond  // of clocks and scheduling
-	byOthers    = 300 * time.Millisecond  // on its way through the fleet
-	equalWithin = 3 * time.Second         // after the last fault
-	bulkWithin  = 10 * time.Second        // of nine tenths of the bulk
-	objects     = 40                      // of each gateway's clients
-	groups      = 7
+	purgeGrace        = time.Second             // noticeTimeMs of the gateways' settings: time that a gateway has to comply with a purge
+	purgeWindow       = 5500 * time.Millisecond // purgeSettlesMs (6 s), when older copies are gone, less 500 ms of slack
+	drainGrace        = 500 * time.Millisecond  // stopSendingWithinMs of gatewaySettings: time that a gateway has to stop sending to a draining machine
+	tolerance         = 150 * time.Millisecond  // for clock differences and scheduling
+	gossipDelay       = 300 * time.Millisecond  // time that a notice takes to reach all gateways by replication
+	safetyTimeout     = 3 * time.Second         // after the last event, by which all gateways must have the same safety slots,
+	bulkTimeout       = 10 * time.Second        // and nine tenths of the bulk slots (listings, health)
+	objectsPerGateway = 40                      // that the clients of one gateway request
+	groupCount        = 7                       // groups that these objects belong to
 )
 
-// notice is something that gateways are told at different times.
+// notice is a purge or a drain of which the gateways are notified at different times.
 type notice struct {
-	what  string // group or store
-	made  time.Time
-	first time.Time            // when anybody was told
-	told  map[string]time.Time // by gateway; missing: not yet
+	subject         string               // the purged group, or the draining machine's name
+	createdAt       time.Time            // a purge forbids copies older than this
+	firstNotifiedAt time.Time            // when the first gateway was notified
+	notifiedAt      map[string]time.Time // by gateway; absent: not notified yet
 }
 
-// ledger is what is to be heeded, with what was seen.
-type ledger struct {
-	shared  bool
-	purges  []*notice
-	drains  []*notice
-	stale   int // asks that would have taken a copy older than a purge which some gateway had been told of for over a second
-	drained int // asks to a store of whose drain some gateway had been told for longer than the grace
-	equal   time.Duration
+// noticeLog holds the notices of a plot and how requests and gateways complied with them. plotRun.mu guards it.
+type noticeLog struct {
+	replicated      bool // the gateways replicate notices
+	purges          []*notice
+	drains          []*notice
+	staleRequests   int           // requests accepting a copy older than a purge of which the first gateway was notified over purgeGrace+gossipDelay+tolerance before
+	drainedRequests int           // requests to a machine of whose drain the first gateway was notified over drainGrace+gossipDelay+tolerance before
+	convergedAfter  time.Duration // from the last event until all gateways had the same slots
 }
 
-// tellLate has the journal of one gateway tell something at once, and those of the others so much later.
-func (p *play) tellLate(n *notice, first string, late time.Duration, text func(pos int) string) {
-	n.first = time.Now()
+// notifyStaggered sends a notice to the gateway named first at once and to the others after the delay, by their journal
+// services, and records when each was notified.
+func (p *plotRun) notifyStaggered(n *notice, first string, delay time.Duration, text func(pos int) string) {
+	n.firstNotifiedAt = time.Now()
 	for _, g := range p.gateways {
-		wait := late
+		wait := delay
 		if g.name == first {
 			wait = 0
 		}
 		p.wg.Go(func() {
 			time.Sleep(wait)
-			g.tell(text)
+			g.publish(text)
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			n.told[g.name] = time.Now()
+			n.notifiedAt[g.name] = time.Now()
 		})
 	}
 }
 
-// purge purges a group.
-func (p *play) purge(args []string) error {
+// purge carries out the event purge: args are the group, the gateway notified at once, and the delay for the others.
+func (p *plotRun) purge(args []string) error {
 	group, err := strconv.Atoi(args[0])
-	late, err2 := time.ParseDuration(args[2])
+	delay, err2 := time.ParseDuration(args[2])
 	if err != nil || err2 != nil {
-		return fmt.Errorf("purge %v: a group and a duration are wanted", args)
+		return fmt.Errorf("purge %v: want a group number, a gateway and a duration", args)
 	}
-	n := &notice{what: args[0], made: time.Now(), told: map[string]time.Time{}}
+	n := &notice{subject: args[0], createdAt: time.Now(), notifiedAt: map[string]time.Time{}}
 	p.mu.Lock()
-	p.ledger.purges = append(p.ledger.purges, n)
+	p.notices.purges = append(p.notices.purges, n)
 	p.mu.Unlock()
-	stamp := n.made.UnixMilli()
-	p.tellLate(n, args[1], late, func(int) string { return fmt.Sprintf(`"expire":{"set":%d,"stamp":%d}`, group, stamp) })
+	stamp := n.createdAt.UnixMilli()
+	p.notifyStaggered(n, args[1], delay, func(int) string { return fmt.Sprintf(`"expire":{"set":%d,"stamp":%d}`, group, stamp) })
 	return nil
 }
 
-// drain has a store drain, by the list.
-func (p *play) drain(args []string) error {
+// drain carries out the event drain, by the endpoint list: args are the machine, the gateway notified at once, and the delay
+// for the others.
+func (p *plotRun) drain(args []string) error {
 	m := p.machines[args[0]]
-	late, err := time.ParseDuration(args[2])
+	delay, err := time.ParseDuration(args[2])
 	if err != nil || m == nil {
-		return fmt.Errorf("drain %v: a store and a duration are wanted", args)
+		return fmt.Errorf("drain %v: want the name of a machine, a gateway and a duration", args)
 	}
-	n := &notice{what: m.name, made: time.Now(), told: map[string]time.Time{}}
+	n := &notice{subject: m.name, createdAt: time.Now(), notifiedAt: map[string]time.Time{}}
 	p.mu.Lock()
-	p.ledger.drains = append(p.ledger.drains, n)
+	p.notices.drains = append(p.notices.drains, n)
 	p.mu.Unlock()
 	m.mu.Lock()
-	host := m.host("DRAINING")
+	host := m.endpointJSON("DRAINING")
 	m.mu.Unlock()
-	p.tellLate(n, args[1], late, func(pos int) string {
+	p.notifyStaggered(n, args[1], delay, func(pos int) string {
 		return fmt.Sprintf(`"hosts":{"index":%d,"snapshot":false,"endpoints":[%s]}`, pos, host)
 	})
 	return nil
 }
 
-// heed holds an ask against what its gateway, and any other, had been told. The objects say whose clients asked.
-func (p *play) heed(m *machine, a *fakeserver.Request) {
+// checkRequest checks a request to a machine against the notices of purges and drains. The upper bits of the object's name
+// identify the gateway whose clients requested it (see clientLoad.sendRequests). Requests to the origin are not checked.
+func (p *plotRun) checkRequest(m *machine, a *fakeserver.Request) {
 	if m.kind == "origin" {
 		return
 	}
@@ -110,87 +114,90 @@
 	if err != nil {
 		return
 	}
-	by, group := int(number>>16)-1, strconv.Itoa(int(number&0xffff)%groups)
-	if by < 0 || by >= len(p.gateways) {
+	position, group := int(number>>16)-1, strconv.Itoa(int(number&0xffff)%groupCount)
+	if position < 0 || position >= len(p.gateways) {
 		return
 	}
-	g, now := p.gateways[by], time.Now()
-	accept, _ := strconv.Atoi(a.Fields["accept"])
+	g, now := p.gateways[position], time.Now()
+	acceptMs, _ := strconv.Atoi(a.Fields["accept"])
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, n := range p.ledger.purges {
-		if n.what == group && n.forbids(now, accept) {
-			p.heedPurge(n, g, m, now, accept)
+	for _, n := range p.notices.purges {
+		if n.subject == group && n.forbids(now, acceptMs) {
+			p.checkPurge(n, g, m, now, acceptMs)
 		}
 	}
-	for _, n := range p.ledger.drains {
-		if n.what == m.name {
-			p.heedDrain(n, g, m, now)
+	for _, n := range p.notices.drains {
+		if n.subject == m.name {
+			p.checkDrain(n, g, m, now)
 		}
 	}
 }
 
-// forbids says that a purge that has not settled forbids the copies that an ask would take: any, or with accept those that are no
-// older than so many milliseconds.
-func (n *notice) forbids(now time.Time, accept int) bool {
-	if now.Sub(n.made) > purgeSettle {
+// forbids reports whether a purge that has not settled forbids a copy that a request would accept. The request accepts copies
+// of any age if acceptMs is 0, otherwise those no older than acceptMs.
+func (n *notice) forbids(now time.Time, acceptMs int) bool {
+	if now.Sub(n.createdAt) > purgeWindow {
 		return false
 	}
-	if accept == 0 {
+	if acceptMs == 0 {
 		return true
 	}
-	oldest := now.Add(-time.Duration(accept) * time.Millisecond)
-	return oldest.Add(looseness).Before(n.made)
+	oldest := now.Add(-time.Duration(acceptMs) * time.Millisecond)
+	return oldest.Add(tolerance).Before(n.createdAt)
 }
 
-// heedPurge holds an ask that a purge forbids against when its gateway, and any other, was told of it.
-func (p *play) heedPurge(n *notice, g *process, m *machine, now time.Time, accept int) {
-	if told, ok := n.told[g.name]; ok && now.Sub(told) > purgeGrace+looseness {
-		p.faults.add("%v: %s was told %v ago of the purge of %s, and would take an older copy from %s (accept %d)", now.Sub(p.began).Round(time.Millisecond), g.name,
-			now.Sub(told).Round(time.Millisecond), n.what, m.name, accept)
+// checkPurge records a violation for a request that a purge forbids if its gateway was notified of the purge long enough ago
+// or, where notices are replicated and all gateways stay connected, if any other was. The caller holds p.mu.
+func (p *plotRun) checkPurge(n *notice, g *gatewayProcess, m *machine, now time.Time, acceptMs int) {
+	if notified, ok := n.notifiedAt[g.name]; ok && now.Sub(notified) > purgeGrace+tolerance {
+		p.violations.add("%v: gateway %s was notified %v ago of the purge of group %s, but accepts an older copy from %s (accept=%d ms)", now.Sub(p.startedAt).Round(time.Millisecond), g.name,
+			now.Sub(notified).Round(time.Millisecond), n.subject, m.name, acceptMs)
 	}
-	if now.Sub(n.first) > purgeGrace+byOthers+looseness {
-		p.ledger.stale++
-		if p.ledger.shared && p.plot.calm() {
-			p.faults.add("%v: others were told %v ago of the purge of %s, and %s would take an older copy", now.Sub(p.began).Round(time.Millisecond), now.Sub(n.first).Round(time.Millisecond), n.what, g.name)
+	if now.Sub(n.firstNotifiedAt) > purgeGrace+gossipDelay+tolerance {
+		p.notices.staleRequests++
+		if p.notices.replicated && p.plot.keepsGatewaysConnected() {
+			p.violations.add("%v: the first gateway was notified %v ago of the purge of group %s, but gateway %s accepts an older copy", now.Sub(p.startedAt).Round(time.Millisecond), now.Sub(n.firstNotifiedAt).Round(time.Millisecond), n.subject, g.name)
 		}
 	}
 }
 
-// heedDrain holds an ask of a machine that drains against when its gateway, and any other, was told of that.
-func (p *play) heedDrain(n *notice, g *process, m *machine, now time.Time) {
-	if told, ok := n.told[g.name]; ok && now.Sub(told) > drainGrace+looseness {
-		p.faults.add("%v: %s was told %v ago that %s drains, and sends to it", now.Sub(p.began).Round(time.Millisecond), g.name, now.Sub(told).Round(time.Millisecond), m.name)
+// checkDrain records a violation for a request to a draining machine if its gateway was notified of the drain long enough
+// ago or, where notices are replicated and all gateways stay connected, if any other was. The caller holds p.mu.
+func (p *plotRun) checkDrain(n *notice, g *gatewayProcess, m *machine, now time.Time) {
+	if notified, ok := n.notifiedAt[g.name]; ok && now.Sub(notified) > drainGrace+tolerance {
+		p.violations.add("%v: gateway %s was notified %v ago that machine %s drains, but sends to it", now.Sub(p.startedAt).Round(time.Millisecond), g.name, now.Sub(notified).Round(time.Millisecond), m.name)
 	}
-	if now.Sub(n.first) > drainGrace+byOthers+looseness {
-		p.ledger.drained++
-		if p.ledger.shared && p.plot.calm() {
-			p.faults.add("%v: others were told %v ago that %s drains, and %s sends to it", now.Sub(p.began).Round(time.Millisecond), now.Sub(n.first).Round(time.Millisecond), m.name, g.name)
+	if now.Sub(n.firstNotifiedAt) > drainGrace+gossipDelay+tolerance {
+		p.notices.drainedRequests++
+		if p.notices.replicated && p.plot.keepsGatewaysConnected() {
+			p.violations.add("%v: the first gateway was notified %v ago that machine %s drains, but gateway %s sends to it", now.Sub(p.startedAt).Round(time.Millisecond), now.Sub(n.firstNotifiedAt).Round(time.Millisecond), m.name, g.name)
 		}
 	}
 }
 
-// calm says that nothing keeps gateways from hearing each other in a plot.
-func (p *Plot) calm() bool {
+// keepsGatewaysConnected reports whether the plot has no event that may keep gateways from replicating to each other in time.
+func (p *Plot) keepsGatewaysConnected() bool {
 	return !slices.ContainsFunc(p.Events, func(e Event) bool {
-		return slices.Contains([]string{"kill", "stop", "cut", "bad", "slow", "roll"}, e.What)
+		return slices.Contains([]string{"kill", "stop", "cut", "bad", "slow", "roll"}, e.Kind)
 	})
 }
 
-// forgotten says that what a gateway was told is told to its next life anew.
-func (p *play) forgotten(g *process, again time.Time) {
+// resetNotified sets the time of all notices that a gateway has received to renotifiedAt: a process that starts anew has
+// lost them, and its journal service sends them again; one that was stopped reads them only when it resumes.
+func (p *plotRun) resetNotified(g *gatewayProcess, renotifiedAt time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, n := range append(slices.Clone(p.ledger.purges), p.ledger.drains...) {
-		if _, ok := n.told[g.name]; ok {
-			n.told[g.name] = again
+	for _, n := range append(slices.Clone(p.notices.purges), p.notices.drains...) {
+		if _, ok := n.notifiedAt[g.name]; ok {
+			n.notifiedAt[g.name] = renotifiedAt
 		}
 	}
 }
 
-// rows asks a gateway for what it knows in common with others.
-func (p *play) rows(ctx context.Context, g *process) (rows []replication.Row, err error) {
-	m, err := p.order(ctx, g, cluster.Message{Query: "shared"})
+// queryReplicated returns the replicated slots that a gateway holds.
+func (p *plotRun) queryReplicated(ctx context.Context, g *gatewayProcess) (rows []replication.Row, err error) {
+	m, err := p.sendRequest(ctx, g, cluster.Message{Query: "shared"})
 	if err != nil {
 		return nil, err
 	}
@@ -200,104 +207,110 @@
 	return s.Rows, json.Unmarshal(m.Value, &s)
 }
 
-// alike waits until all gateways hold the same, by what is neither just said nor about to run out, and says how long that took.
-func (p *play) alike(ctx context.Context) (took time.Duration, missing string) {
+// waitConverged waits until all gateways hold the same slots, apart from very recent ones and those about to expire, and
+// returns how long that took. If it takes too long, missing names a difference; it is empty otherwise.
+func (p *plotRun) waitConverged(ctx context.Context) (took time.Duration, missing string) {
 	from := time.Now()
 	for {
-		safety, bulk := p.lacking(ctx)
+		safety, bulk := p.findMissing(ctx)
 		took = time.Since(from)
 		switch {
 		case safety == "" && bulk == "" || ctx.Err() != nil:
 			return took, ""
-		case safety != "" && took > equalWithin:
+		case safety != "" && took > safetyTimeout:
 			return took, safety
-		case bulk != "" && took > bulkWithin:
+		case bulk != "" && took > bulkTimeout:
 			return took, bulk
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-func (p *play) lacking(ctx context.Context) (safety, bulk string) {
+// findMissing compares the slots of all gateways with each other. It returns a description of the first safety slot that a
+// gateway lacks, or of a gateway that lacks too many bulk slots.
+func (p *plotRun) findMissing(ctx context.Context) (safety, bulk string) {
 	all := map[string]map[string]replication.Row{}
 	for _, g := range p.gateways {
-		rows, err := p.rows(ctx, g)
+		rows, err := p.queryReplicated(ctx, g)
 		if err != nil {
-			return fmt.Sprintf("%s tells nothing: %v", g.name, err), ""
+			return fmt.Sprintf("gateway %s returned no replicated slots: %v", g.name, err), ""
 		}
 		all[g.name] = map[string]replication.Row{}
 		for _, r := range rows {
 			all[g.name][fmt.Sprintf("%s %q by %s %x", r.Kind, r.Key, r.Writer, r.Incarnation)] = r
 		}
 	}
-	// The bulk is said all the time: what was seen a while ago may have been said just now.
+	// Bulk slots are published all the time: one whose evidence is old may have been published just now, so the numbers of
+	// bulk slots are not compared.
 	names := slices.Sorted(maps.Keys(all))
 	for _, a := range names {
 		for _, b := range names {
-			safety, lacksBulk := lackingOf(a, b, all[a], all[b])
+			safety, missingBulk := missingSlots(a, b, all[a], all[b])
 			if safety != "" {
 				return safety, ""
 			}
-			if lacksBulk != "" {
-				bulk = lacksBulk
+			if missingBulk != "" {
+				bulk = missingBulk
 			}
 		}
 	}
 	return "", bulk
 }
 
-// lackingOf says what gateway b lacks of what a has: a slot of safety, or more than a tenth of the bulk. What was just seen, or is
-// about to run out, does not count.
-func lackingOf(a, b string, ofA, ofB map[string]replication.Row) (safety, bulk string) {
+// missingSlots describes what gateway b lacks of the slots that gateway a holds: a safety slot, or so many bulk slots that
+// they are more than a tenth of all slots. Slots younger than 1 s are ignored because they may not have arrived yet, and
+// those older than 20 s (purges: 3.5 s) because they may expire soon.
+func missingSlots(a, b string, slotsA, slotsB map[string]replication.Row) (safety, bulk string) {
 	missing := 0
-	for name, r := range ofA {
-		low, high := int64(1000), int64(20_000)
+	for name, r := range slotsA {
+		minAgeMs, maxAgeMs := int64(1000), int64(20_000)
 		if r.Kind == "purge" {
-			high = 3500
+			maxAgeMs = 3500
 		}
-		got, ok := ofB[name]
+		got, ok := slotsB[name]
 		isBulk := r.Kind == "listing" || r.Kind == "health"
 		switch {
-		case r.AgeMs < low || r.AgeMs > high || ok && (got.Seq >= r.Seq || isBulk):
+		case r.AgeMs < minAgeMs || r.AgeMs > maxAgeMs || ok && (got.Seq >= r.Seq || isBulk):
 		case !isBulk:
-			return fmt.Sprintf("%s lacks %s, number %d, which %s has for %d ms", b, name, r.Seq, a, r.AgeMs), ""
+			return fmt.Sprintf("gateway %s lacks slot %s, number %d, which gateway %s holds with an age of %d ms", b, name, r.Seq, a, r.AgeMs), ""
 		default:
-			if missing++; missing > len(ofA)/10 {
-				bulk = fmt.Sprintf("%s lacks a tenth of the %d slots of %s, %s among them", b, len(ofA), a, name)
+			if missing++; missing > len(slotsA)/10 {
+				bulk = fmt.Sprintf("gateway %s lacks over a tenth of the %d slots of gateway %s, such as %s", b, len(slotsA), a, name)
 			}
 		}
 	}
 	return "", bulk
 }
 
-// DrawShared draws a plot in which purges and drains are told late, with kills, stops, cuts and bad links.
-func DrawShared(seed uint64) *Plot {
-	p := Draw(seed)
+// GenerateReplication returns the random plot of a seed for replicated notices: purges and drains of which most gateways
+// are notified late, with the kills, stops, partitions and bad links of [Generate], and at least five gateways.
+func GenerateReplication(seed uint64) *Plot {
+	p := Generate(seed)
 	p.Gateways = max(5, p.Gateways)
 	rng := newRand(seed, 22)
-	var keep []Event
+	var events []Event
 	drained := map[string]bool{}
 	for _, e := range p.Events {
-		switch e.What {
-		case "ask", "crash", "revive": // no work on machines meanwhile: what stores record is to be of one cause
+		switch e.Kind {
+		case "ask", "crash", "revive": // no maintenance and no crashes, so that requests to a machine depend on purges and drains alone
 		default:
-			keep = append(keep, e)
+			events = append(events, e)
 		}
 	}
-	keep = append(keep, Event{0, "share", nil})
+	events = append(events, Event{0, "share", nil})
 	for range 6 + rng.IntN(6) {
-		late := time.Duration(2000+rng.IntN(2500)) * time.Millisecond
-		keep = append(keep, Event{time.Duration(900+rng.IntN(9000)) * time.Millisecond, "purge", []string{strconv.Itoa(rng.IntN(groups)), gateway(rng.IntN(p.Gateways)), late.String()}})
+		delay := time.Duration(2000+rng.IntN(2500)) * time.Millisecond
+		events = append(events, Event{time.Duration(900+rng.IntN(9000)) * time.Millisecond, "purge", []string{strconv.Itoa(rng.IntN(groupCount)), gatewayName(rng.IntN(p.Gateways)), delay.String()}})
 	}
 	for range 2 {
-		b := box(rng.IntN(2), rng.IntN(p.Boxes))
+		b := cacheName(rng.IntN(2), rng.IntN(p.CachesPerZone))
 		if !drained[b] {
 			drained[b] = true
-			late := time.Duration(2000+rng.IntN(2500)) * time.Millisecond
-			keep = append(keep, Event{time.Duration(1500+rng.IntN(6000)) * time.Millisecond, "drain", []string{b, gateway(rng.IntN(p.Gateways)), late.String()}})
+			delay := time.Duration(2000+rng.IntN(2500)) * time.Millisecond
+			events = append(events, Event{time.Duration(1500+rng.IntN(6000)) * time.Millisecond, "drain", []string{b, gatewayName(rng.IntN(p.Gateways)), delay.String()}})
 		}
 	}
-	slices.SortStableFunc(keep, func(a, b Event) int { return int(a.At - b.At) })
-	p.Events = keep
+	slices.SortStableFunc(events, func(a, b Event) int { return int(a.At - b.At) })
+	p.Events = events
 	return p
 }
--- a/lab/faultinjection/timetable.go
+++ b/lab/faultinjection/timetable.go
@@ -11,134 +11,139 @@
 	"larchusher/maintenance"
 )
 
-// What a plan of work costs the clients, in simulated time: forty machines, settled by gateways or by a fixed timetable, before
-// the same load and the same mishaps.
+// Comparison, in simulated time, of two ways to schedule the maintenance of forty machines: by the gateways' agreement or by
+// a fixed timetable, under the same load and the same crashes. The result is the share of requests served.
 
 const (
-	planZones   = 3
-	planBoxes   = 12 // in each zone
-	planParents = 4
-	planLoad    = 0.6 // of what a zone's boxes can do
-	planMisses  = 0.25
-	planSaid    = 30 * time.Second // that a machine is said to be out
-	planRamp    = 20 * time.Second // until one that came back is warm
-	planCold    = 0.15             // of its capacity, at which it begins
-	planStep    = 250 * time.Millisecond
-	planMost    = time.Hour
-	planRoom    = 1.9 // of the upper caches over what boxes ask of them at planLoad
+	planZones          = 3
+	planCachesPerZone  = 12
+	planParents        = 4
+	planLoad           = 0.6                    // mean load of a zone, as a share of the capacity of its caches when all are warm
+	planMissShare      = 0.25                   // of the requests to a warm cache, which then fills from a parent
+	planAnnouncedWork  = 30 * time.Second       // duration that each request for maintenance states
+	planSlowStart      = 20 * time.Second       // until a restarted machine is warm
+	planStartShare     = 0.15                   // share of its capacity that a restarted machine has at first
+	planStep           = 250 * time.Millisecond // of the simulation
+	planTimeout        = time.Hour              // after which a run ends, finished or not
+	planParentHeadroom = 1.9                    // capacity of all parents over the fills that warm caches need at planLoad
 )
 
-// Planned is what a way of settling came to.
-type Planned struct {
-	Served float64       // share of the requests that were served in aim, while the plan ran
-	Worst  float64       // in its worst ten seconds
-	Ended  time.Duration // all machines were done, and warm
-	Over   int           // seconds in which a zone had no room for its load
+// PlanResult is the outcome of one way of scheduling.
+type PlanResult struct {
+	Served            float64       // share of the requests that were served while the maintenance went on
+	WorstWindow       float64       // the lowest such share in any window of 10 s
+	EndedAfter        time.Duration // until the maintenance of all machines was done and they were warm again
+	OverloadedSeconds int           // time during which at least one zone's caches lacked capacity for its load
 }
 
-// planned is one machine.
-type planned struct {
+// plannedMachine is one machine under maintenance. Times count from the start of the run.
+type plannedMachine struct {
 	name, kind, zone string
-	takes            time.Duration // the work, as it really is
-	down             bool          // for work, or crashed
-	since            time.Duration // of its latest start; negative: long ago
-	boot             int64
-	done             bool
-	ends             time.Duration // of its work
+	workDuration     time.Duration // actual duration of the work, which may exceed planAnnouncedWork
+	down             bool          // under maintenance or crashed
+	startedAt        time.Duration // its latest start; negative: before the run
+	bootMs           int64         // startedAt in milliseconds, as gateways see it; 0: not restarted during the run
+	done             bool          // its maintenance is over
+	workEndsAt       time.Duration // 0: no work is going on
 }
 
-// plant is the machines with their load.
-type plant struct {
-	rng      *rand.Rand
-	machines []*planned
-	by       map[string]*planned
-	burst    time.Duration // the load is half as much again for a minute from then on
-	crash    map[*planned]time.Duration
-	hub      float64 // share in use of what the upper caches that are there can do
+// site is the simulated machines with their load and crashes.
+type site struct {
+	rng               *rand.Rand
+	machines          []*plannedMachine // the caches zone by zone, then the parents
+	byName            map[string]*plannedMachine
+	burstAt           time.Duration                     // start of a minute in which the load is 1.3 times as high
+	crashAt           map[*plannedMachine]time.Duration // start of a crash that lasts a minute; removed when it is over
+	parentUtilization float64                           // share of the capacity of the parents, as far as they are up, that fills use; from the latest call of service
 }
 
-func newPlant(seed uint64) *plant {
-	p := &plant{rng: rand.New(rand.NewPCG(seed, 40)), by: map[string]*planned{}, crash: map[*planned]time.Duration{}}
+// newSite returns the machines of three zones and the parents, with random crashes, durations of work and a load peak drawn
+// from the seed.
+func newSite(seed uint64) *site {
+	p := &site{rng: rand.New(rand.NewPCG(seed, 40)), byName: map[string]*plannedMachine{}, crashAt: map[*plannedMachine]time.Duration{}}
 	add := func(name, kind, zone string) {
-		m := &planned{name: name, kind: kind, zone: zone, since: -time.Hour, takes: time.Duration((0.5 + p.rng.Float64()) * float64(planSaid))}
+		m := &plannedMachine{name: name, kind: kind, zone: zone, startedAt: -time.Hour, workDuration: time.Duration((0.5 + p.rng.Float64()) * float64(planAnnouncedWork))}
 		if p.rng.IntN(10) == 0 {
-			m.takes *= 3 // it does not come back in time
+			m.workDuration *= 3 // some work takes much longer than announced
 		}
 		p.machines = append(p.machines, m)
-		p.by[name] = m
+		p.byName[name] = m
 	}
 	for z := range planZones {
-		for i := range planBoxes {
+		for i := range planCachesPerZone {
 			add(fmt.Sprintf("box-%d-%02d", z, i), maintenance.KindCache, fmt.Sprintf("z%d", z))
 		}
 	}
 	for i := range planParents {
 		add(fmt.Sprintf("upper-%d", i), maintenance.KindParent, "hub")
 	}
-	p.burst = time.Duration(60+p.rng.IntN(600)) * time.Second
-	for z := range planZones { // a box crashes in each zone, some time, for a minute
-		p.crash[p.machines[z*planBoxes+p.rng.IntN(planBoxes)]] = time.Duration(30+p.rng.IntN(500)) * time.Second
+	p.burstAt = time.Duration(60+p.rng.IntN(600)) * time.Second
+	for z := range planZones { // one cache of each zone crashes at a random time, for a minute
+		p.crashAt[p.machines[z*planCachesPerZone+p.rng.IntN(planCachesPerZone)]] = time.Duration(30+p.rng.IntN(500)) * time.Second
 	}
 	return p
 }
 
-func (p *plant) load(now time.Duration) float64 {
+// load returns the load of each zone, as a share of the capacity of its caches when all are warm: a slow wave around planLoad,
+// and the peak.
+func (p *site) load(now time.Duration) float64 {
 	x := planLoad * (1 + 0.1*math.Sin(float64(now)/float64(10*time.Minute)*2*math.Pi))
-	if now >= p.burst && now < p.burst+time.Minute {
+	if now >= p.burstAt && now < p.burstAt+time.Minute {
 		x *= 1.3
 	}
 	return x
 }
 
-// warm is the share of its capacity that a machine has.
-func (m *planned) warm(now time.Duration) float64 {
+// warmShare returns the share of its capacity that a machine has now, from 0 (down) to 1 (warm).
+func (m *plannedMachine) warmShare(now time.Duration) float64 {
 	if m.down {
 		return 0
 	}
-	return min(1, planCold+(1-planCold)*float64(now-m.since)/float64(planRamp))
+	return min(1, planStartShare+(1-planStartShare)*float64(now-m.startedAt)/float64(planSlowStart))
 }
 
-// service is what is served in a step, of what is asked for, and in how many zones there was no room. Boxes that are not warm miss more.
-func (p *plant) service(now time.Duration) (asked, served float64, over int) {
-	load := p.load(now) * planBoxes
-	hub, misses := 0.0, 0.0
-	for _, m := range p.machines[planZones*planBoxes:] {
-		hub += m.warm(now)
+// service returns the load that is requested and served at a time, in units of one warm cache's capacity, and in how many
+// zones the caches lacked capacity. Caches that are not warm miss more; misses beyond the parents' capacity are not served.
+func (p *site) service(now time.Duration) (requested, served float64, overloadedZones int) {
+	load := p.load(now) * planCachesPerZone
+	parentCapacity, misses := 0.0, 0.0
+	for _, m := range p.machines[planZones*planCachesPerZone:] {
+		parentCapacity += m.warmShare(now)
 	}
-	var had [planZones]float64
+	var acceptedByZone [planZones]float64
 	for z := range planZones {
 		capacity, warm := 0.0, 0.0
-		for _, m := range p.machines[z*planBoxes : (z+1)*planBoxes] {
-			c := m.warm(now)
+		for _, m := range p.machines[z*planCachesPerZone : (z+1)*planCachesPerZone] {
+			c := m.warmShare(now)
 			capacity += c
 			warm += c * c
 		}
-		got := min(load, capacity)
+		accepted := min(load, capacity)
 		if capacity > 0 {
-			misses += got * (1 - (1-planMisses)*warm/capacity)
+			misses += accepted * (1 - (1-planMissShare)*warm/capacity)
 		}
-		if got < load {
-			over++
+		if accepted < load {
+			overloadedZones++
 		}
-		had[z] = got
-		asked += load
+		acceptedByZone[z] = accepted
+		requested += load
 	}
-	room := hub / planParents * planRoom * planLoad * planBoxes * planZones * planMisses
-	p.hub = min(1, misses/max(0.01, room))
-	lost := max(0, misses-room)
+	parentRoom := parentCapacity / planParents * planParentHeadroom * planLoad * planCachesPerZone * planZones * planMissShare
+	p.parentUtilization = min(1, misses/max(0.01, parentRoom))
+	lost := max(0, misses-parentRoom)
 	for z := range planZones {
-		served += had[z]
+		served += acceptedByZone[z]
 	}
-	return asked, served - lost, over
+	return requested, served - lost, overloadedZones
 }
 
-// events has machines crash, and come back from crashes and from work.
-func (p *plant) events(now time.Duration) {
-	for m, at := range p.crash {
+// advance makes the crashes that are due by now happen, and restarts machines whose crash or maintenance is over.
+func (p *site) advance(now time.Duration) {
+	for m, at := range p.crashAt {
 		switch {
 		case now >= at+time.Minute:
-			delete(p.crash, m)
-			if m.ends == 0 {
+			delete(p.crashAt, m)
+			if m.workEndsAt == 0 {
 				m.start(now)
 			}
 		case now >= at:
@@ -146,102 +151,108 @@
 		}
 	}
 	for _, m := range p.machines {
-		if m.ends > 0 && now >= m.ends {
-			m.ends, m.done = 0, true
-			if _, crashed := p.crash[m]; !crashed {
+		if m.workEndsAt > 0 && now >= m.workEndsAt {
+			m.workEndsAt, m.done = 0, true
+			if _, crashed := p.crashAt[m]; !crashed {
 				m.start(now)
 			}
 		}
 	}
 }
 
-func (m *planned) start(now time.Duration) {
-	m.down, m.since, m.boot = false, now, int64(now/time.Millisecond)
+// start restarts a machine, which is cold at first.
+func (m *plannedMachine) start(now time.Duration) {
+	m.down, m.startedAt, m.bootMs = false, now, int64(now/time.Millisecond)
 }
 
-func (m *planned) begin(now time.Duration) {
-	if !m.done && m.ends == 0 {
-		m.down, m.ends = true, now+m.takes
+// begin starts the maintenance of a machine, unless it is going on or done.
+func (m *plannedMachine) begin(now time.Duration) {
+	if !m.done && m.workEndsAt == 0 {
+		m.down, m.workEndsAt = true, now+m.workDuration
 	}
 }
 
-// tally sums service up.
-type tally struct {
-	asked, served float64
-	over          int
-	windows       [][2]float64
-	into          time.Duration
+// serviceTotals sums up the load requested and served, in total and in windows of 10 s.
+type serviceTotals struct {
+	asked, served   float64
+	overloadedSteps int           // steps in which some zone lacked capacity
+	windows         [][2]float64  // requested, served
+	windowElapsed   time.Duration // of the last window
 }
 
-func (t *tally) step(p *plant, now time.Duration) {
+// add adds one step of the simulation.
+func (t *serviceTotals) add(p *site, now time.Duration) {
 	a, s, over := p.service(now)
 	t.asked, t.served = t.asked+a, t.served+s
 	if over > 0 {
-		t.over++
+		t.overloadedSteps++
 	}
-	if len(t.windows) == 0 || t.into >= 10*time.Second {
-		t.windows, t.into = append(t.windows, [2]float64{}), 0
+	if len(t.windows) == 0 || t.windowElapsed >= 10*time.Second {
+		t.windows, t.windowElapsed = append(t.windows, [2]float64{}), 0
 	}
 	w := &t.windows[len(t.windows)-1]
 	w[0], w[1] = w[0]+a, w[1]+s
-	t.into += planStep
+	t.windowElapsed += planStep
 }
 
-func (t *tally) planned(ended time.Duration) Planned {
-	out := Planned{Served: t.served / t.asked, Worst: 1, Ended: ended, Over: t.over * int(planStep/time.Millisecond) / 1000}
+// result returns the totals of a run that ended at the given time.
+func (t *serviceTotals) result(ended time.Duration) PlanResult {
+	out := PlanResult{Served: t.served / t.asked, WorstWindow: 1, EndedAfter: ended, OverloadedSeconds: t.overloadedSteps * int(planStep/time.Millisecond) / 1000}
 	for _, w := range t.windows {
-		out.Worst = min(out.Worst, w[1]/w[0])
+		out.WorstWindow = min(out.WorstWindow, w[1]/w[0])
 	}
 	return out
 }
 
-func (p *plant) finished(now time.Duration) bool {
-	return !slices.ContainsFunc(p.machines, func(m *planned) bool {
-		_, crashed := p.crash[m]
-		return !m.done || m.warm(now) < 1 && !crashed
+// finished reports whether all maintenance is done and each machine is warm, or crashed.
+func (p *site) finished(now time.Duration) bool {
+	return !slices.ContainsFunc(p.machines, func(m *plannedMachine) bool {
+		_, crashed := p.crashAt[m]
+		return !m.done || m.warmShare(now) < 1 && !crashed
 	})
 }
 
-// Timetable takes a machine of each zone, and an upper cache, out in every slot, whatever happens.
-func Timetable(seed uint64, slot time.Duration) Planned {
-	p, t := newPlant(seed), tally{}
+// RunTimetable runs the maintenance by a fixed timetable: each slot of time takes one cache of each zone out of service and
+// every third slot a parent, too, whatever else is down.
+func RunTimetable(seed uint64, slot time.Duration) PlanResult {
+	p, t := newSite(seed), serviceTotals{}
 	for now := time.Duration(0); ; now += planStep {
-		p.events(now)
-		if n := int(now / slot); n < planBoxes {
+		p.advance(now)
+		if n := int(now / slot); n < planCachesPerZone {
 			for z := range planZones {
-				p.machines[z*planBoxes+n].begin(now)
+				p.machines[z*planCachesPerZone+n].begin(now)
 			}
 			if n%3 == 0 {
-				p.machines[planZones*planBoxes+n/3].begin(now)
+				p.machines[planZones*planCachesPerZone+n/3].begin(now)
 			}
 		}
-		t.step(p, now)
-		if p.finished(now) || now > planMost {
-			return t.planned(now)
+		t.add(p, now)
+		if p.finished(now) || now > planTimeout {
+			return t.result(now)
 		}
 	}
 }
 
-// report is what gateways see of the machines at a time.
-func (p *plant) report(at time.Duration) cluster.Report {
+// report returns what a gateway observes of the machines at a time.
+func (p *site) report(at time.Duration) cluster.Report {
 	r := cluster.Report{Machines: map[string]maintenance.Machine{}}
 	for _, m := range p.machines {
-		busy := 0.0
+		utilization := 0.0
 		if !m.down {
-			busy = p.hub // of boxes see below
+			utilization = p.parentUtilization // caches are set below
 		}
-		r.Machines[m.name] = maintenance.Machine{Kind: m.kind, Zone: m.zone, Up: !m.down, Warm: m.warm(at) >= 1, BootMs: m.boot, Weight: 1, Utilization: busy}
+		r.Machines[m.name] = maintenance.Machine{Kind: m.kind, Zone: m.zone, Up: !m.down, Warm: m.warmShare(at) >= 1, BootMs: m.bootMs, Weight: 1, Utilization: utilization}
 	}
-	// What the boxes of a zone can't take stands at those that are there.
+	// The caches of a zone that are up share its whole load.
 	for z := range planZones {
 		capacity := 0.0
-		all := p.machines[z*planBoxes : (z+1)*planBoxes]
+		all := p.machines[z*planCachesPerZone : (z+1)*planCachesPerZone]
 		for _, m := range all {
-			capacity += m.warm(at)
+			capacity += m.warmShare(at)
 		}
 		for _, m := range all {
 			if x := r.Machines[m.name]; x.Up {
-				x.Utilization = min(1, p.load(at)*planBoxes/max(0.01, capacity))
+				x.Utilization = min(1, p.load(at)*planCachesPerZone/max(0.01, capacity))
 				r.Machines[m.name] = x
 			}
 		}
@@ -249,25 +260,26 @@
 	return r
 }
 
-// work begins work on the machines that are called out.
-func (p *plant) work(s *maintenance.State, now time.Duration) {
+// beginCalledOut starts the maintenance of the machines that are out of service in the agreed state.
+func (p *site) beginCalledOut(s *maintenance.State, now time.Duration) {
 	for _, r := range s.Requests {
-		if m := p.by[r.Machine]; m != nil && r.Stage == maintenance.OutOfService {
+		if m := p.byName[r.Machine]; m != nil && r.Stage == maintenance.OutOfService {
 			m.begin(now)
 		}
 	}
 }
 
-// Settled has five gateways settle it, within bounds as in the operators' file.
-func Settled(seed uint64, bounds maintenance.Limits) (Planned, error) {
-	p, t := newPlant(seed), tally{}
-	bounds.SlowStart, bounds.DrainGrace = planRamp, 3*time.Second
-	if err := bounds.Check(); err != nil {
-		return Planned{}, err
+// RunCoordinated runs the maintenance as five simulated gateways agree on it, within the given limits; SlowStart and DrainGrace
+// are set to those of the simulation. It fails if the limits are not valid or the cluster does not become ready.
+func RunCoordinated(seed uint64, limits maintenance.Limits) (PlanResult, error) {
+	p, t := newSite(seed), serviceTotals{}
+	limits.SlowStart, limits.DrainGrace = planSlowStart, 3*time.Second
+	if err := limits.Check(); err != nil {
+		return PlanResult{}, err
 	}
-	var f *simulated
-	began := time.Duration(0) // on the fleet's clock; 0: not yet
-	f, err := simulate(5, seed, bounds, func(string) cluster.Report {
+	var f *simulatedCluster
+	began := time.Duration(0) // on the cluster's clock; 0: the cluster is not ready yet
+	f, err := newSimulatedCluster(5, seed, limits, func(string) cluster.Report {
 		at := time.Duration(0)
 		if began > 0 {
 			at = f.clock.Now - began
@@ -275,26 +287,26 @@
 		return p.report(at)
 	})
 	if err != nil {
-		return Planned{}, err
+		return PlanResult{}, err
 	}
-	if f.ready() == 0 {
-		return Planned{}, fmt.Errorf("procs: the fleet is not ready after a minute")
+	if f.waitReady() == 0 {
+		return PlanResult{}, fmt.Errorf("procs: the simulated cluster is not ready after a minute")
 	}
 	began = f.clock.Now
 	for i, m := range p.machines {
-		if err := f.order(f.names[i%len(f.names)], maintenance.Command{Request: &maintenance.RequestSpec{Key: m.name, Machine: m.name, DurationMs: planSaid.Milliseconds()}}); err != nil {
-			return Planned{}, err
+		if err := f.sendCommand(f.names[i%len(f.names)], maintenance.Command{Request: &maintenance.RequestSpec{Key: m.name, Machine: m.name, DurationMs: planAnnouncedWork.Milliseconds()}}); err != nil {
+			return PlanResult{}, err
 		}
 	}
 	for at := began; ; at += planStep {
 		f.clock.Run(at)
-		p.events(at - began)
+		p.advance(at - began)
 		if s := f.nodes[f.names[0]].View(); s != nil {
-			p.work(s, at-began)
+			p.beginCalledOut(s, at-began)
 		}
-		t.step(p, at-began)
-		if p.finished(at-began) || at-began > planMost {
-			return t.planned(at - began), nil
+		t.add(p, at-began)
+		if p.finished(at-began) || at-began > planTimeout {
+			return t.result(at - began), nil
 		}
 	}
 }
