--- a/cmd/larchusher-lab/load.go
+++ b/cmd/larchusher-lab/load.go
@@ -139,7 +139,7 @@
 		return stop, err
 	}
 	for _, s := range w.Stores {
-		s.On(loadgen.SlowContent(l.SlowSize))
+		s.SetHandler(loadgen.SlowContent(l.SlowSize))
 	}
 	return stop, nil
 }
--- a/cmd/larchusher-lab/up.go
+++ b/cmd/larchusher-lab/up.go
@@ -36,7 +36,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	front, err := testbed.Free()
+	front, err := testbed.FreeAddr()
 	if err != nil {
 		return err
 	}
@@ -88,9 +88,9 @@
 	d.world = w
 	for _, s := range w.Stores {
 		s.Lock()
-		s.Forget = false
+		s.CountOnly = false
 		s.Unlock()
-		s.Cache(w.Stores, func(string) int { return 5000 })
+		s.ActAsCache(w.Stores, func(string) int { return 5000 })
 	}
 	fmt.Printf("platform's front at %s, signed front at http://%s, journal at %s\n", w.Addr, d.front, w.Journal.Addr)
 	for name, s := range w.Stores {
@@ -172,12 +172,12 @@
 func latest(stores map[string]*fakeserver.Store) (last *fakeserver.Request) {
 	for _, s := range stores {
 		s.Lock()
-		for _, a := range s.Seen {
+		for _, a := range s.Requests {
 			if last == nil || a.At.After(last.At) {
 				last = a
 			}
 		}
-		s.Seen = nil
+		s.Requests = nil
 		s.Unlock()
 	}
 	return last
--- a/lab/failover/failover.go
+++ b/lab/failover/failover.go
@@ -158,9 +158,9 @@
 	for _, s := range w.Stores {
 		switch {
 		case p.cfg.Refuse:
-			s.On(func(a *fakeserver.Request) { a.Reply("WAIT", "-", "") })
+			s.SetHandler(func(a *fakeserver.Request) { a.Reply("WAIT", "-", "") })
 		case p.cfg.Store > 0:
-			s.On(func(a *fakeserver.Request) { time.AfterFunc(p.cfg.Store, func() { fakeserver.Done(a) }) })
+			s.SetHandler(func(a *fakeserver.Request) { time.AfterFunc(p.cfg.Store, func() { fakeserver.ServeHit(a) }) })
 		}
 	}
 	r, err := faultproxy.New(w.Addr, uint64(i))
@@ -290,7 +290,7 @@
 		r.Early += early(k, one, asked)
 	}
 	if p.cfg.Kind == clientsim.Planned {
-		r.Broken = faultproxy.Rules{Tries: 1 + plan.DefaultRetries + 1, Keyed: map[string]time.Duration{"orders": 3 * time.Second}}.Check(p.proxies...)
+		r.Broken = faultproxy.Rules{MaxTries: 1 + plan.DefaultRetries + 1, DedupWindows: map[string]time.Duration{"orders": 3 * time.Second}}.Check(p.proxies...)
 	}
 	slices.Sort(p.late)
 	if len(p.late) > 0 {
@@ -302,7 +302,7 @@
 }
 
 // count counts connects and attempts by window, and returns the attempts.
-func (p *player) count() map[attemptKey]faultproxy.Seen {
+func (p *player) count() map[attemptKey]faultproxy.Request {
 	r := p.res
 	n := int(p.cfg.For/Window) + 1
 	r.Connects, r.Sent = make([]int, n), make([]int, n)
@@ -311,14 +311,14 @@
 			to[i]++
 		}
 	}
-	asked := map[attemptKey]faultproxy.Seen{}
+	asked := map[attemptKey]faultproxy.Request{}
 	for k, one := range p.proxies {
-		for _, at := range one.Opened() {
+		for _, at := range one.ConnectTimes() {
 			add(r.Connects, at)
 		}
-		for _, s := range one.Seen() {
+		for _, s := range one.Requests() {
 			r.Tries++
-			if s.Second {
+			if s.Retry {
 				r.Marked++
 			}
 			add(r.Sent, s.At)
@@ -329,7 +329,7 @@
 }
 
 // early is how many attempts were sent on a connection before the time that a rejection of their class had told on it.
-func early(relay int, one *faultproxy.Proxy, asked map[attemptKey]faultproxy.Seen) (n int) {
+func early(relay int, one *faultproxy.Proxy, asked map[attemptKey]faultproxy.Request) (n int) {
 	type hold struct {
 		conn  int
 		class string
@@ -341,11 +341,11 @@
 			until[h] = append(until[h], f)
 		}
 	}
-	for _, s := range one.Seen() {
+	for _, s := range one.Requests() {
 		if slices.ContainsFunc(until[hold{s.Conn, s.Class}], func(f faultproxy.Rejection) bool {
 			// What was sent while the rejection was on its way knew nothing of it.
 			since := s.At.Sub(f.At)
-			return since > 100*time.Millisecond && since < f.Later
+			return since > 100*time.Millisecond && since < f.RetryAfter
 		}) {
 			n++
 		}
--- a/lab/fakeserver/box.go
+++ b/lab/fakeserver/box.go
@@ -8,62 +8,62 @@
 )
 
 // Power is what a fake server with a capacity can do, by the figures that a deployment's settings state.
-type Power struct {
-	Rate     float64       // requests a second, warm
-	Cold     bool          // it starts cold and empty, as one that is redeployed
-	From     float64       // share of its capacity that it starts with,
-	Ramp     time.Duration // and when it has all of it
-	Tip      float64       // sent more than this multiple of what it can do
-	TipFor   time.Duration // for so long, it falls over while it is cold
-	Fill     time.Duration // what a fill adds
-	Queue    time.Duration // work that waits for longer is refused
-	ReportBy time.Duration // how often its report is made anew
+type Capacity struct {
+	Rate           float64       // requests a second, warm
+	Cold           bool          // it starts cold and empty, as one that is redeployed
+	InitialShare   float64       // share of its capacity that it starts with,
+	RampDuration   time.Duration // and when it has all of it
+	OverloadFactor float64       // sent more than this multiple of what it can do
+	OverloadWindow time.Duration // for so long, it falls over while it is cold
+	FillLatency    time.Duration // what a fill adds
+	MaxQueueDelay  time.Duration // work that waits for longer is refused
+	ReportInterval time.Duration // how often its report is made anew
 }
 
 // Box is a store with a capacity, copies, and a cold start that it may not survive.
-type Box struct {
+type LimitedStore struct {
 	*Store
-	Power Power
+	Capacity Capacity
 
-	mu     sync.Mutex
-	began  time.Time // cold since; zero: long warm
-	free   time.Time // its queue is empty then
-	held   map[string]bool
-	window float64 // requests in the last TipFor
-	at     time.Time
-	worked time.Duration // since the report
-	told   time.Time
-	busy   float64
-	seen   map[int]map[int]int // attempts by second and by the number of the object over 1<<20, less the first's
-	start  time.Time
-	Fallen bool
-	Most   float64 // largest part of its start's budget that was ever taken
-	Misses int
+	mu              sync.Mutex
+	began           time.Time // cold since; zero: long warm
+	free            time.Time // its queue is empty then
+	held            map[string]bool
+	window          float64 // requests in the last TipFor
+	at              time.Time
+	worked          time.Duration // since the report
+	told            time.Time
+	busy            float64
+	seen            map[int]map[int]int // attempts by second and by the number of the object over 1<<20, less the first's
+	start           time.Time
+	Failed          bool
+	PeakBudgetShare float64 // largest part of its start's budget that was ever taken
+	Misses          int
 }
 
 // NewBox starts one. Times are told from start.
-func NewBox(name, kind, addr string, p Power, start time.Time) (*Box, error) {
+func NewLimitedStore(name, kind, addr string, p Capacity, start time.Time) (*LimitedStore, error) {
 	s, err := NewStore(name, kind, addr)
 	if err != nil {
 		return nil, err
 	}
-	s.Forget = true
-	b := &Box{Store: s, Power: p, held: map[string]bool{}, seen: map[int]map[int]int{}, start: start}
+	s.CountOnly = true
+	b := &LimitedStore{Store: s, Capacity: p, held: map[string]bool{}, seen: map[int]map[int]int{}, start: start}
 	if p.Cold {
 		b.began = time.Now()
 	}
-	s.On(b.answer)
+	s.SetHandler(b.answer)
 	return b, nil
 }
 
 // SeenIn is how many attempts came in a second, by the thousandth part of their objects' numbers (see load.Spec.First).
-func (b *Box) SeenIn(second, group int) int {
+func (b *LimitedStore) AttemptsIn(second, group int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.seen[second][group]
 }
 
-func (b *Box) answer(a *Request) {
+func (b *LimitedStore) answer(a *Request) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -75,39 +75,39 @@
 	}
 	b.seen[second][group]++
 	able := 1.0
-	if age := now.Sub(b.began); !b.began.IsZero() && age < b.Power.Ramp {
-		able = b.Power.From + (1-b.Power.From)*float64(age)/float64(b.Power.Ramp)
+	if age := now.Sub(b.began); !b.began.IsZero() && age < b.Capacity.RampDuration {
+		able = b.Capacity.InitialShare + (1-b.Capacity.InitialShare)*float64(age)/float64(b.Capacity.RampDuration)
 	}
-	if b.Power.TipFor > 0 {
-		b.window = b.window*math.Exp(-float64(now.Sub(b.at))/float64(b.Power.TipFor)) + 1
+	if b.Capacity.OverloadWindow > 0 {
+		b.window = b.window*math.Exp(-float64(now.Sub(b.at))/float64(b.Capacity.OverloadWindow)) + 1
 		b.at = now
 		if able < 1 {
-			part := b.window / (b.Power.Tip * able * b.Power.Rate * b.Power.TipFor.Seconds())
-			b.Most = max(b.Most, part)
-			b.Fallen = b.Fallen || part > 1
+			part := b.window / (b.Capacity.OverloadFactor * able * b.Capacity.Rate * b.Capacity.OverloadWindow.Seconds())
+			b.PeakBudgetShare = max(b.PeakBudgetShare, part)
+			b.Failed = b.Failed || part > 1
 		}
 	}
-	if b.Fallen {
+	if b.Failed {
 		a.Reply("BROKE", "-", "")
 		return
 	}
 	if b.free.Before(now) {
 		b.free = now
 	}
-	work := time.Duration(float64(time.Second) / b.Power.Rate / able)
-	if b.Power.Queue > 0 && b.free.Sub(now) > b.Power.Queue {
+	work := time.Duration(float64(time.Second) / b.Capacity.Rate / able)
+	if b.Capacity.MaxQueueDelay > 0 && b.free.Sub(now) > b.Capacity.MaxQueueDelay {
 		a.Reply("WAIT", "-", "")
 		return
 	}
 	b.free = b.free.Add(work)
 	b.worked += work
-	if since := now.Sub(b.told); since >= b.Power.ReportBy {
+	if since := now.Sub(b.told); since >= b.Capacity.ReportInterval {
 		b.busy, b.worked, b.told = min(1.5, float64(b.worked)/float64(since)), 0, now
 	}
 	wait, note := b.free.Sub(now), "warm"
 	key := a.Fields["name"] + "/" + a.Fields["piece"]
 	if b.Kind == "box" && !b.held[key] {
-		wait, note = wait+b.Power.Fill, "fill"
+		wait, note = wait+b.Capacity.FillLatency, "fill"
 		b.held[key] = true
 		b.Misses++
 	}
--- a/lab/fakeserver/journal.go
+++ b/lab/fakeserver/journal.go
@@ -45,7 +45,7 @@
 }
 
 // Replay has the service keep what it tells, and tell it again to those that connect with an older position.
-func (j *Journal) Replay() {
+func (j *Journal) EnableReplay() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.replay, j.more = true, make(chan struct{})
@@ -106,7 +106,7 @@
 }
 
 // Tell sends one event. The rest is what follows its number, such as "expire":{...}.
-func (j *Journal) Tell(pos int, rest string) {
+func (j *Journal) Publish(pos int, rest string) {
 	text := fmt.Sprintf("id: %d\ndata: {\"pos\":%d,%s}\n\n", pos, pos, rest)
 	j.mu.Lock()
 	if j.replay {
--- a/lab/fakeserver/store.go
+++ b/lab/fakeserver/store.go
@@ -67,20 +67,20 @@
 const contentsMost = 4096
 
 // Sized is what they hold for a part of n bytes.
-func Sized(object, part string, n int) string {
+func ContentOfSize(object, part string, n int) string {
 	word := object + "/" + part + ";"
 	return strings.Repeat(word, n/len(word)+1)[:n]
 }
 
 // Done answers with [Content], as a store does that holds the part.
-func Done(a *Request) { a.Serve("warm", Content(a.Fields["name"], a.Fields["piece"])) }
+func ServeHit(a *Request) { a.Serve("warm", Content(a.Fields["name"], a.Fields["piece"])) }
 
 // Serve answers with a body and the note on where it came from.
 func (a *Request) Serve(note, body string) { a.ServeWith(note, "inflight:1;x1:0.5;x0:0.9", body) }
 
 // ServeWith is Serve with a load report.
 func (a *Request) ServeWith(note, report, body string) {
-	if !a.Store.Forget {
+	if !a.Store.CountOnly {
 		a.Store.Lock()
 		a.Note = note
 		a.Store.Unlock()
@@ -94,14 +94,14 @@
 	Listener         net.Listener
 
 	sync.Mutex
-	Answer func(*Request)
-	Seen   []*Request // what it was asked, unless Forget is set
-	Forget bool       // for long runs: Asked counts, and nothing else is kept
-	Asked  int
-	Quits  []string
-	Noops  int
-	Conns  int
-	Deaf   bool // it answers no NOOP
+	Handler            func(*Request)
+	Requests           []*Request // what it was asked, unless Forget is set
+	CountOnly          bool       // for long runs: Asked counts, and nothing else is kept
+	RequestCount       int
+	Quits              []string
+	Noops              int
+	Conns              int
+	IgnoreHealthChecks bool // it answers no NOOP
 
 	links map[net.Conn]bool
 	held  map[string]bool // copies, of a store that [Store.Cache] made a cache
@@ -113,7 +113,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("stand-in %s: %w", name, err)
 	}
-	s := &Store{Name: name, Kind: kind, Listener: l, Addr: l.Addr().String(), Answer: Done, links: map[net.Conn]bool{}}
+	s := &Store{Name: name, Kind: kind, Listener: l, Addr: l.Addr().String(), Handler: ServeHit, links: map[net.Conn]bool{}}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -144,19 +144,19 @@
 }
 
 // On sets how the store answers.
-func (s *Store) On(answer func(*Request)) {
+func (s *Store) SetHandler(answer func(*Request)) {
 	s.Lock()
 	defer s.Unlock()
-	s.Answer = answer
+	s.Handler = answer
 }
 
 // Cache has the store hold what it serves, and fill what it lacks from the store that a request names. The origin,
 // and a parent that may ask it, hold everything.
-func (s *Store) Cache(stores map[string]*Store, size func(object string) int) {
+func (s *Store) ActAsCache(stores map[string]*Store, size func(object string) int) {
 	s.held = map[string]bool{}
-	s.On(func(a *Request) {
+	s.SetHandler(func(a *Request) {
 		key := a.Fields["name"] + "/" + a.Fields["piece"]
-		body := Sized(a.Fields["name"], a.Fields["piece"], size(a.Fields["name"]))
+		body := ContentOfSize(a.Fields["name"], a.Fields["piece"], size(a.Fields["name"]))
 		s.Lock()
 		held := s.held[key] || s.Kind == "origin"
 		if !held && (stores[a.Fields["parent"]] != nil || s.Kind == "parent") {
@@ -227,7 +227,7 @@
 		}
 		l.reading(r.Buffered() > 0)
 		s.Lock()
-		answer := s.Answer
+		answer := s.Handler
 		switch {
 		case args[0] == "ASK" && len(args) == 4:
 			a := &Request{ID: args[1], Body: args[3], Fields: map[string]string{}, Store: s, Conn: c, At: time.Now(), link: l}
@@ -235,18 +235,18 @@
 				k, v, _ := strings.Cut(f, "=")
 				a.Fields[k] = v
 			}
-			if s.Asked++; !s.Forget {
-				s.Seen = append(s.Seen, a)
+			if s.RequestCount++; !s.CountOnly {
+				s.Requests = append(s.Requests, a)
 			}
 			s.Unlock()
 			answer(a)
 			continue
 		case args[0] == "QUIT" && len(args) == 2:
-			if !s.Forget {
+			if !s.CountOnly {
 				s.Quits = append(s.Quits, args[1])
 			}
 		case args[0] == "NOOP" && len(args) == 2:
-			if s.Noops++; !s.Deaf {
+			if s.Noops++; !s.IgnoreHealthChecks {
 				l.write(args[1], "FIT", "-", "")
 			}
 		}
--- a/lab/faultinjection/machines.go
+++ b/lab/faultinjection/machines.go
@@ -79,8 +79,8 @@
 	if err != nil {
 		return err
 	}
-	s.Forget = true
-	s.On(func(a *fakeserver.Request) { p.answer(m, a) })
+	s.CountOnly = true
+	s.SetHandler(func(a *fakeserver.Request) { p.answer(m, a) })
 	m.mu.Lock()
 	m.store, m.out, m.cold, m.since = s, false, time.Now(), time.Now().UnixMilli()
 	m.mu.Unlock()
--- a/lab/faultinjection/processes.go
+++ b/lab/faultinjection/processes.go
@@ -79,7 +79,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.pos = max(2, g.pos+1)
-	g.world.Journal.Tell(g.pos, text(g.pos))
+	g.world.Journal.Publish(g.pos, text(g.pos))
 }
 
 // build makes the machines, the processes and the relays between them, and starts the processes.
@@ -94,7 +94,7 @@
 	known := json.RawMessage(`{"pos":1,"entries":[{"pos":1,"hosts":{"index":1,"snapshot":true,"endpoints":[` + strings.Join(hosts, ",") + `]}}]}`)
 	for i := range p.plot.Gateways {
 		host := p.address(i + 1)
-		link, err := testbed.FreeAt(host)
+		link, err := testbed.FreeAddrOn(host)
 		if err != nil {
 			return err
 		}
@@ -140,9 +140,9 @@
 	if err != nil {
 		return err
 	}
-	s.Forget = true
+	s.CountOnly = true
 	m := &machine{name: name, kind: kind, zone: zone, addr: s.Addr, store: s, faults: p.faults}
-	s.On(func(a *fakeserver.Request) { p.answer(m, a) })
+	s.SetHandler(func(a *fakeserver.Request) { p.answer(m, a) })
 	p.machines[name] = m
 	p.names = append(p.names, name)
 	return nil
@@ -197,7 +197,7 @@
 	if p.former(g) {
 		program = p.plot.Former
 	}
-	g.world, err = testbed.StartIn(ctx, testbed.Config{Program: program, Pin: -1, Seed: fmt.Sprintf("%016x", p.plot.Seed<<8+uint64(i)+1), Replay: true, Host: g.host,
+	g.world, err = testbed.StartWithStores(ctx, testbed.Config{Program: program, Pin: -1, Seed: fmt.Sprintf("%016x", p.plot.Seed<<8+uint64(i)+1), Replay: true, Host: g.host,
 		Args: []string{"serve", "--operator", path},
 		Env:  []string{"FLEET_KEY=" + hex.EncodeToString(key), "LARCHUSHER_LAB_CLOCK=" + g.clock, "GOMAXPROCS=2"}}, settings(g.zone, len(p.gateways), i), known)
 	if err != nil {
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -18,14 +18,14 @@
 )
 
 // Seen is one request that passed.
-type Seen struct {
+type Request struct {
 	At            time.Time
 	Conn          int
 	ID            uint64
 	Class, Object string
 	Part          string
 	Txn, Key      string
-	Second        bool
+	Retry         bool
 }
 
 // Proxy is a running one.
@@ -36,7 +36,7 @@
 	mu     sync.Mutex
 	target string
 	serial int
-	seen   []Seen
+	seen   []Request
 	later  []Rejection
 	opened []time.Time
 	conns  map[net.Conn]bool
@@ -48,10 +48,10 @@
 
 // Rejection is one answer that turned a request away.
 type Rejection struct {
-	At    time.Time
-	Conn  int
-	ID    uint64
-	Later time.Duration
+	At         time.Time
+	Conn       int
+	ID         uint64
+	RetryAfter time.Duration
 }
 
 // New starts a relay to a gateway.
@@ -85,7 +85,7 @@
 // the same address.
 func (r *Proxy) Down() {
 	loopback.Close(r.l)
-	r.Cut()
+	r.ResetConnections()
 }
 
 // Up ends Down.
@@ -123,11 +123,11 @@
 // Close ends the relay as a dying gateway would.
 func (r *Proxy) Close() {
 	loopback.Close(r.l)
-	r.Cut()
+	r.ResetConnections()
 }
 
 // Cut resets all connections.
-func (r *Proxy) Cut() {
+func (r *Proxy) ResetConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
@@ -139,14 +139,14 @@
 }
 
 // Seen are all requests that passed so far, and Opened when connections came.
-func (r *Proxy) Seen() []Seen {
+func (r *Proxy) Requests() []Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.seen)
 }
 
 // Opened says when connections came.
-func (r *Proxy) Opened() []time.Time {
+func (r *Proxy) ConnectTimes() []time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.opened)
@@ -246,7 +246,7 @@
 		}
 		if a.Error == rpc.Backoff {
 			r.mu.Lock()
-			r.later = append(r.later, Rejection{At: time.Now(), Conn: n, ID: uint64(a.ID), Later: a.RetryAfter})
+			r.later = append(r.later, Rejection{At: time.Now(), Conn: n, ID: uint64(a.ID), RetryAfter: a.RetryAfter})
 			r.mu.Unlock()
 		}
 	}
@@ -284,27 +284,27 @@
 			id = uint64(x)
 		}
 		r.mu.Lock()
-		r.seen = append(r.seen, Seen{At: time.Unix(0, came.Load()), Conn: n, ID: id, Class: class, Object: text("item"), Part: text("n"),
-			Txn: text("txn"), Key: text("unique"), Second: text("second") == "1"})
+		r.seen = append(r.seen, Request{At: time.Unix(0, came.Load()), Conn: n, ID: id, Class: class, Object: text("item"), Part: text("n"),
+			Txn: text("txn"), Key: text("unique"), Retry: text("second") == "1"})
 		r.mu.Unlock()
 	}
 }
 
 // Rules are what a client must keep, of what relays saw. Each call is to ask for an object of its own.
 type Rules struct {
-	Tries  int                      // of a call at most
-	Keyed  map[string]time.Duration // window in which a repeat is dropped, by class
-	Unsafe map[string]bool
+	MaxTries      int                      // of a call at most
+	DedupWindows  map[string]time.Duration // window in which a repeat is dropped, by class
+	UnsafeClasses map[string]bool
 }
 
 // Check names what was not kept, over several relays.
 func (k Rules) Check(relays ...*Proxy) (broken []string) {
-	var all []Seen
+	var all []Request
 	for _, r := range relays {
-		all = append(all, r.Seen()...)
+		all = append(all, r.Requests()...)
 	}
-	slices.SortStableFunc(all, func(a, b Seen) int { return a.At.Compare(b.At) })
-	calls := map[string][]Seen{}
+	slices.SortStableFunc(all, func(a, b Request) int { return a.At.Compare(b.At) })
+	calls := map[string][]Request{}
 	txns := map[string]bool{}
 	say := func(format string, args ...any) {
 		if len(broken) < 20 {
@@ -320,17 +320,17 @@
 		tries := append(calls[id], s)
 		calls[id] = tries
 		switch first := tries[0]; {
-		case !s.Second && len(tries) > 1: // one that is marked may be the first that was seen: another was cut off unread
+		case !s.Retry && len(tries) > 1: // one that is marked may be the first that was seen: another was cut off unread
 			say("try %d of %s is not marked", len(tries), id)
-		case len(tries) > k.Tries:
+		case len(tries) > k.MaxTries:
 			say("%s was sent %d times", id, len(tries))
 		case s.Key != first.Key:
 			say("the key of %s changed", id)
-		case k.Keyed[s.Class] > 0 && s.Key == "":
+		case k.DedupWindows[s.Class] > 0 && s.Key == "":
 			say("%s has no key", id)
-		case k.Keyed[s.Class] > 0 && s.At.Sub(first.At) > k.Keyed[s.Class]:
+		case k.DedupWindows[s.Class] > 0 && s.At.Sub(first.At) > k.DedupWindows[s.Class]:
 			say("%s was sent again after %v", id, s.At.Sub(first.At))
-		case k.Unsafe[s.Class] && len(tries) > 1:
+		case k.UnsafeClasses[s.Class] && len(tries) > 1:
 			say("%s is unsafe and was sent again", id)
 		}
 	}
--- a/lab/fleet/fleet.go
+++ b/lab/fleet/fleet.go
@@ -103,10 +103,10 @@
 	cfg      Config
 	start    time.Time
 	dir      string
-	others   []*fakeserver.Box   // upper caches and the origin
-	boxes    [][]*fakeserver.Box // by zone, those of now
-	all      []*fakeserver.Box
-	zoneOf   map[*fakeserver.Box]int
+	others   []*fakeserver.LimitedStore   // upper caches and the origin
+	boxes    [][]*fakeserver.LimitedStore // by zone, those of now
+	all      []*fakeserver.LimitedStore
+	zoneOf   map[*fakeserver.LimitedStore]int
 	gateways []*testbed.Gateway
 	pos      int
 	serial   int
@@ -117,9 +117,9 @@
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":1,"status":%q,"weight":1,"since_ms":%d}`, name, addr, zone, kind, status, since)
 }
 
-func (f *fleet) power(cold bool) fakeserver.Power {
-	return fakeserver.Power{Rate: f.cfg.BoxRate, Cold: cold, From: 0.15, Ramp: 17 * time.Second, Tip: 2.5, TipFor: 2 * time.Second,
-		Fill: 15 * time.Millisecond, Queue: 1500 * time.Millisecond, ReportBy: 400 * time.Millisecond}
+func (f *fleet) power(cold bool) fakeserver.Capacity {
+	return fakeserver.Capacity{Rate: f.cfg.BoxRate, Cold: cold, InitialShare: 0.15, RampDuration: 17 * time.Second, OverloadFactor: 2.5, OverloadWindow: 2 * time.Second,
+		FillLatency: 15 * time.Millisecond, MaxQueueDelay: 1500 * time.Millisecond, ReportInterval: 400 * time.Millisecond}
 }
 
 // grow makes the boxes of a zone anew.
@@ -127,7 +127,7 @@
 	f.boxes[zone] = nil
 	for range f.cfg.Zones[zone].Boxes {
 		f.serial++
-		b, err := fakeserver.NewBox(fmt.Sprintf("b%d", f.serial), "box", fakeserver.Loopback, f.power(cold), f.start)
+		b, err := fakeserver.NewLimitedStore(fmt.Sprintf("b%d", f.serial), "box", fakeserver.Loopback, f.power(cold), f.start)
 		if err != nil {
 			return err
 		}
@@ -151,7 +151,7 @@
 	defer f.mu.Unlock()
 	f.pos++
 	for _, g := range f.gateways {
-		g.Journal.Tell(f.pos, fmt.Sprintf(`"hosts":{"index":%d,"snapshot":false,"endpoints":[%s]}`, f.pos, strings.Join(hosts, ",")))
+		g.Journal.Publish(f.pos, fmt.Sprintf(`"hosts":{"index":%d,"snapshot":false,"endpoints":[%s]}`, f.pos, strings.Join(hosts, ",")))
 	}
 }
 
@@ -194,7 +194,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	f := &fleet{cfg: cfg, start: time.Now(), dir: dir, boxes: make([][]*fakeserver.Box, len(cfg.Zones)), zoneOf: map[*fakeserver.Box]int{}, pos: 1}
+	f := &fleet{cfg: cfg, start: time.Now(), dir: dir, boxes: make([][]*fakeserver.LimitedStore, len(cfg.Zones)), zoneOf: map[*fakeserver.LimitedStore]int{}, pos: 1}
 	defer f.close()
 	if err := f.build(ctx); err != nil {
 		return nil, err
@@ -236,8 +236,8 @@
 	var known []string
 	for _, o := range []struct{ name, kind, zone string }{{"pn", "parent", "north"}, {"ps", "parent", "south"}, {"o", "origin", "north"}} {
 		p := f.power(false)
-		p.Rate, p.TipFor = 20000, 0
-		b, err := fakeserver.NewBox(o.name, o.kind, fakeserver.Loopback, p, f.start)
+		p.Rate, p.OverloadWindow = 20000, 0
+		b, err := fakeserver.NewLimitedStore(o.name, o.kind, fakeserver.Loopback, p, f.start)
 		if err != nil {
 			return err
 		}
@@ -260,7 +260,7 @@
 			}
 			w.Args = []string{"serve", "--operator", path}
 		}
-		g, err := testbed.StartIn(ctx, w, settings(f.cfg.Zones, i), list)
+		g, err := testbed.StartWithStores(ctx, w, settings(f.cfg.Zones, i), list)
 		if err != nil {
 			return err
 		}
@@ -316,7 +316,7 @@
 		sec.Other += c.Asked - c.Outcomes["served"] - c.Outcomes["refused"]
 	}
 	for _, b := range f.all {
-		seen := b.SeenIn(at, zone)
+		seen := b.AttemptsIn(at, zone)
 		sec.At[f.zoneOf[b]] += seen
 		if f.zoneOf[b] != zone {
 			away += seen
@@ -359,8 +359,8 @@
 		r.Counters = append(r.Counters, c)
 	}
 	for _, b := range f.all {
-		r.Most = max(r.Most, b.Most)
-		if b.Fallen {
+		r.Most = max(r.Most, b.PeakBudgetShare)
+		if b.Failed {
 			r.Fallen = append(r.Fallen, b.Name)
 		}
 	}
--- a/lab/load/slow.go
+++ b/lab/load/slow.go
@@ -30,14 +30,14 @@
 	bodies := map[string]string{}
 	return func(a *fakeserver.Request) {
 		if !strings.HasPrefix(a.Fields["name"], slowName) {
-			fakeserver.Done(a)
+			fakeserver.ServeHit(a)
 			return
 		}
 		key := a.Fields["name"] + a.Fields["piece"]
 		mu.Lock()
 		body, ok := bodies[key]
 		if !ok && len(bodies) < 100 {
-			body = fakeserver.Sized(a.Fields["name"], a.Fields["piece"], size)
+			body = fakeserver.ContentOfSize(a.Fields["name"], a.Fields["piece"], size)
 			bodies[key] = body
 		}
 		mu.Unlock()
--- a/lab/testbed/testbed.go
+++ b/lab/testbed/testbed.go
@@ -59,7 +59,7 @@
 }
 
 // Host words a store for the journal.
-func Host(s *fakeserver.Store, status string) string {
+func EndpointJSON(s *fakeserver.Store, status string) string {
 	zone := "edge-1"
 	if s.Kind != "box" {
 		zone = "north"
@@ -69,14 +69,14 @@
 }
 
 // Known words the list of stores as a configuration holds it.
-func Known(stores map[string]*fakeserver.Store) json.RawMessage {
+func EndpointListJSON(stores map[string]*fakeserver.Store) json.RawMessage {
 	var names, hosts []string
 	for n := range stores {
 		names = append(names, n)
 	}
 	sort.Strings(names)
 	for _, n := range names {
-		hosts = append(hosts, Host(stores[n], "SERVING"))
+		hosts = append(hosts, EndpointJSON(stores[n], "SERVING"))
 	}
 	return json.RawMessage(`{"pos":1,"entries":[{"pos":1,"hosts":{"index":1,"snapshot":true,"endpoints":[` +
 		strings.Join(hosts, ",") + `]}}]}`)
@@ -98,9 +98,9 @@
 		if w.Stores[name], err = fakeserver.NewStore(name, kind, fakeserver.Loopback); err != nil {
 			return w, err
 		}
-		w.Stores[name].Forget = true
+		w.Stores[name].CountOnly = true
 	}
-	return w, w.launch(ctx, cfg, json.RawMessage(Settings), Known(w.Stores))
+	return w, w.launch(ctx, cfg, json.RawMessage(Settings), EndpointListJSON(w.Stores))
 }
 
 // launch starts the journal service and the program, and waits until that serves.
@@ -109,9 +109,9 @@
 		return err
 	}
 	if cfg.Replay {
-		w.Journal.Replay()
+		w.Journal.EnableReplay()
 	}
-	if w.Addr, err = FreeAt(cfg.Host); err != nil {
+	if w.Addr, err = FreeAddrOn(cfg.Host); err != nil {
 		return err
 	}
 	if w.dir, err = os.MkdirTemp("", "larchusher-lab"); err != nil {
@@ -157,7 +157,7 @@
 }
 
 // Free returns an address that nobody listens at, at a loopback address of this process's own.
-func Free() (string, error) { return FreeAt("") }
+func FreeAddr() (string, error) { return FreeAddrOn("") }
 
 // given are the addresses that FreeAt has returned.
 var given sync.Map
@@ -165,7 +165,7 @@
 // FreeAt is Free at a loopback address of one's own, such as 127.77.0.1: the system gives its ports to nobody else meanwhile, as it
 // does with those of 127.0.0.1 to connections that go out. An empty one is one of this process's own. No address is returned twice:
 // between the return and the listening the system takes its port for free, and has named the same one again to another that asked.
-func FreeAt(host string) (string, error) {
+func FreeAddrOn(host string) (string, error) {
 	if host == "" {
 		host = fmt.Sprintf("127.%d.%d.250", 64+os.Getpid()%100, os.Getpid()/100%250)
 	}
--- a/lab/testbed/testbed_test.go
+++ b/lab/testbed/testbed_test.go
@@ -8,7 +8,7 @@
 func TestNoAddressIsGivenTwice(t *testing.T) {
 	seen := map[string]bool{}
 	for range 2000 {
-		addr, err := FreeAt("127.63.7.9")
+		addr, err := FreeAddrOn("127.63.7.9")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/test/client_test.go
+++ b/test/client_test.go
@@ -51,7 +51,7 @@
 	ctx, ws, rs := pair(t)
 	held := make(chan *ask, 4000)
 	for _, s := range ws[0].Stores {
-		s.On(func(a *ask) { held <- a })
+		s.SetHandler(func(a *ask) { held <- a })
 	}
 	const n = 1000
 	var served, failed atomic.Int64
@@ -75,9 +75,9 @@
 		})
 	}
 	// Those that drew the first gateway hang there; the others are served at once.
-	eventually(t, "all clients have asked", func() bool { return len(rs[0].Seen())+len(rs[1].Seen()) >= n })
-	open := len(rs[0].Seen())
-	before := len(rs[1].Opened())
+	eventually(t, "all clients have asked", func() bool { return len(rs[0].Requests())+len(rs[1].Requests()) >= n })
+	open := len(rs[0].Requests())
+	before := len(rs[1].ConnectTimes())
 	died := time.Now()
 	if err := ws[0].Cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
@@ -85,7 +85,7 @@
 	rs[0].Close()
 	all.Wait()
 	tenths := map[int]int{}
-	late := rs[1].Opened()[before:]
+	late := rs[1].ConnectTimes()[before:]
 	for _, at := range late {
 		tenths[int(at.Sub(died)/(100*time.Millisecond))]++
 	}
@@ -100,7 +100,7 @@
 	if served.Load() < n*99/100 {
 		t.Errorf("%d of %d were served", served.Load(), n)
 	}
-	for _, b := range (faultproxy.Rules{Tries: 3, Keyed: map[string]time.Duration{"orders": 3 * time.Second}}).Check(rs[:]...) {
+	for _, b := range (faultproxy.Rules{MaxTries: 3, DedupWindows: map[string]time.Duration{"orders": 3 * time.Second}}).Check(rs[:]...) {
 		t.Error(b)
 	}
 }
@@ -111,9 +111,9 @@
 	case a.ID[13:] == "000":
 		a.Reply("BROKE", "-", "")
 	case a.ID[15] == '1':
-		time.AfterFunc(50*time.Millisecond, func() { fakeserver.Done(a) })
+		time.AfterFunc(50*time.Millisecond, func() { fakeserver.ServeHit(a) })
 	default:
-		fakeserver.Done(a)
+		fakeserver.ServeHit(a)
 	}
 }
 
@@ -156,7 +156,7 @@
 	ctx, ws, rs := pair(t)
 	for _, w := range ws {
 		for _, s := range w.Stores {
-			s.On(brokenOrLate)
+			s.SetHandler(brokenOrLate)
 		}
 	}
 	long := 1 // LARCHUSHER_LONG=25 makes it 100,000 requests, for docs/measurements/client.md
@@ -170,8 +170,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	time.AfterFunc(500*time.Millisecond, func() { rs[1].SetUnresponsive(true); rs[1].Cut() })
-	time.AfterFunc(1200*time.Millisecond, func() { rs[1].SetUnresponsive(false); rs[1].Cut() })
+	time.AfterFunc(500*time.Millisecond, func() { rs[1].SetUnresponsive(true); rs[1].ResetConnections() })
+	time.AfterFunc(1200*time.Millisecond, func() { rs[1].SetUnresponsive(false); rs[1].ResetConnections() })
 	var ends callEnds
 	ends.latest.Store(math.MinInt64)
 	var all sync.WaitGroup
@@ -187,7 +187,7 @@
 	if ends.late.Load() > 0 || ends.served.Load() < 2000*int64(long) {
 		t.Errorf("%d ended late, %d were served, %d not: %v", ends.late.Load(), ends.served.Load(), ends.others.Load(), c.Counters())
 	}
-	for _, b := range (faultproxy.Rules{Tries: 4, Keyed: map[string]time.Duration{"orders": 3 * time.Second}}).Check(rs[:]...) {
+	for _, b := range (faultproxy.Rules{MaxTries: 4, DedupWindows: map[string]time.Duration{"orders": 3 * time.Second}}).Check(rs[:]...) {
 		t.Error(b)
 	}
 	t.Logf("%d served, %d not, the latest %v after its deadline, %v", ends.served.Load(), ends.others.Load(), time.Duration(ends.latest.Load()),
@@ -240,7 +240,7 @@
 func TestCloseWithOpenCalls(t *testing.T) {
 	ctx, w := startWorld(t, testbed.Config{Caches: 2, Pin: -1})
 	for _, s := range w.Stores {
-		s.On(func(*ask) {})
+		s.SetHandler(func(*ask) {})
 	}
 	c, err := lib.New(lib.Config{Gateways: []string{w.Addr}, Classes: clientClasses, Plan: plan.Config{Conns: 16}})
 	if err != nil {
--- a/test/cold_test.go
+++ b/test/cold_test.go
@@ -26,7 +26,7 @@
 func listed(stores map[string]*store, status string, since int64, names ...string) string {
 	var hosts []string
 	for _, n := range names {
-		hosts = append(hosts, strings.Replace(testbed.Host(stores[n], status), `"since_ms":0`, fmt.Sprintf(`"since_ms":%d`, since), 1))
+		hosts = append(hosts, strings.Replace(testbed.EndpointJSON(stores[n], status), `"since_ms":0`, fmt.Sprintf(`"since_ms":%d`, since), 1))
 	}
 	return strings.Join(hosts, ",")
 }
@@ -102,7 +102,7 @@
 	t.Helper()
 	s.Lock()
 	var at []time.Duration
-	for _, a := range s.Seen {
+	for _, a := range s.Requests {
 		at = append(at, a.At.Sub(start))
 	}
 	s.Unlock()
@@ -149,7 +149,7 @@
 	asked := func() (n int) {
 		for _, name := range []string{"c1", "c2"} {
 			stores[name].Lock()
-			n += len(stores[name].Seen)
+			n += len(stores[name].Requests)
 			stores[name].Unlock()
 		}
 		return n
@@ -162,7 +162,7 @@
 	start := time.Now()
 	since := start.UnixMilli()
 	for _, r := range all {
-		r.journal.Tell(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+listed(stores, "DELETED", 0, "c1", "c2")+","+
+		r.journal.Publish(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+listed(stores, "DELETED", 0, "c1", "c2")+","+
 			listed(stores, "SERVING", since, "n1", "n2")+`]}`)
 	}
 	after := json.RawMessage(`{"pos":2,"entries":[{"pos":2,"hosts":{"index":2,"snapshot":true,"endpoints":[` +
@@ -208,7 +208,7 @@
 	carried := func() (n int) {
 		for _, name := range []string{"c1", "c2"} {
 			stores[name].Lock()
-			for _, a := range stores[name].Seen {
+			for _, a := range stores[name].Requests {
 				if a.At.After(from) {
 					n++
 				}
@@ -222,7 +222,7 @@
 	close(stop)
 	start := time.Now()
 	for _, r := range all {
-		r.journal.Tell(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+listed(stores, "DELETED", 0, "c1", "c2")+","+
+		r.journal.Publish(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+listed(stores, "DELETED", 0, "c1", "c2")+","+
 			listed(stores, "SERVING", start.UnixMilli(), "n1", "n2")+`]}`)
 	}
 	// wish has each gateway's clients ask for as many objects in one moment.
--- a/test/console_test.go
+++ b/test/console_test.go
@@ -99,7 +99,7 @@
 	for range 32 {
 		next(t, held)
 	}
-	r.journal.Tell(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+r.host("c2", "DRAINING")+`]}`)
+	r.journal.Publish(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+r.host("c2", "DRAINING")+`]}`)
 	eventually(t, "the drain is heard of", func() bool { return r.figures(console)["targets_disabled"] == 1 })
 	want := map[string]int{"success.films": 3, "overload.films": 0, "error.films": 0, "success.images": 0, "overload.images": 1,
 		"error.images": 1, "success.orders": 0, "overload.orders": 0, "error.orders": 1, "dispatches": 35, "concurrent": 32,
--- a/test/crossing_test.go
+++ b/test/crossing_test.go
@@ -62,7 +62,7 @@
 	}
 	in.pool.Gateway = in.gw
 	var known netjournal.InitialState
-	if err := json.Unmarshal(testbed.Known(r.stores), &known); err != nil {
+	if err := json.Unmarshal(testbed.EndpointListJSON(r.stores), &known); err != nil {
 		t.Fatal(err)
 	}
 	book := &netjournal.EventApplier{Sink: struct {
@@ -337,7 +337,7 @@
 		t.Errorf("%d requests are open", n)
 	}
 
-	in.rig.on(func(a *ask) { a.Serve("warm", fakeserver.Sized(object, "3", 240_000)) })
+	in.rig.on(func(a *ask) { a.Serve("warm", fakeserver.ContentOfSize(object, "3", 240_000)) })
 	c = in.client()
 	if err := c.conn.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
 		t.Fatal(err)
@@ -968,7 +968,7 @@
 	}
 	defer back.Close()
 	next(t, back.Connected)
-	back.Tell(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+r.host("c1", "DRAINING")+`]}`)
+	back.Publish(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+r.host("c1", "DRAINING")+`]}`)
 	eventually(t, "it is heard", func() bool { return r.counter("journal_events") == 1 })
 	late := r.client()
 	late.send("images", "00000000000000dd", 2*time.Second, "")
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -103,7 +103,7 @@
 	const limit = 64
 	ctx, w := startWorld(t, testbed.Config{MemoryMB: limit, Caches: 2})
 	for _, s := range w.Stores {
-		s.On(load.SlowContent(200_000))
+		s.SetHandler(load.SlowContent(200_000))
 	}
 	stop, err := load.Slow(load.SlowSpec{Addr: w.Addr, Conns: 200, Pace: 10_000, Ask: 20})
 	if err != nil {
@@ -140,9 +140,9 @@
 // the balancer is told nothing.
 func TestAStallIsNoOverload(t *testing.T) {
 	ctx, w := startWorld(t, testbed.Config{Caches: 2, Pin: -1})
-	slow := func(a *fakeserver.Request) { time.AfterFunc(100*time.Millisecond, func() { fakeserver.Done(a) }) }
+	slow := func(a *fakeserver.Request) { time.AfterFunc(100*time.Millisecond, func() { fakeserver.ServeHit(a) }) }
 	for _, s := range w.Stores {
-		s.On(slow)
+		s.SetHandler(slow)
 	}
 	asked, refused := 0, 0
 	for range 3 {
@@ -181,7 +181,7 @@
 func TestSlowStoresAreNoOverload(t *testing.T) {
 	ctx, w := startWorld(t, testbed.Config{Caches: 2, Pin: -1})
 	for _, s := range w.Stores {
-		s.On(func(a *fakeserver.Request) { time.AfterFunc(300*time.Millisecond, func() { fakeserver.Done(a) }) })
+		s.SetHandler(func(a *fakeserver.Request) { time.AfterFunc(300*time.Millisecond, func() { fakeserver.ServeHit(a) }) })
 	}
 	res, err := load.Run(ctx, load.Spec{Addr: w.Addr, Conns: 50, Rate: load.Constant(600), For: 2 * time.Second, Seed: 1})
 	if err != nil {
@@ -249,7 +249,7 @@
 
 // A flood of one class on the signed front, with tokens good and bad, does not starve the platform's clients, and the other way round.
 func TestFrontsDoNotStarveEachOther(t *testing.T) {
-	addr, err := testbed.Free()
+	addr, err := testbed.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -166,7 +166,7 @@
 	done(a) // nobody is owed this
 	other := r.client()
 	other.send("films", "00000000000000bb", 5*time.Second, "")
-	next(t, held).Store.On(done)
+	next(t, held).Store.SetHandler(done)
 	loopback.Close(other.conn) // leaving is cancelling
 	eventually(t, "the store is told", func() bool { return r.sum(func(s *store) int { return len(s.Quits) }) == 2 })
 	if n := r.counter("gone"); n != 2 {
@@ -213,11 +213,11 @@
 	held := make(chan *ask, 10)
 	deaf := func(a *ask) {
 		a.Store.Lock()
-		a.Store.Deaf = true
+		a.Store.IgnoreHealthChecks = true
 		a.Store.Unlock()
 		for _, s := range r.stores {
 			if s != a.Store {
-				s.On(done)
+				s.SetHandler(done)
 			}
 		}
 		held <- a
@@ -235,7 +235,7 @@
 
 func TestADrainingStoreGetsNothingNew(t *testing.T) {
 	r := newRig(t).start()
-	r.journal.Tell(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+r.host("c1", "DRAINING")+`]}`)
+	r.journal.Publish(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+r.host("c1", "DRAINING")+`]}`)
 	eventually(t, "the event is read", func() bool { return r.counter("journal_events") == 1 })
 	c := r.client()
 	for i := range 40 {
@@ -253,8 +253,8 @@
 
 func TestAPurgeBoundsTheAge(t *testing.T) {
 	r := newRig(t).start()
-	r.journal.Tell(2, fmt.Sprintf(`"expire":{"name":%q,"stamp":%d}`, object, time.Now().UnixMilli()-500))
-	r.journal.Tell(3, fmt.Sprintf(`"expire":{"set":40,"stamp":%d}`, time.Now().UnixMilli()))
+	r.journal.Publish(2, fmt.Sprintf(`"expire":{"name":%q,"stamp":%d}`, object, time.Now().UnixMilli()-500))
+	r.journal.Publish(3, fmt.Sprintf(`"expire":{"set":40,"stamp":%d}`, time.Now().UnixMilli()))
 	eventually(t, "both are read", func() bool { return r.counter("purges") == 2 })
 	c := r.client()
 	c.send("films", object, 5*time.Second, "")
@@ -271,15 +271,15 @@
 
 func TestTheJournalIsResumed(t *testing.T) {
 	r := newRig(t).start()
-	r.journal.Tell(2, `"expire":{"set":40,"stamp":1}`)
+	r.journal.Publish(2, `"expire":{"set":40,"stamp":1}`)
 	r.journal.Events <- "id: 3\ndata: {\"pos\":3,\"expire\":{}}\n\n" // cannot be used, and is passed over
 	r.journal.Events <- "id: 4\ndata: nonsense\n\n"
 	r.journal.Events <- "" // the connection ends
 	if id := next(t, r.journal.Connected); id != "4" {
 		t.Errorf("resumed after %q", id)
 	}
-	r.journal.Tell(2, `"expire":{"set":40,"stamp":1}`) // told again
-	r.journal.Tell(5, `"expire":{"set":41,"stamp":1}`)
+	r.journal.Publish(2, `"expire":{"set":40,"stamp":1}`) // told again
+	r.journal.Publish(5, `"expire":{"set":41,"stamp":1}`)
 	eventually(t, "the rest is read", func() bool { return r.counter("purges") == 2 })
 	if n := r.counter("journal_dropped"); n != 2 {
 		t.Errorf("%d dropped", n)
@@ -531,7 +531,7 @@
 		t.Fatalf("%d connections", n)
 	}
 	since := fmt.Sprint(`"since_ms":`, time.Now().Add(-10*time.Second).UnixMilli())
-	r.journal.Tell(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+
+	r.journal.Publish(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+
 		strings.ReplaceAll(r.host("c1", "SERVING")+","+r.host("c2", "SERVING"), `"since_ms":0`, since)+`]}`)
 	eventually(t, "the event is read", func() bool { return r.counter("journal_events") == 1 })
 	i := 0
--- a/test/reload_test.go
+++ b/test/reload_test.go
@@ -17,7 +17,7 @@
 // the latest event, while requests and connections stay as they are.
 func TestHangupMovesTheJournal(t *testing.T) {
 	r := newRig(t).start()
-	r.journal.Tell(2, `"expire":{"set":40,"stamp":1}`)
+	r.journal.Publish(2, `"expire":{"set":40,"stamp":1}`)
 	eventually(t, "the event is read", func() bool { return r.counter("purges") == 1 })
 	held := make(chan *ask, 10)
 	r.on(func(a *ask) { held <- a })
@@ -32,8 +32,8 @@
 	if id := next(t, second.Connected); id != "2" {
 		t.Errorf("resumed after %q", id)
 	}
-	second.Tell(2, `"expire":{"set":40,"stamp":1}`) // told again
-	second.Tell(3, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+r.host("c1", "DRAINING")+`]}`)
+	second.Publish(2, `"expire":{"set":40,"stamp":1}`) // told again
+	second.Publish(3, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+r.host("c1", "DRAINING")+`]}`)
 	eventually(t, "the new journal is read", func() bool { return r.counter("journal_events") == 2 })
 
 	r.on(done)
@@ -70,7 +70,7 @@
 	}
 	r.signal(syscall.SIGHUP)
 	r.logged("msg=\"reload rejected\"")
-	r.journal.Tell(2, `"expire":{"set":40,"stamp":1}`)
+	r.journal.Publish(2, `"expire":{"set":40,"stamp":1}`)
 	eventually(t, "the old journal is read", func() bool { return r.counter("journal_events") == 1 })
 
 	r.config["journal"], r.config["seed"] = good, "1" // the same address: its connection stays
--- a/test/rig_test.go
+++ b/test/rig_test.go
@@ -92,7 +92,7 @@
 }
 
 // host words a store for the journal.
-func (r *rig) host(name, status string) string { return testbed.Host(r.stores[name], status) }
+func (r *rig) host(name, status string) string { return testbed.EndpointJSON(r.stores[name], status) }
 
 // write writes the configuration to its file.
 func (r *rig) write() {
@@ -121,7 +121,7 @@
 func (r *rig) start() *rig {
 	r.t.Helper()
 	if r.config["known"] = r.known; r.known == nil {
-		r.config["known"] = testbed.Known(r.stores)
+		r.config["known"] = testbed.EndpointListJSON(r.stores)
 	}
 	r.write()
 	r.run()
@@ -202,7 +202,7 @@
 
 func free(t *testing.T) string {
 	t.Helper()
-	addr, err := testbed.Free()
+	addr, err := testbed.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -218,7 +218,7 @@
 
 func array(args ...string) string        { return fakeserver.Array(args...) }
 func content(object, part string) string { return fakeserver.Content(object, part) }
-func done(a *ask)                        { fakeserver.Done(a) }
+func done(a *ask)                        { fakeserver.ServeHit(a) }
 
 func newStore(t *testing.T, name, kind string) *store {
 	s, err := fakeserver.NewStore(name, kind, fakeserver.Loopback)
@@ -241,7 +241,7 @@
 // on sets how all stores answer.
 func (r *rig) on(answer func(*ask)) {
 	for _, s := range r.stores {
-		s.On(answer)
+		s.SetHandler(answer)
 	}
 }
 
@@ -249,7 +249,7 @@
 func (r *rig) asks(object string) (all []*ask) {
 	for _, s := range r.stores {
 		s.Lock()
-		for _, a := range s.Seen {
+		for _, a := range s.Requests {
 			if object == "" || a.Fields["name"] == object {
 				all = append(all, a)
 			}
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -179,7 +179,7 @@
 	if a := c.next(); a.err == "" {
 		t.Error("a class of a faulty file is served")
 	}
-	r.journal.Tell(2, `"expire":{"set":40,"stamp":1}`)
+	r.journal.Publish(2, `"expire":{"set":40,"stamp":1}`)
 	eventually(t, "the old journal is read", func() bool { return r.counter("journal_events") == 1 })
 	if n := r.counter("journal_connects"); n != 1 {
 		t.Errorf("%d connections to the journal", n)
--- a/test/signed_test.go
+++ b/test/signed_test.go
@@ -370,7 +370,7 @@
 	}
 	for _, s := range r.stores {
 		loopback.Close(s.Listener)
-		s.On(func(a *ask) { loopback.Close(a.Conn) })
+		s.SetHandler(func(a *ask) { loopback.Close(a.Conn) })
 	}
 	if status, _, h := w.get("GET", asset); status != 503 || h.Get("Retry-After") == "" {
 		t.Errorf("refused: %d %v", status, h)
--- a/test/upgrade_test.go
+++ b/test/upgrade_test.go
@@ -66,7 +66,7 @@
 	busy, idle := r.client(), r.client()
 	busy.send("films", object, 5*time.Second, "")
 	open := next(t, held)
-	r.journal.Tell(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+r.host("c1", "DRAINING")+`]}`)
+	r.journal.Publish(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+r.host("c1", "DRAINING")+`]}`)
 	eventually(t, "the drain is heard of", func() bool { return r.counter("journal_events") == 1 })
 	r.journal.Close()
 
@@ -331,7 +331,7 @@
 	r := newRig(t).shared()
 	cold := strings.Replace(r.host("c1", "SERVING"), `"since_ms":0`, fmt.Sprintf(`"since_ms":%d`, time.Now().UnixMilli()), 1)
 	r.start()
-	r.journal.Tell(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+cold+`]}`)
+	r.journal.Publish(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+cold+`]}`)
 	eventually(t, "the start is heard of", func() bool { return r.counter("journal_events") == 1 })
 	toCold := func() (n int) {
 		for _, a := range r.asks("") {
