--- a/lab/fakeserver/box.go
+++ b/lab/fakeserver/box.go
@@ -26,15 +26,15 @@
 	Capacity Capacity
 
 	mu              sync.Mutex
-	began           time.Time // cold since; zero: long warm
-	free            time.Time // its queue is empty then
-	held            map[string]bool
-	window          float64 // requests in the last TipFor
-	at              time.Time
-	worked          time.Duration // since the report
-	told            time.Time
-	busy            float64
-	seen            map[int]map[int]int // attempts by second and by the number of the object over 1<<20, less the first's
+	coldSince       time.Time // cold since; zero: long warm
+	queueFreeAt     time.Time // its queue is empty then
+	copies          map[string]bool
+	windowAttempts  float64 // requests in the last TipFor
+	windowUpdated   time.Time
+	workSinceReport time.Duration // since the report
+	reportedAt      time.Time
+	utilization     float64
+	attempts        map[int]map[int]int // attempts by second and by the number of the object over 1<<20, less the first's
 	start           time.Time
 	Failed          bool
 	PeakBudgetShare float64 // largest part of its start's budget that was ever taken
@@ -48,11 +48,11 @@
 		return nil, err
 	}
 	s.CountOnly = true
-	b := &LimitedStore{Store: s, Capacity: p, held: map[string]bool{}, seen: map[int]map[int]int{}, start: start}
+	b := &LimitedStore{Store: s, Capacity: p, copies: map[string]bool{}, attempts: map[int]map[int]int{}, start: start}
 	if p.Cold {
-		b.began = time.Now()
+		b.coldSince = time.Now()
 	}
-	s.SetHandler(b.answer)
+	s.SetHandler(b.handle)
 	return b, nil
 }
 
@@ -60,57 +60,57 @@
 func (b *LimitedStore) AttemptsIn(second, group int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.seen[second][group]
+	return b.attempts[second][group]
 }
 
-func (b *LimitedStore) answer(a *Request) {
+func (b *LimitedStore) handle(a *Request) {
 	now := time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var number uint64
 	_, _ = fmt.Sscanf(a.Fields["name"], "%x", &number)
 	second, group := int(now.Sub(b.start)/time.Second), int(number-0xa11ce000)>>20
-	if b.seen[second] == nil {
-		b.seen[second] = map[int]int{}
+	if b.attempts[second] == nil {
+		b.attempts[second] = map[int]int{}
 	}
-	b.seen[second][group]++
-	able := 1.0
-	if age := now.Sub(b.began); !b.began.IsZero() && age < b.Capacity.RampDuration {
-		able = b.Capacity.InitialShare + (1-b.Capacity.InitialShare)*float64(age)/float64(b.Capacity.RampDuration)
+	b.attempts[second][group]++
+	capacityShare := 1.0
+	if age := now.Sub(b.coldSince); !b.coldSince.IsZero() && age < b.Capacity.RampDuration {
+		capacityShare = b.Capacity.InitialShare + (1-b.Capacity.InitialShare)*float64(age)/float64(b.Capacity.RampDuration)
 	}
 	if b.Capacity.OverloadWindow > 0 {
-		b.window = b.window*math.Exp(-float64(now.Sub(b.at))/float64(b.Capacity.OverloadWindow)) + 1
-		b.at = now
-		if able < 1 {
-			part := b.window / (b.Capacity.OverloadFactor * able * b.Capacity.Rate * b.Capacity.OverloadWindow.Seconds())
-			b.PeakBudgetShare = max(b.PeakBudgetShare, part)
-			b.Failed = b.Failed || part > 1
+		b.windowAttempts = b.windowAttempts*math.Exp(-float64(now.Sub(b.windowUpdated))/float64(b.Capacity.OverloadWindow)) + 1
+		b.windowUpdated = now
+		if capacityShare < 1 {
+			budgetShare := b.windowAttempts / (b.Capacity.OverloadFactor * capacityShare * b.Capacity.Rate * b.Capacity.OverloadWindow.Seconds())
+			b.PeakBudgetShare = max(b.PeakBudgetShare, budgetShare)
+			b.Failed = b.Failed || budgetShare > 1
 		}
 	}
 	if b.Failed {
 		a.Reply("BROKE", "-", "")
 		return
 	}
-	if b.free.Before(now) {
-		b.free = now
+	if b.queueFreeAt.Before(now) {
+		b.queueFreeAt = now
 	}
-	work := time.Duration(float64(time.Second) / b.Capacity.Rate / able)
-	if b.Capacity.MaxQueueDelay > 0 && b.free.Sub(now) > b.Capacity.MaxQueueDelay {
+	work := time.Duration(float64(time.Second) / b.Capacity.Rate / capacityShare)
+	if b.Capacity.MaxQueueDelay > 0 && b.queueFreeAt.Sub(now) > b.Capacity.MaxQueueDelay {
 		a.Reply("WAIT", "-", "")
 		return
 	}
-	b.free = b.free.Add(work)
-	b.worked += work
-	if since := now.Sub(b.told); since >= b.Capacity.ReportInterval {
-		b.busy, b.worked, b.told = min(1.5, float64(b.worked)/float64(since)), 0, now
+	b.queueFreeAt = b.queueFreeAt.Add(work)
+	b.workSinceReport += work
+	if elapsed := now.Sub(b.reportedAt); elapsed >= b.Capacity.ReportInterval {
+		b.utilization, b.workSinceReport, b.reportedAt = min(1.5, float64(b.workSinceReport)/float64(elapsed)), 0, now
 	}
-	wait, note := b.free.Sub(now), "warm"
+	wait, note := b.queueFreeAt.Sub(now), "warm"
 	key := a.Fields["name"] + "/" + a.Fields["piece"]
-	if b.Kind == "box" && !b.held[key] {
+	if b.Kind == "box" && !b.copies[key] {
 		wait, note = wait+b.Capacity.FillLatency, "fill"
-		b.held[key] = true
+		b.copies[key] = true
 		b.Misses++
 	}
-	report := fmt.Sprintf("inflight:1;x1:%.3f;x0:0.9", b.busy)
+	report := fmt.Sprintf("inflight:1;x1:%.3f;x0:0.9", b.utilization)
 	time.AfterFunc(wait, func() { a.ServeWith(note, report, Content(a.Fields["name"], a.Fields["piece"])) })
 }
--- a/lab/fakeserver/journal.go
+++ b/lab/fakeserver/journal.go
@@ -17,11 +17,11 @@
 	Connected chan string // Last-Event-ID of each connection
 	Events    chan string // to be sent; an empty one ends the connection
 
-	server *http.Server
-	mu     sync.Mutex
-	replay bool
-	kept   []kept
-	more   chan struct{} // closed, and made anew, with each that is kept
+	server    *http.Server
+	mu        sync.Mutex
+	replay    bool
+	stored    []storedEvent
+	published chan struct{} // closed, and made anew, with each that is kept
 }
 
 // NewJournal starts one at an address, such as [Loopback].
@@ -39,7 +39,7 @@
 // Close ends the service and its connections.
 func (j *Journal) Close() { loopback.Close(j.server) }
 
-type kept struct {
+type storedEvent struct {
 	pos  int
 	text string
 }
@@ -48,19 +48,19 @@
 func (j *Journal) EnableReplay() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.replay, j.more = true, make(chan struct{})
+	j.replay, j.published = true, make(chan struct{})
 }
 
 // after gives what was kept after a position, and what to wait on for more; nil: nothing is kept.
-func (j *Journal) after(pos int) (all []kept, more <-chan struct{}) {
+func (j *Journal) storedAfter(pos int) (events []storedEvent, published <-chan struct{}) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	for _, k := range j.kept {
+	for _, k := range j.stored {
 		if k.pos > pos {
-			all = append(all, k)
+			events = append(events, k)
 		}
 	}
-	return all, j.more
+	return events, j.published
 }
 
 // ServeHTTP sends events until one is empty or the client leaves.
@@ -80,16 +80,16 @@
 	defer tick.Stop()
 	last, _ := strconv.Atoi(q.Header.Get("Last-Event-ID"))
 	for {
-		all, more := j.after(last)
-		for _, k := range all {
+		events, published := j.storedAfter(last)
+		for _, k := range events {
 			last = k.pos
 			_, _ = io.WriteString(w, k.text)
 		}
-		if len(all) > 0 {
+		if len(events) > 0 {
 			w.(http.Flusher).Flush()
 		}
 		select {
-		case <-more:
+		case <-published:
 			continue
 		case e := <-j.Events:
 			if e == "" {
@@ -106,13 +106,13 @@
 }
 
 // Tell sends one event. The rest is what follows its number, such as "expire":{...}.
-func (j *Journal) Publish(pos int, rest string) {
-	text := fmt.Sprintf("id: %d\ndata: {\"pos\":%d,%s}\n\n", pos, pos, rest)
+func (j *Journal) Publish(pos int, payload string) {
+	text := fmt.Sprintf("id: %d\ndata: {\"pos\":%d,%s}\n\n", pos, pos, payload)
 	j.mu.Lock()
 	if j.replay {
-		j.kept = append(j.kept, kept{pos, text})
-		close(j.more)
-		j.more = make(chan struct{})
+		j.stored = append(j.stored, storedEvent{pos, text})
+		close(j.published)
+		j.published = make(chan struct{})
 		j.mu.Unlock()
 		return
 	}
--- a/lab/fakeserver/store.go
+++ b/lab/fakeserver/store.go
@@ -48,23 +48,23 @@
 // Content is what every fake server holds for a part: about 7.6 kB that name the object and the part.
 func Content(object, part string) string {
 	word := object + "/" + part + ";"
-	if body, ok := contents.Load(word); ok {
+	if body, ok := contentCache.Load(word); ok {
 		return body.(string)
 	}
 	body := strings.Repeat(word, 400)
-	if known.Add(1) < contentsMost {
-		contents.Store(word, body)
+	if cachedContents.Add(1) < maxCachedContents {
+		contentCache.Store(word, body)
 	}
 	return body
 }
 
 // What was asked for is kept, up to a number: making it anew took as long as the gateway that is measured.
 var (
-	contents sync.Map
-	known    atomic.Int64
+	contentCache   sync.Map
+	cachedContents atomic.Int64
 )
 
-const contentsMost = 4096
+const maxCachedContents = 4096
 
 // Sized is what they hold for a part of n bytes.
 func ContentOfSize(object, part string, n int) string {
@@ -103,8 +103,8 @@
 	Conns              int
 	IgnoreHealthChecks bool // it answers no NOOP
 
-	links map[net.Conn]bool
-	held  map[string]bool // copies, of a store that [Store.Cache] made a cache
+	links  map[net.Conn]bool
+	copies map[string]bool // copies, of a store that [Store.Cache] made a cache
 }
 
 // NewStore starts one at an address, such as [Loopback].
@@ -153,20 +153,20 @@
 // Cache has the store hold what it serves, and fill what it lacks from the store that a request names. The origin,
 // and a parent that may ask it, hold everything.
 func (s *Store) ActAsCache(stores map[string]*Store, size func(object string) int) {
-	s.held = map[string]bool{}
+	s.copies = map[string]bool{}
 	s.SetHandler(func(a *Request) {
 		key := a.Fields["name"] + "/" + a.Fields["piece"]
 		body := ContentOfSize(a.Fields["name"], a.Fields["piece"], size(a.Fields["name"]))
 		s.Lock()
-		held := s.held[key] || s.Kind == "origin"
-		if !held && (stores[a.Fields["parent"]] != nil || s.Kind == "parent") {
-			s.held[key] = true
+		hasCopy := s.copies[key] || s.Kind == "origin"
+		if !hasCopy && (stores[a.Fields["parent"]] != nil || s.Kind == "parent") {
+			s.copies[key] = true
 			s.Unlock()
 			a.Serve("fill", body)
 			return
 		}
 		s.Unlock()
-		if !held {
+		if !hasCopy {
 			a.Reply("LACK", "-", "")
 			return
 		}
@@ -176,10 +176,10 @@
 
 // link is one connection. Answers gather while more requests have come and are read at once.
 type link struct {
-	conn net.Conn
-	mu   sync.Mutex
-	w    *bufio.Writer
-	busy bool // the reader flushes
+	conn       net.Conn
+	mu         sync.Mutex
+	w          *bufio.Writer
+	deferFlush bool // the reader flushes
 }
 
 func (l *link) write(args ...string) {
@@ -195,15 +195,15 @@
 		_, _ = l.w.WriteString(a)
 		_, _ = l.w.WriteString("\r\n")
 	}
-	if !l.busy {
+	if !l.deferFlush {
 		_ = l.w.Flush()
 	}
 }
 
-func (l *link) reading(busy bool) {
+func (l *link) setDeferFlush(deferFlush bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.busy = busy; !busy {
+	if l.deferFlush = deferFlush; !deferFlush {
 		_ = l.w.Flush()
 	}
 }
@@ -219,13 +219,13 @@
 	l := &link{conn: c, w: bufio.NewWriterSize(c, 64<<10)}
 	for {
 		if r.Buffered() == 0 {
-			l.reading(false)
+			l.setDeferFlush(false)
 		}
 		args, err := ReadArray(r)
 		if err != nil {
 			return
 		}
-		l.reading(r.Buffered() > 0)
+		l.setDeferFlush(r.Buffered() > 0)
 		s.Lock()
 		answer := s.Handler
 		switch {
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -32,18 +32,18 @@
 type Proxy struct {
 	Addr string
 
-	l      net.Listener
-	mu     sync.Mutex
-	target string
-	serial int
-	seen   []Request
-	later  []Rejection
-	opened []time.Time
-	conns  map[net.Conn]bool
-	rng    *rand.Rand
-	cut    float64 // chance that a piece of an answer cuts its connection
-	slice  int     // answers are passed on in pieces of so many bytes at most; 0: as they come
-	deaf   bool    // it accepts, and passes nothing on
+	l              net.Listener
+	mu             sync.Mutex
+	target         string
+	nextConn       int
+	requests       []Request
+	rejections     []Rejection
+	connectTimes   []time.Time
+	conns          map[net.Conn]bool
+	rng            *rand.Rand
+	cutProbability float64 // chance that a piece of an answer cuts its connection
+	maxChunk       int     // answers are passed on in pieces of so many bytes at most; 0: as they come
+	unresponsive   bool    // it accepts, and passes nothing on
 }
 
 // Rejection is one answer that turned a request away.
@@ -72,12 +72,12 @@
 			return
 		}
 		r.mu.Lock()
-		n := r.serial
-		r.serial++
-		r.opened = append(r.opened, time.Now())
+		n := r.nextConn
+		r.nextConn++
+		r.connectTimes = append(r.connectTimes, time.Now())
 		r.conns[c] = true
 		r.mu.Unlock()
-		go r.carry(n, c)
+		go r.relay(n, c)
 	}
 }
 
@@ -103,21 +103,21 @@
 func (r *Proxy) Rejections() []Rejection {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.later)
+	return slices.Clone(r.rejections)
 }
 
 // InjectFaults has connections cut by chance, at pieces of answers, and answers passed on in pieces of so many bytes at most.
-func (r *Proxy) InjectFaults(cut float64, slice int) {
+func (r *Proxy) InjectFaults(cutProbability float64, maxChunk int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut, r.slice = cut, slice
+	r.cutProbability, r.maxChunk = cutProbability, maxChunk
 }
 
 // SetUnresponsive has the relay accept and pass nothing on.
-func (r *Proxy) SetUnresponsive(deaf bool) {
+func (r *Proxy) SetUnresponsive(unresponsive bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.deaf = deaf
+	r.unresponsive = unresponsive
 }
 
 // Close ends the relay as a dying gateway would.
@@ -142,17 +142,17 @@
 func (r *Proxy) Requests() []Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.seen)
+	return slices.Clone(r.requests)
 }
 
 // Opened says when connections came.
 func (r *Proxy) ConnectTimes() []time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.opened)
+	return slices.Clone(r.connectTimes)
 }
 
-func (r *Proxy) carry(n int, c net.Conn) {
+func (r *Proxy) relay(n int, c net.Conn) {
 	defer func() {
 		loopback.Close(c)
 		r.mu.Lock()
@@ -160,13 +160,13 @@
 		r.mu.Unlock()
 	}()
 	r.mu.Lock()
-	target, deaf := r.target, r.deaf
+	target, unresponsive := r.target, r.unresponsive
 	r.mu.Unlock()
-	if deaf {
+	if unresponsive {
 		pr, pw := io.Pipe()
-		var came atomic.Int64
-		go r.record(n, pr, &came)
-		_, _ = io.Copy(pw, stamped{c, &came})
+		var lastRead atomic.Int64
+		go r.recordRequests(n, pr, &lastRead)
+		_, _ = io.Copy(pw, timestampedReader{c, &lastRead})
 		loopback.Close(pw)
 		return
 	}
@@ -179,10 +179,10 @@
 	}
 	defer loopback.Close(g)
 	pr, pw := io.Pipe()
-	var came atomic.Int64 // when the latest bytes did, in Unix nanoseconds
-	go r.record(n, pr, &came)
+	var lastRead atomic.Int64 // when the latest bytes did, in Unix nanoseconds
+	go r.recordRequests(n, pr, &lastRead)
 	go func() {
-		_, _ = io.Copy(g, io.TeeReader(stamped{c, &came}, pw))
+		_, _ = io.Copy(g, io.TeeReader(timestampedReader{c, &lastRead}, pw))
 		loopback.Close(pw)
 		if t, ok := g.(*net.TCPConn); ok {
 			_ = t.CloseWrite()
@@ -190,26 +190,26 @@
 	}()
 	ar, aw := io.Pipe()
 	defer loopback.Close(aw)
-	go r.answers(n, ar)
-	r.carryAnswers(c, g, aw)
+	go r.recordRejections(n, ar)
+	r.relayAnswers(c, g, aw)
 }
 
 // carryAnswers carries what a gateway answers to a client, in slices and up to a cut as the faults of the moment have it, and records it.
-func (r *Proxy) carryAnswers(c, from net.Conn, record io.Writer) {
+func (r *Proxy) relayAnswers(c, from net.Conn, record io.Writer) {
 	b := make([]byte, 64<<10)
 	for {
 		m, err := from.Read(b)
 		_, _ = record.Write(b[:max(0, m)]) // the recorder may have ended; what is carried goes on
 		r.mu.Lock()
-		slice, cut := r.slice, m > 0 && r.cut > 0 && r.rng.Float64() < r.cut
+		maxChunk, cut := r.maxChunk, m > 0 && r.cutProbability > 0 && r.rng.Float64() < r.cutProbability
 		if cut {
 			m = r.rng.IntN(m)
 		}
 		r.mu.Unlock()
 		for p := b[:m]; len(p) > 0; {
 			k := len(p)
-			if slice > 0 {
-				k = min(k, slice)
+			if maxChunk > 0 {
+				k = min(k, maxChunk)
 			}
 			if _, e := c.Write(p[:k]); e != nil {
 				return
@@ -223,19 +223,19 @@
 }
 
 // stamped notes when bytes come.
-type stamped struct {
+type timestampedReader struct {
 	io.Reader
-	came *atomic.Int64
+	lastRead *atomic.Int64
 }
 
-func (s stamped) Read(b []byte) (int, error) {
+func (s timestampedReader) Read(b []byte) (int, error) {
 	n, err := s.Reader.Read(b)
-	s.came.Store(time.Now().UnixNano())
+	s.lastRead.Store(time.Now().UnixNano())
 	return n, err
 }
 
 // answers reads refusals off what comes back.
-func (r *Proxy) answers(n int, from *io.PipeReader) {
+func (r *Proxy) recordRejections(n int, from *io.PipeReader) {
 	defer func() { _, _ = io.Copy(io.Discard, from) }()
 	d := rpc.NewReader(from)
 	d.Reuse = true
@@ -246,14 +246,14 @@
 		}
 		if a.Error == rpc.Backoff {
 			r.mu.Lock()
-			r.later = append(r.later, Rejection{At: time.Now(), Conn: n, ID: uint64(a.ID), RetryAfter: a.RetryAfter})
+			r.rejections = append(r.rejections, Rejection{At: time.Now(), Conn: n, ID: uint64(a.ID), RetryAfter: a.RetryAfter})
 			r.mu.Unlock()
 		}
 	}
 }
 
 // record reads requests off what passes.
-func (r *Proxy) record(n int, from *io.PipeReader, came *atomic.Int64) {
+func (r *Proxy) recordRequests(n int, from *io.PipeReader, lastRead *atomic.Int64) {
 	defer func() { _, _ = io.Copy(io.Discard, from) }() // what can't be read must not hold up what passes
 	d := msgpack.NewDecoder(from)
 	for {
@@ -284,7 +284,7 @@
 			id = uint64(x)
 		}
 		r.mu.Lock()
-		r.seen = append(r.seen, Request{At: time.Unix(0, came.Load()), Conn: n, ID: id, Class: class, Object: text("item"), Part: text("n"),
+		r.requests = append(r.requests, Request{At: time.Unix(0, lastRead.Load()), Conn: n, ID: id, Class: class, Object: text("item"), Part: text("n"),
 			Txn: text("txn"), Key: text("unique"), Retry: text("second") == "1"})
 		r.mu.Unlock()
 	}
@@ -306,14 +306,14 @@
 	slices.SortStableFunc(all, func(a, b Request) int { return a.At.Compare(b.At) })
 	calls := map[string][]Request{}
 	txns := map[string]bool{}
-	say := func(format string, args ...any) {
+	report := func(format string, args ...any) {
 		if len(broken) < 20 {
 			broken = append(broken, fmt.Sprintf(format, args...))
 		}
 	}
 	for _, s := range all {
 		if txns[s.Txn] {
-			say("txn %s was sent twice", s.Txn)
+			report("txn %s was sent twice", s.Txn)
 		}
 		txns[s.Txn] = true
 		id := s.Class + "/" + s.Object + "/" + s.Part
@@ -321,17 +321,17 @@
 		calls[id] = tries
 		switch first := tries[0]; {
 		case !s.Retry && len(tries) > 1: // one that is marked may be the first that was seen: another was cut off unread
-			say("try %d of %s is not marked", len(tries), id)
+			report("try %d of %s is not marked", len(tries), id)
 		case len(tries) > k.MaxTries:
-			say("%s was sent %d times", id, len(tries))
+			report("%s was sent %d times", id, len(tries))
 		case s.Key != first.Key:
-			say("the key of %s changed", id)
+			report("the key of %s changed", id)
 		case k.DedupWindows[s.Class] > 0 && s.Key == "":
-			say("%s has no key", id)
+			report("%s has no key", id)
 		case k.DedupWindows[s.Class] > 0 && s.At.Sub(first.At) > k.DedupWindows[s.Class]:
-			say("%s was sent again after %v", id, s.At.Sub(first.At))
+			report("%s was sent again after %v", id, s.At.Sub(first.At))
 		case k.UnsafeClasses[s.Class] && len(tries) > 1:
-			say("%s is unsafe and was sent again", id)
+			report("%s is unsafe and was sent again", id)
 		}
 	}
 	return broken
--- a/lab/golden/golden_test.go
+++ b/lab/golden/golden_test.go
@@ -18,7 +18,7 @@
 }
 
 // A field that Fill leaves empty would not be compared.
-func TestFillLeavesNothingEmpty(t *testing.T) {
+func TestFillSetsEveryField(t *testing.T) {
 	var v outer
 	Fill(&v)
 	if v.One == 0 || v.Inner == nil || v.Inner.Left == "" || len(v.Inner.Right) == 0 || len(v.Map) != 1 {
--- a/lab/testbed/place.go
+++ b/lab/testbed/place.go
@@ -9,9 +9,9 @@
 
 // StartIn starts a program among stores that are somebody else's: it has a journal service of its own, and settings and a
 // list as they are given. Stop leaves the stores alone.
-func StartWithStores(ctx context.Context, cfg Config, settings, known json.RawMessage) (*Gateway, error) {
+func StartWithStores(ctx context.Context, cfg Config, settings, endpointList json.RawMessage) (*Gateway, error) {
 	w := &Gateway{Stores: map[string]*fakeserver.Store{}, Process: NewProcess(cfg.Program, cfg.Args, nil)}
-	if err := w.launch(ctx, cfg, settings, known); err != nil {
+	if err := w.launch(ctx, cfg, settings, endpointList); err != nil {
 		w.Stop()
 		return nil, err
 	}
--- a/lab/testbed/process.go
+++ b/lab/testbed/process.go
@@ -24,12 +24,12 @@
 	Log *Log // what it writes to standard error
 
 	exited chan error    // how it ended, once; then it is closed
-	ended  chan struct{} // closed once it has ended
+	done   chan struct{} // closed once it has ended
 }
 
 // NewProcess returns a program with its arguments, and variables beside those of this process. It does not start it.
 func NewProcess(program string, args, env []string) *Process {
-	p := &Process{Cmd: exec.CommandContext(context.Background(), program, args...), Log: &Log{}, exited: make(chan error, 1), ended: make(chan struct{})}
+	p := &Process{Cmd: exec.CommandContext(context.Background(), program, args...), Log: &Log{}, exited: make(chan error, 1), done: make(chan struct{})}
 	p.Cmd.Env = append(os.Environ(), env...)
 	p.Cmd.Stderr = p.Log
 	return p
@@ -40,17 +40,17 @@
 	if err := startPinned(p.Cmd, core); err != nil {
 		return fmt.Errorf("starting %s: %w", p.Cmd.Path, err)
 	}
-	p.wait()
+	p.waitInBackground()
 	return nil
 }
 
 // wait waits for the program's end beside the caller.
-func (p *Process) wait() {
-	cmd, exited, ended := p.Cmd, p.exited, p.ended
+func (p *Process) waitInBackground() {
+	cmd, exited, done := p.Cmd, p.exited, p.done
 	go func() {
 		exited <- cmd.Wait()
 		close(exited)
-		close(ended)
+		close(done)
 	}()
 }
 
@@ -62,14 +62,14 @@
 	if err := p.Cmd.Process.Kill(); err != nil {
 		return err
 	}
-	<-p.ended
+	<-p.done
 	return nil
 }
 
 // WaitExit waits until the program has ended by itself.
 func (p *Process) WaitExit(ctx context.Context) error {
 	select {
-	case <-p.ended:
+	case <-p.done:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -82,12 +82,12 @@
 	p.Log.Reset()
 	p.Cmd = exec.CommandContext(context.Background(), old.Path, old.Args[1:]...)
 	p.Cmd.Env, p.Cmd.Stderr = old.Env, old.Stderr
-	p.exited, p.ended = make(chan error, 1), make(chan struct{})
+	p.exited, p.done = make(chan error, 1), make(chan struct{})
 	if err := p.Cmd.Start(); err != nil {
-		close(p.ended)
+		close(p.done)
 		return fmt.Errorf("starting %s again: %w", old.Path, err)
 	}
-	p.wait()
+	p.waitInBackground()
 	return nil
 }
 
@@ -124,16 +124,16 @@
 // WaitForLog waits until the program's log has a line with the text, and returns it.
 func (p *Process) WaitForLog(ctx context.Context, text string) (string, error) {
 	for {
-		more := p.Log.grown() // before the look, or what comes in between is missed
+		written := p.Log.nextWrite() // before the look, or what comes in between is missed
 		if line := p.Log.Line(text); line != "" {
 			return line, nil
 		}
 		select {
 		case <-ctx.Done():
 			return "", fmt.Errorf("the log never said %q: %w\n%s", text, ctx.Err(), p.Log.String())
-		case <-p.ended:
+		case <-p.done:
 			return "", fmt.Errorf("the program ended\n%s", p.Log.String())
-		case <-more:
+		case <-written:
 		}
 	}
 }
@@ -204,13 +204,13 @@
 		sys, _ := strconv.Atoi(f[12])
 		u.CPU = time.Duration(user+sys) * 10 * time.Millisecond // ticks of USER_HZ, which is 100
 	}
-	u.Waited, err = waitedForCore(dir)
+	u.Waited, err = cpuWait(dir)
 	return u, err
 }
 
 // waitedForCore adds up, over a process's threads, how long each was ready to run and did not (the second field of schedstat,
 // in nanoseconds).
-func waitedForCore(dir string) (total time.Duration, err error) {
+func cpuWait(dir string) (total time.Duration, err error) {
 	threads, err := filepath.Glob(dir + "task/*/schedstat")
 	if err != nil {
 		return 0, err
@@ -236,35 +236,35 @@
 	}
 	_ = p.Cmd.Process.Signal(syscall.SIGCONT) // one that is stopped may end as well
 	_ = p.Cmd.Process.Kill()                  // it may have ended
-	<-p.ended
+	<-p.done
 }
 
 // Log is written by a process and read by others.
 type Log struct {
-	mu   sync.Mutex
-	b    bytes.Buffer
-	more chan struct{}
+	mu      sync.Mutex
+	buf     bytes.Buffer
+	written chan struct{}
 }
 
 // Write adds to the log.
 func (l *Log) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.more != nil {
-		close(l.more)
-		l.more = nil
+	if l.written != nil {
+		close(l.written)
+		l.written = nil
 	}
-	return l.b.Write(p)
+	return l.buf.Write(p)
 }
 
 // grown is closed with the next write.
-func (l *Log) grown() <-chan struct{} {
+func (l *Log) nextWrite() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.more == nil {
-		l.more = make(chan struct{})
+	if l.written == nil {
+		l.written = make(chan struct{})
 	}
-	return l.more
+	return l.written
 }
 
 // Line returns the first line with the text, or none.
@@ -282,12 +282,12 @@
 func (l *Log) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.String()
+	return l.buf.String()
 }
 
 // Reset empties the log.
 func (l *Log) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.b.Reset()
+	l.buf.Reset()
 }
--- a/lab/testbed/testbed.go
+++ b/lab/testbed/testbed.go
@@ -104,7 +104,7 @@
 }
 
 // launch starts the journal service and the program, and waits until that serves.
-func (w *Gateway) launch(ctx context.Context, cfg Config, settings, known json.RawMessage) (err error) {
+func (w *Gateway) launch(ctx context.Context, cfg Config, settings, endpointList json.RawMessage) (err error) {
 	if w.Journal, err = fakeserver.NewJournal(fakeserver.Loopback); err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 	if w.dir, err = os.MkdirTemp("", "larchusher-lab"); err != nil {
 		return err
 	}
-	def := func(v, d int) int {
+	orDefault := func(v, d int) int {
 		if v == 0 {
 			return d
 		}
@@ -130,8 +130,8 @@
 		cfg.Seed = "8c1f30d27a5be964"
 	}
 	data, err := json.Marshal(map[string]any{"name": "n0", "listen": w.Addr, "seed": cfg.Seed,
-		"journal": w.Journal.Addr, "known": known, "settings": settings,
-		"limits": map[string]any{"cores": cfg.Cores, "memory_mb": def(cfg.MemoryMB, 192), "sockets": def(cfg.Sockets, 1024)}})
+		"journal": w.Journal.Addr, "known": endpointList, "settings": settings,
+		"limits": map[string]any{"cores": cfg.Cores, "memory_mb": orDefault(cfg.MemoryMB, 192), "sockets": orDefault(cfg.Sockets, 1024)}})
 	if err != nil {
 		return err
 	}
@@ -148,7 +148,7 @@
 	}
 	select {
 	case <-w.Journal.Connected:
-	case <-w.ended:
+	case <-w.done:
 		err = errors.New("the program ended")
 	case <-ctx.Done():
 		err = ctx.Err()
@@ -160,7 +160,7 @@
 func FreeAddr() (string, error) { return FreeAddrOn("") }
 
 // given are the addresses that FreeAt has returned.
-var given sync.Map
+var issuedAddrs sync.Map
 
 // FreeAt is Free at a loopback address of one's own, such as 127.77.0.1: the system gives its ports to nobody else meanwhile, as it
 // does with those of 127.0.0.1 to connections that go out. An empty one is one of this process's own. No address is returned twice:
@@ -169,7 +169,7 @@
 	if host == "" {
 		host = fmt.Sprintf("127.%d.%d.250", 64+os.Getpid()%100, os.Getpid()/100%250)
 	}
-	for range freeTries {
+	for range maxFreeAddrTries {
 		l, err := loopback.Listen(net.JoinHostPort(host, "0"))
 		if err != nil {
 			return "", fmt.Errorf("world: %w", err)
@@ -178,14 +178,14 @@
 		if err := l.Close(); err != nil {
 			return "", fmt.Errorf("world: %w", err)
 		}
-		if _, again := given.LoadOrStore(addr, true); !again {
+		if _, issued := issuedAddrs.LoadOrStore(addr, true); !issued {
 			return addr, nil
 		}
 	}
 	return "", fmt.Errorf("world: no port of %s is left that was not given out", host)
 }
 
-const freeTries = 1000
+const maxFreeAddrTries = 1000
 
 // Stop ends the world. It may be called twice.
 func (w *Gateway) Stop() {
--- a/test/accept_test.go
+++ b/test/accept_test.go
@@ -13,7 +13,7 @@
 }
 
 // The daemon was deaf for good after one accept that failed. Here every second one does.
-func TestTheDaemonOutlivesFailedAccepts(t *testing.T) {
+func TestDaemonServesAfterAcceptErrors(t *testing.T) {
 	tracer, err := exec.LookPath("strace")
 	if err != nil {
 		t.Skip("there is no strace to make accepts fail; package transport has the same test without it")
@@ -21,7 +21,7 @@
 	for _, errno := range passingAcceptErrors {
 		t.Run(errno, func(t *testing.T) {
 			r := newRig(t)
-			r.on(done)
+			r.setHandler(serveHit)
 			r.args = []string{"-D", "-f", "-qq", "--seccomp-bpf", "-o", "/dev/null", "-e", "trace=accept4",
 				"-e", "inject=accept4:error=" + errno + ":when=1+2", program}
 			r.program = tracer
@@ -29,7 +29,7 @@
 			for range 12 {
 				c := r.client()
 				c.send("images", object, 2*time.Second, "")
-				if a := c.next(); a.err != "" {
+				if a := c.readAnswer(); a.err != "" {
 					t.Errorf("%+v", a)
 				}
 			}
--- a/test/build_test.go
+++ b/test/build_test.go
@@ -27,7 +27,7 @@
 
 // The fleet's bench loads a library into the daemon (LD_PRELOAD), which only the dynamic linker does: a daemon linked
 // statically starts without it and is played on no day.
-func TestTheDaemonIsLinkedAgainstTheCLibrary(t *testing.T) {
+func TestDaemonIsDynamicallyLinked(t *testing.T) {
 	file, err := elf.Open(program)
 	if err != nil {
 		t.Fatal(err)
--- a/test/client_http_test.go
+++ b/test/client_http_test.go
@@ -36,7 +36,7 @@
 }
 
 // Over the signed front: parts, tags, keys, refusals with when to come back, and tokens that are no good.
-func TestClientOverHTTP(t *testing.T) {
+func TestHTTPClientOnSignedFront(t *testing.T) {
 	r, addr := signedRig(t, "")
 	c, _ := httpClient(t, addr, time.Minute)
 	ctx := context.Background()
@@ -44,16 +44,16 @@
 	if err != nil || string(got.Body) != content(object, "3") || got.Tag != "tag-"+object || got.Tries != 1 {
 		t.Fatalf("%d bytes, tag %q, %d tries, %v", len(got.Body), got.Tag, got.Tries, err)
 	}
-	r.on(func(a *ask) { a.Reply("KEEP", "why=warm,digest="+a.Fields["got"], "") })
+	r.setHandler(func(a *storeRequest) { a.Reply("KEEP", "why=warm,digest="+a.Fields["got"], "") })
 	if got, err = c.Do(ctx, lib.Request{Class: "images", Object: object, Part: 3, Have: "tag-" + object}); err != nil || !got.Unchanged {
 		t.Errorf("unchanged %v, %v", got.Unchanged, err)
 	}
-	r.on(done)
+	r.setHandler(serveHit)
 	if _, err = c.Do(ctx, lib.Request{Class: "orders", Object: object, Body: []byte("move")}); err != nil {
 		t.Error(err)
 	}
 	turns := 0
-	for _, a := range r.asks(object) {
+	for _, a := range r.storeRequests(object) {
 		if a.Fields["lane"] == "orders" {
 			if turns++; a.Fields["dedupe"] == "" || a.Body != "move" {
 				t.Errorf("the store saw %v %q", a.Fields, a.Body)
@@ -88,17 +88,17 @@
 }
 
 // of its own, so that none runs out between two.
-func TestObjectsAsReaders(t *testing.T) {
+func TestObjectReaderResumesAfterFailedPart(t *testing.T) {
 	r, addr := signedRig(t, "")
 	c, signed := httpClient(t, addr, time.Minute)
 	var broken atomic.Bool
 	broken.Store(true)
-	r.on(func(a *ask) {
+	r.setHandler(func(a *storeRequest) {
 		if a.Fields["piece"] == "2" && broken.Load() {
 			a.Reply("BROKE", "-", "")
 			return
 		}
-		done(a)
+		serveHit(a)
 	})
 	o, err := c.Open(context.Background(), lib.Object{Class: "films", Object: object, Parts: 4, Ahead: 1, PartDeadline: time.Second})
 	if err != nil {
@@ -111,7 +111,7 @@
 	}
 	broken.Store(false)
 	var rest []byte
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(50 * time.Millisecond) { // the gateway said when to come back
+	for end := time.Now().Add(eventTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) { // the gateway said when to come back
 		more, err := io.ReadAll(o)
 		rest = append(rest, more...)
 		if err == nil {
--- a/test/client_test.go
+++ b/test/client_test.go
@@ -28,13 +28,13 @@
 	{Name: "orders", Effect: lib.Keyed, Window: 3 * time.Second, Worth: 3}}
 
 // pair starts two gateways, each with a relay before it.
-func pair(t *testing.T) (context.Context, [2]*testbed.Gateway, [2]*faultproxy.Proxy) {
+func startPair(t *testing.T) (context.Context, [2]*testbed.Gateway, [2]*faultproxy.Proxy) {
 	t.Helper()
 	var ws [2]*testbed.Gateway
 	var rs [2]*faultproxy.Proxy
 	var ctx context.Context
 	for i := range ws {
-		ctx, ws[i] = startWorld(t, testbed.Config{Caches: 2, Pin: -1, Sockets: 4096})
+		ctx, ws[i] = startTestbed(t, testbed.Config{Caches: 2, Pin: -1, Sockets: 4096})
 		r, err := faultproxy.New(ws[i].Addr, uint64(i))
 		if err != nil {
 			t.Fatal(err)
@@ -47,11 +47,11 @@
 
 // A gateway dies with a thousand requests open, of a thousand clients: they connect to its neighbour spread over two
 // seconds, and are served.
-func TestAGatewayDiesUnderAThousandClients(t *testing.T) {
-	ctx, ws, rs := pair(t)
-	held := make(chan *ask, 4000)
+func TestClientsSpreadReconnectsAfterGatewayDeath(t *testing.T) {
+	ctx, ws, rs := startPair(t)
+	pending := make(chan *storeRequest, 4000)
 	for _, s := range ws[0].Stores {
-		s.SetHandler(func(a *ask) { held <- a })
+		s.SetHandler(func(a *storeRequest) { pending <- a })
 	}
 	const n = 1000
 	var served, failed atomic.Int64
@@ -106,7 +106,7 @@
 }
 
 // brokenOrLate answers by the request's id: one in 4,096 breaks, one in 16 takes 50 ms.
-func brokenOrLate(a *ask) {
+func failOrDelayByID(a *storeRequest) {
 	switch {
 	case a.ID[13:] == "000":
 		a.Reply("BROKE", "-", "")
@@ -118,13 +118,13 @@
 }
 
 // callEnds counts how calls ended.
-type callEnds struct {
+type callResults struct {
 	served, others, late atomic.Int64
 	latest               atomic.Int64 // the most nanoseconds after the deadline that one ended
 }
 
 // call makes a call with a second's time, and checks that it ends as one may.
-func (e *callEnds) call(ctx context.Context, t *testing.T, c *lib.Client, class, object string) {
+func (e *callResults) call(ctx context.Context, t *testing.T, c *lib.Client, class, object string) {
 	call, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	began := time.Now()
@@ -152,11 +152,11 @@
 }
 
 // Through cut connections, split answers and a gateway that is deaf: each call ends once and in time, and the rules are kept.
-func TestTheRulesHoldThroughFaults(t *testing.T) {
-	ctx, ws, rs := pair(t)
+func TestRetryRulesHoldUnderFaults(t *testing.T) {
+	ctx, ws, rs := startPair(t)
 	for _, w := range ws {
 		for _, s := range w.Stores {
-			s.SetHandler(brokenOrLate)
+			s.SetHandler(failOrDelayByID)
 		}
 	}
 	long := 1 // LARCHUSHER_LONG=25 makes it 100,000 requests, for docs/measurements/client.md
@@ -172,7 +172,7 @@
 	}
 	time.AfterFunc(500*time.Millisecond, func() { rs[1].SetUnresponsive(true); rs[1].ResetConnections() })
 	time.AfterFunc(1200*time.Millisecond, func() { rs[1].SetUnresponsive(false); rs[1].ResetConnections() })
-	var ends callEnds
+	var ends callResults
 	ends.latest.Store(math.MinInt64)
 	var all sync.WaitGroup
 	for g := range 40 {
@@ -198,13 +198,13 @@
 	if err := c.Close(); err != nil {
 		t.Error(err)
 	}
-	noneLeft(t)
+	waitForClientGoroutines(t)
 }
 
 // A gateway dies, its neighbour half a second later, and both come back: all is served within its deadline, the living see
 // no spike, and what retries there are keep the rules.
-func TestAGatewayAndItsNeighbourDie(t *testing.T) {
-	r := playDeaths(t, failover.Config{Gateways: 3, Clients: 300, Every: 500 * time.Millisecond, Store: 100 * time.Millisecond,
+func TestTwoGatewayDeathsKeepDeadlines(t *testing.T) {
+	r := runFailover(t, failover.Config{Gateways: 3, Clients: 300, Every: 500 * time.Millisecond, Store: 100 * time.Millisecond,
 		Deaths: []failover.Death{{Gateway: 0, At: time.Second, Back: 3 * time.Second}, {Gateway: 1, At: 1500 * time.Millisecond, Back: 3500 * time.Millisecond}},
 		For:    5 * time.Second, Seed: 1})
 	if float64(r.Served) < 0.97*float64(r.Due) || r.PeakPart > 0.2 || r.Late > 50*time.Millisecond {
@@ -214,14 +214,14 @@
 }
 
 // Gateways that refuse everything see hardly more than is asked for, and nobody comes back before they said.
-func TestGatewaysThatRefuseAreNotPressed(t *testing.T) {
-	r := playDeaths(t, failover.Config{Gateways: 2, Clients: 30, Every: 50 * time.Millisecond, Refuse: true, For: 3 * time.Second, Seed: 1})
+func TestClientsHonourRetryAfter(t *testing.T) {
+	r := runFailover(t, failover.Config{Gateways: 2, Clients: 30, Every: 50 * time.Millisecond, Refuse: true, For: 3 * time.Second, Seed: 1})
 	if r.Ended["refused"] != r.Calls || r.Calls < 1000 || float64(r.Tries) > 1.1*float64(r.Calls) || r.Early > 0 {
 		t.Errorf("%d calls made %d tries, %d of them too early: %v", r.Calls, r.Tries, r.Early, r.Ended)
 	}
 }
 
-func playDeaths(t *testing.T, cfg failover.Config) *failover.Result {
+func runFailover(t *testing.T, cfg failover.Config) *failover.Result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -237,10 +237,10 @@
 }
 
 // Close while requests are open: each caller gets one error at once, and no goroutine is left.
-func TestCloseWithOpenCalls(t *testing.T) {
-	ctx, w := startWorld(t, testbed.Config{Caches: 2, Pin: -1})
+func TestCloseFailsOpenCalls(t *testing.T) {
+	ctx, w := startTestbed(t, testbed.Config{Caches: 2, Pin: -1})
 	for _, s := range w.Stores {
-		s.SetHandler(func(*ask) {})
+		s.SetHandler(func(*storeRequest) {})
 	}
 	c, err := lib.New(lib.Config{Gateways: []string{w.Addr}, Classes: clientClasses, Plan: plan.Config{Conns: 16}})
 	if err != nil {
@@ -260,25 +260,25 @@
 		errs <- err
 	}()
 	cancel()
-	if err := next(t, errs); !errors.Is(err, context.Canceled) {
+	if err := receive(t, errs); !errors.Is(err, context.Canceled) {
 		t.Errorf("cancelled: %v", err)
 	}
 	if err := c.Close(); err != nil {
 		t.Error(err)
 	}
 	for range 500 {
-		if err := next(t, errs); !errors.Is(err, lib.ErrClosed) {
+		if err := receive(t, errs); !errors.Is(err, lib.ErrClosed) {
 			t.Errorf("closed: %v", err)
 		}
 	}
 	if _, err := c.Do(ctx, lib.Request{Class: "films", Object: "00000000000000ff"}); !errors.Is(err, lib.ErrClosed) {
 		t.Errorf("after the close: %v", err)
 	}
-	noneLeft(t)
+	waitForClientGoroutines(t)
 }
 
 // noneLeft waits until no goroutine of a client is left. Those of fake servers are none of its business.
-func noneLeft(t *testing.T) {
+func waitForClientGoroutines(t *testing.T) {
 	t.Helper()
 	eventually(t, "no goroutine of a client is left", func() bool {
 		b := make([]byte, 4<<20)
--- a/test/console_test.go
+++ b/test/console_test.go
@@ -14,24 +14,24 @@
 )
 
 // callWithin is how long an operator waits for a reply.
-const callWithin = time.Second
+const consoleTimeout = time.Second
 
 // withConsole gives the program a second address, and returns it.
 func (r *rig) withConsole() string {
-	addr := free(r.t)
+	addr := freeAddr(r.t)
 	r.config["console"] = addr
 	return addr
 }
 
 // call makes one call at the second address and returns the lines of its reply.
-func (r *rig) call(addr, name string) (lines []string) {
+func (r *rig) consoleCall(addr, name string) (lines []string) {
 	r.t.Helper()
-	conn, err := loopback.DialTimeout(addr, callWithin)
+	conn, err := loopback.DialTimeout(addr, consoleTimeout)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	defer loopback.Close(conn)
-	_ = conn.SetDeadline(time.Now().Add(callWithin))
+	_ = conn.SetDeadline(time.Now().Add(consoleTimeout))
 	if _, err := conn.Write([]byte(name + "\n")); err != nil {
 		r.t.Fatal(err)
 	}
@@ -46,9 +46,9 @@
 }
 
 // figures asks for the figures and returns them by name, without their prefix.
-func (r *rig) figures(addr string) map[string]int {
+func (r *rig) consoleStats(addr string) map[string]int {
 	r.t.Helper()
-	lines, all := r.call(addr, "STATS"), map[string]int{}
+	lines, all := r.consoleCall(addr, "STATS"), map[string]int{}
 	if len(lines) == 0 || lines[len(lines)-1] != "eof" {
 		r.t.Fatalf("no end: %q", lines)
 	}
@@ -65,46 +65,46 @@
 }
 
 // Each final answer is counted for its class as its client saw it; what is open, listed and avoided is told as it stands.
-func TestFiguresAreWhatPeersSaw(t *testing.T) {
+func TestConsoleStatsMatchClientAnswers(t *testing.T) {
 	r := newRig(t)
 	console := r.withConsole()
 	r.start()
-	if got := r.call(console, "READY"); len(got) != 1 || !strings.HasPrefix(got[0], "ok") {
+	if got := r.consoleCall(console, "READY"); len(got) != 1 || !strings.HasPrefix(got[0], "ok") {
 		t.Errorf("READY: %q", got)
 	}
-	if got := r.call(console, "OPEN"); len(got) != 1 || !strings.HasPrefix(got[0], "fail") {
+	if got := r.consoleCall(console, "OPEN"); len(got) != 1 || !strings.HasPrefix(got[0], "fail") {
 		t.Errorf("an unknown call: %q", got)
 	}
 	c := r.client()
 	for range 3 {
 		c.send("films", object, 2*time.Second, "")
-		c.next()
+		c.readAnswer()
 	}
 	c.send("orders", object, 2*time.Second, "no key")
-	if a := c.next(); a.err != "Lost" {
+	if a := c.readAnswer(); a.err != "Lost" {
 		t.Errorf("without a key: %+v", a)
 	}
 	c.send("images", "not an id", 2*time.Second, "")
-	if a := c.next(); a.err != "Lost" {
+	if a := c.readAnswer(); a.err != "Lost" {
 		t.Errorf("an object of no name: %+v", a)
 	}
-	held := make(chan *ask, 100)
-	r.on(func(a *ask) { held <- a })
+	pending := make(chan *storeRequest, 100)
+	r.setHandler(func(a *storeRequest) { pending <- a })
 	for range 33 { // one more than a connection may have open
 		c.send("images", object, 5*time.Second, "")
 	}
-	if a := c.next(); a.err != "Backoff" {
+	if a := c.readAnswer(); a.err != "Backoff" {
 		t.Errorf("the 33rd: %+v", a)
 	}
 	for range 32 {
-		next(t, held)
+		receive(t, pending)
 	}
-	r.journal.Publish(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+r.host("c2", "DRAINING")+`]}`)
-	eventually(t, "the drain is heard of", func() bool { return r.figures(console)["targets_disabled"] == 1 })
+	r.journal.Publish(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+r.endpointJSON("c2", "DRAINING")+`]}`)
+	eventually(t, "the drain is heard of", func() bool { return r.consoleStats(console)["targets_disabled"] == 1 })
 	want := map[string]int{"success.films": 3, "overload.films": 0, "error.films": 0, "success.images": 0, "overload.images": 1,
 		"error.images": 1, "success.orders": 0, "overload.orders": 0, "error.orders": 1, "dispatches": 35, "concurrent": 32,
 		"targets": 4, "targets_disabled": 1, "reload_success": 0, "reload_failure": 0}
-	got := r.figures(console)
+	got := r.consoleStats(console)
 	for name, n := range want {
 		if v, ok := got[name]; !ok || v != n {
 			t.Errorf("%s is %d, told: %v; want %d", name, v, ok, n)
@@ -116,7 +116,7 @@
 }
 
 // A hundred calls at once are answered, each within its second; a line that does not end, and one of another kind, end or fail.
-func TestAHundredCallsAtOnce(t *testing.T) {
+func TestConsoleServesConcurrentCalls(t *testing.T) {
 	r := newRig(t)
 	console := r.withConsole()
 	r.start()
@@ -128,7 +128,7 @@
 	if _, err := long.Write([]byte(strings.Repeat("READY ", 100))); err != nil {
 		t.Fatal(err)
 	}
-	_ = long.SetReadDeadline(time.Now().Add(patience))
+	_ = long.SetReadDeadline(time.Now().Add(eventTimeout))
 	if n, _ := long.Read(make([]byte, 1)); n != 0 {
 		t.Error("a line that does not end is answered")
 	}
@@ -138,13 +138,13 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			conn, err := loopback.DialTimeout(console, callWithin)
+			conn, err := loopback.DialTimeout(console, consoleTimeout)
 			if err != nil {
 				failed <- err.Error()
 				return
 			}
 			defer loopback.Close(conn)
-			_ = conn.SetDeadline(time.Now().Add(callWithin))
+			_ = conn.SetDeadline(time.Now().Add(consoleTimeout))
 			if _, err := conn.Write([]byte("STATS\n")); err != nil {
 				failed <- err.Error()
 				return
@@ -162,7 +162,7 @@
 }
 
 // Callers that complete no call take no slot from one that does.
-func TestSilentCallersAreInNobodysWay(t *testing.T) {
+func TestSilentConsoleCallersDoNotBlockOthers(t *testing.T) {
 	r := newRig(t)
 	console := r.withConsole()
 	r.start()
@@ -177,9 +177,9 @@
 		}
 	}
 	for range 5 {
-		if got := r.call(console, "READY"); len(got) != 1 || got[0] != "ok" {
+		if got := r.consoleCall(console, "READY"); len(got) != 1 || got[0] != "ok" {
 			t.Errorf("READY: %q", got)
 		}
 	}
-	r.figures(console)
+	r.consoleStats(console)
 }
--- a/test/flood_test.go
+++ b/test/flood_test.go
@@ -13,7 +13,7 @@
 )
 
 // peak is the most memory that the program has held, in MB.
-func (r *rig) peak() (mb int) {
+func (r *rig) peakMemoryMB() (mb int) {
 	r.t.Helper()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
 	if err != nil {
@@ -28,7 +28,7 @@
 
 // Clients that send at full speed what is quick to read and slow to answer do not pile up in the program's memory,
 // and others are served meanwhile.
-func TestAFloodDoesNotPileUp(t *testing.T) {
+func TestRequestFloodStaysWithinMemoryLimit(t *testing.T) {
 	const limit = 32
 	r, web := signedRig(t, "", func(r *rig) {
 		r.config["limits"] = map[string]any{"cores": 0.25, "memory_mb": limit, "sockets": 256}
@@ -60,13 +60,13 @@
 			}()
 		}
 		all.Wait()
-		if mb := r.peak(); mb > limit {
+		if mb := r.peakMemoryMB(); mb > limit {
 			t.Errorf("%d MB after a flood of %q", mb, f.message)
 		}
 	}
 	c := r.client()
 	c.send("images", object, 2*time.Second, "")
-	if a := c.next(); a.err != "" {
+	if a := c.readAnswer(); a.err != "" {
 		t.Errorf("after the floods: %+v", a)
 	}
 }
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -24,7 +24,7 @@
 )
 
 // startWorld starts a world round the program, kept on one core.
-func startWorld(t *testing.T, cfg testbed.Config) (context.Context, *testbed.Gateway) {
+func startTestbed(t *testing.T, cfg testbed.Config) (context.Context, *testbed.Gateway) {
 	t.Helper()
 	if runtime.NumCPU() < 4 {
 		t.Skip("the load takes cores that the gateway is to have")
@@ -41,7 +41,7 @@
 }
 
 // sane fails on what must never happen, whatever the load.
-func sane(t *testing.T, res *load.Result) load.Summary {
+func checkInvariants(t *testing.T, res *load.Result) load.Summary {
 	t.Helper()
 	s := res.Sum(0, 0)
 	cut := 0
@@ -67,14 +67,14 @@
 
 // At several times what the program can do, within 32 MB: every request has one answer before its client gives up, turns
 // are in aim, replays go before assets, refusals come at once, and the memory holds.
-func TestOverloadOnSockets(t *testing.T) {
+func TestOverloadShedsByPriority(t *testing.T) {
 	const limit = 32
-	ctx, w := startWorld(t, testbed.Config{MemoryMB: limit, Caches: 4})
+	ctx, w := startTestbed(t, testbed.Config{MemoryMB: limit, Caches: 4})
 	res, err := load.Run(ctx, load.Spec{Addr: w.Addr, Rate: load.Constant(30000), For: 3 * time.Second, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := sane(t, res)
+	s := checkInvariants(t, res)
 	// What is asserted is what the gateway decided; how many of the answers the load read in aim is the machine's affair, and
 	// stands in docs/measurements/overload.md.
 	turns, replays, assets := servedShare(s, "orders"), servedShare(s, "films"), servedShare(s, "images")
@@ -93,15 +93,15 @@
 	if res, err = load.Run(ctx, load.Spec{Addr: w.Addr, Rate: load.Constant(1000), For: time.Second, Seed: 2}); err != nil {
 		t.Fatal(err)
 	}
-	if s := sane(t, res); servedShare(s, "images") < 0.97 {
+	if s := checkInvariants(t, res); servedShare(s, "images") < 0.97 {
 		t.Errorf("after the load %.2f of the assets are served", servedShare(s, "images"))
 	}
 }
 
 // Slow readers that ask for much do not fill the memory, and quick clients beside them are served.
-func TestSlowReadersOnSockets(t *testing.T) {
+func TestSlowReadersStayWithinMemoryLimit(t *testing.T) {
 	const limit = 64
-	ctx, w := startWorld(t, testbed.Config{MemoryMB: limit, Caches: 2})
+	ctx, w := startTestbed(t, testbed.Config{MemoryMB: limit, Caches: 2})
 	for _, s := range w.Stores {
 		s.SetHandler(load.SlowContent(200_000))
 	}
@@ -114,7 +114,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := sane(t, res)
+	s := checkInvariants(t, res)
 	for _, c := range s.Classes {
 		if n := c.Outcomes["served"]; c.Share(n) < 90 {
 			t.Errorf("beside slow readers %.1f %% of %s are served", c.Share(n), c.Class)
@@ -138,8 +138,8 @@
 
 // The host stands still while answers come: they count as come in time, nobody is refused, no store is left for it, and
 // the balancer is told nothing.
-func TestAStallIsNoOverload(t *testing.T) {
-	ctx, w := startWorld(t, testbed.Config{Caches: 2, Pin: -1})
+func TestHostPauseIsNotOverload(t *testing.T) {
+	ctx, w := startTestbed(t, testbed.Config{Caches: 2, Pin: -1})
 	slow := func(a *fakeserver.Request) { time.AfterFunc(100*time.Millisecond, func() { fakeserver.ServeHit(a) }) }
 	for _, s := range w.Stores {
 		s.SetHandler(slow)
@@ -151,7 +151,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := sane(t, res)
+		s := checkInvariants(t, res)
 		for _, c := range s.Classes {
 			asked, refused = asked+c.Asked, refused+c.Outcomes["refused"]
 			if c.Outcomes["served"]+c.Outcomes["refused"] < c.Asked {
@@ -178,8 +178,8 @@
 }
 
 // Stores that are slow are no overload of the gateway: nothing is shed for it.
-func TestSlowStoresAreNoOverload(t *testing.T) {
-	ctx, w := startWorld(t, testbed.Config{Caches: 2, Pin: -1})
+func TestSlowStoresCauseNoShedding(t *testing.T) {
+	ctx, w := startTestbed(t, testbed.Config{Caches: 2, Pin: -1})
 	for _, s := range w.Stores {
 		s.SetHandler(func(a *fakeserver.Request) { time.AfterFunc(300*time.Millisecond, func() { fakeserver.ServeHit(a) }) })
 	}
@@ -187,7 +187,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sane(t, res)
+	checkInvariants(t, res)
 	all, err := w.Counters(ctx)
 	if err != nil {
 		t.Fatal(err)
@@ -198,13 +198,13 @@
 }
 
 // The counters are served where the operator's file says so, and printed; both tell the same.
-func TestCountersAreServed(t *testing.T) {
-	addr := free(t)
+func TestMetricsMatchLoggedCounters(t *testing.T) {
+	addr := freeAddr(t)
 	r, _ := signedRig(t, "metrics { listen: \""+addr+"\" }")
 	c := r.client()
 	c.send("images", object, 2*time.Second, "")
-	c.next()
-	status, body, _ := newWeb(t, addr).get("GET", "/metrics")
+	c.readAnswer()
+	status, body, _ := newHTTPConn(t, addr).get("GET", "/metrics")
 	if status != 200 || !strings.Contains(body, "larchusher_answered_served 1\n") || !strings.Contains(body, "# TYPE larchusher_load_turn_seconds summary") ||
 		!strings.Contains(body, `larchusher_load_turn_seconds{quantile="0.99"}`) {
 		t.Errorf("%d %s", status, body)
@@ -212,7 +212,7 @@
 	if n := r.counter("answered_served"); n != 1 {
 		t.Errorf("printed: %d", n)
 	}
-	if status, _, _ := newWeb(t, addr).get("GET", "/"); status != 404 {
+	if status, _, _ := newHTTPConn(t, addr).get("GET", "/"); status != 404 {
 		t.Errorf("another path: %d", status)
 	}
 	r.signal(syscall.SIGTERM)
@@ -258,7 +258,7 @@
 	if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	ctx, w := startWorld(t, testbed.Config{Caches: 2, Args: []string{"serve", "--operator", path},
+	ctx, w := startTestbed(t, testbed.Config{Caches: 2, Args: []string{"serve", "--operator", path},
 		Env: []string{fmt.Sprintf("K=%x", signedKeys.Keys[2].Secret)}})
 	good := signer(t, signedurl.Config{Base: base, Keys: signedKeys.Keys[2:3]}, signedKeys.Keys[2].ID)(signedurl.Order{
 		Target: "/images/" + object + "/3", Expiry: time.Now().Add(time.Hour)})
@@ -276,7 +276,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range sane(t, res).Classes {
+	for _, c := range checkInvariants(t, res).Classes {
 		if n := c.Outcomes["served"]; c.Share(n) < 70 {
 			t.Errorf("beside a flood on the signed front %.1f %% of %s are served", c.Share(n), c.Class)
 		}
@@ -292,7 +292,7 @@
 	if res, err = load.Run(ctx, load.Spec{Addr: w.Addr, Mix: assets, Rate: load.Constant(40000), For: 2 * time.Second, Seed: 1}); err != nil {
 		t.Fatal(err)
 	}
-	sane(t, res)
+	checkInvariants(t, res)
 	if n := served.Load() - before; n < 50 {
 		t.Errorf("beside a flood on the platform's front %d signed requests are served", n)
 	}
--- a/test/reload_test.go
+++ b/test/reload_test.go
@@ -15,37 +15,37 @@
 
 // SIGHUP ended the program, since nobody minded it. It must take the journal's new address at once and go on after
 // the latest event, while requests and connections stay as they are.
-func TestHangupMovesTheJournal(t *testing.T) {
+func TestReloadChangesJournalAddress(t *testing.T) {
 	r := newRig(t).start()
 	r.journal.Publish(2, `"expire":{"set":40,"stamp":1}`)
 	eventually(t, "the event is read", func() bool { return r.counter("purges") == 1 })
-	held := make(chan *ask, 10)
-	r.on(func(a *ask) { held <- a })
+	pending := make(chan *storeRequest, 10)
+	r.setHandler(func(a *storeRequest) { pending <- a })
 	c := r.client()
 	c.send("films", object, 5*time.Second, "")
-	a := next(t, held)
+	a := receive(t, pending)
 
 	second := newJournal(t)
 	r.config["journal"] = second.Addr
-	r.write()
+	r.writeConfig()
 	r.signal(syscall.SIGHUP)
-	if id := next(t, second.Connected); id != "2" {
+	if id := receive(t, second.Connected); id != "2" {
 		t.Errorf("resumed after %q", id)
 	}
 	second.Publish(2, `"expire":{"set":40,"stamp":1}`) // told again
-	second.Publish(3, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+r.host("c1", "DRAINING")+`]}`)
+	second.Publish(3, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+r.endpointJSON("c1", "DRAINING")+`]}`)
 	eventually(t, "the new journal is read", func() bool { return r.counter("journal_events") == 2 })
 
-	r.on(done)
-	done(a)
-	if got := c.next(); got.err != "" || got.body != content(object, "3") {
+	r.setHandler(serveHit)
+	serveHit(a)
+	if got := c.readAnswer(); got.err != "" || got.body != content(object, "3") {
 		t.Errorf("open across the reload: %+v", got)
 	}
 	c.send("images", "00000000000000dd", 2*time.Second, "")
-	if got := c.next(); got.err != "" {
+	if got := c.readAnswer(); got.err != "" {
 		t.Errorf("on the same connection: %+v", got)
 	}
-	for _, a := range r.asks("00000000000000dd") {
+	for _, a := range r.storeRequests("00000000000000dd") {
 		if a.Store.Name == "c1" {
 			t.Error("a store that the new journal drains was asked")
 		}
@@ -53,14 +53,14 @@
 }
 
 // A faulty file is logged, and all stays as it was; the next good one is taken.
-func TestHangupWithAFaultyFileKeepsTheOld(t *testing.T) {
+func TestReloadRejectsInvalidFile(t *testing.T) {
 	r := newRig(t).start()
 	good := r.config["journal"]
 	for _, fault := range []string{"nowhere", ""} {
 		r.config["journal"] = fault
-		r.write()
+		r.writeConfig()
 		r.signal(syscall.SIGHUP)
-		if line := r.logged("msg=\"reload rejected\""); !strings.Contains(line, "journal") {
+		if line := r.waitForLog("msg=\"reload rejected\""); !strings.Contains(line, "journal") {
 			t.Error(line)
 		}
 		r.log.Reset()
@@ -69,14 +69,14 @@
 		t.Fatal(err)
 	}
 	r.signal(syscall.SIGHUP)
-	r.logged("msg=\"reload rejected\"")
+	r.waitForLog("msg=\"reload rejected\"")
 	r.journal.Publish(2, `"expire":{"set":40,"stamp":1}`)
 	eventually(t, "the old journal is read", func() bool { return r.counter("journal_events") == 1 })
 
 	r.config["journal"], r.config["seed"] = good, "1" // the same address: its connection stays
-	r.write()
+	r.writeConfig()
 	r.signal(syscall.SIGHUP)
-	if line := r.logged("msg=\"reload needs restart\""); !strings.Contains(line, "keys=seed") {
+	if line := r.waitForLog("msg=\"reload needs restart\""); !strings.Contains(line, "keys=seed") {
 		t.Error(line)
 	}
 	eventually(t, "it is taken", func() bool { return r.counter("reloads") == 1 })
@@ -85,7 +85,7 @@
 	}
 	c := r.client()
 	c.send("images", object, 2*time.Second, "")
-	if a := c.next(); a.err != "" {
+	if a := c.readAnswer(); a.err != "" {
 		t.Errorf("%+v", a)
 	}
 }
@@ -93,21 +93,21 @@
 // A signed front that a newer file has no more ends: what was admitted is answered, and then nothing is, by the old keys or at all; the
 // other front goes on, and a file that has it again says that this takes a start. What comes with the reload's signal is forced to
 // be open: the store holds its answer.
-func TestHangupWithoutTheSignedFrontEndsIt(t *testing.T) {
+func TestReloadClosesRemovedSignedFront(t *testing.T) {
 	r, addr := signedRig(t, "")
-	held := make(chan *ask, 10)
-	r.on(func(a *ask) {
+	pending := make(chan *storeRequest, 10)
+	r.setHandler(func(a *storeRequest) {
 		if a.Fields["name"] == object {
-			held <- a
+			pending <- a
 			return
 		}
-		done(a)
+		serveHit(a)
 	})
 	sign := signer(t, signedKeys, "old")
 	uri := func(object string) string {
 		return strings.TrimPrefix(sign(signedurl.Order{Target: "/films/" + object + "/3?shard=17", Expiry: time.Now().Add(time.Minute)}), base)
 	}
-	busy, idle := newWeb(t, addr), newWeb(t, addr)
+	busy, idle := newHTTPConn(t, addr), newHTTPConn(t, addr)
 	if status, _, _ := idle.get("GET", uri("00000000000000dd")); status != http.StatusOK {
 		t.Fatalf("status %d", status)
 	}
@@ -116,7 +116,7 @@
 		status, _, _ := busy.get("GET", uri(object))
 		answered <- status
 	}()
-	a := <-held
+	a := <-pending
 
 	file, err := os.ReadFile(r.args[2])
 	if err != nil {
@@ -126,11 +126,11 @@
 		t.Fatal(err)
 	}
 	r.signal(syscall.SIGHUP)
-	r.logged("msg=\"reload closed the signed front\"")
+	r.waitForLog("msg=\"reload closed the signed front\"")
 	if n, err := idle.r.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("an idle connection: %d bytes, %v", n, err)
 	}
-	done(a)
+	serveHit(a)
 	if status := <-answered; status != http.StatusOK {
 		t.Errorf("status %d for what was admitted before", status)
 	}
@@ -143,7 +143,7 @@
 	}
 	c := r.client()
 	c.send("images", "00000000000000ee", 2*time.Second, "")
-	if got := c.next(); got.err != "" {
+	if got := c.readAnswer(); got.err != "" {
 		t.Errorf("on the other front: %+v", got)
 	}
 	if err := os.WriteFile(r.args[2], file, 0o600); err != nil {
@@ -151,15 +151,15 @@
 	}
 	r.log.Reset()
 	r.signal(syscall.SIGHUP)
-	if line := r.logged("msg=\"reload needs restart\""); !strings.Contains(line, "signed_front") {
+	if line := r.waitForLog("msg=\"reload needs restart\""); !strings.Contains(line, "signed_front") {
 		t.Error(line)
 	}
 }
 
 // The signed front takes its keys anew: a dropped one is refused from then on, on open connections too.
-func TestHangupTakesNewKeys(t *testing.T) {
+func TestReloadReplacesSigningKeys(t *testing.T) {
 	r, addr := signedRig(t, "")
-	w := newWeb(t, addr)
+	w := newHTTPConn(t, addr)
 	uri := strings.TrimPrefix(signer(t, signedKeys, "old")(signedurl.Order{Target: "/films/" + object + "/3?shard=17",
 		Expiry: time.Now().Add(time.Minute)}), base)
 	if status, _, _ := w.get("GET", uri); status != http.StatusOK {
@@ -173,7 +173,7 @@
 		t.Fatal(err)
 	}
 	r.signal(syscall.SIGHUP)
-	r.logged("msg=reloaded")
+	r.waitForLog("msg=reloaded")
 	if status, _, _ := w.get("GET", uri); status != http.StatusForbidden {
 		t.Errorf("status %d for a dropped key", status)
 	}
--- a/test/rig_test.go
+++ b/test/rig_test.go
@@ -26,7 +26,7 @@
 )
 
 // patience is how long anything may take that is sure to come.
-const patience = 20 * time.Second
+const eventTimeout = 20 * time.Second
 
 var program string
 
@@ -55,24 +55,24 @@
 
 // rig is the program with everything that it talks to.
 type rig struct {
-	t       *testing.T
-	stores  map[string]*store
-	journal *journal
-	addr    string
-	config  map[string]any
-	known   json.RawMessage // the list at the start; nil: all stores, warm
-	path    string          // of the configuration
-	clients int
-	args    []string
-	env     []string
-	program string // empty: the one that was built
-	cmd     *exec.Cmd
-	log     *testbed.Log
-	exited  <-chan error
+	t                *testing.T
+	stores           map[string]*store
+	journal          *journal
+	addr             string
+	config           map[string]any
+	initialEndpoints json.RawMessage // the list at the start; nil: all stores, warm
+	path             string          // of the configuration
+	clientCount      int
+	args             []string
+	env              []string
+	program          string // empty: the one that was built
+	cmd              *exec.Cmd
+	log              *testbed.Log
+	exited           <-chan error
 }
 
 // newRig makes caches c1 and c2, a parent p and the origin o, and does not start the program yet.
-func newRig(t *testing.T) *rig { return rigOf(t, newStores(t)) }
+func newRig(t *testing.T) *rig { return newRigWithStores(t, newStores(t)) }
 
 func newStores(t *testing.T) map[string]*store {
 	stores := map[string]*store{}
@@ -83,8 +83,8 @@
 }
 
 // rigOf is newRig among stores that others use, too.
-func rigOf(t *testing.T, stores map[string]*store) *rig {
-	r := &rig{t: t, stores: stores, journal: newJournal(t), addr: free(t), log: &testbed.Log{}}
+func newRigWithStores(t *testing.T, stores map[string]*store) *rig {
+	r := &rig{t: t, stores: stores, journal: newJournal(t), addr: freeAddr(t), log: &testbed.Log{}}
 	r.config = map[string]any{"name": "n0", "listen": r.addr, "seed": "8c1f30d27a5be964", "journal": r.journal.Addr,
 		"limits":   map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"settings": json.RawMessage(testbed.Settings)}
@@ -92,10 +92,12 @@
 }
 
 // host words a store for the journal.
-func (r *rig) host(name, status string) string { return testbed.EndpointJSON(r.stores[name], status) }
+func (r *rig) endpointJSON(name, status string) string {
+	return testbed.EndpointJSON(r.stores[name], status)
+}
 
 // write writes the configuration to its file.
-func (r *rig) write() {
+func (r *rig) writeConfig() {
 	r.t.Helper()
 	data, err := json.Marshal(r.config)
 	if err != nil {
@@ -120,18 +122,18 @@
 // start starts the program and waits until it serves.
 func (r *rig) start() *rig {
 	r.t.Helper()
-	if r.config["known"] = r.known; r.known == nil {
+	if r.config["known"] = r.initialEndpoints; r.initialEndpoints == nil {
 		r.config["known"] = testbed.EndpointListJSON(r.stores)
 	}
-	r.write()
-	r.run()
-	r.logged("msg=serving")
-	next(r.t, r.journal.Connected)
+	r.writeConfig()
+	r.startProcess()
+	r.waitForLog("msg=serving")
+	receive(r.t, r.journal.Connected)
 	return r
 }
 
 // run starts the program on the configuration that is written.
-func (r *rig) run() {
+func (r *rig) startProcess() {
 	r.t.Helper()
 	p := testbed.NewProcess(cmp.Or(r.program, program), r.args, append([]string{"BALANCER_CONFIG=" + r.path, "BALANCER_NAME=n0"}, r.env...))
 	r.cmd, r.log, r.exited = p.Cmd, p.Log, p.Exited()
@@ -148,7 +150,7 @@
 }
 
 // logged waits until the log has a line with the text, and returns it.
-func (r *rig) logged(text string) (line string) {
+func (r *rig) waitForLog(text string) (line string) {
 	r.t.Helper()
 	eventually(r.t, "the log says "+text, func() bool {
 		for l := range strings.SplitSeq(r.log.String(), "\n") {
@@ -167,7 +169,7 @@
 	r.t.Helper()
 	r.log.Reset()
 	r.signal(syscall.SIGUSR1)
-	for f := range strings.SplitSeq(r.logged("msg=counters"), " ") {
+	for f := range strings.SplitSeq(r.waitForLog("msg=counters"), " ") {
 		if v, ok := strings.CutPrefix(f, name+"="); ok {
 			n, err := strconv.Atoi(v)
 			if err != nil {
@@ -180,27 +182,27 @@
 }
 
 // next takes what must come on a channel.
-func next[T any](t *testing.T, c <-chan T) (v T) {
+func receive[T any](t *testing.T, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(patience):
+	case <-time.After(eventTimeout):
 		t.Fatal("nothing came")
 	}
 	return v
 }
 
 // eventually waits for what must come.
-func eventually(t *testing.T, what string, ok func() bool) {
+func eventually(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("it never came that %s", what)
+			t.Fatalf("it never came that %s", condition)
 		}
 	}
 }
 
-func free(t *testing.T) string {
+func freeAddr(t *testing.T) string {
 	t.Helper()
 	addr, err := testbed.FreeAddr()
 	if err != nil {
@@ -211,14 +213,14 @@
 
 // The fake servers are those of the lab.
 type (
-	store   = fakeserver.Store
-	ask     = fakeserver.Request
-	journal = fakeserver.Journal
+	store        = fakeserver.Store
+	storeRequest = fakeserver.Request
+	journal      = fakeserver.Journal
 )
 
-func array(args ...string) string        { return fakeserver.Array(args...) }
+func respArray(args ...string) string    { return fakeserver.Array(args...) }
 func content(object, part string) string { return fakeserver.Content(object, part) }
-func done(a *ask)                        { fakeserver.ServeHit(a) }
+func serveHit(a *storeRequest)           { fakeserver.ServeHit(a) }
 
 func newStore(t *testing.T, name, kind string) *store {
 	s, err := fakeserver.NewStore(name, kind, fakeserver.Loopback)
@@ -239,14 +241,14 @@
 }
 
 // on sets how all stores answer.
-func (r *rig) on(answer func(*ask)) {
+func (r *rig) setHandler(answer func(*storeRequest)) {
 	for _, s := range r.stores {
 		s.SetHandler(answer)
 	}
 }
 
 // asks are what all stores were asked so far; of the object, if one is named.
-func (r *rig) asks(object string) (all []*ask) {
+func (r *rig) storeRequests(object string) (all []*storeRequest) {
 	for _, s := range r.stores {
 		s.Lock()
 		for _, a := range s.Requests {
@@ -260,7 +262,7 @@
 }
 
 // sum adds up a count of the stores.
-func (r *rig) sum(of func(*store) int) (n int) {
+func (r *rig) sumStores(of func(*store) int) (n int) {
 	for _, s := range r.stores {
 		s.Lock()
 		n += of(s)
@@ -285,16 +287,16 @@
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { loopback.Close(conn) })
-	r.clients++ // no two clients use one txn
-	return &client{t: r.t, conn: conn, r: bufio.NewReader(conn), txn: (r.clients - 1) << 16}
+	r.clientCount++ // no two clients use one txn
+	return &client{t: r.t, conn: conn, r: bufio.NewReader(conn), txn: (r.clientCount - 1) << 16}
 }
 
-func packText(s string) []byte { return append([]byte{0xd9, byte(len(s))}, s...) }
+func packString(s string) []byte { return append([]byte{0xd9, byte(len(s))}, s...) }
 
 func packFields(fields []string) []byte {
 	b := []byte{0x80 | byte(len(fields)/2)}
 	for _, f := range fields {
-		b = append(b, packText(f)...)
+		b = append(b, packString(f)...)
 	}
 	return b
 }
@@ -303,21 +305,21 @@
 func (c *client) send(class, object string, limit time.Duration, body string, fields ...string) int {
 	c.t.Helper()
 	c.txn++
-	c.raw(c.request(class, object, limit, body, fields...))
+	c.write(c.encodeRequest(class, object, limit, body, fields...))
 	return c.id
 }
 
 // request words a request with the next message id.
-func (c *client) request(class, object string, limit time.Duration, body string, fields ...string) []byte {
+func (c *client) encodeRequest(class, object string, limit time.Duration, body string, fields ...string) []byte {
 	c.id++
 	fields = append(fields, "txn", fmt.Sprintf("%08x%08x", os.Getpid(), c.txn), "limit", strconv.FormatInt(limit.Milliseconds(), 10),
 		"item", object, "n", "3", "shard", "17")
-	b := append([]byte{0x94, 0, 0xcd, byte(c.id >> 8), byte(c.id)}, packText(class)...)
+	b := append([]byte{0x94, 0, 0xcd, byte(c.id >> 8), byte(c.id)}, packString(class)...)
 	b = append(append(b, 0x92), packFields(fields)...)
 	return append(binary.BigEndian.AppendUint32(append(b, 0xc6), uint32(len(body))), body...)
 }
 
-func (c *client) raw(b []byte) {
+func (c *client) write(b []byte) {
 	c.t.Helper()
 	if _, err := c.conn.Write(b); err != nil {
 		c.t.Fatal(err)
@@ -326,17 +328,17 @@
 
 // answer is one response.
 type answer struct {
-	id     int
-	err    string // word of the error; "" means served
-	body   string
-	truth  bool
-	fields map[string]string
+	id      int
+	err     string // word of the error; "" means served
+	body    string
+	boolean bool
+	fields  map[string]string
 }
 
 // next reads the next response.
-func (c *client) next() answer {
+func (c *client) readAnswer() answer {
 	c.t.Helper()
-	_ = c.conn.SetReadDeadline(time.Now().Add(patience))
+	_ = c.conn.SetReadDeadline(time.Now().Add(eventTimeout))
 	v, err := unpack(c.r)
 	if err != nil {
 		c.t.Fatal("reading an answer: ", err)
@@ -347,7 +349,7 @@
 	if !ok {
 		rest = m[2].([]any)
 		a.err = rest[0].(string)
-	} else if a.truth, ok = rest[0].(bool); !ok {
+	} else if a.boolean, ok = rest[0].(bool); !ok {
 		a.body = rest[0].(string)
 	}
 	a.fields = rest[1].(map[string]string)
@@ -355,9 +357,9 @@
 }
 
 // ended waits until the other side closes, and fails on anything that comes before.
-func (c *client) ended() {
+func (c *client) expectClosed() {
 	c.t.Helper()
-	_ = c.conn.SetReadDeadline(time.Now().Add(patience))
+	_ = c.conn.SetReadDeadline(time.Now().Add(eventTimeout))
 	if b, err := c.r.ReadByte(); err == nil || os.IsTimeout(err) {
 		c.t.Fatalf("the connection is open: %#x %v", b, err)
 	}
@@ -420,13 +422,13 @@
 }
 
 // refused starts the program on a configuration that it must refuse, and returns what it says.
-func (r *rig) refused(badKnown bool) string {
+func (r *rig) startExpectingError(badEndpointList bool) string {
 	r.t.Helper()
 	r.config["known"] = map[string]any{"pos": 1}
-	if badKnown {
-		r.config["known"] = json.RawMessage(`{"pos":1,"entries":[{"hosts":{"endpoints":[` + r.host("c1", "HUH") + `]}}]}`)
+	if badEndpointList {
+		r.config["known"] = json.RawMessage(`{"pos":1,"entries":[{"hosts":{"endpoints":[` + r.endpointJSON("c1", "HUH") + `]}}]}`)
 	}
-	r.write()
+	r.writeConfig()
 	cmd := exec.CommandContext(context.Background(), program, r.args...)
 	cmd.Env = append(append(os.Environ(), "BALANCER_CONFIG="+r.path), r.env...)
 	out, err := cmd.CombinedOutput()
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -12,7 +12,7 @@
 )
 
 // settings are the test deployment's, as JSON objects that a test may change.
-func settings(t *testing.T) map[string]any {
+func testSettings(t *testing.T) map[string]any {
 	t.Helper()
 	var s map[string]any
 	if err := json.Unmarshal([]byte(testbed.Settings), &s); err != nil {
@@ -22,7 +22,7 @@
 }
 
 // classes are the classes of settings by their names.
-func classes(s map[string]any) map[string]map[string]any {
+func classesByName(s map[string]any) map[string]map[string]any {
 	all := map[string]map[string]any{}
 	for _, c := range s["classes"].([]any) {
 		class := c.(map[string]any)
@@ -34,26 +34,26 @@
 // reload has the program read its files again, and waits until it has taken them.
 func (r *rig) reload(console string) {
 	r.t.Helper()
-	before := r.figures(console)["reload_success"]
-	r.write()
+	before := r.consoleStats(console)["reload_success"]
+	r.writeConfig()
 	r.signal(syscall.SIGHUP)
-	eventually(r.t, "the new settings are taken", func() bool { return r.figures(console)["reload_success"] == before+1 })
+	eventually(r.t, "the new settings are taken", func() bool { return r.consoleStats(console)["reload_success"] == before+1 })
 }
 
 // A class that a reload brings is served by its own rules at once, one that it changes by the new ones, and one that it drops
 // for a while by the old ones. What is open keeps the rules by which it came: its store holds it across the reload.
-func TestNewClassesHoldForWhatComesFromThenOn(t *testing.T) {
+func TestReloadedClassesApplyToNewRequests(t *testing.T) {
 	r := newRig(t)
 	console := r.withConsole()
 	r.start()
-	held := make(chan *ask, 10)
-	r.on(func(a *ask) { held <- a })
+	pending := make(chan *storeRequest, 10)
+	r.setHandler(func(a *storeRequest) { pending <- a })
 	c := r.client()
 	c.send("images", object, 10*time.Second, "") // its class's deadline of 2.5 s bounds it
-	first := next(t, held)
+	first := receive(t, pending)
 
-	s := settings(t)
-	all := classes(s)
+	s := testSettings(t)
+	all := classesByName(s)
 	all["images"]["name"] = "maps"
 	all["films"]["effect"], all["films"]["dedupScope"], all["films"]["repeatWindowMs"] = "by_key", "all", 3000
 	s["classes"] = append(s["classes"].([]any), map[string]any{"name": "moves", "aimMs": 100, "hardLimitMs": 300, "effect": "once", "value": 3})
@@ -61,28 +61,28 @@
 	r.reload(console)
 
 	first.Reply("BROKE", "-", "") // it may be repeated, by the rules by which it came
-	done(next(t, held))
-	if a := c.next(); a.err != "" {
+	serveHit(receive(t, pending))
+	if a := c.readAnswer(); a.err != "" {
 		t.Errorf("open across the reload: %+v", a)
 	}
-	r.on(done)
+	r.setHandler(serveHit)
 	for _, class := range []string{"maps", "images", "moves"} {
 		c.send(class, object, 2*time.Second, "")
-		if a := c.next(); a.err != "" {
+		if a := c.readAnswer(); a.err != "" {
 			t.Errorf("%s: %+v", class, a)
 		}
 	}
 	c.send("films", object, 2*time.Second, "")
-	if a := c.next(); a.err != "Lost" {
+	if a := c.readAnswer(); a.err != "Lost" {
 		t.Errorf("films have a key now: %+v", a)
 	}
 	// What may have run is not sent again, and not refused as harmless.
-	r.on(func(a *ask) { a.Reply("BROKE", "-", "") })
+	r.setHandler(func(a *storeRequest) { a.Reply("BROKE", "-", "") })
 	c.send("moves", "00000000000000aa", 2*time.Second, "")
-	if a := c.next(); a.err != "Lost" || len(r.asks("00000000000000aa")) != 1 {
-		t.Errorf("after an error: %+v, sent %d times", a, len(r.asks("00000000000000aa")))
+	if a := c.readAnswer(); a.err != "Lost" || len(r.storeRequests("00000000000000aa")) != 1 {
+		t.Errorf("after an error: %+v, sent %d times", a, len(r.storeRequests("00000000000000aa")))
 	}
-	got := r.figures(console)
+	got := r.consoleStats(console)
 	for name, n := range map[string]int{"success.images": 2, "success.maps": 1, "success.moves": 1, "error.moves": 1, "error.films": 1} {
 		if got[name] != n {
 			t.Errorf("%s is %d, want %d", name, got[name], n)
@@ -90,43 +90,43 @@
 	}
 	eventually(t, "a dropped class ends", func() bool {
 		c.send("images", object, time.Second, "")
-		return c.next().err == "Backoff"
+		return c.readAnswer().err == "Backoff"
 	})
 }
 
 // Fewer attempts hold for what comes from then on: what is open goes on by the old number.
-func TestFewerAttemptsHoldForWhatComesFromThenOn(t *testing.T) {
+func TestReloadedAttemptLimitAppliesToNewRequests(t *testing.T) {
 	r := newRig(t)
 	console := r.withConsole()
 	r.start()
-	held := make(chan *ask, 10)
-	r.on(func(a *ask) { held <- a })
+	pending := make(chan *storeRequest, 10)
+	r.setHandler(func(a *storeRequest) { pending <- a })
 	c := r.client()
 	c.send("films", object, 5*time.Second, "")
-	first := next(t, held)
-	s := settings(t)
+	first := receive(t, pending)
+	s := testSettings(t)
 	s["limits"].(map[string]any)["sendCap"] = 1
 	r.config["settings"] = s
 	r.reload(console)
 	first.Reply("WAIT", "-", "")
-	next(t, held).Reply("WAIT", "-", "")
-	done(next(t, held))
-	if a := c.next(); a.err != "" || len(r.asks(object)) != 3 {
-		t.Errorf("open across the reload: %+v, sent %d times", a, len(r.asks(object)))
+	receive(t, pending).Reply("WAIT", "-", "")
+	serveHit(receive(t, pending))
+	if a := c.readAnswer(); a.err != "" || len(r.storeRequests(object)) != 3 {
+		t.Errorf("open across the reload: %+v, sent %d times", a, len(r.storeRequests(object)))
 	}
 	c.send("films", "00000000000000bb", 5*time.Second, "")
-	next(t, held).Reply("WAIT", "-", "")
-	if a := c.next(); a.err != "Backoff" || len(r.asks("00000000000000bb")) != 1 {
-		t.Errorf("with one attempt: %+v, sent %d times", a, len(r.asks("00000000000000bb")))
+	receive(t, pending).Reply("WAIT", "-", "")
+	if a := c.readAnswer(); a.err != "Backoff" || len(r.storeRequests("00000000000000bb")) != 1 {
+		t.Errorf("with one attempt: %+v, sent %d times", a, len(r.storeRequests("00000000000000bb")))
 	}
 }
 
 // Of a file that is at fault nothing is taken: neither its classes nor the journal's address. Each fault is named.
-func TestOfABrokenFileNothingIsTaken(t *testing.T) {
+func TestInvalidReloadChangesNothing(t *testing.T) {
 	r := newRig(t)
 	console := r.withConsole()
 	r.start()
-	nobody := free(t)
+	nobody := freeAddr(t)
 	faults := []struct {
 		name, word string
 		change     func(config, settings map[string]any)
@@ -136,21 +136,21 @@
 		{"no invariants", "settings.invariants", func(_, s map[string]any) { delete(s, "invariants") }},
 		{"no classes", "settings.classes", func(_, s map[string]any) { delete(s, "classes") }},
 		{"empty classes", "Classes is empty", func(_, s map[string]any) { s["classes"] = []any{} }},
-		{"a class without a deadline", "hardLimitMs", func(_, s map[string]any) { delete(classes(s)["films"], "hardLimitMs") }},
-		{"a class without an effect", "effect", func(_, s map[string]any) { delete(classes(s)["films"], "effect") }},
-		{"a deadline of 0", "hardLimitMs", func(_, s map[string]any) { classes(s)["films"]["hardLimitMs"] = 0 }},
-		{"a negative deadline", "hardLimitMs", func(_, s map[string]any) { classes(s)["films"]["hardLimitMs"] = -5 }},
-		{"no deadline", "hardLimitMs", func(_, s map[string]any) { classes(s)["films"]["hardLimitMs"] = nil }},
-		{"a deadline in words", "hardLimitMs", func(_, s map[string]any) { classes(s)["films"]["hardLimitMs"] = "5000" }},
+		{"a class without a deadline", "hardLimitMs", func(_, s map[string]any) { delete(classesByName(s)["films"], "hardLimitMs") }},
+		{"a class without an effect", "effect", func(_, s map[string]any) { delete(classesByName(s)["films"], "effect") }},
+		{"a deadline of 0", "hardLimitMs", func(_, s map[string]any) { classesByName(s)["films"]["hardLimitMs"] = 0 }},
+		{"a negative deadline", "hardLimitMs", func(_, s map[string]any) { classesByName(s)["films"]["hardLimitMs"] = -5 }},
+		{"no deadline", "hardLimitMs", func(_, s map[string]any) { classesByName(s)["films"]["hardLimitMs"] = nil }},
+		{"a deadline in words", "hardLimitMs", func(_, s map[string]any) { classesByName(s)["films"]["hardLimitMs"] = "5000" }},
 		{"no attempts", "sendCap", func(_, s map[string]any) { s["limits"].(map[string]any)["sendCap"] = 0 }},
 		{"negative attempts", "sendCap", func(_, s map[string]any) { s["limits"].(map[string]any)["sendCap"] = -1 }},
-		{"a class twice", "stands twice", func(_, s map[string]any) { classes(s)["films"]["name"] = "images" }},
+		{"a class twice", "stands twice", func(_, s map[string]any) { classesByName(s)["films"]["name"] = "images" }},
 		{"no journal", "journal", func(c, _ map[string]any) { delete(c, "journal") }},
 		{"no name", "name", func(c, _ map[string]any) { delete(c, "name") }},
 	}
 	good := r.config
 	for i, f := range faults {
-		s, config := settings(t), map[string]any{}
+		s, config := testSettings(t), map[string]any{}
 		for k, v := range good {
 			config[k] = v
 		}
@@ -158,13 +158,13 @@
 		config["journal"], config["settings"] = nobody, s
 		f.change(config, s)
 		r.config = config
-		r.write()
+		r.writeConfig()
 		r.log.Reset()
 		r.signal(syscall.SIGHUP)
-		if line := r.logged("msg=\"reload rejected\""); !strings.Contains(line, f.word) {
+		if line := r.waitForLog("msg=\"reload rejected\""); !strings.Contains(line, f.word) {
 			t.Errorf("%s: %s", f.name, line)
 		}
-		if got := r.figures(console); got["reload_failure"] != i+1 || got["reload_success"] != 0 {
+		if got := r.consoleStats(console); got["reload_failure"] != i+1 || got["reload_success"] != 0 {
 			t.Errorf("%s: turned down %d, taken %d", f.name, got["reload_failure"], got["reload_success"])
 		}
 	}
@@ -173,10 +173,10 @@
 	}
 	r.log.Reset()
 	r.signal(syscall.SIGHUP)
-	r.logged("msg=\"reload rejected\"")
+	r.waitForLog("msg=\"reload rejected\"")
 	c := r.client()
 	c.send("maps", object, 2*time.Second, "")
-	if a := c.next(); a.err == "" {
+	if a := c.readAnswer(); a.err == "" {
 		t.Error("a class of a faulty file is served")
 	}
 	r.journal.Publish(2, `"expire":{"set":40,"stamp":1}`)
--- a/test/shared_test.go
+++ b/test/shared_test.go
@@ -13,7 +13,7 @@
 // Several processes of the program keep in common what they know, while some of them are killed, stopped and cut off, and journals
 // tell purges and drains seconds late: what a gateway was told it heeds, and after the last fault all know the same. Where nothing is
 // cut off, what one was told all heed. The stores' own records judge. The whole run is in docs/measurements/replication.md.
-func TestWhatGatewaysKnowIsKeptInCommon(t *testing.T) {
+func TestReplicatedStateConvergesUnderFaults(t *testing.T) {
 	named, err := faultinjection.Named()
 	if err != nil {
 		t.Fatal(err)
--- a/test/signed_test.go
+++ b/test/signed_test.go
@@ -29,7 +29,7 @@
 
 // signedRig starts the program with its second front, and returns that front's address.
 func signedRig(t *testing.T, more string, changes ...func(*rig)) (*rig, string) {
-	addr, path := free(t), filepath.Join(t.TempDir(), "operator.textproto")
+	addr, path := freeAddr(t), filepath.Join(t.TempDir(), "operator.textproto")
 	file := fmt.Sprintf("%s\nsigned_front {\nlisten: %q\nbase: %q\nleeway: \"3s\"\nrenew_with: \"new\"\n", more, addr, base)
 	r := newRig(t)
 	for i, k := range signedKeys.Keys {
@@ -63,20 +63,20 @@
 }
 
 // web is an HTTP client on one connection.
-type web struct {
+type httpConn struct {
 	t    *testing.T
 	conn net.Conn
 	r    *bufio.Reader
 }
 
-func newWeb(t *testing.T, addr string) *web {
+func newHTTPConn(t *testing.T, addr string) *httpConn {
 	conn, err := loopback.Dial(addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { loopback.Close(conn) })
 	_ = conn.SetDeadline(time.Now().Add(60 * time.Second))
-	return &web{t, conn, bufio.NewReader(conn)}
+	return &httpConn{t, conn, bufio.NewReader(conn)}
 }
 
 func request(method, target string, fields ...string) string {
@@ -88,7 +88,7 @@
 }
 
 // webAnswer is what a response says before its body.
-type webAnswer struct {
+type httpResponse struct {
 	StatusCode int
 	Header     http.Header
 	Cookies    []*http.Cookie
@@ -96,7 +96,7 @@
 }
 
 // read reads the next response and its body.
-func (w *web) read() (webAnswer, string) {
+func (w *httpConn) readResponse() (httpResponse, string) {
 	w.t.Helper()
 	p, err := http.ReadResponse(w.r, nil)
 	if err != nil {
@@ -107,16 +107,16 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	return webAnswer{StatusCode: p.StatusCode, Header: p.Header, Cookies: p.Cookies(), Close: p.Close}, string(b)
+	return httpResponse{StatusCode: p.StatusCode, Header: p.Header, Cookies: p.Cookies(), Close: p.Close}, string(b)
 }
 
 // get sends a request and reads its response.
-func (w *web) get(method, target string, fields ...string) (int, string, http.Header) {
+func (w *httpConn) get(method, target string, fields ...string) (int, string, http.Header) {
 	w.t.Helper()
 	if _, err := io.WriteString(w.conn, request(method, target, fields...)); err != nil {
 		w.t.Fatal(err)
 	}
-	p, body := w.read()
+	p, body := w.readResponse()
 	return p.StatusCode, strings.TrimSuffix(body, "\n"), p.Header
 }
 
@@ -128,7 +128,7 @@
 }
 
 // drawSigned draws the i-th of so many requests: half are valid, a quarter expired, a quarter ask for something else than was signed.
-func drawSigned(i, total int, now time.Time, sign func(signedurl.Order) string) signedRequest {
+func signedRequestAt(i, total int, now time.Time, sign func(signedurl.Order) string) signedRequest {
 	o := fmt.Sprintf("%016x", i)
 	order := signedurl.Order{Target: "/images/" + o + "/1", Expiry: now.Add(time.Hour)}
 	switch i % 4 {
@@ -160,7 +160,7 @@
 
 // checkSigned reads the answers to what was sent, and one more for a request that it sends at the end: nothing came beyond the one
 // answer each. It returns how many were served and refused.
-func (w *web) checkSigned(wants <-chan signedRequest) (got [2]int, err error) {
+func (w *httpConn) checkSigned(wants <-chan signedRequest) (got [2]int, err error) {
 	for want := range wants {
 		p, err := http.ReadResponse(w.r, nil)
 		if err != nil {
@@ -192,7 +192,7 @@
 
 // The proof: of 10,000 valid, expired and tampered requests each gets one answer, no tampered or expired one
 // is served, and no store sees one that is refused.
-func TestTenThousandSignedRequests(t *testing.T) {
+func TestSignedFrontServesOnlyValidTokens(t *testing.T) {
 	const total, conns, window = 10000, 8, 16
 	r, addr := signedRig(t, "")
 	signs := []func(signedurl.Order) string{signer(t, signedKeys, "old"), signer(t, signedKeys, "new"), signer(t, signedKeys, "edge")}
@@ -200,10 +200,10 @@
 	results := make(chan [2]int, conns) // served and refused
 	errs := make(chan error, conns)
 	for n := range conns {
-		w := newWeb(t, addr)
+		w := newHTTPConn(t, addr)
 		var sent []signedRequest
 		for i := n; i < total; i += conns {
-			sent = append(sent, drawSigned(i, total, now, signs[i/4%3]))
+			sent = append(sent, signedRequestAt(i, total, now, signs[i/4%3]))
 		}
 		wants := make(chan signedRequest, window) // as many are under way on the connection
 		go func() {
@@ -237,7 +237,7 @@
 	if served != total/2 || refused != total/2 {
 		t.Errorf("%d served, %d refused", served, refused)
 	}
-	for _, a := range r.asks("") {
+	for _, a := range r.storeRequests("") {
 		i, err := strconv.ParseUint(a.Fields["name"], 16, 64)
 		if err != nil || i >= total || i%4 > 1 || a.Fields["piece"] != "1" {
 			t.Fatalf("a store saw %v", a.Fields)
@@ -250,10 +250,10 @@
 
 // A token expires between part 3 and part 4 of one replay: part 3, which was admitted before, is served whole,
 // part 4 is refused, and a renewed token goes on.
-func TestATokenExpiresBetweenTwoParts(t *testing.T) {
+func TestTokenExpiresBetweenParts(t *testing.T) {
 	r, addr := signedRig(t, "")
-	held := make(chan *ask, 10)
-	r.on(func(a *ask) { held <- a })
+	pending := make(chan *storeRequest, 10)
+	r.setHandler(func(a *storeRequest) { pending <- a })
 	sign := signer(t, signedKeys, "new")
 	path := "/films/" + object + "/"
 	pattern := base + path + "[0-9]+"
@@ -262,18 +262,18 @@
 	token := func(part string, renew time.Duration) string {
 		return sign(signedurl.Order{Target: path + part, Pattern: pattern, Expiry: expiry, Renew: renew})
 	}
-	w := newWeb(t, addr)
+	w := newHTTPConn(t, addr)
 	if _, err := io.WriteString(w.conn, request("GET", token("3", time.Minute))); err != nil {
 		t.Fatal(err)
 	}
-	a := <-held
+	a := <-pending
 	<-time.After(time.Until(expiry.Add(3*time.Second + 10*time.Millisecond))) // the edge of the leeway
-	other := newWeb(t, addr)
+	other := newHTTPConn(t, addr)
 	if status, body, _ := other.get("GET", token("4", 0)); status != 403 || body != "expired" {
 		t.Errorf("part 4: %d %s", status, body)
 	}
-	done(a)
-	p, body := w.read()
+	serveHit(a)
+	p, body := w.readResponse()
 	if p.StatusCode != 200 || body != content(object, "3") {
 		t.Fatalf("part 3: %d", p.StatusCode)
 	}
@@ -281,7 +281,7 @@
 	if len(cookies) != 1 || cookies[0].Name != signedurl.URISigningPackage {
 		t.Fatalf("no fresh token: %v", p.Header)
 	}
-	r.on(done)
+	r.setHandler(serveHit)
 	fresh := "Cookie: " + cookies[0].Name + "=" + cookies[0].Value
 	if status, body, _ := other.get("GET", path+"4", fresh); status != 200 || body != content(object, "4") {
 		t.Errorf("part 4 with the fresh token: %d", status)
@@ -292,10 +292,10 @@
 }
 
 // Who may be told what, and when.
-func TestSignedAnswers(t *testing.T) {
+func TestSignedFrontResponses(t *testing.T) {
 	r, addr := signedRig(t, "")
 	sign := signer(t, signedKeys, "edge")
-	w := newWeb(t, addr)
+	w := newHTTPConn(t, addr)
 	good := func(target string) string {
 		return sign(signedurl.Order{Target: target, Pattern: "/*", Expiry: time.Now().Add(time.Hour)})
 	}
@@ -316,18 +316,18 @@
 	if p.StatusCode != 200 || p.ContentLength != int64(len(body)) {
 		t.Errorf("HEAD: %v", p)
 	}
-	r.on(func(a *ask) { a.Reply("KEEP", "why=warm,digest="+a.Fields["got"], "") })
+	r.setHandler(func(a *storeRequest) { a.Reply("KEEP", "why=warm,digest="+a.Fields["got"], "") })
 	if status, body, h := w.get("GET", asset, `If-None-Match: "tag-1"`); status != 304 || body != "" || h.Get("ETag") != `"tag-1"` {
 		t.Errorf("If-None-Match: %d %v", status, h)
 	}
-	r.on(done)
+	r.setHandler(serveHit)
 	if status, _, _ := w.get("POST", turn, "Idempotency-Key: \"k-1\"", "Content-Length: 0"); status != 200 {
 		t.Errorf("POST: %d", status)
 	}
-	if keys := fmt.Sprint(keysOf(r.asks(object))); !strings.Contains(keys, "k-1") {
+	if keys := fmt.Sprint(idempotencyKeys(r.storeRequests(object))); !strings.Contains(keys, "k-1") {
 		t.Errorf("the key did not pass: %s", keys)
 	}
-	seen := len(r.asks(""))
+	seen := len(r.storeRequests(""))
 	for _, c := range []struct {
 		method, target string
 		status         int
@@ -354,23 +354,23 @@
 		"GET / HTTP/1.1\r\nHost: a\r\n folded: x\r\n\r\n":                              400,
 		"GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 20<<10) + "\r\n\r\n":  431,
 	} {
-		bad := newWeb(t, addr)
+		bad := newHTTPConn(t, addr)
 		_, _ = io.WriteString(bad.conn, raw)
-		if p, _ := bad.read(); p.StatusCode != want || !p.Close {
+		if p, _ := bad.readResponse(); p.StatusCode != want || !p.Close {
 			t.Errorf("%.40q: %d", raw, p.StatusCode)
 		}
 	}
-	if n := len(r.asks("")); n != seen {
+	if n := len(r.storeRequests("")); n != seen {
 		t.Errorf("the stores saw %d of these", n-seen)
 	}
-	r.on(func(*ask) {}) // nobody answers
+	r.setHandler(func(*storeRequest) {}) // nobody answers
 	began := time.Now()
 	if status, _, _ := w.get("GET", asset); status != 504 || time.Since(began) < 2*time.Second {
 		t.Errorf("past the deadline: %d after %v", status, time.Since(began))
 	}
 	for _, s := range r.stores {
 		loopback.Close(s.Listener)
-		s.SetHandler(func(a *ask) { loopback.Close(a.Conn) })
+		s.SetHandler(func(a *storeRequest) { loopback.Close(a.Conn) })
 	}
 	if status, _, h := w.get("GET", asset); status != 503 || h.Get("Retry-After") == "" {
 		t.Errorf("refused: %d %v", status, h)
@@ -378,29 +378,29 @@
 }
 
 // What may have run and may not run again has failed.
-func TestWhatMayHaveRunIsABadGateway(t *testing.T) {
+func TestUnrepeatableAttemptGivesBadGateway(t *testing.T) {
 	r, addr := signedRig(t, "", func(r *rig) {
 		r.config["settings"] = json.RawMessage(strings.Replace(testbed.Settings, `"effect":"by_key"`, `"effect":"once"`, 1))
 	})
-	r.on(func(a *ask) { loopback.Close(a.Conn) })
+	r.setHandler(func(a *storeRequest) { loopback.Close(a.Conn) })
 	target := signer(t, signedKeys, "edge")(signedurl.Order{Target: "/orders/" + object + "/0", Expiry: time.Now().Add(time.Hour)})
-	if status, _, _ := newWeb(t, addr).get("POST", target, "Idempotency-Key: k", "Content-Length: 0"); status != 502 {
+	if status, _, _ := newHTTPConn(t, addr).get("POST", target, "Idempotency-Key: k", "Content-Length: 0"); status != 502 {
 		t.Errorf("%d", status)
 	}
-	if n := len(r.asks("")); n != 1 {
+	if n := len(r.storeRequests("")); n != 1 {
 		t.Errorf("it was sent %d times", n)
 	}
 }
 
-func keysOf(l []*ask) (keys []string) {
+func idempotencyKeys(l []*storeRequest) (keys []string) {
 	for _, a := range l {
 		keys = append(keys, a.Fields["dedupe"])
 	}
 	return keys
 }
 
-func TestChecksOfBalancers(t *testing.T) {
-	agent, health := free(t), free(t)
+func TestLoadBalancerHealthChecks(t *testing.T) {
+	agent, health := freeAddr(t), freeAddr(t)
 	r, _ := signedRig(t, fmt.Sprintf("health {\nagent_listen: %q\nhttp_listen: %q\n}", agent, health))
 	ask := func() string {
 		c, err := loopback.Dial(agent)
@@ -408,7 +408,7 @@
 			t.Fatal(err)
 		}
 		defer loopback.Close(c)
-		_ = c.SetDeadline(time.Now().Add(patience))
+		_ = c.SetDeadline(time.Now().Add(eventTimeout))
 		b, err := io.ReadAll(c)
 		if err != nil {
 			t.Fatal(err)
@@ -416,7 +416,7 @@
 		return string(b)
 	}
 	eventually(t, "it is ready", func() bool { return ask() == "ready up 100%\n" })
-	if status, _, _ := newWeb(t, health).get("GET", "/healthz"); status != 200 {
+	if status, _, _ := newHTTPConn(t, health).get("GET", "/healthz"); status != 200 {
 		t.Errorf("health: %d", status)
 	}
 	for range 40 { // they say nothing, and hold all places for checks
@@ -432,20 +432,20 @@
 			t.Fatal(err)
 		}
 		defer loopback.Close(c)
-		_ = c.SetDeadline(time.Now().Add(patience))
+		_ = c.SetDeadline(time.Now().Add(eventTimeout))
 		_, _ = io.WriteString(c, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
 		b, _ := io.ReadAll(c)
 		return strings.HasPrefix(string(b), "HTTP/1.1 200")
 	})
-	if status, _, _ := newWeb(t, health).get("GET", "/other"); status != 404 {
+	if status, _, _ := newHTTPConn(t, health).get("GET", "/other"); status != 404 {
 		t.Errorf("another path: %d", status)
 	}
 	_ = r.cmd.Process.Signal(os.Interrupt)
-	r.logged("msg=draining")
+	r.waitForLog("msg=draining")
 	if got := ask(); got != "drain\n" {
 		t.Errorf("while draining: %q", got)
 	}
-	if status, _, _ := newWeb(t, health).get("GET", "/healthz"); status != 503 {
+	if status, _, _ := newHTTPConn(t, health).get("GET", "/healthz"); status != 503 {
 		t.Errorf("while draining: %d", status)
 	}
 }
--- a/test/start_errors_test.go
+++ b/test/start_errors_test.go
@@ -20,7 +20,7 @@
 }
 
 // Whoever mistypes a sub-command, a flag or the path of a file is told what is wrong, and where.
-func TestUsageErrorsNameWhatIsWrong(t *testing.T) {
+func TestStartErrorsNameCause(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "missing")
 	broken := filepath.Join(t.TempDir(), "broken.json")
 	if err := os.WriteFile(broken, []byte("{\n  \"listen\": \"127.0.0.1:1\",\n  \"journal\": 7\n}\n"), 0o600); err != nil {
@@ -54,7 +54,7 @@
 }
 
 // An address that is in use is told with the key that names it.
-func TestAddressesInUseAreNamedWithTheirKey(t *testing.T) {
+func TestAddressInUseErrorNamesKey(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0") //nolint:noctx // a test's own socket, closed at its end
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 		t.Run(key, func(t *testing.T) {
 			r := newRig(t)
 			change(r)
-			out := r.refused(false)
+			out := r.startExpectingError(false)
 			for _, want := range []string{key, addr, "address already in use"} {
 				if !strings.Contains(out, want) {
 					t.Errorf("%q is not in %s", want, out)
--- a/test/state_test.go
+++ b/test/state_test.go
@@ -16,30 +16,30 @@
 )
 
 // keeping starts a world whose gateway keeps what it learns in a folder.
-func keeping(t *testing.T, folder, more string) (context.Context, *testbed.Gateway) {
+func startWithStateFolder(t *testing.T, folder, more string) (context.Context, *testbed.Gateway) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.textproto")
 	if err := os.WriteFile(path, []byte(fmt.Sprintf("state { folder: %q every: \"100ms\" %s }", folder, more)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return startWorld(t, testbed.Config{Caches: 3, Pin: -1, Args: []string{"serve", "--operator", path}})
+	return startTestbed(t, testbed.Config{Caches: 3, Pin: -1, Args: []string{"serve", "--operator", path}})
 }
 
-func drive(ctx context.Context, t *testing.T, w *testbed.Gateway, seed uint64) {
+func sendLoad(ctx context.Context, t *testing.T, w *testbed.Gateway, seed uint64) {
 	t.Helper()
 	res, err := load.Run(ctx, load.Spec{Addr: w.Addr, Conns: 5, Rate: load.Constant(500), For: time.Second, Seed: seed})
 	if err != nil {
 		t.Fatal(err)
 	}
-	sane(t, res)
+	checkInvariants(t, res)
 }
 
 // A gateway is killed and started again: what it had learned is taken in, before it serves. One that is ended in order
 // has kept all of it.
-func TestKnowledgeOutlivesAKill(t *testing.T) {
+func TestSnapshotRestoredAfterKill(t *testing.T) {
 	folder := t.TempDir()
-	ctx, w := keeping(t, folder, "")
-	drive(ctx, t, w, 1)
+	ctx, w := startWithStateFolder(t, folder, "")
+	sendLoad(ctx, t, w, 1)
 	eventually(t, "a snapshot is written after the load", func() bool {
 		all, err := w.Counters(ctx)
 		return err == nil && all["state_written"] >= 12
@@ -64,31 +64,31 @@
 		t.Errorf("used %v listings, void %v, broken %v, bad %v, copying took %v us", all["state_used_listings"], all["state_void"],
 			all["state_broken_files"], all["state_bad_records"], all["state_copy_us"])
 	}
-	drive(ctx, t, w, 2)
+	sendLoad(ctx, t, w, 2)
 	if err := w.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := w.WaitForLog(ctx, "msg=counters"); err != nil { // the last of all
 		t.Fatal(err)
 	}
-	out := run(t, 0, "state", "verify", "--folder", folder)
+	out := runSubcommand(t, 0, "state", "verify", "--folder", folder)
 	if !strings.Contains(out, "whole") || !strings.Contains(out, "of gateway n0") {
 		t.Errorf("%s", out)
 	}
 }
 
 // A spoilt file, one of another key, and a folder that another process holds cost their use alone: the gateway serves.
-func TestFoldersThatCannotBeUsed(t *testing.T) {
+func TestServesWithUnusableStateFolder(t *testing.T) {
 	folder := t.TempDir()
-	ctx, w := keeping(t, folder, "")
+	ctx, w := startWithStateFolder(t, folder, "")
 	if _, err := w.WaitForLog(ctx, "msg=serving"); err != nil {
 		t.Fatal(err)
 	}
-	_, second := keeping(t, folder, "")
+	_, second := startWithStateFolder(t, folder, "")
 	if _, err := second.WaitForLog(ctx, "msg=\"learned state not saved\""); err != nil {
 		t.Error(err)
 	}
-	drive(ctx, t, second, 1)
+	sendLoad(ctx, t, second, 1)
 	if err := w.Kill(); err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 			t.Fatal(err)
 		}
 	}
-	run(t, 1, "state", "verify", "--folder", folder)
+	runSubcommand(t, 1, "state", "verify", "--folder", folder)
 	if err := w.Restart(); err != nil {
 		t.Fatal(err)
 	}
@@ -111,20 +111,20 @@
 	if _, err := w.WaitForLog(ctx, "msg=serving"); err != nil {
 		t.Fatal(err)
 	}
-	drive(ctx, t, w, 2)
+	sendLoad(ctx, t, w, 2)
 	if err := w.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	if out := run(t, 0, "state", "prune", "--folder", folder); !strings.Contains(out, "removed") {
+	if out := runSubcommand(t, 0, "state", "prune", "--folder", folder); !strings.Contains(out, "removed") {
 		t.Errorf("%s", out)
 	}
-	if out := run(t, 0, "state", "show", "--json", "--folder", folder); strings.Count(out, "\n") != 1 || !strings.Contains(out, `"Whole":true`) {
+	if out := runSubcommand(t, 0, "state", "show", "--json", "--folder", folder); strings.Count(out, "\n") != 1 || !strings.Contains(out, `"Whole":true`) {
 		t.Errorf("%s", out)
 	}
 }
 
 // run runs a sub-command of the program, and returns what it printed.
-func run(t *testing.T, status int, args ...string) string {
+func runSubcommand(t *testing.T, status int, args ...string) string {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), program, args...)
 	out, err := cmd.Output()
--- a/test/tiers_test.go
+++ b/test/tiers_test.go
@@ -16,7 +16,7 @@
 
 // A zone of three goes dark and comes back cold, with real gateways: each request has one answer, spill stays within its
 // bound, returning boxes within their start's budget, and service comes back.
-func TestAZoneGoesDark(t *testing.T) {
+func TestZoneOutageAndRecovery(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	r, err := fleet.Run(ctx, fleet.Config{Program: program, BoxRate: 60, Objects: 100, Late: 2 * time.Second, For: 12 * time.Second, Seed: 1,
@@ -40,7 +40,7 @@
 }
 
 // Bounds change by SIGHUP while requests run; a faulty file is named with key and line, and changes nothing.
-func TestTiersAreReloaded(t *testing.T) {
+func TestReloadChangesTierSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "operator.textproto")
 	write := func(text string) {
 		t.Helper()
@@ -50,7 +50,7 @@
 	}
 	const place = "\n  locality { name: \"north\" level: 1 }\n}\n"
 	write("tiers {\n  spill: 0.2" + place)
-	ctx, w := startWorld(t, testbed.Config{Caches: 2, Pin: -1, Args: []string{"serve", "--operator", path}})
+	ctx, w := startTestbed(t, testbed.Config{Caches: 2, Pin: -1, Args: []string{"serve", "--operator", path}})
 	for _, step := range []struct{ text, log string }{
 		{"tiers {\n  spill: 1.5" + place, "line 2: tiers.spill: 1.5 is not from 0 to 1"},
 		{"tiers {\n  locality { name: \"moon\" level: 1 }\n}\n", "is none of the zones"},
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sane(t, res)
+	checkInvariants(t, res)
 	all, err := w.Counters(ctx)
 	if err != nil {
 		t.Fatal(err)
--- a/test/work_test.go
+++ b/test/work_test.go
@@ -12,7 +12,7 @@
 
 // Plots of faults over several processes of the program: kills with and without the folder, stops, partitions, one-way cuts, lost
 // and doubled messages, crashes of boxes. The machines' own records judge. The whole run is in docs/measurements/work.md.
-func TestWorkIsSettledAmongProcesses(t *testing.T) {
+func TestMaintenanceCompletesUnderFaults(t *testing.T) {
 	var all sync.WaitGroup
 	for _, seed := range []uint64{1, 5, 12, 18} {
 		all.Go(func() {
