--- a/lab/fakeserver/box.go
+++ b/lab/fakeserver/box.go
@@ -7,41 +7,43 @@
 	"time"
 )
 
-// Power is what a fake server with a capacity can do, by the figures that a deployment's settings state.
+// Capacity is the performance model of a [LimitedStore], in the terms of the deployment settings.
 type Capacity struct {
-	Rate           float64       // requests a second, warm
-	Cold           bool          // it starts cold and empty, as one that is redeployed
-	InitialShare   float64       // share of its capacity that it starts with,
-	RampDuration   time.Duration // and when it has all of it
-	OverloadFactor float64       // sent more than this multiple of what it can do
-	OverloadWindow time.Duration // for so long, it falls over while it is cold
-	FillLatency    time.Duration // what a fill adds
-	MaxQueueDelay  time.Duration // work that waits for longer is refused
-	ReportInterval time.Duration // how often its report is made anew
+	Rate           float64       // requests per second when warm; must be above 0
+	Cold           bool          // start in slow start and without copies, like a redeployed server
+	InitialShare   float64       // share of Rate at the beginning of a cold start
+	RampDuration   time.Duration // time from a cold start to the full Rate; the rise is linear
+	OverloadFactor float64       // multiple of the current rate that a cold server survives
+	OverloadWindow time.Duration // time constant of the average compared with OverloadFactor; 0: never fails
+	FillLatency    time.Duration // added to the latency of a miss
+	MaxQueueDelay  time.Duration // requests that would wait longer are rejected; 0: no limit
+	ReportInterval time.Duration // interval between updates of the load report
 }
 
-// Box is a store with a capacity, copies, and a cold start that it may not survive.
+// LimitedStore is a fake store with limited capacity. It keeps copies of the parts that it has served, and it fails for
+// good when it is overloaded during a cold start.
 type LimitedStore struct {
 	*Store
 	Capacity Capacity
 
 	mu              sync.Mutex
-	coldSince       time.Time // cold since; zero: long warm
-	queueFreeAt     time.Time // its queue is empty then
-	copies          map[string]bool
-	windowAttempts  float64 // requests in the last TipFor
-	windowUpdated   time.Time
-	workSinceReport time.Duration // since the report
-	reportedAt      time.Time
-	utilization     float64
-	attempts        map[int]map[int]int // attempts by second and by the number of the object over 1<<20, less the first's
+	coldSince       time.Time           // beginning of the cold start; zero: warm
+	queueFreeAt     time.Time           // when the queued work will be done
+	copies          map[string]bool     // parts held, by object/part
+	windowAttempts  float64             // attempts, decayed exponentially with OverloadWindow
+	windowUpdated   time.Time           // when windowAttempts was last decayed
+	workSinceReport time.Duration       // service time since the latest report
+	reportedAt      time.Time           // when the load report was last updated
+	utilization     float64             // as reported: service time per elapsed time, at most 1.5
+	attempts        map[int]map[int]int // attempts by second since start and by object group
 	start           time.Time
-	Failed          bool
-	PeakBudgetShare float64 // largest part of its start's budget that was ever taken
-	Misses          int
+	Failed          bool    // overloaded during a cold start; answers every attempt with BROKE
+	PeakBudgetShare float64 // largest share of the cold-start budget in use so far; above 1 the store fails
+	Misses          int     // cache misses so far
 }
 
-// NewBox starts one. Times are told from start.
+// NewLimitedStore starts a limited store of the given kind on an address such as [Loopback]. AttemptsIn counts seconds
+// from start. It fails if the address cannot be listened on.
 func NewLimitedStore(name, kind, addr string, p Capacity, start time.Time) (*LimitedStore, error) {
 	s, err := NewStore(name, kind, addr)
 	if err != nil {
@@ -56,13 +58,15 @@
 	return b, nil
 }
 
-// SeenIn is how many attempts came in a second, by the thousandth part of their objects' numbers (see load.Spec.First).
+// AttemptsIn returns the number of attempts that arrived in a second since start for a group of objects. A group is
+// 1<<20 consecutive object numbers, counted from load.FirstObject (see load.Spec.First).
 func (b *LimitedStore) AttemptsIn(second, group int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.attempts[second][group]
 }
 
+// handle answers an attempt after its queueing and service time, or at once if the store has failed or its queue is full.
 func (b *LimitedStore) handle(a *Request) {
 	now := time.Now()
 	b.mu.Lock()
--- a/lab/fakeserver/journal.go
+++ b/lab/fakeserver/journal.go
@@ -11,24 +11,24 @@
 	"larchusher/lab/loopback"
 )
 
-// Journal is a fake journal service.
+// Journal is a fake journal service: an event stream over HTTP at /journal.
 type Journal struct {
 	Addr      string
-	Connected chan string // Last-Event-ID of each connection
-	Events    chan string // to be sent; an empty one ends the connection
+	Connected chan string // receives the Last-Event-ID of each connection; dropped when full
+	Events    chan string // raw events to send, each to one connection; an empty one closes that connection
 
 	server    *http.Server
 	mu        sync.Mutex
 	replay    bool
 	stored    []storedEvent
-	published chan struct{} // closed, and made anew, with each that is kept
+	published chan struct{} // closed and replaced with each stored event; nil unless replay is enabled
 }
 
-// NewJournal starts one at an address, such as [Loopback].
+// NewJournal starts a journal service on an address such as [Loopback]. It fails if the address cannot be listened on.
 func NewJournal(addr string) (*Journal, error) {
 	l, err := loopback.Listen(addr)
 	if err != nil {
-		return nil, fmt.Errorf("stand-in journal: %w", err)
+		return nil, fmt.Errorf("fake journal: %w", err)
 	}
 	j := &Journal{Addr: l.Addr().String(), Connected: make(chan string, 100), Events: make(chan string, 100)}
 	j.server = &http.Server{Handler: j}
@@ -36,22 +36,25 @@
 	return j, nil
 }
 
-// Close ends the service and its connections.
+// Close stops the service and closes its connections.
 func (j *Journal) Close() { loopback.Close(j.server) }
 
+// storedEvent is an event with its position in the journal.
 type storedEvent struct {
 	pos  int
 	text string
 }
 
-// Replay has the service keep what it tells, and tell it again to those that connect with an older position.
+// EnableReplay makes the service store the events that Publish sends from now on. Each connection receives all stored
+// events with positions above its Last-Event-ID.
 func (j *Journal) EnableReplay() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.replay, j.published = true, make(chan struct{})
 }
 
-// after gives what was kept after a position, and what to wait on for more; nil: nothing is kept.
+// storedAfter returns the stored events with positions above pos, and a channel that is closed when the next event is
+// stored. The channel is nil unless replay is enabled.
 func (j *Journal) storedAfter(pos int) (events []storedEvent, published <-chan struct{}) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -63,7 +66,8 @@
 	return events, j.published
 }
 
-// ServeHTTP sends events until one is empty or the client leaves.
+// ServeHTTP sends events, and a comment every second, until it takes an empty event from Events or the client
+// disconnects.
 func (j *Journal) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	if q.URL.Path != "/journal" || q.Method != http.MethodGet {
 		http.NotFound(w, q)
@@ -74,7 +78,7 @@
 	w.(http.Flusher).Flush()
 	select {
 	case j.Connected <- q.Header.Get("Last-Event-ID"):
-	default: // nobody minds
+	default: // the channel is full: no test reads it
 	}
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -105,7 +109,9 @@
 	}
 }
 
-// Tell sends one event. The rest is what follows its number, such as "expire":{...}.
+// Publish sends an event with a position; payload is the JSON that follows the position, such as "expire":{...}. With
+// replay enabled the event is stored for all connections; otherwise it is queued for one, and Publish blocks while Events
+// is full.
 func (j *Journal) Publish(pos int, payload string) {
 	text := fmt.Sprintf("id: %d\ndata: {\"pos\":%d,%s}\n\n", pos, pos, payload)
 	j.mu.Lock()
--- a/lab/fakeserver/store.go
+++ b/lab/fakeserver/store.go
@@ -1,5 +1,6 @@
-// Package fakeserver has fake servers for what a gateway talks to: stores that speak the platform's RESP, the journal
-// service and its events. They listen on loopback, record what they are asked, and misbehave as they are told.
+// Package fakeserver provides fake servers for the peers of a gateway: stores that speak the platform's RESP protocol,
+// and the journal service with its event stream. They listen on loopback, record the requests that they receive, and
+// answer as the test's handler decides.
 package fakeserver
 
 import (
@@ -17,25 +18,26 @@
 	"larchusher/lab/loopback"
 )
 
-// Loopback is an address at which the system picks the port.
+// Loopback is a loopback address with a port chosen by the system.
 const Loopback = "127.0.0.1:0"
 
-// Request is one ASK, with what it takes to answer it.
+// Request is an ASK command that a store received.
 type Request struct {
 	ID, Body string
 	Fields   map[string]string
 	Store    *Store
-	Conn     net.Conn // for answers that are none
+	Conn     net.Conn // for handlers that write raw bytes or close the connection
 	At       time.Time
-	Note     string // that it was served with; guarded by the store's lock
+	Note     string // source given to ServeWith, such as warm or fill; guarded by the store's lock; unset with CountOnly
 
 	link *link
 }
 
-// Reply sends an answer. It may be called from any goroutine, at any time.
+// Reply sends an answer to the request: its status word, its fields and its body. It may be called from any goroutine,
+// at any time and more than once.
 func (a *Request) Reply(word, fields, body string) { a.link.write(a.ID, word, fields, body) }
 
-// Array words a RESP array of bulk strings.
+// Array encodes a RESP array of bulk strings.
 func Array(args ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", len(args))
@@ -45,7 +47,8 @@
 	return b.String()
 }
 
-// Content is what every fake server holds for a part: about 7.6 kB that name the object and the part.
+// Content returns the content of a part on every fake server: its object and part names, repeated 400 times. That is
+// about 7.6 kB with a 16-digit object name.
 func Content(object, part string) string {
 	word := object + "/" + part + ";"
 	if body, ok := contentCache.Load(word); ok {
@@ -58,27 +61,29 @@
 	return body
 }
 
-// What was asked for is kept, up to a number: making it anew took as long as the gateway that is measured.
+// contentCache holds the bodies of the first parts that were requested. Building each body anew cost as much CPU time as
+// the gateway under test.
 var (
 	contentCache   sync.Map
 	cachedContents atomic.Int64
 )
 
+// maxCachedContents is how many bodies contentCache holds.
 const maxCachedContents = 4096
 
-// Sized is what they hold for a part of n bytes.
+// ContentOfSize returns the content of a part of n bytes: its object and part names, repeated.
 func ContentOfSize(object, part string, n int) string {
 	word := object + "/" + part + ";"
 	return strings.Repeat(word, n/len(word)+1)[:n]
 }
 
-// Done answers with [Content], as a store does that holds the part.
+// ServeHit answers with [Content], like a store that holds the part.
 func ServeHit(a *Request) { a.Serve("warm", Content(a.Fields["name"], a.Fields["piece"])) }
 
-// Serve answers with a body and the note on where it came from.
+// Serve answers with a body and its source, such as warm or fill, and with a fixed load report.
 func (a *Request) Serve(note, body string) { a.ServeWith(note, "inflight:1;x1:0.5;x0:0.9", body) }
 
-// ServeWith is Serve with a load report.
+// ServeWith answers like Serve, with the given load report.
 func (a *Request) ServeWith(note, report, body string) {
 	if !a.Store.CountOnly {
 		a.Store.Lock()
@@ -88,30 +93,31 @@
 	a.Reply("DONE", "why="+note+",digest=tag-"+a.Fields["name"]+",dated=1,rep="+report, body)
 }
 
-// Store is a fake store. Its fields are guarded by its lock.
+// Store is a fake cache, parent or origin. The fields below the mutex are guarded by it.
 type Store struct {
 	Name, Kind, Addr string
 	Listener         net.Listener
 
 	sync.Mutex
-	Handler            func(*Request)
-	Requests           []*Request // what it was asked, unless Forget is set
-	CountOnly          bool       // for long runs: Asked counts, and nothing else is kept
-	RequestCount       int
-	Quits              []string
-	Noops              int
-	Conns              int
-	IgnoreHealthChecks bool // it answers no NOOP
+	Handler            func(*Request) // answers requests; see SetHandler
+	Requests           []*Request     // requests received, unless CountOnly is set
+	CountOnly          bool           // for long runs: count requests, but keep neither Requests, Quits nor notes
+	RequestCount       int            // requests received
+	Quits              []string       // request ids that were cancelled with QUIT
+	Noops              int            // health checks (NOOP) received
+	Conns              int            // connections accepted
+	IgnoreHealthChecks bool           // NOOP, the health check, gets no answer
 
-	links  map[net.Conn]bool
-	copies map[string]bool // copies, of a store that [Store.Cache] made a cache
+	links  map[net.Conn]bool // open connections
+	copies map[string]bool   // parts held after [Store.ActAsCache], by object/part
 }
 
-// NewStore starts one at an address, such as [Loopback].
+// NewStore starts a store that answers with [ServeHit] on an address such as [Loopback]. Its kind is box (a cache), parent
+// or origin. It fails if the address cannot be listened on.
 func NewStore(name, kind, addr string) (*Store, error) {
 	l, err := loopback.Listen(addr)
 	if err != nil {
-		return nil, fmt.Errorf("stand-in %s: %w", name, err)
+		return nil, fmt.Errorf("fake store %s: %w", name, err)
 	}
 	s := &Store{Name: name, Kind: kind, Listener: l, Addr: l.Addr().String(), Handler: ServeHit, links: map[net.Conn]bool{}}
 	go func() {
@@ -130,7 +136,7 @@
 	return s, nil
 }
 
-// Close ends the server as a dying process would: its connections are reset.
+// Close stops the store like a process that dies: its connections are reset.
 func (s *Store) Close() {
 	loopback.Close(s.Listener)
 	s.Lock()
@@ -143,15 +149,16 @@
 	}
 }
 
-// On sets how the store answers.
+// SetHandler sets the function that answers later requests. It is called from the connections' goroutines.
 func (s *Store) SetHandler(answer func(*Request)) {
 	s.Lock()
 	defer s.Unlock()
 	s.Handler = answer
 }
 
-// Cache has the store hold what it serves, and fill what it lacks from the store that a request names. The origin,
-// and a parent that may ask it, hold everything.
+// ActAsCache makes the store answer like a cache. It serves the parts that it holds, takes a copy of a missing one if the
+// request names a known fill source, and otherwise answers LACK. A parent takes a copy without a fill source as well, and
+// the origin holds everything. The function size gives the size of an object's parts in bytes.
 func (s *Store) ActAsCache(stores map[string]*Store, size func(object string) int) {
 	s.copies = map[string]bool{}
 	s.SetHandler(func(a *Request) {
@@ -174,12 +181,12 @@
 	})
 }
 
-// link is one connection. Answers gather while more requests have come and are read at once.
+// link is one connection. While buffered requests wait to be read, answers are buffered too and written together.
 type link struct {
 	conn       net.Conn
 	mu         sync.Mutex
 	w          *bufio.Writer
-	deferFlush bool // the reader flushes
+	deferFlush bool // the reading goroutine flushes when it has read the buffered requests
 }
 
 func (l *link) write(args ...string) {
@@ -254,7 +261,8 @@
 	}
 }
 
-// ReadArray reads one RESP array of bulk strings.
+// ReadArray reads a RESP array of bulk strings. It fails on other kinds of values, an empty array, and lengths above
+// 1 MiB (1<<20).
 func ReadArray(r *bufio.Reader) ([]string, error) {
 	length := func(kind byte) (int, error) {
 		line, err := r.ReadSlice('\n')
@@ -262,11 +270,11 @@
 			return 0, err
 		}
 		if len(line) < 3 || line[0] != kind {
-			return 0, fmt.Errorf("%q where a length %c was due", line, kind)
+			return 0, fmt.Errorf("got %q, want a length that begins with %c", line, kind)
 		}
 		n, err := strconv.Atoi(strings.TrimSpace(string(line[1:])))
 		if err == nil && (n < 0 || n > 1<<20) {
-			err = errors.New("a length out of range")
+			err = errors.New("length out of range: want 0 to 1 MiB")
 		}
 		return n, err
 	}
@@ -282,12 +290,13 @@
 		}
 	}
 	if err == nil && len(args) == 0 {
-		err = errors.New("an empty array")
+		err = errors.New("got an empty array, want a command")
 	}
 	return args, err
 }
 
-// CloseIdle closes the store's connections in good order, as one does that thinks them idle. It goes on accepting.
+// CloseIdle closes all connections of the store in order, without a reset, like a server that closes idle ones. The
+// store still accepts new connections.
 func (s *Store) CloseIdle() {
 	s.Lock()
 	defer s.Unlock()
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -1,4 +1,5 @@
-// Package faultproxy stands between clients and a gateway, records every request that passes, and injects faults as it is told.
+// Package faultproxy is a proxy between clients and a gateway. It records every request that passes and injects faults:
+// resets, split answers, closed connections and silence.
 package faultproxy
 
 import (
@@ -17,20 +18,21 @@
 	"larchusher/lab/loopback"
 )
 
-// Seen is one request that passed.
+// Request is a request that a client sent through the proxy.
 type Request struct {
 	At            time.Time
 	Conn          int
-	ID            uint64
+	ID            uint64 // message id
 	Class, Object string
 	Part          string
-	Txn, Key      string
-	Retry         bool
+	Txn, Key      string // id of this try, and the idempotency key
+	Retry         bool   // marked by the client as not the first try of its call
 }
 
-// Proxy is a running one.
+// Proxy is a running proxy. Its methods may be called from any goroutine, except that Down, Up and Close must not run at
+// the same time.
 type Proxy struct {
-	Addr string
+	Addr string // where clients connect
 
 	l              net.Listener
 	mu             sync.Mutex
@@ -41,24 +43,24 @@
 	connectTimes   []time.Time
 	conns          map[net.Conn]bool
 	rng            *rand.Rand
-	cutProbability float64 // chance that a piece of an answer cuts its connection
-	maxChunk       int     // answers are passed on in pieces of so many bytes at most; 0: as they come
-	unresponsive   bool    // it accepts, and passes nothing on
+	cutProbability float64 // probability, for each read from the gateway, of closing the connection
+	maxChunk       int     // largest write to a client, in bytes; 0: no limit
+	unresponsive   bool    // new connections are accepted, but nothing is forwarded
 }
 
-// Rejection is one answer that turned a request away.
+// Rejection is an answer by which the gateway rejected a request.
 type Rejection struct {
 	At         time.Time
 	Conn       int
 	ID         uint64
-	RetryAfter time.Duration
+	RetryAfter time.Duration // as sent by the gateway
 }
 
-// New starts a relay to a gateway.
+// New starts a proxy to the gateway at target, on a loopback address. The seed determines where connections are cut.
 func New(target string, seed uint64) (*Proxy, error) {
 	l, err := loopback.Listen("127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("relay: %w", err)
+		return nil, fmt.Errorf("fault proxy: %w", err)
 	}
 	r := &Proxy{Addr: l.Addr().String(), l: l, target: target, conns: map[net.Conn]bool{}, rng: rand.New(rand.NewPCG(seed, 3))}
 	go r.accept(l)
@@ -81,52 +83,53 @@
 	}
 }
 
-// Down has the relay act as a gateway that died: connections are reset, and new ones refused. Up has it listen again, at
-// the same address.
+// Down makes the proxy act like a dead gateway: its connections are reset and new ones refused. Up ends this.
 func (r *Proxy) Down() {
 	loopback.Close(r.l)
 	r.ResetConnections()
 }
 
-// Up ends Down.
+// Up listens again on the same address after Down. It fails if the address is in use.
 func (r *Proxy) Up() error {
 	l, err := loopback.Listen(r.Addr)
 	if err != nil {
-		return fmt.Errorf("relay: %w", err)
+		return fmt.Errorf("fault proxy: %w", err)
 	}
 	r.l = l
 	go r.accept(l)
 	return nil
 }
 
-// Rejections are all answers so far that turned a request away.
+// Rejections returns all rejections so far.
 func (r *Proxy) Rejections() []Rejection {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.rejections)
 }
 
-// InjectFaults has connections cut by chance, at pieces of answers, and answers passed on in pieces of so many bytes at most.
+// InjectFaults closes connections at random, with probability cutProbability for each read from the gateway, after a
+// random part of the bytes read. It also forwards answers in writes of at most maxChunk bytes (0: no limit).
 func (r *Proxy) InjectFaults(cutProbability float64, maxChunk int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cutProbability, r.maxChunk = cutProbability, maxChunk
 }
 
-// SetUnresponsive has the relay accept and pass nothing on.
+// SetUnresponsive makes the proxy accept new connections and record their requests without forwarding anything.
+// Connections that are already open are not affected.
 func (r *Proxy) SetUnresponsive(unresponsive bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.unresponsive = unresponsive
 }
 
-// Close ends the relay as a dying gateway would.
+// Close stops the proxy like a gateway that dies: it stops listening and resets all connections.
 func (r *Proxy) Close() {
 	loopback.Close(r.l)
 	r.ResetConnections()
 }
 
-// Cut resets all connections.
+// ResetConnections resets all client connections.
 func (r *Proxy) ResetConnections() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -138,14 +141,14 @@
 	}
 }
 
-// Seen are all requests that passed so far, and Opened when connections came.
+// Requests returns all requests recorded so far. ConnectTimes returns when connections were accepted.
 func (r *Proxy) Requests() []Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.requests)
 }
 
-// Opened says when connections came.
+// ConnectTimes returns when each client connection was accepted, in that order.
 func (r *Proxy) ConnectTimes() []time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -179,7 +182,7 @@
 	}
 	defer loopback.Close(g)
 	pr, pw := io.Pipe()
-	var lastRead atomic.Int64 // when the latest bytes did, in Unix nanoseconds
+	var lastRead atomic.Int64 // time of the latest read from the client, in Unix nanoseconds
 	go r.recordRequests(n, pr, &lastRead)
 	go func() {
 		_, _ = io.Copy(g, io.TeeReader(timestampedReader{c, &lastRead}, pw))
@@ -194,12 +197,13 @@
 	r.relayAnswers(c, g, aw)
 }
 
-// carryAnswers carries what a gateway answers to a client, in slices and up to a cut as the faults of the moment have it, and records it.
+// relayAnswers forwards answers from the gateway to a client, split and cut according to InjectFaults, and copies them
+// to record.
 func (r *Proxy) relayAnswers(c, from net.Conn, record io.Writer) {
 	b := make([]byte, 64<<10)
 	for {
 		m, err := from.Read(b)
-		_, _ = record.Write(b[:max(0, m)]) // the recorder may have ended; what is carried goes on
+		_, _ = record.Write(b[:max(0, m)]) // the recorder may have stopped; forwarding goes on
 		r.mu.Lock()
 		maxChunk, cut := r.maxChunk, m > 0 && r.cutProbability > 0 && r.rng.Float64() < r.cutProbability
 		if cut {
@@ -222,7 +226,7 @@
 	}
 }
 
-// stamped notes when bytes come.
+// timestampedReader stores the time of each read in lastRead, in Unix nanoseconds.
 type timestampedReader struct {
 	io.Reader
 	lastRead *atomic.Int64
@@ -234,7 +238,8 @@
 	return n, err
 }
 
-// answers reads refusals off what comes back.
+// recordRejections decodes the answers of connection n and records the rejections. It reads to the end even after a
+// decoding error, so that forwarding does not block.
 func (r *Proxy) recordRejections(n int, from *io.PipeReader) {
 	defer func() { _, _ = io.Copy(io.Discard, from) }()
 	d := rpc.NewReader(from)
@@ -252,9 +257,10 @@
 	}
 }
 
-// record reads requests off what passes.
+// recordRequests decodes the messages that a client sent on connection n and records the requests, other than health
+// checks (alive).
 func (r *Proxy) recordRequests(n int, from *io.PipeReader, lastRead *atomic.Int64) {
-	defer func() { _, _ = io.Copy(io.Discard, from) }() // what can't be read must not hold up what passes
+	defer func() { _, _ = io.Copy(io.Discard, from) }() // undecodable bytes must not block forwarding
 	d := msgpack.NewDecoder(from)
 	for {
 		v, err := d.DecodeInterface()
@@ -263,7 +269,7 @@
 		}
 		m, ok := v.([]any)
 		if !ok || len(m) != 4 {
-			continue // a notification
+			continue // a notification, not a request
 		}
 		params, _ := m[3].([]any)
 		class, _ := m[2].(string)
@@ -290,14 +296,15 @@
 	}
 }
 
-// Rules are what a client must keep, of what relays saw. Each call is to ask for an object of its own.
+// Rules are the retry rules of a client, to be checked on the requests that proxies recorded. Each call must request an
+// object or part of its own, because tries with the same class, object and part count as one call.
 type Rules struct {
-	MaxTries      int                      // of a call at most
-	DedupWindows  map[string]time.Duration // window in which a repeat is dropped, by class
-	UnsafeClasses map[string]bool
+	MaxTries      int                      // largest number of tries of a call
+	DedupWindows  map[string]time.Duration // by class: how long after the first try the gateway drops duplicates; retries must not come later
+	UnsafeClasses map[string]bool          // classes whose requests must not be retried
 }
 
-// Check names what was not kept, over several relays.
+// Check returns the violations of the rules, at most 20, over the requests that all the proxies recorded.
 func (k Rules) Check(relays ...*Proxy) (broken []string) {
 	var all []Request
 	for _, r := range relays {
@@ -313,25 +320,25 @@
 	}
 	for _, s := range all {
 		if txns[s.Txn] {
-			report("txn %s was sent twice", s.Txn)
+			report("txn %s was sent more than once", s.Txn)
 		}
 		txns[s.Txn] = true
 		id := s.Class + "/" + s.Object + "/" + s.Part
 		tries := append(calls[id], s)
 		calls[id] = tries
 		switch first := tries[0]; {
-		case !s.Retry && len(tries) > 1: // one that is marked may be the first that was seen: another was cut off unread
-			report("try %d of %s is not marked", len(tries), id)
+		case !s.Retry && len(tries) > 1: // a first try may be marked as a retry: an earlier one was cut off before it was recorded
+			report("try %d of %s is not marked as a retry", len(tries), id)
 		case len(tries) > k.MaxTries:
-			report("%s was sent %d times", id, len(tries))
+			report("%s was sent %d times, more than the rules allow", id, len(tries))
 		case s.Key != first.Key:
-			report("the key of %s changed", id)
+			report("tries of %s have different idempotency keys", id)
 		case k.DedupWindows[s.Class] > 0 && s.Key == "":
-			report("%s has no key", id)
+			report("%s has no idempotency key", id)
 		case k.DedupWindows[s.Class] > 0 && s.At.Sub(first.At) > k.DedupWindows[s.Class]:
-			report("%s was sent again after %v", id, s.At.Sub(first.At))
+			report("%s was retried %v after its first try, beyond its deduplication window", id, s.At.Sub(first.At))
 		case k.UnsafeClasses[s.Class] && len(tries) > 1:
-			report("%s is unsafe and was sent again", id)
+			report("%s is not repeatable and was retried", id)
 		}
 	}
 	return broken
--- a/lab/golden/golden.go
+++ b/lab/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden checks that what is stored, or passed between two versions of the program, keeps its form. It is test
-// support and is imported by tests only.
+// Package golden checks that the JSON encoding of data that is stored, or passed between two versions of the program,
+// does not change. It is imported by tests only.
 package golden
 
 import (
@@ -12,14 +12,15 @@
 	"time"
 )
 
-// Fill sets every exported field that can be reached from v, a pointer, to a value that is not zero: numbers and strings
-// are counted up in the order of the fields, a slice or map gets one element. The names of the fields play no part.
+// Fill sets every exported field reachable from the pointer v to a non-zero value, except fields tagged json:"-".
+// Numbers and strings get increasing values in the order of the fields, and slices and maps get one element. The values do not
+// depend on the fields' names, so that renaming a field changes nothing.
 func Fill(v any) {
 	n := 0
 	fill(reflect.ValueOf(v).Elem(), &n, 0)
 }
 
-const maxDepth = 12 // guards against types that contain themselves
+const maxDepth = 12 // levels of nesting that Fill sets, because a type may contain itself
 
 var (
 	timeType = reflect.TypeFor[time.Time]()
@@ -64,7 +65,7 @@
 		v.SetMapIndex(key, value)
 	case reflect.Struct:
 		fillStruct(v, n, depth)
-	default: // no encoded type has another kind
+	default: // encoded types have no fields of other kinds
 	}
 }
 
@@ -80,8 +81,8 @@
 	}
 }
 
-// JSON fails the test unless a filled value of v's type, a pointer, is encoded as the file says, and what the file says is
-// read into an equal value. The file was written by an earlier version.
+// JSON fills *v and fails the test unless its JSON encoding equals the file, and the file, decoded and encoded again,
+// equals itself. The file was written by an earlier version of the program.
 func JSON(t *testing.T, file string, v any) {
 	t.Helper()
 	want, err := os.ReadFile(file)
@@ -94,23 +95,23 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%T is encoded as\n%s\nand %s has\n%s", v, got, file, want)
+		t.Errorf("encoding of %T changed: got\n%s\nwant, from %s,\n%s", v, got, file, want)
 	}
 	read := reflect.New(reflect.TypeOf(v).Elem())
 	if err := json.Unmarshal(want, read.Interface()); err != nil {
-		t.Fatalf("%s: %v", file, err)
+		t.Fatalf("decoding %s: %v", file, err)
 	}
 	again, err := json.Marshal(read.Interface())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(again, want) {
-		t.Errorf("%s was read, and encoded again it is\n%s", file, again)
+		t.Errorf("%s changed when decoded and encoded again: got\n%s", file, again)
 	}
 }
 
-// Tagged fails the test for each exported field without a JSON name of its own that can be reached from v: where the name
-// of a field in Go is also its stored name, a renaming changes the stored form.
+// Tagged reports a test error for each exported field reachable from v that has no name in a json tag: such a field is
+// stored under its Go name, so that renaming it would change the stored form.
 func Tagged(t *testing.T, v any) {
 	t.Helper()
 	tagged(t, reflect.TypeOf(v), map[reflect.Type]bool{})
@@ -135,10 +136,10 @@
 				continue
 			}
 			if name, ok := f.Tag.Lookup("json"); !ok || name == "" || name[0] == ',' {
-				t.Errorf("%v.%s has no JSON name", typ, f.Name)
+				t.Errorf("%v.%s has no name in a json tag", typ, f.Name)
 			}
 			tagged(t, f.Type, seen)
 		}
-	default: // it has no fields
+	default: // other kinds have no fields
 	}
 }
--- a/lab/testbed/process.go
+++ b/lab/testbed/process.go
@@ -18,16 +18,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// Process is a program that is started, reached and ended: the one way in which tests and experiments do so.
+// Process runs a program as a child process. All tests and experiments start, signal and stop programs through it.
 type Process struct {
 	Cmd *exec.Cmd
-	Log *Log // what it writes to standard error
+	Log *Log // standard error of the program
 
-	exited chan error    // how it ended, once; then it is closed
-	done   chan struct{} // closed once it has ended
+	exited chan error    // receives the result of Cmd.Wait once, then is closed
+	done   chan struct{} // closed after the program has exited
 }
 
-// NewProcess returns a program with its arguments, and variables beside those of this process. It does not start it.
+// NewProcess prepares a program with arguments and with env added to the environment of the calling process. It does
+// not start the program.
 func NewProcess(program string, args, env []string) *Process {
 	p := &Process{Cmd: exec.CommandContext(context.Background(), program, args...), Log: &Log{}, exited: make(chan error, 1), done: make(chan struct{})}
 	p.Cmd.Env = append(os.Environ(), env...)
@@ -35,7 +36,7 @@
 	return p
 }
 
-// Start starts the program on one core; negative: on any.
+// Start starts the program pinned to the given core; a negative core means no pinning.
 func (p *Process) Start(core int) error {
 	if err := startPinned(p.Cmd, core); err != nil {
 		return fmt.Errorf("starting %s: %w", p.Cmd.Path, err)
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// wait waits for the program's end beside the caller.
+// waitInBackground reports the program's exit on the exited and done channels from a goroutine.
 func (p *Process) waitInBackground() {
 	cmd, exited, done := p.Cmd, p.exited, p.done
 	go func() {
@@ -54,10 +55,10 @@
 	}()
 }
 
-// Exited tells how the program ended, once, and is closed then.
+// Exited returns a channel that receives the result of Cmd.Wait once, when the program exits, and is then closed.
 func (p *Process) Exited() <-chan error { return p.exited }
 
-// Kill ends the program as a crash does. What its connections carried is lost.
+// Kill ends the program with SIGKILL, like a crash, and waits for its exit. Data in flight on its connections is lost.
 func (p *Process) Kill() error {
 	if err := p.Cmd.Process.Kill(); err != nil {
 		return err
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// WaitExit waits until the program has ended by itself.
+// WaitExit waits until the program has exited on its own. It returns the context's error if ctx ends first.
 func (p *Process) WaitExit(ctx context.Context) error {
 	select {
 	case <-p.done:
@@ -76,7 +77,8 @@
 	}
 }
 
-// Restart starts the program anew after Kill or Ended, with the same arguments and environment. It does not wait until it serves.
+// Restart starts the program again, with the same arguments and environment and an empty log, after it has exited. It
+// does not wait until the program serves, and does not pin it to a core.
 func (p *Process) Restart() error {
 	old := p.Cmd
 	p.Log.Reset()
@@ -85,13 +87,14 @@
 	p.exited, p.done = make(chan error, 1), make(chan struct{})
 	if err := p.Cmd.Start(); err != nil {
 		close(p.done)
-		return fmt.Errorf("starting %s again: %w", old.Path, err)
+		return fmt.Errorf("restarting %s: %w", old.Path, err)
 	}
 	p.waitInBackground()
 	return nil
 }
 
-// startPinned starts a command on one core, and keeps this process off it.
+// startPinned starts a command on one core and moves all threads of the calling process off that core. A negative core
+// means no pinning; where no other core is left, the command is started unpinned.
 func startPinned(cmd *exec.Cmd, core int) error {
 	if core < 0 {
 		return cmd.Start()
@@ -121,24 +124,26 @@
 	return err
 }
 
-// WaitForLog waits until the program's log has a line with the text, and returns it.
+// WaitForLog waits until a line of the program's log contains the text, and returns the first such line. It fails when
+// ctx ends or the program exits.
 func (p *Process) WaitForLog(ctx context.Context, text string) (string, error) {
 	for {
-		written := p.Log.nextWrite() // before the look, or what comes in between is missed
+		written := p.Log.nextWrite() // taken before the search, so that no write in between is missed
 		if line := p.Log.Line(text); line != "" {
 			return line, nil
 		}
 		select {
 		case <-ctx.Done():
-			return "", fmt.Errorf("the log never said %q: %w\n%s", text, ctx.Err(), p.Log.String())
+			return "", fmt.Errorf("no log line with %q: %w\n%s", text, ctx.Err(), p.Log.String())
 		case <-p.done:
-			return "", fmt.Errorf("the program ended\n%s", p.Log.String())
+			return "", fmt.Errorf("the program exited; its log:\n%s", p.Log.String())
 		case <-written:
 		}
 	}
 }
 
-// Counters asks the program for its counters.
+// Counters sends SIGUSR1, waits for the log line with the counters and returns its numeric fields. It empties the log
+// first.
 func (p *Process) Counters(ctx context.Context) (map[string]float64, error) {
 	p.Log.Reset()
 	if err := p.Signal(syscall.SIGUSR1); err != nil {
@@ -162,7 +167,7 @@
 // Signal sends the program a signal.
 func (p *Process) Signal(s os.Signal) error { return p.Cmd.Process.Signal(s) }
 
-// Pause stops the program for a while, as a host that stands still does.
+// Pause stops the program with SIGSTOP for d and resumes it, like a host that runs nothing for that time.
 func (p *Process) Pause(d time.Duration) error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -171,16 +176,16 @@
 	return p.Signal(syscall.SIGCONT)
 }
 
-// Usage is what a process has used.
+// Usage is the resource usage of a process since its start.
 type Usage struct {
-	CPU    time.Duration
-	PeakKB int // most memory held so far
-	NowKB  int
-	// Waited is how long its threads were ready to run and another process had the core.
+	CPU    time.Duration // user and system time
+	PeakKB int           // largest resident set so far, in kB
+	NowKB  int           // current resident set, in kB
+	// Waited is the sum over its threads of the time spent runnable without a core.
 	Waited time.Duration
 }
 
-// Usage reads what the program has used so far.
+// Usage reads the program's resource usage from /proc.
 func (p *Process) Usage() (u Usage, err error) {
 	dir := fmt.Sprintf("/proc/%d/", p.Cmd.Process.Pid)
 	status, err := os.ReadFile(dir + "status")
@@ -202,14 +207,14 @@
 	if f := strings.Fields(rest); len(f) > 13 {
 		user, _ := strconv.Atoi(f[11])
 		sys, _ := strconv.Atoi(f[12])
-		u.CPU = time.Duration(user+sys) * 10 * time.Millisecond // ticks of USER_HZ, which is 100
+		u.CPU = time.Duration(user+sys) * 10 * time.Millisecond // /proc counts in ticks of USER_HZ, 100 per second
 	}
 	u.Waited, err = cpuWait(dir)
 	return u, err
 }
 
-// waitedForCore adds up, over a process's threads, how long each was ready to run and did not (the second field of schedstat,
-// in nanoseconds).
+// cpuWait sums over a process's threads the time that each was runnable without a core: the second field of schedstat,
+// in nanoseconds. dir is the process's /proc directory with a trailing slash.
 func cpuWait(dir string) (total time.Duration, err error) {
 	threads, err := filepath.Glob(dir + "task/*/schedstat")
 	if err != nil {
@@ -229,24 +234,24 @@
 	return total, nil
 }
 
-// Stop kills the program, if it runs, and waits for its end. It may be called twice.
+// Stop kills the program if it is running and waits for its exit. It may be called more than once.
 func (p *Process) Stop() {
 	if p.Cmd.Process == nil {
 		return
 	}
-	_ = p.Cmd.Process.Signal(syscall.SIGCONT) // one that is stopped may end as well
-	_ = p.Cmd.Process.Kill()                  // it may have ended
+	_ = p.Cmd.Process.Signal(syscall.SIGCONT) // resumes a program that was stopped by Pause
+	_ = p.Cmd.Process.Kill()                  // fails if the program has already exited
 	<-p.done
 }
 
-// Log is written by a process and read by others.
+// Log collects the output of a process. It is safe for concurrent use.
 type Log struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // guards the fields below
 	buf     bytes.Buffer
 	written chan struct{}
 }
 
-// Write adds to the log.
+// Write appends p to the log and wakes those that wait for the next write.
 func (l *Log) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -257,7 +262,7 @@
 	return l.buf.Write(p)
 }
 
-// grown is closed with the next write.
+// nextWrite returns a channel that is closed by the next Write.
 func (l *Log) nextWrite() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -267,7 +272,7 @@
 	return l.written
 }
 
-// Line returns the first line with the text, or none.
+// Line returns the first line that contains the text, or an empty string.
 func (l *Log) Line(text string) string {
 	s := bufio.NewScanner(strings.NewReader(l.String()))
 	s.Buffer(nil, 1<<20)
--- a/lab/testbed/testbed.go
+++ b/lab/testbed/testbed.go
@@ -1,5 +1,5 @@
-// Package testbed starts the real program with fake servers for all that it talks to: two caches or more, a parent, the
-// origin and the journal service, all on loopback.
+// Package testbed starts the gateway program with fake servers for everything that it connects to: at least two caches,
+// a parent, the origin and the journal service, all on loopback.
 package testbed
 
 import (
@@ -19,7 +19,7 @@
 	"larchusher/lab/loopback"
 )
 
-// Settings are a small location with caches, a parent and the origin.
+// Settings are the deployment settings, in JSON, of a small location with caches, a parent and the origin.
 const Settings = `{"balancers":2,"position":0,"dcs":["north","edge-1"],"zone":"edge-1","stepMs":1,
  "classes":[{"name":"films","aimMs":500,"aimStretch":2,"hardLimitMs":5000,"effect":"repeatable","value":2},
   {"name":"images","aimMs":400,"aimStretch":2,"hardLimitMs":2500,"effect":"repeatable","value":1},
@@ -33,32 +33,33 @@
   "peerMessages":true,"retryAfter":true,"secondCopies":true,"sendCap":8,"streamsPerConn":32},
  "loadInfo":{"fields":["busy_reqs","x1","x0"],"how":"inline"}}`
 
-// Config says what world to start.
+// Config describes the testbed to start.
 type Config struct {
-	Program  string   // path of the gateway's program
+	Program  string   // path of the gateway's executable
 	Args     []string // its arguments
 	Env      []string // added to the environment
-	Caches   int      // 0: two
-	Cores    float64  // 0: 1
-	MemoryMB int      // 0: 192
-	Sockets  int      // 0: 1,024
-	Pin      int      // the core that the program is kept on; negative: any
-	Seed     string   // in hex
-	Host     string   // loopback address that the program listens at, 127.0.0.1 without
-	Replay   bool     // the journal service tells again what it told, to a program that starts anew
+	Caches   int      // number of caches, at least 2; 0: 2
+	Cores    float64  // CPU limit in the gateway's configuration; 0: 1
+	MemoryMB int      // memory limit in the gateway's configuration; 0: 192
+	Sockets  int      // socket limit in the gateway's configuration; 0: 1,024
+	Pin      int      // core that the program is pinned to; negative: none
+	Seed     string   // random seed of the gateway, in hex; empty: a fixed one
+	Host     string   // loopback address that the program listens on; empty: one derived from the process id
+	Replay   bool     // the journal service stores its events and sends them again to a program that restarts
 }
 
-// Gateway is a running one.
+// Gateway is a running gateway with its fake servers.
 type Gateway struct {
-	Addr    string // of the platform's front
-	Stores  map[string]*fakeserver.Store
+	Addr    string                       // address of the platform front
+	Stores  map[string]*fakeserver.Store // by name: c1, c2, ..., p and o
 	Journal *fakeserver.Journal
 	*Process
 
 	dir string
 }
 
-// Host words a store for the journal.
+// EndpointJSON encodes a store as an endpoint of a journal event, with the given status. Caches (kind box) are in zone
+// edge-1, all others in north.
 func EndpointJSON(s *fakeserver.Store, status string) string {
 	zone := "edge-1"
 	if s.Kind != "box" {
@@ -68,7 +69,8 @@
 		s.Name, s.Addr, zone, s.Kind, status)
 }
 
-// Known words the list of stores as a configuration holds it.
+// EndpointListJSON encodes the stores as the endpoint list of a configuration file, in the order of their names and all
+// SERVING.
 func EndpointListJSON(stores map[string]*fakeserver.Store) json.RawMessage {
 	var names, hosts []string
 	for n := range stores {
@@ -82,7 +84,8 @@
 		strings.Join(hosts, ",") + `]}}]}`)
 }
 
-// Start starts a world and waits until the program serves.
+// Start starts the fake servers and the gateway, and waits until the gateway serves and is connected to the journal.
+// On an error everything is stopped again.
 func Start(ctx context.Context, cfg Config) (w *Gateway, err error) {
 	w = &Gateway{Stores: map[string]*fakeserver.Store{}, Process: NewProcess(cfg.Program, cfg.Args, nil)}
 	defer func() {
@@ -103,7 +106,8 @@
 	return w, w.launch(ctx, cfg, json.RawMessage(Settings), EndpointListJSON(w.Stores))
 }
 
-// launch starts the journal service and the program, and waits until that serves.
+// launch starts the journal service, writes the configuration and starts the program. It waits until the program serves
+// and is connected to the journal.
 func (w *Gateway) launch(ctx context.Context, cfg Config, settings, endpointList json.RawMessage) (err error) {
 	if w.Journal, err = fakeserver.NewJournal(fakeserver.Loopback); err != nil {
 		return err
@@ -149,22 +153,24 @@
 	select {
 	case <-w.Journal.Connected:
 	case <-w.done:
-		err = errors.New("the program ended")
+		err = errors.New("the program exited before it connected to the journal")
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
 	return err
 }
 
-// Free returns an address that nobody listens at, at a loopback address of this process's own.
+// FreeAddr returns an unused host and port on a loopback address derived from the process id. See FreeAddrOn.
 func FreeAddr() (string, error) { return FreeAddrOn("") }
 
-// given are the addresses that FreeAt has returned.
+// issuedAddrs are the addresses that FreeAt has returned.
 var issuedAddrs sync.Map
 
-// FreeAt is Free at a loopback address of one's own, such as 127.77.0.1: the system gives its ports to nobody else meanwhile, as it
-// does with those of 127.0.0.1 to connections that go out. An empty one is one of this process's own. No address is returned twice:
-// between the return and the listening the system takes its port for free, and has named the same one again to another that asked.
+// FreeAddrOn returns an unused host and port on the given loopback address, such as 127.77.0.1; an empty host means one
+// derived from the process id. On an address that no other process uses, the port stays free until the caller listens:
+// ports of 127.0.0.1 may be taken by outgoing connections meanwhile. No address is returned twice, because the system
+// regards the port as free until the caller listens on it and has assigned the same one to a second caller. It fails if
+// the address cannot be listened on or no unissued port is found.
 func FreeAddrOn(host string) (string, error) {
 	if host == "" {
 		host = fmt.Sprintf("127.%d.%d.250", 64+os.Getpid()%100, os.Getpid()/100%250)
@@ -172,22 +178,24 @@
 	for range maxFreeAddrTries {
 		l, err := loopback.Listen(net.JoinHostPort(host, "0"))
 		if err != nil {
-			return "", fmt.Errorf("world: %w", err)
+			return "", fmt.Errorf("testbed: finding a free address: %w", err)
 		}
 		addr := l.Addr().String()
 		if err := l.Close(); err != nil {
-			return "", fmt.Errorf("world: %w", err)
+			return "", fmt.Errorf("testbed: finding a free address: %w", err)
 		}
 		if _, issued := issuedAddrs.LoadOrStore(addr, true); !issued {
 			return addr, nil
 		}
 	}
-	return "", fmt.Errorf("world: no port of %s is left that was not given out", host)
+	return "", fmt.Errorf("testbed: no free address: all ports that the system offered on %s were issued before", host)
 }
 
+// maxFreeAddrTries is how many ports FreeAddrOn asks the system for before it fails.
+// maxFreeAddrTries is how many ports FreeAddrOn asks the system for before it fails.
 const maxFreeAddrTries = 1000
 
-// Stop ends the world. It may be called twice.
+// Stop stops the gateway and its fake servers and removes its temporary directory. It may be called more than once.
 func (w *Gateway) Stop() {
 	w.Process.Stop()
 	for _, s := range w.Stores {
--- a/lab/testbed/testbed_test.go
+++ b/lab/testbed/testbed_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// An address is given out once. Guards the plots over processes: a gateway's link had been given the port of its front, which had
-// not listened yet, and the program ended with "address already in use". Of some 7,000 ports that the system draws from, 2,000
-// draws are sure to meet one twice.
+// FreeAddrOn must not return an address twice. In scenarios with several processes, a gateway's cluster address got the
+// port that had been issued for its front, which was not listening yet, and the program exited with "address already in
+// use". The system draws from about 7,000 ports, so 2,000 draws are certain to repeat one.
 func TestFreeAddrOnNeverRepeatsAddress(t *testing.T) {
 	seen := map[string]bool{}
 	for range 2000 {
@@ -13,7 +13,7 @@
 			t.Fatal(err)
 		}
 		if seen[addr] {
-			t.Fatalf("%s was given twice", addr)
+			t.Fatalf("FreeAddrOn returned %s twice", addr)
 		}
 		seen[addr] = true
 	}
--- a/test/client_test.go
+++ b/test/client_test.go
@@ -27,7 +27,7 @@
 var clientClasses = []lib.Class{{Name: "films", Worth: 2}, {Name: "images", Worth: 1},
 	{Name: "orders", Effect: lib.Keyed, Window: 3 * time.Second, Worth: 3}}
 
-// pair starts two gateways, each with a relay before it.
+// startPair starts two gateways, each with a relay before it.
 func startPair(t *testing.T) (context.Context, [2]*testbed.Gateway, [2]*faultproxy.Proxy) {
 	t.Helper()
 	var ws [2]*testbed.Gateway
@@ -105,7 +105,7 @@
 	}
 }
 
-// brokenOrLate answers by the request's id: one in 4,096 breaks, one in 16 takes 50 ms.
+// failOrDelayByID answers by the request's id: one in 4,096 breaks, one in 16 takes 50 ms.
 func failOrDelayByID(a *storeRequest) {
 	switch {
 	case a.ID[13:] == "000":
@@ -117,7 +117,7 @@
 	}
 }
 
-// callEnds counts how calls ended.
+// callResults counts how calls ended.
 type callResults struct {
 	served, others, late atomic.Int64
 	latest               atomic.Int64 // the most nanoseconds after the deadline that one ended
@@ -277,7 +277,7 @@
 	waitForClientGoroutines(t)
 }
 
-// noneLeft waits until no goroutine of a client is left. Those of fake servers are none of its business.
+// waitForClientGoroutines waits until no goroutine of a client is left. Those of fake servers are none of its business.
 func waitForClientGoroutines(t *testing.T) {
 	t.Helper()
 	eventually(t, "no goroutine of a client is left", func() bool {
--- a/test/cold_test.go
+++ b/test/cold_test.go
@@ -22,7 +22,7 @@
 	overloadWindow        = 2 * time.Second
 )
 
-// listed words a list of stores, of which the cold ones started at a time.
+// endpointsJSON words a list of stores, of which the cold ones started at a time.
 func endpointsJSON(stores map[string]*store, status string, since int64, names ...string) string {
 	var hosts []string
 	for _, n := range names {
@@ -31,7 +31,7 @@
 	return strings.Join(hosts, ",")
 }
 
-// replaced makes stores with two caches more, n1 and n2, that are to replace the others, and the list before that.
+// storesWithReplacements makes stores with two caches more, n1 and n2, that are to replace the others, and the list before that.
 func storesWithReplacements(t *testing.T) (stores map[string]*store, before json.RawMessage) {
 	stores = newStores(t)
 	for _, n := range []string{"n1", "n2"} {
@@ -41,7 +41,7 @@
 		endpointsJSON(stores, "SERVING", 0, "c1", "c2", "p", "o") + `]}}]}`)
 }
 
-// settingsOf is world.Settings with other values for some of its top keys; nil takes one away.
+// settingsWith is world.Settings with other values for some of its top keys; nil takes one away.
 func settingsWith(t *testing.T, change map[string]any) json.RawMessage {
 	t.Helper()
 	var all map[string]any
@@ -66,7 +66,7 @@
 	return b
 }
 
-// seeds makes the seeds of processes, one after the other.
+// seedSequence makes the seeds of processes, one after the other.
 func seedSequence() func() string {
 	n := uint64(0x8c1f30d27a5be964)
 	return func() string {
@@ -75,7 +75,7 @@
 	}
 }
 
-// load asks a gateway for objects, so many a second, until it is told to stop or the gateway ends. Nobody minds the answers.
+// generateLoad asks a gateway for objects, so many a second, until it is told to stop or the gateway ends. Nobody minds the answers.
 func (r *rig) generateLoad(aSecond int, stop <-chan bool) {
 	c := r.client()
 	go func() { _, _ = io.Copy(io.Discard, c.conn) }()
@@ -96,7 +96,7 @@
 	}()
 }
 
-// judge goes by a cold store's own record: in each window that begins with something sent, N is what the settings allow a
+// checkColdBudget goes by a cold store's own record: in each window that begins with something sent, N is what the settings allow a
 // store of that capacity, which started then, and chance adds 2 roots of N, and 2.
 func checkColdBudget(t *testing.T, s *store, start time.Time, capacity float64) (sent, allowed float64) {
 	t.Helper()
--- a/test/console_test.go
+++ b/test/console_test.go
@@ -13,7 +13,7 @@
 	"larchusher/lab/loopback"
 )
 
-// callWithin is how long an operator waits for a reply.
+// consoleTimeout is how long an operator waits for a reply.
 const consoleTimeout = time.Second
 
 // withConsole gives the program a second address, and returns it.
@@ -23,7 +23,7 @@
 	return addr
 }
 
-// call makes one call at the second address and returns the lines of its reply.
+// consoleCall makes one call at the second address and returns the lines of its reply.
 func (r *rig) consoleCall(addr, name string) (lines []string) {
 	r.t.Helper()
 	conn, err := loopback.DialTimeout(addr, consoleTimeout)
@@ -45,7 +45,7 @@
 	return lines
 }
 
-// figures asks for the figures and returns them by name, without their prefix.
+// consoleStats asks for the figures and returns them by name, without their prefix.
 func (r *rig) consoleStats(addr string) map[string]int {
 	r.t.Helper()
 	lines, all := r.consoleCall(addr, "STATS"), map[string]int{}
--- a/test/crossing_test.go
+++ b/test/crossing_test.go
@@ -28,7 +28,7 @@
 	"larchusher/routing"
 )
 
-// inside is the gateway within the test's own process, on real sockets: its poller and its loop can be held, so that
+// inProcessGateway is the gateway within the test's own process, on real sockets: its poller and its loop can be held, so that
 // what happens beside them comes first, or last, for certain.
 type inProcessGateway struct {
 	*rig
@@ -39,7 +39,7 @@
 	front  *msgpackrpc.Front
 }
 
-// newInside starts one whose stores are those of a rig; change is made to them before they are listed.
+// newInProcessGateway starts one whose stores are those of a rig; change is made to them before they are listed.
 func newInProcessGateway(t *testing.T, change func(*rig)) *inProcessGateway {
 	t.Helper()
 	r := &rig{t: t, stores: newStores(t)}
@@ -87,7 +87,7 @@
 	return in
 }
 
-// on runs f on the loop and waits for it.
+// runOnLoop runs f on the loop and waits for it.
 func (in *inProcessGateway) runOnLoop(f func()) {
 	in.t.Helper()
 	done := make(chan bool)
@@ -95,14 +95,14 @@
 	receive(in.t, done)
 }
 
-// count reads a number that lives on the loop.
+// readOnLoop reads a number that lives on the loop.
 func (in *inProcessGateway) readOnLoop(of func() uint64) (n uint64) {
 	in.t.Helper()
 	in.runOnLoop(func() { n = of() })
 	return n
 }
 
-// holdLoop has the loop do nothing until the function that it returns is called.
+// blockLoop has the loop do nothing until the function that it returns is called.
 func (in *inProcessGateway) blockLoop() (release func()) {
 	in.t.Helper()
 	blocked, unblock := make(chan bool), make(chan bool)
@@ -111,7 +111,7 @@
 	return sync.OnceFunc(func() { close(unblock) })
 }
 
-// holdPoller has nothing be read from any connection until the function that it returns is called.
+// blockPoller has nothing be read from any connection until the function that it returns is called.
 func (in *inProcessGateway) blockPoller() (release func()) {
 	in.t.Helper()
 	blocked, unblock := make(chan bool), make(chan bool)
@@ -120,7 +120,7 @@
 	return sync.OnceFunc(func() { close(unblock) })
 }
 
-// read waits until the poller has read what has come by now.
+// waitForPoller waits until the poller has read what has come by now.
 func (in *inProcessGateway) waitForPoller() {
 	in.t.Helper()
 	for range 2 { // what it heard of in the round before has been handed on
@@ -130,7 +130,7 @@
 	}
 }
 
-// warm has a connection to each store come up.
+// connectStores has a connection to each store come up.
 func (in *inProcessGateway) connectStores() {
 	in.t.Helper()
 	c := in.client()
@@ -154,7 +154,7 @@
 	loopback.Close(c.conn)
 }
 
-// lateStore is a store whose connections come up only once it is let: its queue of connections is full.
+// stalledStore is a store whose connections come up only once it is let: its queue of connections is full.
 type stalledStore struct {
 	addr     string
 	file     *os.File // owns the listening socket
@@ -197,7 +197,7 @@
 	return s
 }
 
-// release lets connections come up: the kernel asks again for one that waits, a second after it first did, or three.
+// acceptConnections lets connections come up: the kernel asks again for one that waits, a second after it first did, or three.
 func (s *stalledStore) acceptConnections(t *testing.T) {
 	t.Helper()
 	l, err := net.FileListener(s.file)
@@ -603,19 +603,19 @@
 
 const eventStreamHeader = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
 
-// startWith starts the program on a journal of the test's own.
+// startWithJournal starts the program on a journal of the test's own.
 func (r *rig) startWithJournal(j *rawJournal) *rig {
 	r.config["journal"] = j.addr
 	r.journal.Connected <- "" // start waits for one
 	return r.start()
 }
 
-// drained words an event by which a store drains.
+// statusEvent words an event by which a store drains.
 func (r *rig) statusEvent(pos int, name, status string) string {
 	return fmt.Sprintf("id: %d\ndata: {\"pos\":%d,\"hosts\":{\"index\":%d,\"snapshot\":false,\"endpoints\":[%s]}}\n\n", pos, pos, pos, r.endpointJSON(name, status))
 }
 
-// keepAsking has a client ask for new objects until it is told to stop, and gives what it found wrong.
+// sendContinuously has a client ask for new objects until it is told to stop, and gives what it found wrong.
 func (r *rig) sendContinuously() (stop func()) {
 	c := r.client()
 	end, done := make(chan bool), make(chan bool)
--- a/test/flood_test.go
+++ b/test/flood_test.go
@@ -12,7 +12,7 @@
 	"larchusher/lab/loopback"
 )
 
-// peak is the most memory that the program has held, in MB.
+// peakMemoryMB is the most memory that the program has held, in MB.
 func (r *rig) peakMemoryMB() (mb int) {
 	r.t.Helper()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -23,7 +23,7 @@
 	"larchusher/signedurl"
 )
 
-// startWorld starts a world round the program, kept on one core.
+// startTestbed starts a world round the program, kept on one core.
 func startTestbed(t *testing.T, cfg testbed.Config) (context.Context, *testbed.Gateway) {
 	t.Helper()
 	if runtime.NumCPU() < 4 {
@@ -40,7 +40,7 @@
 	return ctx, w
 }
 
-// sane fails on what must never happen, whatever the load.
+// checkInvariants fails on what must never happen, whatever the load.
 func checkInvariants(t *testing.T, res *load.Result) load.Summary {
 	t.Helper()
 	s := res.Sum(0, 0)
--- a/test/rig_test.go
+++ b/test/rig_test.go
@@ -25,7 +25,7 @@
 	"larchusher/lab/testbed"
 )
 
-// patience is how long anything may take that is sure to come.
+// eventTimeout is how long anything may take that is sure to come.
 const eventTimeout = 20 * time.Second
 
 var program string
@@ -82,7 +82,7 @@
 	return stores
 }
 
-// rigOf is newRig among stores that others use, too.
+// newRigWithStores is newRig among stores that others use, too.
 func newRigWithStores(t *testing.T, stores map[string]*store) *rig {
 	r := &rig{t: t, stores: stores, journal: newJournal(t), addr: freeAddr(t), log: &testbed.Log{}}
 	r.config = map[string]any{"name": "n0", "listen": r.addr, "seed": "8c1f30d27a5be964", "journal": r.journal.Addr,
@@ -91,12 +91,12 @@
 	return r
 }
 
-// host words a store for the journal.
+// endpointJSON words a store for the journal.
 func (r *rig) endpointJSON(name, status string) string {
 	return testbed.EndpointJSON(r.stores[name], status)
 }
 
-// write writes the configuration to its file.
+// writeConfig writes the configuration to its file.
 func (r *rig) writeConfig() {
 	r.t.Helper()
 	data, err := json.Marshal(r.config)
@@ -132,7 +132,7 @@
 	return r
 }
 
-// run starts the program on the configuration that is written.
+// startProcess starts the program on the configuration that is written.
 func (r *rig) startProcess() {
 	r.t.Helper()
 	p := testbed.NewProcess(cmp.Or(r.program, program), r.args, append([]string{"BALANCER_CONFIG=" + r.path, "BALANCER_NAME=n0"}, r.env...))
@@ -149,7 +149,7 @@
 	})
 }
 
-// logged waits until the log has a line with the text, and returns it.
+// waitForLog waits until the log has a line with the text, and returns it.
 func (r *rig) waitForLog(text string) (line string) {
 	r.t.Helper()
 	eventually(r.t, "the log says "+text, func() bool {
@@ -181,7 +181,7 @@
 	return 0
 }
 
-// next takes what must come on a channel.
+// receive takes what must come on a channel.
 func receive[T any](t *testing.T, c <-chan T) (v T) {
 	t.Helper()
 	select {
@@ -240,14 +240,14 @@
 	return j
 }
 
-// on sets how all stores answer.
+// setHandler sets how all stores answer.
 func (r *rig) setHandler(answer func(*storeRequest)) {
 	for _, s := range r.stores {
 		s.SetHandler(answer)
 	}
 }
 
-// asks are what all stores were asked so far; of the object, if one is named.
+// storeRequests are what all stores were asked so far; of the object, if one is named.
 func (r *rig) storeRequests(object string) (all []*storeRequest) {
 	for _, s := range r.stores {
 		s.Lock()
@@ -261,7 +261,7 @@
 	return all
 }
 
-// sum adds up a count of the stores.
+// sumStores adds up a count of the stores.
 func (r *rig) sumStores(of func(*store) int) (n int) {
 	for _, s := range r.stores {
 		s.Lock()
@@ -309,7 +309,7 @@
 	return c.id
 }
 
-// request words a request with the next message id.
+// encodeRequest words a request with the next message id.
 func (c *client) encodeRequest(class, object string, limit time.Duration, body string, fields ...string) []byte {
 	c.id++
 	fields = append(fields, "txn", fmt.Sprintf("%08x%08x", os.Getpid(), c.txn), "limit", strconv.FormatInt(limit.Milliseconds(), 10),
@@ -335,7 +335,7 @@
 	fields  map[string]string
 }
 
-// next reads the next response.
+// readAnswer reads the next response.
 func (c *client) readAnswer() answer {
 	c.t.Helper()
 	_ = c.conn.SetReadDeadline(time.Now().Add(eventTimeout))
@@ -356,7 +356,7 @@
 	return a
 }
 
-// ended waits until the other side closes, and fails on anything that comes before.
+// expectClosed waits until the other side closes, and fails on anything that comes before.
 func (c *client) expectClosed() {
 	c.t.Helper()
 	_ = c.conn.SetReadDeadline(time.Now().Add(eventTimeout))
@@ -421,7 +421,7 @@
 	return nil, fmt.Errorf("byte %#x", b)
 }
 
-// refused starts the program on a configuration that it must refuse, and returns what it says.
+// startExpectingError starts the program on a configuration that it must refuse, and returns what it says.
 func (r *rig) startExpectingError(badEndpointList bool) string {
 	r.t.Helper()
 	r.config["known"] = map[string]any{"pos": 1}
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -11,7 +11,7 @@
 	"larchusher/lab/testbed"
 )
 
-// settings are the test deployment's, as JSON objects that a test may change.
+// testSettings are the test deployment's, as JSON objects that a test may change.
 func testSettings(t *testing.T) map[string]any {
 	t.Helper()
 	var s map[string]any
@@ -21,7 +21,7 @@
 	return s
 }
 
-// classes are the classes of settings by their names.
+// classesByName are the classes of settings by their names.
 func classesByName(s map[string]any) map[string]map[string]any {
 	all := map[string]map[string]any{}
 	for _, c := range s["classes"].([]any) {
--- a/test/signed_test.go
+++ b/test/signed_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// web is an HTTP client on one connection.
+// httpConn is an HTTP client on one connection.
 type httpConn struct {
 	t    *testing.T
 	conn net.Conn
@@ -87,7 +87,7 @@
 	return s + "\r\n"
 }
 
-// webAnswer is what a response says before its body.
+// httpResponse is what a response says before its body.
 type httpResponse struct {
 	StatusCode int
 	Header     http.Header
@@ -95,7 +95,7 @@
 	Close      bool // the connection ends behind it
 }
 
-// read reads the next response and its body.
+// readResponse reads the next response and its body.
 func (w *httpConn) readResponse() (httpResponse, string) {
 	w.t.Helper()
 	p, err := http.ReadResponse(w.r, nil)
@@ -127,7 +127,7 @@
 	body   string
 }
 
-// drawSigned draws the i-th of so many requests: half are valid, a quarter expired, a quarter ask for something else than was signed.
+// signedRequestAt draws the i-th of so many requests: half are valid, a quarter expired, a quarter ask for something else than was signed.
 func signedRequestAt(i, total int, now time.Time, sign func(signedurl.Order) string) signedRequest {
 	o := fmt.Sprintf("%016x", i)
 	order := signedurl.Order{Target: "/images/" + o + "/1", Expiry: now.Add(time.Hour)}
--- a/test/state_test.go
+++ b/test/state_test.go
@@ -15,7 +15,7 @@
 	"larchusher/lab/testbed"
 )
 
-// keeping starts a world whose gateway keeps what it learns in a folder.
+// startWithStateFolder starts a world whose gateway keeps what it learns in a folder.
 func startWithStateFolder(t *testing.T, folder, more string) (context.Context, *testbed.Gateway) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.textproto")
@@ -123,7 +123,7 @@
 	}
 }
 
-// run runs a sub-command of the program, and returns what it printed.
+// runSubcommand runs a sub-command of the program, and returns what it printed.
 func runSubcommand(t *testing.T, status int, args ...string) string {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), program, args...)
--- a/test/upgrade_test.go
+++ b/test/upgrade_test.go
@@ -16,10 +16,10 @@
 	"larchusher/lab/loopback"
 )
 
-// beside starts another process of the same gateway with the same files, and waits until it says that it takes clients.
+// startSuccessor starts another process of the same gateway with the same files, and waits until it says that it takes clients.
 func (r *rig) startSuccessor() (second *rig, console string) { return r.startSuccessorVersion("") }
 
-// besideOf is beside with another version of the program; empty: the one that was built.
+// startSuccessorVersion is beside with another version of the program; empty: the one that was built.
 func (r *rig) startSuccessorVersion(version string) (second *rig, console string) {
 	r.t.Helper()
 	console = freeAddr(r.t)
@@ -39,13 +39,13 @@
 	return second, console
 }
 
-// shared gives the processes of a rig one temporary folder.
+// withSharedTempDir gives the processes of a rig one temporary folder.
 func (r *rig) withSharedTempDir() *rig {
 	r.env = append(r.env, "TMPDIR="+r.t.TempDir())
 	return r
 }
 
-// ended waits until the program has ended, and says how.
+// waitExit waits until the program has ended, and says how.
 func (r *rig) waitExit() error {
 	r.t.Helper()
 	select {
@@ -103,7 +103,7 @@
 	second.waitForLog("msg=\"upgrade: predecessor has ended\"")
 }
 
-// upgrades is how many follow each other in TestNoRequestIsLostOverUpgrades, unless the environment says UPGRADES=N.
+// upgradeRounds is how many follow each other in TestNoRequestIsLostOverUpgrades, unless the environment says UPGRADES=N.
 const upgradeRounds = 5
 
 // Clients that never stop asking, on connections that they keep and on new ones, lose nothing over some upgrades. A request
@@ -146,7 +146,7 @@
 	}
 }
 
-// askOn asks until it is stopped, every third request on a connection of its own. A request whose connection ends within
+// sendUntilStopped asks until it is stopped, every third request on a connection of its own. A request whose connection ends within
 // 50 ms of its sending goes out once more.
 func (r *rig) sendUntilStopped(n int, stop <-chan struct{}) error {
 	var conn net.Conn
@@ -188,7 +188,7 @@
 	}
 }
 
-// askOnce asks for a part and reads the answer.
+// sendOneRequest asks for a part and reads the answer.
 func sendOneRequest(conn net.Conn, number int) error {
 	txn := fmt.Sprintf("%016x", number)
 	fields := []string{"txn", txn, "limit", "5000", "item", txn, "n", "3", "shard", "17"}
