--- a/test/accept_test.go
+++ b/test/accept_test.go
@@ -6,17 +6,19 @@
 	"time"
 )
 
-// The errors of accept(2) that are not of the listening socket: shortages that pass, and what befell a connection.
+// passingAcceptErrors are errors of accept(2) after which the listening socket still works: temporary shortages, and
+// errors of the connection that was to be accepted.
 var passingAcceptErrors = []string{
 	"ENOBUFS", "ENOMEM", "EPROTO", "EPERM", "EMFILE", "ENFILE", "ECONNABORTED", "EINTR",
 	"ENETDOWN", "ENOPROTOOPT", "EHOSTDOWN", "ENONET", "EHOSTUNREACH", "EOPNOTSUPP", "ENETUNREACH", "ETIMEDOUT",
 }
 
-// The daemon was deaf for good after one accept that failed. Here every second one does.
+// A failed accept must not stop the gateway from accepting. It once stopped for good after the first failure. Here every
+// second accept fails, by strace's fault injection.
 func TestDaemonServesAfterAcceptErrors(t *testing.T) {
 	tracer, err := exec.LookPath("strace")
 	if err != nil {
-		t.Skip("there is no strace to make accepts fail; package transport has the same test without it")
+		t.Skip("strace, which injects the accept errors, is not installed; package transport tests the same without it")
 	}
 	for _, errno := range passingAcceptErrors {
 		t.Run(errno, func(t *testing.T) {
@@ -30,14 +32,14 @@
 				c := r.client()
 				c.send("images", object, 2*time.Second, "")
 				if a := c.readAnswer(); a.err != "" {
-					t.Errorf("%+v", a)
+					t.Errorf("request while accepts fail: answer %+v, want no error", a)
 				}
 			}
 			if handledByRuntime := errno == "EINTR" || errno == "ECONNABORTED"; handledByRuntime {
 				return
 			}
 			if n := r.counter("accept_failed_" + errno); n == 0 {
-				t.Error("no failure is counted")
+				t.Error("no accept failure was counted, want at least 1")
 			}
 		})
 	}
--- a/test/build_test.go
+++ b/test/build_test.go
@@ -11,8 +11,8 @@
 	"larchusher/lab/loopback"
 )
 
-// buildLine returns the deploy file's build command, which TestMain runs with another place for the daemon: what is
-// tested is linked as what is deployed.
+// buildLine returns the build command of the deployment file. TestMain runs it with another output path, so that the
+// program under test is linked like the deployed one. It fails if the file has no build command.
 func buildLine() (string, error) {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -20,13 +20,13 @@
 	}
 	found := regexp.MustCompile(`(?m)^build *= *"(.*)"`).FindSubmatch(text)
 	if found == nil {
-		return "", errors.New("deploy/balancer.toml: no build line")
+		return "", errors.New("deploy/balancer.toml has no build command")
 	}
 	return string(found[1]), nil
 }
 
-// The fleet's bench loads a library into the daemon (LD_PRELOAD), which only the dynamic linker does: a daemon linked
-// statically starts without it and is played on no day.
+// The daemon must be dynamically linked. The platform's benchmark preloads a library into it (LD_PRELOAD), which only the
+// dynamic linker does: a statically linked daemon starts without the library and is never measured.
 func TestDaemonIsDynamicallyLinked(t *testing.T) {
 	file, err := elf.Open(program)
 	if err != nil {
@@ -34,10 +34,10 @@
 	}
 	defer loopback.Close(file)
 	if !slices.ContainsFunc(file.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		t.Error("the daemon names no dynamic linker (PT_INTERP): it is linked statically")
+		t.Error("the daemon has no dynamic linker entry (PT_INTERP), want a dynamically linked program")
 	}
 	libraries, err := file.ImportedLibraries()
 	if err != nil || !slices.Contains(libraries, "libc.so.6") {
-		t.Errorf("the daemon needs the libraries %v (%v); libc.so.6 is not among them", libraries, err)
+		t.Errorf("the daemon imports the libraries %v (error %v), want libc.so.6 among them", libraries, err)
 	}
 }
--- a/test/client_http_test.go
+++ b/test/client_http_test.go
@@ -14,7 +14,8 @@
 	"larchusher/signedurl"
 )
 
-// httpClient is a client of a gateway's signed front, whose tokens are good for so long.
+// httpClient returns a client of a gateway's signed front whose tokens are valid for the duration good, and the number of
+// tokens signed so far.
 func httpClient(t *testing.T, addr string, good time.Duration) (*lib.Client, *atomic.Int64) {
 	t.Helper()
 	issuer, err := signedurl.NewIssuer(signedKeys, "new")
@@ -35,49 +36,49 @@
 	return c, signed
 }
 
-// Over the signed front: parts, tags, keys, refusals with when to come back, and tokens that are no good.
+// The client library must report every kind of result of the signed front: a served part with its tag, an unchanged part,
+// a request with an idempotency key, a rejection with Retry-After, and an expired token.
 func TestHTTPClientOnSignedFront(t *testing.T) {
 	r, addr := signedRig(t, "")
 	c, _ := httpClient(t, addr, time.Minute)
 	ctx := context.Background()
 	got, err := c.Do(ctx, lib.Request{Class: "images", Object: object, Part: 3, Group: 17})
 	if err != nil || string(got.Body) != content(object, "3") || got.Tag != "tag-"+object || got.Tries != 1 {
-		t.Fatalf("%d bytes, tag %q, %d tries, %v", len(got.Body), got.Tag, got.Tries, err)
+		t.Fatalf("GET of a part: %d bytes, tag %q, %d tries, error %v; want the content and tag of the part in 1 try", len(got.Body), got.Tag, got.Tries, err)
 	}
 	r.setHandler(func(a *storeRequest) { a.Reply("KEEP", "why=warm,digest="+a.Fields["got"], "") })
 	if got, err = c.Do(ctx, lib.Request{Class: "images", Object: object, Part: 3, Have: "tag-" + object}); err != nil || !got.Unchanged {
-		t.Errorf("unchanged %v, %v", got.Unchanged, err)
+		t.Errorf("request with a current tag: unchanged %v, error %v; want true and no error", got.Unchanged, err)
 	}
 	r.setHandler(serveHit)
 	if _, err = c.Do(ctx, lib.Request{Class: "orders", Object: object, Body: []byte("move")}); err != nil {
-		t.Error(err)
+		t.Error("request of class orders failed: ", err)
 	}
 	turns := 0
 	for _, a := range r.storeRequests(object) {
 		if a.Fields["lane"] == "orders" {
 			if turns++; a.Fields["dedupe"] == "" || a.Body != "move" {
-				t.Errorf("the store saw %v %q", a.Fields, a.Body)
+				t.Errorf("the store received fields %v and body %q, want an idempotency key and the body \"move\"", a.Fields, a.Body)
 			}
 		}
 	}
 	if turns != 1 {
-		t.Errorf("%d turns were sent", turns)
+		t.Errorf("the stores received %d requests of class orders, want 1", turns)
 	}
 	for _, s := range r.stores {
 		s.Close()
 	}
 	var refused *lib.RefusedError
 	if _, err = c.Do(ctx, lib.Request{Class: "films", Object: object}); !errors.As(err, &refused) || refused.Later <= 0 || !errors.Is(err, lib.ErrRefused) {
-		t.Errorf("refused: %v", err)
+		t.Errorf("with all stores down: error %v, want ErrRefused with a Retry-After above 0", err)
 	}
 	stale, _ := httpClient(t, addr, -time.Minute)
 	if _, err = stale.Do(ctx, lib.Request{Class: "images", Object: object}); !errors.Is(err, lib.ErrToken) || !errors.Is(err, lib.ErrFailed) {
-		t.Errorf("a token that ran out: %v", err)
+		t.Errorf("with an expired token: error %v, want ErrToken and ErrFailed", err)
 	}
 }
 
-// An object is read over its parts, goes on after one that could not be had, and may be read again; each part has a token
-// httpGet asks by an HTTP client. The body is the caller's to close.
+// httpGet sends a GET request with an HTTP client. The caller closes the body.
 func httpGet(t *testing.T, c *http.Client, url string) (*http.Response, error) {
 	t.Helper()
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, url, nil)
@@ -87,7 +88,9 @@
 	return c.Do(q)
 }
 
-// of its own, so that none runs out between two.
+// A reader of an object must return its parts in order, continue after a part that could not be fetched, and allow seeks.
+// Each part is requested with a token of its own, so that none expires between parts. The same client must work as an
+// http.RoundTripper.
 func TestObjectReaderResumesAfterFailedPart(t *testing.T) {
 	r, addr := signedRig(t, "")
 	c, signed := httpClient(t, addr, time.Minute)
@@ -107,11 +110,11 @@
 	want := content(object, "0") + content(object, "1") + content(object, "2") + content(object, "3")
 	first, err := io.ReadAll(o)
 	if err == nil || string(first) != want[:len(first)] || len(first) != len(content(object, "0"))*2 || !strings.Contains(err.Error(), "part 2") {
-		t.Fatalf("%d bytes, %v", len(first), err)
+		t.Fatalf("read with part 2 failing: %d bytes, error %v; want parts 0 and 1 and an error that names part 2", len(first), err)
 	}
 	broken.Store(false)
 	var rest []byte
-	for end := time.Now().Add(eventTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) { // the gateway said when to come back
+	for end := time.Now().Add(eventTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) { // the gateway rejects part 2 until its Retry-After has passed
 		more, err := io.ReadAll(o)
 		rest = append(rest, more...)
 		if err == nil {
@@ -119,24 +122,24 @@
 		}
 	}
 	if string(first)+string(rest) != want {
-		t.Errorf("%d bytes of %d", len(first)+len(rest), len(want))
+		t.Errorf("read %d bytes in all, want the %d bytes of the object", len(first)+len(rest), len(want))
 	}
 	if at, err := o.Seek(10, io.SeekStart); at != 10 || err != nil {
-		t.Errorf("%d, %v", at, err)
+		t.Errorf("Seek(10): position %d, error %v; want 10 and no error", at, err)
 	}
 	if b := make([]byte, 20); true {
 		if _, err := io.ReadFull(o, b); err != nil || string(b) != want[10:30] {
-			t.Errorf("%q, %v", b, err)
+			t.Errorf("read after the seek: %q, error %v; want bytes 10 to 30 of the object", b, err)
 		}
 	}
 	if _, err := o.Seek(1<<40, io.SeekStart); err == nil {
-		t.Error("a place that is not known")
+		t.Error("Seek beyond the object returned no error")
 	}
 	if err := o.Close(); err != nil || signed.Load() < 4 {
-		t.Errorf("%v, %d tokens", err, signed.Load())
+		t.Errorf("Close: error %v after %d signed tokens; want no error and at least 4 tokens", err, signed.Load())
 	}
 	if _, err := o.Read(make([]byte, 1)); err == nil {
-		t.Error("a closed object is read")
+		t.Error("Read after Close returned no error")
 	}
 	hc := &http.Client{Transport: &lib.RoundTripper{Client: c}}
 	resp, err := httpGet(t, hc, "http://any/images/"+object+"/3?shard=17")
@@ -145,13 +148,13 @@
 	}
 	defer func() { _ = resp.Body.Close() }() // read to its end
 	if b, _ := io.ReadAll(resp.Body); resp.StatusCode != 200 || string(b) != content(object, "3") || resp.Header.Get("ETag") == "" {
-		t.Errorf("%d, %d bytes", resp.StatusCode, len(b))
+		t.Errorf("GET through http.Client: status %d, %d bytes; want 200, the part and an ETag", resp.StatusCode, len(b))
 	}
 	nowhere, err := httpGet(t, hc, "http://any/nowhere")
 	if err == nil {
-		_ = nowhere.Body.Close() // the test fails below
+		_ = nowhere.Body.Close() // an answer fails the check below
 	}
 	if !errors.Is(err, lib.ErrRequest) {
-		t.Errorf("%v", err)
+		t.Errorf("GET of an invalid path: error %v, want ErrRequest", err)
 	}
 }
--- a/test/client_test.go
+++ b/test/client_test.go
@@ -24,10 +24,11 @@
 	"larchusher/lab/testbed"
 )
 
+// clientClasses are the classes of testbed.Settings as the client library's settings have them.
 var clientClasses = []lib.Class{{Name: "films", Worth: 2}, {Name: "images", Worth: 1},
 	{Name: "orders", Effect: lib.Keyed, Window: 3 * time.Second, Worth: 3}}
 
-// startPair starts two gateways, each with a relay before it.
+// startPair starts two gateways, each behind a fault proxy.
 func startPair(t *testing.T) (context.Context, [2]*testbed.Gateway, [2]*faultproxy.Proxy) {
 	t.Helper()
 	var ws [2]*testbed.Gateway
@@ -45,8 +46,8 @@
 	return ctx, ws, rs
 }
 
-// A gateway dies with a thousand requests open, of a thousand clients: they connect to its neighbour spread over two
-// seconds, and are served.
+// When a gateway dies with requests of hundreds of clients open, the clients must reconnect to the other gateway spread
+// over two seconds, without a peak, and be served there.
 func TestClientsSpreadReconnectsAfterGatewayDeath(t *testing.T) {
 	ctx, ws, rs := startPair(t)
 	pending := make(chan *storeRequest, 4000)
@@ -70,12 +71,12 @@
 			if err == nil {
 				served.Add(1)
 			} else if failed.Add(1) < 5 {
-				t.Logf("client %d: %v", i, err)
+				t.Logf("client %d failed: %v", i, err)
 			}
 		})
 	}
-	// Those that drew the first gateway hang there; the others are served at once.
-	eventually(t, "all clients have asked", func() bool { return len(rs[0].Requests())+len(rs[1].Requests()) >= n })
+	// Clients that chose the first gateway wait there without an answer; the others are served at once.
+	eventually(t, "all clients have sent their request", func() bool { return len(rs[0].Requests())+len(rs[1].Requests()) >= n })
 	open := len(rs[0].Requests())
 	before := len(rs[1].ConnectTimes())
 	died := time.Now()
@@ -91,21 +92,21 @@
 	}
 	for k, m := range tenths {
 		if float64(m) > 0.12*float64(len(late)) {
-			t.Errorf("%d of %d reconnects came in one tenth of a second, %d ms after the death", m, len(late), k*100)
+			t.Errorf("%d of %d reconnects came within one tenth of a second, %d ms after the death; want at most 12 %% in each", m, len(late), k*100)
 		}
 	}
 	if len(late) < open*9/10 || len(tenths) < 18 {
-		t.Errorf("%d of %d clients reconnected, in %d tenths of a second", len(late), open, len(tenths))
+		t.Errorf("%d of %d clients reconnected, in %d different tenths of a second; want at least 90 %% in at least 18", len(late), open, len(tenths))
 	}
 	if served.Load() < n*99/100 {
-		t.Errorf("%d of %d were served", served.Load(), n)
+		t.Errorf("%d of %d calls were served, want at least 99 %%", served.Load(), n)
 	}
 	for _, b := range (faultproxy.Rules{MaxTries: 3, DedupWindows: map[string]time.Duration{"orders": 3 * time.Second}}).Check(rs[:]...) {
 		t.Error(b)
 	}
 }
 
-// failOrDelayByID answers by the request's id: one in 4,096 breaks, one in 16 takes 50 ms.
+// failOrDelayByID answers a request depending on its id: one in 4,096 fails, one in 16 takes 50 ms.
 func failOrDelayByID(a *storeRequest) {
 	switch {
 	case a.ID[13:] == "000":
@@ -117,13 +118,14 @@
 	}
 }
 
-// callResults counts how calls ended.
+// callResults counts how calls ended. It is safe for concurrent use.
 type callResults struct {
 	served, others, late atomic.Int64
-	latest               atomic.Int64 // the most nanoseconds after the deadline that one ended
+	latest               atomic.Int64 // largest time from a deadline to the end of its call, in nanoseconds
 }
 
-// call makes a call with a second's time, and checks that it ends as one may.
+// call makes a call with a deadline of one second, counts its result, and reports a test error for a wrong body or an
+// error outside the documented kinds.
 func (e *callResults) call(ctx context.Context, t *testing.T, c *lib.Client, class, object string) {
 	call, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -142,16 +144,17 @@
 	case err == nil && string(r.Body) == content(object, "2"):
 		e.served.Add(1)
 	case err == nil:
-		t.Errorf("served with %.40q", r.Body)
+		t.Errorf("call served with the wrong body %.40q", r.Body)
 	case errors.Is(err, lib.ErrRefused), errors.Is(err, lib.ErrFailed), errors.Is(err, lib.ErrUnknown),
 		errors.Is(err, lib.ErrExpired), errors.Is(err, lib.ErrUnsent):
 		e.others.Add(1)
 	default:
-		t.Errorf("%v", err)
+		t.Errorf("call ended with an undocumented error: %v", err)
 	}
 }
 
-// Through cut connections, split answers and a gateway that is deaf: each call ends once and in time, and the rules are kept.
+// With closed connections, split answers and an unresponsive gateway, each call must end within its deadline (50 ms of
+// tolerance), and the client must keep the retry rules.
 func TestRetryRulesHoldUnderFaults(t *testing.T) {
 	ctx, ws, rs := startPair(t)
 	for _, w := range ws {
@@ -185,15 +188,15 @@
 	}
 	all.Wait()
 	if ends.late.Load() > 0 || ends.served.Load() < 2000*int64(long) {
-		t.Errorf("%d ended late, %d were served, %d not: %v", ends.late.Load(), ends.served.Load(), ends.others.Load(), c.Counters())
+		t.Errorf("%d calls ended late, %d were served, %d failed; want 0 late and at least half served. Counters: %v", ends.late.Load(), ends.served.Load(), ends.others.Load(), c.Counters())
 	}
 	for _, b := range (faultproxy.Rules{MaxTries: 4, DedupWindows: map[string]time.Duration{"orders": 3 * time.Second}}).Check(rs[:]...) {
 		t.Error(b)
 	}
-	t.Logf("%d served, %d not, the latest %v after its deadline, %v", ends.served.Load(), ends.others.Load(), time.Duration(ends.latest.Load()),
+	t.Logf("%d calls served, %d failed, the latest ended %v after its deadline; counters: %v", ends.served.Load(), ends.others.Load(), time.Duration(ends.latest.Load()),
 		c.Counters())
 	if n := c.Counters(); n["retries"] == 0 || n["deaths"] == 0 {
-		t.Errorf("nothing was tried again, or no gateway was left: %v", n)
+		t.Errorf("no retries or no gateway deaths were counted, want some of each: %v", n)
 	}
 	if err := c.Close(); err != nil {
 		t.Error(err)
@@ -201,26 +204,28 @@
 	waitForClientGoroutines(t)
 }
 
-// A gateway dies, its neighbour half a second later, and both come back: all is served within its deadline, the living see
-// no spike, and what retries there are keep the rules.
+// One gateway dies, a second one half a second later, and both come back. At least 97 % of the calls must be served,
+// within their deadlines, without a peak of reconnects at the third gateway, and retries must keep the rules.
 func TestTwoGatewayDeathsKeepDeadlines(t *testing.T) {
 	r := runFailover(t, failover.Config{Gateways: 3, Clients: 300, Every: 500 * time.Millisecond, Store: 100 * time.Millisecond,
 		Deaths: []failover.Death{{Gateway: 0, At: time.Second, Back: 3 * time.Second}, {Gateway: 1, At: 1500 * time.Millisecond, Back: 3500 * time.Millisecond}},
 		For:    5 * time.Second, Seed: 1})
 	if float64(r.Served) < 0.97*float64(r.Due) || r.PeakPart > 0.2 || r.Late > 50*time.Millisecond {
-		t.Errorf("%d of %d were served, %.2f of the connects came in one tenth of a second, the latest ended %v after its deadline: %v",
+		t.Errorf("%d of %d calls were served, %.2f of the connects came within one tenth of a second, the latest call ended %v after its deadline; want 97 %%, at most 0.20 and at most 50ms. Results: %v",
 			r.Served, r.Due, r.PeakPart, r.Late, r.Ended)
 	}
 }
 
-// Gateways that refuse everything see hardly more than is asked for, and nobody comes back before they said.
+// When gateways reject everything, clients must make at most 10 % more tries than calls, and none before the Retry-After
+// that a gateway sent has passed.
 func TestClientsHonourRetryAfter(t *testing.T) {
 	r := runFailover(t, failover.Config{Gateways: 2, Clients: 30, Every: 50 * time.Millisecond, Refuse: true, For: 3 * time.Second, Seed: 1})
 	if r.Ended["refused"] != r.Calls || r.Calls < 1000 || float64(r.Tries) > 1.1*float64(r.Calls) || r.Early > 0 {
-		t.Errorf("%d calls made %d tries, %d of them too early: %v", r.Calls, r.Tries, r.Early, r.Ended)
+		t.Errorf("%d calls made %d tries, %d of them before Retry-After; want all of at least 1,000 calls rejected, at most 10 %% more tries, none early. Results: %v", r.Calls, r.Tries, r.Early, r.Ended)
 	}
 }
 
+// runFailover runs a failover scenario with the planned client and reports violations of the retry rules as test errors.
 func runFailover(t *testing.T, cfg failover.Config) *failover.Result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -236,7 +241,8 @@
 	return r
 }
 
-// Close while requests are open: each caller gets one error at once, and no goroutine is left.
+// Close with open calls must end each of them with ErrClosed at once and leave no goroutine. A call whose context is
+// cancelled before must return the context's error.
 func TestCloseFailsOpenCalls(t *testing.T) {
 	ctx, w := startTestbed(t, testbed.Config{Caches: 2, Pin: -1})
 	for _, s := range w.Stores {
@@ -253,7 +259,7 @@
 			errs <- err
 		}()
 	}
-	eventually(t, "all are out", func() bool { return c.Counters()["tries"] == 500 })
+	eventually(t, "500 requests were sent", func() bool { return c.Counters()["tries"] == 500 })
 	cancelled, cancel := context.WithCancel(ctx)
 	go func() {
 		_, err := c.Do(cancelled, lib.Request{Class: "films", Object: "00000000000000ff"})
@@ -261,23 +267,23 @@
 	}()
 	cancel()
 	if err := receive(t, errs); !errors.Is(err, context.Canceled) {
-		t.Errorf("cancelled: %v", err)
+		t.Errorf("cancelled call: error %v, want context.Canceled", err)
 	}
 	if err := c.Close(); err != nil {
 		t.Error(err)
 	}
 	for range 500 {
 		if err := receive(t, errs); !errors.Is(err, lib.ErrClosed) {
-			t.Errorf("closed: %v", err)
+			t.Errorf("call open at Close: error %v, want ErrClosed", err)
 		}
 	}
 	if _, err := c.Do(ctx, lib.Request{Class: "films", Object: "00000000000000ff"}); !errors.Is(err, lib.ErrClosed) {
-		t.Errorf("after the close: %v", err)
+		t.Errorf("call after Close: error %v, want ErrClosed", err)
 	}
 	waitForClientGoroutines(t)
 }
 
-// waitForClientGoroutines waits until no goroutine of a client is left. Those of fake servers are none of its business.
+// waitForClientGoroutines waits until no goroutine of package client is left. Goroutines of the fake servers may remain.
 func waitForClientGoroutines(t *testing.T) {
 	t.Helper()
 	eventually(t, "no goroutine of a client is left", func() bool {
--- a/test/cold_test.go
+++ b/test/cold_test.go
@@ -14,7 +14,7 @@
 	"larchusher/lab/testbed"
 )
 
-// The ramp of world.Settings.
+// The slow start in testbed.Settings.
 const (
 	slowStartInitialShare = 0.15
 	slowStartDuration     = 17 * time.Second
@@ -22,7 +22,8 @@
 	overloadWindow        = 2 * time.Second
 )
 
-// endpointsJSON words a list of stores, of which the cold ones started at a time.
+// endpointsJSON encodes the named stores as endpoints with one status and one start time: since, in Unix milliseconds,
+// where 0 means long ago.
 func endpointsJSON(stores map[string]*store, status string, since int64, names ...string) string {
 	var hosts []string
 	for _, n := range names {
@@ -31,7 +32,8 @@
 	return strings.Join(hosts, ",")
 }
 
-// storesWithReplacements makes stores with two caches more, n1 and n2, that are to replace the others, and the list before that.
+// storesWithReplacements starts the usual stores and two more caches, n1 and n2, that are to replace c1 and c2. It also
+// returns the endpoint list before the replacement.
 func storesWithReplacements(t *testing.T) (stores map[string]*store, before json.RawMessage) {
 	stores = newStores(t)
 	for _, n := range []string{"n1", "n2"} {
@@ -41,7 +43,8 @@
 		endpointsJSON(stores, "SERVING", 0, "c1", "c2", "p", "o") + `]}}]}`)
 }
 
-// settingsWith is world.Settings with other values for some of its top keys; nil takes one away.
+// settingsWith returns testbed.Settings with some top-level keys changed: an object is merged into the present one, nil
+// removes the key, and any other value replaces it.
 func settingsWith(t *testing.T, change map[string]any) json.RawMessage {
 	t.Helper()
 	var all map[string]any
@@ -66,7 +69,7 @@
 	return b
 }
 
-// seedSequence makes the seeds of processes, one after the other.
+// seedSequence returns a function that returns a different process seed with each call.
 func seedSequence() func() string {
 	n := uint64(0x8c1f30d27a5be964)
 	return func() string {
@@ -75,7 +78,8 @@
 	}
 }
 
-// generateLoad asks a gateway for objects, so many a second, until it is told to stop or the gateway ends. Nobody minds the answers.
+// generateLoad requests objects from the gateway at a rate of perSecond until stop is closed or the gateway exits.
+// Answers are discarded.
 func (r *rig) generateLoad(aSecond int, stop <-chan bool) {
 	c := r.client()
 	go func() { _, _ = io.Copy(io.Discard, c.conn) }()
@@ -96,8 +100,10 @@
 	}()
 }
 
-// checkColdBudget goes by a cold store's own record: in each window that begins with something sent, N is what the settings allow a
-// store of that capacity, which started then, and chance adds 2 roots of N, and 2.
+// checkColdBudget checks the requests that a cold store recorded. For each window of overloadWindow that begins with a
+// request, it computes the budget N that the settings allow a store of the given capacity (requests per second) after
+// that start, and reports a test error if more than N + 2*sqrt(N) + 2 arrived: the excess allows for chance. It returns
+// the requests sent and allowed in the worst window.
 func checkColdBudget(t *testing.T, s *store, start time.Time, capacity float64) (sent, allowed float64) {
 	t.Helper()
 	s.Lock()
@@ -119,15 +125,16 @@
 			worstExcess, sent, allowed = o, float64(n), budget
 		}
 	}
-	t.Logf("%s: %d in all; most over: %.0f in %v, %.1f allowed", s.Name, len(at), sent, overloadWindow, allowed)
+	t.Logf("%s: %d requests in all; worst window: %.0f in %v, budget %.1f", s.Name, len(at), sent, overloadWindow, allowed)
 	if worstExcess > 0 {
-		t.Errorf("%s was sent %.0f within %v, where %.1f, and %.1f by chance, are allowed", s.Name, sent, overloadWindow, allowed, 2*math.Sqrt(allowed)+2)
+		t.Errorf("%s received %.0f requests within %v, want at most the budget of %.1f plus %.1f for chance", s.Name, sent, overloadWindow, allowed, 2*math.Sqrt(allowed)+2)
 	}
 	return sent, allowed
 }
 
-// Twenty-four processes carry a load on two caches, which are replaced by two cold ones at once. A third of the processes
-// is killed in the middle, comes back, and knows nothing. The cold ones' own records are judged.
+// 24 gateways with load on two caches see both replaced by cold caches at the same time. A third of the gateways is killed
+// during the slow start and restarts without learned state. Together the gateways must stay within the budget of each
+// cold cache, as the cache's own record shows, and must use at least an eighth of it.
 func TestColdCacheBudgetAcrossRestartedGateways(t *testing.T) {
 	seed := seedSequence()
 	const processes, perSecond = 24, 12
@@ -154,9 +161,9 @@
 		}
 		return n
 	}
-	eventually(t, "the load is carried", func() bool { return requestCount() > processes*perSecond })
+	eventually(t, "the caches serve the load", func() bool { return requestCount() > processes*perSecond })
 	from, was := time.Now(), requestCount()
-	eventually(t, "it is seen what warm ones carry", func() bool { return time.Since(from) > 3*time.Second })
+	eventually(t, "3 s of load on the warm caches have been measured", func() bool { return time.Since(from) > 3*time.Second })
 	capacity := float64(requestCount()-was) / time.Since(from).Seconds() / 2
 
 	start := time.Now()
@@ -167,33 +174,33 @@
 	}
 	after := json.RawMessage(`{"pos":2,"entries":[{"pos":2,"hosts":{"index":2,"snapshot":true,"endpoints":[` +
 		endpointsJSON(stores, "SERVING", 0, "p", "o") + "," + endpointsJSON(stores, "SERVING", since, "n1", "n2") + `]}}]}`)
-	eventually(t, "time passes", func() bool { return time.Since(start) > 2*time.Second })
+	eventually(t, "2 s have passed since the replacement", func() bool { return time.Since(start) > 2*time.Second })
 	for _, r := range all[:processes/3] {
 		_ = r.cmd.Process.Kill()
-		t.Log("killed:", <-r.exited)
+		t.Log("killed a gateway:", <-r.exited)
 	}
 	for i := range processes / 3 {
 		startGateway(i, after)
 	}
-	eventually(t, "time passes", func() bool { return time.Since(start) > 7*time.Second })
+	eventually(t, "7 s have passed since the replacement", func() bool { return time.Since(start) > 7*time.Second })
 	for _, n := range []string{"n1", "n2"} {
 		most, allowed := checkColdBudget(t, stores[n], start, capacity)
 		if most < allowed/8 {
-			t.Errorf("%s was sent %.0f at most, where %.0f are allowed: it stands idle", n, most, allowed)
+			t.Errorf("%s received %.0f requests in its worst window with a budget of %.0f, want at least an eighth: the cache is idle", n, most, allowed)
 		}
 	}
 }
 
-// Twenty-four processes know what warm caches carry, which are replaced by cold ones. Each asks for one object, then for nothing,
-// and after four seconds everybody's clients want many objects in the same moment, and go on. Each process had one sending
-// saved up, which made twenty-four at each cold cache on top of what its budget gives.
+// 24 gateways know the capacity of warm caches, which are replaced by cold ones. Each gateway's clients request one object,
+// pause, and after four seconds request many objects at the same moment, eight times. Each gateway had saved up one
+// request of its budget during the pause, so that each cold cache got 24 requests more than its budget.
 func TestColdCacheBudgetUnderSimultaneousBursts(t *testing.T) {
 	seed := seedSequence()
 	const processes, perSecond = 24, 1
 	stores, warm := storesWithReplacements(t)
 	settings := func(i int) json.RawMessage {
 		return settingsWith(t, map[string]any{"balancers": processes, "position": i, "familyInfo": map[string]any{"countByZone": []int{0, processes},
-			"streamKbPerS": 190}}) // at which a body of the fake servers takes as long as a first guess has it
+			"streamKbPerS": 190}}) // at this rate a body of the fake servers takes as long as the gateway's initial estimate
 	}
 	stop := make(chan bool)
 	var all []*rig
@@ -217,7 +224,7 @@
 		}
 		return n
 	}
-	eventually(t, "it is seen what warm ones carry", func() bool { return requestsSinceStart() > 6*processes*perSecond })
+	eventually(t, "the warm caches have received 6 requests per gateway", func() bool { return requestsSinceStart() > 6*processes*perSecond })
 	capacity := float64(requestsSinceStart()) / time.Since(from).Seconds() / 2
 	close(stop)
 	start := time.Now()
@@ -225,7 +232,7 @@
 		r.journal.Publish(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+endpointsJSON(stores, "DELETED", 0, "c1", "c2")+","+
 			endpointsJSON(stores, "SERVING", start.UnixMilli(), "n1", "n2")+`]}`)
 	}
-	// wish has each gateway's clients ask for as many objects in one moment.
+	// sendBurst makes a new client of each gateway request that many new objects, all at the same moment.
 	serial := 0
 	sendBurst := func(objects int) {
 		var clients []*client
@@ -248,11 +255,11 @@
 		}
 	}
 	sendBurst(1)
-	eventually(t, "the quiet spell is over", func() bool { return time.Since(start) > 4*time.Second })
+	eventually(t, "the pause of 4 s is over", func() bool { return time.Since(start) > 4*time.Second })
 	for range 8 {
 		from := time.Now()
 		sendBurst(6)
-		eventually(t, "a part of the window is over", func() bool { return time.Since(from) > overloadWindow/8 })
+		eventually(t, "an eighth of the overload window is over", func() bool { return time.Since(from) > overloadWindow/8 })
 	}
 	sent := 0.0
 	for _, n := range []string{"n1", "n2"} {
@@ -260,12 +267,12 @@
 		sent += most
 	}
 	if sent == 0 {
-		t.Error("no cold cache was sent anything: it stands idle")
+		t.Error("the cold caches received no requests, want some")
 	}
 }
 
-// Twenty processes that know nothing, are told of no fleet, and have cold caches alone: the floors of all together stay
-// within what one cold cache bears. Each took a whole floor for its own.
+// 20 gateways without learned state, whose settings lack the number of gateways, have only cold caches. The minimum rates
+// of all gateways together must stay within the budget of one cold cache. Each gateway once used the whole minimum alone.
 func TestColdCacheBudgetWithoutGatewayCount(t *testing.T) {
 	seed := seedSequence()
 	const processes, perSecond, capacity = 20, 20, 8
@@ -281,12 +288,12 @@
 		r.config["settings"], r.initialEndpoints, r.config["seed"] = settings, known, seed()
 		r.start()
 		if !bytes.Contains([]byte(r.log.String()), []byte("settings.balancers is missing")) {
-			t.Error("nothing is said of the missing number")
+			t.Error("the log does not report that settings.balancers is missing")
 		}
 		r.generateLoad(perSecond, stop)
 	}
 	loaded := time.Now()
-	eventually(t, "time passes", func() bool { return time.Since(loaded) > 5*time.Second })
+	eventually(t, "5 s of load have passed", func() bool { return time.Since(loaded) > 5*time.Second })
 	for _, n := range []string{"c1", "c2"} {
 		checkColdBudget(t, stores[n], start, capacity)
 	}
--- a/test/rig_test.go
+++ b/test/rig_test.go
@@ -1,5 +1,5 @@
-// Package test starts the real program as a process, and speaks to it as clients, stores and the journal
-// service would.
+// Package test runs the gateway program as a process and talks to it as its clients, its stores and the journal service
+// do.
 package test
 
 import (
@@ -25,9 +25,10 @@
 	"larchusher/lab/testbed"
 )
 
-// eventTimeout is how long anything may take that is sure to come.
+// eventTimeout is how long a test waits for an event that must happen.
 const eventTimeout = 20 * time.Second
 
+// program is the path of the executable that TestMain has built.
 var program string
 
 func TestMain(m *testing.M) {
@@ -42,7 +43,7 @@
 	}
 	line = strings.NewReplacer("mkdir -p bin && ", "", "-o bin/", "-o "+program, "./cmd/...", "larchusher/cmd/larchusher").Replace(line)
 	if out, err := exec.CommandContext(context.Background(), "sh", "-c", line).CombinedOutput(); err != nil {
-		fmt.Fprintf(os.Stderr, "building: %v\n%s", err, out)
+		fmt.Fprintf(os.Stderr, "building the program failed: %v\n%s", err, out)
 		os.Exit(1)
 	}
 	code := m.Run()
@@ -50,30 +51,32 @@
 	os.Exit(code)
 }
 
-// anyCore has a program run on any core.
+// anyCore is the argument of Process.Start for a program that is not pinned to a core.
 const anyCore = -1
 
-// rig is the program with everything that it talks to.
+// rig is the program under test with its fake servers and configuration.
 type rig struct {
 	t                *testing.T
 	stores           map[string]*store
 	journal          *journal
-	addr             string
-	config           map[string]any
-	initialEndpoints json.RawMessage // the list at the start; nil: all stores, warm
-	path             string          // of the configuration
-	clientCount      int
-	args             []string
-	env              []string
-	program          string // empty: the one that was built
+	addr             string          // address of the platform front
+	config           map[string]any  // written as JSON by writeConfig
+	initialEndpoints json.RawMessage // endpoint list in the configuration; nil: all stores, serving and warm
+	path             string          // path of the configuration file; empty until it is written
+	clientCount      int             // clients created so far
+	args             []string        // arguments of the program
+	env              []string        // added to its environment
+	program          string          // executable to run; empty: the one that TestMain built
 	cmd              *exec.Cmd
 	log              *testbed.Log
-	exited           <-chan error
+	exited           <-chan error // receives how the program exited; see Process.Exited
 }
 
-// newRig makes caches c1 and c2, a parent p and the origin o, and does not start the program yet.
+// newRig creates the caches c1 and c2, the parent p and the origin o, and a rig that uses them. It does not start the
+// program.
 func newRig(t *testing.T) *rig { return newRigWithStores(t, newStores(t)) }
 
+// newStores starts the fake stores of newRig, by name. They are closed at the end of the test.
 func newStores(t *testing.T) map[string]*store {
 	stores := map[string]*store{}
 	for name, kind := range map[string]string{"c1": "box", "c2": "box", "p": "parent", "o": "origin"} {
@@ -82,7 +85,7 @@
 	return stores
 }
 
-// newRigWithStores is newRig among stores that others use, too.
+// newRigWithStores creates a rig that uses the given stores, which other rigs may use too.
 func newRigWithStores(t *testing.T, stores map[string]*store) *rig {
 	r := &rig{t: t, stores: stores, journal: newJournal(t), addr: freeAddr(t), log: &testbed.Log{}}
 	r.config = map[string]any{"name": "n0", "listen": r.addr, "seed": "8c1f30d27a5be964", "journal": r.journal.Addr,
@@ -91,12 +94,12 @@
 	return r
 }
 
-// endpointJSON words a store for the journal.
+// endpointJSON encodes a store with a status as an endpoint of a journal event.
 func (r *rig) endpointJSON(name, status string) string {
 	return testbed.EndpointJSON(r.stores[name], status)
 }
 
-// writeConfig writes the configuration to its file.
+// writeConfig writes the configuration to its file, which it creates the first time.
 func (r *rig) writeConfig() {
 	r.t.Helper()
 	data, err := json.Marshal(r.config)
@@ -119,7 +122,7 @@
 	}
 }
 
-// start starts the program and waits until it serves.
+// start writes the configuration, starts the program, and waits until it serves and is connected to the journal.
 func (r *rig) start() *rig {
 	r.t.Helper()
 	if r.config["known"] = r.initialEndpoints; r.initialEndpoints == nil {
@@ -132,7 +135,8 @@
 	return r
 }
 
-// startProcess starts the program on the configuration that is written.
+// startProcess starts the program with the configuration file as it is, and does not wait until it serves. At the end of
+// the test it stops the program, prints its log if the test has failed, and fails the test if the log shows a panic.
 func (r *rig) startProcess() {
 	r.t.Helper()
 	p := testbed.NewProcess(cmp.Or(r.program, program), r.args, append([]string{"BALANCER_CONFIG=" + r.path, "BALANCER_NAME=n0"}, r.env...))
@@ -144,15 +148,15 @@
 	r.t.Cleanup(func() {
 		p.Stop()
 		if text := log.String(); strings.Contains(text, "panic") && !strings.Contains(text, "panics=0") || r.t.Failed() {
-			r.t.Errorf("its log:\n%s", text)
+			r.t.Errorf("log of the program, of a failed test or with a panic:\n%s", text)
 		}
 	})
 }
 
-// waitForLog waits until the log has a line with the text, and returns it.
+// waitForLog waits until a line of the program's log contains the text, and returns the first such line.
 func (r *rig) waitForLog(text string) (line string) {
 	r.t.Helper()
-	eventually(r.t, "the log says "+text, func() bool {
+	eventually(r.t, "the log contains "+text, func() bool {
 		for l := range strings.SplitSeq(r.log.String(), "\n") {
 			if strings.Contains(l, text) {
 				line = l
@@ -164,7 +168,8 @@
 	return line
 }
 
-// counter asks for the counters and returns one.
+// counter has the program log its counters and returns the one with the given name, or 0 if there is none. It empties
+// the log first.
 func (r *rig) counter(name string) int {
 	r.t.Helper()
 	r.log.Reset()
@@ -181,27 +186,29 @@
 	return 0
 }
 
-// receive takes what must come on a channel.
+// receive returns the next value from a channel, and fails the test if none arrives within eventTimeout.
 func receive[T any](t *testing.T, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(eventTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("no value arrived on the channel in time")
 	}
 	return v
 }
 
-// eventually waits for what must come.
+// eventually polls until the function holds returns true, and fails the test if it has not within eventTimeout. The
+// condition names in the failure what was waited for.
 func eventually(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(eventTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("it never came that %s", condition)
+			t.Fatalf("timed out waiting for the condition: %s", condition)
 		}
 	}
 }
 
+// freeAddr returns a loopback address that no listener uses.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	addr, err := testbed.FreeAddr()
@@ -211,7 +218,7 @@
 	return addr
 }
 
-// The fake servers are those of the lab.
+// Short names for the fake servers of package fakeserver.
 type (
 	store        = fakeserver.Store
 	storeRequest = fakeserver.Request
@@ -222,6 +229,7 @@
 func content(object, part string) string { return fakeserver.Content(object, part) }
 func serveHit(a *storeRequest)           { fakeserver.ServeHit(a) }
 
+// newStore starts a fake store that is closed at the end of the test.
 func newStore(t *testing.T, name, kind string) *store {
 	s, err := fakeserver.NewStore(name, kind, fakeserver.Loopback)
 	if err != nil {
@@ -231,6 +239,7 @@
 	return s
 }
 
+// newJournal starts a fake journal service that is closed at the end of the test.
 func newJournal(t *testing.T) *journal {
 	j, err := fakeserver.NewJournal(fakeserver.Loopback)
 	if err != nil {
@@ -240,14 +249,14 @@
 	return j
 }
 
-// setHandler sets how all stores answer.
+// setHandler sets the function by which all stores answer.
 func (r *rig) setHandler(answer func(*storeRequest)) {
 	for _, s := range r.stores {
 		s.SetHandler(answer)
 	}
 }
 
-// storeRequests are what all stores were asked so far; of the object, if one is named.
+// storeRequests returns the requests that all stores have received so far, for one object or, if it is empty, for all.
 func (r *rig) storeRequests(object string) (all []*storeRequest) {
 	for _, s := range r.stores {
 		s.Lock()
@@ -261,7 +270,7 @@
 	return all
 }
 
-// sumStores adds up a count of the stores.
+// sumStores sums a count over all stores, each read under the store's lock.
 func (r *rig) sumStores(of func(*store) int) (n int) {
 	for _, s := range r.stores {
 		s.Lock()
@@ -271,15 +280,16 @@
 	return n
 }
 
-// client is a client of the tests.
+// client is a client on one connection of the platform front. It is used by one goroutine at a time.
 type client struct {
 	t    *testing.T
 	conn net.Conn
 	r    *bufio.Reader
-	id   int
-	txn  int
+	id   int // message id of the latest request
+	txn  int // number in the txn field of the latest request
 }
 
+// client connects a new client. The connection is closed at the end of the test.
 func (r *rig) client() *client {
 	r.t.Helper()
 	conn, err := loopback.Dial(r.addr)
@@ -287,12 +297,14 @@
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { loopback.Close(conn) })
-	r.clientCount++ // no two clients use one txn
+	r.clientCount++ // disjoint ranges: no two clients send the same txn
 	return &client{t: r.t, conn: conn, r: bufio.NewReader(conn), txn: (r.clientCount - 1) << 16}
 }
 
+// packString encodes a MessagePack string of up to 255 bytes.
 func packString(s string) []byte { return append([]byte{0xd9, byte(len(s))}, s...) }
 
+// packFields encodes a MessagePack map of at most 15 entries from alternating names and values.
 func packFields(fields []string) []byte {
 	b := []byte{0x80 | byte(len(fields)/2)}
 	for _, f := range fields {
@@ -301,7 +313,8 @@
 	return b
 }
 
-// send sends a request and returns its message id. The fields are names and values.
+// send sends a request for part 3 of an object and returns its message id. The limit is the client's time limit; fields
+// are additional names and values, alternating.
 func (c *client) send(class, object string, limit time.Duration, body string, fields ...string) int {
 	c.t.Helper()
 	c.txn++
@@ -309,7 +322,7 @@
 	return c.id
 }
 
-// encodeRequest words a request with the next message id.
+// encodeRequest encodes a request with the next message id. It does not advance the transaction number txn.
 func (c *client) encodeRequest(class, object string, limit time.Duration, body string, fields ...string) []byte {
 	c.id++
 	fields = append(fields, "txn", fmt.Sprintf("%08x%08x", os.Getpid(), c.txn), "limit", strconv.FormatInt(limit.Milliseconds(), 10),
@@ -319,6 +332,7 @@
 	return append(binary.BigEndian.AppendUint32(append(b, 0xc6), uint32(len(body))), body...)
 }
 
+// write sends raw bytes.
 func (c *client) write(b []byte) {
 	c.t.Helper()
 	if _, err := c.conn.Write(b); err != nil {
@@ -326,22 +340,22 @@
 	}
 }
 
-// answer is one response.
+// answer is a response of the gateway to a client.
 type answer struct {
 	id      int
-	err     string // word of the error; "" means served
+	err     string // name of the error, such as Backoff or Lost; empty: served
 	body    string
-	boolean bool
-	fields  map[string]string
+	boolean bool              // result of a health check (alive)
+	fields  map[string]string // further fields of the response
 }
 
-// readAnswer reads the next response.
+// readAnswer reads the next response, and fails the test if none arrives within eventTimeout.
 func (c *client) readAnswer() answer {
 	c.t.Helper()
 	_ = c.conn.SetReadDeadline(time.Now().Add(eventTimeout))
 	v, err := unpack(c.r)
 	if err != nil {
-		c.t.Fatal("reading an answer: ", err)
+		c.t.Fatal("reading an answer failed: ", err)
 	}
 	m := v.([]any)
 	a := answer{id: m[1].(int)}
@@ -356,16 +370,17 @@
 	return a
 }
 
-// expectClosed waits until the other side closes, and fails on anything that comes before.
+// expectClosed waits until the gateway closes the connection, and fails the test if it sends a byte first or does not
+// close within eventTimeout.
 func (c *client) expectClosed() {
 	c.t.Helper()
 	_ = c.conn.SetReadDeadline(time.Now().Add(eventTimeout))
 	if b, err := c.r.ReadByte(); err == nil || os.IsTimeout(err) {
-		c.t.Fatalf("the connection is open: %#x %v", b, err)
+		c.t.Fatalf("got byte %#x and error %v, want the connection to be closed without data", b, err)
 	}
 }
 
-// unpack reads one MessagePack value, of the kinds that answers have.
+// unpack reads one MessagePack value of the kinds that answers contain. It fails on other kinds.
 func unpack(r *bufio.Reader) (any, error) {
 	b, err := r.ReadByte()
 	if err != nil {
@@ -418,10 +433,11 @@
 	case b == 0xd9:
 		return text(num(1))
 	}
-	return nil, fmt.Errorf("byte %#x", b)
+	return nil, fmt.Errorf("unexpected MessagePack type byte %#x", b)
 }
 
-// startExpectingError starts the program on a configuration that it must refuse, and returns what it says.
+// startExpectingError runs the program with a configuration that it must reject, and returns its output. With
+// badEndpointList the endpoint list contains an unknown status.
 func (r *rig) startExpectingError(badEndpointList bool) string {
 	r.t.Helper()
 	r.config["known"] = map[string]any{"pos": 1}
@@ -433,7 +449,7 @@
 	cmd.Env = append(append(os.Environ(), "BALANCER_CONFIG="+r.path), r.env...)
 	out, err := cmd.CombinedOutput()
 	if err == nil {
-		r.t.Fatalf("it started: %s", out)
+		r.t.Fatalf("the program accepted an invalid configuration: %s", out)
 	}
 	return string(out)
 }
