--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -11,7 +11,7 @@
 	"larchusher/lab/testbed"
 )
 
-// testSettings are the test deployment's, as JSON objects that a test may change.
+// testSettings returns testbed.Settings as decoded JSON, which the test may change.
 func testSettings(t *testing.T) map[string]any {
 	t.Helper()
 	var s map[string]any
@@ -21,7 +21,7 @@
 	return s
 }
 
-// classesByName are the classes of settings by their names.
+// classesByName returns the classes in decoded settings by their names.
 func classesByName(s map[string]any) map[string]map[string]any {
 	all := map[string]map[string]any{}
 	for _, c := range s["classes"].([]any) {
@@ -31,17 +31,18 @@
 	return all
 }
 
-// reload has the program read its files again, and waits until it has taken them.
+// reload writes the configuration, sends SIGHUP and waits until the console counts a successful reload.
 func (r *rig) reload(console string) {
 	r.t.Helper()
 	before := r.consoleStats(console)["reload_success"]
 	r.writeConfig()
 	r.signal(syscall.SIGHUP)
-	eventually(r.t, "the new settings are taken", func() bool { return r.consoleStats(console)["reload_success"] == before+1 })
+	eventually(r.t, "the reload has succeeded", func() bool { return r.consoleStats(console)["reload_success"] == before+1 })
 }
 
-// A class that a reload brings is served by its own rules at once, one that it changes by the new ones, and one that it drops
-// for a while by the old ones. What is open keeps the rules by which it came: its store holds it across the reload.
+// After a reload, requests of new and changed classes must follow the new rules at once, and those of a removed class the
+// old rules for a while. A request that is open during the reload, because its store withholds the answer, keeps the rules
+// under which it arrived.
 func TestReloadedClassesApplyToNewRequests(t *testing.T) {
 	r := newRig(t)
 	console := r.withConsole()
@@ -49,7 +50,7 @@
 	pending := make(chan *storeRequest, 10)
 	r.setHandler(func(a *storeRequest) { pending <- a })
 	c := r.client()
-	c.send("images", object, 10*time.Second, "") // its class's deadline of 2.5 s bounds it
+	c.send("images", object, 10*time.Second, "") // bounded by the class's deadline of 2.5 s
 	first := receive(t, pending)
 
 	s := testSettings(t)
@@ -60,41 +61,41 @@
 	r.config["settings"] = s
 	r.reload(console)
 
-	first.Reply("BROKE", "-", "") // it may be repeated, by the rules by which it came
+	first.Reply("BROKE", "-", "") // may be retried under the rules of its arrival
 	serveHit(receive(t, pending))
 	if a := c.readAnswer(); a.err != "" {
-		t.Errorf("open across the reload: %+v", a)
+		t.Errorf("request open during the reload: answer %+v, want no error", a)
 	}
 	r.setHandler(serveHit)
 	for _, class := range []string{"maps", "images", "moves"} {
 		c.send(class, object, 2*time.Second, "")
 		if a := c.readAnswer(); a.err != "" {
-			t.Errorf("%s: %+v", class, a)
+			t.Errorf("class %s after the reload: answer %+v, want no error", class, a)
 		}
 	}
 	c.send("films", object, 2*time.Second, "")
 	if a := c.readAnswer(); a.err != "Lost" {
-		t.Errorf("films have a key now: %+v", a)
+		t.Errorf("film without an idempotency key, which films need after the reload: answer %+v, want error Lost", a)
 	}
-	// What may have run is not sent again, and not refused as harmless.
+	// An attempt that may have run is not retried, and the error does not allow the client to repeat it.
 	r.setHandler(func(a *storeRequest) { a.Reply("BROKE", "-", "") })
 	c.send("moves", "00000000000000aa", 2*time.Second, "")
 	if a := c.readAnswer(); a.err != "Lost" || len(r.storeRequests("00000000000000aa")) != 1 {
-		t.Errorf("after an error: %+v, sent %d times", a, len(r.storeRequests("00000000000000aa")))
+		t.Errorf("class moves after a store error: answer %+v, sent %d times; want error Lost, sent once", a, len(r.storeRequests("00000000000000aa")))
 	}
 	got := r.consoleStats(console)
 	for name, n := range map[string]int{"success.images": 2, "success.maps": 1, "success.moves": 1, "error.moves": 1, "error.films": 1} {
 		if got[name] != n {
-			t.Errorf("%s is %d, want %d", name, got[name], n)
+			t.Errorf("statistic %s: got %d, want %d", name, got[name], n)
 		}
 	}
-	eventually(t, "a dropped class ends", func() bool {
+	eventually(t, "requests of the removed class are rejected", func() bool {
 		c.send("images", object, time.Second, "")
 		return c.readAnswer().err == "Backoff"
 	})
 }
 
-// Fewer attempts hold for what comes from then on: what is open goes on by the old number.
+// A reload that lowers the number of attempts must apply to new requests only; open ones keep the old limit.
 func TestReloadedAttemptLimitAppliesToNewRequests(t *testing.T) {
 	r := newRig(t)
 	console := r.withConsole()
@@ -112,16 +113,17 @@
 	receive(t, pending).Reply("WAIT", "-", "")
 	serveHit(receive(t, pending))
 	if a := c.readAnswer(); a.err != "" || len(r.storeRequests(object)) != 3 {
-		t.Errorf("open across the reload: %+v, sent %d times", a, len(r.storeRequests(object)))
+		t.Errorf("request open during the reload: answer %+v, sent %d times; want no error, sent 3 times", a, len(r.storeRequests(object)))
 	}
 	c.send("films", "00000000000000bb", 5*time.Second, "")
 	receive(t, pending).Reply("WAIT", "-", "")
 	if a := c.readAnswer(); a.err != "Backoff" || len(r.storeRequests("00000000000000bb")) != 1 {
-		t.Errorf("with one attempt: %+v, sent %d times", a, len(r.storeRequests("00000000000000bb")))
+		t.Errorf("request limited to one attempt: answer %+v, sent %d times; want error Backoff, sent once", a, len(r.storeRequests("00000000000000bb")))
 	}
 }
 
-// Of a file that is at fault nothing is taken: neither its classes nor the journal's address. Each fault is named.
+// A reload of an invalid file must change nothing, neither classes nor the journal's address, and its log line must name
+// the fault.
 func TestInvalidReloadChangesNothing(t *testing.T) {
 	r := newRig(t)
 	console := r.withConsole()
@@ -140,11 +142,11 @@
 		{"a class without an effect", "effect", func(_, s map[string]any) { delete(classesByName(s)["films"], "effect") }},
 		{"a deadline of 0", "hardLimitMs", func(_, s map[string]any) { classesByName(s)["films"]["hardLimitMs"] = 0 }},
 		{"a negative deadline", "hardLimitMs", func(_, s map[string]any) { classesByName(s)["films"]["hardLimitMs"] = -5 }},
-		{"no deadline", "hardLimitMs", func(_, s map[string]any) { classesByName(s)["films"]["hardLimitMs"] = nil }},
-		{"a deadline in words", "hardLimitMs", func(_, s map[string]any) { classesByName(s)["films"]["hardLimitMs"] = "5000" }},
+		{"a null deadline", "hardLimitMs", func(_, s map[string]any) { classesByName(s)["films"]["hardLimitMs"] = nil }},
+		{"a deadline as text", "hardLimitMs", func(_, s map[string]any) { classesByName(s)["films"]["hardLimitMs"] = "5000" }},
 		{"no attempts", "sendCap", func(_, s map[string]any) { s["limits"].(map[string]any)["sendCap"] = 0 }},
 		{"negative attempts", "sendCap", func(_, s map[string]any) { s["limits"].(map[string]any)["sendCap"] = -1 }},
-		{"a class twice", "stands twice", func(_, s map[string]any) { classesByName(s)["films"]["name"] = "images" }},
+		{"duplicate class", "duplicate Name", func(_, s map[string]any) { classesByName(s)["films"]["name"] = "images" }},
 		{"no journal", "journal", func(c, _ map[string]any) { delete(c, "journal") }},
 		{"no name", "name", func(c, _ map[string]any) { delete(c, "name") }},
 	}
@@ -162,10 +164,10 @@
 		r.log.Reset()
 		r.signal(syscall.SIGHUP)
 		if line := r.waitForLog("msg=\"reload rejected\""); !strings.Contains(line, f.word) {
-			t.Errorf("%s: %s", f.name, line)
+			t.Errorf("%s: the log line does not contain the expected text: %s", f.name, line)
 		}
 		if got := r.consoleStats(console); got["reload_failure"] != i+1 || got["reload_success"] != 0 {
-			t.Errorf("%s: turned down %d, taken %d", f.name, got["reload_failure"], got["reload_success"])
+			t.Errorf("%s: %d reloads rejected, %d accepted; want one more rejected, none accepted", f.name, got["reload_failure"], got["reload_success"])
 		}
 	}
 	if err := os.WriteFile(r.path, nil, 0o600); err != nil {
@@ -177,11 +179,11 @@
 	c := r.client()
 	c.send("maps", object, 2*time.Second, "")
 	if a := c.readAnswer(); a.err == "" {
-		t.Error("a class of a faulty file is served")
+		t.Error("a class of an invalid file is served")
 	}
 	r.journal.Publish(2, `"expire":{"set":40,"stamp":1}`)
-	eventually(t, "the old journal is read", func() bool { return r.counter("journal_events") == 1 })
+	eventually(t, "the event of the unchanged journal has been processed", func() bool { return r.counter("journal_events") == 1 })
 	if n := r.counter("journal_connects"); n != 1 {
-		t.Errorf("%d connections to the journal", n)
+		t.Errorf("%d connections to the journal, want 1", n)
 	}
 }
