--- a/test/client_http_test.go
+++ b/test/client_http_test.go
@@ -52,7 +52,7 @@
 	}
 	r.setHandler(serveHit)
 	if _, err = c.Do(ctx, lib.Request{Class: "orders", Object: object, Body: []byte("move")}); err != nil {
-		t.Error("request of class orders failed: ", err)
+		t.Error(err)
 	}
 	turns := 0
 	for _, a := range r.storeRequests(object) {
--- a/test/crossing_test.go
+++ b/test/crossing_test.go
@@ -28,8 +28,8 @@
 	"larchusher/routing"
 )
 
-// inProcessGateway is the gateway within the test's own process, on real sockets: its poller and its loop can be held, so that
-// what happens beside them comes first, or last, for certain.
+// inProcessGateway is a gateway in the test's own process, on real sockets. A test can block its poller or its event loop
+// and so force the order of events that otherwise race.
 type inProcessGateway struct {
 	*rig
 	loop   *gateway.Loop
@@ -39,7 +39,8 @@
 	front  *msgpackrpc.Front
 }
 
-// newInProcessGateway starts one whose stores are those of a rig; change is made to them before they are listed.
+// newInProcessGateway starts a gateway with the stores of a rig, and stops it at the end of the test. If change is not nil,
+// it is applied to the rig before the stores are put on the endpoint list.
 func newInProcessGateway(t *testing.T, change func(*rig)) *inProcessGateway {
 	t.Helper()
 	r := &rig{t: t, stores: newStores(t)}
@@ -82,12 +83,12 @@
 	t.Cleanup(func() {
 		l.Close()
 		in.loop.Close()
-		go in.engine.Stop() // it waits for stores that are coming up, which close after this
+		go in.engine.Stop() // not waited for: Stop waits for store connections being established, which end after this
 	})
 	return in
 }
 
-// runOnLoop runs f on the loop and waits for it.
+// runOnLoop runs f on the event loop and waits until it has returned.
 func (in *inProcessGateway) runOnLoop(f func()) {
 	in.t.Helper()
 	done := make(chan bool)
@@ -95,14 +96,14 @@
 	receive(in.t, done)
 }
 
-// readOnLoop reads a number that lives on the loop.
+// readOnLoop calls a function on the event loop and returns its result: most counters may be read only there.
 func (in *inProcessGateway) readOnLoop(of func() uint64) (n uint64) {
 	in.t.Helper()
 	in.runOnLoop(func() { n = of() })
 	return n
 }
 
-// blockLoop has the loop do nothing until the function that it returns is called.
+// blockLoop blocks the event loop until the returned function is called, which may be more than once.
 func (in *inProcessGateway) blockLoop() (release func()) {
 	in.t.Helper()
 	blocked, unblock := make(chan bool), make(chan bool)
@@ -111,7 +112,8 @@
 	return sync.OnceFunc(func() { close(unblock) })
 }
 
-// blockPoller has nothing be read from any connection until the function that it returns is called.
+// blockPoller blocks the poller, so that no connection is read, until the returned function is called, which may be more
+// than once.
 func (in *inProcessGateway) blockPoller() (release func()) {
 	in.t.Helper()
 	blocked, unblock := make(chan bool), make(chan bool)
@@ -120,23 +122,23 @@
 	return sync.OnceFunc(func() { close(unblock) })
 }
 
-// waitForPoller waits until the poller has read what has come by now.
+// waitForPoller waits until the poller has read all bytes that have arrived so far.
 func (in *inProcessGateway) waitForPoller() {
 	in.t.Helper()
-	for range 2 { // what it heard of in the round before has been handed on
+	for range 2 { // the second round shows that the events of the first have been handled
 		done := make(chan bool)
 		in.engine.Barrier(func() { close(done) })
 		receive(in.t, done)
 	}
 }
 
-// connectStores has a connection to each store come up.
+// connectStores sends requests until the gateway has a connection to c1 and to c2.
 func (in *inProcessGateway) connectStores() {
 	in.t.Helper()
 	c := in.client()
 	for i := 0; ; i++ {
 		c.send("images", fmt.Sprintf("%016x", 0xf00+i), 5*time.Second, "")
-		_ = c.readAnswer() // a slow machine may have one refused
+		_ = c.readAnswer() // on a slow machine a request may be rejected
 		up := 0
 		for _, name := range []string{"c1", "c2"} {
 			s := in.stores[name]
@@ -148,21 +150,22 @@
 			break
 		}
 		if i > 200 {
-			in.t.Fatal("a store is never asked")
+			in.t.Fatal("after 200 requests a cache has no connection yet")
 		}
 	}
 	loopback.Close(c.conn)
 }
 
-// stalledStore is a store whose connections come up only once it is let: its queue of connections is full.
+// stalledStore is a store that accepts no connections until acceptConnections is called: its backlog is full.
 type stalledStore struct {
 	addr     string
 	file     *os.File // owns the listening socket
 	backlog  []net.Conn
-	requests chan []string // what was asked, on any connection
-	accepted chan bool     // connections of the gateway that came up
+	requests chan []string // commands received on any connection
+	accepted chan bool     // one value for each accepted connection of the gateway
 }
 
+// newStalledStore starts a store with a full backlog on an unused port. It is closed at the end of the test.
 func newStalledStore(t *testing.T) *stalledStore {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -181,7 +184,7 @@
 	}
 	s := &stalledStore{addr: fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port), file: os.NewFile(uintptr(fd), "late"),
 		requests: make(chan []string, 100), accepted: make(chan bool, 100)}
-	for { // until one does not come up
+	for { // until the backlog is full and a connection times out
 		c, err := loopback.DialTimeout(s.addr, 200*time.Millisecond)
 		if err != nil {
 			break
@@ -197,7 +200,8 @@
 	return s
 }
 
-// acceptConnections lets connections come up: the kernel asks again for one that waits, a second after it first did, or three.
+// acceptConnections accepts the waiting connections and all later ones. The kernel retries a connection that found the
+// backlog full one and three seconds after its first attempt.
 func (s *stalledStore) acceptConnections(t *testing.T) {
 	t.Helper()
 	l, err := net.FileListener(s.file)
@@ -230,8 +234,8 @@
 	}()
 }
 
-// A client that leaves while the connection to its store comes up: that is known to the kernel alone, since the poller
-// is held. The attempt was written.
+// A client disconnects while the connection to its store is being established, and only the kernel knows, because the
+// poller is blocked. No attempt may be written for it; one was.
 func TestNoAttemptForClientGoneDuringDial(t *testing.T) {
 	var late []*stalledStore
 	in := newInProcessGateway(t, func(r *rig) {
@@ -243,23 +247,23 @@
 	})
 	c := in.client()
 	c.send("films", object, 5*time.Second, "")
-	eventually(t, "the store is dialled", func() bool { return in.readOnLoop(func() uint64 { return in.pool.Counters.ConnectsStarted }) == 1 })
+	eventually(t, "a store is dialled", func() bool { return in.readOnLoop(func() uint64 { return in.pool.Counters.ConnectsStarted }) == 1 })
 	release := in.blockPoller()
 	defer release()
 	loopback.Close(c.conn)
 	for _, s := range late {
 		s.acceptConnections(t)
 	}
-	eventually(t, "its request is found deserted", func() bool { return in.readOnLoop(func() uint64 { return in.gw.Counters.GoneBeforeWrite }) == 1 })
+	eventually(t, "the gateway has found that the client is gone before the write", func() bool { return in.readOnLoop(func() uint64 { return in.gw.Counters.GoneBeforeWrite }) == 1 })
 	release()
-	eventually(t, "the client has left", func() bool { return in.engine.Closed.Load() == 1 })
+	eventually(t, "the client's connection is closed", func() bool { return in.engine.Closed.Load() == 1 })
 	if n := in.readOnLoop(func() uint64 { return in.pool.Counters.Written }); n != 0 || len(late[0].requests)+len(late[1].requests) != 0 {
-		t.Errorf("%d attempts were written for nobody", n)
+		t.Errorf("%d attempts were written for a departed client, want 0", n)
 	}
 }
 
-// A client that cancels while the connection to its store comes up, the loop being busy: the word of the connection lies
-// before that of the client. The attempt was written.
+// A client cancels while the connection to its store is being established and the loop is busy, so that the loop handles
+// the new connection before the cancel. No attempt may be written for the request; one was.
 func TestNoAttemptForRequestCancelledDuringDial(t *testing.T) {
 	var late []*stalledStore
 	in := newInProcessGateway(t, func(r *rig) {
@@ -271,30 +275,30 @@
 	})
 	c := in.client()
 	id := c.send("films", object, 5*time.Second, "")
-	eventually(t, "the store is dialled", func() bool { return in.readOnLoop(func() uint64 { return in.pool.Counters.ConnectsStarted }) == 1 })
+	eventually(t, "a store is dialled", func() bool { return in.readOnLoop(func() uint64 { return in.pool.Counters.ConnectsStarted }) == 1 })
 	release := in.blockLoop()
 	defer release()
 	opened := in.engine.Opened.Load()
 	for _, s := range late {
 		s.acceptConnections(t)
 	}
-	eventually(t, "the connection is up", func() bool { return in.engine.Opened.Load() > opened })
+	eventually(t, "the store connection is established", func() bool { return in.engine.Opened.Load() > opened })
 	in.waitForPoller()
 	c.cancel(id)
 	in.waitForPoller()
 	release()
-	eventually(t, "its request is over", func() bool { return in.readOnLoop(func() uint64 { return in.gw.Counters.ClientsGone }) == 1 })
+	eventually(t, "the request has ended as abandoned by its client", func() bool { return in.readOnLoop(func() uint64 { return in.gw.Counters.ClientsGone }) == 1 })
 	if n := in.readOnLoop(func() uint64 { return in.pool.Counters.Written }); n != 0 {
-		t.Errorf("%d attempts were written for nobody", n)
+		t.Errorf("%d attempts were written for a departed client, want 0", n)
 	}
-	c.send("images", object, time.Second, "") // the connection goes on
+	c.send("images", object, time.Second, "") // the connection is still usable
 	if a := c.readAnswer(); a.err == "" {
-		t.Errorf("stores that say nothing served %+v", a)
+		t.Errorf("request to stores that do not answer: answer %+v, want an error", a)
 	}
 }
 
-// A client that leaves in the moment in which its first attempt has failed: the next one follows at once, and the word
-// of the client comes after. It was written.
+// A client disconnects or cancels just after its first attempt has failed, and the loop handles the failure first, so that
+// a retry is due before the loop knows that the client left. No retry may be written; one was.
 func TestNoRetryForDepartedClient(t *testing.T) {
 	for _, leave := range []func(c *client, id int){func(c *client, _ int) { loopback.Close(c.conn) }, func(c *client, id int) { c.cancel(id) }} {
 		in := newInProcessGateway(t, nil)
@@ -311,15 +315,15 @@
 		leave(c, id)
 		in.waitForPoller()
 		release()
-		eventually(t, "its request is over", func() bool { return in.readOnLoop(func() uint64 { return in.gw.Counters.ClientsGone }) == 1 })
+		eventually(t, "the request has ended as abandoned by its client", func() bool { return in.readOnLoop(func() uint64 { return in.gw.Counters.ClientsGone }) == 1 })
 		if n := in.readOnLoop(func() uint64 { return in.pool.Counters.Written }) - before; n != 1 {
-			t.Errorf("%d attempts, of which the first alone had a client", n)
+			t.Errorf("%d attempts were written, want 1: the client left before the retry", n)
 		}
 	}
 }
 
-// What was written for a client that leaves is given up at its store at once, and what waits to be written to it is
-// forgotten.
+// When a client disconnects, its open attempts must be cancelled at the stores at once, and answers waiting to be written
+// to it must be discarded.
 func TestClientDisconnectAbandonsAttemptsAndAnswers(t *testing.T) {
 	in := newInProcessGateway(t, nil)
 	pending := make(chan *storeRequest, 10)
@@ -328,13 +332,13 @@
 	c.send("films", object, 5*time.Second, "")
 	a := receive(t, pending)
 	loopback.Close(c.conn)
-	eventually(t, "the store is told", func() bool {
+	eventually(t, "the store has received the cancel", func() bool {
 		a.Store.Lock()
 		defer a.Store.Unlock()
 		return len(a.Store.Quits) == 1 && a.Store.Quits[0] == a.ID
 	})
 	if n := in.readOnLoop(func() uint64 { return uint64(in.gw.OpenRequests()) }); n != 0 {
-		t.Errorf("%d requests are open", n)
+		t.Errorf("%d requests are open after the client left, want 0", n)
 	}
 
 	in.rig.setHandler(func(a *storeRequest) { a.Serve("warm", fakeserver.ContentOfSize(object, "3", 240_000)) })
@@ -342,25 +346,25 @@
 	if err := c.conn.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
 		t.Fatal(err)
 	}
-	for range 20 { // more than the kernel takes
+	for range 20 { // more than the kernel buffers
 		c.send("films", object, 5*time.Second, "")
 	}
 	memory := func() uint64 { return uint64(in.gw.LoadStats().AnswerBytes) }
-	eventually(t, "answers wait", func() bool { return in.readOnLoop(memory) > 1<<20 })
+	eventually(t, "more than 1 MiB of answers wait for the client", func() bool { return in.readOnLoop(memory) > 1<<20 })
 	loopback.Close(c.conn)
-	eventually(t, "they are forgotten", func() bool {
+	eventually(t, "the answers are discarded and no request is open", func() bool {
 		return in.readOnLoop(memory) == 0 && in.readOnLoop(func() uint64 { return uint64(in.gw.OpenRequests()) }) == 0
 	})
 }
 
-// A cancel that crosses the answer means nothing, also where its id is used again right behind it; one behind the
-// request that uses the id again means that one.
+// A cancel that arrives after the answer must be ignored, even if the next request reuses the message id. A cancel that
+// follows a request with a reused id must cancel that request.
 func TestCancelWithReusedMessageID(t *testing.T) {
 	in := newInProcessGateway(t, nil)
 	c := in.client()
 	id := c.send("images", object, 5*time.Second, "")
 	if a := c.readAnswer(); a.err != "" {
-		t.Fatalf("%+v", a)
+		t.Fatalf("first request: answer %+v, want no error", a)
 	}
 	release := in.blockLoop()
 	c.cancel(id)
@@ -369,7 +373,7 @@
 	in.waitForPoller()
 	release()
 	if a := c.readAnswer(); a.err != "" || a.id != id {
-		t.Errorf("the request that uses the id again: %+v", a)
+		t.Errorf("request with a reused id after a late cancel: answer %+v, want no error", a)
 	}
 	before := len(in.storeRequests(""))
 	release = in.blockLoop()
@@ -380,15 +384,15 @@
 	release()
 	c.send("images", object, 5*time.Second, "")
 	if a := c.readAnswer(); a.id != id+1 || a.err != "" {
-		t.Errorf("%+v", a)
+		t.Errorf("request after the cancelled one: answer %+v, want its own without an error", a)
 	}
 	if n := len(in.storeRequests("")) - before; n != 1 {
-		t.Errorf("%d attempts, one of them for a request that was cancelled", n)
+		t.Errorf("%d attempts, want 1: the other request was cancelled", n)
 	}
 }
 
-// A client that sends much at once and goes: it has left before the first of it is read. None of it is sent on, and
-// nothing is kept for it.
+// A client sends 500 requests at once and disconnects before the first one is read. None may be forwarded, and no state
+// may remain for the client.
 func TestBurstFromDepartedClientIsDropped(t *testing.T) {
 	in := newInProcessGateway(t, nil)
 	in.connectStores()
@@ -396,7 +400,7 @@
 	release := in.blockPoller()
 	defer release()
 	c := in.client()
-	eventually(t, "it is accepted", func() bool { return in.engine.Opened.Load() >= 4 }) // two stores, the client of warm, this one
+	eventually(t, "the client's connection is accepted", func() bool { return in.engine.Opened.Load() >= 4 }) // two stores, the client of connectStores, this client
 	var all []byte
 	for i := range 500 {
 		c.txn++
@@ -405,22 +409,23 @@
 	c.write(all)
 	loopback.Close(c.conn)
 	release()
-	eventually(t, "it has left", func() bool { return in.engine.Opened.Load()-in.engine.Closed.Load() == 2 })
+	eventually(t, "only the two store connections are open", func() bool { return in.engine.Opened.Load()-in.engine.Closed.Load() == 2 })
 	in.waitForPoller()
-	eventually(t, "nothing is open", func() bool { return in.readOnLoop(func() uint64 { return uint64(in.gw.OpenRequests()) }) == 0 })
+	eventually(t, "no request is open", func() bool { return in.readOnLoop(func() uint64 { return uint64(in.gw.OpenRequests()) }) == 0 })
 	if n := in.readOnLoop(func() uint64 { return in.pool.Counters.Written }) - before; n != 0 {
-		t.Errorf("%d attempts were written for nobody", n)
+		t.Errorf("%d attempts were written for a departed client, want 0", n)
 	}
 	in.runOnLoop(func() {
 		if !in.front.Idle() {
-			t.Error("something is kept for it")
+			t.Error("the front still holds state for the departed client")
 		}
 	})
 }
 
-// A request with the id of one that is open, from another client: to stores they would be one request with two attempts
-// out. It is failed and not sent on; both were, 136 times in a short day of bad clients. One whose client has left and
-// asks anew, before the loop knows that, is served.
+// A client sends a request with the transaction id of another client's open request. To the stores they would be two
+// attempts of one request. The duplicate must fail and not be forwarded; both were, 136 times in a run of a short day with
+// faulty clients. A client that reconnects and repeats its request must be served, even if the loop does not know yet that
+// the first connection is closed.
 func TestDuplicateOfOpenRequestIsRejected(t *testing.T) {
 	in := newInProcessGateway(t, nil)
 	pending := make(chan *storeRequest, 10)
@@ -431,14 +436,14 @@
 	second.txn = first.txn - 1
 	second.send("films", object, 5*time.Second, "")
 	if got := second.readAnswer(); got.err != "Lost" {
-		t.Errorf("the copy: %+v", got)
+		t.Errorf("duplicate request: answer %+v, want error Lost", got)
 	}
 	serveHit(a)
 	if got := first.readAnswer(); got.err != "" {
-		t.Errorf("%+v", got)
+		t.Errorf("original request: answer %+v, want no error", got)
 	}
 	if n := len(in.storeRequests("")); n != 1 {
-		t.Errorf("%d attempts", n)
+		t.Errorf("the stores received %d attempts, want 1", n)
 	}
 
 	first.send("films", object, 5*time.Second, "")
@@ -452,12 +457,12 @@
 	in.waitForPoller()
 	release()
 	if got := second.readAnswer(); got.err != "" {
-		t.Errorf("asked anew: %+v", got)
+		t.Errorf("repeated request on a new connection: answer %+v, want no error", got)
 	}
 }
 
-// A request that was read before its connection ended, and that the loop comes to after that, belongs to nobody: its
-// client sees the end, and asks elsewhere. It was sent on.
+// A request is read before the gateway closes its connection, but the loop handles it after the close. It must be dropped,
+// because its client sees the close and repeats the request elsewhere. It was forwarded.
 func TestRequestReadBeforeCloseIsDropped(t *testing.T) {
 	in := newInProcessGateway(t, nil)
 	c := in.client()
@@ -472,18 +477,19 @@
 	close(unblock)
 	_ = c.conn.SetReadDeadline(time.Now().Add(eventTimeout))
 	if _, err := c.r.ReadByte(); err != io.EOF {
-		t.Errorf("the client sees %v in place of the end", err)
+		t.Errorf("the client reads error %v, want the end of the connection", err)
 	}
-	c.send("images", object, 5*time.Second, "") // behind the end
+	c.send("images", object, 5*time.Second, "") // after the close
 	in.waitForPoller()
 	loopback.Close(c.conn)
-	eventually(t, "the connection is closed", func() bool { return in.engine.Lingering() == 0 })
+	eventually(t, "no closed connection is waiting for its client", func() bool { return in.engine.Lingering() == 0 })
 	if n := in.readOnLoop(func() uint64 { return in.gw.Counters.Submitted }); n != 1 || len(in.storeRequests("")) != before {
-		t.Errorf("%d requests were taken in, %d sent on", n, len(in.storeRequests("")))
+		t.Errorf("%d requests were submitted, %d forwarded to stores in all; want 1, and none after the close", n, len(in.storeRequests("")))
 	}
 }
 
-// A connection that its store has closed while it was idle takes no request: it would look as if it may have run.
+// A store closes its idle connections just before a request is sent, and the poller has not noticed. The request must not
+// be sent on a closed connection: its attempt would count as one that may have run.
 func TestClosedIdleStoreConnectionIsNotUsed(t *testing.T) {
 	in := newInProcessGateway(t, nil)
 	in.connectStores()
@@ -497,18 +503,18 @@
 		in.gw.Submit(&gateway.Request{ID: "00000000000000aa", Class: "orders", Object: object, IdempotencyKey: "k", Part: 3, Admitted: true,
 			Deadline: time.Now().Add(3 * time.Second), Answer: func(a gateway.Answer) { answers <- a }})
 	})
-	eventually(t, "it is sent on", func() bool { return len(in.storeRequests(object)) == 1 })
+	eventually(t, "the request is forwarded", func() bool { return len(in.storeRequests(object)) == 1 })
 	release()
 	if a := receive(t, answers); a.Outcome != gateway.OutcomeServed {
-		t.Errorf("%+v", a)
+		t.Errorf("answer %+v, want the outcome served", a)
 	}
 	if n := in.readOnLoop(func() uint64 { return in.pool.Counters.ConnsLost }); n != 0 || len(in.storeRequests(object)) != 1 {
-		t.Errorf("%d connections broke with work out, %d attempts", n, len(in.storeRequests(object)))
+		t.Errorf("%d connections were lost with open attempts, %d attempts reached the stores; want 0 and 1", n, len(in.storeRequests(object)))
 	}
 }
 
-// An answer that comes a byte at a time and does not end holds up what shares its connection no longer than an answer
-// may take: that went on for as long as the bytes came.
+// An answer that arrives byte by byte without an end must time out after the time limit for an answer, because it blocks
+// the other attempts on its connection. It blocked them for as long as bytes kept arriving.
 func TestEndlessAnswerTimesOut(t *testing.T) {
 	in := newInProcessGateway(t, nil)
 	end, ended := make(chan bool), make(chan bool)
@@ -532,32 +538,34 @@
 	in.rig.setHandler(slow)
 	c := in.client()
 	c.send("films", object, 5*time.Second, "")
-	eventually(t, "it is asked for", func() bool { return len(in.storeRequests(object)) == 1 })
+	eventually(t, "the store has received the request", func() bool { return len(in.storeRequests(object)) == 1 })
 	in.rig.setHandler(serveHit)
 	receive(t, ended)
 	if a := c.readAnswer(); a.err != "" || a.body != content(object, "3") {
-		t.Errorf("%+v", a)
+		t.Errorf("request after the endless answer: answer %+v, want the content from another attempt", a)
 	}
 }
 
-// cancel gives a request up.
+// cancel sends a cancel for the request with a message id.
 func (c *client) cancel(id int) {
 	c.t.Helper()
 	c.write(append(append([]byte{0x93, 2}, packString("cancelRequest")...), 0x91, 0xcd, byte(id>>8), byte(id)))
 }
 
-// rawJournal is a journal service of which the test writes each byte.
+// rawJournal is a journal service whose replies are written by the test byte by byte.
 type rawJournal struct {
 	addr  string
 	l     net.Listener
-	conns chan *rawStream
+	conns chan *rawStream // receives each connection whose request has been read
 }
 
+// rawStream is one connection of a gateway to a rawJournal.
 type rawStream struct {
 	net.Conn
-	lastEventID string // its Last-Event-ID
+	lastEventID string // from the request; empty if it had none
 }
 
+// newRawJournal starts a journal service on an unused port. It is closed at the end of the test.
 func newRawJournal(t *testing.T) *rawJournal {
 	t.Helper()
 	l, err := loopback.Listen("127.0.0.1:0")
@@ -594,6 +602,7 @@
 	return j
 }
 
+// send writes text to the gateway.
 func (s *rawStream) send(t *testing.T, text string) {
 	t.Helper()
 	if _, err := io.WriteString(s, text); err != nil {
@@ -601,21 +610,23 @@
 	}
 }
 
+// eventStreamHeader is the HTTP response header of the journal's event stream.
 const eventStreamHeader = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
 
-// startWithJournal starts the program on a journal of the test's own.
+// startWithJournal starts the program with the given journal instead of the rig's.
 func (r *rig) startWithJournal(j *rawJournal) *rig {
 	r.config["journal"] = j.addr
-	r.journal.Connected <- "" // start waits for one
+	r.journal.Connected <- "" // start waits for a value from the rig's own journal
 	return r.start()
 }
 
-// statusEvent words an event by which a store drains.
+// statusEvent encodes a journal event, with its framing, that sets a store's status.
 func (r *rig) statusEvent(pos int, name, status string) string {
 	return fmt.Sprintf("id: %d\ndata: {\"pos\":%d,\"hosts\":{\"index\":%d,\"snapshot\":false,\"endpoints\":[%s]}}\n\n", pos, pos, pos, r.endpointJSON(name, status))
 }
 
-// sendContinuously has a client ask for new objects until it is told to stop, and gives what it found wrong.
+// sendContinuously sends requests for new objects, one after the other, until the returned function is called. Answers
+// are ignored.
 func (r *rig) sendContinuously() (stop func()) {
 	c := r.client()
 	end, done := make(chan bool), make(chan bool)
@@ -634,8 +645,9 @@
 	return func() { close(end); receive(r.t, done) }
 }
 
-// A watch that says nothing from its first moment, and stays open: what the journal has to tell counts as told all the
-// same. The gateway must come back in time for a drain that only its next watch tells, whose first word comes late.
+// A journal connection stays open but silent from the start, or stops in its header or first event. The gateway must
+// replace it within 5 s, because the journal regards its events as delivered, and must obey a drain that arrives on the next
+// connection.
 func TestSilentJournalWatchIsReplaced(t *testing.T) {
 	for _, head := range []string{"", eventStreamHeader, eventStreamHeader + "id: 2\ndata: {\"pos\":2,"} {
 		j := newRawJournal(t)
@@ -646,90 +658,90 @@
 		stop := r.sendContinuously()
 		second := receive(t, j.conns)
 		if took := time.Since(began); took > 5*time.Second {
-			t.Errorf("the next watch came after %v", took)
+			t.Errorf("the next journal connection came after %v, want at most 5s", took)
 		}
 		if second.lastEventID != "1" {
-			t.Errorf("it begins after %q", second.lastEventID)
+			t.Errorf("the next journal connection resumes after event %q, want 1", second.lastEventID)
 		}
 		second.send(t, eventStreamHeader+r.statusEvent(2, "c1", "DRAINING"))
 		told := time.Now()
-		eventually(t, "the drain is heard", func() bool { return r.counter("journal_events") == 1 })
+		eventually(t, "the drain has been processed", func() bool { return r.counter("journal_events") == 1 })
 		heard := time.Now()
 		before := len(r.storeRequests(""))
-		eventually(t, "others are asked", func() bool { return len(r.storeRequests("")) > before+20 })
+		eventually(t, "the stores have received 20 more requests", func() bool { return len(r.storeRequests("")) > before+20 })
 		stop()
 		for _, a := range r.storeRequests("") {
 			if a.Store.Name == "c1" && (a.At.After(heard) || a.At.After(told.Add(2*time.Second))) {
-				t.Errorf("asked %v after it was told to drain", a.At.Sub(told))
+				t.Errorf("the draining store received a request %v after the drain was sent", a.At.Sub(told))
 			}
 		}
 		_ = r.cmd.Process.Kill()
 	}
 }
 
-// The journal comes back with the position that the gateway has, an older and a newer one: what was told before is not
-// told again, though it comes again, and what is new is.
+// The journal reconnects and sends events that the gateway has already processed, and one new event each time. The gateway
+// must ignore the old events and process the new ones.
 func TestJournalReconnectSkipsOldEvents(t *testing.T) {
 	j := newRawJournal(t)
 	r := newRig(t).startWithJournal(j)
 	s := receive(t, j.conns)
 	s.send(t, eventStreamHeader+r.statusEvent(2, "c2", "DRAINING")+r.statusEvent(5, "c1", "DRAINING")+r.statusEvent(6, "c2", "SERVING"))
-	eventually(t, "they are heard", func() bool { return r.counter("journal_events") == 3 })
+	eventually(t, "the three events have been processed", func() bool { return r.counter("journal_events") == 3 })
 	events := 3
 	for i, old := range []string{r.statusEvent(6, "c2", "DRAINING"), r.statusEvent(3, "c1", "SERVING") + r.statusEvent(2, "c2", "DRAINING"), ""} {
 		loopback.Close(s)
 		s = receive(t, j.conns)
 		if want := fmt.Sprint(6 + i); s.lastEventID != want {
-			t.Errorf("it begins after %q, want %s", s.lastEventID, want)
+			t.Errorf("the journal was resumed after event %q, want %s", s.lastEventID, want)
 		}
 		s.send(t, eventStreamHeader+old+fmt.Sprintf("id: %d\ndata: {\"pos\":%d,\"expire\":{\"set\":40,\"stamp\":1}}\n\n", 7+i, 7+i))
 		events++
-		eventually(t, "what is new is heard", func() bool { return r.counter("journal_events") == events })
+		eventually(t, "the new event has been processed", func() bool { return r.counter("journal_events") == events })
 		before := len(r.storeRequests(""))
 		stop := r.sendContinuously()
-		eventually(t, "others are asked", func() bool { return len(r.storeRequests("")) > before+20 })
+		eventually(t, "the stores have received 20 more requests", func() bool { return len(r.storeRequests("")) > before+20 })
 		stop()
 		n := map[string]int{}
 		for _, a := range r.storeRequests("") {
 			n[a.Store.Name]++
 		}
 		if n["c1"] > 0 || n["c2"] == 0 {
-			t.Errorf("after an old word they were asked %v times", n)
+			t.Errorf("after old events the stores received requests as follows: %v; want none for c1 and some for c2", n)
 		}
 	}
 }
 
-// SIGHUP moves the journal while an event is half read: the other half, from the old one, is nobody's, and the new one
-// tells the event whole.
+// SIGHUP changes the journal's address while an event is partly read. The rest of the event, from the old journal, must be
+// ignored, and the gateway must process the complete event from the new journal.
 func TestJournalAddressChangeDuringEvent(t *testing.T) {
 	j, other := newRawJournal(t), newRawJournal(t)
 	r := newRig(t).startWithJournal(j)
 	s := receive(t, j.conns)
 	whole := r.statusEvent(3, "c1", "DRAINING")
 	s.send(t, eventStreamHeader+r.statusEvent(2, "c2", "SERVING")+whole[:len(whole)/2])
-	eventually(t, "the first is heard", func() bool { return r.counter("journal_events") == 1 })
+	eventually(t, "the first event has been processed", func() bool { return r.counter("journal_events") == 1 })
 	r.config["journal"] = other.addr
 	r.writeConfig()
 	r.signal(syscall.SIGHUP)
 	moved := receive(t, other.conns)
 	if moved.lastEventID != "2" {
-		t.Errorf("it begins after %q", moved.lastEventID)
+		t.Errorf("the journal was resumed after event %q, want 2", moved.lastEventID)
 	}
 	_, _ = io.WriteString(s, whole[len(whole)/2:]+r.statusEvent(4, "c2", "DRAINING"))
 	moved.send(t, eventStreamHeader+whole)
-	eventually(t, "it is heard", func() bool { return r.counter("journal_events") == 2 })
+	eventually(t, "the complete event has been processed", func() bool { return r.counter("journal_events") == 2 })
 	stop := r.sendContinuously()
-	eventually(t, "others are asked", func() bool { return len(r.storeRequests("")) > 20 })
+	eventually(t, "the stores have received 20 more requests", func() bool { return len(r.storeRequests("")) > 20 })
 	stop()
 	for _, a := range r.storeRequests("") {
 		if a.Store.Name == "c1" {
-			t.Error("a draining store was asked")
+			t.Error("a draining store received a request")
 		}
 	}
 }
 
-// The same with an event that has been read, and that the loop comes to behind the move: the old journal's word is
-// nobody's, though its connection was still open as it came.
+// The journal's address changes while an event from the old journal has been read but waits for the loop. The loop must
+// ignore that event, although the old connection was still open when it arrived.
 func TestEventOfFormerJournalIsIgnored(t *testing.T) {
 	j, other := newRawJournal(t), newRawJournal(t)
 	in := newInProcessGateway(t, nil)
@@ -747,7 +759,7 @@
 		return fmt.Sprintf("id: %d\ndata: {\"pos\":%d,\"expire\":{\"set\":%d,\"stamp\":1}}\n\n", pos, pos, set)
 	}
 	s.send(t, eventStreamHeader+event(2, 1))
-	eventually(t, "the first is heard", func() bool { return in.readOnLoop(func() uint64 { return feed.Events }) == 1 })
+	eventually(t, "the first event has been processed", func() bool { return in.readOnLoop(func() uint64 { return feed.Events }) == 1 })
 	release := in.blockLoop()
 	in.loop.Post(func() { feed.SetAddress(other.addr) })
 	s.send(t, event(3, 2))
@@ -755,18 +767,19 @@
 	release()
 	moved := receive(t, other.conns)
 	if moved.lastEventID != "2" {
-		t.Errorf("it begins after %q", moved.lastEventID)
+		t.Errorf("the journal was resumed after event %q, want 2", moved.lastEventID)
 	}
 	moved.send(t, eventStreamHeader+event(3, 3))
-	eventually(t, "the new one is heard", func() bool { return in.readOnLoop(func() uint64 { return feed.Events }) >= 2 })
+	eventually(t, "the event of the new journal has been processed", func() bool { return in.readOnLoop(func() uint64 { return feed.Events }) >= 2 })
 	in.runOnLoop(func() {
 		if len(heard.sets) != 2 || heard.sets[1] != 3 {
-			t.Errorf("purges heard: %v", heard.sets)
+			t.Errorf("processed purges of the groups %v, want 2 of them, the second of group 3", heard.sets)
 		}
 	})
 }
 
-// purgeSink takes in what a journal tells; it lives on the loop.
+// purgeSink records the groups of the purges that an EventApplier passes on, and ignores other events. It is used on the
+// event loop only.
 type purgeSink struct{ sets []int }
 
 func (*purgeSink) UpdateEndpoints(routing.EndpointUpdate) {}
@@ -774,8 +787,8 @@
 func (*purgeSink) SetAddress(string, string, int64)       {}
 func (*purgeSink) RemoveEndpoint(string)                  {}
 
-// SIGTERM and a request come in the same moment, to a program that stands still: the request may be read before or
-// after. It is answered, and the program ends with status 0.
+// SIGTERM and a request arrive while the program is stopped, so that either may be handled first. The request must be
+// served, and the program must exit with status 0.
 func TestTermWithSimultaneousRequest(t *testing.T) {
 	r := newRig(t).start()
 	c := r.client()
@@ -786,15 +799,15 @@
 	r.signal(syscall.SIGTERM)
 	r.signal(syscall.SIGCONT)
 	if a := c.readAnswer(); a.err != "" {
-		t.Errorf("%+v", a)
+		t.Errorf("request that arrives with SIGTERM: answer %+v, want no error", a)
 	}
 	if err := receive(t, r.exited); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the program exited with %v, want status 0", err)
 	}
 }
 
-// SIGTERM with an attempt in dial, and with an answer half read; then a second one, and SIGHUPs before and behind, more
-// than are kept. Both requests are served.
+// SIGTERM arrives while store connections are being dialled and an answer is partly read, followed by a second SIGTERM and
+// surrounded by more SIGHUPs than the program queues. All 16 requests must be served.
 func TestTermWithOpenAttempts(t *testing.T) {
 	r := newRig(t)
 	late := newStalledStore(t)
@@ -803,7 +816,7 @@
 	pending := make(chan *storeRequest, 100)
 	r.setHandler(func(a *storeRequest) { pending <- a })
 	var clients []*client
-	for i := range 16 { // by their hashes some go to c1, whose connection does not come up, and some to c2
+	for i := range 16 { // by their hashes some go to c1, which accepts no connections, and some to c2
 		c := r.client()
 		c.send("films", fmt.Sprintf("%016x", i), 5*time.Second, "")
 		clients = append(clients, c)
@@ -833,11 +846,11 @@
 	r.setHandler(serveHit)
 	for i, c := range clients {
 		if a := c.readAnswer(); a.err != "" {
-			t.Errorf("%d: %+v", i, a)
+			t.Errorf("request %d, open at SIGTERM: answer %+v, want no error", i, a)
 		}
 	}
 	if err := receive(t, r.exited); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the program exited with %v, want status 0", err)
 	}
 	close(pending)
 	if line := r.waitForLog("msg=counters"); !strings.Contains(line, "answered_served=16") {
@@ -845,8 +858,8 @@
 	}
 }
 
-// A reload that hangs on its file, with more SIGHUPs behind it than are kept: SIGTERM is minded all the same. All shared
-// four places, and one function.
+// SIGTERM must be handled while a reload hangs reading its file and more SIGHUPs follow than the program queues. All
+// signals once shared a queue of four and one handler.
 func TestTermDuringHangingReload(t *testing.T) {
 	r := newRig(t).start()
 	pending := make(chan *storeRequest, 10)
@@ -861,29 +874,29 @@
 		t.Fatal(err)
 	}
 	r.signal(syscall.SIGHUP)
-	pipe, err := os.OpenFile(r.path, os.O_WRONLY, 0) // it opens once the program reads it, and nothing is written
+	pipe, err := os.OpenFile(r.path, os.O_WRONLY, 0) // opens once the program reads the file; nothing is written
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer loopback.Close(pipe)
 	for range 20 {
 		r.signal(syscall.SIGHUP)
-		time.Sleep(time.Millisecond) // else the kernel makes them one
+		time.Sleep(time.Millisecond) // otherwise the kernel merges them
 	}
 	r.signal(syscall.SIGTERM)
 	r.waitForLog("msg=draining")
 	serveHit(a)
 	if got := c.readAnswer(); got.err != "" {
-		t.Errorf("%+v", got)
+		t.Errorf("request open during SIGTERM: answer %+v, want no error", got)
 	}
 	if err := receive(t, r.exited); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the program exited with %v, want status 0", err)
 	}
 }
 
-// A client at rest, until the gateway ends: it sees the end of the connection and no reset, though it sends right behind the end;
-// what it sends is not sent on. A program that just ended would answer those bytes with a reset, which may take away what a client
-// has not read.
+// An idle client must see its connection closed in order when the gateway exits, without a reset, even if it sends right
+// after the close; those requests must not be forwarded. A program that exits at once answers such bytes with a reset,
+// which can destroy data that the client has not read yet.
 func TestIdleClientSeesCleanClose(t *testing.T) {
 	r := newRig(t).start()
 	c := r.client()
@@ -892,26 +905,26 @@
 	r.signal(syscall.SIGTERM)
 	_ = c.conn.SetReadDeadline(time.Now().Add(eventTimeout))
 	if _, err := c.r.ReadByte(); err != io.EOF {
-		t.Errorf("it sees %v", err)
+		t.Errorf("the idle client reads error %v, want the end of the connection", err)
 	}
-	// Behind the end a reset shows in the next write alone: the system answers the first one with it.
+	// A reset shows only in the write after the one that caused it.
 	for i := range 5 {
 		c.txn++
 		if _, err := c.conn.Write(c.encodeRequest("images", object, 2*time.Second, "")); err != nil {
-			t.Errorf("its write %d behind the end: %v", i+1, err)
+			t.Errorf("write %d after the close failed: %v", i+1, err)
 			break
 		}
-		time.Sleep(time.Millisecond) // for the system, which is the same on both sides
+		time.Sleep(time.Millisecond) // time for the kernel, which both ends share, to deliver a reset
 	}
 	if err := receive(t, r.exited); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the program exited with %v, want status 0", err)
 	}
 	if n := len(r.storeRequests("")); n != 1 {
-		t.Errorf("%d attempts, one of them behind the end", n)
+		t.Errorf("the stores received %d attempts, want 1: requests after the close must be dropped", n)
 	}
 }
 
-// A store's connection that comes up long after its request went elsewhere carries nothing.
+// A store connection that is established long after its request was served elsewhere must not carry that request.
 func TestLateStoreConnectionCarriesNoRequest(t *testing.T) {
 	r := newRig(t)
 	late := newStalledStore(t)
@@ -923,14 +936,14 @@
 	}
 	for range 8 {
 		if a := c.readAnswer(); a.err != "" {
-			t.Errorf("%+v", a)
+			t.Errorf("request with a stalled store: answer %+v, want no error", a)
 		}
 	}
 	if r.counter("store_refused") == 0 {
-		t.Error("the late store was never dialled")
+		t.Error("no dial to the stalled store was given up (store_refused is 0)")
 	}
 	late.acceptConnections(t)
-	probe, err := loopback.Dial(late.addr) // behind all that wait
+	probe, err := loopback.Dial(late.addr) // queued after all waiting connections
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -939,12 +952,12 @@
 		t.Fatal(err)
 	}
 	if args := receive(t, late.requests); args[1] != "probe" {
-		t.Errorf("it was asked %q", args)
+		t.Errorf("the stalled store first received %q, want the test's own probe", args)
 	}
 }
 
-// Idle clients hold all the places they can get, and discovery is down: when it returns it is reached, stores are, and
-// clients get answers.
+// Idle clients occupy as many descriptors as they may while the journal is down. Requests must still be served, and when the
+// journal returns, the gateway must reconnect to it.
 func TestJournalReconnectsWhileIdleClientsFillDescriptors(t *testing.T) {
 	r := newRig(t)
 	r.config["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": 64}
@@ -960,7 +973,7 @@
 	c := r.client()
 	c.send("images", object, 2*time.Second, "")
 	if a := c.readAnswer(); a.err != "" {
-		t.Errorf("while discovery is down: %+v", a)
+		t.Errorf("request while the journal is down: answer %+v, want no error", a)
 	}
 	back, err := fakeserver.NewJournal(r.journal.Addr)
 	if err != nil {
@@ -969,10 +982,10 @@
 	defer back.Close()
 	receive(t, back.Connected)
 	back.Publish(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+r.endpointJSON("c1", "DRAINING")+`]}`)
-	eventually(t, "it is heard", func() bool { return r.counter("journal_events") == 1 })
+	eventually(t, "the event of the returned journal has been processed", func() bool { return r.counter("journal_events") == 1 })
 	late := r.client()
 	late.send("images", "00000000000000dd", 2*time.Second, "")
 	if a := late.readAnswer(); a.err != "" {
-		t.Errorf("after it: %+v", a)
+		t.Errorf("request after the journal returned: answer %+v, want no error", a)
 	}
 }
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -14,46 +14,50 @@
 	"larchusher/lab/loopback"
 )
 
+// object is the object that most tests request.
 const object = "7f3a9c21e0b4d655"
 
+// A part must reach the client with the store's content, and the request must reach the store with the client's body,
+// fields and transaction id. A health check on the same connection must be answered.
 func TestServesPartUnchanged(t *testing.T) {
 	r := newRig(t).start()
 	c := r.client()
 	c.write([]byte("\x94\x00\x01\xa5alive\x91\x80"))
 	if a := c.readAnswer(); a.id != 1 || !a.boolean {
-		t.Fatalf("alive: %+v", a)
+		t.Fatalf("health check (alive): answer %+v, want id 1 and true", a)
 	}
 	c.id = 1
 	id := c.send("films", object, 5*time.Second, "body\x00\r\n")
 	a := c.readAnswer()
 	if a.id != id || a.err != "" || a.body != content(object, "3") {
-		t.Fatalf("%+v", a)
+		t.Fatalf("request: answer %+v, want the content of the part", a)
 	}
 	got := r.storeRequests(object)
 	if len(got) != 1 || got[0].Body != "body\x00\r\n" || got[0].Fields["lane"] != "films" ||
 		got[0].Fields["piece"] != "3" || got[0].ID != fmt.Sprintf("%08x%08x", os.Getpid(), 1) {
-		t.Fatalf("%+v", got[0])
+		t.Fatalf("the store received %+v, want the client's body, class, part and transaction", got[0])
 	}
 	if ttl, _ := strconv.Atoi(got[0].Fields["ttl"]); ttl < 1 || ttl > 5000 {
-		t.Errorf("ttl %d", ttl)
+		t.Errorf("the store received a ttl of %d ms, want 1 to 5000", ttl)
 	}
 }
 
+// If a store confirms the copy whose tag the client sent, the client must get the confirmation without a body.
 func TestClientCopyIsConfirmed(t *testing.T) {
 	r := newRig(t).start()
 	r.setHandler(func(a *storeRequest) { a.Reply("KEEP", "why=warm,digest="+a.Fields["got"], "") })
 	c := r.client()
 	c.send("images", object, 2*time.Second, "", "mine", "4be0c1927d55a6f3")
 	if a := c.readAnswer(); a.err != "" || a.body != "" || a.fields["still"] != "1" {
-		t.Fatalf("%+v", a)
+		t.Fatalf("request with the current tag: answer %+v, want still=1 and no body", a)
 	}
 	if got := r.storeRequests(object)[0].Fields["got"]; got != "4be0c1927d55a6f3" {
-		t.Errorf("got=%q", got)
+		t.Errorf("the store received the tag %q, want the client's", got)
 	}
 }
 
-// A request goes to another store when its first is not there. nbio's dialer took a refused connection for
-// an open one, so that it might have run.
+// A refused store connection proves that the attempt did not run, so that the request goes to another store. The dialer of
+// nbio took a refused connection for an open one, which counted as an attempt that may have run.
 func TestRefusedConnectionIsRetriedElsewhere(t *testing.T) {
 	r := newRig(t)
 	loopback.Close(r.stores["c1"].Listener)
@@ -62,17 +66,19 @@
 	for i := range 20 {
 		c.send("images", fmt.Sprintf("%016x", i), 2*time.Second, "")
 		if a := c.readAnswer(); a.err != "" {
-			t.Fatalf("request %d: %+v", i, a)
+			t.Fatalf("request %d: answer %+v, want no error", i, a)
 		}
 	}
 	if n := r.counter("ended_not_connected"); n == 0 {
-		t.Error("no connection was refused")
+		t.Error("ended_not_connected is 0, want some refused connections")
 	}
 	if n := r.counter("ended_reset"); n != 0 {
-		t.Errorf("%d refused connections count as broken", n)
+		t.Errorf("ended_reset is %d, want 0: refused connections are not broken ones", n)
 	}
 }
 
+// If a store closes its connection instead of answering, a request with an idempotency key must be retried with the same
+// key and id, and the client must get one answer.
 func TestOneAnswerWhenStoreDisconnects(t *testing.T) {
 	r := newRig(t).start()
 	broken := make(chan bool, 1)
@@ -88,19 +94,19 @@
 	c := r.client()
 	c.send("orders", object, 3*time.Second, "move", "unique", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
 	if a := c.readAnswer(); a.err != "" {
-		t.Fatalf("%+v", a)
+		t.Fatalf("request: answer %+v, want no error", a)
 	}
 	got := r.storeRequests(object)
 	if len(got) != 2 || got[0].Fields["dedupe"] != got[1].Fields["dedupe"] || got[0].ID != got[1].ID ||
 		got[0].Fields["dedupe"] != "5c0f6e1a2b3d4c59a8b7c6d5e4f30211" {
-		t.Fatalf("%d attempts", len(got))
+		t.Fatalf("the stores received %d attempts, want 2 with the same id and idempotency key", len(got))
 	}
 	if n := r.counter("answered_served"); n != 1 {
-		t.Errorf("%d answers", n)
+		t.Errorf("answered_served is %d, want 1", n)
 	}
 }
 
-// At the deadline there is one answer, and a late one of the store changes nothing.
+// At its deadline a request must get one answer and the store a cancel, and a late answer of the store must be ignored.
 func TestOneAnswerAtDeadline(t *testing.T) {
 	r := newRig(t).start()
 	pending := make(chan *storeRequest, 10)
@@ -109,21 +115,21 @@
 	began := time.Now()
 	id := c.send("images", object, 300*time.Millisecond, "")
 	if a := c.readAnswer(); a.id != id || a.err == "" {
-		t.Fatalf("%+v", a)
+		t.Fatalf("request that no store answers: answer %+v, want an error", a)
 	}
 	if took := time.Since(began); took < 250*time.Millisecond {
-		t.Errorf("given up after %v", took)
+		t.Errorf("the error came after %v, want it at the deadline of 300ms", took)
 	}
-	eventually(t, "the store is told", func() bool { return r.sumStores(func(s *store) int { return len(s.Quits) }) > 0 })
+	eventually(t, "a store has received a cancel", func() bool { return r.sumStores(func(s *store) int { return len(s.Quits) }) > 0 })
 	r.setHandler(serveHit)
 	serveHit(receive(t, pending))
 	id = c.send("images", "00000000000000aa", 2*time.Second, "")
 	if a := c.readAnswer(); a.id != id || a.body != content("00000000000000aa", "3") {
-		t.Fatalf("after the late answer: %+v", a)
+		t.Fatalf("request after the late answer: answer %+v, want its own content", a)
 	}
 }
 
-// A client that claims to wait for a minute is answered when its class gives up.
+// A request with a client limit of a minute must be answered at the shorter deadline of its class.
 func TestClassDeadlineBoundsClientLimit(t *testing.T) {
 	r := newRig(t).start()
 	r.setHandler(func(*storeRequest) {})
@@ -131,11 +137,11 @@
 	began := time.Now()
 	c.send("images", object, time.Minute, "")
 	if a := c.readAnswer(); a.err == "" || time.Since(began) > 4*time.Second {
-		t.Errorf("after %v: %+v", time.Since(began), a)
+		t.Errorf("after %v: answer %+v, want an error within 4 s", time.Since(began), a)
 	}
 }
 
-// A request that has been given up is refused at once, with word of when to come back.
+// A request that no store can take must be rejected promptly, with the time after which to retry.
 func TestRejectionIsPrompt(t *testing.T) {
 	r := newRig(t)
 	for _, s := range r.stores {
@@ -147,13 +153,14 @@
 	c.send("films", object, 5*time.Second, "")
 	a := c.readAnswer()
 	if later, err := strconv.Atoi(a.fields["later"]); a.err != "Backoff" || err != nil || later < 1 || later > 2000 {
-		t.Errorf("%+v", a)
+		t.Errorf("request without usable stores: answer %+v, want error Backoff with later from 1 to 2000 ms", a)
 	}
 	if took := time.Since(began); took > 2500*time.Millisecond {
-		t.Errorf("refused after %v", took)
+		t.Errorf("the rejection came after %v, want at most 2.5s", took)
 	}
 }
 
+// A client that cancels a request or disconnects must make the gateway send a cancel to the store.
 func TestCancelReachesStore(t *testing.T) {
 	r := newRig(t).start()
 	pending := make(chan *storeRequest, 10)
@@ -162,18 +169,20 @@
 	id := c.send("films", object, 5*time.Second, "")
 	a := receive(t, pending)
 	c.write(append([]byte("\x93\x02\xadcancelRequest\x91"), byte(id)))
-	eventually(t, "the store is told", func() bool { return r.sumStores(func(s *store) int { return len(s.Quits) }) == 1 })
-	serveHit(a) // nobody is owed this
+	eventually(t, "the store has received the cancel", func() bool { return r.sumStores(func(s *store) int { return len(s.Quits) }) == 1 })
+	serveHit(a) // the cancelled request gets no answer
 	other := r.client()
 	other.send("films", "00000000000000bb", 5*time.Second, "")
 	receive(t, pending).Store.SetHandler(serveHit)
-	loopback.Close(other.conn) // leaving is cancelling
-	eventually(t, "the store is told", func() bool { return r.sumStores(func(s *store) int { return len(s.Quits) }) == 2 })
+	loopback.Close(other.conn) // a disconnect cancels the client's requests
+	eventually(t, "the store has received a cancel for the client that disconnected", func() bool { return r.sumStores(func(s *store) int { return len(s.Quits) }) == 2 })
 	if n := r.counter("gone"); n != 2 {
-		t.Errorf("%d clients left", n)
+		t.Errorf("gone is %d, want 2 requests of departed clients", n)
 	}
 }
 
+// 32 open requests of one client must share few store connections, and each must get its own answer even if the stores
+// answer in the opposite order. A 33rd request is rejected, because a client connection may have 32 open.
 func TestAttemptsShareConnections(t *testing.T) {
 	r := newRig(t).start()
 	pending := make(chan *storeRequest, 100)
@@ -184,9 +193,9 @@
 		o := fmt.Sprintf("%016x", i)
 		want[c.send("films", o, 5*time.Second, "")] = content(o, "3")
 	}
-	c.send("films", object, 5*time.Second, "") // one more than a connection may have open
+	c.send("films", object, 5*time.Second, "") // one more than a client connection may have open
 	if a := c.readAnswer(); a.err != "Backoff" {
-		t.Fatalf("%+v", a)
+		t.Fatalf("33rd open request: answer %+v, want error Backoff", a)
 	}
 	var got []*storeRequest
 	for range 32 {
@@ -198,16 +207,17 @@
 	for range want {
 		a := c.readAnswer()
 		if a.err != "" || want[a.id] != a.body {
-			t.Fatalf("%+v", a.id)
+			t.Fatalf("answer with id %+v is an error or has the content of another part", a.id)
 		}
 		delete(want, a.id)
 	}
-	if n := r.sumStores(func(s *store) int { return s.Conns }); n > 12 { // four share one, while there are descriptors
-		t.Errorf("%d connections", n)
+	if n := r.sumStores(func(s *store) int { return s.Conns }); n > 12 { // four attempts share one connection while descriptors suffice
+		t.Errorf("%d store connections, want at most 12", n)
 	}
 }
 
-// A machine that was cut off leaves its connection open without a word.
+// A store that becomes unreachable leaves its connection open and silent. The gateway must send a health check on it and
+// retry the request elsewhere.
 func TestSilentConnectionIsProbedAndAbandoned(t *testing.T) {
 	r := newRig(t).start()
 	pending := make(chan *storeRequest, 10)
@@ -226,66 +236,72 @@
 	c := r.client()
 	c.send("films", object, 5*time.Second, "")
 	if a := c.readAnswer(); a.err != "" || a.body != content(object, "3") {
-		t.Fatalf("%+v", a)
+		t.Fatalf("request to a silent store: answer %+v, want the content from another store", a)
 	}
 	if s := receive(t, pending).Store; r.sumStores(func(s *store) int { return s.Noops }) == 0 {
-		t.Errorf("%s was not tested", s.Name)
+		t.Errorf("store %s received no health check (NOOP)", s.Name)
 	}
 }
 
+// After a journal event that marks a store as draining, no request may go to it or name it as a fill source.
 func TestDrainingStoreGetsNoNewRequests(t *testing.T) {
 	r := newRig(t).start()
 	r.journal.Publish(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+r.endpointJSON("c1", "DRAINING")+`]}`)
-	eventually(t, "the event is read", func() bool { return r.counter("journal_events") == 1 })
+	eventually(t, "the event has been processed", func() bool { return r.counter("journal_events") == 1 })
 	c := r.client()
 	for i := range 40 {
 		c.send("images", fmt.Sprintf("%016x", i), 2*time.Second, "")
 		if a := c.readAnswer(); a.err != "" {
-			t.Fatalf("%+v", a)
+			t.Fatalf("answer %+v, want no error", a)
 		}
 	}
 	for _, a := range r.storeRequests("") {
 		if a.Store.Name == "c1" || a.Fields["parent"] == "c1" {
-			t.Fatalf("%s was asked, with source %q", a.Store.Name, a.Fields["parent"])
+			t.Fatalf("store %s was requested, with fill source %q; want neither to be the draining c1", a.Store.Name, a.Fields["parent"])
 		}
 	}
 }
 
+// After a purge of an object, requests for it must limit the age of acceptable copies; other objects must be unaffected.
 func TestPurgeBoundsAcceptedAge(t *testing.T) {
 	r := newRig(t).start()
 	r.journal.Publish(2, fmt.Sprintf(`"expire":{"name":%q,"stamp":%d}`, object, time.Now().UnixMilli()-500))
 	r.journal.Publish(3, fmt.Sprintf(`"expire":{"set":40,"stamp":%d}`, time.Now().UnixMilli()))
-	eventually(t, "both are read", func() bool { return r.counter("purges") == 2 })
+	eventually(t, "both purges have been processed", func() bool { return r.counter("purges") == 2 })
 	c := r.client()
 	c.send("films", object, 5*time.Second, "")
 	c.readAnswer()
 	if age, err := strconv.Atoi(r.storeRequests(object)[0].Fields["accept"]); err != nil || age < 500 || age > 6000 {
-		t.Errorf("accept %d %v", age, err)
+		t.Errorf("accept is %d ms (error %v), want 500 to 6000 for the purged object", age, err)
 	}
 	c.send("films", "00000000000000cc", 5*time.Second, "")
 	c.readAnswer()
 	if age := r.storeRequests("00000000000000cc")[0].Fields["accept"]; age != "" {
-		t.Errorf("of another group: accept %s", age)
+		t.Errorf("accept is %s for an object that was not purged, want none", age)
 	}
 }
 
+// After a lost connection the gateway must resume the journal after the last event, count unusable events as dropped, and
+// ignore events that it has already processed.
 func TestJournalResumesAfterLastEvent(t *testing.T) {
 	r := newRig(t).start()
 	r.journal.Publish(2, `"expire":{"set":40,"stamp":1}`)
-	r.journal.Events <- "id: 3\ndata: {\"pos\":3,\"expire\":{}}\n\n" // cannot be used, and is passed over
+	r.journal.Events <- "id: 3\ndata: {\"pos\":3,\"expire\":{}}\n\n" // unusable, must be skipped
 	r.journal.Events <- "id: 4\ndata: nonsense\n\n"
-	r.journal.Events <- "" // the connection ends
+	r.journal.Events <- "" // closes the connection
 	if id := receive(t, r.journal.Connected); id != "4" {
-		t.Errorf("resumed after %q", id)
+		t.Errorf("the journal was resumed after event %q, want 4", id)
 	}
-	r.journal.Publish(2, `"expire":{"set":40,"stamp":1}`) // told again
+	r.journal.Publish(2, `"expire":{"set":40,"stamp":1}`) // sent again
 	r.journal.Publish(5, `"expire":{"set":41,"stamp":1}`)
-	eventually(t, "the rest is read", func() bool { return r.counter("purges") == 2 })
+	eventually(t, "the remaining events have been processed", func() bool { return r.counter("purges") == 2 })
 	if n := r.counter("journal_dropped"); n != 2 {
-		t.Errorf("%d dropped", n)
+		t.Errorf("journal_dropped is %d, want 2", n)
 	}
 }
 
+// Malformed bytes must close the connection on which they arrive, invalid requests must get an error, and other
+// connections must be unaffected.
 func TestMalformedBytesCloseOnlyTheirConnection(t *testing.T) {
 	r := newRig(t).start()
 	good := r.client()
@@ -298,25 +314,25 @@
 		c.expectClosed()
 	}
 	c := r.client()
-	c.send("films", "a,parent=o", 5*time.Second, "") // would word a field of its own
+	c.send("films", "a,parent=o", 5*time.Second, "") // would add a field to the store request
 	if a := c.readAnswer(); a.err == "" {
-		t.Errorf("%+v", a)
+		t.Errorf("object name with a comma: answer %+v, want an error", a)
 	}
 	c.write([]byte("\x94\x00\x02\xa5nosuc\x92\x81\xa5limit\xa3abc\xc4\x00"))
 	if a := c.readAnswer(); a.err == "" {
-		t.Errorf("%+v", a)
+		t.Errorf("unknown class with an invalid limit: answer %+v, want an error", a)
 	}
 	good.send("films", object, 5*time.Second, "")
 	if a := good.readAnswer(); a.err != "" {
-		t.Errorf("%+v", a)
+		t.Errorf("valid request on another connection: answer %+v, want no error", a)
 	}
 	if n := len(r.storeRequests("")); n != 1 {
-		t.Errorf("the stores saw %d", n)
+		t.Errorf("the stores received %d requests, want only the valid one", n)
 	}
 }
 
-// What stores could not use is answered at the front: they close their connection on what they cannot read, and all
-// that is open on it would be lost.
+// The gateway must answer invalid requests itself: a store closes its connection on a request that it cannot parse, which
+// would fail all attempts open on that connection.
 func TestInvalidRequestsReachNoStore(t *testing.T) {
 	r := newRig(t).start()
 	c := r.client()
@@ -339,18 +355,19 @@
 		b = append(append(append(b, 0x92), packFields(list)...), 0xc5, byte(len(body)>>8), byte(len(body)))
 		c.write(append(b, body...))
 		if a := c.readAnswer(); a.id != c.id || a.err == "" {
-			t.Errorf("%v: %+v", bad, a)
+			t.Errorf("invalid field %v: answer %+v, want an error", bad, a)
 		}
 	}
 	c.send("images", object, 2*time.Second, "")
 	if a := c.readAnswer(); a.err != "" {
-		t.Errorf("%+v", a)
+		t.Errorf("valid request after invalid ones: answer %+v, want no error", a)
 	}
 	if n := len(r.storeRequests("")); n != 1 {
-		t.Errorf("the stores saw %d", n)
+		t.Errorf("the stores received %d requests, want only the valid one", n)
 	}
 }
 
+// After a malformed reply of a store, the request must be retried and served.
 func TestMalformedStoreReplyIsRetried(t *testing.T) {
 	for _, nonsense := range []string{"*9\r\n", "$3\r\nabc\r\n", "*4\r\n$99999999\r\n", "+OK\r\n", strings.Repeat("1", 100),
 		respArray("x", "HUH", "-", ""), respArray("x", "DONE"), "*1\r\n$3\r\nabcd\r\n"} {
@@ -369,13 +386,14 @@
 			c := r.client()
 			c.send("images", object, 2*time.Second, "")
 			if a := c.readAnswer(); a.err != "" || a.body != content(object, "3") {
-				t.Fatalf("%+v", a)
+				t.Fatalf("request after a malformed reply: answer %+v, want the content", a)
 			}
 		})
 	}
 }
 
-// After SIGTERM connections keep coming for up to 0.4 s, and requests for 0.2 s beyond that.
+// After SIGTERM the gateway must still serve new connections and requests before it exits: the platform opens connections
+// for up to 0.4 s longer and sends requests for 0.2 s after that.
 func TestTermServesLateConnections(t *testing.T) {
 	r := newRig(t).start()
 	pending := make(chan *storeRequest, 10)
@@ -391,22 +409,22 @@
 	late := r.client()
 	late.send("films", "00000000000000dd", 5*time.Second, "")
 	if got := late.readAnswer(); got.err != "" {
-		t.Errorf("%+v", got)
+		t.Errorf("request on a connection opened after SIGTERM: answer %+v, want no error", got)
 	}
 	serveHit(a)
 	if got := early.readAnswer(); got.err != "" {
-		t.Errorf("%+v", got)
+		t.Errorf("request open at SIGTERM: answer %+v, want no error", got)
 	}
 	if err := receive(t, r.exited); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the program exited with %v, want status 0", err)
 	}
 	if line := r.waitForLog("msg=counters"); !strings.Contains(line, "answered_served=2") {
 		t.Error(line)
 	}
 }
 
-// No kill comes sooner than 0.7 s after the longest deadline: until then what is open may still be served. It was
-// failed 3.5 s after SIGTERM, though it may take 5 s here.
+// The platform kills the process no sooner than 0.7 s after the longest deadline, so that open requests may be served
+// until then. They were failed 3.5 s after SIGTERM, although the longest deadline here is 5 s.
 func TestTermWaitsForLongestDeadline(t *testing.T) {
 	r := newRig(t).start()
 	pending := make(chan *storeRequest, 10)
@@ -417,15 +435,15 @@
 	r.signal(syscall.SIGTERM)
 	time.AfterFunc(4200*time.Millisecond, func() { serveHit(a) })
 	if got := c.readAnswer(); got.err != "" {
-		t.Errorf("%+v", got)
+		t.Errorf("request answered by its store 4.2 s after SIGTERM: answer %+v, want no error", got)
 	}
 	if err := receive(t, r.exited); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the program exited with %v, want status 0", err)
 	}
 }
 
-// A signal that comes as soon as the program says that it serves is minded. It was lost now and then, since
-// signals were taken in only after that.
+// A signal sent right after the program logs that it serves must be handled. Some were lost, because the program installed
+// its signal handlers after that log line.
 func TestSignalsHandledOnceServing(t *testing.T) {
 	for range 10 {
 		r := newRig(t).start()
@@ -434,7 +452,8 @@
 	}
 }
 
-// What is open at the end is answered before the kill that follows 3.7 s after SIGTERM.
+// A request that its store never answers must get an error after SIGTERM, before the platform kills the process, and the
+// program must then exit within 10 s.
 func TestTermFailsHangingRequests(t *testing.T) {
 	r := newRig(t).start()
 	pending := make(chan *storeRequest, 10)
@@ -445,13 +464,15 @@
 	began := time.Now()
 	_ = r.cmd.Process.Signal(syscall.SIGTERM)
 	if a := c.readAnswer(); a.err == "" {
-		t.Errorf("%+v", a)
+		t.Errorf("request that no store answers, after SIGTERM: answer %+v, want an error", a)
 	}
 	if err := receive(t, r.exited); err != nil || time.Since(began) > 10*time.Second {
-		t.Errorf("it ended with %v after %v", err, time.Since(began))
+		t.Errorf("the program exited with %v after %v, want status 0 within 10s", err, time.Since(began))
 	}
 }
 
+// Gossip messages must be dropped if they come from an address that is not a configured peer or are malformed. A valid
+// greeting from a peer must be accepted and answered.
 func TestOnlyPeerMessagesAreAccepted(t *testing.T) {
 	r := newRig(t)
 	listen := func() *net.UDPConn {
@@ -473,7 +494,7 @@
 	_ = all.SetReadDeadline(time.Now().Add(eventTimeout))
 	n, from, err := all.ReadFromUDP(buf)
 	if err != nil || n > 256 || from.String() != r.config["peer_listen"] {
-		t.Fatalf("%d bytes from %v: %v", n, from, err)
+		t.Fatalf("greeting: %d bytes from %v, error %v; want at most 256 bytes from the peer address", n, from, err)
 	}
 	greeting, to := buf[:n], own.LocalAddr().(*net.UDPAddr)
 	for _, m := range []struct {
@@ -484,15 +505,16 @@
 			t.Fatal(err)
 		}
 	}
-	_ = peer.SetReadDeadline(time.Now().Add(eventTimeout)) // a greeting is answered
+	_ = peer.SetReadDeadline(time.Now().Add(eventTimeout)) // the answer to the greeting
 	if _, _, err := peer.ReadFromUDP(buf); err != nil {
 		t.Fatal(err)
 	}
 	if heard, dropped := r.counter("peer_heard"), r.counter("peer_dropped"); heard != 2 || dropped != 2 {
-		t.Errorf("%d heard, %d dropped", heard, dropped)
+		t.Errorf("%d messages accepted, %d dropped, want 2 and 2", heard, dropped)
 	}
 }
 
+// A start error for an invalid configuration must name the invalid key.
 func TestConfigurationErrorsNameKey(t *testing.T) {
 	for key, change := range map[string]func(*rig){
 		"listen":                  func(r *rig) { r.config["listen"] = "nowhere" },
@@ -509,13 +531,14 @@
 			change(r)
 			out := r.startExpectingError(key == "known")
 			if want := key[strings.LastIndex(key, ".")+1:]; !strings.Contains(out, want) {
-				t.Errorf("%s", out)
+				t.Errorf("output without the key: %s", out)
 			}
 		})
 	}
 }
 
-// A store that started anew may have left its old connections open without a word.
+// When the journal reports that a store has restarted, the gateway must open a new connection to it: a crashed store may
+// have left the old one open and silent.
 func TestRestartedStoreGetsNewConnections(t *testing.T) {
 	r := newRig(t).start()
 	c := r.client()
@@ -528,22 +551,22 @@
 		ask(i)
 	}
 	if n := conns(); n != 2 {
-		t.Fatalf("%d connections", n)
+		t.Fatalf("%d store connections before the restart, want 2", n)
 	}
 	since := fmt.Sprint(`"since_ms":`, time.Now().Add(-10*time.Second).UnixMilli())
 	r.journal.Publish(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+
 		strings.ReplaceAll(r.endpointJSON("c1", "SERVING")+","+r.endpointJSON("c2", "SERVING"), `"since_ms":0`, since)+`]}`)
-	eventually(t, "the event is read", func() bool { return r.counter("journal_events") == 1 })
+	eventually(t, "the event has been processed", func() bool { return r.counter("journal_events") == 1 })
 	i := 0
-	eventually(t, "both are connected to anew", func() bool { // cold stores get little at first
+	eventually(t, "both caches have a new connection", func() bool { // cold stores get few requests at first
 		ask(i)
 		i++
 		return conns() == 4
 	})
 }
 
-// Clients hold at most their share of the descriptors, and who asked once and stays makes room for who comes. Such
-// connections filled the share for good, and each newcomer was closed unheard.
+// Client connections use at most their share of the descriptors, and idle ones must be closed to make room for new ones.
+// Idle connections once filled the share for good, and each new connection was closed without an answer.
 func TestNewClientsReplaceIdleConnections(t *testing.T) {
 	r := newRig(t)
 	r.config["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": 64}
@@ -554,23 +577,24 @@
 	busy.send("images", object, 20*time.Second, "")
 	a := receive(t, pending)
 	r.setHandler(serveHit)
-	for i := range 100 { // 27 is their share
+	for i := range 100 { // the share is 27 connections
 		c := r.client()
 		c.send("images", fmt.Sprintf("%016x", i), 2*time.Second, "")
 		if a := c.readAnswer(); a.err != "" {
-			t.Fatalf("%d: %+v", i, a)
+			t.Fatalf("client %d: answer %+v, want no error", i, a)
 		}
 	}
 	serveHit(a)
 	if got := busy.readAnswer(); got.err != "" {
-		t.Errorf("in work meanwhile: %+v", got)
+		t.Errorf("request open meanwhile on another connection: answer %+v, want no error", got)
 	}
 	if open := r.counter("conns_opened") - r.counter("conns_closed"); open > 27+10 {
-		t.Errorf("%d connections", open)
+		t.Errorf("%d client and store connections are open, want at most 37", open)
 	}
 }
 
-// With every place in work, one more connection is closed, and the next free place is given on.
+// While all client connections have open requests, a further connection must be closed. A place that becomes free must be
+// usable by the next connection.
 func TestConnectionsBeyondLimitAreClosed(t *testing.T) {
 	r := newRig(t)
 	r.config["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": 64}
@@ -587,16 +611,16 @@
 	}
 	r.client().expectClosed()
 	loopback.Close(clients[0].conn)
-	eventually(t, "its place is given on", func() bool { return r.counter("gone") > 0 })
+	eventually(t, "the gateway has noticed that the client left", func() bool { return r.counter("gone") > 0 })
 	r.setHandler(serveHit)
 	c := r.client()
 	c.send("images", object, 2*time.Second, "")
 	if a := c.readAnswer(); a.err != "" {
-		t.Errorf("%+v", a)
+		t.Errorf("request in the freed place: answer %+v, want no error", a)
 	}
 }
 
-// Nobody keeps a place by saying nothing, or by stopping in the middle.
+// Connections that send nothing, or stop in the middle of a request, must be closed on both fronts.
 func TestSilentAndHalfSentConnectionsAreClosed(t *testing.T) {
 	r, addr := signedRig(t, "")
 	silent, half, later := r.client(), r.client(), r.client()
@@ -609,19 +633,19 @@
 		t.Fatal(err)
 	}
 	if answer, _ := web.readResponse(); answer.StatusCode != 408 {
-		t.Errorf("status %d", answer.StatusCode)
+		t.Errorf("HTTP request cut off in its first line: status %d, want 408", answer.StatusCode)
 	}
 	_ = unsaid.conn.SetReadDeadline(time.Now().Add(eventTimeout))
 	if _, err := unsaid.r.ReadByte(); err != io.EOF {
-		t.Errorf("of a silent one: %v", err)
+		t.Errorf("silent HTTP connection: error %v, want it closed without a response", err)
 	}
 	silent.expectClosed()
 	half.expectClosed()
 	later.expectClosed()
 }
 
-// A client that writes its request slowly, in pieces over somewhat more than 2 s, is answered: on a fresh connection, and behind an
-// earlier request.
+// A request that is written slowly, in pieces over a little more than 2 s, must be served, both on a new connection and
+// after an earlier request.
 func TestSlowlyWrittenRequestIsServed(t *testing.T) {
 	const pieces, over = 10, 2300 * time.Millisecond
 	r := newRig(t).start()
@@ -639,7 +663,7 @@
 	}
 	for _, c := range [2]*client{fresh, used} {
 		if a := c.readAnswer(); a.err != "" {
-			t.Errorf("%+v", a)
+			t.Errorf("slowly written request: answer %+v, want no error", a)
 		}
 	}
 }
--- a/test/reload_test.go
+++ b/test/reload_test.go
@@ -61,7 +61,7 @@
 		r.writeConfig()
 		r.signal(syscall.SIGHUP)
 		if line := r.waitForLog("msg=\"reload rejected\""); !strings.Contains(line, "journal") {
-			t.Error("rejection without the key journal: ", line)
+			t.Error(line)
 		}
 		r.log.Reset()
 	}
@@ -77,7 +77,7 @@
 	r.writeConfig()
 	r.signal(syscall.SIGHUP)
 	if line := r.waitForLog("msg=\"reload needs restart\""); !strings.Contains(line, "keys=seed") {
-		t.Error("log line without keys=seed: ", line)
+		t.Error(line)
 	}
 	eventually(t, "the reload is counted", func() bool { return r.counter("reloads") == 1 })
 	if n := r.counter("journal_connects"); n != 1 {
@@ -153,7 +153,7 @@
 	r.log.Reset()
 	r.signal(syscall.SIGHUP)
 	if line := r.waitForLog("msg=\"reload needs restart\""); !strings.Contains(line, "signed_front") {
-		t.Error("log line without the key signed_front: ", line)
+		t.Error(line)
 	}
 }
 
--- a/test/state_test.go
+++ b/test/state_test.go
@@ -97,7 +97,7 @@
 	}
 	names, err := filepath.Glob(filepath.Join(folder, "knowledge-*.lks"))
 	if err != nil || len(names) == 0 {
-		t.Fatal("no snapshot files in the state folder: ", names, err)
+		t.Fatal(names, err)
 	}
 	for _, name := range names {
 		if err := os.WriteFile(name, []byte("LKSN\x00\x01\x00\x00\xff\xff\xff\xff"), 0o600); err != nil {
--- a/test/upgrade_test.go
+++ b/test/upgrade_test.go
@@ -241,7 +241,7 @@
 		t.Errorf("request after SIGTERM without a successor: answer %+v, want no error", a)
 	}
 	if err := third.waitExit(); err != nil {
-		t.Error("the last process exited with an error: ", err)
+		t.Error(err)
 	}
 }
 
@@ -390,7 +390,7 @@
 	second.waitForLog("msg=\"upgrade: taking over\"")
 	r.signal(syscall.SIGTERM)
 	if err := r.waitExit(); err != nil {
-		t.Error("the predecessor exited with an error: ", err)
+		t.Error(err)
 	}
 	c := second.client()
 	c.send("films", object, 5*time.Second, "")
@@ -419,14 +419,14 @@
 		t.Errorf("request open during two upgrades: answer %+v, want no error", a)
 	}
 	if err := r.waitExit(); err != nil {
-		t.Error("the first process exited with an error: ", err)
+		t.Error(err)
 	}
 	second.waitForLog("msg=\"upgrade: predecessor has ended\"")
 	third.waitForLog("msg=\"upgrade: taking over\"")
 	third.waitForLog("msg=serving")
 	second.signal(syscall.SIGTERM)
 	if err := second.waitExit(); err != nil {
-		t.Error("the second process exited with an error: ", err)
+		t.Error(err)
 	}
 	c = third.client()
 	c.send("images", object, 5*time.Second, "")
