--- a/lab/fakeserver/box.go
+++ b/lab/fakeserver/box.go
@@ -20,8 +20,8 @@
 	ReportInterval time.Duration // interval between updates of the load report
 }
 
-// LimitedStore is a fake store with limited capacity. It keeps copies of the parts that it has served, and it fails for
-// good when it is overloaded during a cold start.
+// LimitedStore is a fake store with limited capacity. If it is a cache (kind box), it keeps copies of the parts that it
+// has served. It fails for good when it is overloaded during a cold start.
 type LimitedStore struct {
 	*Store
 	Capacity Capacity
--- a/lab/fakeserver/store.go
+++ b/lab/fakeserver/store.go
@@ -189,6 +189,7 @@
 	deferFlush bool // the reading goroutine flushes when it has read the buffered requests
 }
 
+// write writes an answer, and flushes it unless deferFlush is set. It may be called from any goroutine.
 func (l *link) write(args ...string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -207,6 +208,7 @@
 	}
 }
 
+// setDeferFlush sets deferFlush and flushes the buffered answers when it is cleared.
 func (l *link) setDeferFlush(deferFlush bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -215,6 +217,7 @@
 	}
 }
 
+// serve reads commands from a connection until it fails, and passes requests to the handler.
 func (s *Store) serve(c net.Conn) {
 	defer func() {
 		loopback.Close(c)
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -67,6 +67,7 @@
 	return r, nil
 }
 
+// accept accepts client connections, numbers them from 0 and forwards each in a goroutine, until l is closed.
 func (r *Proxy) accept(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -155,6 +156,8 @@
 	return slices.Clone(r.connectTimes)
 }
 
+// relay forwards client connection number n to the gateway until one side closes, and records requests and rejections. If
+// the proxy is unresponsive, it only reads and records what the client sends.
 func (r *Proxy) relay(n int, c net.Conn) {
 	defer func() {
 		loopback.Close(c)
@@ -232,6 +235,7 @@
 	lastRead *atomic.Int64
 }
 
+// Read reads from the underlying reader and stores the current time.
 func (s timestampedReader) Read(b []byte) (int, error) {
 	n, err := s.Reader.Read(b)
 	s.lastRead.Store(time.Now().UnixNano())
--- a/lab/testbed/process.go
+++ b/lab/testbed/process.go
@@ -111,7 +111,7 @@
 		return cmd.Start()
 	}
 	if err := unix.SchedSetaffinity(0, &own); err != nil {
-		return fmt.Errorf("core %d: %w", core, err)
+		return fmt.Errorf("setting the CPU affinity to core %d: %w", core, err)
 	}
 	err := cmd.Start()
 	tasks, _ := os.ReadDir("/proc/self/task")
@@ -284,6 +284,7 @@
 	return ""
 }
 
+// String returns the log's text since the latest Reset.
 func (l *Log) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lab/testbed/testbed_test.go
+++ b/lab/testbed/testbed_test.go
@@ -6,15 +6,15 @@
 // port that had been issued for its front, which was not listening yet, and the program exited with "address already in
 // use". The system draws from about 7,000 ports, so 2,000 draws are certain to repeat one.
 func TestFreeAddrOnNeverRepeatsAddress(t *testing.T) {
-	seen := map[string]bool{}
+	returned := map[string]bool{}
 	for range 2000 {
 		addr, err := FreeAddrOn("127.63.7.9")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if seen[addr] {
+		if returned[addr] {
 			t.Fatalf("FreeAddrOn returned %s twice", addr)
 		}
-		seen[addr] = true
+		returned[addr] = true
 	}
 }
--- a/test/client_http_test.go
+++ b/test/client_http_test.go
@@ -14,9 +14,9 @@
 	"larchusher/signedurl"
 )
 
-// httpClient returns a client of a gateway's signed front whose tokens are valid for the duration good, and the number of
+// httpClient returns a client of a gateway's signed front whose tokens are valid for the given duration, and the number of
 // tokens signed so far.
-func httpClient(t *testing.T, addr string, good time.Duration) (*lib.Client, *atomic.Int64) {
+func httpClient(t *testing.T, addr string, validity time.Duration) (*lib.Client, *atomic.Int64) {
 	t.Helper()
 	issuer, err := signedurl.NewIssuer(signedKeys, "new")
 	if err != nil {
@@ -26,7 +26,7 @@
 	c, err := lib.New(lib.Config{Gateways: []string{addr}, Classes: clientClasses, Transport: &lib.HTTP{
 		Sign: func(_ context.Context, target string) (string, error) {
 			signed.Add(1)
-			uri, err := issuer.Sign(signedurl.Order{Target: target, Expiry: time.Now().Add(good)})
+			uri, err := issuer.Sign(signedurl.Order{Target: target, Expiry: time.Now().Add(validity)})
 			return strings.TrimPrefix(uri, base), err
 		}}})
 	if err != nil {
@@ -54,16 +54,16 @@
 	if _, err = c.Do(ctx, lib.Request{Class: "orders", Object: object, Body: []byte("move")}); err != nil {
 		t.Error(err)
 	}
-	turns := 0
+	orders := 0
 	for _, a := range r.storeRequests(object) {
 		if a.Fields["lane"] == "orders" {
-			if turns++; a.Fields["dedupe"] == "" || a.Body != "move" {
+			if orders++; a.Fields["dedupe"] == "" || a.Body != "move" {
 				t.Errorf("the store received fields %v and body %q, want an idempotency key and the body \"move\"", a.Fields, a.Body)
 			}
 		}
 	}
-	if turns != 1 {
-		t.Errorf("the stores received %d requests of class orders, want 1", turns)
+	if orders != 1 {
+		t.Errorf("the stores received %d requests of class orders, want 1", orders)
 	}
 	for _, s := range r.stores {
 		s.Close()
--- a/test/client_test.go
+++ b/test/client_test.go
@@ -31,34 +31,34 @@
 // startPair starts two gateways, each behind a fault proxy.
 func startPair(t *testing.T) (context.Context, [2]*testbed.Gateway, [2]*faultproxy.Proxy) {
 	t.Helper()
-	var ws [2]*testbed.Gateway
-	var rs [2]*faultproxy.Proxy
+	var gateways [2]*testbed.Gateway
+	var proxies [2]*faultproxy.Proxy
 	var ctx context.Context
-	for i := range ws {
-		ctx, ws[i] = startTestbed(t, testbed.Config{Caches: 2, Pin: -1, Sockets: 4096})
-		r, err := faultproxy.New(ws[i].Addr, uint64(i))
+	for i := range gateways {
+		ctx, gateways[i] = startTestbed(t, testbed.Config{Caches: 2, Pin: -1, Sockets: 4096})
+		r, err := faultproxy.New(gateways[i].Addr, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(r.Close)
-		rs[i] = r
+		proxies[i] = r
 	}
-	return ctx, ws, rs
+	return ctx, gateways, proxies
 }
 
 // When a gateway dies with requests of hundreds of clients open, the clients must reconnect to the other gateway spread
 // over two seconds, without a peak, and be served there.
 func TestClientsSpreadReconnectsAfterGatewayDeath(t *testing.T) {
-	ctx, ws, rs := startPair(t)
+	ctx, gateways, proxies := startPair(t)
 	pending := make(chan *storeRequest, 4000)
-	for _, s := range ws[0].Stores {
+	for _, s := range gateways[0].Stores {
 		s.SetHandler(func(a *storeRequest) { pending <- a })
 	}
 	const n = 1000
 	var served, failed atomic.Int64
 	var all sync.WaitGroup
 	for i := range n {
-		c, err := lib.New(lib.Config{Gateways: []string{rs[0].Addr, rs[1].Addr}, Classes: clientClasses, Seed: uint64(i + 1),
+		c, err := lib.New(lib.Config{Gateways: []string{proxies[0].Addr, proxies[1].Addr}, Classes: clientClasses, Seed: uint64(i + 1),
 			Plan: plan.Config{Conns: 1}})
 		if err != nil {
 			t.Fatal(err)
@@ -76,32 +76,32 @@
 		})
 	}
 	// Clients that chose the first gateway wait there without an answer; the others are served at once.
-	eventually(t, "all clients have sent their request", func() bool { return len(rs[0].Requests())+len(rs[1].Requests()) >= n })
-	open := len(rs[0].Requests())
-	before := len(rs[1].ConnectTimes())
+	eventually(t, "all clients have sent their request", func() bool { return len(proxies[0].Requests())+len(proxies[1].Requests()) >= n })
+	open := len(proxies[0].Requests())
+	before := len(proxies[1].ConnectTimes())
 	died := time.Now()
-	if err := ws[0].Cmd.Process.Kill(); err != nil {
+	if err := gateways[0].Cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	rs[0].Close()
+	proxies[0].Close()
 	all.Wait()
-	tenths := map[int]int{}
-	late := rs[1].ConnectTimes()[before:]
-	for _, at := range late {
-		tenths[int(at.Sub(died)/(100*time.Millisecond))]++
-	}
-	for k, m := range tenths {
-		if float64(m) > 0.12*float64(len(late)) {
-			t.Errorf("%d of %d reconnects came within one tenth of a second, %d ms after the death; want at most 12 %% in each", m, len(late), k*100)
+	perTenth := map[int]int{}
+	reconnects := proxies[1].ConnectTimes()[before:]
+	for _, at := range reconnects {
+		perTenth[int(at.Sub(died)/(100*time.Millisecond))]++
+	}
+	for k, m := range perTenth {
+		if float64(m) > 0.12*float64(len(reconnects)) {
+			t.Errorf("%d of %d reconnects came within one tenth of a second, %d ms after the death; want at most 12 %% in each", m, len(reconnects), k*100)
 		}
 	}
-	if len(late) < open*9/10 || len(tenths) < 18 {
-		t.Errorf("%d of %d clients reconnected, in %d different tenths of a second; want at least 90 %% in at least 18", len(late), open, len(tenths))
+	if len(reconnects) < open*9/10 || len(perTenth) < 18 {
+		t.Errorf("%d of %d clients reconnected, in %d different tenths of a second; want at least 90 %% in at least 18", len(reconnects), open, len(perTenth))
 	}
 	if served.Load() < n*99/100 {
 		t.Errorf("%d of %d calls were served, want at least 99 %%", served.Load(), n)
 	}
-	for _, b := range (faultproxy.Rules{MaxTries: 3, DedupWindows: map[string]time.Duration{"orders": 3 * time.Second}}).Check(rs[:]...) {
+	for _, b := range (faultproxy.Rules{MaxTries: 3, DedupWindows: map[string]time.Duration{"orders": 3 * time.Second}}).Check(proxies[:]...) {
 		t.Error(b)
 	}
 }
@@ -156,8 +156,8 @@
 // With closed connections, split answers and an unresponsive gateway, each call must end within its deadline (50 ms of
 // tolerance), and the client must keep the retry rules.
 func TestRetryRulesHoldUnderFaults(t *testing.T) {
-	ctx, ws, rs := startPair(t)
-	for _, w := range ws {
+	ctx, gateways, proxies := startPair(t)
+	for _, w := range gateways {
 		for _, s := range w.Stores {
 			s.SetHandler(failOrDelayByID)
 		}
@@ -166,15 +166,15 @@
 	if n, err := strconv.Atoi(os.Getenv("LARCHUSHER_LONG")); err == nil {
 		long = n
 	}
-	rs[0].InjectFaults(0.01, 0)
-	rs[1].InjectFaults(0.005, 700)
-	c, err := lib.New(lib.Config{Gateways: []string{rs[0].Addr, rs[1].Addr}, Classes: clientClasses, Seed: 7,
+	proxies[0].InjectFaults(0.01, 0)
+	proxies[1].InjectFaults(0.005, 700)
+	c, err := lib.New(lib.Config{Gateways: []string{proxies[0].Addr, proxies[1].Addr}, Classes: clientClasses, Seed: 7,
 		Plan: plan.Config{ProbeFirst: 50 * time.Millisecond, Spread: 200 * time.Millisecond, Silence: 200 * time.Millisecond}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	time.AfterFunc(500*time.Millisecond, func() { rs[1].SetUnresponsive(true); rs[1].ResetConnections() })
-	time.AfterFunc(1200*time.Millisecond, func() { rs[1].SetUnresponsive(false); rs[1].ResetConnections() })
+	time.AfterFunc(500*time.Millisecond, func() { proxies[1].SetUnresponsive(true); proxies[1].ResetConnections() })
+	time.AfterFunc(1200*time.Millisecond, func() { proxies[1].SetUnresponsive(false); proxies[1].ResetConnections() })
 	var ends callResults
 	ends.latest.Store(math.MinInt64)
 	var all sync.WaitGroup
@@ -190,7 +190,7 @@
 	if ends.late.Load() > 0 || ends.served.Load() < 2000*int64(long) {
 		t.Errorf("%d calls ended late, %d were served, %d failed; want 0 late and at least half served. Counters: %v", ends.late.Load(), ends.served.Load(), ends.others.Load(), c.Counters())
 	}
-	for _, b := range (faultproxy.Rules{MaxTries: 4, DedupWindows: map[string]time.Duration{"orders": 3 * time.Second}}).Check(rs[:]...) {
+	for _, b := range (faultproxy.Rules{MaxTries: 4, DedupWindows: map[string]time.Duration{"orders": 3 * time.Second}}).Check(proxies[:]...) {
 		t.Error(b)
 	}
 	t.Logf("%d calls served, %d failed, the latest ended %v after its deadline; counters: %v", ends.served.Load(), ends.others.Load(), time.Duration(ends.latest.Load()),
--- a/test/console_test.go
+++ b/test/console_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// 100 simultaneous STATS commands must each get a complete reply within a second. A connection with an endless line must
-// be closed without a reply.
+// 100 simultaneous STATS commands must each get a complete reply within a second. A line without an
+// end must get no reply.
 func TestConsoleServesConcurrentCalls(t *testing.T) {
 	r := newRig(t)
 	console := r.withConsole()
@@ -132,7 +132,7 @@
 	}
 	_ = long.SetReadDeadline(time.Now().Add(eventTimeout))
 	if n, _ := long.Read(make([]byte, 1)); n != 0 {
-		t.Error("the console answered a line without an end, want the connection to be closed")
+		t.Error("the console answered a line without an end, want no reply")
 	}
 	failed := make(chan string, 100)
 	var all sync.WaitGroup
--- a/test/crossing_test.go
+++ b/test/crossing_test.go
@@ -66,11 +66,11 @@
 	if err := json.Unmarshal(testbed.EndpointListJSON(r.stores), &known); err != nil {
 		t.Fatal(err)
 	}
-	book := &netjournal.EventApplier{Sink: struct {
+	applier := &netjournal.EventApplier{Sink: struct {
 		*gateway.Gateway
 		*resp.Pool
 	}{in.gw, in.pool}, Clock: in.gw.DirectorTime}
-	if err := book.ApplyInitial(time.Now(), known); err != nil {
+	if err := applier.ApplyInitial(time.Now(), known); err != nil {
 		t.Fatal(err)
 	}
 	in.front = msgpackrpc.New(in.loop, in.gw, []string{"films", "images", "orders"}, 100, log)
@@ -97,9 +97,9 @@
 }
 
 // readOnLoop calls a function on the event loop and returns its result: most counters may be read only there.
-func (in *inProcessGateway) readOnLoop(of func() uint64) (n uint64) {
+func (in *inProcessGateway) readOnLoop(value func() uint64) (n uint64) {
 	in.t.Helper()
-	in.runOnLoop(func() { n = of() })
+	in.runOnLoop(func() { n = value() })
 	return n
 }
 
@@ -139,14 +139,14 @@
 	for i := 0; ; i++ {
 		c.send("images", fmt.Sprintf("%016x", 0xf00+i), 5*time.Second, "")
 		_ = c.readAnswer() // on a slow machine a request may be rejected
-		up := 0
+		connected := 0
 		for _, name := range []string{"c1", "c2"} {
 			s := in.stores[name]
 			s.Lock()
-			up += min(1, s.Conns)
+			connected += min(1, s.Conns)
 			s.Unlock()
 		}
-		if up == 2 {
+		if connected == 2 {
 			break
 		}
 		if i > 200 {
@@ -237,11 +237,11 @@
 // A client disconnects while the connection to its store is being established, and only the kernel knows, because the
 // poller is blocked. No attempt may be written for it; one was.
 func TestNoAttemptForClientGoneDuringDial(t *testing.T) {
-	var late []*stalledStore
+	var stalled []*stalledStore
 	in := newInProcessGateway(t, func(r *rig) {
 		for _, name := range []string{"c1", "c2"} {
 			s := newStalledStore(t)
-			late = append(late, s)
+			stalled = append(stalled, s)
 			r.stores[name].Addr = s.addr
 		}
 	})
@@ -251,13 +251,13 @@
 	release := in.blockPoller()
 	defer release()
 	loopback.Close(c.conn)
-	for _, s := range late {
+	for _, s := range stalled {
 		s.acceptConnections(t)
 	}
 	eventually(t, "the gateway has found that the client is gone before the write", func() bool { return in.readOnLoop(func() uint64 { return in.gw.Counters.GoneBeforeWrite }) == 1 })
 	release()
 	eventually(t, "the client's connection is closed", func() bool { return in.engine.Closed.Load() == 1 })
-	if n := in.readOnLoop(func() uint64 { return in.pool.Counters.Written }); n != 0 || len(late[0].requests)+len(late[1].requests) != 0 {
+	if n := in.readOnLoop(func() uint64 { return in.pool.Counters.Written }); n != 0 || len(stalled[0].requests)+len(stalled[1].requests) != 0 {
 		t.Errorf("%d attempts were written for a departed client, want 0", n)
 	}
 }
@@ -265,11 +265,11 @@
 // A client cancels while the connection to its store is being established and the loop is busy, so that the loop handles
 // the new connection before the cancel. No attempt may be written for the request; one was.
 func TestNoAttemptForRequestCancelledDuringDial(t *testing.T) {
-	var late []*stalledStore
+	var stalled []*stalledStore
 	in := newInProcessGateway(t, func(r *rig) {
 		for _, name := range []string{"c1", "c2"} {
 			s := newStalledStore(t)
-			late = append(late, s)
+			stalled = append(stalled, s)
 			r.stores[name].Addr = s.addr
 		}
 	})
@@ -279,7 +279,7 @@
 	release := in.blockLoop()
 	defer release()
 	opened := in.engine.Opened.Load()
-	for _, s := range late {
+	for _, s := range stalled {
 		s.acceptConnections(t)
 	}
 	eventually(t, "the store connection is established", func() bool { return in.engine.Opened.Load() > opened })
@@ -664,15 +664,15 @@
 			t.Errorf("the next journal connection resumes after event %q, want 1", second.lastEventID)
 		}
 		second.send(t, eventStreamHeader+r.statusEvent(2, "c1", "DRAINING"))
-		told := time.Now()
+		sentAt := time.Now()
 		eventually(t, "the drain has been processed", func() bool { return r.counter("journal_events") == 1 })
-		heard := time.Now()
+		processedAt := time.Now()
 		before := len(r.storeRequests(""))
 		eventually(t, "the stores have received 20 more requests", func() bool { return len(r.storeRequests("")) > before+20 })
 		stop()
 		for _, a := range r.storeRequests("") {
-			if a.Store.Name == "c1" && (a.At.After(heard) || a.At.After(told.Add(2*time.Second))) {
-				t.Errorf("the draining store received a request %v after the drain was sent", a.At.Sub(told))
+			if a.Store.Name == "c1" && (a.At.After(processedAt) || a.At.After(sentAt.Add(2*time.Second))) {
+				t.Errorf("the draining store received a request %v after the drain was sent", a.At.Sub(sentAt))
 			}
 		}
 		_ = r.cmd.Process.Kill()
@@ -723,12 +723,12 @@
 	r.config["journal"] = other.addr
 	r.writeConfig()
 	r.signal(syscall.SIGHUP)
-	moved := receive(t, other.conns)
-	if moved.lastEventID != "2" {
-		t.Errorf("the journal was resumed after event %q, want 2", moved.lastEventID)
+	newStream := receive(t, other.conns)
+	if newStream.lastEventID != "2" {
+		t.Errorf("the journal was resumed after event %q, want 2", newStream.lastEventID)
 	}
 	_, _ = io.WriteString(s, whole[len(whole)/2:]+r.statusEvent(4, "c2", "DRAINING"))
-	moved.send(t, eventStreamHeader+whole)
+	newStream.send(t, eventStreamHeader+whole)
 	eventually(t, "the complete event has been processed", func() bool { return r.counter("journal_events") == 2 })
 	stop := r.sendContinuously()
 	eventually(t, "the stores have received 20 more requests", func() bool { return len(r.storeRequests("")) > 20 })
@@ -747,33 +747,33 @@
 	in := newInProcessGateway(t, nil)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	heard := &purgeSink{}
-	book := &netjournal.EventApplier{Sink: heard, Clock: in.gw.DirectorTime}
-	if err := book.ApplyInitial(time.Now(), netjournal.InitialState{Position: 1}); err != nil {
+	sink := &purgeSink{}
+	applier := &netjournal.EventApplier{Sink: sink, Clock: in.gw.DirectorTime}
+	if err := applier.ApplyInitial(time.Now(), netjournal.InitialState{Position: 1}); err != nil {
 		t.Fatal(err)
 	}
-	var feed *netjournal.Client
-	in.runOnLoop(func() { feed = netjournal.Watch(in.loop, in.engine, log, j.addr, book, 1) })
+	var journalClient *netjournal.Client
+	in.runOnLoop(func() { journalClient = netjournal.Watch(in.loop, in.engine, log, j.addr, applier, 1) })
 	s := receive(t, j.conns)
 	event := func(pos, set int) string {
 		return fmt.Sprintf("id: %d\ndata: {\"pos\":%d,\"expire\":{\"set\":%d,\"stamp\":1}}\n\n", pos, pos, set)
 	}
 	s.send(t, eventStreamHeader+event(2, 1))
-	eventually(t, "the first event has been processed", func() bool { return in.readOnLoop(func() uint64 { return feed.Events }) == 1 })
+	eventually(t, "the first event has been processed", func() bool { return in.readOnLoop(func() uint64 { return journalClient.Events }) == 1 })
 	release := in.blockLoop()
-	in.loop.Post(func() { feed.SetAddress(other.addr) })
+	in.loop.Post(func() { journalClient.SetAddress(other.addr) })
 	s.send(t, event(3, 2))
 	in.waitForPoller()
 	release()
-	moved := receive(t, other.conns)
-	if moved.lastEventID != "2" {
-		t.Errorf("the journal was resumed after event %q, want 2", moved.lastEventID)
+	newStream := receive(t, other.conns)
+	if newStream.lastEventID != "2" {
+		t.Errorf("the journal was resumed after event %q, want 2", newStream.lastEventID)
 	}
-	moved.send(t, eventStreamHeader+event(3, 3))
-	eventually(t, "the event of the new journal has been processed", func() bool { return in.readOnLoop(func() uint64 { return feed.Events }) >= 2 })
+	newStream.send(t, eventStreamHeader+event(3, 3))
+	eventually(t, "the event of the new journal has been processed", func() bool { return in.readOnLoop(func() uint64 { return journalClient.Events }) >= 2 })
 	in.runOnLoop(func() {
-		if len(heard.sets) != 2 || heard.sets[1] != 3 {
-			t.Errorf("processed purges of the groups %v, want 2 of them, the second of group 3", heard.sets)
+		if len(sink.sets) != 2 || sink.sets[1] != 3 {
+			t.Errorf("processed purges of the groups %v, want 2 of them, the second of group 3", sink.sets)
 		}
 	})
 }
@@ -782,6 +782,7 @@
 // event loop only.
 type purgeSink struct{ sets []int }
 
+// The methods of an event sink; only Purge has an effect.
 func (*purgeSink) UpdateEndpoints(routing.EndpointUpdate) {}
 func (p *purgeSink) Purge(x routing.Purge)                { p.sets = append(p.sets, x.Group) }
 func (*purgeSink) SetAddress(string, string, int64)       {}
@@ -810,8 +811,8 @@
 // surrounded by more SIGHUPs than the program queues. All 16 requests must be served.
 func TestTermWithOpenAttempts(t *testing.T) {
 	r := newRig(t)
-	late := newStalledStore(t)
-	r.stores["c1"].Addr = late.addr
+	stalled := newStalledStore(t)
+	r.stores["c1"].Addr = stalled.addr
 	r.start()
 	pending := make(chan *storeRequest, 100)
 	r.setHandler(func(a *storeRequest) { pending <- a })
@@ -821,10 +822,10 @@
 		c.send("films", fmt.Sprintf("%016x", i), 5*time.Second, "")
 		clients = append(clients, c)
 	}
-	half := receive(t, pending)
-	body := content(half.Fields["name"], half.Fields["piece"])
-	whole := respArray(half.ID, "DONE", "why=warm,digest=d,dated=1", body)
-	if _, err := io.WriteString(half.Conn, whole[:len(whole)/2]); err != nil {
+	partial := receive(t, pending)
+	body := content(partial.Fields["name"], partial.Fields["piece"])
+	whole := respArray(partial.ID, "DONE", "why=warm,digest=d,dated=1", body)
+	if _, err := io.WriteString(partial.Conn, whole[:len(whole)/2]); err != nil {
 		t.Fatal(err)
 	}
 	for range 50 {
@@ -835,7 +836,7 @@
 	r.waitForLog("msg=draining")
 	r.signal(syscall.SIGTERM)
 	r.signal(syscall.SIGHUP)
-	if _, err := io.WriteString(half.Conn, whole[len(whole)/2:]); err != nil {
+	if _, err := io.WriteString(partial.Conn, whole[len(whole)/2:]); err != nil {
 		t.Fatal(err)
 	}
 	go func() {
@@ -927,8 +928,8 @@
 // A store connection that is established long after its request was served elsewhere must not carry that request.
 func TestLateStoreConnectionCarriesNoRequest(t *testing.T) {
 	r := newRig(t)
-	late := newStalledStore(t)
-	r.stores["c1"].Addr = late.addr
+	stalled := newStalledStore(t)
+	r.stores["c1"].Addr = stalled.addr
 	r.start()
 	c := r.client()
 	for i := range 8 {
@@ -942,8 +943,8 @@
 	if r.counter("store_refused") == 0 {
 		t.Error("no dial to the stalled store was given up (store_refused is 0)")
 	}
-	late.acceptConnections(t)
-	probe, err := loopback.Dial(late.addr) // queued after all waiting connections
+	stalled.acceptConnections(t)
+	probe, err := loopback.Dial(stalled.addr) // queued after all waiting connections
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -951,7 +952,7 @@
 	if _, err := io.WriteString(probe, respArray("ASK", "probe", "-", "")); err != nil {
 		t.Fatal(err)
 	}
-	if args := receive(t, late.requests); args[1] != "probe" {
+	if args := receive(t, stalled.requests); args[1] != "probe" {
 		t.Errorf("the stalled store first received %q, want the test's own probe", args)
 	}
 }
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -80,9 +80,9 @@
 	s := checkInvariants(t, res)
 	// The checks concern the gateway's decisions only. How many answers the load generator read within the latency objective
 	// depends on the machine and is recorded in docs/measurements/overload.md.
-	turns, replays, assets := servedShare(s, "orders"), servedShare(s, "films"), servedShare(s, "images")
-	if turns < 0.6 || replays < assets {
-		t.Errorf("served shares: orders %.2f, films %.2f, images %.2f; want orders at least 0.60, and films at least as many as images", turns, replays, assets)
+	orders, films, images := servedShare(s, "orders"), servedShare(s, "films"), servedShare(s, "images")
+	if orders < 0.6 || films < images {
+		t.Errorf("served shares: orders %.2f, films %.2f, images %.2f; want orders at least 0.60, and films at least as many as images", orders, films, images)
 	}
 	u, err := w.Usage()
 	if err != nil {
@@ -291,11 +291,11 @@
 	if before < 50 {
 		t.Errorf("%d requests of the flood on the signed front were served, want at least 50", before)
 	}
-	assets, err := load.Only("images")
+	imagesOnly, err := load.Only("images")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if res, err = load.Run(ctx, load.Spec{Addr: w.Addr, Mix: assets, Rate: load.Constant(40000), For: 2 * time.Second, Seed: 1}); err != nil {
+	if res, err = load.Run(ctx, load.Spec{Addr: w.Addr, Mix: imagesOnly, Rate: load.Constant(40000), For: 2 * time.Second, Seed: 1}); err != nil {
 		t.Fatal(err)
 	}
 	checkInvariants(t, res)
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -81,11 +81,11 @@
 // key and id, and the client must get one answer.
 func TestOneAnswerWhenStoreDisconnects(t *testing.T) {
 	r := newRig(t).start()
-	broken := make(chan bool, 1)
-	broken <- true
+	disconnectOnce := make(chan bool, 1)
+	disconnectOnce <- true
 	r.setHandler(func(a *storeRequest) {
 		select {
-		case <-broken:
+		case <-disconnectOnce:
 			loopback.Close(a.Conn)
 		default:
 			serveHit(a)
@@ -221,7 +221,7 @@
 func TestSilentConnectionIsProbedAndAbandoned(t *testing.T) {
 	r := newRig(t).start()
 	pending := make(chan *storeRequest, 10)
-	deaf := func(a *storeRequest) {
+	goSilent := func(a *storeRequest) {
 		a.Store.Lock()
 		a.Store.IgnoreHealthChecks = true
 		a.Store.Unlock()
@@ -232,7 +232,7 @@
 		}
 		pending <- a
 	}
-	r.setHandler(deaf)
+	r.setHandler(goSilent)
 	c := r.client()
 	c.send("films", object, 5*time.Second, "")
 	if a := c.readAnswer(); a.err != "" || a.body != content(object, "3") {
@@ -369,7 +369,7 @@
 
 // After a malformed reply of a store, the request must be retried and served.
 func TestMalformedStoreReplyIsRetried(t *testing.T) {
-	for _, nonsense := range []string{"*9\r\n", "$3\r\nabc\r\n", "*4\r\n$99999999\r\n", "+OK\r\n", strings.Repeat("1", 100),
+	for _, reply := range []string{"*9\r\n", "$3\r\nabc\r\n", "*4\r\n$99999999\r\n", "+OK\r\n", strings.Repeat("1", 100),
 		respArray("x", "HUH", "-", ""), respArray("x", "DONE"), "*1\r\n$3\r\nabcd\r\n"} {
 		t.Run("", func(t *testing.T) {
 			r := newRig(t).start()
@@ -378,7 +378,7 @@
 			r.setHandler(func(a *storeRequest) {
 				select {
 				case <-once:
-					_, _ = a.Conn.Write([]byte(nonsense))
+					_, _ = a.Conn.Write([]byte(reply))
 				default:
 					serveHit(a)
 				}
@@ -398,21 +398,21 @@
 	r := newRig(t).start()
 	pending := make(chan *storeRequest, 10)
 	r.setHandler(func(a *storeRequest) { pending <- a })
-	early := r.client()
-	early.send("films", object, 5*time.Second, "")
+	earlyClient := r.client()
+	earlyClient.send("films", object, 5*time.Second, "")
 	a := receive(t, pending)
 	if err := r.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	r.waitForLog("msg=draining")
 	r.setHandler(serveHit)
-	late := r.client()
-	late.send("films", "00000000000000dd", 5*time.Second, "")
-	if got := late.readAnswer(); got.err != "" {
+	lateClient := r.client()
+	lateClient.send("films", "00000000000000dd", 5*time.Second, "")
+	if got := lateClient.readAnswer(); got.err != "" {
 		t.Errorf("request on a connection opened after SIGTERM: answer %+v, want no error", got)
 	}
 	serveHit(a)
-	if got := early.readAnswer(); got.err != "" {
+	if got := earlyClient.readAnswer(); got.err != "" {
 		t.Errorf("request open at SIGTERM: answer %+v, want no error", got)
 	}
 	if err := receive(t, r.exited); err != nil {
@@ -483,16 +483,16 @@
 		t.Cleanup(func() { loopback.Close(c) })
 		return c
 	}
-	peer, all, stranger := listen(), listen(), listen()
+	peer, broadcast, stranger := listen(), listen(), listen()
 	own := listen()
 	r.config["peer_listen"] = own.LocalAddr().String()
 	r.config["peers"] = []string{own.LocalAddr().String(), peer.LocalAddr().String()}
-	r.config["peers_all"] = all.LocalAddr().String()
+	r.config["peers_all"] = broadcast.LocalAddr().String()
 	loopback.Close(own)
 	r.start()
 	buf := make([]byte, 512)
-	_ = all.SetReadDeadline(time.Now().Add(eventTimeout))
-	n, from, err := all.ReadFromUDP(buf)
+	_ = broadcast.SetReadDeadline(time.Now().Add(eventTimeout))
+	n, from, err := broadcast.ReadFromUDP(buf)
 	if err != nil || n > 256 || from.String() != r.config["peer_listen"] {
 		t.Fatalf("greeting: %d bytes from %v, error %v; want at most 256 bytes from the peer address", n, from, err)
 	}
@@ -509,8 +509,8 @@
 	if _, _, err := peer.ReadFromUDP(buf); err != nil {
 		t.Fatal(err)
 	}
-	if heard, dropped := r.counter("peer_heard"), r.counter("peer_dropped"); heard != 2 || dropped != 2 {
-		t.Errorf("%d messages accepted, %d dropped, want 2 and 2", heard, dropped)
+	if accepted, dropped := r.counter("peer_heard"), r.counter("peer_dropped"); accepted != 2 || dropped != 2 {
+		t.Errorf("%d messages accepted, %d dropped, want 2 and 2", accepted, dropped)
 	}
 }
 
@@ -623,25 +623,25 @@
 // Connections that send nothing, or stop in the middle of a request, must be closed on both fronts.
 func TestSilentAndHalfSentConnectionsAreClosed(t *testing.T) {
 	r, addr := signedRig(t, "")
-	silent, half, later := r.client(), r.client(), r.client()
+	silent, half, halfSecond := r.client(), r.client(), r.client()
 	half.write([]byte("\x94\x00\x01\xa5ali"))
-	later.send("images", object, 2*time.Second, "")
-	later.readAnswer()
-	later.write([]byte("\x94\x00\xc4\xff"))
-	web, unsaid := newHTTPConn(t, addr), newHTTPConn(t, addr)
-	if _, err := web.conn.Write([]byte("GET /films HTT")); err != nil {
+	halfSecond.send("images", object, 2*time.Second, "")
+	halfSecond.readAnswer()
+	halfSecond.write([]byte("\x94\x00\xc4\xff"))
+	halfHTTP, silentHTTP := newHTTPConn(t, addr), newHTTPConn(t, addr)
+	if _, err := halfHTTP.conn.Write([]byte("GET /films HTT")); err != nil {
 		t.Fatal(err)
 	}
-	if answer, _ := web.readResponse(); answer.StatusCode != 408 {
+	if answer, _ := halfHTTP.readResponse(); answer.StatusCode != 408 {
 		t.Errorf("HTTP request cut off in its first line: status %d, want 408", answer.StatusCode)
 	}
-	_ = unsaid.conn.SetReadDeadline(time.Now().Add(eventTimeout))
-	if _, err := unsaid.r.ReadByte(); err != io.EOF {
+	_ = silentHTTP.conn.SetReadDeadline(time.Now().Add(eventTimeout))
+	if _, err := silentHTTP.r.ReadByte(); err != io.EOF {
 		t.Errorf("silent HTTP connection: error %v, want it closed without a response", err)
 	}
 	silent.expectClosed()
 	half.expectClosed()
-	later.expectClosed()
+	halfSecond.expectClosed()
 }
 
 // A request that is written slowly, in pieces over a little more than 2 s, must be served, both on a new connection and
--- a/test/rig_test.go
+++ b/test/rig_test.go
@@ -31,6 +31,7 @@
 // program is the path of the executable that TestMain has built.
 var program string
 
+// TestMain builds the program with the deployment's build command, runs the tests and removes the program.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "larchusher")
 	if err != nil {
@@ -225,6 +226,7 @@
 	journal      = fakeserver.Journal
 )
 
+// Shorthands for functions of package fakeserver: a RESP array, the content of a part, and an answer with that content.
 func respArray(args ...string) string    { return fakeserver.Array(args...) }
 func content(object, part string) string { return fakeserver.Content(object, part) }
 func serveHit(a *storeRequest)           { fakeserver.ServeHit(a) }
@@ -271,10 +273,10 @@
 }
 
 // sumStores sums a count over all stores, each read under the store's lock.
-func (r *rig) sumStores(of func(*store) int) (n int) {
+func (r *rig) sumStores(count func(*store) int) (n int) {
 	for _, s := range r.stores {
 		s.Lock()
-		n += of(s)
+		n += count(s)
 		s.Unlock()
 	}
 	return n
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -128,10 +128,10 @@
 	r := newRig(t)
 	console := r.withConsole()
 	r.start()
-	nobody := freeAddr(t)
+	unusedAddr := freeAddr(t)
 	faults := []struct {
-		name, word string
-		change     func(config, settings map[string]any)
+		name, wantText string
+		change         func(config, settings map[string]any)
 	}{
 		{"no settings", "settings", func(c, _ map[string]any) { delete(c, "settings") }},
 		{"no limits", "settings.limits", func(_, s map[string]any) { delete(s, "limits") }},
@@ -147,7 +147,7 @@
 		{"no attempts", "sendCap", func(_, s map[string]any) { s["limits"].(map[string]any)["sendCap"] = 0 }},
 		{"negative attempts", "sendCap", func(_, s map[string]any) { s["limits"].(map[string]any)["sendCap"] = -1 }},
 		{"duplicate class", "duplicate Name", func(_, s map[string]any) { classesByName(s)["films"]["name"] = "images" }},
-		{"no journal", "journal", func(c, _ map[string]any) { delete(c, "journal") }},
+		{"no journal address", "journal", func(c, _ map[string]any) { delete(c, "journal") }},
 		{"no name", "name", func(c, _ map[string]any) { delete(c, "name") }},
 	}
 	good := r.config
@@ -157,13 +157,13 @@
 			config[k] = v
 		}
 		s["classes"] = append(s["classes"].([]any), map[string]any{"name": "maps", "aimMs": 100, "hardLimitMs": 300, "effect": "once", "value": 3})
-		config["journal"], config["settings"] = nobody, s
+		config["journal"], config["settings"] = unusedAddr, s
 		f.change(config, s)
 		r.config = config
 		r.writeConfig()
 		r.log.Reset()
 		r.signal(syscall.SIGHUP)
-		if line := r.waitForLog("msg=\"reload rejected\""); !strings.Contains(line, f.word) {
+		if line := r.waitForLog("msg=\"reload rejected\""); !strings.Contains(line, f.wantText) {
 			t.Errorf("%s: the log line does not contain the expected text: %s", f.name, line)
 		}
 		if got := r.consoleStats(console); got["reload_failure"] != i+1 || got["reload_success"] != 0 {
--- a/test/signed_test.go
+++ b/test/signed_test.go
@@ -29,11 +29,11 @@
 	{ID: "edge", Form: signedurl.EdgeAuth, Secret: []byte("abcdef0123456789")},
 }}
 
-// signedRig starts the program with a signed front and returns the front's address. The text more is added to the
+// signedRig starts the program with a signed front and returns the front's address. The text extraConfig is added to the
 // operator's file, and the changes are made to the rig before the start.
-func signedRig(t *testing.T, more string, changes ...func(*rig)) (*rig, string) {
+func signedRig(t *testing.T, extraConfig string, changes ...func(*rig)) (*rig, string) {
 	addr, path := freeAddr(t), filepath.Join(t.TempDir(), "operator.textproto")
-	file := fmt.Sprintf("%s\nsigned_front {\nlisten: %q\nbase: %q\nleeway: \"3s\"\nrenew_with: \"new\"\n", more, addr, base)
+	file := fmt.Sprintf("%s\nsigned_front {\nlisten: %q\nbase: %q\nleeway: \"3s\"\nrenew_with: \"new\"\n", extraConfig, addr, base)
 	r := newRig(t)
 	for i, k := range signedKeys.Keys {
 		file += fmt.Sprintf("key {\nid: %q\nform: %q\nalgorithm: %q\nsecret_env: \"K%d\"\n}\n", k.ID, k.Form, k.Algorithm, i)
@@ -176,10 +176,10 @@
 		b, err := io.ReadAll(p.Body)
 		_ = p.Body.Close() // read to its end
 		if err != nil {
-			return got, fmt.Errorf("%d %.60q, want %d %.60q: %w", p.StatusCode, b, want.status, want.body, err)
+			return got, fmt.Errorf("reading the body of response %d %.60q, want %d %.60q: %w", p.StatusCode, b, want.status, want.body, err)
 		}
 		if p.StatusCode != want.status || want.body != "" && strings.TrimSuffix(string(b), "\n") != want.body {
-			return got, fmt.Errorf("%d %.60q, want %d %.60q", p.StatusCode, b, want.status, want.body)
+			return got, fmt.Errorf("got response %d %.60q, want %d %.60q", p.StatusCode, b, want.status, want.body)
 		}
 		got[map[bool]int{true: 0, false: 1}[want.status == 200]]++
 	}
@@ -202,7 +202,7 @@
 func TestSignedFrontServesOnlyValidTokens(t *testing.T) {
 	const total, conns, window = 10000, 8, 16
 	r, addr := signedRig(t, "")
-	signs := []func(signedurl.Order) string{signer(t, signedKeys, "old"), signer(t, signedKeys, "new"), signer(t, signedKeys, "edge")}
+	signers := []func(signedurl.Order) string{signer(t, signedKeys, "old"), signer(t, signedKeys, "new"), signer(t, signedKeys, "edge")}
 	now := time.Now()
 	results := make(chan [2]int, conns) // served and rejected
 	errs := make(chan error, conns)
@@ -210,7 +210,7 @@
 		w := newHTTPConn(t, addr)
 		var sent []signedRequest
 		for i := n; i < total; i += conns {
-			sent = append(sent, signedRequestAt(i, total, now, signs[i/4%3]))
+			sent = append(sent, signedRequestAt(i, total, now, signers[i/4%3]))
 		}
 		wants := make(chan signedRequest, window) // bounds the requests in flight on the connection
 		go func() {
@@ -307,13 +307,13 @@
 	good := func(target string) string {
 		return sign(signedurl.Order{Target: target, Pattern: "/*", Expiry: time.Now().Add(time.Hour)})
 	}
-	asset := good("/images/" + object + "/3?shard=17")
-	turn := good("/orders/" + object + "/0")
-	status, body, h := w.get("GET", asset)
+	imageTarget := good("/images/" + object + "/3?shard=17")
+	orderTarget := good("/orders/" + object + "/0")
+	status, body, h := w.get("GET", imageTarget)
 	if status != 200 || body != content(object, "3") || h.Get("ETag") != `"tag-`+object+`"` {
 		t.Errorf("GET: status %d, headers %v; want 200, the content and its ETag", status, h)
 	}
-	if _, err := io.WriteString(w.conn, request("HEAD", asset)); err != nil {
+	if _, err := io.WriteString(w.conn, request("HEAD", imageTarget)); err != nil {
 		t.Fatal(err)
 	}
 	p, err := http.ReadResponse(w.r, &http.Request{Method: "HEAD"})
@@ -325,11 +325,11 @@
 		t.Errorf("HEAD: response %v, want status 200 and the content length of GET", p)
 	}
 	r.setHandler(func(a *storeRequest) { a.Reply("KEEP", "why=warm,digest="+a.Fields["got"], "") })
-	if status, body, h := w.get("GET", asset, `If-None-Match: "tag-1"`); status != 304 || body != "" || h.Get("ETag") != `"tag-1"` {
+	if status, body, h := w.get("GET", imageTarget, `If-None-Match: "tag-1"`); status != 304 || body != "" || h.Get("ETag") != `"tag-1"` {
 		t.Errorf("GET with If-None-Match: status %d, headers %v; want 304 without a body and the same ETag", status, h)
 	}
 	r.setHandler(serveHit)
-	if status, _, _ := w.get("POST", turn, "Idempotency-Key: \"k-1\"", "Content-Length: 0"); status != 200 {
+	if status, _, _ := w.get("POST", orderTarget, "Idempotency-Key: \"k-1\"", "Content-Length: 0"); status != 200 {
 		t.Errorf("POST with an idempotency key: status %d, want 200", status)
 	}
 	if keys := fmt.Sprint(idempotencyKeys(r.storeRequests(object))); !strings.Contains(keys, "k-1") {
@@ -341,14 +341,14 @@
 		status         int
 		fields         []string
 	}{
-		{"GET", turn, 405, nil}, {"POST", asset, 405, []string{"Content-Length: 0"}},
-		{"POST", turn, 400, []string{"Content-Length: 0"}},
-		{"POST", turn, 400, []string{"Content-Length: 0", "Idempotency-Key: a,b"}},
+		{"GET", orderTarget, 405, nil}, {"POST", imageTarget, 405, []string{"Content-Length: 0"}},
+		{"POST", orderTarget, 400, []string{"Content-Length: 0"}},
+		{"POST", orderTarget, 400, []string{"Content-Length: 0", "Idempotency-Key: a,b"}},
 		{"GET", good("/nothing/" + object + "/3"), 404, nil}, {"GET", good("/images/xyz/3"), 404, nil},
 		{"GET", good("/images/" + object + "/03"), 404, nil},
 		{"GET", good("/images/" + object + "/3?shard=256"), 400, nil},
-		{"GET", asset + "&hdnts=x", 403, nil}, {"GET", "/images/" + object + "/3", 403, nil},
-		{"GET", strings.Replace(asset, "/3?", "/%33?", 1), 403, nil},
+		{"GET", imageTarget + "&hdnts=x", 403, nil}, {"GET", "/images/" + object + "/3", 403, nil},
+		{"GET", strings.Replace(imageTarget, "/3?", "/%33?", 1), 403, nil},
 	} {
 		if status, body, _ := w.get(c.method, c.target, c.fields...); status != c.status {
 			t.Errorf("%s %s: status %d, body %s; want status %d", c.method, c.target, status, body, c.status)
@@ -373,14 +373,14 @@
 	}
 	r.setHandler(func(*storeRequest) {}) // the stores do not answer
 	began := time.Now()
-	if status, _, _ := w.get("GET", asset); status != 504 || time.Since(began) < 2*time.Second {
+	if status, _, _ := w.get("GET", imageTarget); status != 504 || time.Since(began) < 2*time.Second {
 		t.Errorf("request that no store answers: status %d after %v, want 504 at the deadline of the class", status, time.Since(began))
 	}
 	for _, s := range r.stores {
 		loopback.Close(s.Listener)
 		s.SetHandler(func(a *storeRequest) { loopback.Close(a.Conn) })
 	}
-	if status, _, h := w.get("GET", asset); status != 503 || h.Get("Retry-After") == "" {
+	if status, _, h := w.get("GET", imageTarget); status != 503 || h.Get("Retry-After") == "" {
 		t.Errorf("request without usable stores: status %d, headers %v; want 503 with Retry-After", status, h)
 	}
 }
--- a/test/start_errors_test.go
+++ b/test/start_errors_test.go
@@ -24,8 +24,8 @@
 // names the faulty word, file, line or key.
 func TestStartErrorsNameCause(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "missing")
-	broken := filepath.Join(t.TempDir(), "broken.json")
-	if err := os.WriteFile(broken, []byte("{\n  \"listen\": \"127.0.0.1:1\",\n  \"journal\": 7\n}\n"), 0o600); err != nil {
+	invalid := filepath.Join(t.TempDir(), "broken.json")
+	if err := os.WriteFile(invalid, []byte("{\n  \"listen\": \"127.0.0.1:1\",\n  \"journal\": 7\n}\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	const usage = 80 // exit status for an error in the command line
@@ -37,7 +37,7 @@
 		"unknown flag":          {nil, []string{"serve", "--operater", "x"}, []string{"--operater"}, usage},
 		"no configuration":      {[]string{"BALANCER_CONFIG="}, nil, []string{"BALANCER_CONFIG is not set"}, 1},
 		"missing configuration": {[]string{"BALANCER_CONFIG=" + missing}, nil, []string{"BALANCER_CONFIG", missing, "no such file"}, 1},
-		"faulty configuration":  {[]string{"BALANCER_CONFIG=" + broken}, nil, []string{broken, "line 3", "journal"}, 1},
+		"faulty configuration":  {[]string{"BALANCER_CONFIG=" + invalid}, nil, []string{invalid, "line 3", "journal"}, 1},
 		"missing operator file": {nil, []string{"check", "--operator", missing}, []string{"operator's file", missing, "no such file"}, 1},
 		"missing folder":        {nil, []string{"state", "show", "--folder", missing}, []string{missing, "no such file"}, 1},
 	} {
--- a/test/state_test.go
+++ b/test/state_test.go
@@ -16,11 +16,11 @@
 )
 
 // startWithStateFolder starts a testbed whose gateway writes snapshots of its learned state to a folder every 100 ms. The
-// text more is added to the state settings of the operator's file.
-func startWithStateFolder(t *testing.T, folder, more string) (context.Context, *testbed.Gateway) {
+// text extraConfig is added to the state settings of the operator's file.
+func startWithStateFolder(t *testing.T, folder, extraConfig string) (context.Context, *testbed.Gateway) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.textproto")
-	if err := os.WriteFile(path, []byte(fmt.Sprintf("state { folder: %q every: \"100ms\" %s }", folder, more)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(fmt.Sprintf("state { folder: %q every: \"100ms\" %s }", folder, extraConfig)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return startTestbed(t, testbed.Config{Caches: 3, Pin: -1, Args: []string{"serve", "--operator", path}})
--- a/test/tiers_test.go
+++ b/test/tiers_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// SIGHUP must apply changed tier settings. An invalid file must be rejected with an error that names the key, and adding
-// or removing tiers must be logged as needing a restart. Requests are served afterwards.
+// SIGHUP must apply changed tier settings. An invalid file must be rejected with an error that names the fault, and
+// removing all tier settings must be logged as needing a restart. Requests are served afterwards.
 func TestReloadChangesTierSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "operator.textproto")
 	write := func(text string) {
--- a/test/upgrade_test.go
+++ b/test/upgrade_test.go
@@ -167,7 +167,7 @@
 			return nil
 		default:
 		}
-		again := false
+		retried := false
 		for {
 			if conn == nil {
 				var err error
@@ -182,10 +182,10 @@
 			}
 			loopback.Close(conn)
 			conn = nil
-			if again || time.Since(sent) > 50*time.Millisecond {
-				return fmt.Errorf("request %d failed after %v (second try: %v): %w", i, time.Since(sent), again, err)
+			if retried || time.Since(sent) > 50*time.Millisecond {
+				return fmt.Errorf("request %d failed after %v (second try: %v): %w", i, time.Since(sent), retried, err)
 			}
-			again = true
+			retried = true
 		}
 		if i%3 == 2 {
 			loopback.Close(conn)
@@ -307,10 +307,10 @@
 	if quits := cancelled.Store.Quits; len(quits) != 1 || quits[0] != cancelled.ID {
 		t.Errorf("the store received cancels for %q, want the cancelled request only", quits)
 	}
-	const patient = 300 * time.Millisecond
-	hasty := c.send("images", "00000000000000cc", patient, "")
+	const shortLimit = 300 * time.Millisecond
+	expiring := c.send("images", "00000000000000cc", shortLimit, "")
 	c.send("images", "00000000000000dd", 5*time.Second, "")
-	time.Sleep(patient + 50*time.Millisecond) // the first of the two expires while it waits
+	time.Sleep(shortLimit + 50*time.Millisecond) // the first of the two expires while it waits
 	if n := len(r.storeRequests("00000000000000dd")); n != 0 {
 		t.Errorf("the predecessor made %d attempts for a request behind the migration, want 0", n)
 	}
@@ -321,10 +321,10 @@
 		a := c.readAnswer()
 		got[a.id] = a
 	}
-	if a := got[hasty]; a.err != "Backoff" || len(r.storeRequests("00000000000000cc")) != 0 {
+	if a := got[expiring]; a.err != "Backoff" || len(r.storeRequests("00000000000000cc")) != 0 {
 		t.Errorf("request that expired while waiting: answer %+v after %d attempts; want error Backoff and 0 attempts", a, len(r.storeRequests("00000000000000cc")))
 	}
-	if a := got[hasty+1]; a.err != "" {
+	if a := got[expiring+1]; a.err != "" {
 		t.Errorf("request that waited within its limit: answer %+v, want no error", a)
 	}
 	if n := second.consoleStats(console)["success.images"]; n != 1 {
@@ -338,11 +338,11 @@
 func TestUpgradeKeepsColdStoreBudget(t *testing.T) {
 	const window = 2 * time.Second // settings.invariants.overloadForMs
 	r := newRig(t).withSharedTempDir()
-	cold := strings.Replace(r.endpointJSON("c1", "SERVING"), `"since_ms":0`, fmt.Sprintf(`"since_ms":%d`, time.Now().UnixMilli()), 1)
+	coldEndpoint := strings.Replace(r.endpointJSON("c1", "SERVING"), `"since_ms":0`, fmt.Sprintf(`"since_ms":%d`, time.Now().UnixMilli()), 1)
 	r.start()
-	r.journal.Publish(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+cold+`]}`)
+	r.journal.Publish(2, `"hosts":{"index":2,"snapshot":false,"endpoints":[`+coldEndpoint+`]}`)
 	eventually(t, "the gateway has processed the cold start", func() bool { return r.counter("journal_events") == 1 })
-	toCold := func() (n int) {
+	coldRequests := func() (n int) {
 		for _, a := range r.storeRequests("") {
 			if a.Store.Name == "c1" {
 				n++
@@ -363,16 +363,16 @@
 			loopback.Close(c.conn)
 		}
 	}
-	load(func() bool { return toCold() > 0 })
+	load(func() bool { return coldRequests() > 0 })
 	r.startSuccessor()
 	r.waitForLog("msg=\"upgrade: handing over\"") // logged a moment ago
-	before, until := toCold(), time.Now().Add(window*4/5)
+	before, until := coldRequests(), time.Now().Add(window*4/5)
 	load(func() bool { return time.Now().After(until) })
-	if n := toCold() - before; n != 0 {
+	if n := coldRequests() - before; n != 0 {
 		t.Errorf("%d requests reached the cold store within the window after the handover, want 0", n)
 	}
 	r.signal(syscall.SIGTERM)
-	load(func() bool { return toCold() > before })
+	load(func() bool { return coldRequests() > before })
 }
 
 // If the Unix socket for the handover cannot be created, here because its path is too long, the successor must listen on
