--- a/lab/fakeserver/box.go
+++ b/lab/fakeserver/limitedstore.go
@@ -26,7 +26,7 @@
 	*Store
 	Capacity Capacity
 
-	mu              sync.Mutex
+	mu              sync.Mutex          // guards the fields below
 	coldSince       time.Time           // beginning of the cold start; zero: warm
 	queueFreeAt     time.Time           // when the queued work will be done
 	copies          map[string]bool     // parts held, by object/part
@@ -36,10 +36,10 @@
 	reportedAt      time.Time           // when the load report was last updated
 	utilization     float64             // as reported: service time per elapsed time, at most 1.5
 	attempts        map[int]map[int]int // attempts by second since start and by object group
-	start           time.Time
-	Failed          bool    // overloaded during a cold start; answers every attempt with BROKE
-	PeakBudgetShare float64 // largest share of the cold-start budget in use so far; above 1 the store fails
-	Misses          int     // cache misses so far
+	start           time.Time           // beginning of second 0 of attempts
+	Failed          bool                // overloaded during a cold start; answers every attempt with BROKE
+	PeakBudgetShare float64             // largest share of the cold-start budget in use so far; above 1 the store fails
+	Misses          int                 // cache misses so far
 }
 
 // NewLimitedStore starts a limited store of the given kind on an address such as [Loopback]. AttemptsIn counts seconds
--- a/lab/faultproxy/faultproxy.go
+++ b/lab/faultproxy/faultproxy.go
@@ -20,9 +20,9 @@
 
 // Request is a request that a client sent through the proxy.
 type Request struct {
-	At            time.Time
-	Conn          int
-	ID            uint64 // message id
+	At            time.Time // when its bytes were read from the client
+	Conn          int       // number of the client connection, from 0
+	ID            uint64    // message id
 	Class, Object string
 	Part          string
 	Txn, Key      string // id of this try, and the idempotency key
@@ -35,24 +35,24 @@
 	Addr string // where clients connect
 
 	l              net.Listener
-	mu             sync.Mutex
-	target         string
-	nextConn       int
+	mu             sync.Mutex // guards the fields below
+	target         string     // address of the gateway
+	nextConn       int        // number of the next client connection
 	requests       []Request
 	rejections     []Rejection
 	connectTimes   []time.Time
-	conns          map[net.Conn]bool
-	rng            *rand.Rand
-	cutProbability float64 // probability, for each read from the gateway, of closing the connection
-	maxChunk       int     // largest write to a client, in bytes; 0: no limit
-	unresponsive   bool    // new connections are accepted, but nothing is forwarded
+	conns          map[net.Conn]bool // open client connections
+	rng            *rand.Rand        // decides which connections are closed by InjectFaults
+	cutProbability float64           // probability, for each read from the gateway, of closing the connection
+	maxChunk       int               // largest write to a client, in bytes; 0: no limit
+	unresponsive   bool              // new connections are accepted, but nothing is forwarded
 }
 
 // Rejection is an answer by which the gateway rejected a request.
 type Rejection struct {
-	At         time.Time
-	Conn       int
-	ID         uint64
+	At         time.Time     // when it was read from the gateway
+	Conn       int           // number of the client connection, from 0
+	ID         uint64        // message id of the request
 	RetryAfter time.Duration // as sent by the gateway
 }
 
@@ -60,7 +60,7 @@
 func New(target string, seed uint64) (*Proxy, error) {
 	l, err := loopback.Listen("127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("fault proxy: %w", err)
+		return nil, fmt.Errorf("fault proxy: starting to listen: %w", err)
 	}
 	r := &Proxy{Addr: l.Addr().String(), l: l, target: target, conns: map[net.Conn]bool{}, rng: rand.New(rand.NewPCG(seed, 3))}
 	go r.accept(l)
@@ -94,7 +94,7 @@
 func (r *Proxy) Up() error {
 	l, err := loopback.Listen(r.Addr)
 	if err != nil {
-		return fmt.Errorf("fault proxy: %w", err)
+		return fmt.Errorf("fault proxy: listening again: %w", err)
 	}
 	r.l = l
 	go r.accept(l)
@@ -142,7 +142,7 @@
 	}
 }
 
-// Requests returns all requests recorded so far. ConnectTimes returns when connections were accepted.
+// Requests returns all requests recorded so far, in the order in which they were decoded.
 func (r *Proxy) Requests() []Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/test/client_test.go
+++ b/test/client_test.go
@@ -120,7 +120,7 @@
 
 // callResults counts how calls ended. It is safe for concurrent use.
 type callResults struct {
-	served, others, late atomic.Int64
+	served, others, late atomic.Int64 // late: more than 50 ms after the deadline
 	latest               atomic.Int64 // largest time from a deadline to the end of its call, in nanoseconds
 }
 
@@ -162,7 +162,7 @@
 			s.SetHandler(failOrDelayByID)
 		}
 	}
-	long := 1 // LARCHUSHER_LONG=25 makes it 100,000 requests, for docs/measurements/client.md
+	long := 1 // factor on the 4,000 calls; LARCHUSHER_LONG=25 gives the 100,000 of docs/measurements/client.md
 	if n, err := strconv.Atoi(os.Getenv("LARCHUSHER_LONG")); err == nil {
 		long = n
 	}
--- a/test/crossing_test.go
+++ b/test/crossing_test.go
@@ -423,8 +423,8 @@
 }
 
 // A client sends a request with the transaction id of another client's open request. To the stores they would be two
-// attempts of one request. The duplicate must fail and not be forwarded; both were, 136 times in a run of a short day with
-// faulty clients. A client that reconnects and repeats its request must be served, even if the loop does not know yet that
+// attempts of one request. The duplicate must fail and not be forwarded; both were forwarded, 136 times in a short test
+// day with faulty clients. A client that reconnects and repeats its request must be served, even if the loop does not know yet that
 // the first connection is closed.
 func TestDuplicateOfOpenRequestIsRejected(t *testing.T) {
 	in := newInProcessGateway(t, nil)
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -371,7 +371,7 @@
 func TestMalformedStoreReplyIsRetried(t *testing.T) {
 	for _, reply := range []string{"*9\r\n", "$3\r\nabc\r\n", "*4\r\n$99999999\r\n", "+OK\r\n", strings.Repeat("1", 100),
 		respArray("x", "HUH", "-", ""), respArray("x", "DONE"), "*1\r\n$3\r\nabcd\r\n"} {
-		t.Run("", func(t *testing.T) {
+		t.Run("malformed reply", func(t *testing.T) {
 			r := newRig(t).start()
 			once := make(chan bool, 1)
 			once <- true
