--- a/test/cold_test.go
+++ b/test/cold_test.go
@@ -80,11 +80,11 @@
 
 // generateLoad requests objects from the gateway at a rate of perSecond until stop is closed or the gateway exits.
 // Answers are discarded.
-func (r *rig) generateLoad(aSecond int, stop <-chan bool) {
+func (r *rig) generateLoad(perSecond int, stop <-chan bool) {
 	c := r.client()
 	go func() { _, _ = io.Copy(io.Discard, c.conn) }()
 	go func() {
-		tick := time.NewTicker(time.Second / time.Duration(aSecond))
+		tick := time.NewTicker(time.Second / time.Duration(perSecond))
 		defer tick.Stop()
 		for i := 0; ; i++ {
 			select {
@@ -288,7 +288,7 @@
 		r.config["settings"], r.initialEndpoints, r.config["seed"] = settings, known, seed()
 		r.start()
 		if !bytes.Contains([]byte(r.log.String()), []byte("settings.balancers is missing")) {
-			t.Error("the log does not report that settings.balancers is missing")
+			t.Error("the log lacks the text \"settings.balancers is missing\"")
 		}
 		r.generateLoad(perSecond, stop)
 	}
--- a/test/crossing_test.go
+++ b/test/crossing_test.go
@@ -735,7 +735,7 @@
 	stop()
 	for _, a := range r.storeRequests("") {
 		if a.Store.Name == "c1" {
-			t.Error("a draining store received a request")
+			t.Error("the draining store c1 received a request")
 		}
 	}
 }
--- a/test/overload_test.go
+++ b/test/overload_test.go
@@ -89,7 +89,7 @@
 		t.Fatal(err)
 	}
 	if mb := u.PeakKB >> 10; mb > limit {
-		t.Errorf("peak memory %d MB, limit %d MB", mb, limit)
+		t.Errorf("peak memory %d MB, want at most the limit of %d MB", mb, limit)
 	}
 	// A second later requests are served as before the overload.
 	time.Sleep(time.Second)
@@ -129,7 +129,7 @@
 		t.Fatal(err)
 	}
 	if mb := u.PeakKB >> 10; mb > limit {
-		t.Errorf("peak memory %d MB, limit %d MB", mb, limit)
+		t.Errorf("peak memory %d MB, want at most the limit of %d MB", mb, limit)
 	}
 	all, err := w.Counters(ctx)
 	if err != nil {
--- a/test/rig_test.go
+++ b/test/rig_test.go
@@ -149,7 +149,7 @@
 	r.t.Cleanup(func() {
 		p.Stop()
 		if text := log.String(); strings.Contains(text, "panic") && !strings.Contains(text, "panics=0") || r.t.Failed() {
-			r.t.Errorf("log of the program, of a failed test or with a panic:\n%s", text)
+			r.t.Errorf("the test failed or the program panicked; its log:\n%s", text)
 		}
 	})
 }
@@ -435,7 +435,7 @@
 	case b == 0xd9:
 		return text(num(1))
 	}
-	return nil, fmt.Errorf("unexpected MessagePack type byte %#x", b)
+	return nil, fmt.Errorf("unexpected MessagePack type byte %#x in an answer", b)
 }
 
 // startExpectingError runs the program with a configuration that it must reject, and returns its output. With
--- a/test/upgrade_test.go
+++ b/test/upgrade_test.go
@@ -210,7 +210,7 @@
 		return err
 	}
 	if m := v.([]any); m[1].(int) != 1 || m[2] != nil {
-		return fmt.Errorf("unexpected answer %.100v", m)
+		return fmt.Errorf("got answer %.100v, want id 1 without an error", m)
 	}
 	return nil
 }
