--- a/lab/golden/golden.go
+++ b/lab/golden/golden.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// Fill sets every exported field reachable from the pointer v to a non-zero value, except fields tagged json:"-".
-// Numbers and strings get increasing values in the order of the fields, and slices and maps get one element. The values do not
-// depend on the fields' names, so that renaming a field changes nothing.
+// Fill sets every exported field reachable from the pointer v to a non-zero value, except fields tagged json:"-". The
+// values of numbers and strings derive from the position of the field, not from its name, so that renaming a field changes
+// nothing. Slices and maps get one element.
 func Fill(v any) {
 	n := 0
 	fill(reflect.ValueOf(v).Elem(), &n, 0)
--- a/lab/testbed/testbed.go
+++ b/lab/testbed/testbed.go
@@ -163,7 +163,7 @@
 // FreeAddr returns an unused host and port on a loopback address derived from the process id. See FreeAddrOn.
 func FreeAddr() (string, error) { return FreeAddrOn("") }
 
-// issuedAddrs are the addresses that FreeAt has returned.
+// issuedAddrs holds, as keys, the addresses that FreeAddrOn has returned.
 var issuedAddrs sync.Map
 
 // FreeAddrOn returns an unused host and port on the given loopback address, such as 127.77.0.1; an empty host means one
--- a/test/crossing_test.go
+++ b/test/crossing_test.go
@@ -235,7 +235,7 @@
 }
 
 // A client disconnects while the connection to its store is being established, and only the kernel knows, because the
-// poller is blocked. No attempt may be written for it; one was.
+// poller is blocked. No attempt may be written for it, as an earlier version did.
 func TestNoAttemptForClientGoneDuringDial(t *testing.T) {
 	var stalled []*stalledStore
 	in := newInProcessGateway(t, func(r *rig) {
@@ -263,7 +263,8 @@
 }
 
 // A client cancels while the connection to its store is being established and the loop is busy, so that the loop handles
-// the new connection before the cancel. No attempt may be written for the request; one was.
+// the new connection before the cancel. No attempt may be written for the request, as an
+// earlier version did.
 func TestNoAttemptForRequestCancelledDuringDial(t *testing.T) {
 	var stalled []*stalledStore
 	in := newInProcessGateway(t, func(r *rig) {
@@ -298,7 +299,8 @@
 }
 
 // A client disconnects or cancels just after its first attempt has failed, and the loop handles the failure first, so that
-// a retry is due before the loop knows that the client left. No retry may be written; one was.
+// a retry is due before the loop knows that the client left. No retry may be written, as an earlier
+// version did.
 func TestNoRetryForDepartedClient(t *testing.T) {
 	for _, leave := range []func(c *client, id int){func(c *client, _ int) { loopback.Close(c.conn) }, func(c *client, id int) { c.cancel(id) }} {
 		in := newInProcessGateway(t, nil)
@@ -423,9 +425,9 @@
 }
 
 // A client sends a request with the transaction id of another client's open request. To the stores they would be two
-// attempts of one request. The duplicate must fail and not be forwarded; both were forwarded, 136 times in a short test
-// day with faulty clients. A client that reconnects and repeats its request must be served, even if the loop does not know yet that
-// the first connection is closed.
+// attempts of one request. The duplicate must fail and not be forwarded: an earlier version forwarded both, 136 times in a
+// short test day with faulty clients. A client that reconnects and repeats its request must be served, even if the loop
+// does not know yet that the first connection is closed.
 func TestDuplicateOfOpenRequestIsRejected(t *testing.T) {
 	in := newInProcessGateway(t, nil)
 	pending := make(chan *storeRequest, 10)
@@ -462,7 +464,7 @@
 }
 
 // A request is read before the gateway closes its connection, but the loop handles it after the close. It must be dropped,
-// because its client sees the close and repeats the request elsewhere. It was forwarded.
+// because its client sees the close and repeats the request elsewhere. An earlier version forwarded it.
 func TestRequestReadBeforeCloseIsDropped(t *testing.T) {
 	in := newInProcessGateway(t, nil)
 	c := in.client()
@@ -514,7 +516,8 @@
 }
 
 // An answer that arrives byte by byte without an end must time out after the time limit for an answer, because it blocks
-// the other attempts on its connection. It blocked them for as long as bytes kept arriving.
+// the other attempts on its connection. An earlier version let it block them for as long as
+// bytes kept arriving.
 func TestEndlessAnswerTimesOut(t *testing.T) {
 	in := newInProcessGateway(t, nil)
 	end, ended := make(chan bool), make(chan bool)
--- a/test/idle_close_test.go
+++ b/test/idle_close_test.go
@@ -6,7 +6,8 @@
 )
 
 // Closing idle client connections to make room must spare one with a request that has arrived but is still unread in the
-// kernel, or is read but not yet handled by the loop. Such a connection was closed, and its request got no answer.
+// kernel, or is read but not yet handled by the loop. An earlier version closed such a connection, and the request got
+// no answer.
 func TestIdleEvictionSparesArrivedRequests(t *testing.T) {
 	for name, hold := range map[string]func(*inProcessGateway) (release func()){
 		"unread in the kernel": (*inProcessGateway).blockPoller,
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -424,7 +424,7 @@
 }
 
 // The platform kills the process no sooner than 0.7 s after the longest deadline, so that open requests may be served
-// until then. They were failed 3.5 s after SIGTERM, although the longest deadline here is 5 s.
+// until then. An earlier version failed them 3.5 s after SIGTERM, although the longest deadline here is 5 s.
 func TestTermWaitsForLongestDeadline(t *testing.T) {
 	r := newRig(t).start()
 	pending := make(chan *storeRequest, 10)
@@ -442,8 +442,8 @@
 	}
 }
 
-// A signal sent right after the program logs that it serves must be handled. Some were lost, because the program installed
-// its signal handlers after that log line.
+// A signal sent right after the program logs that it serves must be handled. Some were lost while the program
+// installed its signal handlers after that log line.
 func TestSignalsHandledOnceServing(t *testing.T) {
 	for range 10 {
 		r := newRig(t).start()
--- a/test/reload_test.go
+++ b/test/reload_test.go
@@ -14,7 +14,7 @@
 )
 
 // On SIGHUP the program must connect to the journal's new address at once and resume after the latest event, while open
-// requests and connections continue. SIGHUP once killed the program, which did not handle it.
+// requests and connections continue. An earlier version did not handle SIGHUP, which killed it.
 func TestReloadChangesJournalAddress(t *testing.T) {
 	r := newRig(t).start()
 	r.journal.Publish(2, `"expire":{"set":40,"stamp":1}`)
--- a/test/upgrade_test.go
+++ b/test/upgrade_test.go
@@ -354,7 +354,7 @@
 	load := func(enough func() bool) { // 200 requests per second, each for a new object
 		for end := time.Now().Add(eventTimeout); !enough(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("timed out: the cold store got no requests")
+				t.Fatal("timed out waiting for requests to the cold store")
 			}
 			c := r.client()
 			number++
