--- a/test/crossing_test.go
+++ b/test/crossing_test.go
@@ -306,7 +306,7 @@
 		in := newInProcessGateway(t, nil)
 		in.connectStores()
 		pending := make(chan *storeRequest, 10)
-		in.runOnLoop(func() { in.rig.setHandler(func(a *storeRequest) { pending <- a }) })
+		in.runOnLoop(func() { in.setHandler(func(a *storeRequest) { pending <- a }) })
 		before := in.readOnLoop(func() uint64 { return in.pool.Counters.Written })
 		c := in.client()
 		id := c.send("films", object, 5*time.Second, "")
@@ -329,7 +329,7 @@
 func TestClientDisconnectAbandonsAttemptsAndAnswers(t *testing.T) {
 	in := newInProcessGateway(t, nil)
 	pending := make(chan *storeRequest, 10)
-	in.rig.setHandler(func(a *storeRequest) { pending <- a })
+	in.setHandler(func(a *storeRequest) { pending <- a })
 	c := in.client()
 	c.send("films", object, 5*time.Second, "")
 	a := receive(t, pending)
@@ -343,7 +343,7 @@
 		t.Errorf("%d requests are open after the client left, want 0", n)
 	}
 
-	in.rig.setHandler(func(a *storeRequest) { a.Serve("warm", fakeserver.ContentOfSize(object, "3", 240_000)) })
+	in.setHandler(func(a *storeRequest) { a.Serve("warm", fakeserver.ContentOfSize(object, "3", 240_000)) })
 	c = in.client()
 	if err := c.conn.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
 		t.Fatal(err)
@@ -431,7 +431,7 @@
 func TestDuplicateOfOpenRequestIsRejected(t *testing.T) {
 	in := newInProcessGateway(t, nil)
 	pending := make(chan *storeRequest, 10)
-	in.rig.setHandler(func(a *storeRequest) { pending <- a })
+	in.setHandler(func(a *storeRequest) { pending <- a })
 	first, second := in.client(), in.client()
 	first.send("films", object, 5*time.Second, "")
 	a := receive(t, pending)
@@ -450,7 +450,7 @@
 
 	first.send("films", object, 5*time.Second, "")
 	receive(t, pending)
-	in.rig.setHandler(serveHit)
+	in.setHandler(serveHit)
 	release := in.blockLoop()
 	loopback.Close(first.conn)
 	in.waitForPoller()
@@ -538,11 +538,11 @@
 			}
 		}()
 	}
-	in.rig.setHandler(slow)
+	in.setHandler(slow)
 	c := in.client()
 	c.send("films", object, 5*time.Second, "")
 	eventually(t, "the store has received the request", func() bool { return len(in.storeRequests(object)) == 1 })
-	in.rig.setHandler(serveHit)
+	in.setHandler(serveHit)
 	receive(t, ended)
 	if a := c.readAnswer(); a.err != "" || a.body != content(object, "3") {
 		t.Errorf("request after the endless answer: answer %+v, want the content from another attempt", a)
--- a/test/idle_close_test.go
+++ b/test/idle_close_test.go
@@ -17,7 +17,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			in := newInProcessGateway(t, nil)
-			in.rig.setHandler(serveHit)
+			in.setHandler(serveHit)
 			c := in.client()
 			c.send("images", object, 5*time.Second, "")
 			if a := c.readAnswer(); a.err != "" {
