--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -36,7 +36,7 @@
 
 	// ReadBarrier calls its function, on any goroutine, once everything that has arrived on
 	// connections before the call has been read. The delay of that call measures how far reading
-	// lags. nil: reading is taken never to lag.
+	// lags. nil: reading is assumed never to lag.
 	ReadBarrier func(func())
 
 	SizeScale       float64 // factor from the sizes that clients state, in KB, to the KB of Settings.FlowKBps; 0: 1
--- a/locality/backoff.go
+++ b/locality/backoff.go
@@ -41,7 +41,7 @@
 		l.failedProbations++
 	}
 	longest := maxProbationBackoffRatio * c.BaseBackoff
-	if l.failedProbations > 0 && l.backoff > longest { // the long backoff was served before the first probation
+	if l.failedProbations > 0 && l.backoff > longest { // the long backoff has passed before the first probation
 		return longest
 	}
 	betweenProbations := min(c.MaxBackoff, longest, c.BaseBackoff<<min(l.failedProbations, maxBackoffDoublings))
--- a/locality/bypass.go
+++ b/locality/bypass.go
@@ -32,7 +32,7 @@
 	switch {
 	case s.servedShare >= 1 || own.state == StateRecovering: // the ramp determines what the own caches get
 		s.bypass.share = 0
-	case results < 1: // nothing is known; only without any cache that could hang are a few requests worth a try
+	case results < 1: // no results yet: a few requests are tried, but only while no cache is up that could leave them unanswered
 		s.bypass.share = 0
 		if own.hasNoCacheUp() {
 			s.bypass.share = bypassProbeShare
--- a/locality/endpoints.go
+++ b/locality/endpoints.go
@@ -11,11 +11,11 @@
 // gateway that has a director for each locality. base are the settings of the director for the own
 // locality. It returns an error if the locality is not one of the zones.
 //
-// Every gateway of the installation may send to every locality, and has as many directors, which
-// share the parents. In slow start, a director sends an endpoint a load that depends on what warm
-// endpoints carry for that director; over all directors this adds up to what the endpoints can
-// serve, whatever the number of directors. But each director also sends a minimum, which has to be
-// divided by the number of directors.
+// Every gateway of the installation may send to every locality, and so has one director for each.
+// All directors share the parents. In slow start, a director sends an endpoint a load that depends
+// on what warm endpoints serve for that director; over all directors this adds up to what the
+// endpoints can serve, whatever the number of directors. But each director also sends a minimum,
+// which has to be divided by the number of directors.
 func DirectorSettings(base routing.Settings, localities []Locality, index int) (routing.Settings, error) {
 	s, l := base, localities[index]
 	if !slices.Contains(s.Zones, l.Name) {
--- a/routing/limits.go
+++ b/routing/limits.go
@@ -146,9 +146,11 @@
 }
 
 // isOriginFault reports whether a late or failed fill is the fault of the origin and not of the
-// parent. With fewer than two parents the origin is at fault. With more, and where the result does
-// not state it, the origin is at fault if another parent's fill, or a write at the origin, was late
-// within originFaultWindow; otherwise the parent itself is slow, silent or unreachable.
+// parent. A fill that no parent was to fetch is the origin's fault if the origin itself was the fill
+// source. A fill through a parent is the origin's fault if the result states it or there is no other
+// parent to compare with. With several parents it is the origin's fault if another parent's fill, or
+// a write at the origin, was late within originFaultWindow; otherwise the parent itself is slow,
+// silent or unreachable.
 func (d *Director) isOriginFault(a *attempt, o AttemptResult) bool {
 	if !a.fetchedThroughParent(o) {
 		return a.fillSource.role == roleOrigin
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -14,8 +14,8 @@
 	maxSavedHedges      = 2 * hedgesPerLostAnswer
 )
 
-// maxErrorAttempts is the number of attempts after which an error ends the request, because the
-// request itself may be malformed.
+// maxErrorAttempts is the number of attempts from which on an error is not retried any more, because
+// the request itself may be malformed.
 const maxErrorAttempts = 3
 
 // firstThatMayHaveRun returns the first attempt, other than except, that may have taken effect, or
@@ -90,7 +90,8 @@
 
 // shouldHedge reports whether an overdue answer is probably lost, so that a hedged request may
 // still bring one in time: later attempts were answered, and answers were lost recently. Nothing is
-// hedged once a limit was cut, because answers that are merely slow would be requested twice.
+// hedged once a limit was cut in which the attempt counts, because answers that are merely slow
+// would be requested twice.
 func (d *Director) shouldHedge(r *request, a *attempt) bool {
 	if !d.settings.HedgedRequests || d.hedgeBudget < 1 || len(r.attempts) != 1 {
 		return false
--- a/routing/slow_start.go
+++ b/routing/slow_start.go
@@ -38,7 +38,7 @@
 }
 
 // slowStartAllows reports whether the slow-start budget of an endpoint has room for one more
-// attempt. A warm endpoint has no budget to keep.
+// attempt. A warm endpoint has no such budget.
 func (d *Director) slowStartAllows(ep *endpoint, r *request) bool {
 	if d.isWarm(ep) {
 		return true
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -233,7 +233,8 @@
 }
 
 // storeListing puts a listing into the table if there is space, and reports whether it did. If the
-// table has the object already, the listing with the later request is kept.
+// table has the object already, for example from another director's state, the listing with the
+// later request is kept.
 func (d *Director) storeListing(l Listing, ep *endpoint) bool {
 	if e := d.table[l.Key]; e != nil {
 		if e.lastRequest >= l.LastRequest {
--- a/slowstart/slowstart.go
+++ b/slowstart/slowstart.go
@@ -77,7 +77,7 @@
 
 // Spend records a sending of the given cost, made now to an endpoint with the given start.
 func (r Ramp) Spend(b *Budget, now, start time.Duration, cost float64) {
-	if r.CapacityShare(now, start) >= 1 { // no records: a warm endpoint has no budget to keep, and is sent much
+	if r.CapacityShare(now, start) >= 1 { // a warm endpoint has no budget, and recording its many sendings would be wasted
 		*b = Budget{}
 		return
 	}
