--- a/concurrency/concurrency_test.go
+++ b/concurrency/concurrency_test.go
@@ -31,7 +31,7 @@
 			case l.Max < before && (!late || sent < lastCut):
 				t.Fatalf("limit cut from %v to %v by an answer in time, or by an attempt that was in flight at the cut before", before, l.Max)
 			case l.Max > before && l.Max > before*(1+maxGrowthPerSecond*maxAnswerGap.Seconds())+1e-9:
-				t.Fatalf("limit grew from %v to %v, which is too fast", before, l.Max)
+				t.Fatalf("limit grew from %v to %v, want at most the factor 1+maxGrowthPerSecond*maxAnswerGap", before, l.Max)
 			}
 		}
 	})
--- a/gateway/admission_test.go
+++ b/gateway/admission_test.go
@@ -93,7 +93,7 @@
 		t.Errorf("answer: %+v, want it served", a)
 	}
 	if a, b := <-h.sent, <-h.sent; a.Request != order || b.Request != page {
-		t.Errorf("%s started before %s", a.Request.ID, b.Request.ID)
+		t.Errorf("%s started before %s, want order before page", a.Request.ID, b.Request.ID)
 	}
 	h.onLoop(func() {
 		if len(h.sent) > 0 {
--- a/gateway/localities_test.go
+++ b/gateway/localities_test.go
@@ -101,7 +101,7 @@
 	for i := range 10 {
 		h.onLoop(func() { h.g.Submit(h.newRequest(fmt.Sprint("later", i), "page")) })
 		if _, attempted := h.endAttempts(results); strings.Contains(strings.Join(attempted, " "), "d") {
-			t.Errorf("attempts at %v while d drains", attempted)
+			t.Errorf("attempts at %v while d drains, want none at d", attempted)
 		}
 	}
 	select {
--- a/gateway/reconfigure_test.go
+++ b/gateway/reconfigure_test.go
@@ -30,7 +30,7 @@
 		h.onLoop(func() {
 			err := h.g.Reconfigure(c.change)
 			if isApplied := h.g.Classes()[0].Deadline == 9*time.Second; (err == nil) != c.applied || isApplied != c.applied {
-				t.Errorf("%s: classes applied: %v, error: %v", name, isApplied, err)
+				t.Errorf("%s: classes applied: %v, error: %v, want both no error and applied classes, or an error and neither applied", name, isApplied, err)
 			}
 		})
 	}
--- a/gateway/rejections_test.go
+++ b/gateway/rejections_test.go
@@ -54,7 +54,7 @@
 		for _, a := range answers {
 			different[a.RetryAfter] = true
 			if isSent := a.RetryAfter > 0; isSent != send || a.RetryAfter > maxRetryAfter || !a.Retryable {
-				t.Errorf("SendRetryAfter %v: answer %+v", send, a)
+				t.Errorf("SendRetryAfter %v: answer %+v, want a retryable one, with a Retry-After of at most maxRetryAfter only if it is set", send, a)
 			}
 		}
 		if send && len(different) < 6 {
--- a/locality/pick_test.go
+++ b/locality/pick_test.go
@@ -20,7 +20,7 @@
 		r := reroutable
 		c.change(&r)
 		if locality, ok := sim.HandleRejection(sim.now, r); ok != c.want || ok && locality == 0 {
-			t.Errorf("%s: rerouted to locality %d, ok %v", name, locality, ok)
+			t.Errorf("%s: rerouted to locality %d, ok %v, want the other value of ok, or a locality other than the own one", name, locality, ok)
 		}
 	}
 }
--- a/locality/selector_test.go
+++ b/locality/selector_test.go
@@ -125,7 +125,7 @@
 		}
 	}
 	if split > len(d.localities)/2 {
-		t.Errorf("%d of %d objects went to several localities within two seconds", split, len(d.localities))
+		t.Errorf("%d of %d objects went to several localities within two seconds, want at most half", split, len(d.localities))
 	}
 }
 
@@ -167,7 +167,7 @@
 		})
 		d.run(5*time.Second, 1000)
 		if own := d.View(d.now)[0]; result == ResultFailure && own.Share > 0 || own.Share > 0.75 {
-			t.Errorf("%s: a share of %.2f stays in the own locality", name, own.Share)
+			t.Errorf("%s: a share of %.2f stays in the own locality, want at most 0.75, and 0 if it fails", name, own.Share)
 		}
 	}
 	selector := newSelector(t, testConfig())
--- a/overload/controller_test.go
+++ b/overload/controller_test.go
@@ -106,7 +106,7 @@
 			served += n
 		}
 		if served < 0.93*200*capacity-200 {
-			t.Fatalf("served %.0f requests, capacity %.0f", served, 200*capacity)
+			t.Fatalf("served %.0f requests, want about the capacity of %.0f", served, 200*capacity)
 		}
 		shares := []float64{m.share("turn"), m.share("replay"), m.share("assets")}
 		for i, higher := range shares[:2] {
@@ -195,7 +195,7 @@
 		m.tick(load{"replay", false, 0, 60}, load{"replay", false, 1, 3000})
 	}
 	if m.servedByFront[0] < 0.97*200*60 {
-		t.Errorf("%.0f of %d requests of a front are served while another front offers 50 times as many", m.servedByFront[0], 200*60)
+		t.Errorf("%.0f of %d requests of a front are served while another front offers 50 times as many, want a share of at least 0.97", m.servedByFront[0], 200*60)
 	}
 }
 
@@ -208,7 +208,7 @@
 		m.tick(load{"replay", true, 0, 300})
 	}
 	if got := m.served[m.order.Band("replay", true)]; got < 0.93*200*100 {
-		t.Errorf("served %.0f requests, capacity %d", got, 200*100)
+		t.Errorf("served %.0f requests, want a share of at least 0.93 of the capacity of %d", got, 200*100)
 	}
 }
 
--- a/overload/memory.go
+++ b/overload/memory.go
@@ -9,7 +9,7 @@
 // Memory shares the memory for responses among clients by dynamic thresholds (Choudhury and Hahne,
 // "Dynamic queue length thresholds for shared-memory packet switches", 1998): each client may use
 // up to a share of the free memory. Clients that use much leave little free, and are limited first;
-// clients that use little always find room.
+// clients that use little always find memory.
 //
 // A client uses the bytes that are buffered for it, which are written but not sent, and the bytes
 // that are reserved for its requests in flight. As a response may be larger than expected,
@@ -81,7 +81,7 @@
 )
 
 // Reserve reserves memory for the response to another request of a client. It returns the number of
-// bytes reserved, to be released by [Memory.Release]; ok is false if there is no room.
+// bytes reserved, to be released by [Memory.Release]; ok is false if there is not enough memory.
 func (m *Memory) Reserve(c *Client) (n int64, ok bool) {
 	n = int64(cmp.Or(c.expectedSize, m.expectedSize))
 	if m.limit > 0 && !m.mayReserve(c, n) {
--- a/overload/scheduling_test.go
+++ b/overload/scheduling_test.go
@@ -16,7 +16,7 @@
 		{"a short gap", 370 * ms, 301 * ms, false}, {"300 ms without running", 690 * ms, 302 * ms, true},
 		{"the next tick", 710 * ms, 303 * ms, false}, {"95 ms with 17 ms of CPU time", 805 * ms, 320 * ms, true}} {
 		if got := m.Tick(step.now, step.cpu); (got > 0) != step.paused {
-			t.Errorf("%s: pause of %v", step.name, got)
+			t.Errorf("%s: pause of %v, want the opposite: a pause if this is 0, else none", step.name, got)
 		}
 	}
 	if m.FrequentPauses(805 * ms) {
--- a/routing/freshness_test.go
+++ b/routing/freshness_test.go
@@ -64,7 +64,7 @@
 		{"older than its fresh time", 91, 0, 8, 100, false, true},
 	} {
 		if got := copyOutdated(c.now, c.copySeenAt, c.purgedAt, c.wasPurged, c.freshFor); got != c.want {
-			t.Errorf("%s: outdated is %v", c.name, got)
+			t.Errorf("%s: outdated is %v, want the opposite", c.name, got)
 		}
 	}
 }
--- a/routing/gossip_format_test.go
+++ b/routing/gossip_format_test.go
@@ -16,11 +16,11 @@
 	var got []movedListing
 	for _, m := range msgs {
 		if len(m) > maxGossipBytes {
-			t.Errorf("message of %d bytes is too long", len(m))
+			t.Errorf("message of %d bytes is longer than maxGossipBytes", len(m))
 		}
 		zone, cache, decoded, err := decodeGossip(m)
 		if err != nil || zone != 3 || cache != "c1" {
-			t.Fatalf("%q: zone %d, cache %q, %v", m, zone, cache, err)
+			t.Fatalf("%q: zone %d, cache %q, error %v, want zone 3, cache \"c1\" and no error", m, zone, cache, err)
 		}
 		got = append(got, decoded...)
 	}
@@ -38,6 +38,6 @@
 		}
 	}
 	if zone, cache, _, err := decodeGossip(encodeGreeting(4)); err != nil || zone != 4 || cache != "" {
-		t.Errorf("greeting: zone %d, cache %q, %v", zone, cache, err)
+		t.Errorf("greeting: zone %d, cache %q, error %v, want zone 4, an empty cache and no error", zone, cache, err)
 	}
 }
--- a/routing/gossip_test.go
+++ b/routing/gossip_test.go
@@ -21,7 +21,7 @@
 		data := strings.Replace(c.data, "%s", formatBase36(e.key), 1)
 		r.advance(ms).handle(GossipReceived{From: 1, Data: data})
 		if (e.cache.id == "c1") != c.moves {
-			t.Errorf("message %q: the object is listed at %s", data, e.cache.id)
+			t.Errorf("message %q: the object is listed at %s, want c1 for a valid, newer message and c2 for others", data, e.cache.id)
 		}
 	}
 }
--- a/routing/retry_test.go
+++ b/routing/retry_test.go
@@ -104,7 +104,7 @@
 			t.Fatalf("not retried: got actions %v", out)
 		}
 		if _, ok := r.d.RecheckAttempt(r.now+c.gap, id, 1); ok != c.want {
-			t.Errorf("RecheckAttempt %v after the first attempt: ok is %v", 300*ms+c.gap, ok)
+			t.Errorf("RecheckAttempt %v after the first attempt: ok is %v, want the opposite", 300*ms+c.gap, ok)
 		}
 	}
 }
--- a/routing/simulated_location_test.go
+++ b/routing/simulated_location_test.go
@@ -21,7 +21,7 @@
 	copies             map[string]map[string]time.Duration // by endpoint and object: time of the fill
 	silent             map[string]bool                     // by endpoint: it answers nothing
 	originFetchTime    time.Duration                       // duration of one fetch
-	originBusyUntil    time.Duration                       // the origin's queue of fetches is empty then
+	originBusyUntil    time.Duration                       // time at which the origin has finished all its fetches
 	requests           map[string]*simulatedRequest
 	lastID             int
 	utilization        map[string]float64 // reported by each endpoint
--- a/routing/snapshot_test.go
+++ b/routing/snapshot_test.go
@@ -72,14 +72,14 @@
 		t.Errorf("counts %+v of listings %v; error rate %v, want 0.3", counts, listingsAt, next.endpoints["c2"].errorRate)
 	}
 	if reexported := next.Export(now+5*time.Second, 0); len(reexported.Listings) != counts.Listings || !reflect.DeepEqual(reexported.Purges, exported.Purges) {
-		t.Errorf("%d listings imported, %d exported again", counts.Listings, len(reexported.Listings))
+		t.Errorf("%d listings imported, %d exported again, want equal numbers and the same purges", counts.Listings, len(reexported.Listings))
 	}
 	// c1 has restarted since the export, c2 is gone.
 	members := snapshotEndpoints(now)
 	members[0].Incarnation = now + 4*time.Second
 	counts = newDirector(append(members[:1:1], members[2:]...)).Import(now+5*time.Second, exported, fullConfidence)
 	if counts.Listings != 0 || counts.Restarted != listingsAt["c1"]+1 || counts.Gone != listingsAt["c2"]+1 {
-		t.Errorf("counts %+v of listings %v", counts, listingsAt)
+		t.Errorf("counts %+v of listings %v, want the listings and the state of c1 as restarted and those of c2 as gone", counts, listingsAt)
 	}
 	if counts = newDirector(snapshotEndpoints(now)).Import(now+5*time.Second, exported, func(time.Duration) Confidence { return Confidence{} }); counts.Listings > 0 || counts.Expired == 0 {
 		t.Errorf("state without any confidence was imported: %+v", counts)
@@ -104,7 +104,7 @@
 	}
 	for id, s := range untouched.endpoints {
 		if o := imported.endpoints[id]; !reflect.DeepEqual(o.slowStartBudget, s.slowStartBudget) || o.workRate != s.workRate {
-			t.Errorf("%s: budget %v and %v, rate %v and %v", id, s.slowStartBudget, o.slowStartBudget, s.workRate, o.workRate)
+			t.Errorf("%s: budget %v without the import and %v with it, rate %v and %v, want equal ones", id, s.slowStartBudget, o.slowStartBudget, s.workRate, o.workRate)
 		}
 	}
 	if untouched.warmRate != imported.warmRate {
@@ -132,7 +132,7 @@
 		next.Handle(now, EndpointUpdate{Kind: StaleList, Endpoints: snapshotEndpoints(start)[:2:2]}, nil)
 		next.Import(now, m, halfLife)
 		if f := next.endpoints["c2"].errorRate; f > errorRate {
-			t.Fatalf("error rate %v after an import, %v before", f, errorRate)
+			t.Fatalf("error rate %v after an import, %v before, want no rise", f, errorRate)
 		} else {
 			errorRate = f
 		}
--- a/routing/transfer_time_test.go
+++ b/routing/transfer_time_test.go
@@ -49,7 +49,7 @@
 			}
 			cut := slices.ContainsFunc(r.d.upEndpoints[roleCache], func(s *endpoint) bool { return !math.IsInf(s.concurrencyLimit.Max, 1) })
 			if cut != (name == "late") {
-				t.Errorf("limits cut: %v", cut)
+				t.Errorf("limits cut: %v, want the opposite", cut)
 			}
 			if got := r.d.classes["film"].meanTransferTime; got < 30*ms || got > 200*ms { // the mean over all answers is 129 ms
 				t.Errorf("mean transfer time of the class is %v, want 30 to 200 ms", got)
--- a/slowstart/slowstart.go
+++ b/slowstart/slowstart.go
@@ -113,7 +113,7 @@
 //
 // Within one overload window a sender may spend its share of what the endpoint can take: the
 // overload multiple of the rate that the endpoint can serve for it now, times the safety margin. A
-// sender that knows no rate gets its share of one sending per window.
+// sender that knows no rate gets its share of a floor of one sending per window.
 func (r Ramp) Allows(b *Budget, now, start time.Duration, cost float64, s Sender) bool {
 	if r.OverloadWindow <= 0 {
 		return true
