--- a/gateway/loop_held_test.go
+++ b/gateway/loop_held_test.go
@@ -28,9 +28,9 @@
 	}
 }
 
-// A pause may occur in the middle of a round. Timers that were due after it ran before the pause
-// was detected and before everything that had arrived meanwhile was read, so that endpoints that
-// had answered counted as silent.
+// A pause may occur in the middle of a round. Guards against timers that were due after it and ran
+// before the pause was detected and before everything that had arrived meanwhile was read:
+// endpoints that had answered then counted as silent.
 func TestPauseWithinRoundIsDetected(t *testing.T) {
 	const pause = 3 * lateTimerThreshold
 	for name, schedule := range map[string]func(*Loop, func()){
--- a/gateway/reconfigure_test.go
+++ b/gateway/reconfigure_test.go
@@ -9,8 +9,8 @@
 	"larchusher/routing"
 )
 
-// A reload with a faulty configuration of localities applied its classes all the same, and counted
-// as a success.
+// A reload is applied as a whole or not at all. Guards against a reload with a faulty configuration
+// of localities that applied its classes all the same, and counted as a success.
 func TestReconfigurationIsAtomic(t *testing.T) {
 	newClasses := []routing.Class{{Name: "page", LatencyObjective: time.Second, Deadline: 9 * time.Second, PriorityWeight: 1}}
 	valid := locality.Config{Localities: []locality.Locality{{Name: "here"}, {Name: "there", Level: 1}}}
--- a/gateway/rejections_test.go
+++ b/gateway/rejections_test.go
@@ -35,8 +35,8 @@
 	return &Request{ID: id, Class: "page", Object: id, Deadline: time.Now().Add(time.Second), Answer: func(a Answer) { *answers = append(*answers, a) }}
 }
 
-// Rejections for want of capacity and those at the deadline carried a Retry-After even where the
-// settings do not allow one, and the same one for all clients.
+// Guards against rejections for want of capacity, and answers at the deadline, that carried a
+// Retry-After even where the settings do not allow one, and the same one for all clients.
 func TestRetryAfterFollowsSettings(t *testing.T) {
 	for _, send := range []bool{true, false} {
 		g := newFullGateway(t, send)
@@ -63,8 +63,8 @@
 	}
 }
 
-// A request that Submit shed, as with an embedded gateway, was counted twice: as rejected and as
-// shed.
+// Guards against counting a request twice, as rejected and as shed, that Submit sheds, as with an
+// embedded gateway.
 func TestShedRequestIsCountedOnce(t *testing.T) {
 	g := newFullGateway(t, true)
 	g.admissionController().SetPolicy(&overload.AdmissionPolicy{Admit: [][]uint32{{0, 0}, {0, 0}, {0, 0}}, RetryAfter: time.Second})
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -174,9 +174,9 @@
 	}
 }
 
-// One of three parents failed all its fills. Its errors used up the retry budgets, so that no retry
-// could succeed elsewhere and show which endpoint was at fault, and 80 gateways kept using the
-// parent for eleven seconds, with 2,500 errors.
+// Guards against a parent, one of three, staying in use while it failed all its fills: its errors
+// used up the retry budgets, so that no retry could succeed elsewhere and show which endpoint was at
+// fault, and 80 gateways kept using the parent for eleven seconds, with 2,500 errors.
 func TestFailingParentIsEjectedWithoutRetryBudget(t *testing.T) {
 	r := newHarness(t, func(s *Settings) { s.AnswerDetail = DetailHit })
 	thirdParent := Endpoint{ID: "p3", Zone: "hub", Kind: "parent", Cell: 4}
