--- a/overload/health.go
+++ b/overload/health.go
@@ -15,8 +15,8 @@
 
 // BalancerWeight converts the shed level into the weight that is advertised to load balancers. The
 // weight falls as more is shed, in steps so large that a short peak does not change it, and rises
-// slowly, so that load does not swing back and forth. The zero value has full weight. It is not safe for
-// concurrent use.
+// slowly, so that load does not swing back and forth. The zero value has full weight. It is not
+// safe for concurrent use.
 type BalancerWeight struct {
 	weight     float64 // in percent, smoothed
 	advertised int     // in percent
--- a/routing/fill_source_test.go
+++ b/routing/fill_source_test.go
@@ -25,7 +25,8 @@
 }
 
 // Without answer detail, a hit is no success of the fill source that was named for a miss. Guards
-// against a dead source, which fails every fill, staying in use.
+// against a dead source, which fails every fill, staying in use: it is ejected, and for longer each
+// time.
 func TestHitsDoNotCountAsFillSourceSuccesses(t *testing.T) {
 	r := newHarness(t, withoutAnswerDetail)
 	listed := r.serve("film", "a", ReasonNone)
