--- a/gateway/reconfigure_test.go
+++ b/gateway/reconfigure_test.go
@@ -9,8 +9,8 @@
 	"larchusher/routing"
 )
 
-// A reload with a faulty configuration of localities applied its classes all the same, and counted
-// as a success.
+// A reload is applied as a whole or not at all. Guards against a reload with a faulty configuration
+// of localities that applied its classes all the same, and counted as a success.
 func TestReconfigurationIsAtomic(t *testing.T) {
 	newClasses := []routing.Class{{Name: "page", LatencyObjective: time.Second, Deadline: 9 * time.Second, PriorityWeight: 1}}
 	valid := locality.Config{Localities: []locality.Locality{{Name: "here"}, {Name: "there", Level: 1}}}
@@ -30,7 +30,7 @@
 		h.onLoop(func() {
 			err := h.g.Reconfigure(c.change)
 			if isApplied := h.g.Classes()[0].Deadline == 9*time.Second; (err == nil) != c.applied || isApplied != c.applied {
-				t.Errorf("%s: classes applied: %v, error: %v", name, isApplied, err)
+				t.Errorf("%s: classes applied: %v, error: %v, want both no error and applied classes, or an error and neither applied", name, isApplied, err)
 			}
 		})
 	}
