--- a/maintenance/state.go
+++ b/maintenance/state.go
@@ -106,7 +106,7 @@
 // Gateway is the registration of a gateway that may send requests to machines.
 type Gateway struct {
 	Incarnation   uint64 `json:"life"`              // unique number of the gateway's current start
-	NotifiedEpoch uint64 `json:"heard"`             // the gateway has durably stored all grants up to this epoch
+	NotifiedEpoch uint64 `json:"heard"`             // the gateway knows all grants up to this epoch; with a durable view it has stored them
 	StoppedEpoch  uint64 `json:"stopped,omitempty"` // the gateway has stopped sending to all machines drained up to this epoch
 }
 
