--- a/cluster/message.go
+++ b/cluster/message.go
@@ -28,19 +28,19 @@
 // messages that use it.
 type Message struct {
 	Kind          MessageKind
-	ID            uint64            // RenewLease, OperatorRequest; their replies repeat it
-	Consensus     consensus.Message // ConsensusMessage
-	Incarnation   uint64            // RenewLease: the sender's
-	NoView        bool              // RenewLease: the sender has no view yet, and therefore sends to no machine
-	ViewDigest    uint64            // RenewLease: digest of the sender's view; View: digest of the agreed view
-	Revision      uint64            // View, OperatorReply: revision of the agreed state
-	NotifiedEpoch uint64            // RenewLease: the sender knows all grants up to this epoch
-	StoppedEpoch  uint64            // RenewLease: the sender has stopped sending for all drains up to this epoch
-	Report        *Report           // RenewLease: the sender's observations
-	Value         []byte            // View: the agreed view, nil if the sender has it already; OperatorRequest: the command; OperatorReply: the result
-	Query         string            // OperatorRequest: queryState, queryPlan or a query that the runtime answers; empty: Value is a command
-	Rejected      string            // OperatorReply: why the request was rejected; empty: it was not
-	Replication   *replication.Message
+	ID            uint64               // RenewLease, OperatorRequest; their replies repeat it
+	Consensus     consensus.Message    // ConsensusMessage
+	Incarnation   uint64               // RenewLease: the sender's
+	NoView        bool                 // RenewLease: the sender has no view yet, and therefore sends to no machine
+	ViewDigest    uint64               // RenewLease: digest of the sender's view; View: digest of the agreed view
+	Revision      uint64               // View, OperatorReply: revision of the agreed state
+	NotifiedEpoch uint64               // RenewLease: the sender knows all grants up to this epoch
+	StoppedEpoch  uint64               // RenewLease: the sender has stopped sending for all drains up to this epoch
+	Report        *Report              // RenewLease: the sender's observations
+	Value         []byte               // View: the agreed view, nil if the sender has it already; OperatorRequest: the command; OperatorReply: the result
+	Query         string               // OperatorRequest: queryState, queryPlan or a query that the runtime answers; empty: Value is a command
+	Rejected      string               // OperatorReply: why the request was rejected; empty: it was not
+	Replication   *replication.Message // ReplicationMessage
 }
 
 // Values of Message.Query that voters answer.
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -1,4 +1,4 @@
-// Package cluster agrees with the other gateways on which machines are taken out of service for maintenance, and when.
+// Package cluster lets the gateways of a cluster agree on which machines are taken out of service for maintenance, and when.
 //
 // A node has up to three roles. As a gateway it renews a lease on its view of the agreed state, and decides which machines
 // may be sent to (lease.go, drain.go). Some nodes are voters as well: they store the state by package consensus and answer
--- a/internal/clusternode/node.go
+++ b/internal/clusternode/node.go
@@ -48,7 +48,7 @@
 	log             logrus.FieldLogger
 	zone            string // zone of this gateway
 	purgeSettleTime time.Duration
-	started         time.Time // zero of the clock that is passed to packages cluster and replication, plus one second
+	started         time.Time // zero of the clock that is passed to packages cluster and replication: one second before the start
 	closed          bool
 
 	cluster    *cluster.Node
--- a/internal/net/clustertransport/transport_test.go
+++ b/internal/net/clustertransport/transport_test.go
@@ -208,7 +208,7 @@
 		t.Fatal(err)
 	}
 	if got, err := DecodeAcceptorState(b); err != nil || !reflect.DeepEqual(got, v) {
-		t.Errorf("decoded %+v, error %v", got, err)
+		t.Errorf("decoded %+v, error %v, want %+v", got, err, v)
 	}
 	for _, bad := range [][]byte{nil, {0xff, 0xff}, b[:len(b)-1]} {
 		if _, err := DecodeAcceptorState(bad); err == nil {
@@ -229,7 +229,7 @@
 	tool := dialTool(ctx, t, members[0], key)
 	for range 2 {
 		if m, err := tool.Request(ctx, cluster.Message{Query: "state"}); err != nil || string(m.Value) != "yes" {
-			t.Fatalf("reply to a tool's request: %+v, error %v", m, err)
+			t.Fatalf("reply to a tool's request: %+v, error %v, want the value yes", m, err)
 		}
 	}
 	wrongKey := dialTool(ctx, t, members[0], []byte("another key altogether, 32 bytes"))
--- a/maintenance/limits.go
+++ b/maintenance/limits.go
@@ -11,7 +11,7 @@
 // Call Check before use: it replaces zero values by the defaults.
 type Limits struct {
 	MaxUtilization    float64       // maximum utilization of a zone's remaining caches, and of the remaining parents; default 0.85
-	MaxZoneShareOut   float64       // maximum share of a zone's machines of one kind that may be out; one always may; default 0.34
+	MaxZoneShareOut   float64       // maximum share of a zone's machines of one kind that may be out, down or cold; one always may; default 0.34
 	MinWarmParents    int           // minimum number of warm parents that remain in a zone; default 1
 	MaxOut            int           // maximum number of machines of all kinds that may be out; default 4
 	MaxTimesOvertaken int           // how many requests behind a waiting one of the same group may be granted before it; default 8
--- a/maintenance/observations.go
+++ b/maintenance/observations.go
@@ -24,13 +24,13 @@
 	ID            uint64 `json:"id"`               // of the request
 	Stage         Stage  `json:"stage"`            // in which the time limits have passed
 	Epoch         uint64 `json:"epoch"`            // GrantEpoch of the request
-	LeasesExpired bool   `json:"lapsed,omitempty"` // draining: all leases from before the drain have expired
+	LeasesExpired bool   `json:"lapsed,omitempty"` // draining: all leases from before the drain have expired, and Limits.DrainGrace has passed since
 	Overdue       bool   `json:"late,omitempty"`   // out of service: for longer than Request.DurationMs
 	SlowStartOver bool   `json:"ramped,omitempty"` // warming up: slow start has ended, so the machine counts as warm
 }
 
-// Observations is the coordinator's summary of what the gateways observe. Where gateways differ, it contains the most
-// cautious report.
+// Observations is the coordinator's summary of what the gateways observe. Where gateways differ about a machine,
+// its Up, Warm, BootMs and Utilization each have the most cautious value that was reported.
 type Observations struct {
 	Machines      map[string]Machine `json:"machines"`
 	Pressure      string             `json:"strain,omitempty"` // why no machine should be taken out: overload, a slow origin, purges; empty: no reason
--- a/maintenance/state.go
+++ b/maintenance/state.go
@@ -124,7 +124,7 @@
 	s := &State{}
 	if len(value) > 0 {
 		if err := json.Unmarshal(value, s); err != nil {
-			return nil, fmt.Errorf("work: state: %w", err)
+			return nil, fmt.Errorf("maintenance: decoding the state: %w", err)
 		}
 	}
 	if s.Gateways == nil {
--- a/replication/replica_test.go
+++ b/replication/replica_test.go
@@ -197,7 +197,7 @@
 		t.Errorf("%d purges were kept, most of them of the malicious member, want at most its share of the capacity and one", n)
 	}
 	if c.Purges(now)["mine"] == 0 {
-		t.Error("it has pushed out another one's")
+		t.Error("a purge of another member was evicted by those of the malicious one")
 	}
 	if c.timestamp >= 1<<61 {
 		t.Error("the logical clock was advanced by a timestamp far in the future")
@@ -302,19 +302,19 @@
 		merge(c, "a", now-10*sec, 1<<60, "older evidence, higher timestamp")
 		merge(c, "b", now, 5, "younger evidence")
 	}); got != "younger evidence" {
-		t.Error(got)
+		t.Errorf("listing %q was read, want %q", got, "younger evidence")
 	}
 	if got := read(func(c *Replica) {
 		merge(c, "a", now-sec, 9, "higher timestamp")
 		merge(c, "b", now, 5, "lower timestamp")
 	}); got != "higher timestamp" {
-		t.Error(got)
+		t.Errorf("listing %q was read, want %q", got, "higher timestamp")
 	}
 	if got := read(func(c *Replica) {
 		merge(c, "b", now, 5, "higher writer name")
 		merge(c, "a", now, 5, "lower writer name")
 	}); got != "higher writer name" {
-		t.Error(got)
+		t.Errorf("listing %q was read, want %q", got, "higher writer name")
 	}
 }
 
