--- a/internal/clusternode/stored_test.go
+++ b/internal/clusternode/stored_test.go
@@ -24,7 +24,7 @@
 	for name, want := range map[string]string{"fleet-vote": "a vote", "fleet-view": "a view"} {
 		got, err := readFile(snapshot.Folder("testdata/1a818d3"), name, key)
 		if err != nil || string(got) != want {
-			t.Errorf("%s: read %q, error %v, want %q", name, got, err, want)
+			t.Errorf("%s: read %q, error %v, want the data that version 1a818d3 wrote, and no error", name, got, err)
 		}
 	}
 	if acceptorFile != "fleet-vote" || viewFile != "fleet-view" {
--- a/internal/net/clustertransport/transport_test.go
+++ b/internal/net/clustertransport/transport_test.go
@@ -208,7 +208,7 @@
 		t.Fatal(err)
 	}
 	if got, err := DecodeAcceptorState(b); err != nil || !reflect.DeepEqual(got, v) {
-		t.Errorf("decoded %+v, error %v, want %+v", got, err, v)
+		t.Errorf("decoded %+v, error %v, want the state that was encoded, and no error", got, err)
 	}
 	for _, bad := range [][]byte{nil, {0xff, 0xff}, b[:len(b)-1]} {
 		if _, err := DecodeAcceptorState(bad); err == nil {
--- a/internal/snapshot/decode_test.go
+++ b/internal/snapshot/decode_test.go
@@ -211,7 +211,7 @@
 		b := bytes.Clone(data)
 		c.damage(b)
 		if _, _, err := Decode(b, c.key); !errors.Is(err, c.want) {
-			t.Errorf("%s: error %v, want %v", name, err, c.want)
+			t.Errorf("%s: decoded with error %v, want the error of this case", name, err)
 		}
 	}
 	plain, _ := Encode(exampleSnapshot(3), nil)
--- a/replication/replica_test.go
+++ b/replication/replica_test.go
@@ -302,19 +302,19 @@
 		merge(c, "a", now-10*sec, 1<<60, "older evidence, higher timestamp")
 		merge(c, "b", now, 5, "younger evidence")
 	}); got != "younger evidence" {
-		t.Errorf("listing %q was read, want %q", got, "younger evidence")
+		t.Error(got)
 	}
 	if got := read(func(c *Replica) {
 		merge(c, "a", now-sec, 9, "higher timestamp")
 		merge(c, "b", now, 5, "lower timestamp")
 	}); got != "higher timestamp" {
-		t.Errorf("listing %q was read, want %q", got, "higher timestamp")
+		t.Error(got)
 	}
 	if got := read(func(c *Replica) {
 		merge(c, "b", now, 5, "higher writer name")
 		merge(c, "a", now, 5, "lower writer name")
 	}); got != "higher writer name" {
-		t.Errorf("listing %q was read, want %q", got, "higher writer name")
+		t.Error(got)
 	}
 }
 
--- a/warmstart/snapshot_test.go
+++ b/warmstart/snapshot_test.go
@@ -18,7 +18,7 @@
 	}{{s.CreatedAt + time.Minute, "n1", "x", nil}, {s.CreatedAt - time.Second, "n1", "x", nil}, {s.CreatedAt - time.Minute, "n1", "x", ErrFromFuture},
 		{s.CreatedAt + 25*time.Hour, "n1", "x", ErrExpired}, {s.CreatedAt, "n2", "x", ErrOtherGateway}, {s.CreatedAt, "n1", "y", ErrOtherSettings}} {
 		if err := s.Validate(c.now, c.gateway, c.settings); !errors.Is(err, c.want) {
-			t.Errorf("case %+v: error %v, want %v", c, err, c.want)
+			t.Errorf("case %+v: error %v, want the error in the last field of the case", c, err)
 		}
 	}
 }
