--- a/maintenance/state.go
+++ b/maintenance/state.go
@@ -140,7 +140,7 @@
 func mustMarshal(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("maintenance: %v", err))
+		panic(fmt.Sprintf("maintenance: encoding a state or a reply as JSON: %v", err))
 	}
 	return b
 }
--- a/replication/events.go
+++ b/replication/events.go
@@ -26,7 +26,7 @@
 	Message Message
 }
 
-// SafetySlotsLearned reports safety slots of other incarnations that were received for the first time.
+// SafetySlotsLearned reports safety slots of other incarnations that this replica did not have yet, or not in this version.
 type SafetySlotsLearned struct{ Slots []Slot }
 
 // CaughtUp reports that the node has caught up with its peers, or has stopped waiting for them. It is emitted once,
--- a/replication/values.go
+++ b/replication/values.go
@@ -29,7 +29,7 @@
 func Encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("replication: %v", err))
+		panic(fmt.Sprintf("replication: encoding the value of a slot as JSON: %v", err))
 	}
 	return b
 }
