--- a/internal/clusternode/files.go
+++ b/internal/clusternode/files.go
@@ -17,7 +17,7 @@
 )
 
 // errCorrupt reports that the MAC of a file does not match its data, or that the file is shorter than a MAC.
-var errCorrupt = errors.New("file is damaged or was written with another key: its MAC does not match")
+var errCorrupt = errors.New("file is damaged or was written with another key: its MAC is missing or does not match")
 
 // computeMAC returns the HMAC-SHA-256 of a file's data. It is stored before the data.
 func computeMAC(key, data []byte) []byte {
@@ -52,8 +52,8 @@
 	return dir.SyncDir()
 }
 
-// readFile returns the data that writeFile wrote, or nil if there is no such file. It fails with errCorrupt if the MAC does not
-// match.
+// readFile returns the data that writeFile wrote, or nil if there is no such file. It fails with errCorrupt if the MAC is
+// missing or does not match.
 func readFile(dir snapshot.FS, name string, key []byte) ([]byte, error) {
 	b, err := dir.Read(name, maxFileBytes)
 	if errors.Is(err, fs.ErrNotExist) {
