--- a/replication/replica_test.go
+++ b/replication/replica_test.go
@@ -197,7 +197,7 @@
 		t.Errorf("%d purges were kept, most of them of the malicious member, want at most its share of the capacity and one", n)
 	}
 	if c.Purges(now)["mine"] == 0 {
-		t.Error("it has pushed out another one's")
+		t.Error("a purge of another member was evicted by those of the malicious one")
 	}
 	if c.timestamp >= 1<<61 {
 		t.Error("the logical clock was advanced by a timestamp far in the future")
