--- a/client/rpc/rpc.go
+++ b/client/rpc/rpc.go
@@ -248,7 +248,7 @@
 		return nil, err
 	}
 	if n < 0 || n > maxLen {
-		return nil, fmt.Errorf("rpc: string of %d bytes in an answer is too long", n)
+		return nil, fmt.Errorf("rpc: string of %d bytes in an answer is nil (-1) or too long", n)
 	}
 	if cap(buf) < n {
 		buf = make([]byte, n)
--- a/cmd/larchusher/shutdown.go
+++ b/cmd/larchusher/shutdown.go
@@ -108,8 +108,8 @@
 	p.endProgram()
 }
 
-// endProgram stops the loop, which ends the program. If the cluster waits for this shutdown it is notified first, and the loop stops after
-// shutdownNoticeTime.
+// endProgram stops the loop, which ends the program. If the cluster waits for this shutdown it is notified first, and the loop
+// stops after shutdownNoticeTime.
 func (p *program) endProgram() {
 	if p.onAllAnswered == nil {
 		p.loop.Close()
--- a/cmd/larchusher/work.go
+++ b/cmd/larchusher/work.go
@@ -174,7 +174,7 @@
 		case string(stage) == c.Until:
 			return nil
 		case stage == "" || stage.Ended():
-			return fmt.Errorf("work: no maintenance request is in progress for %s (%s)", c.Machine, strings.TrimSpace("latest request: "+string(stage)))
+			return fmt.Errorf("work: no maintenance request is in progress for %s (%s)", c.Machine, strings.TrimSpace("stage of the latest one, if there is any: "+string(stage)))
 		case time.Now().After(end):
 			return fmt.Errorf("work: the maintenance request of %s is still at the stage %s after %v", c.Machine, stage, c.Within)
 		}
