--- a/client/delivery_test.go
+++ b/client/delivery_test.go
@@ -175,7 +175,7 @@
 			err := doCall(t, newTestClient(t, gw.addr, p.transport()), "pay")
 			if cut >= <-answerLen {
 				if err != nil {
-					t.Errorf("%s, complete answer: Do returned %v", p.name, err)
+					t.Errorf("%s, complete answer: Do returned %v, want no error", p.name, err)
 				}
 				break
 			}
--- a/client/plan/idle_close_test.go
+++ b/client/plan/idle_close_test.go
@@ -146,7 +146,7 @@
 			counters := s.run(t, seed)
 			crossed += counters.Crossed
 			if counters.Ended[Unknown] > 0 || counters.Ended[Served]+5 < counters.Calls {
-				t.Errorf("seed %d, gateway idle timeout %v: calls ended as unknown, or too few were served: %+v", seed, idleTimeout, counters)
+				t.Errorf("seed %d, gateway idle timeout %v: calls ended as unknown, or more than 5 were not served: %+v", seed, idleTimeout, counters)
 			}
 			if idleTimeout > DefaultIdle && counters.Crossed > 0 {
 				t.Errorf("seed %d: %d attempts crossed a gateway's idle close, although clients close first", seed, counters.Crossed)
--- a/client/plan/planner_test.go
+++ b/client/plan/planner_test.go
@@ -117,7 +117,7 @@
 	case a.Attempt <= net.lastAttempt[a.Conn]:
 		net.t.Fatalf("attempt ids on a connection do not increase")
 	case a.Retry != (c.attempts > 0):
-		net.t.Fatalf("attempt %d of a call has Retry %v", c.attempts+1, a.Retry)
+		net.t.Fatalf("attempt %d of a call has Retry %v, want true for all but the first", c.attempts+1, a.Retry)
 	case a.Limit <= 0 || net.now+a.Limit > c.Deadline:
 		net.t.Fatalf("Limit is %v with %v left until the deadline", a.Limit, c.Deadline-net.now)
 	case c.mayHaveRun && class.Effect == NonIdempotent:
@@ -127,7 +127,7 @@
 	case net.now < net.rejectedUntil[cn.gateway+" "+c.Class]:
 		net.t.Fatalf("attempt sent %v before the gateway's Retry-After ended", net.rejectedUntil[cn.gateway+" "+c.Class]-net.now)
 	case a.SendKey != (class.Effect == IdempotentWithKey):
-		net.t.Fatalf("SendKey is %v for a call with effect %v", a.SendKey, class.Effect)
+		net.t.Fatalf("SendKey is %v for a call with effect %v, want true with IdempotentWithKey only", a.SendKey, class.Effect)
 	}
 	net.lastAttempt[a.Conn] = a.Attempt
 	cn.attempts[a.Attempt] = a
--- a/client/rpc/rpc_test.go
+++ b/client/rpc/rpc_test.go
@@ -21,16 +21,16 @@
 	for name, r := range map[string]io.Reader{"whole": bytes.NewReader(stream), "a byte at a time": iotest.OneByteReader(bytes.NewReader(stream))} {
 		d := NewReader(r)
 		if a, err := d.Next(); err != nil || a.ID != 7 || a.Error != "" || !bytes.Equal(a.Body, body) {
-			t.Fatalf("%s: answer %d: error code %q, body of %d bytes, %v", name, a.ID, a.Error, len(a.Body), err)
+			t.Fatalf("%s: answer %d: error code %q, body of %d bytes, error %v, want answer 7 with 240000 bytes", name, a.ID, a.Error, len(a.Body), err)
 		}
 		if a, err := d.Next(); err != nil || a.ID != 8 || a.Error != Backoff || a.RetryAfter != 1234*time.Millisecond {
-			t.Fatalf("%s: got %+v, error %v", name, a, err)
+			t.Fatalf("%s: got %+v, error %v, want a rejection of message 8 with a Retry-After of 1234 ms", name, a, err)
 		}
 		if a, err := d.Next(); err != nil || !a.Healthy {
-			t.Fatalf("%s: got %+v, error %v", name, a, err)
+			t.Fatalf("%s: got %+v, error %v, want a healthy answer", name, a, err)
 		}
 		if a, err := d.Next(); err != nil || !a.Still || len(a.Body) != 0 {
-			t.Fatalf("%s: got %+v, error %v", name, a, err)
+			t.Fatalf("%s: got %+v, error %v, want an unchanged copy without a body", name, a, err)
 		}
 		if _, err := d.Next(); !errors.Is(err, io.EOF) {
 			t.Errorf("%s: after the last answer: %v, want io.EOF", name, err)
@@ -65,7 +65,7 @@
 		}
 		r := NewReader(bytes.NewReader([]byte(answer)))
 		if _, err := r.Next(); err != nil {
-			t.Errorf("%s, complete answer: %v", name, err)
+			t.Errorf("%s, complete answer: error %v, want none", name, err)
 		}
 		if _, err := r.Next(); !errors.Is(err, io.EOF) {
 			t.Errorf("%s, stream ended after the answer: %v, want io.EOF", name, err)
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -23,14 +23,14 @@
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	if err != nil || len(lines) != 2 || lines[0] != `{"cmds":[]}` ||
 		!strings.Contains(lines[1], `["answerFrom","d/1","j",898,0,"n",0,2,"n"]`) {
-		t.Errorf("error %v, output:\n%s", err, out)
+		t.Errorf("error %v, want none; output, want two lines with a forwarded attempt in the second:\n%s", err, out)
 	}
 }
 
 func TestInvalidSettingsAreReported(t *testing.T) {
 	out, _, err := runAdapter(`{"tMs":2,"input":[["enlist","d/1",1,` + strings.Replace(settings, `"here",`, `"gone",`, 1) + `]]}`)
 	if err != nil || !strings.Contains(out, `["bug","d/1","settings: Zone`) {
-		t.Errorf("error %v, output:\n%s", err, out)
+		t.Errorf("error %v, want none; output, want a report of the invalid Zone:\n%s", err, out)
 	}
 }
 
--- a/internal/config/cluster.go
+++ b/internal/config/cluster.go
@@ -147,7 +147,7 @@
 	case len(c.Members) > maxMembers:
 		return newKeyError("fleet.member", fmt.Errorf("%d members are listed, want at most %d", len(c.Members), maxMembers))
 	case !seenNames[c.Name]:
-		return newKeyError("fleet.name", fmt.Errorf("%q is not the name of a member", c.Name))
+		return newKeyError("fleet.name", fmt.Errorf("%q is not the name of a member, want one of fleet.member", c.Name))
 	case len(c.Voters) > maxVoters:
 		return newKeyError("fleet.member", fmt.Errorf("%d members vote, want at most %d", len(c.Voters), maxVoters))
 	}
--- a/internal/net/discovery/sse_test.go
+++ b/internal/net/discovery/sse_test.go
@@ -23,12 +23,12 @@
 			for rest := response; rest != ""; {
 				n := min(size, len(rest))
 				if err := p.feed([]byte(rest[:n]), func(data []byte, id string) { got = append(got, id+" "+string(data)) }); err != nil {
-					t.Fatalf("%s, fed %d bytes at a time: %v", name, size, err)
+					t.Fatalf("%s, fed %d bytes at a time: error %v, want none", name, size, err)
 				}
 				rest = rest[n:]
 			}
 			if !slices.Equal(got, want) {
-				t.Fatalf("%s, fed %d bytes at a time: events %q", name, size, got)
+				t.Fatalf("%s, fed %d bytes at a time: events %q, want 3 {\"a\":1} and 3 two, lines", name, size, got)
 			}
 		}
 	}
@@ -49,7 +49,7 @@
 		var p responseParser
 		err := p.feed([]byte(response), func([]byte, string) { t.Errorf("invalid response %.60q yielded an event", response) })
 		if err == nil || want != nil && !errors.Is(err, want) {
-			t.Errorf("response %.60q: error %v", response, err)
+			t.Errorf("response %.60q: error %v, want the error of the exceeded limit or, without one, any", response, err)
 		}
 	}
 }
--- a/internal/net/msgpackrpc/message_test.go
+++ b/internal/net/msgpackrpc/message_test.go
@@ -60,7 +60,7 @@
 			r := m.request
 			if r.ID != "0123456789abcdef" || r.Object != "fedcba9876543210" || r.Class != "images" || string(r.Body) != "body" ||
 				!r.Deadline.Equal(at.Add(1500*time.Millisecond)) {
-				t.Errorf("common fields are wrong in request %+v", r)
+				t.Errorf("request %+v lacks a value of the common fields, the class or the body", r)
 			}
 			if !c.want(r) || name != "unknown" && c.want(without.request) {
 				t.Errorf("field %s does not set its request field: %+v", name, r)
@@ -92,16 +92,16 @@
 	frame := requestFrame([][2]string{{"txn", "0123456789abcdef"}}, "body")
 	for n := range len(frame) {
 		if _, rest, incomplete, err := nextMessage(frame[:n]); !incomplete || err != nil || len(rest) != n {
-			t.Fatalf("%d of %d bytes: incomplete %v, error %v", n, len(frame), incomplete, err)
+			t.Fatalf("%d of %d bytes: incomplete %v, error %v, want true, no error and no bytes consumed", n, len(frame), incomplete, err)
 		}
 	}
 	two := append(append([]byte(nil), frame...), frame...)
 	if _, rest, incomplete, err := nextMessage(two); incomplete || err != nil || len(rest) != len(frame) {
-		t.Errorf("two messages: %d bytes left after the first, incomplete %v, error %v", len(rest), incomplete, err)
+		t.Errorf("two messages: %d bytes left after the first, incomplete %v, error %v, want the second message, false and no error", len(rest), incomplete, err)
 	}
 	for _, bad := range [][]byte{{0xc1}, {0x07}, {codeArray2, typeResponse, 1}, make([]byte, maxFrameBytes+1)} {
 		if _, _, incomplete, err := nextMessage(bad); incomplete || err == nil {
-			t.Errorf("invalid bytes %x... were accepted", bad[:1])
+			t.Errorf("invalid bytes %x... gave no error, or were taken for an incomplete message", bad[:1])
 		}
 	}
 }
--- a/internal/net/resp/answer_test.go
+++ b/internal/net/resp/answer_test.go
@@ -28,7 +28,7 @@
 	} {
 		var res gateway.Result
 		if err := c.parseFields(w.fields, &res); err != nil || res.Reason != w.reason || res.FillWait != w.wait {
-			t.Errorf("%s: reason %v, fill wait %v, error %v", w.fields, res.Reason, res.FillWait, err)
+			t.Errorf("%s: reason %v, fill wait %v, error %v, want those of the table and no error", w.fields, res.Reason, res.FillWait, err)
 		}
 	}
 }
@@ -39,7 +39,7 @@
 		c := &conn{pool: &Pool{}, pingID: "t1"}
 		err := c.handleAnswer([][]byte{[]byte("t1"), []byte(word), []byte("rep=cpu_share:0.4"), nil}, time.Time{})
 		if err != nil || c.pingID != "" {
-			t.Errorf("%s: error %v, ping %q is still unanswered", word, err, c.pingID)
+			t.Errorf("%s: error %v, unanswered ping %q, want neither", word, err, c.pingID)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 		c := &conn{pool: &Pool{cfg: Config{LoadReportFields: fields}}}
 		for _, report := range []string{"inflight:7;util:0.61;x1:0.2", "busy_reqs:7;cpu_share:0.61;x1:0.2;new:3"} {
 			if got := c.parseLoadReport(report); got[0] != 0.61 || got[1] != 0.2 || got[2] != 7 {
-				t.Errorf("fields %v of report %q: got %v", fields, report, got)
+				t.Errorf("fields %v of report %q: got %v, want 0.61, 0.2 and 7", fields, report, got)
 			}
 		}
 	}
--- a/internal/net/resp/wire_test.go
+++ b/internal/net/resp/wire_test.go
@@ -34,10 +34,10 @@
 			t.Fatal(word, err, ended.results)
 		}
 		if r := ended.results[0]; r.Status != want.Status || r.NotModified != want.NotModified || r.ETag != "v1" {
-			t.Errorf("answer %s: result %+v", word, r)
+			t.Errorf("answer %s: result %+v, want the status of the table and the ETag v1", word, r)
 		}
 		if _, blocked := c.canceled["r"]; blocked != (want.Status != routing.OK) {
-			t.Errorf("%s: the ID may be used again on the connection: %v", word, !blocked)
+			t.Errorf("%s: the ID may be used again on the connection: %v, want true after DONE and KEEP only", word, !blocked)
 		}
 	}
 	c := &conn{pool: &Pool{}}
--- a/internal/net/transport/listener_test.go
+++ b/internal/net/transport/listener_test.go
@@ -65,7 +65,7 @@
 	for i, c := range clients {
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if n, err := c.Read(make([]byte, 1)); n != 1 {
-			t.Errorf("connection %d got no echo: %v", i, err)
+			t.Errorf("connection %d got no echo: %v, want one byte", i, err)
 		}
 	}
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
--- a/internal/net/transport/transport.go
+++ b/internal/net/transport/transport.go
@@ -56,7 +56,7 @@
 	engine         *nbio.Engine
 	maxUnwritten   int64        // limit of the bytes waiting to be written on all connections
 	unwritten      atomic.Int64 // bytes waiting to be written on all connections
-	reservedInput  atomic.Int64 // bytes reserved by Conn.ReserveInput on all connections
+	reservedInput  atomic.Int64 // bytes reserved by Conn.ReserveInput on all connections; above half of maxUnwritten each connection is limited more
 	lingering      atomic.Int64 // connections that were shut down and are not closed yet
 	barrier        barrier
 	inherited      map[string]*os.File // listening sockets of the predecessor process, by address
--- a/internal/net/transport/transport_test.go
+++ b/internal/net/transport/transport_test.go
@@ -105,7 +105,7 @@
 		e.Stop()
 	}
 	if after := descriptors(t); len(after) != len(before) {
-		t.Errorf("descriptors before the engines: %v, after them: %v", before, after)
+		t.Errorf("descriptors before the engines: %v, after them: %v, want the same number", before, after)
 	}
 }
 
@@ -203,7 +203,7 @@
 	_ = peer.SetReadDeadline(time.Now().Add(20 * time.Second))
 	got, err := io.ReadAll(peer)
 	if err != nil || len(got) != len(answer) {
-		t.Errorf("the peer read %d of %d bytes, error %v", len(got), len(answer), err)
+		t.Errorf("the peer read %d of %d bytes, error %v, want all and no error", len(got), len(answer), err)
 	}
 	if c.Write([]byte("x")) == nil {
 		t.Error("Write after CloseGracefully returned no error")
@@ -215,7 +215,7 @@
 	handler.mu.Lock()
 	defer handler.mu.Unlock()
 	if handler.received != 0 {
-		t.Errorf("the handler got %d bytes after CloseGracefully", handler.received)
+		t.Errorf("the handler got %d bytes after CloseGracefully, want 0", handler.received)
 	}
 }
 
@@ -265,7 +265,7 @@
 	handler.mu.Lock()
 	defer handler.mu.Unlock()
 	if handler.received != sent {
-		t.Errorf("the handler got %d of %d bytes", handler.received, sent)
+		t.Errorf("the handler got %d of %d bytes, want all", handler.received, sent)
 	}
 }
 
--- a/internal/simprotocol/encode.go
+++ b/internal/simprotocol/encode.go
@@ -99,7 +99,7 @@
 		r.open(actionLog, director)
 		r.text(a.Text)
 	default:
-		return fmt.Errorf("no wire form for action %T", a)
+		return fmt.Errorf("the simulator's protocol has no action for %T", a)
 	}
 	r.close()
 	return nil
--- a/internal/simprotocol/names_test.go
+++ b/internal/simprotocol/names_test.go
@@ -46,7 +46,7 @@
 	for n := range int(routing.ReasonOriginFailed) + 1 {
 		in := `["ended","d/1","id",0,0,"n",200,` + strconv.Itoa(n) + `,false]`
 		if r := decodeOne(t, in).Event.(routing.AttemptResult).Reason; int(r) != n {
-			t.Errorf("reason %d is decoded as %d", n, r)
+			t.Errorf("reason %d is decoded as %d, want the same number", n, r)
 		}
 	}
 	for _, unknown := range []string{"11", "-1", "99"} {
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -20,7 +20,7 @@
 	var d Decoder
 	b, err := d.Decode([]byte(`{"tMs":1.5,"input":[` + event + `]}`))
 	if err != nil {
-		t.Fatalf("decoding %s: %v", event, err)
+		t.Fatalf("decoding %s: error %v, want none", event, err)
 	}
 	if b.Now != 1500*time.Microsecond || len(b.Items) != 1 {
 		t.Fatalf("%s decoded as %+v, want one item at 1.5 ms", event, b)
@@ -61,7 +61,7 @@
 		!s.WeightsKnown || s.LoadReportFields != nil || s.Siblings != routing.SiblingsAnywhere ||
 		s.Classes[0].Effect != routing.IdempotentWithKey || s.Classes[0].DedupScope != routing.ScopeCell ||
 		s.Classes[0].FreshFor != 8*time.Second {
-		t.Errorf("wrong settings or seed: %+v", it)
+		t.Errorf("got %+v, want a start with the seed 1<<64-1 and the settings of envText", it)
 	}
 }
 
@@ -75,7 +75,7 @@
 	one, two := b.Items[0].Event.(routing.EndpointUpdate), b.Items[1].Event.(routing.EndpointUpdate)
 	if one.Endpoints[0].ID != "a" || two.Endpoints[0].ID != "b" || two.Endpoints[0].Phase != routing.Draining ||
 		two.Endpoints[0].Incarnation != 7*time.Millisecond || two.Kind != routing.DeltaList {
-		t.Errorf("wrong first update %+v or second update %+v", one, two)
+		t.Errorf("first update %+v, want endpoint a; second update %+v, want a change to endpoint b, draining, started at 7 ms", one, two)
 	}
 }
 
--- a/signedurl/jwt.go
+++ b/signedurl/jwt.go
@@ -110,7 +110,7 @@
 // checkClaims checks the claims that RFC 9246 adds to a JWT, for a URI.
 func checkClaims(claims jwt.MapClaims, uri string) error {
 	if v, ok := claims["cdniv"]; ok && v != 1.0 {
-		return reject(UnsupportedClaim, "cdniv is not 1")
+		return reject(UnsupportedClaim, "cdniv is not 1, which is the only supported version")
 	}
 	if crit, ok := claims["cdnicrit"].(string); ok {
 		for name := range strings.SplitSeq(crit, ",") {
