--- a/internal/net/gossip/gossip.go
+++ b/internal/net/gossip/gossip.go
@@ -58,7 +58,7 @@
 	cfg := net.ListenConfig{Control: transport.SharePort}
 	conn, err := cfg.ListenPacket(context.Background(), "udp", a.String())
 	if err != nil {
-		return nil, fmt.Errorf("listening for peers: %w", err)
+		return nil, fmt.Errorf("peer_listen: opening the UDP socket: %w", err)
 	}
 	l.conn = conn.(*net.UDPConn)
 	return l, nil
