--- a/lab/localitysim/directed_stores.go
+++ b/lab/localitysim/directed_stores.go
@@ -8,8 +8,8 @@
 	"larchusher/routing"
 )
 
-// dispatch sends an attempt to a server as a director asked. Attempts at silent zones, and those that cross the cut of a hub,
-// end by time-out.
+// dispatch sends an attempt to a server as a director asked. Attempts at silent zones end by time-out, and so
+// do attempts at a server of another hub if the gateway's or the server's zone has a fault of kind Cut.
 func (d *directorSim) dispatch(g *directorGateway, loc int, x routing.ForwardAttempt) {
 	r, to := g.requests[x.ID], d.servers[x.Endpoint]
 	if r == nil || to == nil {
--- a/lab/localitysim/zones.go
+++ b/lab/localitysim/zones.go
@@ -120,7 +120,7 @@
 	end(took, r, hit)
 }
 
-// countAttempt counts an attempt by a gateway of zone home at zone where, unless the run is still warming up.
+// countAttempt counts an attempt by a gateway of zone home at zone target, unless the run is still warming up.
 func (s *simulation) countAttempt(home, target int) {
 	if s.now < s.scene.Warm {
 		return
@@ -132,7 +132,8 @@
 	}
 }
 
-// faultsBetween reports whether an attempt by a gateway of zone home at zone where gets no answer or fails at once.
+// faultsBetween reports whether an attempt by a gateway of zone home at zone target gets no answer (silent) or
+// fails at once (failed).
 func (s *simulation) faultsBetween(home, target int) (silent, failed bool) {
 	z, h := s.zones[target], s.zones[home]
 	otherHub := target != home && z.Hub != h.Hub
--- a/test/client_http_test.go
+++ b/test/client_http_test.go
@@ -133,13 +133,13 @@
 		}
 	}
 	if _, err := o.Seek(1<<40, io.SeekStart); err == nil {
-		t.Error("Seek beyond the object returned no error")
+		t.Error("Seek to 1<<40, beyond the object, returned no error, want one")
 	}
 	if err := o.Close(); err != nil || signed.Load() < 4 {
 		t.Errorf("Close: error %v after %d signed tokens; want no error and at least 4 tokens", err, signed.Load())
 	}
 	if _, err := o.Read(make([]byte, 1)); err == nil {
-		t.Error("Read after Close returned no error")
+		t.Error("Read after Close returned no error, want one")
 	}
 	hc := &http.Client{Transport: &lib.RoundTripper{Client: c}}
 	resp, err := httpGet(t, hc, "http://any/images/"+object+"/3?shard=17")
--- a/test/crossing_test.go
+++ b/test/crossing_test.go
@@ -263,8 +263,8 @@
 }
 
 // A client cancels while the connection to its store is being established and the loop is busy, so that the loop handles
-// the new connection before the cancel. No attempt may be written for the request, as an
-// earlier version did.
+// the new connection before the cancel. No attempt may be written for the request, as an earlier
+// version did.
 func TestNoAttemptForRequestCancelledDuringDial(t *testing.T) {
 	var stalled []*stalledStore
 	in := newInProcessGateway(t, func(r *rig) {
@@ -299,8 +299,7 @@
 }
 
 // A client disconnects or cancels just after its first attempt has failed, and the loop handles the failure first, so that
-// a retry is due before the loop knows that the client left. No retry may be written, as an earlier
-// version did.
+// a retry is due before the loop knows that the client left. No retry may be written, as an earlier version did.
 func TestNoRetryForDepartedClient(t *testing.T) {
 	for _, leave := range []func(c *client, id int){func(c *client, _ int) { loopback.Close(c.conn) }, func(c *client, id int) { c.cancel(id) }} {
 		in := newInProcessGateway(t, nil)
@@ -419,7 +418,7 @@
 	}
 	in.runOnLoop(func() {
 		if !in.front.Idle() {
-			t.Error("the front still holds state for the departed client")
+			t.Error("front.Idle() is false after the only client disconnected, want true")
 		}
 	})
 }
@@ -516,8 +515,8 @@
 }
 
 // An answer that arrives byte by byte without an end must time out after the time limit for an answer, because it blocks
-// the other attempts on its connection. An earlier version let it block them for as long as
-// bytes kept arriving.
+// the other attempts on its connection. An earlier version let it block them for as long as bytes
+// kept arriving.
 func TestEndlessAnswerTimesOut(t *testing.T) {
 	in := newInProcessGateway(t, nil)
 	end, ended := make(chan bool), make(chan bool)
@@ -738,7 +737,7 @@
 	stop()
 	for _, a := range r.storeRequests("") {
 		if a.Store.Name == "c1" {
-			t.Error("the draining store c1 received a request")
+			t.Error("the draining store c1 received a request, want none there")
 		}
 	}
 }
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -207,7 +207,7 @@
 	for range want {
 		a := c.readAnswer()
 		if a.err != "" || want[a.id] != a.body {
-			t.Fatalf("answer with id %+v is an error or has the content of another part", a.id)
+			t.Fatalf("answer with id %+v is an error or lacks the content of its request, want one answer with that content for each id", a.id)
 		}
 		delete(want, a.id)
 	}
@@ -239,7 +239,7 @@
 		t.Fatalf("request to a silent store: answer %+v, want the content from another store", a)
 	}
 	if s := receive(t, pending).Store; r.sumStores(func(s *store) int { return s.Noops }) == 0 {
-		t.Errorf("store %s received no health check (NOOP)", s.Name)
+		t.Errorf("no store received a health check (NOOP), want one at the silent store %s", s.Name)
 	}
 }
 
@@ -593,8 +593,8 @@
 	}
 }
 
-// While all client connections have open requests, a further connection must be closed. A place that becomes free must be
-// usable by the next connection.
+// While all client connections have open requests, a further connection must be closed. When one of them closes, the
+// next new connection must be accepted.
 func TestConnectionsBeyondLimitAreClosed(t *testing.T) {
 	r := newRig(t)
 	r.config["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": 64}
@@ -616,7 +616,7 @@
 	c := r.client()
 	c.send("images", object, 2*time.Second, "")
 	if a := c.readAnswer(); a.err != "" {
-		t.Errorf("request in the freed place: answer %+v, want no error", a)
+		t.Errorf("request on a new connection after one of 27 was closed: answer %+v, want no error", a)
 	}
 }
 
--- a/test/reload_test.go
+++ b/test/reload_test.go
@@ -47,7 +47,7 @@
 	}
 	for _, a := range r.storeRequests("00000000000000dd") {
 		if a.Store.Name == "c1" {
-			t.Error("a draining store received a request after the reload")
+			t.Error("the draining store c1 received the request for object 00000000000000dd after the reload, want it at another store")
 		}
 	}
 }
--- a/test/rig_test.go
+++ b/test/rig_test.go
@@ -193,7 +193,7 @@
 	select {
 	case v = <-c:
 	case <-time.After(eventTimeout):
-		t.Fatal("no value arrived on the channel in time")
+		t.Fatal("no value arrived on the channel within eventTimeout")
 	}
 	return v
 }
@@ -204,7 +204,7 @@
 	t.Helper()
 	for end := time.Now().Add(eventTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("timed out waiting for the condition: %s", condition)
+			t.Fatalf("condition not met within eventTimeout: %s", condition)
 		}
 	}
 }
@@ -451,7 +451,7 @@
 	cmd.Env = append(append(os.Environ(), "BALANCER_CONFIG="+r.path), r.env...)
 	out, err := cmd.CombinedOutput()
 	if err == nil {
-		r.t.Fatalf("the program accepted an invalid configuration: %s", out)
+		r.t.Fatalf("the program accepted an invalid configuration, want an exit with an error; output: %s", out)
 	}
 	return string(out)
 }
--- a/test/settings_test.go
+++ b/test/settings_test.go
@@ -164,7 +164,7 @@
 		r.log.Reset()
 		r.signal(syscall.SIGHUP)
 		if line := r.waitForLog("msg=\"reload rejected\""); !strings.Contains(line, f.wantText) {
-			t.Errorf("%s: the log line does not contain the expected text: %s", f.name, line)
+			t.Errorf("%s: the log line of the rejected reload does not contain wantText of this case: %s", f.name, line)
 		}
 		if got := r.consoleStats(console); got["reload_failure"] != i+1 || got["reload_success"] != 0 {
 			t.Errorf("%s: %d reloads rejected, %d accepted; want one more rejected, none accepted", f.name, got["reload_failure"], got["reload_success"])
@@ -179,7 +179,7 @@
 	c := r.client()
 	c.send("maps", object, 2*time.Second, "")
 	if a := c.readAnswer(); a.err == "" {
-		t.Error("a class of an invalid file is served")
+		t.Error("request of class maps, which only the rejected files have, was served, want an error")
 	}
 	r.journal.Publish(2, `"expire":{"set":40,"stamp":1}`)
 	eventually(t, "the event of the unchanged journal has been processed", func() bool { return r.counter("journal_events") == 1 })
--- a/test/signed_test.go
+++ b/test/signed_test.go
@@ -430,7 +430,7 @@
 	if status, _, _ := newHTTPConn(t, health).get("GET", "/healthz"); status != 200 {
 		t.Errorf("GET /healthz: status %d, want 200", status)
 	}
-	for range 40 { // silent connections that occupy all places for HTTP checks
+	for range 40 { // silent connections that occupy all connection slots of the HTTP check
 		c, err := loopback.Dial(health)
 		if err != nil {
 			t.Fatal(err)
--- a/test/upgrade_test.go
+++ b/test/upgrade_test.go
@@ -54,7 +54,7 @@
 	case err := <-r.exited:
 		return err
 	case <-time.After(eventTimeout):
-		r.t.Fatal("the process has not exited in time")
+		r.t.Fatal("the process has not exited within eventTimeout")
 		return nil
 	}
 }
@@ -92,7 +92,7 @@
 	}
 	for _, a := range r.storeRequests("") {
 		if a.Store.Name == "c1" && a.Fields["name"] != object {
-			t.Error("a store that the predecessor knew to be draining received a request")
+			t.Error("store c1, which the predecessor knew to be draining, received a request, want none there")
 		}
 	}
 	serveHit(open)
@@ -354,7 +354,7 @@
 	load := func(enough func() bool) { // 200 requests per second, each for a new object
 		for end := time.Now().Add(eventTimeout); !enough(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("timed out waiting for requests to the cold store")
+				t.Fatal("no request reached the cold store within the time limit, want some")
 			}
 			c := r.client()
 			number++
