--- a/cmd/larchusher-lab/procs.go
+++ b/cmd/larchusher-lab/procs.go
@@ -152,8 +152,8 @@
 	purges                         int             // sent to gateways
 }
 
-// add adds the outcome of a plot, or the error that ended it, and prints it. Plots with a fault are printed in full, so that
-// they can be run again.
+// add adds the outcome of a plot, or the error that ended it, and prints it. A plot that broke a rule or could not run is
+// printed in full, so that it can be run again.
 func (s *plotSummary) add(p *faultinjection.Plot, v *faultinjection.Verdict, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lab/faultinjection/watch.go
+++ b/lab/faultinjection/watch.go
@@ -144,11 +144,11 @@
 		}
 	}
 	if out > maxOut || parents > 1 {
-		p.violations.add("%d machines are out of service or about to be, %d of them parents: over the limit", out, parents)
+		p.violations.add("%d machines are out of service or about to be, %d of them parents; want at most 3 (maxOut), and 1 parent", out, parents)
 	}
 	for z, n := range zones {
 		if strings.HasPrefix(z, "box") && n > max(1, int(0.34*float64(p.plot.CachesPerZone))) {
-			p.violations.add("%d of %d machines are out of service or about to be in %s: over the limit", n, p.plot.CachesPerZone, z)
+			p.violations.add("%d of %d machines are out of service or about to be in %s, want at most 34 %%, or 1", n, p.plot.CachesPerZone, z)
 		}
 	}
 }
--- a/lab/testbed/testbed.go
+++ b/lab/testbed/testbed.go
@@ -191,7 +191,6 @@
 	return "", fmt.Errorf("testbed: no free address: all ports that the system offered on %s were issued before", host)
 }
 
-// maxFreeAddrTries is how many ports FreeAddrOn asks the system for before it fails.
 // maxFreeAddrTries is how many ports FreeAddrOn asks the system for before it fails.
 const maxFreeAddrTries = 1000
 
--- a/test/client_test.go
+++ b/test/client_test.go
@@ -46,8 +46,8 @@
 	return ctx, gateways, proxies
 }
 
-// When a gateway dies with requests of hundreds of clients open, the clients must reconnect to the other gateway spread
-// over two seconds, without a peak, and be served there.
+// When one of two gateways dies with the requests of its share of 1,000 clients open, these must reconnect to the other
+// spread over two seconds, without a peak, and be served there.
 func TestClientsSpreadReconnectsAfterGatewayDeath(t *testing.T) {
 	ctx, gateways, proxies := startPair(t)
 	pending := make(chan *storeRequest, 4000)
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -452,8 +452,8 @@
 	}
 }
 
-// A request that its store never answers must get an error after SIGTERM, before the platform kills the process, and the
-// program must then exit within 10 s.
+// A request that its store never answers must get an error after SIGTERM, and the program must exit with status 0 within
+// 10 s of the signal. (The platform kills the process no sooner than 0.7 s after the longest deadline, 5 s here.)
 func TestTermFailsHangingRequests(t *testing.T) {
 	r := newRig(t).start()
 	pending := make(chan *storeRequest, 10)
