--- a/lab/faultinjection/mutants.go
+++ b/lab/faultinjection/mutants.go
@@ -150,7 +150,7 @@
 			return nil, err
 		}
 		if named[m.Plot] == nil {
-			return nil, fmt.Errorf("mutant %q: no plot %q", m.Name, m.Plot)
+			return nil, fmt.Errorf("mutant %q: no plot of NamedPlots has the name %q", m.Name, m.Plot)
 		}
 		all = append(all, named[m.Plot])
 	}
--- a/lab/localitysim/scene.go
+++ b/lab/localitysim/scene.go
@@ -148,8 +148,8 @@
 	return nil
 }
 
-// Set sets the parameter of a scene that key names to v. The error names an unknown key or a value that is below 0 or not a number. For "memory", 1
-// stands for saved state, 2 for Oracle, 3 for replication and 4 for saved state with replication.
+// Set sets the parameter of a scene that key names to v. The error names an unknown key or a value that is below 0 or not a
+// number. For "memory", 1 stands for saved state, 2 for Oracle, 3 for replication and 4 for saved state with replication.
 func (s *Scene) Set(key string, v float64) error {
 	if !(v >= 0) {
 		return fmt.Errorf("%s: %v, want at least 0", key, v)
