--- a/lab/golden/golden.go
+++ b/lab/golden/golden.go
@@ -14,7 +14,7 @@
 
 // Fill sets every exported field reachable from the pointer v to a non-zero value, except fields tagged json:"-". The
 // values of numbers and strings derive from the position of the field, not from its name, so that renaming a field changes
-// nothing. Slices and maps get one element.
+// nothing. Each slice and each map gets one element.
 func Fill(v any) {
 	n := 0
 	fill(reflect.ValueOf(v).Elem(), &n, 0)
--- a/lab/plot/plot.go
+++ b/lab/plot/plot.go
@@ -1,4 +1,4 @@
-// Package plot draws measurements as line plots and heat maps.
+// Package plot draws measurements as a line plot or a heat map.
 package plot
 
 import (
