--- a/cluster/network_faults_test.go
+++ b/cluster/network_faults_test.go
@@ -5,55 +5,55 @@
 	"time"
 )
 
-// injectFault makes one of the faults at a time, for 0.2 s to 6.2 s.
+// injectFault injects a random fault at a time, which lasts for 0.2 s to 6.2 s.
 func (w *simulation) injectFault(at time.Duration) {
 	w.clock.At(at, func() {
 		m := w.nodes[w.names[w.rng.IntN(len(w.names))]]
-		heal := w.clock.Now + time.Duration(200+w.rng.IntN(6000))*time.Millisecond
+		healAt := w.clock.Now + time.Duration(200+w.rng.IntN(6000))*time.Millisecond
 		switch w.rng.IntN(6) {
 		case 0, 1:
-			w.kill(m, heal)
+			w.kill(m, healAt)
 		case 2:
-			w.suspendUntil(m, heal)
+			w.suspendUntil(m, healAt)
 		case 3, 4:
-			w.partition(heal)
+			w.partition(healAt)
 		case 5:
 			w.loss, w.duplication = 0.2*w.rng.Float64(), 0.2*w.rng.Float64()
-			w.clock.At(heal, func() { w.loss, w.duplication = 0, 0 })
+			w.clock.At(healAt, func() { w.loss, w.duplication = 0, 0 })
 		}
 	})
 }
 
-// kill ends a node, which is started again with or without what it had stored.
-func (w *simulation) kill(m *host, back time.Duration) {
+// kill kills a node and restarts it at a time, with or without what it had stored.
+func (w *simulation) kill(m *simulatedNode, restartAt time.Duration) {
 	if m.node == nil {
 		return
 	}
-	m.run++
+	m.generation++
 	m.node = nil
-	forget := w.rng.IntN(4) == 0 && (!slices.Contains(w.voters, m.name) || w.othersCanVote(m.name))
-	w.clock.At(back, func() {
+	eraseStorage := w.rng.IntN(4) == 0 && (!slices.Contains(w.voters, m.name) || w.othersCanVote(m.name))
+	w.clock.At(restartAt, func() {
 		if m.node == nil {
-			w.startNode(m, forget)
+			w.startNode(m, eraseStorage)
 		}
 	})
 }
 
-// suspendUntil stops a node, which goes on where it stood, before it has received anything.
-func (w *simulation) suspendUntil(m *host, resume time.Duration) {
+// suspendUntil stops a node until a time. It resumes where it was stopped, before it has received the messages that have arrived.
+func (w *simulation) suspendUntil(m *simulatedNode, resumeAt time.Duration) {
 	if m.node == nil || m.suspended {
 		return
 	}
 	m.suspended = true
-	run := m.run
-	w.clock.At(resume, func() {
-		if m.run != run {
+	generation := m.generation
+	w.clock.At(resumeAt, func() {
+		if m.generation != generation {
 			return
 		}
 		m.suspended = false
 		for name := range w.machines {
 			if m.node.EndpointPermitted(w.localTime(m), name) {
-				w.checkSent(m, name)
+				w.checkInService(m, name)
 			}
 		}
 		for _, received := range m.inbox {
@@ -63,8 +63,8 @@
 	})
 }
 
-// partition severs links between two sides, one way or both.
-func (w *simulation) partition(heal time.Duration) {
+// partition severs the links between two random sets of nodes, in one or both directions, until a time.
+func (w *simulation) partition(healAt time.Duration) {
 	side, oneWay := map[string]bool{}, w.rng.IntN(2) == 0
 	for _, n := range w.names {
 		side[n] = w.rng.IntN(2) == 0
@@ -76,14 +76,14 @@
 			}
 		}
 	}
-	w.clock.At(heal, func() { clear(w.severed) })
+	w.clock.At(healAt, func() { clear(w.severed) })
 }
 
-// othersCanVote says that all other voters run and may vote. Where a majority of votes is lost nothing can be settled any
-// more until an operator says so, and no run asks for that.
-func (w *simulation) othersCanVote(but string) bool {
+// othersCanVote reports whether all voters but one are running and may vote. If a majority of the voters lost their state, the
+// cluster could agree on nothing until an operator intervenes, and no operator does so in these runs.
+func (w *simulation) othersCanVote(except string) bool {
 	for _, n := range w.voters {
-		if m := w.nodes[n]; n != but && (m.node == nil || !m.node.voter.CanVote()) {
+		if m := w.nodes[n]; n != except && (m.node == nil || !m.node.voter.CanVote()) {
 			return false
 		}
 	}
--- a/cmd/larchusher-lab/get.go
+++ b/cmd/larchusher-lab/get.go
@@ -13,18 +13,19 @@
 	"larchusher/lab/loopback"
 )
 
-// gateways are the flags of the sub-commands that are clients.
-type gateways struct {
+// clientFlags are the flags that get and ping share.
+type clientFlags struct {
 	Gateway []string      `help:"Address of a gateway; several are chosen among." required:""`
 	Class   string        `default:"images"`
 	Limit   time.Duration `help:"Deadline of a part, over all tries." default:"2.5s"`
 	Group   int           `help:"Group of the object, 0 to 255."`
 }
 
-func (g *gateways) open() (*client.Client, error) {
+// open returns a client of the gateways, which the caller closes. It knows the classes of the load generator's mix, and Class.
+func (g *clientFlags) open() (*client.Client, error) {
 	cfg := client.Config{Gateways: g.Gateway}
 	known := false
-	for _, c := range loadgen.Site() {
+	for _, c := range loadgen.DeploymentMix() {
 		k := client.Class{Name: c.Name, Worth: c.Worth}
 		if c.Keyed {
 			k.Effect, k.Window = client.Keyed, 3*time.Second
@@ -38,14 +39,14 @@
 	return client.New(cfg)
 }
 
-// getCmd is the sub-command get.
+// getCmd is the sub-command get: it reads an object through gateways.
 type getCmd struct {
-	gateways
+	clientFlags
 	Object string `arg:"" help:"16 hex digits."`
 	Parts  int    `help:"Read parts 0 to N-1." default:"1"`
 }
 
-// Run writes an object to standard output.
+// Run writes the parts of an object, in order, to standard output. It fails if a part cannot be read.
 func (g *getCmd) Run() error {
 	c, err := g.open()
 	if err != nil {
@@ -61,22 +62,22 @@
 	return err
 }
 
-// pingCmd is the sub-command ping.
+// pingCmd is the sub-command ping: it requests the same part repeatedly.
 type pingCmd struct {
-	gateways
+	clientFlags
 	Object string        `help:"What is asked for, 16 hex digits." default:"7f3a9c21e0b4d655"`
 	Count  int           `default:"4"`
 	Every  time.Duration `default:"1s"`
 }
 
-// Run asks for a part again and again, and says how each call ended.
+// Run requests part 0 of an object Count times and prints the outcome of each call. It fails if no call succeeds.
 func (p *pingCmd) Run() error {
 	c, err := p.open()
 	if err != nil {
 		return err
 	}
 	defer loopback.Close(c)
-	bad := 0
+	failures := 0
 	for n := range p.Count {
 		if n > 0 {
 			time.Sleep(p.Every)
@@ -87,14 +88,14 @@
 		cancel()
 		took := time.Since(began).Round(10 * time.Microsecond)
 		if err != nil {
-			bad++
+			failures++
 			fmt.Printf("%d: %v, after %v\n", n+1, err, took)
 			continue
 		}
 		fmt.Printf("%d: served, %d bytes, %d tries, %v\n", n+1, len(r.Body), r.Tries, took)
 	}
-	if bad == p.Count {
-		return errors.New("ping: nothing was served")
+	if failures == p.Count {
+		return errors.New("ping: no request was served")
 	}
 	return nil
 }
--- a/cmd/larchusher-lab/load.go
+++ b/cmd/larchusher-lab/load.go
@@ -14,8 +14,8 @@
 	"larchusher/lab/testbed"
 )
 
-// load is the sub-command of that name.
-type load struct {
+// loadCmd is the sub-command load: it sends an open-loop load to a gateway, whose requests do not wait for earlier answers.
+type loadCmd struct {
 	Addr     string        `help:"A gateway that runs already, at a loopback address; without it one is started with fake servers."`
 	Program  string        `help:"The gateway's program." default:"" placeholder:"PATH"`
 	Arg      []string      `help:"An argument of the gateway's program."`
@@ -47,79 +47,80 @@
 	Windows  bool          `help:"Print each second by itself, too."`
 }
 
-// Run runs the loads.
-func (l *load) Run() error {
+// Run runs the load at each rate, one after another, each with a gateway process of its own unless --addr names one.
+func (l *loadCmd) Run() error {
 	var err error
 	if l.Program, err = programPath(l.Program); err != nil {
 		return err
 	}
 	for _, rate := range l.Rate {
-		if err := l.one(rate); err != nil {
+		if err := l.runOnce(rate); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// figures is one run, as printed.
+// figures is what is printed of one run. With --json it is written as one line of JSON.
 type figures struct {
 	Rate     float64            `json:"Rate"`
 	Sum      loadgen.Summary    `json:"Sum"`
 	PeakMB   float64            `json:"PeakMB"`
-	CPU      float64            `json:"CPU"` // seconds used for each second
+	CPU      float64            `json:"CPU"` // seconds of processor time that the gateway used per second; 0 with --addr
 	Counters map[string]float64 `json:"Counters,omitempty"`
 }
 
-func (l *load) one(rate float64) error {
+// runOnce runs the load at one rate, in requests per second, and prints the result.
+func (l *loadCmd) runOnce(rate float64) error {
 	ctx, cancel := context.WithTimeout(context.Background(), l.For+time.Minute)
 	defer cancel()
 	addr := l.Addr
-	var w *testbed.Gateway
+	var bed *testbed.Gateway
 	if addr == "" {
 		var err error
-		w, err = testbed.Start(ctx, testbed.Config{Program: l.Program, Args: l.Arg, Caches: l.Caches, Cores: l.Cores,
+		bed, err = testbed.Start(ctx, testbed.Config{Program: l.Program, Args: l.Arg, Caches: l.Caches, Cores: l.Cores,
 			MemoryMB: l.MemoryMB, Sockets: l.Sockets, Pin: l.Pin})
 		if err != nil {
 			return err
 		}
-		defer w.Stop()
-		addr = w.Addr
+		defer bed.Stop()
+		addr = bed.Addr
 	}
 	spec, err := l.spec(addr, rate)
 	if err != nil {
 		return err
 	}
 	if l.Slow > 0 {
-		stop, err := l.slow(addr, w)
+		stop, err := l.startSlowReaders(addr, bed)
 		if err != nil {
 			return err
 		}
 		defer stop()
 	}
 	var before testbed.Usage
-	if w != nil {
-		if err := l.injectPauses(ctx, w); err != nil {
+	if bed != nil {
+		if err := l.injectPauses(ctx, bed); err != nil {
 			return err
 		}
-		if before, err = w.Usage(); err != nil {
+		if before, err = bed.Usage(); err != nil {
 			return err
 		}
 	}
-	res, err := loadgen.Run(ctx, spec)
+	result, err := loadgen.Run(ctx, spec)
 	if err != nil {
 		return err
 	}
-	f := figures{Rate: rate, Sum: res.Sum(l.Warm, 0)}
-	if w != nil {
-		if err := l.addUsage(ctx, w, before, res.Took, &f); err != nil {
+	f := figures{Rate: rate, Sum: result.Summarize(l.Warm, 0)}
+	if bed != nil {
+		if err := l.addUsage(ctx, bed, before, result.Took, &f); err != nil {
 			return err
 		}
 	}
-	return l.report(res, f)
+	return l.report(result, f)
 }
 
-// spec is what is asked of the gateway.
-func (l *load) spec(addr string, rate float64) (spec loadgen.Spec, err error) {
+// spec returns the specification of the load at the given rate. It fails on a malformed profile or an unknown class.
+func (l *loadCmd) spec(addr string, rate float64) (spec loadgen.Spec, err error) {
 	profile, err := loadgen.ParseProfile(l.Profile, rate)
 	if err != nil {
 		return spec, err
@@ -127,34 +128,36 @@
 	spec = loadgen.Spec{Addr: addr, Conns: l.Conns, Open: l.Open, Rate: profile, For: l.For, Seed: l.Seed,
 		Repeat: l.Repeat, Marked: l.Marked}
 	if l.Only != "" {
-		spec.Mix, err = loadgen.Only(l.Only)
+		spec.Mix, err = loadgen.SingleClassMix(l.Only)
 	}
 	return spec, err
 }
 
-// slow starts clients that read slowly, and has the stores answer them with much.
-func (l *load) slow(addr string, w *testbed.Gateway) (stop func() (closed int), err error) {
-	stop, err = loadgen.Slow(loadgen.SlowSpec{Addr: addr, Conns: l.Slow, Pace: l.SlowPace, Ask: l.SlowAsk})
-	if err != nil || w == nil {
+// startSlowReaders starts clients that read their answers slowly, and makes the fake servers send them large parts; with
+// --addr (bed is nil) the servers are not changed. stop ends the clients and returns how many of their connections the
+// gateway had closed.
+func (l *loadCmd) startSlowReaders(addr string, bed *testbed.Gateway) (stop func() (closed int), err error) {
+	stop, err = loadgen.StartSlowReaders(loadgen.SlowReaderSpec{Addr: addr, Conns: l.Slow, Pace: l.SlowPace, Ask: l.SlowAsk})
+	if err != nil || bed == nil {
 		return stop, err
 	}
-	for _, s := range w.Stores {
-		s.On(loadgen.SlowContent(l.SlowSize))
+	for _, s := range bed.Stores {
+		s.SetHandler(loadgen.SlowReaderContent(l.SlowSize))
 	}
 	return stop, nil
 }
 
-// addUsage takes in what the gateway used, and its counters.
-func (l *load) addUsage(ctx context.Context, w *testbed.Gateway, before testbed.Usage, took time.Duration, f *figures) error {
-	u, err := w.Usage()
+// addUsage adds the gateway's processor and memory use since before, and the counters that --counters selects, to the figures.
+func (l *loadCmd) addUsage(ctx context.Context, bed *testbed.Gateway, before testbed.Usage, took time.Duration, f *figures) error {
+	u, err := bed.Usage()
 	if err != nil {
-		return fmt.Errorf("the gateway is gone: %w\n%s", err, w.Log.String())
+		return fmt.Errorf("gateway process has ended, its resource use cannot be read: %w\n%s", err, bed.Log.String())
 	}
 	f.PeakMB, f.CPU = float64(u.PeakKB)/1024, (u.CPU-before.CPU).Seconds()/took.Seconds()
 	if len(l.Counters) == 0 {
 		return nil
 	}
-	all, err := w.Counters(ctx)
+	all, err := bed.Counters(ctx)
 	if err != nil {
 		return err
 	}
@@ -167,15 +170,15 @@
 	return nil
 }
 
-// report writes the rows if asked to, and prints the figures.
-func (l *load) report(res *loadgen.Result, f figures) error {
+// report writes the rows of the run to a Parquet file with --out, and prints the figures.
+func (l *loadCmd) report(result *loadgen.Result, f figures) error {
 	rate := f.Rate
 	if l.Out != "" {
-		if err := res.WriteParquet(fmt.Sprintf("%s-%.0f.parquet", l.Out, rate)); err != nil {
+		if err := result.WriteParquet(fmt.Sprintf("%s-%.0f.parquet", l.Out, rate)); err != nil {
 			return err
 		}
 	}
-	for _, e := range res.Errors {
+	for _, e := range result.Errors {
 		fmt.Fprintln(os.Stderr, "load:", e)
 	}
 	if l.JSON {
@@ -186,7 +189,7 @@
 		return err
 	}
 	if l.Windows {
-		for i, s := range res.Windows() {
+		for i, s := range result.Windows() {
 			fmt.Printf("second %d: ", i)
 			if err := s.Print(os.Stdout); err != nil {
 				return err
@@ -200,17 +203,18 @@
 	return nil
 }
 
-// injectPauses stalls the gateway as asked, beside the load.
-func (l *load) injectPauses(ctx context.Context, w *testbed.Gateway) error {
+// injectPauses starts goroutines that pause the gateway process as --duty and --stalls demand while the load runs. It
+// fails on a malformed --duty.
+func (l *loadCmd) injectPauses(ctx context.Context, bed *testbed.Gateway) error {
 	if l.Duty != "" {
-		on, of, ok := strings.Cut(l.Duty, "/")
-		run, err1 := time.ParseDuration(on)
-		whole, err2 := time.ParseDuration(of)
-		if !ok || err1 != nil || err2 != nil || run <= 0 || run >= whole {
-			return fmt.Errorf("duty %q: not RUN/OF", l.Duty)
+		runText, periodText, ok := strings.Cut(l.Duty, "/")
+		run, err1 := time.ParseDuration(runText)
+		period, err2 := time.ParseDuration(periodText)
+		if !ok || err1 != nil || err2 != nil || run <= 0 || run >= period {
+			return fmt.Errorf("--duty %q: want RUN/OF with 0 < RUN < OF, such as 25ms/100ms", l.Duty)
 		}
 		go func() {
-			for ctx.Err() == nil && w.Pause(whole-run) == nil {
+			for ctx.Err() == nil && bed.Pause(period-run) == nil {
 				time.Sleep(run)
 			}
 		}()
@@ -219,7 +223,7 @@
 		go func() {
 			for range l.Stalls {
 				time.Sleep(l.For / time.Duration(l.Stalls+1))
-				if w.Pause(l.StallFor) != nil {
+				if bed.Pause(l.StallFor) != nil {
 					return
 				}
 			}
--- a/cmd/larchusher-lab/scene.go
+++ b/cmd/larchusher-lab/scene.go
@@ -11,27 +11,28 @@
 	"larchusher/lab/plot"
 )
 
-// sceneCmd is the sub-command scene.
+// sceneCmd is the sub-command scene: it simulates a scene, zones with their load and faults, from a file.
 type sceneCmd struct {
 	File string `arg:"" help:"A scene in protobuf text format, such as lab/scenarios/dark.textproto." type:"existingfile"`
 	Out  string `help:"Write each second of each run to this file, as Parquet." placeholder:"FILE"`
 	Plot string `help:"Draw service over time, or a heat map of a sweep of two keys for each policy, to PREFIX-....png." placeholder:"PREFIX"`
 }
 
-// Run plays a scene, or all of a sweep.
+// Run simulates a scene, or each cell of a sweep over its parameters, and prints a row for each. It writes files with --out and
+// --plot.
 func (s *sceneCmd) Run() error {
 	f, err := localitysim.Load(s.File)
 	if err != nil {
 		return err
 	}
-	cells, err := f.Play(func(done, all int, c *localitysim.Cell, took time.Duration) {
+	cells, err := f.RunCells(func(done, all int, c *localitysim.Cell, took time.Duration) {
 		fmt.Fprintf(os.Stderr, "%d of %d: %s, %v\n", done, all, c.Name(), took.Round(time.Millisecond))
 	})
 	if err != nil {
 		return err
 	}
 	t := newTable()
-	t.head("run\tworth in aim\tworst 5 s\tspill over its bound\tfalls\tanswered twice\thits %\tfills\torigin\t")
+	t.header("run\tworth in aim\tworst 5 s\tspill over its bound\tfalls\tanswered twice\thits %\tfills\torigin\t")
 	for _, c := range cells {
 		hits, reads, fills, origin := 0, 0, 0, 0
 		for _, sec := range c.Result.Seconds {
@@ -52,7 +53,7 @@
 	case s.Plot == "":
 		return nil
 	case len(f.Sweep) == 2:
-		return s.heat(f, cells)
+		return s.drawHeatMap(f, cells)
 	}
 	var lines []plot.Line
 	for _, c := range cells {
@@ -64,10 +65,12 @@
 		}
 		lines = append(lines, l)
 	}
-	return plot.Draw(s.Plot+"-service.png", "Worth answered in aim, all zones", "seconds", "share of what was asked", lines)
+	return plot.DrawLines(s.Plot+"-service.png", "Worth answered in aim, all zones", "seconds", "share of what was asked", lines)
 }
 
-func (s *sceneCmd) heat(f *localitysim.File, cells []*localitysim.Cell) error {
+// drawHeatMap writes a heat map for each policy: the share of the requests' priority weight answered within the latency objective, over
+// the two parameters of the sweep.
+func (s *sceneCmd) drawHeatMap(f *localitysim.File, cells []*localitysim.Cell) error {
 	x, y := f.Sweep[0], f.Sweep[1]
 	for k, p := range f.Policies {
 		z := make([][]float64, len(y.Values))
@@ -78,46 +81,48 @@
 			}
 		}
 		name := fmt.Sprintf("%s-heat-%d.png", s.Plot, k)
-		if err := plot.Heat(name, fmt.Sprintf("Worth answered in aim: %s", p), x.Key, y.Key, x.Values, y.Values, z); err != nil {
+		if err := plot.DrawHeatMap(name, fmt.Sprintf("Worth answered in aim: %s", p), x.Key, y.Key, x.Values, y.Values, z); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// compareCmd is the sub-command compare.
+// compareCmd is the sub-command compare: it runs one scene in the simulation and with real gateways.
 type compareCmd struct {
 	File    string `arg:"" help:"A scene; only deaths of zones, one gateway for each zone." type:"existingfile"`
 	Program string `help:"The gateway's program." default:"" placeholder:"PATH"`
 }
 
-// socketsConfig is a scene for real gateways.
-func socketsConfig(program string, sc localitysim.Scene) (fleet.Config, error) {
+// gatewaysConfig converts a scene for real gateways. It fails if the scene has something that these cannot run: more than one
+// gateway in a zone, more than two hubs, or faults other than dead zones.
+func gatewaysConfig(program string, sc localitysim.Scene) (fleet.Config, error) {
 	cfg := fleet.Config{Program: program, BoxRate: sc.BoxRate, Objects: sc.Objects, Late: sc.List, For: sc.For, Seed: sc.Seed}
 	for i, z := range sc.Zones {
 		if z.Gateways != 1 || z.Hub > 1 {
-			return cfg, fmt.Errorf("zone[%d]: %d gateways at hub %d; to compare, one gateway and hubs 0 and 1", i, z.Gateways, z.Hub)
+			return cfg, fmt.Errorf("zone[%d]: %d gateways at hub %d: compare wants one gateway in each zone, and hub 0 or 1", i, z.Gateways, z.Hub)
 		}
 		cfg.Zones = append(cfg.Zones, fleet.Zone{Name: z.Name, Hub: z.Hub, Boxes: z.Boxes, Rate: z.Load * sc.BoxRate * float64(z.Boxes)})
 	}
 	for i, x := range sc.Faults {
 		if x.Kind != localitysim.Dead {
-			return cfg, fmt.Errorf("fault[%d].kind: %s can't be played on sockets", i, x.Kind)
+			return cfg, fmt.Errorf("fault[%d].kind: %s: real gateways can run dead zones only", i, x.Kind)
 		}
-		cfg.Deaths = append(cfg.Deaths, fleet.Death{Zone: x.Zone, At: x.At, Back: x.Till})
+		cfg.Deaths = append(cfg.Deaths, fleet.Outage{Zone: x.Zone, At: x.At, Back: x.Till})
 	}
 	return cfg, nil
 }
 
-// shares are parts of what was asked in a span.
+// shares are the shares of the requests of a time span that were sent to other zones, or rejected.
 type shares struct{ spilled, refused float64 }
 
-func sharesOf(spilled, refused, asked float64) shares {
+// newShares returns the shares of two counts in the number of requests.
+func newShares(spilled, refused, asked float64) shares {
 	return shares{spilled: spilled / max(1, asked), refused: refused / max(1, asked)}
 }
 
-// modelShares are those of the model between two seconds.
-func modelShares(r *localitysim.Result, from, to int) shares {
+// simulatedShares returns the shares of a simulation from one second to another, exclusive.
+func simulatedShares(r *localitysim.Result, from, to int) shares {
 	var asked, spilled, refused float64
 	for _, s := range r.Seconds[from:to] {
 		asked, refused = asked+float64(s.Asked), refused+float64(s.Refused)
@@ -125,23 +130,23 @@
 			spilled += float64(n)
 		}
 	}
-	return sharesOf(spilled, refused, asked)
+	return newShares(spilled, refused, asked)
 }
 
-// socketsShares are those of real gateways between two seconds.
-func socketsShares(r *fleet.Result, from, to int) shares {
+// measuredShares returns the shares of a run with real gateways from one second to another, exclusive.
+func measuredShares(r *fleet.Result, from, to int) shares {
 	var asked, spilled, refused float64
 	for k, zone := range r.Zones {
 		for _, s := range zone[min(from, len(zone)):min(to, len(zone))] {
 			asked, refused = asked+float64(s.Asked), refused+float64(s.Refused)
-			spilled += float64(awayFrom(k, s.At))
+			spilled += float64(spilledAttempts(k, s.At))
 		}
 	}
-	return sharesOf(spilled, refused, asked)
+	return newShares(spilled, refused, asked)
 }
 
-// awayFrom is how many of the attempts at zones were at others than the own one.
-func awayFrom(own int, at []int) (away int) {
+// spilledAttempts returns how many of the attempts, counted by zone, went to a zone other than own.
+func spilledAttempts(own int, at []int) (away int) {
 	for zone, n := range at {
 		if zone != own {
 			away += n
@@ -150,8 +155,8 @@
 	return away
 }
 
-// Run plays a scene in the model with directors and with real gateways on loopback, and tells both side by side, by spans
-// of five seconds.
+// Run runs a scene in the simulation with directors and with real gateways on loopback, and prints the results of both side
+// by side, for spans of 5 s.
 func (c *compareCmd) Run() error {
 	program, err := programPath(c.Program)
 	if err != nil {
@@ -162,35 +167,35 @@
 		return err
 	}
 	sc := f.Scene
-	sc.Policy = localitysim.Ours
-	cfg, err := socketsConfig(program, sc)
+	sc.Policy = localitysim.Tiered
+	cfg, err := gatewaysConfig(program, sc)
 	if err != nil {
 		return err
 	}
-	model, err := localitysim.Directed(sc)
+	simulated, err := localitysim.RunWithDirectors(sc)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), sc.For+time.Minute)
 	defer cancel()
-	sockets, err := fleet.Run(ctx, cfg)
+	measured, err := fleet.Run(ctx, cfg)
 	if err != nil {
 		return err
 	}
 	t := newTable()
-	t.head("seconds\tin aim: model\tsockets\tspill: model\tsockets\trefused: model\tsockets\t")
+	t.header("seconds\tin aim: model\tsockets\tspill: model\tsockets\trefused: model\tsockets\t")
 	const step = 5
-	var most float64
+	var maxDifference float64
 	for at := int(sc.Warm / time.Second); at+step <= int(sc.For/time.Second); at += step {
-		m, r := modelShares(model, at, at+step), socketsShares(sockets, at, at+step)
-		a, b := model.Share(time.Duration(at)*time.Second, time.Duration(at+step)*time.Second), sockets.Share(at, at+step)
-		most = max(most, a-b, b-a)
+		m, r := simulatedShares(simulated, at, at+step), measuredShares(measured, at, at+step)
+		a, b := simulated.ServedWorthShare(time.Duration(at)*time.Second, time.Duration(at+step)*time.Second), measured.ServedWorthShare(at, at+step)
+		maxDifference = max(maxDifference, a-b, b-a)
 		t.row("%d to %d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t", at, at+step, a, b, m.spilled, r.spilled, m.refused, r.refused)
 	}
 	if err := t.flush(); err != nil {
 		return err
 	}
-	fmt.Printf("the most that they differ in aim: %.3f; model: falls %v; sockets: fallen %v, silent %d, twice %d\n", most, model.Falls, sockets.Fallen,
-		sockets.Silent, sockets.Second)
+	fmt.Printf("the most that they differ in aim: %.3f; model: falls %v; sockets: fallen %v, silent %d, twice %d\n", maxDifference, simulated.Falls, measured.Fallen,
+		measured.Silent, measured.Second)
 	return nil
 }
--- a/cmd/larchusher-lab/up.go
+++ b/cmd/larchusher-lab/up.go
@@ -19,24 +19,26 @@
 	"larchusher/signedurl"
 )
 
-// up is the sub-command of that name.
-type up struct {
+// upCmd is the sub-command up: it starts a gateway with fake servers and requests some objects.
+type upCmd struct {
 	Program string `help:"The gateway's program." placeholder:"PATH"`
 	Caches  int    `help:"Fake caches." default:"2"`
 	Stay    bool   `help:"Go on until SIGINT, so that you can ask yourself."`
 }
 
-const upBase = "https://assets.ridge.example"
+// signedBaseURL is the base of the URLs that the signed front accepts; requests go to its loopback address instead.
+const signedBaseURL = "https://assets.ridge.example"
 
-// Run starts a gateway with fake servers, asks for some objects by both fronts, and shows what came from where.
-func (u *up) Run() error {
+// Run starts a gateway with fake servers, requests some objects through both fronts, and prints which server answered each. With
+// --stay it then waits for a signal.
+func (u *upCmd) Run() error {
 	program, err := programPath(u.Program)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	front, err := testbed.Free()
+	front, err := testbed.FreeAddr()
 	if err != nil {
 		return err
 	}
@@ -44,145 +46,148 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a temporary folder, which the system clears otherwise
-	d := &demo{front: front, secret: []byte("a secret of the lab, not of anyone else")}
+	defer func() { _ = os.RemoveAll(dir) }() // an error leaves files in the temporary folder, which the system cleans up
+	d := &demo{frontAddr: front, secret: []byte("a secret of the lab, not of anyone else")}
 	if err := d.start(ctx, program, dir, u.Caches); err != nil {
 		return err
 	}
-	defer d.world.Stop()
-	if err := d.askAll(ctx); err != nil {
+	defer d.bed.Stop()
+	if err := d.requestAll(ctx); err != nil {
 		return err
 	}
 	if u.Stay {
-		return d.stay()
+		return d.waitForSignal()
 	}
 	return nil
 }
 
-// demo is a gateway with fake servers, and what signs for its signed front.
+// demo is a running gateway with fake servers, and the issuer of its signed URLs.
 type demo struct {
-	front  string // the signed front's address
-	secret []byte // of its key
-	world  *testbed.Gateway
-	issuer *signedurl.Issuer
+	frontAddr string // address of the signed front
+	secret    []byte // of the key for signed URLs
+	bed       *testbed.Gateway
+	issuer    *signedurl.Issuer
 }
 
-// start starts the gateway with an operator's file in a folder, and tells where everything is.
+// start writes an operator's file to dir, starts the gateway with it, and prints the addresses of all parts.
 func (d *demo) start(ctx context.Context, program, dir string, caches int) (err error) {
-	d.issuer, err = signedurl.NewIssuer(signedurl.Config{Base: upBase, Keys: []signedurl.Key{{ID: "lab",
+	d.issuer, err = signedurl.NewIssuer(signedurl.Config{Base: signedBaseURL, Keys: []signedurl.Key{{ID: "lab",
 		Form: signedurl.URISigning, Algorithm: "HS256", Secret: d.secret}}}, "lab")
 	if err != nil {
 		return err
 	}
 	file := filepath.Join(dir, "operator.textproto")
 	text := fmt.Sprintf("signed_front {\n  listen: %q\n  base: %q\n  key { id: \"lab\" form: \"uri-signing\" algorithm: \"HS256\" secret_env: \"LAB_KEY\" }\n}\n",
-		d.front, upBase)
+		d.frontAddr, signedBaseURL)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
 	}
-	w, err := testbed.Start(ctx, testbed.Config{Program: program, Args: []string{"serve", "--operator", file},
+	bed, err := testbed.Start(ctx, testbed.Config{Program: program, Args: []string{"serve", "--operator", file},
 		Env: []string{"LAB_KEY=" + hex.EncodeToString(d.secret)}, Caches: caches, Pin: -1})
 	if err != nil {
 		return err
 	}
-	d.world = w
-	for _, s := range w.Stores {
+	d.bed = bed
+	for _, s := range bed.Stores {
 		s.Lock()
-		s.Forget = false
+		s.CountOnly = false
 		s.Unlock()
-		s.Cache(w.Stores, func(string) int { return 5000 })
+		s.ActAsCache(bed.Stores, func(string) int { return 5000 })
 	}
-	fmt.Printf("platform's front at %s, signed front at http://%s, journal at %s\n", w.Addr, d.front, w.Journal.Addr)
-	for name, s := range w.Stores {
+	fmt.Printf("platform's front at %s, signed front at http://%s, journal at %s\n", bed.Addr, d.frontAddr, bed.Journal.Addr)
+	for name, s := range bed.Stores {
 		fmt.Printf("  %s (%s) at %s\n", name, s.Kind, s.Addr)
 	}
 	return nil
 }
 
-// askAll asks for some objects by both fronts, and prints a row for each answer.
-func (d *demo) askAll(ctx context.Context) error {
+// requestAll requests some objects through both fronts, and prints a row for each answer.
+func (d *demo) requestAll(ctx context.Context) error {
 	t := newTextTable()
-	t.head("front\tasked\tanswer\tserved by\tfilled from\ttook")
+	t.header("front\tasked\tanswer\tserved by\tfilled from\ttook")
 	for _, object := range []string{"7f3a9c21e0b4d655", "00000000000000aa", "7f3a9c21e0b4d655"} {
-		if err := d.askPlatform(t, "images "+object+"/3", "images", object, 3); err != nil {
+		if err := d.requestPlatform(t, "images "+object+"/3", "images", object, 3); err != nil {
 			return err
 		}
-		if err := d.askSigned(ctx, t, object); err != nil {
+		if err := d.requestSigned(ctx, t, object); err != nil {
 			return err
 		}
 	}
-	if err := d.askPlatform(t, "orders", "orders", "7f3a9c21e0b4d655", 0); err != nil {
+	if err := d.requestPlatform(t, "orders", "orders", "7f3a9c21e0b4d655", 0); err != nil {
 		return err
 	}
 	return t.flush()
 }
 
-func (d *demo) askPlatform(t *table, asked, class, object string, part int) error {
+// requestPlatform requests a part through the platform front, and adds a row to the table.
+func (d *demo) requestPlatform(t *table, asked, class, object string, part int) error {
 	began := time.Now()
-	answer, err := loadgen.One(d.world.Addr, class, object, part)
+	answer, err := loadgen.RequestPart(d.bed.Addr, class, object, part)
 	if err != nil {
 		return err
 	}
-	d.show(t, "platform", asked, answer, time.Since(began))
+	d.addRow(t, "platform", asked, answer, time.Since(began))
 	return nil
 }
 
-func (d *demo) askSigned(ctx context.Context, t *table, object string) error {
+// requestSigned requests part 1 of an object through the signed front, and adds a row to the table.
+func (d *demo) requestSigned(ctx context.Context, t *table, object string) error {
 	uri, err := d.issuer.Sign(signedurl.Order{Target: "/films/" + object + "/1?shard=17", Expiry: time.Now().Add(time.Hour)})
 	if err != nil {
 		return err
 	}
 	began := time.Now()
-	answer, err := get(ctx, "http://"+d.front+strings.TrimPrefix(uri, upBase))
+	answer, err := get(ctx, "http://"+d.frontAddr+strings.TrimPrefix(uri, signedBaseURL))
 	if err != nil {
 		return err
 	}
-	d.show(t, "signed", "films "+object+"/1", answer, time.Since(began))
+	d.addRow(t, "signed", "films "+object+"/1", answer, time.Since(began))
 	return nil
 }
 
-// show adds a row: what was asked, and which store served it from where.
-func (d *demo) show(t *table, front, asked, answer string, took time.Duration) {
-	by, from := "-", "-"
-	if a := latest(d.world.Stores); a != nil {
-		by = a.Store.Name
-		if from = "its own copy"; a.Note != "warm" {
-			from = a.Fields["parent"]
-		} else if a.Store.Kind == "origin" || a.Fields["parent"] == a.Store.Name {
-			from = "itself"
+// addRow adds a row: what was requested, the answer, which fake server sent it, and from where that had filled.
+func (d *demo) addRow(t *table, front, asked, answer string, took time.Duration) {
+	server, fillSource := "-", "-"
+	if request := takeLatest(d.bed.Stores); request != nil {
+		server = request.Store.Name
+		if fillSource = "its own copy"; request.Note != "warm" {
+			fillSource = request.Fields["parent"]
+		} else if request.Store.Kind == "origin" || request.Fields["parent"] == request.Store.Name {
+			fillSource = "itself"
 		}
 	}
-	t.row("%s\t%s\t%s\t%s\t%s\t%v", front, asked, answer, by, from, took.Round(10*time.Microsecond))
+	t.row("%s\t%s\t%s\t%s\t%s\t%v", front, asked, answer, server, fillSource, took.Round(10*time.Microsecond))
 }
 
-// stay goes on until SIGINT or SIGTERM.
-func (d *demo) stay() error {
+// waitForSignal prints a command for a request, and returns at SIGINT or SIGTERM.
+func (d *demo) waitForSignal() error {
 	uri, err := d.issuer.Sign(signedurl.Order{Target: "/films/7f3a9c21e0b4d655/1?shard=17", Expiry: time.Now().Add(time.Hour)})
 	if err != nil {
 		return err
 	}
-	fmt.Printf("\nit goes on until SIGINT; try: curl -i 'http://%s%s'\n", d.front, strings.TrimPrefix(uri, upBase))
+	fmt.Printf("\nit goes on until SIGINT; try: curl -i 'http://%s%s'\n", d.frontAddr, strings.TrimPrefix(uri, signedBaseURL))
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGINT, syscall.SIGTERM)
 	<-stop
 	return nil
 }
 
-// latest is what a store was asked last, and forgets it.
-func latest(stores map[string]*fakeserver.Store) (last *fakeserver.Request) {
+// takeLatest returns the latest request that any fake server received, or nil, and clears the records of all.
+func takeLatest(stores map[string]*fakeserver.Store) (last *fakeserver.Request) {
 	for _, s := range stores {
 		s.Lock()
-		for _, a := range s.Seen {
+		for _, a := range s.Requests {
 			if last == nil || a.At.After(last.At) {
 				last = a
 			}
 		}
-		s.Seen = nil
+		s.Requests = nil
 		s.Unlock()
 	}
 	return last
 }
 
+// get requests a URL and returns the status and the length of the body as text.
 func get(ctx context.Context, url string) (string, error) {
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -192,12 +197,13 @@
 	if err != nil {
 		return "", err
 	}
-	defer func() { _ = resp.Body.Close() }() // read to its end
+	defer func() { _ = resp.Body.Close() }() // the body has been read to its end: an error on closing changes nothing
 	b, err := io.ReadAll(resp.Body)
 	return fmt.Sprintf("%s, %d bytes", resp.Status, len(b)), err
 }
 
-// programPath finds the gateway's program, beside this one unless it is named.
+// programPath returns the path of the gateway's program: the named one, or else the one in this program's folder. It fails if
+// that does not exist.
 func programPath(named string) (string, error) {
 	if named != "" {
 		return named, nil
@@ -208,7 +214,7 @@
 	}
 	path := filepath.Join(filepath.Dir(self), "larchusher")
 	if _, err := os.Stat(path); err != nil {
-		return "", fmt.Errorf("build it first, by CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...: %w", err)
+		return "", fmt.Errorf("gateway's program not found; build it by CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...: %w", err)
 	}
 	return path, nil
 }
--- a/internal/simprotocol/simprotocol_test.go
+++ b/internal/simprotocol/simprotocol_test.go
@@ -14,15 +14,16 @@
 	`"familyInfo":{"rootKind":1,"shieldKind":-1,"says":"hit","neighbours":"any","lifetimeByClassMs":[8000]},` +
 	`"loadInfo":{"how":"off","fields":["x0"]},"unheard":{"of":true},"discovery":"ask","weightSource":"nominal"}`
 
+// decodeOne decodes a batch that has one event, at 1.5 ms.
 func decodeOne(t *testing.T, event string) Item {
 	t.Helper()
 	var d Decoder
 	b, err := d.Decode([]byte(`{"tMs":1.5,"input":[` + event + `]}`))
 	if err != nil {
-		t.Fatalf("%s: %v", event, err)
+		t.Fatalf("decoding %s: error %v, want none", event, err)
 	}
 	if b.Now != 1500*time.Microsecond || len(b.Items) != 1 {
-		t.Fatalf("%s: %+v", event, b)
+		t.Fatalf("%s decoded as %+v, want one item at 1.5 ms", event, b)
 	}
 	return b.Items[0]
 }
@@ -60,11 +61,11 @@
 		!s.WeightsKnown || s.LoadReportFields != nil || s.Siblings != routing.SiblingsAnywhere ||
 		s.Classes[0].Effect != routing.IdempotentWithKey || s.Classes[0].DedupScope != routing.ScopeCell ||
 		s.Classes[0].FreshFor != 8*time.Second {
-		t.Errorf("%+v", it)
+		t.Errorf("got %+v, want a start with the seed 1<<64-1 and the settings of envText", it)
 	}
 }
 
-func TestListsAreReusedInOrder(t *testing.T) {
+func TestRedefinedListAppliesToLaterEvents(t *testing.T) {
 	var d Decoder
 	b, err := d.Decode([]byte(`{"tMs":0,"input":[["defineList",0,[[3,null,"box","here","U",1,"a"]]],` +
 		`["sync","d/1",0,"total",1],["defineList",0,[[3,7,"box","here","L",null,"b"]]],["sync","d/1",0,"incr",2]]}`))
@@ -74,11 +75,11 @@
 	one, two := b.Items[0].Event.(routing.EndpointUpdate), b.Items[1].Event.(routing.EndpointUpdate)
 	if one.Endpoints[0].ID != "a" || two.Endpoints[0].ID != "b" || two.Endpoints[0].Phase != routing.Draining ||
 		two.Endpoints[0].Incarnation != 7*time.Millisecond || two.Kind != routing.DeltaList {
-		t.Errorf("%+v %+v", one, two)
+		t.Errorf("first update %+v, want endpoint a; second update %+v, want a change to endpoint b, draining, started at 7 ms", one, two)
 	}
 }
 
-func TestErrorsNameWhatIsWrong(t *testing.T) {
+func TestDecodeErrorsNameEventAndField(t *testing.T) {
 	for in, want := range map[string]string{
 		`nonsense`:                                               "not a batch",
 		`{"input":[]}`:                                           "tMs",
@@ -102,9 +103,9 @@
 	}
 }
 
-func TestUnknownEventsArePassedOver(t *testing.T) {
+func TestUnknownEventsAreIgnored(t *testing.T) {
 	var names []string
-	d := Decoder{Unknown: func(n string) { names = append(names, n) }}
+	d := Decoder{OnUnknown: func(n string) { names = append(names, n) }}
 	b, err := d.Decode([]byte(`{"tMs":1,"input":[["novel","d",{}]]}`))
 	if err != nil || len(b.Items) != 0 || len(names) != 1 || names[0] != "novel" {
 		t.Error(b, err, names)
@@ -134,7 +135,7 @@
 			t.Fatal(err)
 		}
 		if got, want := string(r.Line()), `{"cmds":[`+c.want+"]}\n"; got != want {
-			t.Errorf("got %s want %s", got, want)
+			t.Errorf("encoded as %s, want %s", got, want)
 		}
 	}
 	var r Reply
@@ -152,11 +153,11 @@
 		var d Decoder
 		b, err := d.Decode(line)
 		if err != nil && len(b.Items) > 0 {
-			t.Error("items beside an error")
+			t.Error("Decode returned items together with an error")
 		}
 		for _, it := range b.Items {
 			if it.Kind == ItemEvent && it.Event == nil {
-				t.Error("an event without content")
+				t.Error("Decode returned an event item without an event")
 			}
 		}
 	})
--- a/internal/snapshot/metrics.go
+++ b/internal/snapshot/metrics.go
@@ -6,7 +6,7 @@
 	"larchusher/internal/metrics"
 )
 
-// Metrics returns the counters of a Saver. now is Unix time.
+// Metrics returns the metrics of a Saver, for the event loop. now is the Unix time.
 func (s *Saver) Metrics(now time.Duration) (all []metrics.Value) {
 	add := func(kind metrics.Kind, name, help string, v float64, labels ...metrics.Label) {
 		all = append(all, metrics.Value{Name: name, Help: help, Kind: kind, Value: v, Labels: labels})
@@ -21,12 +21,12 @@
 	}
 	add(metrics.Counter, "state_broken_files", "Files that could not be read at the start.", float64(s.UnreadableFiles))
 	add(metrics.Counter, "state_bad_records", "Records that could not.", float64(s.BadRecords))
-	if !s.Found {
+	if !s.SnapshotFound {
 		return all
 	}
 	r := s.Imported
 	void := 0.0
-	if r.Void != nil {
+	if r.ValidationErr != nil {
 		void = 1
 	}
 	add(metrics.Gauge, "state_void", "The snapshot found at the start was void.", void)
--- a/lab/failover/failover.go
+++ b/lab/failover/failover.go
@@ -1,5 +1,6 @@
-// Package failover kills real gateways under real clients on loopback, and tells what the living ones saw: the client
-// library, and clients as one writes them in an hour beside it, in the same world.
+// Package failover kills and restarts real gateway processes while real clients send requests over loopback, and reports
+// what the clients got and what reached the surviving gateways. It compares the client library with naive clients under
+// the same conditions.
 package failover
 
 import (
@@ -22,28 +23,29 @@
 	"larchusher/lab/testbed"
 )
 
-// Death is one gateway's, counted from the beginning.
-type Death struct {
-	Gateway int           // its place
-	At      time.Duration // when it is killed,
-	Back    time.Duration // and when it is started again; 0: never
+// Outage is one gateway's outage. Times count from the start of the run.
+type Outage struct {
+	Gateway int           // index, from 0
+	At      time.Duration // when its process is killed
+	Back    time.Duration // when it is started again, 0 for never
 }
 
-// Config says what is played.
+// Config configures a run. Zero values take the defaults given.
 type Config struct {
-	Program  string
-	Kind     clientsim.Kind
-	Gateways int           // 0: 3
-	Clients  int           // 0: 1,000
-	Every    time.Duration // mean time between a client's requests, 0: 1 s
-	Limit    time.Duration // a request's deadline, 0: 5 s
-	Deaths   []Death
-	For      time.Duration
-	Refuse   bool          // stores are full: gateways refuse all
-	Store    time.Duration // stores take so long to answer, so that gateways hold requests
+	Program  string         // path of the gateway's binary
+	Kind     clientsim.Kind // kind of clients
+	Gateways int            // 3 if 0
+	Clients  int            // 1,000 if 0
+	Every    time.Duration  // mean time between a client's requests, 1 s if 0
+	Limit    time.Duration  // a request's deadline, 5 s if 0; a shorter limit of its class applies
+	Deaths   []Outage       // gateways that are killed
+	For      time.Duration  // clients send requests for this long
+	Refuse   bool           // fake servers answer that they are full, so that gateways reject all requests
+	Store    time.Duration  // time that fake servers take to answer, so that requests are in flight at gateways
 	Seed     uint64
 }
 
+// check sets defaults and returns an error that names an invalid value.
 func (c *Config) check() error {
 	def := func(v *int, d int) {
 		if *v == 0 {
@@ -59,52 +61,54 @@
 		c.Limit = 5 * time.Second
 	}
 	if c.Clients < 0 || c.Gateways < 2 || c.Every < 0 || c.Limit < 0 || c.For <= 0 {
-		return fmt.Errorf("deaths: %d clients, %d gateways, every %v, limit %v, for %v", c.Clients, c.Gateways, c.Every, c.Limit, c.For)
+		return fmt.Errorf("deaths: %d clients, %d gateways (want at least 2), every %v, limit %v, for %v (want all over 0)", c.Clients, c.Gateways, c.Every, c.Limit, c.For)
 	}
 	for i, d := range c.Deaths {
 		if d.Gateway < 0 || d.Gateway >= c.Gateways || d.At < 0 || d.At >= c.For || d.Back != 0 && d.Back <= d.At {
-			return fmt.Errorf("deaths: Deaths[%d]: %+v", i, d)
+			return fmt.Errorf("deaths: Deaths[%d]: %+v, want a gateway of the run, At before For, and Back 0 or after At", i, d)
 		}
 	}
 	return nil
 }
 
-// Window is how finely connects and tries are counted.
+// Window is the interval by which connection attempts and request attempts are counted.
 const Window = 100 * time.Millisecond
 
-// Result is what came of it.
+// Result holds the figures of a run.
 type Result struct {
 	Kind     clientsim.Kind
-	Calls    int
-	Ended    map[string]int // by ending
-	Tries    int            // that passed to gateways
-	Marked   int            // of them, marked as retries
-	Due      int            // calls that came from the first death on,
-	Served   int            // of those, served,
-	InAim    int            // and within their class's aim
-	Connects []int          // to gateways, by window
-	Sent     []int          // tries, by window
-	Late     time.Duration  // most by which a call ended after its deadline
-	Late99   time.Duration  // 99th percentile of that; negative: before it
-	Broken   []string       // rules that were not kept
-	Early    int            // tries sent by a client before the time that a refusal had told it, of the same class and gateway
-	PeakPart float64        // largest part of the connects of the five seconds after the first death that came in one window
-	Spread   int            // windows that had any of them
-	PeakLoad float64        // most tries in a window after the first death, over the mean before
+	Calls    int            // requests made by clients, retries not counted
+	Ended    map[string]int // number of calls by ending
+	Tries    int            // attempts that reached the proxies in front of gateways
+	Marked   int            // attempts that carried the retry flag
+	Due      int            // calls due when the first outage began or later
+	Served   int            // calls of Due that were served
+	InAim    int            // calls of Due that were served within the class's latency objective
+	Connects []int          // connections opened to gateways, by window
+	Sent     []int          // attempts, by window
+	Late     time.Duration  // longest time by which a call ended after its deadline
+	Late99   time.Duration  // 99th percentile of that time; negative if the call ended before its deadline
+	Broken   []string       // violated rules of faultproxy.Rules; checked for the client library only
+	Early    int            // attempts sent before the Retry-After time of a rejection, on the same connection and of the same class
+	PeakPart float64        // largest share, in one window, of the connections opened in the five seconds after the first outage began
+	Spread   int            // number of those windows with at least one connection
+	PeakLoad float64        // most attempts in a window after the first outage began, relative to the mean before
 }
 
-// asker is one client.
-type asker interface {
-	ask(ctx context.Context, class, object string) error
+// testClient is a client of the gateways. dispatch may be called from several goroutines and returns nil if the request was
+// served before ctx ended.
+type testClient interface {
+	dispatch(ctx context.Context, class, object string) error
 	close()
 }
 
-// Run plays one kind of client.
+// Run starts the gateways, runs cfg.Clients clients of one kind against them, kills and restarts gateways as configured and
+// returns the figures. It returns an error if cfg is invalid, a gateway can't be started, killed or restarted, or ctx ends.
 func Run(ctx context.Context, cfg Config) (res *Result, err error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
-	p := &player{cfg: cfg, mix: load.Site(), res: &Result{Kind: cfg.Kind, Ended: map[string]int{}}}
+	p := &experiment{cfg: cfg, mix: load.DeploymentMix(), res: &Result{Kind: cfg.Kind, Ended: map[string]int{}}}
 	defer p.close()
 	var addrs []string
 	for i := range cfg.Gateways {
@@ -114,42 +118,42 @@
 		}
 		addrs = append(addrs, addr)
 	}
-	p.first = time.Duration(math.MaxInt64)
+	p.firstOutage = time.Duration(math.MaxInt64)
 	for _, d := range cfg.Deaths {
-		p.first = min(p.first, d.At)
+		p.firstOutage = min(p.firstOutage, d.At)
 	}
-	p.began = time.Now()
-	var deaths, clients sync.WaitGroup
-	fail := make(chan error, 2*len(cfg.Deaths)+cfg.Clients)
+	p.start = time.Now()
+	var outages, clients sync.WaitGroup
+	errs := make(chan error, 2*len(cfg.Deaths)+cfg.Clients)
 	for _, d := range cfg.Deaths {
-		deaths.Go(func() {
-			if err := p.die(ctx, d); err != nil {
-				fail <- err
+		outages.Go(func() {
+			if err := p.runOutage(ctx, d); err != nil {
+				errs <- err
 			}
 		})
 	}
 	for i := range cfg.Clients {
-		a, err := newAsker(cfg, i, addrs)
+		a, err := newTestClient(cfg, i, addrs)
 		if err != nil {
 			return nil, err
 		}
 		clients.Go(func() {
 			defer a.close()
-			p.play(ctx, i, a)
+			p.runClient(ctx, i, a)
 		})
 	}
 	clients.Wait()
-	deaths.Wait()
-	close(fail)
-	for e := range fail {
+	outages.Wait()
+	close(errs)
+	for e := range errs {
 		return nil, e
 	}
-	p.sum()
+	p.summarize()
 	return p.res, ctx.Err()
 }
 
-// addGateway starts a gateway behind a relay, and returns where clients reach it.
-func (p *player) addGateway(ctx context.Context, i int) (addr string, err error) {
+// addGateway starts a gateway behind a fault proxy and returns the address of the proxy, which clients use.
+func (p *experiment) addGateway(ctx context.Context, i int) (addr string, err error) {
 	w, err := testbed.Start(ctx, testbed.Config{Program: p.cfg.Program, Caches: 2, Pin: -1, Sockets: 4096, Seed: fmt.Sprintf("%016x", i+1)})
 	if err != nil {
 		return "", err
@@ -158,9 +162,9 @@
 	for _, s := range w.Stores {
 		switch {
 		case p.cfg.Refuse:
-			s.On(func(a *fakeserver.Request) { a.Reply("WAIT", "-", "") })
+			s.SetHandler(func(a *fakeserver.Request) { a.Reply("WAIT", "-", "") })
 		case p.cfg.Store > 0:
-			s.On(func(a *fakeserver.Request) { time.AfterFunc(p.cfg.Store, func() { fakeserver.Done(a) }) })
+			s.SetHandler(func(a *fakeserver.Request) { time.AfterFunc(p.cfg.Store, func() { fakeserver.ServeHit(a) }) })
 		}
 	}
 	r, err := faultproxy.New(w.Addr, uint64(i))
@@ -171,22 +175,22 @@
 	return r.Addr, nil
 }
 
-// die kills a gateway in its time, and starts it again if it comes back.
-func (p *player) die(ctx context.Context, d Death) error {
+// runOutage kills a gateway at its time and restarts it if the outage has an end. It returns nil if ctx ends first.
+func (p *experiment) runOutage(ctx context.Context, d Outage) error {
 	w, r := p.gateways[d.Gateway], p.proxies[d.Gateway]
-	if !p.until(ctx, d.At) {
+	if !p.waitUntil(ctx, d.At) {
 		return nil
 	}
 	err := w.Kill()
-	r.Down() // the platform resets what a dead process had open
-	if err == nil && d.Back > 0 && p.until(ctx, d.Back) {
+	r.Down() // the platform resets the connections of a dead process
+	if err == nil && d.Back > 0 && p.waitUntil(ctx, d.Back) {
 		err = errors.Join(w.Restart(), r.Up())
 	}
 	return err
 }
 
-// close ends the relays and the gateways.
-func (p *player) close() {
+// close stops the proxies and the gateways.
+func (p *experiment) close() {
 	for _, r := range p.proxies {
 		r.Close()
 	}
@@ -195,22 +199,23 @@
 	}
 }
 
-type player struct {
-	cfg      Config
-	mix      []load.Class
-	gateways []*testbed.Gateway
-	proxies  []*faultproxy.Proxy // by gateway
-	began    time.Time
-	first    time.Duration // when the first gateway dies; the largest: none does
+// experiment is the state of a run. The mutex guards the fields below it.
+type experiment struct {
+	cfg         Config
+	mix         []load.Class
+	gateways    []*testbed.Gateway
+	proxies     []*faultproxy.Proxy // one for each gateway
+	start       time.Time
+	firstOutage time.Duration // start of the first outage, since start; math.MaxInt64 if there is none
 
-	mu   sync.Mutex
-	late []time.Duration
-	res  *Result
+	mu       sync.Mutex
+	overruns []time.Duration // time by which each call ended after its deadline, negative if before
+	res      *Result
 }
 
-// until waits for a time of the play.
-func (p *player) until(ctx context.Context, at time.Duration) bool {
-	t := time.NewTimer(time.Until(p.began.Add(at)))
+// waitUntil waits until a time since the start of the run. It returns false if ctx ends first.
+func (p *experiment) waitUntil(ctx context.Context, at time.Duration) bool {
+	t := time.NewTimer(time.Until(p.start.Add(at)))
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -220,13 +225,14 @@
 	}
 }
 
-// play asks as often as drawn, whether or not earlier calls have ended.
-func (p *player) play(ctx context.Context, n int, a asker) {
+// runClient sends the requests of client n at random intervals, whether or not earlier calls have ended, and returns when
+// all have ended.
+func (p *experiment) runClient(ctx context.Context, n int, a testClient) {
 	rng := rand.New(rand.NewPCG(p.cfg.Seed+1, uint64(n)))
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	at := time.Duration(rng.Float64() * float64(p.cfg.Every))
-	for k := 0; at < p.cfg.For && p.until(ctx, at); k++ {
+	for k := 0; at < p.cfg.For && p.waitUntil(ctx, at); k++ {
 		x, class := rng.Float64(), p.mix[0]
 		for _, c := range p.mix {
 			if class = c; x < c.Share {
@@ -235,24 +241,25 @@
 			x -= c.Share
 		}
 		due, object := at, fmt.Sprintf("%08x%08x", n+1, k)
-		calls.Go(func() { p.one(ctx, a, class, object, due) })
+		calls.Go(func() { p.runCall(ctx, a, class, object, due) })
 		at += time.Duration(rng.ExpFloat64() * float64(p.cfg.Every))
 	}
 }
 
-func (p *player) one(ctx context.Context, a asker, class load.Class, object string, due time.Duration) {
+// runCall makes one call that was due at a time since the start of the run, and records how it ended.
+func (p *experiment) runCall(ctx context.Context, a testClient, class load.Class, object string, due time.Duration) {
 	limit := min(p.cfg.Limit, class.Limit)
 	call, cancel := context.WithTimeout(ctx, limit)
-	began := time.Now()
-	err := a.ask(call, class.Name, object)
-	took := time.Since(began)
+	start := time.Now()
+	err := a.dispatch(call, class.Name, object)
+	took := time.Since(start)
 	cancel()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.res.Calls++
-	p.res.Ended[word(err)]++
-	p.late = append(p.late, took-limit)
-	if due >= p.first {
+	p.res.Ended[outcomeName(err)]++
+	p.overruns = append(p.overruns, took-limit)
+	if due >= p.firstOutage {
 		p.res.Due++
 		if err == nil {
 			p.res.Served++
@@ -263,8 +270,8 @@
 	}
 }
 
-// word is how a call ended.
-func word(err error) string {
+// outcomeName returns the name of a call's ending, as a key of Result.Ended.
+func outcomeName(err error) string {
 	for _, e := range []error{client.ErrRefused, client.ErrFailed, client.ErrUnknown, client.ErrExpired, client.ErrUnsent, client.ErrClosed} {
 		if errors.Is(err, e) {
 			return strings.SplitN(strings.TrimPrefix(e.Error(), "client: "), ":", 2)[0]
@@ -276,76 +283,77 @@
 	return "served"
 }
 
-// attemptKey names an attempt that passed a relay.
+// attemptKey identifies an attempt by proxy, connection and request id.
 type attemptKey struct {
-	relay, conn int
+	proxy, conn int
 	id          uint64
 }
 
-// sum takes in what the relays saw.
-func (p *player) sum() {
+// summarize adds what the proxies recorded to the result. It is called after all clients have ended.
+func (p *experiment) summarize() {
 	r := p.res
-	asked := p.count()
+	attempts := p.count()
 	for k, one := range p.proxies {
-		r.Early += early(k, one, asked)
+		r.Early += countEarly(k, one, attempts)
 	}
 	if p.cfg.Kind == clientsim.Planned {
-		r.Broken = faultproxy.Rules{Tries: 1 + plan.DefaultRetries + 1, Keyed: map[string]time.Duration{"orders": 3 * time.Second}}.Check(p.proxies...)
+		r.Broken = faultproxy.Rules{MaxTries: 1 + plan.DefaultRetries + 1, DedupWindows: map[string]time.Duration{"orders": 3 * time.Second}}.Check(p.proxies...)
 	}
-	slices.Sort(p.late)
-	if len(p.late) > 0 {
-		r.Late, r.Late99 = p.late[len(p.late)-1], p.late[len(p.late)*99/100]
+	slices.Sort(p.overruns)
+	if len(p.overruns) > 0 {
+		r.Late, r.Late99 = p.overruns[len(p.overruns)-1], p.overruns[len(p.overruns)*99/100]
 	}
-	if p.first < p.cfg.For {
-		p.sumPeaks()
+	if p.firstOutage < p.cfg.For {
+		p.summarizePeaks()
 	}
 }
 
-// count counts connects and attempts by window, and returns the attempts.
-func (p *player) count() map[attemptKey]faultproxy.Seen {
+// count counts opened connections and attempts by window and returns the attempts.
+func (p *experiment) count() map[attemptKey]faultproxy.Request {
 	r := p.res
 	n := int(p.cfg.For/Window) + 1
 	r.Connects, r.Sent = make([]int, n), make([]int, n)
 	add := func(to []int, at time.Time) {
-		if i := int(at.Sub(p.began) / Window); i >= 0 && i < n {
+		if i := int(at.Sub(p.start) / Window); i >= 0 && i < n {
 			to[i]++
 		}
 	}
-	asked := map[attemptKey]faultproxy.Seen{}
+	attempts := map[attemptKey]faultproxy.Request{}
 	for k, one := range p.proxies {
-		for _, at := range one.Opened() {
+		for _, at := range one.ConnectTimes() {
 			add(r.Connects, at)
 		}
-		for _, s := range one.Seen() {
+		for _, s := range one.Requests() {
 			r.Tries++
-			if s.Second {
+			if s.Retry {
 				r.Marked++
 			}
 			add(r.Sent, s.At)
-			asked[attemptKey{k, s.Conn, s.ID}] = s
+			attempts[attemptKey{k, s.Conn, s.ID}] = s
 		}
 	}
-	return asked
+	return attempts
 }
 
-// early is how many attempts were sent on a connection before the time that a rejection of their class had told on it.
-func early(relay int, one *faultproxy.Proxy, asked map[attemptKey]faultproxy.Seen) (n int) {
-	type hold struct {
+// countEarly returns the number of attempts that were sent on a connection before the Retry-After time of an earlier
+// rejection of the same class on that connection.
+func countEarly(index int, proxy *faultproxy.Proxy, attempts map[attemptKey]faultproxy.Request) (n int) {
+	type connClass struct {
 		conn  int
 		class string
 	}
-	until := map[hold][]faultproxy.Rejection{}
-	for _, f := range one.Rejections() {
-		if s, ok := asked[attemptKey{relay, f.Conn, f.ID}]; ok {
-			h := hold{f.Conn, s.Class}
-			until[h] = append(until[h], f)
+	rejections := map[connClass][]faultproxy.Rejection{}
+	for _, f := range proxy.Rejections() {
+		if s, ok := attempts[attemptKey{index, f.Conn, f.ID}]; ok {
+			h := connClass{f.Conn, s.Class}
+			rejections[h] = append(rejections[h], f)
 		}
 	}
-	for _, s := range one.Seen() {
-		if slices.ContainsFunc(until[hold{s.Conn, s.Class}], func(f faultproxy.Rejection) bool {
-			// What was sent while the rejection was on its way knew nothing of it.
+	for _, s := range proxy.Requests() {
+		if slices.ContainsFunc(rejections[connClass{s.Conn, s.Class}], func(f faultproxy.Rejection) bool {
+			// An attempt within 100 ms may have been sent before the client received the rejection.
 			since := s.At.Sub(f.At)
-			return since > 100*time.Millisecond && since < f.Later
+			return since > 100*time.Millisecond && since < f.RetryAfter
 		}) {
 			n++
 		}
@@ -353,10 +361,10 @@
 	return n
 }
 
-// sumPeaks is how much more than before came at once after the first death.
-func (p *player) sumPeaks() {
+// summarizePeaks compares the load and the connections after the start of the first outage with those before.
+func (p *experiment) summarizePeaks() {
 	r := p.res
-	k := int(p.first / Window)
+	k := int(p.firstOutage / Window)
 	mean, connects := 0.0, 0
 	for _, m := range r.Sent[k/2 : k] {
 		mean += float64(m) / float64(max(1, k-k/2))
@@ -376,16 +384,17 @@
 	}
 }
 
-func newAsker(cfg Config, n int, addrs []string) (asker, error) {
+// newTestClient returns client n of the configured kind. The error names an unknown kind or is that of client.New.
+func newTestClient(cfg Config, n int, addrs []string) (testClient, error) {
 	if cfg.Kind != clientsim.Planned {
 		if !slices.Contains(clientsim.Kinds(), cfg.Kind) {
-			return nil, fmt.Errorf("deaths: no kind of client %q", cfg.Kind)
+			return nil, fmt.Errorf("deaths: unknown kind of client %q", cfg.Kind)
 		}
 		return newNaive(cfg.Kind, addrs, n), nil
 	}
 	c := client.Config{Gateways: addrs, Seed: cfg.Seed<<32 + uint64(n) + 1,
 		Plan: plan.Config{Conns: 1, Clients: cfg.Clients / cfg.Gateways}}
-	for _, k := range load.Site() {
+	for _, k := range load.DeploymentMix() {
 		class := client.Class{Name: k.Name, Worth: k.Worth}
 		if k.Keyed {
 			class.Effect, class.Window = client.Keyed, 3*time.Second
@@ -393,15 +402,15 @@
 		c.Classes = append(c.Classes, class)
 	}
 	l, err := client.New(c)
-	return &library{client: l}, err
+	return &libraryClient{client: l}, err
 }
 
-// library is the client library.
-type library struct{ client *client.Client }
+// libraryClient is a testClient that uses the client library.
+type libraryClient struct{ client *client.Client }
 
-func (l *library) ask(ctx context.Context, class, object string) error {
+func (l *libraryClient) dispatch(ctx context.Context, class, object string) error {
 	_, err := l.client.Do(ctx, client.Request{Class: class, Object: object})
 	return err
 }
 
-func (l *library) close() { _ = l.client.Close() }
+func (l *libraryClient) close() { _ = l.client.Close() }
--- a/lab/faultinjection/machines.go
+++ b/lab/faultinjection/machines.go
@@ -9,99 +9,103 @@
 	"larchusher/lab/fakeserver"
 )
 
-// machine is a fake machine with what it recorded.
+// machine is a fake cache, parent or origin together with its state in the plot.
 type machine struct {
 	name, kind, zone string
 	addr             string
 
-	mu     sync.Mutex
-	store  *fakeserver.Store
-	out    bool // it is being worked on
-	busy   int  // answers under way
-	cold   time.Time
-	faults *faults
-	since  int64
+	mu           sync.Mutex // guards the fields below
+	store        *fakeserver.Store
+	outOfService bool      // under maintenance: no gateway may send to it
+	inFlight     int       // requests received and not yet answered
+	coldSince    time.Time // latest restart; zero: warm from the start
+	violations   *violationLog
+	sinceMs      int64 // start of the process as the endpoint list shows it, in Unix milliseconds; 0: before the plot
 }
 
-func (m *machine) host(status string) string {
-	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":1,"status":%q,"weight":10,"since_ms":%d}`, m.name, m.addr, m.zone, m.kind, status, m.since)
+// endpointJSON returns the machine's entry for the endpoint list, with the given status. The caller holds mu.
+func (m *machine) endpointJSON(status string) string {
+	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":%q,"type":%q,"group":1,"status":%q,"weight":10,"since_ms":%d}`, m.name, m.addr, m.zone, m.kind, status, m.sinceMs)
 }
 
-// answer serves what a machine is asked, and records what should not have come.
-func (p *play) answer(m *machine, a *fakeserver.Request) {
+// serve answers a request to a fake machine after the response delay, and records a violation if the machine is out of
+// service, or the request names a parent that is.
+func (p *plotRun) serve(m *machine, a *fakeserver.Request) {
 	m.mu.Lock()
-	out, cold := m.out, time.Since(m.cold) < ramp
-	m.busy++
+	out, cold := m.outOfService, time.Since(m.coldSince) < slowStart
+	m.inFlight++
 	m.mu.Unlock()
-	p.heed(m, a)
-	from := a.Fields["name"]
+	p.checkRequest(m, a)
+	object := a.Fields["name"]
 	if out {
-		p.faults.add("%v: %s is out for work, and is asked for %s", time.Since(p.began).Round(time.Millisecond), m.name, from)
+		p.violations.add("%v: machine %s is out for maintenance but received a request for object %s", time.Since(p.startedAt).Round(time.Millisecond), m.name, object)
 	}
-	if s := p.machines[a.Fields["parent"]]; s != nil {
-		s.mu.Lock()
-		if s.out {
-			p.faults.add("%v: %s is out for work, and %s is told to fill from it", time.Since(p.began).Round(time.Millisecond), s.name, m.name)
+	if parent := p.machines[a.Fields["parent"]]; parent != nil {
+		parent.mu.Lock()
+		if parent.outOfService {
+			p.violations.add("%v: machine %s is out for maintenance but is the fill source in a request to %s", time.Since(p.startedAt).Round(time.Millisecond), parent.name, m.name)
 		}
-		s.mu.Unlock()
+		parent.mu.Unlock()
 	}
-	busy := "cpu_share:0.30;x1:0.2;x0:0.9"
+	load := "cpu_share:0.30;x1:0.2;x0:0.9"
 	if cold {
-		busy = "cpu_share:0.50;x1:0.2;x0:0.1"
+		load = "cpu_share:0.50;x1:0.2;x0:0.1"
 	}
-	time.AfterFunc(time.Duration(p.takes.Load()), func() {
+	time.AfterFunc(time.Duration(p.responseDelay.Load()), func() {
 		m.mu.Lock()
-		m.busy--
+		m.inFlight--
 		m.mu.Unlock()
-		a.ServeWith("warm", busy, fakeserver.Content(from, a.Fields["piece"]))
+		a.ServeWith("warm", load, fakeserver.Content(object, a.Fields["piece"]))
 	})
 }
 
-// tell has all journal services tell of a machine, each in its own time.
-func (p *play) tell(m *machine, status string) {
+// announce sends a machine's new list entry to every gateway's discovery service, each after its own random delay.
+func (p *plotRun) announce(m *machine, status string) {
 	m.mu.Lock()
-	host := m.host(status)
+	endpoint := m.endpointJSON(status)
 	m.mu.Unlock()
 	for _, g := range p.gateways {
-		g.news <- piece{at: time.Now().Add(time.Duration(p.draw(listLate)) * time.Millisecond), host: host}
+		g.updates <- listUpdate{at: time.Now().Add(time.Duration(p.randomInt(maxListDelayMs)) * time.Millisecond), endpoint: endpoint}
 	}
 }
 
-// revive has a machine start anew, cold, where it stood.
-func (p *play) revive(m *machine) error {
+// restartMachine starts a machine again at its old address, with a cold cache, and announces it.
+func (p *plotRun) restartMachine(m *machine) error {
 	m.store.Close()
 	s, err := fakeserver.NewStore(m.name, m.kind, m.addr)
 	for tries := 0; err != nil && tries < 50; tries++ {
-		// A process that is being started, of this plot or of another, holds the old listener until it is itself.
+		// A child process being started, for this plot or a concurrent one, holds a copy of the old listener between its
+		// fork and its exec.
 		time.Sleep(20 * time.Millisecond)
 		s, err = fakeserver.NewStore(m.name, m.kind, m.addr)
 	}
 	if err != nil {
 		return err
 	}
-	s.Forget = true
-	s.On(func(a *fakeserver.Request) { p.answer(m, a) })
+	s.CountOnly = true
+	s.SetHandler(func(a *fakeserver.Request) { p.serve(m, a) })
 	m.mu.Lock()
-	m.store, m.out, m.cold, m.since = s, false, time.Now(), time.Now().UnixMilli()
+	m.store, m.outOfService, m.coldSince, m.sinceMs = s, false, time.Now(), time.Now().UnixMilli()
 	m.mu.Unlock()
-	p.tell(m, "SERVING")
+	p.announce(m, "SERVING")
 	return nil
 }
 
-// begin works on a machine that was called out: whoever sends to it from now on is wrong.
-func (p *play) begin(m *machine) {
+// beginWork starts the work on a machine that the gateways agreed to take out of service. From now on each request to it
+// is a violation. The work takes 300 to 1000 ms; then the machine restarts. The caller holds p.mu.
+func (p *plotRun) beginWork(m *machine) {
 	m.mu.Lock()
-	m.out = true
-	if m.busy > 0 && !slices.ContainsFunc(p.plot.Events, func(e Event) bool { return e.What == "kill" || e.What == "stop" }) {
-		// What a gateway that is gone had sent may still be there.
-		p.faults.add("%s is called out with %d answers under way", m.name, m.busy)
+	m.outOfService = true
+	if m.inFlight > 0 && !slices.ContainsFunc(p.plot.Events, func(e Event) bool { return e.Kind == "kill" || e.Kind == "stop" }) {
+		// Plots with kills or stops are exempt: requests of a gateway that is gone may still be in flight.
+		p.violations.add("machine %s was taken out of service with %d requests in flight", m.name, m.inFlight)
 	}
 	m.mu.Unlock()
-	long := time.Duration(300+p.rng.IntN(700)) * time.Millisecond // the lock is held
+	duration := time.Duration(300+p.rng.IntN(700)) * time.Millisecond // p.rng is guarded by p.mu, which the caller holds
 	p.wg.Go(func() {
-		time.Sleep(long)
-		if err := p.revive(m); err != nil {
-			p.faults.add("%s does not come back: %v", m.name, err)
+		time.Sleep(duration)
+		if err := p.restartMachine(m); err != nil {
+			p.violations.add("machine %s did not come back from maintenance: %v", m.name, err)
 		}
 	})
 }
--- a/lab/localitysim/scene_build.go
+++ b/lab/localitysim/scene_build.go
@@ -8,32 +8,33 @@
 	"larchusher/overload"
 )
 
+// check returns an error that names an invalid value, and sets defaults for Objects, Skew, Origin and Parent.
 func (s *Scene) check() error {
 	if len(s.Zones) == 0 || s.BoxRate <= 0 || s.For <= s.Warm {
-		return fmt.Errorf("scene: %d zones, %v requests a second of a box, for %v of which %v to warm up", len(s.Zones), s.BoxRate, s.For, s.Warm)
+		return fmt.Errorf("scene: %d zones, %v requests/s per cache, want both over 0; or For %v is not longer than Warm %v", len(s.Zones), s.BoxRate, s.For, s.Warm)
 	}
 	for i, z := range s.Zones {
 		if z.Boxes <= 0 || z.Gateways <= 0 || z.Load < 0 || z.Hub < 0 {
-			return fmt.Errorf("scene: Zones[%d]: %+v", i, z)
+			return fmt.Errorf("scene: Zones[%d]: %+v, want Boxes and Gateways over 0, Load and Hub at least 0", i, z)
 		}
 	}
 	for i, f := range s.Faults {
 		switch f.Kind {
-		case Dead, Silent, Slow, Errors, Parents, Cut, Lies, Restart:
+		case Dead, Silent, Slow, Errors, Parents, Cut, FalseRemoval, Restart:
 		default:
-			return fmt.Errorf("scene: Faults[%d].Kind: %q", i, f.Kind)
+			return fmt.Errorf("scene: Faults[%d].Kind: %q is unknown", i, f.Kind)
 		}
 		if f.Zone < 0 || f.Zone >= len(s.Zones) || f.Till <= f.At {
-			return fmt.Errorf("scene: Faults[%d]: %+v", i, f)
+			return fmt.Errorf("scene: Faults[%d]: %+v, want an existing zone and Till after At", i, f)
 		}
 	}
 	if !(s.Repeat >= 0 && s.Repeat <= 1) {
-		return fmt.Errorf("scene: Repeat: %v", s.Repeat)
+		return fmt.Errorf("scene: Repeat: %v, want 0 to 1", s.Repeat)
 	}
 	switch s.Policy {
-	case Ours, NoSpill, Unbounded:
+	case Tiered, NoSpill, Unbounded:
 	default:
-		return fmt.Errorf("scene: Policy: %q", s.Policy)
+		return fmt.Errorf("scene: Policy: %q is unknown", s.Policy)
 	}
 	if s.Objects <= 0 {
 		s.Objects = 20000
@@ -50,8 +51,9 @@
 	return nil
 }
 
-func (s *scene) build() error {
-	sc := &s.sc
+// build creates the zones, parents, origin and gateways and schedules arrivals and faults.
+func (s *simulation) build() error {
+	sc := &s.scene
 	var classes []overload.Class
 	for _, c := range s.mix {
 		classes = append(classes, overload.Class{Name: c.Name, PriorityWeight: c.Worth})
@@ -60,28 +62,28 @@
 	for _, c := range s.mix {
 		s.bands = append(s.bands, order.Band(c.Name, false))
 	}
-	hubs, whole := 0, 0.0
+	hubs, totalRate := 0, 0.0
 	for _, z := range sc.Zones {
 		hubs = max(hubs, z.Hub+1)
 		rate := float64(z.Boxes) * sc.BoxRate
-		whole += rate * z.Load
-		zz := &zone{Zone: z, cost: time.Duration(float64(time.Second) / rate), began: -time.Hour, held: make([]bool, sc.Objects), faults: map[FaultKind]int{}}
-		for i := range zz.held { // what is popular is there
-			zz.held[i] = i < sc.Objects/2
+		totalRate += rate * z.Load
+		state := &zone{Zone: z, workPerRequest: time.Duration(float64(time.Second) / rate), startedAt: -time.Hour, cached: make([]bool, sc.Objects), faults: map[FaultKind]int{}}
+		for i := range state.cached { // the popular half of the objects is cached
+			state.cached[i] = i < sc.Objects/2
 		}
-		s.zones = append(s.zones, zz)
+		s.zones = append(s.zones, state)
 		s.gaps = append(s.gaps, time.Duration(float64(time.Second)/(rate*z.Load+1e-9)*float64(z.Gateways)))
 	}
-	misses := 0.1 // of what is asked, while all is well, about
-	s.hubs = make([]bucket, hubs)
+	missShare := 0.1 // approximate share of requests that miss without faults
+	s.hubs = make([]tokenBucket, hubs)
 	for i := range s.hubs {
 		for _, z := range sc.Zones {
 			if z.Hub == i {
-				s.hubs[i].rate += sc.Parent * misses * float64(z.Boxes) * sc.BoxRate
+				s.hubs[i].rate += sc.Parent * missShare * float64(z.Boxes) * sc.BoxRate
 			}
 		}
 	}
-	s.origin.rate = sc.Origin * misses * (1 - parentGot) * whole
+	s.origin.rate = sc.Origin * missShare * (1 - parentHitRatio) * totalRate
 	for home, z := range sc.Zones {
 		for range z.Gateways {
 			if err := s.addGateway(home, order.Bands()); err != nil {
@@ -91,37 +93,37 @@
 	}
 	for i := range sc.Faults {
 		f := sc.Faults[i]
-		s.at(f.At, event{kind: listed, zone: int32(i), hit: true, moved: true})
-		s.at(f.Till, event{kind: listed, zone: int32(i), moved: true})
+		s.schedule(f.At, event{kind: faultChanged, zone: int32(i), hit: true, rerouted: true})
+		s.schedule(f.Till, event{kind: faultChanged, zone: int32(i), rerouted: true})
 	}
 	return nil
 }
 
-// addGateway adds a gateway of a zone, which prefers the zones of its own hub to others.
-func (s *scene) addGateway(home int, bands int) error {
-	sc := &s.sc
+// addGateway adds a gateway of zone home. The zones of its hub have priority level 1, all others level 2.
+func (s *simulation) addGateway(home int, bands int) error {
+	sc := &s.scene
 	z := sc.Zones[home]
-	g := &gateway{home: home, places: []int{home}, place: make([]int, len(sc.Zones))}
+	g := &gateway{home: home, zones: []int{home}, localityOf: make([]int, len(sc.Zones))}
 	cfg := sc.Tiers
 	cfg.Localities = []locality.Locality{{Name: z.Name, Weight: float64(z.Boxes)}}
 	for distance := range 2 {
 		for k, o := range sc.Zones {
 			if k != home && (o.Hub != z.Hub) == (distance == 1) {
 				cfg.Localities = append(cfg.Localities, locality.Locality{Name: o.Name, Level: 1 + distance, Weight: float64(o.Boxes)})
-				g.place[k] = len(g.places)
-				g.places = append(g.places, k)
+				g.localityOf[k] = len(g.zones)
+				g.zones = append(g.zones, k)
 			}
 		}
 	}
 	cfg.Bands, cfg.Seed = bands, sc.Seed*1_000_003+uint64(len(s.gateways))
 	var err error
-	if g.t, err = locality.New(cfg); err != nil {
-		return fmt.Errorf("scene: %w", err)
+	if g.selector, err = locality.New(cfg); err != nil {
+		return fmt.Errorf("scene: can't create a locality selector: %w", err)
 	}
-	s.res.Gateways = append(s.res.Gateways, g.t)
+	s.res.Gateways = append(s.res.Gateways, g.selector)
 	s.gateways = append(s.gateways, g)
 	id := int32(len(s.gateways) - 1)
-	s.at(time.Duration(s.rng.Float64()*float64(locality.DefaultTick)), event{kind: tick, gw: id})
-	s.at(time.Duration(s.rng.ExpFloat64()*float64(s.gaps[home])), event{kind: arrive, gw: id})
+	s.schedule(time.Duration(s.rng.Float64()*float64(locality.DefaultTick)), event{kind: tickDue, gateway: id})
+	s.schedule(time.Duration(s.rng.ExpFloat64()*float64(s.gaps[home])), event{kind: requestArrived, gateway: id})
 	return nil
 }
--- a/replication/explore_test.go
+++ b/replication/explore_test.go
@@ -10,43 +10,48 @@
 	"time"
 )
 
-// The explorer goes through every order in which three members can make three writes of different kinds, among them a tombstone, and
-// exchange what they have (completely, or broken off after the first slot), with one loss of memory, one member isolated and connected again, and
-// one stretch of time in which all of it, the tombstone last, runs out.
+// The explorer enumerates every order in which three members can make three writes of different kinds, one of them a
+// tombstone, and exchange slots, completely or interrupted after the first slot. In each order at most one member
+// restarts with an empty replica, one is isolated and reconnected, and time passes once, so that all slots but the
+// tombstone expire.
 
-type explored struct {
-	now             time.Duration
-	replicas        [3]*Replica
-	lastIncarnation uint64
-	written         [3]bool // who has written
-	memoryLost      bool    // it has been
-	isolated        int     // this one is cut off; 3: nobody; it was, 4
-	timePassed      bool
-	tombstonedAt    time.Duration // when the tombstone was said; 0: not yet
-	purgedAt        time.Duration
-	violation       string
-	breakOff        bool // exchanges break off, too
+// exploration is one state of the three replicas, and the events that have happened.
+type exploration struct {
+	now              time.Duration
+	replicas         [3]*Replica
+	lastIncarnation  uint64
+	written          [3]bool       // by replica: its write has been made
+	memoryLost       bool          // a member has restarted with an empty replica
+	isolated         int           // index of the isolated replica; 3: none was isolated yet; 4: it is connected again
+	timePassed       bool          // slots other than the tombstone have expired
+	tombstonedAt     time.Duration // time of the tombstone's write; 0: not written yet
+	purgedAt         time.Duration // time of the purge's write; 0: not written yet
+	violation        string        // the latest violated invariant; empty: none
+	partialExchanges bool          // also explore interrupted exchanges
 }
 
+// writers is the write that each replica makes.
 var writers = [3]struct {
 	kind Kind
 	key  string
 }{{Purge, "o"}, {Health, "b"}, {Tombstone, TombstoneKey(Health, "b")}}
 
-func newExplored() *explored {
-	e := &explored{now: 100 * time.Second, isolated: 3}
+// newExploration returns the initial state: three empty replicas.
+func newExploration() *exploration {
+	e := &exploration{now: 100 * time.Second, isolated: 3}
 	for i := range e.replicas {
 		e.restart(i)
 	}
 	return e
 }
 
-func (e *explored) restart(i int) {
+// restart replaces a replica by an empty one of a new incarnation.
+func (e *exploration) restart(i int) {
 	e.lastIncarnation++
 	e.replicas[i] = NewReplica(Incarnation{string(rune('a' + i)), e.lastIncarnation}, 0)
 }
 
-// clone copies a replica, slot by slot.
+// clone returns a deep copy of a replica.
 func (r *Replica) clone() *Replica {
 	k := NewReplica(r.self, r.purgeSettleTime)
 	k.timestamp = r.timestamp
@@ -77,7 +82,8 @@
 	return k
 }
 
-func (e *explored) clone() *explored {
+// clone returns a deep copy of the state.
+func (e *exploration) clone() *exploration {
 	x := *e
 	for i, c := range e.replicas {
 		x.replicas[i] = c.clone()
@@ -85,13 +91,13 @@
 	return &x
 }
 
-// exchange has one ask another; part: it breaks off after the first slot.
-func (e *explored) exchange(i, j int, part bool) {
-	most := 1 << 20
-	if part {
-		most = 1
+// exchange has replica i pull from replica j. A partial exchange is interrupted after the first slot.
+func (e *exploration) exchange(i, j int, partial bool) {
+	maxBytes := 1 << 20
+	if partial {
+		maxBytes = 1
 	}
-	slots, reached, _ := e.replicas[j].Delta(e.replicas[i].VersionVector(), most, most, func(*Slot) int { return 1 })
+	slots, reached, _ := e.replicas[j].Delta(e.replicas[i].VersionVector(), maxBytes, maxBytes, func(*Slot) int { return 1 })
 	for _, s := range slots {
 		e.replicas[i].Merge(e.now, e.now, *s)
 	}
@@ -102,10 +108,11 @@
 	}
 }
 
-func (e *explored) steps() (all []func(*explored)) {
+// steps returns all events that can happen next.
+func (e *exploration) steps() (all []func(*exploration)) {
 	for i, w := range writers {
 		if !e.written[i] {
-			all = append(all, func(e *explored) {
+			all = append(all, func(e *exploration) {
 				e.written[i] = true
 				e.now += time.Second
 				e.replicas[i].Write(e.now, e.now, w.kind, w.key, []byte{1}, e.now)
@@ -122,25 +129,25 @@
 			if i == j || e.isolated == i || e.isolated == j || !e.replicas[i].Lags(e.replicas[j].VersionVector()) {
 				continue
 			}
-			all = append(all, func(e *explored) { e.exchange(i, j, false) })
-			if e.breakOff {
-				all = append(all, func(e *explored) { e.exchange(i, j, true) })
+			all = append(all, func(e *exploration) { e.exchange(i, j, false) })
+			if e.partialExchanges {
+				all = append(all, func(e *exploration) { e.exchange(i, j, true) })
 			}
 		}
 		if !e.memoryLost {
-			all = append(all, func(e *explored) { e.memoryLost = true; e.restart(i) })
+			all = append(all, func(e *exploration) { e.memoryLost = true; e.restart(i) })
 		}
 		if e.isolated == 3 {
-			all = append(all, func(e *explored) { e.isolated = i })
+			all = append(all, func(e *exploration) { e.isolated = i })
 		}
 	}
 	if e.isolated < 3 {
-		all = append(all, func(e *explored) { e.isolated = 4 })
+		all = append(all, func(e *exploration) { e.isolated = 4 })
 	}
 	if !e.timePassed {
-		all = append(all, func(e *explored) {
+		all = append(all, func(e *exploration) {
 			e.timePassed = true
-			e.now += rules[Tombstone].maxAge - 30*time.Second // all but the tombstone runs out
+			e.now += limitsByKind[Tombstone].maxAge - 30*time.Second // all slots but the tombstone expire
 			for _, c := range e.replicas {
 				c.Sweep(e.now)
 			}
@@ -149,22 +156,23 @@
 	return all
 }
 
-// check is what must hold at every moment.
-func (e *explored) check() {
+// check checks the invariant that must hold in every state: a replica with the tombstone has no slot that it covers.
+func (e *exploration) check() {
 	for i, c := range e.replicas {
 		for _, s := range c.slots {
 			if s.Kind == Health && e.tombstonedAt > 0 && s.SeenBefore <= e.tombstonedAt && len(c.byKey[Tombstone]) > 0 {
-				e.violation = fmt.Sprintf("%c holds what a tombstone covers", 'a'+i)
+				e.violation = fmt.Sprintf("replica %c has a slot that its tombstone covers", 'a'+i)
 			}
 		}
 	}
 }
 
-// settle has all exchange what they have, and compares the replicas.
-func (e *explored) settle() string {
-	had := false // somebody has the purge
+// settle exchanges all slots between all replicas, and checks that they have converged and that a known purge has not
+// been lost.
+func (e *exploration) settle() string {
+	purgeKnown := false // at least one replica has the purge
 	for _, c := range e.replicas {
-		had = had || c.Purges(e.now)["o"] > 0
+		purgeKnown = purgeKnown || c.Purges(e.now)["o"] > 0
 	}
 	for range 4 {
 		for i := range e.replicas {
@@ -179,19 +187,20 @@
 	var sums [3]uint64
 	for i, c := range e.replicas {
 		for _, s := range c.slots {
-			sums[i] += c.slotChecksum(e.now, s)
+			sums[i] += c.slotSum(e.now, s)
 		}
-		if had && c.Purges(e.now)["o"] == 0 {
-			return fmt.Sprintf("%c does not know of the purge, which somebody knew of", 'a'+i)
+		if purgeKnown && c.Purges(e.now)["o"] == 0 {
+			return fmt.Sprintf("replica %c lacks the purge, which another one had", 'a'+i)
 		}
 	}
 	if sums[0] != sums[1] || sums[1] != sums[2] {
-		return "they do not know the same in the end"
+		return "the replicas differ after all slots have been exchanged"
 	}
 	return e.violation
 }
 
-func (e *explored) key() uint64 {
+// key returns a hash of the state. States with equal keys are explored once.
+func (e *exploration) key() uint64 {
 	h := fnv.New64a()
 	num := func(all ...uint64) {
 		for _, n := range all {
@@ -214,12 +223,12 @@
 	return h.Sum64()
 }
 
-// exploreAll goes through all states, and says how many there were.
-func exploreAll(parts bool) (states int, bad string) {
-	first := newExplored()
-	first.breakOff = parts
-	seen := map[uint64]bool{first.key(): true}
-	stack := []*explored{first}
+// exploreAll visits all states that can be reached, and returns their number and the first violation, if any.
+func exploreAll(partialExchanges bool) (states int, violation string) {
+	initial := newExploration()
+	initial.partialExchanges = partialExchanges
+	seen := map[uint64]bool{initial.key(): true}
+	stack := []*exploration{initial}
 	for len(stack) > 0 {
 		e := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
@@ -241,14 +250,15 @@
 	return len(seen), ""
 }
 
-// CI leaves out exchanges that break off; EXPLORE has them, too.
+// In every order of writes, exchanges and failures the replicas converge. Interrupted exchanges are explored only if
+// the environment variable EXPLORE is set; CI leaves them out.
 func TestExplore(t *testing.T) {
-	states, bad := exploreAll(os.Getenv("EXPLORE") != "")
-	if bad != "" {
-		t.Errorf("after %d states: %s", states, bad)
+	states, violation := exploreAll(os.Getenv("EXPLORE") != "")
+	if violation != "" {
+		t.Errorf("after %d states: %s", states, violation)
 	}
-	t.Logf("%d states, all of them", states)
+	t.Logf("%d states visited", states)
 	if states < 10_000 {
-		t.Errorf("%d states", states)
+		t.Errorf("%d states visited, want at least 10,000", states)
 	}
 }
--- a/replication/replica_test.go
+++ b/replication/replica_test.go
@@ -12,7 +12,7 @@
 
 func incarnation(name string, n uint64) Incarnation { return Incarnation{name, n} }
 
-// drawSlots is a set of slots as several incarnations could have written them: one slot for each number of one incarnation.
+// drawSlots draws slots as three correct incarnations could have written them: one slot for each sequence number.
 func drawSlots(t *rapid.T) (all []Slot) {
 	for w := range 3 {
 		for n := range rapid.IntRange(0, 6).Draw(t, "n") {
@@ -25,6 +25,7 @@
 	return all
 }
 
+// replicaOf returns a replica into which slots were merged in order.
 func replicaOf(slots []Slot) *Replica {
 	c := NewReplica(incarnation("self", 1), 0)
 	for _, s := range slots {
@@ -33,6 +34,7 @@
 	return c
 }
 
+// sum returns a hash of all slots that does not depend on their order.
 func (r *Replica) sum() (sum uint64) {
 	for _, s := range r.slots {
 		sum += s.hash()
@@ -40,18 +42,18 @@
 	return sum
 }
 
-// Merging gives the same in any order, any number of times, and however it is grouped.
-func TestReplicasMerge(t *testing.T) {
+// Merging slots yields the same replica in any order, with repetitions, and when two partial replicas are merged.
+func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := drawSlots(t)
 		mixed := rapid.Permutation(all).Draw(t, "order")
 		again := append(append([]Slot{}, mixed...), rapid.SliceOfN(rapid.SampledFrom(append(mixed, Slot{})), 0, 8).Draw(t, "again")...)
 		want := replicaOf(all).sum()
 		if got := replicaOf(mixed).sum(); got != want {
-			t.Fatalf("merged in another order, the replica differs")
+			t.Fatalf("the replica differs after merging the slots in another order")
 		}
 		if got := replicaOf(again).sum(); got != want {
-			t.Fatalf("merged twice, the replica differs")
+			t.Fatalf("the replica differs after merging some slots twice")
 		}
 		half := rapid.IntRange(0, len(all)).Draw(t, "half")
 		a, b := replicaOf(mixed[:half]), replicaOf(mixed[half:])
@@ -59,13 +61,14 @@
 			a.Merge(100*sec, 100*sec, *s)
 		}
 		if got := a.sum(); got != want {
-			t.Fatalf("grouped otherwise, the replica differs")
+			t.Fatalf("the replica differs after merging two partial replicas")
 		}
 	})
 }
 
-// Wherever an exchange breaks off, deltas make two replicas the same, with no slot sent twice and no bulk before safety.
-func TestDeltasArePrefixes(t *testing.T) {
+// Deltas make two replicas equal even if some are lost. No slot is sent twice to a replica that has it, and no bulk
+// slot precedes a safety slot.
+func TestDeltasConvergeAfterInterruptedExchanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := NewReplica(incarnation("from", 1), 0), NewReplica(incarnation("to", 1), 0)
 		for i := range rapid.IntRange(1, 40).Draw(t, "n") {
@@ -84,25 +87,27 @@
 			}
 		}
 		if from.sum() != to.sum() || to.Lags(from.VersionVector()) {
-			t.Fatal("the replicas differ")
+			t.Fatal("the replicas differ after the last delta")
 		}
 	})
 }
 
+// checkSafetyFirst checks that no safety slot follows a bulk slot.
 func checkSafetyFirst(t *rapid.T, slots []*Slot) {
 	bulk := false
 	for _, s := range slots {
 		if bulk && s.Kind.stream() == Safety {
-			t.Fatal("bulk goes before safety")
+			t.Fatal("a bulk slot precedes a safety slot in a delta")
 		}
 		bulk = bulk || s.Kind.stream() == Bulk
 	}
 }
 
+// mergeDelta merges a delta into a replica and checks that all its slots are new there.
 func mergeDelta(t *rapid.T, to *Replica, slots []*Slot, reached []StreamVersions) {
 	for _, s := range slots {
 		if !to.Merge(100*sec, 100*sec, *s) {
-			t.Fatalf("%v was sent twice", s)
+			t.Fatalf("slot %v was sent although the replica has it", s)
 		}
 	}
 	for _, v := range reached {
@@ -112,151 +117,154 @@
 	}
 }
 
-// A slot does not grow younger by being passed on, however often and slowly.
-func TestASlotAgesAsItIsPassedOn(t *testing.T) {
+// A slot that is forwarded from node to node, with delays, must never appear younger than it is.
+func TestSlotKeepsAgingWhileForwarded(t *testing.T) {
 	now := 100 * sec
 	a := NewReplica(incarnation("a", 1), 0)
 	a.Write(now, now, Listing, "o", Encode(ListingValue{Server: "b1"}), now)
-	held := a.slots[slotID{Listing, "o", incarnation("a", 1)}]
-	early, late := held.SeenAfter, held.SeenBefore
+	slot := a.slots[slotID{Listing, "o", incarnation("a", 1)}]
+	seenAfter, seenBefore := slot.SeenAfter, slot.SeenBefore
 	for i := range 40 {
 		c, err := NewNode(Config{Self: incarnation("n", 2), Members: []string{"a", "n"}, WallClock: func() time.Duration { return now }})
 		if err != nil {
 			t.Fatal(err)
 		}
 		out := c.Handle(now, Tick{}, nil)
-		ask := out[len(out)-1].(Send).Message
+		pull := out[len(out)-1].(Send).Message
 		sent := now + 300*time.Millisecond
-		s := *held
-		w := TransferredSlot{Slot: s, MaxAge: sent - early, MinAge: sent - late}
+		s := *slot
+		w := TransferredSlot{Slot: s, MaxAge: sent - seenAfter, MinAge: sent - seenBefore}
 		now = sent + 300*time.Millisecond
-		c.Handle(now, MessageReceived{"a", Message{Kind: PullReply, ID: ask.ID, Slots: []TransferredSlot{w}}}, nil)
+		c.Handle(now, MessageReceived{"a", Message{Kind: PullReply, ID: pull.ID, Slots: []TransferredSlot{w}}}, nil)
 		if len(c.slots) == 0 {
 			break
 		}
 		for _, s := range c.slots {
-			early, late, held = s.SeenAfter, s.SeenBefore, s
+			seenAfter, seenBefore, slot = s.SeenAfter, s.SeenBefore, s
 		}
-		if early > 100*sec {
-			t.Fatalf("after %d steps it seems to be seen at %v", i, early)
+		if seenAfter > 100*sec {
+			t.Fatalf("after %d transfers the evidence is dated %v, want at most 100s", i, seenAfter)
 		}
 	}
-	if age := now - early; age < 24*sec {
-		t.Errorf("at %v it is %v old", now, age)
+	if age := now - seenAfter; age < 24*sec {
+		t.Errorf("at %v the slot is %v old, want at least 24s", now, age)
 	}
 }
 
-// A tombstone covers what was seen before it, wherever that turns up, for longer than that lasts; what is seen later stands.
-func TestATombstoneOutlivesWhatItCovers(t *testing.T) {
+// A tombstone drops existing slots with older evidence, and keeps them from being merged again for longer than they can
+// last at any replica. Slots with newer evidence are accepted.
+func TestTombstoneOutlivesCoveredSlots(t *testing.T) {
 	c := NewReplica(incarnation("c", 1), 0)
 	old := Slot{Writer: incarnation("w", 1), Seq: 1, Kind: Health, Key: "b1", Value: Encode(HealthValue{ErrorRate: 1}), SeenAfter: 100 * sec, SeenBefore: 100 * sec}
 	c.Merge(100*sec, 0, old)
 	c.Write(110*sec, 0, Tombstone, TombstoneKey(Health, "b1"), []byte(`"a bad cable"`), 110*sec)
 	if c.Count(Health) != 0 {
-		t.Error("it is still there")
+		t.Error("the slot covered by the tombstone was not removed")
 	}
 	for now := 110 * sec; now < 400*sec; now += 5 * sec {
 		c.Sweep(now)
 		s := old
 		s.Seq = 2
-		s.Writer.Number = uint64(now) // another incarnation that had it
+		s.Writer.Number = uint64(now) // as if another incarnation had written it
 		if c.Merge(now, 0, s) {
-			t.Fatalf("it is back at %v", now)
+			t.Fatalf("the covered slot was accepted again at %v", now)
 		}
 	}
 	if c.Count(Tombstone) != 0 {
-		t.Error("the tombstone stays for ever")
+		t.Error("the tombstone has not expired")
 	}
 	c.Write(500*sec, 0, Tombstone, TombstoneKey(Health, "b1"), nil, 500*sec)
 	later := old
 	later.SeenAfter, later.SeenBefore = 501*sec, 501*sec
 	if !c.Merge(502*sec, 0, later) {
-		t.Error("newer evidence is covered, too")
+		t.Error("a slot with evidence newer than the tombstone was not accepted")
 	}
 }
 
-// A member that lies in every field, in valid form, is bounded.
-func TestALiarIsBounded(t *testing.T) {
+// A malicious member that sends well-formed slots with arbitrary contents can't fill the replica, advance its logical
+// clock, make an endpoint count as faulty alone, or write in the name of this incarnation.
+func TestMaliciousMemberIsBounded(t *testing.T) {
 	c := NewReplica(incarnation("c", 1), 6*sec)
 	now := 100 * sec
 	c.Write(now, now, Purge, "mine", nil, now)
-	liar := func(seq uint64, k Kind, key string, v any) Slot {
-		return Slot{Writer: incarnation("liar", 9), Seq: seq, Kind: k, Key: key, Value: Encode(v), Timestamp: 1 << 62, SeenAfter: now, SeenBefore: now}
+	malicious := func(seq uint64, k Kind, key string, v any) Slot {
+		return Slot{Writer: incarnation("malicious", 9), Seq: seq, Kind: k, Key: key, Value: Encode(v), Timestamp: 1 << 62, SeenAfter: now, SeenBefore: now}
 	}
 	for i := range uint64(20000) {
-		c.Merge(now, now, liar(i+1, Purge, fmt.Sprint("x", i), 0))
+		c.Merge(now, now, malicious(i+1, Purge, fmt.Sprint("x", i), 0))
 	}
-	if n := c.Count(Purge); n > rules[Purge].maxSlots/writerShare+1 {
-		t.Errorf("%d of its purges are kept", n)
+	if n := c.Count(Purge); n > limitsByKind[Purge].maxSlots/writerDivisor+1 {
+		t.Errorf("%d purges were kept, most of them of the malicious member, want at most its share of the capacity and one", n)
 	}
 	if c.Purges(now)["mine"] == 0 {
-		t.Error("it has pushed out another one's")
+		t.Error("a purge of another member was evicted by those of the malicious one")
 	}
 	if c.timestamp >= 1<<61 {
-		t.Error("its clock took this one along")
+		t.Error("the logical clock was advanced by a timestamp far in the future")
 	}
-	c.Merge(now, now, liar(1, Health, "b1", HealthValue{ErrorRate: 1, EjectedMs: 1000}))
-	c.Merge(now, now, liar(2, Health, "b2", HealthValue{ErrorRate: 7}))
+	c.Merge(now, now, malicious(1, Health, "b1", HealthValue{ErrorRate: 1, EjectedMs: 1000}))
+	c.Merge(now, now, malicious(2, Health, "b2", HealthValue{ErrorRate: 7}))
 	if got := c.FaultReports(now, 5); len(got) != 0 {
-		t.Errorf("its word alone counts: %+v", got)
+		t.Errorf("fault reports based on a single gateway: %+v, want none", got)
 	}
 	for _, bad := range []Slot{
-		{Writer: incarnation("c", 1), Seq: 99, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                     // in this one's name
-		{Writer: incarnation("liar", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now + sec},                             // of the future
-		{Writer: incarnation("liar", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now - 50*sec, SeenBefore: now - 50*sec},                 // outlived
-		{Writer: incarnation("liar", 9), Seq: 0, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                   // without a number
-		{Writer: incarnation("liar", 9), Seq: 1, Kind: Purge, Key: string(make([]byte, maxKeyBytes+1)), SeenAfter: now, SeenBefore: now},   // too long
-		{Writer: incarnation("liar", 9), Seq: 1, Kind: Purge, Key: "o", Value: make([]byte, maxValueBytes+1), SeenAfter: 0, SeenBefore: 0}, // likewise
-		{Writer: incarnation("", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                       // of nobody
+		{Writer: incarnation("c", 1), Seq: 99, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                          // written in the name of this incarnation
+		{Writer: incarnation("malicious", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now + sec},                             // evidence from the future
+		{Writer: incarnation("malicious", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now - 50*sec, SeenBefore: now - 50*sec},                 // older than the maximum age
+		{Writer: incarnation("malicious", 9), Seq: 0, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                   // without a sequence number
+		{Writer: incarnation("malicious", 9), Seq: 1, Kind: Purge, Key: string(make([]byte, maxKeyBytes+1)), SeenAfter: now, SeenBefore: now},   // key too long
+		{Writer: incarnation("malicious", 9), Seq: 1, Kind: Purge, Key: "o", Value: make([]byte, maxValueBytes+1), SeenAfter: 0, SeenBefore: 0}, // value too long
+		{Writer: incarnation("", 9), Seq: 1, Kind: Purge, Key: "o", SeenAfter: now, SeenBefore: now},                                            // without a writer name
 	} {
 		if c.Merge(now, now, bad) {
-			t.Errorf("taken: %+v", bad)
+			t.Errorf("invalid slot was accepted: %+v", bad)
 		}
 	}
 }
 
-// A server counts as faulty when several gateways report it, for the start that they mean, by the median of their reports.
+// An endpoint counts as faulty if enough gateways report it for its current incarnation. The result is the median of
+// their reports.
 func TestFaultReportsNeedSeveralReporters(t *testing.T) {
 	now := 100 * sec
-	say := func(c *Replica, who string, seen time.Duration, e HealthValue) {
-		c.Merge(now, now, Slot{Writer: incarnation(who, 1), Seq: 1, Kind: Health, Key: "b1", Value: Encode(e), SeenAfter: seen, SeenBefore: seen})
+	report := func(c *Replica, gateway string, seen time.Duration, e HealthValue) {
+		c.Merge(now, now, Slot{Writer: incarnation(gateway, 1), Seq: 1, Kind: Health, Key: "b1", Value: Encode(e), SeenAfter: seen, SeenBefore: seen})
 	}
 	for _, x := range []struct {
-		name   string
-		living int
-		say    func(c *Replica)
-		want   float64 // 0: nothing
+		name    string
+		alive   int
+		reports func(c *Replica)
+		want    float64 // error rate of the report; 0: no report
 	}{
-		{"one", 5, func(c *Replica) { say(c, "a", now, HealthValue{ErrorRate: 1}) }, 0},
-		{"two", 5, func(c *Replica) {
-			say(c, "a", now, HealthValue{ErrorRate: 0.4})
-			say(c, "b", now, HealthValue{ErrorRate: 1})
+		{"one of five gateways", 5, func(c *Replica) { report(c, "a", now, HealthValue{ErrorRate: 1}) }, 0},
+		{"two of five gateways", 5, func(c *Replica) {
+			report(c, "a", now, HealthValue{ErrorRate: 0.4})
+			report(c, "b", now, HealthValue{ErrorRate: 1})
 		}, 0.4},
-		{"two of many", 9, func(c *Replica) {
-			say(c, "a", now, HealthValue{ErrorRate: 1})
-			say(c, "b", now, HealthValue{ErrorRate: 1})
+		{"two of nine gateways", 9, func(c *Replica) {
+			report(c, "a", now, HealthValue{ErrorRate: 1})
+			report(c, "b", now, HealthValue{ErrorRate: 1})
 		}, 0},
-		{"of an earlier start", 3, func(c *Replica) {
-			say(c, "a", now, HealthValue{ErrorRate: 1})
-			say(c, "b", now, HealthValue{ErrorRate: 1, BootMs: 5})
+		{"one about an earlier incarnation of the endpoint", 3, func(c *Replica) {
+			report(c, "a", now, HealthValue{ErrorRate: 1})
+			report(c, "b", now, HealthValue{ErrorRate: 1, BootMs: 5})
 		}, 0},
-		{"an own former incarnation", 9, func(c *Replica) { say(c, "c", now, HealthValue{ErrorRate: 0.7}) }, 0.7},
-		{"old", 3, func(c *Replica) {
-			say(c, "a", now-121*sec, HealthValue{ErrorRate: 1})
-			say(c, "b", now, HealthValue{ErrorRate: 1})
+		{"former incarnation of the reader itself", 9, func(c *Replica) { report(c, "c", now, HealthValue{ErrorRate: 0.7}) }, 0.7},
+		{"one too old", 3, func(c *Replica) {
+			report(c, "a", now-121*sec, HealthValue{ErrorRate: 1})
+			report(c, "b", now, HealthValue{ErrorRate: 1})
 		}, 0},
 	} {
 		c := NewReplica(incarnation("c", 2), 0)
-		x.say(c)
-		got := c.FaultReports(now, x.living)
+		x.reports(c)
+		got := c.FaultReports(now, x.alive)
 		if x.want == 0 && len(got) > 0 || x.want > 0 && (len(got) != 1 || got[0].Value.ErrorRate != x.want) {
-			t.Errorf("%s: %+v, want %v", x.name, got, x.want)
+			t.Errorf("%s: reports %+v, want error rate %v", x.name, got, x.want)
 		}
 	}
 }
 
-// The same slots give the same report, however often it is asked for: also of two reporters that agree in the error rate alone.
-func TestFaultReportsAreTheSameEachTime(t *testing.T) {
+// The same slots always yield the same report, even if two reporters agree in the error rate but differ in other fields.
+func TestFaultReportsAreDeterministic(t *testing.T) {
 	now := 100 * sec
 	c := NewReplica(incarnation("c", 2), 0)
 	for who, late := range map[string]float64{"a": 0, "b": 0.5} {
@@ -270,75 +278,86 @@
 		}
 	}
 	if len(shares) != 1 {
-		t.Errorf("late shares, and how often each was reported: %v", shares)
+		t.Errorf("late shares and how often each was reported: %v, want only one", shares)
 	}
 }
 
-// What is clearly newer wins whatever its clock says; what is about as old, by the logical clock, at all copies alike.
-func TestTheNewestListingIsRead(t *testing.T) {
+// Of two listings with clearly different ages the younger one wins, whatever the timestamps. With similar ages the
+// higher timestamp wins, and with equal timestamps the writer's name decides, so that all replicas agree.
+func TestNewestListingWins(t *testing.T) {
 	now := 100 * sec
-	put := func(c *Replica, who string, seen time.Duration, stamp uint64, server string) {
-		c.Merge(now, now, Slot{Writer: incarnation(who, 1), Seq: 1, Kind: Listing, Key: "o", Value: Encode(ListingValue{Server: server}), Timestamp: stamp, SeenAfter: seen, SeenBefore: seen})
+	merge := func(c *Replica, gateway string, seen time.Duration, timestamp uint64, server string) {
+		c.Merge(now, now, Slot{Writer: incarnation(gateway, 1), Seq: 1, Kind: Listing, Key: "o", Value: Encode(ListingValue{Server: server}), Timestamp: timestamp, SeenAfter: seen, SeenBefore: seen})
 	}
 	read := func(f func(c *Replica)) string {
 		c := NewReplica(incarnation("c", 2), 0)
 		f(c)
 		l := c.Listings(now, 10)
 		if len(l) != 1 {
-			t.Fatalf("%+v", l)
+			t.Fatalf("listings %+v, want exactly one", l)
 		}
 		return l[0].Value.Server
 	}
-	if got := read(func(c *Replica) { put(c, "a", now-10*sec, 1<<60, "wrong clock"); put(c, "b", now, 5, "newer") }); got != "newer" {
+	if got := read(func(c *Replica) {
+		merge(c, "a", now-10*sec, 1<<60, "older evidence, higher timestamp")
+		merge(c, "b", now, 5, "younger evidence")
+	}); got != "younger evidence" {
 		t.Error(got)
 	}
-	if got := read(func(c *Replica) { put(c, "a", now-sec, 9, "later"); put(c, "b", now, 5, "earlier") }); got != "later" {
+	if got := read(func(c *Replica) {
+		merge(c, "a", now-sec, 9, "higher timestamp")
+		merge(c, "b", now, 5, "lower timestamp")
+	}); got != "higher timestamp" {
 		t.Error(got)
 	}
-	if got := read(func(c *Replica) { put(c, "b", now, 5, "b"); put(c, "a", now, 5, "a") }); got != "b" {
+	if got := read(func(c *Replica) {
+		merge(c, "b", now, 5, "higher writer name")
+		merge(c, "a", now, 5, "lower writer name")
+	}); got != "higher writer name" {
 		t.Error(got)
 	}
 }
 
-// The counts of all incarnations are summed, the newest of each.
-func TestWorkSentAddsUp(t *testing.T) {
+// WorkSent sums the newest values of all incarnations.
+func TestWorkSentSumsIncarnations(t *testing.T) {
 	c := NewReplica(incarnation("c", 2), 0)
-	for i, n := range []float64{3, 7, 5} { // the third is late, and older
+	for i, n := range []float64{3, 7, 5} { // the third arrives late and has a lower number than the second
 		c.Merge(100*sec, 0, Slot{Writer: incarnation("a", 1), Seq: []uint64{1, 3, 2}[i], Kind: SlowStart, Key: "b1 7", Value: Encode(n), SeenAfter: 99 * sec, SeenBefore: 99 * sec})
 	}
 	c.Merge(100*sec, 0, Slot{Writer: incarnation("a", 2), Seq: 1, Kind: SlowStart, Key: "b1 7", Value: Encode(10.0), SeenAfter: 99 * sec, SeenBefore: 99 * sec})
 	c.Write(100*sec, 0, SlowStart, "b1 7", Encode(1.0), 100*sec)
 	if got := c.WorkSent("b1 7"); got != 18 {
-		t.Errorf("%v", got)
+		t.Errorf("work sent %v, want 7 + 10 + 1 = 18", got)
 	}
 }
 
-func TestConfigNamesWhatIsWrong(t *testing.T) {
+func TestInvalidConfigIsRejected(t *testing.T) {
 	wall := func() time.Duration { return 0 }
 	for _, c := range []Config{{}, {Self: incarnation("a", 1), WallClock: wall}, {Self: incarnation("a", 1), Members: []string{"a"}}, {Self: incarnation("a", 1), Members: []string{"a"}, WallClock: wall, BytesPerSecond: -1}} {
 		if _, err := NewNode(c); err == nil {
-			t.Errorf("%+v is taken", c)
+			t.Errorf("invalid config %+v was accepted", c)
 		}
 	}
 }
 
-// A reply to no pull, or of another peer than the one that was asked, is not taken: its ages can't be counted from a pull.
-func TestOnlyRepliesToPullsAreTaken(t *testing.T) {
+// Replies with another ID than the pending pull, or from another peer, are ignored: without the time of the pull, the
+// ages of their slots are unknown.
+func TestUnrequestedRepliesAreIgnored(t *testing.T) {
 	n, err := NewNode(Config{Self: incarnation("n", 2), Members: []string{"a", "b", "n"}, WallClock: func() time.Duration { return sec }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask := n.Handle(sec, Tick{}, nil)[0].(Send)
-	other := map[string]string{"a": "b", "b": "a"}[ask.To]
-	w := []TransferredSlot{{Slot: Slot{Writer: incarnation("w", 1), Seq: 1, Kind: Purge, Key: "o"}}}
-	n.Handle(sec, MessageReceived{ask.To, Message{Kind: PullReply, ID: ask.Message.ID + 1, Slots: w}}, nil)
-	n.Handle(sec, MessageReceived{other, Message{Kind: PullReply, ID: ask.Message.ID, Slots: w}}, nil)
-	n.Handle(sec, MessageReceived{"stranger", Message{Kind: PullReply, ID: ask.Message.ID, Slots: w}}, nil)
-	if n.Len() != 0 || n.Stats.Stale != 2 {
-		t.Errorf("%d slots were taken, %d answers passed over", n.Len(), n.Stats.Stale)
+	pull := n.Handle(sec, Tick{}, nil)[0].(Send)
+	other := map[string]string{"a": "b", "b": "a"}[pull.To]
+	slots := []TransferredSlot{{Slot: Slot{Writer: incarnation("w", 1), Seq: 1, Kind: Purge, Key: "o"}}}
+	n.Handle(sec, MessageReceived{pull.To, Message{Kind: PullReply, ID: pull.Message.ID + 1, Slots: slots}}, nil)
+	n.Handle(sec, MessageReceived{other, Message{Kind: PullReply, ID: pull.Message.ID, Slots: slots}}, nil)
+	n.Handle(sec, MessageReceived{"stranger", Message{Kind: PullReply, ID: pull.Message.ID, Slots: slots}}, nil)
+	if n.Len() != 0 || n.Stats.StaleReplies != 2 {
+		t.Errorf("%d slots accepted, %d stale replies counted, want 0 and 2", n.Len(), n.Stats.StaleReplies)
 	}
-	n.Handle(sec, MessageReceived{ask.To, Message{Kind: PullReply, ID: ask.Message.ID, Slots: w}}, nil)
+	n.Handle(sec, MessageReceived{pull.To, Message{Kind: PullReply, ID: pull.Message.ID, Slots: slots}}, nil)
 	if n.Len() != 1 {
-		t.Error("the answer was not taken")
+		t.Error("the slot in the reply to the pending pull was not accepted")
 	}
 }
--- a/replication/stored_test.go
+++ b/replication/stored_test.go
@@ -6,8 +6,9 @@
 	"larchusher/lab/golden"
 )
 
-// Values in common slots are read by gateways of other versions. The files were written by 1a818d3.
-func TestEncodedFormsAreThoseOf1a818d3(t *testing.T) {
+// Values of replicated slots, and replies to tools, are read by other versions. Their encoding must stay as in the
+// golden files, which commit 1a818d3 wrote.
+func TestEncodingMatchesGoldenFiles(t *testing.T) {
 	golden.JSON(t, "testdata/1a818d3/place.json", &ListingValue{})
 	golden.JSON(t, "testdata/1a818d3/evidence.json", &HealthValue{})
 	golden.JSON(t, "testdata/1a818d3/notice.json", &DrainValue{})
@@ -15,7 +16,8 @@
 	golden.JSON(t, "testdata/1a818d3/difference.json", &Divergence{})
 }
 
-func TestEncodedTypesNameTheirFields(t *testing.T) {
+// Every encoded field has a tag, so that renaming the field does not change the encoding.
+func TestEncodedFieldsAreTagged(t *testing.T) {
 	golden.Tagged(t, ListingValue{})
 	golden.Tagged(t, HealthValue{})
 	golden.Tagged(t, DrainValue{})
--- a/routing/limits_test.go
+++ b/routing/limits_test.go
@@ -8,251 +8,257 @@
 	"time"
 )
 
-func TestLateAnswersBringRefusalsAtOnce(t *testing.T) {
-	r := newRig(t, nil)
-	refused := 0
-	for i := range 200 { // every answer is late: ever fewer may be out
+func TestLateAnswersCauseImmediateRejections(t *testing.T) {
+	r := newHarness(t, nil)
+	rejections := 0
+	for i := range 200 { // every answer is late, so the limits shrink
 		for j := range 20 {
-			r.n++
-			id := fmt.Sprint("r", r.n)
-			out := r.do(Request{ID: id, Class: "film", Object: fmt.Sprint(i, "-", j), SizeKB: 400,
+			r.lastID++
+			id := fmt.Sprint("r", r.lastID)
+			out := r.handle(Request{ID: id, Class: "film", Object: fmt.Sprint(i, "-", j), SizeKB: 400,
 				Deadline: r.now + 6*time.Second})
-			if f := first[Reject](out); f != nil {
-				refused++
+			if f := firstAction[Reject](out); f != nil {
+				rejections++
 				if f.RetryAfter <= 0 {
-					t.Fatal("a refusal without advice")
+					t.Fatal("rejection without a Retry-After")
 				}
 			}
 		}
-		r.after(2 * time.Second)
+		r.advance(2 * time.Second)
 		ids := make([]string, 0)
 		for id := range r.d.requests {
 			ids = append(ids, id)
 		}
 		slices.Sort(ids)
 		for _, id := range ids {
-			r.do(AttemptResult{ID: id, Status: OK, Reason: ReasonFilled, Final: true, Latency: 2 * time.Second})
+			r.handle(AttemptResult{ID: id, Status: OK, Reason: ReasonFilled, Final: true, Latency: 2 * time.Second})
 		}
 	}
-	if refused == 0 {
-		t.Error("nothing was refused")
+	if rejections == 0 {
+		t.Error("no request was rejected")
 	}
 }
 
-// An answer that got lost on its way is no sign of load: what was sent later, by the same way, was answered in time.
-// Such answers cut the limits, and one of two directors refused a seventh of its requests while all was well.
-func TestLostAnswersCutNoLimit(t *testing.T) {
-	r := newRig(t, nil)
-	at := r.serve("page", "x", ReasonFilled).Endpoint
+// An answer that was lost on its way is no sign of load: a later attempt by the same way was
+// answered in time. Guards against limits cut by lost answers, which made one of two directors
+// reject a seventh of its requests while all endpoints were healthy.
+func TestLostAnswersDoNotCutLimits(t *testing.T) {
+	r := newHarness(t, nil)
+	cacheID := r.serve("page", "x", ReasonFilled).Endpoint
 	for i := range 20 {
-		id, a := r.ask("page", "x")
+		id, a := r.send("page", "x")
 		if a == nil {
-			t.Fatalf("request %d was refused", i)
+			t.Fatalf("request %d was rejected", i)
 		}
-		if a.Endpoint != at { // a detour
-			r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Final: true, Latency: ms})
+		if a.Endpoint != cacheID { // another cache was explored
+			r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Final: true, Latency: ms})
 			continue
 		}
-		r.after(ms).serve("page", "x", ReasonHit)
-		r.after(3 * time.Second)
-		r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: TimedOut, Final: true, Latency: 3050 * ms})
+		r.advance(ms).serve("page", "x", ReasonHit)
+		r.advance(3 * time.Second)
+		r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: TimedOut, Final: true, Latency: 3050 * ms})
 	}
 	for _, s := range r.d.endpoints {
 		if s.concurrencyLimit.LastCut > 0 {
-			t.Errorf("%s: %+v", s.id, s.concurrencyLimit)
+			t.Errorf("%s: limit %+v was cut", s.id, s.concurrencyLimit)
 		}
 	}
 	if r.d.originFetches.LastCut > 0 {
-		t.Errorf("fetches: %+v", r.d.originFetches)
+		t.Errorf("limit %+v of fetches from the origin was cut", r.d.originFetches)
 	}
 }
 
-// A cache that drains before the list says so refuses everything at once, hits and fills. That is its own doing:
-// after three refusals it is left alone, and neither the sources nor the other caches lose anything by it.
-func TestARefusalAtOnceIsTheCachesOwn(t *testing.T) {
-	r := newRig(t, func(s *Settings) { s.AnswerDetail = DetailHit })
+// A cache that starts draining before the endpoint list shows it rejects everything at once, hits
+// and fills. This is the fault of that cache alone: it is avoided after a few rejections, and
+// the limits of the fill sources and of the other caches are not cut.
+func TestPromptRejectionsCountAgainstTheCache(t *testing.T) {
+	r := newHarness(t, func(s *Settings) { s.AnswerDetail = DetailHit })
 	draining := r.serve("film", "hot0", ReasonFilled).Endpoint
-	for i := range 60 { // these have a home now, and fills have told how soon a source can answer
+	for i := range 60 { // objects get a listed cache, and the fills show how soon a source can answer
 		r.serve("film", fmt.Sprint("hot", i), ReasonFilled)
 	}
-	refused := 0
+	rejections := 0
 	for i := range 60 {
 		object := fmt.Sprint("hot", i)
 		if i%2 == 1 {
 			object = fmt.Sprint("new", i)
 		}
-		id, a := r.ask("film", object)
+		id, a := r.send("film", object)
 		for n := 0; a != nil && a.Endpoint == draining; n++ {
-			refused++
-			a = first[ForwardAttempt](r.do(AttemptResult{ID: id, Attempt: n, Endpoint: a.Endpoint, Status: Rejected}))
+			rejections++
+			a = firstAction[ForwardAttempt](r.handle(AttemptResult{ID: id, Attempt: n, Endpoint: a.Endpoint, Status: Rejected}))
 		}
 		if a == nil {
-			t.Fatalf("request %d for %s was given up, with three caches and all sources well", i, object)
+			t.Fatalf("request %d for %s was not retried, though three caches and all sources are healthy", i, object)
 		}
 		n := len(r.d.requests[id].attempts) - 1
-		r.after(40 * ms).do(AttemptResult{ID: id, Attempt: n, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true,
+		r.advance(40 * ms).handle(AttemptResult{ID: id, Attempt: n, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true,
 			Latency: 40 * ms})
 	}
 	for _, l := range r.d.upEndpoints[roleParent:] {
 		for _, s := range l {
 			if s.ejectionDuration > 0 || s.concurrencyLimit.Max < 1000 {
-				t.Errorf("%s: limit %.1f, ejected for %v", s.id, s.concurrencyLimit.Max, s.ejectionDuration)
+				t.Errorf("%s: limit %.1f, ejected for %v, want neither", s.id, s.concurrencyLimit.Max, s.ejectionDuration)
 			}
 		}
 	}
-	if most := r.d.originFetches.Max; most < 1000 {
-		t.Errorf("fetches are limited to %.1f", most)
+	if limit := r.d.originFetches.Max; limit < 1000 {
+		t.Errorf("fetches from the origin are limited to %.1f, want no limit", limit)
 	}
-	if refused < 3 || refused > 10 {
-		t.Errorf("the draining cache was asked %d times", refused)
+	if rejections < 3 || rejections > 10 {
+		t.Errorf("%d attempts at the draining cache, want 3 to 10", rejections)
 	}
 }
 
-// An answer that is late because an earlier attempt of its request came to nothing says nothing of load.
-func TestTimeOfEarlierAttemptsCutsNoLimit(t *testing.T) {
-	r := newRig(t, nil)
+// An answer that is late because of the request's failed earlier attempt is no sign of load.
+func TestTimeOfEarlierAttemptsDoesNotCutLimits(t *testing.T) {
+	r := newHarness(t, nil)
 	for i := range 30 {
-		id, a := r.ask("film", fmt.Sprint("x", i))
+		id, a := r.send("film", fmt.Sprint("x", i))
 		if a == nil {
-			t.Fatalf("request %d was refused", i)
+			t.Fatalf("request %d was rejected", i)
 		}
-		a = first[ForwardAttempt](r.after(1200 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Reset, CollateralReset: true,
+		a = firstAction[ForwardAttempt](r.advance(1200 * ms).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Reset, CollateralReset: true,
 			Latency: 1200 * ms}))
 		if a == nil {
-			t.Fatalf("request %d was not sent again", i)
+			t.Fatalf("request %d was not retried", i)
 		}
-		r.after(100 * ms).do(AttemptResult{ID: id, Attempt: 1, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true,
+		r.advance(100 * ms).handle(AttemptResult{ID: id, Attempt: 1, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilled, Final: true,
 			Latency: 100 * ms})
-		for k := range 10 { // further attempts are earned
+		for k := range 10 { // earns retries
 			r.serve("film", fmt.Sprint("y", i, k), ReasonHit)
 		}
 	}
 	for _, s := range r.d.endpoints {
 		if s.concurrencyLimit.Max < 1000 {
-			t.Errorf("%s is limited to %.1f", s.id, s.concurrencyLimit.Max)
+			t.Errorf("%s is limited to %.1f, want no limit", s.id, s.concurrencyLimit.Max)
 		}
 	}
 }
 
-// At a cache with little room what costs much for its worth is turned away, and what costs little still goes.
-func TestDearRequestsMakeRoom(t *testing.T) {
-	r := newRig(t, untold)
-	for n := range 100 { // what is usual
-		r.kb = 400
+// At a cache near its limit, requests that are costly for their priority weight are rejected, and
+// cheap ones are served.
+func TestCostlyRequestsAreRejectedFirst(t *testing.T) {
+	r := newHarness(t, withoutAnswerDetail)
+	for n := range 100 { // sets the mean cost
+		r.sizeKB = 400
 		r.serve("film", fmt.Sprint("o", n%5), ReasonNone)
 	}
 	for _, s := range r.d.upEndpoints[roleCache] {
 		s.concurrencyLimit.Max, s.concurrencyLimit.InFlight = 10, 6
 	}
-	r.kb = 4000
-	if _, a := r.ask("film", "o1"); a != nil {
-		t.Error("one of ten times the usual size takes room that is short")
+	r.sizeKB = 4000
+	if _, a := r.send("film", "o1"); a != nil {
+		t.Error("a request of ten times the mean size was forwarded to a cache near its limit")
 	}
-	r.kb = 200
-	if _, a := r.ask("film", "o1"); a == nil {
-		t.Error("a small one finds no room")
+	r.sizeKB = 200
+	if _, a := r.send("film", "o1"); a == nil {
+		t.Error("a small request was rejected")
 	}
 }
 
-// Writes go straight to the origin here: that they are late says that fills fetch too much there.
-func TestLateWritesLimitFetches(t *testing.T) {
-	r := newRig(t, untold)
+// Writes go directly to the origin here. Late writes show that the origin is overloaded, so they
+// cut the limit on fetches.
+func TestLateWritesCutOriginFetchLimit(t *testing.T) {
+	r := newHarness(t, withoutAnswerDetail)
 	var ids []string
 	for range 20 {
-		id, a := r.ask("send", "w")
+		id, a := r.send("send", "w")
 		if a == nil || a.Endpoint != "o" {
-			t.Fatalf("a write went to %+v", a)
+			t.Fatalf("write: attempt %+v, want one at the origin", a)
 		}
 		ids = append(ids, id)
 	}
-	r.after(time.Second)
+	r.advance(time.Second)
 	for _, id := range ids {
-		r.after(ms).do(AttemptResult{ID: id, Endpoint: "o", Status: OK, Final: true, Latency: time.Second})
+		r.advance(ms).handle(AttemptResult{ID: id, Endpoint: "o", Status: OK, Final: true, Latency: time.Second})
 	}
 	if r.d.originFetches.IsUnlimited() {
-		t.Error("twenty late writes, and fetches are not limited")
+		t.Error("fetches from the origin are unlimited after twenty late writes")
 	}
 }
 
-// A burst of large objects is not piled onto a cache beyond what it can finish in their aim, before any answer was late.
-func TestABurstStaysWithinWhatEndsInAim(t *testing.T) {
-	r := newRig(t, func(s *Settings) { untold(s); s.WeightsKnown = true })
-	var l []Endpoint
-	for _, m := range members() {
+// In a burst of large objects, a cache gets no more attempts than it can finish within the latency
+// objective, even before any answer was late.
+func TestBurstStaysWithinLatencyObjective(t *testing.T) {
+	r := newHarness(t, func(s *Settings) { withoutAnswerDetail(s); s.WeightsKnown = true })
+	var endpoints []Endpoint
+	for _, m := range testEndpoints() {
 		m.Weight = 7
-		l = append(l, m)
+		endpoints = append(endpoints, m)
 	}
-	r.do(EndpointUpdate{Kind: FullList, Endpoints: l})
-	r.kb = 4000 // a second each; aim 600 ms and 1.6 times that
+	r.handle(EndpointUpdate{Kind: FullList, Endpoints: endpoints})
+	r.sizeKB = 4000 // one second each; the objective is 0.6 s plus 1.6 times that
 	for n := range 300 {
-		r.ask("film", fmt.Sprint("o", n))
+		r.send("film", fmt.Sprint("o", n))
 	}
 	for _, s := range r.d.upEndpoints[roleCache] {
-		if took := float64(s.concurrencyLimit.InFlight) / 7; took > 2.3 {
-			t.Errorf("%s has %d out: they take %.1f s, the aim is 2.2", s.id, s.concurrencyLimit.InFlight, took)
+		if seconds := float64(s.concurrencyLimit.InFlight) / 7; seconds > 2.3 {
+			t.Errorf("%s has %d attempts in flight that take %.1f s, want at most the objective of 2.2 s", s.id, s.concurrencyLimit.InFlight, seconds)
 		}
 		if s.concurrencyLimit.InFlight < 10 {
-			t.Errorf("%s has %d out, and could finish fifteen", s.id, s.concurrencyLimit.InFlight)
+			t.Errorf("%s has %d attempts in flight, want at least 10, as it can finish fifteen", s.id, s.concurrencyLimit.InFlight)
 		}
 	}
 }
 
-// A refusal that comes after a fill's time-out is not the cache's: it refuses at its door. The copy that was listed was gone
-// unseen.
-func TestLateRefusalsAreTheSources(t *testing.T) {
-	r := newRig(t, untold)
+// A rejection that comes after a fill's timeout is not the cache's own, which would have come at
+// once: the listed copy was evicted unnoticed, and the source failed.
+func TestLateRejectionsCountAgainstFillSource(t *testing.T) {
+	r := newHarness(t, withoutAnswerDetail)
 	cacheID := r.serve("film", "a", ReasonNone).Endpoint
 	for range 12 {
-		if id, a := r.after(50*ms).ask("film", "a"); a != nil && a.Endpoint == cacheID {
-			r.after(830 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Rejected, Latency: 830 * ms})
+		if id, a := r.advance(50*ms).send("film", "a"); a != nil && a.Endpoint == cacheID {
+			r.advance(830 * ms).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Rejected, Latency: 830 * ms})
 		}
 	}
 	if s := r.d.endpoints[cacheID]; !s.concurrencyLimit.IsUnlimited() || s.ejectionDuration > 0 {
-		t.Errorf("the cache is limited to %v, ejected for %v", s.concurrencyLimit.Max, s.ejectionDuration)
+		t.Errorf("the cache is limited to %v, ejected for %v, want neither", s.concurrencyLimit.Max, s.ejectionDuration)
 	}
 	if p, q := r.d.endpoints["p1"], r.d.endpoints["p2"]; p.concurrencyLimit.IsUnlimited() && q.concurrencyLimit.IsUnlimited() {
-		t.Error("no source is held to account")
+		t.Error("no parent's limit was cut")
 	}
 }
 
-// theory-schools-later big-1: late fetches by way of several parents limit all fetches; what parents hold
-// is still asked for, by attempts that should hit as well, and a miss there is a refusal at once.
-func TestALateOriginIsSparedButNotWhatParentsHold(t *testing.T) {
-	r := newRig(t, nil)
+// Late fetches through several parents cut the limit on fetches from the origin. The parents'
+// copies are still requested, by attempts with an expected hit too, and a miss at the parent is
+// rejected at once.
+func TestParentCopiesServedWhileOriginIsAtLimit(t *testing.T) {
+	r := newHarness(t, nil)
 	r.serve("film", "listed", ReasonHit)
 	for i := range 40 {
-		id, a := r.ask("film", fmt.Sprint("slow", i))
+		id, a := r.send("film", fmt.Sprint("slow", i))
 		if a == nil || a.OnlyIfCached {
 			continue
 		}
-		r.after(100 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilledByOrigin, Final: true,
+		r.advance(100 * ms).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilledByOrigin, Final: true,
 			Latency: 4 * time.Second})
 	}
 	if r.d.originFetches.Max > 4 {
-		t.Fatalf("the limit on fetches is %v after forty late ones", r.d.originFetches.Max)
+		t.Fatalf("the limit on fetches is %v after forty late ones, want at most 4", r.d.originFetches.Max)
 	}
 	r.d.originFetches.InFlight = int(math.Ceil(r.d.originFetches.Max)) + 1
 	for _, p := range r.d.upEndpoints[roleParent] {
 		p.concurrencyLimit.Max = math.Inf(1)
 	}
 	for _, object := range []string{"listed", "new"} {
-		id, a := r.ask("film", object)
+		id, a := r.send("film", object)
 		if a == nil || !a.OnlyIfCached {
-			t.Fatalf("%s: %+v, want an attempt for what is held", object, a)
+			t.Fatalf("%s: attempt %+v, want one with OnlyIfCached", object, a)
 		}
-		out := r.after(20 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Miss, Reason: ReasonSourceMiss, Latency: 20 * ms})
-		if first[Reject](out) == nil || first[ForwardAttempt](out) != nil {
-			t.Errorf("%s: a miss at the parent brought %v, want a refusal at once", object, out)
+		out := r.advance(20 * ms).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: Miss, Reason: ReasonSourceMiss, Latency: 20 * ms})
+		if firstAction[Reject](out) == nil || firstAction[ForwardAttempt](out) != nil {
+			t.Errorf("%s: actions after a miss at the parent are %v, want a rejection at once", object, out)
 		}
 	}
 }
 
-// theory-schools-later rough-1: the failures of one vanished parent count against it, not against all
-// fetches.
-func TestOneLateParentDoesNotLimitAllFetches(t *testing.T) {
-	r := newRig(t, nil)
+// The failures of one unreachable parent count against that parent, and don't cut the limit on all
+// fetches from the origin.
+func TestLostParentDoesNotCutOriginFetchLimit(t *testing.T) {
+	r := newHarness(t, nil)
 	for i := range 60 {
-		id, a := r.ask("film", fmt.Sprint("o", i))
+		id, a := r.send("film", fmt.Sprint("o", i))
 		if a == nil {
 			continue
 		}
@@ -260,99 +266,101 @@
 		if a.FillSource == "p1" {
 			o.Status, o.Reason, o.Final, o.Latency = Rejected, ReasonSourceLost, false, 400*ms
 		}
-		r.after(80 * ms).do(o)
+		r.advance(80 * ms).handle(o)
 	}
 	if !math.IsInf(r.d.originFetches.Max, 1) {
-		t.Errorf("one parent that is gone limits all fetches to %v", r.d.originFetches.Max)
+		t.Errorf("one unreachable parent limits all fetches to %v, want no limit", r.d.originFetches.Max)
 	}
 	if r.d.healthy(r.d.endpoints["p1"]) {
-		t.Error("the parent that is gone is still in use")
+		t.Error("the unreachable parent is not ejected")
 	}
 }
 
-// Fills that run out of time at one parent, while its sibling's come in time, don't limit the fetches of both.
-func TestOneHangingParentIsNotTheOrigin(t *testing.T) {
-	r := newRig(t, nil)
+// Fills that time out at one parent while its sibling's are in time don't cut the limit on fetches
+// through both.
+func TestHangingParentDoesNotCutOriginFetchLimit(t *testing.T) {
+	r := newHarness(t, nil)
 	for i := range 60 {
-		id, a := r.ask("film", fmt.Sprint("o", i))
+		id, a := r.send("film", fmt.Sprint("o", i))
 		if a == nil {
 			continue
 		}
-		ok := AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilledByOrigin, Final: true, Latency: 80 * ms}
+		result := AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonFilledByOrigin, Final: true, Latency: 80 * ms}
 		if a.FillSource != "p1" || i < 20 {
-			r.after(80 * ms).do(ok)
+			r.advance(80 * ms).handle(result)
 			continue
 		}
-		again := first[ForwardAttempt](r.after(80 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: ServerError,
+		retry := firstAction[ForwardAttempt](r.advance(80 * ms).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: ServerError,
 			Reason: ReasonSourceLost, Latency: 2 * time.Second}))
-		if again != nil {
-			ok.Endpoint, ok.Attempt = again.Endpoint, 1
-			r.do(ok)
+		if retry != nil {
+			result.Endpoint, result.Attempt = retry.Endpoint, 1
+			r.handle(result)
 		}
 	}
 	if !math.IsInf(r.d.originFetches.Max, 1) {
-		t.Errorf("one hanging parent limits all fetches to %v", r.d.originFetches.Max)
+		t.Errorf("one hanging parent limits all fetches to %v, want no limit", r.d.originFetches.Max)
 	}
 	if r.d.healthy(r.d.endpoints["p1"]) {
-		t.Error("the hanging parent is still in use")
+		t.Error("the hanging parent is not ejected")
 	}
 }
 
-// One of many directors has less than one attempt out: its limit is a chance, and grows back once answers
-// are in time.
-func TestLimitsBelowOneAreAChance(t *testing.T) {
-	r := newRig(t, nil)
+// One of many directors may have a limit below one attempt in flight. The limit then acts as a
+// probability, and grows back once answers are in time.
+func TestLimitsBelowOneActAsProbabilities(t *testing.T) {
+	r := newHarness(t, nil)
 	for _, s := range r.d.upEndpoints[roleCache] {
 		s.concurrencyLimit.Max = 0.5
 	}
-	sent := 0
+	forwarded := 0
 	for i := range 400 {
-		id, a := r.ask("film", fmt.Sprint("o", i))
+		id, a := r.send("film", fmt.Sprint("o", i))
 		if a == nil {
 			continue
 		}
-		sent++
-		for _, s := range r.d.upEndpoints[roleCache] { // keep the limit where it is
+		forwarded++
+		for _, s := range r.d.upEndpoints[roleCache] { // restore the limit
 			s.concurrencyLimit.Max = 0.5
 		}
-		r.do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 10 * ms})
+		r.handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 10 * ms})
 		for _, s := range r.d.upEndpoints[roleCache] {
 			s.concurrencyLimit.Max = 0.5
 		}
 	}
-	if sent < 160 || sent > 240 {
-		t.Errorf("limits of a half let %d of 400 in", sent)
+	if forwarded < 160 || forwarded > 240 {
+		t.Errorf("limits of 0.5 let %d of 400 requests through, want 160 to 240", forwarded)
 	}
-	g := &r.d.endpoints["c1"].concurrencyLimit
-	g.Max, g.LateShare, g.LastAnswer = 0.2, 0, r.now
+	limit := &r.d.endpoints["c1"].concurrencyLimit
+	limit.Max, limit.LateShare, limit.LastAnswer = 0.2, 0, r.now
 	for i := range 200 {
-		id, a := r.ask("film", fmt.Sprint("p", i))
+		id, a := r.send("film", fmt.Sprint("p", i))
 		if a != nil {
-			r.after(100 * ms).do(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 10 * ms})
+			r.advance(100 * ms).handle(AttemptResult{ID: id, Endpoint: a.Endpoint, Status: OK, Reason: ReasonHit, Final: true, Latency: 10 * ms})
 		}
 	}
-	if g.Max < 0.9 {
-		t.Errorf("after twenty seconds in time the limit is %v", g.Max)
+	if limit.Max < 0.9 {
+		t.Errorf("the limit is %v after twenty seconds of answers in time, want at least 0.9", limit.Max)
 	}
 }
 
-// The origin slows down five times while caches hold most of what is asked: hits go on being served, writes are not starved
-// by fills, and two seconds after its recovery nothing is refused.
-func TestASlowOriginCostsFillsOnly(t *testing.T) {
-	for _, tells := range []AnswerDetail{DetailNone, DetailHit} {
-		w := newSmall(t, tells, nil)
-		w.at(10*time.Second, func() { w.origin = 100 * ms })
-		w.at(25*time.Second, func() { w.origin = 20 * ms })
-		w.play(40*time.Second, 12*time.Second, 25*time.Second, 40)
-		if got := float64(w.hitsIn) / float64(w.hits); got < 0.95 {
-			t.Errorf("tells %v: %.2f of what caches hold was served in aim", tells, got)
-		}
-		if got := w.share("send"); got < 0.5 {
-			t.Errorf("tells %v: %.2f of the writes were in aim", tells, got)
-		}
-		// The limit that is left at 27 s is some ten: a chance burst may still meet it.
-		if n, _ := slices.BinarySearch(w.refused, 27*time.Second); len(w.refused)-n > 3 || n < 20 {
-			t.Errorf("tells %v: %d refused while it was slow, %d from two seconds after on", tells, n, len(w.refused)-n)
+// The origin becomes five times slower while caches have copies of most requested objects: hits are
+// still served, writes still reach the origin despite the fills, and two seconds after the recovery
+// nothing is rejected any more.
+func TestSlowOriginDelaysFillsOnly(t *testing.T) {
+	for _, detail := range []AnswerDetail{DetailNone, DetailHit} {
+		w := newSimulatedLocation(t, detail, nil)
+		w.at(10*time.Second, func() { w.originFetchTime = 100 * ms })
+		w.at(25*time.Second, func() { w.originFetchTime = 20 * ms })
+		w.run(40*time.Second, 12*time.Second, 25*time.Second, 40)
+		if got := float64(w.hitsInObjective) / float64(w.expectedHits); got < 0.95 {
+			t.Errorf("detail %v: a share of %.2f of the expected hits met the objective, want at least 0.95", detail, got)
+		}
+		if got := w.objectiveShare("send"); got < 0.5 {
+			t.Errorf("detail %v: a share of %.2f of the writes met the objective, want at least 0.5", detail, got)
+		}
+		// At 27 s the limit is still about ten, which a random burst may reach.
+		if n, _ := slices.BinarySearch(w.rejectedAt, 27*time.Second); len(w.rejectedAt)-n > 3 || n < 20 {
+			t.Errorf("detail %v: %d rejected by two seconds after the recovery, want at least 20; %d rejected later, want at most 3", detail, n, len(w.rejectedAt)-n)
 		}
 	}
 }
